--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 MOST = 3
-FAILED = 1      # pytest's exit code where a test ran and failed
+FAILED = 1  # pytest's exit code where a test ran and failed
 
 
 def main(root: Path) -> int:
@@ -25,8 +25,14 @@
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
             return wrong(f"expected `test | cause | issue`, found {line!r}")
         test, cause, issue = parts
-        ran = subprocess.run([sys.executable, "-m", "pytest", "-q", "--no-header", test], cwd=root,
-                             stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+        ran = subprocess.run(
+            [sys.executable, "-m", "pytest", "-q", "--no-header", test],
+            cwd=root,
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+        )
         if ran.returncode == 0:
             return wrong(f"{test} passes by now; take its line out")
         if ran.returncode != FAILED:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -11,23 +11,50 @@
 
 # The users' size, in their words: what is handed to this project, not measured by it.
 SIZE: dict[str, float] = {
-    "gateways": 870, "engines": 1_800, "statements": 2_530, "fleet_statements": 2_200_000, "connections": 6_670,
-    "fleet_connections": 5_800_000, "regions": 2, "zones": 5, "machines": 3, "primary_changes": 4, "primary_s": 9,
-    "changes": 910, "change_s": 5, "core_percent": 3.3, "memory_mb": 128, "octets": 7_000, "fleet_octets": 6_100_000,
-    "restarts": 540, "machine_failures": 4, "per_database": 1_220, "day": 86_400}
-PEAKS = {"mean": 1, "three": 3, "five": 5}      # "several times the mean", worked out for these
-BEFORE = ".before"      # of a key: as it was before the working set
-WITHOUT = ".without-shared"     # of a key: a fleet whose operator file switches findings off
-
-
-GROW = "gateways", "engines", "fleet_statements", "fleet_connections", "restarts", "machine_failures"
+    "gateways": 870,
+    "engines": 1_800,
+    "statements": 2_530,
+    "fleet_statements": 2_200_000,
+    "connections": 6_670,
+    "fleet_connections": 5_800_000,
+    "regions": 2,
+    "zones": 5,
+    "machines": 3,
+    "primary_changes": 4,
+    "primary_s": 9,
+    "changes": 910,
+    "change_s": 5,
+    "core_percent": 3.3,
+    "memory_mb": 128,
+    "octets": 7_000,
+    "fleet_octets": 6_100_000,
+    "restarts": 540,
+    "machine_failures": 4,
+    "per_database": 1_220,
+    "day": 86_400,
+}
+PEAKS = {"mean": 1, "three": 3, "five": 5}  # "several times the mean", worked out for these
+BEFORE = ".before"  # of a key: as it was before the working set
+WITHOUT = ".without-shared"  # of a key: a fleet whose operator file switches findings off
+
+
+GROW = (
+    "gateways",
+    "engines",
+    "fleet_statements",
+    "fleet_connections",
+    "restarts",
+    "machine_failures",
+)
 
 
 class Size(SimpleNamespace):
     """The users' size with `times` as many workload managers and databases; what each has to do stays."""
 
     def __init__(self, times: float = 1.0) -> None:
-        super().__init__(**{name: value * (times if name in GROW else 1) for name, value in SIZE.items()})
+        super().__init__(
+            **{name: value * (times if name in GROW else 1) for name, value in SIZE.items()}
+        )
 
 
 class NotRun(LookupError):
@@ -88,8 +115,11 @@
         def ask(key: str, at: float | None = None, slope: bool = False) -> float:
             # One that was checked at full size goes before one that is foretold alone; and where the run after the
             # mechanism, or with findings, is missing, the other stands in, under its own name.
-            there = [each for each in (key, key + WITHOUT) if each in self.rows] or [
-                each for each in (key + BEFORE,) if each in self.rows] or [key]
+            there = (
+                [each for each in (key, key + WITHOUT) if each in self.rows]
+                or [each for each in (key + BEFORE,) if each in self.rows]
+                or [key]
+            )
             key = next((each for each in there if "checked" in self.rows.get(each, ())), there[0])
             read.append(self.slope(key) if slope else self.figure(key, at))
             return read[-1].value
@@ -98,7 +128,9 @@
         kind = "paper" if not read else "foretold"
         if len(read) == 1 and read[0].value == value:
             kind = read[0].kind
-        return Figure(value, of.unit, kind, tuple(dict.fromkeys(key for each in read for key in each.keys)))
+        return Figure(
+            value, of.unit, kind, tuple(dict.fromkeys(key for each in read for key in each.keys))
+        )
 
 
 Ask = Callable[..., float]
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -57,15 +57,19 @@
             made.auditor.pass_whole()
             plain.append((time.perf_counter() - begun) * 1000)
         assert not made.findings.held
-        print(f"{open_:6} {engines:7} {len(steps):6} {statistics.median(longest):12.2f} "
-              f"{statistics.median(whole):12.2f} {statistics.median(plain):12.2f}")
+        print(
+            f"{open_:6} {engines:7} {len(steps):6} {statistics.median(longest):12.2f} "
+            f"{statistics.median(whole):12.2f} {statistics.median(plain):12.2f}"
+        )
     made, count = books(0, 6), 100_000
     entries = [Record(made.rows[0]) for _ in range(count)]
     hands = [Record(None, made.engine_rows[0], entry) for entry in entries]
-    for name, act in (("taken", lambda n: made.ledger.taken(entries[n])),
-                      ("handed off", lambda n: made.ledger.handed_off(hands[n], terms.FIRST)),
-                      ("hand-off over", lambda n: made.ledger.handoff_over(hands[n], 1)),
-                      ("closed", lambda n: made.ledger.closed(entries[n], terms.IN_TIME))):
+    for name, act in (
+        ("taken", lambda n: made.ledger.taken(entries[n])),
+        ("handed off", lambda n: made.ledger.handed_off(hands[n], terms.FIRST)),
+        ("hand-off over", lambda n: made.ledger.handoff_over(hands[n], 1)),
+        ("closed", lambda n: made.ledger.closed(entries[n], terms.IN_TIME)),
+    ):
         begun = time.perf_counter()
         for n in range(count):
             act(n)
@@ -76,6 +80,7 @@
     from corkgauge.figures import exposition
     from corkgauge.figures.cut import cut_of, with_audit
     from corkgauge.figures.door import json_pieces
+
     made = books(10_000, 1_000)
     begun = time.perf_counter()
     cut = with_audit(cut_of(made.ledger, 1, "n1", {"id": "x", "started": 1}), made.findings, 1)
@@ -88,15 +93,22 @@
             steps.append((time.perf_counter() - last) * 1000)
             last = time.perf_counter()
         steps.sort()
-        print(f"{name:16} {size:8} bytes in {len(steps)} pieces, the longest {steps[-1]:.2f} ms, "
-              f"median {statistics.median(steps):.3f} ms, all {sum(steps):.1f} ms")
+        print(
+            f"{name:16} {size:8} bytes in {len(steps)} pieces, the longest {steps[-1]:.2f} ms, "
+            f"median {statistics.median(steps):.3f} ms, all {sum(steps):.1f} ms"
+        )
 
 
 def sketches():
     from ddsketch import DDSketch
-    kinds = {"ddsketch, 1 in 100": lambda: DDSketch(0.01), "ddsketch, 2 in 100": lambda: DDSketch(0.02)}
+
+    kinds = {
+        "ddsketch, 1 in 100": lambda: DDSketch(0.01),
+        "ddsketch, 2 in 100": lambda: DDSketch(0.02),
+    }
     try:
         from hdrh.histogram import HdrHistogram
+
         kinds["hdrhistogram, 2 digits"] = lambda: HdrHistogram(1, 600_000, 2)
     except ImportError:
         print("hdrhistogram is not installed: left out")
@@ -115,29 +127,47 @@
         for span in spans_:
             add(span)
         took = (time.perf_counter() - begun) / len(spans_) * 1e6
-        found = sketch.get_quantile_value(0.99) if hasattr(sketch, "get_quantile_value") else (
-            sketch.get_value_at_percentile(99))
-        print(f"{name:24} {took:.2f} us an entry, {held} bytes, 99th percentile off by "
-              f"{found / true - 1:+.3f}")
+        found = (
+            sketch.get_quantile_value(0.99)
+            if hasattr(sketch, "get_quantile_value")
+            else (sketch.get_value_at_percentile(99))
+        )
+        print(
+            f"{name:24} {took:.2f} us an entry, {held} bytes, 99th percentile off by "
+            f"{found / true - 1:+.3f}"
+        )
 
 
 def tree_of(base, folder):
     """A worktree of an earlier revision."""
     path = Path(folder) / "before"
-    subprocess.run(["git", "-C", ROOT, "worktree", "add", "--detach", path, base], check=True,
-                   capture_output=True)
+    subprocess.run(
+        ["git", "-C", ROOT, "worktree", "add", "--detach", path, base],
+        check=True,
+        capture_output=True,
+    )
     return path
 
 
 def one_load(tree, seconds, rate, operator):
     from corkgauge.standins.play import Play
-    play = Play(5, (), rate=rate, scrapes=10 if operator else 0, gives_up=0.0, hangs_up=0.0,
-                **({} if operator else {"operator": ""}))
+
+    play = Play(
+        5,
+        (),
+        rate=rate,
+        scrapes=10 if operator else 0,
+        gives_up=0.0,
+        hangs_up=0.0,
+        **({} if operator else {"operator": ""}),
+    )
     play.program.tree = str(tree)
     if tree != ROOT:
         play.program.arguments = ["serve"]
     used = []
-    play.hub.later(int((seconds - 0.5) * 10_000), lambda: used.append(play.program.processor_time()))
+    play.hub.later(
+        int((seconds - 0.5) * 10_000), lambda: used.append(play.program.processor_time())
+    )
     try:
         play.run(seconds, drain=1.0)
         log = play.program.log()[-1]
@@ -162,48 +192,68 @@
     print(f"{runs} runs of {seconds} s at {rate} a second, in turn; medians (least to most)")
     for name, several in found.items():
         columns = []
-        for n, form in enumerate(("{:.0f} us of processor a submission", "longest turn {:.1f} ms",
-                                  "served {:.3f}")):
+        for n, form in enumerate(
+            ("{:.0f} us of processor a submission", "longest turn {:.1f} ms", "served {:.3f}")
+        ):
             values = sorted(each[n] for each in several)
-            columns.append(f"{form.format(statistics.median(values))} ({values[0]:.3g} to {values[-1]:.3g})")
+            columns.append(
+                f"{form.format(statistics.median(values))} ({values[0]:.3g} to {values[-1]:.3g})"
+            )
         print(f"{name:26} {'; '.join(columns)}")
     for name in [*found][1:]:
         ratios = sorted(each[0] / was[0] for each, was in zip(found[name], found["before"]))
-        print(f"{name}: processor time over before, pair by pair: {statistics.median(ratios):.3f} "
-              f"({ratios[0]:.3f} to {ratios[-1]:.3f})")
+        print(
+            f"{name}: processor time over before, pair by pair: {statistics.median(ratios):.3f} "
+            f"({ratios[0]:.3f} to {ratios[-1]:.3f})"
+        )
 
 
 def start(base, runs):
     from corkgauge.standins.play import settings
     from corkgauge.standins.ports import free_port
     from corkgauge.standins.program import Program
+
     with tempfile.TemporaryDirectory() as folder:
         before = tree_of(base, folder)
         try:
             for name, tree in ("before", before), ("now", ROOT):
                 held = []
                 for _ in range(runs):
-                    program = Program(folder, {"name": "n", "listen": f"127.0.0.1:{free_port()}",
-                                               "feed": "127.0.0.1:1", "settings": settings()}, tree=str(tree))
+                    program = Program(
+                        folder,
+                        {
+                            "name": "n",
+                            "listen": f"127.0.0.1:{free_port()}",
+                            "feed": "127.0.0.1:1",
+                            "settings": settings(),
+                        },
+                        tree=str(tree),
+                    )
                     if tree != ROOT:
                         program.arguments = ["serve"]
                     program.start()
                     time.sleep(1.0)
                     held.append(program.memory())
                     program.end()
-                print(f"{name:8} {statistics.median(held) / 2 ** 20:.2f} MB after the start")
+                print(f"{name:8} {statistics.median(held) / 2**20:.2f} MB after the start")
         finally:
             subprocess.run(["git", "-C", ROOT, "worktree", "remove", "--force", before], check=True)
 
 
 if __name__ == "__main__":
-    said = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    said = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     said.add_argument("what", choices=["pass", "scrape", "sketches", "load", "start"])
     said.add_argument("--base", default="HEAD~1")
     said.add_argument("--runs", type=int, default=5)
     said.add_argument("--seconds", type=float, default=10.0)
     said.add_argument("--rate", type=float, default=300.0)
     asked = said.parse_args()
-    {"pass": second_book, "scrape": scrape, "sketches": sketches,
-     "load": lambda: load(asked.base, asked.runs, asked.seconds, asked.rate),
-     "start": lambda: start(asked.base, asked.runs)}[asked.what]()
+    {
+        "pass": second_book,
+        "scrape": scrape,
+        "sketches": sketches,
+        "load": lambda: load(asked.base, asked.runs, asked.seconds, asked.rate),
+        "start": lambda: start(asked.base, asked.runs),
+    }[asked.what]()
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -34,18 +34,43 @@
 
 
 def deltas(count):
-    return [Delta(n, n % 2, 4, bytes((127, 0, n % 250, 1)), 40_000 + n % 9999, bytes((127, 0, 0, 9)), 9090,
-                  f"engine-{n % 300:04}", f"hall-{n % 3}", 1_796_148_000_000 + n, 1_796_148_060_000 + n,
-                  5000 + n, 9000,
-                  2) for n in range(count)]
+    return [
+        Delta(
+            n,
+            n % 2,
+            4,
+            bytes((127, 0, n % 250, 1)),
+            40_000 + n % 9999,
+            bytes((127, 0, 0, 9)),
+            9090,
+            f"engine-{n % 300:04}",
+            f"hall-{n % 3}",
+            1_796_148_000_000 + n,
+            1_796_148_060_000 + n,
+            5000 + n,
+            9000,
+            2,
+        )
+        for n in range(count)
+    ]
 
 
 def plain(delta, gateway):
     """One record as a loop by field makes it, for comparison."""
     data = b""
-    for form, value in (("4s", delta.source), ("4s", delta.target), ("H", delta.source_port),
-                        ("H", delta.target_port), ("B", 6), ("B", delta.side), ("B", delta.reason),
-                        ("Q", delta.first), ("Q", delta.last), ("I", delta.forward), ("I", delta.reverse)):
+    for form, value in (
+        ("4s", delta.source),
+        ("4s", delta.target),
+        ("H", delta.source_port),
+        ("H", delta.target_port),
+        ("B", 6),
+        ("B", delta.side),
+        ("B", delta.reason),
+        ("Q", delta.first),
+        ("Q", delta.last),
+        ("I", delta.forward),
+        ("I", delta.reverse),
+    ):
         data += struct.pack("!" + form, value)
     for text in gateway, delta.engine, delta.hall:
         data += bytes([len(text)]) + text.encode()
@@ -66,13 +91,17 @@
             longest = max(longest, time.perf_counter() - last)
             size += len(data)
         took = time.perf_counter() - begun
-        print(f"{kind:10} {count / took:9.0f} connections a second, {size / count:.1f} octets each, "
-              f"the longest message {longest * 1000:.2f} ms")
+        print(
+            f"{kind:10} {count / took:9.0f} connections a second, {size / count:.1f} octets each, "
+            f"the longest message {longest * 1000:.2f} ms"
+        )
     some = deltas(count)
     begun = time.perf_counter()
     size = sum(len(plain(each, "n1")) for each in some)
     took = time.perf_counter() - begun
-    print(f"struct by field, records alone: {count / took:.0f} a second, {size / count:.1f} octets each")
+    print(
+        f"struct by field, records alone: {count / took:.0f} a second, {size / count:.1f} octets each"
+    )
 
 
 class Entry:
@@ -97,11 +126,11 @@
                     heapq.heappush(kept, (due, n, each))
             put = time.perf_counter() - begun
             begun = time.perf_counter()
-            for each in entries[:count // 2]:
+            for each in entries[: count // 2]:
                 if name == "wheel":
                     kept.take(each)
                 else:
-                    each.gone = True    # a heap keeps what is gone until it is due
+                    each.gone = True  # a heap keeps what is gone until it is due
             take = time.perf_counter() - begun
             longest, again, moved, serial = 0.0, 0.0, 0, count
             for now in range(0, 61 * SECOND, 500):
@@ -124,8 +153,10 @@
                 again += time.perf_counter() - middle
                 moved += len(due)
                 longest = max(longest, middle - begun)
-            print(f"{count:7} {name:6} {put / count * 1e6:6.2f} {take / (count // 2) * 1e6:8.2f} "
-                  f"{again / max(moved, 1) * 1e6:12.2f} {longest * 1000:14.2f}")
+            print(
+                f"{count:7} {name:6} {put / count * 1e6:6.2f} {take / (count // 2) * 1e6:8.2f} "
+                f"{again / max(moved, 1) * 1e6:12.2f} {longest * 1000:14.2f}"
+            )
 
 
 def held():
@@ -141,31 +172,39 @@
         took = (time.perf_counter() - begun) / len(some) * 1e6
         table = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
-        print(f"bound {memory:8}: {len(keeps)} records for 10,000 connections, {keeps.merged} merged, "
-              f"{keeps.dropped} octets dropped, {took:.1f} us each (traced), {table} octets of tables")
+        print(
+            f"bound {memory:8}: {len(keeps)} records for 10,000 connections, {keeps.merged} merged, "
+            f"{keeps.dropped} octets dropped, {took:.1f} us each (traced), {table} octets of tables"
+        )
 
 
 def one_load(sort, seconds, rate):
     from corkgauge.standins.collector import CollectorStandIn
     from corkgauge.standins.play import Play
+
     play = Play(5, (), rate=rate, scrapes=0, gives_up=0.0, hangs_up=0.01, operator="")
     heard = []
     if sort != "none":
         transport = "tcp" if sort == "deaf" else "udp"
-        collector = CollectorStandIn(play.hub, transport, lambda message, data: heard.append(message))
+        collector = CollectorStandIn(
+            play.hub, transport, lambda message, data: heard.append(message)
+        )
         collector.deaf = sort == "deaf"
         path = os.path.join(play.folder, "operator.xml")
         with open(path, "w", encoding="utf-8") as file:
-            file.write('<operator version="1"><flows active="0.25" idle="0.25" memory="262144"><collector '
-                       f'address="127.0.0.1:{collector.address[1]}" transport="{transport}"/></flows>'
-                       '</operator>')
+            file.write(
+                '<operator version="1"><flows active="0.25" idle="0.25" memory="262144"><collector '
+                f'address="127.0.0.1:{collector.address[1]}" transport="{transport}"/></flows>'
+                "</operator>"
+            )
         play.program.arguments += ["--operator", path]
         if sort == "dead":
             collector.close()
     used = []
 
     def look():
-        used.extend((play.program.processor_time(), play.program.memory() / 2 ** 20))
+        used.extend((play.program.processor_time(), play.program.memory() / 2**20))
+
     play.hub.later(int((seconds - 0.5) * SECOND), look)
     try:
         play.run(seconds, drain=1.0)
@@ -173,12 +212,20 @@
         tally = play.tally()
     finally:
         play.close()
-    spans = sorted((ask.answers[0][0] - ask.sent) / 10 for client in play.clients
-                   for ask in client.book if ask.answers)
-    return (used[0] / max(tally["served"], 1) * 1e6, spans[int(0.99 * len(spans))],
-            int(log.rpartition("worst_turn=")[2]) / 10,
-            tally["served"] / max(tally["asked"] - tally["excused"], 1),
-            used[1], sum(len(message.records) for message in heard))
+    spans = sorted(
+        (ask.answers[0][0] - ask.sent) / 10
+        for client in play.clients
+        for ask in client.book
+        if ask.answers
+    )
+    return (
+        used[0] / max(tally["served"], 1) * 1e6,
+        spans[int(0.99 * len(spans))],
+        int(log.rpartition("worst_turn=")[2]) / 10,
+        tally["served"] / max(tally["asked"] - tally["excused"], 1),
+        used[1],
+        sum(len(message.records) for message in heard),
+    )
 
 
 def load(runs, seconds, rate):
@@ -187,16 +234,22 @@
         for sort, found in sorts.items():
             found.append(one_load(sort, seconds, rate))
     print(f"{runs} runs of {seconds} s at {rate} a second, in turn; a record each 0.25 s; medians")
-    print("collector  us a submission  99th percentile ms  longest turn ms  served  memory MB  records")
+    print(
+        "collector  us a submission  99th percentile ms  longest turn ms  served  memory MB  records"
+    )
     for sort, found in sorts.items():
         columns = [statistics.median(each[n] for each in found) for n in range(6)]
-        print(f"{sort:10} {columns[0]:15.0f} {columns[1]:19.1f} {columns[2]:16.1f} {columns[3]:7.4f} "
-              f"{columns[4]:10.1f} {columns[5]:8.0f}")
+        print(
+            f"{sort:10} {columns[0]:15.0f} {columns[1]:19.1f} {columns[2]:16.1f} {columns[3]:7.4f} "
+            f"{columns[4]:10.1f} {columns[5]:8.0f}"
+        )
     for sort in [*sorts][1:]:
         for n, name in (0, "processor time"), (1, "99th percentile"):
             ratios = sorted(each[n] / was[n] for each, was in zip(sorts[sort], sorts["none"]))
-            print(f"{sort}: {name} over none, pair by pair: {statistics.median(ratios):.3f} "
-                  f"({ratios[0]:.3f} to {ratios[-1]:.3f})")
+            print(
+                f"{sort}: {name} over none, pair by pair: {statistics.median(ratios):.3f} "
+                f"({ratios[0]:.3f} to {ratios[-1]:.3f})"
+            )
 
 
 def hall(path):
@@ -207,15 +260,24 @@
     from corkgauge.standins.collector import CollectorStandIn
     from corkgauge.standins.play import Play
     from corkgauge.standins.script import read
-    play = Play(5, read("at 10 for 10: e1 slow 30\nat 10 for 10: e2 slow 30", ["e1", "e2", "e3", "e4"]),
-                rate=250,
-                scrapes=0, operator="")
+
+    play = Play(
+        5,
+        read("at 10 for 10: e1 slow 30\nat 10 for 10: e2 slow 30", ["e1", "e2", "e3", "e4"]),
+        rate=250,
+        scrapes=0,
+        operator="",
+    )
     rows = []
-    collector = CollectorStandIn(play.hub, "udp", lambda message, data: rows.extend(rows_of(message)))
+    collector = CollectorStandIn(
+        play.hub, "udp", lambda message, data: rows.extend(rows_of(message))
+    )
     said = os.path.join(play.folder, "operator.xml")
     with open(said, "w", encoding="utf-8") as file:
-        file.write('<operator version="1"><flows active="1" idle="1"><collector transport="udp" '
-                   f'address="127.0.0.1:{collector.address[1]}"/></flows></operator>')
+        file.write(
+            '<operator version="1"><flows active="1" idle="1"><collector transport="udp" '
+            f'address="127.0.0.1:{collector.address[1]}"/></flows></operator>'
+        )
     play.program.arguments += ["--operator", said]
     try:
         play.run(30)
@@ -228,13 +290,19 @@
 
 
 if __name__ == "__main__":
-    said = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    said = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     said.add_argument("what", choices=["encode", "wheel", "held", "load", "hall"])
     said.add_argument("file", nargs="?", default="rows.json")
     said.add_argument("--runs", type=int, default=5)
     said.add_argument("--seconds", type=float, default=8.0)
     said.add_argument("--rate", type=float, default=300.0)
     asked = said.parse_args()
-    {"encode": encode, "wheel": wheel, "held": held,
-     "hall": lambda: hall(asked.file),
-     "load": lambda: load(asked.runs, asked.seconds, asked.rate)}[asked.what]()
+    {
+        "encode": encode,
+        "wheel": wheel,
+        "held": held,
+        "hall": lambda: hall(asked.file),
+        "load": lambda: load(asked.runs, asked.seconds, asked.rate),
+    }[asked.what]()
--- a/benchmarks/recall.py
+++ b/benchmarks/recall.py
@@ -33,7 +33,10 @@
 NAMES = [f"e{n}" for n in range(1, 7)]
 FILE = '<operator version="1">{recall}</operator>'
 RECALL = '<recall folder="{folder}/recall" each="0.1" durability="%s"/>'
-LOADS = [Want("load", 0.7, 2_000, 15.0, labelled=True, ordered=True), Want("lookup", 0.3, 1_500, 8.0)]
+LOADS = [
+    Want("load", 0.7, 2_000, 15.0, labelled=True, ordered=True),
+    Want("lookup", 0.3, 1_500, 8.0),
+]
 EARNS = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
 AIMS = {"lookup": 200, "report": 500, "load": 400, "once": 300}
 
@@ -51,16 +54,22 @@
         log, killed, broken = play.program.log(), len(play.program.kills), play.broken(2500)
     finally:
         play.close()
-    return (killed, sum("serving as" in line for line in log),
-            sum("recall: engines=" in line for line in log),
-            sum("recall: effects=" in line for line in log),
-            [line for line in log if "passed over" in line or "has " in line or "exceptions" in line], broken)
+    return (
+        killed,
+        sum("serving as" in line for line in log),
+        sum("recall: engines=" in line for line in log),
+        sum("recall: effects=" in line for line in log),
+        [line for line in log if "passed over" in line or "has " in line or "exceptions" in line],
+        broken,
+    )
 
 
 def kills(count, lanes=4):
     with ProcessPoolExecutor(lanes) as pool:
         found = [*pool.map(kills_of, [count // lanes] * lanes, range(1, lanes + 1))]
-    for n, name in enumerate(("kills", "starts", "starts with a valid snapshot", "starts with open effects")):
+    for n, name in enumerate(
+        ("kills", "starts", "starts with a valid snapshot", "starts with open effects")
+    ):
         print(f"{name:30} {sum(each[n] for each in found)}")
     wrong, broken = ([line for each in found for line in each[n]] for n in (4, 5))
     print(f"files that were no use         {len(wrong)}", *wrong[:5], sep="\n")
@@ -68,18 +77,32 @@
 
 
 def labels_of(recall, seed):
-    script = "at 0.1 for 20: all slow 12\n" + "".join(f"at {n}: program kill\n" for n in range(1, 11))
-    play = Play(seed, read(script, NAMES), engines=6, rate=200, scrapes=0, operator=operator(recall),
-                group="zone",
-                retries=True, wants=LOADS, clients=12)
+    script = "at 0.1 for 20: all slow 12\n" + "".join(
+        f"at {n}: program kill\n" for n in range(1, 11)
+    )
+    play = Play(
+        seed,
+        read(script, NAMES),
+        engines=6,
+        rate=200,
+        scrapes=0,
+        operator=operator(recall),
+        group="zone",
+        retries=True,
+        wants=LOADS,
+        clients=12,
+    )
     try:
         play.run(11, drain=3.0)
         broken = play.broken(2500)
         again = sum(len(labels) > 1 for labels in retried(play).values())
     finally:
         play.close()
-    return again, [line for line in broken if line.startswith("effect")], [
-        line for line in broken if not line.startswith("effect")]
+    return (
+        again,
+        [line for line in broken if line.startswith("effect")],
+        [line for line in broken if not line.startswith("effect")],
+    )
 
 
 def retried(play):
@@ -95,19 +118,28 @@
     for recall in True, False:
         with ProcessPoolExecutor(4) as pool:
             found = [*pool.map(labels_of, [recall] * runs, range(1, runs + 1))]
-        print(f"log of effects {'on ' if recall else 'off'}: {sum(each[0] for each in found)} labels asked "
-              f"again after kills, {sum(len(each[1]) for each in found)} ran outside their group, "
-              f"{sum(len(each[2]) for each in found)} other rules broken")
+        print(
+            f"log of effects {'on ' if recall else 'off'}: {sum(each[0] for each in found)} labels asked "
+            f"again after kills, {sum(len(each[1]) for each in found)} ran outside their group, "
+            f"{sum(len(each[2]) for each in found)} other rules broken"
+        )
 
 
 def gain_of(recall, seed, wrong, rate):
     """Earnings lost in the 10 s after a restart, of what was asked for then."""
     troubles = "at 0.1 for 30: e1 slow 10\nat 0.1 for 30: e4 silent\n"
-    if wrong:       # until the restart only: then all engines are others
+    if wrong:  # until the restart only: then all engines are others
         troubles = "at 0.1 for 7.9: e1 slow 10\nat 0.1 for 7.9: e4 silent\n"
-    play = Play(seed, read(troubles + "at 8: program kill", NAMES), engines=6, rate=250, scrapes=0,
-                hangs_up=0.0,
-                gives_up=0.0, operator=operator(recall))
+    play = Play(
+        seed,
+        read(troubles + "at 8: program kill", NAMES),
+        engines=6,
+        rate=250,
+        scrapes=0,
+        hangs_up=0.0,
+        gives_up=0.0,
+        operator=operator(recall),
+    )
     begun = play.hub.now
     try:
         play.run(18.5, drain=2.0)
@@ -131,16 +163,30 @@
         cold = [*pool.map(gain_of, [False] * runs, seeds, [wrong] * runs, [rate] * runs)]
         warm = [*pool.map(gain_of, [True] * runs, seeds, [wrong] * runs, [rate] * runs)]
     for name, found in ("cold", cold), ("recalled", warm):
-        print(f"{name:9} lost in the 10 s after it: median {100 * statistics.median(found):.2f} in 100 "
-              f"({100 * min(found):.2f} to {100 * max(found):.2f})")
+        print(
+            f"{name:9} lost in the 10 s after it: median {100 * statistics.median(found):.2f} in 100 "
+            f"({100 * min(found):.2f} to {100 * max(found):.2f})"
+        )
     pairs = sorted(a - b for a, b in zip(cold, warm))
-    print(f"cold less recalled, pair by pair: median {100 * statistics.median(pairs):+.2f} "
-          f"({100 * pairs[0]:+.2f} to {100 * pairs[-1]:+.2f}) in 100")
+    print(
+        f"cold less recalled, pair by pair: median {100 * statistics.median(pairs):+.2f} "
+        f"({100 * pairs[0]:+.2f} to {100 * pairs[-1]:+.2f}) in 100"
+    )
 
 
 def cost_of(sort):
-    play = Play(5, (), engines=6, rate=300, scrapes=0, gives_up=0.0, hangs_up=0.0, wants=LOADS, clients=24,
-                operator=operator(sort != "off", sort))
+    play = Play(
+        5,
+        (),
+        engines=6,
+        rate=300,
+        scrapes=0,
+        gives_up=0.0,
+        hangs_up=0.0,
+        wants=LOADS,
+        clients=24,
+        operator=operator(sort != "off", sort),
+    )
     used = []
     play.hub.later(int(7.5 * SECOND), lambda: used.append(play.program.processor_time()))
     try:
@@ -148,10 +194,18 @@
         log, tally = play.program.log()[-1], play.tally()
     finally:
         play.close()
-    spans = sorted(ask.answers[0][0] - ask.sent for client in play.clients
-                   for ask in client.book if ask.answers)
-    return (tally["served"] / 8, used[0] / tally["served"] * 1e6, spans[int(0.99 * len(spans))] / 10,
-            int(log.rpartition("worst_turn=")[2]) / 10)
+    spans = sorted(
+        ask.answers[0][0] - ask.sent
+        for client in play.clients
+        for ask in client.book
+        if ask.answers
+    )
+    return (
+        tally["served"] / 8,
+        used[0] / tally["served"] * 1e6,
+        spans[int(0.99 * len(spans))] / 10,
+        int(log.rpartition("worst_turn=")[2]) / 10,
+    )
 
 
 def cost(runs):
@@ -163,17 +217,29 @@
     print("durability  served a second  us a submission  99th percentile ms  longest turn ms")
     for sort, several in found.items():
         columns = [statistics.median(each[n] for each in several) for n in range(4)]
-        print(f"{sort:10} {columns[0]:16.1f} {columns[1]:16.0f} {columns[2]:19.1f} {columns[3]:16.1f}")
+        print(
+            f"{sort:10} {columns[0]:16.1f} {columns[1]:16.0f} {columns[2]:19.1f} {columns[3]:16.1f}"
+        )
     for sort in "process", "machine":
         ratios = sorted(each[1] / was[1] for each, was in zip(found[sort], found["off"]))
-        print(f"{sort}: processor time over off, pair by pair: {statistics.median(ratios):.3f} "
-              f"({ratios[0]:.3f} to {ratios[-1]:.3f})")
+        print(
+            f"{sort}: processor time over off, pair by pair: {statistics.median(ratios):.3f} "
+            f"({ratios[0]:.3f} to {ratios[-1]:.3f})"
+        )
 
 
 def restarted(job):
     """Earnings lost in the seconds after a restart, with one engine ten times slow and one silent."""
     seed, which, recalled = job
-    fleet = Fleet(seed, 3, engines=8, lease=2.0, clients=12, rate=420.0, recall={"each": "0.2"} if recalled else None)
+    fleet = Fleet(
+        seed,
+        3,
+        engines=8,
+        lease=2.0,
+        clients=12,
+        rate=420.0,
+        recall={"each": "0.2"} if recalled else None,
+    )
     try:
         fleet.start()
         fleet.until(3)
@@ -182,7 +248,7 @@
         fleet.until(5)
         whom = ("n1",) if which == "one of three" else ("n1", "n2", "n3")
         if which == "replaced":
-            for name in ("e1", "e3", "e4", "e6"):       # the list names the same machines anew
+            for name in ("e1", "e3", "e4", "e6"):  # the list names the same machines anew
                 for gateway, feed in fleet.feeds.items():
                     other = fleet.reached(gateway, name)
                     other.name = name + "b"
@@ -200,8 +266,15 @@
                     if begun + 4_000 <= ask.sent < over:
                         possible += EARNS[ask.want.offering]
                         served = bool(ask.answers) and ask.answers[0][1] == 1
-                        good += EARNS[ask.want.offering] * served * (
-                            ask.answers[0][0] - ask.sent <= 10 * AIMS[ask.want.offering] if served else 0)
+                        good += (
+                            EARNS[ask.want.offering]
+                            * served
+                            * (
+                                ask.answers[0][0] - ask.sent <= 10 * AIMS[ask.want.offering]
+                                if served
+                                else 0
+                            )
+                        )
         return which, recalled, 1 - good / possible
     finally:
         fleet.close()
@@ -216,14 +289,18 @@
                 rows.setdefault((which, recalled), []).append(lost)
         pairs = sorted(cold - warm for cold, warm in zip(rows[which, False], rows[which, True]))
         cold, warm = (100 * statistics.median(rows[which, recalled]) for recalled in (False, True))
-        print(f"{which}: not in time after the restart, cold {cold:.2f} in 100 of earnings, recalled {warm:.2f}; "
-              f"cold less recalled, pair by pair, median {100 * statistics.median(pairs):.2f} "
-              f"({100 * pairs[0]:.2f} to {100 * pairs[-1]:.2f})", flush=True)
+        print(
+            f"{which}: not in time after the restart, cold {cold:.2f} in 100 of earnings, recalled {warm:.2f}; "
+            f"cold less recalled, pair by pair, median {100 * statistics.median(pairs):.2f} "
+            f"({100 * pairs[0]:.2f} to {100 * pairs[-1]:.2f})",
+            flush=True,
+        )
 
 
 def start():
     from corkgauge.recall import learned, snapshot
     from tests.yard import Premises, listing
+
     rows = [{"id": f"e{n}", "addr": f"127.0.{n // 250}.9:{n % 250 + 1}"} for n in range(1000)]
     house = Premises(events=[listing(1, *rows)]).house
     for engine in house.gateway.engines:
@@ -245,20 +322,32 @@
             said = snapshot.read(source.read(), "n", 1)
         counts = learned.recalled(said, again.gateway, again.offerings, again.now, 0)
         read_ = time.perf_counter()
-    steps = ", ".join(f"{1000 * span:.1f}" for span in (copied - begun, middle - copied, made - middle))
-    print(f"{len(data)} octets; copied, named and packed in {steps} ms, a turn each; read, aged, given to "
-          f"the module in {1000 * (read_ - before):.1f} ms: {counts}")
+    steps = ", ".join(
+        f"{1000 * span:.1f}" for span in (copied - begun, middle - copied, made - middle)
+    )
+    print(
+        f"{len(data)} octets; copied, named and packed in {steps} ms, a turn each; read, aged, given to "
+        f"the module in {1000 * (read_ - before):.1f} ms: {counts}"
+    )
 
 
 if __name__ == "__main__":
-    said = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    said.add_argument("what", choices=["kills", "labels", "gain", "wrong", "cost", "fleet", "start"])
+    said = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    said.add_argument(
+        "what", choices=["kills", "labels", "gain", "wrong", "cost", "fleet", "start"]
+    )
     said.add_argument("--count", type=int, default=500)
     said.add_argument("--runs", type=int, default=10)
     said.add_argument("--rate", type=float, default=250.0)
     asked = said.parse_args()
-    {"kills": lambda: kills(asked.count), "labels": lambda: labels(asked.runs),
-     "gain": lambda: gain(asked.runs, asked.rate),
-     "fleet": lambda: fleet_of(asked.runs),
-     "wrong": lambda: gain(asked.runs, asked.rate, True), "cost": lambda: cost(asked.runs),
-     "start": start}[asked.what]()
+    {
+        "kills": lambda: kills(asked.count),
+        "labels": lambda: labels(asked.runs),
+        "gain": lambda: gain(asked.runs, asked.rate),
+        "fleet": lambda: fleet_of(asked.runs),
+        "wrong": lambda: gain(asked.runs, asked.rate, True),
+        "cost": lambda: cost(asked.runs),
+        "start": start,
+    }[asked.what]()
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -18,9 +18,13 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-ROLES = {"alone": "One workload manager, alone.", "fleet": "Several, hollow: membership, leases, books, maintenance.",
-         "settings": "A change of configuration, in force everywhere.",
-         "subset": "Working sets of engines: the options side by side.", "page": "docs/CAPACITY.md from the JSON."}
+ROLES = {
+    "alone": "One workload manager, alone.",
+    "fleet": "Several, hollow: membership, leases, books, maintenance.",
+    "settings": "A change of configuration, in force everywhere.",
+    "subset": "Working sets of engines: the options side by side.",
+    "page": "docs/CAPACITY.md from the JSON.",
+}
 
 
 class Roles(click.Group):
@@ -35,7 +39,7 @@
         return importlib.import_module(f"benchmarks.scale_{name}").command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        with formatter.section("Roles"):        # without loading them
+        with formatter.section("Roles"):  # without loading them
             formatter.write_dl([*ROLES.items()])
 
 
@@ -46,6 +50,7 @@
 
 if __name__ == "__main__":
     from benchmarks.scaling import TooLarge
+
     try:
         main()
     except TooLarge as problem:
--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -29,12 +29,20 @@
 from corkgauge.standins.hollow_one import RATE, TABLE_GROUPS, Alone, Front, busy, listing
 from corkgauge.standins.hollow_serve import Serve
 
-FULL, CLIENTS, OPEN = 1_800, 6_670, 10_000   # databases; client connections of one; requests open at one
-WINDOW, WARM = 5_060, 600       # statements measured: two seconds of them, a whole period; before that
+FULL, CLIENTS, OPEN = (
+    1_800,
+    6_670,
+    10_000,
+)  # databases; client connections of one; requests open at one
+WINDOW, WARM = 5_060, 600  # statements measured: two seconds of them, a whole period; before that
 ENGINES = 10, 40, 100, 400, 1_000
-SERVED, SETTLES, LASTS = 200.0, 4.0, 5.0     # on sockets: statements a second, seconds before and of a window
-OPEN_CORES = 400        # a database's, where the number of open requests is what is looked at
-PROFILED = 16           # functions of a profile that get a row
+SERVED, SETTLES, LASTS = (
+    200.0,
+    4.0,
+    5.0,
+)  # on sockets: statements a second, seconds before and of a window
+OPEN_CORES = 400  # a database's, where the number of open requests is what is looked at
+PROFILED = 16  # functions of a profile that get a row
 
 
 class Run:
@@ -44,19 +52,45 @@
         self.quick, self.full, self.engines, self.command = quick, full, engines, command
         self.window = WINDOW // 10 if quick else WINDOW
 
-    def slope(self, key: str, what: str, unit: str, by: str, sizes: tuple[int, ...], measure: Callable[[int], float],
-              full: int | None, **more: Any) -> dict[str, Any]:
+    def slope(
+        self,
+        key: str,
+        what: str,
+        unit: str,
+        by: str,
+        sizes: tuple[int, ...],
+        measure: Callable[[int], float],
+        full: int | None,
+        **more: Any,
+    ) -> dict[str, Any]:
         """A row; checked at `full` if so told, by the same measurement. `full` None: nothing is foretold."""
+
         def clean(size: int) -> float:
             gc.collect()
             return measure(size)
-        more = {"checked_as": "measured", "check": clean if self.full and not self.quick else None, **more}
-        return slope(key, what, unit, by, sizes, clean, repeats=1 if self.quick else 3, full=full,
-                     command=self.command, **more)
+
+        more = {
+            "checked_as": "measured",
+            "check": clean if self.full and not self.quick else None,
+            **more,
+        }
+        return slope(
+            key,
+            what,
+            unit,
+            by,
+            sizes,
+            clean,
+            repeats=1 if self.quick else 3,
+            full=full,
+            command=self.command,
+            **more,
+        )
 
 
 # The module alone.
 
+
 def decision(run: Run, engines: int, **more: Any) -> float:
     """ms a statement, over a window of whole periods."""
     alone = Alone(engines, **more)
@@ -65,47 +99,102 @@
     before = alone.refused
     cost = alone.play(statements) * 1000 / run.window
     if alone.refused - before > 0.05 * run.window:
-        raise RuntimeError(f"{alone.refused - before} of {run.window} refused before {engines} engines: another load")
+        raise RuntimeError(
+            f"{alone.refused - before} of {run.window} refused before {engines} engines: another load"
+        )
     return cost
 
 
-DECISION = ("processor of the module a statement, its host's made-up clock with it: taken, handed off, answered; "
-            f"870 gateways, {RATE:.0f} statements a second, four classes, 20 tenants")
+DECISION = (
+    "processor of the module a statement, its host's made-up clock with it: taken, handed off, answered; "
+    f"870 gateways, {RATE:.0f} statements a second, four classes, 20 tenants"
+)
 
 
 def by_engines(run: Run) -> list[dict[str, Any]]:
     what = f"{DECISION}, {TABLE_GROUPS} table groups drawn unevenly (1 / k)"
-    return [run.slope("alone.decision.engines", what, "ms", "engines", ENGINES, lambda n: decision(run, n),
-                      run.engines)]
+    return [
+        run.slope(
+            "alone.decision.engines",
+            what,
+            "ms",
+            "engines",
+            ENGINES,
+            lambda n: decision(run, n),
+            run.engines,
+        )
+    ]
 
 
 def by_engines_one_group(run: Run) -> list[dict[str, Any]]:
-    return [run.slope("alone.decision.engines.one_group", f"{DECISION}, one table group", "ms", "engines", ENGINES[:4],
-                      lambda n: decision(run, n, groups=1), run.engines)]
+    return [
+        run.slope(
+            "alone.decision.engines.one_group",
+            f"{DECISION}, one table group",
+            "ms",
+            "engines",
+            ENGINES[:4],
+            lambda n: decision(run, n, groups=1),
+            run.engines,
+        )
+    ]
 
 
 def by_tenants(run: Run) -> list[dict[str, Any]]:
-    return [run.slope("alone.decision.tenants", f"{DECISION[:DECISION.rindex(',')]}, tenants drawn unevenly (1 / k), "
-                      f"{TABLE_GROUPS} table groups, 40 engines", "ms", "tenants", (1, 10, 100, 300),
-                      lambda n: decision(run, 40, tenants=n), 1_000)]
+    return [
+        run.slope(
+            "alone.decision.tenants",
+            f"{DECISION[: DECISION.rindex(',')]}, tenants drawn unevenly (1 / k), "
+            f"{TABLE_GROUPS} table groups, 40 engines",
+            "ms",
+            "tenants",
+            (1, 10, 100, 300),
+            lambda n: decision(run, 40, tenants=n),
+            1_000,
+        )
+    ]
 
 
 def by_open(run: Run) -> list[dict[str, Any]]:
-    return [run.slope("alone.decision.open", f"{DECISION}, 40 engines of {OPEN_CORES} cores, each statement held as "
-                      "long as gives so many open at once", "ms", "open requests", (10, 100, 1_000, 3_000),
-                      lambda n: decision(run, 40, hold=int(n / RATE * 10_000), cores=OPEN_CORES), OPEN)]
+    return [
+        run.slope(
+            "alone.decision.open",
+            f"{DECISION}, 40 engines of {OPEN_CORES} cores, each statement held as "
+            "long as gives so many open at once",
+            "ms",
+            "open requests",
+            (10, 100, 1_000, 3_000),
+            lambda n: decision(run, 40, hold=int(n / RATE * 10_000), cores=OPEN_CORES),
+            OPEN,
+        )
+    ]
 
 
 def by_gateways(run: Run) -> list[dict[str, Any]]:
-    what = DECISION.replace("870 gateways", "so many gateways told, 40 engines") + f", {TABLE_GROUPS} table groups"
-    return [run.slope("alone.decision.gateways", what, "ms", "gateways told", (1, 10, 100, 300),
-                      lambda n: decision(run, 40, gateways=n), 870)]
+    what = (
+        DECISION.replace("870 gateways", "so many gateways told, 40 engines")
+        + f", {TABLE_GROUPS} table groups"
+    )
+    return [
+        run.slope(
+            "alone.decision.gateways",
+            what,
+            "ms",
+            "gateways told",
+            (1, 10, 100, 300),
+            lambda n: decision(run, 40, gateways=n),
+            870,
+        )
+    ]
 
 
 def by_ratio(run: Run) -> list[dict[str, Any]]:
     """Paired: what stands beside each other in one run is disturbed alike."""
     rows = []
-    for key, groups, part in ("alone.decision.ratio", TABLE_GROUPS, 1), ("alone.decision.ratio.one_group", 1, 5):
+    for key, groups, part in (
+        ("alone.decision.ratio", TABLE_GROUPS, 1),
+        ("alone.decision.ratio.one_group", 1, 5),
+    ):
         brief, ratios = Run(run.quick, run.full, run.engines, run.command), []
         brief.window = run.window // part
         for _ in range(1 if run.quick else 3):
@@ -114,7 +203,9 @@
             ratios.append(decision(brief, run.engines, groups=groups) / few)
         print(f"{key}: {', '.join(f'{each:.2f}' for each in ratios)}", file=sys.stderr, flush=True)
         what = f"a decision before {run.engines} engines over one before 40, in turn; table groups: {groups}"
-        rows.append(single(key, what, "times", "engines", run.engines, ratios, "measured", run.command))
+        rows.append(
+            single(key, what, "times", "engines", run.engines, ratios, "measured", run.command)
+        )
     return rows
 
 
@@ -136,15 +227,23 @@
 
 
 def by_change(run: Run) -> list[dict[str, Any]]:
-    what = f"one engine leaves the list: processor of the module, with what it costs the next statement of each of "\
-           f"{TABLE_GROUPS} table groups more"
+    what = (
+        f"one engine leaves the list: processor of the module, with what it costs the next statement of each of "
+        f"{TABLE_GROUPS} table groups more"
+    )
     return [run.slope("alone.decision.change", what, "ms", "engines", ENGINES, change, run.engines)]
 
 
 # On sockets.
 
-def on_sockets(run: Run, engines: int, rate: float = SERVED, start: tuple[str, ...] = ("-m", "corkgauge"),
-               lasts: float = LASTS) -> float:
+
+def on_sockets(
+    run: Run,
+    engines: int,
+    rate: float = SERVED,
+    start: tuple[str, ...] = ("-m", "corkgauge"),
+    lasts: float = LASTS,
+) -> float:
     """ms a statement, over a window after the links have come up."""
     bounded(2, 300 + 0.1 * engines)
     serve = Serve(engines, start=start)
@@ -168,22 +267,45 @@
 
 
 def by_sockets(run: Run) -> list[dict[str, Any]]:
-    what = (f"processor of the serving process a statement, whole, on real frames: {SERVED:.0f} statements a second by "
-            "8 clients, 40 table groups, results of one to three pages; less what it spends at rest; after "
-            f"{SETTLES:.0f} s in which links come up")
-    return [run.slope("alone.statement.sockets", what, "ms", "engines", ENGINES[:4], lambda n: on_sockets(run, n),
-                      run.engines)]
+    what = (
+        f"processor of the serving process a statement, whole, on real frames: {SERVED:.0f} statements a second by "
+        "8 clients, 40 table groups, results of one to three pages; less what it spends at rest; after "
+        f"{SETTLES:.0f} s in which links come up"
+    )
+    return [
+        run.slope(
+            "alone.statement.sockets",
+            what,
+            "ms",
+            "engines",
+            ENGINES[:4],
+            lambda n: on_sockets(run, n),
+            run.engines,
+        )
+    ]
 
 
 def by_rate(run: Run) -> list[dict[str, Any]]:
-    what = ("processor of the serving process a statement, whole, on real frames, 40 engines, by how many come; else "
-            "as alone.statement.sockets")
-    return [run.slope("alone.statement.rate", what, "ms", "statements a second", (50, 200, 500, 1_000),
-                      lambda n: on_sockets(run, 40, n), None)]   # it falls in size: a line says nothing of 2,530
+    what = (
+        "processor of the serving process a statement, whole, on real frames, 40 engines, by how many come; else "
+        "as alone.statement.sockets"
+    )
+    return [
+        run.slope(
+            "alone.statement.rate",
+            what,
+            "ms",
+            "statements a second",
+            (50, 200, 500, 1_000),
+            lambda n: on_sockets(run, 40, n),
+            None,
+        )
+    ]  # it falls in size: a line says nothing of 2,530
 
 
 # The list.
 
+
 def list_start(engines: int) -> float:
     front, data = Front(0), json.dumps(listing(2, engines))
     begun = time.process_time()
@@ -202,14 +324,31 @@
 
 
 def by_list(run: Run) -> list[dict[str, Any]]:
-    return [run.slope("alone.list.start", "processor to take in a whole list, as the feed tells it", "ms", "engines",
-                      ENGINES, list_start, run.engines),
-            run.slope("alone.list.change", "processor to take in an event that one engine has started anew", "ms",
-                      "engines in the list", ENGINES, list_change, run.engines)]
+    return [
+        run.slope(
+            "alone.list.start",
+            "processor to take in a whole list, as the feed tells it",
+            "ms",
+            "engines",
+            ENGINES,
+            list_start,
+            run.engines,
+        ),
+        run.slope(
+            "alone.list.change",
+            "processor to take in an event that one engine has started anew",
+            "ms",
+            "engines in the list",
+            ENGINES,
+            list_change,
+            run.engines,
+        ),
+    ]
 
 
 # Memory, by tracemalloc: what the program's objects hold; not the system's buffers of sockets.
 
+
 def held(make: Callable[[], Callable[[], Any]]) -> float:
     """KB that what `make()` returns holds more once it was called; its own making is not counted."""
     grow = make()
@@ -240,10 +379,12 @@
     descriptors(2 * links)
     front = Front(100)
     try:
+
         def grow() -> None:
             for n in range(links):
                 front.link(n % 100)
             front.turn()
+
         return held(lambda: grow)
     finally:
         front.close()
@@ -253,10 +394,12 @@
     descriptors(2 * clients)
     front = Front(1)
     try:
+
         def grow() -> None:
             for _ in range(clients):
                 front.client()
             front.turn()
+
         return held(lambda: grow)
     finally:
         front.close()
@@ -278,11 +421,14 @@
                 if n % 200 == 199:
                     front.turn(2)
             front.turn(8)
+
         size = held(lambda: grow)
         if len(front.house.names) != count:
-            raise RuntimeError(f"{len(front.house.names)} open of {count}; counters {dict(front.house.counters)}, "
-                               f"open {[len(each.open) for each in front.house.callers]}, "
-                               f"unread {[len(each.link.machine.inward) for each in front.house.callers]}")
+            raise RuntimeError(
+                f"{len(front.house.names)} open of {count}; counters {dict(front.house.counters)}, "
+                f"open {[len(each.open) for each in front.house.callers]}, "
+                f"unread {[len(each.link.machine.inward) for each in front.house.callers]}"
+            )
         return size
     finally:
         front.close()
@@ -291,35 +437,75 @@
 def memory_of_tenants(tenants: int) -> float:
     def make() -> Callable[[], Any]:
         return lambda: Alone(40, tenants=tenants)
+
     return held(make)
 
 
 def by_memory(run: Run) -> list[dict[str, Any]]:
     what = "KB held by the program's own objects (tracemalloc, without the system's buffers): "
     return [
-        run.slope("alone.memory.engines", what + "a list, no links", "KB", "engines", ENGINES, memory_of_engines,
-                  run.engines),
-        run.slope("alone.memory.links", what + "links to engines, quiet, each with its two rings", "KB", "links",
-                  (10, 100, 400, 1_000), memory_of_links, 2 * FULL),
-        run.slope("alone.memory.clients", what + "client connections, quiet, each with its two rings", "KB",
-                  "client connections", (10, 100, 400, 1_000), memory_of_clients, CLIENTS),
-        run.slope("alone.memory.open", what + "open requests of 200 bytes, handed off, beside their connections", "KB",
-                  "open requests", (10, 100, 1_000, 3_000), memory_of_open, OPEN),
-        run.slope("alone.memory.tenants", what + "the module with 40 engines and four queues a tenant", "KB", "tenants",
-                  (1, 10, 100, 300), memory_of_tenants, 1_000)]
+        run.slope(
+            "alone.memory.engines",
+            what + "a list, no links",
+            "KB",
+            "engines",
+            ENGINES,
+            memory_of_engines,
+            run.engines,
+        ),
+        run.slope(
+            "alone.memory.links",
+            what + "links to engines, quiet, each with its two rings",
+            "KB",
+            "links",
+            (10, 100, 400, 1_000),
+            memory_of_links,
+            2 * FULL,
+        ),
+        run.slope(
+            "alone.memory.clients",
+            what + "client connections, quiet, each with its two rings",
+            "KB",
+            "client connections",
+            (10, 100, 400, 1_000),
+            memory_of_clients,
+            CLIENTS,
+        ),
+        run.slope(
+            "alone.memory.open",
+            what + "open requests of 200 bytes, handed off, beside their connections",
+            "KB",
+            "open requests",
+            (10, 100, 1_000, 3_000),
+            memory_of_open,
+            OPEN,
+        ),
+        run.slope(
+            "alone.memory.tenants",
+            what + "the module with 40 engines and four queues a tenant",
+            "KB",
+            "tenants",
+            (1, 10, 100, 300),
+            memory_of_tenants,
+            1_000,
+        ),
+    ]
 
 
 # A turn of the hub.
 
+
 def turn(run: Run, count: int) -> float:
     """ms of a turn that polls so many descriptors, one of which has something to read each time."""
     descriptors(count + 8)
     hub, (mine, its), (idle, other) = Hub(), socket.socketpair(), socket.socketpair()
     fds = [os.dup(idle.fileno()) for _ in range(count - 1)]
     try:
+
         def reads() -> None:
             while its.fileno() >= 0 and hub.wait(its.fileno(), READ):
                 its.recv(16)
+
         hub.spawn(reads)
         for fd in fds:
             hub.spawn(hub.wait, fd, READ)
@@ -341,12 +527,22 @@
 
 
 def by_turn(run: Run) -> list[dict[str, Any]]:
-    return [run.slope("alone.turn.descriptors", "processor of one turn of the hub, one of its descriptors readable",
-                      "ms", "descriptors polled", (10, 100, 1_000, 10_000), lambda n: turn(run, n), CLIENTS + FULL)]
+    return [
+        run.slope(
+            "alone.turn.descriptors",
+            "processor of one turn of the hub, one of its descriptors readable",
+            "ms",
+            "descriptors polled",
+            (10, 100, 1_000, 10_000),
+            lambda n: turn(run, n),
+            CLIENTS + FULL,
+        )
+    ]
 
 
 # The start.
 
+
 def by_ready(run: Run) -> list[dict[str, Any]]:
     resident: dict[int, list[float]] = {}
 
@@ -355,31 +551,64 @@
         serve = Serve(engines)
         try:
             _, processor = serve.ready()
-            resident.setdefault(engines, []).append(serve.program.memory() / 2 ** 20)
+            resident.setdefault(engines, []).append(serve.program.memory() / 2**20)
             return processor
         finally:
             serve.close()
-    row = run.slope("alone.ready.engines", "start of the serving process until it tells a client that it is ready, "
-                    "with so many engines in the list that it starts from: processor seconds, what it takes with a "
-                    "core of its own", "s", "engines", ENGINES, ready, run.engines)
-    tenth = {**row, "key": "alone.ready.engines.tenth", "kind": "paper",
-             "what": "the same with a tenth of a core: processor seconds by ten",
-             "points": [{"at": p["at"], "values": [10 * value for value in p["values"]],
-                         **{name: 10 * p[name] for name in ("median", "least", "most")}} for p in row["points"]]}
+
+    row = run.slope(
+        "alone.ready.engines",
+        "start of the serving process until it tells a client that it is ready, "
+        "with so many engines in the list that it starts from: processor seconds, what it takes with a "
+        "core of its own",
+        "s",
+        "engines",
+        ENGINES,
+        ready,
+        run.engines,
+    )
+    tenth = {
+        **row,
+        "key": "alone.ready.engines.tenth",
+        "kind": "paper",
+        "what": "the same with a tenth of a core: processor seconds by ten",
+        "points": [
+            {
+                "at": p["at"],
+                "values": [10 * value for value in p["values"]],
+                **{name: 10 * p[name] for name in ("median", "least", "most")},
+            }
+            for p in row["points"]
+        ],
+    }
     tenth["fit"] = fitted([(p["at"], p["median"]) for p in tenth["points"]])
     tenth["foretold"] = {**row["foretold"], "value": 10 * row["foretold"]["value"]}
-    tenth.pop("checked", None)      # nothing of it was measured
-    rss = {"key": "alone.memory.serve", "unit": "MB", "by": "engines", "kind": "measured",
-           "what": "resident memory of the serving process as it is ready, no client or link yet", "points": [
-               {"at": p["at"], "values": resident[p["at"]], "median": median(resident[p["at"]]),
-                "least": min(resident[p["at"]]), "most": max(resident[p["at"]])} for p in row["points"]],
-           "command": run.command}
+    tenth.pop("checked", None)  # nothing of it was measured
+    rss = {
+        "key": "alone.memory.serve",
+        "unit": "MB",
+        "by": "engines",
+        "kind": "measured",
+        "what": "resident memory of the serving process as it is ready, no client or link yet",
+        "points": [
+            {
+                "at": p["at"],
+                "values": resident[p["at"]],
+                "median": median(resident[p["at"]]),
+                "least": min(resident[p["at"]]),
+                "most": max(resident[p["at"]]),
+            }
+            for p in row["points"]
+        ],
+        "command": run.command,
+    }
     rss["fit"] = fitted([(p["at"], p["median"]) for p in rss["points"]])
     return [row, tenth, rss]
 
 
 # Where it goes.
 
+
 def by_profile(run: Run) -> list[dict[str, Any]]:
     """Functions of the module by their own time, as parts (cProfile) of what a statement costs without it."""
     rows = []
@@ -393,21 +622,48 @@
         found: dict[str, list[float]] = {}
         for (file, _, name), (_, calls, own, _, _) in pstats.Stats(profile).stats.items():
             place = os.path.basename(file)
-            place = "the stand-in host" if place == "hollow_one.py" else "" if file == "~" else place
-            entry = found.setdefault(place if place == "the stand-in host" else f"{place}:{name}", [0.0, 0.0])
+            place = (
+                "the stand-in host" if place == "hollow_one.py" else "" if file == "~" else place
+            )
+            entry = found.setdefault(
+                place if place == "the stand-in host" else f"{place}:{name}", [0.0, 0.0]
+            )
             entry[0] += own
             entry[1] += calls
         total = sum(own for own, _ in found.values())
-        rows.append(single(f"alone.profile.{engines}.whole", f"a statement before {engines} engines, "
-                           "without the profiler", "µs", "engines", engines, [whole], "measured", run.command))
+        rows.append(
+            single(
+                f"alone.profile.{engines}.whole",
+                f"a statement before {engines} engines, without the profiler",
+                "µs",
+                "engines",
+                engines,
+                [whole],
+                "measured",
+                run.command,
+            )
+        )
         ordered = sorted(found.items(), key=lambda each: -each[1][0])
         for rank, (name, (own, calls)) in enumerate(ordered[:PROFILED], 1):
             share = own / total
-            print(f"alone.profile.{engines}: {share:6.1%} {share * whole:7.2f} µs {calls / run.window:7.2f} calls  "
-                  f"{name}", file=sys.stderr, flush=True)
-            rows.append(single(f"alone.profile.{engines}.{rank:02d}", f"{name}: its own time, "
-                               f"{calls / run.window:.1f} calls a statement", "µs", "engines", engines, [share * whole],
-                               "measured", run.command))
+            print(
+                f"alone.profile.{engines}: {share:6.1%} {share * whole:7.2f} µs {calls / run.window:7.2f} calls  "
+                f"{name}",
+                file=sys.stderr,
+                flush=True,
+            )
+            rows.append(
+                single(
+                    f"alone.profile.{engines}.{rank:02d}",
+                    f"{name}: its own time, {calls / run.window:.1f} calls a statement",
+                    "µs",
+                    "engines",
+                    engines,
+                    [share * whole],
+                    "measured",
+                    run.command,
+                )
+            )
     return rows
 
 
@@ -415,61 +671,138 @@
     """The serving process before 40 engines under a sampler: parts of what a statement costs without one."""
     whole = 1000 * median(on_sockets(run, 40) for _ in range(1 if run.quick else 3))
     with tempfile.NamedTemporaryFile(suffix=".stacks") as file:
-        watched = 1000 * on_sockets(run, 40, start=("-m", "corkgauge.standins.sampled", file.name), lasts=4 * LASTS)
+        watched = 1000 * on_sockets(
+            run, 40, start=("-m", "corkgauge.standins.sampled", file.name), lasts=4 * LASTS
+        )
         looks, on_top, within = sampled.read(file.name)
-    print(f"alone.profile.sockets: {whole:.0f} µs a statement, {watched:.0f} watched, {looks} samples",
-          file=sys.stderr, flush=True)
+    print(
+        f"alone.profile.sockets: {whole:.0f} µs a statement, {watched:.0f} watched, {looks} samples",
+        file=sys.stderr,
+        flush=True,
+    )
     own: Counter[str] = Counter()
     for name, count in on_top.items():
         file = name if name.startswith("library") else name.partition(":")[0]
         own[file] += count
-    for name in [*within]:      # what stands beneath all of it tells nothing
-        if name.startswith(("library", "standins", "commands", "daemon", "loop/hub.py:run", "loop/hub.py:turn")):
+    for name in [*within]:  # what stands beneath all of it tells nothing
+        if name.startswith(
+            ("library", "standins", "commands", "daemon", "loop/hub.py:run", "loop/hub.py:turn")
+        ):
             del within[name]
-    tables = (("file", own, "its own time"), ("function", on_top, "its own time"),
-              ("within", within, "with all that it calls"))
-    rows = [single("alone.profile.sockets.whole", "a statement on sockets before 40 engines, without the sampler", "µs",
-                   "engines", 40, [whole], "measured", run.command)]
+    tables = (
+        ("file", own, "its own time"),
+        ("function", on_top, "its own time"),
+        ("within", within, "with all that it calls"),
+    )
+    rows = [
+        single(
+            "alone.profile.sockets.whole",
+            "a statement on sockets before 40 engines, without the sampler",
+            "µs",
+            "engines",
+            40,
+            [whole],
+            "measured",
+            run.command,
+        )
+    ]
     for sort, table, of in tables:
-        for rank, (name, count) in enumerate(table.most_common(PROFILED + 16 * (sort == "within")), 1):
+        for rank, (name, count) in enumerate(
+            table.most_common(PROFILED + 16 * (sort == "within")), 1
+        ):
             share = count / looks
-            print(f"alone.profile.sockets.{sort}: {share:6.1%} {share * whole:7.1f} µs  {name}", file=sys.stderr)
-            rows.append(single(f"alone.profile.sockets.{sort}.{rank:02d}", f"{name}: {of}", "µs", "engines", 40,
-                               [share * whole], "measured", run.command))
+            print(
+                f"alone.profile.sockets.{sort}: {share:6.1%} {share * whole:7.1f} µs  {name}",
+                file=sys.stderr,
+            )
+            rows.append(
+                single(
+                    f"alone.profile.sockets.{sort}.{rank:02d}",
+                    f"{name}: {of}",
+                    "µs",
+                    "engines",
+                    40,
+                    [share * whole],
+                    "measured",
+                    run.command,
+                )
+            )
     return rows
 
 
 PARTS: dict[str, Callable[[Run], list[dict[str, Any]]]] = {
-    "alone.decision.engines": by_engines, "alone.decision.engines.one_group": by_engines_one_group,
-    "alone.decision.tenants": by_tenants, "alone.decision.open": by_open, "alone.decision.gateways": by_gateways,
-    "alone.decision.ratio": by_ratio, "alone.decision.change": by_change,
-    "alone.statement.sockets": by_sockets, "alone.statement.rate": by_rate,
-    "alone.list": by_list, "alone.memory": by_memory,
-    "alone.turn.descriptors": by_turn, "alone.ready.engines": by_ready, "alone.profile": by_profile,
-    "alone.profile.sockets": by_profile_sockets}
-
-
-@click.command(epilog="Example: python benchmarks/scale.py alone --rows alone.list,alone.memory --json")
-@click.option("--json", "as_json", is_flag=True, help="The rows on the standard output, for programs.")
-@click.option("--rows", multiple=True, metavar="KEY...", help=f"Only these, by commas: {', '.join(PARTS)}.")
-@click.option("--quick", is_flag=True, help="A tenth of the statements, one repeat, no check: nothing is kept.")
-@click.option("--full", is_flag=True, help="Measure at full size too, and print the error of what was foretold.")
-@click.option("--engines", default=FULL, show_default=True, type=click.IntRange(1), help="Full size, in databases.")
-@click.option("--suffix", default="", metavar="TEXT", help="Keep the rows under keys that end so too, as .before.")
-def command(as_json: bool, rows: tuple[str, ...], quick: bool, full: bool, engines: int, suffix: str) -> None:
+    "alone.decision.engines": by_engines,
+    "alone.decision.engines.one_group": by_engines_one_group,
+    "alone.decision.tenants": by_tenants,
+    "alone.decision.open": by_open,
+    "alone.decision.gateways": by_gateways,
+    "alone.decision.ratio": by_ratio,
+    "alone.decision.change": by_change,
+    "alone.statement.sockets": by_sockets,
+    "alone.statement.rate": by_rate,
+    "alone.list": by_list,
+    "alone.memory": by_memory,
+    "alone.turn.descriptors": by_turn,
+    "alone.ready.engines": by_ready,
+    "alone.profile": by_profile,
+    "alone.profile.sockets": by_profile_sockets,
+}
+
+
+@click.command(
+    epilog="Example: python benchmarks/scale.py alone --rows alone.list,alone.memory --json"
+)
+@click.option(
+    "--json", "as_json", is_flag=True, help="The rows on the standard output, for programs."
+)
+@click.option(
+    "--rows", multiple=True, metavar="KEY...", help=f"Only these, by commas: {', '.join(PARTS)}."
+)
+@click.option(
+    "--quick",
+    is_flag=True,
+    help="A tenth of the statements, one repeat, no check: nothing is kept.",
+)
+@click.option(
+    "--full",
+    is_flag=True,
+    help="Measure at full size too, and print the error of what was foretold.",
+)
+@click.option(
+    "--engines",
+    default=FULL,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Full size, in databases.",
+)
+@click.option(
+    "--suffix",
+    default="",
+    metavar="TEXT",
+    help="Keep the rows under keys that end so too, as .before.",
+)
+def command(
+    as_json: bool, rows: tuple[str, ...], quick: bool, full: bool, engines: int, suffix: str
+) -> None:
     """One workload manager, alone: slopes of its cost, kept in docs/capacity/alone.json."""
     asked = [key for each in rows for key in each.split(",") if key] or [*PARTS]
     wanted: dict[str, None] = {}
-    for key in asked:   # a row of a part that measures several is measured with the others
+    for key in asked:  # a row of a part that measures several is measured with the others
         if not (parts := [part for part in PARTS if key == part or key.startswith(part + ".")]):
             raise click.UsageError(f"--rows: no {key!r}; there are {', '.join(PARTS)}")
         wanted[max(parts, key=len)] = None
     bounded(2, 200 + 0.2 * engines)
-    said = " ".join(["python benchmarks/scale.py alone", *(f"--rows {key}" for key in rows),
-                     *(["--full"] if full else []), *([f"--engines {engines}"] if engines != FULL else []),
-                     *([f"--suffix {suffix}"] if suffix else [])])
+    said = " ".join(
+        [
+            "python benchmarks/scale.py alone",
+            *(f"--rows {key}" for key in rows),
+            *(["--full"] if full else []),
+            *([f"--engines {engines}"] if engines != FULL else []),
+            *([f"--suffix {suffix}"] if suffix else []),
+        ]
+    )
     run, found = Run(quick, full, engines, said), []
-    gc.disable()        # as the program that serves does
+    gc.disable()  # as the program that serves does
     busy(0.3)
     for key in wanted:
         part = PARTS[key](run)
--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -13,11 +13,20 @@
 
 from benchmarks.scaling import slope
 from corkgauge.shared.findings import SILENT, Findings
-from corkgauge.works.order import MOST_LOOKS, WELL, Bounds, EngineFact, Ground, OfferingFact, Wanted, next_out
+from corkgauge.works.order import (
+    MOST_LOOKS,
+    WELL,
+    Bounds,
+    EngineFact,
+    Ground,
+    OfferingFact,
+    Wanted,
+    next_out,
+)
 
 SIZES = [30, 100, 300, 900]
 FULL = 1_800
-WITNESSES = 20          # workload managers with a finding on each engine: a bad hour, not the fleet
+WITNESSES = 20  # workload managers with a finding on each engine: a bad hour, not the fleet
 ZONES, KINDS = 5, 3
 COMMAND = "python benchmarks/scale.py fleet --rows order,findings"
 
@@ -33,24 +42,38 @@
 
 def ground_of(engines: int) -> Ground:
     """Engines over zones and kinds, four query classes that need a third of them; limits that let a tenth go."""
-    facts = {f"e{n:05}": EngineFact(f"e{n:05}", f"z{n % ZONES}", f"k{n % KINDS}", f"z{n % ZONES}", 8.0, WELL)
-             for n in range(engines)}
-    offerings = [OfferingFact(f"class{n}", frozenset(), frozenset({f"k{n % KINDS}"} if n else ()), 0.6 * engines)
-                 for n in range(4)]
+    facts = {
+        f"e{n:05}": EngineFact(
+            f"e{n:05}", f"z{n % ZONES}", f"k{n % KINDS}", f"z{n % ZONES}", 8.0, WELL
+        )
+        for n in range(engines)
+    }
+    offerings = [
+        OfferingFact(
+            f"class{n}", frozenset(), frozenset({f"k{n % KINDS}"} if n else ()), 0.6 * engines
+        )
+        for n in range(4)
+    ]
     return Ground(Bounds(most=max(engines // 10, 1), room=0.9), facts, offerings)
 
 
 def order_ms(engines: int) -> float:
     """One turn of the planner's choice, with as many units waiting as it looks at."""
     ground = ground_of(engines)
-    waiting = [Wanted(f"e{n:05}", (f"e{n:05}",), 600_000, place=n) for n in range(min(engines // 2, 2 * MOST_LOOKS))]
-    assert next_out(ground, waiting)[0]     # some are let go: not an objection at the first look
+    waiting = [
+        Wanted(f"e{n:05}", (f"e{n:05}",), 600_000, place=n)
+        for n in range(min(engines // 2, 2 * MOST_LOOKS))
+    ]
+    assert next_out(ground, waiting)[0]  # some are let go: not an objection at the first look
     return spent(lambda: next_out(ground, waiting))
 
 
 def rows_on(engines: int) -> list[list[Any]]:
-    return [[f"wm{witness:04}", 1, n + 1, 0, f"e{n:05}", 7, SILENT, 0, 0]
-            for witness in range(WITNESSES) for n in range(engines)]
+    return [
+        [f"wm{witness:04}", 1, n + 1, 0, f"e{n:05}", 7, SILENT, 0, 0]
+        for witness in range(WITNESSES)
+        for n in range(engines)
+    ]
 
 
 def held(engines: int) -> Findings:
@@ -69,7 +92,7 @@
     grown = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert len(findings) == WITNESSES * engines
-    return grown / 2 ** 20
+    return grown / 2**20
 
 
 def forget_ms(engines: int) -> float:
@@ -92,18 +115,53 @@
 
 def order_rows() -> list[dict[str, Any]]:
     what = f"one choice of the planner, {2 * MOST_LOOKS} units waiting"
-    return [slope("fleet.order.engines", what, "ms of processor", "engines", SIZES, order_ms, full=FULL,
-                  check=order_ms, checked_as="measured", command=COMMAND)]
+    return [
+        slope(
+            "fleet.order.engines",
+            what,
+            "ms of processor",
+            "engines",
+            SIZES,
+            order_ms,
+            full=FULL,
+            check=order_ms,
+            checked_as="measured",
+            command=COMMAND,
+        )
+    ]
 
 
 def findings_rows() -> list[dict[str, Any]]:
     said = f"findings of {WITNESSES} workload managers on every engine"
     rows = []
     for key, what, unit, measure in (
-            ("fleet.findings.engines", f"{said}: memory", "MB", memory_mb),
-            ("fleet.findings.forget", f"{said}: a look for old ones, four a second", "ms of processor", forget_ms),
-            ("fleet.findings.merge", f"{said}: heard a first time, all", "ms of processor", merge_ms),
-            ("fleet.findings.digest", f"{said}: marks for one comparison", "ms of processor", digest_ms)):
-        rows.append(slope(key, what, unit, "engines", SIZES, measure, full=FULL, check=measure, checked_as="measured",
-                          command=COMMAND))
+        ("fleet.findings.engines", f"{said}: memory", "MB", memory_mb),
+        (
+            "fleet.findings.forget",
+            f"{said}: a look for old ones, four a second",
+            "ms of processor",
+            forget_ms,
+        ),
+        ("fleet.findings.merge", f"{said}: heard a first time, all", "ms of processor", merge_ms),
+        (
+            "fleet.findings.digest",
+            f"{said}: marks for one comparison",
+            "ms of processor",
+            digest_ms,
+        ),
+    ):
+        rows.append(
+            slope(
+                key,
+                what,
+                unit,
+                "engines",
+                SIZES,
+                measure,
+                full=FULL,
+                check=measure,
+                checked_as="measured",
+                command=COMMAND,
+            )
+        )
     return rows
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -31,28 +31,53 @@
 FULL, GATEWAYS = 1_800, 870
 ENGINES = 10, 40, 100, 400, 1_000
 MEMBERS = 30, 100, 300, 600
-CLASSES, TENANTS = 20, 1_000    # of the whole that is spread: no users' figure, ours
+CLASSES, TENANTS = 20, 1_000  # of the whole that is spread: no users' figure, ours
 FANOUTS, LOSSES = (1, 2, 3, 5), (0, 10, 30)
 SEEDS = 5
 COMMAND = "python benchmarks/scale.py settings"
 PATIENCE = 60.0
-READ = 4_096             # octets that the feed's reader is handed at a time
+READ = 4_096  # octets that the feed's reader is handed at a time
 
 
-def configuration(engines: int = 0, classes: int = 4, tenants: int = 2, feed: str = "127.0.0.1:1",
-                  listen: str = "127.0.0.1:1", id_size: int = 8) -> dict[str, Any]:
+def configuration(
+    engines: int = 0,
+    classes: int = 4,
+    tenants: int = 2,
+    feed: str = "127.0.0.1:1",
+    listen: str = "127.0.0.1:1",
+    id_size: int = 8,
+) -> dict[str, Any]:
     """As a platform hands it over: settings of so many classes and tenants, and the list known at the start."""
     stated = settings()
     given = stated["profiles"]
-    stated["profiles"] = [{**given[n % len(given)], "name": f"class-{n:03d}"} for n in range(classes)]
+    stated["profiles"] = [
+        {**given[n % len(given)], "name": f"class-{n:03d}"} for n in range(classes)
+    ]
     stated["customers"] = [{"name": f"tenant-{n:05d}"} for n in range(tenants)]
     stated.update(instances=GATEWAYS, myNumber=17)
-    servers = [{"id": f"e{n:0{id_size - 1}d}", "addr": f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:9090",
-                "zone": stated["azs"][n % 2], "kind": KINDS[n % 2], "cell": n // 8, "state": "SERVING", "weight": 1,
-                "started_ms": 1_790_000_000_000 + 1_000 * n} for n in range(engines)]
+    servers = [
+        {
+            "id": f"e{n:0{id_size - 1}d}",
+            "addr": f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:9090",
+            "zone": stated["azs"][n % 2],
+            "kind": KINDS[n % 2],
+            "cell": n // 8,
+            "state": "SERVING",
+            "weight": 1,
+            "started_ms": 1_790_000_000_000 + 1_000 * n,
+        }
+        for n in range(engines)
+    ]
     event = {"n": 1, "members": {"version": 1, "full": True, "servers": servers}}
-    return {"name": "n1", "listen": listen, "feed": feed, "seed": "7", "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": {"n": 1, "events": [event]}, "settings": stated}
+    return {
+        "name": "n1",
+        "listen": listen,
+        "feed": feed,
+        "seed": "7",
+        "limits": {"memory_mb": 192, "sockets": 1024},
+        "known": {"n": 1, "events": [event]},
+        "settings": stated,
+    }
 
 
 def octets(said: Any, spaced: bool = False) -> int:
@@ -62,11 +87,17 @@
 
 # How large.
 
+
 def delta() -> Any:
     """One class gets another promised time: as a JSON merge patch (RFC 7396) of settings in which classes go by name,
     with the version that it follows and the digest of what it makes."""
-    return {"version": 4711, "after": 4710, "digest": "0" * 64, "by": "operator@example",
-            "change": {"profiles": {"class-007": {"objectiveUs": 250_000}}}}
+    return {
+        "version": 4711,
+        "after": 4710,
+        "digest": "0" * 64,
+        "by": "operator@example",
+        "change": {"profiles": {"class-007": {"objectiveUs": 250_000}}},
+    }
 
 
 class Taker:
@@ -88,11 +119,11 @@
 def is_taken(engines: int, id_size: int, spaced: bool) -> bool:
     """Does the program's own reader of the feed take the whole list in one event?"""
     taker = Taker()
-    wire = FeedWire(taker, Allowance(2 ** 24))
+    wire = FeedWire(taker, Allowance(2**24))
     event = json.dumps(listed(engines, id_size), separators=None if spaced else (",", ":"))
     data = f"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 1\ndata: {event}\n\n".encode()
     for at in range(0, len(data), READ):
-        wire.inward.put(data[at:at + READ])
+        wire.inward.put(data[at : at + READ])
         if wire.advance():
             return False
     return taker.took == 1
@@ -110,34 +141,92 @@
 def sizes(run: "Run") -> list[dict[str, Any]]:
     def stated(**how: int) -> int:
         return octets(configuration(**how)["settings"])
+
     rows = [
-        run.slope("settings.octets.classes", "settings as JSON, two tenants", "octets", "classes", (4, 16, 64, 256),
-                  lambda n: stated(classes=n, tenants=2), 256, repeats=1),
-        run.slope("settings.octets.tenants", "settings as JSON, four classes", "octets", "tenants",
-                  (2, 20, 200, 2_000), lambda n: stated(classes=4, tenants=n), 2_000, repeats=1)]
-    for name, said, size, spaced in (("", "ids of 8 characters", 8, True), (".long", "ids of 36 characters", 36, True),
-                                     (".compact", "ids of 8 characters, JSON without spaces", 8, False)):
+        run.slope(
+            "settings.octets.classes",
+            "settings as JSON, two tenants",
+            "octets",
+            "classes",
+            (4, 16, 64, 256),
+            lambda n: stated(classes=n, tenants=2),
+            256,
+            repeats=1,
+        ),
+        run.slope(
+            "settings.octets.tenants",
+            "settings as JSON, four classes",
+            "octets",
+            "tenants",
+            (2, 20, 200, 2_000),
+            lambda n: stated(classes=4, tenants=n),
+            2_000,
+            repeats=1,
+        ),
+    ]
+    for name, said, size, spaced in (
+        ("", "ids of 8 characters", 8, True),
+        (".long", "ids of 36 characters", 36, True),
+        (".compact", "ids of 8 characters, JSON without spaces", 8, False),
+    ):
         rows += [
-            run.slope("settings.list.octets" + name, f"the whole list as one event, {said}", "octets", "engines",
-                      ENGINES, lambda n, size=size, spaced=spaced: octets(listed(n, size), spaced), FULL, repeats=1),
-            single("settings.list.most" + name, f"most engines whose whole list the reader of the feed takes, {said}",
-                   "engines", "characters of an id", size, [most_taken(size, spaced)], "measured", COMMAND)]
+            run.slope(
+                "settings.list.octets" + name,
+                f"the whole list as one event, {said}",
+                "octets",
+                "engines",
+                ENGINES,
+                lambda n, size=size, spaced=spaced: octets(listed(n, size), spaced),
+                FULL,
+                repeats=1,
+            ),
+            single(
+                "settings.list.most" + name,
+                f"most engines whose whole list the reader of the feed takes, {said}",
+                "engines",
+                "characters of an id",
+                size,
+                [most_taken(size, spaced)],
+                "measured",
+                COMMAND,
+            ),
+        ]
     whole = octets(configuration(0, CLASSES, TENANTS)["settings"])
     return rows + [
-        single("settings.octets.whole", f"settings of {CLASSES} classes and {TENANTS} tenants, as JSON", "octets",
-               "classes", CLASSES, [whole], "measured", COMMAND),
-        single("settings.octets.delta", "one class gets another promised time, as a merge patch with its digest",
-               "octets", "classes", 1, [octets(delta())], "paper", COMMAND)]
+        single(
+            "settings.octets.whole",
+            f"settings of {CLASSES} classes and {TENANTS} tenants, as JSON",
+            "octets",
+            "classes",
+            CLASSES,
+            [whole],
+            "measured",
+            COMMAND,
+        ),
+        single(
+            "settings.octets.delta",
+            "one class gets another promised time, as a merge patch with its digest",
+            "octets",
+            "classes",
+            1,
+            [octets(delta())],
+            "paper",
+            COMMAND,
+        ),
+    ]
 
 
 # What it costs today.
 
+
 class Served:
     """One real process of `serve`, in a folder of its own; killed if this one ends in whichever way."""
 
     def __init__(self, engines: int, classes: int = 4, tenants: int = 2) -> None:
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
-        self.held = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]   # two feeds, at which nobody answers
+        self.held = [
+            socket.create_server(("127.0.0.1", 0)) for _ in range(2)
+        ]  # two feeds, at which nobody answers
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
         self.said = configuration(engines, classes, tenants, self.at(0), "%s:%d" % self.address)
@@ -160,10 +249,18 @@
         self.starts += 1
         with open(f"{self.folder}/log", "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "corkgauge", "serve"], stdout=log, stderr=log, stdin=subprocess.DEVNULL,
+                [sys.executable, "-m", "corkgauge", "serve"],
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
                 preexec_fn=tied(os.getpid()),
-                env={**os.environ, "EDGE_CONFIG": f"{self.folder}/config.json", "EDGE_LISTEN": "",
-                     "PYTHONDONTWRITEBYTECODE": "1"})
+                env={
+                    **os.environ,
+                    "EDGE_CONFIG": f"{self.folder}/config.json",
+                    "EDGE_LISTEN": "",
+                    "PYTHONDONTWRITEBYTECODE": "1",
+                },
+            )
         self.until(lambda: self.log().count("serving as") == self.starts)
 
     def until(self, there: Callable[[], Any]) -> None:
@@ -248,25 +345,69 @@
         return spent
 
     what = "SIGTERM with nothing open, start, until the new process serves: "
-    rows = [run.slope("settings.restart.processor", what + "processor of the new process", "s", "engines", ENGINES,
-                      processor, FULL)]
+    rows = [
+        run.slope(
+            "settings.restart.processor",
+            what + "processor of the new process",
+            "s",
+            "engines",
+            ENGINES,
+            processor,
+            FULL,
+        )
+    ]
     again = {size: iter(values) for size, values in found.items()}
-    rows.append(run.slope("settings.restart.unready", what + "time in which nobody is served", "s", "engines", ENGINES,
-                          lambda n: next(again[n]), FULL))
+    rows.append(
+        run.slope(
+            "settings.restart.unready",
+            what + "time in which nobody is served",
+            "s",
+            "engines",
+            ENGINES,
+            lambda n: next(again[n]),
+            FULL,
+        )
+    )
     return rows + [
-        run.slope("settings.reload.processor", "SIGHUP after which the feed alone moves", "ms of processor", "engines",
-                  ENGINES, reloaded, FULL),
-        run.slope("settings.taken.classes", "a configuration read, checked and stated, without a list",
-                  "ms of processor", "classes", (4, 16, 64, 256), lambda n: taken(classes=n), 256),
-        run.slope("settings.taken.tenants", "a configuration read, checked and stated, without a list",
-                  "ms of processor", "tenants", (2, 20, 200, 2_000), lambda n: taken(tenants=n), 2_000)]
+        run.slope(
+            "settings.reload.processor",
+            "SIGHUP after which the feed alone moves",
+            "ms of processor",
+            "engines",
+            ENGINES,
+            reloaded,
+            FULL,
+        ),
+        run.slope(
+            "settings.taken.classes",
+            "a configuration read, checked and stated, without a list",
+            "ms of processor",
+            "classes",
+            (4, 16, 64, 256),
+            lambda n: taken(classes=n),
+            256,
+        ),
+        run.slope(
+            "settings.taken.tenants",
+            "a configuration read, checked and stated, without a list",
+            "ms of processor",
+            "tenants",
+            (2, 20, 200, 2_000),
+            lambda n: taken(tenants=n),
+            2_000,
+        ),
+    ]
 
 
 # By which way it could reach all.
 
+
 def gossip(run: "Run") -> list[dict[str, Any]]:
     rows = []
-    sent = {"delta": octets(delta()), "whole": octets(configuration(0, CLASSES, TENANTS)["settings"])}
+    sent = {
+        "delta": octets(delta()),
+        "whole": octets(configuration(0, CLASSES, TENANTS)["settings"]),
+    }
     for sort, size in sent.items():
         for fanout in FANOUTS[2:3] if run.quick else FANOUTS:
             for loss in LOSSES[1:2] if run.quick else LOSSES:
@@ -276,21 +417,43 @@
                     seeds = found.setdefault(many, [])
                     seeds.append(spread(many, size, fanout, loss / 100, len(seeds) + 1))
                     if seeds[-1][0] < 0:
-                        raise RuntimeError(f"{sort}, fan-out {fanout}, {loss}% lost: not all of {many} in a minute")
+                        raise RuntimeError(
+                            f"{sort}, fan-out {fanout}, {loss}% lost: not all of {many} in a minute"
+                        )
                     return seeds[-1][0]
 
                 said = f"a change spread by gossip as {sort} of {size} octets, fan-out {fanout}, {loss}% lost: "
-                rows.append(run.slope(
-                    f"settings.gossip.{sort}.time.f{fanout}.loss{loss}", said + "until all have it", "s",
-                    "workload managers", MEMBERS, played, GATEWAYS, repeats=SEEDS, kind="simulated"))
-                for place, name, asked, unit in ((1, "peak", "sent by the busiest in its busiest second",
-                                                  "octets a second"),
-                                                 (2, "mean", "sent by one until then, mean", "octets")):
+                rows.append(
+                    run.slope(
+                        f"settings.gossip.{sort}.time.f{fanout}.loss{loss}",
+                        said + "until all have it",
+                        "s",
+                        "workload managers",
+                        MEMBERS,
+                        played,
+                        GATEWAYS,
+                        repeats=SEEDS,
+                        kind="simulated",
+                    )
+                )
+                for place, name, asked, unit in (
+                    (1, "peak", "sent by the busiest in its busiest second", "octets a second"),
+                    (2, "mean", "sent by one until then, mean", "octets"),
+                ):
                     turns = {many: iter(seeds) for many, seeds in found.items()}
-                    rows.append(run.slope(
-                        f"settings.gossip.{sort}.{name}.f{fanout}.loss{loss}", said + asked, unit, "workload managers",
-                        MEMBERS, lambda n, place=place, turns=turns: next(turns[n])[place], GATEWAYS, repeats=SEEDS,
-                        kind="simulated"))
+                    rows.append(
+                        run.slope(
+                            f"settings.gossip.{sort}.{name}.f{fanout}.loss{loss}",
+                            said + asked,
+                            unit,
+                            "workload managers",
+                            MEMBERS,
+                            lambda n, place=place, turns=turns: next(turns[n])[place],
+                            GATEWAYS,
+                            repeats=SEEDS,
+                            kind="simulated",
+                        )
+                    )
     return rows
 
 
@@ -300,8 +463,18 @@
     def __init__(self, quick: bool) -> None:
         self.quick = quick
 
-    def slope(self, key: str, what: str, unit: str, by: str, sizes: tuple[int, ...], measure: Callable[[int], float],
-              full: int, repeats: int = 3, kind: str = "measured") -> dict[str, Any]:
+    def slope(
+        self,
+        key: str,
+        what: str,
+        unit: str,
+        by: str,
+        sizes: tuple[int, ...],
+        measure: Callable[[int], float],
+        full: int,
+        repeats: int = 3,
+        kind: str = "measured",
+    ) -> dict[str, Any]:
         """A row, checked at `full` by the same measure, as often; where `full` is the largest size, nothing is
         foretold."""
         beyond = full if full > max(sizes) else None
@@ -309,17 +482,40 @@
 
         def check(size: int) -> float:
             return median(measure(size) for _ in range(repeats))
-        return slope(key, what, unit, by, sizes, measure, repeats=repeats, kind=kind, full=beyond,
-                     check=check if beyond else None, checked_as=kind, command=COMMAND)
+
+        return slope(
+            key,
+            what,
+            unit,
+            by,
+            sizes,
+            measure,
+            repeats=repeats,
+            kind=kind,
+            full=beyond,
+            check=check if beyond else None,
+            checked_as=kind,
+            command=COMMAND,
+        )
 
 
 PARTS = {"sizes": sizes, "today": today, "gossip": gossip}
 
 
-@click.command("settings", epilog="Example: python benchmarks/scale.py settings --rows sizes,gossip --json")
-@click.option("--rows", "wanted", default=",".join(PARTS), show_default=True, help="Only these parts, by commas.")
+@click.command(
+    "settings", epilog="Example: python benchmarks/scale.py settings --rows sizes,gossip --json"
+)
+@click.option(
+    "--rows",
+    "wanted",
+    default=",".join(PARTS),
+    show_default=True,
+    help="Only these parts, by commas.",
+)
 @click.option("--quick", is_flag=True, help="One repeat, one fan-out: a trial, nothing is kept.")
-@click.option("--json", "as_json", is_flag=True, help="The rows on the standard output, for programs.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="The rows on the standard output, for programs."
+)
 def command(wanted: str, quick: bool, as_json: bool) -> None:
     """A change of configuration: its cost today, its size, and the ways to all; kept in docs/capacity/settings.json.
 
@@ -336,7 +532,7 @@
             rows = PARTS[name](Run(quick))
             found += rows
             if not quick:
-                kept("settings", rows)      # what was measured stays, whatever befalls the next part
+                kept("settings", rows)  # what was measured stays, whatever befalls the next part
     finally:
         signal.signal(signal.SIGTERM, before)
     if as_json:
--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -28,7 +28,7 @@
 
 def bounded(processes: int, memory_mb: float) -> None:
     """Refuse a trial beforehand that would pass 300 processes or half of the machine's memory (MB)."""
-    half = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2 ** 20 / 2
+    half = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**20 / 2
     if processes > MOST_PROCESSES:
         raise TooLarge(f"{processes} processes, {MOST_PROCESSES} at most")
     if memory_mb > half:
@@ -39,58 +39,125 @@
     """Least squares of cost in size: base + slope x size; and the exponent of a power law through the same points
     (0: flat, 1: linear), by numpy."""
     import numpy
+
     sizes, costs = (numpy.array(column, float) for column in zip(*points))
     slope, base = numpy.polyfit(sizes, costs, 1)
     spread = ((costs - costs.mean()) ** 2).sum()
     rest = ((costs - base - slope * sizes) ** 2).sum()
     exponent = numpy.polyfit(numpy.log(sizes), numpy.log(numpy.maximum(costs, 1e-12)), 1)[0]
-    return {"base": float(base), "slope": float(slope), "exponent": float(exponent),
-            "r2": float(1 - rest / spread) if spread > 0 else 1.0}
-
-
-def slope(key: str, what: str, unit: str, by: str, sizes: Sequence[int], measure: Callable[[int], float], *,
-          repeats: int = 3, kind: str = "measured", full: int | None = None,
-          check: Callable[[int], float] | None = None, checked_as: str = "hollow", command: str = "") -> dict[str, Any]:
+    return {
+        "base": float(base),
+        "slope": float(slope),
+        "exponent": float(exponent),
+        "r2": float(1 - rest / spread) if spread > 0 else 1.0,
+    }
+
+
+def slope(
+    key: str,
+    what: str,
+    unit: str,
+    by: str,
+    sizes: Sequence[int],
+    measure: Callable[[int], float],
+    *,
+    repeats: int = 3,
+    kind: str = "measured",
+    full: int | None = None,
+    check: Callable[[int], float] | None = None,
+    checked_as: str = "hollow",
+    command: str = "",
+) -> dict[str, Any]:
     """One row. `measure(size)` gives a cost in `unit`; `full` is the size it is foretold for, from the points alone,
     before `check(full)` measures it there (kind `checked_as`); the error is (foretold - checked) / checked."""
     assert kind in KINDS and checked_as in KINDS and len(sizes) >= 4
     points = []
     for size in sizes:
         values = [float(measure(size)) for _ in range(repeats)]
-        points.append({"at": size, "values": values, "median": median(values), "least": min(values),
-                       "most": max(values)})
-        print(f"{key}: {by} {size}: {median(values):.4g} {unit} ({min(values):.4g} to {max(values):.4g})",
-              file=sys.stderr, flush=True)
-    row: dict[str, Any] = {"key": key, "what": what, "unit": unit, "by": by, "kind": kind, "points": points,
-                           "command": command, "fit": fitted([(p["at"], p["median"]) for p in points])}
+        points.append(
+            {
+                "at": size,
+                "values": values,
+                "median": median(values),
+                "least": min(values),
+                "most": max(values),
+            }
+        )
+        print(
+            f"{key}: {by} {size}: {median(values):.4g} {unit} ({min(values):.4g} to {max(values):.4g})",
+            file=sys.stderr,
+            flush=True,
+        )
+    row: dict[str, Any] = {
+        "key": key,
+        "what": what,
+        "unit": unit,
+        "by": by,
+        "kind": kind,
+        "points": points,
+        "command": command,
+        "fit": fitted([(p["at"], p["median"]) for p in points]),
+    }
     if full is not None:
         row["foretold"] = {"at": full, "value": row["fit"]["base"] + row["fit"]["slope"] * full}
         if check is not None:
             found = float(check(full))
             error = (row["foretold"]["value"] - found) / found if found else 0.0
             row["checked"] = {"at": full, "value": found, "kind": checked_as, "error": error}
-            print(f"{key}: foretold for {full}: {row['foretold']['value']:.4g} {unit}, {checked_as}: {found:.4g}, "
-                  f"error {error:+.0%}", file=sys.stderr, flush=True)
+            print(
+                f"{key}: foretold for {full}: {row['foretold']['value']:.4g} {unit}, {checked_as}: {found:.4g}, "
+                f"error {error:+.0%}",
+                file=sys.stderr,
+                flush=True,
+            )
     return row
 
 
-def single(key: str, what: str, unit: str, by: str, at: float, values: Sequence[float], kind: str,
-           command: str = "") -> dict[str, Any]:
+def single(
+    key: str,
+    what: str,
+    unit: str,
+    by: str,
+    at: float,
+    values: Sequence[float],
+    kind: str,
+    command: str = "",
+) -> dict[str, Any]:
     """A row of one size, without a slope."""
     assert kind in KINDS
-    return {"key": key, "what": what, "unit": unit, "by": by, "kind": kind, "command": command, "points": [
-        {"at": at, "values": [float(each) for each in values], "median": median(values), "least": min(values),
-         "most": max(values)}]}
+    return {
+        "key": key,
+        "what": what,
+        "unit": unit,
+        "by": by,
+        "kind": kind,
+        "command": command,
+        "points": [
+            {
+                "at": at,
+                "values": [float(each) for each in values],
+                "median": median(values),
+                "least": min(values),
+                "most": max(values),
+            }
+        ],
+    }
 
 
 def kept(part: str, rows: list[dict[str, Any]], home: Path = HOME) -> Path:
     """Write the rows to PART.json beside the page; rows of other keys that it held stay, so that a part can be measured
     in several runs. Written whole or not at all."""
     file = home / f"{part}.json"
-    held = {row["key"]: row for row in json.loads(file.read_text())["rows"]} if file.exists() else {}
+    held = (
+        {row["key"]: row for row in json.loads(file.read_text())["rows"]} if file.exists() else {}
+    )
     held.update((row["key"], row) for row in rows)
-    said = {"part": part, "cores": os.cpu_count(), "python": platform.python_version(),
-            "rows": [held[key] for key in sorted(held)]}
+    said = {
+        "part": part,
+        "cores": os.cpu_count(),
+        "python": platform.python_version(),
+        "rows": [held[key] for key in sorted(held)],
+    }
     home.mkdir(parents=True, exist_ok=True)
     whole = file.with_suffix(".new")
     whole.write_text(json.dumps(said, indent=1) + "\n")
--- a/corkgauge/commands/__init__.py
+++ b/corkgauge/commands/__init__.py
@@ -6,11 +6,23 @@
 import click
 
 # Name, and the module that holds it as `command`.
-COMMANDS = {"serve": "serve", "check": "check", "version": "version", "figures": "figures", "audit": "audit",
-            "flows": "flows", "recall": "recall",
-            "fellows": "fellows", "duties": "duties", "works": "works", "shared": "shared",
-            "drills": "drills", "try": "try_", "soak": "soak"}
-FOUND, MISUSE = 1, 2    # exit codes: found what it looks for; misuse or bad input
+COMMANDS = {
+    "serve": "serve",
+    "check": "check",
+    "version": "version",
+    "figures": "figures",
+    "audit": "audit",
+    "flows": "flows",
+    "recall": "recall",
+    "fellows": "fellows",
+    "duties": "duties",
+    "works": "works",
+    "shared": "shared",
+    "drills": "drills",
+    "try": "try_",
+    "soak": "soak",
+}
+FOUND, MISUSE = 1, 2  # exit codes: found what it looks for; misuse or bad input
 
 
 class Faulted(click.ClickException):
@@ -29,7 +41,11 @@
         return [*COMMANDS]
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        return import_module(f"corkgauge.commands.{COMMANDS[name]}").command if name in COMMANDS else None
+        return (
+            import_module(f"corkgauge.commands.{COMMANDS[name]}").command
+            if name in COMMANDS
+            else None
+        )
 
 
 @click.group(cls=Loaded, context_settings={"help_option_names": ["-h", "--help"]})
@@ -43,9 +59,19 @@
 
 
 # What an extra brings: a module that is missing names it.
-EXTRAS = {"operator": {"ddsketch", "cryptography", "h11", "lxml", "msgpack", "prometheus_client", "rich",
-                       "xxhash"},
-          "reports": {"matplotlib", "numpy", "pyarrow"}}
+EXTRAS = {
+    "operator": {
+        "ddsketch",
+        "cryptography",
+        "h11",
+        "lxml",
+        "msgpack",
+        "prometheus_client",
+        "rich",
+        "xxhash",
+    },
+    "reports": {"matplotlib", "numpy", "pyarrow"},
+}
 
 
 def main() -> int:
@@ -57,6 +83,8 @@
         extra = next((extra for extra, modules in EXTRAS.items() if name in modules), None)
         if extra is None:
             raise
-        print(f"corkgauge: {name} is not installed; the remedy: pip install 'corkgauge[{extra}]'",
-              file=sys.stderr)
+        print(
+            f"corkgauge: {name} is not installed; the remedy: pip install 'corkgauge[{extra}]'",
+            file=sys.stderr,
+        )
         return MISUSE
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -19,7 +19,7 @@
             continue
         try:
             cut = json.loads(line)
-            if "history" in cut:    # of `works show --json`
+            if "history" in cut:  # of `works show --json`
                 found += [f"{name}:{number}: {cut['name']}: {each}" for each in works_wrong(cut)]
                 count += 1
                 continue
@@ -28,7 +28,9 @@
             if gateway in last:
                 said += shrunk(last[gateway], cut)
         except (ValueError, KeyError, TypeError, AttributeError) as problem:
-            raise Faulted(f"{name}:{number}: not a cut ({type(problem).__name__} {problem})") from None
+            raise Faulted(
+                f"{name}:{number}: not a cut ({type(problem).__name__} {problem})"
+            ) from None
         last[gateway] = cut
         epochs.add(epoch)
         count += 1
@@ -39,6 +41,7 @@
 def works_wrong(said: dict) -> list[str]:
     """What is wrong with a history of works: a step twice, or one left out."""
     from corkgauge.works.plan import wrong_history
+
     return wrong_history(said["history"])
 
 
--- a/corkgauge/commands/check.py
+++ b/corkgauge/commands/check.py
@@ -9,7 +9,9 @@
 
 
 @click.command("check")
-@click.option("--operator", "operator_file", default="", metavar="FILE", help="Check this operator file too.")
+@click.option(
+    "--operator", "operator_file", default="", metavar="FILE", help="Check this operator file too."
+)
 def command(operator_file: str) -> None:
     """Check the configuration that the environment names, and serve nothing.
 
@@ -20,6 +22,7 @@
     try:
         post = configuration.read(os.environ)
         from corkgauge import daemon
+
         raise SystemExit(daemon.check(post, operator_file))
     except configuration.Faulty as problem:
         raise Faulted(str(problem)) from None
--- a/corkgauge/commands/drills.py
+++ b/corkgauge/commands/drills.py
@@ -17,10 +17,20 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--gateways", type=click.IntRange(2, 12), default=3, show_default=True)
 @click.option("--seconds", type=click.FloatRange(3, 36_000), default=30.0, show_default=True)
-@click.option("--gap", type=click.FloatRange(0.1, 600), default=1.0, show_default=True,
-              help="Seconds between two faults.")
-@click.option("--longest", type=click.FloatRange(0.2, 600), default=3.0, show_default=True,
-              help="Of one fault, in seconds.")
+@click.option(
+    "--gap",
+    type=click.FloatRange(0.1, 600),
+    default=1.0,
+    show_default=True,
+    help="Seconds between two faults.",
+)
+@click.option(
+    "--longest",
+    type=click.FloatRange(0.2, 600),
+    default=3.0,
+    show_default=True,
+    help="Of one fault, in seconds.",
+)
 def draw(seed: int, gateways: int, seconds: float, gap: float, longest: float) -> None:
     """Print a script of faults by chance, for `drills run`.
 
@@ -28,6 +38,7 @@
     corkgauge drills draw --seconds 60 --gap 0.5 > day.txt
     """
     from corkgauge.standins.fleet import drawn
+
     for fault in drawn(seed, [f"n{n}" for n in range(1, gateways + 1)], seconds, gap, longest):
         print(fault.line())
 
@@ -36,19 +47,53 @@
 @click.argument("script", required=False, type=click.Path(exists=True, dir_okay=False))
 @click.option("--gateways", type=click.IntRange(2, 12), default=3, show_default=True)
 @click.option("--seconds", type=click.FloatRange(3, 36_000), default=30.0, show_default=True)
-@click.option("--lease", type=click.FloatRange(0.4, 600), default=1.0, show_default=True, help="In seconds.")
-@click.option("--gap", type=click.FloatRange(0.1, 600), default=1.0, show_default=True,
-              help="Seconds between two faults, where no script is named.")
+@click.option(
+    "--lease", type=click.FloatRange(0.4, 600), default=1.0, show_default=True, help="In seconds."
+)
+@click.option(
+    "--gap",
+    type=click.FloatRange(0.1, 600),
+    default=1.0,
+    show_default=True,
+    help="Seconds between two faults, where no script is named.",
+)
 @click.option("--clients", type=click.IntRange(0, 50), default=0, show_default=True)
 @click.option("--disk/--no-disk", default=False, help="Voters keep their votes in a folder.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--without", type=click.Choice(["none", "check", "silence", "margin", "busy", "fence"]), default="none",
-              help="Leave a defence out: the judge should object.")
-@click.option("--rates", default="", metavar="R,R,...", help="How fast the gateways' clocks run, as 1.02,0.98.")
-@click.option("--drift", type=click.FloatRange(0, 0.2), default=0.01, show_default=True, help="That is assumed.")
+@click.option(
+    "--without",
+    type=click.Choice(["none", "check", "silence", "margin", "busy", "fence"]),
+    default="none",
+    help="Leave a defence out: the judge should object.",
+)
+@click.option(
+    "--rates",
+    default="",
+    metavar="R,R,...",
+    help="How fast the gateways' clocks run, as 1.02,0.98.",
+)
+@click.option(
+    "--drift",
+    type=click.FloatRange(0, 0.2),
+    default=0.01,
+    show_default=True,
+    help="That is assumed.",
+)
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
-def run(script: str | None, gateways: int, seconds: float, lease: float, gap: float, clients: int, disk: bool,
-        seed: int, without: str, rates: str, drift: float, as_json: bool) -> None:
+def run(
+    script: str | None,
+    gateways: int,
+    seconds: float,
+    lease: float,
+    gap: float,
+    clients: int,
+    disk: bool,
+    seed: int,
+    without: str,
+    rates: str,
+    drift: float,
+    as_json: bool,
+) -> None:
     """Play a script of faults, or one by chance, and say whether ever two acted at once.
 
     Starts gateways in processes of their own, with relays between them and a judge outside; all on loopback.
@@ -58,15 +103,29 @@
     Ends with 1 if the judge objects, or a rule was broken for a client.
     """
     from corkgauge.standins.fleet import Fleet, Unplayable, drawn, read
+
     names = [f"n{n}" for n in range(1, gateways + 1)]
     try:
-        faults = read(Path(script).read_text(), names, ["e1", "e2"]) if script else drawn(
-            seed, names, seconds, gap, 3 * lease)
+        faults = (
+            read(Path(script).read_text(), names, ["e1", "e2"])
+            if script
+            else drawn(seed, names, seconds, gap, 3 * lease)
+        )
         rated = tuple(float(each) for each in rates.split(",")) if rates else ()
     except (Unplayable, ValueError) as problem:
         raise Faulted(f"{script or '--rates'}: {problem}") from None
-    fleet = Fleet(seed, gateways, lease=lease, faults=faults, clients=clients, disk=disk, drift=drift,
-                  off="none" if without == "fence" else without, rates=rated, guarded=without != "fence")
+    fleet = Fleet(
+        seed,
+        gateways,
+        lease=lease,
+        faults=faults,
+        clients=clients,
+        disk=disk,
+        drift=drift,
+        off="none" if without == "fence" else without,
+        rates=rated,
+        guarded=without != "fence",
+    )
     try:
         fleet.run(seconds)
         said = report(fleet)
@@ -87,8 +146,13 @@
     """What a drill came to; spans without a holder in seconds."""
     changes = fleet.changes()
     spans = sorted(span / 10_000 for _, span, *_ in changes)
-    return {"faults": fleet.befallen, "acts": len(fleet.judge.acts),
-            "acts_refused": sum(not act.admitted for act in fleet.judge.acts), "hand_overs": len(changes),
-            "without_holder": [spans[len(spans) // 2], spans[-1]] if spans else [],
-            "exceptions": sum("exceptions stopped" in line for line in fleet.logs()),
-            "rules": fleet.broken(2_500)[:10] if fleet.clients else [], "wrong": fleet.wrong()}
+    return {
+        "faults": fleet.befallen,
+        "acts": len(fleet.judge.acts),
+        "acts_refused": sum(not act.admitted for act in fleet.judge.acts),
+        "hand_overs": len(changes),
+        "without_holder": [spans[len(spans) // 2], spans[-1]] if spans else [],
+        "exceptions": sum("exceptions stopped" in line for line in fleet.logs()),
+        "rules": fleet.broken(2_500)[:10] if fleet.clients else [],
+        "wrong": fleet.wrong(),
+    }
--- a/corkgauge/commands/duties.py
+++ b/corkgauge/commands/duties.py
@@ -11,7 +11,7 @@
 from corkgauge.commands import FOUND, Faulted
 from corkgauge.commands.fellows import door
 
-ASK_EACH = 0.25         # seconds, at most, between two questions of a command that runs under a duty
+ASK_EACH = 0.25  # seconds, at most, between two questions of a command that runs under a duty
 
 
 @click.group("duties")
@@ -21,7 +21,9 @@
 
 @command.command()
 @click.argument("where", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs."
+)
 def show(where: tuple[str, ...], as_json: bool) -> None:
     """Who holds what, under which fence, since when, and why it changed.
 
@@ -38,24 +40,41 @@
         from rich.console import Console
 
         from corkgauge.commands.tables import plain_table
+
         for each in said:
-            table = plain_table(f"{each['name']}: voters {' '.join(each['voters'])}, list {each['version']}, "
-                                f"{'votes' if each['voting'] else 'does not vote now'}",
-                                "duty", ("held by", "fence", "for s", "left s", "last change here", "runs"))
+            table = plain_table(
+                f"{each['name']}: voters {' '.join(each['voters'])}, list {each['version']}, "
+                f"{'votes' if each['voting'] else 'does not vote now'}",
+                "duty",
+                ("held by", "fence", "for s", "left s", "last change here", "runs"),
+            )
             for name, duty in each["duties"].items():
-                table.add_row(name, duty["holder"] or "nobody", str(duty["fence"] or ""),
-                              "" if duty["for"] is None else f"{duty['for']:.0f}",
-                              f"{duty['left']:.1f}" if duty["left"] else "", duty["why"], duty["lent"])
+                table.add_row(
+                    name,
+                    duty["holder"] or "nobody",
+                    str(duty["fence"] or ""),
+                    "" if duty["for"] is None else f"{duty['for']:.0f}",
+                    f"{duty['left']:.1f}" if duty["left"] else "",
+                    duty["why"],
+                    duty["lent"],
+                )
             Console().print(table)
             for name, books in each["books"].items():
                 if books["entries"]:
                     last = books["entries"][-1]
-                    print(f"{name}: {last['gateways']} gateways, taken {last['taken']}, served {last['served']}, "
-                          f"refused {last['refused']}, failed {last['failed']}, open {last['open']}, "
-                          f"handed off {last['handed']}; {'; '.join(last['wrong']) or 'in balance'}")
-    vacant = any(duty["wanted"] and not duty["holder"] for each in said for duty in each["duties"].values())
-    wrong = any(books["entries"] and books["entries"][-1]["wrong"] for each in said
-                for books in each["books"].values())
+                    print(
+                        f"{name}: {last['gateways']} gateways, taken {last['taken']}, served {last['served']}, "
+                        f"refused {last['refused']}, failed {last['failed']}, open {last['open']}, "
+                        f"handed off {last['handed']}; {'; '.join(last['wrong']) or 'in balance'}"
+                    )
+    vacant = any(
+        duty["wanted"] and not duty["holder"] for each in said for duty in each["duties"].values()
+    )
+    wrong = any(
+        books["entries"] and books["entries"][-1]["wrong"]
+        for each in said
+        for books in each["books"].values()
+    )
     raise SystemExit(FOUND if vacant or wrong else 0)
 
 
@@ -77,12 +96,29 @@
 @click.argument("where")
 @click.argument("duty")
 @click.argument("what", nargs=-1, required=True, type=click.UNPROCESSED)
-@click.option("--grace", type=click.FloatRange(0.05, 600), default=1.0, show_default=True,
-              help="Seconds that the command has between SIGTERM and SIGKILL.")
-@click.option("--margin", type=click.FloatRange(0.02, 10), default=0.1, show_default=True,
-              help="Seconds before the duty's end by which it is dead.")
-@click.option("--patience", type=float, default=0.0, help="Give up if not begun after so many seconds; 0: never.")
-def run(where: str, duty: str, what: tuple[str, ...], grace: float, margin: float, patience: float) -> None:
+@click.option(
+    "--grace",
+    type=click.FloatRange(0.05, 600),
+    default=1.0,
+    show_default=True,
+    help="Seconds that the command has between SIGTERM and SIGKILL.",
+)
+@click.option(
+    "--margin",
+    type=click.FloatRange(0.02, 10),
+    default=0.1,
+    show_default=True,
+    help="Seconds before the duty's end by which it is dead.",
+)
+@click.option(
+    "--patience",
+    type=float,
+    default=0.0,
+    help="Give up if not begun after so many seconds; 0: never.",
+)
+def run(
+    where: str, duty: str, what: tuple[str, ...], grace: float, margin: float, patience: float
+) -> None:
     """Run a command under a duty: at one gateway's machine at a time.
 
     WHERE is the local gateway's figures' socket. The command begins once the local gateway holds the duty, with
@@ -99,13 +135,21 @@
 class Wrapped:
     """The command's process, and what its gateway says. Its clock is the machine's since boot, as the gateway's."""
 
-    def __init__(self, where: str, duty: str, what: tuple[str, ...], grace: float, margin: float,
-                 patience: float) -> None:
+    def __init__(
+        self,
+        where: str,
+        duty: str,
+        what: tuple[str, ...],
+        grace: float,
+        margin: float,
+        patience: float,
+    ) -> None:
         from corkgauge.duties.running import Running
+
         self.where, self.duty, self.what, self.patience = where, duty, what, patience
         self.by = f"{os.uname().nodename}:{os.getpid()}"
         self.child: subprocess.Popen | None = None
-        self.told = False       # to end, by an operator
+        self.told = False  # to end, by an operator
         self.running = Running(self, grace, margin)
 
     @staticmethod
@@ -114,13 +158,15 @@
 
     def play(self) -> int:
         from corkgauge.duties.running import ENDING, OVER, RUNNING, WAITING
+
         for sign in signal.SIGTERM, signal.SIGINT:
             signal.signal(sign, self._told)
         begun = self.now()
         while self.running.state != OVER:
             self._ask()
-            if self.running.state == WAITING and (self.told or (
-                    self.patience and self.now() > begun + self.patience)):
+            if self.running.state == WAITING and (
+                self.told or (self.patience and self.now() > begun + self.patience)
+            ):
                 return FOUND
             until = self.now() + ASK_EACH
             while self.running.state != OVER and self.now() < until:
@@ -145,14 +191,17 @@
     def _ask(self) -> None:
         asked = self.now()
         said = self._post("hold")
-        if said is not None:    # a gateway that does not answer leaves what it granted
+        if said is not None:  # a gateway that does not answer leaves what it granted
             self.running.told(asked, said["held"], said.get("fence", 0), said.get("left", 0.0))
 
     def _post(self, what: str) -> dict | None:
         from corkgauge.figures.asking import ask
+
         try:
             # Danger: a gateway that stands still would hold us here past the command's time.
-            return ask(self.where, "/duties", "POST", 0.2, {"do": what, "duty": self.duty, "by": self.by})
+            return ask(
+                self.where, "/duties", "POST", 0.2, {"do": what, "duty": self.duty, "by": self.by}
+            )
         except ValueError as problem:
             if "no duty" in str(problem) or "own" in str(problem):
                 raise Faulted(str(problem)) from None
@@ -163,9 +212,12 @@
     # What Running may do.
 
     def begin(self, fence: int) -> None:
-        self.child = subprocess.Popen(self.what, env={**os.environ, "CORKGAUGE_DUTY": self.duty,
-                                                      "CORKGAUGE_FENCE": str(fence)},
-                                      start_new_session=True, preexec_fn=with_parent)
+        self.child = subprocess.Popen(
+            self.what,
+            env={**os.environ, "CORKGAUGE_DUTY": self.duty, "CORKGAUGE_FENCE": str(fence)},
+            start_new_session=True,
+            preexec_fn=with_parent,
+        )
 
     def terminate(self) -> None:
         self._signal(signal.SIGTERM)
@@ -184,4 +236,5 @@
 def with_parent() -> None:
     """Danger: a command whose keeper was killed outright would go on for ever; it dies with it (prctl, Linux)."""
     import ctypes
+
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)
--- a/corkgauge/commands/fellows.py
+++ b/corkgauge/commands/fellows.py
@@ -10,6 +10,7 @@
 def door(where: str, target: str, body: object = None) -> dict:
     """What a gateway tells at its figures' door."""
     from corkgauge.figures.asking import ask
+
     try:
         return ask(where, target, "GET" if body is None else "POST", body=body)
     except (OSError, ValueError) as problem:
@@ -18,7 +19,9 @@
 
 @click.command("fellows")
 @click.argument("where", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs."
+)
 def command(where: tuple[str, ...], as_json: bool) -> None:
     """Who sees whom: the fellows as one or several gateways see them.
 
@@ -35,17 +38,25 @@
         from rich.console import Console
 
         from corkgauge.commands.tables import plain_table
-        names = sorted({name for each in said for name in each["fellows"]} | {each["name"] for each in said})
+
+        names = sorted(
+            {name for each in said for name in each["fellows"]} | {each["name"] for each in said}
+        )
         table = plain_table("who is seen, by", "fellow", [each["name"] for each in said])
         for name in names:
             table.add_row(name, *(seen(each, name) for each in said))
         Console().print(table)
         for each in said:
             taken = each["counters"].get("letters taken", 0)
-            refused = {why.removeprefix("letters "): count for why, count in each["counters"].items()
-                       if why.startswith("letters ") and why != "letters taken"}
-            print(f"{each['name']}: health {each['health']} (0 is well), letters taken {taken}, "
-                  f"not taken {refused or 0}")
+            refused = {
+                why.removeprefix("letters "): count
+                for why, count in each["counters"].items()
+                if why.startswith("letters ") and why != "letters taken"
+            }
+            print(
+                f"{each['name']}: health {each['health']} (0 is well), letters taken {taken}, "
+                f"not taken {refused or 0}"
+            )
     states = {fellow["state"] for each in said for fellow in each["fellows"].values()}
     raise SystemExit(FOUND if states - {"alive"} else 0)
 
--- a/corkgauge/commands/figures.py
+++ b/corkgauge/commands/figures.py
@@ -17,9 +17,11 @@
         if path.is_file():
             if where.endswith(".figures"):
                 from corkgauge.figures.shelf import read_file
+
                 return read_file(where)["cut"]
             return json.loads(path.read_text())
         from corkgauge.figures.asking import ask
+
         if clear:
             ask(where, "/clear", "POST")
         return ask(where)
@@ -29,13 +31,23 @@
 
 @click.command("figures")
 @click.argument("where", nargs=-1, required=True)
-@click.option("--watch", type=float, default=0.0, metavar="SECONDS", help="Again and again, so far apart.")
+@click.option(
+    "--watch", type=float, default=0.0, metavar="SECONDS", help="Again and again, so far apart."
+)
 @click.option("--json", "as_json", is_flag=True, help="The cut as JSON, for programs.")
-@click.option("--record", type=click.Path(dir_okay=False),
-              help="Add each cut as a line to this file, for `audit`.")
-@click.option("--clear", is_flag=True,
-              help="Clear the findings that were held so far: an operator has seen them.")
-def command(where: tuple[str, ...], watch: float, as_json: bool, record: str | None, clear: bool) -> None:
+@click.option(
+    "--record",
+    type=click.Path(dir_okay=False),
+    help="Add each cut as a line to this file, for `audit`.",
+)
+@click.option(
+    "--clear",
+    is_flag=True,
+    help="Clear the findings that were held so far: an operator has seen them.",
+)
+def command(
+    where: tuple[str, ...], watch: float, as_json: bool, record: str | None, clear: bool
+) -> None:
     """Figures of one or several gateways, summed.
 
     WHERE is the Unix socket or ADDRESS:PORT of a gateway, a .figures file, or a saved cut.
@@ -45,6 +57,7 @@
     Ends with 1 if they do not balance.
     """
     from rich.console import Console
+
     console = Console()
     while True:
         cuts = [cut_at(each, clear) for each in where]
@@ -57,6 +70,7 @@
             print(json.dumps(cut))
         else:
             from corkgauge.commands import tables
+
             if watch:
                 console.clear()
             console.print(tables.whole(cut))
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -10,7 +10,7 @@
 
 from corkgauge.commands import FOUND, Faulted
 
-BATCH = 10_000      # rows of one group in a Parquet file
+BATCH = 10_000  # rows of one group in a Parquet file
 MOST_MESSAGE = 65_535
 
 
@@ -21,6 +21,7 @@
 
 def need(module: str, extra: str) -> Any:
     from importlib import import_module
+
     try:
         return import_module(module)
     except ImportError:
@@ -64,14 +65,19 @@
 
 
 @command.command()
-@click.option("--port", type=click.IntRange(0, 65_535), default=4739, show_default=True, help="On 127.0.0.1.")
+@click.option(
+    "--port", type=click.IntRange(0, 65_535), default=4739, show_default=True, help="On 127.0.0.1."
+)
 @click.option("--transport", type=click.Choice(["udp", "tcp"]), default="udp", show_default=True)
-@click.option("--seconds", type=click.FloatRange(0.1), default=0.0, help="End after so long; else by Ctrl-C.")
+@click.option(
+    "--seconds", type=click.FloatRange(0.1), default=0.0, help="End after so long; else by Ctrl-C."
+)
 @click.option("--write", "path", metavar="FILE", help="Write rows: .parquet, or JSON lines.")
 @click.option("--capture", metavar="FILE", help="Keep the messages as they came, for `dump`.")
 @click.option("--json", "as_json", is_flag=True, help="Print rows as JSON lines.")
-def listen(port: int, transport: str, seconds: float, path: str | None, capture: str | None,
-           as_json: bool) -> None:
+def listen(
+    port: int, transport: str, seconds: float, path: str | None, capture: str | None, as_json: bool
+) -> None:
     """A collector on loopback: prints what it is told, or writes it.
 
     \b
@@ -115,8 +121,10 @@
         out.close()
     if kept:
         kept.close()
-    click.echo(f"{count[0]} messages, {count[1]} records, {count[2]} missed, {len(collector.wrong)} wrong",
-               err=True)
+    click.echo(
+        f"{count[0]} messages, {count[1]} records, {count[2]} missed, {len(collector.wrong)} wrong",
+        err=True,
+    )
     for line in collector.wrong[:5]:
         click.echo(line, err=True)
     raise SystemExit(FOUND if collector.wrong else 0)
@@ -133,6 +141,7 @@
 def read_rows(path: str) -> Iterator[dict[str, Any]]:
     """Rows of a Parquet file, or of JSON lines."""
     from corkgauge.flow.rows import COLUMNS
+
     if path.endswith(".parquet"):
         library = need("pyarrow.parquet", "reports")
         try:
@@ -155,8 +164,13 @@
 
 @command.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
-@click.option("--span", type=click.FloatRange(1), default=60.0, show_default=True,
-              help="Seconds of one column.")
+@click.option(
+    "--span",
+    type=click.FloatRange(1),
+    default=60.0,
+    show_default=True,
+    help="Seconds of one column.",
+)
 @click.option("--plot", metavar="FILE", help="An SVG plot, a panel a hall and a line an engine.")
 @click.option("--json", "as_json", is_flag=True, help="The sums as JSON, for programs.")
 def report(files: tuple[str, ...], span: float, plot: str | None, as_json: bool) -> None:
@@ -166,20 +180,37 @@
     corkgauge flows report night.parquet --plot night.svg
     """
     from corkgauge.flow.rows import by_minute
+
     sums = by_minute((row for path in files for row in read_rows(path)), int(span * 1000))
     if plot:
         draw(sums, plot, span)
     if as_json:
-        print(json.dumps([{"hall": hall, "engine": engine, "spans": [
-            {"begin_ms": begin, "there": there, "back": back} for begin, (there, back) in spans.items()]}
-            for (hall, engine), spans in sums.items()]))
+        print(
+            json.dumps(
+                [
+                    {
+                        "hall": hall,
+                        "engine": engine,
+                        "spans": [
+                            {"begin_ms": begin, "there": there, "back": back}
+                            for begin, (there, back) in spans.items()
+                        ],
+                    }
+                    for (hall, engine), spans in sums.items()
+                ]
+            )
+        )
         return
     from rich.console import Console
 
     from corkgauge.commands.tables import plain_table
+
     begins = sorted({begin for spans in sums.values() for begin in spans})
-    table = plain_table("octets to and from engines", "hall",
-                        ("engine", *(clock(begin) for begin in begins[-12:]), "all"))
+    table = plain_table(
+        "octets to and from engines",
+        "hall",
+        ("engine", *(clock(begin) for begin in begins[-12:]), "all"),
+    )
     for (hall, engine), spans in sums.items():
         cells = [f"{sum(spans[begin])}" if begin in spans else "" for begin in begins[-12:]]
         table.add_row(hall, engine, *cells, str(sum(sum(each) for each in spans.values())))
@@ -188,6 +219,7 @@
 
 def clock(begin_ms: int) -> str:
     from datetime import datetime, timezone
+
     return datetime.fromtimestamp(begin_ms / 1000, timezone.utc).strftime("%H:%M:%S")
 
 
@@ -196,16 +228,26 @@
     matplotlib = need("matplotlib", "reports")
     matplotlib.use("svg")
     from matplotlib import pyplot
+
     halls = sorted({hall for hall, _ in sums})
     begins = sorted({begin for spans in sums.values() for begin in spans})
-    figure, panels = pyplot.subplots(max(len(halls), 1), 1, sharex=True, sharey=True, squeeze=False,
-                                     figsize=(9, 2.4 * max(len(halls), 1) + 0.6))
+    figure, panels = pyplot.subplots(
+        max(len(halls), 1),
+        1,
+        sharex=True,
+        sharey=True,
+        squeeze=False,
+        figsize=(9, 2.4 * max(len(halls), 1) + 0.6),
+    )
     for panel, hall in zip(panels[:, 0], halls):
         for (where, engine), spans in sums.items():
             if where == hall:
-                panel.plot([(begin - begins[0]) / 1000 for begin in begins],
-                           [sum(spans.get(begin, (0, 0))) / span / 1000 for begin in begins], label=engine,
-                           lw=1.5)
+                panel.plot(
+                    [(begin - begins[0]) / 1000 for begin in begins],
+                    [sum(spans.get(begin, (0, 0))) / span / 1000 for begin in begins],
+                    label=engine,
+                    lw=1.5,
+                )
         panel.set_title(hall or "(no hall told)", loc="left", fontsize=10)
         panel.set_ylabel("kB a second")
         panel.grid(alpha=0.3)
@@ -226,10 +268,11 @@
     Ends with 1 if a message could not be decoded.
     """
     from corkgauge.flow.decoder import Decoder, Malformed
+
     decoder, data, at, wrong = Decoder(), Path(capture).read_bytes(), 0, 0
     while at < len(data):
-        size = int.from_bytes(data[at:at + 4], "big")
-        message = data[at + 4:at + 4 + size]
+        size = int.from_bytes(data[at : at + 4], "big")
+        message = data[at + 4 : at + 4 + size]
         if size > MOST_MESSAGE or len(message) != size:
             raise Faulted(f"{capture}: cut short, or no capture, at octet {at}")
         try:
@@ -238,18 +281,30 @@
             wrong += 1
             print(f"{at}: malformed: {problem}", file=sys.stderr)
         else:
-            said = {"at": at, "version": heard.version, "domain": heard.domain, "sequence": heard.sequence,
-                    "exported": heard.exported, "templates": heard.templates, "missed": heard.missed,
-                    "options": heard.options, "records": heard.records}
+            said = {
+                "at": at,
+                "version": heard.version,
+                "domain": heard.domain,
+                "sequence": heard.sequence,
+                "exported": heard.exported,
+                "templates": heard.templates,
+                "missed": heard.missed,
+                "options": heard.options,
+                "records": heard.records,
+            }
             print(json.dumps(said, default=repr) if as_json else text_of(said))
         at += 4 + size
     raise SystemExit(FOUND if wrong else 0)
 
 
 def text_of(said: dict[str, Any]) -> str:
-    lines = [f"{said['at']}: version {said['version']} domain {said['domain']} sequence {said['sequence']} "
-             f"templates {said['templates']} missed {said['missed']}"]
+    lines = [
+        f"{said['at']}: version {said['version']} domain {said['domain']} sequence {said['sequence']} "
+        f"templates {said['templates']} missed {said['missed']}"
+    ]
     for sort in "options", "records":
-        lines += [f"    {sort[:-1]} " + " ".join(f"{key}={value}" for key, value in each.items())
-                  for each in said[sort]]
+        lines += [
+            f"    {sort[:-1]} " + " ".join(f"{key}={value}" for key, value in each.items())
+            for each in said[sort]
+        ]
     return "\n".join(lines)
--- a/corkgauge/commands/recall.py
+++ b/corkgauge/commands/recall.py
@@ -21,13 +21,19 @@
         names = sorted(os.listdir(folder))
     except OSError as problem:
         raise Faulted(f"{folder}: {problem.strerror}") from None
-    return sorted({name.split(".recall")[0].split(".effects.")[0] for name in names
-                   if ".recall" in name or ".effects." in name})
+    return sorted(
+        {
+            name.split(".recall")[0].split(".effects.")[0]
+            for name in names
+            if ".recall" in name or ".effects." in name
+        }
+    )
 
 
 def snapshots(folder: str, gateway: str) -> list[tuple[str, Any, str]]:
     """Path, body and what is wrong with it, the newest first."""
     from corkgauge.recall import snapshot
+
     found = []
     for end in ("", *(f".{n}" for n in range(1, 20))):
         path = os.path.join(folder, f"{gateway}.recall{end}")
@@ -45,10 +51,11 @@
     """The state that a log makes, and what is wrong with it."""
     from corkgauge.recall.effects import Effects, records
     from corkgauge.recall.writer import segments
+
     state, wrong = Effects(), []
     for _, path in segments(folder, gateway, os.listdir(folder)):
         with open(path, "rb") as file:
-            data = file.read(64 * 2 ** 20)
+            data = file.read(64 * 2**20)
         for body, at, why in records(data):
             if body is not None:
                 state.take(body)
@@ -69,27 +76,48 @@
     said = []
     for gateway in gateways_of(folder):
         state, _ = logged(folder, gateway)
-        good = next(((path, body) for path, body, why in snapshots(folder, gateway) if not why), None)
-        said.append({"gateway": gateway, "snapshot": good and good[0], "body": good and good[1],
-                     "effects": len(state), "unsettled": len(state.unsettled())})
+        good = next(
+            ((path, body) for path, body, why in snapshots(folder, gateway) if not why), None
+        )
+        said.append(
+            {
+                "gateway": gateway,
+                "snapshot": good and good[0],
+                "body": good and good[1],
+                "effects": len(state),
+                "unsettled": len(state.unsettled()),
+            }
+        )
     if as_json:
         print(json.dumps(said))
         return
     from rich.console import Console
 
     from corkgauge.commands.tables import plain_table
+
     for each in said:
         body = each["body"]
-        print(f"{each['gateway']}: {each['effects']} effects, {each['unsettled']} unsettled; " + (
-            f"saved {time.time() - body['at'] / 10_000:.0f} s ago" if body else "no snapshot that is of use"))
+        print(
+            f"{each['gateway']}: {each['effects']} effects, {each['unsettled']} unsettled; "
+            + (
+                f"saved {time.time() - body['at'] / 10_000:.0f} s ago"
+                if body
+                else "no snapshot that is of use"
+            )
+        )
         if body:
-            table = plain_table(f"price {body['price']:.6f}", "engine",
-                                ("slowness", "bound", "rests", "faults"))
+            table = plain_table(
+                f"price {body['price']:.6f}", "engine", ("slowness", "bound", "rests", "faults")
+            )
             for name, engine in sorted(body["engines"].items()):
                 slow = sorted(engine["slowness"])
-                table.add_row(name, f"{slow[len(slow) // 2]:.2f}" if slow else "", f"{engine['bound']:.2f}",
-                              f"{max(engine['rests_until'] - body['at'], 0) / 10_000:.1f}",
-                              str(sum(map(bool, engine["faults"]))))
+                table.add_row(
+                    name,
+                    f"{slow[len(slow) // 2]:.2f}" if slow else "",
+                    f"{engine['bound']:.2f}",
+                    f"{max(engine['rests_until'] - body['at'], 0) / 10_000:.1f}",
+                    str(sum(map(bool, engine["faults"]))),
+                )
             Console().print(table)
 
 
@@ -121,6 +149,7 @@
     corkgauge recall prune /var/lib/corkgauge --gateway n1
     """
     import fcntl
+
     lock = os.path.join(folder, f"{gateway}.lock")
     if gateway not in gateways_of(folder):
         raise Faulted(f"{folder}: nothing of {gateway!r}")
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -10,10 +10,21 @@
 
 
 @click.command("serve")
-@click.option("--operator", "operator_file", default="", metavar="FILE",
-              help="What runs beside the platform's configuration (XML).")
-@click.option("--log", "log_form", type=click.Choice(["plain", "json"]), default="plain", show_default=True,
-              help="A line, or a JSON object a line.")
+@click.option(
+    "--operator",
+    "operator_file",
+    default="",
+    metavar="FILE",
+    help="What runs beside the platform's configuration (XML).",
+)
+@click.option(
+    "--log",
+    "log_form",
+    type=click.Choice(["plain", "json"]),
+    default="plain",
+    show_default=True,
+    help="A line, or a JSON object a line.",
+)
 def command(operator_file: str, log_form: str) -> None:
     """Serve as the environment says (EDGE_CONFIG, EDGE_LISTEN).
 
@@ -24,8 +35,11 @@
     # Danger: a change of the configuration that is told while the program loads would end it. It is read after that.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from corkgauge import daemon
+
     woken = daemon.heed()
     try:
-        raise SystemExit(daemon.serve(configuration.read(os.environ), woken, operator_file, log_form))
+        raise SystemExit(
+            daemon.serve(configuration.read(os.environ), woken, operator_file, log_form)
+        )
     except configuration.Faulty as problem:
         raise Faulted(str(problem)) from None
--- a/corkgauge/commands/shared.py
+++ b/corkgauge/commands/shared.py
@@ -15,7 +15,9 @@
 
 @command.command()
 @click.argument("where", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs."
+)
 def show(where: tuple[str, ...], as_json: bool) -> None:
     """What is heard, from whom, how old, and what it changed.
 
@@ -32,13 +34,29 @@
         from rich.console import Console
 
         from corkgauge.commands.tables import plain_table
+
         for each in said:
-            table = plain_table(f"{each['name']}: {each['findings']} findings held, {each['octets']} octets told, "
-                                f"strictness {each['strict']}", "engine", ("doubted by", "hint", "heard, and how old"))
+            table = plain_table(
+                f"{each['name']}: {each['findings']} findings held, {each['octets']} octets told, "
+                f"strictness {each['strict']}",
+                "engine",
+                ("doubted by", "hint", "heard, and how old"),
+            )
             for tag, engine in each["engines"].items():
-                heard = "; ".join(f"{one['from']} {one['fault']} {one['age']:.1f} s" for one in engine["heard"][:6])
-                table.add_row(tag, engine["why"], f"{engine['slowness']:.1f}" if engine["slowness"] else "", heard)
+                heard = "; ".join(
+                    f"{one['from']} {one['fault']} {one['age']:.1f} s"
+                    for one in engine["heard"][:6]
+                )
+                table.add_row(
+                    tag,
+                    engine["why"],
+                    f"{engine['slowness']:.1f}" if engine["slowness"] else "",
+                    heard,
+                )
             Console().print(table)
             print(", ".join(f"{name} {count}" for name, count in each["counters"].items()))
-    found = any(each["strict"] < 1 or any(engine["doubted"] for engine in each["engines"].values()) for each in said)
+    found = any(
+        each["strict"] < 1 or any(engine["doubted"] for engine in each["engines"].values())
+        for each in said
+    )
     raise SystemExit(FOUND if found else 0)
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -28,32 +28,58 @@
 at 24: program restart
 at 26 for 2: all slow 2
 """
-GROWTH = 4 * 2 ** 20    # bytes that a flat program may gain from the first third of an epoch to its last
+GROWTH = (
+    4 * 2**20
+)  # bytes that a flat program may gain from the first third of an epoch to its last
 
 
 def scenes_of(text: str, seconds: float, engines: list[str]) -> list:
     """A script's scenes, again each round."""
     from corkgauge.loop.hub import SECOND
     from corkgauge.standins.script import Scene, read
+
     once = read(text, engines)
-    return [Scene(scene.at + n * ROUND * SECOND, scene.span, scene.who, scene.trouble, scene.figure,
-                  scene.whom)
-            for n in range(int(seconds // ROUND) + 1) for scene in once
-            if scene.at + n * ROUND * SECOND < seconds * SECOND]
+    return [
+        Scene(
+            scene.at + n * ROUND * SECOND,
+            scene.span,
+            scene.who,
+            scene.trouble,
+            scene.figure,
+            scene.whom,
+        )
+        for n in range(int(seconds // ROUND) + 1)
+        for scene in once
+        if scene.at + n * ROUND * SECOND < seconds * SECOND
+    ]
 
 
 @click.command("soak")
 @click.option("--seconds", type=click.FloatRange(1, 86_400), default=120.0, show_default=True)
-@click.option("--rate", type=click.FloatRange(1, 2000), default=150.0, show_default=True,
-              help="Submissions a second.")
-@click.option("--scrapes", type=click.FloatRange(0, 50), default=10.0, show_default=True,
-              help="Scrapes a second; each must balance.")
+@click.option(
+    "--rate",
+    type=click.FloatRange(1, 2000),
+    default=150.0,
+    show_default=True,
+    help="Submissions a second.",
+)
+@click.option(
+    "--scrapes",
+    type=click.FloatRange(0, 50),
+    default=10.0,
+    show_default=True,
+    help="Scrapes a second; each must balance.",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--script", type=click.Path(exists=True, dir_okay=False),
-              help="Troubles to play in place of the usual round.")
+@click.option(
+    "--script",
+    type=click.Path(exists=True, dir_okay=False),
+    help="Troubles to play in place of the usual round.",
+)
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
-def command(seconds: float, rate: float, scrapes: float, seed: int, script: str | None,
-            as_json: bool) -> None:
+def command(
+    seconds: float, rate: float, scrapes: float, seed: int, script: str | None, as_json: bool
+) -> None:
     """Play a long day of troubles on loopback, and check every scrape and every rule.
 
     The engines fall silent, slow down, restart, spoil answers; the program is killed,
@@ -77,8 +103,11 @@
     def seen(cut: dict) -> None:
         if not as_json and play.scraped % 100 == 0:
             taken = sum(row["taken"] for row in cut["offerings"].values())
-            click.echo(f"{(play.hub.now - begun) / 10_000:7.1f} s  epoch {cut['epoch']['id']}  "
-                       f"taken {taken:8}  scrapes {play.scraped}, wrong {len(play.wrong)}", err=True)
+            click.echo(
+                f"{(play.hub.now - begun) / 10_000:7.1f} s  epoch {cut['epoch']['id']}  "
+                f"taken {taken:8}  scrapes {play.scraped}, wrong {len(play.wrong)}",
+                err=True,
+            )
 
     play = Play(seed, scenes, rate=rate, scrapes=scrapes, seen=seen)
     begun = play.hub.now
@@ -88,11 +117,18 @@
     finally:
         play.close()
     broken, grown = play.broken(), growth(play.memory)
-    said = {"clients": play.tally(), "scrapes": play.scraped, "missed": play.scraper.missed if scrapes else 0,
-            "wrong": play.wrong[:20], "broken": rules.worth_saying(broken), "epochs_closed": epochs,
-            "memory_growth": grown, "memory": play.memory[-1] if play.memory else 0,
-            "exceptions": sum("exceptions stopped" in line for line in log),
-            "processor_seconds": resource.getrusage(resource.RUSAGE_CHILDREN).ru_utime}
+    said = {
+        "clients": play.tally(),
+        "scrapes": play.scraped,
+        "missed": play.scraper.missed if scrapes else 0,
+        "wrong": play.wrong[:20],
+        "broken": rules.worth_saying(broken),
+        "epochs_closed": epochs,
+        "memory_growth": grown,
+        "memory": play.memory[-1] if play.memory else 0,
+        "exceptions": sum("exceptions stopped" in line for line in log),
+        "processor_seconds": resource.getrusage(resource.RUSAGE_CHILDREN).ru_utime,
+    }
     if as_json:
         print(json.dumps(said))
     else:
@@ -110,7 +146,7 @@
     """Bytes by which the last epoch's last third lies above its first one, by their medians. A start anew
     shows as a fall by a tenth."""
     begins = [n for n in range(1, len(memory)) if memory[n] < 0.9 * memory[n - 1]]
-    last = memory[begins[-1] if begins else 0:]
+    last = memory[begins[-1] if begins else 0 :]
     third = len(last) // 3
     if third < 10:
         return 0
--- a/corkgauge/commands/tables.py
+++ b/corkgauge/commands/tables.py
@@ -21,32 +21,50 @@
 
 
 def offerings(cut: Cut) -> Table:
-    table = plain_table(f"{cut['gateway']}: taken = served + refused + failed + open", "offering",
-                        (*TERMS, "open", *SORTS, "out", "p50 s", "p99 s"))
+    table = plain_table(
+        f"{cut['gateway']}: taken = served + refused + failed + open",
+        "offering",
+        (*TERMS, "open", *SORTS, "out", "p50 s", "p99 s"),
+    )
     latency = {each["whose"]: each for each in cut.get("waits", ()) if each["what"] == "latency"}
     for name, row in cut["offerings"].items():
         if row["taken"]:
-            table.add_row(name, *(str(row[key]) for key in (*TERMS, "open", *SORTS, "out")),
-                          *_times(latency.get(name)))
+            table.add_row(
+                name,
+                *(str(row[key]) for key in (*TERMS, "open", *SORTS, "out")),
+                *_times(latency.get(name)),
+            )
     return table
 
 
 def engines(cut: Cut, most: int = 40) -> Table:
-    outcomes = [name for name in OUTCOMES if any(row["outcomes"].get(name)
-                                                 for row in cut["engines"].values())]
-    table = plain_table("handed off = outcomes + out", "engine", (*SORTS, *outcomes, "out", "pages"))
+    outcomes = [
+        name
+        for name in OUTCOMES
+        if any(row["outcomes"].get(name) for row in cut["engines"].values())
+    ]
+    table = plain_table(
+        "handed off = outcomes + out", "engine", (*SORTS, *outcomes, "out", "pages")
+    )
     rows = sorted(cut["engines"].items(), key=lambda each: -sum(each[1][sort] for sort in SORTS))
     for name, row in rows[:most]:
         if any(row[sort] for sort in SORTS):
-            table.add_row(name, *(str(row[sort]) for sort in SORTS),
-                          *(str(row["outcomes"].get(outcome) or "") for outcome in outcomes), str(row["out"]),
-                          str(row["pages"]))
+            table.add_row(
+                name,
+                *(str(row[sort]) for sort in SORTS),
+                *(str(row["outcomes"].get(outcome) or "") for outcome in outcomes),
+                str(row["out"]),
+                str(row["pages"]),
+            )
     return table
 
 
 def reasons(cut: Cut) -> Table:
-    named = [name for name in REASON_NAMES
-             if any(row["reasons"].get(name) for row in cut["offerings"].values())]
+    named = [
+        name
+        for name in REASON_NAMES
+        if any(row["reasons"].get(name) for row in cut["offerings"].values())
+    ]
     table = plain_table("why they ended", "offering", named)
     for name, row in cut["offerings"].items():
         if row["taken"]:
@@ -69,4 +87,5 @@
     if not said:
         return "", ""
     from corkgauge.figures.waits import quantile
+
     return f"{quantile(said, 0.5):.3f}", f"{quantile(said, 0.99):.3f}"
--- a/corkgauge/commands/try_.py
+++ b/corkgauge/commands/try_.py
@@ -13,10 +13,20 @@
 
 
 @click.command("try")
-@click.option("--seconds", type=click.FloatRange(1, 600), default=10.0, show_default=True,
-              help="How long to play.")
-@click.option("--rate", type=click.FloatRange(1, 2000), default=120.0, show_default=True,
-              help="Submissions a second.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(1, 600),
+    default=10.0,
+    show_default=True,
+    help="How long to play.",
+)
+@click.option(
+    "--rate",
+    type=click.FloatRange(1, 2000),
+    default=120.0,
+    show_default=True,
+    help="Submissions a second.",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
 def command(seconds: float, rate: float, seed: int, as_json: bool) -> None:
@@ -39,10 +49,13 @@
     from corkgauge.standins.play import Play
     from corkgauge.standins.script import read
 
-    progress = Progress(TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:.0f}%"))
+    progress = Progress(
+        TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:.0f}%")
+    )
     bar = progress.add_task("playing", total=seconds)
     console = Console(quiet=as_json)
     with Live(progress, console=console, refresh_per_second=4, transient=True) as live:
+
         def seen(cut: dict) -> None:
             now = (play.hub.now - begun) / 10_000
             progress.update(bar, completed=min(now, seconds), description=_now(play, now))
@@ -57,16 +70,24 @@
             play.close()
     broken, last = play.broken(), play.cuts[-1] if play.cuts else None
     if as_json:
-        print(json.dumps({"clients": play.tally(), "broken": broken, "wrong": play.wrong, "figures": last}))
+        print(
+            json.dumps(
+                {"clients": play.tally(), "broken": broken, "wrong": play.wrong, "figures": last}
+            )
+        )
     elif last is None:
         console.print("\n".join(log[-5:]))
     else:
-        console.print(tables.whole(last, Text(f"what the clients saw: {_clients(play)}"), _rules(broken)))
+        console.print(
+            tables.whole(last, Text(f"what the clients saw: {_clients(play)}"), _rules(broken))
+        )
     raise SystemExit(FOUND if broken or play.wrong or last is None else 0)
 
 
 def _now(play: object, now: float) -> str:
-    struck = [f"{engine.name} {engine.trouble}" for engine in play.engines.values() if engine.trouble]
+    struck = [
+        f"{engine.name} {engine.trouble}" for engine in play.engines.values() if engine.trouble
+    ]
     return f"{now:5.1f} s  {', '.join(struck) or 'all engines well':24}"
 
 
@@ -78,6 +99,7 @@
     from rich.text import Text
 
     from corkgauge.standins.rules import worth_saying
+
     if broken:
         return Text("\n".join(worth_saying(broken)), style="bold red")
     return Text("all seven rules kept", style="green")
--- a/corkgauge/commands/works.py
+++ b/corkgauge/commands/works.py
@@ -12,8 +12,8 @@
 from corkgauge.commands.fellows import door
 
 SPANS = {"": 1.0, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
-PAUSE = 0.1             # seconds between two looks whether a wish was answered
-PATIENCE = 35.0         # seconds that an answer may take: a gateway gives a wish up after 30
+PAUSE = 0.1  # seconds between two looks whether a wish was answered
+PATIENCE = 35.0  # seconds that an answer may take: a gateway gives a wish up after 30
 
 
 def span_of(text: str) -> int:
@@ -47,7 +47,9 @@
 
 
 def owned(method: Any) -> Any:
-    return click.option("--owner", required=True, help="Who wants it; it is logged, and kept with the plan.")(method)
+    return click.option(
+        "--owner", required=True, help="Who wants it; it is logged, and kept with the plan."
+    )(method)
 
 
 @click.group("works")
@@ -61,11 +63,23 @@
 @click.argument("names", nargs=-1, required=True)
 @owned
 @click.option("--reason", default="", help="What for.")
-@click.option("--within", default="0", help="By when it should be over, as 2h; what is due goes first.")
-@click.option("--lasting", default="10m", show_default=True, help="What the work on one of them takes.")
+@click.option(
+    "--within", default="0", help="By when it should be over, as 2h; what is due goes first."
+)
+@click.option(
+    "--lasting", default="10m", show_default=True, help="What the work on one of them takes."
+)
 @click.option("--id", "id_", default="", help="Of the ask; the same id twice is one ask.")
-def ask(where: str, kind: str, names: tuple[str, ...], owner: str, reason: str, within: str, lasting: str,
-        id_: str) -> None:
+def ask(
+    where: str,
+    kind: str,
+    names: tuple[str, ...],
+    owner: str,
+    reason: str,
+    within: str,
+    lasting: str,
+    id_: str,
+) -> None:
     """Ask for machines to be taken out.
 
     WHERE is the Unix socket or ADDRESS:PORT of any gateway's figures. What the limits never allow is refused at once,
@@ -76,8 +90,19 @@
     corkgauge works ask /run/corkgauge/figures.sock hall hall-a --owner ada
     """
     id_ = id_ or f"{owner[:16]}-{time.time_ns() // 1_000_000:x}"
-    answer = wish(where, {"do": "ask", "id": id_, "kind": kind, "names": [*names], "owner": owner, "reason": reason,
-                          "within": span_of(within), "lasting": span_of(lasting)})
+    answer = wish(
+        where,
+        {
+            "do": "ask",
+            "id": id_,
+            "kind": kind,
+            "names": [*names],
+            "owner": owner,
+            "reason": reason,
+            "within": span_of(within),
+            "lasting": span_of(lasting),
+        },
+    )
     print(f"{id_}: {answer}")
 
 
@@ -150,8 +175,17 @@
 
 @command.command()
 @click.argument("where")
-@click.option("--json", "as_json", is_flag=True, help="As the gateway tells it, for programs, and for `audit`.")
-@click.option("--watch", type=click.FloatRange(0.2, 3600), help="Again each so many seconds, until nothing is open.")
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="As the gateway tells it, for programs, and for `audit`.",
+)
+@click.option(
+    "--watch",
+    type=click.FloatRange(0.2, 3600),
+    help="Again each so many seconds, until nothing is open.",
+)
 def show(where: str, as_json: bool, watch: float | None) -> None:
     """What was asked, where each unit stands, and what it waits for.
 
@@ -165,12 +199,15 @@
             print(json.dumps(said))
         else:
             from rich.console import Console
+
             Console().print(*tables(said))
         if not watch or not said["units"]:
             break
         time.sleep(watch)
     late = any(unit["state"] == "late" for unit in said["units"])
-    raise SystemExit(FOUND if late or not said["holder"] or said["forgotten"] or not said["known"] else 0)
+    raise SystemExit(
+        FOUND if late or not said["holder"] or said["forgotten"] or not said["known"] else 0
+    )
 
 
 def latest(where: str, patience: float = 3.0) -> dict[str, Any]:
@@ -186,17 +223,30 @@
 def tables(said: dict[str, Any]) -> list[Any]:
     """For people."""
     from corkgauge.commands.tables import plain_table
+
     who = f"{said['holder']} plans" if said["holder"] else "nobody plans"
     notes = [who, f"works time {said['time']:.0f} s"]
     notes += [f"HELD by {said['held']}"] if said["held"] else []
-    notes += ["what is out is NOT KNOWN: corkgauge works known"] if said["forgotten"] or not said["known"] else []
+    notes += (
+        ["what is out is NOT KNOWN: corkgauge works known"]
+        if said["forgotten"] or not said["known"]
+        else []
+    )
     notes += [] if said["fresh"] else ["a copy, perhaps not the last"]
     asks = plain_table("; ".join(notes), "ask", ("what", "owner", "reason", "units", "cancelled"))
     for each in said["asks"]:
-        asks.add_row(each["id"], f"{each['kind']} {' '.join(each['names'][:4])}", each["owner"], each["reason"],
-                     str(each["count"]), each["cancelled"])
+        asks.add_row(
+            each["id"],
+            f"{each['kind']} {' '.join(each['names'][:4])}",
+            each["owner"],
+            each["reason"],
+            str(each["count"]),
+            each["cancelled"],
+        )
     units = plain_table("", "unit", ("of", "state", "for s", "waits for"))
     for each in said["units"]:
         state = each["state"].upper() if each["state"] == "late" else each["state"]
-        units.add_row(each["unit"], each["ask"], state, f"{each['for']:.0f}", each["against"] or each["why"])
+        units.add_row(
+            each["unit"], each["ask"], state, f"{each['for']:.0f}", each["against"] or each["why"]
+        )
     return [asks, units] if said["units"] else [asks]
--- a/corkgauge/configuration.py
+++ b/corkgauge/configuration.py
@@ -24,13 +24,13 @@
         self.listen = address(listen or text(said, "listen"), "listen")
         self.feed = address(text(said, "feed"), "feed")
         try:
-            self.seed = int(text(said, "seed", "0"), 16) % 2 ** 64
+            self.seed = int(text(said, "seed", "0"), 16) % 2**64
         except ValueError:
             raise Faulty(f"seed: expected hexadecimal digits, found {said['seed']!r}") from None
         limits = part(said, "limits", {})
-        self.memory = int(amount(limits, "memory_mb", 192, "limits.") * 2 ** 20)
+        self.memory = int(amount(limits, "memory_mb", 192, "limits.") * 2**20)
         self.sockets = int(amount(limits, "sockets", 1024, "limits."))
-        if self.memory < 32 * 2 ** 20:
+        if self.memory < 32 * 2**20:
             raise Faulty(f"limits.memory_mb: expected 32 or more, found {limits['memory_mb']!r}")
         if self.sockets < 32:
             raise Faulty(f"limits.sockets: expected 32 or more, found {limits['sockets']!r}")
@@ -45,7 +45,9 @@
     def changed(self, new: "Post") -> list[str]:
         """The keys of a new configuration that wait for a restart."""
         keys = {"memory": "limits.memory_mb", "sockets": "limits.sockets", "mark": "settings"}
-        return [keys.get(name, name) for name in AT_A_START if getattr(self, name) != getattr(new, name)]
+        return [
+            keys.get(name, name) for name in AT_A_START if getattr(self, name) != getattr(new, name)
+        ]
 
 
 def read(environment: Mapping[str, str]) -> Post:
--- a/corkgauge/daemon.py
+++ b/corkgauge/daemon.py
@@ -25,8 +25,8 @@
 from corkgauge.net.frames import FramesHouse
 from corkgauge.net.host import Aside, House, stated_of
 
-KEPT: list[socket.socket] = []      # the end that signals write to
-MOST_MEMORY = 0.75      # of its limit, before garbage is collected
+KEPT: list[socket.socket] = []  # the end that signals write to
+MOST_MEMORY = 0.75  # of its limit, before garbage is collected
 
 
 def memory_held() -> int:
@@ -94,42 +94,55 @@
 
 def _figures(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
     from corkgauge.figures.bureau import Bureau
+
     return Bureau(house, post.name, post.seed, said)
 
 
 def _recall(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
     from corkgauge.recall.keeping import Keeping
+
     return Keeping(house, post.name, post.mark, said)
 
 
 def _flows(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
     from corkgauge.flow.exporter import Exporter
+
     return Exporter(house, post.name, post.seed, said)
 
 
 def _fellows(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
     from corkgauge.fellows.society import Society
+
     return Society(house, post, said)
 
 
 def _duties(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
     from corkgauge.duties.office import Office
+
     return Office(house, post, said, running["fellows"])
 
 
 def _works(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
     from corkgauge.works.yard import Yard
+
     return Yard(house, post, said, running["fellows"], running["duties"])
 
 
 def _shared(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
     from corkgauge.shared.exchange import Exchange
+
     return Exchange(house, post, said, running["fellows"])
 
 
 SUBSYSTEMS: dict[str, Callable[[House, Post, Any, dict[str, Any]], Any]] = {
-    "figures": _figures, "recall": _recall, "flows": _flows, "fellows": _fellows, "duties": _duties,
-    "works": _works, "shared": _shared}
+    "figures": _figures,
+    "recall": _recall,
+    "flows": _flows,
+    "fellows": _fellows,
+    "duties": _duties,
+    "works": _works,
+    "shared": _shared,
+}
 
 
 class Beside:
@@ -137,6 +150,7 @@
 
     def __init__(self, house: House, post: Post, path: str) -> None:
         from corkgauge import operator
+
         self.house, self.path = house, path
         self.said = operator.read(path)
         self.running: dict[str, Any] = {}
@@ -147,6 +161,7 @@
     def reload(self) -> None:
         """Read it again, whole or not at all."""
         from corkgauge import operator
+
         try:
             said = operator.read(self.path)
         except Faulty as problem:
@@ -169,7 +184,9 @@
 
     def waiting(self) -> bool:
         """Does one of them have to hear something before anybody is served?"""
-        return any(running.waiting() for running in self.running.values() if hasattr(running, "waiting"))
+        return any(
+            running.waiting() for running in self.running.values() if hasattr(running, "waiting")
+        )
 
     def leave(self) -> None:
         """The program is told to end, and goes on for a while."""
@@ -187,10 +204,13 @@
     """Everything that serving would read, and no more."""
     if operator_file:
         from corkgauge import operator
+
         operator.read(operator_file)
     house = FramesHouse(Hub(), post, lambda line: print(f"corkgauge: {line}", file=sys.stderr))
-    print(f"{post.name}: {len(house.stations)} engines, {len(house.offerings)} offerings, "
-          f"{len(house.tenants)} tenants, list {house.last_event}")
+    print(
+        f"{post.name}: {len(house.stations)} engines, {len(house.offerings)} offerings, "
+        f"{len(house.tenants)} tenants, list {house.last_event}"
+    )
     return 0
 
 
@@ -208,16 +228,25 @@
     return woken
 
 
-def serve(post: Post, woken: socket.socket, operator_file: str = "", log_form: str = "plain") -> int:
+def serve(
+    post: Post, woken: socket.socket, operator_file: str = "", log_form: str = "plain"
+) -> int:
     """Serve until told to end, by signals that come at `woken` (see `heed`); `log_form` is plain or json."""
     logger.remove()
-    logger.add(log.as_json(write_line) if log_form == "json" else write_line, format=log.PLAIN,
-               level="INFO", backtrace=False, diagnose=False)
+    logger.add(
+        log.as_json(write_line) if log_form == "json" else write_line,
+        format=log.PLAIN,
+        level="INFO",
+        backtrace=False,
+        diagnose=False,
+    )
     hub = Hub()
     hub.troubled = Troubles(hub)
     house = FramesHouse(hub, post, logger.info, memory_held())
     try:
-        door = house.door = Door(hub, house, post.listen, lambda: beside is not None and beside.waiting())
+        door = house.door = Door(
+            hub, house, post.listen, lambda: beside is not None and beside.waiting()
+        )
     except OSError as problem:
         raise Faulty(f"listen: {post.listen[0]}:{post.listen[1]}: {problem.strerror}") from None
 
@@ -226,10 +255,14 @@
             hub.wait(woken.fileno(), READ)
             for sign in woken.recv(64):
                 if sign == signal.SIGUSR1:
-                    logger.info(f"counters {house.counters.line(house.ledger.line())} {hub.worst()}")
-                elif sign == signal.SIGHUP:     # as a timer: Danger: what it raises must not end this task
+                    logger.info(
+                        f"counters {house.counters.line(house.ledger.line())} {hub.worst()}"
+                    )
+                elif (
+                    sign == signal.SIGHUP
+                ):  # as a timer: Danger: what it raises must not end this task
                     hub.later(0, feed.reload, os.environ)
-                elif house.end == NEVER:        # Danger: what is told to end twice would leave twice
+                elif house.end == NEVER:  # Danger: what is told to end twice would leave twice
                     hub.later(0, house.leave)
                     if beside is not None:
                         hub.later(0, beside.leave)
@@ -238,7 +271,9 @@
         """Danger: a collection stops all for 100 ms; it waits until memory is short, and then for a while."""
         short = memory_held() > MOST_MEMORY * post.memory
         if short:
-            logger.warning(f"memory short, {memory_held() >> 20} MB; collected {gc.collect()} objects")
+            logger.warning(
+                f"memory short, {memory_held() >> 20} MB; collected {gc.collect()} objects"
+            )
         hub.later((30 if short else 1) * SECOND, collect)
 
     beside = Beside(house, post, operator_file) if operator_file else None
@@ -257,4 +292,3 @@
         beside.end()
     logger.info(f"ended; counters {house.counters.line(house.ledger.line())} {hub.worst()}")
     return 0
-
--- a/corkgauge/drill/__main__.py
+++ b/corkgauge/drill/__main__.py
@@ -53,7 +53,7 @@
             tag, number, _, reason, took, terminal, stats = cursor.take(VERDICT)
             fields = tag, number, reason, took, bool(terminal), stats, load_of(cursor)
         elif code == 80:
-            cursor.take(PROBED)     # no probe is sent
+            cursor.take(PROBED)  # no probe is sent
             load_of(cursor)
             return
         elif code == 110:
@@ -75,11 +75,20 @@
         if door is None:
             return
         door.now = now // 100
-        call = {10: door.born, 20: door.update, 30: door.demand, 50: door.verdict, 60: door.dropped,
-                70: door.deadline_hit, 110: door.update_of}[code]
+        call = {
+            10: door.born,
+            20: door.update,
+            30: door.demand,
+            50: door.verdict,
+            60: door.dropped,
+            70: door.deadline_hit,
+            110: door.update_of,
+        }[code]
         try:
             call(*fields)
-        except Exception as problem:  # a broken decision ends the day with its place, not the process
+        except (
+            Exception
+        ) as problem:  # a broken decision ends the day with its place, not the process
             last = traceback.extract_tb(problem.__traceback__)[-1]
             text = f"{type(problem).__name__}: {problem} ({last.name}:{last.lineno})".encode()[:500]
             self.actions.append(pack("<BIH", 70, instance, len(text)) + text)
@@ -91,7 +100,9 @@
             for _ in range(count):
                 self.record(cursor, clock)
             if cursor.at != len(cursor.body):
-                raise Malformed(f"{len(cursor.body) - cursor.at} bytes left over after {count} records")
+                raise Malformed(
+                    f"{len(cursor.body) - cursor.at} bytes left over after {count} records"
+                )
             write_frame(sink, number, self.actions)
             self.actions.clear()
 
--- a/corkgauge/drill/door.py
+++ b/corkgauge/drill/door.py
@@ -17,7 +17,7 @@
 class Door:
     """Holds the ids of one instance and the host side of its gateway."""
 
-    lag = 0     # simulated events never wait
+    lag = 0  # simulated events never wait
 
     def __init__(self, number: int, actions: list[bytes]) -> None:
         self.number, self.actions = number, actions
@@ -32,8 +32,11 @@
     # What the gateway may do.
 
     def hand_off(self, handoff: HandOff, allow: int) -> None:
-        self.actions.append(ROUTE.pack(90, self.number, handoff.submission.tag, handoff.engine.tag,
-                                       min(allow * 100, U32)))
+        self.actions.append(
+            ROUTE.pack(
+                90, self.number, handoff.submission.tag, handoff.engine.tag, min(allow * 100, U32)
+            )
+        )
 
     def set_terms(self, submission: Submission, memory: float, priority: int) -> None:
         self.actions.append(TERMS.pack(110, self.number, submission.tag, memory, priority))
@@ -80,10 +83,29 @@
             self.gateway.engine_told(engine, state, since // 100)
         self.gateway.list_told()
 
-    def demand(self, tag: int, tables: float, kind: int, memory: float, marks: int, estimate: int,
-               tenant: int, key: int, budget: int) -> None:
-        submission = Submission(tag, self.stated.offerings[kind], tenant, tables, self.now, budget // 100,
-                                estimate // 100 if marks & 1 else 0, memory, key)
+    def demand(
+        self,
+        tag: int,
+        tables: float,
+        kind: int,
+        memory: float,
+        marks: int,
+        estimate: int,
+        tenant: int,
+        key: int,
+        budget: int,
+    ) -> None:
+        submission = Submission(
+            tag,
+            self.stated.offerings[kind],
+            tenant,
+            tables,
+            self.now,
+            budget // 100,
+            estimate // 100 if marks & 1 else 0,
+            memory,
+            key,
+        )
         self.submissions[tag] = submission
         self.gateway.submission_taken(submission)
         self.forget(submission)
@@ -94,14 +116,16 @@
             self.gateway.submission_left(submission)
             self.forget(submission)
 
-    def verdict(self, tag: int, number: int, reason: int, took: int, terminal: bool, stats: int,
-                load: tuple) -> None:
+    def verdict(
+        self, tag: int, number: int, reason: int, took: int, terminal: bool, stats: int, load: tuple
+    ) -> None:
         submission = self.submissions[tag]
         handoff = submission.handoffs[number]
         told = dict(zip(self.stated.fields, load))
         work, need = ((stats >> 12) * 10, (stats & 4095) * 4.0) if self.stated.bills else (0, 0.0)
-        self.gateway.handoff_over(handoff, reason, took // 100, terminal, work, need,
-                                  told.get("inflight", -1.0))
+        self.gateway.handoff_over(
+            handoff, reason, took // 100, terminal, work, need, told.get("inflight", -1.0)
+        )
         self.forget(submission)
 
     def update_of(self, tag: int, number: int, sort: int, value: float) -> None:
--- a/corkgauge/drill/wire.py
+++ b/corkgauge/drill/wire.py
@@ -31,7 +31,7 @@
         if at + size > len(self.body):
             raise Malformed(f"{size} bytes announced at byte {at}, {len(self.body) - at} there")
         self.at = at + size
-        return self.body[at:at + size]
+        return self.body[at : at + size]
 
 
 def read_frame(source: BinaryIO) -> tuple[int, int, int, Cursor] | None:
@@ -59,8 +59,8 @@
     body = source.read(size)
     if len(body) < size:
         raise Malformed(f"input ended inside a frame: {len(body)} of {size} bytes")
-    _, clock, count, number = HEADER.unpack(head + body[:HEADER.size - 4])
-    return clock, count, number, Cursor(body[HEADER.size - 4:])
+    _, clock, count, number = HEADER.unpack(head + body[: HEADER.size - 4])
+    return clock, count, number, Cursor(body[HEADER.size - 4 :])
 
 
 def write_frame(sink: BinaryIO, number: int, records: list[bytes]) -> None:
--- a/corkgauge/duties/books.py
+++ b/corkgauge/duties/books.py
@@ -16,14 +16,15 @@
 TERMS = "taken", "served", "refused", "failed", "open"
 HANDS = "handed", "engines", "ended", "out"
 GROWS = "taken", "served", "refused", "failed", "handed", "engines", "ended"
-MOST_ENTRIES = 500      # of the history
-MOST_EPOCHS = 16        # of one gateway that are kept apart; older ones are summed
+MOST_ENTRIES = 500  # of the history
+MOST_EPOCHS = 16  # of one gateway that are kept apart; older ones are summed
 
 Account = dict[str, Any]
 
 
-def account_of(epoch: str, offerings: Iterable[Mapping[str, Any]],
-               engines: Iterable[Sequence[Any]]) -> Account:
+def account_of(
+    epoch: str, offerings: Iterable[Mapping[str, Any]], engines: Iterable[Sequence[Any]]
+) -> Account:
     """A gateway's own account: rows by offering as a cut has them, by engine as (sorts, outcomes, out, ...).
 
     >>> rows = [{"taken": 3, "served": 1, "refused": 1, "failed": 0, "open": 1, "firsts": 2,
@@ -58,7 +59,9 @@
     if said["handed"] != said["engines"]:
         found.append(f"handed off {said['handed']}, engines were handed {said['engines']}")
     if said["engines"] != said["ended"] + said["out"]:
-        found.append(f"engines were handed {said['engines']}, outcomes and out {said['ended'] + said['out']}")
+        found.append(
+            f"engines were handed {said['engines']}, outcomes and out {said['ended'] + said['out']}"
+        )
     return found
 
 
@@ -66,9 +69,9 @@
     """The holder's side: what each gateway last told."""
 
     def __init__(self) -> None:
-        self.accounts: dict[str, dict[str, Account]] = {}       # by gateway, by epoch
-        self.closed: dict[str, Account] = {}                    # by gateway, the sum of older epochs
-        self.told: dict[str, int] = {}                          # by gateway: in which round
+        self.accounts: dict[str, dict[str, Account]] = {}  # by gateway, by epoch
+        self.closed: dict[str, Account] = {}  # by gateway, the sum of older epochs
+        self.told: dict[str, int] = {}  # by gateway: in which round
         self.round = 0
         self.shrunk: list[str] = []
 
@@ -79,18 +82,28 @@
 
     def tells(self, gateway: str, said: Any) -> None:
         """A gateway's account. ValueError where it makes no sense, and nothing is changed."""
-        if not isinstance(said, dict) or not isinstance(said.get("epoch"), str) or not all(
-                type(said.get(key)) is int and 0 <= said[key] < 2 ** 53 for key in (*TERMS, *HANDS)):
+        if (
+            not isinstance(said, dict)
+            or not isinstance(said.get("epoch"), str)
+            or not all(
+                type(said.get(key)) is int and 0 <= said[key] < 2**53 for key in (*TERMS, *HANDS)
+            )
+        ):
             raise ValueError("an account that makes no sense")
         epochs = self.accounts.setdefault(gateway, {})
         before = epochs.get(said["epoch"])
         if before is not None:
-            self.shrunk += [f"{gateway}: {key} was {before[key]}, is {said[key]}"
-                            for key in GROWS if said[key] < before[key]]
+            self.shrunk += [
+                f"{gateway}: {key} was {before[key]}, is {said[key]}"
+                for key in GROWS
+                if said[key] < before[key]
+            ]
         epochs[said["epoch"]] = said
         while len(epochs) > MOST_EPOCHS:
             first = epochs.pop(next(iter(epochs)))
-            self.closed[gateway] = added([self.closed[gateway], first] if gateway in self.closed else [first])
+            self.closed[gateway] = added(
+                [self.closed[gateway], first] if gateway in self.closed else [first]
+            )
         self.told[gateway] = self.round
 
     def entry(self, fence: int, number: int, at: int, fellows: Sequence[str]) -> dict[str, Any]:
@@ -99,14 +112,29 @@
         every = [account for epochs in self.accounts.values() for account in epochs.values()]
         every += self.closed.values()
         said = added(every)
-        found = [f"{name}: {line}" for name, epochs in sorted(self.accounts.items())
-                 for account in epochs.values() for line in wrong(account)]
-        cut_off = sum(account["open"] for epochs in self.accounts.values()
-                      for account in [*epochs.values()][:-1])
+        found = [
+            f"{name}: {line}"
+            for name, epochs in sorted(self.accounts.items())
+            for account in epochs.values()
+            for line in wrong(account)
+        ]
+        cut_off = sum(
+            account["open"]
+            for epochs in self.accounts.values()
+            for account in [*epochs.values()][:-1]
+        )
         missing = sorted(name for name in fellows if self.told.get(name) != self.round)
-        return {"fence": fence, "number": number, "at": at, **said, "cut_off": cut_off,
-                "missing": missing[:8], "missing_count": len(missing), "gateways": len(self.accounts),
-                "wrong": (found + self.shrunk)[:4]}
+        return {
+            "fence": fence,
+            "number": number,
+            "at": at,
+            **said,
+            "cut_off": cut_off,
+            "missing": missing[:8],
+            "missing_count": len(missing),
+            "gateways": len(self.accounts),
+            "wrong": (found + self.shrunk)[:4],
+        }
 
 
 def added(accounts: Sequence[Mapping[str, Any]]) -> Account:
--- a/corkgauge/duties/clerk.py
+++ b/corkgauge/duties/clerk.py
@@ -9,7 +9,7 @@
 from corkgauge.duties.books import FleetBooks, History, account_of
 from corkgauge.figures.cut import cut_of
 
-SHOWN = 20              # entries that operators are shown
+SHOWN = 20  # entries that operators are shown
 
 
 class Clerk:
@@ -33,7 +33,7 @@
         self.books.begin()
         self.number += 1
         for fellow in office.company.alive():
-            if not self._may(fence):    # before each act, not once a round
+            if not self._may(fence):  # before each act, not once a round
                 return
             office.company.call(fellow.name, "books", ["ask", self.duty, fence, self.number])
         self.books.tells(office.name, self.account())
@@ -68,7 +68,9 @@
         if not office.guard.admits(self.duty, fence):
             office.company.call(sender, "books", ["no", self.duty, office.guard.highest[self.duty]])
         elif what == "ask":
-            office.company.call(sender, "books", ["account", self.duty, int(rest[1]), self.account()])
+            office.company.call(
+                sender, "books", ["account", self.duty, int(rest[1]), self.account()]
+            )
         elif what == "entry":
             self._add(dict(rest[1]))
 
--- a/corkgauge/duties/holder.py
+++ b/corkgauge/duties/holder.py
@@ -18,8 +18,8 @@
 
 WATCHING, PROBING, PREPARING, ASKING, HOLDING = range(5)
 STATES = "watching", "probing", "preparing", "asking", "holding"
-SENT = 64               # letters whose time of writing is remembered
-MOST_REPLY = 3          # spans that voters have for an answer, after rounds that came to nothing
+SENT = 64  # letters whose time of writing is remembered
+MOST_REPLY = 3  # spans that voters have for an answer, after rounds that came to nothing
 
 
 class Host(Protocol):
@@ -42,19 +42,23 @@
 class Holder:
     """`wanted`: does this gateway stand for the duty?"""
 
-    def __init__(self, host: Host, duty: str, name: str, roll: Roll, span: Span, wanted: bool = True) -> None:
+    def __init__(
+        self, host: Host, duty: str, name: str, roll: Roll, span: Span, wanted: bool = True
+    ) -> None:
         self.host, self.duty, self.name, self.roll, self.span = host, duty, name, roll, span
         self.state, self.wanted = WATCHING, wanted
-        self.fence = self.until = self.since = 0    # of what is held
-        self.seen = 0           # the highest ballot or fence heard of
+        self.fence = self.until = self.since = 0  # of what is held
+        self.seen = 0  # the highest ballot or fence heard of
         self.serial = self.begun = self.ballot = 0
-        self.sent: dict[int, int] = {}      # serial of a letter: when it was written
-        self.said: dict[str, bool] = {}     # what voters answered in this round
-        self.left: dict[str, int] = {}      # and how long they are bound
-        self.acknowledged: dict[str, int] = {}      # by voter: when the last letter it granted was written
-        self.alarm = 0          # the one timer that counts
-        self.other, self.why = "", "started"        # who holds it, as voters tell; why the last change
-        self.tries = 0          # rounds in a row that came to nothing
+        self.sent: dict[int, int] = {}  # serial of a letter: when it was written
+        self.said: dict[str, bool] = {}  # what voters answered in this round
+        self.left: dict[str, int] = {}  # and how long they are bound
+        self.acknowledged: dict[
+            str, int
+        ] = {}  # by voter: when the last letter it granted was written
+        self.alarm = 0  # the one timer that counts
+        self.other, self.why = "", "started"  # who holds it, as voters tell; why the last change
+        self.tries = 0  # rounds in a row that came to nothing
         self._watch(1 + host.rank(duty) * span.stagger)
 
     # What others ask.
@@ -109,12 +113,20 @@
         if sender not in self.roll.names or (version, mark) != (self.roll.version, self.roll.mark):
             return
         yes, promised, left, holder = body[5:9]
-        if not (type(promised) is int and 0 <= promised < MOST_BALLOT and type(left) is int and left >= 0):
+        if not (
+            type(promised) is int
+            and 0 <= promised < MOST_BALLOT
+            and type(left) is int
+            and left >= 0
+        ):
             raise ValueError("an answer that makes no sense")
         self.seen = max(self.seen, promised)
         if sort == GRANTED:
             return self._granted(sender, serial, bool(yes))
-        if serial != self.serial or (sort, self.state) not in ((WOULD, PROBING), (PROMISED, PREPARING)):
+        if serial != self.serial or (sort, self.state) not in (
+            (WOULD, PROBING),
+            (PROMISED, PREPARING),
+        ):
             return
         self.said[sender], self.left[sender] = bool(yes), min(left, self.span.granted)
         self.other = holder or self.other
@@ -123,7 +135,7 @@
                 self._ask()
             elif self.wanted:
                 self._prepare()
-            else:       # it was asked for what operators are told alone
+            else:  # it was asked for what operators are told alone
                 self._watch(self.span.lease)
         elif len(self.said) - sum(self.said.values()) > len(self.roll.names) - self.roll.majority:
             self._refused()
@@ -203,12 +215,15 @@
             # Danger: promises are remembered by voters for a lease after their start; older ones prove
             # nothing.
             return self._unanswered()
-        self.sent[self.serial + 1] = self.host.now      # before it is written
+        self.sent[self.serial + 1] = self.host.now  # before it is written
         self._tell(GRANT, self.ballot)
         while len(self.sent) > SENT:
             del self.sent[next(iter(self.sent))]
         each = self.span.each
-        self._wake(min(each, self.until - self.host.now) if self.state == HOLDING else each // 2, self._give)
+        self._wake(
+            min(each, self.until - self.host.now) if self.state == HOLDING else each // 2,
+            self._give,
+        )
 
     def _granted(self, sender: str, serial: int, yes: bool) -> None:
         if self.state not in (ASKING, HOLDING) or serial not in self.sent:
@@ -246,4 +261,6 @@
     def _tell(self, sort: int, ballot: int) -> None:
         self.serial += 1
         for name in self.roll.names:
-            self.host.send(name, [sort, self.duty, self.roll.version, self.roll.mark, self.serial, ballot])
+            self.host.send(
+                name, [sort, self.duty, self.roll.version, self.roll.mark, self.serial, ballot]
+            )
--- a/corkgauge/duties/office.py
+++ b/corkgauge/duties/office.py
@@ -22,33 +22,44 @@
 from corkgauge.operator import Duties
 
 ANSWERS = WOULD, PROMISED, GRANTED, VACANT
-LOOKS = 10              # at our own load, a lease
-TOLD_VACANT = 2         # of the next in order
-CHANGES = 50            # of duties that operators can look back at
+LOOKS = 10  # at our own load, a lease
+TOLD_VACANT = 2  # of the next in order
+CHANGES = 50  # of duties that operators can look back at
 
 
 class Office:
     """`house` has `hub`, `log`, `ledger` and `routes`; `society` are the fellows."""
 
     def __init__(self, house: Any, post: Post, said: Duties, society: Any) -> None:
-        self.house, self.hub, self.name, self.said, self.society = house, house.hub, post.name, said, society
+        self.house, self.hub, self.name, self.said, self.society = (
+            house,
+            house.hub,
+            post.name,
+            said,
+            society,
+        )
         self.company = society.company
         try:
             self.roll, self.span = _terms(said)
         except Unsafe as problem:
             raise Faulty(f"duties: {problem}") from None
-        self.told_rolls: dict[str, tuple[int, int]] = {}    # by gateway: version and mark of its list
-        self.safe = Safe(self.hub, house.log, said.folder, f"{self.name}.votes",
-                         "duties: kept votes are torn, silent at first",
-                         "duties: votes are not written, no vote until a restart")
+        self.told_rolls: dict[str, tuple[int, int]] = {}  # by gateway: version and mark of its list
+        self.safe = Safe(
+            self.hub,
+            house.log,
+            said.folder,
+            f"{self.name}.votes",
+            "duties: kept votes are torn, silent at first",
+            "duties: votes are not written, no vote until a restart",
+        )
         self.guard = Guard()
         self.voter = Voter(self, self.name, self.roll, self.span, self.safe.kept)
         self.holders: dict[str, Holder] = {}
         self.clerks: dict[str, Clerk] = {}
-        self.owners: dict[str, Any] = {}        # by duty: another subsystem that acts under it
-        self.lent: dict[str, tuple[str, int]] = {}      # by duty: to which command, until when
-        self.asking: dict[str, int] = {}                # by duty: when a command last asked for it
-        self.yielding: dict[str, str] = {}      # to be given up once no command runs under it, and why
+        self.owners: dict[str, Any] = {}  # by duty: another subsystem that acts under it
+        self.lent: dict[str, tuple[str, int]] = {}  # by duty: to which command, until when
+        self.asking: dict[str, int] = {}  # by duty: when a command last asked for it
+        self.yielding: dict[str, str] = {}  # to be given up once no command runs under it, and why
         self.changes: list[dict[str, Any]] = []
         self.leaving = self.overloaded = self.aside = False
         self.load = preference.Load(max(self.span.each, SECOND // 10))
@@ -91,13 +102,17 @@
         """Another list of voters, other duties; Faulty, and nothing is changed, where that is not safe."""
         try:
             roll, span = _terms(said)
-            self.roll.step_to(roll, {**self.told_rolls, self.name: (self.roll.version, self.roll.mark)})
+            self.roll.step_to(
+                roll, {**self.told_rolls, self.name: (self.roll.version, self.roll.mark)}
+            )
         except Unsafe as problem:
             raise Faulty(f"duties: {problem}") from None
         if said.folder != self.said.folder:
             self.house.log("operator file: duties folder changed, in force after a restart")
         if roll != self.roll:
-            self.house.log(f"duties: list {roll.version} of voters in force, {' '.join(roll.names)}")
+            self.house.log(
+                f"duties: list {roll.version} of voters in force, {' '.join(roll.names)}"
+            )
         self.roll, self.span, self.said = roll, span, said
         self.voter.renew(roll, span)
         named = {name for name, *_ in said.duties}
@@ -221,13 +236,15 @@
         now = boot_time()
         was, self.overloaded = self.overloaded, self.load.looked(now, now - due)
         if was != self.overloaded:
-            self.house.log(f"duties: {'overloaded, standing last' if self.overloaded else 'standing again'}")
+            self.house.log(
+                f"duties: {'overloaded, standing last' if self.overloaded else 'standing again'}"
+            )
             for name, holder in self.holders.items():
                 holder.stand(self._wanted(name))
-                if self.overloaded:     # once: whoever takes it next may be no better off
+                if self.overloaded:  # once: whoever takes it next may be no better off
                     self._give_up(name, "overloaded")
         for name, (_, until) in [*self.lent.items()]:
-            if now >= until:    # its command was killed, or does not ask any more
+            if now >= until:  # its command was killed, or does not ask any more
                 self._returned(name)
         for name, asked in [*self.asking.items()]:
             if now > asked + self.span.lease and name not in self.lent:
@@ -238,11 +255,15 @@
 
     def _wanted(self, duty: str) -> bool:
         return not (self.leaving or self.aside) and (
-            duty in self.clerks or duty in self.owners or duty in self.asking)
+            duty in self.clerks or duty in self.owners or duty in self.asking
+        )
 
     def _present(self) -> list[tuple[str, str]]:
-        return [(each.name, each.hall) for each in self.company.fellows.values()
-                if each.state in (ALIVE, SUSPECTED)] + [(self.name, self.company.hall)]
+        return [
+            (each.name, each.hall)
+            for each in self.company.fellows.values()
+            if each.state in (ALIVE, SUSPECTED)
+        ] + [(self.name, self.company.hall)]
 
     def _held(self) -> dict[str, str]:
         return {name: holder.other for name, holder in self.holders.items() if holder.other}
@@ -262,8 +283,15 @@
             self.holders[duty].give_up(self.yielding.pop(duty), 2 * self.span.lease)
 
     def _changed(self, holder: Holder, what: str, why: str) -> None:
-        self.changes.append({"at": self.hub.now // 10, "duty": holder.duty, "what": what, "why": why,
-                             "fence": holder.fence})
+        self.changes.append(
+            {
+                "at": self.hub.now // 10,
+                "duty": holder.duty,
+                "what": what,
+                "why": why,
+                "fence": holder.fence,
+            }
+        )
         del self.changes[:-CHANGES]
 
     # What operators and commands ask at the door.
@@ -271,19 +299,31 @@
     def told(self, asked: bytes = b"") -> dict[str, Any]:
         """Spans are seconds, moments milliseconds of the system's date."""
         now = boot_time()
-        return {"name": self.name, "voters": [*self.roll.names], "version": self.roll.version,
-                "voting": self.voter.votes_now,
-                "silent_for": max(self.voter.silent_until - now, 0) / SECOND,
-                "overloaded": self.overloaded, "duties": {
-                    name: {"state": STATES[holder.state],
-                           "holder": self.name if holder.may() else holder.other,
-                           "fence": holder.fence, "left": max(holder.until - now, 0) / SECOND,
-                           "for": (now - holder.since) / SECOND if holder.may() else None, "why": holder.why,
-                           "wanted": holder.wanted, "lent": self.lent.get(name, ("",))[0]}
-                    for name, holder in self.holders.items()},
-                "books": {name: clerk.told() for name, clerk in self.clerks.items()},
-                "changes": self.changes, "fences": {**self.guard.highest},
-                "counters": {**self.voter.counts, "acts refused": self.guard.refused}}
+        return {
+            "name": self.name,
+            "voters": [*self.roll.names],
+            "version": self.roll.version,
+            "voting": self.voter.votes_now,
+            "silent_for": max(self.voter.silent_until - now, 0) / SECOND,
+            "overloaded": self.overloaded,
+            "duties": {
+                name: {
+                    "state": STATES[holder.state],
+                    "holder": self.name if holder.may() else holder.other,
+                    "fence": holder.fence,
+                    "left": max(holder.until - now, 0) / SECOND,
+                    "for": (now - holder.since) / SECOND if holder.may() else None,
+                    "why": holder.why,
+                    "wanted": holder.wanted,
+                    "lent": self.lent.get(name, ("",))[0],
+                }
+                for name, holder in self.holders.items()
+            },
+            "books": {name: clerk.told() for name, clerk in self.clerks.items()},
+            "changes": self.changes,
+            "fences": {**self.guard.highest},
+            "counters": {**self.voter.counts, "acts refused": self.guard.refused},
+        }
 
     def asked(self, body: bytes) -> dict[str, Any]:
         """`{"do": "hold", "duty", "by"}`, `{"do": "done", ...}`, `{"do": "yield", "duty"}`."""
@@ -306,7 +346,11 @@
         if holder.state == HOLDING:
             self._give_up(duty, "told")
             return {"told": self.name, "waits_for": self.lent.get(duty, ("",))[0]}
-        if holder.other and holder.other != self.name and self.company.call(holder.other, "yield", duty):
+        if (
+            holder.other
+            and holder.other != self.name
+            and self.company.call(holder.other, "yield", duty)
+        ):
             return {"told": holder.other, "waits_for": ""}
         raise ValueError(f"nobody is known to hold {duty!r}")
 
@@ -325,5 +369,7 @@
 
 
 def _terms(said: Duties) -> tuple[Roll, Span]:
-    return (Roll(said.version, said.voters, said.lease),
-            Span(said.lease, said.drift, said.margin, said.longest))
+    return (
+        Roll(said.version, said.voters, said.lease),
+        Span(said.lease, said.drift, said.margin, said.longest),
+    )
