--- a/corkgauge/duties/preference.py
+++ b/corkgauge/duties/preference.py
@@ -8,10 +8,10 @@
 from collections.abc import Mapping, Sequence
 from zlib import crc32
 
-MOST_RANK = 6           # later ones try together, with chance between them
-LOOKS = 8               # last ones, of our own load
-LATE_LOOKS = 2          # of these late: overloaded
-RECOVERED = 100_000     # tenths of a millisecond without a late look, before it stands again
+MOST_RANK = 6  # later ones try together, with chance between them
+LOOKS = 8  # last ones, of our own load
+LATE_LOOKS = 2  # of these late: overloaded
+RECOVERED = 100_000  # tenths of a millisecond without a late look, before it stands again
 
 
 def order(duty: str, fellows: Sequence[tuple[str, str]], held: Mapping[str, str]) -> list[str]:
@@ -26,9 +26,18 @@
     """
     halls = dict(fellows)
     busy = [name for each, name in held.items() if each != duty and name in halls]
-    return [name for *_, name in sorted(
-        (sum(halls[each] == hall for each in busy), busy.count(name), crc32(f"{duty} {name}".encode()), name)
-        for name, hall in fellows)]
+    return [
+        name
+        for *_, name in sorted(
+            (
+                sum(halls[each] == hall for each in busy),
+                busy.count(name),
+                crc32(f"{duty} {name}".encode()),
+                name,
+            )
+            for name, hall in fellows
+        )
+    ]
 
 
 def rank(duty: str, name: str, fellows: Sequence[tuple[str, str]], held: Mapping[str, str]) -> int:
@@ -48,7 +57,7 @@
     """
 
     def __init__(self, late: int) -> None:
-        self.late = late        # tenths of a millisecond, from which a look counts as late
+        self.late = late  # tenths of a millisecond, from which a look counts as late
         self.looks: deque[bool] = deque(maxlen=LOOKS)
         self.until = -1
 
--- a/corkgauge/duties/roll.py
+++ b/corkgauge/duties/roll.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterable, Mapping
 from zlib import crc32
 
-LEAST, MOST = 1, 7      # voters; 3, 5 or 7 are of use
-MOST_BALLOT = 2 ** 60
+LEAST, MOST = 1, 7  # voters; 3, 5 or 7 are of use
+MOST_BALLOT = 2**60
 
 
 class Unsafe(ValueError):
@@ -39,7 +39,10 @@
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, Roll) and (self.version, self.names, self.lease) == (
-            other.version, other.names, other.lease)
+            other.version,
+            other.names,
+            other.lease,
+        )
 
     __hash__ = None
 
@@ -59,17 +62,23 @@
         if new == self:
             return
         if new.version != self.version + 1:
-            raise Unsafe(f"voters: expected version {self.version + 1}, as {self.version} is in force, "
-                         f"found {new.version}")
+            raise Unsafe(
+                f"voters: expected version {self.version + 1}, as {self.version} is in force, "
+                f"found {new.version}"
+            )
         more, fewer = {*new.names} - {*self.names}, {*self.names} - {*new.names}
         if len(more) + len(fewer) > 1:
             adds, removes = (", ".join(sorted(each)) or "none" for each in (more, fewer))
-            raise Unsafe(f"voters: version {new.version} adds {adds} and removes {removes}: "
-                         "one of both at a time")
+            raise Unsafe(
+                f"voters: version {new.version} adds {adds} and removes {removes}: "
+                "one of both at a time"
+            )
         there = sorted(name for name in self.names if told.get(name) == (self.version, self.mark))
         if len(there) < self.majority:
-            raise Unsafe(f"voters: version {self.version} is told by {', '.join(there) or 'nobody'}, and "
-                         f"{self.majority} of {len(self.names)} have to, before version {new.version}")
+            raise Unsafe(
+                f"voters: version {self.version} is told by {', '.join(there) or 'nobody'}, and "
+                f"{self.majority} of {len(self.names)} have to, before version {new.version}"
+            )
 
 
 class Span:
@@ -93,10 +102,12 @@
         self.silent = int(max(longest, lease) * (1 + drift)) + 1
         self.held = int(lease * (1 - drift)) - margin
         if self.held < lease // 2:
-            raise Unsafe(f"a lease of {lease / 10_000:g} s leaves {max(self.held, 0) / 10_000:g} s of use")
-        self.each = max(lease // 8, 1)      # between two renewals: some may be lost
-        self.reply = max(lease // 8, 1)     # that voters have for an answer, until it is asked again
-        self.stagger = min(600, max(lease // 40, 10))   # between candidates, as they rank
+            raise Unsafe(
+                f"a lease of {lease / 10_000:g} s leaves {max(self.held, 0) / 10_000:g} s of use"
+            )
+        self.each = max(lease // 8, 1)  # between two renewals: some may be lost
+        self.reply = max(lease // 8, 1)  # that voters have for an answer, until it is asked again
+        self.stagger = min(600, max(lease // 40, 10))  # between candidates, as they rank
 
 
 def ballot_of(round_: int, name: str) -> int:
--- a/corkgauge/duties/safe.py
+++ b/corkgauge/duties/safe.py
@@ -16,22 +16,35 @@
 from corkgauge.duties import store
 from corkgauge.loop.hub import READ, SECOND, WRITE, Hub
 
-AGAIN = SECOND          # until a record that is not safe yet is written once more, where it is asked for
+AGAIN = SECOND  # until a record that is not safe yet is written once more, where it is asked for
 
 
 class Safe:
     """The file `name` in `folder`; no folder: nothing is kept, and what waits is called at once. `torn` and
     `unwritten` are the lines that say so. Raises Faulty where the folder cannot be used."""
 
-    def __init__(self, hub: Hub, log: Callable[[str], None], folder: str, name: str, torn: str,
-                 unwritten: str) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        log: Callable[[str], None],
+        folder: str,
+        name: str,
+        torn: str,
+        unwritten: str,
+    ) -> None:
         self.hub, self.log, self.folder, self.unwritten = hub, log, folder, unwritten
         self.helper: subprocess.Popen | None = None
-        self.waiting: dict[int, list[tuple[Callable[..., None], tuple]]] = {}   # records that are not safe yet
-        self.written, self.body, self.sent = 0, b"", 0      # the last one: its number, what it is, when it went
-        self.rest = b""             # of the frame that the helper's pipe did not take yet
-        self.after: bytes | None = None     # the last frame that waits for that
-        self.kept: Any = None       # what a folder told; None: nothing, or it was torn
+        self.waiting: dict[
+            int, list[tuple[Callable[..., None], tuple]]
+        ] = {}  # records that are not safe yet
+        self.written, self.body, self.sent = (
+            0,
+            b"",
+            0,
+        )  # the last one: its number, what it is, when it went
+        self.rest = b""  # of the frame that the helper's pipe did not take yet
+        self.after: bytes | None = None  # the last frame that waits for that
+        self.kept: Any = None  # what a folder told; None: nothing, or it was torn
         if folder:
             self._open(os.path.join(folder, name), torn)
 
@@ -45,8 +58,9 @@
         except OSError as problem:
             raise Faulty(f"duties: {self.folder}: {problem.strerror}") from None
         body = store.unpacked(data)
-        self.helper = subprocess.Popen([sys.executable, store.__file__, path], stdin=subprocess.PIPE,
-                                       stdout=subprocess.PIPE)
+        self.helper = subprocess.Popen(
+            [sys.executable, store.__file__, path], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        )
         for pipe in self.helper.stdin, self.helper.stdout:
             os.set_blocking(pipe.fileno(), False)
         self.hub.spawn(self._listen, self.helper)
@@ -65,7 +79,9 @@
             # Danger: whoever is not answered yet asks again, and would make a slow disk slower by the same record.
             if self.written not in self.waiting:
                 return then(*what)
-            if self.hub.now < self.sent + AGAIN:    # one that failed is never answered: written again after a while
+            if (
+                self.hub.now < self.sent + AGAIN
+            ):  # one that failed is never answered: written again after a while
                 return self.waiting[self.written].append((then, what))
         self.written += 1
         self.body, self.sent = body, self.hub.now
@@ -79,7 +95,7 @@
 
     def _write(self, frame: bytes) -> None:
         try:
-            self.rest = frame[os.write(self.helper.stdin.fileno(), frame):]
+            self.rest = frame[os.write(self.helper.stdin.fileno(), frame) :]
         except BlockingIOError:
             self.rest = frame
         except OSError:
@@ -92,7 +108,7 @@
         while self.helper is helper and self.rest:
             self.hub.wait(helper.stdin.fileno(), WRITE)
             try:
-                self.rest = self.rest[os.write(helper.stdin.fileno(), self.rest):]
+                self.rest = self.rest[os.write(helper.stdin.fileno(), self.rest) :]
             except BlockingIOError:
                 continue
             except (OSError, ValueError):
--- a/corkgauge/duties/store.py
+++ b/corkgauge/duties/store.py
@@ -13,9 +13,9 @@
 import zlib
 
 MAGIC = b"CKGVOTE1"
-HEAD = struct.Struct("<8sII")       # magic, length, CRC-32 of the body
-FRAME = struct.Struct("<II")        # number, length
-LARGEST = 2 ** 20
+HEAD = struct.Struct("<8sII")  # magic, length, CRC-32 of the body
+FRAME = struct.Struct("<II")  # number, length
+LARGEST = 2**20
 
 
 def packed(body: bytes) -> bytes:
@@ -31,7 +31,7 @@
     if len(data) < HEAD.size:
         return None
     magic, length, mark = HEAD.unpack_from(data)
-    body = data[HEAD.size:]
+    body = data[HEAD.size :]
     return body if magic == MAGIC and len(body) == length and zlib.crc32(body) == mark else None
 
 
@@ -42,7 +42,7 @@
     try:
         view = memoryview(data)
         while view:
-            view = view[os.write(descriptor, view):]
+            view = view[os.write(descriptor, view) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
@@ -66,7 +66,7 @@
             if len(rest) < at + FRAME.size + length:
                 break
             numbers.append(number)
-            body, at = rest[at + FRAME.size:at + FRAME.size + length], at + FRAME.size + length
+            body, at = rest[at + FRAME.size : at + FRAME.size + length], at + FRAME.size + length
         if not numbers:
             continue
         rest = rest[at:]
@@ -74,7 +74,7 @@
             # Danger: a slow disk that writes each of them in turn falls ever further behind those who ask again.
             write(path, packed(body))
         except OSError:
-            continue        # no answer: the voter says nothing, which is safe
+            continue  # no answer: the voter says nothing, which is safe
         try:
             os.write(1, b"".join(struct.pack("<I", each) for each in numbers))
         except OSError:
--- a/corkgauge/duties/voter.py
+++ b/corkgauge/duties/voter.py
@@ -17,7 +17,7 @@
 
 # Sorts of letters: from candidates, and what voters answer. VACANT goes to candidates.
 PROBE, WOULD, PREPARE, PROMISED, GRANT, GRANTED, RELEASE, VACANT = range(8)
-MOST_DUTIES = 64        # that a voter remembers
+MOST_DUTIES = 64  # that a voter remembers
 
 
 class Host(Protocol):
@@ -35,8 +35,9 @@
 
     __slots__ = ("promised", "ballot", "holder", "until", "since")
 
-    def __init__(self, promised: int = 0, ballot: int = 0, holder: tuple[str, int] = ("", 0),
-                 until: int = 0) -> None:
+    def __init__(
+        self, promised: int = 0, ballot: int = 0, holder: tuple[str, int] = ("", 0), until: int = 0
+    ) -> None:
         self.promised, self.ballot, self.holder, self.until = promised, ballot, holder, until
         self.since = 0
 
@@ -48,17 +49,20 @@
     """One gateway's votes. `kept` is what was read from its folder, or None where it has none, or nothing:
     then it is silent for a longest lease, as it cannot know what it granted just before it ended."""
 
-    def __init__(self, host: Host, name: str, roll: Roll, span: Span,
-                 kept: dict[str, list[Any]] | None) -> None:
+    def __init__(
+        self, host: Host, name: str, roll: Roll, span: Span, kept: dict[str, list[Any]] | None
+    ) -> None:
         self.host, self.name, self.roll, self.span = host, name, roll, span
         self.votes: dict[str, Vote] = {}
         self.counts = Counter[str]()
-        self.outdated = 0       # a later version of the list that was heard of
+        self.outdated = 0  # a later version of the list that was heard of
         now = host.now
         self.silent_until = now + span.silent if kept is None else now
         for duty, (promised, ballot, holder, start) in (kept or {}).items():
             # Danger: how long ago it was granted is not known any more, so it counts as granted now.
-            self.votes[duty] = Vote(promised, ballot, (holder, start), now + span.silent if ballot else 0)
+            self.votes[duty] = Vote(
+                promised, ballot, (holder, start), now + span.silent if ballot else 0
+            )
 
     def renew(self, roll: Roll, span: Span) -> None:
         """Another list, or another lease. What was granted stays granted."""
@@ -72,7 +76,11 @@
 
     @property
     def votes_now(self) -> bool:
-        return self.name in self.roll.names and not self.outdated and self.host.now >= self.silent_until
+        return (
+            self.name in self.roll.names
+            and not self.outdated
+            and self.host.now >= self.silent_until
+        )
 
     def heard(self, sender: str, start: int, body: list[Any]) -> None:
         """A letter of a candidate. Anything that makes no sense raises, and changes nothing."""
@@ -80,8 +88,10 @@
         if version > self.roll.version and not self.outdated:
             # Danger: a gateway that came up with an old file would lend its vote to a list long replaced.
             self.outdated = version
-            self.host.log(f"duties: no vote, list {self.roll.version} is older than list {version} "
-                          f"of {sender}")
+            self.host.log(
+                f"duties: no vote, list {self.roll.version} is older than list {version} "
+                f"of {sender}"
+            )
         if self.name not in self.roll.names:
             return
         if not self.votes_now:
@@ -100,7 +110,12 @@
                 return
             vote = self.votes[duty] = Vote()
         who = sender, start
-        methods = {PROBE: self._probe, PREPARE: self._prepare, GRANT: self._grant, RELEASE: self._release}
+        methods = {
+            PROBE: self._probe,
+            PREPARE: self._prepare,
+            GRANT: self._grant,
+            RELEASE: self._release,
+        }
         methods[sort](who, duty, vote, serial, ballot)
 
     def _busy(self, vote: Vote, who: tuple[str, int]) -> int:
@@ -111,7 +126,9 @@
         """Would it? Nothing changes: what comes back from a cut asks this first."""
         self._say(WOULD, who, duty, vote, serial, not self._busy(vote, who))
 
-    def _prepare(self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int) -> None:
+    def _prepare(
+        self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int
+    ) -> None:
         if self._busy(vote, who) or ballot <= vote.promised:
             return self._say(PROMISED, who, duty, vote, serial, False)
         vote.promised = ballot
@@ -127,18 +144,21 @@
         vote.holder = who
         self._granted(who, duty, vote, serial, ballot, known)
 
-    def _granted(self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int,
-                 known: bool) -> None:
+    def _granted(
+        self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int, known: bool
+    ) -> None:
         """Counted from now, after all that had to be written: the holder counts from before it asked."""
         if vote.ballot != ballot or vote.holder != who:
-            return      # released, or another's, while it was written
+            return  # released, or another's, while it was written
         vote.until = self.host.now + self.span.granted
-        if known:   # a renewal needs no disk: what is read back counts as granted at the start
+        if known:  # a renewal needs no disk: what is read back counts as granted at the start
             self._say(GRANTED, who, duty, vote, serial, True)
         else:
             self._keep(self._granted, who, duty, vote, serial, ballot, True)
 
-    def _release(self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int) -> None:
+    def _release(
+        self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int
+    ) -> None:
         """Its holder has ended; what it was granted later, under another ballot, is none of this."""
         if (vote.ballot, vote.holder) == (ballot, who):
             # Danger: a grant that was asked for before comes late, and would bind it for a lease to nobody.
@@ -149,7 +169,21 @@
     def _keep(self, then: Callable[..., None], *what: Any) -> None:
         self.host.keep({duty: vote.record() for duty, vote in self.votes.items()}, then, *what)
 
-    def _say(self, sort: int, who: tuple[str, int], duty: str, vote: Vote, serial: int, yes: bool) -> None:
+    def _say(
+        self, sort: int, who: tuple[str, int], duty: str, vote: Vote, serial: int, yes: bool
+    ) -> None:
         holder = vote.holder[0] if vote.ballot and vote.until > self.host.now else ""
-        self.host.send(who[0], [sort, duty, self.roll.version, self.roll.mark, serial, yes, vote.promised,
-                                self._busy(vote, who), holder])
+        self.host.send(
+            who[0],
+            [
+                sort,
+                duty,
+                self.roll.version,
+                self.roll.mark,
+                serial,
+                yes,
+                vote.promised,
+                self._busy(vote, who),
+                holder,
+            ],
+        )
--- a/corkgauge/fellows/company.py
+++ b/corkgauge/fellows/company.py
@@ -31,17 +31,17 @@
 
 ALIVE, SUSPECTED, GONE, LEFT, UNKNOWN = range(5)
 STATES = "alive", "suspected", "gone", "left", "unknown"
-HELPERS = 3             # asked for one that does not answer
-CONFIRMED = 3           # accusers beside ourselves, with whom suspicion is shortest
-LEAST_SPAN = 4          # of suspicion: periods, times the logarithm of the number of fellows
-MOST_TIMES = 4          # its longest span over its shortest
-MOST_HEALTH = 8         # 0 is well; spans grow by one of themselves for each
-REPLY = 0.3             # of a period, until others are asked for one that does not answer
-LATE = 0.25             # of a period, that our own timer may be late before our view counts for nothing
-ROOM = 900              # octets of words in one datagram
-NEWCOMER = 6            # fellows that a newcomer greets a period, until one answers
-ONCE = 30_000           # tenths of a millisecond between two whole rolls told to one fellow
-SELDOM = 4              # one in so many turns of a fellow that is gone is used to look after it
+HELPERS = 3  # asked for one that does not answer
+CONFIRMED = 3  # accusers beside ourselves, with whom suspicion is shortest
+LEAST_SPAN = 4  # of suspicion: periods, times the logarithm of the number of fellows
+MOST_TIMES = 4  # its longest span over its shortest
+MOST_HEALTH = 8  # 0 is well; spans grow by one of themselves for each
+REPLY = 0.3  # of a period, until others are asked for one that does not answer
+LATE = 0.25  # of a period, that our own timer may be late before our view counts for nothing
+ROOM = 900  # octets of words in one datagram
+NEWCOMER = 6  # fellows that a newcomer greets a period, until one answers
+ONCE = 30_000  # tenths of a millisecond between two whole rolls told to one fellow
+SELDOM = 4  # one in so many turns of a fellow that is gone is used to look after it
 
 
 class Host(Protocol):
@@ -59,16 +59,27 @@
 class Fellow:
     """One of the others, as we see it."""
 
-    __slots__ = ("name", "hall", "state", "start", "turn", "since", "accusers", "why", "heard", "serial",
-                 "told_all")
+    __slots__ = (
+        "name",
+        "hall",
+        "state",
+        "start",
+        "turn",
+        "since",
+        "accusers",
+        "why",
+        "heard",
+        "serial",
+        "told_all",
+    )
 
     def __init__(self, name: str, hall: str) -> None:
         self.name, self.hall = name, hall
         self.state, self.start, self.turn = UNKNOWN, 0, 0
-        self.since = self.heard = 0     # in this state; when its last letter came
+        self.since = self.heard = 0  # in this state; when its last letter came
         self.accusers: set[str] = set()
-        self.why = ""                   # of the last change
-        self.serial = 0                 # of the suspicion that runs
+        self.why = ""  # of the last change
+        self.serial = 0  # of the suspicion that runs
         self.told_all = -ONCE
 
     def word(self) -> list[Any]:
@@ -88,8 +99,15 @@
 class Company:
     """`fellows` are (name, hall) of all, ourselves among them; `period` is tenths of a millisecond."""
 
-    def __init__(self, host: Host, name: str, start: int, keys: Sequence[Key],
-                 fellows: Sequence[tuple[str, str]], period: int) -> None:
+    def __init__(
+        self,
+        host: Host,
+        name: str,
+        start: int,
+        keys: Sequence[Key],
+        fellows: Sequence[tuple[str, str]],
+        period: int,
+    ) -> None:
         self.host, self.name, self.period = host, name, period
         self.letters = Letters(name, start, keys, self._started, self._outgrown)
         self.rumours, self.health, self.turn, self.serial = Rumours(), 0, 0, 0
@@ -100,7 +118,7 @@
         self.calls: dict[str, Callable[[str, Any], None]] = {}  # by subject: who hears of it
         self.counts = Counter[str]()
         self.left = self.met = False
-        self.unknown = 0        # fellows whose start nobody has told yet
+        self.unknown = 0  # fellows whose start nobody has told yet
         self.named(fellows)
         self.host.wake(1, self.tick)
 
@@ -110,8 +128,11 @@
         """Who there is, ourselves among them; what is known of those that stay is kept."""
         self.hall = dict(fellows).get(self.name, "")
         before = self.fellows
-        self.fellows = {name: before.get(name) or Fellow(name, hall)
-                        for name, hall in fellows if name != self.name}
+        self.fellows = {
+            name: before.get(name) or Fellow(name, hall)
+            for name, hall in fellows
+            if name != self.name
+        }
         for name, hall in fellows:
             if name != self.name:
                 self.fellows[name].hall = hall
@@ -144,11 +165,19 @@
 
     def alive(self) -> list[Fellow]:
         """Those that are not known to be gone, by name."""
-        return sorted((each for each in self.fellows.values() if each.state in (ALIVE, SUSPECTED)),
-                      key=lambda each: each.name)
+        return sorted(
+            (each for each in self.fellows.values() if each.state in (ALIVE, SUSPECTED)),
+            key=lambda each: each.name,
+        )
 
     def state_of(self, name: str) -> int:
-        return ALIVE if name == self.name else self.fellows[name].state if name in self.fellows else GONE
+        return (
+            ALIVE
+            if name == self.name
+            else self.fellows[name].state
+            if name in self.fellows
+            else GONE
+        )
 
     # What happens.
 
@@ -163,7 +192,7 @@
             return self._send(sender, BACK, None, body)
         fellow.heard = self.host.now
         if sort == BACK:
-            if not self.met:    # the first that we meet tells us of all others
+            if not self.met:  # the first that we meet tells us of all others
                 self.met = True
                 self._send(sender, ASK_ALL, [])
             return
@@ -215,7 +244,9 @@
             return self._send(fellow.name, HELLO, None)
         self._ask(fellow, int(span * REPLY), span)
 
-    def _ask(self, fellow: Fellow, reply: int, span: int, for_whom: str = "", serial: int = 0) -> None:
+    def _ask(
+        self, fellow: Fellow, reply: int, span: int, for_whom: str = "", serial: int = 0
+    ) -> None:
         self.serial += 1
         self.asked[self.serial] = Asked(fellow, self.host.now + span, for_whom, serial)
         self._send(fellow.name, ASK, [self.serial])
@@ -274,11 +305,18 @@
         fellow = self.fellows.get(name)
         if fellow is None:
             return
-        self.letters.heard_of(name, start)      # may take it up as alive
-        new, old = (start, turn, min(state, GONE)), (fellow.start, fellow.turn, min(fellow.state, GONE))
+        self.letters.heard_of(name, start)  # may take it up as alive
+        new, old = (
+            (start, turn, min(state, GONE)),
+            (fellow.start, fellow.turn, min(fellow.state, GONE)),
+        )
         if fellow.state == UNKNOWN:
             old = (0, 0, 0)
-        if state == SUSPECTED and (start, turn) == (fellow.start, fellow.turn) and fellow.state == SUSPECTED:
+        if (
+            state == SUSPECTED
+            and (start, turn) == (fellow.start, fellow.turn)
+            and fellow.state == SUSPECTED
+        ):
             if accuser and accuser not in fellow.accusers and len(fellow.accusers) <= CONFIRMED:
                 self._suspected(fellow, accuser, "confirmed")
         elif new > old:
@@ -319,7 +357,12 @@
         wanted = min(CONFIRMED, fellows - 2)
         if wanted < 1:
             return int(least)
-        return int(max(least, least * (MOST_TIMES - (MOST_TIMES - 1) * log(confirmed + 1) / log(wanted + 1))))
+        return int(
+            max(
+                least,
+                least * (MOST_TIMES - (MOST_TIMES - 1) * log(confirmed + 1) / log(wanted + 1)),
+            )
+        )
 
     def suspicion_over(self, fellow: Fellow, serial: int) -> None:
         if fellow.state == SUSPECTED and fellow.serial == serial:
@@ -358,7 +401,10 @@
             return
         fellow.told_all = self.host.now
         words, size = [], 0
-        for word in [self._our_word(), *(each.word() for each in self.fellows.values() if each.start)]:
+        for word in [
+            self._our_word(),
+            *(each.word() for each in self.fellows.values() if each.start),
+        ]:
             words.append(word)
             size += _size(word)
             if size > ROOM - 60:
@@ -376,7 +422,7 @@
             if words is None:
                 words, fellow = [], self.fellows[name]
                 if fellow.state in (SUSPECTED, GONE, LEFT):
-                    words.append(fellow.word())     # it must hear what is said of it
+                    words.append(fellow.word())  # it must hear what is said of it
                 if self.left:
                     words.append(self._our_word())
                 words += self.rumours.some(len(self.fellows) + 1, ROOM - 120, _size, name)
@@ -398,8 +444,12 @@
 
     def _some(self, many: int, but: Fellow | None = None, known: bool = True) -> list[Fellow]:
         """A few, by chance; those known to be alive, or any."""
-        names = [each.name for each in self.fellows.values() if each is not but and (
-            not known or each.state == ALIVE and self.letters.known(each.name))]
+        names = [
+            each.name
+            for each in self.fellows.values()
+            if each is not but
+            and (not known or each.state == ALIVE and self.letters.known(each.name))
+        ]
         found = []
         while names and len(found) < many:
             n = self.host.chance(len(names))
--- a/corkgauge/fellows/letters.py
+++ b/corkgauge/fellows/letters.py
@@ -17,17 +17,17 @@
 from cryptography.hazmat.primitives import constant_time, hashes, hmac
 
 MARK = 0xC9
-SEAL = 16               # octets
-LARGEST = 1_400         # octets of a datagram: none is ever parted on its way
-WINDOW = 256            # counters below the highest that are told apart
-LEAST_KEY = 32          # octets
-MOST_START = 2 ** 62    # above it no start is believed: the next one would not fit
+SEAL = 16  # octets
+LARGEST = 1_400  # octets of a datagram: none is ever parted on its way
+WINDOW = 256  # counters below the highest that are told apart
+LEAST_KEY = 32  # octets
+MOST_START = 2**62  # above it no start is believed: the next one would not fit
 
 # Sorts. HELLO asks who is there; BACK answers it, and proves by the asker's start that it is no old one.
 HELLO, BACK, ASK, ANSWER, ASK_FOR, DEAF, ASK_ALL, TELL, CALL = range(9)
 
 
-RATE, BURST = 400.0, 800.0      # letters of one fellow that are opened: a second; at once
+RATE, BURST = 400.0, 800.0  # letters of one fellow that are opened: a second; at once
 
 
 class Key:
@@ -92,12 +92,18 @@
     """One gateway's side. `starts(name, start)` is called when another's start becomes known or changes,
     `outgrown(start)` when somebody knows our name under a later start than ours."""
 
-    def __init__(self, name: str, start: int, keys: Sequence[Key], starts: Callable[[str, int], None],
-                 outgrown: Callable[[int], None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        start: int,
+        keys: Sequence[Key],
+        starts: Callable[[str, int], None],
+        outgrown: Callable[[int], None],
+    ) -> None:
         self.name, self.start, self.starts, self.outgrown = name, start, starts, outgrown
         self.keys = [*keys]
         self.pens: dict[str, Pen] = {}
-        self.counts = Counter[str]()    # by why it was not taken
+        self.counts = Counter[str]()  # by why it was not taken
 
     def named(self, names: Sequence[str]) -> None:
         """Who the others are; what is known of those that stay is kept."""
@@ -109,7 +115,8 @@
         pen, key = self.pens[to], self.keys[0]
         pen.written += 1
         data = bytes((MARK, key.number)) + msgpack.packb(
-            [sort, self.name, self.start, to, max(known_as, pen.start), pen.written, body])
+            [sort, self.name, self.start, to, max(known_as, pen.start), pen.written, body]
+        )
         if len(data) + SEAL > LARGEST:
             raise ValueError(f"{len(data)} octets for one datagram")
         return data + key.seal(data)
@@ -127,8 +134,15 @@
             return None
         sort, sender, start, to, known_as, counter, body = said
         pen = self.pens.get(sender)
-        wrong = ("stranger" if pen is None else "not to us" if to != self.name else
-                 "flood" if not self._allowed(pen, now) else "")
+        wrong = (
+            "stranger"
+            if pen is None
+            else "not to us"
+            if to != self.name
+            else "flood"
+            if not self._allowed(pen, now)
+            else ""
+        )
         if not wrong and known_as > self.start:
             # Danger: after a clock that was set back our start is below the one they knew; they would take
             # all of ours for old for ever.
@@ -143,8 +157,12 @@
         if wrong:
             self.counts[wrong] += 1
             # One that does not know us, or our present start, is told by a BACK, which the caller writes.
-            return (sender, HELLO, start) if wrong in ("to an earlier start", "of an earlier start") else None
-        if sort == HELLO:   # anybody's old one may come again: it changes nothing, and is answered
+            return (
+                (sender, HELLO, start)
+                if wrong in ("to an earlier start", "of an earlier start")
+                else None
+            )
+        if sort == HELLO:  # anybody's old one may come again: it changes nothing, and is answered
             return sender, HELLO, start
         if start > pen.start:
             pen.start, pen.window = start, Window()
@@ -186,6 +204,7 @@
             return "unreadable"
         figures, names = (said[0], said[2], said[4], said[5]), (said[1], said[3])
         if not all(type(each) is int and 0 <= each < MOST_START for each in figures) or not (
-                all(isinstance(each, str) for each in names)):
+            all(isinstance(each, str) for each in names)
+        ):
             return "unreadable"
         return said
--- a/corkgauge/fellows/rumours.py
+++ b/corkgauge/fellows/rumours.py
@@ -8,7 +8,7 @@
 from math import ceil, log2
 from typing import Any
 
-TIMES = 3       # over the logarithm of the number of fellows: how often a word is told
+TIMES = 3  # over the logarithm of the number of fellows: how often a word is told
 
 
 class Rumours:
@@ -26,7 +26,7 @@
     """
 
     def __init__(self) -> None:
-        self.words: dict[str, tuple[int, int, Any]] = {}    # told so often, in this order, the word
+        self.words: dict[str, tuple[int, int, Any]] = {}  # told so often, in this order, the word
         self.serial = 0
 
     def tell(self, name: str, word: Any) -> None:
--- a/corkgauge/fellows/society.py
+++ b/corkgauge/fellows/society.py
@@ -17,7 +17,7 @@
 from corkgauge.loop.hub import READ, SECOND
 from corkgauge.operator import Fellows
 
-AT_ONCE = 32            # datagrams that are read in a row, before others have their turn
+AT_ONCE = 32  # datagrams that are read in a row, before others have their turn
 
 
 class Society:
@@ -31,8 +31,14 @@
         self._bind(said)
         self._arrange(said)
         start = self.hub.now // 10 << 12 | crc32(pack("<QQ", self.seed, self.hub.now)) & 0xFFF
-        self.company = Company(self, self.name, start, [Key(each) for each in said.keys],
-                               [(name, hall) for name, _, hall in said.fellows], said.period)
+        self.company = Company(
+            self,
+            self.name,
+            start,
+            [Key(each) for each in said.keys],
+            [(name, hall) for name, _, hall in said.fellows],
+            said.period,
+        )
         house.routes[b"GET", b"/fellows"] = self.told
         self.hub.spawn(self._read, self.sock)
 
@@ -40,7 +46,9 @@
         """Other fellows, keys or addresses; Faulty, and nothing is changed, where ours is not among them."""
         self._named(said)
         if (said.listen, said.period) != (self.said.listen, self.said.period):
-            self.house.log("operator file: fellows listen or period changed, in force after a restart")
+            self.house.log(
+                "operator file: fellows listen or period changed, in force after a restart"
+            )
         self._arrange(said)
         self.company.named([(name, hall) for name, _, hall in said.fellows])
         self.company.locked([Key(each) for each in said.keys])
@@ -61,7 +69,9 @@
 
     def _bind(self, said: Fellows) -> None:
         where = said.listen or self._named(said)
-        self.sock = socket.socket(socket.AF_INET6 if ":" in where[0] else socket.AF_INET, socket.SOCK_DGRAM)
+        self.sock = socket.socket(
+            socket.AF_INET6 if ":" in where[0] else socket.AF_INET, socket.SOCK_DGRAM
+        )
         self.sock.setblocking(False)
         try:
             # Danger: two programs under one name would each answer for the other; the second gets no address.
@@ -85,10 +95,10 @@
                 except BlockingIOError:
                     break
                 except OSError:
-                    continue    # what came back of a datagram of ours: its fellow does not listen
+                    continue  # what came back of a datagram of ours: its fellow does not listen
                 try:
                     self.company.came(data)
-                except Exception:   # Danger: one datagram must not end the reading of all others
+                except Exception:  # Danger: one datagram must not end the reading of all others
                     self.hub.troubled()
 
     # What the company may do.
@@ -115,19 +125,35 @@
         self.house.log(line)
 
     def changed(self, fellow: Fellow, before: int) -> None:
-        self.house.log(f"fellow {fellow.name} {STATES[fellow.state]}, was {STATES[before]}: {fellow.why}")
+        self.house.log(
+            f"fellow {fellow.name} {STATES[fellow.state]}, was {STATES[before]}: {fellow.why}"
+        )
 
     # Figures.
 
     def told(self, asked: bytes = b"") -> dict[str, Any]:
         """For operators: our view of each, and the counters. Spans are seconds."""
         company, now = self.company, self.hub.now
-        return {"name": self.name, "hall": company.hall, "start": company.letters.start,
-                "health": company.health, "fellows": {
-                    each.name: {"state": STATES[each.state], "hall": each.hall, "why": each.why,
-                                "for": (now - each.since) / SECOND if each.since else None,
-                                "heard": (now - each.heard) / SECOND if each.heard else None,
-                                "start": each.start, "turn": each.turn}
-                    for each in sorted(company.fellows.values(), key=lambda each: each.name)},
-                "counters": {**company.counts, "unsent": self.unsent,
-                             **{f"letters {why}": count for why, count in company.letters.counts.items()}}}
+        return {
+            "name": self.name,
+            "hall": company.hall,
+            "start": company.letters.start,
+            "health": company.health,
+            "fellows": {
+                each.name: {
+                    "state": STATES[each.state],
+                    "hall": each.hall,
+                    "why": each.why,
+                    "for": (now - each.since) / SECOND if each.since else None,
+                    "heard": (now - each.heard) / SECOND if each.heard else None,
+                    "start": each.start,
+                    "turn": each.turn,
+                }
+                for each in sorted(company.fellows.values(), key=lambda each: each.name)
+            },
+            "counters": {
+                **company.counts,
+                "unsent": self.unsent,
+                **{f"letters {why}": count for why, count in company.letters.counts.items()},
+            },
+        }
--- a/corkgauge/figures/asking.py
+++ b/corkgauge/figures/asking.py
@@ -22,8 +22,13 @@
         self.sock.connect(self.path)
 
 
-def ask(where: str, target: str = "/figures", method: str = "GET", timeout: float = 5.0,
-        body: Any = None) -> Any:
+def ask(
+    where: str,
+    target: str = "/figures",
+    method: str = "GET",
+    timeout: float = 5.0,
+    body: Any = None,
+) -> Any:
     """The JSON that a door tells, asked with `body` as JSON. `where` is the path of a Unix socket, or
     ADDRESS:PORT. OSError or ValueError where nothing sensible comes within `timeout` seconds."""
     host, colon, port = where.rpartition(":")
--- a/corkgauge/figures/auditor.py
+++ b/corkgauge/figures/auditor.py
@@ -18,7 +18,7 @@
 from corkgauge.figures.ledger import CLOSED, Ledger
 from corkgauge.figures.terms import SIDES, SORTS, TERM_OF, TERMS
 
-SLICE = 500     # records of one step
+SLICE = 500  # records of one step
 
 
 class Live(Protocol):
@@ -26,20 +26,28 @@
 
     def open_entries(self) -> list[Any]:
         """A copy of what is open: each has `row` and `serial`."""
+
     def answering_entries(self) -> list[Any]:
         """A copy of what has its end, while its answer has not left whole."""
+
     def hands_out(self) -> list[Any]:
         """A copy of the hand-offs out: each has `order`, `engine_row`, `serial`."""
+
     def out_of_step(self, hand: Any) -> str:
         """What is wrong between this hand-off, if it is still out, and the gateway's own record of it."""
+
     def engines(self) -> list[Any]:
         """A copy of the engines."""
+
     def engine_out_of_step(self, engine: Any) -> tuple[str, str]:
         """Its name, and what the gateway holds out there that nobody else does."""
+
     def name_of(self, engine: Any) -> str:
         """Its name alone."""
+
     def connections(self) -> Sequence[tuple[int, int]]:
         """By side: connections that are up, pages that came on them."""
+
     def traces(self, serial: int) -> str:
         """Where else a submission is still found."""
 
@@ -47,7 +55,9 @@
 class Auditor:
     """Steps through one pass after another."""
 
-    def __init__(self, ledger: Ledger, live: Live, findings: f.Findings, slice_: int = SLICE) -> None:
+    def __init__(
+        self, ledger: Ledger, live: Live, findings: f.Findings, slice_: int = SLICE
+    ) -> None:
         self.ledger, self.live, self.findings = ledger, live, findings
         self.slice, self.passes, self.walk = slice_, 0, iter(())
         # Equations of other subsystems: each gives (name, difference, what it says).
@@ -107,7 +117,7 @@
             for each in part:
                 sums = seen.setdefault(row_of(each), [0, 0])
                 sums[0] += 1
-                sums[1] += abs(each.serial)     # below 0 once it has ended since the cut
+                sums[1] += abs(each.serial)  # below 0 once it has ended since the cut
             yield
 
     def _rows(self) -> Iterator[None]:
@@ -118,7 +128,9 @@
                 for reason, count in enumerate(row.reasons):
                     sums[TERM_OF[reason]] += count
                 if difference := terms[0] - sum(terms[1:]) - row.open:
-                    self._see(f.TERMS_DIFFER, row, difference, "taken - served - refused - failed - open")
+                    self._see(
+                        f.TERMS_DIFFER, row, difference, "taken - served - refused - failed - open"
+                    )
                 for n, name in enumerate(TERMS):
                     if n and (difference := terms[n] - sums[n]):
                         self._see(f.TERMS_DIFFER, row, difference, f"{name} - its reasons")
@@ -156,8 +168,9 @@
         pages = 0
         for side, name, (up, came) in zip(ledger.sides, SIDES, self.live.connections()):
             if difference := side.up - side.ended - up:
-                self.findings.see(f.BOOKS_DIFFER, f"{name} connections", difference,
-                                  "up - ended - those there")
+                self.findings.see(
+                    f.BOOKS_DIFFER, f"{name} connections", difference, "up - ended - those there"
+                )
             pages += side.pages + came
         if difference := sum(row.pages for row in rows) - pages:
             self.findings.see(f.BOOKS_DIFFER, "pages", difference, "by engine - by connection")
@@ -168,7 +181,9 @@
 
     # What it is called.
 
-    def _compare(self, row: Any, booked: int, booked_mark: int, seen: int, seen_mark: int, kind: Any) -> None:
+    def _compare(
+        self, row: Any, booked: int, booked_mark: int, seen: int, seen_mark: int, kind: Any
+    ) -> None:
         difference, mark = booked - seen, booked_mark - seen_mark
         if not difference and not mark:
             return
@@ -176,7 +191,9 @@
         # record that was never entered has none.
         suspect = mark * difference if abs(difference) == 1 else -1
         if suspect > 0 or suspect == 0 and difference < 0:
-            return self._see(kind(row, difference, suspect), row, difference, f"serial {suspect}", suspect)
+            return self._see(
+                kind(row, difference, suspect), row, difference, f"serial {suspect}", suspect
+            )
         self._see(f.COUNT_ALTERED, row, difference, f"serials differ by {mark}")
 
     def _submission_kind(self, row: Any, difference: int, serial: int) -> str:
--- a/corkgauge/figures/bureau.py
+++ b/corkgauge/figures/bureau.py
@@ -25,9 +25,11 @@
         self.shelf: Any = None
         if said.error:
             from corkgauge.figures.waits import Waits
+
             house.waits = Waits(said.error)
         if said.keep:
             from corkgauge.figures.shelf import Shelf
+
             self.shelf = Shelf(said.keep, gateway, house.log)
             self.keep()
         self._open(said)
@@ -39,13 +41,20 @@
             try:
                 self._open(said)
             except Faulty:
-                self.door = old     # Danger: a new address that cannot be had must not cost the old one
+                self.door = (
+                    old  # Danger: a new address that cannot be had must not cost the old one
+                )
                 raise
             if old is not None:
                 old.close()
-        if waits := [name for name in ("keep", "keep_each", "error")
-                     if getattr(said, name) != getattr(self.said, name)]:
-            self.house.log(f"operator file: figures {', '.join(waits)} changed, in force after a restart")
+        if waits := [
+            name
+            for name in ("keep", "keep_each", "error")
+            if getattr(said, name) != getattr(self.said, name)
+        ]:
+            self.house.log(
+                f"operator file: figures {', '.join(waits)} changed, in force after a restart"
+            )
         self.said = said
 
     def cut(self) -> Cut:
@@ -80,10 +89,18 @@
         if said.listen is None:
             return
         from corkgauge.figures.door import Readers
+
         house = self.house
         try:
-            self.door = Readers(house.hub, said.listen, said.readers, self.cut, house.findings.clear,
-                                house.log, house.routes)
+            self.door = Readers(
+                house.hub,
+                said.listen,
+                said.readers,
+                self.cut,
+                house.findings.clear,
+                house.log,
+                house.routes,
+            )
         except OSError as problem:
             raise Faulty(f"figures listen: {said.listen}: {problem.strerror or problem}") from None
 
--- a/corkgauge/figures/cut.py
+++ b/corkgauge/figures/cut.py
@@ -17,7 +17,7 @@
 
 SCHEMA = 1
 Cut = dict[str, Any]
-Flat = tuple[list[int], list[int], int, int]    # of one engine: sorts, outcomes, out, pages
+Flat = tuple[list[int], list[int], int, int]  # of one engine: sorts, outcomes, out, pages
 
 
 class EngineRows(Mapping[str, dict[str, Any]]):
@@ -30,8 +30,12 @@
 
     def __getitem__(self, name: str) -> dict[str, Any]:
         sorts, outcomes, out, pages = self.flat[name]
-        return {**dict(zip(SORTS, sorts)), "outcomes": dict(zip(OUTCOMES, outcomes)), "out": out,
-                "pages": pages}
+        return {
+            **dict(zip(SORTS, sorts)),
+            "outcomes": dict(zip(OUTCOMES, outcomes)),
+            "out": out,
+            "pages": pages,
+        }
 
     def __iter__(self) -> Iterator[str]:
         return iter(self.flat)
@@ -43,14 +47,36 @@
 def cut_of(ledger: Ledger, now: int, gateway: str, epoch: Mapping[str, Any]) -> Cut:
     """The counts alone: what is kept through a kill."""
     return {
-        "schema": SCHEMA, "gateway": gateway, "epoch": dict(epoch), "at": now,
-        "offerings": {name: {
-            **dict(zip(TERMS, row.terms)), "open": row.open, "reasons": dict(zip(REASON_NAMES, row.reasons)),
-            **dict(zip(SORTS, row.sorts)), "out": row.out} for name, row in ledger.offerings.items()},
-        "engines": EngineRows({name: (row.sorts.copy(), row.outcomes.copy(), row.out, row.pages)
-                               for name, row in _engines(ledger).items()}),
-        "connections": {row.name: {"up": row.up, "ended": row.ended, "received": row.got, "sent": row.sent,
-                                   "pages": row.pages} for row in ledger.sides},
+        "schema": SCHEMA,
+        "gateway": gateway,
+        "epoch": dict(epoch),
+        "at": now,
+        "offerings": {
+            name: {
+                **dict(zip(TERMS, row.terms)),
+                "open": row.open,
+                "reasons": dict(zip(REASON_NAMES, row.reasons)),
+                **dict(zip(SORTS, row.sorts)),
+                "out": row.out,
+            }
+            for name, row in ledger.offerings.items()
+        },
+        "engines": EngineRows(
+            {
+                name: (row.sorts.copy(), row.outcomes.copy(), row.out, row.pages)
+                for name, row in _engines(ledger).items()
+            }
+        ),
+        "connections": {
+            row.name: {
+                "up": row.up,
+                "ended": row.ended,
+                "received": row.got,
+                "sent": row.sent,
+                "pages": row.pages,
+            }
+            for row in ledger.sides
+        },
     }
 
 
@@ -78,15 +104,30 @@
 
 def with_audit(cut: Cut, findings: Findings, passes: int) -> Cut:
     """A cut with what does not add up."""
-    cut["audit"] = {"passes": passes, "alarm": findings.alarm, "untold": findings.untold, "findings": [
-        {"kind": each.kind, "row": each.row, "difference": each.difference, "first": each.first,
-         "last": each.last, "times": each.times, "detail": each.detail, "events": each.events}
-        for each in findings.held.values()]}
+    cut["audit"] = {
+        "passes": passes,
+        "alarm": findings.alarm,
+        "untold": findings.untold,
+        "findings": [
+            {
+                "kind": each.kind,
+                "row": each.row,
+                "difference": each.difference,
+                "first": each.first,
+                "last": each.last,
+                "times": each.times,
+                "detail": each.detail,
+                "events": each.events,
+            }
+            for each in findings.held.values()
+        ],
+    }
     return cut
 
 
 # What is wrong with a cut, and between two.
 
+
 def differences(cut: Cut) -> list[str]:
     """The equations that do not hold in a cut; each line names its row.
 
@@ -115,7 +156,9 @@
         if by_offering != by_engine:
             found.append(f"{sort}: by offering {by_offering}, by engine {by_engine}")
     for finding in cut.get("audit", {}).get("findings", ()):
-        found.append(f"{finding['row']}: {finding['kind']} {finding['difference']:+d}, as the program says")
+        found.append(
+            f"{finding['row']}: {finding['kind']} {finding['difference']:+d}, as the program says"
+        )
     return found
 
 
@@ -140,7 +183,9 @@
     for name, row in before["connections"].items():
         for key, count in row.items():
             if after["connections"][name][key] < count:
-                found.append(f"{name} connections: {key} was {count}, is {after['connections'][name][key]}")
+                found.append(
+                    f"{name} connections: {key} was {count}, is {after['connections'][name][key]}"
+                )
     return found
 
 
@@ -153,9 +198,12 @@
     >>> both["gateway"], both["at"], both["offerings"]
     ('n1+n2', 5, {'a': {'taken': 2, 'reasons': {'late': 4}}})
     """
-    summed: Cut = {"schema": SCHEMA, "gateway": "+".join(cut["gateway"] for cut in cuts),
-                   "epoch": {"id": "+".join(cut["epoch"]["id"] for cut in cuts)},
-                   "at": min(cut["at"] for cut in cuts)}
+    summed: Cut = {
+        "schema": SCHEMA,
+        "gateway": "+".join(cut["gateway"] for cut in cuts),
+        "epoch": {"id": "+".join(cut["epoch"]["id"] for cut in cuts)},
+        "at": min(cut["at"] for cut in cuts),
+    }
     for part in "offerings", "engines", "connections":
         summed[part] = {}
         for cut in cuts:
@@ -163,15 +211,18 @@
                 _add(summed[part].setdefault(name, {}), row)
     if any("audit" in cut for cut in cuts):
         audits = [cut["audit"] for cut in cuts if "audit" in cut]
-        summed["audit"] = {"passes": sum(each["passes"] for each in audits),
-                           "alarm": any(each["alarm"] for each in audits),
-                           "findings": [finding for each in audits for finding in each["findings"]]}
+        summed["audit"] = {
+            "passes": sum(each["passes"] for each in audits),
+            "alarm": any(each["alarm"] for each in audits),
+            "findings": [finding for each in audits for finding in each["findings"]],
+        }
     told: dict[tuple[str, str], list[Any]] = {}
     for cut in cuts:
         for each in cut.get("waits", ()):
             told.setdefault((each["what"], each["whose"]), []).append(each)
     if told:
         from corkgauge.figures.waits import added
+
         summed["waits"] = [added(several) for several in told.values()]
     return summed
 
@@ -186,6 +237,12 @@
 
 def closed_epoch(cut: Cut) -> Cut:
     """What is kept of an epoch that is over: its totals by offering, with what was open as cut off."""
-    return {"epoch": cut["epoch"], "until": cut["at"], "connections": cut["connections"], "offerings": {
-        name: {**{term: row[term] for term in TERMS}, "cut_off": row["open"]}
-        for name, row in cut["offerings"].items()}}
+    return {
+        "epoch": cut["epoch"],
+        "until": cut["at"],
+        "connections": cut["connections"],
+        "offerings": {
+            name: {**{term: row[term] for term in TERMS}, "cut_off": row["open"]}
+            for name, row in cut["offerings"].items()
+        },
+    }
--- a/corkgauge/figures/door.py
+++ b/corkgauge/figures/door.py
@@ -20,8 +20,8 @@
 from corkgauge.figures.cut import Cut
 from corkgauge.loop.hub import READ, SECOND, WRITE, Hub
 
-PATIENCE = 5 * SECOND   # that a reader has for its request, and for each piece of the answer
-IDLE = 60 * SECOND      # that it may keep a connection without asking
+PATIENCE = 5 * SECOND  # that a reader has for its request, and for each piece of the answer
+IDLE = 60 * SECOND  # that it may keep a connection without asking
 MOST_HEAD = MOST_BODY = 16_384
 PIECE = 32_768
 
@@ -29,11 +29,27 @@
 class Readers:
     """The listener and its readers. `cut` makes a whole cut, `clear` forgets the findings."""
 
-    def __init__(self, hub: Hub, where: str | tuple[str, int], most: int, cut: Callable[[], Cut],
-                 clear: Callable[[], int], log: Callable[[str], None],
-                 routes: Mapping[tuple[bytes, bytes], Callable[[bytes], Any]]) -> None:
-        self.hub, self.where, self.most, self.cut, self.clear, self.log = hub, where, most, cut, clear, log
-        self.routes = routes    # of other subsystems: by method and path, what they make of the body, as JSON
+    def __init__(
+        self,
+        hub: Hub,
+        where: str | tuple[str, int],
+        most: int,
+        cut: Callable[[], Cut],
+        clear: Callable[[], int],
+        log: Callable[[str], None],
+        routes: Mapping[tuple[bytes, bytes], Callable[[bytes], Any]],
+    ) -> None:
+        self.hub, self.where, self.most, self.cut, self.clear, self.log = (
+            hub,
+            where,
+            most,
+            cut,
+            clear,
+            log,
+        )
+        self.routes = (
+            routes  # of other subsystems: by method and path, what they make of the body, as JSON
+        )
         self.here = 0
         self.sock = opened(where)
         self.fd = self.sock.fileno()
@@ -77,7 +93,7 @@
                 reader.start_next_cycle()
                 patience = IDLE
         except (OSError, h11.ProtocolError):
-            pass    # whatever a reader does wrong ends its own connection
+            pass  # whatever a reader does wrong ends its own connection
         finally:
             self.here -= 1
             sock.close()
@@ -101,7 +117,8 @@
                 body += event.data
         status, kind, body = self._answer(asked.method, asked.target.partition(b"?")[0], body)
         head = h11.Response(
-            status_code=status, headers=[("Content-Type", kind), ("Transfer-Encoding", "chunked")])
+            status_code=status, headers=[("Content-Type", kind), ("Transfer-Encoding", "chunked")]
+        )
         self._write(sock, reader.send(head) or b"")
         for piece in gathered(body):
             self._write(sock, reader.send(h11.Data(data=piece)) or b"")
@@ -110,9 +127,12 @@
         self._write(sock, reader.send(h11.EndOfMessage()) or b"")
         return reader.our_state is h11.DONE and reader.their_state is h11.DONE
 
-    def _answer(self, method: bytes, target: bytes, asked: bytes) -> tuple[int, str, Iterable[bytes]]:
+    def _answer(
+        self, method: bytes, target: bytes, asked: bytes
+    ) -> tuple[int, str, Iterable[bytes]]:
         if (method, target) == (b"GET", b"/metrics"):
             from corkgauge.figures import exposition
+
             return 200, exposition.CONTENT_TYPE, exposition.pieces(self.cut())
         if (method, target) == (b"GET", b"/figures"):
             return 200, "application/json", json_pieces(self.cut())
@@ -132,7 +152,7 @@
         view, until = memoryview(data), self.hub.now + PATIENCE
         while view:
             try:
-                view = view[sock.send(view):]
+                view = view[sock.send(view) :]
             except BlockingIOError:
                 if not self.hub.wait(sock.fileno(), WRITE, until):
                     raise OSError("a reader that does not read") from None
@@ -207,5 +227,5 @@
 def answers(path: str) -> bool:
     """Does somebody listen at this path?"""
     with socket.socket(socket.AF_UNIX) as probe:
-        probe.setblocking(False)    # a Unix socket connects at once, or not
+        probe.setblocking(False)  # a Unix socket connects at once, or not
         return probe.connect_ex(path) in (0, 11)
--- a/corkgauge/figures/epoch.py
+++ b/corkgauge/figures/epoch.py
@@ -17,10 +17,10 @@
 MAGIC, VERSION = b"CKGFIGS\n", 1
 HEAD, SUM = Struct("<8sHIQ"), Struct("<Q")
 OVERHEAD = HEAD.size + SUM.size
-SLOT = 256 * 1024       # bytes of one slot
+SLOT = 256 * 1024  # bytes of one slot
 FILE = 2 * SLOT
-EARLIER = 8             # epochs kept beside the present one
-FOLDED = "(all)"        # the row of all engines, where each for itself would not fit
+EARLIER = 8  # epochs kept beside the present one
+FOLDED = "(all)"  # the row of all engines, where each for itself would not fit
 TORN, FOREIGN, NEWER, EMPTY = "torn", "foreign", "newer", "empty"
 
 
@@ -46,12 +46,13 @@
     if len(data) < OVERHEAD or not data.startswith(MAGIC):
         return 0, None, FOREIGN
     _, version, length, generation = HEAD.unpack_from(data)
-    packed = data[OVERHEAD:OVERHEAD + length]
+    packed = data[OVERHEAD : OVERHEAD + length]
     if version > VERSION:
         return 0, None, NEWER
     # Danger: a length is only a claim; the sum is asked before anything is unpacked.
     if len(packed) != length or SUM.unpack_from(data, HEAD.size)[0] != xxhash.xxh64_intdigest(
-            packed, xxhash.xxh64_intdigest(data[:HEAD.size])):
+        packed, xxhash.xxh64_intdigest(data[: HEAD.size])
+    ):
         return 0, None, TORN
     try:
         body = msgpack.unpackb(packed, strict_map_key=False)
@@ -62,7 +63,7 @@
 
 def latest(data: bytes) -> tuple[int, Any, str]:
     """The newer good slot of a file; where there is none, why."""
-    found = [read(data[at:at + SLOT]) for at in (0, SLOT)]
+    found = [read(data[at : at + SLOT]) for at in (0, SLOT)]
     good = [each for each in found if not each[2]]
     if good:
         return max(good, key=lambda each: each[0])
@@ -73,6 +74,9 @@
 def folded(cut: dict[str, Any]) -> dict[str, Any]:
     """A cut with all its engines in one row, where they would not fit a slot."""
     from corkgauge.figures.cut import together
-    rows = [{**cut, "offerings": {}, "connections": {}, "engines": {FOLDED: row}}
-            for row in cut["engines"].values()]
+
+    rows = [
+        {**cut, "offerings": {}, "connections": {}, "engines": {FOLDED: row}}
+        for row in cut["engines"].values()
+    ]
     return {**cut, "engines": together(rows)["engines"]}
--- a/corkgauge/figures/exposition.py
+++ b/corkgauge/figures/exposition.py
@@ -9,13 +9,18 @@
 from typing import Any
 
 from prometheus_client import generate_latest
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily, Metric
+from prometheus_client.core import (
+    CounterMetricFamily,
+    GaugeMetricFamily,
+    HistogramMetricFamily,
+    Metric,
+)
 
 from corkgauge.figures.cut import Cut
 from corkgauge.figures.terms import SORTS
 from corkgauge.figures.waits import buckets
 
-ROWS = 32       # of one piece
+ROWS = 32  # of one piece
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 Sample = tuple[list[str], float]
 
@@ -34,8 +39,9 @@
     """The whole text of a cut, in pieces that each take less than a millisecond or so."""
     gateway = cut["gateway"]
 
-    def family(kind: Any, name: str, text: str, labels: tuple[str, ...],
-               samples: Iterable[Sample]) -> Iterator[bytes]:
+    def family(
+        kind: Any, name: str, text: str, labels: tuple[str, ...], samples: Iterable[Sample]
+    ) -> Iterator[bytes]:
         left, first = iter(samples), True
         while part := [*islice(left, ROWS)]:
             one = kind(name, text, labels=("gateway", *labels))
@@ -45,51 +51,132 @@
             first = False
 
     offerings, engines = cut["offerings"].items(), cut["engines"].items()
-    yield from family(CounterMetricFamily, "corkgauge_submissions_taken", "Submissions taken.", ("offering",),
-                      (([name], row["taken"]) for name, row in offerings))
     yield from family(
-        CounterMetricFamily, "corkgauge_submissions_ended",
+        CounterMetricFamily,
+        "corkgauge_submissions_taken",
+        "Submissions taken.",
+        ("offering",),
+        (([name], row["taken"]) for name, row in offerings),
+    )
+    yield from family(
+        CounterMetricFamily,
+        "corkgauge_submissions_ended",
         "Submissions that have their end, by term and reason.",
-        ("offering", "term", "reason"), _ends(offerings))
-    yield from family(GaugeMetricFamily, "corkgauge_submissions_open", "Submissions open.", ("offering",),
-                      (([name], row["open"]) for name, row in offerings))
-    yield from family(CounterMetricFamily, "corkgauge_handoffs", "Hand-offs, by offering and sort.",
-                      ("offering", "sort"), _by_sort(offerings))
-    yield from family(CounterMetricFamily, "corkgauge_engine_handoffs", "Hand-offs, by engine and sort.",
-                      ("engine", "sort"), _by_sort(engines))
+        ("offering", "term", "reason"),
+        _ends(offerings),
+    )
+    yield from family(
+        GaugeMetricFamily,
+        "corkgauge_submissions_open",
+        "Submissions open.",
+        ("offering",),
+        (([name], row["open"]) for name, row in offerings),
+    )
+    yield from family(
+        CounterMetricFamily,
+        "corkgauge_handoffs",
+        "Hand-offs, by offering and sort.",
+        ("offering", "sort"),
+        _by_sort(offerings),
+    )
+    yield from family(
+        CounterMetricFamily,
+        "corkgauge_engine_handoffs",
+        "Hand-offs, by engine and sort.",
+        ("engine", "sort"),
+        _by_sort(engines),
+    )
     yield from family(
-        CounterMetricFamily, "corkgauge_engine_outcomes", "How hand-offs ended, by engine.",
+        CounterMetricFamily,
+        "corkgauge_engine_outcomes",
+        "How hand-offs ended, by engine.",
         ("engine", "outcome"),
-        (([name, outcome], count) for name, row in engines for outcome, count in row["outcomes"].items()))
-    yield from family(GaugeMetricFamily, "corkgauge_engine_out", "Hand-offs out.", ("engine",),
-                      (([name], row["out"]) for name, row in engines))
-    yield from family(CounterMetricFamily, "corkgauge_engine_pages", "Pages of results that came.",
-                      ("engine",),
-                      (([name], row["pages"]) for name, row in engines))
+        (
+            ([name, outcome], count)
+            for name, row in engines
+            for outcome, count in row["outcomes"].items()
+        ),
+    )
+    yield from family(
+        GaugeMetricFamily,
+        "corkgauge_engine_out",
+        "Hand-offs out.",
+        ("engine",),
+        (([name], row["out"]) for name, row in engines),
+    )
+    yield from family(
+        CounterMetricFamily,
+        "corkgauge_engine_pages",
+        "Pages of results that came.",
+        ("engine",),
+        (([name], row["pages"]) for name, row in engines),
+    )
     sides = cut["connections"].items()
-    for key, text in (("up", "Connections that came up."), ("ended", "Connections that ended."),
-                      ("received", "Bytes read."), ("sent", "Bytes written.")):
-        yield from family(CounterMetricFamily, f"corkgauge_connection_{key}", text, ("side",),
-                          (([name], row[key]) for name, row in sides))
+    for key, text in (
+        ("up", "Connections that came up."),
+        ("ended", "Connections that ended."),
+        ("received", "Bytes read."),
+        ("sent", "Bytes written."),
+    ):
+        yield from family(
+            CounterMetricFamily,
+            f"corkgauge_connection_{key}",
+            text,
+            ("side",),
+            (([name], row[key]) for name, row in sides),
+        )
     audit = cut["audit"]
-    yield from family(GaugeMetricFamily, "corkgauge_figures_alarm", "1 while a finding is held.", (),
-                      [([], float(audit["alarm"]))])
-    yield from family(CounterMetricFamily, "corkgauge_figures_passes", "Passes over the books.", (),
-                      [([], audit["passes"])])
-    yield from family(GaugeMetricFamily, "corkgauge_figures_finding", "What does not add up, by how much.",
-                      ("kind", "row"), (([each["kind"], each["row"]], each["difference"])
-                                        for each in audit["findings"]))
-    yield from family(GaugeMetricFamily, "corkgauge_epoch_started_seconds", "When these counts began.",
-                      ("epoch",),
-                      [([cut["epoch"]["id"]], cut["epoch"]["started"] / 10_000)])
+    yield from family(
+        GaugeMetricFamily,
+        "corkgauge_figures_alarm",
+        "1 while a finding is held.",
+        (),
+        [([], float(audit["alarm"]))],
+    )
+    yield from family(
+        CounterMetricFamily,
+        "corkgauge_figures_passes",
+        "Passes over the books.",
+        (),
+        [([], audit["passes"])],
+    )
+    yield from family(
+        GaugeMetricFamily,
+        "corkgauge_figures_finding",
+        "What does not add up, by how much.",
+        ("kind", "row"),
+        (([each["kind"], each["row"]], each["difference"]) for each in audit["findings"]),
+    )
+    yield from family(
+        GaugeMetricFamily,
+        "corkgauge_epoch_started_seconds",
+        "When these counts began.",
+        ("epoch",),
+        [([cut["epoch"]["id"]], cut["epoch"]["started"] / 10_000)],
+    )
     flows = cut.get("flows", {}).items()
-    yield from family(GaugeMetricFamily, "corkgauge_flow_octets", "Octets of flows, by what became of them.",
-                      ("queue", "state"), (([name, state], row[state]) for name, row in flows for state in (
-                          "measured", "told", "held", "dropped", "unsure", "repeated")))
-    yield from family(GaugeMetricFamily, "corkgauge_flow_collector_up", "1 while a collector is up.",
-                      ("queue", "collector"), (([name, collector], float(state == "up"))
-                                               for name, row in flows for collector,
-                                               state in row["collectors"].items()))
+    yield from family(
+        GaugeMetricFamily,
+        "corkgauge_flow_octets",
+        "Octets of flows, by what became of them.",
+        ("queue", "state"),
+        (
+            ([name, state], row[state])
+            for name, row in flows
+            for state in ("measured", "told", "held", "dropped", "unsure", "repeated")
+        ),
+    )
+    yield from family(
+        GaugeMetricFamily,
+        "corkgauge_flow_collector_up",
+        "1 while a collector is up.",
+        ("queue", "collector"),
+        (
+            ([name, collector], float(state == "up"))
+            for name, row in flows
+            for collector, state in row["collectors"].items()
+        ),
+    )
     yield from _histograms(gateway, cut.get("waits", ()))
 
 
@@ -99,6 +186,7 @@
 
 def _ends(offerings: Any) -> Iterator[Sample]:
     from corkgauge.figures.terms import REASONS, TERMS
+
     for name, row in offerings:
         for term, reason in REASONS:
             yield [name, TERMS[term], reason], row["reasons"][reason]
@@ -107,9 +195,11 @@
 def _histograms(gateway: str, waits: Iterable[dict[str, Any]]) -> Iterator[bytes]:
     seen = set[str]()
     for each in sorted(waits, key=lambda one: (one["what"], one["whose"])):
-        one = HistogramMetricFamily(f"corkgauge_{each['what']}_seconds",
-                                    f"{each['what'].capitalize()}, in seconds.",
-                                    labels=("gateway", "engine" if each["what"] == "service" else "offering"))
+        one = HistogramMetricFamily(
+            f"corkgauge_{each['what']}_seconds",
+            f"{each['what'].capitalize()}, in seconds.",
+            labels=("gateway", "engine" if each["what"] == "service" else "offering"),
+        )
         one.add_metric([gateway, each["whose"]], buckets(each), each["sum"])
         yield _text(one, each["what"] not in seen)
         seen.add(each["what"])
--- a/corkgauge/figures/ledger.py
+++ b/corkgauge/figures/ledger.py
@@ -37,8 +37,8 @@
     UNUSABLE_ROW,
 )
 
-LAST_EVENTS = 512       # kept in all, to show what happened around a mistake
-SLICES = 50             # of the budget's window; counts of submissions are kept by slice
+LAST_EVENTS = 512  # kept in all, to show what happened around a mistake
+SLICES = 50  # of the budget's window; counts of submissions are kept by slice
 (ENTERED, CLOSED, HANDED, OVER) = EVENTS = "entered", "closed", "handed off", "over"
 
 
@@ -49,11 +49,11 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.terms = [0] * len(TERMS)       # taken, served, refused, failed
+        self.terms = [0] * len(TERMS)  # taken, served, refused, failed
         self.reasons = [0] * len(REASONS)
-        self.open = self.mark = 0           # how many are open, and the sum of their serials
-        self.sorts = [0] * len(SORTS)       # hand-offs: firsts, further, copies
-        self.out = self.out_mark = 0        # hand-offs out, and the sum of their serials
+        self.open = self.mark = 0  # how many are open, and the sum of their serials
+        self.sorts = [0] * len(SORTS)  # hand-offs: firsts, further, copies
+        self.out = self.out_mark = 0  # hand-offs out, and the sum of their serials
 
 
 class EngineRow:
@@ -89,15 +89,19 @@
     """One method for each thing that is counted. `guard` hears of what is wrong at the entry itself:
     what, the row, the serial."""
 
-    def __init__(self, offerings: Iterable[str], clock: Callable[[], int],
-                 budget: tuple[float, float, int] | None = None,
-                 guard: Callable[[str, Any, int], None] = lambda *_: None) -> None:
+    def __init__(
+        self,
+        offerings: Iterable[str],
+        clock: Callable[[], int],
+        budget: tuple[float, float, int] | None = None,
+        guard: Callable[[str, Any, int], None] = lambda *_: None,
+    ) -> None:
         self.clock, self.guard = clock, guard
         self.offerings = {name: OfferingRow(name) for name in offerings}
         self.unusable_row = self.offerings[UNUSABLE_ROW] = OfferingRow(UNUSABLE_ROW)
         self.engines: dict[str, EngineRow] = {}
         self.departed = EngineRow(DEPARTED_ROW)
-        self.leaving: list[EngineRow] = []      # gone, with hand-offs out
+        self.leaving: list[EngineRow] = []  # gone, with hand-offs out
         self.sides = [SideRow(name) for name in SIDES]
         self.serial = self.handoff_serial = 0
         self.events = deque[tuple[int, str, Any, int]](maxlen=LAST_EVENTS)
@@ -251,8 +255,11 @@
 
     def last_events(self, row: Any, serial: int = 0, most: int = 8) -> list[tuple[int, str, int]]:
         """The last events of a row, or those of one serial there: when, what, serial."""
-        found = [(when, what, which) for when, what, where, which in self.events
-                 if where is row and (not serial or which == serial)]
+        found = [
+            (when, what, which)
+            for when, what, where, which in self.events
+            if where is row and (not serial or which == serial)
+        ]
         return found[-most:]
 
     def line(self) -> dict[str, int]:
@@ -260,8 +267,14 @@
         said = {"taken": self.answered(0)}
         said |= {f"answered {name}": self.answered(n) for n, name in enumerate(TERMS) if n}
         # what clients left is no answer of ours
-        said["answered failed"] = sum(row.reasons[n] for row in self.offerings.values()
-                                      for n in (UNUSABLE, GIVEN_UP, NOT_READ))
+        said["answered failed"] = sum(
+            row.reasons[n]
+            for row in self.offerings.values()
+            for n in (UNUSABLE, GIVEN_UP, NOT_READ)
+        )
         said |= {f"outcome {n}": self.outcome(n) for n in range(len(OUTCOMES))}
-        said |= {"connections": self.sides[CLIENT].up, "connections ended": self.sides[CLIENT].ended}
+        said |= {
+            "connections": self.sides[CLIENT].up,
+            "connections ended": self.sides[CLIENT].ended,
+        }
         return {name: count for name, count in said.items() if count}
--- a/corkgauge/figures/shelf.py
+++ b/corkgauge/figures/shelf.py
@@ -35,13 +35,16 @@
             os.posix_fallocate(descriptor, 0, epoch.FILE)
             self.map = mmap.mmap(descriptor, epoch.FILE)
         except (OSError, ValueError) as problem:
-            why = "in use by another" if isinstance(problem, BlockingIOError) else (
-                getattr(problem, "strerror", None) or str(problem))
+            why = (
+                "in use by another"
+                if isinstance(problem, BlockingIOError)
+                else (getattr(problem, "strerror", None) or str(problem))
+            )
             self.log(f"figures not kept: {self.path}: {why}")
             if descriptor >= 0:
                 os.close(descriptor)
             return
-        self.descriptor = descriptor    # held for its lock
+        self.descriptor = descriptor  # held for its lock
         self._take_over(data)
 
     def _take_over(self, data: bytes) -> None:
@@ -53,11 +56,15 @@
             return
         try:
             closed = closed_epoch(body["cut"])
-            self.earlier = [closed, *body["earlier"]][:epoch.EARLIER]
-            taken, cut_off = (sum(row[name] for row in closed["offerings"].values())
-                              for name in ("taken", "cut_off"))
-            self.log(f"figures: epoch {closed['epoch']['id']} closed, taken={taken} cut_off={cut_off}")
-        except (KeyError, TypeError, AttributeError) as problem:    # a good sum, and another meaning
+            self.earlier = [closed, *body["earlier"]][: epoch.EARLIER]
+            taken, cut_off = (
+                sum(row[name] for row in closed["offerings"].values())
+                for name in ("taken", "cut_off")
+            )
+            self.log(
+                f"figures: epoch {closed['epoch']['id']} closed, taken={taken} cut_off={cut_off}"
+            )
+        except (KeyError, TypeError, AttributeError) as problem:  # a good sum, and another meaning
             self.earlier = []
             self.log(f"figures: {self.path} is foreign ({type(problem).__name__}), a fresh epoch")
 
@@ -66,21 +73,25 @@
             return
         self.generation += 1
         try:
-            data = epoch.slot(self.generation, {"cut": {**cut, "engines": cut["engines"].flat},
-                                                "earlier": self.earlier})
+            data = epoch.slot(
+                self.generation,
+                {"cut": {**cut, "engines": cut["engines"].flat}, "earlier": self.earlier},
+            )
         except ValueError as problem:
             if not self.too_large:
                 self.too_large = True
                 self.log(f"figures: {problem} are too many to keep, engines are kept in one row")
             try:
-                data = epoch.slot(self.generation, {"cut": epoch.folded(cut), "earlier": self.earlier})
+                data = epoch.slot(
+                    self.generation, {"cut": epoch.folded(cut), "earlier": self.earlier}
+                )
             except ValueError as still:
                 self.close()
                 return self.log(f"figures not kept: {still}")
         at = self.generation % 2 * epoch.SLOT
         # The head goes last: until it is there, its sum does not fit, and the other slot counts.
-        self.map[at + epoch.OVERHEAD:at + len(data)] = data[epoch.OVERHEAD:]
-        self.map[at:at + epoch.OVERHEAD] = data[:epoch.OVERHEAD]
+        self.map[at + epoch.OVERHEAD : at + len(data)] = data[epoch.OVERHEAD :]
+        self.map[at : at + epoch.OVERHEAD] = data[: epoch.OVERHEAD]
 
     def close(self) -> None:
         if self.map is not None:
--- a/corkgauge/figures/terms.py
+++ b/corkgauge/figures/terms.py
@@ -12,22 +12,35 @@
 
 # Why a submission ended as it did. Each reason lies beneath one term; reasons sum to their terms.
 REASONS = (
-    (SERVED, "in_time"),        # within the promised time
-    (SERVED, "late"),           # after it, within the client's patience
-    (REFUSED, "at_the_door"),   # no room for another one open
-    (REFUSED, "unsent"),        # the gateway gave it up before any hand-off
-    (REFUSED, "after_tries"),   # the gateway gave it up after a hand-off, harmless to try again
-    (REFUSED, "at_expiry"),     # its last moment came
-    (REFUSED, "turned_out"),    # its client was turned out, before the gateway heard of it
-    (FAILED, "unusable"),       # nobody could use it; told on its stream
-    (FAILED, "given_up"),       # scrapped: a repeat might do harm
-    (FAILED, "withdrawn"),      # its client took it back
-    (FAILED, "client_gone"),    # its client's connection ended before an answer
-    (FAILED, "not_read"),       # its client did not read its answer in time, or not for our memory
-    (FAILED, "cut_off"),        # the connection ended within its answer
+    (SERVED, "in_time"),  # within the promised time
+    (SERVED, "late"),  # after it, within the client's patience
+    (REFUSED, "at_the_door"),  # no room for another one open
+    (REFUSED, "unsent"),  # the gateway gave it up before any hand-off
+    (REFUSED, "after_tries"),  # the gateway gave it up after a hand-off, harmless to try again
+    (REFUSED, "at_expiry"),  # its last moment came
+    (REFUSED, "turned_out"),  # its client was turned out, before the gateway heard of it
+    (FAILED, "unusable"),  # nobody could use it; told on its stream
+    (FAILED, "given_up"),  # scrapped: a repeat might do harm
+    (FAILED, "withdrawn"),  # its client took it back
+    (FAILED, "client_gone"),  # its client's connection ended before an answer
+    (FAILED, "not_read"),  # its client did not read its answer in time, or not for our memory
+    (FAILED, "cut_off"),  # the connection ended within its answer
 )
-(IN_TIME, LATE, AT_THE_DOOR, UNSENT, AFTER_TRIES, AT_EXPIRY, TURNED_OUT, UNUSABLE, GIVEN_UP, WITHDRAWN,
- CLIENT_GONE, NOT_READ, CUT_OFF) = range(len(REASONS))
+(
+    IN_TIME,
+    LATE,
+    AT_THE_DOOR,
+    UNSENT,
+    AFTER_TRIES,
+    AT_EXPIRY,
+    TURNED_OUT,
+    UNUSABLE,
+    GIVEN_UP,
+    WITHDRAWN,
+    CLIENT_GONE,
+    NOT_READ,
+    CUT_OFF,
+) = range(len(REASONS))
 TERM_OF = tuple(term for term, _ in REASONS)
 REASON_NAMES = tuple(name for _, name in REASONS)
 
@@ -42,8 +55,8 @@
 CLIENT, ENGINE = range(2)
 SIDES = "client", "engine"
 
-UNUSABLE_ROW = "(unusable)"     # what names no offering of ours
-DEPARTED_ROW = "(departed)"     # engines that left
+UNUSABLE_ROW = "(unusable)"  # what names no offering of ours
+DEPARTED_ROW = "(departed)"  # engines that left
 
 
 def reason_of(code: int, sub: Submission, now: int, last_moment: int) -> int:
--- a/corkgauge/figures/waits.py
+++ b/corkgauge/figures/waits.py
@@ -12,7 +12,7 @@
 
 LATENCY, WAIT, SERVICE = "latency", "wait", "service"
 BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
-SCALE = 1e-4    # seconds in a tenth of a millisecond
+SCALE = 1e-4  # seconds in a tenth of a millisecond
 
 
 class Waits:
@@ -53,9 +53,16 @@
 
 def told(what: str, whose: str, sketch: DDSketch) -> dict[str, Any]:
     store = sketch._store
-    return {"what": what, "whose": whose, "error": sketch._relative_accuracy, "count": int(sketch.count),
-            "sum": sketch.sum * SCALE, "bins": {str(n + store.offset): int(weight)
-                                                for n, weight in enumerate(store.bins) if weight}}
+    return {
+        "what": what,
+        "whose": whose,
+        "error": sketch._relative_accuracy,
+        "count": int(sketch.count),
+        "sum": sketch.sum * SCALE,
+        "bins": {
+            str(n + store.offset): int(weight) for n, weight in enumerate(store.bins) if weight
+        },
+    }
 
 
 def read(said: Mapping[str, Any]) -> DDSketch:
@@ -91,8 +98,9 @@
 def buckets(said: Mapping[str, Any]) -> list[tuple[str, float]]:
     """Cumulative counts by upper bound in seconds, the last one +Inf; a bin counts where its middle lies."""
     sketch = DDSketch(said["error"])
-    middles = sorted((sketch._mapping.value(int(key)) * SCALE, weight)
-                     for key, weight in said["bins"].items())
+    middles = sorted(
+        (sketch._mapping.value(int(key)) * SCALE, weight) for key, weight in said["bins"].items()
+    )
     found, at, count = [], 0, 0
     for bound in BOUNDS:
         while at < len(middles) and middles[at][0] <= bound:
--- a/corkgauge/flow/codec.py
+++ b/corkgauge/flow/codec.py
@@ -19,13 +19,13 @@
 OWN_LAYOUT, STANDARD, NETFLOW9 = "own", "standard", "netflow9"
 IPFIX_VERSION, V9_VERSION = 10, 9
 IPFIX_HEADER, V9_HEADER, SET_HEADER = Struct("!HHIII"), Struct("!HHIIII"), Struct("!HH")
-TEMPLATE_SET, OPTIONS_SET = (2, 0), (3, 1)      # by protocol: IPFIX, NetFlow v9
+TEMPLATE_SET, OPTIONS_SET = (2, 0), (3, 1)  # by protocol: IPFIX, NetFlow v9
 LEAST_LIMIT, MOST_LIMIT = 512, 65_535
-MOST_NAME = 64          # octets of a name
-NARROW = 2 ** 32        # octets beyond which a counter of reduced size does not do (RFC 7011, 6.2)
-WRAP = 2 ** 32
+MOST_NAME = 64  # octets of a name
+NARROW = 2**32  # octets beyond which a counter of reduced size does not do (RFC 7011, 6.2)
+WRAP = 2**32
 SIZES = {1: "B", 2: "H", 4: "I", 8: "Q", 16: "16s"}
-V9_SYSTEM = 1           # NetFlow v9's scope of the whole exporter
+V9_SYSTEM = 1  # NetFlow v9's scope of the whole exporter
 
 # Template ids. Data records of a flow: by family, and narrow or wide octets.
 FLOW_4, FLOW_4_WIDE, FLOW_6, FLOW_6_WIDE, GATHERED, STATISTICS, TYPES = range(256, 263)
@@ -43,9 +43,13 @@
         self.number, self.fields, self.scope = number, fields, scope
         fixed = [field.length for field in fields if field.length != VARIABLE]
         self.strings = len(fields) - len(fixed)
-        self.fixed = Struct("!" + "".join(
-            "4s" if length == 4 and "IPv4" in field.name else SIZES[length]
-            for field, length in zip(fields, fixed)))
+        self.fixed = Struct(
+            "!"
+            + "".join(
+                "4s" if length == 4 and "IPv4" in field.name else SIZES[length]
+                for field, length in zip(fields, fixed)
+            )
+        )
 
     def record(self, values: Iterable[Any], strings: Iterable[bytes] = ()) -> bytes:
         data = self.fixed.pack(*values)
@@ -57,12 +61,18 @@
 
     def definition(self, v9: bool) -> bytes:
         """The template record itself."""
-        fields = b"".join(_specifier(field, v9, n < self.scope) for n, field in enumerate(self.fields))
+        fields = b"".join(
+            _specifier(field, v9, n < self.scope) for n, field in enumerate(self.fields)
+        )
         if not self.scope:
             return SET_HEADER.pack(self.number, len(self.fields)) + fields
-        if v9:      # lengths in octets, not counts
-            return Struct("!HHH").pack(self.number, 4 * self.scope,
-                                       4 * (len(self.fields) - self.scope)) + fields
+        if v9:  # lengths in octets, not counts
+            return (
+                Struct("!HHH").pack(
+                    self.number, 4 * self.scope, 4 * (len(self.fields) - self.scope)
+                )
+                + fields
+            )
         return Struct("!HHH").pack(self.number, len(self.fields), self.scope) + fields
 
 
@@ -97,47 +107,84 @@
         times = max(delta.first - up_since, 0) % WRAP, max(delta.last - up_since, 0) % WRAP
         if not delta.family:
             return GATHERED, self.templates[GATHERED].record(
-                (delta.side, *times, delta.forward, delta.reverse, min(delta.flows, WRAP - 1)))
+                (delta.side, *times, delta.forward, delta.reverse, min(delta.flows, WRAP - 1))
+            )
         number = FLOW_4 if delta.family == 4 else FLOW_6
         return number, self.templates[number].record(
-            (delta.source, delta.target, delta.source_port, delta.target_port, TCP, delta.side, delta.reason,
-             *times,
-             delta.forward, delta.reverse))
+            (
+                delta.source,
+                delta.target,
+                delta.source_port,
+                delta.target_port,
+                TCP,
+                delta.side,
+                delta.reason,
+                *times,
+                delta.forward,
+                delta.reverse,
+            )
+        )
 
     def _biflow(self, delta: Delta) -> tuple[int, bytes]:
         names = self.gateway, _name(delta.engine), _name(delta.hall)
         if not delta.family:
             return GATHERED, self.templates[GATHERED].record(
-                (delta.side, delta.first, delta.last, delta.forward, delta.reverse, delta.flows), names)
+                (delta.side, delta.first, delta.last, delta.forward, delta.reverse, delta.flows),
+                names,
+            )
         number = _flow_number(delta.family, delta.forward, delta.reverse)
         return number, self.templates[number].record(
-            (delta.source, delta.target, delta.source_port, delta.target_port, TCP, delta.side, delta.reason,
-             delta.first, delta.last, delta.forward, delta.reverse), names)
+            (
+                delta.source,
+                delta.target,
+                delta.source_port,
+                delta.target_port,
+                TCP,
+                delta.side,
+                delta.reason,
+                delta.first,
+                delta.last,
+                delta.forward,
+                delta.reverse,
+            ),
+            names,
+        )
 
     def _one_way(self, delta: Delta, back: bool) -> tuple[int, bytes]:
         octets, side = (delta.reverse, 1 - delta.side) if back else (delta.forward, delta.side)
         if not delta.family:
             return GATHERED, self.templates[GATHERED].record(
-                (side, delta.first, delta.last, octets, 0 if back else delta.flows))
+                (side, delta.first, delta.last, octets, 0 if back else delta.flows)
+            )
         ends = delta.source, delta.target, delta.source_port, delta.target_port
         if back:
             ends = delta.target, delta.source, delta.target_port, delta.source_port
         number = _flow_number(delta.family, octets)
         return number, self.templates[number].record(
-            (*ends, TCP, side, delta.reason, delta.first, delta.last, octets))
+            (*ends, TCP, side, delta.reason, delta.first, delta.last, octets)
+        )
 
     def statistics(self, domain: int, said: dict[str, int]) -> bytes:
         template = self.templates[STATISTICS]
-        return template.record([domain] + [
-            min(said[field.name], 2 ** (8 * field.length) - 1) for field in template.fields[1:]])
+        return template.record(
+            [domain]
+            + [min(said[field.name], 2 ** (8 * field.length) - 1) for field in template.fields[1:]]
+        )
 
     def types(self) -> list[bytes]:
         """What our own elements are (RFC 5610)."""
         template = self.templates.get(TYPES)
-        return [] if template is None else [template.record(
-            (OWN, element.number, element.data_type, element.semantics, element.units),
-            [element.name.encode()])
-            for element in OURS]
+        return (
+            []
+            if template is None
+            else [
+                template.record(
+                    (OWN, element.number, element.data_type, element.semantics, element.units),
+                    [element.name.encode()],
+                )
+                for element in OURS
+            ]
+        )
 
 
 def _name(text: str) -> bytes:
@@ -151,8 +198,11 @@
 
 
 def _templates(kind: str) -> Iterator[Template]:
-    names = [Field(name, VARIABLE) for name in ("gatewayName", "engineId",
-                                                "hallName")] if kind == OWN_LAYOUT else []
+    names = (
+        [Field(name, VARIABLE) for name in ("gatewayName", "engineId", "hallName")]
+        if kind == OWN_LAYOUT
+        else []
+    )
     times = [Field("flowStartMilliseconds", 8), Field("flowEndMilliseconds", 8)]
     if kind == NETFLOW9:
         times = [Field("flowStartSysUpTime", 4), Field("flowEndSysUpTime", 4)]
@@ -161,10 +211,19 @@
         back = {OWN_LAYOUT: "reverseOctetDeltaCount", NETFLOW9: "postOctetDeltaCount"}.get(kind)
         return [Field("octetDeltaCount", size)] + ([Field(back, size)] if back else [])
 
-    for family, length, numbers in ("IPv4", 4, (FLOW_4, FLOW_4_WIDE)), ("IPv6", 16, (FLOW_6, FLOW_6_WIDE)):
-        ends = [Field(f"source{family}Address", length), Field(f"destination{family}Address", length),
-                Field("sourceTransportPort", 2), Field("destinationTransportPort", 2),
-                Field("protocolIdentifier", 1), Field("flowDirection", 1), Field("flowEndReason", 1)]
+    for family, length, numbers in (
+        ("IPv4", 4, (FLOW_4, FLOW_4_WIDE)),
+        ("IPv6", 16, (FLOW_6, FLOW_6_WIDE)),
+    ):
+        ends = [
+            Field(f"source{family}Address", length),
+            Field(f"destination{family}Address", length),
+            Field("sourceTransportPort", 2),
+            Field("destinationTransportPort", 2),
+            Field("protocolIdentifier", 1),
+            Field("flowDirection", 1),
+            Field("flowEndReason", 1),
+        ]
         if kind == NETFLOW9:
             yield Template(numbers[0], ends + times + octets(8))
         else:
@@ -172,17 +231,37 @@
                 yield Template(number, ends + times + octets(size) + names)
     flows = Field("deltaFlowCount", 4 if kind == NETFLOW9 else 8)
     yield Template(GATHERED, [Field("flowDirection", 1), *times, *octets(8), flows, *names])
-    told = ["exportedOctetTotalCount", "exportedMessageTotalCount", "exportedFlowRecordTotalCount",
-            "notSentFlowTotalCount", "notSentOctetTotalCount"]
+    told = [
+        "exportedOctetTotalCount",
+        "exportedMessageTotalCount",
+        "exportedFlowRecordTotalCount",
+        "notSentFlowTotalCount",
+        "notSentOctetTotalCount",
+    ]
     if kind == OWN_LAYOUT:
-        told += ["measuredOctetTotalCount", "heldOctetCount", "mergedFlowTotalCount", "unsureOctetTotalCount",
-                 "repeatedOctetTotalCount"]
-        yield Template(TYPES, [
-            Field("privateEnterpriseNumber", 4), Field("informationElementId", 2),
-            Field("informationElementDataType", 1), Field("informationElementSemantics", 1),
-            Field("informationElementUnits", 2), Field("informationElementName", VARIABLE)], 2)
+        told += [
+            "measuredOctetTotalCount",
+            "heldOctetCount",
+            "mergedFlowTotalCount",
+            "unsureOctetTotalCount",
+            "repeatedOctetTotalCount",
+        ]
+        yield Template(
+            TYPES,
+            [
+                Field("privateEnterpriseNumber", 4),
+                Field("informationElementId", 2),
+                Field("informationElementDataType", 1),
+                Field("informationElementSemantics", 1),
+                Field("informationElementUnits", 2),
+                Field("informationElementName", VARIABLE),
+            ],
+            2,
+        )
     size = 4 if kind == NETFLOW9 else 8
-    yield Template(STATISTICS, [Field("observationDomainId", 4), *(Field(name, size) for name in told)], 1)
+    yield Template(
+        STATISTICS, [Field("observationDomainId", 4), *(Field(name, size) for name in told)], 1
+    )
 
 
 class Message:
@@ -192,7 +271,7 @@
         self.v9, self.limit = v9, limit
         self.size = (V9_HEADER if v9 else IPFIX_HEADER).size
         self.sets: dict[int, list[bytes]] = {}
-        self.count = 0          # data records in it
+        self.count = 0  # data records in it
 
     def add(self, number: int, record: bytes) -> bool:
         """Put a record of a template (or a template, into its set); False where the limit does not let it."""
@@ -201,7 +280,7 @@
             return False
         if fresh:
             self.sets[number] = []
-            self.size += SET_HEADER.size + 3    # of padding at most
+            self.size += SET_HEADER.size + 3  # of padding at most
         self.sets[number].append(record)
         self.size += len(record)
         self.count += number >= 256
@@ -213,13 +292,34 @@
         for number, records in self.sets.items():
             joined = b"".join(records)
             padding = -len(joined) % 4
-            body += SET_HEADER.pack(number, SET_HEADER.size + len(joined) + padding) + joined + bytes(padding)
+            body += (
+                SET_HEADER.pack(number, SET_HEADER.size + len(joined) + padding)
+                + joined
+                + bytes(padding)
+            )
         if self.v9:
             count = sum(map(len, self.sets.values()))
-            return V9_HEADER.pack(V9_VERSION, count, max(now - up_since, 0) % WRAP, now // 1000 % WRAP,
-                                  sequence % WRAP, domain) + body
-        return IPFIX_HEADER.pack(IPFIX_VERSION, IPFIX_HEADER.size + len(body), now // 1000 % WRAP,
-                                 sequence % WRAP, domain) + body
+            return (
+                V9_HEADER.pack(
+                    V9_VERSION,
+                    count,
+                    max(now - up_since, 0) % WRAP,
+                    now // 1000 % WRAP,
+                    sequence % WRAP,
+                    domain,
+                )
+                + body
+            )
+        return (
+            IPFIX_HEADER.pack(
+                IPFIX_VERSION,
+                IPFIX_HEADER.size + len(body),
+                now // 1000 % WRAP,
+                sequence % WRAP,
+                domain,
+            )
+            + body
+        )
 
 
 def template_set(template: Template, v9: bool) -> int:
--- a/corkgauge/flow/decoder.py
+++ b/corkgauge/flow/decoder.py
@@ -22,7 +22,7 @@
     Element,
 )
 
-MOST_TEMPLATES = 1000   # of all domains
+MOST_TEMPLATES = 1000  # of all domains
 MOST_TYPES = 1000
 MOST_RECORDS = 65_535
 FIELD, ENTERPRISE, OPTIONS = Struct("!HH"), Struct("!I"), Struct("!HHH")
@@ -34,8 +34,8 @@
 
 @dataclass(slots=True)
 class Template:
-    fields: list[tuple[int, int, int]]      # enterprise, number, length
-    scope: int = 0                          # so many are scope; 0: of data records
+    fields: list[tuple[int, int, int]]  # enterprise, number, length
+    scope: int = 0  # so many are scope; 0: of data records
     v9: bool = False
 
     @property
@@ -51,13 +51,13 @@
     version: int
     domain: int
     sequence: int
-    exported: int                           # seconds
-    uptime: int                             # NetFlow v9: milliseconds since the exporter began
-    records: list[dict[str, Any]] = field(default_factory=list)     # of flows, by names
+    exported: int  # seconds
+    uptime: int  # NetFlow v9: milliseconds since the exporter began
+    records: list[dict[str, Any]] = field(default_factory=list)  # of flows, by names
     options: list[dict[str, Any]] = field(default_factory=list)
     templates: int = 0
-    unknown: int = 0                        # sets whose template was never told
-    missed: int = 0                         # by the sequence: data records (IPFIX) or messages (NetFlow v9)
+    unknown: int = 0  # sets whose template was never told
+    missed: int = 0  # by the sequence: data records (IPFIX) or messages (NetFlow v9)
 
 
 class Decoder:
@@ -90,22 +90,22 @@
             number, length = SET_HEADER.unpack_from(data, at)
             if length < SET_HEADER.size or at + length > len(data):
                 raise Malformed(f"a set of {length} octets at {at}")
-            counted += self._set(heard, number, data[at + SET_HEADER.size:at + length])
+            counted += self._set(heard, number, data[at + SET_HEADER.size : at + length])
             at += length
         if version == V9_VERSION and not heard.unknown and counted != count:
             raise Malformed(f"{counted} records in a message that says {count}")
         step = 1 if version == V9_VERSION else len(heard.records) + len(heard.options)
         if heard.unknown and version == IPFIX_VERSION:
-            self.expected.pop(domain, None)     # how many records those sets held is not known
+            self.expected.pop(domain, None)  # how many records those sets held is not known
         else:
-            self.expected[domain] = (sequence + step) % 2 ** 32
+            self.expected[domain] = (sequence + step) % 2**32
             if len(self.expected) > MOST_TEMPLATES:
                 del self.expected[next(iter(self.expected))]
         return heard
 
     def _sequence(self, heard: Heard) -> None:
-        gap = (heard.sequence - self.expected.get(heard.domain, heard.sequence)) % 2 ** 32
-        heard.missed = gap if gap < 2 ** 31 else 0     # far behind: a new start, or out of order
+        gap = (heard.sequence - self.expected.get(heard.domain, heard.sequence)) % 2**32
+        heard.missed = gap if gap < 2**31 else 0  # far behind: a new start, or out of order
 
     def _set(self, heard: Heard, number: int, body: bytes) -> int:
         """How many records it holds."""
@@ -129,7 +129,7 @@
         while len(body) - at >= 4:
             number, fields = SET_HEADER.unpack_from(body, at)
             if not number and not any(body[at:]):
-                break       # padding
+                break  # padding
             at += 4
             if not fields:
                 self._withdrawn(heard.domain, number, 2, v9)
@@ -158,9 +158,11 @@
             else:
                 scope, fields = second, first
             if not 0 < scope <= fields:
-                raise Malformed(f"options template {number} with {scope} of {fields} fields as scope")
+                raise Malformed(
+                    f"options template {number} with {scope} of {fields} fields as scope"
+                )
             found, at = self._fields(body, at, fields, v9)
-            if v9:      # scopes have numbers of their own; of those only the exporter's is used here
+            if v9:  # scopes have numbers of their own; of those only the exporter's is used here
                 found[:scope] = [(0, 149, length) for _, _, length in found[:scope]]
             self._learn(heard, number, Template(found, scope, v9))
             count += 1
@@ -170,7 +172,9 @@
         self._padding(body, at)
         return count
 
-    def _fields(self, body: bytes, at: int, count: int, v9: bool) -> tuple[list[tuple[int, int, int]], int]:
+    def _fields(
+        self, body: bytes, at: int, count: int, v9: bool
+    ) -> tuple[list[tuple[int, int, int]], int]:
         found = []
         for _ in range(count):
             if at + 4 > len(body):
@@ -180,7 +184,7 @@
             if number & 0x8000 and not v9:
                 if at + 4 > len(body):
                     raise Malformed("a template cut short")
-                enterprise, number = ENTERPRISE.unpack_from(body, at)[0], number & 0x7fff
+                enterprise, number = ENTERPRISE.unpack_from(body, at)[0], number & 0x7FFF
                 at += 4
             if not length or (length == VARIABLE and v9):
                 raise Malformed(f"element {enterprise}/{number} of length {length}")
@@ -199,9 +203,12 @@
     def _withdrawn(self, domain: int, number: int, set_: int, v9: bool) -> None:
         if v9:
             raise Malformed(f"template {number} without fields")
-        if number == set_:      # all of its sort
-            gone = [key for key, each in self.templates.items() if key[0] == domain
-                    and bool(each.scope) == (set_ == 3)]
+        if number == set_:  # all of its sort
+            gone = [
+                key
+                for key, each in self.templates.items()
+                if key[0] == domain and bool(each.scope) == (set_ == 3)
+            ]
         elif number < 256:
             raise Malformed(f"template {number}")
         else:
@@ -233,7 +240,7 @@
         for enterprise, number, length in template.fields:
             if length == VARIABLE:
                 length, at = self._length(body, at)
-            value = body[at:at + length]
+            value = body[at : at + length]
             if len(value) != length:
                 raise Malformed(f"a record cut short at {at}")
             at += length
@@ -249,18 +256,23 @@
             return body[at], at + 1
         if at + 3 > len(body):
             raise Malformed(f"a record cut short at {at}")
-        return int.from_bytes(body[at + 1:at + 3], "big"), at + 3
+        return int.from_bytes(body[at + 1 : at + 3], "big"), at + 3
 
     def _type(self, record: dict[str, Any]) -> None:
         """An element of an enterprise, as RFC 5610 tells it."""
         try:
-            key = record["privateEnterpriseNumber"], record["informationElementId"] & 0x7fff
+            key = record["privateEnterpriseNumber"], record["informationElementId"] & 0x7FFF
             kind = DATA_TYPES.get(record["informationElementDataType"], "")
             name = record["informationElementName"]
         except (KeyError, TypeError):
             return
-        if key[0] and key not in KNOWN and isinstance(name, str) and name.isalnum() and (
-                key in self.types or len(self.types) < MOST_TYPES):
+        if (
+            key[0]
+            and key not in KNOWN
+            and isinstance(name, str)
+            and name.isalnum()
+            and (key in self.types or len(self.types) < MOST_TYPES)
+        ):
             self.types[key] = Element(name, key[1], kind, key[0])
 
 
--- a/corkgauge/flow/delta.py
+++ b/corkgauge/flow/delta.py
@@ -14,7 +14,7 @@
     6, or 0 where several flows are told of in one record, without addresses; then `flows` counts them."""
 
     flow: int
-    side: int               # INGRESS: a client's connection; EGRESS: one to an engine
+    side: int  # INGRESS: a client's connection; EGRESS: one to an engine
     family: int
     source: bytes
     source_port: int
@@ -35,7 +35,7 @@
 
     @property
     def ended(self) -> bool:
-        return self.reason != 2     # active timeout: it goes on
+        return self.reason != 2  # active timeout: it goes on
 
     def merge(self, later: "Delta") -> None:
         """One record for both; nothing of the octets is lost."""
@@ -46,6 +46,20 @@
 
     def gathered(self) -> "Delta":
         """Of the same octets, without what tells it from others of its hall and engine."""
-        return Delta(0, self.side, 0, b"", 0, b"", 0, self.engine, self.hall, self.first, self.last,
-                     self.forward,
-                     self.reverse, LACK, self.flows)
+        return Delta(
+            0,
+            self.side,
+            0,
+            b"",
+            0,
+            b"",
+            0,
+            self.engine,
+            self.hall,
+            self.first,
+            self.last,
+            self.forward,
+            self.reverse,
+            LACK,
+            self.flows,
+        )
--- a/corkgauge/flow/exporter.py
+++ b/corkgauge/flow/exporter.py
@@ -19,7 +19,7 @@
 from corkgauge.flow.transports import Datagrams, Stream
 from corkgauge.operator import Collector, Flows
 
-TICK = 500              # tenths of a millisecond
+TICK = 500  # tenths of a millisecond
 # Why a connection ended by itself, and not by us.
 BY_ITSELF = "closed", "Connection reset by peer", "Broken pipe", "broken"
 
@@ -29,11 +29,17 @@
     is well; or, in mode `all`, each collector has one of its own."""
 
     def __init__(self, house: Any, gateway: str, seed: int, said: Flows) -> None:
-        self.house, self.hub, self.gateway, self.seed, self.said = house, house.hub, gateway, seed, said
+        self.house, self.hub, self.gateway, self.seed, self.said = (
+            house,
+            house.hub,
+            gateway,
+            seed,
+            said,
+        )
         self.began = self.hub.now
-        self.domain = crc32(gateway.encode())   # the same after each restart
+        self.domain = crc32(gateway.encode())  # the same after each restart
         self.flows: dict[Any, Flow] = {}
-        self.peers: dict[Peer, tuple[Collector, Any]] = {}      # with its TLS context
+        self.peers: dict[Peer, tuple[Collector, Any]] = {}  # with its TLS context
         self.lines: dict[Peer, Any] = {}
         self.keepers: dict[str, Keeper] = {}
         self.meter = Meter(self._told, said.active, said.idle, self.hub.now)
@@ -46,7 +52,9 @@
 
     def up(self, link: Any, side: int, engine: str = "", hall: str = "") -> None:
         """A connection: a client's, or one to an engine."""
-        self.flows[link] = self.meter.up(link, side, ends_of(link.sock, side), engine, hall, self.hub.now)
+        self.flows[link] = self.meter.up(
+            link, side, ends_of(link.sock, side), engine, hall, self.hub.now
+        )
 
     def over(self, link: Any) -> None:
         if flow := self.flows.pop(link, None):
@@ -81,11 +89,13 @@
         for name, keeper in self.keepers.items():
             keeper.part(self.hub.now)
             if keeper.held.octets:
-                self.house.log(f"collector {name}: {keeper.held.octets} octets were held at the end")
+                self.house.log(
+                    f"collector {name}: {keeper.held.octets} octets were held at the end"
+                )
 
     def _told(self, delta: Delta) -> None:
         first, *others = self.keepers.values()
-        for keeper in others:       # each merges its own
+        for keeper in others:  # each merges its own
             keeper.add(Delta(*(getattr(delta, name) for name in Delta.__slots__)))
         first.add(delta)
 
@@ -93,8 +103,10 @@
 
     def _contexts(self, said: Flows) -> list[Any]:
         try:
-            return [context_of(each.tls.ca, each.tls.certificate, each.tls.key) if each.tls else None
-                    for each in said.collectors]
+            return [
+                context_of(each.tls.ca, each.tls.certificate, each.tls.key) if each.tls else None
+                for each in said.collectors
+            ]
         except Untrusted as problem:
             raise Faulty(f"flows: {problem}") from None
 
@@ -103,8 +115,13 @@
         old, self.keepers = self.keepers, {}
         peers = []
         for each, context in zip(said.collectors, contexts):
-            peer = Peer("%s:%d" % each.address, each.transport == "udp", each.payload, each.refresh,
-                        each.refresh_after)
+            peer = Peer(
+                "%s:%d" % each.address,
+                each.transport == "udp",
+                each.payload,
+                each.refresh,
+                each.refresh_after,
+            )
             self.peers[peer] = each, context
             peers.append(peer)
         groups = {peer.name: [peer] for peer in peers} if said.mode == "all" else {"first": peers}
@@ -130,8 +147,14 @@
         if collector.transport == "udp":
             self.lines[peer] = Datagrams(self.hub, keeper, peer, collector.address)
         else:
-            self.lines[peer] = Stream(self.hub, keeper, peer, collector.address, context,
-                                      collector.tls.name if collector.tls else "")
+            self.lines[peer] = Stream(
+                self.hub,
+                keeper,
+                peer,
+                collector.address,
+                context,
+                collector.tls.name if collector.tls else "",
+            )
 
     def send(self, peer: Peer, data: bytes) -> bool:
         line = self.lines.get(peer)
@@ -154,22 +177,40 @@
         house = self.house
         carried = sum(row.got + row.sent for row in house.ledger.sides)
         carried += sum(got + sent for got, sent, _ in house.records.live_bytes())
-        found = [("flows measured", carried - self.meter.octets - self.meter.untold(),
-                  "octets of connections - measured - not yet told")]
+        found = [
+            (
+                "flows measured",
+                carried - self.meter.octets - self.meter.untold(),
+                "octets of connections - measured - not yet told",
+            )
+        ]
         for name, keeper in self.keepers.items():
-            found.append((f"flows to {name}", keeper.difference(), "measured - told - held - dropped"))
-            found.append((f"flows held for {name}", keeper.holding - keeper.recount(), "counted - recounted"))
+            found.append(
+                (f"flows to {name}", keeper.difference(), "measured - told - held - dropped")
+            )
+            found.append(
+                (f"flows held for {name}", keeper.holding - keeper.recount(), "counted - recounted")
+            )
         return found
 
     def told(self) -> dict[str, Any]:
         """For the cut."""
-        return {name: {"measured": keeper.held.measured, "told": keeper.told, "held": keeper.holding,
-                       "dropped": keeper.held.dropped, "unsure": keeper.unsure, "repeated": keeper.repeated,
-                       "merged": keeper.held.merged, "messages": keeper.messages,
-                       "records": keeper.told_records,
-                       "flows": len(self.meter.flows),
-                       "collectors": {peer.name: STATES[peer.state] for peer in keeper.peers}}
-                for name, keeper in self.keepers.items()}
+        return {
+            name: {
+                "measured": keeper.held.measured,
+                "told": keeper.told,
+                "held": keeper.holding,
+                "dropped": keeper.held.dropped,
+                "unsure": keeper.unsure,
+                "repeated": keeper.repeated,
+                "merged": keeper.held.merged,
+                "messages": keeper.messages,
+                "records": keeper.told_records,
+                "flows": len(self.meter.flows),
+                "collectors": {peer.name: STATES[peer.state] for peer in keeper.peers},
+            }
+            for name, keeper in self.keepers.items()
+        }
 
 
 def ends_of(sock: Any, side: int) -> tuple[int, bytes, int, bytes, int]:
--- a/corkgauge/flow/held.py
+++ b/corkgauge/flow/held.py
@@ -11,9 +11,9 @@
 
 from corkgauge.flow.delta import Delta
 
-RECORD = 480            # octets of memory that a delta takes, with its place in a table
+RECORD = 480  # octets of memory that a delta takes, with its place in a table
 LEAST = 16
-OTHERS = "(others)"     # engines of a hall, or halls, that are told of in one record
+OTHERS = "(others)"  # engines of a hall, or halls, that are told of in one record
 
 
 class Held:
@@ -24,10 +24,10 @@
 
     def __init__(self, memory: int) -> None:
         self.most = max(memory // RECORD, LEAST)
-        self.ended: dict[int, Delta] = {}       # by flow
+        self.ended: dict[int, Delta] = {}  # by flow
         self.live: dict[int, Delta] = {}
         self.gathered: dict[tuple[int, str, str], Delta] = {}
-        self.octets = 0                 # held here
+        self.octets = 0  # held here
         self.measured = self.dropped = self.dropped_flows = self.merged = 0
 
     def __len__(self) -> int:
@@ -55,7 +55,7 @@
     def _keep(self, delta: Delta) -> None:
         for table in self.ended, self.live:
             if before := table.pop(delta.flow, None):
-                if delta.first < before.first:      # given back after a later one had come
+                if delta.first < before.first:  # given back after a later one had come
                     before, delta = delta, before
                 before.merge(delta)
                 delta = before
--- a/corkgauge/flow/keeper.py
+++ b/corkgauge/flow/keeper.py
@@ -27,22 +27,24 @@
 SECOND = 10_000
 DOWN, OPENING, TRIAL, UP = range(4)
 STATES = "down", "opening", "trial", "up"
-TRIAL_TIME = 2_000      # between templates and first data
-SETTLED = 1_000         # that a datagram is under way: within it ICMP would have told
+TRIAL_TIME = 2_000  # between templates and first data
+SETTLED = 1_000  # that a datagram is under way: within it ICMP would have told
 OPEN_TIME = 3 * SECOND  # for a stream and its TLS to come up
-STALL = 5 * SECOND      # that a stream may take no octet
-LEAST_REST, MOST_REST = SECOND // 2, 60 * SECOND    # after a failure, doubled each time
-STEADY = 30 * SECOND    # up for so long, and its failures are forgotten
-LAST_TICK = 500         # of the last one
-PER_TICK = 6            # messages of one tick, so that a queue of minutes does not hold up the loop
-RECENT = 1024           # messages of a stream, remembered for what the system still holds of them
-TELL_EACH = 30 * SECOND # statistics of export
+STALL = 5 * SECOND  # that a stream may take no octet
+LEAST_REST, MOST_REST = SECOND // 2, 60 * SECOND  # after a failure, doubled each time
+STEADY = 30 * SECOND  # up for so long, and its failures are forgotten
+LAST_TICK = 500  # of the last one
+PER_TICK = 6  # messages of one tick, so that a queue of minutes does not hold up the loop
+RECENT = 1024  # messages of a stream, remembered for what the system still holds of them
+TELL_EACH = 30 * SECOND  # statistics of export
 
 
 class Peer:
     """One collector, and what is under way to it."""
 
-    def __init__(self, name: str, datagrams: bool, limit: int, refresh: int, refresh_after: int) -> None:
+    def __init__(
+        self, name: str, datagrams: bool, limit: int, refresh: int, refresh_after: int
+    ) -> None:
         self.name, self.datagrams, self.limit = name, datagrams, limit
         # templates again: each time, each so many messages
         self.refresh, self.refresh_after = refresh, refresh_after
@@ -50,9 +52,11 @@
         self.session: Session | None = None
         # Under way: when, where it ends in the stream, what it told of.
         self.window = deque[tuple[int, int, list[Delta]]]()
-        self.put = self.written = self.moved = 0    # octets of the stream; when it last took one
-        self.recent = deque[tuple[int, int]](maxlen=RECENT)    # of a stream: messages told, where each ended
-        self.octets = 0         # of flows, under way
+        self.put = self.written = self.moved = 0  # octets of the stream; when it last took one
+        self.recent = deque[tuple[int, int]](
+            maxlen=RECENT
+        )  # of a stream: messages told, where each ended
+        self.octets = 0  # of flows, under way
         self.why = ""
 
 
@@ -68,13 +72,27 @@
 class Keeper:
     """Keeps one queue of deltas told to the first of its peers that is well."""
 
-    def __init__(self, host: Host, layout: Layout, domain: int, peers: list[Peer], held: Held, seed: int,
-                 now: int) -> None:
-        self.host, self.layout, self.domain, self.peers, self.held = host, layout, domain, peers, held
+    def __init__(
+        self,
+        host: Host,
+        layout: Layout,
+        domain: int,
+        peers: list[Peer],
+        held: Held,
+        seed: int,
+        now: int,
+    ) -> None:
+        self.host, self.layout, self.domain, self.peers, self.held = (
+            host,
+            layout,
+            domain,
+            peers,
+            held,
+        )
         self.seed, self.drawn, self.began, self.active = seed, 0, now, None
         self.told = self.told_records = self.messages = self.bytes = 0
         self.unsure = self.repeated = 0
-        self.told_at = now      # statistics, the last time
+        self.told_at = now  # statistics, the last time
 
     # What can happen.
 
@@ -202,15 +220,17 @@
         """Doubled each time, a quarter more or less, by the seed. Danger: gateways that lost one collector at
         the same moment would come back to it at the same moment."""
         self.drawn += 1
-        part = crc32(pack("<QQ", self.seed, self.drawn)) / 2 ** 32
+        part = crc32(pack("<QQ", self.seed, self.drawn)) / 2**32
         return int(min(LEAST_REST * 2 ** min(failures - 1, 16), MOST_REST) * (0.75 + part / 2))
 
     # What it is told.
 
     def _tell(self, peer: Peer, now: int, most: int = PER_TICK) -> None:
         session = peer.session
-        if peer.datagrams and (now >= 10 * session.introduced + peer.refresh
-                               or session.since_then >= peer.refresh_after):
+        if peer.datagrams and (
+            now >= 10 * session.introduced + peer.refresh
+            or session.since_then >= peer.refresh_after
+        ):
             self._introduce(peer, now)
         elif now >= self.told_at + TELL_EACH:
             self.told_at = now
@@ -236,7 +256,7 @@
             peer.session.unsent()
             return False
         if peer.put == peer.written:
-            peer.moved = now    # it had nothing to take until now
+            peer.moved = now  # it had nothing to take until now
         peer.put += len(data)
         peer.octets += sum(delta.octets for delta in told)
         peer.window.append((now, peer.put, told))
@@ -267,12 +287,18 @@
 
     def statistics(self) -> dict[str, int]:
         held = self.held
-        return {"exportedOctetTotalCount": self.bytes, "exportedMessageTotalCount": self.messages,
-                "exportedFlowRecordTotalCount": self.told_records,
-                "notSentFlowTotalCount": held.dropped_flows,
-                "notSentOctetTotalCount": held.dropped, "measuredOctetTotalCount": held.measured,
-                "heldOctetCount": self.holding, "mergedFlowTotalCount": held.merged,
-                "unsureOctetTotalCount": self.unsure, "repeatedOctetTotalCount": self.repeated}
+        return {
+            "exportedOctetTotalCount": self.bytes,
+            "exportedMessageTotalCount": self.messages,
+            "exportedFlowRecordTotalCount": self.told_records,
+            "notSentFlowTotalCount": held.dropped_flows,
+            "notSentOctetTotalCount": held.dropped,
+            "measuredOctetTotalCount": held.measured,
+            "heldOctetCount": self.holding,
+            "mergedFlowTotalCount": held.merged,
+            "unsureOctetTotalCount": self.unsure,
+            "repeatedOctetTotalCount": self.repeated,
+        }
 
     def difference(self) -> int:
         """Octets measured that are neither told, held nor dropped; nothing else is right but 0."""
--- a/corkgauge/flow/meter.py
+++ b/corkgauge/flow/meter.py
@@ -12,18 +12,37 @@
 from corkgauge.flow.elements import ACTIVE, IDLE, INGRESS
 from corkgauge.flow.wheel import Wheel
 
-AT_ONCE = 500           # flows of one call
-SLOTS, SLOT = 512, 1_250    # 64 s in slots of an eighth of a second
+AT_ONCE = 500  # flows of one call
+SLOTS, SLOT = 512, 1_250  # 64 s in slots of an eighth of a second
 
 
 class Flow:
     """One connection; `link` has `got` and `sent`, which only grow."""
 
-    __slots__ = ("link", "side", "ends", "engine", "hall", "number", "begun", "told_got", "told_sent",
-                 "seen", "due")
-
-    def __init__(self, link: Any, side: int, ends: tuple[int, bytes, int, bytes, int], engine: str, hall: str,
-                 number: int, now: int) -> None:
+    __slots__ = (
+        "link",
+        "side",
+        "ends",
+        "engine",
+        "hall",
+        "number",
+        "begun",
+        "told_got",
+        "told_sent",
+        "seen",
+        "due",
+    )
+
+    def __init__(
+        self,
+        link: Any,
+        side: int,
+        ends: tuple[int, bytes, int, bytes, int],
+        engine: str,
+        hall: str,
+        number: int,
+        now: int,
+    ) -> None:
         self.link, self.side, self.ends, self.engine, self.hall = link, side, ends, engine, hall
         self.number, self.begun = number, now
         self.told_got = self.told_sent = self.seen = self.due = 0
@@ -39,10 +58,17 @@
         self.walk: Iterator[Flow] = iter(())
         self.flows: dict[Flow, None] = {}
         self.serial = 0
-        self.records = self.octets = 0      # measured: made records, and what they tell
-
-    def up(self, link: Any, side: int, ends: tuple[int, bytes, int, bytes, int], engine: str, hall: str,
-           now: int) -> Flow:
+        self.records = self.octets = 0  # measured: made records, and what they tell
+
+    def up(
+        self,
+        link: Any,
+        side: int,
+        ends: tuple[int, bytes, int, bytes, int],
+        engine: str,
+        hall: str,
+        now: int,
+    ) -> Flow:
         """A connection. `ends` are family, the initiator's address and port, the other's address and port."""
         self.serial += 1
         flow = Flow(link, side, ends, engine, hall, self.serial, now)
@@ -75,13 +101,15 @@
         elif moved == flow.seen and moved > flow.told_got + flow.told_sent:
             self._tell(flow, IDLE, now)
             self.serial += 1
-            flow.number = self.serial       # what comes later is another flow
+            flow.number = self.serial  # what comes later is another flow
         flow.seen = moved
         self.wheel.put(flow, min(now + self.idle, max(flow.begun + self.active, now + 1)))
 
     def untold(self) -> int:
         """Octets that no record tells yet."""
-        return sum(flow.link.got + flow.link.sent - flow.told_got - flow.told_sent for flow in self.flows)
+        return sum(
+            flow.link.got + flow.link.sent - flow.told_got - flow.told_sent for flow in self.flows
+        )
 
     def _tell(self, flow: Flow, reason: int, now: int) -> None:
         got, sent = flow.link.got - flow.told_got, flow.link.sent - flow.told_sent
@@ -94,5 +122,21 @@
         family, source, source_port, target, target_port = flow.ends
         # Initiators of connections to us are clients; to engines we are.
         forward, reverse = (got, sent) if flow.side == INGRESS else (sent, got)
-        self.told(Delta(flow.number, flow.side, family, source, source_port, target, target_port, flow.engine,
-                        flow.hall, first // 10, now // 10, forward, reverse, reason))
+        self.told(
+            Delta(
+                flow.number,
+                flow.side,
+                family,
+                source,
+                source_port,
+                target,
+                target_port,
+                flow.engine,
+                flow.hall,
+                first // 10,
+                now // 10,
+                forward,
+                reverse,
+                reason,
+            )
+        )
--- a/corkgauge/flow/rows.py
+++ b/corkgauge/flow/rows.py
@@ -10,8 +10,23 @@
 from corkgauge.flow.decoder import Heard
 from corkgauge.flow.elements import EGRESS
 
-COLUMNS = ("gateway", "domain", "side", "source", "source_port", "target", "target_port", "engine", "hall",
-           "first_ms", "last_ms", "forward", "reverse", "reason", "flows")
+COLUMNS = (
+    "gateway",
+    "domain",
+    "side",
+    "source",
+    "source_port",
+    "target",
+    "target_port",
+    "engine",
+    "hall",
+    "first_ms",
+    "last_ms",
+    "forward",
+    "reverse",
+    "reason",
+    "flows",
+)
 REASONS = {1: "idle", 2: "active", 3: "ended", 4: "forced", 5: "merged"}
 MINUTE = 60_000
 Row = dict[str, Any]
@@ -24,22 +39,36 @@
         if "flowStartSysUpTime" in record:
             first, last = (began + record[f"flow{end}SysUpTime"] for end in ("Start", "End"))
         else:
-            first, last = record.get("flowStartMilliseconds", 0), record.get("flowEndMilliseconds", 0)
-        addresses = {end: record.get(f"{end}IPv4Address") or record.get(f"{end}IPv6Address") or ""
-                     for end in ("source", "destination")}
+            first, last = (
+                record.get("flowStartMilliseconds", 0),
+                record.get("flowEndMilliseconds", 0),
+            )
+        addresses = {
+            end: record.get(f"{end}IPv4Address") or record.get(f"{end}IPv6Address") or ""
+            for end in ("source", "destination")
+        }
         yield {
-            "gateway": record.get("gatewayName", ""), "domain": heard.domain,
+            "gateway": record.get("gatewayName", ""),
+            "domain": heard.domain,
             "side": "engine" if record.get("flowDirection") == EGRESS else "client",
-            "source": addresses["source"], "source_port": record.get("sourceTransportPort", 0),
-            "target": addresses["destination"], "target_port": record.get("destinationTransportPort", 0),
-            "engine": record.get("engineId", ""), "hall": record.get("hallName", ""), "first_ms": first,
-            "last_ms": last, "forward": record.get("octetDeltaCount", 0),
+            "source": addresses["source"],
+            "source_port": record.get("sourceTransportPort", 0),
+            "target": addresses["destination"],
+            "target_port": record.get("destinationTransportPort", 0),
+            "engine": record.get("engineId", ""),
+            "hall": record.get("hallName", ""),
+            "first_ms": first,
+            "last_ms": last,
+            "forward": record.get("octetDeltaCount", 0),
             "reverse": record.get("reverseOctetDeltaCount", record.get("postOctetDeltaCount", 0)),
             "reason": REASONS.get(record.get("flowEndReason", 5), "?"),
-            "flows": record.get("deltaFlowCount", 1)}
+            "flows": record.get("deltaFlowCount", 1),
+        }
 
 
-def by_minute(rows: Iterable[Row], span: int = MINUTE) -> dict[tuple[str, str], dict[int, tuple[int, int]]]:
+def by_minute(
+    rows: Iterable[Row], span: int = MINUTE
+) -> dict[tuple[str, str], dict[int, tuple[int, int]]]:
     """By hall and engine, then by the start of each span in ms: octets sent to engines, and got from them. A
     record's octets are spread evenly over its time. Engines without a name go by their address.
 
@@ -47,7 +76,9 @@
     ...             "forward": 100, "reverse": 10}])
     {('a', 'e1'): {0: (50, 5), 60000: (50, 5)}}
     """
-    sums: dict[tuple[str, str], dict[int, list[float]]] = defaultdict(lambda: defaultdict(lambda: [0.0, 0.0]))
+    sums: dict[tuple[str, str], dict[int, list[float]]] = defaultdict(
+        lambda: defaultdict(lambda: [0.0, 0.0])
+    )
     for row in rows:
         if row["side"] != "engine":
             continue
@@ -57,5 +88,7 @@
             part = (min(last, begin + span) - max(first, begin)) / (last - first)
             whose[begin][0] += part * row["forward"]
             whose[begin][1] += part * row["reverse"]
-    return {key: {begin: (round(there), round(back)) for begin, (there, back) in sorted(spans.items())}
-            for key, spans in sorted(sums.items())}
+    return {
+        key: {begin: (round(there), round(back)) for begin, (there, back) in sorted(spans.items())}
+        for key, spans in sorted(sums.items())
+    }
--- a/corkgauge/flow/session.py
+++ b/corkgauge/flow/session.py
@@ -16,15 +16,17 @@
 
     def __init__(self, layout: Layout, domain: int, limit: int, up_since: int) -> None:
         self.layout, self.domain, self.limit, self.up_since = layout, domain, limit, up_since
-        self.sequence = self.before = 0     # of the next message; of the last one made
-        self.introduced = -1        # when the templates went out last
-        self.since_then = 0         # messages since
+        self.sequence = self.before = 0  # of the next message; of the last one made
+        self.introduced = -1  # when the templates went out last
+        self.since_then = 0  # messages since
 
     def introduction(self, now: int, statistics: dict[str, int]) -> list[bytes]:
         """Templates, what our elements are, and how export goes: first of all, and again on UDP."""
         layout, message, made = self.layout, Message(self.layout.v9, self.limit), list[Message]()
-        pieces = [(template_set(template, layout.v9), template.definition(layout.v9))
-                  for template in layout.templates.values()]
+        pieces = [
+            (template_set(template, layout.v9), template.definition(layout.v9))
+            for template in layout.templates.values()
+        ]
         pieces += [(TYPES, record) for record in layout.types()]
         pieces.append((STATISTICS, layout.statistics(self.domain, statistics)))
         for number, piece in pieces:
@@ -41,7 +43,9 @@
         message.add(STATISTICS, self.layout.statistics(self.domain, statistics))
         return self._finished(message, now)
 
-    def data(self, now: int, next_: Callable[[], Delta | None]) -> tuple[bytes, list[Delta], Delta | None]:
+    def data(
+        self, now: int, next_: Callable[[], Delta | None]
+    ) -> tuple[bytes, list[Delta], Delta | None]:
         """One message of as many deltas as fit, those, and the one that did not; `next_` gives the next one,
         or None. Any one fits an empty message."""
         message, told = Message(self.layout.v9, self.limit), list[Delta]()
--- a/corkgauge/flow/tls.py
+++ b/corkgauge/flow/tls.py
@@ -11,7 +11,7 @@
 from corkgauge.loop.ring import Allowance, Ring
 
 ROOM = 262_144
-RECORD = 17_408         # a TLS record and what its framing may add
+RECORD = 17_408  # a TLS record and what its framing may add
 
 
 class Untrusted(ValueError):
@@ -21,7 +21,7 @@
 def context_of(ca: str, certificate: str, key: str) -> ssl.SSLContext:
     """For collectors that `ca` vouches for; with a certificate of our own where one is named. Read at a start
     and at SIGHUP: a renewed one counts from the next connection on."""
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)   # names and certificates are checked
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # names and certificates are checked
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
         context.load_verify_locations(ca)
@@ -34,7 +34,9 @@
             raise Untrusted(f"{key}: {_why(problem)}") from None
         # Danger: whoever reads the key can pass for this gateway.
         if mode & 0o077:
-            raise Untrusted(f"{key}: expected a key that its owner alone may read, found {mode & 0o777:o}")
+            raise Untrusted(
+                f"{key}: expected a key that its owner alone may read, found {mode & 0o777:o}"
+            )
         try:
             context.load_cert_chain(certificate, key)
         except (OSError, ssl.SSLError) as problem:
@@ -49,7 +51,9 @@
 class TlsWire:
     """Calls its owner: `up()` once the other side is who it should be, `put(bytes)` for what goes out."""
 
-    def __init__(self, owner: Any, context: ssl.SSLContext, name: str, allowance: Allowance) -> None:
+    def __init__(
+        self, owner: Any, context: ssl.SSLContext, name: str, allowance: Allowance
+    ) -> None:
         self.owner, self.whole, self.shaken = owner, 0, False
         self.inward, self.outward = Ring(32_768, allowance), Ring(ROOM, allowance)
         self.came, self.goes = ssl.MemoryBIO(), ssl.MemoryBIO()
@@ -72,7 +76,7 @@
             if not self.shaken:
                 self.session.do_handshake()
                 self.shaken = True
-            while self.session.read(4096):      # a collector has nothing to say; its end is what counts
+            while self.session.read(4096):  # a collector has nothing to say; its end is what counts
                 pass
             return "closed"
         except ssl.SSLWantReadError:
--- a/corkgauge/flow/transports.py
+++ b/corkgauge/flow/transports.py
@@ -17,7 +17,7 @@
 from corkgauge.loop.link import Link, dial
 from corkgauge.loop.ring import Allowance, Ring
 
-ROOM = 131_072          # of a stream's messages that wait for the socket
+ROOM = 131_072  # of a stream's messages that wait for the socket
 
 
 class Datagrams:
@@ -25,7 +25,9 @@
 
     def __init__(self, hub: Hub, keeper: Keeper, peer: Peer, address: tuple[str, int]) -> None:
         self.hub, self.keeper, self.peer, self.closed = hub, keeper, peer, False
-        self.sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
+        self.sock = socket.socket(
+            socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM
+        )
         self.sock.setblocking(False)
         try:
             self.sock.connect(address)
@@ -45,7 +47,7 @@
             if self.closed:
                 break
             try:
-                self.sock.recv(2048)    # nothing that a collector says to us counts
+                self.sock.recv(2048)  # nothing that a collector says to us counts
             except BlockingIOError:
                 continue
             except OSError as problem:
@@ -95,12 +97,19 @@
 class Stream:
     """A TCP connection, plain or under TLS."""
 
-    def __init__(self, hub: Hub, keeper: Keeper, peer: Peer, address: tuple[str, int], context: Any = None,
-                 name: str = "") -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        keeper: Keeper,
+        peer: Peer,
+        address: tuple[str, int],
+        context: Any = None,
+        name: str = "",
+    ) -> None:
         self.hub, self.keeper, self.peer, self.address = hub, keeper, peer, address
         self.context, self.name, self.allowance = context, name, Allowance(4 * ROOM)
         self.link: Link | None = None
-        self.closed, self.put_whole = False, 0      # octets of whole messages, before any encryption
+        self.closed, self.put_whole = False, 0  # octets of whole messages, before any encryption
         # in the system's hands at the last look, and what was sent then
         self.queued, self.queued_at = 0, 0
         hub.spawn(self._run)
@@ -111,11 +120,14 @@
             return self._lost(why)
         if self.closed:
             return sock.close()
-        machine = TlsWire(self, self.context, self.name,
-                          self.allowance) if self.context else Deaf(self.allowance)
+        machine = (
+            TlsWire(self, self.context, self.name, self.allowance)
+            if self.context
+            else Deaf(self.allowance)
+        )
         self.link = Link(self.hub, sock, machine, self)
         if self.context:
-            machine.advance()       # says the first word
+            machine.advance()  # says the first word
         else:
             self.up()
         self.link.run()
--- a/corkgauge/flow/wheel.py
+++ b/corkgauge/flow/wheel.py
@@ -47,7 +47,7 @@
             # Danger: what is put again now must not land in the slot at hand; it would wait a whole turn.
             self.at = max(self.at, at)
             for entry in [entry for entry in slot if entry.due // self.span <= until]:
-                if slot.pop(entry, self) is None:   # not taken out meanwhile
+                if slot.pop(entry, self) is None:  # not taken out meanwhile
                     self.count -= 1
                     yield entry
         self.at = max(self.at, until)
--- a/corkgauge/loop/hub.py
+++ b/corkgauge/loop/hub.py
@@ -14,10 +14,10 @@
 
 from greenlet import getcurrent, greenlet
 
-SECOND = 10_000         # in tenths of a millisecond
+SECOND = 10_000  # in tenths of a millisecond
 READ, WRITE = select.POLLIN, select.POLLOUT
 BROKEN = select.POLLHUP | select.POLLERR | select.POLLNVAL
-GONE = select.POLLRDHUP     # the peer writes no more, whatever of it still lies unread
+GONE = select.POLLRDHUP  # the peer writes no more, whatever of it still lies unread
 
 
 def unix_time() -> int:
@@ -38,9 +38,10 @@
 class Hub:
     """Times are whole tenths of a millisecond. `clock` stands in for both clocks, in tests."""
 
-    def __init__(self, clock: Callable[[], int] | None = None,
-                 troubled: Callable[[], None] = lambda: None) -> None:
-        self.troubled = troubled    # called where an exception of a task or timer stops
+    def __init__(
+        self, clock: Callable[[], int] | None = None, troubled: Callable[[], None] = lambda: None
+    ) -> None:
+        self.troubled = troubled  # called where an exception of a task or timer stops
         self.clock, self.date = clock or Steady(), clock or unix_time
         self.now, self.stopped, self.worst_lag, self.serial = self.clock(), False, 0, 0
         # When this turn began, how long the one before took, and the longest but the first, which starts all.
@@ -51,7 +52,7 @@
         # Timers by the whole millisecond that follows them, as poll knows no finer time: far cheaper than a
         # heap of all, of which there are ten thousand and more.
         self.timers, self.slots = dict[int, list[tuple]](), list[int]()
-        self.unsent = list[Callable[[], None]]()    # what tasks leave to do for the end of their turn
+        self.unsent = list[Callable[[], None]]()  # what tasks leave to do for the end of their turn
         self.main = getcurrent()
 
     def tick(self) -> None:
@@ -148,7 +149,9 @@
 
     def _due(self) -> None:
         while self.slots and 10 * self.slots[0] <= self.now and not self.stopped:
-            for due, method, what in sorted(self.timers.pop(heappop(self.slots)), key=itemgetter(0)):
+            for due, method, what in sorted(
+                self.timers.pop(heappop(self.slots)), key=itemgetter(0)
+            ):
                 self.worst_lag = max(self.worst_lag, self.now - due)
                 self._guarded(method, what)
             self.tick()
@@ -167,5 +170,5 @@
     def _guarded(self, method: Callable[..., Any], what: tuple) -> None:
         try:
             method(*what)
-        except Exception:   # Danger: one broken call must not end what serves all others
+        except Exception:  # Danger: one broken call must not end what serves all others
             self.troubled()
--- a/corkgauge/loop/link.py
+++ b/corkgauge/loop/link.py
@@ -10,14 +10,14 @@
 
 from corkgauge.loop.hub import BROKEN, GONE, READ, WRITE, Hub
 
-ROUNDS = 2          # reads in a row, before others have their turn
+ROUNDS = 2  # reads in a row, before others have their turn
 MOST_READ = 16_384  # bytes of one
-STALLED = 500       # until a link that found no room in memory asks again
-FAREWELL = 10_000   # that a peer which is turned out has for reading why
-CROSSING = 500      # that what a peer had written before it saw our end may take; it is dropped
-MOST_LOOK = 8       # reads of one look at a peer that writes without end
-UNREAD = bytearray(65_536)      # where what it still sends goes, of all of them
-NEVER = 2 ** 62
+STALLED = 500  # until a link that found no room in memory asks again
+FAREWELL = 10_000  # that a peer which is turned out has for reading why
+CROSSING = 500  # that what a peer had written before it saw our end may take; it is dropped
+MOST_LOOK = 8  # reads of one look at a peer that writes without end
+UNREAD = bytearray(65_536)  # where what it still sends goes, of all of them
+NEVER = 2**62
 RETRY = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 
 
@@ -28,17 +28,30 @@
     `greets`, with the connection. A peer that `greets` is told why it is turned out: `parting(why)` first.
     """
 
-    def __init__(self, hub: Hub, sock: socket.socket, machine: Any, owner: Any, stuck: int = 0,
-                 greets: bool = False) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        sock: socket.socket,
+        machine: Any,
+        owner: Any,
+        stuck: int = 0,
+        greets: bool = False,
+    ) -> None:
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.hub, self.sock, self.machine, self.owner = hub, sock, machine, owner
-        self.fd, self.why, self.stuck = sock.fileno(), "", stuck   # that one frame may take; 0: any time
+        self.fd, self.why, self.stuck = (
+            sock.fileno(),
+            "",
+            stuck,
+        )  # that one frame may take; 0: any time
         self.greets, self.parting, self.since = greets, False, hub.now
         self.farewell, self.advancing = FAREWELL, False
-        self.put = self.sent = self.got = 0     # bytes, since it came up
-        self.blocked = self.unsent = False  # the socket takes no more; a write is due at the end of this turn
+        self.put = self.sent = self.got = 0  # bytes, since it came up
+        self.blocked = self.unsent = (
+            False  # the socket takes no more; a write is due at the end of this turn
+        )
         self.heard = self.wrote = hub.now
 
     def run(self) -> None:
@@ -81,7 +94,9 @@
             self.part("a frame that does not end" if len(ring) else "nothing said")
 
     def _unfinished(self) -> bool:
-        return bool(self.stuck) and (len(self.machine.inward) > 0 or (self.greets and not self.machine.whole))
+        return bool(self.stuck) and (
+            len(self.machine.inward) > 0 or (self.greets and not self.machine.whole)
+        )
 
     def look(self) -> bool:
         """Is the peer still there? What it has written by now is read first, so an owner that is about to act for it
@@ -89,12 +104,12 @@
         for _ in range(MOST_LOOK):
             if self.why or self.advancing:
                 break
-            events, = self.hub.look(self.fd)
+            (events,) = self.hub.look(self.fd)
             if events & (GONE | BROKEN):
                 self.end("closed")
             elif events & READ and self.machine.inward.free:
                 self._read(False)
-                if self.why:    # its task is parked, and ends it
+                if self.why:  # its task is parked, and ends it
                     self.hub.wake(self.fd)
             else:
                 break
@@ -111,14 +126,18 @@
             self.since = self.hub.now
 
     def _mask(self) -> int:
-        return (READ if self.machine.inward.free else 0) | (WRITE if self.blocked else 0) | (GONE if self.greets else 0)
+        return (
+            (READ if self.machine.inward.free else 0)
+            | (WRITE if self.blocked else 0)
+            | (GONE if self.greets else 0)
+        )
 
     def _read(self, broken: bool) -> None:
         ring = self.machine.inward
         for _ in range(ROUNDS):
             gap = ring.gap()[:MOST_READ]
             if not len(gap):
-                if broken:      # nothing more can be read, and poll would come back at once for ever
+                if broken:  # nothing more can be read, and poll would come back at once for ever
                     self.why = "broken"
                 return
             try:
@@ -142,7 +161,9 @@
         """Put all pieces, to be written soon; False, with nothing put, where there is no room."""
         if not self._put(pieces):
             return False
-        if not (self.unsent or self.blocked):   # written with what else this turn puts: a write costs much
+        if not (
+            self.unsent or self.blocked
+        ):  # written with what else this turn puts: a write costs much
             self.unsent = True
             self.hub.unsent.append(self.flush)
         return True
@@ -205,12 +226,12 @@
 
     def give_way(self, why: str) -> bool:
         """Close of our own accord, unless something has come that was not read: then it stays."""
-        events, = self.hub.look(self.fd)
+        (events,) = self.hub.look(self.fd)
         if self.why or events & READ and not events & GONE:
             return False
         self.parting, self.farewell = True, CROSSING
         self.end(why)
-        try:    # Danger: until its task runs more could come, which a client writes only where it sees no end
+        try:  # Danger: until its task runs more could come, which a client writes only where it sees no end
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
@@ -236,7 +257,7 @@
                     shut = True
                 if not self.sock.recv_into(UNREAD):
                     return
-                self.hub.sleep(1)   # Danger: one that sends without end; the others have their turn
+                self.hub.sleep(1)  # Danger: one that sends without end; the others have their turn
             except OSError as problem:
                 if problem.errno not in RETRY:
                     return
@@ -246,8 +267,10 @@
 def dial(hub: Hub, address: tuple[str, int], span: int) -> tuple[socket.socket | None, str]:
     """A connected socket, or why not; only for tasks."""
     sock = None
-    try:    # Danger: without a descriptor there is no socket either
-        sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
+    try:  # Danger: without a descriptor there is no socket either
+        sock = socket.socket(
+            socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM
+        )
         sock.setblocking(False)
         code = sock.connect_ex(address)
         if code == errno.EINPROGRESS:
--- a/corkgauge/loop/ring.py
+++ b/corkgauge/loop/ring.py
@@ -54,7 +54,7 @@
             return False
         kept = self.peek(self.size)
         self.store, self.head = bytearray(wanted), 0
-        self.store[:len(kept)] = kept
+        self.store[: len(kept)] = kept
         return True
 
     def put(self, data: bytes) -> bool:
@@ -63,15 +63,17 @@
             return False
         at = (self.head + self.size) % len(self.store)
         first = min(len(data), len(self.store) - at)
-        self.store[at:at + first] = data[:first]
-        self.store[:len(data) - first] = data[first:]
+        self.store[at : at + first] = data[:first]
+        self.store[: len(data) - first] = data[first:]
         self.size += len(data)
         return True
 
     def peek(self, size: int, skip: int = 0) -> bytes:
         size = min(size, self.size - skip)
         at = (self.head + skip) % len(self.store)
-        return bytes(self.store[at:at + size]) + bytes(self.store[:max(0, at + size - len(self.store))])
+        return bytes(self.store[at : at + size]) + bytes(
+            self.store[: max(0, at + size - len(self.store))]
+        )
 
     def drop(self, size: int) -> None:
         self.head, self.size = (self.head + size) % len(self.store), self.size - size
@@ -95,14 +97,16 @@
         if not self.free:
             return memoryview(b"")
         at = (self.head + self.size) % len(self.store)
-        return memoryview(self.store)[at:max(self.head, at) if at < self.head else len(self.store)]
+        return memoryview(self.store)[
+            at : max(self.head, at) if at < self.head else len(self.store)
+        ]
 
     def filled(self, size: int) -> None:
         self.size += size
 
     def stretch(self) -> memoryview:
         """The first held stretch, to be written from; then `drop`."""
-        return memoryview(self.store)[self.head:min(self.head + self.size, len(self.store))]
+        return memoryview(self.store)[self.head : min(self.head + self.size, len(self.store))]
 
     def close(self) -> None:
         self.drop(self.size)
--- a/corkgauge/model/agreement.py
+++ b/corkgauge/model/agreement.py
@@ -12,7 +12,7 @@
 from corkgauge.works.plan import ASKED, BACK, DRAINING, GRANTED, OUT, RETURNING, TAKEN, Plan
 from corkgauge.works.scribe import FETCHING, LEADING, Scribe
 
-MOST = 2                # units that may be taken at once
+MOST = 2  # units that may be taken at once
 UNITS = 5
 TURN = LEASE // 10
 STEPS = {GRANTED: DRAINING, DRAINING: OUT, OUT: RETURNING, RETURNING: BACK}
@@ -42,10 +42,14 @@
             return then(*what)
         # One helper writes one record after the other, as the real one does.
         node.written = max(node.written + 1, node.world.time + 20 + node.world.chance.below(200))
-        node.world.later(node.written - node.world.time, node.safe_plan, node.start, record, then, what)
+        node.world.later(
+            node.written - node.world.time, node.safe_plan, node.start, record, then, what
+        )
 
     def may(self, fence: int) -> bool:
-        return (self.node.holder.may() or "may" in self.node.world.day.off) and self.node.holder.fence == fence
+        return (
+            self.node.holder.may() or "may" in self.node.world.day.off
+        ) and self.node.holder.fence == fence
 
     def voters(self) -> tuple[str, ...]:
         return self.node.world.roll.names
@@ -69,7 +73,7 @@
 
 class PlanNode(Node):
     kept_plan: Any = None
-    written = 0             # when the last record is on the disk
+    written = 0  # when the last record is on the disk
 
     def begin(self) -> None:
         world, carrier = self.world, Carrier(self)
@@ -107,7 +111,9 @@
         body, scribe = body[1], self.scribe
         if body[0] == PIECE and scribe.state == FETCHING and sender.name == scribe.fetch.whom:
             scribe.piece(sender.name, body)
-        elif body[0] in TO_SCRIBE or (body[0] == WANT and scribe.state == LEADING and body[1] == scribe.fence):
+        elif body[0] in TO_SCRIBE or (
+            body[0] == WANT and scribe.state == LEADING and body[1] == scribe.fence
+        ):
             scribe.heard(sender.name, body)
         else:
             self.keeper.heard(sender.name, body)
@@ -121,8 +127,10 @@
         plan, name = scribe.coming(), f"u{chance.below(UNITS)}"
         unit = plan.units.get(name)
         if unit is None:
-            scribe.propose(["ask", [name, "engine", [name], "ada", "", 0, 1, 1, "", 0]],
-                           ["unit", name, name, "engine", [name]])
+            scribe.propose(
+                ["ask", [name, "engine", [name], "ada", "", 0, 1, 1, "", 0]],
+                ["unit", name, name, "engine", [name]],
+            )
         elif unit.state != ASKED:
             scribe.propose(["state", name, STEPS[unit.state], ""])
         elif len(plan.of(*TAKEN)) < MOST:
@@ -159,12 +167,13 @@
             self.late += 1
             return
         if not self._within(self.history, history):
-            self.found.append(f"{self.time}: {node.name} agreed {stamp} without what was agreed at {self.stamp}")
+            self.found.append(
+                f"{self.time}: {node.name} agreed {stamp} without what was agreed at {self.stamp}"
+            )
         if len(plan.of(*TAKEN)) > MOST:
             self.found.append(f"{self.time}: {len(plan.of(*TAKEN))} taken at once by {node.name}")
         self.stamp, self.history, self.truth = stamp, history, plan.packed()
 
-
     @staticmethod
     def _within(earlier: list[list[Any]], later: list[list[Any]]) -> bool:
         """Does the later history hold all of the earlier one, as far as both are kept?"""
--- a/corkgauge/model/company.py
+++ b/corkgauge/model/company.py
@@ -75,7 +75,9 @@
 
     def seen(self, name: str) -> int:
         """How many of the living hold it alive."""
-        return sum(node.company.state_of(name) == ALIVE for node in self.nodes.values() if node.alive)
+        return sum(
+            node.company.state_of(name) == ALIVE for node in self.nodes.values() if node.alive
+        )
 
 
 def measured(many: int) -> dict[str, Any]:
@@ -98,12 +100,23 @@
     dead.alive, died = False, net.now
     while net.seen("n1") and net.now < died + 300 * SECOND:
         net.run(0.5)
-    return {"fellows": many, "common_view_s": common, "letters_a_second": round((more - sent) / span, 2),
-            "octets_a_second": round((heavier - octets) / span), "all_know_of_a_death_s": (net.now - died) / SECOND,
-            "living_held_gone": net.wrong_gone, "memory_kb_each": round(
-                (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / many, 1), "took_s": round(
-                time.time() - begun, 1)}
+    return {
+        "fellows": many,
+        "common_view_s": common,
+        "letters_a_second": round((more - sent) / span, 2),
+        "octets_a_second": round((heavier - octets) / span),
+        "all_know_of_a_death_s": (net.now - died) / SECOND,
+        "living_held_gone": net.wrong_gone,
+        "memory_kb_each": round(
+            (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / many, 1
+        ),
+        "took_s": round(time.time() - begun, 1),
+    }
 
 
 def _sums(net: Net) -> tuple[int, int, int]:
-    return (sum(node.sent for node in net.nodes.values()), sum(node.octets for node in net.nodes.values()), net.now)
+    return (
+        sum(node.sent for node in net.nodes.values()),
+        sum(node.octets for node in net.nodes.values()),
+        net.now,
+    )
--- a/corkgauge/model/dissemination.py
+++ b/corkgauge/model/dissemination.py
@@ -14,11 +14,14 @@
 from corkgauge.loop.hub import SECOND
 from corkgauge.standins.chance import Chance
 
-ROUND = SECOND // 5     # between two rounds of a member
-LATENCY = 20, 300       # tenths of a millisecond that a datagram takes: within a region, from one region to the other
-HEAD = 28 + 60          # octets of IP and UDP, and of a datagram's own head with its seal
-ROOM = 1_300            # octets of a configuration in one datagram
-LOG = 4                 # rounds in which a member tells what is new to it, at a fan-out of one
+ROUND = SECOND // 5  # between two rounds of a member
+LATENCY = (
+    20,
+    300,
+)  # tenths of a millisecond that a datagram takes: within a region, from one region to the other
+HEAD = 28 + 60  # octets of IP and UDP, and of a datagram's own head with its seal
+ROOM = 1_300  # octets of a configuration in one datagram
+LOG = 4  # rounds in which a member tells what is new to it, at a fan-out of one
 
 
 @dataclass(slots=True)
@@ -29,9 +32,9 @@
     due: int
     pieces: set[int] = field(default_factory=set)
     had: int = -1
-    left: int = 0           # rounds in which it still tells
+    left: int = 0  # rounds in which it still tells
     turn: int = 0
-    source: int = -1        # who told it of what it misses
+    source: int = -1  # who told it of what it misses
     sent: dict[int, int] = field(default_factory=dict)
 
 
@@ -40,13 +43,27 @@
     datagrams are lost. Times are tenths of a millisecond; each member's rounds begin at a moment of its own, and each
     is up to a tenth longer or shorter."""
 
-    def __init__(self, many: int, octets: int, fanout: int, loss: float = 0.0, seed: int = 1, compare: int = 5) -> None:
+    def __init__(
+        self,
+        many: int,
+        octets: int,
+        fanout: int,
+        loss: float = 0.0,
+        seed: int = 1,
+        compare: int = 5,
+    ) -> None:
         self.chance = Chance(seed * 1_000_003 + many * 31 + fanout)
         self.octets, self.fanout, self.loss, self.compare = octets, fanout, loss, compare
         self.count = max(-(-octets // ROOM), 1)
         self.rounds = max(LOG // fanout, 2)
-        self.members = [Member(n % 2, self.chance.below(ROUND), turn=self.chance.below(compare)) for n in range(many)]
-        self.now, self.way = 0, dict[int, list[tuple[int, int, int]]]()    # when: (from, to, piece; -1: an ask)
+        self.members = [
+            Member(n % 2, self.chance.below(ROUND), turn=self.chance.below(compare))
+            for n in range(many)
+        ]
+        self.now, self.way = (
+            0,
+            dict[int, list[tuple[int, int, int]]](),
+        )  # when: (from, to, piece; -1: an ask)
         first = self.members[0]
         first.pieces, first.had, first.left = set(range(self.count)), 0, self.rounds
         self.missing = many - 1
@@ -74,7 +91,9 @@
                     self._send(number, to, piece)
         if member.source >= 0 and member.had < 0:
             self._send(number, member.source, -1)
-        elif not member.turn % self.compare:    # a comparison: the version alone; whoever is behind asks
+        elif (
+            not member.turn % self.compare
+        ):  # a comparison: the version alone; whoever is behind asks
             to = self._other(number)
             self._send(number, to, -2 if member.had < 0 else -3)
 
@@ -105,7 +124,9 @@
             if member.had < 0:
                 member.source = sender
                 self._send(to, sender, -1)
-        elif member.had >= 0:       # an ask, or one that turns out to be behind: what it misses, as it would list it
+        elif (
+            member.had >= 0
+        ):  # an ask, or one that turns out to be behind: what it misses, as it would list it
             for each in sorted(set(range(self.count)) - self.members[sender].pieces):
                 self._send(to, sender, each)
 
@@ -118,8 +139,9 @@
         return sum(sum(member.sent.values()) for member in self.members)
 
 
-def spread(many: int, octets: int, fanout: int, loss: float, seed: int, until: int = 60 * SECOND) -> tuple[float, int,
-float]:
+def spread(
+    many: int, octets: int, fanout: int, loss: float, seed: int, until: int = 60 * SECOND
+) -> tuple[float, int, float]:
     """Seconds until all have a change (-1: not in `until`), octets of the busiest member's busiest second, and octets a
     member sent in all until then.
 
--- a/corkgauge/model/explore.py
+++ b/corkgauge/model/explore.py
@@ -38,9 +38,16 @@
         return 1 + self.world.now // 10
 
     def send(self, name: str, body: list[Any]) -> None:
-        if body[0] != RELEASE:      # nobody gives a duty up here
-            self.world.letters.append((self.name, name, tuple(body), self.world.starts.get(self.name, 0),
-                                       self.world.starts.get(name, 0)))
+        if body[0] != RELEASE:  # nobody gives a duty up here
+            self.world.letters.append(
+                (
+                    self.name,
+                    name,
+                    tuple(body),
+                    self.world.starts.get(self.name, 0),
+                    self.world.starts.get(name, 0),
+                )
+            )
 
     def wake(self, delay: int, method: Any, *what: Any) -> None:
         self.world.alarms[self.name] = (self.world.now + delay, *what)
@@ -80,11 +87,16 @@
         span = Span(LEASE, 0.0, 0)
         if off == "silence":
             span.silent = 0
-        self.hosts = {name: Host(name) for name in (*self.starts, *(f"c{n}" for n in range(CANDIDATES)))}
+        self.hosts = {
+            name: Host(name) for name in (*self.starts, *(f"c{n}" for n in range(CANDIDATES)))
+        }
         self._enter()
         self.voters = {name: Voter(self.hosts[name], name, ROLL, span, {}) for name in self.starts}
-        self.holders = {name: Holder(self.hosts[name], DUTY, name, ROLL, span)
-                        for name in self.hosts if name not in self.starts}
+        self.holders = {
+            name: Holder(self.hosts[name], DUTY, name, ROLL, span)
+            for name in self.hosts
+            if name not in self.starts
+        }
 
     def _enter(self) -> None:
         for host in self.hosts.values():
@@ -112,23 +124,46 @@
         are alike, so their order does not count: what concerns one stands together, and these are sorted."""
         now, alone = self.now, []
         for name, holder in sorted(self.holders.items()):
-            alone.append((
-                holder.state, holder.fence, max(holder.until - now, 0), holder.seen, holder.ballot,
-                now - holder.begun if holder.state > 2 else 0, holder.tries, self.alarms[name][0] - now,
-                tuple((serial - holder.serial, now - when) for serial, when in holder.sent.items())))
+            alone.append(
+                (
+                    holder.state,
+                    holder.fence,
+                    max(holder.until - now, 0),
+                    holder.seen,
+                    holder.ballot,
+                    now - holder.begun if holder.state > 2 else 0,
+                    holder.tries,
+                    self.alarms[name][0] - now,
+                    tuple(
+                        (serial - holder.serial, now - when) for serial, when in holder.sent.items()
+                    ),
+                )
+            )
         letters: dict[str, list[tuple]] = {name: [] for name in self.voters}
         for who, to, body, start, known in self.letters:
             voter, other = (who, to) if who in self.voters else (to, who)
             serial = body[4] - self.holders[other].serial
             letters[voter].append((other, who == voter, body[0], serial, body[5:], start, known))
-        votes = sorted((
-            max(voter.silent_until - now, 0), self.starts[name],
-            tuple((vote.promised, vote.ballot, vote.holder, max(vote.until - now, 0))
-                  for vote in voter.votes.values()),
-            tuple((holder.said.get(name, -1), holder.left.get(name, -1),
-                   now - holder.acknowledged[name] if name in holder.acknowledged else -1)
-                  for _, holder in sorted(self.holders.items())),
-            tuple(sorted(letters[name]))) for name, voter in self.voters.items())
+        votes = sorted(
+            (
+                max(voter.silent_until - now, 0),
+                self.starts[name],
+                tuple(
+                    (vote.promised, vote.ballot, vote.holder, max(vote.until - now, 0))
+                    for vote in voter.votes.values()
+                ),
+                tuple(
+                    (
+                        holder.said.get(name, -1),
+                        holder.left.get(name, -1),
+                        now - holder.acknowledged[name] if name in holder.acknowledged else -1,
+                    )
+                    for _, holder in sorted(self.holders.items())
+                ),
+                tuple(sorted(letters[name])),
+            )
+            for name, voter in self.voters.items()
+        )
         return tuple(alone), tuple(votes), self.restarts, max(self.fences, default=0)
 
     def _pruned(self) -> None:
@@ -145,7 +180,10 @@
             return False
         if sort == GRANTED:
             return serial in holder.sent and holder.state in (ASKING, HOLDING)
-        return serial == holder.serial and (sort, holder.state) in ((WOULD, PROBING), (PROMISED, PREPARING))
+        return serial == holder.serial and (sort, holder.state) in (
+            (WOULD, PROBING),
+            (PROMISED, PREPARING),
+        )
 
     def steps(self) -> Iterator[tuple[str, "World"]]:
         """What may happen next; letters that are alike are one."""
@@ -222,7 +260,7 @@
 
     def __init__(self) -> None:
         self.by_depth: list[int] = []
-        self.held = 0           # states in which somebody holds
+        self.held = 0  # states in which somebody holds
         self.found: list[str] = []
 
     @property
@@ -230,13 +268,16 @@
         return sum(self.by_depth)
 
 
-def explore(depth: int, restarts: int = 1, off: str = "", held: bool = False,
-            most: int = 10 ** 9) -> Explored:
+def explore(
+    depth: int, restarts: int = 1, off: str = "", held: bool = False, most: int = 10**9
+) -> Explored:
     """Breadth first; stops at what must never be, or past so many states. `held`: from the state in which the
     first candidate has come to hold, all its letters arrived. Nothing is drawn by chance."""
     said, first = Explored(), World(restarts, off)
     while held and not first.fences:
-        first = next((new for what, new in first.steps() if "c0" in what), None) or first._later()[1]
+        first = (
+            next((new for what, new in first.steps() if "c0" in what), None) or first._later()[1]
+        )
     seen, edge = {hash(first.mark())}, deque([(first, ())])
     for _ in range(depth + 1):
         said.by_depth.append(len(edge))
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -42,22 +42,51 @@
     voters: int = 3
     length: int = 30 * LEASE
     loss: float = 0.1
-    delay: int = 300        # of a letter, at most; a tenth of them take ten times that
-    drift: float = DRIFT    # of clocks, at most
+    delay: int = 300  # of a letter, at most; a tenth of them take ten times that
+    drift: float = DRIFT  # of clocks, at most
     faults: tuple[Fault, ...] = ()
     off: tuple[str, ...] = ()
     disk: bool = False
 
 
-def drawn(seed: int, nodes: int = 3, many: int = 6, off: tuple[str, ...] = (), disk: bool = False,
-          drift: float = DRIFT, sorts: tuple[str, ...] = FAULTS) -> Day:
+def drawn(
+    seed: int,
+    nodes: int = 3,
+    many: int = 6,
+    off: tuple[str, ...] = (),
+    disk: bool = False,
+    drift: float = DRIFT,
+    sorts: tuple[str, ...] = FAULTS,
+) -> Day:
     """A day with faults by chance, of these sorts."""
     chance = Chance(seed)
     length = 12 * LEASE
-    faults = tuple(sorted((Fault(chance.below(length), sorts[chance.below(len(sorts))], chance.below(nodes),
-                                 chance.below(3 * LEASE)) for _ in range(many)), key=lambda each: each.at))
-    return Day(seed, nodes, min(nodes, 3 if seed % 2 else 5), length, (0.0, 0.1, 0.3)[chance.below(3)],
-               (50, 300, 2_000)[chance.below(3)], drift, faults, off, disk)
+    faults = tuple(
+        sorted(
+            (
+                Fault(
+                    chance.below(length),
+                    sorts[chance.below(len(sorts))],
+                    chance.below(nodes),
+                    chance.below(3 * LEASE),
+                )
+                for _ in range(many)
+            ),
+            key=lambda each: each.at,
+        )
+    )
+    return Day(
+        seed,
+        nodes,
+        min(nodes, 3 if seed % 2 else 5),
+        length,
+        (0.0, 0.1, 0.3)[chance.below(3)],
+        (50, 300, 2_000)[chance.below(3)],
+        drift,
+        faults,
+        off,
+        disk,
+    )
 
 
 class Node:
@@ -68,10 +97,10 @@
         chance = world.chance
         # Boot clocks differ by hours, and run fast or slow by as much as is assumed.
         self.rate = 1 + world.day.drift * (chance.below(2001) - 1000) / 1000
-        self.offset = chance.below(10 ** 7)
-        self.skew = chance.below(10 ** 7)       # of its date, in ms
+        self.offset = chance.below(10**7)
+        self.skew = chance.below(10**7)  # of its date, in ms
         self.start, self.stopped_until, self.kept = 1, 0, None
-        self.reach = {"in": 0, "out": 0}        # cut off until then
+        self.reach = {"in": 0, "out": 0}  # cut off until then
         self.acts = 0
         self.begin()
 
@@ -86,12 +115,14 @@
     def begin(self) -> None:
         """A start: nothing is known but what a disk kept."""
         world, off = self.world, self.world.day.off
-        span = Span(LEASE, 0.0 if "drift" in off else world.day.drift, 0 if "drift" in off else MARGIN)
+        span = Span(
+            LEASE, 0.0 if "drift" in off else world.day.drift, 0 if "drift" in off else MARGIN
+        )
         if "silence" in off:
             span.silent = 0
         self.voter = Voter(self, self.name, world.roll, span, self.kept if world.day.disk else None)
         if world.time == 0 and not world.day.disk:
-            self.voter.silent_until = 0     # the fleet's first start ever: there is nothing to forget
+            self.voter.silent_until = 0  # the fleet's first start ever: there is nothing to forget
         if "busy" in off:
             self.voter._busy = lambda vote, who: 0
         self.holder = Holder(self, DUTY, self.name, world.roll, span)
@@ -119,7 +150,9 @@
     def keep(self, record: dict, then: Any, *what: Any) -> None:
         if not self.world.day.disk:
             return then(*what)
-        self.world.later(20 + self.world.chance.below(200), self.safe, self.start, record, then, what)
+        self.world.later(
+            20 + self.world.chance.below(200), self.safe, self.start, record, then, what
+        )
 
     def safe(self, start: int, record: dict, then: Any, what: tuple) -> None:
         if start == self.start:
@@ -144,7 +177,7 @@
 
     def heard(self, sender: "Node", start: int, known_as: int, body: list[Any]) -> None:
         if known_as != self.start:
-            return      # written to an earlier start: the letters' own rule
+            return  # written to an earlier start: the letters' own rule
         if body[0] in ANSWERS:
             self.holder.heard(sender.name, body)
         else:
@@ -165,7 +198,7 @@
         self.day, self.chance, self.time, self.serial = day, Chance(day.seed), 0, 0
         self.events: list[tuple] = []
         self.found: list[str] = []
-        self.handovers: list[tuple[int, int]] = []      # when, after how long without a holder
+        self.handovers: list[tuple[int, int]] = []  # when, after how long without a holder
         self.guard, self.acts, self.refused, self.last = Guard(), 0, 0, 0
         self.roll = Roll(1, [f"n{n}" for n in range(day.voters)], LEASE)
         self.nodes: list[Node] = []
@@ -202,12 +235,14 @@
         """No two at once, in true time."""
         able = [node for node in self.nodes if node.holder.may()]
         if len(able) > 1:
-            self.found.append(f"{self.time}: {' and '.join(node.name for node in able)} hold at once")
+            self.found.append(
+                f"{self.time}: {' and '.join(node.name for node in able)} hold at once"
+            )
 
     def acted(self, node: Node, fence: int, looked: int) -> None:
         """An act arrives, at once or after a stop that came within it."""
         self.acts += 1
-        if self.chance.within(0.05):    # stopped between the look and the act
+        if self.chance.within(0.05):  # stopped between the look and the act
             node.stopped_until = self.time + self.chance.below(3 * LEASE)
             self.later(node.stopped_until - self.time + 1, self.arrive, fence)
         else:
@@ -218,18 +253,24 @@
         if not admitted:
             self.refused += 1
         elif fence < self.last:
-            self.found.append(f"{self.time}: an act under fence {fence} after one under {self.last}")
+            self.found.append(
+                f"{self.time}: an act under fence {fence} after one under {self.last}"
+            )
         self.last = max(self.last, fence) if admitted else self.last
 
     def gained(self, node: Node) -> None:
         self.handovers.append((self.time, node.number))
 
     def carry(self, sender: Node, to: Node, body: list[Any]) -> None:
-        if sender is not to and (self.chance.within(self.day.loss) or sender.reach["out"] > self.time):
+        if sender is not to and (
+            self.chance.within(self.day.loss) or sender.reach["out"] > self.time
+        ):
             return
-        for _ in range(1 + (sender is not to and self.chance.within(0.02))):    # some come twice
+        for _ in range(1 + (sender is not to and self.chance.within(0.02))):  # some come twice
             delay = 1 + self.chance.below(self.day.delay) * (10 if self.chance.within(0.1) else 1)
-            self.later(1 if sender is to else delay, self.arrived, sender, sender.start, to, to.start, body)
+            self.later(
+                1 if sender is to else delay, self.arrived, sender, sender.start, to, to.start, body
+            )
 
     def arrived(self, sender: Node, start: int, to: Node, known_as: int, body: list[Any]) -> None:
         if sender is to or to.reach["in"] <= self.time:
@@ -249,7 +290,7 @@
         elif fault.sort in ("cut", "deaf"):
             node.reach["in"] = until
         elif fault.sort == "wild":
-            node.holder.seen = 2 ** 50 + self.chance.below(1000)
+            node.holder.seen = 2**50 + self.chance.below(1000)
         if fault.sort in ("cut", "mute"):
             node.reach["out"] = until
         if fault.sort == "yield":
@@ -272,5 +313,15 @@
 
 
 def _with(day: Day, faults: list[Fault]) -> Day:
-    return Day(day.seed, day.nodes, day.voters, day.length, day.loss, day.delay, day.drift, tuple(faults),
-               day.off, day.disk)
+    return Day(
+        day.seed,
+        day.nodes,
+        day.voters,
+        day.length,
+        day.loss,
+        day.delay,
+        day.drift,
+        tuple(faults),
+        day.off,
+        day.disk,
+    )
--- a/corkgauge/model/night.py
+++ b/corkgauge/model/night.py
@@ -9,12 +9,22 @@
 from typing import Any
 
 from corkgauge.standins.chance import Chance
-from corkgauge.works.order import DEAD, PASSING, WELL, Bounds, EngineFact, Ground, OfferingFact, Wanted, next_out
-
-STEP = 10               # seconds
-LASTING, COLD = 600, 20     # of one engine's work; cold, it gives COLD_SHARE of its cores
+from corkgauge.works.order import (
+    DEAD,
+    PASSING,
+    WELL,
+    Bounds,
+    EngineFact,
+    Ground,
+    OfferingFact,
+    Wanted,
+    next_out,
+)
+
+STEP = 10  # seconds
+LASTING, COLD = 600, 20  # of one engine's work; cold, it gives COLD_SHARE of its cores
 COLD_SHARE = 0.33
-FAILS = 3e-6            # a second, of each engine by itself; back after MENDED seconds
+FAILS = 3e-6  # a second, of each engine by itself; back after MENDED seconds
 MENDED = 1_200
 POLICIES = "works", "alone", "fixed", "counted"
 # Offerings: earnings a core-second, part of all demand, kinds that may serve it.
@@ -48,32 +58,41 @@
     after the other; a fixed number in a fixed order, whatever the load; all that the limits by count allow. `peak` is
     the largest demand, as a part of all cores."""
 
-    def __init__(self, seed: int, engines: int, policy: str, peak: float = 0.97, low: float = 0.55) -> None:
+    def __init__(
+        self, seed: int, engines: int, policy: str, peak: float = 0.97, low: float = 0.55
+    ) -> None:
         self.chance, self.policy, self.now = Chance(seed), policy, 0
-        self.machines = [Machine(f"e{n}", f"hall-{n % 4}", ("c8", "c12")[n // 4 % 2], (8.0, 12.0)[n // 4 % 2])
-                         for n in range(engines)]
+        self.machines = [
+            Machine(f"e{n}", f"hall-{n % 4}", ("c8", "c12")[n // 4 % 2], (8.0, 12.0)[n // 4 % 2])
+            for n in range(engines)
+        ]
         self.cores = sum(each.cores for each in self.machines)
         self.peak, self.low = peak, low
         self.bounds = Bounds(max(engines // 8, 2), 0.25, 0.5, 0.5, 0.9)
         self.earned = self.possible = self.worst = 0.0
         self.worst_by: dict[str, float] = {}
         self.jitter = 1.0
-        self.phase = self.chance.below(21_600)      # when it begins
+        self.phase = self.chance.below(21_600)  # when it begins
 
     def run(self, most: int = 40 * 3600) -> dict[str, Any]:
         while any(not each.done for each in self.machines) and self.now < most:
             self._one()
             self.now += STEP
         over = self.now
-        return {"policy": self.policy, "hours": round(over / 3600, 2), "lost": 1 - self.earned / self.possible,
-                "worst": self.worst, "worst_by": self.worst_by}
+        return {
+            "policy": self.policy,
+            "hours": round(over / 3600, 2),
+            "lost": 1 - self.earned / self.possible,
+            "worst": self.worst,
+            "worst_by": self.worst_by,
+        }
 
     def demand(self) -> list[float]:
         """Cores by offering now: half a day up and down, bursts by chance."""
         part = (self.now + self.phase) % 21_600 / 21_600
         level = self.low + (self.peak - self.low) * (1 - abs(2 * part - 1))
         if self.chance.within(0.002):
-            self.jitter = 1.25      # a burst, which fades
+            self.jitter = 1.25  # a burst, which fades
         self.jitter = 1 + (self.jitter - 1) * 0.97
         return [share * level * self.jitter * self.cores for _, _, share, _ in OFFERINGS]
 
@@ -95,19 +114,28 @@
         away = [each for each in self.machines if each.away_until > now]
         if self.policy == "alone":
             busy = {each.hall for each in away}
-            return [*{each.hall: each for each in reversed(waiting) if each.hall not in busy}.values()]
+            return [
+                *{each.hall: each for each in reversed(waiting) if each.hall not in busy}.values()
+            ]
         if self.policy in ("fixed", "counted"):
-            room = max((len(self.machines) // 16 if self.policy == "fixed" else self.bounds.most) - len(away), 0)
+            room = max(
+                (len(self.machines) // 16 if self.policy == "fixed" else self.bounds.most)
+                - len(away),
+                0,
+            )
             return waiting[:room]
-        engines = {each.tag: EngineFact(each.tag, each.hall, each.kind, None, each.cores, each.state(now))
-                   for each in self.machines}
-        offerings = [OfferingFact(name, frozenset(), frozenset(kinds), cores)
-                     for (name, _, _, kinds), cores in zip(OFFERINGS, demand)]
+        engines = {
+            each.tag: EngineFact(each.tag, each.hall, each.kind, None, each.cores, each.state(now))
+            for each in self.machines
+        }
+        offerings = [
+            OfferingFact(name, frozenset(), frozenset(kinds), cores)
+            for (name, _, _, kinds), cores in zip(OFFERINGS, demand)
+        ]
         ground = Ground(self.bounds, engines, offerings, {each.tag for each in away})
         if ground.crowded(ground.out()):
             return []
-        wanted = [Wanted(each.tag, (each.tag,), LASTING, place=n)
-                  for n, each in enumerate(waiting)]
+        wanted = [Wanted(each.tag, (each.tag,), LASTING, place=n) for n, each in enumerate(waiting)]
         granted = {*next_out(ground, wanted)[0]}
         return [each for each in waiting if each.tag in granted]
 
--- a/corkgauge/model/spread.py
+++ b/corkgauge/model/spread.py
@@ -14,22 +14,37 @@
 from corkgauge.standins.chance import Chance
 
 EACH, OCTETS = SECOND // 4, 8_000
-ROW = 70                # octets of a finding on its way, on the high side
-FOUND_AFTER = 3         # hand-offs that a gateway loses at a silent engine before it finds that by itself
+ROW = 70  # octets of a finding on its way, on the high side
+FOUND_AFTER = 3  # hand-offs that a gateway loses at a silent engine before it finds that by itself
 
 
 class Spread:
     """`many` gateways in four halls, `engines`, of which `bad` fall silent at once. Each gateway hands off `rate`
     submissions a second, to engines by chance. `loss` of all letters are lost; `sharing` False: nobody tells."""
 
-    def __init__(self, many: int, engines: int, bad: int, rate: float = 20.0, loss: float = 0.0,
-                 sharing: bool = True) -> None:
-        self.chance, self.engines, self.bad, self.rate, self.loss = Chance(many * 7 + bad), engines, bad, rate, loss
+    def __init__(
+        self,
+        many: int,
+        engines: int,
+        bad: int,
+        rate: float = 20.0,
+        loss: float = 0.0,
+        sharing: bool = True,
+    ) -> None:
+        self.chance, self.engines, self.bad, self.rate, self.loss = (
+            Chance(many * 7 + bad),
+            engines,
+            bad,
+            rate,
+            loss,
+        )
         self.sharing, self.now, self.turn = sharing, 0, 0
         self.halls = {f"n{n}": f"hall-{n % 4}" for n in range(many)}
         self.nodes = {name: Findings(name, 1) for name in self.halls}
         self.lost = {name: [0] * bad for name in self.halls}
-        self.knows: dict[tuple[str, int], int] = {}     # gateway and engine: since when it leaves that alone
+        self.knows: dict[
+            tuple[str, int], int
+        ] = {}  # gateway and engine: since when it leaves that alone
         self.wasted = self.octets = self.letters = 0
 
     def run(self, seconds: float) -> None:
@@ -75,8 +90,9 @@
 
     def _weigh(self, name: str) -> None:
         for engine in range(self.bad):
-            if (name, engine) not in self.knows and opinion(self.nodes[name].of(f"e{engine}"), self.now, 1, name,
-                                                            self.halls, -1).doubted:
+            if (name, engine) not in self.knows and opinion(
+                self.nodes[name].of(f"e{engine}"), self.now, 1, name, self.halls, -1
+            ).doubted:
                 self.knows[name, engine] = self.now
 
     def known_by(self, part: float) -> float:
@@ -85,12 +101,22 @@
         return moments[wanted - 1] / SECOND if len(moments) >= wanted > 0 else -1.0
 
 
-def measured(many: int, engines: int, bad: int, loss: float = 0.0, sharing: bool = True) -> dict[str, Any]:
+def measured(
+    many: int, engines: int, bad: int, loss: float = 0.0, sharing: bool = True
+) -> dict[str, Any]:
     """Time until nine in ten know, hand-offs lost, octets a second and gateway; simulated seconds but `took`."""
     begun = time.time()
     spread = Spread(many, engines, bad, loss=loss, sharing=sharing)
     spread.run(12 if many < 500 else 6)
-    return {"gateways": many, "engines": engines, "bad": bad, "loss": loss, "sharing": sharing,
-            "half_know_s": spread.known_by(0.5), "nine_in_ten_know_s": spread.known_by(0.9),
-            "lost_hand_offs": spread.wasted, "octets_a_second": round(spread.octets / many / (spread.now / SECOND)),
-            "took_s": round(time.time() - begun, 1)}
+    return {
+        "gateways": many,
+        "engines": engines,
+        "bad": bad,
+        "loss": loss,
+        "sharing": sharing,
+        "half_know_s": spread.known_by(0.5),
+        "nine_in_ten_know_s": spread.known_by(0.9),
+        "lost_hand_offs": spread.wasted,
+        "octets_a_second": round(spread.octets / many / (spread.now / SECOND)),
+        "took_s": round(time.time() - begun, 1),
+    }
--- a/corkgauge/model/subsets.py
+++ b/corkgauge/model/subsets.py
@@ -10,13 +10,23 @@
 from collections.abc import Iterable, Mapping, Sequence
 from heapq import nsmallest
 
-GOLDEN = 0.6180339887498949     # its multiples fill the circle evenly (three-distance theorem, Sós 1958)
+GOLDEN = (
+    0.6180339887498949  # its multiples fill the circle evenly (three-distance theorem, Sós 1958)
+)
 WORD = (1 << 64) - 1
-BASE, WHOLE, COVER = 48, 128, 16    # engines in a set; the list that is a set as a whole; gateways for each engine
-LEAST, FEW = 8, 3       # of the engines that a class may use: expected in a set; topped up to
-SEVERAL, BUSIEST, STEP = 1.5, 4.0, 1.4  # parts of capacity where a set begins to grow; times in all; least change
+BASE, WHOLE, COVER = (
+    48,
+    128,
+    16,
+)  # engines in a set; the list that is a set as a whole; gateways for each engine
+LEAST, FEW = 8, 3  # of the engines that a class may use: expected in a set; topped up to
+SEVERAL, BUSIEST, STEP = (
+    1.5,
+    4.0,
+    1.4,
+)  # parts of capacity where a set begins to grow; times in all; least change
 
-Place = tuple[int, int]     # zone, kind
+Place = tuple[int, int]  # zone, kind
 
 
 def mixed(first: int, second: int, third: int = 0) -> int:
@@ -28,7 +38,9 @@
     >>> len({mixed(a, b, c) & 0xffffffff for a in range(9) for b in range(9) for c in range(9)})
     729
     """
-    word = (first * 0x9E3779B97F4A7C15 + second * 0xD1B54A32D192ED03 + third * 0x8CB92BA72F3D8DD7 + 1) & WORD
+    word = (
+        first * 0x9E3779B97F4A7C15 + second * 0xD1B54A32D192ED03 + third * 0x8CB92BA72F3D8DD7 + 1
+    ) & WORD
     word = (word ^ word >> 30) * 0xBF58476D1CE4E5B9 & WORD
     word = (word ^ word >> 27) * 0x94D049BB133111EB & WORD
     return word ^ word >> 31
@@ -54,7 +66,7 @@
     Each round of gateways shuffles the list by the round's seed and deals it out in parts of `size`; what is left over
     of a round's list goes to nobody in that round."""
     turn, part = divmod(gateway, max(len(engines) // size, 1))
-    return sorted(dealt(turn, engines)[part * size:(part + 1) * size])
+    return sorted(dealt(turn, engines)[part * size : (part + 1) * size])
 
 
 def dealt(turn: int, engines: Sequence[int]) -> list[int]:
@@ -75,7 +87,7 @@
 def overlap(gateway: int, gateways: int, engines: Sequence[int], size: int) -> dict[int, float]:
     """Of `aperture`: how much of each engine's arc the gateway's arc covers, 0 to 1: the weight it is sent to with."""
     listed, many = sorted(engines), len(engines)
-    arcs = -(-size * gateways // many)      # gateway arcs that hold `size` engines
+    arcs = -(-size * gateways // many)  # gateway arcs that hold `size` engines
     if arcs >= gateways:
         return dict.fromkeys(listed, 1.0)
     begin, end = gateway * many / gateways, (gateway + arcs) * many / gateways
@@ -110,7 +122,7 @@
     [8, 8, 8]
     """
     won = level(gateway, engine)
-    return (1 + ((gateway >> won + 1) * GOLDEN + mixed(engine, 0) / 2 ** 64) % 1) / 2 ** (won + 1)
+    return (1 + ((gateway >> won + 1) * GOLDEN + mixed(engine, 0) / 2**64) % 1) / 2 ** (won + 1)
 
 
 def tournament(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
@@ -137,28 +149,43 @@
     return was if 1 / STEP < found / was < STEP else found
 
 
-def bars(gateways: int, places: Mapping[Place, Sequence[int]], classes: Iterable[Iterable[Place]],
-         base: float = BASE) -> dict[Place, float]:
+def bars(
+    gateways: int,
+    places: Mapping[Place, Sequence[int]],
+    classes: Iterable[Iterable[Place]],
+    base: float = BASE,
+) -> dict[Place, float]:
     """The threshold of each place (zone, kind), above 0, at most 1: alike everywhere, raised where a class may use so
     few engines only that fewer than LEAST of them would be expected."""
     many = sum(map(len, places.values()))
     found = dict.fromkeys(places, min(1.0, wanted(gateways, many, base) / max(many, 1)))
     for reach in classes:
         reach = [place for place in reach if place in places]
-        expected, most = sum(found[place] * len(places[place]) for place in reach), sum(
-            len(places[place]) for place in reach)
+        expected, most = (
+            sum(found[place] * len(places[place]) for place in reach),
+            sum(len(places[place]) for place in reach),
+        )
         if expected < LEAST:
             for place in reach:
                 found[place] = max(found[place], min(1.0, LEAST / max(most, 1)))
     return found
 
 
-def ours(gateway: int, places: Mapping[Place, Sequence[int]], found: Mapping[Place, float],
-         classes: Iterable[Iterable[Place]], wider: float = 1.0) -> list[int]:
+def ours(
+    gateway: int,
+    places: Mapping[Place, Sequence[int]],
+    found: Mapping[Place, float],
+    classes: Iterable[Iterable[Place]],
+    wider: float = 1.0,
+) -> list[int]:
     """Ours, whole: in each place the engines of rank up to its bar (`bars`) times `wider` (from this gateway's own
     demand); then, for each class that has fewer than FEW of what it may use, the next by rank."""
-    held = {engine for place, engines in places.items() for engine in engines
-            if rank(gateway, engine) <= found[place] * wider}
+    held = {
+        engine
+        for place, engines in places.items()
+        for engine in engines
+        if rank(gateway, engine) <= found[place] * wider
+    }
     for reach in classes:
         able = [engine for place in reach for engine in places.get(place, ())]
         if len(held.intersection(able)) < FEW:
@@ -166,5 +193,11 @@
     return sorted(held)
 
 
-OPTIONS = {"all": everything, "chance": chance, "rendezvous": rendezvous, "rounds": rounds, "aperture": aperture,
-           "tournament": tournament}
+OPTIONS = {
+    "all": everything,
+    "chance": chance,
+    "rendezvous": rendezvous,
+    "rounds": rounds,
+    "aperture": aperture,
+    "tournament": tournament,
+}
--- a/corkgauge/net/client_wire.py
+++ b/corkgauge/net/client_wire.py
@@ -9,7 +9,7 @@
 
 from corkgauge.loop.ring import Allowance, Ring
 
-LARGEST = 262_144       # a frame's length field at most; it counts all that follows it
+LARGEST = 262_144  # a frame's length field at most; it counts all that follows it
 HEADER, STREAM, NAME, VALUE = Struct("<IBI"), Struct("<BI"), Struct("<B"), Struct("<H")
 REQUEST, ANSWER, WITHDRAWN, READY_ASKED, READY, LEAVING = 2, 4, 8, 16, 32, 64
 SERVED, REFUSED, FAILED = 1, 2, 3
@@ -31,7 +31,9 @@
             if not 5 <= length <= LARGEST:
                 return f"a frame of length {length}"
             if len(ring) < length + 4:
-                if not ring.free:   # Danger: a length is only a claim; memory is held for what has come
+                if (
+                    not ring.free
+                ):  # Danger: a length is only a claim; memory is held for what has come
                     ring.reserve(min(length + 4, 2 * len(ring)))
                 break
             kind, stream = STREAM.unpack(ring.peek(5, 4))
@@ -43,7 +45,9 @@
 
     def _frame(self, kind: int, stream: int, payload: bytes) -> str:
         if kind == REQUEST:
-            if stream <= self.last_stream:      # Danger: whose answer is it that comes under this number?
+            if (
+                stream <= self.last_stream
+            ):  # Danger: whose answer is it that comes under this number?
                 return f"stream {stream} is not new"
             self.last_stream = stream
             fields, body, wrong = fields_of(payload)
@@ -77,7 +81,7 @@
         if at > len(payload):
             return {}, b"", "a field cut short"
         try:
-            name, value = payload[begin:middle].decode(), payload[middle + 2:at].decode()
+            name, value = payload[begin:middle].decode(), payload[middle + 2 : at].decode()
         except UnicodeDecodeError:
             return {}, b"", "a field that is not text"
         if name in fields:
--- a/corkgauge/net/clients.py
+++ b/corkgauge/net/clients.py
@@ -17,28 +17,40 @@
 from corkgauge.net import client_wire
 from corkgauge.net.client_wire import ANSWER, FAILED, REFUSED, ClientWire, frame_head
 
-MOST_OPEN = 32          # submissions on one client connection
-STUCK = 15_000          # that a client may take over one frame, and before its first is whole
-SETTLED = 500           # that a connection must have been quiet before it gives way to others
-BURST = 300             # that submissions wait at most while more of their connection lies unread
-MOST_FAULTS = 32        # of one client, before its connection ends
-LAST_MOMENT = 500       # before its expiry a client that withdraws is taken to have met it
-OVERHEAD = 3_000        # bytes of memory that a submission takes beside its statement
+MOST_OPEN = 32  # submissions on one client connection
+STUCK = 15_000  # that a client may take over one frame, and before its first is whole
+SETTLED = 500  # that a connection must have been quiet before it gives way to others
+BURST = 300  # that submissions wait at most while more of their connection lies unread
+MOST_FAULTS = 32  # of one client, before its connection ends
+LAST_MOMENT = 500  # before its expiry a client that withdraws is taken to have met it
+OVERHEAD = 3_000  # bytes of memory that a submission takes beside its statement
 
 
 class Order:
     """A submission's side towards its client: where the answer goes, and what goes on unchanged."""
 
-    __slots__ = ("caller", "stream", "name", "label", "statement", "size", "memory", "priority", "row",
-                 "serial", "reason")
-
-    def __init__(self, caller: "Caller", stream: int, name: str, label: str, statement: bytes,
-                 row: Any) -> None:
+    __slots__ = (
+        "caller",
+        "stream",
+        "name",
+        "label",
+        "statement",
+        "size",
+        "memory",
+        "priority",
+        "row",
+        "serial",
+        "reason",
+    )
+
+    def __init__(
+        self, caller: "Caller", stream: int, name: str, label: str, statement: bytes, row: Any
+    ) -> None:
         self.caller, self.stream, self.name, self.label = caller, stream, name, label
         self.statement, self.size = statement, len(statement) + OVERHEAD
         self.memory, self.priority = 0.0, 1
-        self.row = row                          # its offering's account
-        self.serial = self.reason = 0           # there, below 0 once its end is counted; why it ended
+        self.row = row  # its offering's account
+        self.serial = self.reason = 0  # there, below 0 once its end is counted; why it ended
 
 
 class Caller:
@@ -47,14 +59,20 @@
     def __init__(self, house: Any, sock: Any) -> None:
         self.house = house
         self.open: dict[int, Submission | None] = {}
-        self.waiting = deque[tuple[int, int, list[bytes], int, Order | None]]()    # without room, until when
-        self.unwritten = deque[tuple[int, Order]]()     # answers put, each with where it ends among what was
+        self.waiting = deque[
+            tuple[int, int, list[bytes], int, Order | None]
+        ]()  # without room, until when
+        self.unwritten = deque[
+            tuple[int, Order]
+        ]()  # answers put, each with where it ends among what was
         self.faults, self.answered, self.gave_up = 0, 0, 0
-        self.fresh: list[Submission] = []       # the gateway has not been told yet
+        self.fresh: list[Submission] = []  # the gateway has not been told yet
         self.link = Link(house.hub, sock, ClientWire(self, house.rings), self, STUCK, True)
 
     def requested(self, stream: int, fields: dict[str, str], body: bytes) -> str:
-        if len(self.waiting) > 2 * MOST_OPEN:   # Danger: answers for one that does not read fill the memory
+        if (
+            len(self.waiting) > 2 * MOST_OPEN
+        ):  # Danger: answers for one that does not read fill the memory
             return "answers are not read"
         return self.house.requested(self, stream, fields, body)
 
@@ -112,7 +130,7 @@
         while self.fresh:
             sub = self.fresh[0]
             self.house.let_before(sub)
-            if self.fresh and self.fresh[0] is sub:     # else it was told meanwhile, in its turn
+            if self.fresh and self.fresh[0] is sub:  # else it was told meanwhile, in its turn
                 del self.fresh[0]
                 if not sub.over:
                     sub.taken, sub.life = now, max(sub.life - (now - sub.taken), 1)
@@ -141,10 +159,18 @@
     def half_told(self) -> bool:
         """Part of a frame has come, and the rest may be on its way."""
         link = self.link
-        return not link.why and len(link.machine.inward) > 0 and self.house.now < link.heard + SETTLED
-
-    def answer(self, stream: int, code: int, body: list[bytes], until: int = NEVER,
-               order: Order | None = None) -> None:
+        return (
+            not link.why and len(link.machine.inward) > 0 and self.house.now < link.heard + SETTLED
+        )
+
+    def answer(
+        self,
+        stream: int,
+        code: int,
+        body: list[bytes],
+        until: int = NEVER,
+        order: Order | None = None,
+    ) -> None:
         """`order` is the one whose end this is, until the last byte of it has left."""
         house = self.house
         self.answered += 1
--- a/corkgauge/net/door.py
+++ b/corkgauge/net/door.py
@@ -12,14 +12,16 @@
 from corkgauge.loop.hub import READ, Hub
 
 BACKLOG = 4096
-AT_ONCE = 64            # that are let in before others have their turn
+AT_ONCE = 64  # that are let in before others have their turn
 BUSY = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Door:
     """Listens at one address; `bar`, while it is true, keeps everybody waiting."""
 
-    def __init__(self, hub: Hub, house: Any, where: tuple[str, int], bar: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self, hub: Hub, house: Any, where: tuple[str, int], bar: Callable[[], bool] = lambda: False
+    ) -> None:
         """Raises OSError where the address cannot be had."""
         self.hub, self.house, self.bar, self.open = hub, house, bar, True
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -40,7 +42,7 @@
             self.hub.wait(self.sock.fileno(), READ)
             for _ in range(AT_ONCE):
                 while self.open and len(self.house.callers) >= self.house.most_callers:
-                    self.hub.sleep(1 if self.house.make_room() else 50)     # more wait at the door
+                    self.hub.sleep(1 if self.house.make_room() else 50)  # more wait at the door
                 if not (self.open and self._let_in()):
                     break
 
@@ -55,7 +57,7 @@
             return False
         try:
             self.house.accepted(sock)
-        except Exception:   # Danger: one bad connection would leave nobody at the door
+        except Exception:  # Danger: one bad connection would leave nobody at the door
             self.hub.troubled()
             sock.close()
         return True
