--- a/corkgauge/net/engine_wire.py
+++ b/corkgauge/net/engine_wire.py
@@ -9,8 +9,8 @@
 
 from corkgauge.loop.ring import Allowance, Ring
 
-LARGEST = 16_384        # an answer, with a page of 6,000 bytes, in any framing
-COMMAND = 262_144 + 4_096   # a command, with a statement as large as a client's frame
+LARGEST = 16_384  # an answer, with a page of 6,000 bytes, in any framing
+COMMAND = 262_144 + 4_096  # a command, with a statement as large as a client's frame
 
 
 class EngineWire:
@@ -31,7 +31,7 @@
             if wrong:
                 return wrong
             if not end:
-                if not ring.free:       # it starts at its largest
+                if not ring.free:  # it starts at its largest
                     return "an answer that is too long"
                 break
             ring.drop(end - at)
@@ -46,19 +46,21 @@
             fields = fields_of(texts[2] if len(texts) > 2 else "-")
             if fields is None:
                 return "fields that make no sense"
-            if wrong := self.owner.answered(texts[0], texts[1], fields, parts[3] if len(parts) > 3 else b""):
+            if wrong := self.owner.answered(
+                texts[0], texts[1], fields, parts[3] if len(parts) > 3 else b""
+            ):
                 return wrong
         return ""
 
 
 def number(data: bytes, at: int, mark: bytes) -> tuple[int, int, str]:
     """The number after a mark, and where its line ends; 0 while it has not come whole."""
-    if data[at:at + 1] != mark:
-        return 0, 0, f"{data[at:at + 1]!r} instead of {mark!r}" if at < len(data) else ""
+    if data[at : at + 1] != mark:
+        return 0, 0, f"{data[at : at + 1]!r} instead of {mark!r}" if at < len(data) else ""
     end = data.find(b"\r\n", at, at + 12)
     if end < 0:
         return 0, 0, "a number without an end" if len(data) - at >= 12 else ""
-    digits = data[at + 1:end]
+    digits = data[at + 1 : end]
     if not digits.isdigit() or int(digits) > LARGEST:
         return 0, 0, f"a count of {digits!r}"
     return int(digits), end + 2, ""
@@ -84,9 +86,9 @@
             return 0, [], wrong
         if at + size + 2 > len(data):
             return 0, [], ""
-        if data[at + size:at + size + 2] != b"\r\n":
+        if data[at + size : at + size + 2] != b"\r\n":
             return 0, [], "a string longer than it says"
-        parts.append(data[at:at + size])
+        parts.append(data[at : at + size])
         at += size + 2
     return at, parts, ""
 
--- a/corkgauge/net/engines.py
+++ b/corkgauge/net/engines.py
@@ -9,20 +9,35 @@
 from typing import Any
 
 from corkgauge.figures.terms import ENGINE
-from corkgauge.interface import ERROR, FULL, MOOT, READY, RESET, TIMED_OUT, UNREACHED, Engine, HandOff
+from corkgauge.interface import (
+    ERROR,
+    FULL,
+    MOOT,
+    READY,
+    RESET,
+    TIMED_OUT,
+    UNREACHED,
+    Engine,
+    HandOff,
+)
 from corkgauge.loop.hub import BROKEN, GONE, SECOND
 from corkgauge.loop.link import NEVER, Link, dial
 from corkgauge.net.clients import Order
 from corkgauge.net.engine_wire import EngineWire, command
 
-MID_ANSWER = 3_000      # that an engine may take over one answer, once it has begun
-SIGN, NO_SIGN = 5_000, 5_000    # quiet of a link with hand-offs out until it is asked for a sign; its time
-LIVELY = SIGN + 4_000   # longest between two answers of a link that is asked for signs when it is quiet
-SPREAD = 6              # links to an engine at most, while that keeps hand-offs apart
-PAST = 500              # ids of hand-offs that a link has done with, remembered against copies
+MID_ANSWER = 3_000  # that an engine may take over one answer, once it has begun
+SIGN, NO_SIGN = (
+    5_000,
+    5_000,
+)  # quiet of a link with hand-offs out until it is asked for a sign; its time
+LIVELY = (
+    SIGN + 4_000
+)  # longest between two answers of a link that is asked for signs when it is quiet
+SPREAD = 6  # links to an engine at most, while that keeps hand-offs apart
+PAST = 500  # ids of hand-offs that a link has done with, remembered against copies
 NAME = re.compile(r"[0-9a-f]{16}").fullmatch
 ENDS = {"WAIT": FULL, "BROKE": ERROR, "PAST": MOOT}
-WANTING = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}     # of ours, not the engine's
+WANTING = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}  # of ours, not the engine's
 WORDS = {"DONE", "MORE", "TELL", "FIT", *ENDS}
 
 # How far an attempt had come when it failed. "Never ran" takes the first, or the engine's own word.
@@ -49,17 +64,41 @@
 class Errand:
     """A hand-off under way: how far it has come, and its pages."""
 
-    __slots__ = ("handoff", "order", "until", "station", "link", "begin", "end", "answered", "pages", "asked",
-                 "spent", "need", "load", "told", "engine_row", "serial",
-                 "effect")
+    __slots__ = (
+        "handoff",
+        "order",
+        "until",
+        "station",
+        "link",
+        "begin",
+        "end",
+        "answered",
+        "pages",
+        "asked",
+        "spent",
+        "need",
+        "load",
+        "told",
+        "engine_row",
+        "serial",
+        "effect",
+    )
 
     def __init__(self, handoff: HandOff, until: int, station: "Station") -> None:
-        self.handoff, self.order, self.until, self.station = handoff, handoff.submission.tag, until, station
+        self.handoff, self.order, self.until, self.station = (
+            handoff,
+            handoff.submission.tag,
+            until,
+            station,
+        )
         self.link: EngineLink | None = None
         self.begin = self.end = self.spent = self.asked = self.told = 0
         self.need, self.load, self.answered = 0.0, -1.0, False
-        self.effect = 0     # its serial among what outlives a restart, where it has one
-        self.engine_row, self.serial = station.row, 0   # its engine's account; there, below 0 once it is over
+        self.effect = 0  # its serial among what outlives a restart, where it has one
+        self.engine_row, self.serial = (
+            station.row,
+            0,
+        )  # its engine's account; there, below 0 once it is over
         self.pages: list[bytes | None] = []
 
     def stage(self) -> int:
@@ -76,12 +115,14 @@
     def __init__(self, station: "Station", sock: Any) -> None:
         self.station, self.house = station, station.house
         self.open: dict[str, Errand] = {}
-        self.past: dict[str, None] = {}     # done with, an answer or a copy of one may still come
+        self.past: dict[str, None] = {}  # done with, an answer or a copy of one may still come
         self.retired, self.pages = False, 0
         self.house.links[self] = None
         self.house.ledger.connection_up(ENGINE)
-        self.alive, self.asked = 0, NEVER   # signs asked for; when, while none has come
-        self.spoke = self.lively = self.house.now   # its last answer; since when none was long in coming
+        self.alive, self.asked = 0, NEVER  # signs asked for; when, while none has come
+        self.spoke = self.lively = (
+            self.house.now
+        )  # its last answer; since when none was long in coming
         self.link = Link(self.house.hub, sock, EngineWire(self, self.house.lines), self, MID_ANSWER)
         if self.house.flows is not None:
             halls, hall = self.house.stated.halls, station.engine.hall
@@ -89,16 +130,24 @@
 
     def room_for(self, order: Order) -> bool:
         # Danger: both hand-offs of a submission carry its id; a late answer to one would pass for the other.
-        return not (self.retired or self.link.why or self.link.blocked or
-                    len(self.open) >= self.house.stated.streams or
-                    order.name in self.open or order.name in self.past)
+        return not (
+            self.retired
+            or self.link.why
+            or self.link.blocked
+            or len(self.open) >= self.house.stated.streams
+            or order.name in self.open
+            or order.name in self.past
+        )
 
     def take(self, errand: Errand) -> bool:
         """Write a hand-off at once, unless there is no room. Danger: one that is put and not written begins when its
         engine reads again, whoever has gone by then; so none is ever kept back here."""
         house, order, handoff = self.house, errand.order, errand.handoff
         sub, stated = handoff.submission, house.stated
-        fields = [f"sort={sub.offering.name}", f"patience={max((errand.until - house.now) // 10, 1)}"]
+        fields = [
+            f"sort={sub.offering.name}",
+            f"patience={max((errand.until - house.now) // 10, 1)}",
+        ]
         if order.label:
             fields.append(f"op={order.label}")
         if stated.grants and order.memory >= 1:
@@ -168,7 +217,11 @@
         quiet, now = self.house.now - self.link.heard, self.house.now
         if now >= self.asked + NO_SIGN:
             return self.link.end("no sign")
-        if quiet > self.idle and not (self.open or self.station.engine.near) and self.asked == NEVER:
+        if (
+            quiet > self.idle
+            and not (self.open or self.station.engine.near)
+            and self.asked == NEVER
+        ):
             return self.link.end("idle, and outside the working set")
         if quiet > (min(SIGN, self.idle) if self.open else self.idle) and self.asked == NEVER:
             self.alive, self.asked = self.alive + 1, now
@@ -198,20 +251,36 @@
 class Station:
     """An engine, its address, its links, and the hand-offs that wait for one."""
 
-    __slots__ = ("house", "engine", "address", "number", "row", "links", "waiting", "dialling", "spare_from", "started",
-                 "era", "filling", "due", "wanting")
+    __slots__ = (
+        "house",
+        "engine",
+        "address",
+        "number",
+        "row",
+        "links",
+        "waiting",
+        "dialling",
+        "spare_from",
+        "started",
+        "era",
+        "filling",
+        "due",
+        "wanting",
+    )
 
     def __init__(self, house: Any, engine: Engine, number: int = 0) -> None:
         self.house, self.engine, self.address = house, engine, ("", 0)
-        self.number = number        # in the order in which the list named them
-        self.row = house.ledger.engine(engine.name)     # its account
+        self.number = number  # in the order in which the list named them
+        self.row = house.ledger.engine(engine.name)  # its account
         self.links: list[EngineLink] = []
-        self.waiting: list[Errand] = []     # a deque takes 760 bytes, also where nothing is ever sent
+        self.waiting: list[Errand] = []  # a deque takes 760 bytes, also where nothing is ever sent
         self.dialling, self.spare_from = False, 0
-        self.started = 0            # the engine, in ms, as the list told it
-        self.era = 0                # of its process and address; what a dial of an earlier one brings is for nothing
-        self.filling = self.due = False     # a fill is under way; one is due at the end of this turn
-        self.wanting = False        # the last dial failed for want of descriptors of our own
+        self.started = 0  # the engine, in ms, as the list told it
+        self.era = (
+            0  # of its process and address; what a dial of an earlier one brings is for nothing
+        )
+        self.filling = self.due = False  # a fill is under way; one is due at the end of this turn
+        self.wanting = False  # the last dial failed for want of descriptors of our own
 
     def line_up(self, errand: Errand) -> None:
         """A hand-off waits for a link; it is written at the end of this turn, when the gateway has said all."""
@@ -256,7 +325,9 @@
         """The emptiest with room, whose engine has not closed it. Danger: what spoils one answer takes all with it that
         is open on its link, so they keep apart; and what is written to a link whose end has come by now may have run
         or not, nobody knows."""
-        able = sorted((each for each in self.links if each.room_for(order)), key=lambda each: len(each.open))
+        able = sorted(
+            (each for each in self.links if each.room_for(order)), key=lambda each: len(each.open)
+        )
         for link in able:
             if not self.house.hub.look(link.link.fd)[0] & (GONE | BROKEN):
                 return link
@@ -268,11 +339,18 @@
         # engines more than they ask. So where a gateway's part of an engine is below one hand-off, the first
         # link waits for one, and a further one until two had to share.
         # An engine outside the working set is used by exception, and has links for what waits alone.
-        ahead = len(self.links) < SPREAD and self.engine.near and not self.dialling and (
-            all(each.open for each in self.links)) and (
-            self.house.gateway.slots * self.engine.cores >= 1.0 or any(len(each.open) > 1 for each in self.links))
+        ahead = (
+            len(self.links) < SPREAD
+            and self.engine.near
+            and not self.dialling
+            and (all(each.open for each in self.links))
+            and (
+                self.house.gateway.slots * self.engine.cores >= 1.0
+                or any(len(each.open) > 1 for each in self.links)
+            )
+        )
         if ahead:
-            self.house.short[self] = None       # looked at again with the next change of the list
+            self.house.short[self] = None  # looked at again with the next change of the list
         else:
             self.house.short.pop(self, None)
         spare = ahead and self.house.now >= self.spare_from
@@ -304,7 +382,9 @@
         self.wanting = False
         if sock is None:
             self.house.counters["unreached"] += 1
-            self.spare_from = self.house.now + SECOND   # Danger: dials without end where none is taken
+            self.spare_from = (
+                self.house.now + SECOND
+            )  # Danger: dials without end where none is taken
             if era == self.era:
                 errands, self.waiting = self.waiting, []
                 for errand in errands:
--- a/corkgauge/net/feed.py
+++ b/corkgauge/net/feed.py
@@ -9,9 +9,12 @@
 from corkgauge.loop.link import Link, dial
 from corkgauge.net import feed_wire
 
-LEAST_PAUSE, MOST_PAUSE = SECOND // 20, SECOND // 2     # between two dials of a feed that does not come up
-FEED_SILENT = 15_000    # a comment comes each second
-FEED_STUCK = 30_000     # that a line may take, with all that is before the first; told counts as heard 7 s later
+LEAST_PAUSE, MOST_PAUSE = (
+    SECOND // 20,
+    SECOND // 2,
+)  # between two dials of a feed that does not come up
+FEED_SILENT = 15_000  # a comment comes each second
+FEED_STUCK = 30_000  # that a line may take, with all that is before the first; told counts as heard 7 s later
 
 
 class Feed:
@@ -69,7 +72,9 @@
             if link.machine.whole != whole:
                 whole, since = link.machine.whole, now
             if now - link.heard > FEED_SILENT or now - since > FEED_STUCK:
-                return link.end("silent" if now - link.heard > FEED_SILENT else "a line that does not end")
+                return link.end(
+                    "silent" if now - link.heard > FEED_SILENT else "a line that does not end"
+                )
             self.house.hub.later(FEED_SILENT // 8, self.watch, link, whole, since)
 
     def drained(self) -> None:
--- a/corkgauge/net/feed_wire.py
+++ b/corkgauge/net/feed_wire.py
@@ -8,27 +8,29 @@
 
 from corkgauge.loop.ring import Allowance, Ring
 
-LARGEST = 262_144       # of what lies unread
+LARGEST = 262_144  # of what lies unread
 # A line, so an event with the whole list. Danger: one that is refused is asked for again without end, and the gateway
 # goes on with an old list; 1,800 engines with ids of 36 characters take 300,000.
-LONGEST = 2 ** 20
+LONGEST = 2**20
 
 
 def request(host: str, last: int) -> bytes:
-    return (f"GET /v1/events HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
-            f"Last-Event-ID: {last}\r\nCache-Control: no-cache\r\n\r\n").encode()
+    return (
+        f"GET /v1/events HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
+        f"Last-Event-ID: {last}\r\nCache-Control: no-cache\r\n\r\n"
+    ).encode()
 
 
 class FeedWire:
     """Reads the stream and calls its owner: `event(id, data)`, which says what is wrong."""
 
     def __init__(self, owner: Any, allowance: Allowance) -> None:
-        self.owner, self.whole = owner, 0       # whole lines of the stream so far
+        self.owner, self.whole = owner, 0  # whole lines of the stream so far
         self.inward, self.outward = Ring(LARGEST, allowance), Ring(4096, allowance)
         # What comes next: a line, which `heard` takes, or a stretch of events.
         self.state, self.heard, self.chunked = self._line, self._status, False
-        self.left = 0           # of a chunk
-        self.text = bytearray()     # a part of a line of events
+        self.left = 0  # of a chunk
+        self.text = bytearray()  # a part of a line of events
         self.number, self.data = "", list[str]()
 
     def advance(self) -> str:
@@ -64,7 +66,7 @@
 
     def _chunk_size(self, line: bytes) -> str:
         if not line:
-            return ""       # the end of the chunk before
+            return ""  # the end of the chunk before
         try:
             self.left = int(line.split(b";")[0], 16)
         except ValueError:
@@ -90,7 +92,7 @@
         self.text += data
         while (end := self.text.find(b"\n")) >= 0:
             line = bytes(self.text[:end]).rstrip(b"\r")
-            del self.text[:end + 1]
+            del self.text[: end + 1]
             try:
                 if wrong := self._event_line(line.decode()):
                     return wrong
@@ -99,7 +101,7 @@
         return "a line that is too long" if len(self.text) > LONGEST else ""
 
     def _event_line(self, line: str) -> str:
-        self.whole += 1     # a comment counts as well
+        self.whole += 1  # a comment counts as well
         if not line:
             number, data = self.number, self.data
             self.number, self.data = "", []
--- a/corkgauge/net/frames.py
+++ b/corkgauge/net/frames.py
@@ -21,8 +21,8 @@
 from corkgauge.net.host import House, amount
 from corkgauge.net.statement import tables_of
 
-ROOM = 16               # connections that give way at once
-HEAVIEST = 3.6e6        # milliseconds of work that any submission may claim
+ROOM = 16  # connections that give way at once
+HEAVIEST = 3.6e6  # milliseconds of work that any submission may claim
 # After the signal to end: the longest expiry counts for so much at most; the rest is the page's 0.7 s, less
 # what it takes to write the last answers. Until then submissions still come.
 MOST_EXPIRY, TO_WRITE, STILL_COMING = 3 * SECOND, 4_000, 9_000
@@ -38,24 +38,34 @@
 
     def __init__(self, hub: Hub, post: Post, log: Callable[[str], None], held: int = 0) -> None:
         super().__init__(hub, post, log, held)
-        self.end = NEVER        # when the last answer goes, once the program is told to end
-        self.door: Any = None   # where clients come in, in a program that serves
+        self.end = NEVER  # when the last answer goes, once the program is told to end
+        self.door: Any = None  # where clients come in, in a program that serves
         self.last_call = NEVER  # when the clients were shown the end
         self.callers: dict[Caller, None] = {}
-        self.most_callers = post.sockets // 2   # a third is the usual ones'
-        self.keys: dict[int, tuple[int, int, bool]] = {}    # when one came, kept back how long, on a new link
-        self.unadmitted: dict[int, deque[Submission]] = {}      # by key: read, in this order, and not told yet
+        self.most_callers = post.sockets // 2  # a third is the usual ones'
+        self.keys: dict[
+            int, tuple[int, int, bool]
+        ] = {}  # when one came, kept back how long, on a new link
+        self.unadmitted: dict[
+            int, deque[Submission]
+        ] = {}  # by key: read, in this order, and not told yet
 
     def make_room(self) -> bool:
         """Danger: connections that say nothing, or nothing more, would keep others at the door. Those that
         never asked for anything give way first, then those that have been quiet longest, and last those that have told
         a half of something."""
-        quiet = sorted((caller for caller in self.callers if caller.idle()),
-                       key=lambda each: (not each.link.parting, len(each.link.machine.inward) > 0,
-                                         each.link.machine.whole > 0, each.link.heard))
+        quiet = sorted(
+            (caller for caller in self.callers if caller.idle()),
+            key=lambda each: (
+                not each.link.parting,
+                len(each.link.machine.inward) > 0,
+                each.link.machine.whole > 0,
+                each.link.heard,
+            ),
+        )
         for caller in quiet[:ROOM]:
             if caller.link.parting:
-                if caller.link.farewell > CROSSING:     # else it ends by itself in a moment
+                if caller.link.farewell > CROSSING:  # else it ends by itself in a moment
                     caller.link.cut()
             elif caller.link.give_way("room for others"):
                 self.counters["gave way"] += 1
@@ -101,38 +111,70 @@
                 self.last_call = self.now
                 for each in [*self.callers]:
                     if not (each.link.give_way("the program ends") or must or each.link.why):
-                        self.last_call = NEVER      # something came just now
+                        self.last_call = NEVER  # something came just now
         self.hub.later(step, self.gone)
 
     def owed(self, caller: Caller) -> bool:
         """Is anything still due to this client, or on its way from it?"""
         link = caller.link
-        return link.fd >= 0 and not link.parting and bool(
-            caller.open or caller.waiting or len(link.machine.outward) or unread(link.sock) or caller.half_told())
+        return (
+            link.fd >= 0
+            and not link.parting
+            and bool(
+                caller.open
+                or caller.waiting
+                or len(link.machine.outward)
+                or unread(link.sock)
+                or caller.half_told()
+            )
+        )
 
     def requested(self, caller: Caller, stream: int, fields: dict[str, str], body: bytes) -> str:
         # Danger: what it says is a stranger's; nothing of it may raise.
         self.forget()
         offering = self.offerings.get(fields.get("route", ""))
         tenant = self.tenants.get(fields.get("customer", ""))
-        life, work, memory = (amount(fields.get(name) or "0") for name in ("patience", "weight", "est_mb"))
-        name, key, nonce = fields.get("trace", ""), fields.get("entity") or "0", fields.get("nonce", "")
+        life, work, memory = (
+            amount(fields.get(name) or "0") for name in ("patience", "weight", "est_mb")
+        )
+        name, key, nonce = (
+            fields.get("trace", ""),
+            fields.get("entity") or "0",
+            fields.get("nonce", ""),
+        )
         # Danger: an engine closes on what it cannot use, with all that others have open there. A figure that
         # is named must be one; an id names one submission; nobody waits much longer than its offering lets it
         # (a little longer is no fault: a good client's clock and ours differ, and it adds its own way to us).
-        wrong = ("route" if offering is None else "customer" if tenant is None and self.tenants else
-                 "patience" if not life or life * 10 > 2 * offering.expiry else
-                 "weight" if work is None or work > HEAVIEST or fields.get("weight") and not work else
-                 "est_mb" if memory is None or memory > self.most_memory else
-                 "entity" if not KEY(key) else "trace" if not NAME(name) or name in self.names else
-                 "nonce" if not plain(nonce or ("" if offering.repeat == LABELLED else "-")) else
-                 "statement" if not text(body) else "")
+        wrong = (
+            "route"
+            if offering is None
+            else "customer"
+            if tenant is None and self.tenants
+            else "patience"
+            if not life or life * 10 > 2 * offering.expiry
+            else "weight"
+            if work is None or work > HEAVIEST or fields.get("weight") and not work
+            else "est_mb"
+            if memory is None or memory > self.most_memory
+            else "entity"
+            if not KEY(key)
+            else "trace"
+            if not NAME(name) or name in self.names
+            else "nonce"
+            if not plain(nonce or ("" if offering.repeat == LABELLED else "-"))
+            else "statement"
+            if not text(body)
+            else ""
+        )
         if wrong:
             return caller.unreadable(stream, f"{wrong}: unusable")
         key, label = int(key, 16), nonce if offering.repeat == LABELLED else ""
         order = Order(caller, stream, name, label, body, self.rows[offering])
-        if (len(caller.open) >= MOST_OPEN or len(self.names) >= self.stated.open_cap or
-                not self.statements.take(order.size)):
+        if (
+            len(caller.open) >= MOST_OPEN
+            or len(self.names) >= self.stated.open_cap
+            or not self.statements.take(order.size)
+        ):
             self.counters["overfull"] += 1
             caller.faults += len(caller.open) >= MOST_OPEN
             self.ledger.turned_away(self.rows[offering])
@@ -141,8 +183,17 @@
         life = min(int(life * 10), self.end - self.now)
         # Danger: with a full processor it has waited unread, and its client counts that.
         life = max(life - self.held_back(key, stream == 1) - self.lag, 1)
-        sub = Submission(order, offering, tenant or 0, tables_of(body), self.now, life, int(work * 10),
-                         float(memory), key)
+        sub = Submission(
+            order,
+            offering,
+            tenant or 0,
+            tables_of(body),
+            self.now,
+            life,
+            int(work * 10),
+            float(memory),
+            key,
+        )
         if self.recall is not None and label:
             self.recall.mark_known(sub, label)
         caller.open[stream] = self.names[name] = sub
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -37,12 +37,12 @@
 from corkgauge.net.records import Records
 from corkgauge.stated import Stated
 
-MOST_RESULT = 48_000    # bytes of one result
+MOST_RESULT = 48_000  # bytes of one result
 MOST_PAGES = 64
-PAGE_TIME = 2_500       # that an engine may take over the next page of a result
-UNTOLD = 3              # times that an engine should have told of a hand-off, until that counts as lost
-LEAST_ROOM = 4 * 2 ** 20
-AUDIT_EACH, AUDIT_PAUSE = SECOND, 20    # between two passes over the books; between two slices of one
+PAGE_TIME = 2_500  # that an engine may take over the next page of a result
+UNTOLD = 3  # times that an engine should have told of a hand-off, until that counts as lost
+LEAST_ROOM = 4 * 2**20
+AUDIT_EACH, AUDIT_PAUSE = SECOND, 20  # between two passes over the books; between two slices of one
 STATES = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}
 NOTES = {"advance": 1, "disk": 2, "stall": 3}
 
@@ -72,22 +72,30 @@
         # Danger: with little memory the program itself holds most of it. Half of what it had left at its
         # start may be held for others: the clients' rings, the engines', and so on. The rest is for records.
         room = max(post.memory - held, LEAST_ROOM) // 2
-        self.rings, self.lines, self.results, self.statements = (Allowance(room // 4) for _ in range(4))
+        self.rings, self.lines, self.results, self.statements = (
+            Allowance(room // 4) for _ in range(4)
+        )
         # A half is the clients' at most, a third goes to engines, and the rest stays free for the feed and what is new.
-        self.links_most, self.dials = post.sockets // 3, 0      # dials under way
+        self.links_most, self.dials = post.sockets // 3, 0  # dials under way
         self.names: dict[str, Submission] = {}  # of what is open
         self.stations: dict[str, Station] = {}
         # So that no request, timer or change of the list costs what the whole list does: links that are up; stations
         # that drain or are gone; those where something waits for a link; those that lack a link ahead.
         self.links: dict[EngineLink, None] = {}
-        self.closing, self.awaited, self.short = dict[Station, None](), dict[Station, None](), dict[Station, None]()
-        self.named = 0      # stations, so far
+        self.closing, self.awaited, self.short = (
+            dict[Station, None](),
+            dict[Station, None](),
+            dict[Station, None](),
+        )
+        self.named = 0  # stations, so far
         self.errands: dict[HandOff, Errand] = {}
         self.page_line: deque[Errand] = deque()
         self.ended: deque[Submission] = deque()
         self.stated = stated_of(post, self)
         if post.settings.get("myNumber") is None and self.stated.gateway.gateways > 1:
-            log(f"myNumber is not told: {self.stated.gateway.number}, from the name; sets of engines are less even")
+            log(
+                f"myNumber is not told: {self.stated.gateway.number}, from the name; sets of engines are less even"
+            )
         self.gateway = self.stated.gateway
         self.most_memory = max(self.stated.sizes, default=1e6)
         self.patience = UNTOLD * self.stated.tells
@@ -95,14 +103,16 @@
         self.findings = Findings(lambda: hub.now, log)
         self.ledger = Ledger(self.offerings, lambda: hub.now, self.stated.budget, self.miscounted)
         self.rows = {each: self.ledger.offerings[each.name] for each in self.stated.offerings}
-        self.answering: dict[Order, None] = {}      # have their end, and their answer has not left whole
-        self.recall: Any = None     # what outlives a restart, likewise
-        self.flows: Any = None      # what every connection carries, told to collectors, likewise
-        self.works: Any = None      # which engines are set aside for work, likewise
+        self.answering: dict[
+            Order, None
+        ] = {}  # have their end, and their answer has not left whole
+        self.recall: Any = None  # what outlives a restart, likewise
+        self.flows: Any = None  # what every connection carries, told to collectors, likewise
+        self.works: Any = None  # which engines are set aside for work, likewise
         # What the figures' door answers for other subsystems, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
-        self.waits: Any = None      # sketches of what took how long, where an operator file wants them
-        self.called: dict[HandOff, Errand] = {}     # called off, and the gateway has yet to hear of it
+        self.waits: Any = None  # sketches of what took how long, where an operator file wants them
+        self.called: dict[HandOff, Errand] = {}  # called off, and the gateway has yet to hear of it
         self.records = Records(self)
         self.auditor = Auditor(self.ledger, self.records, self.findings)
         self.tenants = {name: n for n, name in enumerate(self.stated.tenants)}
@@ -136,8 +146,10 @@
             return True
         if needed and (idle := [link for link in self.links if not (link.open or link.link.why)]):
             self.counters["links gave way"] += 1
-            min(idle, key=lambda each: (each.station.engine.near, each.link.wrote, each.station.number)).link.end(
-                "room for others")
+            min(
+                idle,
+                key=lambda each: (each.station.engine.near, each.link.wrote, each.station.number),
+            ).link.end("room for others")
         return False
 
     def make_room(self) -> bool:
@@ -163,7 +175,9 @@
         if self.recall is not None and (offering.repeat == LABELLED or offering.ordered):
             errand.effect = self.recall.sending(handoff, errand.order.label)
         if self.waits is not None and not handoff.number:
-            self.waits.handed_off(handoff.submission.offering.name, self.now - handoff.submission.taken)
+            self.waits.handed_off(
+                handoff.submission.offering.name, self.now - handoff.submission.taken
+            )
         self.hub.later(allow, self.too_late, errand)
         station.line_up(errand)
         if self.stated.dial_time < allow:
@@ -248,10 +262,10 @@
             self.statements.give(submission.tag.size)
             self.names.pop(submission.tag.name, None)
             if submission in submission.tag.caller.fresh:
-                submission.over = True      # the gateway never hears of it
+                submission.over = True  # the gateway never hears of it
             else:
                 self.gateway.submission_left(submission)
-                for handoff in submission.handoffs:     # what waits for a link never begins
+                for handoff in submission.handoffs:  # what waits for a link never begins
                     errand = self.errands.get(handoff)
                     if errand is not None and errand.link is None:
                         errand.station.waiting.remove(errand)
@@ -266,7 +280,9 @@
 
     def miscounted(self, kind: str, row: Any, serial: int) -> None:
         """A count that was wrong as it was entered."""
-        self.findings.count(kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial))
+        self.findings.count(
+            kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
+        )
 
     # Hand-offs.
 
@@ -280,11 +296,23 @@
             return ""
         errand.load = inflight_of(fields.get("l", ""), errand.load)
         if word == "DONE":
-            pages, spent, need = (amount(fields.get(name, "0")) for name in ("chunks", "spent", "wanted"))
-            if not pages or pages != int(pages) or pages > MOST_PAGES or spent is None or need is None:
+            pages, spent, need = (
+                amount(fields.get(name, "0")) for name in ("chunks", "spent", "wanted")
+            )
+            if (
+                not pages
+                or pages != int(pages)
+                or pages > MOST_PAGES
+                or spent is None
+                or need is None
+            ):
                 return f"a result of {fields.get('chunks')!r} pages"
             if errand.answered:
-                return "" if [body, int(pages)] == [errand.pages[0], len(errand.pages)] else "two results"
+                return (
+                    ""
+                    if [body, int(pages)] == [errand.pages[0], len(errand.pages)]
+                    else "two results"
+                )
             # Danger: the request ran, but what came is spoilt: nothing of it may pass for an answer.
             if not page(body):
                 return "a page that is spoilt"
@@ -300,8 +328,12 @@
         if word == "MORE":
             at = fields.get("at", "")
             n = int(at) if at.isdecimal() and len(at) < 4 else 0
-            if not errand.answered or not 0 < n < len(errand.pages) or not page(body) or (
-                    errand.pages[n] not in (None, body)):
+            if (
+                not errand.answered
+                or not 0 < n < len(errand.pages)
+                or not page(body)
+                or (errand.pages[n] not in (None, body))
+            ):
                 return f"a page {at[:8]!r} out of turn or spoilt"
             if errand.pages[n] is None:
                 errand.link.page()
@@ -335,7 +367,9 @@
         if errand.handoff in self.errands and errand.link is link and not errand.answered:
             since = self.now - max(errand.told, link.lively)
             if since < self.patience or link.spoke < self.now - SECOND // 2:
-                return self.hub.later(max(self.patience - since, SECOND // 10), self.untold, errand, link)
+                return self.hub.later(
+                    max(self.patience - since, SECOND // 10), self.untold, errand, link
+                )
             self.counters["untold"] += 1
             link.let_go(errand)
             self.failed(errand, "broken")
@@ -382,9 +416,15 @@
             self.recall.over(errand.effect, outcome)
         if self.works is not None:
             self.works.over(errand.engine_row.name, outcome)
-        self.gateway.handoff_over(handoff, outcome, self.now - handoff.sent, handoff.submission.over or
-                                  outcome == HONOURED, errand.spent if bills else 0,
-                                  errand.need if bills else 0.0, errand.load)
+        self.gateway.handoff_over(
+            handoff,
+            outcome,
+            self.now - handoff.sent,
+            handoff.submission.over or outcome == HONOURED,
+            errand.spent if bills else 0,
+            errand.need if bills else 0.0,
+            errand.load,
+        )
         if handoff.submission.over:
             self.ended.append(handoff.submission)
         self.forget()
@@ -421,10 +461,10 @@
             return "an event that makes no sense"
         members = said.get("members")
         if count <= self.last_event:
-            return ""       # told before
+            return ""  # told before
         if count > self.last_event + 1 and not (isinstance(members, dict) and members.get("full")):
             return f"event {count} after {self.last_event}"
-        wrong = self.listed(said) if members is not None else ""    # other news is none of ours
+        wrong = self.listed(said) if members is not None else ""  # other news is none of ours
         if not wrong:
             self.last_event = count
             self.counters["events"] += 1
@@ -435,9 +475,17 @@
         try:
             members, entries = said["members"], []
             for each in members["servers"]:
-                entries.append((str(each["id"]), address(each["addr"], "addr"), STATES[each["state"]],
-                                self.stated.halls.index(each["zone"]), self.stated.kinds.index(each["kind"]),
-                                int(each.get("cell", 0)), int(each.get("started_ms", 0))))
+                entries.append(
+                    (
+                        str(each["id"]),
+                        address(each["addr"], "addr"),
+                        STATES[each["state"]],
+                        self.stated.halls.index(each["zone"]),
+                        self.stated.kinds.index(each["kind"]),
+                        int(each.get("cell", 0)),
+                        int(each.get("started_ms", 0)),
+                    )
+                )
         except (Faulty, ValueError, TypeError, KeyError, AttributeError, OverflowError) as problem:
             return f"an event that makes no sense ({type(problem).__name__} {problem})"
         changed: dict[Station, None] = {}
@@ -468,7 +516,11 @@
         self.gateway.list_told()
         # A change may let these go on: what it names, what waits for a link, what lacks one ahead. For all others
         # a fill does nothing, as nothing that it looks at has changed since their last.
-        told = self.stations.values() if members.get("full") else {**changed, **self.awaited, **self.short}
+        told = (
+            self.stations.values()
+            if members.get("full")
+            else {**changed, **self.awaited, **self.short}
+        )
         told = sorted(told, key=lambda each: each.number)
         for station in told:
             if station.engine.state == READY:
--- a/corkgauge/net/statement.py
+++ b/corkgauge/net/statement.py
@@ -8,15 +8,21 @@
 
 # What cannot count goes first: strings, comments, and quoted names that are no plain words. What never ends
 # runs on to the end.
-NOISE = re.compile(rb"""
+NOISE = re.compile(
+    rb"""
     '(?:[^']+|'')*+(?:'|\Z) | --[^\n]* | /\*.*?(?:\*/|\Z)
   | ("[\w$]*"(?!") | `[\w$]*`)
   | "(?:[^"]+|"")*+(?:"|\Z) | `[^`]*(?:`|\Z)
-""", re.X | re.S)
+""",
+    re.X | re.S,
+)
 NAME = rb"""(?: (?!staging\b) [A-Za-z_\x80-\xff] [\w$\x80-\xff]* _ | ["`] (?!staging\b) [\w$]* _ )
             (\d{1,9}) ["`]? \s* \. \s* ["`]? [A-Za-z_\x80-\xff]"""
-TABLE = re.compile(rb"(?i) \b (?: from|join|into|update|table|using|only|overwrite|copy|exists ) \b [\s(]* "
-                   + NAME, re.X)
+TABLE = re.compile(
+    rb"(?i) \b (?: from|join|into|update|table|using|only|overwrite|copy|exists ) \b [\s(]* "
+    + NAME,
+    re.X,
+)
 HIDES = re.compile(rb"['\"`]|--|/\*")
 ANYWHERE = re.compile(rb"(?i) (?<! [\w$.\x80-\xff] ) " + NAME, re.X)
 
@@ -28,7 +34,7 @@
     (17.0, 0.0)
     """
     found = TABLE.search(statement)
-    if not found or HIDES.search(statement, 0, found.end()):    # what comes before it may hide it
+    if not found or HIDES.search(statement, 0, found.end()):  # what comes before it may hide it
         plain = NOISE.sub(rb" \1", statement)
         found = TABLE.search(plain) or ANYWHERE.search(plain)
     return float(found[1]) if found else 0.0
--- a/corkgauge/operator.py
+++ b/corkgauge/operator.py
@@ -15,11 +15,11 @@
 from corkgauge.configuration import Faulty
 from corkgauge.loop.hub import SECOND
 
-LARGEST = 2 ** 20       # bytes of a file
+LARGEST = 2**20  # bytes of a file
 MOST_DATAGRAM = 65_507  # octets of a datagram, on IPv4
-LEAST_KEY = 32          # octets of a key that fellows share
+LEAST_KEY = 32  # octets of a key that fellows share
 MOST_VOTERS = 7
-MOST_UNIX = 107         # bytes of a Unix socket's path, by the system's own limit
+MOST_UNIX = 107  # bytes of a Unix socket's path, by the system's own limit
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,8 +29,8 @@
     listen: str | tuple[str, int] | None
     readers: int
     keep: str
-    keep_each: int          # tenths of a millisecond
-    error: float            # of the sketches; 0: none are kept
+    keep_each: int  # tenths of a millisecond
+    error: float  # of the sketches; 0: none are kept
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,13 +157,22 @@
         raise Faulty(f"{path}:{problem.lineno or 1}: {problem.msg}") from None
     if tree.getroottree().docinfo.doctype:
         raise Faulty(f"{path}:1: expected no document type")
-    schema = etree.XMLSchema(etree.fromstring(files("corkgauge").joinpath("operator.xsd").read_bytes()))
+    schema = etree.XMLSchema(
+        etree.fromstring(files("corkgauge").joinpath("operator.xsd").read_bytes())
+    )
     if not schema.validate(tree):
         first = schema.error_log[0]
         raise Faulty(f"{path}:{first.line}: {first.message}")
-    return Operated(path, _figures(path, tree.find("figures")), _flows(path, tree.find("flows")),
-                    _recall(tree.find("recall")), _fellows(path, tree.find("fellows")),
-                    _duties(path, tree), _works(path, tree), _shared(path, tree))
+    return Operated(
+        path,
+        _figures(path, tree.find("figures")),
+        _flows(path, tree.find("flows")),
+        _recall(tree.find("recall")),
+        _fellows(path, tree.find("fellows")),
+        _duties(path, tree),
+        _works(path, tree),
+        _shared(path, tree),
+    )
 
 
 def _figures(path: str, said: Any) -> Figures | None:
@@ -171,9 +180,12 @@
         return None
     listen, keep, waits = said.find("listen"), said.find("keep"), said.find("waits")
     return Figures(
-        _listen(path, listen), int(_of(listen, "readers", "4")), _of(keep, "folder", ""),
+        _listen(path, listen),
+        int(_of(listen, "readers", "4")),
+        _of(keep, "folder", ""),
         int(float(_of(keep, "each", "0.25")) * SECOND),
-        float(_of(waits, "error", "0.02")) if waits is not None else 0.0)
+        float(_of(waits, "error", "0.02")) if waits is not None else 0.0,
+    )
 
 
 def _flows(path: str, said: Any) -> Flows | None:
@@ -183,28 +195,42 @@
     collectors = tuple(_collector(path, each, layout) for each in said.findall("collector"))
     if len({each.address for each in collectors}) < len(collectors):
         raise _wrong(path, said, "collectors of different addresses")
-    return Flows(layout, said.get("mode", "failover"), _span(said, "active", "60"), _span(said, "idle", "15"),
-                 int(said.get("memory", "1048576")), collectors)
+    return Flows(
+        layout,
+        said.get("mode", "failover"),
+        _span(said, "active", "60"),
+        _span(said, "idle", "15"),
+        int(said.get("memory", "1048576")),
+        collectors,
+    )
 
 
 def _recall(said: Any) -> Recall | None:
     if said is None:
         return None
-    return Recall(said.get("folder"), _span(said, "each", "1"), said.get("durability", "process"),
-                  int(said.get("kept", "3")))
+    return Recall(
+        said.get("folder"),
+        _span(said, "each", "1"),
+        said.get("durability", "process"),
+        int(said.get("kept", "3")),
+    )
 
 
 def _fellows(path: str, said: Any) -> Fellows | None:
     if said is None:
         return None
-    lines = [(each, each.get("name"), each.get("address"), each.get("hall", ""))
-             for each in said.findall("fellow")]
+    lines = [
+        (each, each.get("name"), each.get("address"), each.get("hall", ""))
+        for each in said.findall("fellow")
+    ]
     roster = said.get("roster")
     for number, line in enumerate(_read(path, said, roster).splitlines() if roster else (), 1):
         words = line.partition("#")[0].split()
         if words:
             if len(words) not in (2, 3):
-                raise Faulty(f"{roster}:{number}: expected NAME ADDRESS:PORT HALL, found {line[:80]!r}")
+                raise Faulty(
+                    f"{roster}:{number}: expected NAME ADDRESS:PORT HALL, found {line[:80]!r}"
+                )
             lines.append((said, *words, *[""] * (3 - len(words))))
     found: dict[str, tuple[str, tuple[str, int], str]] = {}
     for element, name, address, hall in lines:
@@ -212,8 +238,12 @@
             raise _wrong(path, element, f"each fellow once, found {name!r} again")
         found[name] = name, _address(path, element, address), hall
     listen = said.get("listen")
-    return Fellows(tuple(_key(path, each) for each in said.findall("key")), tuple(found.values()),
-                   None if listen is None else _address(path, said, listen), _span(said, "period", "0.5"))
+    return Fellows(
+        tuple(_key(path, each) for each in said.findall("key")),
+        tuple(found.values()),
+        None if listen is None else _address(path, said, listen),
+        _span(said, "period", "0.5"),
+    )
 
 
 def _key(path: str, said: Any) -> bytes:
@@ -236,7 +266,9 @@
         with open(name, encoding="utf-8") as file:
             return file.read(LARGEST)
     except (OSError, UnicodeDecodeError) as problem:
-        raise _wrong(path, said, f"a readable {name}: {getattr(problem, 'strerror', 'no text')}") from None
+        raise _wrong(
+            path, said, f"a readable {name}: {getattr(problem, 'strerror', 'no text')}"
+        ) from None
 
 
 def _duties(path: str, tree: Any) -> Duties | None:
@@ -249,8 +281,10 @@
     names = tuple((voters.text or "").split())
     if not 1 <= len(names) <= MOST_VOTERS or len({*names}) < len(names):
         raise _wrong(path, voters, f"1 to {MOST_VOTERS} names, each once")
-    duties = tuple((each.get("name"), each.get("kind", "run"), _span(each, "each", "5"))
-                   for each in said.findall("duty"))
+    duties = tuple(
+        (each.get("name"), each.get("kind", "run"), _span(each, "each", "5"))
+        for each in said.findall("duty")
+    )
     if len({name for name, *_ in duties}) < len(duties):
         raise _wrong(path, said, "duties of different names")
     lease, margin = _span(said, "lease", "5"), _span(said, "margin", "0.25")
@@ -260,8 +294,16 @@
         raise _wrong(path, said, "a margin and a drift that leave half of the lease")
     if longest < lease:
         raise _wrong(path, said, "a longest lease no shorter than the lease")
-    return Duties(int(voters.get("version", "1")), names, duties, lease, longest, margin, drift,
-                  said.get("folder", ""))
+    return Duties(
+        int(voters.get("version", "1")),
+        names,
+        duties,
+        lease,
+        longest,
+        margin,
+        drift,
+        said.get("folder", ""),
+    )
 
 
 def _works(path: str, tree: Any) -> Works | None:
@@ -279,13 +321,29 @@
         machines.append((each.get("name"), engines))
     if len({name for name, _ in machines}) < len(machines):
         raise _wrong(path, said, "machines of different names")
-    parts = [float(said.get(name, otherwise)) for name, otherwise in (
-        ("share", "0.25"), ("hall", "0.5"), ("kind", "0.5"), ("room", "0.7"))]
+    parts = [
+        float(said.get(name, otherwise))
+        for name, otherwise in (
+            ("share", "0.25"),
+            ("hall", "0.5"),
+            ("kind", "0.5"),
+            ("room", "0.7"),
+        )
+    ]
     if _span(said, "grant", "5") < 2 * _span(said, "each", "0.5"):
         raise _wrong(path, said, "a grant of two times `each` or more")
-    return Works((int(said.get("most", "4")), *parts, int(said.get("least", "1")), int(said.get("gateways", "1"))),
-                 tuple(machines), _span(said, "each", "0.5"), _span(said, "grant", "5"),
-                 _span(said, "patience", "1"))
+    return Works(
+        (
+            int(said.get("most", "4")),
+            *parts,
+            int(said.get("least", "1")),
+            int(said.get("gateways", "1")),
+        ),
+        tuple(machines),
+        _span(said, "each", "0.5"),
+        _span(said, "grant", "5"),
+        _span(said, "patience", "1"),
+    )
 
 
 def _shared(path: str, tree: Any) -> Shared | None:
@@ -320,9 +378,16 @@
     payload = int(said.get("payload", "1400" if transport == "udp" else "16384"))
     if transport == "udp" and payload > MOST_DATAGRAM:
         raise _wrong(path, said, f"a payload of {MOST_DATAGRAM} octets at most on udp")
-    return Collector(address, transport, payload, _span(said, "templates", "300"),
-                     int(said.get("messages", "1000")), None if tls is None else Tls(
-                         tls.get("ca"), tls.get("name"), tls.get("certificate", ""), tls.get("key", "")))
+    return Collector(
+        address,
+        transport,
+        payload,
+        _span(said, "templates", "300"),
+        int(said.get("messages", "1000")),
+        None
+        if tls is None
+        else Tls(tls.get("ca"), tls.get("name"), tls.get("certificate", ""), tls.get("key", "")),
+    )
 
 
 def _span(said: Any, name: str, otherwise: str) -> int:
@@ -344,7 +409,9 @@
             raise _wrong(path, said, f"a path of {MOST_UNIX} bytes at most")
         return unix
     host, _, port = address.rpartition(":")
-    if not 0 <= int(port) < 65536 or any(int(part) > 255 for part in host.split(".") if part.isdigit()):
+    if not 0 <= int(port) < 65536 or any(
+        int(part) > 255 for part in host.split(".") if part.isdigit()
+    ):
         raise _wrong(path, said, "an address on loopback with a port")
     return host.strip("[]"), int(port)
 
--- a/corkgauge/recall/ageing.py
+++ b/corkgauge/recall/ageing.py
@@ -11,12 +11,12 @@
 
 SECOND = 10_000
 # After so long, half of what a figure says is left (tenths of a millisecond).
-SLOWNESS = 20 * SECOND      # of an engine; neighbours and load change within a league night's minute
+SLOWNESS = 20 * SECOND  # of an engine; neighbours and load change within a league night's minute
 BOUND = 30 * SECOND
-FAULTS = 10 * SECOND        # the module itself compares faults of ten seconds
-PRICE = 6 * SECOND          # the module takes a fifth off each two seconds
+FAULTS = 10 * SECOND  # the module itself compares faults of ten seconds
+PRICE = 6 * SECOND  # the module takes a fifth off each two seconds
 SHARES = 60 * SECOND
-WORK = 600 * SECOND         # what submissions of an offering need changes slowest
+WORK = 600 * SECOND  # what submissions of an offering need changes slowest
 
 
 def left_of(age: float, half: int) -> float:
@@ -49,7 +49,7 @@
     ([1, 2, 3, 4], [3, 4], [])
     """
     count = int(len(samples) * left_of(age, half) + 0.5)
-    return samples[len(samples) - count:]
+    return samples[len(samples) - count :]
 
 
 def towards(value: float, unknown: float, age: float, half: int) -> float:
@@ -59,9 +59,12 @@
 def engine(said: Mapping[str, Any], age: float, saved_at: int, now: int) -> dict[str, Any]:
     """One engine's figures; its rest ends no later than it would have, counted from the moment of saving."""
     left = max(said["rests_until"] - saved_at - age, 0) if age != inf else 0
-    return {"slowness": last_part(said["slowness"], age, SLOWNESS),
-            "bound": towards(said["bound"], 1.0, age, BOUND),
-            "faults": last_part(said["faults"], age, FAULTS), "rests_until": int(now + left) if left else -1}
+    return {
+        "slowness": last_part(said["slowness"], age, SLOWNESS),
+        "bound": towards(said["bound"], 1.0, age, BOUND),
+        "faults": last_part(said["faults"], age, FAULTS),
+        "rests_until": int(now + left) if left else -1,
+    }
 
 
 def shares(said: list[float], age: float) -> list[float]:
--- a/corkgauge/recall/effects.py
+++ b/corkgauge/recall/effects.py
@@ -19,8 +19,8 @@
 import xxhash
 
 HEAD = Struct("<II")
-LARGEST = 4096          # octets of one record
-MOST = 100_000          # effects held; beyond it the oldest go
+LARGEST = 4096  # octets of one record
+MOST = 100_000  # effects held; beyond it the oldest go
 SENT, OVER = 1, 2
 WHOLE, TORN, DAMAGED = "", "a torn end", "damage in the middle"
 
@@ -38,7 +38,7 @@
     cell: int
     sent: int
     until: int
-    open: bool = True       # no outcome yet, as far as was told
+    open: bool = True  # no outcome yet, as far as was told
 
 
 def record(body: list[Any]) -> bytes:
@@ -47,8 +47,20 @@
 
 
 def sent(effect: Effect) -> bytes:
-    return record([SENT, effect.serial, effect.label, effect.offering, effect.key, effect.engine, effect.hall,
-                   effect.cell, effect.sent, effect.until])
+    return record(
+        [
+            SENT,
+            effect.serial,
+            effect.label,
+            effect.offering,
+            effect.key,
+            effect.engine,
+            effect.hall,
+            effect.cell,
+            effect.sent,
+            effect.until,
+        ]
+    )
 
 
 def over(serial: int, ran: bool) -> bytes:
@@ -70,7 +82,7 @@
             yield None, at, TORN
             return
         length, mark = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size:at + HEAD.size + length]
+        body = data[at + HEAD.size : at + HEAD.size + length]
         if length > LARGEST or len(body) < length or xxhash.xxh32_intdigest(body) != mark:
             # Danger: an end that a kill tore is cut; damage with good records behind it is another matter.
             yield None, at, DAMAGED if _goes_on(data, at + 1) else TORN
@@ -91,8 +103,13 @@
     """Is there a good record anywhere behind? Looked for in a bounded stretch."""
     for begin in range(at, min(len(data) - HEAD.size, at + 2 * LARGEST)):
         length, mark = HEAD.unpack_from(data, begin)
-        if 0 < length <= LARGEST and begin + HEAD.size + length <= len(data) and (
-                xxhash.xxh32_intdigest(data[begin + HEAD.size:begin + HEAD.size + length]) == mark):
+        if (
+            0 < length <= LARGEST
+            and begin + HEAD.size + length <= len(data)
+            and (
+                xxhash.xxh32_intdigest(data[begin + HEAD.size : begin + HEAD.size + length]) == mark
+            )
+        ):
             return True
     return False
 
@@ -126,9 +143,14 @@
         try:
             if body[0] == SENT:
                 _, serial, label, offering, key, engine, hall, cell, when, until = body
-                if not (isinstance(label, str) and isinstance(offering, str) and isinstance(engine, str)
-                        and all(
-                        isinstance(each, int) for each in (serial, key, hall, cell, when, until))):
+                if not (
+                    isinstance(label, str)
+                    and isinstance(offering, str)
+                    and isinstance(engine, str)
+                    and all(
+                        isinstance(each, int) for each in (serial, key, hall, cell, when, until)
+                    )
+                ):
                     return False
                 self.sent(Effect(serial, label, offering, key, engine, hall, cell, when, until))
             else:
--- a/corkgauge/recall/keeping.py
+++ b/corkgauge/recall/keeping.py
@@ -17,11 +17,20 @@
 from corkgauge.operator import Recall
 from corkgauge.recall import effects, learned, snapshot, writer
 from corkgauge.recall.ageing import age_of, inf
-from corkgauge.recall.writer import EFFECT, FLOOR, FRAME, SEGMENT, SEGMENTS, SERIALS, SNAPSHOT, segments
+from corkgauge.recall.writer import (
+    EFFECT,
+    FLOOR,
+    FRAME,
+    SEGMENT,
+    SEGMENTS,
+    SERIALS,
+    SNAPSHOT,
+    segments,
+)
 
-PIPE = 2 ** 20          # octets that the pipe is asked to hold
-MOST_LOG = SEGMENTS * SEGMENT   # octets of the log that are read at a start, a segment at a time
-AGAIN = 5 * SECOND      # until a helper that ended is started again
+PIPE = 2**20  # octets that the pipe is asked to hold
+MOST_LOG = SEGMENTS * SEGMENT  # octets of the log that are read at a start, a segment at a time
+AGAIN = 5 * SECOND  # until a helper that ended is started again
 ALL_HALLS = "all"
 
 
@@ -29,15 +38,21 @@
     """`house` has `hub`, `gateway`, `stated`, `ledger` and `log`."""
 
     def __init__(self, house: Any, gateway: str, mark: int, said: Recall) -> None:
-        self.house, self.hub, self.said, self.gateway, self.mark = house, house.hub, said, gateway, mark
+        self.house, self.hub, self.said, self.gateway, self.mark = (
+            house,
+            house.hub,
+            said,
+            gateway,
+            mark,
+        )
         self.name = safe(gateway)
         self.effects = effects.Effects()
         self.serial = 0
         self.helper: subprocess.Popen | None = None
         self.ending = False
-        self.gap = 0        # frames that the pipe did not take
+        self.gap = 0  # frames that the pipe did not take
         self.lock = -1
-        self.unwritten = bytearray()    # the rest of a frame that the pipe took a part of
+        self.unwritten = bytearray()  # the rest of a frame that the pipe took a part of
         try:
             os.makedirs(said.folder, exist_ok=True)
             self.lock = os.open(self._path("lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
@@ -52,7 +67,7 @@
             return
         closed = self._recall()
         self._start()
-        for effect in closed:   # else each later start would take them for unsettled again
+        for effect in closed:  # else each later start would take them for unsettled again
             self._put(EFFECT, effects.over(effect.serial, True))
         house.recall = self
         self.hub.later(said.each, self.keep)
@@ -66,7 +81,10 @@
         """The effects that were unsettled."""
         now, (boot, since_boot) = self.hub.now, boot_of()
         unsettled = self._read_effects(now)
-        for path in (self._path("recall"), *(self._path(f"recall.{n}") for n in range(1, self.said.kept))):
+        for path in (
+            self._path("recall"),
+            *(self._path(f"recall.{n}") for n in range(1, self.said.kept)),
+        ):
             try:
                 with open(path, "rb") as file:
                     said = snapshot.read(file.read(snapshot.LARGEST + 1), self.gateway, self.mark)
@@ -79,25 +97,33 @@
                 self.house.log(f"recall: {path} is {why}, passed over")
                 continue
             except (KeyError, TypeError, ValueError, AttributeError, IndexError) as problem:
-                self.house.log(f"recall: {path} makes no sense ({type(problem).__name__}), passed over")
+                self.house.log(
+                    f"recall: {path} makes no sense ({type(problem).__name__}), passed over"
+                )
                 continue
             old = "unknown" if age == inf else f"{age / SECOND:.1f}"
-            self.house.log(f"recall: engines={counts['engines']} offerings={counts['offerings']} "
-                           f"queues={counts['queues']} age={old}")
+            self.house.log(
+                f"recall: engines={counts['engines']} offerings={counts['offerings']} "
+                f"queues={counts['queues']} age={old}"
+            )
             break
         return unsettled
 
     def _read_effects(self, now: int) -> list[effects.Effect]:
         """The last of the log, as far as its bound; keys with a hand-off of unknown outcome rest."""
         left, paths = MOST_LOG, []
-        for _, path in reversed(segments(self.said.folder, self.name, os.listdir(self.said.folder))):
+        for _, path in reversed(
+            segments(self.said.folder, self.name, os.listdir(self.said.folder))
+        ):
             size = os.path.getsize(path)
             if size > left:
                 self.house.log(f"recall: {path} has {size} octets, more than are read; passed over")
                 break
             left -= size
             paths.append((path, size))
-        for path, size in reversed(paths):      # one at a time: together they may be more than our memory
+        for path, size in reversed(
+            paths
+        ):  # one at a time: together they may be more than our memory
             with open(path, "rb") as file:
                 data = file.read(size)
             for body, at, wrong in effects.records(data):
@@ -106,8 +132,10 @@
                 elif wrong:
                     self.house.log(f"recall: {path} has {wrong} at {at}")
         unsettled = self.effects.unsettled()
-        gateway, ordered = self.house.gateway, {each.name
-                                                for each in self.house.stated.offerings if each.ordered}
+        gateway, ordered = (
+            self.house.gateway,
+            {each.name for each in self.house.stated.offerings if each.ordered},
+        )
         for effect in unsettled:
             # Danger: it may run on, and the next of its key would run beside it. It was given up with its
             # connection, at the latest when the program before ended; so its key rests as after a reset.
@@ -127,9 +155,17 @@
         """A hand-off of a labelled or ordered submission goes out; its entry goes first. Its serial here."""
         sub, engine = handoff.submission, handoff.engine
         self.serial += 1
-        effect = effects.Effect(self.serial, label, sub.offering.name, sub.key, engine.name, engine.hall,
-                                engine.cell,
-                                handoff.sent, handoff.sent + sub.offering.remembered)
+        effect = effects.Effect(
+            self.serial,
+            label,
+            sub.offering.name,
+            sub.key,
+            engine.name,
+            engine.hall,
+            engine.cell,
+            handoff.sent,
+            handoff.sent + sub.offering.remembered,
+        )
         self.effects.sent(effect)
         self._put(EFFECT, effects.sent(effect))
         return self.serial
@@ -143,9 +179,19 @@
         """A labelled submission that may have run goes only where its label is known, and only as long."""
         known = self.effects.of(sub.offering.name, label, self.hub.now)
         if known and sub.offering.group != ALL_HALLS:
-            sub.before = [HandOff(None, Engine(each.engine, b"", each.hall, 0, each.cell), -1, each.sent, 1.0,
-                                  1.0, False,
-                                  outcome=RESET) for each in known]
+            sub.before = [
+                HandOff(
+                    None,
+                    Engine(each.engine, b"", each.hall, 0, each.cell),
+                    -1,
+                    each.sent,
+                    1.0,
+                    1.0,
+                    False,
+                    outcome=RESET,
+                )
+                for each in known
+            ]
             sub.life = max(min(sub.life, min(each.until for each in known) - self.hub.now), 1)
 
     def keep(self) -> None:
@@ -159,8 +205,13 @@
 
     def _moment(self) -> dict[str, Any]:
         boot, since_boot = boot_of()
-        return {"gateway": self.gateway, "mark": self.mark, "at": self.hub.now, "boot": boot,
-                "since_boot": since_boot}
+        return {
+            "gateway": self.gateway,
+            "mark": self.mark,
+            "at": self.hub.now,
+            "boot": boot,
+            "since_boot": since_boot,
+        }
 
     def _name(self, moment: dict[str, Any], said: dict[str, Any]) -> None:
         self.hub.later(1, self._pack, {**moment, **learned.named(said)})
@@ -192,10 +243,19 @@
     def _start(self) -> None:
         try:
             self.helper = subprocess.Popen(
-                [sys.executable, writer.__file__, self.said.folder, self.name,
-                 self.said.durability,
-                 str(self.said.kept)], stdin=subprocess.PIPE, stdout=subprocess.PIPE, bufsize=0,
-                 start_new_session=True)
+                [
+                    sys.executable,
+                    writer.__file__,
+                    self.said.folder,
+                    self.name,
+                    self.said.durability,
+                    str(self.said.kept),
+                ],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                bufsize=0,
+                start_new_session=True,
+            )
         except OSError as problem:
             self.house.log(f"recall: no helper: {problem.strerror}")
             return
@@ -222,7 +282,9 @@
                 said = b""
             if not said:
                 break
-            self.house.log(f"recall: not written: {said.decode(errors='replace').splitlines()[0][:200]}")
+            self.house.log(
+                f"recall: not written: {said.decode(errors='replace').splitlines()[0][:200]}"
+            )
         helper.stdout.close()
         helper.wait()
         if not self.hub.stopped and not self.ending:
@@ -238,7 +300,7 @@
         self.unwritten += frame
         self._flush()
         if len(self.unwritten) == len(frame):
-            self.unwritten.clear()      # nothing of it went: it never was
+            self.unwritten.clear()  # nothing of it went: it never was
             return self._missed()
         if self.gap and self.helper is not None:
             self.house.log(f"recall: written again, {self.gap} entries were not kept")
@@ -253,10 +315,10 @@
         """Is the pipe free? What is left of a frame goes before the next one, so each goes whole."""
         try:
             while self.unwritten:
-                del self.unwritten[:os.write(self.pipe, self.unwritten)]
+                del self.unwritten[: os.write(self.pipe, self.unwritten)]
         except BlockingIOError:
             return False
-        except OSError:     # it has ended; `_listen` hears of that
+        except OSError:  # it has ended; `_listen` hears of that
             self.helper = None
             return False
         return True
--- a/corkgauge/recall/learned.py
+++ b/corkgauge/recall/learned.py
@@ -16,12 +16,20 @@
 
 def copied(gateway: Any) -> dict[str, Any]:
     """What the module has learned, as copies; cheap, so that it is taken between two events."""
-    return {"price": gateway.price, "best": gateway.best, "extras": [*gateway.extras],
-            "honoured": [*gateway.honoured],
-            "engines": [(e, [*e.view.slowness], e.view.bound, e.view.rests_until, [*e.view.faults])
-                        for e in gateway.engines],
-            "offerings": [(each, [*each.samples]) for each in {q.offering: 0 for q in gateway.queues.values()}],
-            "queues": [(tenant, each, queue.share) for (tenant, each), queue in gateway.queues.items()]}
+    return {
+        "price": gateway.price,
+        "best": gateway.best,
+        "extras": [*gateway.extras],
+        "honoured": [*gateway.honoured],
+        "engines": [
+            (e, [*e.view.slowness], e.view.bound, e.view.rests_until, [*e.view.faults])
+            for e in gateway.engines
+        ],
+        "offerings": [
+            (each, [*each.samples]) for each in {q.offering: 0 for q in gateway.queues.values()}
+        ],
+        "queues": [(tenant, each, queue.share) for (tenant, each), queue in gateway.queues.items()],
+    }
 
 
 def gathered(gateway: Any) -> dict[str, Any]:
@@ -32,18 +40,31 @@
 def named(said: dict[str, Any]) -> dict[str, Any]:
     """What the module said, by names; it holds copies, so this may come later."""
     return {
-        "price": said["price"], "best": said["best"],
-        "engines": {engine.name: {"started": engine.started, "slowness": slowness, "bound": bound,
-                                  "rests_until": rests_until, "faults": faults}
-                    for engine, slowness, bound, rests_until, faults in said["engines"]},
-        "offerings": {offering.name: [list(sample) for sample in samples] for offering,
-                      samples in said["offerings"]},
+        "price": said["price"],
+        "best": said["best"],
+        "engines": {
+            engine.name: {
+                "started": engine.started,
+                "slowness": slowness,
+                "bound": bound,
+                "rests_until": rests_until,
+                "faults": faults,
+            }
+            for engine, slowness, bound, rests_until, faults in said["engines"]
+        },
+        "offerings": {
+            offering.name: [list(sample) for sample in samples]
+            for offering, samples in said["offerings"]
+        },
         "queues": [[tenant, offering.name, share] for tenant, offering, share in said["queues"]],
-        "extras": said["extras"], "honoured": said["honoured"]}
+        "extras": said["extras"],
+        "honoured": said["honoured"],
+    }
 
 
-def recalled(said: dict[str, Any], gateway: Any, offerings: dict[str, Any], now: int,
-             age: float) -> dict[str, int]:
+def recalled(
+    said: dict[str, Any], gateway: Any, offerings: dict[str, Any], now: int, age: float
+) -> dict[str, int]:
     """Give the module what is left of it; how many engines, offerings and queues that was. What is not as it
     should be is left out, whatever it is."""
     counts = {"engines": 0, "offerings": 0, "queues": 0}
@@ -53,22 +74,45 @@
         # Danger: under the same id another process may run by now; nothing is known of that one.
         if known and known["started"] == engine.started:
             aged = ageing.engine(known, age, said["at"], now)
-            engines.append((engine, aged["slowness"], aged["bound"], aged["rests_until"], aged["faults"]))
+            engines.append(
+                (engine, aged["slowness"], aged["bound"], aged["rests_until"], aged["faults"])
+            )
             counts["engines"] += bool(aged["slowness"] or aged["rests_until"] >= 0)
-    samples = [(offering, [tuple(each) for each in ageing.last_part(said["offerings"].get(name, []), age,
-                                                                    ageing.WORK)])
-               for name, offering in offerings.items()]
+    samples = [
+        (
+            offering,
+            [
+                tuple(each)
+                for each in ageing.last_part(said["offerings"].get(name, []), age, ageing.WORK)
+            ],
+        )
+        for name, offering in offerings.items()
+    ]
     counts["offerings"] = sum(bool(each) for _, each in samples)
-    queues = [(tenant, offerings[name], share) for tenant, name, share in said["queues"] if name in offerings]
+    queues = [
+        (tenant, offerings[name], share)
+        for tenant, name, share in said["queues"]
+        if name in offerings
+    ]
     aged = ageing.shares([share for _, _, share in queues], age)
     counts["queues"] = len(queues)
     span = gateway.extra[2]
-    lately = {name: [when for when in said[name] if now - span < when <= now]
-              for name in ("extras", "honoured")}
-    gateway.recall({
-        "price": ageing.price(said["price"], age), "engines": engines, "offerings": samples,
-        "best": said["best"] if age != ageing.inf else gateway.best,
-        "queues": [(tenant, offering, share) for (tenant, offering, _), share in zip(queues, aged)],
-        # Danger: a budget that counts what was honoured before, and not what was sent, would be too wide.
-        "extras": lately["extras"], "honoured": lately["honoured"]})
+    lately = {
+        name: [when for when in said[name] if now - span < when <= now]
+        for name in ("extras", "honoured")
+    }
+    gateway.recall(
+        {
+            "price": ageing.price(said["price"], age),
+            "engines": engines,
+            "offerings": samples,
+            "best": said["best"] if age != ageing.inf else gateway.best,
+            "queues": [
+                (tenant, offering, share) for (tenant, offering, _), share in zip(queues, aged)
+            ],
+            # Danger: a budget that counts what was honoured before, and not what was sent, would be too wide.
+            "extras": lately["extras"],
+            "honoured": lately["honoured"],
+        }
+    )
     return counts
--- a/corkgauge/recall/snapshot.py
+++ b/corkgauge/recall/snapshot.py
@@ -15,7 +15,7 @@
 MAGIC, VERSION = b"CKGRECL\n", 1
 HEAD, SUM = Struct("<8sHI"), Struct("<Q")
 OVERHEAD = HEAD.size + SUM.size
-LARGEST = 16 * 2 ** 20
+LARGEST = 16 * 2**20
 
 
 class Unusable(ValueError):
@@ -46,7 +46,8 @@
         raise Unusable(f"of version {version}, newer than {VERSION}")
     body = data[OVERHEAD:]
     if len(body) != length or SUM.unpack_from(data, HEAD.size)[0] != xxhash.xxh64_intdigest(
-            body, xxhash.xxh64_intdigest(data[:HEAD.size])):
+        body, xxhash.xxh64_intdigest(data[: HEAD.size])
+    ):
         raise Unusable("torn")
     try:
         said = msgpack.unpackb(body, strict_map_key=False)
--- a/corkgauge/recall/writer.py
+++ b/corkgauge/recall/writer.py
@@ -18,9 +18,9 @@
 FRAME = struct.Struct("<cI")
 SNAPSHOT, EFFECT, FLOOR = b"S", b"E", b"F"
 SERIALS = struct.Struct("<QQ")
-SEGMENT = 2 ** 20       # octets of one
-SEGMENTS = 64           # kept at most, as many as are read at a start
-LARGEST = 32 * 2 ** 20
+SEGMENT = 2**20  # octets of one
+SEGMENTS = 64  # kept at most, as many as are read at a start
+LARGEST = 32 * 2**20
 
 
 class Disk:
@@ -32,7 +32,7 @@
     def write(self, file: Any, data: bytes) -> None:
         view = memoryview(data)
         while view:
-            view = view[file.write(view):]
+            view = view[file.write(view) :]
 
     def sync(self, file: Any) -> None:
         os.fsync(file.fileno())
@@ -64,7 +64,9 @@
         self.folder, self.name, self.durable, self.kept = folder, name, durable, kept
         self.disk = disk or Disk()
         self.file, self.size = None, 0
-        self.bounds: dict[str, int] = {}    # by closed segment: no effect in it has a higher serial; 0: not told yet
+        self.bounds: dict[
+            str, int
+        ] = {}  # by closed segment: no effect in it has a higher serial; 0: not told yet
 
     def path(self, end: str) -> str:
         return os.path.join(self.folder, f"{self.name}.{end}")
@@ -114,7 +116,7 @@
         self.file, self.size = disk.create(self.path(f"effects.{number:08}")), 0
         for _, path in there:
             self.bounds.setdefault(path, 0)
-        for _, path in there[:1 - SEGMENTS]:    # Danger: a log without end would fill the disk
+        for _, path in there[: 1 - SEGMENTS]:  # Danger: a log without end would fill the disk
             disk.remove(path)
             self.bounds.pop(path, None)
         if self.durable:
@@ -142,7 +144,7 @@
         sort, length = FRAME.unpack(head)
         body = source.read(length) if length <= LARGEST else b""
         if len(body) < length:
-            return 0        # the parent was killed within a frame: what is not whole never was
+            return 0  # the parent was killed within a frame: what is not whole never was
         try:
             if sort == FLOOR:
                 files.floor(*SERIALS.unpack(body))
--- a/corkgauge/shared/exchange.py
+++ b/corkgauge/shared/exchange.py
@@ -19,13 +19,13 @@
 from corkgauge.shared.weighing import NONE, OWN, Opinion, opinion
 
 CODES = {"error": ERROR, "reset": RESET, "unreached": UNREACHED, "silent": SILENT}
-NOTABLE = 2.0           # times the usual slowness, from which it is worth telling
-ROOM = 1_000            # octets of findings in one letter
-TOLD_AT_ONCE = 2        # fellows, each period
-REPAIR_EACH = 6         # periods between two comparisons with a fellow
-MOST_TURNS = 40         # cold engines that are looked at for turns to pass on, a look
-TURN_LOOK = 1_000       # tenths of a millisecond between two such looks
-TRIALS = 8              # gateways at a time that try an engine which many doubt
+NOTABLE = 2.0  # times the usual slowness, from which it is worth telling
+ROOM = 1_000  # octets of findings in one letter
+TOLD_AT_ONCE = 2  # fellows, each period
+REPAIR_EACH = 6  # periods between two comparisons with a fellow
+MOST_TURNS = 40  # cold engines that are looked at for turns to pass on, a look
+TURN_LOOK = 1_000  # tenths of a millisecond between two such looks
+TRIALS = 8  # gateways at a time that try an engine which many doubt
 
 
 class Exchange:
@@ -38,10 +38,10 @@
         self.storm = Storm(self.name)
         self.turns = Turns(house.gateway.fall_span)
         self.opinions: dict[str, Opinion] = {}
-        self.changed: set[str] = set()      # engines on which something new was heard
+        self.changed: set[str] = set()  # engines on which something new was heard
         self.serial = self.rounds = 0
         self.refused_before = 0
-        self.want = 0.0                     # submissions a second that found no place here
+        self.want = 0.0  # submissions a second that found no place here
         self.octets = self.allowance = 0
         self.company.calls["findings"] = self.heard
         self.company.calls["repair"] = self.compared
@@ -98,7 +98,7 @@
             if view.rests_until > now:
                 fault = next((CODES[why] for why in reversed(view.faults) if why), WELL)
             elif view.heard < now - OWN or not self.house.gateway._trusted(view):
-                continue        # nothing fresh is known of it here; what we said before grows old
+                continue  # nothing fresh is known of it here; what we said before grows old
             samples = len(view.slowness)
             slow = int(100 * median(view.slowness)) if samples >= 3 else 0
             # Danger: what is as usual, told by hundreds on hundreds of engines, leaves no room for what is not. It is
@@ -109,9 +109,11 @@
     def _storm(self, now: int) -> None:
         gateway = self.house.gateway
         floor, part, _ = gateway.extra
-        gateway.strict = self.storm.looked(now, len(gateway.honoured), len(gateway.extras), floor, part)
+        gateway.strict = self.storm.looked(
+            now, len(gateway.honoured), len(gateway.extras), floor, part
+        )
         ledger = self.house.ledger
-        refused = sum(row.reasons[3] for row in ledger.offerings.values())      # unsent: found no place
+        refused = sum(row.reasons[3] for row in ledger.offerings.values())  # unsent: found no place
         self.want = max((refused - self.refused_before) * SECOND / max(self.said.each, 1), 0.0)
         self.refused_before = refused
 
@@ -120,8 +122,11 @@
         self.serial += 1
         self.turns.telling(boot_time(), self.serial)
         rows = self.findings.some(now, fellows, ROOM)
-        self._say(name, "findings", [self.serial, len(gateway.honoured), len(gateway.extras), int(self.want * 10),
-                                     rows])
+        self._say(
+            name,
+            "findings",
+            [self.serial, len(gateway.honoured), len(gateway.extras), int(self.want * 10), rows],
+        )
 
     def _say(self, name: str, subject: str, body: list[Any]) -> None:
         size = 60 + 70 * len(body[-1]) if isinstance(body[-1], list) else 60
@@ -136,7 +141,9 @@
         now = self.hub.now
         self._merge(now, rows)
         self.storm.tells(sender, now, int(honoured), int(further))
-        self.turns.needs(sender, boot_time(), self.company.letters.pens[sender].start, int(serial), want / 10)
+        self.turns.needs(
+            sender, boot_time(), self.company.letters.pens[sender].start, int(serial), want / 10
+        )
 
     def compared(self, sender: str, body: Any) -> None:
         """What a fellow holds, by marks; it gets what it misses, and we tell what we hold, once."""
@@ -145,14 +152,16 @@
         self._merge(now, rows)
         if stage < 2 and self.allowance > 0:
             missing = self.findings.missing(now, digest, ROOM, True, self.rounds)
-            answer = self.findings.digest(ROOM - 90 * len(missing), self.rounds) if stage == 0 else {}
+            answer = (
+                self.findings.digest(ROOM - 90 * len(missing), self.rounds) if stage == 0 else {}
+            )
             if missing or stage == 0:
                 self._say(sender, "repair", [stage + 1, answer, missing])
 
     def _merge(self, now: int, rows: Any) -> None:
         before = {tuple(row[4:5]) for row in rows if isinstance(row, list) and len(row) == 9}
         if self.findings.merge(now, rows):
-            self.changed.update(tag for tag, in before)
+            self.changed.update(tag for (tag,) in before)
 
     # What the module is told.
 
@@ -163,15 +172,27 @@
         gateway = self.house.gateway
         for tag in [*{**dict.fromkeys(self.opinions), **dict.fromkeys(sorted(self.changed))}]:
             station = self.house.stations.get(tag)
-            said = NONE if station is None else opinion(
-                self.findings.of(tag), now, station.started, self.name, halls, station.engine.view.heard)
+            said = (
+                NONE
+                if station is None
+                else opinion(
+                    self.findings.of(tag),
+                    now,
+                    station.started,
+                    self.name,
+                    halls,
+                    station.engine.view.heard,
+                )
+            )
             before = self.opinions.get(tag, NONE)
             if said == NONE:
                 self.opinions.pop(tag, None)
             else:
                 self.opinions[tag] = said
             if said.doubted != before.doubted:
-                self.house.log(f"shared: {tag} {'doubted, ' + said.why if said.doubted else 'doubted no more'}")
+                self.house.log(
+                    f"shared: {tag} {'doubted, ' + said.why if said.doubted else 'doubted no more'}"
+                )
             if station is not None:
                 gateway.heard_of(station.engine, said.slowness, self._doubt(said, tag, len(halls)))
         self.changed.clear()
@@ -184,7 +205,11 @@
         gateway = self.house.gateway
         gateways = max(gateway.gateways, 1)
         turn = (gateway.number + self.rounds * max(1, int(gateways * 0.618))) % gateways
-        return 1 if gateways <= TRIALS or turn * TRIALS < TRIALS * TRIALS * gateway.gateways // gateways else 2
+        return (
+            1
+            if gateways <= TRIALS or turn * TRIALS < TRIALS * TRIALS * gateway.gateways // gateways
+            else 2
+        )
 
     # Turns at cold engines.
 
@@ -193,17 +218,19 @@
         self.hub.later(TURN_LOOK, self.look_at_turns)
         gateway, now = self.house.gateway, self.hub.now
         if gateway.price or self.want or any(queue.waiting for queue in gateway.queues.values()):
-            return      # we need them ourselves
+            return  # we need them ourselves
         for engine in [each for each in gateway.engines if gateway._cold(each)][:MOST_TURNS]:
             work = max((offering.usual for offering in self.house.stated.offerings), default=0.0)
             left = self.turns.window - (now - engine.started) % self.turns.window
             if not work or not gateway._cold_room(engine, work):
                 continue
-            given = self.turns.pass_on(boot_time(), engine.tag, left, self.society.chance(2 ** 32))
+            given = self.turns.pass_on(boot_time(), engine.tag, left, self.society.chance(2**32))
             if given is not None:
                 to, serial, known_for, left = given
-                gateway.turn_passed(engine, work, now)      # spent here before it is written
-                self.company.call(to, "turn", [engine.tag, engine.started, serial, known_for, left, work])
+                gateway.turn_passed(engine, work, now)  # spent here before it is written
+                self.company.call(
+                    to, "turn", [engine.tag, engine.started, serial, known_for, left, work]
+                )
 
     def turn_came(self, sender: str, body: Any) -> None:
         tag, started, serial, known_for, left, work = body
@@ -212,20 +239,39 @@
         until = self.turns.received(boot, int(serial), int(known_for), int(left))
         if until and station is not None and station.engine.started == started and 0 < work < 1e9:
             gateway = self.house.gateway
-            gateway.turn_passed(station.engine, -float(work), now + (until - boot) - gateway.fall_span)
+            gateway.turn_passed(
+                station.engine, -float(work), now + (until - boot) - gateway.fall_span
+            )
 
     # Figures.
 
     def told(self, asked: bytes = b"") -> dict[str, Any]:
         """What was heard, from whom, how old, and what it changed. Spans are seconds."""
         now = self.hub.now
-        return {"name": self.name, "strict": round(self.storm.strict, 3), "wants": round(self.want, 1),
-                "findings": len(self.findings), "octets": self.octets,
-                "engines": {tag: {
-                    "doubted": said.doubted, "slowness": round(said.slowness, 2), "why": said.why,
-                    "heard": [{"from": each.witness, "age": (now - each.at) / SECOND, "fault": FAULTS[each.fault],
-                               "slowness": each.slowness / 100, "samples": each.samples}
-                              for each in self.findings.of(tag)][:40]}
-                    for tag, said in sorted(self.opinions.items())},
-                "counters": {**self.turns.counts, "findings refused": self.findings.refused},
-                "process": os.getpid()}
+        return {
+            "name": self.name,
+            "strict": round(self.storm.strict, 3),
+            "wants": round(self.want, 1),
+            "findings": len(self.findings),
+            "octets": self.octets,
+            "engines": {
+                tag: {
+                    "doubted": said.doubted,
+                    "slowness": round(said.slowness, 2),
+                    "why": said.why,
+                    "heard": [
+                        {
+                            "from": each.witness,
+                            "age": (now - each.at) / SECOND,
+                            "fault": FAULTS[each.fault],
+                            "slowness": each.slowness / 100,
+                            "samples": each.samples,
+                        }
+                        for each in self.findings.of(tag)
+                    ][:40],
+                }
+                for tag, said in sorted(self.opinions.items())
+            },
+            "counters": {**self.turns.counts, "findings refused": self.findings.refused},
+            "process": os.getpid(),
+        }
--- a/corkgauge/shared/findings.py
+++ b/corkgauge/shared/findings.py
@@ -16,31 +16,65 @@
 from typing import Any
 from zlib import crc32
 
-LIFE = 100_000          # tenths of a millisecond: a finding this old counts for nothing, and is forgotten
-PAUSE = 20_000          # between two findings of ours on one engine, that differ in its slowness alone
-TIMES = 2               # over the logarithm of the number of fellows: how often one is told
-MOST_EACH = 2_000       # findings of one witness that are held: a flood of one must not push out the others'
-MOST_TAG = 64           # characters of an engine's id
+LIFE = 100_000  # tenths of a millisecond: a finding this old counts for nothing, and is forgotten
+PAUSE = 20_000  # between two findings of ours on one engine, that differ in its slowness alone
+TIMES = 2  # over the logarithm of the number of fellows: how often one is told
+MOST_EACH = (
+    2_000  # findings of one witness that are held: a flood of one must not push out the others'
+)
+MOST_TAG = 64  # characters of an engine's id
 WELL, ERROR, RESET, UNREACHED, SILENT = range(5)
 FAULTS = "well", "error", "reset", "unreached", "silent"
 
-Row = list[Any]         # [witness, start, serial, age, engine, its start, fault, slowness in hundredths, samples]
+Row = list[
+    Any
+]  # [witness, start, serial, age, engine, its start, fault, slowness in hundredths, samples]
 
 
 class Finding:
     """One witness's last word on one engine; `at` is when it was found, by our clock."""
 
-    __slots__ = ("witness", "start", "serial", "at", "tag", "started", "fault", "slowness", "samples", "told")
+    __slots__ = (
+        "witness",
+        "start",
+        "serial",
+        "at",
+        "tag",
+        "started",
+        "fault",
+        "slowness",
+        "samples",
+        "told",
+    )
 
-    def __init__(self, witness: str, start: int, serial: int, at: int, tag: str, started: int, fault: int,
-                 slowness: int, samples: int) -> None:
+    def __init__(
+        self,
+        witness: str,
+        start: int,
+        serial: int,
+        at: int,
+        tag: str,
+        started: int,
+        fault: int,
+        slowness: int,
+        samples: int,
+    ) -> None:
         self.witness, self.start, self.serial, self.at, self.tag = witness, start, serial, at, tag
         self.started, self.fault, self.slowness, self.samples = started, fault, slowness, samples
         self.told = 0
 
     def row(self, now: int) -> Row:
-        return [self.witness, self.start, self.serial, max(now - self.at, 0), self.tag, self.started, self.fault,
-                self.slowness, self.samples]
+        return [
+            self.witness,
+            self.start,
+            self.serial,
+            max(now - self.at, 0),
+            self.tag,
+            self.started,
+            self.fault,
+            self.slowness,
+            self.samples,
+        ]
 
 
 class Findings:
@@ -60,10 +94,12 @@
         self.name, self.start, self.serial = name, start, 0
         self.by_engine: dict[str, dict[str, Finding]] = {}
         self.by_witness: dict[str, dict[str, Finding]] = {}
-        self.fresh: dict[tuple[str, str], Finding] = {}     # still to be told, in the order they came
+        self.fresh: dict[tuple[str, str], Finding] = {}  # still to be told, in the order they came
         self.refused = 0
 
-    def found(self, now: int, tag: str, started: int, fault: int, slowness: int, samples: int) -> bool:
+    def found(
+        self, now: int, tag: str, started: int, fault: int, slowness: int, samples: int
+    ) -> bool:
         """Our own finding. Told only where it says something else than the last one, or keeps that from dying."""
         before = self.by_engine.get(tag, {}).get(self.name)
         if before is not None and (before.started, before.fault) == (started, fault):
@@ -72,7 +108,9 @@
             if now < before.at + (PAUSE if moved else LIFE // 2):
                 return False
         self.serial += 1
-        self._hold(Finding(self.name, self.start, self.serial, now, tag, started, fault, slowness, samples))
+        self._hold(
+            Finding(self.name, self.start, self.serial, now, tag, started, fault, slowness, samples)
+        )
         return True
 
     def merge(self, now: int, rows: Iterable[Sequence[Any]]) -> int:
@@ -82,11 +120,16 @@
             finding = _sensible(row, now)
             if finding is None or finding.witness == self.name:
                 self.refused += finding is None
-                continue        # on our own findings nobody else has a word
+                continue  # on our own findings nobody else has a word
             before = self.by_engine.get(finding.tag, {}).get(finding.witness)
-            if before is not None and (before.start, before.serial) >= (finding.start, finding.serial):
+            if before is not None and (before.start, before.serial) >= (
+                finding.start,
+                finding.serial,
+            ):
                 if (before.start, before.serial) == (finding.start, finding.serial):
-                    before.at = min(before.at, finding.at)      # the older of two tellings, whichever came first
+                    before.at = min(
+                        before.at, finding.at
+                    )  # the older of two tellings, whichever came first
                 continue
             if now >= finding.at + LIFE:
                 continue
@@ -144,7 +187,9 @@
             said[name] = self._mark(name)
         return said
 
-    def missing(self, now: int, digest: Mapping[str, Sequence[int]], room: int, whole: bool, turn: int) -> list[Row]:
+    def missing(
+        self, now: int, digest: Mapping[str, Sequence[int]], room: int, whole: bool, turn: int
+    ) -> list[Row]:
         """What the teller of this digest has not heard, in so many octets; with `whole`, also of witnesses that it does
         not name. Danger: of two serials the earlier may be what was lost; so where the marks differ, all that is held
         of a witness is told in time, from the `turn`th on."""
@@ -181,8 +226,10 @@
         self.fresh[finding.witness, finding.tag] = finding
 
     def _drop(self, finding: Finding) -> None:
-        for held, key, other in ((self.by_engine, finding.tag, finding.witness),
-                                 (self.by_witness, finding.witness, finding.tag)):
+        for held, key, other in (
+            (self.by_engine, finding.tag, finding.witness),
+            (self.by_witness, finding.witness, finding.tag),
+        ):
             held[key].pop(other, None)
             if not held[key]:
                 del held[key]
@@ -198,8 +245,14 @@
         return None
     witness, start, serial, age, tag, started, fault, slowness, samples = row
     figures = start, serial, age, started, slowness, samples
-    if not (isinstance(witness, str) and isinstance(tag, str) and 0 < len(tag) <= MOST_TAG and type(fault) is int and
-            WELL <= fault <= SILENT and all(type(each) is int and 0 <= each < 2 ** 62 for each in figures)):
+    if not (
+        isinstance(witness, str)
+        and isinstance(tag, str)
+        and 0 < len(tag) <= MOST_TAG
+        and type(fault) is int
+        and WELL <= fault <= SILENT
+        and all(type(each) is int and 0 <= each < 2**62 for each in figures)
+    ):
         return None
     return Finding(witness, start, serial, now - age, tag, started, fault, slowness, samples)
 
--- a/corkgauge/shared/storm.py
+++ b/corkgauge/shared/storm.py
@@ -11,11 +11,11 @@
 
 from collections.abc import Iterable
 
-AGE = 40_000            # tenths of a millisecond, from which a telling counts for nothing
-USUAL = 0.25            # of what the rule allows the fleet in all: below it nothing falls
-LEAST = 0.1             # never stricter: some have to find out when it is over
-STEP = 0.05             # back, a look
-FEWEST = 3              # gateways that have to be heard, ourselves among them
+AGE = 40_000  # tenths of a millisecond, from which a telling counts for nothing
+USUAL = 0.25  # of what the rule allows the fleet in all: below it nothing falls
+LEAST = 0.1  # never stricter: some have to find out when it is over
+STEP = 0.05  # back, a look
+FEWEST = 3  # gateways that have to be heard, ourselves among them
 
 
 class Storm:
@@ -34,7 +34,9 @@
 
     def __init__(self, name: str) -> None:
         self.name, self.strict = name, 1.0
-        self.tellings: dict[str, tuple[int, int, int]] = {}     # by gateway: when, honoured, further, in its span
+        self.tellings: dict[
+            str, tuple[int, int, int]
+        ] = {}  # by gateway: when, honoured, further, in its span
 
     def tells(self, gateway: str, now: int, honoured: int, further: int) -> None:
         if gateway != self.name:
@@ -42,7 +44,9 @@
 
     def looked(self, now: int, honoured: int, further: int, floor: float, allowed: float) -> float:
         """How strict we are from now on: a part of our own rule."""
-        self.tellings = {name: telling for name, telling in self.tellings.items() if now < telling[0] + AGE}
+        self.tellings = {
+            name: telling for name, telling in self.tellings.items() if now < telling[0] + AGE
+        }
         fresh = [(honoured, further), *(telling[1:] for telling in self.tellings.values())]
         room = sum(floor + allowed * one for one, _ in fresh)
         spent = sum(other for _, other in fresh) / room if room > 0 else 0.0
--- a/corkgauge/shared/turns.py
+++ b/corkgauge/shared/turns.py
@@ -15,9 +15,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-SENT = 64               # tellings whose time of writing is remembered
-LEAST_LEFT = 0.15       # of a window, that has to be left for a turn to be worth passing
-KEPT = 0.3              # of a window, that a turn is kept for what may still come here
+SENT = 64  # tellings whose time of writing is remembered
+LEAST_LEFT = 0.15  # of a window, that has to be left for a turn to be worth passing
+KEPT = 0.3  # of a window, that a turn is kept for what may still come here
 
 
 @dataclass(slots=True)
@@ -44,8 +44,8 @@
     def __init__(self, window: int) -> None:
         self.window = window
         self.fellows: dict[str, Need] = {}
-        self.passed: dict[str, int] = {}        # by engine: in which window, by its end
-        self.sent: dict[int, int] = {}          # by serial of a telling of ours: when it was written
+        self.passed: dict[str, int] = {}  # by engine: in which window, by its end
+        self.sent: dict[int, int] = {}  # by serial of a telling of ours: when it was written
         self.counts = Counter[str]()
 
     # Giving.
@@ -53,22 +53,31 @@
     def needs(self, gateway: str, now: int, start: int, serial: int, want: float) -> None:
         self.fellows[gateway] = Need(now, start, serial, min(max(want, 0.0), 1e6))
 
-    def pass_on(self, now: int, engine: str, left: int, chance: int) -> tuple[str, int, int, int] | None:
+    def pass_on(
+        self, now: int, engine: str, left: int, chance: int
+    ) -> tuple[str, int, int, int] | None:
         """To whom our turn at an engine goes, or None. `left` is what is left of the window, `chance` a draw below
         2 ** 32. Returns the fellow, the serial of its telling that is answered, how long that has been known here,
         and what is left. The caller spends it here before it writes."""
-        end = (now + left) // 100       # a window's end, as far as rounding of its start goes
-        if not LEAST_LEFT * self.window <= left <= (1 - KEPT) * self.window or abs(
-                self.passed.get(engine, -10 ** 9) - end) * 100 < self.window // 2:
+        end = (now + left) // 100  # a window's end, as far as rounding of its start goes
+        if (
+            not LEAST_LEFT * self.window <= left <= (1 - KEPT) * self.window
+            or abs(self.passed.get(engine, -(10**9)) - end) * 100 < self.window // 2
+        ):
             return None
-        able = [(name, need) for name, need in sorted(self.fellows.items())
-                if need.want > 0 and now < need.at + self.window // 2]
+        able = [
+            (name, need)
+            for name, need in sorted(self.fellows.items())
+            if need.want > 0 and now < need.at + self.window // 2
+        ]
         total = sum(need.want for _, need in able)
-        ticket = chance / 2 ** 32 * total
+        ticket = chance / 2**32 * total
         for name, need in able:
             ticket -= need.want
             if ticket < 0:
-                need.want = max(need.want - 1, 0.0)     # the next goes to another, until it tells again
+                need.want = max(
+                    need.want - 1, 0.0
+                )  # the next goes to another, until it tells again
                 self.passed[engine] = end
                 self.counts["turns passed on"] += 1
                 return name, need.serial, now - need.at, left
--- a/corkgauge/shared/weighing.py
+++ b/corkgauge/shared/weighing.py
@@ -16,11 +16,11 @@
 
 from corkgauge.shared.findings import LIFE, WELL, Finding
 
-FAR = 0.5               # weight of a witness in another hall
-ENOUGH = 1.0            # weight of the doubts together
-ALONE = 3               # witnesses of one hall, where the fleet has no other; and for a hint
-OWN = 20_000            # tenths of a millisecond: a sign of our own this young speaks against any doubt
-MOST_SLOW, LEAST_SLOW = 50.0, 0.5   # what a witness may say: wild figures count as these
+FAR = 0.5  # weight of a witness in another hall
+ENOUGH = 1.0  # weight of the doubts together
+ALONE = 3  # witnesses of one hall, where the fleet has no other; and for a hint
+OWN = 20_000  # tenths of a millisecond: a sign of our own this young speaks against any doubt
+MOST_SLOW, LEAST_SLOW = 50.0, 0.5  # what a witness may say: wild figures count as these
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,8 +35,14 @@
 NONE = Opinion(0.0, False, "")
 
 
-def opinion(findings: Iterable[Finding], now: int, started: int, us: str, halls: Mapping[str, str],
-            own_sign: int) -> Opinion:
+def opinion(
+    findings: Iterable[Finding],
+    now: int,
+    started: int,
+    us: str,
+    halls: Mapping[str, str],
+    own_sign: int,
+) -> Opinion:
     """`halls` by gateway, ours among them; `started` is the engine's start, in ms, as the list tells it here;
     `own_sign` when it last gave us a sign of its own, by the same clock as `now`.
 
@@ -72,7 +78,12 @@
             samples.append((min(max(finding.slowness / 100, LEAST_SLOW), MOST_SLOW), weight))
             seen.add(halls[finding.witness])
     enough = len({halls[each] for each in accusers}) > 1 if many_halls else len(accusers) >= ALONE
-    doubted = enough and against >= ENOUGH and against > well and not (0 <= own_sign and now < own_sign + OWN)
+    doubted = (
+        enough
+        and against >= ENOUGH
+        and against > well
+        and not (0 <= own_sign and now < own_sign + OWN)
+    )
     hint = _median(samples) if len(samples) >= ALONE and (len(seen) > 1 or not many_halls) else 0.0
     return Opinion(hint, doubted, " ".join(sorted(accusers)[:6]) if doubted else "")
 
--- a/corkgauge/standins/chance.py
+++ b/corkgauge/standins/chance.py
@@ -19,7 +19,7 @@
     def part(self) -> float:
         """0 or more, below 1."""
         self.drawn += 1
-        return crc32(pack("<QQ", self.seed, self.drawn)) / 2 ** 32
+        return crc32(pack("<QQ", self.seed, self.drawn)) / 2**32
 
     def below(self, most: int) -> int:
         return int(self.part() * most)
@@ -39,4 +39,4 @@
     def word(self) -> str:
         """16 hexadecimal digits."""
         self.drawn += 1
-        return f"{crc32(pack('<QQ', self.seed, self.drawn)):08x}{self.drawn & 0xffffffff:08x}"
+        return f"{crc32(pack('<QQ', self.seed, self.drawn)):08x}{self.drawn & 0xFFFFFFFF:08x}"
--- a/corkgauge/standins/clients.py
+++ b/corkgauge/standins/clients.py
@@ -15,9 +15,9 @@
 from corkgauge.standins.listener import linked
 from corkgauge.standins.machines import ClientSide, ready_question, request, withdrawal
 
-PAUSE = 500             # between two dials
+PAUSE = 500  # between two dials
 TOLD = {SERVED: "served", REFUSED: "refused", FAILED: "failed"}
-KEY_APART = 3_000       # between two submissions of one key
+KEY_APART = 3_000  # between two submissions of one key
 MOST_OPEN = 30
 
 
@@ -41,10 +41,10 @@
     want: Want
     key: str
     sent: int
-    end: int                    # where its last byte is among what the connection wrote
+    end: int  # where its last byte is among what the connection wrote
     stream: int
     answers: list[tuple[int, int, bytes]] = field(default_factory=list)
-    excused: str = ""           # why no answer is owed
+    excused: str = ""  # why no answer is owed
     label: str = ""
 
 
@@ -52,17 +52,32 @@
     """One client. `rate` is submissions a second; `gives_up` the share it takes back, `hangs_up` the share at
     which it closes its connection instead."""
 
-    def __init__(self, hub: Hub, address: tuple[str, int], wants: list[Want], tenant: str, rate: float,
-                 seed: int,
-                 gives_up: float = 0.0, hangs_up: float = 0.0, retries: bool = False) -> None:
-        self.hub, self.address, self.wants, self.tenant, self.rate = hub, address, wants, tenant, rate
+    def __init__(
+        self,
+        hub: Hub,
+        address: tuple[str, int],
+        wants: list[Want],
+        tenant: str,
+        rate: float,
+        seed: int,
+        gives_up: float = 0.0,
+        hangs_up: float = 0.0,
+        retries: bool = False,
+    ) -> None:
+        self.hub, self.address, self.wants, self.tenant, self.rate = (
+            hub,
+            address,
+            wants,
+            tenant,
+            rate,
+        )
         self.gives_up, self.hangs_up, self.chance = gives_up, hangs_up, Chance(seed)
         self.book = list[Ask]()
-        self.retries, self.again = retries, deque[Ask]()    # labelled ones whose connection went
+        self.retries, self.again = retries, deque[Ask]()  # labelled ones whose connection went
         self.open: dict[int, Ask] = {}
         self.link: Any = None
         self.stream, self.is_ready, self.stopped = 0, False, False
-        self.keys = {f"{seed & 0xffff:04x}{n:02x}": 0 for n in range(1, 5)}
+        self.keys = {f"{seed & 0xFFFF:04x}{n:02x}": 0 for n in range(1, 5)}
         hub.spawn(self.run)
         hub.later(int(self.chance.wait(SECOND / rate)), self.ask)
 
@@ -93,13 +108,22 @@
         rested = [key for key, last in self.keys.items() if now > last + KEY_APART]
         if want.ordered and not rested:
             return
-        key, label = rested[0] if want.ordered else "", self.chance.word() * 2 if want.labelled else ""
+        key, label = (
+            rested[0] if want.ordered else "",
+            self.chance.word() * 2 if want.labelled else "",
+        )
         if self.again:
             before = self.again.popleft()
             want, key, label = before.want, before.key, before.label
         self.stream += 1
-        fields = {"route": want.offering, "trace": self.chance.word(), "patience": str(want.patience),
-                  "customer": self.tenant, "weight": f"{want.work:.1f}", "est_mb": "8"}
+        fields = {
+            "route": want.offering,
+            "trace": self.chance.word(),
+            "patience": str(want.patience),
+            "customer": self.tenant,
+            "weight": f"{want.work:.1f}",
+            "est_mb": "8",
+        }
         if label:
             fields["nonce"] = label
         if key:
@@ -160,7 +184,14 @@
 
     def tally(self) -> dict[str, int]:
         """How its submissions ended: by code of the first answer, excused, unanswered."""
-        said = {"asked": len(self.book), "served": 0, "refused": 0, "failed": 0, "excused": 0, "none": 0}
+        said = {
+            "asked": len(self.book),
+            "served": 0,
+            "refused": 0,
+            "failed": 0,
+            "excused": 0,
+            "none": 0,
+        }
         for ask in self.book:
             code = ask.answers[0][1] if ask.answers else 0
             said[TOLD.get(code) or ("excused" if ask.excused else "none")] += 1
--- a/corkgauge/standins/collector.py
+++ b/corkgauge/standins/collector.py
@@ -17,8 +17,14 @@
 class CollectorStandIn:
     """`transport` is udp, tcp or tls (with a server's `context`); `heard(message, bytes)` gets each one."""
 
-    def __init__(self, hub: Hub, transport: str, heard: Callable[[Heard, bytes], None] = lambda *_: None,
-                 address: tuple[str, int] = ("127.0.0.1", 0), context: ssl.SSLContext | None = None) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        transport: str,
+        heard: Callable[[Heard, bytes], None] = lambda *_: None,
+        address: tuple[str, int] = ("127.0.0.1", 0),
+        context: ssl.SSLContext | None = None,
+    ) -> None:
         self.hub, self.transport, self.heard, self.context = hub, transport, heard, context
         self.wrong, self.sessions = list[str](), 0
         self.deaf = self.resets_templates = False
@@ -36,7 +42,7 @@
         if self.listener is not None:
             return self.listener.open()
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * 2 ** 20)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 * 2**20)
         self.sock.bind(self.address)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
@@ -84,8 +90,11 @@
         self.collector = collector
         collector.sessions += 1
         self.stream, self.decoder = Stream(), Decoder()
-        machine = Plain(self, collector.deaf) if collector.context is None else Sealed(self,
-                                                                                       collector.context)
+        machine = (
+            Plain(self, collector.deaf)
+            if collector.context is None
+            else Sealed(self, collector.context)
+        )
         self.link = linked(collector.hub, sock, machine, self)
 
     def came(self, data: bytes) -> str:
@@ -111,7 +120,7 @@
 
     def __init__(self, owner: Guest, deaf: bool) -> None:
         self.owner, self.whole, self.deaf = owner, 0, deaf
-        allowance = Allowance(2 ** 24)
+        allowance = Allowance(2**24)
         self.inward, self.outward = Ring(65_536, allowance), Ring(4096, allowance)
         if deaf:
             self.inward.put(bytes(self.inward.free))
@@ -125,7 +134,7 @@
 
     def __init__(self, owner: Guest, context: ssl.SSLContext) -> None:
         self.owner, self.whole, self.shaken = owner, 0, False
-        allowance = Allowance(2 ** 24)
+        allowance = Allowance(2**24)
         self.inward, self.outward = Ring(65_536, allowance), Ring(65_536, allowance)
         self.into, self.out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.session = context.wrap_bio(self.into, self.out, server_side=True)
--- a/corkgauge/standins/crew.py
+++ b/corkgauge/standins/crew.py
@@ -14,24 +14,35 @@
 from corkgauge.standins.fleet import Fault
 from corkgauge.standins.inspector import Work
 
-LOOK, AGAIN = 1_500, 3_000      # tenths of a millisecond between two looks at a door; until a wish is told again
+LOOK, AGAIN = (
+    1_500,
+    3_000,
+)  # tenths of a millisecond between two looks at a door; until a wish is told again
 
 
 class Crew:
     """`fleet` is the rig; `lasting` seconds that one unit's work takes by the crew's own clock, `told` what it says it
     takes. Its doors are those of all gateways, one after the other by chance."""
 
-    def __init__(self, fleet: Any, lasting: float = 0.5, told: float = 60.0, seed: int = 5,
-                 owner: str = "crew") -> None:
+    def __init__(
+        self,
+        fleet: Any,
+        lasting: float = 0.5,
+        told: float = 60.0,
+        seed: int = 5,
+        owner: str = "crew",
+    ) -> None:
         self.fleet, self.hub, self.chance, self.owner = fleet, fleet.hub, Chance(seed), owner
         self.lasting, self.told = int(lasting * SECOND), told
         self.book: list[Work] = []
         self.begun: set[tuple[str, str]] = set()
         self.wishes = 0
-        self.answers: dict[str, tuple[str, str]] = {}   # by wish: what it was told, and what was wrong
-        self.seen: dict[str, Any] = {}                  # the last that a door told
+        self.answers: dict[
+            str, tuple[str, str]
+        ] = {}  # by wish: what it was told, and what was wrong
+        self.seen: dict[str, Any] = {}  # the last that a door told
         self.stopped = False
-        self.asked: dict[str, int] = {}                 # by ask: when
+        self.asked: dict[str, int] = {}  # by ask: when
         self.hub.later(LOOK, self.look)
 
     # Wishes.
@@ -40,24 +51,43 @@
         """Its id. `at` names the gateway that is asked, and only that."""
         id_ = id_ or f"{self.owner}{len(self.asked) + 1}"
         self.asked.setdefault(id_, self.hub.now)
-        self.wish({"do": "ask", "id": id_, "kind": kind, "names": [*names], "reason": "drill",
-                   "within": int(within * SECOND), "lasting": int(self.told * SECOND)}, at)
+        self.wish(
+            {
+                "do": "ask",
+                "id": id_,
+                "kind": kind,
+                "names": [*names],
+                "reason": "drill",
+                "within": int(within * SECOND),
+                "lasting": int(self.told * SECOND),
+            },
+            at,
+        )
         return id_
 
-    def wish(self, said: dict[str, Any], at: str = "", heard: Callable[[str, str], None] | None = None) -> str:
+    def wish(
+        self, said: dict[str, Any], at: str = "", heard: Callable[[str, str], None] | None = None
+    ) -> str:
         """Told at a door, with a key of its own, and at another one where no answer comes."""
         self.wishes += 1
         key = f"{self.owner}-{said['do']}-{self.wishes}"
         self._tell(key, {**said, "owner": self.owner}, at, at, 0, heard)
         return key
 
-    def _tell(self, key: str, said: dict[str, Any], at: str, door: str, tries: int, heard: Any) -> None:
+    def _tell(
+        self, key: str, said: dict[str, Any], at: str, door: str, tries: int, heard: Any
+    ) -> None:
         if self.stopped or key in self.answers:
             return
         # The same wish at another door has another key there; asks have ids, and the rest may come twice.
         door = at or (door if door and tries % 8 else self._door())
-        ask(self.hub, f"{self.fleet.gateways[door].folder}/figures.sock", "/works",
-            {**said, "key": f"{key}@{door}@{tries // 8}"}, lambda told: self._answered(key, told, heard))
+        ask(
+            self.hub,
+            f"{self.fleet.gateways[door].folder}/figures.sock",
+            "/works",
+            {**said, "key": f"{key}@{door}@{tries // 8}"},
+            lambda told: self._answered(key, told, heard),
+        )
         self.hub.later(AGAIN, self._tell, key, said, at, door, tries + 1, heard)
 
     def _answered(self, key: str, told: Any, heard: Any) -> None:
@@ -79,7 +109,13 @@
     def look(self) -> None:
         if not self.stopped:
             self.hub.later(LOOK, self.look)
-            ask(self.hub, f"{self.fleet.gateways[self._door()].folder}/figures.sock", "/works", None, self._looked)
+            ask(
+                self.hub,
+                f"{self.fleet.gateways[self._door()].folder}/figures.sock",
+                "/works",
+                None,
+                self._looked,
+            )
 
     def _looked(self, told: Any) -> None:
         if not isinstance(told, dict) or "units" not in told:
@@ -103,7 +139,10 @@
         """The machine runs again, cold; then the crew says so, until somebody has heard. Once, however often."""
         if work.ended >= 0:
             return
-        if work.members[0] in self.fleet.gateways and not self.fleet.gateways[work.members[0]].program.running():
+        if (
+            work.members[0] in self.fleet.gateways
+            and not self.fleet.gateways[work.members[0]].program.running()
+        ):
             return self.hub.later(LOOK, self.end, work)
         if work.members[0] in self.fleet.engines:
             self.fleet.renewed(work.members)
@@ -114,4 +153,6 @@
 
     def over(self, many: int) -> bool:
         """Have so many units been worked on, and is nothing left in the plan?"""
-        return len([work for work in self.book if work.ended >= 0]) >= many and not self.seen.get("units", [1])
+        return len([work for work in self.book if work.ended >= 0]) >= many and not self.seen.get(
+            "units", [1]
+        )
--- a/corkgauge/standins/doors.py
+++ b/corkgauge/standins/doors.py
@@ -15,8 +15,14 @@
 PATIENCE = 2 * SECOND
 
 
-def exchange(hub: Hub, sock: socket.socket, client: h11.Connection, method: str, target: str,
-             said: bytes = b"") -> tuple[int, bytes]:
+def exchange(
+    hub: Hub,
+    sock: socket.socket,
+    client: h11.Connection,
+    method: str,
+    target: str,
+    said: bytes = b"",
+) -> tuple[int, bytes]:
     """Status and body of one answer. OSError where none comes. To be called from a task of the hub."""
     headers = [("Host", "figures"), ("Content-Length", str(len(said)))]
     data = client.send(h11.Request(method=method, target=target, headers=headers)) or b""
@@ -24,7 +30,7 @@
     view = memoryview(data + (client.send(h11.EndOfMessage()) or b""))
     while view:
         try:
-            view = view[sock.send(view):]
+            view = view[sock.send(view) :]
         except BlockingIOError:
             hub.wait(sock.fileno(), WRITE, hub.now + PATIENCE)
     body, status, until = b"", 0, hub.now + PATIENCE
@@ -55,8 +61,14 @@
     said = None
     try:
         if not sock.connect_ex(path):
-            status, data = exchange(hub, sock, h11.Connection(h11.CLIENT), "GET" if body is None else "POST", target,
-                                    b"" if body is None else json.dumps(body).encode())
+            status, data = exchange(
+                hub,
+                sock,
+                h11.Connection(h11.CLIENT),
+                "GET" if body is None else "POST",
+                target,
+                b"" if body is None else json.dumps(body).encode(),
+            )
             said = json.loads(data) if status in (200, 400) else None
     except (OSError, ValueError, h11.ProtocolError):
         pass
--- a/corkgauge/standins/engines.py
+++ b/corkgauge/standins/engines.py
@@ -13,13 +13,19 @@
 from corkgauge.standins.listener import Listener, linked
 from corkgauge.standins.machines import EngineDoor
 
-REMEMBERED = 20 * SECOND    # that a label is known, against repeats
+REMEMBERED = 20 * SECOND  # that a label is known, against repeats
 # Troubles that an engine may be given, each with what its figure means.
 TROUBLES = {
-    "slow": "times as long", "silent": "nothing is answered until it ends, then all that waited",
-    "full": "part refused as full", "error": "part answered with an error", "garble": "part spoilt",
-    "twice": "part answered twice", "midway": "part broken off after the first page, with the connection",
-    "lost": "part never answered", "reset": "connections reset, once", "refuse": "connections refused",
+    "slow": "times as long",
+    "silent": "nothing is answered until it ends, then all that waited",
+    "full": "part refused as full",
+    "error": "part answered with an error",
+    "garble": "part spoilt",
+    "twice": "part answered twice",
+    "midway": "part broken off after the first page, with the connection",
+    "lost": "part never answered",
+    "reset": "connections reset, once",
+    "refuse": "connections refused",
     "restart": "goes, and comes back cold when it ends",
 }
 
@@ -34,9 +40,9 @@
     offering: str
     label: str
     came: int
-    work: float             # of one core
-    ended: int = -1         # when its answer was written, or it was given up
-    ran: bool = True        # False: refused as full, or a repeat that was dropped
+    work: float  # of one core
+    ended: int = -1  # when its answer was written, or it was given up
+    ran: bool = True  # False: refused as full, or a repeat that was dropped
     link: Any = None
     pages: int = 1
 
@@ -65,14 +71,30 @@
 class EngineStandIn:
     """One engine. `mean` holds the mean work of each offering in ms of one core, `cores` how many it has."""
 
-    def __init__(self, hub: Hub, name: str, kind: str, hall: str, cores: float, mean: dict[str, float],
-                 seed: int, known: dict[str, int]) -> None:
-        self.hub, self.name, self.kind, self.hall, self.cores, self.mean = hub, name, kind, hall, cores, mean
+    def __init__(
+        self,
+        hub: Hub,
+        name: str,
+        kind: str,
+        hall: str,
+        cores: float,
+        mean: dict[str, float],
+        seed: int,
+        known: dict[str, int],
+    ) -> None:
+        self.hub, self.name, self.kind, self.hall, self.cores, self.mean = (
+            hub,
+            name,
+            kind,
+            hall,
+            cores,
+            mean,
+        )
         self.chance, self.book = Chance(seed), list[Run]()
         self.trouble, self.figure = "", 0.0
         self.started_ms, self.busy = 0, 0
-        self.held: list[Run] = []           # silent: what waits
-        self.known = known      # labels, and when they ran: of the group of engines that drops repeats
+        self.held: list[Run] = []  # silent: what waits
+        self.known = known  # labels, and when they ran: of the group of engines that drops repeats
         self.listener = Listener(hub, lambda sock: Guest(self, sock))
 
     @property
@@ -107,17 +129,31 @@
             self.fetch(guest, trace, dict(pair.split("=", 1) for pair in parts[2].split(",")))
         elif word == "more" and trace in guest.runs:
             if self.trouble != "silent":
-                self.say(guest, trace, "MORE", f"at={parts[2]}", self.page(guest.runs[trace], int(parts[2])))
+                self.say(
+                    guest,
+                    trace,
+                    "MORE",
+                    f"at={parts[2]}",
+                    self.page(guest.runs[trace], int(parts[2])),
+                )
         elif word in ("abort", "done"):
             self.over(guest.runs.pop(trace, None))
 
     def fetch(self, guest: Guest, trace: str, fields: dict[str, str]) -> None:
         now, offering = self.hub.now, fields["sort"]
-        run = Run(self.name, self.kind, trace, offering, fields.get("op", ""), now,
-                  self.chance.spread(self.mean[offering]), link=guest)
+        run = Run(
+            self.name,
+            self.kind,
+            trace,
+            offering,
+            fields.get("op", ""),
+            now,
+            self.chance.spread(self.mean[offering]),
+            link=guest,
+        )
         self.book.append(run)
         if run.label and now < self.known.get(run.label, -REMEMBERED) + REMEMBERED:
-            run.ran = False     # a repeat: dropped, and answered as the first was
+            run.ran = False  # a repeat: dropped, and answered as the first was
         elif self.struck("full"):
             run.ran, run.ended = False, now
             return self.say(guest, trace, "WAIT", "-", "")
@@ -153,8 +189,10 @@
             self.say(guest, run.trace, "DONE", self.bill(run, run.pages), body)
 
     def bill(self, run: Run, pages: int) -> str:
-        return (f"chunks={pages},spent={run.work:.1f},wanted=8,"
-                f"l=inflight:{self.busy};util:{min(self.busy / self.cores, 1):.2f}")
+        return (
+            f"chunks={pages},spent={run.work:.1f},wanted=8,"
+            f"l=inflight:{self.busy};util:{min(self.busy / self.cores, 1):.2f}"
+        )
 
     def page(self, run: Run, number: int) -> str:
         return f"{run.trace}\t{number}\t{self.name}\n"
--- a/corkgauge/standins/feed.py
+++ b/corkgauge/standins/feed.py
@@ -28,7 +28,9 @@
             for event in self.feed.events:
                 if event["n"] > self.last:
                     self.last = event["n"]
-                    self.link.send(b"id: %d\ndata: %s\n\n" % (self.last, json.dumps(event).encode()))
+                    self.link.send(
+                        b"id: %d\ndata: %s\n\n" % (self.last, json.dumps(event).encode())
+                    )
 
     def drained(self) -> None:
         pass
@@ -51,12 +53,28 @@
     def address(self) -> str:
         return "%s:%d" % self.listener.address
 
-    def told(self, engines: list[Any], state: str = "SERVING", full: bool = False) -> dict[str, Any]:
+    def told(
+        self, engines: list[Any], state: str = "SERVING", full: bool = False
+    ) -> dict[str, Any]:
         """Engines in a state; the event."""
         self.version += 1
-        servers = [{"id": each.name, "addr": each.address, "zone": each.hall, "kind": each.kind, "cell": 0,
-                    "state": state, "weight": 1, "started_ms": each.started_ms} for each in engines]
-        event = {"n": self.version, "members": {"version": self.version, "full": full, "servers": servers}}
+        servers = [
+            {
+                "id": each.name,
+                "addr": each.address,
+                "zone": each.hall,
+                "kind": each.kind,
+                "cell": 0,
+                "state": state,
+                "weight": 1,
+                "started_ms": each.started_ms,
+            }
+            for each in engines
+        ]
+        event = {
+            "n": self.version,
+            "members": {"version": self.version, "full": full, "servers": servers},
+        }
         self.events.append(event)
         for each in engines:
             self.changes.append((self.hub.now, each.name, state, each.started_ms))
--- a/corkgauge/standins/fleet.py
+++ b/corkgauge/standins/fleet.py
@@ -43,12 +43,29 @@
 from corkgauge.standins.relay import Passage, Way
 
 JUDGE = "judge"
-SORTS = ("stop", "kill", "end", "cut", "deaf", "mute", "part", "lose", "late", "double", "replay", "busy", "yield",
-         "engine")
+SORTS = (
+    "stop",
+    "kill",
+    "end",
+    "cut",
+    "deaf",
+    "mute",
+    "part",
+    "lose",
+    "late",
+    "double",
+    "replay",
+    "busy",
+    "yield",
+    "engine",
+)
 WITH_FIGURE = "lose", "late", "double"
-RECOVERS = 2 * SECOND   # until a gateway that stood still, or was killed, answers in time again
-AGAIN = 500             # tenths of a millisecond until what ended is started again
-MEMORY, ROOM = "/dev/shm", 256 << 20    # where files take no disk; octets free there, below which it is not used
+RECOVERS = 2 * SECOND  # until a gateway that stood still, or was killed, answers in time again
+AGAIN = 500  # tenths of a millisecond until what ended is started again
+MEMORY, ROOM = (
+    "/dev/shm",
+    256 << 20,
+)  # where files take no disk; octets free there, below which it is not used
 
 
 class Unplayable(ValueError):
@@ -94,9 +111,17 @@
 def _fault(line: str, names: list[str], engines: list[str]) -> Fault:
     head, colon, what = line.partition(":")
     times, words = head.split(), what.split()
-    if not colon or len(times) not in (2, 4) or times[0] != "at" or times[2:3] not in ([], ["for"]) or not words:
+    if (
+        not colon
+        or len(times) not in (2, 4)
+        or times[0] != "at"
+        or times[2:3] not in ([], ["for"])
+        or not words
+    ):
         raise ValueError("expected 'at SECOND [for SECONDS]: SORT WHOM'")
-    at, span = (int(float(each) * SECOND) for each in (times[1], times[3] if len(times) == 4 else "0"))
+    at, span = (
+        int(float(each) * SECOND) for each in (times[1], times[3] if len(times) == 4 else "0")
+    )
     sort, *whom = words
     if at < 0 or span < 0:
         raise ValueError("a time below 0")
@@ -119,7 +144,21 @@
 def drawn(seed: int, names: list[str], seconds: float, gap: float, longest: float) -> list[Fault]:
     """Faults by chance, about one each `gap` seconds, of all sorts, none longer than `longest` seconds."""
     chance, at, found = Chance(seed), 2.0, []
-    sorts = ["stop", "stop", "kill", "end", "cut", "deaf", "mute", "part", "lose", "late", "replay", "yield", "busy"]
+    sorts = [
+        "stop",
+        "stop",
+        "kill",
+        "end",
+        "cut",
+        "deaf",
+        "mute",
+        "part",
+        "lose",
+        "late",
+        "replay",
+        "yield",
+        "busy",
+    ]
     while at < seconds:
         sort, span = sorts[chance.below(len(sorts))], 0.1 + chance.part() * (longest - 0.1)
         many = 1 + chance.below(max(len(names) // 2, 1)) if sort in ("kill", "part", "stop") else 1
@@ -128,8 +167,15 @@
         if sort == "kill" and chance.within(0.1):
             whom = [*names]
         figure = {"lose": 0.3, "late": 400.0 * longest}.get(sort, 0.0)
-        found.append(Fault(int(at * SECOND), int(span * SECOND), sort,
-                           () if sort in (*WITH_FIGURE, "yield") else tuple(sorted(whom)), figure))
+        found.append(
+            Fault(
+                int(at * SECOND),
+                int(span * SECOND),
+                sort,
+                () if sort in (*WITH_FIGURE, "yield") else tuple(sorted(whom)),
+                figure,
+            )
+        )
         at += gap * (0.5 + chance.part())
     return found
 
@@ -159,7 +205,11 @@
         free = os.statvfs(place)
     except OSError:
         return None
-    return place if free.f_bavail * free.f_frsize >= room and os.access(place, os.W_OK | os.X_OK) else None
+    return (
+        place
+        if free.f_bavail * free.f_frsize >= room and os.access(place, os.W_OK | os.X_OK)
+        else None
+    )
 
 
 class Gateway:
@@ -173,52 +223,110 @@
         self.address, self.listen = (each.address for each in self.reserved)
         self.program: Any = None
         self.burner: subprocess.Popen | None = None
-        self.troubled: list[int] = []       # when it was stopped, killed or kept from its processor
-        self.spells: list[tuple[int, int]] = []     # from then until then it could answer nobody in time
-        self.until = 0                      # it stands still, or is down, until then
+        self.troubled: list[int] = []  # when it was stopped, killed or kept from its processor
+        self.spells: list[
+            tuple[int, int]
+        ] = []  # from then until then it could answer nobody in time
+        self.until = 0  # it stands still, or is down, until then
 
 
 class Fleet:
     """`gateways` processes; `off` and `rates` spoil defences and clocks; `options` go into the operator
     file."""
 
-    def __init__(self, seed: int = 1, gateways: int = 3, voters: int = 0, lease: float = 1.0, faults: Any = (),
-                 clients: int = 0, rate: float = 40.0, engines: int = 2, off: str = "none",
-                 rates: tuple[float, ...] = (), guarded: bool = True, cold: float = 15.0, **options: Any) -> None:
+    def __init__(
+        self,
+        seed: int = 1,
+        gateways: int = 3,
+        voters: int = 0,
+        lease: float = 1.0,
+        faults: Any = (),
+        clients: int = 0,
+        rate: float = 40.0,
+        engines: int = 2,
+        off: str = "none",
+        rates: tuple[float, ...] = (),
+        guarded: bool = True,
+        cold: float = 15.0,
+        **options: Any,
+    ) -> None:
         self.hub, self.seed, self.chance, self.faults = Hub(), seed, Chance(seed), [*faults]
         self.folder = tempfile.mkdtemp(prefix="corkgauge-", dir=in_memory())
         self.lease, self.off, self.rates, self.cold = lease, off, rates, int(cold * SECOND)
         share, _, *rest = STAKES.cold
         self.stakes = replace(STAKES, cold=(share, self.cold, *rest))
-        self.options = {"period": max(lease / 5, 0.1), "margin": round(lease / 10, 3), "drift": 0.01,
-                        "each": max(lease / 20, 0.05), "version": 1, "disk": False, "works": None,
-                        "shared": None, "recall": None, **options}
+        self.options = {
+            "period": max(lease / 5, 0.1),
+            "margin": round(lease / 10, 3),
+            "drift": 0.01,
+            "each": max(lease / 20, 0.05),
+            "version": 1,
+            "disk": False,
+            "works": None,
+            "shared": None,
+            "recall": None,
+            **options,
+        }
         self.key = os.path.join(self.folder, "key")
-        with open(os.open(self.key, os.O_WRONLY | os.O_CREAT, 0o600), "w", encoding="ascii") as file:
+        with open(
+            os.open(self.key, os.O_WRONLY | os.O_CREAT, 0o600), "w", encoding="ascii"
+        ) as file:
             file.write(secrets.token_hex(32))
-        known: dict[str, int] = {}      # labels: all engines of the played deployment remember them together
-        self.engines = {f"e{n}": EngineStandIn(self.hub, f"e{n}", KINDS[n % 2], HALLS[n // 2 % 2], CORES[KINDS[n % 2]],
-                                               WORK, seed * 100 + n, known) for n in range(1, engines + 1)}
+        known: dict[
+            str, int
+        ] = {}  # labels: all engines of the played deployment remember them together
+        self.engines = {
+            f"e{n}": EngineStandIn(
+                self.hub,
+                f"e{n}",
+                KINDS[n % 2],
+                HALLS[n // 2 % 2],
+                CORES[KINDS[n % 2]],
+                WORK,
+                seed * 100 + n,
+                known,
+            )
+            for n in range(1, engines + 1)
+        }
         self.passages: dict[tuple[str, str], Passage] = {}
         self.gateways = {f"n{n}": Gateway(self, n) for n in range(1, gateways + 1)}
         names = [*self.gateways]
-        self.voters = names[:voters or (gateways if gateways < 4 else 3 if gateways < 5 else 5)]
-        self.ways = {(one, other): Way(self.hub, self.gateways[other].listen, Chance(seed * 1000 + 31 * n + m))
-                     for n, one in enumerate(names) for m, other in enumerate(names) if one != other}
+        self.voters = names[: voters or (gateways if gateways < 4 else 3 if gateways < 5 else 5)]
+        self.ways = {
+            (one, other): Way(
+                self.hub, self.gateways[other].listen, Chance(seed * 1000 + 31 * n + m)
+            )
+            for n, one in enumerate(names)
+            for m, other in enumerate(names)
+            if one != other
+        }
         # Danger: what arrives late at the judge would count as done late; so no fault is on its ways.
         self.to_judge = {name: Way(self.hub, ("127.0.0.1", 1), Chance(1)) for name in names}
-        from_judge = [(name, Way(self.hub, each.listen, Chance(1)).address) for name, each in self.gateways.items()]
+        from_judge = [
+            (name, Way(self.hub, each.listen, Chance(1)).address)
+            for name, each in self.gateways.items()
+        ]
         with open(self.key, encoding="ascii") as file:
             secret = bytes.fromhex(file.read())
-        self.judge = Judge(self.hub, JUDGE, [secret], from_judge, int(self.options["period"] * SECOND), guarded)
+        self.judge = Judge(
+            self.hub, JUDGE, [secret], from_judge, int(self.options["period"] * SECOND), guarded
+        )
         for way in self.to_judge.values():
             way.target = self.judge.address
         self.feeds = {name: self._feed(name) for name in names}
         for number, gateway in enumerate(self.gateways.values()):
             gateway.program = self._program(gateway, number)
-        self.clients = [ClientStandIn(self.hub, self.gateways[names[n % len(names)]].address, WANTS,
-                                      ("acme", "bolt")[n % 2], rate / clients, seed * 1000 + n)
-                        for n in range(clients)]
+        self.clients = [
+            ClientStandIn(
+                self.hub,
+                self.gateways[names[n % len(names)]].address,
+                WANTS,
+                ("acme", "bolt")[n % 2],
+                rate / clients,
+                seed * 1000 + n,
+            )
+            for n in range(clients)
+        ]
         self.befallen = 0
 
     def _feed(self, name: str) -> FeedStandIn:
@@ -230,36 +338,61 @@
 
     def _program(self, gateway: Gateway, number: int) -> Program:
         feed = self.feeds[gateway.name]
-        reached = [_Reached(engine, "%s:%d" % self.passages[gateway.name, engine.name].address)
-                   for engine in self.engines.values()]
+        reached = [
+            _Reached(engine, "%s:%d" % self.passages[gateway.name, engine.name].address)
+            for engine in self.engines.values()
+        ]
         first = feed.told(reached, full=True)
         stated = settings()
         stated["rules"]["coldUs"] = self.cold * 100
-        said = {"name": gateway.name, "listen": "%s:%d" % gateway.address, "feed": feed.address,
-                "seed": f"{self.seed * 100 + number:x}", "limits": {"memory_mb": 96, "sockets": 512},
-                "known": {"n": 1, "events": [first]},
-                "settings": {**stated, "instances": len(self.gateways), "myNumber": number}}
+        said = {
+            "name": gateway.name,
+            "listen": "%s:%d" % gateway.address,
+            "feed": feed.address,
+            "seed": f"{self.seed * 100 + number:x}",
+            "limits": {"memory_mb": 96, "sockets": 512},
+            "known": {"n": 1, "events": [first]},
+            "settings": {**stated, "instances": len(self.gateways), "myNumber": number},
+        }
         rate = self.rates[number % len(self.rates)] if self.rates else 1.0
-        start = ("-m", "corkgauge") if self.off == "none" and rate == 1.0 else (
-            "-m", "corkgauge.standins.undefended", self.off, str(rate))
+        start = (
+            ("-m", "corkgauge")
+            if self.off == "none" and rate == 1.0
+            else ("-m", "corkgauge.standins.undefended", self.off, str(rate))
+        )
         return Program(gateway.folder, said, self.operator(gateway), start)
 
     def operator(self, gateway: Gateway, **options: Any) -> str:
         """The operator file of one gateway: it reaches each fellow by the relay of that way."""
         options = {**self.options, "voters": " ".join(self.voters), **options}
-        lines = [f'    <fellow name="{JUDGE}" address="%s:%d"/>' % self.to_judge[gateway.name].address]
+        lines = [
+            f'    <fellow name="{JUDGE}" address="%s:%d"/>' % self.to_judge[gateway.name].address
+        ]
         for name, each in self.gateways.items():
             where = each.listen if each is gateway else self.ways[gateway.name, name].address
-            lines.append(f'    <fellow name="{name}" address="{where[0]}:{where[1]}" hall="{each.hall}"/>')
+            lines.append(
+                f'    <fellow name="{name}" address="{where[0]}:{where[1]}" hall="{each.hall}"/>'
+            )
         if options["recall"] is not None:
             options["recall"] = {"folder": f"{gateway.folder}/recall", **options["recall"]}
         for name in "works", "shared", "recall":
-            options[name] = "" if options[name] is None else "  <{} {}/>\n".format(
-                name, " ".join(f'{key}="{value}"' for key, value in options[name].items()))
+            options[name] = (
+                ""
+                if options[name] is None
+                else "  <{} {}/>\n".format(
+                    name, " ".join(f'{key}="{value}"' for key, value in options[name].items())
+                )
+            )
         votes = f' folder="{gateway.folder}/votes"' if options["disk"] else ""
-        return OPERATOR.format(folder=gateway.folder, key=options.pop("key", self.key), lease=self.lease,
-                               listen="%s:%d" % gateway.listen, fellows="\n".join(lines), folder_of_votes=votes,
-                               **options)
+        return OPERATOR.format(
+            folder=gateway.folder,
+            key=options.pop("key", self.key),
+            lease=self.lease,
+            listen="%s:%d" % gateway.listen,
+            fellows="\n".join(lines),
+            folder_of_votes=votes,
+            **options,
+        )
 
     def reached(self, gateway: str, engine: str) -> "_Reached":
         """An engine as the list tells it to one gateway."""
@@ -302,7 +435,9 @@
     def held(self, seconds: float = 10.0, duty: str = "books") -> bool:
         """Until somebody's act has arrived since now."""
         since = len(self.judge.acts)
-        return self.until(seconds, lambda: not any(act.duty == duty for act in self.judge.acts[since:]))
+        return self.until(
+            seconds, lambda: not any(act.duty == duty for act in self.judge.acts[since:])
+        )
 
     def holder(self) -> str:
         """Who acted last."""
@@ -337,7 +472,12 @@
         until = self.hub.now + fault.span
         if fault.sort in ("cut", "deaf", "mute"):
             for one, other in self.ways:
-                if fault.sort != "deaf" and one in fault.whom or fault.sort != "mute" and other in fault.whom:
+                if (
+                    fault.sort != "deaf"
+                    and one in fault.whom
+                    or fault.sort != "mute"
+                    and other in fault.whom
+                ):
                     self.ways[one, other].cut_until = until
         elif fault.sort == "part":
             for one, other in self.ways:
@@ -373,7 +513,7 @@
     def trouble(self, gateway: Gateway, fault: Fault) -> None:
         program = gateway.program
         if self.hub.now < gateway.until or not program.running():
-            return      # something befell it already
+            return  # something befell it already
         gateway.troubled.append(self.hub.now)
         gateway.until = self.hub.now + max(fault.span, AGAIN)
         gateway.spells.append((self.hub.now, gateway.until + RECOVERS))
@@ -403,8 +543,9 @@
         if on and gateway.program.running():
             core = [*os.sched_getaffinity(0)][-1]
             os.sched_setaffinity(gateway.program.process.pid, {core})
-            gateway.burner = subprocess.Popen([sys.executable, "-c", "while True: pass"],
-                                              preexec_fn=tied(os.getpid()))
+            gateway.burner = subprocess.Popen(
+                [sys.executable, "-c", "while True: pass"], preexec_fn=tied(os.getpid())
+            )
             os.sched_setaffinity(gateway.burner.pid, {core})
         elif gateway.program.running():
             os.sched_setaffinity(gateway.program.process.pid, os.sched_getaffinity(0))
@@ -414,7 +555,9 @@
         found = []
         for name, gateway in self.gateways.items():
             if gateway.program.running():
-                with open(f"/proc/{gateway.program.process.pid}/stat", encoding="ascii", errors="replace") as file:
+                with open(
+                    f"/proc/{gateway.program.process.pid}/stat", encoding="ascii", errors="replace"
+                ) as file:
                     if file.read().rsplit(")", 1)[1].split()[0] == "T":
                         found.append(name)
         return found
@@ -422,23 +565,40 @@
     def ask_yield(self) -> None:
         """Whoever acted last is told to give its duty up, at its own door. Blocks for a moment."""
         from corkgauge.figures.asking import ask
+
         name = self.holder()
         if name and self.hub.now >= self.gateways[name].until:
             try:
-                ask(f"{self.gateways[name].folder}/figures.sock", "/duties", "POST", 0.3,
-                    {"do": "yield", "duty": "books"})
+                ask(
+                    f"{self.gateways[name].folder}/figures.sock",
+                    "/duties",
+                    "POST",
+                    0.3,
+                    {"do": "yield", "duty": "books"},
+                )
             except (OSError, ValueError):
                 pass
 
     def asked(self, name: str, target: str = "/duties", body: Any = None) -> Any:
         """What a gateway tells at its door, asked while the hub goes on: its clients may be answered
         meanwhile."""
-        command = [sys.executable, "-c", "import sys, json; from corkgauge.figures.asking import ask; print(json.dumps("
-                   "ask(sys.argv[1], sys.argv[2], sys.argv[3], 5.0, json.loads(sys.argv[4]))))",
-                   f"{self.gateways[name].folder}/figures.sock", target, "POST" if body else "GET",
-                   json.dumps(body)]
-        process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-                                   preexec_fn=tied(os.getpid()))
+        command = [
+            sys.executable,
+            "-c",
+            "import sys, json; from corkgauge.figures.asking import ask; print(json.dumps("
+            "ask(sys.argv[1], sys.argv[2], sys.argv[3], 5.0, json.loads(sys.argv[4]))))",
+            f"{self.gateways[name].folder}/figures.sock",
+            target,
+            "POST" if body else "GET",
+            json.dumps(body),
+        ]
+        process = subprocess.Popen(
+            command,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+            preexec_fn=tied(os.getpid()),
+        )
         self.until(10, lambda: process.poll() is None)
         out, wrong = process.communicate()
         if process.returncode:
@@ -449,7 +609,9 @@
 
     def wrong(self) -> list[str]:
         """The judge's verdict."""
-        return verdict(self.judge.acts, {name: each.troubled for name, each in self.gateways.items()})
+        return verdict(
+            self.judge.acts, {name: each.troubled for name, each in self.gateways.items()}
+        )
 
     def changes(self) -> list[tuple[int, int, int, str, str]]:
         return vacancies(self.judge.acts, "books")
@@ -459,12 +621,20 @@
         names, asks = [*self.gateways], []
         for n, client in enumerate(self.clients):
             spells = self.gateways[names[n % len(names)]].spells
-            asks += [ask for ask in client.book if not any(
-                ask.sent <= until and since <= ask.sent + 10 * ask.want.patience + slack for since, until in spells)]
+            asks += [
+                ask
+                for ask in client.book
+                if not any(
+                    ask.sent <= until and since <= ask.sent + 10 * ask.want.patience + slack
+                    for since, until in spells
+                )
+            ]
         asks.sort(key=lambda ask: ask.sent)
         mine = {ask.trace for ask in asks}
-        runs = sorted((run for engine in self.engines.values() for run in engine.book if run.trace in mine),
-                      key=lambda run: run.came)
+        runs = sorted(
+            (run for engine in self.engines.values() for run in engine.book if run.trace in mine),
+            key=lambda run: run.came,
+        )
         # Each gateway's feed tells the same of engines; the rules are the sum's, over all gateways.
         talking = self.options["works"] is not None or self.options["shared"] is not None
         changes = next(iter(self.feeds.values())).changes if talking else []
@@ -472,12 +642,19 @@
         return rules.broken(asks, runs, changes, cores, self.stakes, slack)
 
     def logs(self) -> list[str]:
-        return [f"{name} {line}" for name, each in self.gateways.items() for line in each.program.log()]
+        return [
+            f"{name} {line}" for name, each in self.gateways.items() for line in each.program.log()
+        ]
 
 
 class _Reached:
     """An engine as one gateway reaches it."""
 
     def __init__(self, engine: EngineStandIn, address: str) -> None:
-        self.name, self.address, self.hall, self.kind = engine.name, address, engine.hall, engine.kind
+        self.name, self.address, self.hall, self.kind = (
+            engine.name,
+            address,
+            engine.hall,
+            engine.kind,
+        )
         self.started_ms = engine.started_ms
--- a/corkgauge/standins/hollow.py
+++ b/corkgauge/standins/hollow.py
@@ -27,8 +27,8 @@
 
 KEY = b"hollow workload managers, no secret"
 SORTS = "hello", "back", "ask", "answer", "ask_for", "deaf", "ask_all", "tell", "call"
-SO_TIMESTAMPNS = 35     # asm-generic/socket.h: when the kernel had a datagram, socket(7)
-NOTED = 200_000         # arrivals that a voter's wire remembers
+SO_TIMESTAMPNS = 35  # asm-generic/socket.h: when the kernel had a datagram, socket(7)
+NOTED = 200_000  # arrivals that a voter's wire remembers
 ELEMENTS = "duties", "works", "shared"
 
 
@@ -43,7 +43,10 @@
         self.port = self.sock.getsockname()[1]
         self.out, self.octets_out, self.got, self.octets_in, self.held_back = 0, 0, 0, 0, 0
         self.noted: deque[int] | None = None
-        self.group, self.groups = 0, dict[int, int]()       # of this port; of those ports that are in another group
+        self.group, self.groups = (
+            0,
+            dict[int, int](),
+        )  # of this port; of those ports that are in another group
 
     def note(self) -> None:
         """From now on it keeps when the kernel had each datagram."""
@@ -166,8 +169,8 @@
     def _bind(self, said: Fellows) -> None:
         self.sock = self.house.wire
         self.became = Counter[str]()
-        self.short = len(said.fellows) - 1      # members that it does not hold alive
-        self.settled = 0                        # when that came to be none
+        self.short = len(said.fellows) - 1  # members that it does not hold alive
+        self.settled = 0  # when that came to be none
 
     def changed(self, fellow: Fellow, before: int) -> None:
         self.became[f"{STATES[before]} {STATES[fellow.state]}"] += 1
@@ -188,16 +191,34 @@
     """One hollow workload manager, or one voter on a machine set aside. `roster` is JSON, [[name, port, zone], ...];
     `elements` of those that an operator file may have."""
 
-    def __init__(self, hub: Hub, name: str, wire: Wire, roster: str, voters: tuple[str, ...], number: int,
-                 elements: tuple[str, ...] = ELEMENTS, lines: Callable[[str], None] | None = None) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        name: str,
+        wire: Wire,
+        roster: str,
+        voters: tuple[str, ...],
+        number: int,
+        elements: tuple[str, ...] = ELEMENTS,
+        lines: Callable[[str], None] | None = None,
+    ) -> None:
         self.name, self.wire, self.beat = name, wire, Beat(hub)
-        self.kinds_out, self.octets_by, self.kinds_in = Counter[str](), Counter[str](), Counter[str]()
+        self.kinds_out, self.octets_by, self.kinds_in = (
+            Counter[str](),
+            Counter[str](),
+            Counter[str](),
+        )
         self.changes: list[dict[str, Any]] = []
         # Read anew for each: in service each process holds its own roster.
-        fellows = tuple((each, ("127.0.0.1", port), zone) for each, port, zone in json.loads(roster))
+        fellows = tuple(
+            (each, ("127.0.0.1", port), zone) for each, port, zone in json.loads(roster)
+        )
         wire.drained()
-        post = SimpleNamespace(name=name, seed=number * 7919 + hub.now % 7919, settings=settings() | {
-            "instances": max(len(fellows) - len(voters), 1), "myNumber": 0})
+        post = SimpleNamespace(
+            name=name,
+            seed=number * 7919 + hub.now % 7919,
+            settings=settings() | {"instances": max(len(fellows) - len(voters), 1), "myNumber": 0},
+        )
         house = HollowHouse(self.beat, wire, post, lines or (lambda line: None))
         self.society = HollowSociety(house, post, Fellows((KEY,), fellows, None, SECOND // 2))
         company = self.society.company
@@ -205,12 +226,26 @@
         self.office: Office | None = None
         self.yard: Yard | None = None
         self.exchange: Exchange | None = None
-        if "duties" in elements:    # spans as an operator file that names none has them
-            said = Duties(1, voters, (("books", "books", 5 * SECOND),), 5 * SECOND, 5 * SECOND, SECOND // 4, 0.01, "")
+        if "duties" in elements:  # spans as an operator file that names none has them
+            said = Duties(
+                1,
+                voters,
+                (("books", "books", 5 * SECOND),),
+                5 * SECOND,
+                5 * SECOND,
+                SECOND // 4,
+                0.01,
+                "",
+            )
             self.office = (SetAside if name in voters else Office)(house, post, said, self.society)
         if "works" in elements and self.office is not None:
-            self.yard = Yard(house, post, Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
-                             self.society, self.office)
+            self.yard = Yard(
+                house,
+                post,
+                Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
+                self.society,
+                self.office,
+            )
         if "shared" in elements:
             self.exchange = Exchange(house, post, Shared(SECOND // 4, 8_000), self.society)
         if name in voters and self.office is not None:
@@ -234,6 +269,7 @@
                 sort, body = found[1:]
                 self.kinds_in[body[0] if SORTS[sort] == "call" else SORTS[sort]] += 1
             return found
+
         letters.write, letters.open = written, read
 
     def end(self) -> None:
@@ -270,35 +306,61 @@
         fellows = self.society.company.fellows
         if alive:
             return all(fellows[name].state == ALIVE for name in names if name in fellows)
-        return not any(fellows[name].state in (ALIVE, SUSPECTED, UNKNOWN) for name in names if name in fellows)
+        return not any(
+            fellows[name].state in (ALIVE, SUSPECTED, UNKNOWN) for name in names if name in fellows
+        )
 
     def duties(self) -> list[str]:
-        return [] if self.office is None else [each.duty for each in self.office.holders.values() if each.may()]
+        return (
+            []
+            if self.office is None
+            else [each.duty for each in self.office.holders.values() if each.may()]
+        )
 
     def counters(self) -> dict[str, Any]:
         wire, company = self.wire, self.society.company
-        return {"out": wire.out, "octets_out": wire.octets_out, "in": wire.got, "octets_in": wire.octets_in,
-                "held_back": wire.held_back, "words": len(company.rumours.words),
-                "spent": self.beat.spent, "unknown": self.unknown(),
-                "duties": self.duties(), "kinds_out": dict(self.kinds_out), "octets_by": dict(self.octets_by),
-                "kinds_in": dict(self.kinds_in), "became": dict(self.society.became),
-                "refused": dict(company.letters.counts), "health": company.health,
-                "late": company.counts["late ourselves"], "unsent": self.society.unsent,
-                "overloaded": self.office is not None and self.office.overloaded,
-                "changes": [] if self.office is None else self.office.changes[-20:],
-                "books": self._books()}
+        return {
+            "out": wire.out,
+            "octets_out": wire.octets_out,
+            "in": wire.got,
+            "octets_in": wire.octets_in,
+            "held_back": wire.held_back,
+            "words": len(company.rumours.words),
+            "spent": self.beat.spent,
+            "unknown": self.unknown(),
+            "duties": self.duties(),
+            "kinds_out": dict(self.kinds_out),
+            "octets_by": dict(self.octets_by),
+            "kinds_in": dict(self.kinds_in),
+            "became": dict(self.society.became),
+            "refused": dict(company.letters.counts),
+            "health": company.health,
+            "late": company.counts["late ourselves"],
+            "unsent": self.society.unsent,
+            "overloaded": self.office is not None and self.office.overloaded,
+            "changes": [] if self.office is None else self.office.changes[-20:],
+            "books": self._books(),
+        }
 
     def _books(self) -> list[dict[str, Any]]:
         clerk = self.office.clerks.get("books") if self.office is not None else None
-        return [] if clerk is None else [
-            {key: entry[key] for key in ("fence", "number", "gateways", "missing_count", "wrong", "at")}
-            for entry in [*clerk.history.entries][-3:]]
+        return (
+            []
+            if clerk is None
+            else [
+                {
+                    key: entry[key]
+                    for key in ("fence", "number", "gateways", "missing_count", "wrong", "at")
+                }
+                for entry in [*clerk.history.entries][-3:]
+            ]
+        )
 
 
 def resident_mb() -> float:
     """Of this process, MB (proc(5), statm)."""
     with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * 4096 / 2 ** 20
+        return int(file.read().split()[1]) * 4096 / 2**20
 
 
 def dropped() -> dict[int, int]:
--- a/corkgauge/standins/hollow_crew.py
+++ b/corkgauge/standins/hollow_crew.py
@@ -20,7 +20,7 @@
 from corkgauge.standins.chance import Chance
 from corkgauge.standins.hollow import ELEMENTS, Member, Wire, dropped, resident_mb
 
-LONGEST = 2 ** 16       # octets that are read of an order at a time
+LONGEST = 2**16  # octets that are read of an order at a time
 
 
 class Crew:
@@ -30,7 +30,7 @@
         self.members: dict[str, Member] = {}
         self.numbers: dict[str, int] = {}
         self.roster, self.voters, self.elements = "[]", (), ELEMENTS
-        self.empty = 0.0        # MB, of this process before it held a member
+        self.empty = 0.0  # MB, of this process before it held a member
         self.chance = Chance(os.getpid())
         hub.troubled = self.troubled
 
@@ -75,8 +75,15 @@
         return len(ours)
 
     def _start(self, name: str) -> None:
-        self.members[name] = Member(self.hub, name, self.wires[name], self.roster, self.voters, self.numbers[name],
-                                    self.elements)
+        self.members[name] = Member(
+            self.hub,
+            name,
+            self.wires[name],
+            self.roster,
+            self.voters,
+            self.numbers[name],
+            self.elements,
+        )
 
     def do_starts(self) -> dict[str, int]:
         return {name: each.society.company.letters.start for name, each in self.members.items()}
@@ -124,29 +131,46 @@
         found = Counter[str]()
         for each in self.members.values():
             if each.unknown():
-                found.update(f"{other.name} {STATES[other.state]}" for other in each.society.company.fellows.values()
-                             if other.state != ALIVE)
+                found.update(
+                    f"{other.name} {STATES[other.state]}"
+                    for other in each.society.company.fellows.values()
+                    if other.state != ALIVE
+                )
         return dict(found.most_common(40))
 
     def do_settled(self) -> list[int]:
         """How long ago the last of ours came to hold all alive, tenths of a millisecond; none: no members."""
-        return [self.hub.now - max(each.society.settled for each in self.members.values())] if self.members else []
+        return (
+            [self.hub.now - max(each.society.settled for each in self.members.values())]
+            if self.members
+            else []
+        )
 
     def do_holders(self) -> dict[str, list[str]]:
         return {name: each.duties() for name, each in self.members.items() if each.duties()}
 
     def do_bursts(self, span: int) -> dict[str, int]:
         """At voters: most datagrams within so many tenths of a millisecond since this was asked last."""
-        return {name: wire.worst(span) for name, wire in self.wires.items() if wire.noted is not None}
+        return {
+            name: wire.worst(span) for name, wire in self.wires.items() if wire.noted is not None
+        }
 
     def do_counters(self) -> dict[str, Any]:
         lag, self.hub.worst_lag = self.hub.worst_lag, 0
         full = dropped()
-        return {"at": self.hub.now, "processor": time.process_time(), "resident": resident_mb(), "empty": self.empty,
-                "lag": lag, "troubles": self.troubles,
-                "dropped": sum(full.get(wire.port, 0) for wire in self.wires.values()),
-                "members": {name: {**each.counters(), "dropped": full.get(each.wire.port, 0)}
-                            for name, each in self.members.items()}}
+        return {
+            "at": self.hub.now,
+            "processor": time.process_time(),
+            "resident": resident_mb(),
+            "empty": self.empty,
+            "lag": lag,
+            "troubles": self.troubles,
+            "dropped": sum(full.get(wire.port, 0) for wire in self.wires.values()),
+            "members": {
+                name: {**each.counters(), "dropped": full.get(each.wire.port, 0)}
+                for name, each in self.members.items()
+            },
+        }
 
     def do_quit(self) -> None:
         self.hub.later(1, os._exit, 0)
--- a/corkgauge/standins/hollow_fleet.py
+++ b/corkgauge/standins/hollow_fleet.py
@@ -20,8 +20,8 @@
 from corkgauge.standins.parent import tied
 
 ZONES, RACK, VOTERS = 5, 20, 3
-FIRST_REGION = "z0", "z1", "z2"     # the other zones are the second region
-LOOK = 0.1              # seconds between two looks at what all know
+FIRST_REGION = "z0", "z1", "z2"  # the other zones are the second region
+LOOK = 0.1  # seconds between two looks at what all know
 
 
 class Late(RuntimeError):
@@ -32,8 +32,12 @@
     """One process, by its pipes."""
 
     def __init__(self) -> None:
-        self.process = subprocess.Popen([sys.executable, "-m", "corkgauge.standins.hollow_crew"],
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE, preexec_fn=tied(os.getpid()))
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "corkgauge.standins.hollow_crew"],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            preexec_fn=tied(os.getpid()),
+        )
 
     def say(self, order: bytes) -> None:
         self.process.stdin.write(order)
@@ -61,14 +65,16 @@
         self.voters = [f"voter{n}" for n in range(VOTERS)]
         self.zone = {name: f"z{n % ZONES}" for n, name in enumerate(self.managers)}
         self.zone |= {name: f"z{n}" for n, name in enumerate(self.voters)}
-        self.rack = {name: f"{self.zone[name]}r{n // ZONES // RACK}" for n, name in enumerate(self.managers)}
+        self.rack = {
+            name: f"{self.zone[name]}r{n // ZONES // RACK}" for n, name in enumerate(self.managers)
+        }
         self.elements, self.crews = elements, list[Crew]()
         self.processes = min(processes, many)
 
     def __enter__(self) -> "Fleet":
         self.crews = [Crew() for _ in range(self.processes + VOTERS)]
         try:
-            parts = [self.managers[n::self.processes] for n in range(self.processes)]
+            parts = [self.managers[n :: self.processes] for n in range(self.processes)]
             parts += [[name] for name in self.voters]
             number = {name: n for n, name in enumerate([*self.managers, *self.voters])}
             for crew, names in zip(self.crews, parts):
@@ -136,8 +142,12 @@
         return [sum(column) for column in zip(*self.all("known"))]
 
     def view(self, names: Sequence[str], alive: bool, of: Sequence[str] | None = None) -> list[int]:
-        return [sum(column) for column in zip(*self.all("view", names=[*names], alive=alive,
-                                                        of=None if of is None else [*of]))]
+        return [
+            sum(column)
+            for column in zip(
+                *self.all("view", names=[*names], alive=alive, of=None if of is None else [*of])
+            )
+        ]
 
     def until(self, what: str, seen: Callable[[], list[int]], most: float) -> float:
         """Seconds until as many as there are see it; Late after `most`."""
@@ -160,7 +170,9 @@
             said = ", ".join(f"{name} by {many}" for name, many in missed.most_common(6))
             raise Late(f"{problem}; held {said or 'all by now'}") from None
 
-    def until_seen(self, names: Sequence[str], alive: bool, most: float, of: Sequence[str] | None = None) -> float:
+    def until_seen(
+        self, names: Sequence[str], alive: bool, most: float, of: Sequence[str] | None = None
+    ) -> float:
         what = f"{len(names)} seen {'alive' if alive else 'gone'}"
         return self.until(what, lambda: self.view(names, alive, of), most)
 
--- a/corkgauge/standins/hollow_one.py
+++ b/corkgauge/standins/hollow_one.py
@@ -24,7 +24,11 @@
 from corkgauge.standins.chance import Chance
 from corkgauge.standins.machines import request
 
-GATEWAYS, RATE, PERIOD = 870, 2530.0, 2 * SECOND    # of the fleet; statements a second at one; of the feedback
+GATEWAYS, RATE, PERIOD = (
+    870,
+    2530.0,
+    2 * SECOND,
+)  # of the fleet; statements a second at one; of the feedback
 ZONES, KINDS = 5, 3
 TABLE_GROUPS, TENANTS, KEYS = 200, 20, 2_000
 
@@ -43,10 +47,12 @@
     kinds: tuple[int, ...] = ()
 
 
-CLASSES = (Class("lookup", 0.66, 20, 5 * SECOND, SECOND),
-           Class("report", 0.12, 600, 10 * SECOND, 2 * SECOND, kinds=(2,)),
-           Class("load", 0.12, 100, 5 * SECOND, SECOND, LABELLED, True),
-           Class("once", 0.10, 50, 5 * SECOND, SECOND, IRREVERSIBLE))
+CLASSES = (
+    Class("lookup", 0.66, 20, 5 * SECOND, SECOND),
+    Class("report", 0.12, 600, 10 * SECOND, 2 * SECOND, kinds=(2,)),
+    Class("load", 0.12, 100, 5 * SECOND, SECOND, LABELLED, True),
+    Class("once", 0.10, 50, 5 * SECOND, SECOND, IRREVERSIBLE),
+)
 
 
 class Uneven:
@@ -65,33 +71,84 @@
     """The host protocol of a gateway that is alone. A database answers each attempt after its work and up to half as
     much again; nothing else happens. `hold`: all statements take so long (tenths of a ms), whatever their class."""
 
-    def __init__(self, engines: int, groups: int = TABLE_GROUPS, tenants: int = TENANTS, rate: float = RATE,
-                 cores: float = 8.0, hold: int = 0, gateways: int = GATEWAYS, seed: int = 7) -> None:
+    def __init__(
+        self,
+        engines: int,
+        groups: int = TABLE_GROUPS,
+        tenants: int = TENANTS,
+        rate: float = RATE,
+        cores: float = 8.0,
+        hold: int = 0,
+        gateways: int = GATEWAYS,
+        seed: int = 7,
+    ) -> None:
         self.now, self.lag, self.serial, self.wakes = 100 * SECOND, 0, 0, list[tuple]()
         self.taken = self.served = self.refused = self.lasted = self.open = 0
         self.rate, self.hold, self.chance = rate, hold, Chance(seed)
         self.groups, self.tenants = Uneven(self.chance, groups), Uneven(self.chance, tenants)
-        self.offerings = [Offering(each.name, each.aim, 1.0, max(each.life, 8 * hold), 1.0, each.repeat,
-                                   remembered=20 * SECOND * (each.repeat == LABELLED), ordered=each.ordered,
-                                   kinds=each.kinds) for each in CLASSES]
+        self.offerings = [
+            Offering(
+                each.name,
+                each.aim,
+                1.0,
+                max(each.life, 8 * hold),
+                1.0,
+                each.repeat,
+                remembered=20 * SECOND * (each.repeat == LABELLED),
+                ordered=each.ordered,
+                kinds=each.kinds,
+            )
+            for each in CLASSES
+        ]
         self.gateway = Gateway(
-            self, seed=seed, number=seed % gateways, gateways=gateways, tick=10, offerings=self.offerings,
-            cancels=False, copies=True, most_handoffs=6, come_back=0, cold_share=0.33, cold_span=15 * SECOND,
-            fall_multiple=3.0, fall_span=15_000, extra_floor=3.0, extra_share=0.1, extra_span=5 * SECOND, settle=3_000)
-        self.engines = [Engine(f"db{n}", b"db%d" % n, n % ZONES, n % KINDS, n, cores=cores, name=f"db{n}")
-                        for n in range(engines)]
+            self,
+            seed=seed,
+            number=seed % gateways,
+            gateways=gateways,
+            tick=10,
+            offerings=self.offerings,
+            cancels=False,
+            copies=True,
+            most_handoffs=6,
+            come_back=0,
+            cold_share=0.33,
+            cold_span=15 * SECOND,
+            fall_multiple=3.0,
+            fall_span=15_000,
+            extra_floor=3.0,
+            extra_share=0.1,
+            extra_span=5 * SECOND,
+            settle=3_000,
+        )
+        self.engines = [
+            Engine(f"db{n}", b"db%d" % n, n % ZONES, n % KINDS, n, cores=cores, name=f"db{n}")
+            for n in range(engines)
+        ]
         for engine in self.engines:
             self.gateway.engine_told(engine, READY, 0)
         self.gateway.list_told()
         # As a gateway that has served for long: each of its figures has its samples, each tenant's queue is there.
-        self.gateway.recall({
-            "price": 0.0, "best": 1.1, "extras": [], "honoured": [],
-            "engines": [(engine, [1.0 + self.chance.part() / 2 for _ in range(8)], 1.0, -1, [])
-                        for engine in self.engines],
-            "offerings": [(offering, [(1.0, 0.0, float(self.hold or each.work))] * 48)
-                          for offering, each in zip(self.offerings, CLASSES)],
-            "queues": [(tenant, offering, 1 / len(CLASSES) / tenants) for tenant in range(tenants)
-                       for offering in self.offerings]})
+        self.gateway.recall(
+            {
+                "price": 0.0,
+                "best": 1.1,
+                "extras": [],
+                "honoured": [],
+                "engines": [
+                    (engine, [1.0 + self.chance.part() / 2 for _ in range(8)], 1.0, -1, [])
+                    for engine in self.engines
+                ],
+                "offerings": [
+                    (offering, [(1.0, 0.0, float(self.hold or each.work))] * 48)
+                    for offering, each in zip(self.offerings, CLASSES)
+                ],
+                "queues": [
+                    (tenant, offering, 1 / len(CLASSES) / tenants)
+                    for tenant in range(tenants)
+                    for offering in self.offerings
+                ],
+            }
+        )
 
     def drawn(self, count: int) -> list[tuple[int, Submission]]:
         """So many statements beforehand, each with its gap after the one before, tenths of a ms."""
@@ -105,9 +162,21 @@
             work = int(max(self.hold or self.chance.spread(CLASSES[n].work), 1))
             key = 1 + self.chance.below(KEYS) if CLASSES[n].ordered else 0
             took = work if self.hold else int(work * (1 + self.chance.part() / 2)) + 2
-            said.append((gap, Submission((took, work), self.offerings[n], self.tenants.draw(),
-                                         float(self.groups.draw()), 0, self.offerings[n].expiry, estimate=work,
-                                         key=key)))
+            said.append(
+                (
+                    gap,
+                    Submission(
+                        (took, work),
+                        self.offerings[n],
+                        self.tenants.draw(),
+                        float(self.groups.draw()),
+                        0,
+                        self.offerings[n].expiry,
+                        estimate=work,
+                        key=key,
+                    ),
+                )
+            )
         return said
 
     def play(self, statements: list[tuple[int, Submission]]) -> float:
@@ -164,39 +233,108 @@
 
 # The host with its links, clients and list, on a clock that stands still unless it is moved.
 
-def listing(number: int, engines: int, first: int = 0, full: bool = True, started: int = 0,
-            address: Callable[[int], str] = lambda n: f"127.0.0.1:{10_000 + n}") -> dict[str, Any]:
+
+def listing(
+    number: int,
+    engines: int,
+    first: int = 0,
+    full: bool = True,
+    started: int = 0,
+    address: Callable[[int], str] = lambda n: f"127.0.0.1:{10_000 + n}",
+) -> dict[str, Any]:
     """An event of the feed: engines `first` and on of a list, 5 zones, 3 kinds, as the platform writes it."""
-    return {"n": number, "members": {"version": number, "full": full, "servers": [
-        {"id": f"db{n}", "addr": address(n), "zone": f"zone-{n % ZONES}", "kind": f"k{n % KINDS}", "cell": n,
-         "state": "SERVING", "weight": 1, "started_ms": started} for n in range(first, first + engines)]}}
+    return {
+        "n": number,
+        "members": {
+            "version": number,
+            "full": full,
+            "servers": [
+                {
+                    "id": f"db{n}",
+                    "addr": address(n),
+                    "zone": f"zone-{n % ZONES}",
+                    "kind": f"k{n % KINDS}",
+                    "cell": n,
+                    "state": "SERVING",
+                    "weight": 1,
+                    "started_ms": started,
+                }
+                for n in range(first, first + engines)
+            ],
+        },
+    }
 
 
 def settings(cores: int = 8, instances: int = GATEWAYS) -> dict[str, Any]:
     """What operators state, with the classes above."""
     repeats = "pure", "token", "side_effect"
     return {
-        "profiles": [{"name": each.name, "objectiveUs": each.aim * 100, "aimStretch": 1.0,
-                      "deadlineUs": each.life * 100, "worth": 1.0,
-                      "effect": repeats[each.repeat], "fifoByKey": each.ordered,
-                      "keyTtlUs": 20_000_000, "servedOn": [*each.kinds]} for each in CLASSES],
-        "customers": [{"name": f"t{n}"} for n in range(TENANTS)], "azs": [f"zone-{n}" for n in range(ZONES)],
+        "profiles": [
+            {
+                "name": each.name,
+                "objectiveUs": each.aim * 100,
+                "aimStretch": 1.0,
+                "deadlineUs": each.life * 100,
+                "worth": 1.0,
+                "effect": repeats[each.repeat],
+                "fifoByKey": each.ordered,
+                "keyTtlUs": 20_000_000,
+                "servedOn": [*each.kinds],
+            }
+            for each in CLASSES
+        ],
+        "customers": [{"name": f"t{n}"} for n in range(TENANTS)],
+        "azs": [f"zone-{n}" for n in range(ZONES)],
         "kinds": [f"k{n}" for n in range(KINDS)],
-        "extra": {"coresByKind": [cores] * KINDS, "sizeMb": [4000] * KINDS, "mostGrant": 0.5, "takesGrants": True,
-                  "takesPriority": True, "bills": True},
+        "extra": {
+            "coresByKind": [cores] * KINDS,
+            "sizeMb": [4000] * KINDS,
+            "mostGrant": 0.5,
+            "takesGrants": True,
+            "takesPriority": True,
+            "bills": True,
+        },
         "report": {"fields": ["inflight", "util"]},
-        "limits": {"mostTries": 6, "streamsPerConn": 32, "dialTimeoutUs": 250_000, "secondCopies": True},
-        "rules": {"coldShare": 0.33, "coldUs": 15_000_000, "fallMultiple": 3.0, "fallUs": 1_500_000, "extraFloor": 3.0,
-                  "extraPerRequest": 0.1, "budgetSpanUs": 5_000_000, "settleAfterDoubtUs": 300_000},
-        "periodUs": 1000, "instances": instances, "myNumber": 7 % instances}
-
-
-def configuration(engines: int, listen: str, feed: str, known: dict[str, Any] | None = None, cores: int = 8,
-                  sockets: int = 16_384) -> dict[str, Any]:
+        "limits": {
+            "mostTries": 6,
+            "streamsPerConn": 32,
+            "dialTimeoutUs": 250_000,
+            "secondCopies": True,
+        },
+        "rules": {
+            "coldShare": 0.33,
+            "coldUs": 15_000_000,
+            "fallMultiple": 3.0,
+            "fallUs": 1_500_000,
+            "extraFloor": 3.0,
+            "extraPerRequest": 0.1,
+            "budgetSpanUs": 5_000_000,
+            "settleAfterDoubtUs": 300_000,
+        },
+        "periodUs": 1000,
+        "instances": instances,
+        "myNumber": 7 % instances,
+    }
+
+
+def configuration(
+    engines: int,
+    listen: str,
+    feed: str,
+    known: dict[str, Any] | None = None,
+    cores: int = 8,
+    sockets: int = 16_384,
+) -> dict[str, Any]:
     """A whole configuration with `engines` in the list that it starts from, or `known`, an event."""
-    return {"name": "n7", "listen": listen, "feed": feed, "seed": "7",
-            "limits": {"memory_mb": 1024, "sockets": sockets},
-            "known": {"n": 1, "events": [known or listing(1, engines)]}, "settings": settings(cores)}
+    return {
+        "name": "n7",
+        "listen": listen,
+        "feed": feed,
+        "seed": "7",
+        "limits": {"memory_mb": 1024, "sockets": sockets},
+        "known": {"n": 1, "events": [known or listing(1, engines)]},
+        "settings": settings(cores),
+    }
 
 
 class Front:
@@ -204,7 +342,7 @@
     nothing unless they are made to."""
 
     def __init__(self, engines: int, cores: int = 8) -> None:
-        self.time, self.others, self.names = 10 ** 9, list[socket.socket](), 0
+        self.time, self.others, self.names = 10**9, list[socket.socket](), 0
         self.hub = Hub(clock=lambda: self.time, troubled=self.troubled)
         said = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
         self.house = FramesHouse(self.hub, Post(said, ""), lambda line: None)
@@ -212,7 +350,7 @@
         self.turn()
 
     def troubled(self) -> None:
-        raise      # what a turn met, on to whoever measures
+        raise  # what a turn met, on to whoever measures
 
     def turn(self, rounds: int = 4) -> None:
         for _ in range(rounds):
@@ -249,9 +387,20 @@
     def ask(self, client: socket.socket, stream: int) -> None:
         """A statement of the first class, 200 bytes long."""
         self.names += 1
-        client.send(request(stream, {"route": "lookup", "trace": f"{self.names:016x}", "patience": "5000",
-                                     "customer": "t0", "weight": "2.0", "est_mb": "8"},
-                            b"select * from mart_%d.facts where " % (self.names % TABLE_GROUPS) + b"x" * 160))
+        client.send(
+            request(
+                stream,
+                {
+                    "route": "lookup",
+                    "trace": f"{self.names:016x}",
+                    "patience": "5000",
+                    "customer": "t0",
+                    "weight": "2.0",
+                    "est_mb": "8",
+                },
+                b"select * from mart_%d.facts where " % (self.names % TABLE_GROUPS) + b"x" * 160,
+            )
+        )
 
     def close(self) -> None:
         for each in self.others:
--- a/corkgauge/standins/hollow_serve.py
+++ b/corkgauge/standins/hollow_serve.py
@@ -20,9 +20,15 @@
 from corkgauge.standins.program import Program
 
 LISTENERS, CLIENTS = 8, 8
-CORES = 10_000      # of a listener, which stands for many databases: its pace stays that of the work alone
-WANTS = [Want("lookup", 0.66, 3_000, 2.0), Want("report", 0.12, 6_000, 60.0),
-         Want("load", 0.12, 3_000, 10.0, labelled=True, ordered=True), Want("once", 0.10, 3_000, 5.0)]
+CORES = (
+    10_000  # of a listener, which stands for many databases: its pace stays that of the work alone
+)
+WANTS = [
+    Want("lookup", 0.66, 3_000, 2.0),
+    Want("report", 0.12, 6_000, 60.0),
+    Want("load", 0.12, 3_000, 10.0, labelled=True, ordered=True),
+    Want("once", 0.10, 3_000, 5.0),
+]
 
 
 class Counted(Program):
@@ -37,18 +43,29 @@
 class Serve:
     """The program with `engines` in the list that it starts from."""
 
-    def __init__(self, engines: int, seed: int = 7, start: tuple[str, ...] = ("-m", "corkgauge")) -> None:
+    def __init__(
+        self, engines: int, seed: int = 7, start: tuple[str, ...] = ("-m", "corkgauge")
+    ) -> None:
         self.hub, self.folder = Hub(), tempfile.mkdtemp(prefix="corkgauge-")
         means = {each.name: each.work / 10 for each in hollow_one.CLASSES}
         known: dict[str, int] = {}
-        self.engines = [EngineStandIn(self.hub, f"listener{n}", "k0", "zone-0", CORES, means, seed * 100 + n, known)
-                        for n in range(min(LISTENERS, engines))]
+        self.engines = [
+            EngineStandIn(
+                self.hub, f"listener{n}", "k0", "zone-0", CORES, means, seed * 100 + n, known
+            )
+            for n in range(min(LISTENERS, engines))
+        ]
         self.feed = FeedStandIn(self.hub)
         self.address = "127.0.0.1", free_port()
-        first = hollow_one.listing(1, engines, address=lambda n: self.engines[n % len(self.engines)].address)
+        first = hollow_one.listing(
+            1, engines, address=lambda n: self.engines[n % len(self.engines)].address
+        )
         self.feed.version, self.feed.events = 1, [first]
-        self.program = Counted(self.folder, hollow_one.configuration(
-            engines, "%s:%d" % self.address, self.feed.address, first), start=start)
+        self.program = Counted(
+            self.folder,
+            hollow_one.configuration(engines, "%s:%d" % self.address, self.feed.address, first),
+            start=start,
+        )
         self.clients: list[ClientStandIn] = []
 
     def ready(self, patience: float = 60.0) -> tuple[float, float]:
@@ -76,8 +93,17 @@
 
     def begin(self, rate: float) -> None:
         """Clients come and ask, so many statements a second in all."""
-        self.clients = [ClientStandIn(self.hub, self.address, WANTS, f"t{n % hollow_one.TENANTS}", rate / CLIENTS,
-                                      70_000 + n) for n in range(CLIENTS)]
+        self.clients = [
+            ClientStandIn(
+                self.hub,
+                self.address,
+                WANTS,
+                f"t{n % hollow_one.TENANTS}",
+                rate / CLIENTS,
+                70_000 + n,
+            )
+            for n in range(CLIENTS)
+        ]
 
     def asked(self) -> int:
         return sum(len(client.book) for client in self.clients)
--- a/corkgauge/standins/inspector.py
+++ b/corkgauge/standins/inspector.py
@@ -31,8 +31,13 @@
     least: Mapping[str, int] = field(default_factory=dict)
 
 
-def wrong(works: Iterable[Work], runs: Iterable[tuple[int, str, str]], engines: Mapping[str, tuple[str, str, float]],
-          limits: Limits, slack: int = 0) -> list[str]:
+def wrong(
+    works: Iterable[Work],
+    runs: Iterable[tuple[int, str, str]],
+    engines: Mapping[str, tuple[str, str, float]],
+    limits: Limits,
+    slack: int = 0,
+) -> list[str]:
     """All that must never be. `runs` are hand-offs as they came: (when, engine, which); `engines` (hall, kind, cores).
 
     >>> engines = {"e1": ("a", "c8", 8.0), "e2": ("a", "c8", 8.0), "e3": ("b", "c8", 8.0)}
@@ -53,8 +58,13 @@
             found.append(f"{work.unit} of {work.ask} was worked on twice")
         seen.add((work.unit, work.ask))
     for work in works:
-        at_once = {tag for each in works if each.begun <= work.begun and (each.ended < 0 or each.ended > work.begun)
-                   for tag in each.members if tag in engines}
+        at_once = {
+            tag
+            for each in works
+            if each.begun <= work.begun and (each.ended < 0 or each.ended > work.begun)
+            for tag in each.members
+            if tag in engines
+        }
         found += _over(at_once, engines, limits)
     by_engine: dict[str, list[Work]] = {}
     for work in works:
@@ -63,23 +73,35 @@
     for when, engine, which in runs:
         for work in by_engine.get(engine, ()):
             if work.begun + slack < when and (work.ended < 0 or when < work.ended):
-                found.append(f"{which} came to {engine} {when - work.begun} after its work had begun")
+                found.append(
+                    f"{which} came to {engine} {when - work.begun} after its work had begun"
+                )
     return [*dict.fromkeys(found)]
 
 
-def _over(tags: set[str], engines: Mapping[str, tuple[str, str, float]], limits: Limits) -> list[str]:
+def _over(
+    tags: set[str], engines: Mapping[str, tuple[str, str, float]], limits: Limits
+) -> list[str]:
     found = []
     if len(tags) > limits.most:
-        found.append(f"{len(tags)} engines at work at once ({' '.join(sorted(tags))}), {limits.most} allowed")
-    for what, at, part in (("", None, limits.share), ("hall ", 0, limits.hall), ("kind ", 1, limits.kind)):
+        found.append(
+            f"{len(tags)} engines at work at once ({' '.join(sorted(tags))}), {limits.most} allowed"
+        )
+    for what, at, part in (
+        ("", None, limits.share),
+        ("hall ", 0, limits.hall),
+        ("kind ", 1, limits.kind),
+    ):
         names = {"" if at is None else engines[tag][at] for tag in tags}
         for name in sorted(names):
             of = [tag for tag, each in engines.items() if at is None or each[at] == name]
             gone = [tag for tag in of if tag in tags]
             cores, whole = (sum(engines[tag][2] for tag in some) for some in (gone, of))
             if len(gone) > 1 and cores > part * whole + 1e-9:
-                found.append(f"{what}{name or 'all'}: {cores:g} of {whole:g} cores at work at once, "
-                             f"{part:g} of them allowed")
+                found.append(
+                    f"{what}{name or 'all'}: {cores:g} of {whole:g} cores at work at once, "
+                    f"{part:g} of them allowed"
+                )
     for kind, least in limits.least.items():
         left = sum(each[1] == kind and tag not in tags for tag, each in engines.items())
         if left < least:
--- a/corkgauge/standins/judge.py
+++ b/corkgauge/standins/judge.py
@@ -16,8 +16,12 @@
 from corkgauge.loop.hub import READ, Hub
 from corkgauge.standins.chance import Chance
 
-ZERO = {"epoch": "judge", **dict.fromkeys(
-    ("taken", "served", "refused", "failed", "open", "handed", "engines", "ended", "out"), 0)}
+ZERO = {
+    "epoch": "judge",
+    **dict.fromkeys(
+        ("taken", "served", "refused", "failed", "open", "handed", "engines", "ended", "out"), 0
+    ),
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,8 +38,15 @@
 class Judge:
     """`fellows` are (name, address) of the gateways as the judge reaches them."""
 
-    def __init__(self, hub: Hub, name: str, keys: list[bytes], fellows: list[tuple[str, tuple[str, int]]],
-                 period: int, guarded: bool = True) -> None:
+    def __init__(
+        self,
+        hub: Hub,
+        name: str,
+        keys: list[bytes],
+        fellows: list[tuple[str, tuple[str, int]]],
+        period: int,
+        guarded: bool = True,
+    ) -> None:
         self.hub, self.name, self.chances = hub, name, Chance(97)
         self.addresses = dict(fellows)
         self.acts: list[Act] = []
@@ -44,8 +55,14 @@
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        self.company = Company(self, name, hub.now // 10 << 12, [Key(each) for each in keys],
-                               [(each, "") for each in (*self.addresses, name)], period)
+        self.company = Company(
+            self,
+            name,
+            hub.now // 10 << 12,
+            [Key(each) for each in keys],
+            [(each, "") for each in (*self.addresses, name)],
+            period,
+        )
         self.company.calls["books"] = self.came
         self.company.calls["works"] = self.works_came
         self.words = 0
@@ -129,19 +146,25 @@
     for act in acts:
         owner = by_fence.setdefault((act.duty, act.fence), act.sender)
         if owner != act.sender:
-            found.append(f"{owner} and {act.sender} acted under one fence {act.fence} of {act.duty}")
+            found.append(
+                f"{owner} and {act.sender} acted under one fence {act.fence} of {act.duty}"
+            )
         best = highest.get(act.duty)
         if best is None or act.fence > best.fence:
             highest[act.duty] = act
         elif act.fence < best.fence:
             if act.admitted:
-                found.append(f"an act of {act.sender} under fence {act.fence} of {act.duty} was taken, "
-                             f"after one under {best.fence}")
+                found.append(
+                    f"an act of {act.sender} under fence {act.fence} of {act.duty} was taken, "
+                    f"after one under {best.fence}"
+                )
             key = act.sender, act.fence
             late[key] = late.get(key, 0) + 1
             if late[key] > sum(moment <= act.at for moment in stops.get(act.sender, ())):
-                found.append(f"{act.sender} acted under fence {act.fence} of {act.duty} at {act.at}, "
-                             f"after {best.sender} under {best.fence} at {best.at}")
+                found.append(
+                    f"{act.sender} acted under fence {act.fence} of {act.duty} at {act.at}, "
+                    f"after {best.sender} under {best.fence} at {best.at}"
+                )
     return found
 
 
--- a/corkgauge/standins/listener.py
+++ b/corkgauge/standins/listener.py
@@ -17,8 +17,9 @@
 class Listener:
     """`guest(sock)` makes an owner with a `link` for each connection that comes."""
 
-    def __init__(self, hub: Hub, guest: Callable[[Any], Any],
-                 address: tuple[str, int] = ("127.0.0.1", 0)) -> None:
+    def __init__(
+        self, hub: Hub, guest: Callable[[Any], Any], address: tuple[str, int] = ("127.0.0.1", 0)
+    ) -> None:
         self.hub, self.guest, self.address = hub, guest, address
         self.guests: dict[Any, None] = {}
         self.sock: socket.socket | None = None
--- a/corkgauge/standins/machines.py
+++ b/corkgauge/standins/machines.py
@@ -20,7 +20,7 @@
 )
 from corkgauge.net.engine_wire import array
 
-PLENTY = 64 * 2 ** 20
+PLENTY = 64 * 2**20
 
 
 class EngineDoor:
