--- a/corkgauge/standins/play.py
+++ b/corkgauge/standins/play.py
@@ -23,36 +23,83 @@
 
 # The deployment that is played: offerings with their mean work (ms of one core) and what is promised.
 WORK = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
-WANTS = [Want("lookup", 0.70, 1_500, 8.0), Want("report", 0.10, 3_000, 60.0),
-         Want("load", 0.12, 2_000, 15.0, labelled=True, ordered=True), Want("once", 0.08, 1_500, 10.0)]
+WANTS = [
+    Want("lookup", 0.70, 1_500, 8.0),
+    Want("report", 0.10, 3_000, 60.0),
+    Want("load", 0.12, 2_000, 15.0, labelled=True, ordered=True),
+    Want("once", 0.08, 1_500, 10.0),
+]
 KINDS, HALLS, CORES = ("c8", "c12"), ("hall-a", "hall-b"), {"c8": 8, "c12": 12}
 BUDGET = 3.0, 0.1, 5 * SECOND
 STAKES = rules.Stakes(
-    repeats={"lookup": "pure", "report": "pure", "load": "token", "once": "side_effect"}, ordered={"load"},
-    kinds={"report": {"c12"}}, extra=BUDGET)
+    repeats={"lookup": "pure", "report": "pure", "load": "token", "once": "side_effect"},
+    ordered={"load"},
+    kinds={"report": {"c12"}},
+    extra=BUDGET,
+)
 
 
 def settings(group: str = "all") -> dict[str, Any]:
     """What operators state, in the form of the platform."""
+
     def profile(name: str, aim: int, life: int, worth: float, **more: Any) -> dict[str, Any]:
-        return {"name": name, "objectiveUs": aim * 1000, "aimStretch": 2.0, "deadlineUs": life * 1000,
-                "worth": worth,
-                **more}
+        return {
+            "name": name,
+            "objectiveUs": aim * 1000,
+            "aimStretch": 2.0,
+            "deadlineUs": life * 1000,
+            "worth": worth,
+            **more,
+        }
+
     return {
         "profiles": [
-            profile("lookup", 200, 1_500, 1.0), profile("report", 500, 3_000, 8.0, servedOn=[1]),
-            profile("load", 400, 2_000, 2.0, effect="token", keyTtlUs=20_000_000, fifoByKey=True,
-                    group=group),
-            profile("once", 300, 1_500, 2.0, effect="side_effect")],
-        "customers": [{"name": "acme"}, {"name": "bolt"}], "azs": [*HALLS], "kinds": [*KINDS],
-        "extra": {"coresByKind": [CORES[kind] for kind in KINDS], "sizeMb": [4000, 6000], "mostGrant": 0.5,
-                  "takesGrants": True, "takesPriority": True, "bills": True},
+            profile("lookup", 200, 1_500, 1.0),
+            profile("report", 500, 3_000, 8.0, servedOn=[1]),
+            profile(
+                "load",
+                400,
+                2_000,
+                2.0,
+                effect="token",
+                keyTtlUs=20_000_000,
+                fifoByKey=True,
+                group=group,
+            ),
+            profile("once", 300, 1_500, 2.0, effect="side_effect"),
+        ],
+        "customers": [{"name": "acme"}, {"name": "bolt"}],
+        "azs": [*HALLS],
+        "kinds": [*KINDS],
+        "extra": {
+            "coresByKind": [CORES[kind] for kind in KINDS],
+            "sizeMb": [4000, 6000],
+            "mostGrant": 0.5,
+            "takesGrants": True,
+            "takesPriority": True,
+            "bills": True,
+        },
         "report": {"fields": ["inflight", "util"]},
-        "limits": {"mostTries": 6, "streamsPerConn": 32, "dialTimeoutUs": 250_000, "secondCopies": True},
-        "rules": {"coldShare": 0.33, "coldUs": 15_000_000, "fallMultiple": 3.0, "fallUs": 1_500_000,
-                  "extraFloor": BUDGET[0], "extraPerRequest": BUDGET[1], "budgetSpanUs": BUDGET[2] * 100,
-                  "settleAfterDoubtUs": 300_000},
-        "periodUs": 1000, "instances": 1, "myNumber": 0}
+        "limits": {
+            "mostTries": 6,
+            "streamsPerConn": 32,
+            "dialTimeoutUs": 250_000,
+            "secondCopies": True,
+        },
+        "rules": {
+            "coldShare": 0.33,
+            "coldUs": 15_000_000,
+            "fallMultiple": 3.0,
+            "fallUs": 1_500_000,
+            "extraFloor": BUDGET[0],
+            "extraPerRequest": BUDGET[1],
+            "budgetSpanUs": BUDGET[2] * 100,
+            "settleAfterDoubtUs": 300_000,
+        },
+        "periodUs": 1000,
+        "instances": 1,
+        "myNumber": 0,
+    }
 
 
 FIGURES = """<?xml version="1.0"?>
@@ -69,39 +116,83 @@
 class Play:
     """The cast on one hub; `run` plays. `operator` may name `{folder}`."""
 
-    def __init__(self, seed: int, scenes: list[Scene] = (), engines: int = 4, clients: int = 6,
-                 rate: float = 100.0,
-                 scrapes: float = 10.0, gives_up: float = 0.01, hangs_up: float = 0.003,
-                 operator: str = FIGURES,
-                 start: tuple[str, ...] = ("-m", "corkgauge"),
-                 seen: Callable[[Cut], None] | None = None, group: str = "all",
-                 retries: bool = False, wants: list[Want] = WANTS) -> None:
+    def __init__(
+        self,
+        seed: int,
+        scenes: list[Scene] = (),
+        engines: int = 4,
+        clients: int = 6,
+        rate: float = 100.0,
+        scrapes: float = 10.0,
+        gives_up: float = 0.01,
+        hangs_up: float = 0.003,
+        operator: str = FIGURES,
+        start: tuple[str, ...] = ("-m", "corkgauge"),
+        seen: Callable[[Cut], None] | None = None,
+        group: str = "all",
+        retries: bool = False,
+        wants: list[Want] = WANTS,
+    ) -> None:
         self.hub, self.scenes, self.seed, self.rate = Hub(), [*scenes], seed, rate
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
-        known: dict[str, dict[str, int]] = {hall: {} for hall in HALLS}     # labels, by group of engines
+        known: dict[str, dict[str, int]] = {
+            hall: {} for hall in HALLS
+        }  # labels, by group of engines
         if group == "all":
             known = dict.fromkeys(HALLS, {})
         names = [f"e{n}" for n in range(1, engines + 1)]
-        self.engines = {name: EngineStandIn(self.hub, name, KINDS[n % 2], HALLS[n // 2 % 2],
-                                            CORES[KINDS[n % 2]], WORK,
-                                            seed * 100 + n, known[HALLS[n // 2 % 2]]) for n,
-                                            name in enumerate(names)}
+        self.engines = {
+            name: EngineStandIn(
+                self.hub,
+                name,
+                KINDS[n % 2],
+                HALLS[n // 2 % 2],
+                CORES[KINDS[n % 2]],
+                WORK,
+                seed * 100 + n,
+                known[HALLS[n // 2 % 2]],
+            )
+            for n, name in enumerate(names)
+        }
         self.feed = FeedStandIn(self.hub)
         first = self.feed.told([*self.engines.values()], full=True)
         self.address = "127.0.0.1", free_port()
-        self.program = Program(self.folder, {
-            "name": "n1", "listen": "%s:%d" % self.address, "feed": self.feed.address, "seed": f"{seed:x}",
-            "limits": {"memory_mb": 96, "sockets": 512}, "known": {"n": 1, "events": [first]},
-            "settings": settings(group)}, operator.replace("{folder}", self.folder), start)
-        self.clients = [ClientStandIn(self.hub, self.address, wants, ("acme", "bolt")[n % 2], rate / clients,
-                                      seed * 1000 + n, gives_up, hangs_up, retries) for n in range(clients)]
-        self.cuts: list[Cut] = []       # the last few
+        self.program = Program(
+            self.folder,
+            {
+                "name": "n1",
+                "listen": "%s:%d" % self.address,
+                "feed": self.feed.address,
+                "seed": f"{seed:x}",
+                "limits": {"memory_mb": 96, "sockets": 512},
+                "known": {"n": 1, "events": [first]},
+                "settings": settings(group),
+            },
+            operator.replace("{folder}", self.folder),
+            start,
+        )
+        self.clients = [
+            ClientStandIn(
+                self.hub,
+                self.address,
+                wants,
+                ("acme", "bolt")[n % 2],
+                rate / clients,
+                seed * 1000 + n,
+                gives_up,
+                hangs_up,
+                retries,
+            )
+            for n in range(clients)
+        ]
+        self.cuts: list[Cut] = []  # the last few
         self.scraped, self.wrong, self.memory = 0, list[str](), list[int]()
         self.seen = seen
         self.scraper: Scraper | None = None
         if scrapes:
-            self.scraper = Scraper(self.hub, f"{self.folder}/figures.sock", int(SECOND / scrapes),
-                                   self.scrape)
+            self.scraper = Scraper(
+                self.hub, f"{self.folder}/figures.sock", int(SECOND / scrapes), self.scrape
+            )
 
     def run(self, seconds: float, drain: float = 4.0) -> None:
         """Play so long, then let all that is open end, and end the program."""
@@ -113,7 +204,9 @@
         for client in self.clients:
             client.rate = 1e-6
             client.stopped = True
-        self.until(self.hub.now + int(drain * SECOND), lambda: any(client.open for client in self.clients))
+        self.until(
+            self.hub.now + int(drain * SECOND), lambda: any(client.open for client in self.clients)
+        )
         self.until(self.hub.now + SECOND // 2)
         if self.scraper is not None:
             self.scraper.stopped = True
@@ -188,12 +281,22 @@
 
     def broken(self, slack: int = rules.SLACK) -> list[str]:
         """The rules, from the books of the stand-ins."""
-        asks = sorted((ask for client in self.clients for ask in client.book), key=lambda ask: ask.sent)
-        runs = sorted((run for engine in self.engines.values() for run in engine.book),
-                      key=lambda run: run.came)
-        return rules.broken(asks, runs, self.feed.changes,
-                            {name: each.cores for name, each in self.engines.items()},
-                            STAKES, slack, self.program.kills)
+        asks = sorted(
+            (ask for client in self.clients for ask in client.book), key=lambda ask: ask.sent
+        )
+        runs = sorted(
+            (run for engine in self.engines.values() for run in engine.book),
+            key=lambda run: run.came,
+        )
+        return rules.broken(
+            asks,
+            runs,
+            self.feed.changes,
+            {name: each.cores for name, each in self.engines.items()},
+            STAKES,
+            slack,
+            self.program.kills,
+        )
 
     def tally(self) -> dict[str, int]:
         said: dict[str, int] = {}
@@ -201,8 +304,11 @@
             for name, count in client.tally().items():
                 said[name] = said.get(name, 0) + count
         # What the program held when it was killed outright is owed by nobody; any other without an answer is lost.
-        killed = sum(not ask.answers and not ask.excused and rules.at_a_kill(ask, self.program.kills)
-                     for client in self.clients for ask in client.book)
+        killed = sum(
+            not ask.answers and not ask.excused and rules.at_a_kill(ask, self.program.kills)
+            for client in self.clients
+            for ask in client.book
+        )
         return {**said, "none": said["none"] - killed, "at_a_kill": killed}
 
     def kept(self) -> str:
--- a/corkgauge/standins/ports.py
+++ b/corkgauge/standins/ports.py
@@ -7,7 +7,10 @@
 import secrets
 import socket
 
-LOWEST, HIGHEST = 10_240, 32_768    # of those that are chosen; systems hand out higher ones, as they come
+LOWEST, HIGHEST = (
+    10_240,
+    32_768,
+)  # of those that are chosen; systems hand out higher ones, as they come
 RANGE = "/proc/sys/net/ipv4/ip_local_port_range"
 
 
@@ -29,11 +32,16 @@
         top = highest()
         while True:
             port = LOWEST + secrets.randbelow(top - LOWEST)
-            self.mark, self.sock = socket.socket(socket.AF_UNIX), socket.socket(socket.AF_INET, sort)
+            self.mark, self.sock = (
+                socket.socket(socket.AF_UNIX),
+                socket.socket(socket.AF_INET, sort),
+            )
             try:
                 # Danger: between our release and the listening of the process that we start, and whenever that is
                 # down, another rig would find the port free. A name without a file goes with its process.
-                self.mark.bind(f"\0corkgauge {'udp' if sort == socket.SOCK_DGRAM else 'tcp'} {port}")
+                self.mark.bind(
+                    f"\0corkgauge {'udp' if sort == socket.SOCK_DGRAM else 'tcp'} {port}"
+                )
                 self.sock.bind(("127.0.0.1", port))
                 break
             except OSError:
--- a/corkgauge/standins/program.py
+++ b/corkgauge/standins/program.py
@@ -17,9 +17,15 @@
     """`serve` in a process of its own, in a folder of its own. `start` is what is run in place of
     `-m corkgauge`; `tree` another checkout to run it in."""
 
-    def __init__(self, folder: str, said: dict[str, Any], operator: str = "",
-                 start: tuple[str, ...] = ("-m", "corkgauge"), log_form: str = "plain",
-                 tree: str | None = None) -> None:
+    def __init__(
+        self,
+        folder: str,
+        said: dict[str, Any],
+        operator: str = "",
+        start: tuple[str, ...] = ("-m", "corkgauge"),
+        log_form: str = "plain",
+        tree: str | None = None,
+    ) -> None:
         self.folder, self.said, self.start_with, self.tree = folder, said, start, tree
         self.config, self.log_path = (os.path.join(folder, name) for name in ("config.json", "log"))
         self.arguments = ["serve", "--log", log_form]
@@ -36,10 +42,19 @@
             json.dump(self.said, file)
         with open(self.log_path, "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.start_with, *self.arguments], stdout=log, stderr=log,
-                stdin=subprocess.DEVNULL, cwd=self.tree, preexec_fn=tied(os.getpid()),
-                env={**os.environ, "EDGE_CONFIG": self.config, "EDGE_LISTEN": "",
-                     "PYTHONDONTWRITEBYTECODE": "1"})
+                [sys.executable, *self.start_with, *self.arguments],
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                cwd=self.tree,
+                preexec_fn=tied(os.getpid()),
+                env={
+                    **os.environ,
+                    "EDGE_CONFIG": self.config,
+                    "EDGE_LISTEN": "",
+                    "PYTHONDONTWRITEBYTECODE": "1",
+                },
+            )
 
     def tell(self, sign: int) -> None:
         if self.process is not None and self.process.poll() is None:
--- a/corkgauge/standins/relay.py
+++ b/corkgauge/standins/relay.py
@@ -13,7 +13,7 @@
 from corkgauge.loop.link import dial
 from corkgauge.standins.chance import Chance
 
-KEPT = 200              # datagrams that may be played again
+KEPT = 200  # datagrams that may be played again
 PIECE = 65_536
 
 
@@ -107,8 +107,12 @@
         ends = [near, far]
         for source, sink in ((near, far), (far, near)):
             # Each direction waits on a descriptor of its own, as one task parks at one descriptor.
-            self.hub.spawn(self._carry, socket.socket(fileno=socket.dup(source.fileno())),
-                           socket.socket(fileno=socket.dup(sink.fileno())), ends)
+            self.hub.spawn(
+                self._carry,
+                socket.socket(fileno=socket.dup(source.fileno())),
+                socket.socket(fileno=socket.dup(sink.fileno())),
+                ends,
+            )
 
     def _carry(self, source: Any, sink: Any, ends: list[Any]) -> None:
         try:
@@ -126,7 +130,7 @@
                     return
                 while data:
                     try:
-                        data = data[sink.send(data):]
+                        data = data[sink.send(data) :]
                     except BlockingIOError:
                         self.hub.wait(sink.fileno(), WRITE)
         except OSError:
--- a/corkgauge/standins/rules.py
+++ b/corkgauge/standins/rules.py
@@ -13,8 +13,8 @@
 from corkgauge.standins.clients import Ask
 from corkgauge.standins.engines import REMEMBERED, Run
 
-MOMENT = 500    # between a signal and its effect
-SLACK = 500     # that each time limit is longer on sockets; tests add what their machine needs
+MOMENT = 500  # between a signal and its effect
+SLACK = 500  # that each time limit is longer on sockets; tests add what their machine needs
 
 
 @dataclass
@@ -22,7 +22,7 @@
     """What the rules need to know of a deployment: `extra` is floor, share and window of the budget; `kinds`
     which kinds of engine an offering is bound to; `cold` share, span, multiple and time to fall."""
 
-    repeats: dict[str, str]                 # offering: pure, token, side_effect
+    repeats: dict[str, str]  # offering: pure, token, side_effect
     ordered: set[str]
     kinds: dict[str, set[str]]
     extra: tuple[float, float, int]
@@ -30,15 +30,26 @@
     cold: tuple[float, int, float, int] = (0.33, 15 * SECOND, 3.0, 15_000)
 
 
-def broken(asks: list[Ask], runs: list[Run], changes: list[tuple[int, str, str, int]],
-           cores: dict[str, float], stakes: Stakes, slack: int = SLACK, killed: list[int] = ()) -> list[str]:
+def broken(
+    asks: list[Ask],
+    runs: list[Run],
+    changes: list[tuple[int, str, str, int]],
+    cores: dict[str, float],
+    stakes: Stakes,
+    slack: int = SLACK,
+    killed: list[int] = (),
+) -> list[str]:
     """Every breach found; nothing where all rules are kept. `killed` holds when the gateway was killed
     outright: what it held then is no longer owed."""
-    return [*lost(asks, runs, slack, killed), *twice(runs, stakes),
-            *drained(runs, changes, stakes.grace + slack),
-            *cold(runs, changes, cores, stakes, slack), *disordered(asks, runs, stakes),
-            *misplaced(runs, stakes),
-            *rationed(asks, runs, stakes)]
+    return [
+        *lost(asks, runs, slack, killed),
+        *twice(runs, stakes),
+        *drained(runs, changes, stakes.grace + slack),
+        *cold(runs, changes, cores, stakes, slack),
+        *disordered(asks, runs, stakes),
+        *misplaced(runs, stakes),
+        *rationed(asks, runs, stakes),
+    ]
 
 
 def lost(asks: list[Ask], runs: list[Run], slack: int, killed: list[int]) -> list[str]:
@@ -56,8 +67,11 @@
         if when > until:
             found.append(f"lost: {ask.trace} was answered {when - until + slack} after its expiry")
         rows = body.decode(errors="replace").splitlines()
-        if code == SERVED and (ask.trace not in made or not rows or any(
-                row.split("\t")[:2] != [ask.trace, str(n)] for n, row in enumerate(rows))):
+        if code == SERVED and (
+            ask.trace not in made
+            or not rows
+            or any(row.split("\t")[:2] != [ask.trace, str(n)] for n, row in enumerate(rows))
+        ):
             found.append(f"lost: {ask.trace} was served what no engine made for it")
     return found
 
@@ -74,7 +88,10 @@
     for run in runs:
         by_trace[run.trace].append(run)
     for trace, several in by_trace.items():
-        ran, sort = [run for run in several if run.ran], stakes.repeats.get(several[0].offering, "pure")
+        ran, sort = (
+            [run for run in several if run.ran],
+            stakes.repeats.get(several[0].offering, "pure"),
+        )
         if sort == "side_effect" and len(ran) > 1 or sort == "token" and len(ran) > 1:
             found.append(f"effect: {trace} of {several[0].offering} ran {len(ran)} times")
         if sort == "token" and several[-1].came > several[0].came + REMEMBERED:
@@ -84,32 +101,47 @@
     for run in runs:
         if run.label and run.ran:
             by_label[run.label].append(run)
-    return found + [f"effect: label {label[:16]} ran at {', '.join(run.engine for run in several)}"
-                    for label, several in by_label.items()
-                    if len(several) > 1 and len({run.trace for run in several}) > 1]
+    return found + [
+        f"effect: label {label[:16]} ran at {', '.join(run.engine for run in several)}"
+        for label, several in by_label.items()
+        if len(several) > 1 and len({run.trace for run in several}) > 1
+    ]
 
 
 def drained(runs: list[Run], changes: list[tuple[int, str, str, int]], grace: int) -> list[str]:
     """Nothing new to an engine later than the grace after its drain or departure was told."""
     found = []
     for run in runs:
-        last = max((change for change in changes if change[1] == run.engine and change[0] <= run.came),
-                   default=None, key=lambda change: change[0])
+        last = max(
+            (change for change in changes if change[1] == run.engine and change[0] <= run.came),
+            default=None,
+            key=lambda change: change[0],
+        )
         if last and last[2] != "SERVING" and run.came > last[0] + grace:
-            found.append(f"drain: {run.trace} came to {run.engine} {run.came - last[0]} after it was told")
+            found.append(
+                f"drain: {run.trace} came to {run.engine} {run.came - last[0]} after it was told"
+            )
     return found
 
 
-def cold(runs: list[Run], changes: list[tuple[int, str, str, int]], cores: dict[str, float], stakes: Stakes,
-         slack: int) -> list[str]:
+def cold(
+    runs: list[Run],
+    changes: list[tuple[int, str, str, int]],
+    cores: dict[str, float],
+    stakes: Stakes,
+    slack: int,
+) -> list[str]:
     """No more work, in any time that makes it fall, than a multiple of what it can do while cold."""
     found, (share, span, multiple, fall) = [], stakes.cold
     for _, engine, state, started_ms in changes:
         if state != "SERVING" or not started_ms:
             continue
         begin = 10 * started_ms
-        sent = [(run.came, run.work) for run in runs if run.engine == engine
-                and begin <= run.came < begin + span]
+        sent = [
+            (run.came, run.work)
+            for run in runs
+            if run.engine == engine and begin <= run.came < begin + span
+        ]
         for came, _ in sent:
             work = sum(each for when, each in sent if came <= when < came + fall)
             if work > multiple * share * cores[engine] * fall / 10:
@@ -131,17 +163,24 @@
         before: Run | None = None
         for ask in line:
             for run in by_trace[ask.trace]:
-                if before is not None and run.trace != before.trace and (
-                        run.came < before.came or 0 <= run.came < before.ended):
-                    found.append(f"order: {ask.trace} of key {key} began before {before.trace} was over")
+                if (
+                    before is not None
+                    and run.trace != before.trace
+                    and (run.came < before.came or 0 <= run.came < before.ended)
+                ):
+                    found.append(
+                        f"order: {ask.trace} of key {key} began before {before.trace} was over"
+                    )
             before = max(by_trace[ask.trace], key=lambda run: run.came, default=before)
     return found
 
 
 def misplaced(runs: list[Run], stakes: Stakes) -> list[str]:
-    return [f"placement: {run.trace} of {run.offering} came to {run.engine} of kind {run.kind}"
-            for run in runs
-            if run.kind not in stakes.kinds.get(run.offering, {run.kind})]
+    return [
+        f"placement: {run.trace} of {run.offering} came to {run.engine} of kind {run.kind}"
+        for run in runs
+        if run.kind not in stakes.kinds.get(run.offering, {run.kind})
+    ]
 
 
 def rationed(asks: list[Ask], runs: list[Run], stakes: Stakes) -> list[str]:
@@ -156,7 +195,7 @@
         seen.add(run.trace)
     taken, found = sorted(ask.sent for ask in asks), []
     for n, moment in enumerate(extras):
-        many = sum(moment - window < each <= moment for each in extras[:n + 1])
+        many = sum(moment - window < each <= moment for each in extras[: n + 1])
         room = floor + share * sum(moment - window - SLACK < each <= moment for each in taken)
         if many > 1.15 * room + 1:
             found.append(f"budget: {many} further hand-offs in a window that allows {room:.1f}")
--- a/corkgauge/standins/sampled.py
+++ b/corkgauge/standins/sampled.py
@@ -12,14 +12,18 @@
 import sys
 from collections import Counter
 
-EACH = 0.002        # s of processor time; the system may make it longer
+EACH = 0.002  # s of processor time; the system may make it longer
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 FRAME = re.compile(r'  File "(.*)", line \d+ in (.*)')
 
 
 def place(file: str, name: str) -> str:
     """`package/file.py:function`, or `library:file.py`."""
-    return f"{os.path.relpath(file, ROOT)}:{name}" if file.startswith(ROOT) else f"library:{os.path.basename(file)}"
+    return (
+        f"{os.path.relpath(file, ROOT)}:{name}"
+        if file.startswith(ROOT)
+        else f"library:{os.path.basename(file)}"
+    )
 
 
 def read(path: str) -> tuple[int, Counter, Counter]:
@@ -46,12 +50,14 @@
     faulthandler.register(signal.SIGPROF, out, all_threads=False)
     from corkgauge.commands import main as program
     from corkgauge.loop.hub import Hub
+
     run = Hub.run
 
     def watched(hub: Hub) -> None:
         signal.setitimer(signal.ITIMER_PROF, EACH, EACH)
         run(hub)
         signal.setitimer(signal.ITIMER_PROF, 0)
+
     Hub.run = watched
     sys.exit(program())
 
--- a/corkgauge/standins/scraper.py
+++ b/corkgauge/standins/scraper.py
@@ -31,7 +31,9 @@
                     client = h11.Connection(h11.CLIENT)
                     while not self.stopped:
                         begun = self.hub.now
-                        self.heard(json.loads(exchange(self.hub, sock, client, "GET", "/figures")[1]))
+                        self.heard(
+                            json.loads(exchange(self.hub, sock, client, "GET", "/figures")[1])
+                        )
                         client.start_next_cycle()
                         self.hub.sleep(max(self.each - (self.hub.now - begun), 1))
             except (OSError, ValueError, h11.ProtocolError):
--- a/corkgauge/standins/script.py
+++ b/corkgauge/standins/script.py
@@ -16,7 +16,7 @@
 
 PROGRAM = "kill", "restart", "reload"
 LIST = "drain", "vanish"
-WITH_PART = "full", "error", "garble", "twice", "midway", "lost"    # their figure is a part of 1
+WITH_PART = "full", "error", "garble", "twice", "midway", "lost"  # their figure is a part of 1
 
 
 class Unplayable(ValueError):
--- a/corkgauge/standins/slow_store.py
+++ b/corkgauge/standins/slow_store.py
@@ -7,15 +7,17 @@
 import sys
 import time
 
-TAKES = 0.1     # seconds, for each write
+TAKES = 0.1  # seconds, for each write
 
 if __name__ == "__main__":
     sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
     from corkgauge.duties import store
+
     write = store.write
 
     def slowly(path: str, data: bytes) -> None:
         time.sleep(TAKES)
         write(path, data)
+
     store.write = slowly
     sys.exit(store.main())
--- a/corkgauge/standins/undefended.py
+++ b/corkgauge/standins/undefended.py
@@ -12,14 +12,15 @@
 import signal
 import sys
 
-STEP_AFTER = 4.0    # seconds from the start to the step of the date
-MIDORDER = 60       # orders that name nothing before the one that it stops in
-MIDACT = 40     # acts before the one that it stops in
+STEP_AFTER = 4.0  # seconds from the start to the step of the date
+MIDORDER = 60  # orders that name nothing before the one that it stops in
+MIDACT = 40  # acts before the one that it stops in
 
 
 def slanted(rate: float) -> None:
     """Before anybody has taken the clock by its name."""
     from corkgauge.loop import boot
+
     true, begun = boot.boot_time, boot.boot_time()
     boot.boot_time = lambda: begun + int((true() - begun) * rate)
 
@@ -28,6 +29,7 @@
     from corkgauge.duties.holder import HOLDING, Holder
     from corkgauge.duties.roll import Span
     from corkgauge.duties.voter import Voter
+
     if off == "check":
         # Neither before an act nor at a timer: what was granted once is believed in until a voter says no.
         Holder.may = lambda self: self.state == HOLDING
@@ -36,6 +38,7 @@
         Voter._busy = lambda self, vote, who: 0
     elif off == "midact":
         from corkgauge.fellows.company import Company
+
         call, acts = Company.call, [0]
 
         def stopped(self: Company, name: str, subject: str, body: list) -> bool:
@@ -44,30 +47,37 @@
                 acts[0] += 1
                 os.kill(os.getpid(), signal.SIGSTOP)
             return call(self, name, subject, body)
+
         Company.call = stopped
     elif off == "hour":
         # The date is set back by an hour, some seconds after the start; a defence that is in place.
         import time
 
         from corkgauge.loop import hub
+
         true, begun = time.time_ns, time.monotonic()
-        hub.unix_time = lambda: true() // 100_000 - (36_000_000 if time.monotonic() > begun + STEP_AFTER else 0)
+        hub.unix_time = lambda: true() // 100_000 - (
+            36_000_000 if time.monotonic() > begun + STEP_AFTER else 0
+        )
     elif off == "slowdisk":
         # Nothing is left out: what is kept takes a while until it is safe.
         from corkgauge.duties import store
         from corkgauge.standins import slow_store
+
         store.__file__ = slow_store.__file__
     elif off == "midorder":
         # Nothing is left out: the process stops itself once, between its look at the clock and an order's writing.
         from corkgauge.fellows.company import Company
+
         call, orders = Company.call, [0]
 
         def halted(self: Company, name: str, subject: str, body: list) -> bool:
             orders[0] += subject == "works" and body[0] == "orders" and not body[-1]
             if orders[0] >= MIDORDER and subject == "works" and not name.startswith("judge"):
-                orders[0] = -10 ** 6
+                orders[0] = -(10**6)
                 os.kill(os.getpid(), signal.SIGSTOP)
             return call(self, name, subject, body)
+
         Company.call = halted
     elif off == "liar":
         # It tells of every engine that it is silent and a hundred times as slow.
@@ -78,78 +88,101 @@
             for station in self.house.stations.values():
                 self.findings.serial += 1
                 self.findings.found(now, station.engine.tag, station.started, SILENT, 10_000, 8)
+
         Exchange._own = lies
     elif off == "witnesses":
         # One word is believed, of whoever it is.
         from corkgauge.shared import weighing
+
         weighing.ENOUGH, weighing.ALONE, weighing.OWN = 0.1, 1, 0
         weighing.FAR = 1.0
         made = weighing.opinion
 
         def believed(findings, now, started, us, halls, own_sign):
             return made(findings, now, started, us, dict.fromkeys(halls, ""), -1)
+
         from corkgauge.shared import exchange
+
         exchange.opinion = believed
     elif off == "leases":
         # A turn that was passed on is not spent here, and one that came is used whenever it is wanted.
         from corkgauge.control import Gateway
         from corkgauge.shared.turns import Turns
+
         passed = Gateway.turn_passed
         Gateway.turn_passed = lambda self, engine, work, when: work > 0 or [
-            passed(self, engine, work, when + 20 * self.fall_span)]
+            passed(self, engine, work, when + 20 * self.fall_span)
+        ]
         Turns.received = lambda self, now, serial, known_for, left: now + left
     elif off == "cold":
         # An engine that has just started is sent what any other is.
         from corkgauge.control import Gateway
+
         Gateway._cold = lambda self, engine: False
     elif off == "groups":
         # What may have run is tried again anywhere, whoever knows its label.
         from corkgauge.control import Gateway
+
         stated = Gateway.__init__
 
         def careless(self: Gateway, host: object, **said: object) -> None:
             for each in said["offerings"]:
                 each.group = "all"
             stated(self, host, **said)
+
         Gateway.__init__ = careless
     elif off == "beyond":
         # Nothing is sought outside the working set.
         from corkgauge.control import Gateway
+
         Gateway._beyond = lambda self, sub, tried: None
     elif off == "few":
         # The working set is what is first by rank, whatever kinds the offerings need.
         from corkgauge.control import Gateway
+
         gathered = Gateway._gather
 
         def bare(self: Gateway) -> None:
             needed, self.offerings = self.offerings, []
             gathered(self)
             self.offerings = needed
+
         Gateway._gather = bare
     elif off == "day":
         # Its date is a day ahead, from its start.
         from corkgauge.loop import hub
+
         true = hub.unix_time
         hub.unix_time = lambda: true() + 24 * 36_000_000
     elif off == "agreement":
         # One keeper's word is enough, to take the plan over and to change it.
         from corkgauge.works.scribe import Scribe
+
         Scribe._majority = lambda self: 1
     elif off == "confirmation":
         from corkgauge.works.planner import Planner
+
         Planner.confirming = False
     elif off == "orders":
         # Neither gateways nor keepers look at the fence.
         from corkgauge.works.keeper import Keeper
         from corkgauge.works.party import Party
+
         Keeper.defended = Party.defended = False
     elif off in ("silence", "margin"):
         made = Span.__init__
 
         def spoilt(self: Span, lease: int, drift: float, margin: int, longest: int = 0) -> None:
-            made(self, lease, 0.0 if off == "margin" else drift, 0 if off == "margin" else margin, longest)
+            made(
+                self,
+                lease,
+                0.0 if off == "margin" else drift,
+                0 if off == "margin" else margin,
+                longest,
+            )
             if off == "silence":
                 self.silent = 0
+
         Span.__init__ = spoilt
     else:
         raise SystemExit(f"no defence {off!r}")
@@ -163,4 +196,5 @@
         if each != "none":
             without(each)
     from corkgauge.commands import main
+
     sys.exit(main())
--- a/corkgauge/standins/wide.py
+++ b/corkgauge/standins/wide.py
@@ -24,9 +24,13 @@
 from corkgauge.standins.program import Program
 from corkgauge.stated import Stated
 
-FEW_KIND, FEW_CORES = "x12", 12     # a kind that few engines are of; reports run on it alone
-COLD = 0.05, 1.0, SECOND + SECOND // 2      # share, multiple and time to fall of an engine that has just started
-MISSING = -1                        # a gateway whose settings name no number
+FEW_KIND, FEW_CORES = "x12", 12  # a kind that few engines are of; reports run on it alone
+COLD = (
+    0.05,
+    1.0,
+    SECOND + SECOND // 2,
+)  # share, multiple and time to fall of an engine that has just started
+MISSING = -1  # a gateway whose settings name no number
 
 
 def settled(listener: Listener) -> None:
@@ -40,11 +44,27 @@
 class WideFeed(FeedStandIn):
     """Tells each engine's cell too."""
 
-    def told(self, engines: list[Any], state: str = "SERVING", full: bool = False) -> dict[str, Any]:
+    def told(
+        self, engines: list[Any], state: str = "SERVING", full: bool = False
+    ) -> dict[str, Any]:
         self.version += 1
-        servers = [{"id": each.name, "addr": each.address, "zone": each.hall, "kind": each.kind, "cell": each.cell,
-                    "state": state, "weight": 1, "started_ms": each.started_ms} for each in engines]
-        event = {"n": self.version, "members": {"version": self.version, "full": full, "servers": servers}}
+        servers = [
+            {
+                "id": each.name,
+                "addr": each.address,
+                "zone": each.hall,
+                "kind": each.kind,
+                "cell": each.cell,
+                "state": state,
+                "weight": 1,
+                "started_ms": each.started_ms,
+            }
+            for each in engines
+        ]
+        event = {
+            "n": self.version,
+            "members": {"version": self.version, "full": full, "servers": servers},
+        }
         if full:
             named = {each.name for each in engines}
             for _, name, was, started in [*self.changes]:
@@ -63,16 +83,42 @@
     by itself. `spoilt` names what is left out of all. `rates` are submissions a second, a client each, to the gateways
     in turn."""
 
-    def __init__(self, numbers: Iterable[int], told: int = 60, listed: int = 300, more: int = 0, few: int = 4,
-                 cell: int = 0, spoilt: str = "", rates: Iterable[float] = (40.0,) * 3,
-                 wants: list[Want] = WANTS, seed: int = 5, cold: float = 15.0) -> None:
-        self.numbers, self.told, self.few, self.cell, self.spoilt = [*numbers], told, few, cell, spoilt
+    def __init__(
+        self,
+        numbers: Iterable[int],
+        told: int = 60,
+        listed: int = 300,
+        more: int = 0,
+        few: int = 4,
+        cell: int = 0,
+        spoilt: str = "",
+        rates: Iterable[float] = (40.0,) * 3,
+        wants: list[Want] = WANTS,
+        seed: int = 5,
+        cold: float = 15.0,
+    ) -> None:
+        self.numbers, self.told, self.few, self.cell, self.spoilt = (
+            [*numbers],
+            told,
+            few,
+            cell,
+            spoilt,
+        )
         self.first = [f"e{n}" for n in range(1, listed + 1)]
-        self.marks: dict[int, dict[str, int]] = {}      # labels that have run, by cell
+        self.marks: dict[int, dict[str, int]] = {}  # labels that have run, by cell
         super().__init__(seed=seed, gateways=len(self.numbers), engines=listed + more, cold=cold)
         names = [*self.gateways]
-        self.clients = [ClientStandIn(self.hub, self.gateways[names[n % len(names)]].address, wants,
-                                      ("acme", "bolt")[n % 2], rate, seed * 1000 + n) for n, rate in enumerate(rates)]
+        self.clients = [
+            ClientStandIn(
+                self.hub,
+                self.gateways[names[n % len(names)]].address,
+                wants,
+                ("acme", "bolt")[n % 2],
+                rate,
+                seed * 1000 + n,
+            )
+            for n, rate in enumerate(rates)
+        ]
 
     def _feed(self, name: str) -> WideFeed:
         if not self.marks:
@@ -87,15 +133,27 @@
             settled(engine.listener)
             if n < self.few or 0 <= n - len(self.first) < self.few:
                 engine.kind, engine.cores = FEW_KIND, FEW_CORES
-        self.stakes = replace(self.stakes, kinds={"report": {FEW_KIND}}, cold=(COLD[0], self.cold, *COLD[1:]))
+        self.stakes = replace(
+            self.stakes, kinds={"report": {FEW_KIND}}, cold=(COLD[0], self.cold, *COLD[1:])
+        )
 
     def _program(self, gateway: Gateway, number: int) -> Program:
         feed = self.feeds[gateway.name]
         first = feed.told([self.engines[each] for each in self.first], full=True)
-        said = {"name": gateway.name, "listen": "%s:%d" % gateway.address, "feed": feed.address,
-                "seed": f"{self.seed * 100 + number:x}", "limits": {"memory_mb": 96, "sockets": 512},
-                "known": {"n": 1, "events": [first]}, "settings": self.stated(number)}
-        start = ("-m", "corkgauge.standins.undefended", self.spoilt, "1.0") if self.spoilt else ("-m", "corkgauge")
+        said = {
+            "name": gateway.name,
+            "listen": "%s:%d" % gateway.address,
+            "feed": feed.address,
+            "seed": f"{self.seed * 100 + number:x}",
+            "limits": {"memory_mb": 96, "sockets": 512},
+            "known": {"n": 1, "events": [first]},
+            "settings": self.stated(number),
+        }
+        start = (
+            ("-m", "corkgauge.standins.undefended", self.spoilt, "1.0")
+            if self.spoilt
+            else ("-m", "corkgauge")
+        )
         return Program(gateway.folder, said, "", start)
 
     def stated(self, number: int) -> dict[str, Any]:
@@ -105,8 +163,12 @@
         said["kinds"] = [*KINDS, FEW_KIND]
         said["extra"]["coresByKind"] = [*(CORES[kind] for kind in KINDS), FEW_CORES]
         said["extra"]["sizeMb"] = [4000, 6000, 6000]
-        said["rules"] |= {"coldUs": self.cold * 100, "coldShare": COLD[0], "fallMultiple": COLD[1],
-                          "fallUs": COLD[2] * 100}
+        said["rules"] |= {
+            "coldUs": self.cold * 100,
+            "coldShare": COLD[0],
+            "fallMultiple": COLD[1],
+            "fallUs": COLD[2] * 100,
+        }
         said["instances"], said["myNumber"] = self.told, self.numbers[number]
         if self.numbers[number] == MISSING:
             del said["myNumber"]
@@ -119,7 +181,9 @@
         stated = Stated(self.stated(number), Aside(), self.seed * 100 + number, name)
         module: Module = stated.gateway
         for tag, (hall, kind, cell, started) in self.listing(name).items():
-            engine = Engine(tag, tag.encode(), HALLS.index(hall), stated.kinds.index(kind), cell, name=tag)
+            engine = Engine(
+                tag, tag.encode(), HALLS.index(hall), stated.kinds.index(kind), cell, name=tag
+            )
             stated.place(engine, engine.hall, engine.kind, cell)
             module.engine_told(engine, READY, started * 10)
         module.wider = wider
@@ -138,7 +202,13 @@
                     found[each["id"]] = each["zone"], each["kind"], each["cell"], each["started_ms"]
         return found
 
-    def tell(self, names: Iterable[str], state: str = "SERVING", full: bool = False, to: Iterable[str] = ()) -> None:
+    def tell(
+        self,
+        names: Iterable[str],
+        state: str = "SERVING",
+        full: bool = False,
+        to: Iterable[str] = (),
+    ) -> None:
         """The feeds of these gateways, or of all, tell of these engines."""
         for gateway in to or self.gateways:
             self.feeds[gateway].told([self.engines[name] for name in names], state, full)
@@ -160,38 +230,68 @@
     def asks_of(self, name: str, since: int = 0) -> list[Ask]:
         """What clients asked of one gateway."""
         where = [*self.gateways].index(name)
-        return [ask for n, client in enumerate(self.clients) if n % len(self.gateways) == where
-                for ask in client.book if ask.sent >= since]
+        return [
+            ask
+            for n, client in enumerate(self.clients)
+            if n % len(self.gateways) == where
+            for ask in client.book
+            if ask.sent >= since
+        ]
 
     def runs_of(self, name: str, since: int = 0) -> list[Run]:
         """What came to engines from one gateway, in the order in which it came."""
         mine = {ask.trace for ask in self.asks_of(name)}
-        return sorted((run for engine in self.engines.values() for run in engine.book
-                       if run.trace in mine and run.came >= since), key=lambda run: run.came)
+        return sorted(
+            (
+                run
+                for engine in self.engines.values()
+                for run in engine.book
+                if run.trace in mine and run.came >= since
+            ),
+            key=lambda run: run.came,
+        )
 
     def reached_by(self, name: str, since: int = 0) -> set[str]:
         """Engines that something of one gateway's came to."""
         return {run.engine for run in self.runs_of(name, since)}
 
-    def served(self, since: int = 0, until: int = 2 ** 62, offering: str = "") -> float:
+    def served(self, since: int = 0, until: int = 2**62, offering: str = "") -> float:
         """Part of what was asked that was served."""
-        asks = [ask for client in self.clients for ask in client.book
-                if since <= ask.sent < until and offering in ("", ask.want.offering)]
-        return sum(bool(ask.answers) and ask.answers[0][1] == rules.SERVED for ask in asks) / max(len(asks), 1)
+        asks = [
+            ask
+            for client in self.clients
+            for ask in client.book
+            if since <= ask.sent < until and offering in ("", ask.want.offering)
+        ]
+        return sum(bool(ask.answers) and ask.answers[0][1] == rules.SERVED for ask in asks) / max(
+            len(asks), 1
+        )
 
     def broken(self, slack: int = rules.SLACK) -> list[str]:
         """The seven rules. What engines are sent counts over all gateways; a drain binds whom it was told."""
-        asks = sorted((ask for name in self.gateways for ask in self.asks_of(name)), key=lambda ask: ask.sent)
+        asks = sorted(
+            (ask for name in self.gateways for ask in self.asks_of(name)), key=lambda ask: ask.sent
+        )
         runs = {name: self.runs_of(name) for name in self.gateways}
         whole = sorted((run for each in runs.values() for run in each), key=lambda run: run.came)
         cores = {name: each.cores for name, each in self.engines.items()}
         colds = {change for feed in self.feeds.values() for change in feed.changes if change[3]}
-        found = rules.broken(asks, whole, sorted({(10 * started, engine, state, started)
-                                                  for _, engine, state, started in colds if state == "SERVING"}),
-                             cores, replace(self.stakes, extra=(0.0, 0.0, 0)), slack)
+        found = rules.broken(
+            asks,
+            whole,
+            sorted(
+                {
+                    (10 * started, engine, state, started)
+                    for _, engine, state, started in colds
+                    if state == "SERVING"
+                }
+            ),
+            cores,
+            replace(self.stakes, extra=(0.0, 0.0, 0)),
+            slack,
+        )
         for name, each in runs.items():
             mine = self.asks_of(name)
             found += rules.drained(each, self.feeds[name].changes, self.stakes.grace + slack)
             found += rules.rationed(mine, each, self.stakes)
         return found
-
--- a/corkgauge/standins/worksday.py
+++ b/corkgauge/standins/worksday.py
@@ -13,23 +13,58 @@
 from corkgauge.standins.inspector import Limits, wrong
 
 MOST = 3
-SLACK = 1_000           # tenths of a millisecond that a hand-off may have been on its way when a door told `out`
+SLACK = (
+    1_000  # tenths of a millisecond that a hand-off may have been on its way when a door told `out`
+)
 
 
 class WorksDay:
     """`fleet` plays; asks come about every `each` seconds, some are cancelled."""
 
-    def __init__(self, seed: int, gateways: int = 3, engines: int = 12, seconds: float = 30.0, gap: float = 0.6,
-                 longest: float = 2.0, each: float = 1.5, off: str = "none", clients: int = 4, rate: float = 80.0,
-                 faults: list[Fault] | None = None, cancels: float = 0.2, **more: Any) -> None:
+    def __init__(
+        self,
+        seed: int,
+        gateways: int = 3,
+        engines: int = 12,
+        seconds: float = 30.0,
+        gap: float = 0.6,
+        longest: float = 2.0,
+        each: float = 1.5,
+        off: str = "none",
+        clients: int = 4,
+        rate: float = 80.0,
+        faults: list[Fault] | None = None,
+        cancels: float = 0.2,
+        **more: Any,
+    ) -> None:
         names = [f"n{n}" for n in range(1, gateways + 1)]
         if faults is None:
             faults = drawn(seed, names, seconds, gap, longest)
-        works = {"each": 0.2, "grant": 1.0, "patience": 0.5, "most": MOST, "share": 0.5, "room": 0.9}
-        self.fleet = Fleet(seed, gateways, faults=faults, engines=engines, off=off, clients=clients, rate=rate,
-                           **{"lease": 0.8, "cold": 0.5, "disk": True, "works": works, **more})
+        works = {
+            "each": 0.2,
+            "grant": 1.0,
+            "patience": 0.5,
+            "most": MOST,
+            "share": 0.5,
+            "room": 0.9,
+        }
+        self.fleet = Fleet(
+            seed,
+            gateways,
+            faults=faults,
+            engines=engines,
+            off=off,
+            clients=clients,
+            rate=rate,
+            **{"lease": 0.8, "cold": 0.5, "disk": True, "works": works, **more},
+        )
         self.crew = Crew(self.fleet, lasting=0.3, seed=seed)
-        self.chance, self.seconds, self.each, self.cancels = Chance(seed + 7), seconds, each, cancels
+        self.chance, self.seconds, self.each, self.cancels = (
+            Chance(seed + 7),
+            seconds,
+            each,
+            cancels,
+        )
         self.limits = Limits(MOST, 0.5, 0.5, 0.5, {"c12": 1})
         self.ended = False
         self.overruled: set[str] = set()
@@ -59,19 +94,33 @@
         if self.chance.within(0.1):
             id_ = self.crew.ask("hall", ("hall-a", "hall-b")[self.chance.below(2)])
         else:
-            some = dict.fromkeys(names[self.chance.below(len(names))] for _ in range(1 + self.chance.below(3)))
+            some = dict.fromkeys(
+                names[self.chance.below(len(names))] for _ in range(1 + self.chance.below(3))
+            )
             id_ = self.crew.ask("engine", *some)
         if self.chance.within(self.cancels):
-            self.fleet.hub.later(self.chance.below(SECOND) + 1, self.crew.wish, {"do": "cancel", "id": id_})
+            self.fleet.hub.later(
+                self.chance.below(SECOND) + 1, self.crew.wish, {"do": "cancel", "id": id_}
+            )
 
     def report(self, calm: bool) -> dict[str, Any]:
         fleet, crew, names = self.fleet, self.crew, [*self.fleet.gateways]
         # What a gateway sent that an operator overruled is his word, not the works'.
-        excused = {ask.trace for n, client in enumerate(fleet.clients) if names[n % len(names)] in self.overruled
-                   for ask in client.book}
-        engines = {name: (each.hall, each.kind, float(each.cores)) for name, each in fleet.engines.items()}
-        runs = [(run.came, run.engine, f"{run.offering} {run.trace}") for each in fleet.engines.values()
-                for run in each.book if run.trace not in excused]
+        excused = {
+            ask.trace
+            for n, client in enumerate(fleet.clients)
+            if names[n % len(names)] in self.overruled
+            for ask in client.book
+        }
+        engines = {
+            name: (each.hall, each.kind, float(each.cores)) for name, each in fleet.engines.items()
+        }
+        runs = [
+            (run.came, run.engine, f"{run.offering} {run.trace}")
+            for each in fleet.engines.values()
+            for run in each.book
+            if run.trace not in excused
+        ]
         found = wrong(crew.book, runs, engines, self.limits, SLACK)
         logs = fleet.logs()
         tally: dict[str, int] = {}
@@ -79,18 +128,36 @@
             for name, count in client.tally().items():
                 tally[name] = tally.get(name, 0) + count
         waits = sorted(work.begun - crew.asked[work.ask] for work in crew.book)
-        return {"faults": fleet.befallen, "works": len(crew.book), "asks": len(crew.asked),
-                "most_at_once": most_at_once(crew.book), "calm_at_the_end": calm,
-                "to_out_s": [waits[int(part * (len(waits) - 1))] / SECOND for part in (0.5, 0.99)] if waits else [],
-                "exceptions": sum("exceptions stopped" in line for line in logs),
-                "clients": tally, "rules": fleet.broken(2_500), "wrong": found,
-                "duties": fleet.wrong()}
+        return {
+            "faults": fleet.befallen,
+            "works": len(crew.book),
+            "asks": len(crew.asked),
+            "most_at_once": most_at_once(crew.book),
+            "calm_at_the_end": calm,
+            "to_out_s": [waits[int(part * (len(waits) - 1))] / SECOND for part in (0.5, 0.99)]
+            if waits
+            else [],
+            "exceptions": sum("exceptions stopped" in line for line in logs),
+            "clients": tally,
+            "rules": fleet.broken(2_500),
+            "wrong": found,
+            "duties": fleet.wrong(),
+        }
 
 
 def most_at_once(book: list[Any]) -> int:
     """Members of units that were at work at one moment."""
-    return max((sum(len(each.members) for each in book if each.begun <= work.begun and not (
-        0 <= each.ended <= work.begun)) for work in book), default=0)
+    return max(
+        (
+            sum(
+                len(each.members)
+                for each in book
+                if each.begun <= work.begun and not (0 <= each.ended <= work.begun)
+            )
+            for work in book
+        ),
+        default=0,
+    )
 
 
 AIMS = "agreement", "confirmation", "orders"
@@ -100,7 +167,15 @@
     """A day made to show what one defence is for, with it or with it left out: what the inspector found."""
     spoilt = [at] * off + ["midorder"] * (at == "orders")
     works = {"each": 0.5, "grant": 2.0, "patience": 0.5, "most": MOST, "share": 0.5, "room": 0.9}
-    day = WorksDay(seed, engines=6, off=",".join(spoilt) or "none", faults=[], clients=3, rate=150.0, works=works)
+    day = WorksDay(
+        seed,
+        engines=6,
+        off=",".join(spoilt) or "none",
+        faults=[],
+        clients=3,
+        rate=150.0,
+        works=works,
+    )
     fleet, crew = day.fleet, day.crew
     crew.lasting = (4 if at == "orders" else 2) * SECOND
     try:
@@ -108,8 +183,11 @@
         crew.wish({"do": "known", "out": []})
         fleet.until(10, lambda: not crew.seen.get("known"))
         for n in range(rounds):
-            {"agreement": _steps_are_lost, "confirmation": _one_hears_nothing,
-             "orders": _an_order_comes_late}[at](day, f"e{1 + n % 6}")
+            {
+                "agreement": _steps_are_lost,
+                "confirmation": _one_hears_nothing,
+                "orders": _an_order_comes_late,
+            }[at](day, f"e{1 + n % 6}")
         crew.stopped = True
         return day.report(True)["wrong"]
     finally:
@@ -159,8 +237,14 @@
     # It cannot confirm while it stands still: an operator saw to that.
     stopped = fleet.halted()
     day.crew.ask("engine", engine)
-    fleet.until(12, lambda: day.crew.seen.get("holder") in stopped or not any(
-        unit["unit"] == engine and unit["state"] == "draining" for unit in day.crew.seen.get("units", ())))
+    fleet.until(
+        12,
+        lambda: day.crew.seen.get("holder") in stopped
+        or not any(
+            unit["unit"] == engine and unit["state"] == "draining"
+            for unit in day.crew.seen.get("units", ())
+        ),
+    )
     before = len(day.crew.book)
     day.overruled.update(stopped)
     for name in stopped:
--- a/corkgauge/stated.py
+++ b/corkgauge/stated.py
@@ -29,7 +29,9 @@
         self.most_memory = {kind: most * size for kind, size in enumerate(self.sizes)}
         self.bills, self.grants = bool(extra.get("bills")), bool(extra.get("takesGrants"))
         self.priorities = bool(extra.get("takesPriority"))
-        self.tells = figure(extra, "tellsEveryUs", 0) // 100    # of every hand-off that is out; 0: not at all
+        self.tells = (
+            figure(extra, "tellsEveryUs", 0) // 100
+        )  # of every hand-off that is out; 0: not at all
         widths = extra.get("widthByClass", [])
         self.offerings = [offering(p, n, widths) for n, p in enumerate(said.get("profiles", []))]
         if not self.offerings:
@@ -42,20 +44,33 @@
         self.open_cap = figure(limits, "openCap", 20_000, 1)
         span = figure(rules, "budgetSpanUs", 0) // 100
         # The rule on further hand-offs, where one is stated: floor, share of what was taken, window.
-        self.budget = (figure(rules, "extraFloor", 0.0), figure(rules, "extraPerRequest", 0.0),
-                       span) if span else None
+        self.budget = (
+            (figure(rules, "extraFloor", 0.0), figure(rules, "extraPerRequest", 0.0), span)
+            if span
+            else None
+        )
         self.gateway = Gateway(
-            host, seed=seed, number=figure(said, "myNumber", crc32(b"%d %s" % (seed, name.encode())) % 2 ** 20),
+            host,
+            seed=seed,
+            number=figure(said, "myNumber", crc32(b"%d %s" % (seed, name.encode())) % 2**20),
             gateways=figure(said, "instances", 1, 1),
-            tick=-(-figure(said, "periodUs", 1000) // 100), offerings=self.offerings,
-            cancels=bool(limits.get("cancel")), copies=bool(limits.get("secondCopies")),
+            tick=-(-figure(said, "periodUs", 1000) // 100),
+            offerings=self.offerings,
+            cancels=bool(limits.get("cancel")),
+            copies=bool(limits.get("secondCopies")),
             most_handoffs=figure(limits, "mostTries", 1, 1),
-            come_back=figure(limits, "maxRetryAfterUs", 0) // 100 if limits.get("retryAfter") else 0,
-            cold_share=figure(rules, "coldShare", 1.0, 0), cold_span=figure(rules, "coldUs", 0) // 100,
-            fall_multiple=figure(rules, "fallMultiple", 1.0, 0), fall_span=figure(rules, "fallUs", 0) // 100,
-            extra_floor=figure(rules, "extraFloor", 0.0), extra_share=figure(rules, "extraPerRequest", 0.0),
+            come_back=figure(limits, "maxRetryAfterUs", 0) // 100
+            if limits.get("retryAfter")
+            else 0,
+            cold_share=figure(rules, "coldShare", 1.0, 0),
+            cold_span=figure(rules, "coldUs", 0) // 100,
+            fall_multiple=figure(rules, "fallMultiple", 1.0, 0),
+            fall_span=figure(rules, "fallUs", 0) // 100,
+            extra_floor=figure(rules, "extraFloor", 0.0),
+            extra_share=figure(rules, "extraPerRequest", 0.0),
             extra_span=figure(rules, "budgetSpanUs", 0) // 100,
-            settle=-(-figure(rules, "settleAfterDoubtUs", 0) // 100))
+            settle=-(-figure(rules, "settleAfterDoubtUs", 0) // 100),
+        )
 
     def place(self, engine: Engine, hall: int, kind: int, cell: int) -> None:
         """Where an engine stands, and what one of its kind holds."""
@@ -86,8 +101,16 @@
     if said.get("effect", "pure") not in REPEATS:
         raise ValueError(f"effect: {said['effect']!r} makes no sense")
     return Offering(
-        str(said.get("name", number)), figure(said, "objectiveUs", 0) // 100,
-        figure(said, "aimStretch", 0.0), figure(said, "deadlineUs", 0, 1) // 100, figure(said, "worth", 1.0),
-        REPEATS[said.get("effect", "pure")], said.get("group", "all"), figure(said, "keyTtlUs", 0) // 100,
-        bool(said.get("fifoByKey")), tuple(said.get("azsOpen", ())), tuple(said.get("servedOn", ())),
-        max(1, int(widths[number])) if number < len(widths) else 1)
+        str(said.get("name", number)),
+        figure(said, "objectiveUs", 0) // 100,
+        figure(said, "aimStretch", 0.0),
+        figure(said, "deadlineUs", 0, 1) // 100,
+        figure(said, "worth", 1.0),
+        REPEATS[said.get("effect", "pure")],
+        said.get("group", "all"),
+        figure(said, "keyTtlUs", 0) // 100,
+        bool(said.get("fifoByKey")),
+        tuple(said.get("azsOpen", ())),
+        tuple(said.get("servedOn", ())),
+        max(1, int(widths[number])) if number < len(widths) else 1,
+    )
--- a/corkgauge/works/demand.py
+++ b/corkgauge/works/demand.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Iterable, Mapping
 
-AGE = 50_000            # tenths of a millisecond, from which a report is too old to go by
-FADES = 0.93            # of a peak, a report: load that fell a moment ago may come back
+AGE = 50_000  # tenths of a millisecond, from which a report is too old to go by
+FADES = 0.93  # of a peak, a report: load that fell a moment ago may come back
 
 
 class Demand:
@@ -28,8 +28,10 @@
 
     def tells(self, gateway: str, now: int, cores: Mapping[str, float]) -> None:
         before = self.reports.get(gateway, (now, {}))[1]
-        self.reports[gateway] = now, {name: max(value, FADES * before.get(name, 0.0))
-                                      for name, value in cores.items()}
+        self.reports[gateway] = (
+            now,
+            {name: max(value, FADES * before.get(name, 0.0)) for name, value in cores.items()},
+        )
 
     def needed(self, now: int, gateways: Iterable[str]) -> tuple[dict[str, float], list[str]]:
         """Cores by offering, and the gateways whose load is not known: each counts as the busiest that is."""
--- a/corkgauge/works/keeper.py
+++ b/corkgauge/works/keeper.py
@@ -22,7 +22,7 @@
 # state's pieces, PIECE.
 PROMISE, PROMISED, STEP, TAKEN, LOW, WANT, PIECE = range(7)
 NONE: Stamp = 0, 0
-FETCH_PAUSE = 1_500     # tenths of a millisecond, until pieces are asked for again
+FETCH_PAUSE = 1_500  # tenths of a millisecond, until pieces are asked for again
 
 
 class Host(Protocol):
@@ -69,7 +69,7 @@
         elif sort == PIECE and self.fetch is not None and fence == self.fence_of_fetch:
             self.fetch.heard(sender, (body[2], body[3]), body[4], body[5], body[6])
 
-    defended = True         # False leaves the look at the fence out, to show what it is for
+    defended = True  # False leaves the look at the fence out, to show what it is for
 
     @property
     def fence_of_fetch(self) -> int:
@@ -86,12 +86,14 @@
         if fence == self.promised or not self.defended:
             self.host.send(sender, [PROMISED, fence, *self.stamp, self.blank])
 
-    def _step(self, sender: str, fence: int, before: Stamp, number: int, changes: list[Any]) -> None:
+    def _step(
+        self, sender: str, fence: int, before: Stamp, number: int, changes: list[Any]
+    ) -> None:
         if self.blank and self.host.now < self.deaf_until:
             return
         self._promise(fence)
         if not self.blank and self.stamp[0] == fence and self.stamp[1] >= number:
-            return self._keep(self._say_taken, sender, fence)       # told before
+            return self._keep(self._say_taken, sender, fence)  # told before
         if self.blank or self.stamp != before:
             return self._behind(sender, fence)
         try:
@@ -111,7 +113,9 @@
         """Something was missed: the whole is fetched from the holder."""
         if self.fetch is None or self.fetch.over:
             self.counts["behind"] += 1
-            self.fetch = Fetch(self.host, WANT, sender, fence, FETCH_PAUSE, self._fetched, (fence, 0))
+            self.fetch = Fetch(
+                self.host, WANT, sender, fence, FETCH_PAUSE, self._fetched, (fence, 0)
+            )
 
     def _fetched(self, stamp: Stamp, data: bytes) -> None:
         fence, sender = self.fetch.fence, self.fetch.whom
@@ -145,7 +149,9 @@
         return [self.promised, [*self.stamp], self.packed]
 
 
-def tell_pieces(host: Any, to: str, stamp: Stamp, packed: bytes, indexes: list[int], fence: int | None = None) -> None:
+def tell_pieces(
+    host: Any, to: str, stamp: Stamp, packed: bytes, indexes: list[int], fence: int | None = None
+) -> None:
     """Some pieces of a state; under the fence of whoever asked for them, or the state's."""
     for index in indexes[:16]:
         count, data = piece_of(packed, index)
--- a/corkgauge/works/order.py
+++ b/corkgauge/works/order.py
@@ -14,12 +14,12 @@
 from dataclasses import dataclass, field
 from itertools import combinations
 
-WELL, PASSING, DEAD = range(3)      # of an engine; passing: rests, cold, or not seen well yet
-PASSED = 8              # later units granted before it, from which a unit is passed no more
-MOST_LOOKS = 24         # units that are looked at in one turn, the first in the order
-MOST_SORTS = 12         # offerings that may use different engines, whose every set is looked at
-ALL_MANY = 3            # of more than that, sets of so many, and all together
-NEVER = 2 ** 62
+WELL, PASSING, DEAD = range(3)  # of an engine; passing: rests, cold, or not seen well yet
+PASSED = 8  # later units granted before it, from which a unit is passed no more
+MOST_LOOKS = 24  # units that are looked at in one turn, the first in the order
+MOST_SORTS = 12  # offerings that may use different engines, whose every set is looked at
+ALL_MANY = 3  # of more than that, sets of so many, and all together
+NEVER = 2**62
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
     gateways: Mapping[str, str] = field(default_factory=dict)
     gateways_away: set[str] = field(default_factory=set)
     voters: Sequence[str] = ()
-    unknown: Sequence[str] = ()     # gateways, where the load of none is known
+    unknown: Sequence[str] = ()  # gateways, where the load of none is known
 
     def out(self) -> set[str]:
         """What counts as out: taken by the plan, dead, or not well for the moment."""
@@ -102,7 +102,11 @@
         # Danger: what is dead gives nothing that its work could take; held back it would stay dead.
         if after == before and all(self.engines[tag].state == DEAD for tag in unit.members):
             return ""
-        return self._counted(after) or self._left(after, before) or (self._loaded(after) if load else "")
+        return (
+            self._counted(after)
+            or self._left(after, before)
+            or (self._loaded(after) if load else "")
+        )
 
     def _of_gateway(self, unit: Wanted) -> str:
         name = unit.members[0]
@@ -121,8 +125,11 @@
         bounds = self.bounds
         if len(out) > bounds.most:
             return f"{len(out)} would be out, {bounds.most} at once"
-        for what, part, of in (("", bounds.share, lambda each: ""), ("hall ", bounds.hall, lambda each: each.hall),
-                               ("kind ", bounds.kind, lambda each: each.kind)):
+        for what, part, of in (
+            ("", bounds.share, lambda each: ""),
+            ("hall ", bounds.hall, lambda each: each.hall),
+            ("kind ", bounds.kind, lambda each: each.kind),
+        ):
             # A part that is less than one engine counts as one: else nothing could ever be worked on.
             whole, gone, many = {}, {}, {}
             for tag, each in self.engines.items():
@@ -132,8 +139,10 @@
                     gone[name], many[name] = gone.get(name, 0.0) + each.cores, many.get(name, 0) + 1
             for name in sorted(gone):
                 if gone[name] > part * whole[name] + 1e-9 and many[name] > 1:
-                    return (f"{what}{name or 'all'}: {gone[name]:g} of {whole[name]:g} cores would be out, "
-                            f"{part:g} of them at most")
+                    return (
+                        f"{what}{name or 'all'}: {gone[name]:g} of {whole[name]:g} cores would be out, "
+                        f"{part:g} of them at most"
+                    )
         return ""
 
     def _left(self, out: set[str], before: set[str]) -> str:
@@ -149,7 +158,11 @@
         for name, tags in sorted(groups.items()):
             # Danger: what may have run in a group may be tried again only there. One alone in its group may go, once
             # no mark is open there; its gateways say so.
-            if len(tags) > 1 and all(tag in out for tag in tags) and not all(tag in before for tag in tags):
+            if (
+                len(tags) > 1
+                and all(tag in out for tag in tags)
+                and not all(tag in before for tag in tags)
+            ):
                 return f"group {name}: none would be left where its marks are known"
         return ""
 
@@ -167,13 +180,21 @@
         classes: dict[tuple[str, str], float] = {}
         for tag, each in self.engines.items():
             if tag not in out:
-                classes[each.hall, each.kind] = classes.get((each.hall, each.kind), 0.0) + each.cores
+                classes[each.hall, each.kind] = (
+                    classes.get((each.hall, each.kind), 0.0) + each.cores
+                )
         listed = sorted(sorts.items(), key=lambda each: min(one.name for one in each[1]))
         for some in _sets(len(listed)):
             chosen = [listed[n] for n in some]
             needed = sum(one.cores for _, several in chosen for one in several)
-            able = sum(cores for (hall, kind), cores in classes.items() if any(
-                (not halls or hall in halls) and (not kinds or kind in kinds) for (halls, kinds), _ in chosen))
+            able = sum(
+                cores
+                for (hall, kind), cores in classes.items()
+                if any(
+                    (not halls or hall in halls) and (not kinds or kind in kinds)
+                    for (halls, kinds), _ in chosen
+                )
+            )
             if needed > self.bounds.room * able + 1e-9:
                 names = sorted(one.name for _, several in chosen for one in several)
                 return f"{' '.join(names[:3])}: {needed:.1f} cores needed, {self.bounds.room:g} of {able:g} left"
@@ -182,7 +203,8 @@
 
 def _may(offering: OfferingFact, engine: EngineFact) -> bool:
     return (not offering.halls or engine.hall in offering.halls) and (
-        not offering.kinds or engine.kind in offering.kinds)
+        not offering.kinds or engine.kind in offering.kinds
+    )
 
 
 def _sets(many: int) -> Iterable[tuple[int, ...]]:
@@ -203,19 +225,29 @@
     >>> [unit.name for unit in order_of(units, {"a": 8, "b": 8, "c": 8})]
     ['c', 'b', 'a']
     """
+
     def key(unit: Wanted) -> tuple:
         gives = sum(cores.get(tag, 0.0) for tag in unit.members) / max(unit.lasting, 1)
-        return (unit.members == (last,), unit.passed < PASSED, unit.due - unit.lasting if unit.due < NEVER else NEVER,
-                -gives, unit.place, unit.name)
+        return (
+            unit.members == (last,),
+            unit.passed < PASSED,
+            unit.due - unit.lasting if unit.due < NEVER else NEVER,
+            -gives,
+            unit.place,
+            unit.name,
+        )
+
     return sorted(waiting, key=key)
 
 
-def next_out(ground: Ground, waiting: Sequence[Wanted], last: str = "") -> tuple[list[str], dict[str, str]]:
+def next_out(
+    ground: Ground, waiting: Sequence[Wanted], last: str = ""
+) -> tuple[list[str], dict[str, str]]:
     """Which units may go out now, all at once, in their order, and what stands against each of the others."""
     granted, against = [], dict[str, str]()
     away, gateways_away = {*ground.away}, {*ground.gateways_away}
     cores = {tag: each.cores for tag, each in ground.engines.items()}
-    behind, looked = "", 0      # a unit that has been passed often enough; how many were looked at
+    behind, looked = "", 0  # a unit that has been passed often enough; how many were looked at
     for unit in order_of(waiting, cores, last):
         if not unit.gateway:
             looked += 1
@@ -223,8 +255,16 @@
             if looked > MOST_LOOKS:
                 against[unit.name] = f"{MOST_LOOKS} before it wait"
                 continue
-        now = Ground(ground.bounds, ground.engines, ground.offerings, away, ground.gateways, gateways_away,
-                     ground.voters, ground.unknown)
+        now = Ground(
+            ground.bounds,
+            ground.engines,
+            ground.offerings,
+            away,
+            ground.gateways,
+            gateways_away,
+            ground.voters,
+            ground.unknown,
+        )
         if behind and not unit.gateway:
             against[unit.name] = f"behind {behind}, which was passed {PASSED} times"
             continue
@@ -241,8 +281,13 @@
     return granted, against
 
 
-def units_of(kind: str, names: Sequence[str], engines: Iterable[tuple[str, str]],
-             machines: Mapping[str, Sequence[str]], gateways: Iterable[str]) -> list[tuple[str, str, tuple[str, ...]]]:
+def units_of(
+    kind: str,
+    names: Sequence[str],
+    engines: Iterable[tuple[str, str]],
+    machines: Mapping[str, Sequence[str]],
+    gateways: Iterable[str],
+) -> list[tuple[str, str, tuple[str, ...]]]:
     """What an ask comes to: (unit, sort, members). Engines of one machine go together. ValueError names what there is
     not. `engines` are (id, hall).
 
@@ -264,15 +309,21 @@
                 raise ValueError(f"no gateway {name!r}")
             found[name] = name, "gateway", (name,)
             continue
-        tags = {"engine": [name] if name in listed else [], "machine": [*machines.get(name, ())],
-                "hall": [tag for tag, hall in listed.items() if hall == name]}.get(kind)
+        tags = {
+            "engine": [name] if name in listed else [],
+            "machine": [*machines.get(name, ())],
+            "hall": [tag for tag, hall in listed.items() if hall == name],
+        }.get(kind)
         if tags is None:
             raise ValueError(f"expected engine, machine, hall or gateway, found {kind!r}")
         if not tags:
             raise ValueError(f"no {kind} {name!r}")
         for tag in sorted(tags):
             machine = shared.get(tag)
-            members = tuple(sorted(each for each in machines[machine] if each in listed or each == tag)
-                            ) if machine else (tag,)
+            members = (
+                tuple(sorted(each for each in machines[machine] if each in listed or each == tag))
+                if machine
+                else (tag,)
+            )
             found[machine or tag] = machine or tag, "engine", members
     return [*found.values()]
--- a/corkgauge/works/party.py
+++ b/corkgauge/works/party.py
@@ -15,14 +15,14 @@
 
 from corkgauge.works.plan import DRAINING, GRANTED
 
-SENT = 64               # words whose time of writing is remembered
-LOOK = 200              # tenths of a millisecond between two looks whether an engine is quiet
-PARTS = 64              # of one set of orders
-ROOM = 500              # octets of closed engines' ids in one word
-MOST_PATIENCE = 5       # spans of patience that a gateway waits at its start, at most
+SENT = 64  # words whose time of writing is remembered
+LOOK = 200  # tenths of a millisecond between two looks whether an engine is quiet
+PARTS = 64  # of one set of orders
+ROOM = 500  # octets of closed engines' ids in one word
+MOST_PATIENCE = 5  # spans of patience that a gateway waits at its start, at most
 
 Stamp = tuple[int, int]
-Level = tuple[int, str]     # state of its unit, address under which the list last named it
+Level = tuple[int, str]  # state of its unit, address under which the list last named it
 
 
 class Host(Protocol):
@@ -30,12 +30,12 @@
 
     now: int
 
-    def refresh(self) -> None: ...                      # each engine, and this gateway, is set aside as `how` says
-    def quiet(self, tag: str) -> bool: ...              # nothing of this gateway's is open there
-    def address(self, tag: str) -> str: ...             # as the list last told it; empty: not in the list
+    def refresh(self) -> None: ...  # each engine, and this gateway, is set aside as `how` says
+    def quiet(self, tag: str) -> bool: ...  # nothing of this gateway's is open there
+    def address(self, tag: str) -> str: ...  # as the list last told it; empty: not in the list
     def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None: ...
-    def confirmed(self) -> None: ...                    # something is closed: a word is worth sending
+    def confirmed(self) -> None: ...  # something is closed: a word is worth sending
     def log(self, line: str) -> None: ...
 
 
@@ -48,16 +48,16 @@
         self.levels: dict[str, Level] = {}
         self.closed: set[str] = set()
         self.blank = kept is None
-        self.told = False           # since our start
+        self.told = False  # since our start
         self.granted_until = 0
-        self.places: dict[str, str] = {}    # by address: which of these the list names there
+        self.places: dict[str, str] = {}  # by address: which of these the list names there
         self.serial, self.sent = 0, dict[int, int]()
         self.gathering: tuple[Stamp, int, dict[int, list[Any]]] = (0, 0), 0, {}
         self.looking = False
         self.refused = 0
-        self.begun, self.met = host.now, -1     # our start, and when we first reached a fellow
-        self.asked = False          # somebody plans who knows no more than we, and asks us
-        self.safe: Stamp = 0, 0     # what is written, and so may be said
+        self.begun, self.met = host.now, -1  # our start, and when we first reached a fellow
+        self.asked = False  # somebody plans who knows no more than we, and asks us
+        self.safe: Stamp = 0, 0  # what is written, and so may be said
         self.safe_closed: frozenset[str] = frozenset()
         if kept is not None:
             stamp, levels, closed = kept
@@ -66,7 +66,7 @@
             self.levels = {tag: (state, address) for tag, (state, address) in levels.items()}
         self._arranged()
 
-    defended = True         # False leaves the look at the fence out, to show what it is for
+    defended = True  # False leaves the look at the fence out, to show what it is for
 
     # At its start.
 
@@ -87,7 +87,9 @@
 
     # Orders.
 
-    def ordered(self, fence: int, number: int, echo: int, part: int, parts: int, said: Mapping[str, int]) -> bool:
+    def ordered(
+        self, fence: int, number: int, echo: int, part: int, parts: int, said: Mapping[str, int]
+    ) -> bool:
         """A part of the orders of a holder. False where a later holder's are in force."""
         stamp = fence, number
         if stamp < self.stamp and self.defended:
@@ -111,8 +113,10 @@
 
     def _take(self, stamp: Stamp, said: dict[str, int]) -> None:
         before = self.levels
-        self.levels = {tag: (state, self.host.address(tag) or before.get(tag, (0, ""))[1])
-                       for tag, state in said.items()}
+        self.levels = {
+            tag: (state, self.host.address(tag) or before.get(tag, (0, ""))[1])
+            for tag, state in said.items()
+        }
         self.stamp, self.blank, self.told = stamp, False, True
         # Danger: an engine that is drained again must be looked at again.
         self.closed = {tag for tag in self.closed if self.levels.get(tag, (0,))[0] >= DRAINING}
@@ -135,8 +139,9 @@
     def _arranged(self) -> None:
         self.places = {address: tag for tag, (_, address) in self.levels.items() if address}
         self.host.refresh()
-        if not self.looking and any(state >= DRAINING and tag not in self.closed
-                                    for tag, (state, _) in self.levels.items()):
+        if not self.looking and any(
+            state >= DRAINING and tag not in self.closed for tag, (state, _) in self.levels.items()
+        ):
             self.looking = True
             self.host.wake(1, self._look)
 
@@ -154,11 +159,15 @@
 
     def _look(self) -> None:
         """Is anything of ours still open where nothing new goes?"""
-        draining = [tag for tag, (state, _) in self.levels.items() if state >= DRAINING and tag not in self.closed]
+        draining = [
+            tag
+            for tag, (state, _) in self.levels.items()
+            if state >= DRAINING and tag not in self.closed
+        ]
         quiet = [tag for tag in draining if self.host.quiet(tag)]
         if quiet:
             self.closed.update(quiet)
-            self.host.refresh()     # before it is said
+            self.host.refresh()  # before it is said
             self._keep()
         self.looking = len(quiet) < len(draining)
         if self.looking:
@@ -170,7 +179,11 @@
         self.host.keep(self.record(), self._kept, self.stamp, frozenset(self.closed))
 
     def record(self) -> list[Any]:
-        return [[*self.stamp], {tag: [*level] for tag, level in self.levels.items()}, sorted(self.closed)]
+        return [
+            [*self.stamp],
+            {tag: [*level] for tag, level in self.levels.items()},
+            sorted(self.closed),
+        ]
 
     def _kept(self, stamp: Stamp, closed: frozenset[str]) -> None:
         self.safe, self.safe_closed = stamp, closed
--- a/corkgauge/works/pieces.py
+++ b/corkgauge/works/pieces.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-SIZE = 900              # octets of a piece
-AT_ONCE = 6             # asked for in one letter
-MOST = 2_000            # pieces of one state
+SIZE = 900  # octets of a piece
+AT_ONCE = 6  # asked for in one letter
+MOST = 2_000  # pieces of one state
 
-Stamp = tuple[int, int]     # fence, and number under it: the later state is the greater stamp
+Stamp = tuple[int, int]  # fence, and number under it: the later state is the greater stamp
 
 
 class Host(Protocol):
@@ -25,7 +25,7 @@
     >>> piece_of(b"x" * 1000, 1)[0], len(piece_of(b"x" * 1000, 1)[1]), piece_of(b"", 0)
     (2, 100, (1, b''))
     """
-    return max(-(-len(packed) // SIZE), 1), packed[index * SIZE:(index + 1) * SIZE]
+    return max(-(-len(packed) // SIZE), 1), packed[index * SIZE : (index + 1) * SIZE]
 
 
 class Fetch:
@@ -35,9 +35,24 @@
     answer of another stamp than the one begun with starts over with that: its teller has gone on. Nothing of a stamp
     below `least` counts."""
 
-    def __init__(self, host: Host, ask: int, whom: str, fence: int, pause: int, done: Callable[[Stamp, bytes], None],
-                 least: Stamp = (0, 0)) -> None:
-        self.host, self.ask, self.whom, self.fence, self.pause, self.done = host, ask, whom, fence, pause, done
+    def __init__(
+        self,
+        host: Host,
+        ask: int,
+        whom: str,
+        fence: int,
+        pause: int,
+        done: Callable[[Stamp, bytes], None],
+        least: Stamp = (0, 0),
+    ) -> None:
+        self.host, self.ask, self.whom, self.fence, self.pause, self.done = (
+            host,
+            ask,
+            whom,
+            fence,
+            pause,
+            done,
+        )
         self.least = least
         self.stamp: Stamp | None = None
         self.count, self.pieces = 1, dict[int, bytes]()
@@ -51,7 +66,7 @@
             return
         if stamp != self.stamp:
             if self.stamp is not None and stamp < self.stamp:
-                return      # a late letter of the state before
+                return  # a late letter of the state before
             self.stamp, self.count, self.pieces = stamp, count, {}
         self.pieces[index] = data
         if len(self.pieces) == self.count:
--- a/corkgauge/works/plan.py
+++ b/corkgauge/works/plan.py
@@ -22,14 +22,20 @@
 
 ASKED, GRANTED, DRAINING, OUT, LATE, RETURNING, BACK = range(7)
 STATES = "asked", "granted", "draining", "out", "late", "returning", "back"
-AWAY = DRAINING, OUT, LATE          # no gateway sends there
-TAKEN = GRANTED, DRAINING, OUT, LATE, RETURNING     # counts in the limits
-NEXT = {ASKED: (GRANTED, BACK), GRANTED: (DRAINING, RETURNING), DRAINING: (OUT, RETURNING), OUT: (RETURNING, LATE),
-        LATE: (RETURNING,), RETURNING: (BACK,)}
+AWAY = DRAINING, OUT, LATE  # no gateway sends there
+TAKEN = GRANTED, DRAINING, OUT, LATE, RETURNING  # counts in the limits
+NEXT = {
+    ASKED: (GRANTED, BACK),
+    GRANTED: (DRAINING, RETURNING),
+    DRAINING: (OUT, RETURNING),
+    OUT: (RETURNING, LATE),
+    LATE: (RETURNING,),
+    RETURNING: (BACK,),
+}
 ENGINE, GATEWAY = "engine", "gateway"
-HISTORY = 300           # entries that operators, and the next holder, can look back at
+HISTORY = 300  # entries that operators, and the next holder, can look back at
 MOST_ASKS, MOST_UNITS = 200, 2_000
-MOST_WORD = 120         # characters of an owner or a reason
+MOST_WORD = 120  # characters of an owner or a reason
 
 
 class Senseless(ValueError):
@@ -40,11 +46,32 @@
     """What an operator asked. `due` is works time by which it should be over, `lasting` what one unit's work takes;
     `count` how many units it has; `over` that no unit of it is left."""
 
-    __slots__ = ("id", "kind", "names", "owner", "reason", "due", "lasting", "count", "cancelled", "at")
+    __slots__ = (
+        "id",
+        "kind",
+        "names",
+        "owner",
+        "reason",
+        "due",
+        "lasting",
+        "count",
+        "cancelled",
+        "at",
+    )
 
     def __init__(self, said: Sequence[Any]) -> None:
-        (self.id, self.kind, names, self.owner, self.reason, self.due, self.lasting, self.count, self.cancelled,
-         self.at) = said
+        (
+            self.id,
+            self.kind,
+            names,
+            self.owner,
+            self.reason,
+            self.due,
+            self.lasting,
+            self.count,
+            self.cancelled,
+            self.at,
+        ) = said
         self.names = [*names]
 
     def told(self) -> list[Any]:
@@ -57,7 +84,17 @@
     __slots__ = ("name", "ask", "sort", "members", "state", "since", "why", "began", "overruled")
 
     def __init__(self, said: Sequence[Any]) -> None:
-        (self.name, self.ask, self.sort, members, self.state, self.since, self.why, self.began, overruled) = said
+        (
+            self.name,
+            self.ask,
+            self.sort,
+            members,
+            self.state,
+            self.since,
+            self.why,
+            self.began,
+            overruled,
+        ) = said
         self.members, self.overruled = [*members], [*overruled]
 
     def told(self) -> list[Any]:
@@ -81,11 +118,15 @@
 
     def __init__(self) -> None:
         self.time = 0
-        self.known = ""         # by whose word it is known what is out; empty: nobody's, and nothing is granted
-        self.held = ""          # who holds all grants back; empty: nobody
+        self.known = (
+            ""  # by whose word it is known what is out; empty: nobody's, and nothing is granted
+        )
+        self.held = ""  # who holds all grants back; empty: nobody
         self.asks: dict[str, Ask] = {}
         self.units: dict[str, Unit] = {}
-        self.history: deque[list[Any]] = deque(maxlen=HISTORY)     # [serial, time, unit, state, ask, why]
+        self.history: deque[list[Any]] = deque(
+            maxlen=HISTORY
+        )  # [serial, time, unit, state, ask, why]
         self.serial = 0
 
     def apply(self, changes: Iterable[Sequence[Any]]) -> None:
@@ -106,7 +147,9 @@
     # What a change does.
 
     def _time(self, at: int) -> None:
-        self.time = max(self.time, at)      # Danger: a holder that counts from less must not turn it back.
+        self.time = max(
+            self.time, at
+        )  # Danger: a holder that counts from less must not turn it back.
 
     def _known(self, by: str) -> None:
         self.known = by[:MOST_WORD]
@@ -129,8 +172,10 @@
     def _state(self, name: str, state: int, why: str) -> None:
         unit = self.units.get(name)
         if unit is None or state not in NEXT.get(unit.state, ()):
-            raise Senseless(f"{name} is {STATES[unit.state] if unit else 'no unit'}, and cannot be "
-                            f"{STATES[state]} next")
+            raise Senseless(
+                f"{name} is {STATES[unit.state] if unit else 'no unit'}, and cannot be "
+                f"{STATES[state]} next"
+            )
         unit.state, unit.since, unit.why = state, self.time, why[:MOST_WORD]
         if state == OUT:
             unit.began = self.time
@@ -161,20 +206,33 @@
 
     def _noted(self, unit: Unit, why: str = "") -> None:
         self.serial += 1
-        self.history.append([self.serial, self.time, unit.name, unit.state, unit.ask, why or unit.why])
+        self.history.append(
+            [self.serial, self.time, unit.name, unit.state, unit.ask, why or unit.why]
+        )
 
     # The whole.
 
     def packed(self) -> bytes:
-        return msgpack.packb([self.time, self.known, self.held, [each.told() for each in self.asks.values()],
-                              [each.told() for each in self.units.values()], [*self.history], self.serial])
+        return msgpack.packb(
+            [
+                self.time,
+                self.known,
+                self.held,
+                [each.told() for each in self.asks.values()],
+                [each.told() for each in self.units.values()],
+                [*self.history],
+                self.serial,
+            ]
+        )
 
     @staticmethod
     def unpacked(data: bytes) -> "Plan":
         """ValueError where it makes no sense."""
         plan = Plan()
         try:
-            plan.time, plan.known, plan.held, asks, units, history, plan.serial = msgpack.unpackb(data)
+            plan.time, plan.known, plan.held, asks, units, history, plan.serial = msgpack.unpackb(
+                data
+            )
             plan.asks = {ask[0]: Ask(ask) for ask in asks}
             plan.units = {unit[0]: Unit(unit) for unit in units}
             plan.history.extend(history)
@@ -189,12 +247,25 @@
 
     def levels(self) -> dict[str, int]:
         """What each gateway has to heed, by engine's id or gateway's name: its unit's state, from granted to late."""
-        return {member: unit.state for unit in self.units.values() if GRANTED <= unit.state <= LATE
-                for member in unit.members}
-
-
-_CHANGES = {"time": Plan._time, "known": Plan._known, "hold": Plan._hold, "ask": Plan._ask, "unit": Plan._unit,
-            "state": Plan._state, "fewer": Plan._fewer, "cancel": Plan._cancel, "overrule": Plan._overrule}
+        return {
+            member: unit.state
+            for unit in self.units.values()
+            if GRANTED <= unit.state <= LATE
+            for member in unit.members
+        }
+
+
+_CHANGES = {
+    "time": Plan._time,
+    "known": Plan._known,
+    "hold": Plan._hold,
+    "ask": Plan._ask,
+    "unit": Plan._unit,
+    "state": Plan._state,
+    "fewer": Plan._fewer,
+    "cancel": Plan._cancel,
+    "overrule": Plan._overrule,
+}
 
 
 def wrong_history(entries: Iterable[Sequence[Any]], most: int = 0) -> list[str]:
@@ -216,7 +287,9 @@
         if why.endswith("overruled") or " overruled by " in why:
             continue
         if key in last and state not in NEXT.get(last[key], ()):
-            found.append(f"entry {number}: {unit} of {ask} is {STATES[state]} after {STATES[last[key]]}")
+            found.append(
+                f"entry {number}: {unit} of {ask} is {STATES[state]} after {STATES[last[key]]}"
+            )
         last[key] = state
         before = len(taken)
         (taken.add if state in TAKEN else taken.discard)(key)
--- a/corkgauge/works/proof.py
+++ b/corkgauge/works/proof.py
@@ -22,20 +22,30 @@
 class Heard:
     """What is known of one gateway, at the planner. Times are tenths of a millisecond since the planner's boot."""
 
-    start: int = 0              # of its process
-    stamp: tuple[int, int] = (0, 0)     # of the last orders that it told it holds
-    closed: frozenset[str] = frozenset()    # where nothing of its is open, under those orders
-    at: int = -1                # when it was last heard: the last word that its grant may count from
-    many: int = 0               # how many engines it holds closed; `closed` may not name them all yet
-    blank: bool = True          # it has forgotten what it was told
-    serial: int = 0             # of its last word
-    free: bool = False          # it holds no duty, and stands for none
-    unwell: frozenset[str] = frozenset()    # engines that do badly by it
+    start: int = 0  # of its process
+    stamp: tuple[int, int] = (0, 0)  # of the last orders that it told it holds
+    closed: frozenset[str] = frozenset()  # where nothing of its is open, under those orders
+    at: int = -1  # when it was last heard: the last word that its grant may count from
+    many: int = 0  # how many engines it holds closed; `closed` may not name them all yet
+    blank: bool = True  # it has forgotten what it was told
+    serial: int = 0  # of its last word
+    free: bool = False  # it holds no duty, and stands for none
+    unwell: frozenset[str] = frozenset()  # engines that do badly by it
     loads: dict[str, float] = field(default_factory=dict)
 
 
-def standing(heard: Heard | None, ended: bool, members: list[str], ordered: tuple[int, int], known: tuple[int, int],
-             since: int, now: int, grant: int, expiry: int, idle_since: int) -> str:
+def standing(
+    heard: Heard | None,
+    ended: bool,
+    members: list[str],
+    ordered: tuple[int, int],
+    known: tuple[int, int],
+    since: int,
+    now: int,
+    grant: int,
+    expiry: int,
+    idle_since: int,
+) -> str:
     """Why a gateway may still be sending to these engines; empty: it is proven that it is not.
 
     `ended`: its process has ended, for work on its machine. `ordered` and `known` are the stamps of
@@ -65,7 +75,7 @@
         return ""
     if heard.blank or heard.stamp < known:
         return "not heard, and does not know of the work"
-    over = max(heard.at, since) + grant     # by then it sends nothing new there
+    over = max(heard.at, since) + grant  # by then it sends nothing new there
     if now < over:
         return f"has not confirmed; its grant runs for {over - now} more"
     if idle_since > over or now >= over + expiry:
--- a/corkgauge/works/scribe.py
+++ b/corkgauge/works/scribe.py
@@ -13,15 +13,25 @@
 
 import msgpack
 
-from corkgauge.works.keeper import LOW, NONE, PIECE, PROMISE, PROMISED, STEP, TAKEN, WANT, tell_pieces
+from corkgauge.works.keeper import (
+    LOW,
+    NONE,
+    PIECE,
+    PROMISE,
+    PROMISED,
+    STEP,
+    TAKEN,
+    WANT,
+    tell_pieces,
+)
 from corkgauge.works.pieces import Fetch, Stamp
 from corkgauge.works.plan import Plan, Senseless
 
 IDLE, TAKING, FETCHING, FORGOTTEN, LEADING = range(5)
 STATES = "idle", "taking over", "fetching", "forgotten", "leading"
-REPLY = 1_000           # tenths of a millisecond, until keepers are asked again
-MOST_CHANGES = 1_000    # octets of the changes of one step, so that it fits a datagram
-MOST_WAITING = 400      # changes that wait for their step
+REPLY = 1_000  # tenths of a millisecond, until keepers are asked again
+MOST_CHANGES = 1_000  # octets of the changes of one step, so that it fits a datagram
+MOST_WAITING = 400  # changes that wait for their step
 
 Changes = list[Sequence[Any]]
 
@@ -44,15 +54,19 @@
     def __init__(self, host: Host) -> None:
         self.host, self.state, self.fence = host, IDLE, 0
         self.plan, self.stamp = Plan(), NONE
-        self.promised: dict[str, tuple[Stamp, bool]] = {}   # by keeper: its stamp, and whether it is blank
+        self.promised: dict[
+            str, tuple[Stamp, bool]
+        ] = {}  # by keeper: its stamp, and whether it is blank
         self.taken: set[str] = set()
-        self.step: Changes | None = None        # under way, as number `stamp[1] + 1` of this fence
+        self.step: Changes | None = None  # under way, as number `stamp[1] + 1` of this fence
         self.next_plan = self.plan
-        self.waiting: list[tuple[Sequence[Any], int]] = []  # changes for later steps, with their size
+        self.waiting: list[
+            tuple[Sequence[Any], int]
+        ] = []  # changes for later steps, with their size
         self.fetch: Fetch | None = None
         self.packed: bytes | None = None
         self.alarm = 0
-        self.proposed = self.settled = 0        # changes, since the duty is held
+        self.proposed = self.settled = 0  # changes, since the duty is held
 
     # The duty comes and goes.
 
@@ -140,7 +154,9 @@
         if len(remember) >= self._majority():
             best = max(remember, key=lambda name: (remember[name], name))
             self.state = FETCHING
-            self.fetch = Fetch(self.host, WANT, best, self.fence, REPLY, self._fetched, remember[best])
+            self.fetch = Fetch(
+                self.host, WANT, best, self.fence, REPLY, self._fetched, remember[best]
+            )
             self._again(self._stuck, 20 * REPLY)
         elif self.state == TAKING and blanks > len(self.host.voters()) - self._majority():
             # So many forgot that no majority remembers, ever: what is out has to be told.
@@ -183,7 +199,9 @@
         if self.state != LEADING or self.step is None:
             return
         for name in self.host.voters():
-            if name not in self.taken and self.host.may(self.fence):    # before each act, not once a round
+            if name not in self.taken and self.host.may(
+                self.fence
+            ):  # before each act, not once a round
                 self.host.send(name, [STEP, self.fence, *self.before, self.stamp[1] + 1, self.step])
         self._again(self._write)
 
--- a/corkgauge/works/yard.py
+++ b/corkgauge/works/yard.py
@@ -31,12 +31,12 @@
 from corkgauge.works.scribe import STATES as SCRIBE_STATES
 
 DUTY = "works"
-LOADS = 5               # seconds over which demand is counted
-MOST_UNWELL = 24        # engines named in one word
-WISH_AGAIN, WISH_TIME = 2_500, 30 * SECOND     # an operator's wish is told again; given up
+LOADS = 5  # seconds over which demand is counted
+MOST_UNWELL = 24  # engines named in one word
+WISH_AGAIN, WISH_TIME = 2_500, 30 * SECOND  # an operator's wish is told again; given up
 MOST_WISHES, MOST_WISH = 64, 1_000
 COPY_PAUSE = 1_000
-MISSED = 600 * SECOND   # that an engine which the list names no more counts as dead
+MISSED = 600 * SECOND  # that an engine which the list names no more counts as dead
 
 
 class Yard:
@@ -45,34 +45,52 @@
     def __init__(self, house: House, post: Post, said: Works, society: Any, office: Any) -> None:
         self.house, self.hub, self.name, self.said = house, house.hub, post.name, said
         self.company, self.office = society.company, office
-        self.doubts: dict[str, int] = {}    # by engine: until when something that we sent may still run
-        self.idle: dict[str, int] = {}      # by engine: when it last reported nothing in flight
-        self.listed: dict[str, EngineFact] = {}     # as they were when last looked at
-        self.missed: dict[str, tuple[EngineFact, int]] = {}     # listed no more, since when
+        self.doubts: dict[
+            str, int
+        ] = {}  # by engine: until when something that we sent may still run
+        self.idle: dict[str, int] = {}  # by engine: when it last reported nothing in flight
+        self.listed: dict[str, EngineFact] = {}  # as they were when last looked at
+        self.missed: dict[str, tuple[EngineFact, int]] = {}  # listed no more, since when
         self.counted: deque[tuple[int, dict[str, int]]] = deque(maxlen=LOADS + 1)
-        self.wishes: dict[str, dict[str, Any]] = {}     # of operators here, by their keys
-        self.pending: list[tuple[int, str, str, str]] = []      # changes to go, who asked, key, answer
+        self.wishes: dict[str, dict[str, Any]] = {}  # of operators here, by their keys
+        self.pending: list[tuple[int, str, str, str]] = []  # changes to go, who asked, key, answer
         self.copy: tuple[tuple[int, int], Plan, dict[str, str]] = (0, 0), Plan(), {}
         self.fetch: Fetch | None = None
-        self.party: Party | None = None     # it looks at us as it begins
+        self.party: Party | None = None  # it looks at us as it begins
         drift = 1 + 2 * office.span.drift
         expiry = max(each.expiry for each in house.stated.offerings)
-        self.safe = Safe(self.hub, house.log, office.said.folder, f"{self.name}.works",
-                         "works: what was kept is torn, blank at first",
-                         "works: nothing is written, nothing is confirmed until a restart")
+        self.safe = Safe(
+            self.hub,
+            house.log,
+            office.said.folder,
+            f"{self.name}.works",
+            "works: what was kept is torn, blank at first",
+            "works: nothing is written, nothing is confirmed until a restart",
+        )
         kept = self.safe.kept or [None, None]
         self.keeper = Keeper(self, kept[0], 0 if office.said.folder else office.span.silent)
         self.scribe = Scribe(self)
-        self.planner = Planner(self, self.scribe, Bounds(*said.bounds), said.each, int(said.grant * drift) + 1,
-                               int(expiry * drift) + house.stated.gateway.settle, house.stated.gateway.cold_span)
+        self.planner = Planner(
+            self,
+            self.scribe,
+            Bounds(*said.bounds),
+            said.each,
+            int(said.grant * drift) + 1,
+            int(expiry * drift) + house.stated.gateway.settle,
+            house.stated.gateway.cold_span,
+        )
         house.works = self
-        for subject, method in (("plan", self._letter), ("works", self._told), ("copy", self._copied)):
+        for subject, method in (
+            ("plan", self._letter),
+            ("works", self._told),
+            ("copy", self._copied),
+        ):
             self.company.calls[subject] = method
         house.routes[b"GET", b"/works"] = self.told
         house.routes[b"POST", b"/works"] = self.asked
         office.stands(DUTY, self)
         self.party = Party(self, self.name, said.grant, kept[1])
-        self.refresh()      # what it remembers holds from the first submission on
+        self.refresh()  # what it remembers holds from the first submission on
         self._count()
 
     def reload(self, said: Works) -> None:
@@ -88,7 +106,9 @@
     def waiting(self) -> bool:
         """Is nobody let in yet?"""
         planner = self._holder()
-        return self.party.waits(self.said.patience, self.company.met, planner if planner != self.name else "")
+        return self.party.waits(
+            self.said.patience, self.company.met, planner if planner != self.name else ""
+        )
 
     # The duty.
 
@@ -129,7 +149,9 @@
 
     def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None:
         """Both records are one file: what is safe of one is safe of the other."""
-        self.safe.keep([self.keeper.record(), None if self.party.blank else self.party.record()], then, *what)
+        self.safe.keep(
+            [self.keeper.record(), None if self.party.blank else self.party.record()], then, *what
+        )
 
     def voters(self) -> Sequence[str]:
         return self.office.roll.names
@@ -150,8 +172,10 @@
     # What the planner may know and do.
 
     def gateways(self) -> Mapping[str, tuple[str, bool, bool]]:
-        fellows = {each.name: (each.hall, each.state in (ALIVE, SUSPECTED), each.state == LEFT)
-                   for each in self.company.fellows.values()}
+        fellows = {
+            each.name: (each.hall, each.state in (ALIVE, SUSPECTED), each.state == LEFT)
+            for each in self.company.fellows.values()
+        }
         return {**fellows, self.name: (self.company.hall, True, False)}
 
     def engines(self) -> Mapping[str, EngineFact]:
@@ -163,12 +187,19 @@
             passing = well and (gateway._cold(engine) or engine.view.rests_until > now)
             hall = str(stated.halls[engine.hall])
             found[tag] = EngineFact(
-                tag, hall, str(stated.kinds[engine.kind]),
-                str(engine.cell) if "cell" in marks else hall if "zone" in marks else None, engine.cores,
-                PASSING if passing else WELL if well else DEAD)
+                tag,
+                hall,
+                str(stated.kinds[engine.kind]),
+                str(engine.cell) if "cell" in marks else hall if "zone" in marks else None,
+                engine.cores,
+                PASSING if passing else WELL if well else DEAD,
+            )
         # Danger: an engine that died is soon listed no more, and its cores would count for nothing that is missing.
-        self.missed = {tag: (fact, since) for tag, (fact, since) in self.missed.items()
-                       if tag not in found and boot_time() < since + MISSED}
+        self.missed = {
+            tag: (fact, since)
+            for tag, (fact, since) in self.missed.items()
+            if tag not in found and boot_time() < since + MISSED
+        }
         for tag in [tag for tag in self.listed if tag not in found]:
             fact = self.listed[tag]
             self.missed[tag] = replace(fact, state=DEAD), boot_time()
@@ -177,9 +208,15 @@
 
     def offerings(self, cores: Mapping[str, float]) -> Sequence[OfferingFact]:
         stated = self.house.stated
-        return [OfferingFact(each.name, frozenset(str(stated.halls[n]) for n in each.halls),
-                             frozenset(str(stated.kinds[n]) for n in each.kinds), cores.get(each.name, 0.0))
-                for each in stated.offerings]
+        return [
+            OfferingFact(
+                each.name,
+                frozenset(str(stated.halls[n]) for n in each.halls),
+                frozenset(str(stated.kinds[n]) for n in each.kinds),
+                cores.get(each.name, 0.0),
+            )
+            for each in stated.offerings
+        ]
 
     def machines(self) -> Mapping[str, Sequence[str]]:
         return dict(self.said.machines)
@@ -221,9 +258,11 @@
         if station.waiting or engine.view.out or any(link.open for link in station.links):
             return False
         # Danger: a submission that may have run there, or in its group, may be tried again only there.
-        return not any(sub.offering.repeat == LABELLED and any(each.engine is engine for each in
-                                                               (*sub.before, *sub.handoffs))
-                       for sub in self.house.names.values())
+        return not any(
+            sub.offering.repeat == LABELLED
+            and any(each.engine is engine for each in (*sub.before, *sub.handoffs))
+            for sub in self.house.names.values()
+        )
 
     def address(self, tag: str) -> str:
         station = self.house.stations.get(tag)
@@ -245,7 +284,9 @@
         if outcome in (TIMED_OUT, RESET, CALLED_OFF):
             self.doubts[name] = self.hub.now + self.house.gateway.settle
             if len(self.doubts) > 4 * len(self.house.stations) + 64:
-                self.doubts = {each: until for each, until in self.doubts.items() if until > self.hub.now}
+                self.doubts = {
+                    each: until for each, until in self.doubts.items() if until > self.hub.now
+                }
         station = self.house.stations.get(name)
         if station is not None and station.engine.view.load == 0:
             self.idle[name] = boot_time()
@@ -256,8 +297,11 @@
         """Of the plan: to our keeper, or to our scribe."""
         sort, fence = body[:2]
         leading = self.scribe.state == LEADING and fence == self.scribe.fence
-        fetching = self.scribe.state == FETCHING and self.scribe.fetch is not None and (
-            sender == self.scribe.fetch.whom)
+        fetching = (
+            self.scribe.state == FETCHING
+            and self.scribe.fetch is not None
+            and (sender == self.scribe.fetch.whom)
+        )
         if sort == PIECE and fetching:
             self.scribe.piece(sender, body)
         elif sort in _TO_SCRIBE or (sort == WANT and leading):
@@ -282,8 +326,19 @@
             if self.scribe.state != IDLE:
                 letters = self.company.letters
                 start = letters.start if sender == self.name else letters.pens[sender].start
-                self.planner.told(sender, start, serial, fence, number, blank, closed, many,
-                                  {name: cores / 100 for name, cores in loads.items()}, unwell, free)
+                self.planner.told(
+                    sender,
+                    start,
+                    serial,
+                    fence,
+                    number,
+                    blank,
+                    closed,
+                    many,
+                    {name: cores / 100 for name, cores in loads.items()},
+                    unwell,
+                    free,
+                )
         elif what == "no":
             self.outbid(int(rest[0]))
         elif what == "wish":
@@ -303,7 +358,9 @@
 
     def _count(self) -> None:
         rows = self.house.ledger.offerings
-        self.counted.append((self.hub.now, {name: row.terms[TAKEN_TERM] for name, row in rows.items()}))
+        self.counted.append(
+            (self.hub.now, {name: row.terms[TAKEN_TERM] for name, row in rows.items()})
+        )
         self.engines()
         self.hub.later(SECOND, self._count)
 
@@ -312,8 +369,13 @@
         (begun, before), (now, after) = self.counted[0], self.counted[-1]
         if now <= begun:
             return {}
-        return {name: (after[name] - before.get(name, 0)) * self.house.offerings[name].usual / (now - begun)
-                for name in after if name in self.house.offerings and after[name] > before.get(name, 0)}
+        return {
+            name: (after[name] - before.get(name, 0))
+            * self.house.offerings[name].usual
+            / (now - begun)
+            for name in after
+            if name in self.house.offerings and after[name] > before.get(name, 0)
+        }
 
     # What operators ask.
 
@@ -329,12 +391,19 @@
         wish = self.wishes.get(key)
         if wish is None:
             if len(self.wishes) >= MOST_WISHES:
-                self.wishes = {each: one for each, one in self.wishes.items()
-                               if one["wrong"] is None and self.hub.now < one["until"]}
+                self.wishes = {
+                    each: one
+                    for each, one in self.wishes.items()
+                    if one["wrong"] is None and self.hub.now < one["until"]
+                }
             if len(self.wishes) >= MOST_WISHES:
                 raise ValueError(f"{MOST_WISHES} wishes wait, try again")
-            wish = self.wishes[key] = {"said": said, "answer": None, "wrong": None,
-                                       "until": self.hub.now + WISH_TIME}
+            wish = self.wishes[key] = {
+                "said": said,
+                "answer": None,
+                "wrong": None,
+                "until": self.hub.now + WISH_TIME,
+            }
             self._wish(key)
         return {"answer": wish["answer"], "wrong": wish["wrong"], "holder": self._holder()}
 
@@ -347,7 +416,9 @@
         if wish is None or wish["wrong"] is not None:
             return
         if self.hub.now >= wish["until"]:
-            wish.update(wrong="nobody plans now, or its answer did not come; the same id may be asked again")
+            wish.update(
+                wrong="nobody plans now, or its answer did not come; the same id may be asked again"
+            )
             return
         holder = self._holder()
         if holder:
@@ -367,8 +438,15 @@
                 raise ValueError("expected an owner")
             do = said["do"]
             if do == "ask":
-                answer = planner.ask(str(said["id"]), said["kind"], said["names"], by, str(said.get("reason", "")),
-                                     int(said.get("within", 0)), int(said["lasting"]))
+                answer = planner.ask(
+                    str(said["id"]),
+                    said["kind"],
+                    said["names"],
+                    by,
+                    str(said.get("reason", "")),
+                    int(said.get("within", 0)),
+                    int(said["lasting"]),
+                )
             elif do == "cancel":
                 answer = planner.cancel(str(said["id"]), by)
             elif do == "done":
@@ -381,10 +459,12 @@
                 answer = planner.tell_known(said["out"], by)
         except ValueError as problem:
             if "try again" in str(problem):
-                return      # it is told again
+                return  # it is told again
             return self._answer(sender, key, "", str(problem))
         except (KeyError, TypeError) as problem:
-            return self._answer(sender, key, "", f"makes no sense ({type(problem).__name__} {problem})")
+            return self._answer(
+                sender, key, "", f"makes no sense ({type(problem).__name__} {problem})"
+            )
         if self.scribe.settled >= self.scribe.proposed:
             return self._answer(sender, key, answer, "")
         self.pending.append((self.scribe.proposed, sender, key, answer))
@@ -403,21 +483,56 @@
             if holder and holder != self.name and (self.fetch is None or self.fetch.over):
                 self.fetch = Fetch(_Copying(self), WANT, holder, 0, COPY_PAUSE, self._has_copy)
         return {
-            "name": self.name, "holder": holder, "state": SCRIBE_STATES[self.scribe.state], "stamp": [*stamp],
-            "fresh": holder == self.name or (bool(holder) and stamp >= self.party.stamp and stamp != (0, 0)),
-            "forgotten": self.planner.forgotten, "time": plan.time / SECOND, "known": plan.known, "held": plan.held,
-            "asks": [{"id": each.id, "kind": each.kind, "names": each.names, "owner": each.owner,
-                      "reason": each.reason, "count": each.count, "cancelled": each.cancelled,
-                      "lasting": each.lasting / SECOND} for each in plan.asks.values()],
-            "units": [{"unit": each.name, "ask": each.ask, "sort": each.sort, "members": each.members,
-                       "state": STATES[each.state], "for": (plan.time - each.since) / SECOND, "why": each.why,
-                       "against": against.get(each.name, ""), "next": [STATES[n] for n in NEXT.get(each.state, ())]}
-                      for each in plan.units.values()],
+            "name": self.name,
+            "holder": holder,
+            "state": SCRIBE_STATES[self.scribe.state],
+            "stamp": [*stamp],
+            "fresh": holder == self.name
+            or (bool(holder) and stamp >= self.party.stamp and stamp != (0, 0)),
+            "forgotten": self.planner.forgotten,
+            "time": plan.time / SECOND,
+            "known": plan.known,
+            "held": plan.held,
+            "asks": [
+                {
+                    "id": each.id,
+                    "kind": each.kind,
+                    "names": each.names,
+                    "owner": each.owner,
+                    "reason": each.reason,
+                    "count": each.count,
+                    "cancelled": each.cancelled,
+                    "lasting": each.lasting / SECOND,
+                }
+                for each in plan.asks.values()
+            ],
+            "units": [
+                {
+                    "unit": each.name,
+                    "ask": each.ask,
+                    "sort": each.sort,
+                    "members": each.members,
+                    "state": STATES[each.state],
+                    "for": (plan.time - each.since) / SECOND,
+                    "why": each.why,
+                    "against": against.get(each.name, ""),
+                    "next": [STATES[n] for n in NEXT.get(each.state, ())],
+                }
+                for each in plan.units.values()
+            ],
             "history": [[*entry] for entry in plan.history],
-            "here": {"stamp": [*self.party.stamp], "blank": self.party.blank, "closed": sorted(self.party.closed),
-                     "levels": {tag: STATES[state] for tag, (state, _) in self.party.levels.items()}},
-            "counters": {**{f"keeper {why}": count for why, count in self.keeper.counts.items()},
-                         **self.planner.counts, "orders refused": self.party.refused}}
+            "here": {
+                "stamp": [*self.party.stamp],
+                "blank": self.party.blank,
+                "closed": sorted(self.party.closed),
+                "levels": {tag: STATES[state] for tag, (state, _) in self.party.levels.items()},
+            },
+            "counters": {
+                **{f"keeper {why}": count for why, count in self.keeper.counts.items()},
+                **self.planner.counts,
+                "orders refused": self.party.refused,
+            },
+        }
 
     # Copies of the plan, for show at gateways that do not plan.
 
@@ -457,10 +572,9 @@
         self.yard.hub.later(delay, method, *what)
 
 
-_TO_SCRIBE = (1, 3, 4)      # PROMISED, TAKEN, LOW
+_TO_SCRIBE = (1, 3, 4)  # PROMISED, TAKEN, LOW
 _WISHES = "ask", "cancel", "done", "hold", "overrule", "known"
 
 
 def _place(station: Any) -> str:
     return "%s:%d" % station.address
-
--- a/fuzz/decoder.py
+++ b/fuzz/decoder.py
@@ -14,7 +14,7 @@
 SEEDS = Path(__file__).parent / "seeds"
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from corkgauge.flow.decoder import Decoder, Malformed, Stream   # noqa: E402
+from corkgauge.flow.decoder import Decoder, Malformed, Stream  # noqa: E402
 
 EDGES = 0, 1, 2, 3, 4, 9, 10, 16, 127, 128, 255
 
@@ -33,16 +33,16 @@
         elif what == 1 and at < len(bad):
             bad[at] = chance.randrange(256)
         elif what == 2:
-            del bad[at:at + chance.randint(1, 12)]
+            del bad[at : at + chance.randint(1, 12)]
         elif what == 3:
-            bad[at:at] = bad[at:at + chance.randint(1, 40)]
+            bad[at:at] = bad[at : at + chance.randint(1, 40)]
         elif what == 4:
             other = chance.choice(others)
             begin = chance.randrange(len(other))
-            bad[at:at] = other[begin:begin + chance.randint(1, 60)]
+            bad[at:at] = other[begin : begin + chance.randint(1, 60)]
         elif len(bad) > 20:
             at = chance.randrange(16, len(bad) - 2)
-            bad[at:at + 2] = chance.randrange(65_536).to_bytes(2, "big")
+            bad[at : at + 2] = chance.randrange(65_536).to_bytes(2, "big")
     if len(bad) >= 4 and chance.random() < 0.8:
         bad[2:4] = (len(bad) % 65_536).to_bytes(2, "big")
     return bytes(bad)
@@ -58,7 +58,9 @@
 
 
 def main() -> int:
-    said = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    said = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     said.add_argument("--seconds", type=float, default=10.0)
     said.add_argument("--seed", type=int, default=1)
     asked = said.parse_args()
@@ -79,7 +81,11 @@
                 print(f"kept {path}")
                 raise
             count += 1
-        if len(decoder.templates) > 1000 or len(decoder.types) > 1100 or len(decoder.expected) > 1001:
+        if (
+            len(decoder.templates) > 1000
+            or len(decoder.types) > 1100
+            or len(decoder.expected) > 1001
+        ):
             print("it grows")
             return 1
     print(f"{count} messages, {read} of them read, {len(decoder.templates)} templates held")
--- a/tests/damaged.py
+++ b/tests/damaged.py
@@ -1,7 +1,7 @@
 """The real program with one of its entry points damaged, for tests only; the product has no such command.
 
-    python tests/damaged.py DAMAGE serve ...      the program, damaged once after a second
-    python tests/damaged.py play DAMAGE           a short day with it; prints what was found, as JSON
+python tests/damaged.py DAMAGE serve ...      the program, damaged once after a second
+python tests/damaged.py play DAMAGE           a short day with it; prints what was found, as JSON
 """
 
 import json
@@ -11,8 +11,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-AFTER = 1.5     # seconds from the start
-HOLDS = "at 1 for 2: e1 silent"    # so that something is open for longer than a pass
+AFTER = 1.5  # seconds from the start
+HOLDS = "at 1 for 2: e1 silent"  # so that something is open for longer than a pass
 
 
 def skipped(method):
@@ -23,6 +23,7 @@
     def twice(self, *what):
         method(self, *what)
         method(self, *what)
+
     return twice
 
 
@@ -52,13 +53,13 @@
     if what == "errand lost":
         errand = house.errands.pop(next(iter(house.errands)))
         return errand.engine_row.name
-    if what == "cancelling":        # one in a million, that cancels out in the totals
+    if what == "cancelling":  # one in a million, that cancels out in the totals
         rows[0].terms[0] += 1
         rows[0].open += 1
         rows[1].terms[0] -= 1
         rows[1].open -= 1
         return rows[0].name
-    if what == "swapped":           # cancels out even in its own row's count
+    if what == "swapped":  # cancels out even in its own row's count
         rows[0].mark += 1
         return rows[0].name
     if what == "term altered":
@@ -80,16 +81,24 @@
     raise SystemExit(f"no damage {what!r}")
 
 
-TABLES = {"name lost": "lost from the table", "errand lost": "hand-off never closed",
-          "cancelling": "count altered",
-          "swapped": "count altered", "term altered": "terms differ", "reason altered": "terms differ",
-          "sort altered": "books differ", "threads lost": "engine out of step", "page lost": "books differ"}
+TABLES = {
+    "name lost": "lost from the table",
+    "errand lost": "hand-off never closed",
+    "cancelling": "count altered",
+    "swapped": "count altered",
+    "term altered": "terms differ",
+    "reason altered": "terms differ",
+    "sort altered": "books differ",
+    "threads lost": "engine out of step",
+    "page lost": "books differ",
+}
 ALL = [*ENTRIES, *TABLES]
 
 
 def damage_entry(what):
     """The method does it once, and then works as ever."""
     from corkgauge.figures.ledger import Ledger
+
     name, how, _, _ = ENTRIES[what]
     method, begun = getattr(Ledger, name), time.time()
     bad = how(method)
@@ -99,39 +108,63 @@
             return method(self, *args)
         setattr(Ledger, name, method)
         row = getattr(args[0], "engine_row", None) or getattr(args[0], "row", None)
-        print(f"damaged {time.time():.3f} {row.name if row else 'client connections'}", file=sys.stderr,
-              flush=True)
+        print(
+            f"damaged {time.time():.3f} {row.name if row else 'client connections'}",
+            file=sys.stderr,
+            flush=True,
+        )
         return bad(self, *args)
+
     setattr(Ledger, name, hurt)
 
 
 def damage_tables(what):
     from corkgauge.net.frames import FramesHouse
+
     audit, begun = FramesHouse.audit, time.time()
 
     def hurt(self):
         ready = self.errands and self.names and time.time() > begun + AFTER
         if ready:
             FramesHouse.audit = audit
-            print(f"damaged {time.time():.3f} {hurt_tables(self, what)}", file=sys.stderr, flush=True)
-            self.auditor.pass_whole()   # some of it is over before the next pass
+            print(
+                f"damaged {time.time():.3f} {hurt_tables(self, what)}", file=sys.stderr, flush=True
+            )
+            self.auditor.pass_whole()  # some of it is over before the next pass
         self.hub.later(500, self.audit) if not ready else audit(self)
+
     FramesHouse.audit = hurt
 
 
 def play(what):
     from corkgauge.standins.play import Play
     from corkgauge.standins.script import read
-    day = Play(11, read(HOLDS, ["e1"]), engines=2, clients=4, rate=60, scrapes=10, hangs_up=0.05,
-               start=(__file__, what))
+
+    day = Play(
+        11,
+        read(HOLDS, ["e1"]),
+        engines=2,
+        clients=4,
+        rate=60,
+        scrapes=10,
+        hangs_up=0.05,
+        start=(__file__, what),
+    )
     try:
         day.run(5.0, drain=2.0)
         log = day.program.log()
     finally:
         day.close()
-    print(json.dumps({"damaged": [line for line in log if line.startswith("damaged")],
-                      "found": [line for line in log if "figures out of balance" in line],
-                      "findings": day.cuts[-1]["audit"]["findings"], "log": log[-20:]}))
+    print(
+        json.dumps(
+            {
+                "damaged": [line for line in log if line.startswith("damaged")],
+                "found": [line for line in log if "figures out of balance" in line],
+                "findings": day.cuts[-1]["audit"]["findings"],
+                "log": log[-20:],
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
@@ -141,4 +174,5 @@
         wanted = sys.argv.pop(1)
         (damage_entry if wanted in ENTRIES else damage_tables)(wanted)
         from corkgauge.commands import main
+
         sys.exit(main())
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -10,7 +10,11 @@
 
 CORES, SHARE, MULTIPLE, SPAN, WARM = 12.0, 0.4, 3.0, 15_000, 12 * SECOND
 # What is asked for: how often, and its work.
-ALIKE, LIGHT, MIXED = [(1.0, 9_500)], [(1.0, 2_450)], [(0.81, 2_450), (0.14, 40_000), (0.05, 24_000)]
+ALIKE, LIGHT, MIXED = (
+    [(1.0, 9_500)],
+    [(1.0, 2_450)],
+    [(0.81, 2_450), (0.14, 40_000), (0.05, 24_000)],
+)
 
 
 class Fleet:
@@ -19,7 +23,7 @@
     def __init__(self, gateways, mix, seed):
         self.chance, self.mix, self.sent, self.gateways = random.Random(seed), mix, [], gateways
         self.mean = sum(part * work for part, work in mix)
-        self.allowed = MULTIPLE * SHARE * SPAN * CORES / self.mean      # N
+        self.allowed = MULTIPLE * SHARE * SPAN * CORES / self.mean  # N
         self.yards = [self.gateway(number) for number in range(gateways)]
         self.start = max(yard.now for yard in self.yards)
         for yard in self.yards:
@@ -28,8 +32,16 @@
 
     def gateway(self, number):
         offerings = [dict(QUICK, name=f"o{n}", expiry=25 * SECOND) for n in range(len(self.mix))]
-        yard = Yard(offerings, engines=1, gateways=self.gateways, number=number, cold_share=SHARE,
-                    fall_multiple=MULTIPLE, fall_span=SPAN, cold_span=WARM)
+        yard = Yard(
+            offerings,
+            engines=1,
+            gateways=self.gateways,
+            number=number,
+            cold_share=SHARE,
+            fall_multiple=MULTIPLE,
+            fall_span=SPAN,
+            cold_span=WARM,
+        )
         yard.engines[0].cores = CORES
         for n, (part, work) in enumerate(self.mix):
             for _ in range(4):
@@ -42,7 +54,7 @@
     def ask(self, number, when):
         yard = self.yards[number]
         yard.pass_time(max(when - yard.now, 0))
-        n, = self.chance.choices(range(len(self.mix)), [part for part, _ in self.mix])
+        (n,) = self.chance.choices(range(len(self.mix)), [part for part, _ in self.mix])
         sub = yard.take(n, estimate=self.mix[n][1])
         if sub.handoffs:
             self.sent.append((when, self.mix[n][1]))
@@ -62,8 +74,16 @@
 
     def worst(self):
         """In mean requests, of any window of the span in which an engine may fall."""
-        return max((sum(work for when, work in self.sent if begin <= when < begin + SPAN)
-                    for begin, _ in self.sent), default=0) / self.mean
+        return (
+            max(
+                (
+                    sum(work for when, work in self.sent if begin <= when < begin + SPAN)
+                    for begin, _ in self.sent
+                ),
+                default=0,
+            )
+            / self.mean
+        )
 
 
 @pytest.mark.parametrize("gateways", [3, 20, 30, 200])
@@ -86,7 +106,7 @@
     now, asks = fleet.start, int(8 * fleet.allowed * 11 * SECOND / SPAN)
     for n in range(asks):
         now += fleet.chance.expovariate(1) * 11 * SECOND / asks
-        number, = fleet.chance.choices(range(gateways), weights)
+        (number,) = fleet.chance.choices(range(gateways), weights)
         if n % 40 == 0:
             fleet.restart(fleet.chance.randrange(gateways))
         if now < fleet.start + WARM:
@@ -111,5 +131,5 @@
     for number in range(30):
         for _ in range(3):
             busy.ask(number, busy.start + SPAN + 10)
-            quiet.ask(number, quiet.start + 6 * SPAN + 10)      # nothing was sent before
+            quiet.ask(number, quiet.start + 6 * SPAN + 10)  # nothing was sent before
     assert len(quiet.sent) <= 1.3 * len(busy.sent) + 2
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -123,7 +123,9 @@
     goes(client)
     settled(caller.link.sock)
     engine, link = premises.engine(turn=False)
-    premises.house.stations["e1"].fill()     # as a dial that comes up does it, before the poller is asked again
+    premises.house.stations[
+        "e1"
+    ].fill()  # as a dial that comes up does it, before the poller is asked again
     assert link.link.put == 0 and not premises.house.errands
     assert premises.heard_soon(engine, 0) == b"" and premises.house.counters["handed off"] == 0
     assert not premises.logged
@@ -136,15 +138,15 @@
     client, caller = premises.client()
     engines = {tag: premises.engine(tag) for tag in ("e1", "e2")}
     premises.ask_and_settle(client, request(), caller)
-    first, = (tag for tag, (sock, _) in engines.items() if premises.heard_soon(sock, 0))
+    (first,) = (tag for tag, (sock, _) in engines.items() if premises.heard_soon(sock, 0))
     (sock, link), (other, other_link) = engines[first], engines["e2" if first == "e1" else "e1"]
     sock.sendall(b"*4\r\n$16\r\n" + T1.encode() + b"\r\n$4\r\nWAIT\r\n$1\r\n-\r\n$0\r\n\r\n")
     settled(link.link.sock)
     goes(client)
     settled(caller.link.sock)
-    assert link.link.look()     # the answer is told, as its task would have told it
+    assert link.link.look()  # the answer is told, as its task would have told it
     for _ in range(3):
-        premises.hub._due()     # what the turn left to do, with the client's end still unread by its task
+        premises.hub._due()  # what the turn left to do, with the client's end still unread by its task
     assert other_link.link.put == 0 and premises.heard_soon(other, 0) == b""
     assert not premises.house.errands and not premises.logged
 
@@ -174,7 +176,7 @@
     engine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     link.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     try:
-        while True:     # the engine reads nothing, and its socket is full to the last byte
+        while True:  # the engine reads nothing, and its socket is full to the last byte
             link.link.sock.send(b"*1\r\n$1\r\nx\r\n" * 400)
     except BlockingIOError:
         pass
@@ -198,7 +200,9 @@
     client, caller = premises.client()
     engine, _ = premises.engine()
     premises.ask_and_settle(client, request(), caller)
-    premises.house.rings.most = premises.house.rings.held      # no memory: what comes now pauses the input
+    premises.house.rings.most = (
+        premises.house.rings.held
+    )  # no memory: what comes now pauses the input
     client.sendall((200_000).to_bytes(4, "little") + b"\2" + b"x" * 9_000)
     settled(caller.link.sock)
     premises.turn()
@@ -218,7 +222,7 @@
     settled(link.link.sock)
     client.sendall(request(route="once"))
     settled(caller.link.sock)
-    caller.link.look()      # the request is read before the engine's end is
+    caller.link.look()  # the request is read before the engine's end is
     premises.hub._due()
     assert link.link.put == 0
     premises.turn()
@@ -256,7 +260,9 @@
     dials, (client, caller) = Dials(premises, monkeypatch), premises.client()
     premises.ask_and_settle(client, request(), caller)
     assert dials.asked == [("127.0.0.9", 1)]
-    assert not premises.house.event("2", json.dumps(listing(2, {"addr": "127.0.0.9:2"}, full=False)))
+    assert not premises.house.event(
+        "2", json.dumps(listing(2, {"addr": "127.0.0.9:2"}, full=False))
+    )
     dials.let += ["ECONNREFUSED", ""]
     premises.pass_time(60, 10)
     assert dials.asked == [("127.0.0.9", 1), ("127.0.0.9", 2)]
@@ -264,22 +270,26 @@
 
 
 @pytest.mark.parametrize("up", [True, False])
-def test_a_dial_that_began_before_its_engine_started_anew_tells_nothing_of_the_new_one(up, monkeypatch):
+def test_a_dial_that_began_before_its_engine_started_anew_tells_nothing_of_the_new_one(
+    up, monkeypatch
+):
     premises = Loopback([listing(1, {"started_ms": 1})])
     dials, (client, caller) = Dials(premises, monkeypatch), premises.client()
     premises.ask_and_settle(client, request(), caller)
     station, (errand,) = premises.house.stations["e1"], premises.house.errands.values()
     assert len(dials.asked) == 1
-    assert not premises.house.event("2", json.dumps(listing(2, {"started_ms": 100_000}, full=False)))
+    assert not premises.house.event(
+        "2", json.dumps(listing(2, {"started_ms": 100_000}, full=False))
+    )
     dials.let.append("" if up else "ECONNREFUSED")
     premises.pass_time(100, 20)
     assert not station.links and not any("rest e1" in line for line in premises.logged)
-    if up:      # the connection that reached the process before is closed with nothing on it
+    if up:  # the connection that reached the process before is closed with nothing on it
         assert premises.heard_soon(dials.ends[0], 0) == b""
     assert errand.handoff.outcome in (MOOT, -1) and errand.link is None
     dials.let.append("")
     premises.pass_time(100, 20)
-    assert errand.handoff.outcome == MOOT   # what was decided on the one before is decided again
+    assert errand.handoff.outcome == MOOT  # what was decided on the one before is decided again
 
 
 def test_want_of_descriptors_is_no_fault_of_the_engines_and_ends_when_there_are_some(monkeypatch):
@@ -302,12 +312,12 @@
     house, kept = premises.house, []
     for n in range(40):
         for station in house.stations.values():
-            station.dialling = True     # but for what is joined by hand here nobody dials
+            station.dialling = True  # but for what is joined by hand here nobody dials
         if not house.descriptor_left(True):
             break
         kept.append(premises.engine(f"e{n}"))
     assert sum(len(station.links) for station in house.stations.values()) <= 96 // 3
-    premises.turn()     # the one that was idle longest has given way
+    premises.turn()  # the one that was idle longest has given way
     assert house.counters["links gave way"] == 1 and house.descriptor_left(True)
 
 
@@ -331,14 +341,14 @@
     premises.ask_and_settle(client, READY_ASKED, caller)
     premises.pass_time(700)
     assert caller.link.give_way("room for others")
-    client.sendall(request())       # it has not read our end
+    client.sendall(request())  # it has not read our end
     settled(caller.link.sock)
     premises.pass_time(CROSSING + 200)
     assert caller not in premises.house.callers and premises.house.counters["handed off"] == 0
     client.setblocking(True)
     client.settimeout(1)
-    assert client.recv(100)[4] == 32 and client.recv(100) == b""    # the answer, then the end
-    assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0       # and no reset behind it
+    assert client.recv(100)[4] == 32 and client.recv(100) == b""  # the answer, then the end
+    assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # and no reset behind it
 
 
 def ending(premises):
@@ -355,7 +365,7 @@
     premises = Loopback()
     engine, _ = premises.engine()
     door = ending(premises)
-    door.open = False       # the loop has had no turn to let them in
+    door.open = False  # the loop has had no turn to let them in
     premises.hub.wake(door.sock.fileno())
     premises.turn()
     client = socket.create_connection(door.sock.getsockname())
@@ -381,7 +391,7 @@
     premises.pass_time(8_900, 100)
     data = request()
     premises.ask_and_settle(client, data[:20], caller)
-    premises.pass_time(300, 100)    # the last look comes between the two halves
+    premises.pass_time(300, 100)  # the last look comes between the two halves
     assert not premises.hub.stopped
     client.sendall(data[20:])
     assert T1.encode() in premises.heard_soon(engine, 60)
@@ -393,8 +403,8 @@
     premises.ask_and_settle(client, READY_ASKED, caller)
     ending(premises)
     premises.pass_time(9_200, 100)
-    assert premises.house.last_call < 2 ** 60 and not premises.hub.stopped
-    client.sendall(request())       # crosses the end
+    assert premises.house.last_call < 2**60 and not premises.hub.stopped
+    client.sendall(request())  # crosses the end
     settled(caller.link.sock)
     premises.pass_time(1_000, 50)
     assert premises.hub.stopped and premises.house.counters["handed off"] == 0
@@ -434,16 +444,25 @@
         return its, ""
 
 
-@pytest.mark.parametrize("first, drip", [
-    (b"", b""), (b"HTTP/1.1 200 OK\r\n", b""), (b"", b"x"), (b"HTTP/1.1 200 OK\r\n\r\n", b""),
-    (b"HTTP/1.1 200 OK\r\n\r\n: hi\n\nid: 2\ndata: {", b"x"), (b"HTTP/1.1 200 OK\r\n", b"x"),
-    (b"HTTP/1.1 200 OK\r\n\r\n: hi\n\nid: 2", b""),
-])
-def test_a_feed_that_goes_quiet_in_any_way_is_left_before_what_it_keeps_counts_as_told(first, drip, monkeypatch):
+@pytest.mark.parametrize(
+    "first, drip",
+    [
+        (b"", b""),
+        (b"HTTP/1.1 200 OK\r\n", b""),
+        (b"", b"x"),
+        (b"HTTP/1.1 200 OK\r\n\r\n", b""),
+        (b"HTTP/1.1 200 OK\r\n\r\n: hi\n\nid: 2\ndata: {", b"x"),
+        (b"HTTP/1.1 200 OK\r\n", b"x"),
+        (b"HTTP/1.1 200 OK\r\n\r\n: hi\n\nid: 2", b""),
+    ],
+)
+def test_a_feed_that_goes_quiet_in_any_way_is_left_before_what_it_keeps_counts_as_told(
+    first, drip, monkeypatch
+):
     premises = Loopback()
     quiet = Quiet(premises, monkeypatch)
     quiet.ends[0].sendall(first)
-    for _ in range(50):     # 5 s
+    for _ in range(50):  # 5 s
         if drip and len(quiet.ends) == 1:
             quiet.ends[0].sendall(drip)
             time.sleep(0.0005)
@@ -466,7 +485,12 @@
 
 @pytest.mark.parametrize("when", ["loading", "reading"])
 def test_a_signal_to_read_again_that_comes_while_the_program_starts_does_not_end_it(when, tmp_path):
-    said = {"name": "n", "listen": "127.0.0.1:1", "feed": "127.0.0.1:2", "settings": STATED_ON_SOCKETS}
+    said = {
+        "name": "n",
+        "listen": "127.0.0.1:1",
+        "feed": "127.0.0.1:2",
+        "settings": STATED_ON_SOCKETS,
+    }
     port = free_port()
     (tmp_path / "c.json").write_text(json.dumps(said))
     code = f"""
@@ -493,12 +517,21 @@
 sys.argv = ["corkgauge", "serve"]
 sys.exit(main())
 """
-    started = subprocess.Popen([sys.executable, "-c", code], stderr=subprocess.PIPE, text=True,
-                               preexec_fn=tied(os.getpid()),
-                               env={**os.environ, "EDGE_CONFIG": str(tmp_path / "c.json"),
-                                    "EDGE_LISTEN": f"127.0.0.1:{port}"})
+    started = subprocess.Popen(
+        [sys.executable, "-c", code],
+        stderr=subprocess.PIPE,
+        text=True,
+        preexec_fn=tied(os.getpid()),
+        env={
+            **os.environ,
+            "EDGE_CONFIG": str(tmp_path / "c.json"),
+            "EDGE_LISTEN": f"127.0.0.1:{port}",
+        },
+    )
     try:
-        assert "serving as n" in next(line for line in started.stderr if "serving" in line or "Trace" in line)
+        assert "serving as n" in next(
+            line for line in started.stderr if "serving" in line or "Trace" in line
+        )
     finally:
         started.send_signal(signal.SIGTERM)
         assert started.wait(10) == 0
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -77,13 +77,13 @@
     assert booth.asked(voter, PROBE) and booth.asked(voter, PREPARE, ballot=7)
     assert booth.asked(voter, GRANT, ballot=7)
     for sort in PROBE, PREPARE, GRANT:
-        assert booth.asked(voter, sort, who="c", ballot=2 ** 59) is False
-    assert booth.asked(voter, GRANT, ballot=7)          # its holder renews it
+        assert booth.asked(voter, sort, who="c", ballot=2**59) is False
+    assert booth.asked(voter, GRANT, ballot=7)  # its holder renews it
     booth.now += SPAN.granted - 1
     assert booth.asked(voter, PROBE, who="c") is False
     booth.now += 1
     assert booth.asked(voter, PROBE, who="c") and booth.asked(voter, PREPARE, who="c", ballot=8)
-    assert booth.asked(voter, GRANT, ballot=7) is False     # what was promised is above it
+    assert booth.asked(voter, GRANT, ballot=7) is False  # what was promised is above it
 
 
 def test_a_holder_that_started_anew_is_another():
@@ -96,7 +96,7 @@
     booth, voter = a_voter()
     assert booth.asked(voter, PREPARE, ballot=7) and booth.asked(voter, GRANT, ballot=7)
     assert booth.asked(voter, RELEASE, who="c", ballot=7) is None
-    assert booth.asked(voter, PROBE, who="c") is False      # not its to give back
+    assert booth.asked(voter, PROBE, who="c") is False  # not its to give back
     booth.asked(voter, RELEASE, ballot=7)
     assert booth.asked(voter, GRANT, ballot=7) is False and booth.asked(voter, PROBE, who="c")
 
@@ -129,16 +129,24 @@
     assert booth.asked(voter, PROBE, roll=Roll(1, ["a", "b"], SECOND)) is None
     assert booth.asked(voter, PROBE) is True
     assert booth.asked(voter, PROBE, roll=newer) is None and booth.events
-    assert booth.asked(voter, PROBE) is None        # it has an old file, and lends its vote to nobody
+    assert booth.asked(voter, PROBE) is None  # it has an old file, and lends its vote to nobody
     voter.renew(newer, SPAN)
     assert booth.asked(voter, PROBE, roll=newer) is None
     booth.now += SPAN.silent
     assert booth.asked(voter, PROBE, roll=newer) is True
 
 
-@pytest.mark.parametrize("body", [[PROBE, "d", 1, ROLL.mark, 1, -1], [PREPARE, "d", 1, ROLL.mark, 1, 2 ** 60],
-                                  [PREPARE, "d", 1, ROLL.mark, 1, "7"], [PREPARE, 7, 1, ROLL.mark, 1, 7], [PROBE],
-                                  [99, "d", 1, ROLL.mark, 1, 7]])
+@pytest.mark.parametrize(
+    "body",
+    [
+        [PROBE, "d", 1, ROLL.mark, 1, -1],
+        [PREPARE, "d", 1, ROLL.mark, 1, 2**60],
+        [PREPARE, "d", 1, ROLL.mark, 1, "7"],
+        [PREPARE, 7, 1, ROLL.mark, 1, 7],
+        [PROBE],
+        [99, "d", 1, ROLL.mark, 1, 7],
+    ],
+)
 def test_a_letter_that_makes_no_sense_changes_no_vote(body):
     booth, voter = a_voter()
     with pytest.raises((ValueError, TypeError, KeyError)):
@@ -158,14 +166,19 @@
     there = {name: (1, one.mark) for name in "abc"}
     for new in Roll(2, "abcd", 5), Roll(2, "ab", 5), Roll(2, "abc", 9), Roll(1, "abc", 5):
         one.step_to(new, there)
-    for new, told in ((Roll(3, "abcd", 5), there), (Roll(2, "abd", 5), there), (Roll(1, "abcd", 5), there),
-                      (Roll(2, "abcd", 5), {"a": (1, one.mark), "b": (0, 7)})):
+    for new, told in (
+        (Roll(3, "abcd", 5), there),
+        (Roll(2, "abd", 5), there),
+        (Roll(1, "abcd", 5), there),
+        (Roll(2, "abcd", 5), {"a": (1, one.mark), "b": (0, 7)}),
+    ):
         with pytest.raises(Unsafe):
             one.step_to(new, told)
 
 
 def test_majorities_of_lists_one_step_apart_always_meet():
     from itertools import combinations
+
     for many in range(1, 7):
         small, large = range(many), range(many + 1)
         for one in combinations(small, many // 2 + 1):
@@ -182,8 +195,11 @@
 
     def pass_time(self, span):
         until = self.booth.now + span
-        while due := min((each for each in self.booth.wakes if each[0] <= until), key=lambda each: each[0],
-                         default=None):
+        while due := min(
+            (each for each in self.booth.wakes if each[0] <= until),
+            key=lambda each: each[0],
+            default=None,
+        ):
             self.booth.wakes.remove(due)
             self.booth.now = max(self.booth.now, due[0])
             due[1](*due[2])
@@ -208,12 +224,14 @@
     candidate.pass_time(10)
     holder, booth = candidate.holder, candidate.booth
     assert holder.state == PROBING
-    late = [[WOULD, "d", 1, ROLL.mark, booth.said[-1][1][4], False, 0, SPAN.granted, "c"] for _ in "ab"]
+    late = [
+        [WOULD, "d", 1, ROLL.mark, booth.said[-1][1][4], False, 0, SPAN.granted, "c"] for _ in "ab"
+    ]
     holder.heard("c", [VACANT, "d", 1, ROLL.mark, 0])
     for voter, body in zip("ab", late):
         holder.heard(voter, body)
     candidate.pass_time(10)
-    for _ in range(2):      # a ballot, a grant: nobody has to be asked first
+    for _ in range(2):  # a ballot, a grant: nobody has to be asked first
         candidate.answer("a", "b")
     assert holder.state == HOLDING
 
@@ -238,13 +256,13 @@
     one.answer("a", "b")
     one.answer("b", "c")
     asked = one.booth.now
-    one.pass_time(300)      # the answers take their time, and that is lost
+    one.pass_time(300)  # the answers take their time, and that is lost
     one.answer("a", "c")
     assert one.holder.may() and one.holder.until <= asked + 300 + SPAN.held
     one.booth.now = one.holder.until - 1
     assert one.holder.may()
     one.booth.now = one.holder.until
-    assert not one.holder.may() and one.holder.state == HOLDING     # whatever its timers say
+    assert not one.holder.may() and one.holder.state == HOLDING  # whatever its timers say
 
 
 def test_grants_of_a_minority_hold_nothing_and_old_ones_run_out_voter_by_voter():
@@ -292,7 +310,7 @@
 
 def test_an_outbid_holder_gives_up_and_comes_back_above():
     one = Candidate().hold()
-    one.holder.outbid(one.holder.fence + 10 ** 6)
+    one.holder.outbid(one.holder.fence + 10**6)
     assert not one.holder.may()
     high = one.holder.seen
     one.pass_time(200)
@@ -322,7 +340,14 @@
 @pytest.mark.parametrize("off", ["silence", "drift", "check", "fence", "busy"])
 def test_the_judge_objects_where_a_defence_is_left_out(off):
     for seed in range(400):
-        day = drawn(seed, 3, off=(off,), drift=0.1 if off == "drift" else 0.01, sorts=SORTS.get(off, FAULTS), many=8)
+        day = drawn(
+            seed,
+            3,
+            off=(off,),
+            drift=0.1 if off == "drift" else 0.01,
+            sorts=SORTS.get(off, FAULTS),
+            many=8,
+        )
         if World(day).run():
             short = shortest(day)
             assert World(short).run() and len(short.faults) <= len(day.faults)
@@ -354,7 +379,7 @@
     child = Child()
     running = Running(child, grace=1.0, margin=0.1)
     running.told(10.0, True, 7, 1.5)
-    assert running.state == WAITING         # too little left to begin
+    assert running.state == WAITING  # too little left to begin
     running.told(10.0, True, 7, 5.0)
     assert running.state == RUNNING and child.done == [7]
     running.told(11.0, True, 7, 5.0)
@@ -382,17 +407,23 @@
     assert store.unpacked(data) == b"votes of a voter"
     if cut < len(data):
         assert store.unpacked(data[:cut]) is None
-        assert store.unpacked(data[:cut] + bytes([data[cut] ^ 1]) + data[cut + 1:]) is None
+        assert store.unpacked(data[:cut] + bytes([data[cut] ^ 1]) + data[cut + 1 :]) is None
 
 
 def test_the_helper_answers_what_is_safe_and_only_that(tmp_path):
     path = str(tmp_path / "votes")
     frames = b"".join(store.FRAME.pack(n, 4) + b"vot%d" % n for n in (1, 2))
-    done = subprocess.run([sys.executable, store.__file__, path], input=frames + store.FRAME.pack(3, 9) + b"part",
-                          capture_output=True)
+    done = subprocess.run(
+        [sys.executable, store.__file__, path],
+        input=frames + store.FRAME.pack(3, 9) + b"part",
+        capture_output=True,
+    )
     assert done.stdout == b"\1\0\0\0\2\0\0\0" and store.unpacked(open(path, "rb").read()) == b"vot2"
-    gone = subprocess.run([sys.executable, store.__file__, str(tmp_path / "no" / "votes")], input=frames,
-                          capture_output=True)
+    gone = subprocess.run(
+        [sys.executable, store.__file__, str(tmp_path / "no" / "votes")],
+        input=frames,
+        capture_output=True,
+    )
     assert gone.stdout == b"" and not os.path.exists(tmp_path / "no")
 
 
@@ -411,11 +442,16 @@
     path = str(tmp_path / "votes")
     frames = b"".join(store.FRAME.pack(n, 4) + b"vo%02d" % n for n in range(1, 41))
     done = subprocess.run([sys.executable, "-c", COUNTED, path], input=frames, capture_output=True)
-    assert done.stdout == b"".join(n.to_bytes(4, "little") for n in range(1, 41)) and done.returncode == 0
+    assert (
+        done.stdout == b"".join(n.to_bytes(4, "little") for n in range(1, 41))
+        and done.returncode == 0
+    )
     assert store.unpacked(open(path, "rb").read()) == b"vo40" and int(done.stderr) <= 2
 
 
-def test_the_same_record_is_written_once_for_all_who_wait_for_it_and_again_where_no_answer_came(tmp_path):
+def test_the_same_record_is_written_once_for_all_who_wait_for_it_and_again_where_no_answer_came(
+    tmp_path,
+):
     hub, said = Hub(), []
     safe = Safe(hub, said.append, str(tmp_path), "votes", "torn", "unwritten")
 
@@ -424,12 +460,13 @@
         while len(said) < many and hub.now < until:
             hub.turn(20)
         return said
+
     try:
         for n in range(5):
             safe.keep({"d": 1}, said.append, n)
         assert safe.written == 1 and said == [] and settled(5) == [0, 1, 2, 3, 4]
         safe.keep({"d": 1}, said.append, 5)
-        assert said[5:] == [5] and safe.written == 1        # it is safe already
+        assert said[5:] == [5] and safe.written == 1  # it is safe already
         safe.helper.send_signal(signal.SIGSTOP)
         safe.keep({"d": 2}, said.append, 6)
         safe.keep({"d": 2}, said.append, 7)
@@ -446,8 +483,18 @@
 
 
 def account(epoch, taken, served, handed, engines=None, open_=0):
-    return {"epoch": epoch, "taken": taken, "served": served, "refused": 0, "failed": 0, "open": open_,
-            "handed": handed, "engines": handed if engines is None else engines, "ended": handed, "out": 0}
+    return {
+        "epoch": epoch,
+        "taken": taken,
+        "served": served,
+        "refused": 0,
+        "failed": 0,
+        "open": open_,
+        "handed": handed,
+        "engines": handed if engines is None else engines,
+        "ended": handed,
+        "out": 0,
+    }
 
 
 def test_the_fleets_books_add_up_over_epochs_and_say_what_does_not():
@@ -456,19 +503,28 @@
     books.tells("n1", account("x", 5, 4, 5, open_=1))
     books.tells("n2", account("y", 7, 7, 7))
     entry = books.entry(9, 1, 0, ["n2", "n3"])
-    assert (entry["taken"], entry["missing"], entry["wrong"], entry["cut_off"]) == (12, ["n3"], [], 0)
+    assert (entry["taken"], entry["missing"], entry["wrong"], entry["cut_off"]) == (
+        12,
+        ["n3"],
+        [],
+        0,
+    )
     books.begin()
-    books.tells("n1", account("z", 1, 1, 1))        # it started anew: what was open was cut off
+    books.tells("n1", account("z", 1, 1, 1))  # it started anew: what was open was cut off
     books.tells("n2", account("y", 6, 6, 6))
     entry = books.entry(9, 2, 0, ["n2"])
-    assert entry["taken"] == 12 and entry["cut_off"] == 1 and "n2: taken was 7, is 6" in entry["wrong"]
+    assert (
+        entry["taken"] == 12 and entry["cut_off"] == 1 and "n2: taken was 7, is 6" in entry["wrong"]
+    )
     books.tells("n2", account("y", 9, 8, 9, engines=8))
     assert any("engines were handed" in line for line in books.entry(9, 3, 0, [])["wrong"])
     with pytest.raises(ValueError):
         books.tells("n3", {"epoch": "q", "taken": -1})
     for n in range(40):
         books.tells("n4", account(f"e{n}", 1, 1, 1))
-    assert books.entry(9, 4, 0, [])["taken"] == 5 + 1 + 9 + 40 and wrong(account("q", 1, 0, 0)) != []
+    assert (
+        books.entry(9, 4, 0, [])["taken"] == 5 + 1 + 9 + 40 and wrong(account("q", 1, 0, 0)) != []
+    )
 
 
 def test_candidates_agree_on_an_order_and_an_overloaded_one_says_so():
--- a/tests/test_fellows.py
+++ b/tests/test_fellows.py
@@ -57,7 +57,7 @@
     assert two.open(one.write("n2", CALL, 1), 0) is None and two.counts["seal"] == 1
     two.keys = [Key(SECRET), Key(OTHER)]
     assert two.open(one.write("n2", CALL, 2), 0) == ("n1", CALL, 2)
-    assert one.open(two.write("n1", CALL, 3), 0) is None     # it knows the new one alone
+    assert one.open(two.write("n1", CALL, 3), 0) is None  # it knows the new one alone
     with pytest.raises(ValueError):
         Key(b"short")
 
@@ -67,14 +67,18 @@
     old = [one.write("n2", CALL, n) for n in range(5)]
     again = Letters("n2", 900, [Key(SECRET)], lambda *_: None, lambda start: None)
     again.named(["n1"])
-    assert [again.open(data, 0) for data in old] == [("n1", HELLO, 100)] * 5      # told our start, and no more
+    assert [again.open(data, 0) for data in old] == [
+        ("n1", HELLO, 100)
+    ] * 5  # told our start, and no more
     assert again.counts["to an earlier start"] == 5 and again.counts["taken"] == 0
 
 
 def test_a_start_below_the_last_one_is_told_and_grows():
     outgrown = []
     one, two = pair()
-    again = Letters("n1", 50, [Key(SECRET)], lambda *_: None, outgrown.append)      # its clock was set back
+    again = Letters(
+        "n1", 50, [Key(SECRET)], lambda *_: None, outgrown.append
+    )  # its clock was set back
     again.named(["n2"])
     sender, sort, start = two.open(again.write("n2", HELLO, None), 0)
     assert again.open(two.write("n1", BACK, None, start), 0) is None and outgrown == [100]
@@ -100,7 +104,9 @@
 
     def start(self, name, start):
         node = self.nodes[name] = Node(self, name)
-        node.company = Company(node, name, start, [Key(SECRET)], [(each, "") for each in self.names], self.period)
+        node.company = Company(
+            node, name, start, [Key(SECRET)], [(each, "") for each in self.names], self.period
+        )
 
     def run(self, seconds):
         until = self.now + int(seconds * SECOND)
@@ -116,7 +122,9 @@
 
     def later(self, delay, node, method, what):
         self.serial += 1
-        heapq.heappush(self.events, (self.now + max(int(delay), 1), self.serial, node, method, what))
+        heapq.heappush(
+            self.events, (self.now + max(int(delay), 1), self.serial, node, method, what)
+        )
 
     def states(self, of):
         return {name: node.company.state_of(of) for name, node in self.nodes.items() if name != of}
@@ -159,21 +167,29 @@
     net = Net(6)
     net.run(10)
     dead = net.nodes["n3"]
-    net.nodes["n3"] = Node(net, "n3")       # nobody behind the address
+    net.nodes["n3"] = Node(net, "n3")  # nobody behind the address
     net.nodes["n3"].company = type("Nobody", (), {"came": staticmethod(lambda data: None)})
     net.run(25)
     others = [node for name, node in net.nodes.items() if name != "n3"]
     assert all(node.company.state_of("n3") == GONE for node in others)
-    assert all([state for _, name, state in node.changes if name == "n3"][-2:] == [SUSPECTED, GONE] for node in others)
+    assert all(
+        [state for _, name, state in node.changes if name == "n3"][-2:] == [SUSPECTED, GONE]
+        for node in others
+    )
     net.start("n3", 2000)
     net.run(10)
-    assert all(node.company.state_of("n3") == ALIVE for node in others) and dead is not net.nodes["n3"]
+    assert (
+        all(node.company.state_of("n3") == ALIVE for node in others) and dead is not net.nodes["n3"]
+    )
 
 
 def test_one_bad_link_is_not_a_dead_fellow():
     net = Net(6, blocked=lambda one, other: {one, other} == {"n0", "n1"})
     net.run(60)
-    assert {*net.states("n0").values()} <= {ALIVE, UNKNOWN} and {*net.states("n1").values()} <= {ALIVE, UNKNOWN}
+    assert {*net.states("n0").values()} <= {ALIVE, UNKNOWN} and {*net.states("n1").values()} <= {
+        ALIVE,
+        UNKNOWN,
+    }
     assert not any(state == GONE for node in net.nodes.values() for _, _, state in node.changes)
 
 
@@ -247,7 +263,14 @@
     net = Net(3)
     net.run(5)
     one, two = net.nodes["n0"].company, net.nodes["n1"].company
-    for body in (None, [], [1, 2, 3], [7, [["n2", 9, 1, 1, ""]]], [7, [["n2", GONE, -1, 1, ""]]], ["x", []]):
+    for body in (
+        None,
+        [],
+        [1, 2, 3],
+        [7, [["n2", 9, 1, 1, ""]]],
+        [7, [["n2", GONE, -1, 1, ""]]],
+        ["x", []],
+    ):
         two.came(one.letters.write("n1", ASK, body))
     assert two.counts["no sense"] == 6 and two.state_of("n2") == ALIVE
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -76,21 +76,41 @@
 
     # What the auditor asks.
 
-    def open_entries(self): return [*self.open]
-    def answering_entries(self): return [*self.answering]
-    def hands_out(self): return [*self.out]
-    def out_of_step(self, hand): return ""
-    def engines(self): return [*self.engine_rows]
-    def engine_out_of_step(self, row): return row.name, ""
-    def name_of(self, row): return row.name
-    def connections(self): return (0, 0), (0, 0)
-    def traces(self, serial): return "stream 1" if serial in self.elsewhere else ""
+    def open_entries(self):
+        return [*self.open]
+
+    def answering_entries(self):
+        return [*self.answering]
+
+    def hands_out(self):
+        return [*self.out]
+
+    def out_of_step(self, hand):
+        return ""
+
+    def engines(self):
+        return [*self.engine_rows]
+
+    def engine_out_of_step(self, row):
+        return row.name, ""
+
+    def name_of(self, row):
+        return row.name
+
+    def connections(self):
+        return (0, 0), (0, 0)
+
+    def traces(self, serial):
+        return "stream 1" if serial in self.elsewhere else ""
 
 
 @settings(max_examples=150, deadline=None)
-@given(strategies.lists(strategies.tuples(strategies.integers(0, 5), strategies.integers(0, 999)),
-                        max_size=120),
-       strategies.integers(1, 7))
+@given(
+    strategies.lists(
+        strategies.tuples(strategies.integers(0, 5), strategies.integers(0, 999)), max_size=120
+    ),
+    strategies.integers(1, 7),
+)
 def test_a_pass_in_slices_is_right_whatever_happens_between_them(steps, slice_):
     books = Books(slice_)
     for what, which in steps:
@@ -127,28 +147,41 @@
 
 
 def swapped(books):
-    books.take()        # entered, and its record lost
+    books.take()  # entered, and its record lost
     books.open.pop()
-    books.open.append(Record(books.rows[0]))        # a record that was never entered
-
-
-@pytest.mark.parametrize("meddle, found", [
-    (lambda books: books.ledger.taken(books.open[0]), ("entered twice", "a", 1)),
-    (lambda books: books.open.append(Record(books.rows[1])), ("never entered", "b", -1)),
-    (lambda books: books.open.pop(), ("never closed", "a", 1)),
-    (doubled_end, ("closed twice", "a", -1)), (left_in_the_table, ("closed twice", "a", -1)),
-    (lost_from_the_table, ("lost from the table", "a", 1)), (swapped, ("count altered", "a", 0)),
-    (lambda books: books.out.pop(), ("hand-off never closed", "e0", 1)),
-    (lambda books: books.ledger.handoff_over(books.out[0], 1), ("hand-off closed twice", "e0", -1)),
-    (lambda books: books.ledger.handed_off(books.out[0], 0), ("hand-off entered twice", "e0", 1)),
-    (lambda books: books.out.append(Record(None, books.engine_rows[1], books.open[0])),
-     ("hand-off never entered", "e1", -1)),
-    (lambda books: books.rows[0].terms.__setitem__(2, 5), ("terms differ", "a", 5)),
-    (lambda books: books.engine_rows[0].outcomes.__setitem__(3, 1), ("terms differ", "e0", -1)),
-    (lambda books: books.rows[1].sorts.__setitem__(1, 2), ("books differ", "further", 2)),
-    (lambda books: books.ledger.connection_up(0), ("books differ", "client connections", 1)),
-    (lambda books: books.ledger.engine("e9"), ("engine out of step", "e9", 1)),
-])
+    books.open.append(Record(books.rows[0]))  # a record that was never entered
+
+
+@pytest.mark.parametrize(
+    "meddle, found",
+    [
+        (lambda books: books.ledger.taken(books.open[0]), ("entered twice", "a", 1)),
+        (lambda books: books.open.append(Record(books.rows[1])), ("never entered", "b", -1)),
+        (lambda books: books.open.pop(), ("never closed", "a", 1)),
+        (doubled_end, ("closed twice", "a", -1)),
+        (left_in_the_table, ("closed twice", "a", -1)),
+        (lost_from_the_table, ("lost from the table", "a", 1)),
+        (swapped, ("count altered", "a", 0)),
+        (lambda books: books.out.pop(), ("hand-off never closed", "e0", 1)),
+        (
+            lambda books: books.ledger.handoff_over(books.out[0], 1),
+            ("hand-off closed twice", "e0", -1),
+        ),
+        (
+            lambda books: books.ledger.handed_off(books.out[0], 0),
+            ("hand-off entered twice", "e0", 1),
+        ),
+        (
+            lambda books: books.out.append(Record(None, books.engine_rows[1], books.open[0])),
+            ("hand-off never entered", "e1", -1),
+        ),
+        (lambda books: books.rows[0].terms.__setitem__(2, 5), ("terms differ", "a", 5)),
+        (lambda books: books.engine_rows[0].outcomes.__setitem__(3, 1), ("terms differ", "e0", -1)),
+        (lambda books: books.rows[1].sorts.__setitem__(1, 2), ("books differ", "further", 2)),
+        (lambda books: books.ledger.connection_up(0), ("books differ", "client connections", 1)),
+        (lambda books: books.ledger.engine("e9"), ("engine out of step", "e9", 1)),
+    ],
+)
 def test_an_imbalance_is_named_with_its_place(meddle, found):
     books = Books()
     books.hand(books.take())
@@ -163,9 +196,9 @@
     books.rows[0].open += 1
     for _ in range(5):
         books.kinds()
-    assert len(books.logged) == 2   # that a count is altered, and that its row's terms differ
+    assert len(books.logged) == 2  # that a count is altered, and that its row's terms differ
     books.rows[0].open -= 1
-    assert len(books.kinds()) == 2 and books.findings.alarm     # right again, and still held
+    assert len(books.kinds()) == 2 and books.findings.alarm  # right again, and still held
     assert books.findings.clear() == 2 and books.kinds() == [] and not books.findings.alarm
     assert books.ledger.last_events(books.rows[0]) == []
 
@@ -197,9 +230,9 @@
         row = books.ledger.engine(f"x{n}")
         hand = Record(None, row, books.take())
         books.ledger.handed_off(hand, 0)
-        books.ledger.engine_gone(row)       # with a hand-off out
+        books.ledger.engine_gone(row)  # with a hand-off out
         again = books.ledger.engine(f"x{n}")
-        assert again is not row     # its id came back: another's account
+        assert again is not row  # its id came back: another's account
         books.ledger.engine_gone(again)
         books.ledger.handoff_over(hand, n % 8)
     assert len(books.ledger.engine_rows()) == 3 and sum(books.ledger.departed.outcomes) == 300
@@ -208,6 +241,7 @@
 
 # The program's own records, on a fake clock.
 
+
 def balanced(premises):
     house = premises.house
     house.auditor.pass_whole()
@@ -231,8 +265,10 @@
 
 
 def test_a_copy_and_its_original_both_answer():
-    premises = Premises(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
-                        limits={"secondCopies": True, "mostTries": 3})
+    premises = Premises(
+        events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
+        limits={"secondCopies": True, "mostTries": 3},
+    )
     client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
     premises.ask(client, request(1))
     sub = premises.house.names[T1]
@@ -261,7 +297,9 @@
         for n in range(1, 8):
             premises.engine_says(engine, name(stream), "MORE", f"at={n}", row * 3)
     cut = balanced(premises)
-    assert cut["offerings"]["quick"]["open"] > 0 and not premises.house.names   # answered, and not whole yet
+    assert (
+        cut["offerings"]["quick"]["open"] > 0 and not premises.house.names
+    )  # answered, and not whole yet
     if hangs_up:
         client.close()
     for _ in range(40):
@@ -276,10 +314,12 @@
     premises = Premises(limits={"openCap": 2, "streamsPerConn": 4})
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request(1) + request(2) + request(3) + request(4, route="none"))
-    premises.ask(client, bytes.fromhex("05000000" "08" "01000000"))
+    premises.ask(client, bytes.fromhex("050000000801000000"))
     cut = balanced(premises)
     row = cut["offerings"]["quick"]
-    assert row["reasons"]["withdrawn"] == 1 and row["reasons"]["at_the_door"] == 1 and row["open"] == 1
+    assert (
+        row["reasons"]["withdrawn"] == 1 and row["reasons"]["at_the_door"] == 1 and row["open"] == 1
+    )
     assert cut["offerings"]["(unusable)"]["reasons"]["unusable"] == 1
     client.close()
     premises.turn()
@@ -300,7 +340,9 @@
     premises.house.leave()
     premises.pass_time(4 * SECOND)
     row = balanced(premises)["offerings"]["quick"]
-    assert row["taken"] == 3 == row["served"] + row["refused"] + row["failed"] and premises.hub.stopped
+    assert (
+        row["taken"] == 3 == row["served"] + row["refused"] + row["failed"] and premises.hub.stopped
+    )
 
 
 def test_a_slot_that_the_gateway_does_not_get_back_is_found():
@@ -315,6 +357,7 @@
 
 # Cuts.
 
+
 def cut(**offering):
     books = Books()
     books.close(books.take())
@@ -323,7 +366,9 @@
     return said
 
 
-@pytest.mark.parametrize("after, wrong", [({}, 0), ({"taken": 0}, 1), ({"served": 0, "taken": 0}, 2)])
+@pytest.mark.parametrize(
+    "after, wrong", [({}, 0), ({"taken": 0}, 1), ({"served": 0, "taken": 0}, 2)]
+)
 def test_counts_that_shrink_within_an_epoch(after, wrong):
     assert len(shrunk(cut(), cut(**after))) == wrong
     assert shrunk(cut(), {**cut(**after), "epoch": {"id": "y"}}) == []
@@ -345,7 +390,9 @@
 def test_the_commands_tell_what_is_wrong(tmp_path):
     good, bad = tmp_path / "good.json", tmp_path / "bad.jsonl"
     good.write_text(json.dumps(plain(cut())))
-    bad.write_text("\n".join(json.dumps(plain(each)) for each in (cut(), cut(served=0), cut(taken=0))))
+    bad.write_text(
+        "\n".join(json.dumps(plain(each)) for each in (cut(), cut(served=0), cut(taken=0)))
+    )
     run = CliRunner().invoke
     for command in "figures", "audit":
         assert run(group, [command, str(good)]).exit_code == 0
@@ -360,6 +407,7 @@
 
 # What is kept.
 
+
 def shelf(folder, gateway="n1"):
     logged = []
     return Shelf(str(folder), gateway, logged.append), logged
@@ -373,9 +421,9 @@
     for now in range(5):
         first.put(cut_of(books.ledger, now, "n1", {"id": f"x{now}"}))
     second, said = shelf(tmp_path)
-    assert "in use by another" in said[0] and second.map is None     # two programs in one folder
+    assert "in use by another" in said[0] and second.map is None  # two programs in one folder
     second.put(cut())
-    first.close()       # as a kill does
+    first.close()  # as a kill does
     third, said = shelf(tmp_path)
     assert said == ["figures: epoch x4 closed, taken=2 cut_off=1"]
     third.put(cut())
@@ -390,14 +438,24 @@
     for at in range(len(new)):
         torn = new[:at] + bytes(len(new) - at)
         assert epoch.latest(old.ljust(epoch.SLOT, b"\0") + torn)[1]["n"] == 4
-        assert epoch.latest(old[:at] + bytes(9) + old[at + 9:])[2] == "torn" or at >= len(old) - 9 or at < 8
-
-
-@pytest.mark.parametrize("data, why", [
-    (b"{}" * 40, "foreign"), (epoch.slot(1, {})[:8] + b"\2\0" + epoch.slot(1, {})[10:], "newer"),
-    (epoch.slot(1, {"a": 1})[:-1] + b"\7", "torn"), (epoch.slot(1, {"cut": 3, "earlier": []}), "foreign"),
-    (epoch.MAGIC + b"\1\0\xff\xff\xff\xff" + bytes(60), "torn"), (epoch.slot(1, [1]), "foreign"),
-])
+        assert (
+            epoch.latest(old[:at] + bytes(9) + old[at + 9 :])[2] == "torn"
+            or at >= len(old) - 9
+            or at < 8
+        )
+
+
+@pytest.mark.parametrize(
+    "data, why",
+    [
+        (b"{}" * 40, "foreign"),
+        (epoch.slot(1, {})[:8] + b"\2\0" + epoch.slot(1, {})[10:], "newer"),
+        (epoch.slot(1, {"a": 1})[:-1] + b"\7", "torn"),
+        (epoch.slot(1, {"cut": 3, "earlier": []}), "foreign"),
+        (epoch.MAGIC + b"\1\0\xff\xff\xff\xff" + bytes(60), "torn"),
+        (epoch.slot(1, [1]), "foreign"),
+    ],
+)
 def test_files_that_are_no_use_are_told_and_left(tmp_path, data, why):
     (tmp_path / "n1.figures").write_bytes(data)
     kept, logged = shelf(tmp_path)
@@ -420,6 +478,7 @@
 
     def full(*_):
         raise OSError(28, "No space left on device")
+
     monkeypatch.setattr(os, "posix_fallocate", full)
     none, logged = shelf(tmp_path / "full")
     none.put(cut())
@@ -429,21 +488,24 @@
 def test_more_engines_than_fit_are_kept_in_one_row(tmp_path):
     books = Books()
     for n in range(12_000):
-        books.ledger.engine(f"engine-{n:05d}").outcomes[1] = 10 ** 9
+        books.ledger.engine(f"engine-{n:05d}").outcomes[1] = 10**9
     kept, logged = shelf(tmp_path)
     for _ in range(3):
         kept.put(cut_of(books.ledger, 7, "n1", {"id": "x"}))
     kept.close()
     assert len(logged) == 1 and "engines are kept in one row" in logged[0]
-    assert read_file(kept.path)["cut"]["engines"]["(all)"]["outcomes"]["honoured"] == 12_000 * 10 ** 9
+    assert read_file(kept.path)["cut"]["engines"]["(all)"]["outcomes"]["honoured"] == 12_000 * 10**9
 
 
 # The door.
 
+
 def door(premises, path, said="", most=2):
     operator = path.parent / "operator.xml"
-    operator.write_text(f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
-                        '</figures></operator>')
+    operator.write_text(
+        f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
+        "</figures></operator>"
+    )
     return Bureau(premises.house, "n1", 7, read_operator(str(operator)).figures)
 
 
@@ -476,14 +538,22 @@
     premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     assert stat.S_ISSOCK(os.stat(path).st_mode)
     assert b'"served":1' in asked(premises, path, get("/figures"))
-    assert b"404" in asked(premises, path, get("/nothing")) and asked(premises, path, b"\0\0\r\n\r\n") == b""
+    assert (
+        b"404" in asked(premises, path, get("/nothing"))
+        and asked(premises, path, b"\0\0\r\n\r\n") == b""
+    )
     text = b"".join(exposition.pieces(bureau.cut())).decode()
     families = {family.name: family for family in text_string_to_metric_families(text)}
-    samples = {(each.name, *sorted(each.labels.values())): each.value
-               for family in families.values() for each in family.samples}
+    samples = {
+        (each.name, *sorted(each.labels.values())): each.value
+        for family in families.values()
+        for each in family.samples
+    }
     assert samples["corkgauge_submissions_taken_total", "n1", "quick"] == 1
     assert samples["corkgauge_latency_seconds_bucket", "+Inf", "n1", "quick"] == 1
-    assert len(families) == len({line.split()[2] for line in text.splitlines() if line.startswith("# TYPE")})
+    assert len(families) == len(
+        {line.split()[2] for line in text.splitlines() if line.startswith("# TYPE")}
+    )
     premises.house.ledger.offerings["quick"].terms[0] += 1
     premises.house.auditor.pass_whole()
     assert b'"kind": "terms differ"' in asked(premises, path, get("/findings"))
@@ -492,8 +562,9 @@
 
 
 def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
-    premises = Premises(events=[listing(1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"}
-                                             for n in range(900)))])
+    premises = Premises(
+        events=[listing(1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(900)))]
+    )
     path = tmp_path / "sock"
     bureau = door(premises, path)
     idle = [socket.socket(socket.AF_UNIX) for _ in range(4)]
@@ -502,7 +573,7 @@
         sock.connect(str(path))
         sock.sendall(get("/metrics"))
         premises.turn()
-    assert bureau.door.here == 2    # the others were closed at once
+    assert bureau.door.here == 2  # the others were closed at once
     premises.pass_time(7 * SECOND, 500)
     assert bureau.door.here == 0 and b'"e899"' in asked(premises, path, get("/figures"))
     for sock in idle:
@@ -520,13 +591,17 @@
     with pytest.raises(Faulty):
         door(premises, tmp_path / "file")
     with pytest.raises(OSError):
-        Readers(premises.hub, str(first), 1, dict, int, print, {})     # somebody listens there
+        Readers(premises.hub, str(first), 1, dict, int, print, {})  # somebody listens there
     said = read_operator(str(tmp_path / "operator.xml")).figures
     with pytest.raises(Faulty):
-        bureau.reload(said)     # the file that is no socket: the old door stays
-    assert b"200" in asked(premises, first, get("/figures")) and (tmp_path / "file").read_text() == "kept"
+        bureau.reload(said)  # the file that is no socket: the old door stays
+    assert (
+        b"200" in asked(premises, first, get("/figures"))
+        and (tmp_path / "file").read_text() == "kept"
+    )
     (tmp_path / "operator.xml").write_text(
-        f'<operator version="1"><figures><listen unix="{second}"/></figures></operator>')
+        f'<operator version="1"><figures><listen unix="{second}"/></figures></operator>'
+    )
     bureau.reload(read_operator(str(tmp_path / "operator.xml")).figures)
     assert b"200" in asked(premises, second, get("/figures")) and not first.exists()
     bureau.end()
@@ -535,20 +610,41 @@
 
 # The operator file and the log.
 
-@pytest.mark.parametrize("text, wrong", [
-    ("<operator", "operator.xml:1:"), ('<operator version="2"/>', "operator.xml:1: Element 'operator'"),
-    ('<operator version="1">\n<figure/></operator>', "operator.xml:2: Element 'figure'"),
-    ('<operator version="1">\n<figures>\n<listen/></figures></operator>',
-     "3: element 'listen': expected one of"),
-    ('<operator version="1"><figures><listen address="10.0.0.1:80"/></figures></operator>', "'address'"),
-    ('<operator version="1"><figures><listen address="127.0.0.999:80"/></figures></operator>', "loopback"),
-    ('<operator version="1"><figures><keep folder="rel"/></figures></operator>', "'folder'"),
-    ('<operator version="1"><figures><keep folder="/x" each="0"/></figures></operator>', "'each'"),
-    ('<operator version="1"><figures><waits error="2"/></figures></operator>', "'error'"),
-    (f'<operator version="1"><figures><listen unix="/{"x" * 200}"/></figures></operator>', "107 bytes"),
-    ('<!DOCTYPE x [<!ENTITY e SYSTEM "/etc/passwd">]><operator version="1">&e;</operator>',
-     "no document type"),
-])
+
+@pytest.mark.parametrize(
+    "text, wrong",
+    [
+        ("<operator", "operator.xml:1:"),
+        ('<operator version="2"/>', "operator.xml:1: Element 'operator'"),
+        ('<operator version="1">\n<figure/></operator>', "operator.xml:2: Element 'figure'"),
+        (
+            '<operator version="1">\n<figures>\n<listen/></figures></operator>',
+            "3: element 'listen': expected one of",
+        ),
+        (
+            '<operator version="1"><figures><listen address="10.0.0.1:80"/></figures></operator>',
+            "'address'",
+        ),
+        (
+            '<operator version="1"><figures><listen address="127.0.0.999:80"/></figures></operator>',
+            "loopback",
+        ),
+        ('<operator version="1"><figures><keep folder="rel"/></figures></operator>', "'folder'"),
+        (
+            '<operator version="1"><figures><keep folder="/x" each="0"/></figures></operator>',
+            "'each'",
+        ),
+        ('<operator version="1"><figures><waits error="2"/></figures></operator>', "'error'"),
+        (
+            f'<operator version="1"><figures><listen unix="/{"x" * 200}"/></figures></operator>',
+            "107 bytes",
+        ),
+        (
+            '<!DOCTYPE x [<!ENTITY e SYSTEM "/etc/passwd">]><operator version="1">&e;</operator>',
+            "no document type",
+        ),
+    ],
+)
 def test_a_faulty_operator_file_names_its_line_and_element(tmp_path, text, wrong):
     path = tmp_path / "operator.xml"
     path.write_text(text)
@@ -559,8 +655,10 @@
 
 def test_an_operator_file_has_defaults(tmp_path):
     path = tmp_path / "operator.xml"
-    path.write_text('<operator version="1"><figures><listen address="[::1]:9"/><keep folder="/x"/></figures>'
-                    '</operator>')
+    path.write_text(
+        '<operator version="1"><figures><listen address="[::1]:9"/><keep folder="/x"/></figures>'
+        "</operator>"
+    )
     said = read_operator(str(path)).figures
     assert (said.listen, said.readers) == (("::1", 9), 4)
     assert (said.keep, said.keep_each, said.error) == ("/x", 2500, 0.0)
@@ -574,5 +672,8 @@
     books.rows[1].terms[0] += 1
     books.kinds()
     books.findings.clear()
-    assert [event_of(line)[0] for line in books.logged] == [*["figures_finding"] * 2, "figures_cleared"]
+    assert [event_of(line)[0] for line in books.logged] == [
+        *["figures_finding"] * 2,
+        "figures_cleared",
+    ]
     assert event_of(books.logged[0])[1]["kind"] == "never entered"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,6 +29,7 @@
         if started:
             fleet.start()
         return fleet
+
     yield begin
     for fleet in begun:
         fleet.close()
@@ -50,11 +51,13 @@
     return max(span for _, span, *_ in fleet.changes()[changes:]) / SECOND / LEASE
 
 
-def test_a_holder_that_is_cut_off_deaf_or_mute_is_replaced_within_a_lease_and_clients_notice_nothing(fleet_of):
+def test_a_holder_that_is_cut_off_deaf_or_mute_is_replaced_within_a_lease_and_clients_notice_nothing(
+    fleet_of,
+):
     fleet = fleet_of(gateways=5, clients=5, rate=60.0)
     assert fleet.held()
     fleet.until(1)
-    for sort in "cut", "deaf", "mute":      # it reaches the judge all the while
+    for sort in "cut", "deaf", "mute":  # it reaches the judge all the while
         fleet.befall(Fault(0, LONG, sort, (fleet.holder(),)))
         assert replaced(fleet) < 2.5
         fleet.until(2 * LEASE)
@@ -69,7 +72,11 @@
     books = fleet.asked(fleet.holder())["books"]["books"]["entries"]
     served = sum(client.tally()["served"] for client in fleet.clients)
     assert fleet.broken(2_500) == [] and served > 300
-    assert books[-1]["wrong"] == [] and books[-1]["taken"] >= served and books[-1]["missing_count"] == 0
+    assert (
+        books[-1]["wrong"] == []
+        and books[-1]["taken"] >= served
+        and books[-1]["missing_count"] == 0
+    )
     assert [entry["fence"] for entry in books] == sorted(entry["fence"] for entry in books)
     assert not [line for line in closing(fleet) if "out of balance" in line]
 
@@ -82,7 +89,7 @@
         fleet.befall(Fault(0, span, sort, (name,)))
         if sort == "stop":
             assert replaced(fleet) < 2.5
-        fleet.until(4 * LEASE)      # it goes on, with all its timers due at once
+        fleet.until(4 * LEASE)  # it goes on, with all its timers due at once
         assert fleet.held()
     closing(fleet)
 
@@ -101,6 +108,7 @@
                         each.troubled.append(fleet.hub.now)
                         fleet.hub.later(LONG, each.program.tell, signal.SIGCONT)
             return len(stopped) < 2
+
         fleet.until(12, continued)
         fleet.until(4 * LEASE)
         found, late = fleet.wrong(), [act for act in fleet.judge.acts if not act.admitted]
@@ -108,7 +116,7 @@
         if guarded:
             assert found == [] and late
         else:
-            assert any("was taken" in line for line in found)      # without the fence the judge objects
+            assert any("was taken" in line for line in found)  # without the fence the judge objects
         fleet.close()
 
 
@@ -117,7 +125,7 @@
     assert fleet.held()
     names = [*fleet.gateways]
     others = [name for name in names if name != fleet.holder()]
-    fleet.befall(Fault(0, 500, "kill", tuple(others)))      # a majority, back within a lease
+    fleet.befall(Fault(0, 500, "kill", tuple(others)))  # a majority, back within a lease
     fleet.until(4 * LEASE)
     assert fleet.held()
     fleet.befall(Fault(0, 500, "kill", tuple(names)))
@@ -125,7 +133,7 @@
     assert fleet.held()
     last = fleet.holder()
     fleet.befall(Fault(0, 2 * SECOND, "cut", (last,)))
-    fleet.befall(Fault(0, 500, "end", (last,)))             # its planned end tells nobody
+    fleet.befall(Fault(0, 500, "end", (last,)))  # its planned end tells nobody
     assert replaced(fleet) < 2.5
     closing(fleet)
 
@@ -141,7 +149,7 @@
         assert fleet.until(2.0, lambda: fleet.holder() == before)
         spans.append(fleet.changes()[changes][1] / SECOND)
         fleet.until(4.0 if sort == "end" else 1.0)
-    assert sorted(spans)[1] < 0.5, spans        # of a lease of 3 s
+    assert sorted(spans)[1] < 0.5, spans  # of a lease of 3 s
     assert os.path.getsize(f"{fleet.folder}/n1/votes/n1.votes") > 20
     closing(fleet)
 
@@ -153,9 +161,14 @@
     twin = fleet.gateways["n1"].program
     alike = tmp_path / "operator.xml"
     alike.write_text(re.sub("<figures>.*</figures>", "", fleet.operator(fleet.gateways["n1"])))
-    second = subprocess.run([sys.executable, "-m", "corkgauge", "serve", "--operator", str(alike)],
-                            env={**os.environ, "EDGE_CONFIG": twin.config, "EDGE_LISTEN": "127.0.0.1:%d" % free_port()},
-                            capture_output=True, text=True, timeout=20, preexec_fn=tied(os.getpid()))
+    second = subprocess.run(
+        [sys.executable, "-m", "corkgauge", "serve", "--operator", str(alike)],
+        env={**os.environ, "EDGE_CONFIG": twin.config, "EDGE_LISTEN": "127.0.0.1:%d" % free_port()},
+        capture_output=True,
+        text=True,
+        timeout=20,
+        preexec_fn=tied(os.getpid()),
+    )
     assert second.returncode == 2 and "fellows" in second.stderr
     # One with a wrong key is alone, and the others go on.
     key = tmp_path / "key"
@@ -209,17 +222,44 @@
 """
 
 
-def test_a_command_runs_at_one_gateway_at_a_time_and_is_dead_when_the_duty_is_over(fleet_of, tmp_path):
+def test_a_command_runs_at_one_gateway_at_a_time_and_is_dead_when_the_duty_is_over(
+    fleet_of, tmp_path
+):
     fleet, out = fleet_of(gateways=3), tmp_path / "acts"
     assert fleet.held()
     out.touch()
-    commands = [subprocess.Popen(
-        [sys.executable, "-m", "corkgauge", "duties", "run", f"{fleet.gateways[name].folder}/figures.sock", "nightly",
-         "--grace", "0.05", "--margin", "0.1", "--", sys.executable, "-c", RECORD, str(out), name],
-        stdout=subprocess.PIPE, text=True, preexec_fn=tied(os.getpid())) for name in fleet.gateways]
+    commands = [
+        subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "corkgauge",
+                "duties",
+                "run",
+                f"{fleet.gateways[name].folder}/figures.sock",
+                "nightly",
+                "--grace",
+                "0.05",
+                "--margin",
+                "0.1",
+                "--",
+                sys.executable,
+                "-c",
+                RECORD,
+                str(out),
+                name,
+            ],
+            stdout=subprocess.PIPE,
+            text=True,
+            preexec_fn=tied(os.getpid()),
+        )
+        for name in fleet.gateways
+    ]
     try:
+
         def lines():
             return [line.split() for line in out.read_text().splitlines()]
+
         assert fleet.until(10, lambda: len(lines()) < 5)
         first = lines()[-1][2]
         fleet.befall(Fault(0, LONG, "stop", (first,)))
@@ -230,7 +270,7 @@
         assert fleet.until(10, lambda: lines()[-1][2] == second)
         said = lines()
         fences = [int(fence) for fence, *_ in said]
-        assert fences == sorted(fences)         # in the order written, and in time: never two at once
+        assert fences == sorted(fences)  # in the order written, and in time: never two at once
         by_fence = {}
         for fence, moment, name in said:
             by_fence.setdefault((int(fence), name), []).append(float(moment))
@@ -255,7 +295,7 @@
     fleet = fleet_of(started=False, seed=11, gateways=gateways, faults=faults)
     fleet.run(seconds + 1)
     assert fleet.befallen > 12
-    assert fleet.held(15)       # and all is well again afterwards
+    assert fleet.held(15)  # and all is well again afterwards
     assert len(fleet.changes()) >= 2
     closing(fleet)
 
@@ -265,24 +305,50 @@
     faults = drawn(5, names, 60, 0.5, 2)
     again = read("\n".join(fault.line() for fault in faults), names, ["e1"])
     assert [(each.sort, each.whom) for each in again] == [(each.sort, each.whom) for each in faults]
-    for line in ("at 1 cut n1", "at 1: cut", "at 1: nap n1", "at -1: stop n1", "at 1: lose 3", "at 1 for x: stop n1",
-                 "at 1: engine n1"):
+    for line in (
+        "at 1 cut n1",
+        "at 1: cut",
+        "at 1: nap n1",
+        "at -1: stop n1",
+        "at 1: lose 3",
+        "at 1 for x: stop n1",
+        "at 1: engine n1",
+    ):
         with pytest.raises(Unplayable):
             read(line, names, ["e1"])
 
 
 def test_a_rig_keeps_its_files_in_memory_where_there_is_room_for_them(tmp_path):
     assert in_memory(str(tmp_path), 1) == str(tmp_path)
-    assert in_memory(str(tmp_path), 1 << 62) is None and in_memory(str(tmp_path / "none"), 1) is None
+    assert (
+        in_memory(str(tmp_path), 1 << 62) is None and in_memory(str(tmp_path / "none"), 1) is None
+    )
 
 
 def test_drills_by_command_and_a_judge_that_objects(tmp_path):
     script = tmp_path / "day.txt"
-    script.write_text("".join(f"at {2 + 2 * n} for 1.9: cut n{n}\n" for n in (1, 2, 3)))     # one of them holds it
-    run = [sys.executable, "-m", "corkgauge", "drills", "run", str(script), "--seconds", "9", "--lease", "0.6",
-           "--json"]
-    runs = [subprocess.Popen([*run, *more], stdout=subprocess.PIPE, text=True, preexec_fn=tied(os.getpid()))
-            for more in ([], ["--without", "check"])]
+    script.write_text(
+        "".join(f"at {2 + 2 * n} for 1.9: cut n{n}\n" for n in (1, 2, 3))
+    )  # one of them holds it
+    run = [
+        sys.executable,
+        "-m",
+        "corkgauge",
+        "drills",
+        "run",
+        str(script),
+        "--seconds",
+        "9",
+        "--lease",
+        "0.6",
+        "--json",
+    ]
+    runs = [
+        subprocess.Popen(
+            [*run, *more], stdout=subprocess.PIPE, text=True, preexec_fn=tied(os.getpid())
+        )
+        for more in ([], ["--without", "check"])
+    ]
     said = []
     for process in runs:
         out, _ = process.communicate(timeout=60)
@@ -292,7 +358,12 @@
 
 
 def test_without_fellows_nothing_of_them_is_loaded():
-    code = ("import sys; from corkgauge.commands.serve import command; from corkgauge import daemon; "
-            "print([name for name in sys.modules if name.startswith(('corkgauge.fellows', 'corkgauge.duties', "
-            "'cryptography'))])")
-    assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
+    code = (
+        "import sys; from corkgauge.commands.serve import command; from corkgauge import daemon; "
+        "print([name for name in sys.modules if name.startswith(('corkgauge.fellows', 'corkgauge.duties', "
+        "'cryptography'))])"
+    )
+    assert (
+        subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
+        == "[]\n"
+    )
