--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -44,16 +44,32 @@
 
 # Bytes.
 
-FLOW = Template(256, [Field("sourceIPv4Address", 4), Field("destinationIPv4Address", 4),
-                      Field("ipNextHopIPv4Address", 4), Field("packetDeltaCount", 4),
-                      Field("octetDeltaCount", 4)])
-LINE = Template(258, [Field("lineCardId", 4), Field("exportedMessageTotalCount", 2),
-                      Field("exportedFlowRecordTotalCount", 2)], 1)
+FLOW = Template(
+    256,
+    [
+        Field("sourceIPv4Address", 4),
+        Field("destinationIPv4Address", 4),
+        Field("ipNextHopIPv4Address", 4),
+        Field("packetDeltaCount", 4),
+        Field("octetDeltaCount", 4),
+    ],
+)
+LINE = Template(
+    258,
+    [
+        Field("lineCardId", 4),
+        Field("exportedMessageTotalCount", 2),
+        Field("exportedFlowRecordTotalCount", 2),
+    ],
+    1,
+)
 # RFC 7011, appendix A (and RFC 3954, section 9, which has the same flows with a template set of 0).
 GOLDEN_TEMPLATE = "0002001c 01000005 00080004 000c0004 000f0004 00020004 00010004"
-GOLDEN_DATA = ("01000040 c000020c c00002fe c0000201 00001391 00518c81"
-               " c000021b c0000217 c0000202 000002ec 0005ef46"
-               " c0000238 c0000241 c0000203 00000005 00001986")
+GOLDEN_DATA = (
+    "01000040 c000020c c00002fe c0000201 00001391 00518c81"
+    " c000021b c0000217 c0000202 000002ec 0005ef46"
+    " c0000238 c0000241 c0000203 00000005 00001986"
+)
 GOLDEN_OPTIONS = "00030018 01020003 0001008d 00040029 0002002a 00020000"
 GOLDEN_OPTIONS_DATA = "01020014 00000001 015927d9 00000002 02b24fb2"
 
@@ -62,19 +78,23 @@
     message = Message(False, 1400)
     for template in FLOW, LINE:
         assert message.add(template_set(template, False), template.definition(False))
-    for values in (("192.0.2.12", "192.0.2.254", "192.0.2.1", 5009, 5344385),
-                   ("192.0.2.27", "192.0.2.23", "192.0.2.2", 748, 388934),
-                   ("192.0.2.56", "192.0.2.65", "192.0.2.3", 5, 6534)):
+    for values in (
+        ("192.0.2.12", "192.0.2.254", "192.0.2.1", 5009, 5344385),
+        ("192.0.2.27", "192.0.2.23", "192.0.2.2", 748, 388934),
+        ("192.0.2.56", "192.0.2.65", "192.0.2.3", 5, 6534),
+    ):
         assert message.add(256, FLOW.record([*map(ip, values[:3]), *values[3:]]))
     for values in (1, 345, 10201), (2, 690, 20402):
         message.add(258, LINE.record(values))
     data = message.data(1_000_000, 0, 7, 9)
-    assert data[16:] == bytes.fromhex(GOLDEN_TEMPLATE + GOLDEN_OPTIONS + GOLDEN_DATA + GOLDEN_OPTIONS_DATA)
+    assert data[16:] == bytes.fromhex(
+        GOLDEN_TEMPLATE + GOLDEN_OPTIONS + GOLDEN_DATA + GOLDEN_OPTIONS_DATA
+    )
     heard = Decoder().message(data)
     assert (heard.sequence, heard.domain, heard.exported, len(heard.records)) == (7, 9, 1000, 3)
     assert heard.records[1]["octetDeltaCount"] == 388934 and heard.options[1]["lineCardId"] == 2
     assert FLOW.definition(True) == bytes.fromhex(GOLDEN_TEMPLATE)[4:]
-    assert LINE.definition(True)[:6] == bytes.fromhex("0102 0004 0008")     # octets, not counts
+    assert LINE.definition(True)[:6] == bytes.fromhex("0102 0004 0008")  # octets, not counts
 
 
 def test_strings_of_variable_length():
@@ -83,32 +103,68 @@
     assert template.record((), [b"x" * 1000]) == b"\xff\x03\xe8" + b"x" * 1000
 
 
-def delta(flow=1, forward=100, reverse=50, reason=ENDED, family=4, side=EGRESS, engine="e1", hall="hall-a",
-          first=1000,
-          last=2000):
+def delta(
+    flow=1,
+    forward=100,
+    reverse=50,
+    reason=ENDED,
+    family=4,
+    side=EGRESS,
+    engine="e1",
+    hall="hall-a",
+    first=1000,
+    last=2000,
+):
     size = {4: 4, 6: 16, 0: 0}[family]
-    return Delta(flow, side, family, b"\x7f" * size, 4000 + flow % 999, b"\x0a" * size, 9090, engine, hall,
-                 first, last,
-                 forward, reverse, reason)
+    return Delta(
+        flow,
+        side,
+        family,
+        b"\x7f" * size,
+        4000 + flow % 999,
+        b"\x0a" * size,
+        9090,
+        engine,
+        hall,
+        first,
+        last,
+        forward,
+        reverse,
+        reason,
+    )
 
 
 KINDS = codec.OWN_LAYOUT, codec.STANDARD, codec.NETFLOW9
 deltas = strategies.builds(
-    delta, flow=strategies.integers(1, 10 ** 6), forward=strategies.integers(0, 2 ** 40),
-    reverse=strategies.integers(0, 2 ** 33), reason=strategies.integers(1, 5),
+    delta,
+    flow=strategies.integers(1, 10**6),
+    forward=strategies.integers(0, 2**40),
+    reverse=strategies.integers(0, 2**33),
+    reason=strategies.integers(1, 5),
     family=strategies.sampled_from((0, 4, 6)),
-    side=strategies.integers(0, 1), engine=strategies.text(max_size=80),
-    first=strategies.integers(0, 2 ** 41),
-    last=strategies.integers(0, 2 ** 41))
+    side=strategies.integers(0, 1),
+    engine=strategies.text(max_size=80),
+    first=strategies.integers(0, 2**41),
+    last=strategies.integers(0, 2**41),
+)
 
 
 def octets(heard):
-    return sum(record["octetDeltaCount"] + record.get("reverseOctetDeltaCount", 0) + record.get(
-        "postOctetDeltaCount", 0) for each in heard for record in each.records)
+    return sum(
+        record["octetDeltaCount"]
+        + record.get("reverseOctetDeltaCount", 0)
+        + record.get("postOctetDeltaCount", 0)
+        for each in heard
+        for record in each.records
+    )
 
 
 @settings(max_examples=120, deadline=None)
-@given(strategies.sampled_from(KINDS), strategies.lists(deltas, max_size=30), strategies.integers(512, 3000))
+@given(
+    strategies.sampled_from(KINDS),
+    strategies.lists(deltas, max_size=30),
+    strategies.integers(512, 3000),
+)
 def test_whatever_is_encoded_is_decoded_within_the_limit(kind, several, limit):
     session, decoder, queue = Session(Layout(kind, "n1"), 77, limit, 0), Decoder(), [*several]
     statistics = Counter()
@@ -122,17 +178,25 @@
     heard = [decoder.message(data) for data in messages]
     assert told == several and all(len(data) <= limit for data in messages)
     assert octets(heard) == sum(each.octets for each in several)
-    assert not any(each.missed or each.unknown for each in heard) and all(each.domain == 77 for each in heard)
+    assert not any(each.missed or each.unknown for each in heard) and all(
+        each.domain == 77 for each in heard
+    )
     if kind == codec.OWN_LAYOUT:
         assert sorted(record["engineId"] for each in heard for record in each.records) == sorted(
-            each.engine.encode()[:64].decode(errors="replace") for each in told)
-    if kind != codec.OWN_LAYOUT:    # the standard decoder knows neither variable lengths nor enterprises
+            each.engine.encode()[:64].decode(errors="replace") for each in told
+        )
+    if (
+        kind != codec.OWN_LAYOUT
+    ):  # the standard decoder knows neither variable lengths nor enterprises
         templates = {"netflow": {}, "ipfix": {}}
-        theirs = [flow.data for data in messages for flow in parse_packet(data.hex(), templates).flows]
+        theirs = [
+            flow.data for data in messages for flow in parse_packet(data.hex(), templates).flows
+        ]
         names = ("octetDeltaCount",) if kind == codec.STANDARD else ("IN_BYTES", "OUT_BYTES")
-        statistics_records = kind == codec.STANDARD     # it takes options for flows
-        assert len(theirs) == sum(len(each.records) + statistics_records * len(each.options)
-                                  for each in heard)
+        statistics_records = kind == codec.STANDARD  # it takes options for flows
+        assert len(theirs) == sum(
+            len(each.records) + statistics_records * len(each.options) for each in heard
+        )
         assert sum(flow.get(each, 0) for flow in theirs for each in names) == octets(heard)
 
 
@@ -140,23 +204,36 @@
     for kind in codec.STANDARD, codec.NETFLOW9:
         session, ours = Session(Layout(kind, "n1"), 77, 1400, 500), Decoder()
         templates = {"netflow": {}, "ipfix": {}}
-        queue = [delta(1), delta(2, family=6, side=INGRESS), delta(3, forward=2 ** 35)]
-        messages = [*session.introduction(5_000, Counter()),
-                    session.data(6_000, lambda: queue.pop(0) if queue else None)[0]]
+        queue = [delta(1), delta(2, family=6, side=INGRESS), delta(3, forward=2**35)]
+        messages = [
+            *session.introduction(5_000, Counter()),
+            session.data(6_000, lambda: queue.pop(0) if queue else None)[0],
+        ]
         mine = [record for data in messages for record in ours.message(data).records]
-        theirs = [flow.data for data in messages for flow in parse_packet(data.hex(), templates).flows
-                  if "observationDomainId" not in flow.data]
+        theirs = [
+            flow.data
+            for data in messages
+            for flow in parse_packet(data.hex(), templates).flows
+            if "observationDomainId" not in flow.data
+        ]
         assert len(mine) == len(theirs) >= 3
         for ours_, other in zip(mine, theirs):
-            assert sorted(str(value) for key, value in ours_.items() if "Address" not in key) == sorted(
-                str(value) for key, value in other.items() if "ADDR" not in key and "Address" not in key)
+            assert sorted(
+                str(value) for key, value in ours_.items() if "Address" not in key
+            ) == sorted(
+                str(value)
+                for key, value in other.items()
+                if "ADDR" not in key and "Address" not in key
+            )
 
 
 def messages_of(kind=codec.OWN_LAYOUT):
     session = Session(Layout(kind, "n1"), 77, 1400, 0)
     queue = [delta(n, family=(4, 6)[n % 2]) for n in range(9)]
-    return [*session.introduction(5_000, Counter()), session.data(6_000,
-                                                                  lambda: queue.pop(0) if queue else None)[0]]
+    return [
+        *session.introduction(5_000, Counter()),
+        session.data(6_000, lambda: queue.pop(0) if queue else None)[0],
+    ]
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -168,29 +245,47 @@
             for _ in range(chance.randint(1, 5)):
                 bad[chance.randrange(len(bad))] = chance.randrange(256)
             try:
-                decoder.message(bytes(bad[:chance.choice((len(bad), chance.randrange(len(bad) + 1)))]))
+                decoder.message(
+                    bytes(bad[: chance.choice((len(bad), chance.randrange(len(bad) + 1)))])
+                )
             except Malformed as problem:
                 assert "\n" not in str(problem)
-    assert len(decoder.templates) <= 1000 and len(decoder.types) < 1100 and len(decoder.expected) <= 1001
+    assert (
+        len(decoder.templates) <= 1000
+        and len(decoder.types) < 1100
+        and len(decoder.expected) <= 1001
+    )
 
 
 @given(strategies.binary(max_size=200))
 def test_any_bytes_are_no_crash(data):
-    for head in b"", b"\0\x0a", b"\0\x09", b"\0\x0a" + (len(data) + 16).to_bytes(2, "big") + bytes(12):
+    for head in (
+        b"",
+        b"\0\x0a",
+        b"\0\x09",
+        b"\0\x0a" + (len(data) + 16).to_bytes(2, "big") + bytes(12),
+    ):
         try:
             Decoder().message(head + data)
         except Malformed:
             pass
 
 
-@pytest.mark.parametrize("body, wrong", [
-    ("0002 0003", "a set of 3 octets"), ("0002 0040", "a set of 64"), ("0004 0004", "set 4"),
-    ("0002 000c 00ff 0001 0001 0004", "template 255"), ("0002 000c 0100 0001 0001 0000", "of length 0"),
-    ("0002 000c 0100 0002 0001 0004", "cut short"), ("0002 000c 0100 0001 8001 0004", "cut short"),
-    ("0003 000e 0100 0001 0002 0001 0004", "as scope"),
-    ("0002 000c 0100 0001 0001 0004 0100 0007 000001", "padding"),
-    ("0002 000c 0100 0001 0052 ffff 0100 0008 0964 6464", "cut short"),
-])
+@pytest.mark.parametrize(
+    "body, wrong",
+    [
+        ("0002 0003", "a set of 3 octets"),
+        ("0002 0040", "a set of 64"),
+        ("0004 0004", "set 4"),
+        ("0002 000c 00ff 0001 0001 0004", "template 255"),
+        ("0002 000c 0100 0001 0001 0000", "of length 0"),
+        ("0002 000c 0100 0002 0001 0004", "cut short"),
+        ("0002 000c 0100 0001 8001 0004", "cut short"),
+        ("0003 000e 0100 0001 0002 0001 0004", "as scope"),
+        ("0002 000c 0100 0001 0001 0004 0100 0007 000001", "padding"),
+        ("0002 000c 0100 0001 0052 ffff 0100 0008 0964 6464", "cut short"),
+    ],
+)
 def test_what_does_not_fit_is_malformed(body, wrong):
     data = bytes.fromhex(body)
     with pytest.raises(Malformed, match=wrong):
@@ -201,8 +296,9 @@
     session, decoder = Session(Layout(codec.OWN_LAYOUT, "n1"), 7, 1400, 0), Decoder()
     queue = [delta(n) for n in range(60)]
     introduction = session.introduction(0, Counter())
-    first, (lost, gone, _), third = (session.data(0, lambda: queue.pop(0) if queue else None)
-                                     for _ in range(3))
+    first, (lost, gone, _), third = (
+        session.data(0, lambda: queue.pop(0) if queue else None) for _ in range(3)
+    )
     for data in (*introduction, first[0]):
         assert decoder.message(data).missed == 0
     assert decoder.message(third[0]).missed == len(gone) > 0
@@ -214,7 +310,9 @@
     whole = b"".join(messages_of())
     for step in 1, 3, 700:
         stream = Stream()
-        found = [each for at in range(0, len(whole), step) for each in stream.feed(whole[at:at + step])]
+        found = [
+            each for at in range(0, len(whole), step) for each in stream.feed(whole[at : at + step])
+        ]
         assert found == messages_of()
     with pytest.raises(Malformed):
         Stream().feed(b"\0\x09\0\x20")
@@ -222,12 +320,17 @@
 
 # Timeouts.
 
+
 @settings(max_examples=60, deadline=None)
-@given(strategies.lists(strategies.tuples(strategies.integers(0, 2), strategies.integers(1, 900)),
-                        max_size=80))
+@given(
+    strategies.lists(
+        strategies.tuples(strategies.integers(0, 2), strategies.integers(1, 900)), max_size=80
+    )
+)
 def test_the_wheel_is_a_plain_list_of_due_times(steps):
     class Entry:
         due = 0
+
     wheel, model, now = Wheel(8, 10), {}, 0
     for what, value in steps:
         if what == 0:
@@ -241,11 +344,14 @@
             del model[entry]
         else:
             now += value
-            expected, due = {entry for entry, when in model.items() if when // 10 <= now // 10}, set()
+            expected, due = (
+                {entry for entry, when in model.items() if when // 10 <= now // 10},
+                set(),
+            )
             for entry in wheel.advance(now):
                 due.add(entry)
                 del model[entry]
-                if value % 3 == 0:      # put again while others are given
+                if value % 3 == 0:  # put again while others are given
                     wheel.put(entry, now + value % 7)
                     model[entry] = entry.due
             assert due >= expected and all(when // 10 > now // 10 for when in model.values())
@@ -275,10 +381,17 @@
         meter.advance(now)
     meter.over(flow, ENDED, 600 * SECOND)
     meter.over(flow, ENDED, 600 * SECOND)
-    assert [each.reason for each in told] == [*[ACTIVE] * (len(told) - 1), ENDED] and 9 <= len(told) <= 12
-    assert sum(each.forward for each in told) == link.sent and sum(each.reverse for each in told) == link.got
-    assert all(one.last == other.first for one, other in zip(told,
-                                                             told[1:])) and len({d.flow for d in told}) == 1
+    assert [each.reason for each in told] == [*[ACTIVE] * (len(told) - 1), ENDED] and 9 <= len(
+        told
+    ) <= 12
+    assert (
+        sum(each.forward for each in told) == link.sent
+        and sum(each.reverse for each in told) == link.got
+    )
+    assert (
+        all(one.last == other.first for one, other in zip(told, told[1:]))
+        and len({d.flow for d in told}) == 1
+    )
     assert meter.octets == link.got + link.sent and not meter.flows and not len(meter.wheel)
 
 
@@ -291,7 +404,10 @@
         meter.advance(now)
         if now == 50 * SECOND:
             link.sent = 3
-    assert [(each.reason, each.forward, each.reverse) for each in told] == [(IDLE, 7, 0), (IDLE, 0, 3)]
+    assert [(each.reason, each.forward, each.reverse) for each in told] == [
+        (IDLE, 7, 0),
+        (IDLE, 0, 3),
+    ]
     assert told[0].flow != told[1].flow and meter.untold() == 0
 
 
@@ -312,6 +428,7 @@
 
 # What is held.
 
+
 @settings(max_examples=100, deadline=None)
 @given(strategies.lists(strategies.tuples(deltas, strategies.integers(0, 3)), max_size=150))
 def test_nothing_of_the_totals_is_lost_within_the_bound(steps):
@@ -326,7 +443,9 @@
         elif what == 2 and under_way:
             told += under_way.pop().octets
         assert len(held) <= held.most
-        recount = sum(d.octets for table in (held.ended, held.live, held.gathered) for d in table.values())
+        recount = sum(
+            d.octets for table in (held.ended, held.live, held.gathered) for d in table.values()
+        )
         assert held.octets == recount
         assert held.measured == told + held.octets + sum(d.octets for d in under_way) + held.dropped
 
@@ -341,24 +460,35 @@
         held.add(delta(n, engine=f"other{n}", hall=f"hall{n % 40}"))
     assert len(held) <= 20 and held.dropped == 0 and held.measured == held.octets
     assert any(each.engine == "(others)" for each in held.gathered.values())
-    assert sum(each.flows for each in held.gathered.values()) + len(held.ended) + len(held.live) >= 900
+    assert (
+        sum(each.flows for each in held.gathered.values()) + len(held.ended) + len(held.live) >= 900
+    )
     held.drop()
-    assert (len(held), held.octets) == (0, 0) and held.measured == held.dropped and held.dropped_flows > 900
+    assert (
+        (len(held), held.octets) == (0, 0)
+        and held.measured == held.dropped
+        and held.dropped_flows > 900
+    )
 
 
 # Whom to tell.
 
+
 class Desk:
     """A keeper on a fake clock, with collectors that take everything while they are well."""
 
-    def __init__(self, *datagrams, memory=10 ** 6, seed=1):
+    def __init__(self, *datagrams, memory=10**6, seed=1):
         self.now, self.logged, self.sent, self.opened, self.closed = 0, [], [], [], []
         self.well = {}
-        self.peers = [Peer(f"c{n}", each, 1400, 300 * SECOND, 1000) for n, each in enumerate(datagrams)]
+        self.peers = [
+            Peer(f"c{n}", each, 1400, 300 * SECOND, 1000) for n, each in enumerate(datagrams)
+        ]
         self.well = {peer: True for peer in self.peers}
         self.full = set()
         self.held = Held(memory)
-        self.keeper = Keeper(self, Layout(codec.OWN_LAYOUT, "n1"), 7, self.peers, self.held, seed, 0)
+        self.keeper = Keeper(
+            self, Layout(codec.OWN_LAYOUT, "n1"), 7, self.peers, self.held, seed, 0
+        )
 
     def open(self, peer):
         self.opened.append((self.now, peer))
@@ -412,7 +542,9 @@
         desk.run(SECOND // 10, SECOND // 10)
     assert desk.keeper.told == 0 and len(desk.held) == 50 and desk.held.dropped == 0
     tries = [when for when, _ in desk.closed]
-    assert 3 <= len(tries) <= 12 and tries[-1] - tries[-2] > 20 * SECOND    # further and further apart
+    assert (
+        3 <= len(tries) <= 12 and tries[-1] - tries[-2] > 20 * SECOND
+    )  # further and further apart
     assert sum("not reached" in line for line in desk.logged) == 1
     desk.well[desk.peers[0]] = True
     desk.run(90 * SECOND)
@@ -447,12 +579,14 @@
     desk.run(1000, writes=False)
     peer = desk.peers[0]
     sent = [data for _, _, data in desk.sent]
-    ends = [sum(map(len, sent[:n + 1])) for n in range(len(sent))]
-    desk.keeper.wrote(peer, ends[-3] + 10, desk.now)    # the last but one is torn, the last has not begun
+    ends = [sum(map(len, sent[: n + 1])) for n in range(len(sent))]
+    desk.keeper.wrote(
+        peer, ends[-3] + 10, desk.now
+    )  # the last but one is torn, the last has not begun
     told, unwritten = desk.keeper.told, peer.octets
     assert unwritten > 0
     desk.keeper.lost(peer, "reset", desk.now, in_system=11)
-    assert 0 < desk.keeper.unsure < told        # one whole message was in the system's hands
+    assert 0 < desk.keeper.unsure < told  # one whole message was in the system's hands
     # the torn one and the last are told in another session, as new
     assert desk.held.octets == unwritten
     desk.run(30 * SECOND)
@@ -460,8 +594,8 @@
     for _ in range(3):
         desk.keeper.add(delta(500))
     desk.run(SECOND)
-    desk.keeper.lost(peer, "reset", desk.now, in_system=10 ** 6)
-    assert desk.keeper.unsure >= 3 * 150        # in the system's hands: nobody knows, so it is told
+    desk.keeper.lost(peer, "reset", desk.now, in_system=10**6)
+    assert desk.keeper.unsure >= 3 * 150  # in the system's hands: nobody knows, so it is told
 
 
 def test_what_a_stream_still_holds_when_it_is_left_counts_as_repeated():
@@ -481,12 +615,14 @@
     desk.keeper.add(delta(1))
     desk.run(SECOND)
     assert desk.held.octets == 150 and desk.keeper.told == 0
-    desk.run(40 * SECOND)       # statistics came due meanwhile, and found no room either
+    desk.run(40 * SECOND)  # statistics came due meanwhile, and found no room either
     desk.full.clear()
     desk.run(40 * SECOND)
     assert desk.keeper.told == 150 and desk.decoded(peer) == 150
     decoder = Decoder()
-    assert not any(decoder.message(data).missed for _, _, data in desk.sent)    # numbers of what never went
+    assert not any(
+        decoder.message(data).missed for _, _, data in desk.sent
+    )  # numbers of what never went
     desk.keeper.add(delta(2))
     desk.run(8 * SECOND, writes=False)
     assert "collector c0 lost: it takes nothing" in desk.logged
@@ -508,9 +644,15 @@
     desk.run(130 * SECOND)
     decoder = Decoder()
     heard = [decoder.message(data) for _, _, data in desk.sent]
-    assert [each.templates > 0 for each in heard] == [True, *[False] * (len(heard) - 1)] and len(heard) == 5
-    assert all(option["observationDomainId"] == 7 for each in heard for option in each.options
-               if "observationDomainId" in option) and not any(each.missed for each in heard)
+    assert [each.templates > 0 for each in heard] == [True, *[False] * (len(heard) - 1)] and len(
+        heard
+    ) == 5
+    assert all(
+        option["observationDomainId"] == 7
+        for each in heard
+        for option in each.options
+        if "observationDomainId" in option
+    ) and not any(each.missed for each in heard)
 
 
 def test_gateways_come_back_at_different_moments():
@@ -525,19 +667,37 @@
 
 # Real collectors, on loopback; the clock alone is a fake.
 
+
 class Site:
     """A house with an exporter, and collectors beside it."""
 
-    def __init__(self, tmp_path, transports=("udp",), layout="own", mode="failover", tls="", contexts=None,
-                 memory=10 ** 6,
-                 active=2):
+    def __init__(
+        self,
+        tmp_path,
+        transports=("udp",),
+        layout="own",
+        mode="failover",
+        tls="",
+        contexts=None,
+        memory=10**6,
+        active=2,
+    ):
         self.premises = Premises(events=[listing(1, {})])
         self.path, self.layout, self.mode, self.tls, self.memory, self.active = (
-            tmp_path / "operator.xml", layout, mode, tls, memory, active)
+            tmp_path / "operator.xml",
+            layout,
+            mode,
+            tls,
+            memory,
+            active,
+        )
         self.heard, self.bytes = [[] for _ in transports], [[] for _ in transports]
-        self.collectors = [CollectorStandIn(self.premises.hub, each, self.taker(n),
-                                            context=(contexts or {}).get(n))
-                           for n, each in enumerate(transports)]
+        self.collectors = [
+            CollectorStandIn(
+                self.premises.hub, each, self.taker(n), context=(contexts or {}).get(n)
+            )
+            for n, each in enumerate(transports)
+        ]
         self.exporter = Exporter(self.premises.house, "n1", 7, self.said())
         self.client = self.engine = None
         self.tag, self.stream = "e1", 0
@@ -546,16 +706,20 @@
         def take(heard, data):
             self.heard[n].append(heard)
             self.bytes[n].append(data)
+
         return take
 
     def said(self, collectors=None):
         rows = ""
         for each in collectors or self.collectors:
-            rows += f'<collector address="127.0.0.1:{each.address[1]}" transport="{each.transport}">'
-            rows += f'{self.tls if each.transport == "tls" else ""}</collector>'
+            rows += (
+                f'<collector address="127.0.0.1:{each.address[1]}" transport="{each.transport}">'
+            )
+            rows += f"{self.tls if each.transport == 'tls' else ''}</collector>"
         self.path.write_text(
             f'<operator version="1"><flows layout="{self.layout}" mode="{self.mode}" idle="1" '
-            f'active="{self.active}" memory="{self.memory}">{rows}</flows></operator>')
+            f'active="{self.active}" memory="{self.memory}">{rows}</flows></operator>'
+        )
         return read_operator(str(self.path)).flows
 
     def serve(self, count):
@@ -565,8 +729,9 @@
         for _ in range(count):
             self.stream += 1
             self.premises.ask(self.client, request(self.stream))
-            self.premises.engine_says(self.engine, name(self.stream), "DONE", "chunks=1,spent=1,wanted=1",
-                                      "a\t\t\n")
+            self.premises.engine_says(
+                self.engine, name(self.stream), "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n"
+            )
             assert self.premises.answers(self.client)[-1][2] == b"\1"
             self.premises.heard(self.engine)
 
@@ -605,22 +770,35 @@
     assert site.told() == site.carried() > 1000 and site.collectors[0].wrong == []
     site.balanced()
     keeper = site.exporter.keepers["first"]
-    assert keeper.told == keeper.held.measured == site.told() and keeper.repeated == keeper.unsure == 0
+    assert (
+        keeper.told == keeper.held.measured == site.told() and keeper.repeated == keeper.unsure == 0
+    )
     assert not any(each.missed for each in site.heard[0])
     if layout != codec.OWN_LAYOUT:
         templates, total = {"netflow": {}, "ipfix": {}}, 0
         for data in site.bytes[0]:
-            total += sum(flow.data.get(key, 0) for flow in parse_packet(data.hex(), templates).flows
-                         for key in ("octetDeltaCount", "IN_BYTES", "OUT_BYTES"))
+            total += sum(
+                flow.data.get(key, 0)
+                for flow in parse_packet(data.hex(), templates).flows
+                for key in ("octetDeltaCount", "IN_BYTES", "OUT_BYTES")
+            )
         assert total == site.carried()
     else:
-        engines = [record for each in site.heard[0]
-                   for record in each.records if record["flowDirection"] == EGRESS]
-        assert engines and {(each["engineId"], each["hallName"], each["gatewayName"])
-                            for each in engines} == {
-            ("e1", "east", "n1")}
-        assert {option["informationElementName"] for each in site.heard[0] for option in each.options
-                if "informationElementName" in option} >= {"engineId", "hallName"}
+        engines = [
+            record
+            for each in site.heard[0]
+            for record in each.records
+            if record["flowDirection"] == EGRESS
+        ]
+        assert engines and {
+            (each["engineId"], each["hallName"], each["gatewayName"]) for each in engines
+        } == {("e1", "east", "n1")}
+        assert {
+            option["informationElementName"]
+            for each in site.heard[0]
+            for option in each.options
+            if "informationElementName" in option
+        } >= {"engineId", "hallName"}
 
 
 @pytest.mark.parametrize("transport", ["udp", "tcp"])
@@ -646,16 +824,20 @@
 def test_a_collector_that_accepts_and_never_reads(tmp_path):
     site = Site(tmp_path, ("tcp", "udp"))
     site.collectors[0].deaf = True
-    site.premises.house.stated.idle_time = 10 ** 9
+    site.premises.house.stated.idle_time = 10**9
     for _ in range(400):
-        for n in range(250):        # more than a socket's buffers take
-            site.exporter.keepers["first"].add(delta(site.stream * 10 ** 6 + n))
+        for n in range(250):  # more than a socket's buffers take
+            site.exporter.keepers["first"].add(delta(site.stream * 10**6 + n))
         site.stream += 1
         site.go_on(0.1, 500)
     keeper = site.exporter.keepers["first"]
     assert keeper.difference() == 0 and keeper.holding == keeper.recount()
     assert any("it takes nothing" in line for line in site.premises.logged)
-    assert keeper.active is keeper.peers[1] and site.told(1) > 0 and len(keeper.held) <= keeper.held.most
+    assert (
+        keeper.active is keeper.peers[1]
+        and site.told(1) > 0
+        and len(keeper.held) <= keeper.held.most
+    )
 
 
 def test_a_collector_that_resets_at_every_template(tmp_path):
@@ -663,7 +845,7 @@
     site.collectors[0].resets_templates = True
     site.serve(3)
     site.go_on(20)
-    assert 2 <= site.collectors[0].sessions <= 12       # further and further apart
+    assert 2 <= site.collectors[0].sessions <= 12  # further and further apart
     site.balanced()
     site.collectors[0].resets_templates = False
     site.go_on(60)
@@ -676,15 +858,20 @@
     site = Site(tmp_path)
     site.go_on(1)
     site.serve(2)
-    site.premises.house.event("2", __import__("json").dumps(listing(
-        2, {"state": "DELETED"}, {"id": "e9"}, full=False)))
+    site.premises.house.event(
+        "2", __import__("json").dumps(listing(2, {"state": "DELETED"}, {"id": "e9"}, full=False))
+    )
     site.tag = "e9"
     site.serve(2)
     site.exporter.end()
     site.go_on(0.1)
     site.premises.turn(20)
-    names = Counter(record["engineId"] for each in site.heard[0] for record in each.records
-                    if record["flowDirection"] == EGRESS)
+    names = Counter(
+        record["engineId"]
+        for each in site.heard[0]
+        for record in each.records
+        if record["flowDirection"] == EGRESS
+    )
     assert set(names) == {"e1", "e9"} and site.told() == site.carried()
 
 
@@ -741,15 +928,21 @@
 
     def write(sock, inner=""):
         transport = "tls" if inner else "udp"
-        path.write_text(f'<operator version="1"><figures><listen unix="{tmp_path}/{sock}"/></figures><flows>'
-                        f'<collector address="127.0.0.1:9" transport="{transport}">{inner}</collector>'
-                        '</flows></operator>')
+        path.write_text(
+            f'<operator version="1"><figures><listen unix="{tmp_path}/{sock}"/></figures><flows>'
+            f'<collector address="127.0.0.1:9" transport="{transport}">{inner}</collector>'
+            "</flows></operator>"
+        )
+
     write("one")
     beside = Beside(premises.house, SimpleNamespace(name="n1", seed=7, mark=1), str(path))
     write("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
     beside.reload()
     assert "operator file not taken: flows:" in premises.logged[-1]
-    assert beside.running["figures"].door.where == f"{tmp_path}/one" and not (tmp_path / "two").exists()
+    assert (
+        beside.running["figures"].door.where == f"{tmp_path}/one"
+        and not (tmp_path / "two").exists()
+    )
     assert beside.running["flows"].said.collectors[0].transport == "udp"
 
 
@@ -763,20 +956,32 @@
 
 # TLS.
 
+
 def certificate(folder, label, common, issuer=None, days=30, key_mode=0o600, since=-2):
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common)])
     now = datetime.now(timezone.utc)
-    built = (x509.CertificateBuilder().subject_name(subject).issuer_name(issuer[1] if issuer else subject)
-             .public_key(key.public_key()).serial_number(x509.random_serial_number())
-             .not_valid_before(now + timedelta(days=since)).not_valid_after(now + timedelta(days=days))
-             .add_extension(x509.BasicConstraints(issuer is None, None), True)
-             .add_extension(x509.SubjectAlternativeName([x509.DNSName(common)]), False)
-             .sign(issuer[0] if issuer else key, hashes.SHA256()))
+    built = (
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .issuer_name(issuer[1] if issuer else subject)
+        .public_key(key.public_key())
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(now + timedelta(days=since))
+        .not_valid_after(now + timedelta(days=days))
+        .add_extension(x509.BasicConstraints(issuer is None, None), True)
+        .add_extension(x509.SubjectAlternativeName([x509.DNSName(common)]), False)
+        .sign(issuer[0] if issuer else key, hashes.SHA256())
+    )
     paths = folder / f"{label}.crt", folder / f"{label}.key"
     paths[0].write_bytes(built.public_bytes(serialization.Encoding.PEM))
-    paths[1].write_bytes(key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                                           serialization.NoEncryption()))
+    paths[1].write_bytes(
+        key.private_bytes(
+            serialization.Encoding.PEM,
+            serialization.PrivateFormat.PKCS8,
+            serialization.NoEncryption(),
+        )
+    )
     paths[1].chmod(key_mode)
     return key, subject, *map(str, paths)
 
@@ -795,8 +1000,12 @@
     own = certificate(tmp_path, "server", "collector.test", ca, **said)
     mine = certificate(tmp_path, "client", "n1", ca)
     files = f' certificate="{mine[2]}" key="{mine[3]}"' if ours else ""
-    return Site(tmp_path, ("tls",), tls=f'<tls ca="{ca[2]}" name="{expected}"{files}/>',
-                contexts={0: server(ca, own, True)}), ca
+    return Site(
+        tmp_path,
+        ("tls",),
+        tls=f'<tls ca="{ca[2]}" name="{expected}"{files}/>',
+        contexts={0: server(ca, own, True)},
+    ), ca
 
 
 def test_records_go_under_tls_with_a_certificate_of_ours_and_a_renewed_one(tmp_path):
@@ -805,7 +1014,7 @@
     site.serve(3)
     site.go_on(3)
     assert site.told() == site.carried() and site.collectors[0].wrong == []
-    renewed = certificate(tmp_path, "client", "n1 renewed", ca)     # the same files, while it sends
+    renewed = certificate(tmp_path, "client", "n1 renewed", ca)  # the same files, while it sends
     assert renewed[3].endswith("client.key")
     site.exporter.reload(site.said())
     site.serve(3)
@@ -814,12 +1023,17 @@
     site.balanced()
 
 
-@pytest.mark.parametrize("said, why", [
-    (dict(expected="other.test"), "Hostname mismatch"), (dict(days=-1), "certificate has expired"),
-    (dict(ours=False), "tls|closed|reset"),
-])
+@pytest.mark.parametrize(
+    "said, why",
+    [
+        (dict(expected="other.test"), "Hostname mismatch"),
+        (dict(days=-1), "certificate has expired"),
+        (dict(ours=False), "tls|closed|reset"),
+    ],
+)
 def test_a_collector_that_is_not_who_it_should_be_is_told_nothing(tmp_path, said, why):
     import re
+
     site, _ = sealed(tmp_path, **said)
     site.serve(3)
     site.go_on(8)
@@ -836,22 +1050,38 @@
         context_of(str(tmp_path / "nothing.crt"), "", "")
 
 
-@pytest.mark.parametrize("flows, wrong", [
-    ("<flows/>", "collector"), ('<flows><collector address="1.2.3.4:1" transport="x"/></flows>',
-                                "'transport'"),
-    ('<flows layout="netflow9"><collector address="1.2.3.4:1" transport="tcp"/></flows>', "transport udp"),
-    ('<flows><collector address="1.2.3.4:1" transport="tls"/></flows>', "an element tls"),
-    ('<flows><collector address="1.2.3.400:1" transport="udp"/></flows>', "ADDRESS:PORT"),
-    ('<flows><collector address="localhost:1" transport="udp"/></flows>', "'address'"),
-    ('<flows><collector address="1.2.3.4:1" transport="udp" payload="100"/></flows>', "'payload'"),
-    ('<flows><collector address="1.2.3.4:1" transport="udp" payload="65535"/></flows>', "65507"),
-    ('<flows><collector address="1.2.3.4:1" transport="tls"><tls ca="/c" name="n" key="/k"/></collector>'
-     '</flows>',
-     "certificate and key together"),
-    ('<flows><collector address="1.2.3.4:1" transport="udp"/><collector address="1.2.3.4:1" transport="tcp"/>'
-     '</flows>',
-     "different addresses"),
-])
+@pytest.mark.parametrize(
+    "flows, wrong",
+    [
+        ("<flows/>", "collector"),
+        ('<flows><collector address="1.2.3.4:1" transport="x"/></flows>', "'transport'"),
+        (
+            '<flows layout="netflow9"><collector address="1.2.3.4:1" transport="tcp"/></flows>',
+            "transport udp",
+        ),
+        ('<flows><collector address="1.2.3.4:1" transport="tls"/></flows>', "an element tls"),
+        ('<flows><collector address="1.2.3.400:1" transport="udp"/></flows>', "ADDRESS:PORT"),
+        ('<flows><collector address="localhost:1" transport="udp"/></flows>', "'address'"),
+        (
+            '<flows><collector address="1.2.3.4:1" transport="udp" payload="100"/></flows>',
+            "'payload'",
+        ),
+        (
+            '<flows><collector address="1.2.3.4:1" transport="udp" payload="65535"/></flows>',
+            "65507",
+        ),
+        (
+            '<flows><collector address="1.2.3.4:1" transport="tls"><tls ca="/c" name="n" key="/k"/></collector>'
+            "</flows>",
+            "certificate and key together",
+        ),
+        (
+            '<flows><collector address="1.2.3.4:1" transport="udp"/><collector address="1.2.3.4:1" transport="tcp"/>'
+            "</flows>",
+            "different addresses",
+        ),
+    ],
+)
 def test_faulty_flows_in_the_operator_file(tmp_path, flows, wrong):
     path = tmp_path / "operator.xml"
     path.write_text(f'<operator version="1">\n{flows}</operator>')
@@ -860,8 +1090,11 @@
     assert wrong in str(said.value) and "operator.xml:2" in str(said.value)
 
 
-@pytest.mark.parametrize("path", sorted((Path(__file__).parent.parent / "fuzz" / "seeds").glob("*.bin")),
-                         ids=lambda path: path.stem)
+@pytest.mark.parametrize(
+    "path",
+    sorted((Path(__file__).parent.parent / "fuzz" / "seeds").glob("*.bin")),
+    ids=lambda path: path.stem,
+)
 def test_seeds_of_the_fuzzer(path):
     chance, known, decoder = Random(3), seeds(), Decoder()
     one(decoder, path.read_bytes())
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -16,7 +16,7 @@
 from corkgauge.standins.hollow_fleet import Fleet
 
 HOME = Path(__file__).resolve().parent.parent
-MOST = 60               # seconds until something must have been seen; waited for, not slept
+MOST = 60  # seconds until something must have been seen; waited for, not slept
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
     fleet.cut(far)
     fleet.until_seen(far, False, MOST, of=near)
     fleet.until_seen(near, False, MOST, of=far)
-    assert fleet.view(far, True, of=far) == [4, 4]     # those on the same side go on with each other
+    assert fleet.view(far, True, of=far) == [4, 4]  # those on the same side go on with each other
     assert fleet.view(near, True, of=near) == [11, 11]
     fleet.cut([])
     fleet.until_known(MOST)
@@ -52,7 +52,11 @@
     assert second in fleet.managers and second != first
     voters = [each["members"] for each in fleet.counters()[2:]]
     assert [[*each] for each in voters] == [[name] for name in fleet.voters]
-    assert all(one["duties"] == [] and one["kinds_in"]["duty"] > 0 for each in voters for one in each.values())
+    assert all(
+        one["duties"] == [] and one["kinds_in"]["duty"] > 0
+        for each in voters
+        for one in each.values()
+    )
     assert fleet.bursts() > 0
 
 
@@ -65,10 +69,14 @@
 
 
 def test_the_processes_of_a_fleet_end_with_whoever_started_it():
-    said = ("import os, signal\nfrom corkgauge.standins.hollow_fleet import Fleet\n"
-            "fleet = Fleet(2, 2).__enter__()\nfleet.start()\n"
-            "print(*(crew.process.pid for crew in fleet.crews), flush=True)\nos.kill(os.getpid(), signal.SIGKILL)\n")
-    done = subprocess.run([sys.executable, "-c", said], cwd=HOME, capture_output=True, text=True, timeout=MOST)
+    said = (
+        "import os, signal\nfrom corkgauge.standins.hollow_fleet import Fleet\n"
+        "fleet = Fleet(2, 2).__enter__()\nfleet.start()\n"
+        "print(*(crew.process.pid for crew in fleet.crews), flush=True)\nos.kill(os.getpid(), signal.SIGKILL)\n"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", said], cwd=HOME, capture_output=True, text=True, timeout=MOST
+    )
     pids = [int(each) for each in done.stdout.split()]
     assert done.returncode == -9 and len(pids) == 5
     until = time.monotonic() + MOST
@@ -95,7 +103,9 @@
     assert (one.out, one.octets_out, one.held_back) == (2, 8, 1)
     assert [other.recv(99), other.recv(99)] == [b"four", b"more"]
     assert (other.got, other.octets_in) == (2, 8)
-    assert abs(other.noted[0] - hub.clock()) < 600_000      # tenths of a millisecond of the date, as a hub has it
+    assert (
+        abs(other.noted[0] - hub.clock()) < 600_000
+    )  # tenths of a millisecond of the date, as a hub has it
     assert other.worst(600_000) == 2 and other.worst(600_000) == 0
     with pytest.raises(BlockingIOError):
         other.recv(99)
@@ -105,8 +115,10 @@
         one.recv(99)
 
 
-@pytest.mark.parametrize("noted, most", [
-    ([], 0), ([5], 1), ([0, 99, 100], 2), ([0, 50, 99, 150, 199], 3), ([300, 0, 10], 2)])
+@pytest.mark.parametrize(
+    "noted, most",
+    [([], 0), ([5], 1), ([0, 99, 100], 2), ([0, 50, 99, 150, 199], 3), ([300, 0, 10], 2)],
+)
 def test_the_worst_span_of_arrivals(noted, most):
     wire = Wire()
     wire.note()
@@ -120,15 +132,23 @@
 
 
 def test_rows_foretell_full_size_from_smaller_sizes_alone_and_tell_the_error():
-    runs = [{"at": size, "processes": -(-size // 44), "elements": ["duties", "works", "shared"],
-             "values": {"fleet.rest.octets": [each, 3 * each]}}
-            for size, each in ((30, 30.0), (60, 60.0), (100, 100.0), (300, 300.0), (870, 580.0))]
-    row, = rows_of(runs, 870)
+    runs = [
+        {
+            "at": size,
+            "processes": -(-size // 44),
+            "elements": ["duties", "works", "shared"],
+            "values": {"fleet.rest.octets": [each, 3 * each]},
+        }
+        for size, each in ((30, 30.0), (60, 60.0), (100, 100.0), (300, 300.0), (870, 580.0))
+    ]
+    (row,) = rows_of(runs, 870)
     assert [each["at"] for each in row["points"]] == [30, 60, 100, 300]
     assert abs(row["foretold"]["value"] - 1740) < 1e-6 and row["checked"]["value"] == 1160
     assert abs(row["checked"]["error"] - 0.5) < 1e-6
-    assert rows_of([{**each, "processes": 50} for each in runs], 870) == []     # other processes: no part of a slope
-    row, = rows_of(runs[:3] + runs[4:], 870)
-    assert "fit" not in row and row["points"][0]["at"] == 870      # three sizes are no slope
-    row, = rows_of([{**each, "elements": ["duties", "works"]} for each in runs], 870)
+    assert (
+        rows_of([{**each, "processes": 50} for each in runs], 870) == []
+    )  # other processes: no part of a slope
+    (row,) = rows_of(runs[:3] + runs[4:], 870)
+    assert "fit" not in row and row["points"][0]["at"] == 870  # three sizes are no slope
+    (row,) = rows_of([{**each, "elements": ["duties", "works"]} for each in runs], 870)
     assert row["key"] == "fleet.rest.octets.without-shared"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,7 +23,7 @@
 from corkgauge.net.statement import tables_of
 from tests.yard import SECOND, STATED_ON_SOCKETS, Premises, listing, name, request
 
-PLENTY, ROW = 10 ** 7, "a\t\t\n"
+PLENTY, ROW = 10**7, "a\t\t\n"
 T1, U1 = name(1), name(99)
 
 
@@ -38,13 +38,31 @@
 
 
 FED = [
-    (ClientWire, request(1) + request(2, body=b"") + bytes.fromhex("0500000008010000000500000010030000000"
-                                                                   "600000002040000000a"), 5),
-    (EngineWire, command("a", "DONE", "chunks=2,l=inflight:3", "x\ty\n") + command("b", "WAIT", "-", "") +
-     command("a", "MORE", "at=1", "\r\n$3\r\n"), 3),
-    (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\nContent-Type: x\r\n\r\n: hi\n\nid: 4\ndata: {\ndata: }\n\n", 1),
-    (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nid: 4\n\r\n"
-     b"9;x\r\ndata: a\n\n\r\n1\r\n:\r\n", 1),
+    (
+        ClientWire,
+        request(1)
+        + request(2, body=b"")
+        + bytes.fromhex("0500000008010000000500000010030000000600000002040000000a"),
+        5,
+    ),
+    (
+        EngineWire,
+        command("a", "DONE", "chunks=2,l=inflight:3", "x\ty\n")
+        + command("b", "WAIT", "-", "")
+        + command("a", "MORE", "at=1", "\r\n$3\r\n"),
+        3,
+    ),
+    (
+        feed_wire.FeedWire,
+        b"HTTP/1.1 200 OK\r\nContent-Type: x\r\n\r\n: hi\n\nid: 4\ndata: {\ndata: }\n\n",
+        1,
+    ),
+    (
+        feed_wire.FeedWire,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nid: 4\n\r\n"
+        b"9;x\r\ndata: a\n\n\r\n1\r\n:\r\n",
+        1,
+    ),
 ]
 
 
@@ -81,38 +99,70 @@
         assert isinstance(wrong, str) and len(told) < 20
 
 
-@pytest.mark.parametrize("kind, data", [
-    (ClientWire, b"\4\0\0\0" + b"x" * 8), (ClientWire, b"\xff\xff\xff\xff"), (EngineWire, b"*4\r\n$-1\r\n"),
-    (EngineWire, b"*999999999\r\n"), (EngineWire, b"$3\r\nabc\r\n"), (EngineWire, b"*1\r\n$1\r\nab\r\n"),
-    (EngineWire, b"*4\r\n$16000\r\n" + b"x" * 17_000), (feed_wire.FeedWire, b"HTTP/1.1 503 no\r\n"),
-    (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
-    (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\n\r\ndata: \xff\n"),
-])
+@pytest.mark.parametrize(
+    "kind, data",
+    [
+        (ClientWire, b"\4\0\0\0" + b"x" * 8),
+        (ClientWire, b"\xff\xff\xff\xff"),
+        (EngineWire, b"*4\r\n$-1\r\n"),
+        (EngineWire, b"*999999999\r\n"),
+        (EngineWire, b"$3\r\nabc\r\n"),
+        (EngineWire, b"*1\r\n$1\r\nab\r\n"),
+        (EngineWire, b"*4\r\n$16000\r\n" + b"x" * 17_000),
+        (feed_wire.FeedWire, b"HTTP/1.1 503 no\r\n"),
+        (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
+        (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\n\r\ndata: \xff\n"),
+    ],
+)
 def test_framing_that_is_lost_is_said(kind, data):
     assert fed(kind, [data])[1]
 
 
 @pytest.mark.parametrize("head, told", [(b"id: 1\ndata: ", True), (b"", False)])
 def test_a_list_of_all_engines_is_taken_and_a_line_without_end_is_not(head, told):
-    servers = [{"id": f"{n:036x}", "addr": "10.11.12.13:9000", "zone": "east-1", "kind": "std-large", "cell": n // 3,
-                "state": "SERVING", "started_ms": 1_790_000_000_000} for n in range(2_400)]
-    event = json.dumps({"n": 1, "members": {"version": 1, "full": True, "servers": servers}}).encode()
+    servers = [
+        {
+            "id": f"{n:036x}",
+            "addr": "10.11.12.13:9000",
+            "zone": "east-1",
+            "kind": "std-large",
+            "cell": n // 3,
+            "state": "SERVING",
+            "started_ms": 1_790_000_000_000,
+        }
+        for n in range(2_400)
+    ]
+    event = json.dumps(
+        {"n": 1, "members": {"version": 1, "full": True, "servers": servers}}
+    ).encode()
     assert len(event) > 300_000
-    heard, wrong = fed(feed_wire.FeedWire, [b"HTTP/1.1 200 OK\r\n\r\n", head + event * (1 if told else 4)
-                                           + b"\n\n" * told])
+    heard, wrong = fed(
+        feed_wire.FeedWire,
+        [b"HTTP/1.1 200 OK\r\n\r\n", head + event * (1 if told else 4) + b"\n\n" * told],
+    )
     assert (len(heard), bool(wrong)) == ((1, False) if told else (0, True))
 
 
-@pytest.mark.parametrize("statement, group", [
-    (b"SELECT 'x from sales_3.a' FROM sales_17.orders", 17), (b"select 1", 0), (b"", 0), (b"\xff'\xfe", 0),
-    (b'select * from "sales_17"."orders"', 17), (b"insert into staging.x select a_2.y from ops_4.b a_2", 4),
-    (b"merge into ops_5.lines d using staging.delta s on d.id = s.id", 5),
-    (b"select /* from a_1.b */ x -- from a_2.b\n from c_3 . d", 3),
-    (b"select 'it''s from a_1.b' from q_9.z", 9),
-    (b"select 'never ends from a_1.b", 0), (b'select "a from b_1.c" from staging.t, x_8.y', 8),
-    (b"update `ops_6`.t set a = 1", 6), (b"WITH w AS (SELECT * FROM lake_0.o) SELECT * FROM w", 0),
-    (b"select * from (select n from ops_12.t) q", 12), (b"select id -- was: from mart_1.old\nFROM s_2.o", 2),
-])
+@pytest.mark.parametrize(
+    "statement, group",
+    [
+        (b"SELECT 'x from sales_3.a' FROM sales_17.orders", 17),
+        (b"select 1", 0),
+        (b"", 0),
+        (b"\xff'\xfe", 0),
+        (b'select * from "sales_17"."orders"', 17),
+        (b"insert into staging.x select a_2.y from ops_4.b a_2", 4),
+        (b"merge into ops_5.lines d using staging.delta s on d.id = s.id", 5),
+        (b"select /* from a_1.b */ x -- from a_2.b\n from c_3 . d", 3),
+        (b"select 'it''s from a_1.b' from q_9.z", 9),
+        (b"select 'never ends from a_1.b", 0),
+        (b'select "a from b_1.c" from staging.t, x_8.y', 8),
+        (b"update `ops_6`.t set a = 1", 6),
+        (b"WITH w AS (SELECT * FROM lake_0.o) SELECT * FROM w", 0),
+        (b"select * from (select n from ops_12.t) q", 12),
+        (b"select id -- was: from mart_1.old\nFROM s_2.o", 2),
+    ],
+)
 def test_the_group_of_tables_of_a_statement(statement, group):
     assert tables_of(statement) == group
 
@@ -130,7 +180,10 @@
             ring.filled(len(gap))
             model += b"g" * len(gap)
         size = chance.randrange(500)
-        assert bytes(ring.stretch()) == model[:len(ring.stretch())] and ring.take(size) == model[:size]
+        assert (
+            bytes(ring.stretch()) == model[: len(ring.stretch())]
+            and ring.take(size) == model[:size]
+        )
         model = model[size:]
         assert len(ring) == len(model) and allowance.held <= 60_000
     ring.close()
@@ -147,13 +200,13 @@
         clock[0] = now
         hub.turn(0)
     assert heard == [(0, 1010), (10, 1010), (20, 1020), (30, 1030)] and troubles == [1]
-    clock[0] = 0    # Danger: a clock set back
+    clock[0] = 0  # Danger: a clock set back
     hub.turn(0)
     assert hub.now == 1035 and hub.worst_lag == 9 and hub.lag == 0
     hub.later(0, lambda: clock.__setitem__(0, 2000))
     clock[0] = 1040
     hub.turn(0)
-    assert hub.lag == 965   # Danger: what comes now has waited as long
+    assert hub.lag == 965  # Danger: what comes now has waited as long
     hub.turn(0)
     hub.turn(0)
     assert hub.lag == 0
@@ -179,29 +232,56 @@
     premises.engine_says(engine, T1, "MORE", "at=1", "b\t\t\n")
     assert premises.answers(client) == [(4, 1, b"\1", b"a\t\t\nb\t\t\nc\t\t\n")]
     assert premises.heard(engine) == command("done", T1)
-    assert not premises.logged and premises.house.results.held == premises.house.statements.held == 0
-
-
-@pytest.mark.parametrize("stream, code, fields", [
-    (1, b"\3", {"route": "nowhere"}), (1, b"\3", {"customer": "nobody"}), (1, b"\3", {"patience": None}),
-    (1, b"\3", {"patience": "soon"}), (1, b"\3", {"weight": "-1"}), (1, b"\3", {"est_mb": "nan"}),
-    (1, b"\3", {"trace": ""}), (1, b"\3", {"trace": "a,b"}), (1, b"\3", {"entity": "xyz"}),
-    (1, b"\2", {"patience": "1"}), (1, b"\3", {"patience": "10001"}), (1, b"\3", {"patience": "inf"}),
-    (1, b"\3", {"weight": "0"}), (1, b"\3", {"weight": "1e9"}), (1, b"\3", {"est_mb": "1001"}),
-    (1, b"\3", {"trace": "9B1F03AA5C7E2D41"}), (1, b"\3", {"trace": "1" * 17}), (1, b"\3", {"body": b" "}),
-    (1, b"\3", {"entity": "0x1f"}), (1, b"\3", {"entity": "-1"}), (1, b"\3", {"route": "load"}),
-    (1, b"\3", {"body": b"select \xff"}), (1, b"\3", {"body": b"select \0"}), (1, b"\3", {"body": b""}),
-    (1, b"\3", {"trace": name(7)}),
-])
-def test_what_cannot_be_served_is_answered_on_its_stream_and_the_rest_lives_on(stream, code, fields):
+    assert (
+        not premises.logged and premises.house.results.held == premises.house.statements.held == 0
+    )
+
+
+@pytest.mark.parametrize(
+    "stream, code, fields",
+    [
+        (1, b"\3", {"route": "nowhere"}),
+        (1, b"\3", {"customer": "nobody"}),
+        (1, b"\3", {"patience": None}),
+        (1, b"\3", {"patience": "soon"}),
+        (1, b"\3", {"weight": "-1"}),
+        (1, b"\3", {"est_mb": "nan"}),
+        (1, b"\3", {"trace": ""}),
+        (1, b"\3", {"trace": "a,b"}),
+        (1, b"\3", {"entity": "xyz"}),
+        (1, b"\2", {"patience": "1"}),
+        (1, b"\3", {"patience": "10001"}),
+        (1, b"\3", {"patience": "inf"}),
+        (1, b"\3", {"weight": "0"}),
+        (1, b"\3", {"weight": "1e9"}),
+        (1, b"\3", {"est_mb": "1001"}),
+        (1, b"\3", {"trace": "9B1F03AA5C7E2D41"}),
+        (1, b"\3", {"trace": "1" * 17}),
+        (1, b"\3", {"body": b" "}),
+        (1, b"\3", {"entity": "0x1f"}),
+        (1, b"\3", {"entity": "-1"}),
+        (1, b"\3", {"route": "load"}),
+        (1, b"\3", {"body": b"select \xff"}),
+        (1, b"\3", {"body": b"select \0"}),
+        (1, b"\3", {"body": b""}),
+        (1, b"\3", {"trace": name(7)}),
+    ],
+)
+def test_what_cannot_be_served_is_answered_on_its_stream_and_the_rest_lives_on(
+    stream, code, fields
+):
     premises = Premises()
     client, engine = premises.client(), premises.engine()
-    assert served(premises, premises.client(), engine, 7)   # its id stands for it, whoever else names it
+    assert served(
+        premises, premises.client(), engine, 7
+    )  # its id stands for it, whoever else names it
     if "patience" in fields and fields["patience"] is None:
         fields = {**fields, "patience": ""}
     premises.ask(client, request(stream, **fields))
     assert [answer[:3] for answer in premises.answers(client)] == [(4, stream, code)]
-    assert served(premises, client, engine, 2, patience="5002")     # Danger: an honest one, a little over
+    assert served(
+        premises, client, engine, 2, patience="5002"
+    )  # Danger: an honest one, a little over
     premises.ask(client, bytes.fromhex("05000000630900000005000000100a000000"))
     assert [answer[:3] for answer in premises.answers(client)] == [(4, 0, b"\3"), (32, 10, b"\1")]
 
@@ -209,42 +289,62 @@
 def test_what_is_taken_back_or_makes_no_sense_in_one_go_reaches_no_engine():
     premises = Premises()
     engine = premises.engine()
-    taken_back = b"".join(bytes.fromhex("0500000008") + k.to_bytes(4, "little") for k in range(1, 31))
+    taken_back = b"".join(
+        bytes.fromhex("0500000008") + k.to_bytes(4, "little") for k in range(1, 31)
+    )
     for n, last in enumerate([taken_back, b"\0\0\0\0", request(30)], 1):
         client = premises.client()
-        sent = [request(k, trace=name(100 * n + k), body=b"from s_3.t" + b" " * 600) for k in range(1, 31)]
+        sent = [
+            request(k, trace=name(100 * n + k), body=b"from s_3.t" + b" " * 600)
+            for k in range(1, 31)
+        ]
         premises.ask(client, b"".join(sent) + last)
         client.close()
     assert b"fetch" not in premises.heard(engine) and not premises.house.errands
     client = premises.client()
     client.sendall(request(1) + request(2)[:50])
-    premises.pass_time(150)     # what is behind it does not hold it up for long
+    premises.pass_time(150)  # what is behind it does not hold it up for long
     assert premises.heard(engine).count(b"fetch") == 1
 
 
 TURNED_OUT = [  # what a client sends, how much later the rest of it, the answers before the reason
-    ([], []), ([b"GET / HTTP/1.1\r\n\r\n"], []), ([b"\0\0\0\x80" + b"x" * 50], []), ([b"\0\0\0\0"], []),
-    ([request()[:9]], []), ([request()[n:n + 1] for n in range(40)], []),
-    ([request(), request(2)[:30]], [1]), ([request(), request(body=b"drop table s_3.t")], [1]),
+    ([], []),
+    ([b"GET / HTTP/1.1\r\n\r\n"], []),
+    ([b"\0\0\0\x80" + b"x" * 50], []),
+    ([b"\0\0\0\0"], []),
+    ([request()[:9]], []),
+    ([request()[n : n + 1] for n in range(40)], []),
+    ([request(), request(2)[:30]], [1]),
+    ([request(), request(body=b"drop table s_3.t")], [1]),
     ([request(n, route="nowhere") for n in range(1, 40)], range(1, 34)),
     ([request(n) for n in range(1, 99)], [*range(33, 66), *range(1, 33)]),
-    ([request(n) + bytes.fromhex("0500000008") + n.to_bytes(4, "little") for n in range(1, 40)], []),
+    (
+        [request(n) + bytes.fromhex("0500000008") + n.to_bytes(4, "little") for n in range(1, 40)],
+        [],
+    ),
 ]
 
 
 @pytest.mark.parametrize("sent, answered", TURNED_OUT)
-def test_a_client_that_cannot_be_served_is_told_within_two_seconds_and_harms_no_other(sent, answered):
+def test_a_client_that_cannot_be_served_is_told_within_two_seconds_and_harms_no_other(
+    sent, answered
+):
     premises = Premises()
     good, bad, engine = premises.client(), premises.client(), premises.engine()
     premises.ask(good, bytes.fromhex("05000000100a000000"))
     for piece in sent:
         premises.ask(bad, piece)
-        premises.time += 400 if len(sent) == 40 else 0   # dripped: each byte is a sign, the frame is none
+        premises.time += (
+            400 if len(sent) == 40 else 0
+        )  # dripped: each byte is a sign, the frame is none
     if sent:
-        premises.ask(bad, b"x" * 9)     # it still sends: its last answer must not be lost for that
+        premises.ask(bad, b"x" * 9)  # it still sends: its last answer must not be lost for that
     premises.pass_time(27_000)
     answers = premises.answers(bad)
-    assert [answer[1] for answer in answers] == [*answered, 0] and {a[2] for a in answers} <= {b"\2", b"\3"}
+    assert [answer[1] for answer in answers] == [*answered, 0] and {a[2] for a in answers} <= {
+        b"\2",
+        b"\3",
+    }
     assert bad.recv(9) == b"" and len(premises.house.callers) == 1 and not premises.house.names
     assert served(premises, good, engine, 1, trace=name(500)) and not premises.house.rings.held
 
@@ -261,7 +361,9 @@
     assert house.make_room()
     premises.turn()
     assert len(premises.answers(once)) == 1 and once.recv(9) == silent.recv(9) == b""
-    premises.pass_time(600)     # what crossed the end is read and dropped: a close over it would be a reset
+    premises.pass_time(
+        600
+    )  # what crossed the end is read and dropped: a close over it would be a reset
     unread.sendall(b"x")
     assert len(house.callers) == 2 and not house.make_room()
     premises.engine_says(engine, name(1), "DONE", "chunks=1", "a\t\t\n")
@@ -280,8 +382,12 @@
 
     def __init__(self, premises, monkeypatch, tmp_path):
         self.premises, self.ends, self.file = premises, {}, tmp_path / "c.json"
-        self.said = {"name": "n", "listen": "127.0.0.1:1", "feed": "127.0.0.1:2",
-                     "settings": STATED_ON_SOCKETS}
+        self.said = {
+            "name": "n",
+            "listen": "127.0.0.1:1",
+            "feed": "127.0.0.1:2",
+            "settings": STATED_ON_SOCKETS,
+        }
         monkeypatch.setattr("corkgauge.net.feed.dial", self.dial)
         self.source = Source(premises.house, configuration.Post(self.said, ""))
         premises.turn()
@@ -304,15 +410,25 @@
 
 def test_a_new_configuration_moves_the_feed_and_disturbs_nothing(monkeypatch, tmp_path):
     premises = Premises()
-    client, engine, feeds = premises.client(), premises.engine(), Feeds(premises, monkeypatch, tmp_path)
+    client, engine, feeds = (
+        premises.client(),
+        premises.engine(),
+        Feeds(premises, monkeypatch, tmp_path),
+    )
     assert served(premises, client, engine)
     assert b"Last-Event-ID: 1\r\n" in feeds.ends[2][0].recv(999)
     premises.ask(feeds.ends[2][0], b"HTTP/1.1 200 OK\r\n\r\n")
     feeds.tell(2, 2, id="e2")
     feeds.ends[2][0].sendall(b"id: 3\nda")
-    for said in ("{", json.dumps({**feeds.said, "feed": "x"}), json.dumps({**feeds.said, "settings": {}})):
-        feeds.reload(said)      # Danger: a faulty one must change nothing
-    assert len(premises.logged) == 3 and all("configuration not taken" in line for line in premises.logged)
+    for said in (
+        "{",
+        json.dumps({**feeds.said, "feed": "x"}),
+        json.dumps({**feeds.said, "settings": {}}),
+    ):
+        feeds.reload(said)  # Danger: a faulty one must change nothing
+    assert len(premises.logged) == 3 and all(
+        "configuration not taken" in line for line in premises.logged
+    )
     assert any("feed: expected" in line for line in premises.logged) and list(feeds.ends) == [2]
     for port in (3, 4, 2):
         feeds.reload(feed=f"127.0.0.1:{port}", limits={"sockets": 500})
@@ -325,7 +441,9 @@
     assert premises.answers(client)[0][2] == b"\1" and feeds.ends[3][0].recv(9) == b""
 
 
-def test_a_feed_that_breaks_or_stops_is_asked_again_in_time_and_repeats_are_left_out(monkeypatch, tmp_path):
+def test_a_feed_that_breaks_or_stops_is_asked_again_in_time_and_repeats_are_left_out(
+    monkeypatch, tmp_path
+):
     premises = Premises()
     feeds = Feeds(premises, monkeypatch, tmp_path)
     for turn in range(3):
@@ -336,26 +454,28 @@
         feeds.ends[2][-1].sendall(b": sign\n\nid: 9\ndata: {")
         feeds.ends[2][-1].close()
         premises.pass_time(200)
-        assert len(feeds.ends[2]) == 2 + turn and premises.house.last_event == 2 + turn     # at once
+        assert len(feeds.ends[2]) == 2 + turn and premises.house.last_event == 2 + turn  # at once
     premises.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
-    premises.pass_time(17_500)      # it stays open and says nothing
+    premises.pass_time(17_500)  # it stays open and says nothing
     assert len(feeds.ends[2]) == 5 and f"Last-Event-ID: {4}".encode() in feeds.ends[2][-1].recv(999)
 
 
 def test_more_than_the_open_streams_are_refused():
     premises = Premises()
     client = premises.client()
-    premises.ask(client, b"".join(request(n) for n in range(1, 36)))     # in one piece
+    premises.ask(client, b"".join(request(n) for n in range(1, 36)))  # in one piece
     assert [answer[1] for answer in premises.answers(client)] == [33, 34, 35]
 
 
 STAGES = [  # what the engine does, and what the client then hears at once
     ([], b"", 0),
-    ([(T1, "WAIT", "-", "")], b"", 1), ([(T1, "BROKE", "-", "")], b"\3", 0),
+    ([(T1, "WAIT", "-", "")], b"", 1),
+    ([(T1, "BROKE", "-", "")], b"\3", 0),
     ([(T1, "PAST", "-", "")], b"", 1),
     ([(T1, "DONE", "chunks=2", "a\t\t\n"), (T1, "BROKE", "-", "")], b"\3", 0),
     ([(T1, "DONE", "chunks=2", "a\t\t\n"), (T1, "MORE", "at=7", "a\t\t\n")], b"\3", 0),
-    ([(T1, "DONE", "chunks=9999999", "a\t\t\n")], b"\3", 0), ([("zz", "DONE", "-", "a\t\t\n")], b"\3", 0),
+    ([(T1, "DONE", "chunks=9999999", "a\t\t\n")], b"\3", 0),
+    ([("zz", "DONE", "-", "a\t\t\n")], b"\3", 0),
     ([(T1, "WHAT", "-", "a\n")], b"\3", 0),
 ]
 
@@ -371,31 +491,46 @@
     if not says:
         engines[first].close()
         premises.turn()
-        code = b"\3"    # written, then broken: it may have run
+        code = b"\3"  # written, then broken: it may have run
     other = engines["e2" if first == "e1" else "e1"]
-    assert [answer[2] for answer in premises.answers(client)] == [code][:len(code)]
+    assert [answer[2] for answer in premises.answers(client)] == [code][: len(code)]
     assert premises.heard(other).count(b"fetch") == again
 
 
 DONE, MORE = command(T1, "DONE", "chunks=1", ROW), command(T1, "MORE", "at=1", ROW)
 TWO = command(T1, "DONE", "chunks=2", ROW)
-PEERS = [   # what an engine writes of a first of two open there, after how long, is it served from that
+PEERS = [  # what an engine writes of a first of two open there, after how long, is it served from that
     (command(name(77), "DONE", "chunks=1", "x\t\t\n") + DONE, 0, True),
-    (DONE + DONE, 0, True), (TWO + TWO + MORE + MORE, 0, True),
+    (DONE + DONE, 0, True),
+    (TWO + TWO + MORE + MORE, 0, True),
     (command(T1, "TELL", "n=x,amount=y", "") + DONE, 0, True),
-    (TWO + command(T1, "DONE", "chunks=1", ROW), 0, False), (TWO + MORE.replace(b"at=1", b"at=3"), 0, False),
+    (TWO + command(T1, "DONE", "chunks=1", ROW), 0, False),
+    (TWO + MORE.replace(b"at=1", b"at=3"), 0, False),
     (command(T1, "DONE", "chunks=1", "a\tb\n"), 0, False),
     (command(T1, "DONE", "chunks=1", ROW + "c\t"), 0, False),
-    (command(T1, "DONE", "chunks=1", b"a\t\xff\t\n"), 0, False), (DONE.replace(b"a\t", b"\x01\t"), 0, False),
+    (command(T1, "DONE", "chunks=1", b"a\t\xff\t\n"), 0, False),
+    (DONE.replace(b"a\t", b"\x01\t"), 0, False),
     (command(T1, "DONE", "chunks=1", "\t\t" + "x" * 5_998 + "\n"), 0, False),
-    (command(T1, "DONE", "chunks=0", ROW), 0, False), (command(T1, "DONE", "chunks=nan", ROW), 0, False),
+    (command(T1, "DONE", "chunks=0", ROW), 0, False),
+    (command(T1, "DONE", "chunks=nan", ROW), 0, False),
     (command(T1, "DONE", "chunks=1,spe", ROW), 0, False),
     (command(T1, "DONE", "chunks=1,spent=-4", ROW), 0, False),
-    (command("\x07", "DONE", "chunks=1", ROW), 0, False), (DONE.replace(b"DONE", b"DOME"), 0, False),
-    (b"*4\r\n$16\r\n" + T1.encode() + b"\r\n$4\r\nDONE\r\n$8\r\nchunks=1\r\n$3221225472\r\n" + b"x" * 9, 0,
-     False),
-    (bytes(range(200, 256)), 0, False), (b"*4\r\n$16" + b"1" * 20, 0, False), (b"*-1\r\n", 0, False),
-    (DONE[:-9], 3_500, False), (b"*", 3_500, False), (TWO + MORE[:9], 3_500, False),
+    (command("\x07", "DONE", "chunks=1", ROW), 0, False),
+    (DONE.replace(b"DONE", b"DOME"), 0, False),
+    (
+        b"*4\r\n$16\r\n"
+        + T1.encode()
+        + b"\r\n$4\r\nDONE\r\n$8\r\nchunks=1\r\n$3221225472\r\n"
+        + b"x" * 9,
+        0,
+        False,
+    ),
+    (bytes(range(200, 256)), 0, False),
+    (b"*4\r\n$16" + b"1" * 20, 0, False),
+    (b"*-1\r\n", 0, False),
+    (DONE[:-9], 3_500, False),
+    (b"*", 3_500, False),
+    (TWO + MORE[:9], 3_500, False),
     (b"", 13_000, False),
 ]
 
@@ -412,11 +547,17 @@
     premises.pass_time(later)
     answers, again = premises.answers(client), premises.heard(other)
     if good:
-        assert answers[0][:3] == (4, 1, b"\1") and len(premises.house.stations["e1"].links) == 1 and not again
+        assert (
+            answers[0][:3] == (4, 1, b"\1")
+            and len(premises.house.stations["e1"].links) == 1
+            and not again
+        )
         premises.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
         assert premises.answers(client) == [(4, 2, b"\1", ROW.encode())]
-    else:   # found well before its expiry; both have run, and are tried again at once
-        assert not answers and not premises.house.stations["e1"].links and again.count(b"fetch") == 2
+    else:  # found well before its expiry; both have run, and are tried again at once
+        assert (
+            not answers and not premises.house.stations["e1"].links and again.count(b"fetch") == 2
+        )
         premises.engine_says(other, T1, "DONE", "chunks=1", ROW)
         assert premises.answers(client) == [(4, 1, b"\1", ROW.encode())]
     assert premises.house.results.held == 0
@@ -432,35 +573,37 @@
     premises.pass_time(2_000)
     premises.ask(engine, MORE)
     premises.pass_time(2_000)
-    assert not premises.heard(other)    # a page came; the next has its time too
+    assert not premises.heard(other)  # a page came; the next has its time too
     premises.pass_time(3_500)
-    assert not premises.heard(other)    # Danger: it may stand still, and go on with that page first
+    assert not premises.heard(other)  # Danger: it may stand still, and go on with that page first
     premises.engine_says(engine, name(2), "TELL", "-", "")
     premises.pass_time(2_500)
     assert command("done", T1) in premises.heard(engine) and T1.encode() in premises.heard(other)
-    premises.engine_says(engine, T1, "MORE", "at=2", ROW)   # too late, and no harm
+    premises.engine_says(engine, T1, "MORE", "at=2", ROW)  # too late, and no harm
     premises.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
     premises.engine_says(other, T1, "DONE", "chunks=1", ROW)
     assert [answer[1:3] for answer in premises.answers(client)] == [(2, b"\1"), (1, b"\1")]
 
 
 def test_what_an_engine_tells_no_more_of_goes_elsewhere_before_its_expiry():
-    premises = Premises([listing(1, {}, {"id": "e2", "state": "DRAINING"})],
-                        extra={**STATED_ON_SOCKETS["extra"], "tellsEveryUs": 300_000})
+    premises = Premises(
+        [listing(1, {}, {"id": "e2", "state": "DRAINING"})],
+        extra={**STATED_ON_SOCKETS["extra"], "tellsEveryUs": 300_000},
+    )
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request(1) + request(2))
     premises.house.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
     other = premises.engine("e2")
     premises.pass_time(9_500)
     premises.engine_says(engine, name(2), "TELL", "-", "")
-    assert not premises.heard(other)    # Danger: it stood still, and may tell of the other next
+    assert not premises.heard(other)  # Danger: it stood still, and may tell of the other next
     for _ in range(4):
         premises.pass_time(2_400)
         premises.engine_says(engine, name(2), "TELL", "-", "")
     again = premises.heard(other)
     assert T1.encode() in again and name(2).encode() not in again
     assert command("abort", T1) in premises.heard(engine)
-    premises.engine_says(engine, T1, "DONE", "chunks=1", ROW)   # after its time, and no harm
+    premises.engine_says(engine, T1, "DONE", "chunks=1", ROW)  # after its time, and no harm
     premises.engine_says(other, T1, "DONE", "chunks=1", "b\t\t\n")
     assert premises.answers(client) == [(4, 1, b"\1", b"b\t\t\n")]
 
@@ -480,7 +623,7 @@
     assert not premises.house.event("2", json.dumps(listing(2, {"state": "DRAINING"}, full=False)))
     assert errand.handoff.outcome == MOOT and not premises.house.stations["e1"].waiting
     engine = premises.engine()
-    assert not premises.heard(engine)   # Danger: nothing begins after a drain
+    assert not premises.heard(engine)  # Danger: nothing begins after a drain
 
 
 def test_without_a_link_in_time_it_counts_as_unreached_and_is_answered_once():
@@ -505,6 +648,7 @@
 def test_no_descriptor_for_a_dial_is_a_value(monkeypatch):
     def full(*_):
         raise OSError(24, "Too many open files")
+
     monkeypatch.setattr("corkgauge.loop.link.socket.socket", full)
     assert dial(Hub(), ("127.0.0.1", 1), SECOND) == (None, "EMFILE")
 
@@ -526,10 +670,10 @@
     client, engine = premises.client(), premises.engine()
     served(premises, client, engine, patience="500")
     premises.pass_time(SECOND)
-    assert premises.heard(engine) == command("abort", T1)     # Danger: it works on until it hears
+    assert premises.heard(engine) == command("abort", T1)  # Danger: it works on until it hears
     assert [answer[2] for answer in premises.answers(client)] == [b"\2"]
     premises.ask(client, request(2, trace=T1))
-    assert not premises.heard(engine)   # the same id: another link
+    assert not premises.heard(engine)  # the same id: another link
     second = premises.engine()
     premises.engine_says(engine, T1, "DONE", "chunks=1", "old\t\t\n")
     assert not premises.answers(client) and b"fetch" in premises.heard(second)
@@ -542,8 +686,11 @@
     engine = premises.engine()
     premises.house.event("2", json.dumps(listing(2, {"id": "e2"})))
     premises.turn()
-    assert engine.recv(10) == b""       # the old one is closed
-    assert premises.house.stations["e2"].engine.state == READY and not premises.house.stations["e2"].links
+    assert engine.recv(10) == b""  # the old one is closed
+    assert (
+        premises.house.stations["e2"].engine.state == READY
+        and not premises.house.stations["e2"].links
+    )
 
 
 def test_one_key_keeps_its_order_and_time_kept_back_goes_off_its_life():
@@ -565,9 +712,11 @@
     client = premises.client()
     client.sendall(request(patience="3000"))
     premises.hub.turn(0)
-    premises.time += 300    # a long turn: between the poll that saw it and the reading
+    premises.time += 300  # a long turn: between the poll that saw it and the reading
     premises.hub.turn(0)
-    assert [sub.life for caller in premises.house.callers for sub in caller.open.values()] == [29_700]
+    assert [sub.life for caller in premises.house.callers for sub in caller.open.values()] == [
+        29_700
+    ]
 
 
 def test_a_withdrawal_at_expiry_is_still_answered_an_early_one_is_not():
@@ -611,7 +760,9 @@
     premises.house.gone()
     assert not premises.hub.stopped
     premises.pass_time(SECOND)
-    assert [answer[1:3] for answer in premises.answers(client)] == [(1, b"\2")] and premises.hub.stopped
+    assert [answer[1:3] for answer in premises.answers(client)] == [
+        (1, b"\2")
+    ] and premises.hub.stopped
 
 
 def test_many_short_lives_leave_nothing_behind():
@@ -622,8 +773,15 @@
     for n in range(1, 1201):
         engine = premises.engine(f"e{n}")
         client = premises.client()
-        sent = request(1, trace=name(n), route="load", nonce=f"n{n}", entity=f"{n:x}", patience="1000",
-                       body=b"select * from s_%d.t" % n)
+        sent = request(
+            1,
+            trace=name(n),
+            route="load",
+            nonce=f"n{n}",
+            entity=f"{n:x}",
+            patience="1000",
+            body=b"select * from s_%d.t" % n,
+        )
         premises.ask(client, sent + (b"\xff" * 9 if n % 5 == 0 else b""))
         if n % 3:
             says = ("DONE", "chunks=1", ROW) if n % 2 else ("BROKE", "-", "")
@@ -665,39 +823,66 @@
     assert premises.heard(engine).startswith(command("alive", "alive-1"))
 
 
-@pytest.mark.parametrize("event", [
-    "x", "[]", "{}", '{"n": "x"}', '{"n": 2, "members": 3}', '{"n": 2, "members": {"servers": [{}]}}',
-    json.dumps(listing(2, {"zone": "moon"})), json.dumps(listing(2, {"addr": "x"})),
-    json.dumps(listing(4, {}, full=False)),
-])
+@pytest.mark.parametrize(
+    "event",
+    [
+        "x",
+        "[]",
+        "{}",
+        '{"n": "x"}',
+        '{"n": 2, "members": 3}',
+        '{"n": 2, "members": {"servers": [{}]}}',
+        json.dumps(listing(2, {"zone": "moon"})),
+        json.dumps(listing(2, {"addr": "x"})),
+        json.dumps(listing(4, {}, full=False)),
+    ],
+)
 def test_a_feed_event_that_makes_no_sense_changes_nothing(event):
     premises = Premises()
     assert premises.house.event("2", event)
     assert premises.house.last_event == 1 and premises.house.stations["e1"].engine.state == READY
-    assert not premises.house.event("1", json.dumps(listing(1)))    # told before: left out
-
-
-@pytest.mark.parametrize("change, key", [
-    ({"listen": 5}, "listen"), ({"feed": "x"}, "feed"), ({"seed": "xyz"}, "seed"), ({"limits": []}, "limits"),
-    ({"limits": {"memory_mb": -1}}, "limits.memory_mb"), ({"limits": {"sockets": "x"}}, "limits.sockets"),
-    ({"limits": {"memory_mb": 31}}, "limits.memory_mb"), ({"known": {"n": "x"}}, "known.n"),
-    ({"known": {"n": 1, "events": 5}}, "known.events"), ({"settings": None}, "settings"),
-    ({"settings": {}}, "profiles"), ({"settings": {**STATED_ON_SOCKETS, "instances": 0}}, "instances"),
-    ({"settings": {**STATED_ON_SOCKETS, "rules": {"coldUs": -1}}}, "coldUs"),
-    ({"settings": {**STATED_ON_SOCKETS, "profiles": [{"effect": "x", "deadlineUs": 1}]}}, "effect"),
-])
+    assert not premises.house.event("1", json.dumps(listing(1)))  # told before: left out
+
+
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"listen": 5}, "listen"),
+        ({"feed": "x"}, "feed"),
+        ({"seed": "xyz"}, "seed"),
+        ({"limits": []}, "limits"),
+        ({"limits": {"memory_mb": -1}}, "limits.memory_mb"),
+        ({"limits": {"sockets": "x"}}, "limits.sockets"),
+        ({"limits": {"memory_mb": 31}}, "limits.memory_mb"),
+        ({"known": {"n": "x"}}, "known.n"),
+        ({"known": {"n": 1, "events": 5}}, "known.events"),
+        ({"settings": None}, "settings"),
+        ({"settings": {}}, "profiles"),
+        ({"settings": {**STATED_ON_SOCKETS, "instances": 0}}, "instances"),
+        ({"settings": {**STATED_ON_SOCKETS, "rules": {"coldUs": -1}}}, "coldUs"),
+        (
+            {"settings": {**STATED_ON_SOCKETS, "profiles": [{"effect": "x", "deadlineUs": 1}]}},
+            "effect",
+        ),
+    ],
+)
 def test_a_faulty_configuration_is_told_by_its_key(change, key, tmp_path):
     said = {"listen": "127.0.0.1:1", "feed": "127.0.0.1:2", "settings": STATED_ON_SOCKETS, **change}
     (tmp_path / "c.json").write_text(json.dumps(said))
     with pytest.raises(configuration.Faulty, match=key):
         from corkgauge.net.frames import FramesHouse
+
         FramesHouse(Hub(), configuration.read({"EDGE_CONFIG": str(tmp_path / "c.json")}), print)
 
 
 @pytest.mark.parametrize("text", ["", "{", "[1]"])
 def test_a_configuration_that_is_no_object_is_told(text, tmp_path):
     (tmp_path / "c.json").write_text(text)
-    for environment in ({}, {"EDGE_CONFIG": str(tmp_path / "c.json")}, {"EDGE_CONFIG": "/nowhere/at/all"}):
+    for environment in (
+        {},
+        {"EDGE_CONFIG": str(tmp_path / "c.json")},
+        {"EDGE_CONFIG": "/nowhere/at/all"},
+    ):
         with pytest.raises(configuration.Faulty, match="EDGE_CONFIG"):
             configuration.read(environment)
 
@@ -705,27 +890,39 @@
 def test_a_command_whose_extra_is_missing_names_the_remedy(tmp_path):
     (tmp_path / "rich").mkdir()
     (tmp_path / "rich" / "__init__.py").write_text("raise ModuleNotFoundError('gone', name='rich')")
-    said = subprocess.run([sys.executable, "-m", "corkgauge", "try", "--seconds", "1"], capture_output=True,
-                          text=True, env={**os.environ, "PYTHONPATH": str(tmp_path)})
-    assert said.returncode == 2 and said.stderr.count("\n") == 1 and "corkgauge[operator]" in said.stderr
+    said = subprocess.run(
+        [sys.executable, "-m", "corkgauge", "try", "--seconds", "1"],
+        capture_output=True,
+        text=True,
+        env={**os.environ, "PYTHONPATH": str(tmp_path)},
+    )
+    assert (
+        said.returncode == 2
+        and said.stderr.count("\n") == 1
+        and "corkgauge[operator]" in said.stderr
+    )
 
 
 def test_engines_are_dialled_when_something_goes_there_and_again_when_two_had_to_share():
-    premises, dialled = Premises((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=200), []
+    premises, dialled = (
+        Premises((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=200),
+        [],
+    )
 
     def dial(station, where):
         dialled.append(station.engine.name)
         station.dialling = False
+
     Station.dial = dial
     premises.turn()
-    assert dialled == []        # hundreds of gateways that dial all engines ahead cost more than they ask
+    assert dialled == []  # hundreds of gateways that dial all engines ahead cost more than they ask
     client = premises.client()
     premises.ask(client, request(1))
     assert len(dialled) == 1
     engine = premises.engine(dialled[0])
     premises.turn()
     assert len(dialled) == 1 and b"fetch" in engine.recv(4096)
-    for stream in (3, 5, 7):    # of four, two at least share a link
+    for stream in (3, 5, 7):  # of four, two at least share a link
         premises.ask(client, request(stream))
     assert len(dialled) > 1
 
@@ -737,6 +934,7 @@
     def dial(station, where):
         dialled.append(station.engine.name)
         station.dialling = False
+
     premises = Premises((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
     Station.dial = dial
     for station in premises.house.stations.values():
@@ -751,21 +949,25 @@
     engine, one, other = premises.engine(), premises.client(), premises.client()
     busy = []
     monkeypatch.setattr(clients, "unread", lambda sock: sock in busy)
-    busy += [caller.link.sock for caller in premises.house.callers][:1]     # more lies there, all the time
+    busy += [caller.link.sock for caller in premises.house.callers][
+        :1
+    ]  # more lies there, all the time
     premises.ask(one, request(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
     assert name(1).encode() not in premises.heard(engine)
     premises.ask(other, request(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
     said = premises.heard(engine)
-    assert name(1).encode() in said and name(2).encode() not in said     # it waits for its turn
+    assert name(1).encode() in said and name(2).encode() not in said  # it waits for its turn
     assert not premises.house.unadmitted
     premises.pass_time(SECOND // 10)
     assert premises.heard(engine).count(b"fetch") == 0
 
 
-def test_a_withdrawal_at_expiry_of_what_the_gateway_never_heard_of_is_answered_and_it_never_does(monkeypatch):
+def test_a_withdrawal_at_expiry_of_what_the_gateway_never_heard_of_is_answered_and_it_never_does(
+    monkeypatch,
+):
     premises = Premises()
     engine, client = premises.engine(), premises.client()
-    monkeypatch.setattr(clients, "unread", lambda sock: 1)      # more lies there, all the time
+    monkeypatch.setattr(clients, "unread", lambda sock: 1)  # more lies there, all the time
     premises.ask(client, request(1, patience="40"))
     premises.ask(client, bytes.fromhex("050000000801000000"))
     assert [answer[1:3] for answer in premises.answers(client)] == [(1, b"\2")]
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -35,13 +35,24 @@
         self.waiting, self.writing = [], []
         self.hub = SimpleNamespace(now=0, later=self.later, date=lambda: 10 * rack.now)
         self.company = SimpleNamespace(
-            calls={}, hall=hall, letters=SimpleNamespace(start=1, pens={n: SimpleNamespace(start=1) for n in NAMES}),
-            fellows={n: SimpleNamespace(name=n, hall=f"hall-{n}", state=ALIVE) for n in NAMES if n != name},
-            call=self.call)
+            calls={},
+            hall=hall,
+            letters=SimpleNamespace(start=1, pens={n: SimpleNamespace(start=1) for n in NAMES}),
+            fellows={
+                n: SimpleNamespace(name=n, hall=f"hall-{n}", state=ALIVE)
+                for n in NAMES
+                if n != name
+            },
+            call=self.call,
+        )
         house = SimpleNamespace(hub=self.hub, log=self.lines.append, routes={})
         said = Duties(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
-        self.office = Office(house, SimpleNamespace(name=name), said,
-                             SimpleNamespace(company=self.company, chance=rack.chance.below))
+        self.office = Office(
+            house,
+            SimpleNamespace(name=name),
+            said,
+            SimpleNamespace(company=self.company, chance=rack.chance.below),
+        )
         self.office.voter.silent_until = 0
         self.office.safe.keep = self.keep
         self.office.stands("works", Owner())
@@ -96,7 +107,7 @@
         vacant, since, held = 0, None, set()
         while self.events and self.events[0][0] <= when:
             at, _, member, method, what = heappop(self.events)
-            if member.late > at:    # its loop stands still: what was due comes when it goes on
+            if member.late > at:  # its loop stands still: what was due comes when it goes on
                 self.serial += 1
                 heappush(self.events, (member.late, self.serial, member, method, what))
                 continue
@@ -126,7 +137,9 @@
     assert [each.holds() for each in rack.members.values()].count(True) == 1
     rack.overload(NAMES)
     assert all(each.office.overloaded for each in rack.members.values())
-    vacant, held = rack.until(rack.now + 9 * SECOND)     # they call themselves overloaded for ten seconds
+    vacant, held = rack.until(
+        rack.now + 9 * SECOND
+    )  # they call themselves overloaded for ten seconds
     assert vacant < 2 * LEASE and held
     assert all(each.office.overloaded for each in rack.members.values())
 
--- a/tests/test_parent.py
+++ b/tests/test_parent.py
@@ -60,8 +60,12 @@
 def test_a_rig_that_is_killed_outright_leaves_no_process_behind(tmp_path):
     script = tmp_path / "rig.py"
     script.write_text(RIG)
-    with subprocess.Popen([sys.executable, str(script)], stdout=subprocess.PIPE, text=True,
-                          env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)}) as rig:
+    with subprocess.Popen(
+        [sys.executable, str(script)],
+        stdout=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
+    ) as rig:
         try:
             folder = rig.stdout.readline().strip()
             assert os.path.isdir(folder)
@@ -75,7 +79,7 @@
                 now = processes()
                 left = [pid for pid, start, _ in begun if pid in now and now[pid][1] == start]
             stayed = [*left]
-            for pid in left:        # a red test leaves nothing either
+            for pid in left:  # a red test leaves nothing either
                 os.kill(pid, signal.SIGKILL)
             assert stayed == []
             shutil.rmtree(folder)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -26,14 +26,16 @@
 
 
 def test_tables_have_a_home_alike_at_all_gateways():
-    homes = [[s.handoffs[0].engine.tag for s in [yard.take(tables=t) for t in range(12)]]
-             for yard in (Yard(seed=1, engines=8), Yard(seed=2, engines=8))]
+    homes = [
+        [s.handoffs[0].engine.tag for s in [yard.take(tables=t) for t in range(12)]]
+        for yard in (Yard(seed=1, engines=8), Yard(seed=2, engines=8))
+    ]
     assert homes[0] == homes[1] and len(set(homes[0])) > 2
 
 
 def test_the_bound_binds_under_pressure_only():
     yard = Yard(engines=1)
-    subs = [yard.take() for _ in range(int(8 * CROWDED))]   # a lone gateway on a quiet day
+    subs = [yard.take() for _ in range(int(8 * CROWDED))]  # a lone gateway on a quiet day
     assert all(s.handoffs for s in subs)
     yard.over(subs[0].handoffs[0], FULL)
     late = yard.take()
@@ -41,7 +43,7 @@
     yard.pass_time(SECOND)
     for sub in subs[1:]:
         yard.over(sub.handoffs[0], took=2000)
-    assert yard.take().handoffs     # an idle gateway may send one
+    assert yard.take().handoffs  # an idle gateway may send one
 
 
 def test_a_burst_does_not_go_out_at_once():
@@ -54,7 +56,7 @@
     yard.over(yard.take().handoffs[0], took=2000)
     yard.take(1, estimate=9 * SECOND, life=20 * SECOND)
     yard.pass_time(2 * SECOND)
-    yard.gateway.best = 0.1     # under pressure
+    yard.gateway.best = 0.1  # under pressure
     assert not yard.take(1, estimate=9 * SECOND).handoffs and yard.take().handoffs
 
 
@@ -117,12 +119,18 @@
     assert yard.take().handoffs
 
 
-@pytest.mark.parametrize("cancels, copies, heard, rescued", [
-    (True, False, False, "call_off"), (False, True, False, "copy"), (True, False, True, None),
-    (False, False, False, None)])
+@pytest.mark.parametrize(
+    "cancels, copies, heard, rescued",
+    [
+        (True, False, False, "call_off"),
+        (False, True, False, "copy"),
+        (True, False, True, None),
+        (False, False, False, None),
+    ],
+)
 def test_a_silent_engine(cancels, copies, heard, rescued):
     yard = Yard(cancels=cancels, copies=copies)
-    for _ in range(9):      # what is usual must be known
+    for _ in range(9):  # what is usual must be known
         yard.over(yard.take(tables=2.0).handoffs[0], took=2000)
     yard.now += 1
     sub = yard.take()
@@ -144,7 +152,9 @@
         if sub.handoffs[0].engine is engine:
             yard.over(sub.handoffs[0], ERROR)
     yard.pass_time(30 * SECOND // 2)
-    assert not long.over and any(yard.take(tables=home).handoffs[0].engine is engine for _ in range(9))
+    assert not long.over and any(
+        yard.take(tables=home).handoffs[0].engine is engine for _ in range(9)
+    )
 
 
 def test_a_bad_plan_is_called_off():
@@ -190,17 +200,38 @@
 
 
 def test_same_events_same_actions_in_any_process():
-    runs = {subprocess.run([sys.executable, "-c", EVENTS, chosen], env={"PYTHONHASHSEED": seed},
-                           capture_output=True, text=True, check=True).stdout
-            for chosen, seed in (("0,1", "0"), ("0,1", "123"), ("1", "7"))}
+    runs = {
+        subprocess.run(
+            [sys.executable, "-c", EVENTS, chosen],
+            env={"PYTHONHASHSEED": seed},
+            capture_output=True,
+            text=True,
+            check=True,
+        ).stdout
+        for chosen, seed in (("0,1", "0"), ("0,1", "123"), ("1", "7"))
+    }
     assert len(runs) == 1
 
 
-@pytest.mark.parametrize("data, code, line", [
-    (b"", 0, ""), (b"\x10\0", 1, "inside a frame's length"), (b"\x02\0\0\0", 1, "impossible frame length 2"),
-    (bytes.fromhex("11000000" + "00" * 8 + "01000000" + "00000000" + "ff"), 1, "unknown record code 255"),
-    (bytes.fromhex("11000000" + "00" * 8 + "00000000" + "00000000" + "64"), 1, "left over"),
-    (bytes.fromhex("13000000" + "00" * 8 + "01000000" + "00000000" + "640100"), 1, "record cut short")])
+@pytest.mark.parametrize(
+    "data, code, line",
+    [
+        (b"", 0, ""),
+        (b"\x10\0", 1, "inside a frame's length"),
+        (b"\x02\0\0\0", 1, "impossible frame length 2"),
+        (
+            bytes.fromhex("11000000" + "00" * 8 + "01000000" + "00000000" + "ff"),
+            1,
+            "unknown record code 255",
+        ),
+        (bytes.fromhex("11000000" + "00" * 8 + "00000000" + "00000000" + "64"), 1, "left over"),
+        (
+            bytes.fromhex("13000000" + "00" * 8 + "01000000" + "00000000" + "640100"),
+            1,
+            "record cut short",
+        ),
+    ],
+)
 def test_bad_input_ends_with_one_line(data, code, line):
     run = subprocess.run([sys.executable, "-m", "corkgauge.drill"], input=data, capture_output=True)
     said = run.stderr.decode().splitlines()
@@ -211,6 +242,7 @@
     from struct import pack
 
     from corkgauge.drill.__main__ import Cursor, Ground
+
     ground = Ground()
     boot = b'{"profiles":[{"deadlineUs":-5}]}'
     ground.record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
@@ -233,7 +265,9 @@
     for _ in range(128):
         yard.over(yard.take().handoffs[0], took=2000)
     engines = [engine for _, engine in yard.said("hand_off")][64:]
-    assert max(engines.count(e) for e in engines) <= 12     # Danger: 200 homes of one group were one engine
+    assert (
+        max(engines.count(e) for e in engines) <= 12
+    )  # Danger: 200 homes of one group were one engine
 
 
 def test_late_answers_raise_a_price_that_holds_the_heaviest_back_and_time_lowers_it():
@@ -241,10 +275,14 @@
     yard.over(yard.take().handoffs[0], took=2000)
     yard.pass_time(2 * SECOND)
     for _ in range(40):
-        yard.over(yard.take(1, estimate=SECOND, life=20 * SECOND).handoffs[0], took=15 * SECOND, work=SECOND)
+        yard.over(
+            yard.take(1, estimate=SECOND, life=20 * SECOND).handoffs[0],
+            took=15 * SECOND,
+            work=SECOND,
+        )
     heavy = yard.take(1, estimate=15 * SECOND, life=20 * SECOND)
     assert yard.take().handoffs and not heavy.handoffs
-    yard.pass_time(20 * SECOND)     # Danger: nothing out, so no answer would ever lower it
+    yard.pass_time(20 * SECOND)  # Danger: nothing out, so no answer would ever lower it
     assert heavy.over and yard.take(1, estimate=15 * SECOND, life=20 * SECOND).handoffs
 
 
@@ -297,11 +335,15 @@
     yard.pass_time(3 * SECOND)
     early = len([line for line, _ in yard.said("log") if line.startswith("rest")])
     for n in range(60):
-        yard.over(yard.take(tables=float(n)).handoffs[0], RESET if n % 4 == 0 else HONOURED, finished=True)
+        yard.over(
+            yard.take(tables=float(n)).handoffs[0], RESET if n % 4 == 0 else HONOURED, finished=True
+        )
         yard.pass_time(SECOND // 10)
     rests = [line for line, _ in yard.said("log") if line.startswith("rest")]
-    assert len(rests) == early <= 4     # Danger: each in turn would rest, though none is worse than others
-    for _ in range(9):      # what an engine that died answers, beside that
+    assert (
+        len(rests) == early <= 4
+    )  # Danger: each in turn would rest, though none is worse than others
+    for _ in range(9):  # what an engine that died answers, beside that
         yard.gateway._fault(yard.engines[0], "unreached")
         yard.pass_time(1)
     assert yard.said("log")[-1][0].startswith("rest  unreached")
@@ -329,7 +371,11 @@
     yard.pass_time(2 * SECOND)
     for _ in range(9):
         yard.over(yard.take().handoffs[0], took=200)
-    assert len(subs[0].handoffs) == 2 and len(gone.handoffs) == 1 and not (subs[0].queued or gone.queued)
+    assert (
+        len(subs[0].handoffs) == 2
+        and len(gone.handoffs) == 1
+        and not (subs[0].queued or gone.queued)
+    )
 
 
 def test_what_two_engines_cannot_use_is_handed_to_no_third():
@@ -354,7 +400,7 @@
     yard.pass_time(12 * SECOND)
     gateway = yard.gateway
     kept = [gateway.lines, gateway.rests, gateway.orders, gateway.honoured, gateway.extras]
-    assert not any(kept) and len(yard.wakes) < 5    # Danger: keys and table groups are always new
+    assert not any(kept) and len(yard.wakes) < 5  # Danger: keys and table groups are always new
 
 
 def test_hundreds_of_gateways_spread_the_first_submissions_of_a_group_over_its_homes():
@@ -383,21 +429,29 @@
     for engine in order[4:]:
         yard.tell(engine, started=yard.now - 2 * SECOND)
     yard.gateway.born = 0
-    for engine in order[:4]:        # the warm ones hold some already
+    for engine in order[:4]:  # the warm ones hold some already
         engine.threads = 2
     sub = yard.take()
     assert sub.handoffs[0].engine in order[:4]
     yard.over(sub.handoffs[0])
-    yard.gateway.price = 1e-9       # what is late or refused has raised one
+    yard.gateway.price = 1e-9  # what is late or refused has raised one
     assert yard.take().handoffs[0].engine in order[4:]
 
 
 def test_an_engine_set_aside_gets_nothing_but_what_may_be_tried_again_nowhere_else():
-    labelled = dict(name="load", aim=SECOND, stretch=1.0, expiry=5 * SECOND, worth=1.0, repeat=LABELLED,
-                    group="cell", remembered=20 * SECOND)
+    labelled = dict(
+        name="load",
+        aim=SECOND,
+        stretch=1.0,
+        expiry=5 * SECOND,
+        worth=1.0,
+        repeat=LABELLED,
+        group="cell",
+        remembered=20 * SECOND,
+    )
     yard = Yard([QUICK, labelled], engines=3)
     first = yard.take(1)
-    engine = first.handoffs[0].engine       # alone in its cell
+    engine = first.handoffs[0].engine  # alone in its cell
     yard.gateway.engine_aside(engine, 1)
     others = [yard.take(n % 2).handoffs[0] for n in range(6)]
     assert all(handoff.engine is not engine for handoff in others)
@@ -409,14 +463,16 @@
     yard.over(first.handoffs[-1], RESET)
     assert len(first.handoffs) == 2
     yard.gateway.engine_aside(engine, 0)
-    yard.pass_time(30 * SECOND)     # its rests are over
-    assert engine in {handoff.engine for n in range(12) for handoff in yard.take(tables=float(n)).handoffs}
+    yard.pass_time(30 * SECOND)  # its rests are over
+    assert engine in {
+        handoff.engine for n in range(12) for handoff in yard.take(tables=float(n)).handoffs
+    }
 
 
 def test_a_hall_without_a_sign_after_two_losses_is_tried_by_one_hand_off_a_rest():
     yard = Yard(engines=8)
     first = {}
-    for n in range(60):     # one hand-off at each
+    for n in range(60):  # one hand-off at each
         sub = yard.take(tables=float(n))
         if sub.handoffs and sub.handoffs[0].engine not in first:
             first[sub.handoffs[0].engine] = sub.handoffs[0]
@@ -436,8 +492,9 @@
                 if handoff.engine.hall:
                     yard.over(handoff, took=2000)
         return [engine for engine in went if engine.hall == 0]
+
     assert sent() == []
     yard.pass_time(SECOND + 10)
-    assert len(sent()) == 1     # and it is what tells of the hall
+    assert len(sent()) == 1  # and it is what tells of the hall
     yard.over(first[lost[2]], took=2000)
     assert len(sent()) > 1
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -16,10 +16,11 @@
         """The next draws, one after the other."""
         drawn[:] = numbers
         monkeypatch.setattr(ports.secrets, "randbelow", lambda below: drawn.pop(0))
+
     one = Reserved(sort)
     number = one.address[1] - LOWEST
     others = [n for n in range(1, 900) if n != number]
-    one.release()           # nobody listens there, and it is taken all the same
+    one.release()  # nobody listens there, and it is taken all the same
     draws([number, *others])
     two = Reserved(sort)
     assert two.address[1] - LOWEST in others and drawn[0] != others[0]
@@ -39,9 +40,19 @@
         assert free_port() in (LOWEST + 5, LOWEST + 6, LOWEST + 7, LOWEST + 8)
 
 
-@pytest.mark.parametrize("said, found", [("32768\t60999\n", 32_768), ("16000 65535\n", 16_000),
-                                         ("1024 65535\n", HIGHEST), ("40000 60999\n", HIGHEST), ("", HIGHEST)])
-def test_ports_that_the_system_hands_out_are_left_to_it_where_that_leaves_enough(tmp_path, said, found):
+@pytest.mark.parametrize(
+    "said, found",
+    [
+        ("32768\t60999\n", 32_768),
+        ("16000 65535\n", 16_000),
+        ("1024 65535\n", HIGHEST),
+        ("40000 60999\n", HIGHEST),
+        ("", HIGHEST),
+    ],
+)
+def test_ports_that_the_system_hands_out_are_left_to_it_where_that_leaves_enough(
+    tmp_path, said, found
+):
     (tmp_path / "range").write_text(said)
     assert highest(str(tmp_path / "range")) == found
     assert highest(str(tmp_path / "none")) == HIGHEST
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -30,8 +30,11 @@
 
 # The log.
 
+
 def test_a_log_is_read_as_far_as_it_is_good():
-    whole = b"".join([effects.sent(effect(1)), effects.over(1, True), effects.sent(effect(2, "l2"))])
+    whole = b"".join(
+        [effects.sent(effect(1)), effects.over(1, True), effects.sent(effect(2, "l2"))]
+    )
     bodies = [body for body, _, _ in effects.records(whole)]
     assert len(bodies) == 4 and bodies[-1] is None
     for at in range(len(whole)):
@@ -47,11 +50,12 @@
     for body, _, _ in effects.records(effects.sent(effect(1)) + data):
         assert body is None or isinstance(body, list)
     with pytest.raises(snapshot.Unusable):
-        snapshot.read(snapshot.MAGIC[:len(data) % 9] + data, "n", 1)
+        snapshot.read(snapshot.MAGIC[: len(data) % 9] + data, "n", 1)
 
 
-@pytest.mark.parametrize("body", [[1, "x"], [1, 2, 3, 4, 5, 6, 7, 8, 9, 10], [2, [], True],
-                                  [1, 1, "l", "o", 1, "e"]])
+@pytest.mark.parametrize(
+    "body", [[1, "x"], [1, 2, 3, 4, 5, 6, 7, 8, 9, 10], [2, [], True], [1, 1, "l", "o", 1, "e"]]
+)
 def test_records_that_make_no_sense_are_passed_over(body):
     assert not Effects().take(body) or not len(Effects())
 
@@ -60,9 +64,11 @@
     known = Effects()
     known.sent(effect(1, sent=0))
     known.sent(effect(2, "l2"))
-    known.over(2, ran=False)        # proof that it never ran
+    known.over(2, ran=False)  # proof that it never ran
     known.over(1, ran=True)
-    assert [each.serial for each in known.of("load", "l1", 5)] == [1] and not known.of("load", "l2", 5)
+    assert [each.serial for each in known.of("load", "l1", 5)] == [1] and not known.of(
+        "load", "l2", 5
+    )
     assert not known.of("load", "l1", 100 * SECOND) and not known.unsettled()
     known.expire(100 * SECOND)
     assert len(known) == 0 and not known.by_label
@@ -74,28 +80,41 @@
 
 # Ageing.
 
+
 def test_a_rest_is_never_longer_than_it_had_left_and_the_old_counts_for_less():
     said = {"slowness": [9.0] * 8, "bound": 0.25, "faults": ["error"] * 4, "rests_until": 50_000}
     for age, left in (0, 10_000), (4_000, 6_000), (20_000, 0), (ageing.inf, 0):
         aged = ageing.engine(said, age, 40_000, 1_000_000)
         assert aged["rests_until"] == (1_000_000 + left if left else -1)
-    sizes = [len(ageing.engine(said, age, 40_000, 0)["slowness"])
-             for age in (0, ageing.SLOWNESS, 10 * ageing.SLOWNESS)]
+    sizes = [
+        len(ageing.engine(said, age, 40_000, 0)["slowness"])
+        for age in (0, ageing.SLOWNESS, 10 * ageing.SLOWNESS)
+    ]
     assert sizes == [8, 4, 0]
     assert ageing.engine(said, ageing.inf, 40_000, 0)["bound"] == 1.0
 
 
-@pytest.mark.parametrize("boot, since_boot, now, age", [
-    # the date a year ahead, or set back: the boot's clock tells
-    ("b1", 900, 10 ** 9, 400), ("b1", 900, 5, 400),
-    ("b1", 100, 1_700, 700), ("b2", 3, 1_700, 700), ("b2", 3, 400, ageing.inf), ("", 3, 400, ageing.inf),
-])
+@pytest.mark.parametrize(
+    "boot, since_boot, now, age",
+    [
+        # the date a year ahead, or set back: the boot's clock tells
+        ("b1", 900, 10**9, 400),
+        ("b1", 900, 5, 400),
+        ("b1", 100, 1_700, 700),
+        ("b2", 3, 1_700, 700),
+        ("b2", 3, 400, ageing.inf),
+        ("", 3, 400, ageing.inf),
+    ],
+)
 def test_the_time_it_was_down(boot, since_boot, now, age):
-    assert ageing.age_of({"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot, since_boot) == age
+    assert (
+        ageing.age_of({"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot, since_boot) == age
+    )
 
 
 # A disk that loses, tears and reorders what was not synced.
 
+
 class Cut(Exception):
     """The power goes."""
 
@@ -105,10 +124,10 @@
 
     def __init__(self, until):
         self.until, self.steps = until, 0
-        self.files = {}         # by handle: [synced bytes, bytes as written]
-        self.folder = {}        # as it is: name to handle
-        self.waiting = []       # changes of the folder that were not synced
-        self.kept = {}          # the folder as synced
+        self.files = {}  # by handle: [synced bytes, bytes as written]
+        self.folder = {}  # as it is: name to handle
+        self.waiting = []  # changes of the folder that were not synced
+        self.kept = {}  # the folder as synced
 
     def step(self):
         self.steps += 1
@@ -163,11 +182,13 @@
         found = {}
         for path, handle in folder.items():
             synced, written = self.files[handle]
-            tail = bytearray(written[len(synced):])
+            tail = bytearray(written[len(synced) :])
             for at in range(0, len(tail), 512):
                 if chance.random() < 0.3:
-                    tail[at:at + 512] = bytes(len(tail[at:at + 512]))
-            found[path] = synced + bytes(tail[:chance.choice((len(tail), len(tail) // 512 * 512, 0))])
+                    tail[at : at + 512] = bytes(len(tail[at : at + 512]))
+            found[path] = synced + bytes(
+                tail[: chance.choice((len(tail), len(tail) // 512 * 512, 0))]
+            )
         return found
 
 
@@ -209,7 +230,7 @@
                     break
                 except snapshot.Unusable:
                     continue
-            assert done <= read <= done + 1 or not done, (until, done, read)     # synced is never lost
+            assert done <= read <= done + 1 or not done, (until, done, read)  # synced is never lost
             known = Effects()
             for _, path in segments("/d", "n", [os.path.basename(path) for path in found]):
                 for body, _, _ in effects.records(found[path]):
@@ -223,6 +244,7 @@
 
 # The module's two calls.
 
+
 def test_what_was_learned_comes_back_only_for_the_same_engine():
     yard = Yard(copies=True)
     slow, gone, other = yard.engines
@@ -238,23 +260,35 @@
     later = Yard(copies=True)
     for each in later.engines:
         each.name = each.tag
-    later.engines[1].started = 5    # another process under the same id
+    later.engines[1].started = 5  # another process under the same id
     offerings = {each.name: each for each in later.offerings}
     counts = learned.recalled(said, later.gateway, offerings, later.now, 0)
     assert later.engines[0].view.rests_until == later.now + SECOND
-    assert not later.engines[1].view.slowness and counts["offerings"] == 1 and later.gateway.price == 1e-6
+    assert (
+        not later.engines[1].view.slowness
+        and counts["offerings"] == 1
+        and later.gateway.price == 1e-6
+    )
     assert not later.gateway._well(later.engines[0]) and later.gateway._well(later.engines[1])
     assert len(later.gateway.queues) == 1
     sub = later.take()
     assert sub.handoffs[0].engine is not later.engines[0]
     later.pass_time(2 * SECOND)
-    assert len(later.engines[0].view.out) == 1      # its rest is over: one hand-off tells
+    assert len(later.engines[0].view.out) == 1  # its rest is over: one hand-off tells
 
 
 def test_a_label_that_may_have_run_keeps_its_hall_and_a_key_rests():
-    offering = dict(name="load", aim=SECOND, stretch=1.0, expiry=5 * SECOND, worth=1.0, repeat=1,
-                    group="zone",
-                    remembered=20 * SECOND, ordered=True)
+    offering = dict(
+        name="load",
+        aim=SECOND,
+        stretch=1.0,
+        expiry=5 * SECOND,
+        worth=1.0,
+        repeat=1,
+        group="zone",
+        remembered=20 * SECOND,
+        ordered=True,
+    )
     yard = Yard(offerings=(offering,), settle=3000)
     yard.gateway.key_rests(9, yard.now + 3000)
     first = yard.take(key=9, life=3 * SECOND)
@@ -265,8 +299,11 @@
 
 # The whole, on sockets.
 
+
 def keeping(folder, premises, each=SECOND, **said):
-    return Keeping(premises.house, "n", 1, Recall(str(folder), each, said.get("durability", "process"), 3))
+    return Keeping(
+        premises.house, "n", 1, Recall(str(folder), each, said.get("durability", "process"), 3)
+    )
 
 
 def settled(premises, done, patience=5.0):
@@ -278,13 +315,15 @@
     assert done()
 
 
-LABELLED_BY_HALL = [{**each, "group": "zone"} if each["name"] == "load" else each
-                    for each in STATED_ON_SOCKETS["profiles"]]
+LABELLED_BY_HALL = [
+    {**each, "group": "zone"} if each["name"] == "load" else each
+    for each in STATED_ON_SOCKETS["profiles"]
+]
 TWO_HALLS = [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2", "zone": "west"})]
 
 
 def test_a_retry_after_a_restart_goes_only_where_its_mark_is_known(tmp_path):
-    for turn in range(4):       # the hashed order alone would send some of them elsewhere
+    for turn in range(4):  # the hashed order alone would send some of them elsewhere
         folder = tmp_path / str(turn)
         before = Premises(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
         kept = keeping(folder, before)
@@ -296,13 +335,15 @@
         settled(before, lambda: any(path.stat().st_size for path in folder.glob("n.effects.*")))
         kept.helper.stdin.close()
         kept.helper.wait(5)
-        os.close(kept.lock)         # as a kill does
+        os.close(kept.lock)  # as a kill does
         after = Premises(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
         again = keeping(folder, after)
         assert any("effects=1 unsettled=1" in line for line in after.logged)
         other = {"e1": "e2", "e2": "e1"}[first]
         sockets = {tag: after.engine(tag) for tag in (other, first)}
-        after.house.stations[first].engine.threads = 99     # whatever the load: only there is its mark known
+        after.house.stations[
+            first
+        ].engine.threads = 99  # whatever the load: only there is its mark known
         after.ask(after.client(), request(1, route="load", nonce=NONCE, entity="6", body=body))
         assert b"fetch" not in after.heard(sockets[other])
         sub = next(iter(after.house.names.values()), None)
@@ -310,18 +351,24 @@
         again.end()
 
 
-@pytest.mark.parametrize("content, said", [
-    (b"", "foreign"), (b"CKGRECL\n" + b"\xff\xff" + bytes(40), "newer than 1"),
-    (snapshot.packed({"gateway": "other", "mark": 1, "at": 1}), "of another gateway"),
-    (snapshot.packed({"gateway": "n", "mark": 2, "at": 1}), "of other settings"),
-    (snapshot.packed({"gateway": "n", "mark": 1, "at": 1})[:-1], "torn"),
-    (snapshot.packed({"gateway": "n", "mark": 1, "at": 1, "engines": 3}), "makes no sense"),
-])
+@pytest.mark.parametrize(
+    "content, said",
+    [
+        (b"", "foreign"),
+        (b"CKGRECL\n" + b"\xff\xff" + bytes(40), "newer than 1"),
+        (snapshot.packed({"gateway": "other", "mark": 1, "at": 1}), "of another gateway"),
+        (snapshot.packed({"gateway": "n", "mark": 2, "at": 1}), "of other settings"),
+        (snapshot.packed({"gateway": "n", "mark": 1, "at": 1})[:-1], "torn"),
+        (snapshot.packed({"gateway": "n", "mark": 1, "at": 1, "engines": 3}), "makes no sense"),
+    ],
+)
 def test_a_snapshot_that_is_no_use_means_a_cold_start_and_one_line(tmp_path, content, said):
     (tmp_path / "n.recall").write_bytes(content)
     premises = Premises()
     kept = keeping(tmp_path, premises)
-    assert sum("passed over" in line for line in premises.logged) == 1 and said in premises.logged[0]
+    assert (
+        sum("passed over" in line for line in premises.logged) == 1 and said in premises.logged[0]
+    )
     kept.end()
     assert snapshot.read((tmp_path / "n.recall").read_bytes(), "n", 1)
 
@@ -329,7 +376,7 @@
 def test_files_far_larger_than_they_should_be_are_not_read(tmp_path):
     for name in "n.recall", "n.effects.00000001":
         with open(tmp_path / name, "wb") as file:
-            file.truncate(2 * 2 ** 30)
+            file.truncate(2 * 2**30)
     begun, premises = time.time(), Premises()
     kept = keeping(tmp_path, premises)
     assert time.time() - begun < 2
@@ -349,7 +396,7 @@
 
 def test_a_helper_that_stands_still_or_dies_costs_nothing_but_entries(tmp_path):
     premises = Premises()
-    kept = keeping(tmp_path, premises, each=10 ** 9)
+    kept = keeping(tmp_path, premises, each=10**9)
     os.kill(kept.helper.pid, signal.SIGSTOP)
     begun = time.time()
     for serial in range(3000):
@@ -369,7 +416,7 @@
 
 def test_a_folder_that_goes_in_mid_run_is_told_and_the_helper_goes_on(tmp_path):
     premises = Premises()
-    kept = keeping(tmp_path, premises, each=10 ** 9)
+    kept = keeping(tmp_path, premises, each=10**9)
     for path in tmp_path.iterdir():
         path.unlink()
     tmp_path.rmdir()
@@ -384,11 +431,14 @@
 def test_the_helper_ends_with_its_parent_and_takes_no_part_of_a_frame(tmp_path):
     import subprocess
     import sys
-    helper = subprocess.Popen([sys.executable, writer.__file__, str(tmp_path), "n", "machine", "2"],
-                              stdin=subprocess.PIPE)
+
+    helper = subprocess.Popen(
+        [sys.executable, writer.__file__, str(tmp_path), "n", "machine", "2"], stdin=subprocess.PIPE
+    )
     whole = effects.sent(effect(1))
-    helper.stdin.write(FRAME.pack(writer.EFFECT, len(whole)) + whole + FRAME.pack(writer.EFFECT,
-                                                                                  500) + b"x" * 99)
+    helper.stdin.write(
+        FRAME.pack(writer.EFFECT, len(whole)) + whole + FRAME.pack(writer.EFFECT, 500) + b"x" * 99
+    )
     helper.stdin.close()
     assert helper.wait(5) == 0
     assert (tmp_path / "n.effects.00000001").read_bytes() == whole
@@ -398,17 +448,27 @@
 
 
 def test_the_real_program_killed_again_and_again_finds_what_it_left():
-    script = "at 0.1 for 20: all slow 10\n" + "".join(f"at {1 + 0.6 * n}: program kill\n" for n in range(8))
-    play = Play(6, read_script(script, ["e1", "e2"]), engines=2, rate=120, scrapes=0, operator=RECALL,
-                group="zone",
-                retries=True)
+    script = "at 0.1 for 20: all slow 10\n" + "".join(
+        f"at {1 + 0.6 * n}: program kill\n" for n in range(8)
+    )
+    play = Play(
+        6,
+        read_script(script, ["e1", "e2"]),
+        engines=2,
+        rate=120,
+        scrapes=0,
+        operator=RECALL,
+        group="zone",
+        retries=True,
+    )
     try:
         play.run(6.5, drain=2)
         log = play.program.log()
     finally:
         play.close()
-    assert len(play.program.kills) == 8 and not [line for line in log if "passed over" in line
-                                                 or "exceptions" in line]
+    assert len(play.program.kills) == 8 and not [
+        line for line in log if "passed over" in line or "exceptions" in line
+    ]
     assert sum("recall: engines=" in line for line in log) >= 7
     assert play.broken(2500) == []
 
@@ -427,13 +487,18 @@
     assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
     kept._put(writer.EFFECT, effects.sent(effect(1)))
     kept.end()
-    assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2   # it still runs
+    assert (
+        run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
+    )  # it still runs
     said = json.loads(run(group, ["recall", "show", str(tmp_path), "--json"]).output)
     assert said[0]["effects"] == 1 and said[0]["body"]["engines"]["e1"]["bound"] == 1.0
     assert run(group, ["recall", "show", str(tmp_path)]).exit_code == 0
     assert run(group, ["recall", "check", str(tmp_path)]).exit_code == 0
     (tmp_path / "n.recall").write_bytes(b"x")
-    assert "foreign" in (bad := run(group, ["recall", "check", str(tmp_path)])).output and bad.exit_code == 1
+    assert (
+        "foreign" in (bad := run(group, ["recall", "check", str(tmp_path)])).output
+        and bad.exit_code == 1
+    )
     os.close(kept.lock)
     assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 0
     assert {path.name for path in tmp_path.iterdir()} == {"n.lock"}
@@ -445,7 +510,10 @@
 
     def there():
         return [path.name[-8:] for path in sorted(tmp_path.glob("n.effects.*"))]
-    for serial in range(1, 401):        # far more than sixteen segments of one mark that is remembered long
+
+    for serial in range(
+        1, 401
+    ):  # far more than sixteen segments of one mark that is remembered long
         files.effects(effects.sent(effect(serial)))
         if serial % 10 == 0:
             files.floor(1, serial)
@@ -457,8 +525,8 @@
             for body, _, _ in effects.records(file.read()):
                 assert body is None or found.take(body)
     assert found.oldest(0) == 1 and len(found) == 400
-    files.floor(200, 400)       # all below is over
+    files.floor(200, 400)  # all below is over
     left = len(there())
     assert many // 3 < left < many
     files.floor(401, 400)
-    assert len(there()) == 1    # the one that is written to
+    assert len(there()) == 1  # the one that is written to
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,13 @@
 )
 from tests.yard import QUICK, SECOND, Yard
 
-ORDERED = {**QUICK, "name": "ordered", "repeat": LABELLED, "ordered": True, "remembered": 20 * SECOND}
+ORDERED = {
+    **QUICK,
+    "name": "ordered",
+    "repeat": LABELLED,
+    "ordered": True,
+    "remembered": 20 * SECOND,
+}
 
 
 @pytest.mark.parametrize("life", [0, 1, 30, 40, 333, SECOND, 5 * SECOND])
@@ -28,17 +34,25 @@
     sub = yard.take(life=life)
     yard.pass_time(max(life - 20, 0))
     assert len(yard.said("dismiss") + yard.said("scrap")) == 1 and sub.over
-    for handoff in sub.handoffs:    # its outcome comes after the end and changes nothing
+    for handoff in sub.handoffs:  # its outcome comes after the end and changes nothing
         yard.over(handoff, TIMED_OUT)
     yard.pass_time(10 * SECOND)
     assert len(yard.said("dismiss") + yard.said("scrap")) == 1 and len(yard.said("hand_off")) <= 1
 
 
-@pytest.mark.parametrize("repeat, outcome, again, ending", [
-    (REDOABLE, ERROR, True, None), (REDOABLE, TIMED_OUT, True, None), (LABELLED, RESET, True, None),
-    (IRREVERSIBLE, FULL, True, None), (IRREVERSIBLE, UNREACHED, True, None),
-    (IRREVERSIBLE, ERROR, False, "scrap"), (IRREVERSIBLE, RESET, False, "scrap"),
-    (IRREVERSIBLE, CALLED_OFF, False, "scrap")])
+@pytest.mark.parametrize(
+    "repeat, outcome, again, ending",
+    [
+        (REDOABLE, ERROR, True, None),
+        (REDOABLE, TIMED_OUT, True, None),
+        (LABELLED, RESET, True, None),
+        (IRREVERSIBLE, FULL, True, None),
+        (IRREVERSIBLE, UNREACHED, True, None),
+        (IRREVERSIBLE, ERROR, False, "scrap"),
+        (IRREVERSIBLE, RESET, False, "scrap"),
+        (IRREVERSIBLE, CALLED_OFF, False, "scrap"),
+    ],
+)
 def test_effects(repeat, outcome, again, ending):
     yard = Yard([{**QUICK, "repeat": repeat, "remembered": 20 * SECOND}])
     sub = yard.take()
@@ -47,8 +61,9 @@
     assert ending is None or yard.said(ending)
 
 
-@pytest.mark.parametrize("group, allowed", [
-    ("all", {"e0", "e1", "e2"}), ("zone", {"e0", "e2"}), ("cell", {"e0"})])
+@pytest.mark.parametrize(
+    "group, allowed", [("all", {"e0", "e1", "e2"}), ("zone", {"e0", "e2"}), ("cell", {"e0"})]
+)
 def test_repeats_stay_in_their_group(group, allowed):
     yard = Yard([{**QUICK, "repeat": LABELLED, "remembered": 20 * SECOND, "group": group}])
     yard.tell(*yard.engines[1:], state=DRAINING)
@@ -104,7 +119,9 @@
     assert not sub.handoffs
 
 
-@pytest.mark.parametrize("outcome, settle", [(HONOURED, 0), (ERROR, 0), (TIMED_OUT, 0), (TIMED_OUT, 3000)])
+@pytest.mark.parametrize(
+    "outcome, settle", [(HONOURED, 0), (ERROR, 0), (TIMED_OUT, 0), (TIMED_OUT, 3000)]
+)
 def test_order(outcome, settle):
     yard = Yard([ORDERED], most_handoffs=1, settle=settle)
     first, second, other = yard.take(key=5), yard.take(key=5), yard.take(key=6)
@@ -115,7 +132,9 @@
     assert second.handoffs
     # Danger: the next of a key was handed off before the end of the one before it was said.
     said = [(what, tag) for what, tag, _ in yard.done]
-    assert outcome == HONOURED or said.index(("dismiss", first.tag)) < said.index(("hand_off", second.tag))
+    assert outcome == HONOURED or said.index(("dismiss", first.tag)) < said.index(
+        ("hand_off", second.tag)
+    )
 
 
 def test_order_waits_for_outcomes_of_the_ended():
@@ -146,13 +165,14 @@
     assert not bound.handoffs and free.handoffs and bound.over
 
 
-@pytest.mark.parametrize("taken, floor, share, most", [
-    (10, 3.0, 0.1, 4), (1, 0.0, 0.1, 0), (30, 0.0, 0.5, 15)])
+@pytest.mark.parametrize(
+    "taken, floor, share, most", [(10, 3.0, 0.1, 4), (1, 0.0, 0.1, 0), (30, 0.0, 0.5, 15)]
+)
 def test_budget(taken, floor, share, most):
     yard = Yard(extra_floor=floor, extra_share=share, extra_span=5 * SECOND)
     for _ in range(taken):
         yard.over(yard.take().handoffs[0])
-    subs = [yard.take() for _ in range(taken)]      # Danger: what was never any use buys nothing
+    subs = [yard.take() for _ in range(taken)]  # Danger: what was never any use buys nothing
     for sub in subs:
         yard.over(sub.handoffs[0], TIMED_OUT)
     assert sum(len(s.handoffs) - 1 for s in subs) == most
@@ -194,5 +214,5 @@
     yard.now += 1_000
     assert yard.gateway.may_begin(subs[0].handoffs[1])
     assert yard.gateway.extras == [begun, begun + 1_000]
-    yard.gateway.strict = 0.5       # a storm: the budget is one by now, and that is used
+    yard.gateway.strict = 0.5  # a storm: the budget is one by now, and that is used
     assert not yard.gateway.may_begin(subs[1].handoffs[1])
--- a/tests/test_scale_alone.py
+++ b/tests/test_scale_alone.py
@@ -21,7 +21,10 @@
         alone = Alone(60)
         where = []
         hand_off = alone.hand_off
-        alone.hand_off = lambda attempt, allow: (where.append(attempt.engine.tag), hand_off(attempt, allow))
+        alone.hand_off = lambda attempt, allow: (
+            where.append(attempt.engine.tag),
+            hand_off(attempt, allow),
+        )
         alone.play(alone.drawn(400))
         alone.pass_until(alone.now + 20 * SECOND)
         ends.append((where, alone.now))
@@ -46,21 +49,35 @@
         front.close()
 
 
-@pytest.mark.parametrize("arguments, said", [
-    (["--engines", "90000000"], "scale: 18000200 MB,"),
-    (["--rows", "alone.nothing"], "no 'alone.nothing'"),
-    (["--rows", "alone.turn.descriptors", "--quick"], "descriptors,")])
+@pytest.mark.parametrize(
+    "arguments, said",
+    [
+        (["--engines", "90000000"], "scale: 18000200 MB,"),
+        (["--rows", "alone.nothing"], "no 'alone.nothing'"),
+        (["--rows", "alone.turn.descriptors", "--quick"], "descriptors,"),
+    ],
+)
 def test_what_is_too_large_or_unknown_ends_with_2_and_says_which(arguments, said):
-    code = f"import resource, runpy, sys; resource.setrlimit(resource.RLIMIT_NOFILE, (512, 512)); sys.argv = " \
-           f"['scale.py', 'alone', *{arguments!r}]; runpy.run_path('benchmarks/scale.py', run_name='__main__')"
+    code = (
+        f"import resource, runpy, sys; resource.setrlimit(resource.RLIMIT_NOFILE, (512, 512)); sys.argv = "
+        f"['scale.py', 'alone', *{arguments!r}]; runpy.run_path('benchmarks/scale.py', run_name='__main__')"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=HERE)
-    assert done.returncode == 2 and said in done.stderr.splitlines()[-1] and "Traceback" not in done.stderr
+    assert (
+        done.returncode == 2
+        and said in done.stderr.splitlines()[-1]
+        and "Traceback" not in done.stderr
+    )
 
 
 def test_the_program_under_measurement_ends_with_a_starter_that_is_killed():
-    code = ("from corkgauge.standins.hollow_serve import Serve; import time; s = Serve(20); s.ready(); "
-            "print(s.program.process.pid, s.folder, flush=True); time.sleep(60)")
-    starter = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, text=True, cwd=HERE)
+    code = (
+        "from corkgauge.standins.hollow_serve import Serve; import time; s = Serve(20); s.ready(); "
+        "print(s.program.process.pid, s.folder, flush=True); time.sleep(60)"
+    )
+    starter = subprocess.Popen(
+        [sys.executable, "-c", code], stdout=subprocess.PIPE, text=True, cwd=HERE
+    )
     child, folder = starter.stdout.readline().split()
     assert os.path.exists(f"/proc/{child}")
     starter.send_signal(signal.SIGKILL)
@@ -82,8 +99,10 @@
 
 def test_a_sampled_stack_counts_once_on_top_and_once_anywhere(tmp_path):
     path, ours = tmp_path / "stacks", f"{HERE}/corkgauge/control.py"
-    stack = (f'Current thread 0x0 (most recent call first):\n  File "{ours}", line 1 in _slow\n'
-             f'  File "{ours}", line 2 in _slow\n  File "/lib/heapq.py", line 3 in merge\n')
+    stack = (
+        f'Current thread 0x0 (most recent call first):\n  File "{ours}", line 1 in _slow\n'
+        f'  File "{ours}", line 2 in _slow\n  File "/lib/heapq.py", line 3 in merge\n'
+    )
     path.write_text(2 * stack)
     looks, own, within = read(str(path))
     assert looks == 2 and own == {"control.py:_slow": 2}
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -15,7 +15,7 @@
 REAL_DIAL = Station.dial
 ROW = "a\t\t\n"
 EXPIRY = 52_000
-PROOF = "WAIT", "PAST"      # an engine's word that it never ran
+PROOF = "WAIT", "PAST"  # an engine's word that it never ran
 
 
 def say(sock, data):
@@ -32,7 +32,7 @@
     def __init__(self, client, stream, trace, route):
         self.client, self.stream, self.trace, self.route = client, stream, trace, route
         self.left, self.answers = False, 0
-        self.attempts = []      # what became of each: "out", "proof", "ended"
+        self.attempts = []  # what became of each: "out", "proof", "ended"
 
 
 class Client:
@@ -62,7 +62,9 @@
             for ask in self.asks.values():
                 assert ask.answers == 1 or ask.left, f"{ask.answers} answers to {ask.trace}"
             assert not self.premises.house.errands and not self.premises.house.names
-            assert not [line for line in self.premises.logged if "Traceback" in line], self.premises.logged
+            assert not [line for line in self.premises.logged if "Traceback" in line], (
+                self.premises.logged
+            )
         finally:
             engines.dial = self.kept
 
@@ -76,8 +78,12 @@
 
     # What the outside does.
 
-    @rule(route=st.sampled_from(["quick", "load", "once"]), new=st.booleans(), patience=st.sampled_from(
-        ["80", "900", "5000"]), turns=st.integers(0, 3))
+    @rule(
+        route=st.sampled_from(["quick", "load", "once"]),
+        new=st.booleans(),
+        patience=st.sampled_from(["80", "900", "5000"]),
+        turns=st.integers(0, 3),
+    )
     def asks_for(self, route, new, patience, turns):
         if new or not self.clients:
             self.clients.append(Client(self.premises.client()))
@@ -86,7 +92,10 @@
         self.traces += 1
         ask = Ask(client, client.last, name(self.traces), route)
         more = {"nonce": f"n{self.traces}", "entity": "5"} if route == "load" else {}
-        say(client.sock, request(ask.stream, trace=ask.trace, route=route, patience=patience, **more))
+        say(
+            client.sock,
+            request(ask.stream, trace=ask.trace, route=route, patience=patience, **more),
+        )
         client.asks[ask.stream] = self.asks[ask.trace] = ask
         self.premises.turn(turns)
 
@@ -114,13 +123,22 @@
         able = [guest for guest in self.guests if guest[1]]
         sock, out, _ = able[pick % len(able)]
         trace = next(iter(out))
-        say(sock, command(trace, word, "chunks=1" if word == "DONE" else "-", ROW if word == "DONE" else ""))
+        say(
+            sock,
+            command(
+                trace, word, "chunks=1" if word == "DONE" else "-", ROW if word == "DONE" else ""
+            ),
+        )
         if word != "TELL":
             ask, number = out.pop(trace)
             ask.attempts[number] = "proof" if word in PROOF else "ended"
 
     @precondition(lambda self: any(guest[1] for guest in self.guests))
-    @rule(pick=st.integers(0, 9), word=st.sampled_from(["WAIT", "BROKE", "PAST"]), closes=st.booleans())
+    @rule(
+        pick=st.integers(0, 9),
+        word=st.sampled_from(["WAIT", "BROKE", "PAST"]),
+        closes=st.booleans(),
+    )
     def answers_as_its_client_leaves(self, pick, word, closes):
         """Both lie unread as the next turn begins."""
         self.look()
@@ -151,8 +169,11 @@
             ask.attempts[number] = "ended"
         del self.guests[pick % len(self.guests)]
 
-    @rule(tag=st.sampled_from(["e1", "e2"]), state=st.sampled_from(["SERVING", "DRAINING", "DELETED"]),
-          started=st.sampled_from([0, 50_000, 60_000]))
+    @rule(
+        tag=st.sampled_from(["e1", "e2"]),
+        state=st.sampled_from(["SERVING", "DRAINING", "DELETED"]),
+        started=st.sampled_from([0, 50_000, 60_000]),
+    )
     def tells(self, tag, state, started):
         self.event += 1
         said = listing(self.event, {"id": tag, "state": state, "started_ms": started}, full=False)
@@ -180,8 +201,8 @@
             parts = []
             for _ in range(int(head[1:])):
                 size, _, rest = rest.partition(b"\r\n")
-                parts.append(rest[:int(size[1:])])
-                rest = rest[int(size[1:]) + 2:]
+                parts.append(rest[: int(size[1:])])
+                rest = rest[int(size[1:]) + 2 :]
             data = rest
             if parts[0] == b"fetch":
                 self.begun(self.asks[parts[1].decode()], out)
@@ -194,8 +215,10 @@
     def begun(self, ask, out):
         assert not ask.left, f"an attempt of {ask.trace} began after its client had gone"
         assert not ask.answers, f"an attempt of {ask.trace} began after its answer"
-        if ask.route == "once":     # Danger: it may have run
-            assert all(each == "proof" for each in ask.attempts), f"{ask.trace} again after {ask.attempts}"
+        if ask.route == "once":  # Danger: it may have run
+            assert all(each == "proof" for each in ask.attempts), (
+                f"{ask.trace} again after {ask.attempts}"
+            )
         out[ask.trace] = (ask, len(ask.attempts))
         ask.attempts.append("out")
 
@@ -209,8 +232,10 @@
                 client.read += client.sock.recv(1 << 20)
             except (BlockingIOError, ConnectionResetError):
                 pass
-            while len(client.read) >= 4 and len(client.read) >= 4 + (size := int.from_bytes(client.read[:4], "little")):
-                frame, client.read = client.read[4:4 + size], client.read[4 + size:]
+            while len(client.read) >= 4 and len(client.read) >= 4 + (
+                size := int.from_bytes(client.read[:4], "little")
+            ):
+                frame, client.read = client.read[4 : 4 + size], client.read[4 + size :]
                 stream = int.from_bytes(frame[1:5], "little")
                 if frame[0] == 4 and stream:
                     client.asks[stream].answers += 1
@@ -220,5 +245,12 @@
 assert "once" in {each["name"] for each in STATED_ON_SOCKETS["profiles"]}
 TestSequences = Sequences.TestCase
 # Drawn alike every time; a failing sequence is told as drawn, as shortening it takes minutes.
-TestSequences.settings = settings(max_examples=40, stateful_step_count=30, deadline=None, derandomize=True,
-                                  database=None, phases=[Phase.generate], suppress_health_check=list(HealthCheck))
+TestSequences.settings = settings(
+    max_examples=40,
+    stateful_step_count=30,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    phases=[Phase.generate],
+    suppress_health_check=list(HealthCheck),
+)
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -17,10 +17,26 @@
     """Five gateways in two halls, twelve engines, thin traffic; `spoilt` are gateways with something left out."""
 
     def __init__(self, spoilt=None, **more):
-        self.fleet = Fleet(**{"seed": 5, "gateways": 5, "engines": 12, "lease": 1.0, "cold": 2.0, "clients": 10,
-                              "rate": 120.0, "shared": SHARED, **more})
+        self.fleet = Fleet(
+            **{
+                "seed": 5,
+                "gateways": 5,
+                "engines": 12,
+                "lease": 1.0,
+                "cold": 2.0,
+                "clients": 10,
+                "rate": 120.0,
+                "shared": SHARED,
+                **more,
+            }
+        )
         for name, off in (spoilt or {}).items():
-            self.fleet.gateways[name].program.start_with = ("-m", "corkgauge.standins.undefended", off, "1.0")
+            self.fleet.gateways[name].program.start_with = (
+                "-m",
+                "corkgauge.standins.undefended",
+                off,
+                "1.0",
+            )
         FLEETS.append(self.fleet)
         self.fleet.start()
         self.fleet.until(4)
@@ -33,14 +49,19 @@
 
     def served(self, since, until=None):
         until = until or self.fleet.hub.now
-        asks = [ask for client in self.fleet.clients for ask in client.book if since <= ask.sent < until]
+        asks = [
+            ask for client in self.fleet.clients for ask in client.book if since <= ask.sent < until
+        ]
         return sum(bool(ask.answers) and ask.answers[0][1] == 1 for ask in asks) / max(len(asks), 1)
 
     def over(self):
         self.fleet.settle()
         logs = self.fleet.logs()
         self.fleet.close()
-        return [*self.fleet.broken(2_500), *[line for line in logs if "exceptions stopped" in line]], logs
+        return [
+            *self.fleet.broken(2_500),
+            *[line for line in logs if "exceptions stopped" in line],
+        ], logs
 
 
 def known():
@@ -61,10 +82,14 @@
     ended = scene.fleet.hub.now
     scene.fleet.until(6)
     still = {"n1"}
-    while still and scene.fleet.hub.now < ended + 25 * SECOND:    # rests double, and are told while they last
+    while (
+        still and scene.fleet.hub.now < ended + 25 * SECOND
+    ):  # rests double, and are told while they last
         scene.fleet.until(1)
         still = scene.doubts("n1") | scene.doubts("n2")
-    back = sum(run.came > ended + 3 * SECOND for name in bad for run in scene.fleet.engines[name].book)
+    back = sum(
+        run.came > ended + 3 * SECOND for name in bad for run in scene.fleet.engines[name].book
+    )
     return when, still, back, scene.over()
 
 
@@ -96,7 +121,7 @@
     scene = Round({"n2": "day"})
     fleet = scene.fleet
     fleet.befall(Fault(0, 4 * SECOND, "part", ("n1", "n2")))
-    for far in ("n3", "n4", "n5"):      # e2 is lost for one half alone, e3 for the other
+    for far in ("n3", "n4", "n5"):  # e2 is lost for one half alone, e3 for the other
         fleet.passages[far, "e2"].cut = True
     for near in ("n1", "n2"):
         fleet.passages[near, "e3"].cut = True
@@ -108,7 +133,7 @@
     fleet.engines["e5"].begin("silent", 0)
     fleet.until(3)
     fleet.engines["e5"].end()
-    fleet.renewed(["e5"])               # what was found of it is of another engine now
+    fleet.renewed(["e5"])  # what was found of it is of another engine now
     fleet.befall(Fault(0, 500, "kill", ("n4",)))
     fleet.until(4)
     doubts = {name: scene.doubts(name) & {"e2", "e3", "e5"} for name in ("n1", "n3", "n5")}
@@ -144,12 +169,21 @@
     scene.fleet.renewed(["e1", "e2", "e3", "e4", "e5", "e6"])
     scene.fleet.until(9)
     told = [scene.shows(name)["counters"] for name in ("n1", "n2", "n3", "n8")]
-    return (sum(each.get("turns passed on", 0) for each in told), sum(each.get("turns received", 0) for each in told),
-            scene.over())
+    return (
+        sum(each.get("turns passed on", 0) for each in told),
+        sum(each.get("turns received", 0) for each in told),
+        scene.over(),
+    )
 
 
-SCENES = {"known": (known,), "liars": (liars,), "believers": (believers,), "weather": (weather,), "quiet": (quiet,),
-          "turns": (turns, False)}
+SCENES = {
+    "known": (known,),
+    "liars": (liars,),
+    "believers": (believers,),
+    "weather": (weather,),
+    "quiet": (quiet,),
+    "turns": (turns, False),
+}
 
 
 def staged(method, *what):
@@ -165,7 +199,9 @@
 def scenes():
     """Side by side, but for the calm one: on a machine that is full no fleet is calm, and its figure is of the load."""
     with ProcessPoolExecutor(6, initializer=tied(os.getpid())) as pool:
-        others = {name: pool.submit(staged, *what) for name, what in SCENES.items() if name != "quiet"}
+        others = {
+            name: pool.submit(staged, *what) for name, what in SCENES.items() if name != "quiet"
+        }
         wait(others.values())
         yield {**others, "quiet": pool.submit(staged, *SCENES["quiet"])}
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -9,7 +9,17 @@
 
 from corkgauge import control
 from corkgauge.control import Gateway
-from corkgauge.interface import DRAINING, FULL, GONE, LABELLED, READY, RESET, TIMED_OUT, UNREACHED, Engine
+from corkgauge.interface import (
+    DRAINING,
+    FULL,
+    GONE,
+    LABELLED,
+    READY,
+    RESET,
+    TIMED_OUT,
+    UNREACHED,
+    Engine,
+)
 from corkgauge.model import subsets
 from corkgauge.stated import Stated
 from tests.yard import QUICK, SECOND, STATED_ON_SOCKETS, Yard
@@ -19,14 +29,18 @@
 
 def fleet_engines(many, rare=0, halls=5, mark=b"s-%d"):
     """So many engines; the last `rare` of them are of kind 1."""
-    return [Engine(f"s{n}", mark % n, n % halls, int(n >= many - rare), n // 3, cores=8.0, name=f"s{n}")
-            for n in range(many)]
+    return [
+        Engine(f"s{n}", mark % n, n % halls, int(n >= many - rare), n // 3, cores=8.0, name=f"s{n}")
+        for n in range(many)
+    ]
 
 
 def gateway_before(engines, number=5, gateways=870, offerings=(QUICK,), **stated):
     """A gateway on its host, told these engines; copies, as what it has seen of them is its own."""
     yard = Yard(offerings=offerings, engines=0, number=number, gateways=gateways, **stated)
-    yard.engines = [Engine(e.tag, e.mark, e.hall, e.kind, e.cell, cores=e.cores, name=e.name) for e in engines]
+    yard.engines = [
+        Engine(e.tag, e.mark, e.hall, e.kind, e.cell, cores=e.cores, name=e.name) for e in engines
+    ]
     yard.tell(*yard.engines)
     return yard
 
@@ -51,12 +65,16 @@
 @pytest.mark.parametrize("many", [1, 5, 40, 80, 128])
 def test_a_short_list_is_the_set(many):
     yard = gateway_before(fleet_engines(many, rare=many // 4), offerings=(QUICK, RARE))
-    assert held(yard) == {engine.tag for engine in yard.engines} and all(each.near for each in yard.engines)
+    assert held(yard) == {engine.tag for engine in yard.engines} and all(
+        each.near for each in yard.engines
+    )
 
 
-@pytest.mark.parametrize("many, least, most", [(129, 100, 140), (200, 50, 115), (400, 25, 75), (1800, 25, 75)])
+@pytest.mark.parametrize(
+    "many, least, most", [(129, 100, 140), (200, 50, 115), (400, 25, 75), (1800, 25, 75)]
+)
 def test_a_long_list_has_a_bounded_set(many, least, most):
-    for number in 0, 1, 7, 500, 869, 10 ** 7:
+    for number in 0, 1, 7, 500, 869, 10**7:
         yard = gateway_before(fleet_engines(many), number)
         assert least <= len(held(yard)) <= most
         assert {engine.tag for engine in yard.engines if engine.near} == held(yard)
@@ -70,9 +88,9 @@
 
 
 @settings(max_examples=5, deadline=None)
-@given(st.integers(300, 900), st.integers(600, 1800), st.integers(0, 10 ** 6))
+@given(st.integers(300, 900), st.integers(600, 1800), st.integers(0, 10**6))
 def test_each_engine_is_in_nearly_as_many_sets_as_any_other(gateways, many, salt):
-    part = max(control.BASE, 128 ** 2 / many, control.COVER * many / gateways) / many
+    part = max(control.BASE, 128**2 / many, control.COVER * many / gateways) / many
     gateway, count = Yard(engines=0, gateways=gateways).gateway, [0] * 40
     for gateway.number in range(gateways):
         for n in range(40):
@@ -83,17 +101,27 @@
 def test_the_bound_on_evenness_objects_to_ranks_by_plain_hash(monkeypatch):
     engines = fleet_engines(400, rare=40)
     numbers = range(0, 300)
-    assert worst_over_mean(engines, sets_of(engines, numbers, gateways=300, offerings=(QUICK, RARE))) <= 1.25
-    monkeypatch.setattr(Gateway, "_rank", lambda gateway, mark: int.from_bytes(
-        md5(b"%d" % gateway.number + mark).digest()[:4]) / 2 ** 32)
-    assert worst_over_mean(engines, sets_of(engines, numbers, gateways=300, offerings=(QUICK, RARE))) > 1.25
+    assert (
+        worst_over_mean(engines, sets_of(engines, numbers, gateways=300, offerings=(QUICK, RARE)))
+        <= 1.25
+    )
+    monkeypatch.setattr(
+        Gateway,
+        "_rank",
+        lambda gateway, mark: int.from_bytes(md5(b"%d" % gateway.number + mark).digest()[:4])
+        / 2**32,
+    )
+    assert (
+        worst_over_mean(engines, sets_of(engines, numbers, gateways=300, offerings=(QUICK, RARE)))
+        > 1.25
+    )
 
 
 def test_the_sets_of_two_gateways_share_little_more_than_chance():
     """Danger: were many sets the same, those engines would carry all that these gateways have."""
     sets = sets_of(fleet_engines(1000), range(0, 130))
-    shared = [len(a & b) for n, a in enumerate(sets) for b in sets[n + 1:]]
-    assert max(shared) < 16 and sum(shared) / len(shared) < 4     # 48 of 1,000: 2.3 by chance
+    shared = [len(a & b) for n, a in enumerate(sets) for b in sets[n + 1 :]]
+    assert max(shared) < 16 and sum(shared) / len(shared) < 4  # 48 of 1,000: 2.3 by chance
 
 
 def test_one_engine_more_or_less_changes_little_and_what_comes_back_finds_its_place():
@@ -103,7 +131,9 @@
     for yard in yards:
         yard.tell(Engine("new", b"new", 2, 0, 7, cores=8.0))
     changed = sum(len(held(yard) ^ was) for yard, was in zip(yards, before))
-    assert changed <= 3 * 120 * 48 / 900 + 10, changed      # those that hold it, and as many that let one go
+    assert changed <= 3 * 120 * 48 / 900 + 10, (
+        changed
+    )  # those that hold it, and as many that let one go
     assert 3 <= sum("new" in held(yard) for yard in yards) <= 10 and newcomer.rank == 0.0
     for yard in yards:
         yard.tell(next(each for each in yard.gateway.placed if each.tag == "new"), state=GONE)
@@ -114,7 +144,7 @@
     yard = gateway_before(fleet_engines(300))
     before = held(yard)
     for first in range(0, 300, 30):
-        step = yard.engines[first:first + 30]
+        step = yard.engines[first : first + 30]
         yard.tell(*step, state=DRAINING)
         assert not held(yard) & {engine.tag for engine in step}
         yard.tell(*step, state=GONE)
@@ -133,15 +163,19 @@
         many.append(len(rare))
         yard.take(1)
         assert yard.said("hand_off")[0][1] in {each.tag for each in rare}
-    assert control.FEW <= min(many) and max(many) < 30 and 6 < sum(many) / len(many) < 12     # without: 1.6
+    assert (
+        control.FEW <= min(many) and max(many) < 30 and 6 < sum(many) / len(many) < 12
+    )  # without: 1.6
 
 
 def test_an_offering_whose_engines_at_hand_all_fail_gets_others():
     yard = gateway_before(fleet_engines(600, rare=60), offerings=(QUICK, RARE))
-    for _ in range(3):      # those that come in their place fail as well
+    for _ in range(3):  # those that come in their place fail as well
         failing(yard, [each for each in yard.gateway.engines if each.kind])
         yard.gateway.set_due()
-        able = [each for each in yard.gateway.engines if each.kind and yard.gateway._trusted(each.view)]
+        able = [
+            each for each in yard.gateway.engines if each.kind and yard.gateway._trusted(each.view)
+        ]
         assert len(able) >= control.FEW
 
 
@@ -160,12 +194,14 @@
         sizes.append(len(held(yard)))
     assert before < held(yard) and 1.6 * len(before) < sizes[-1] <= 2.6 * len(before)
     steps = [later - sooner for sooner, later in zip([len(before), *sizes], sizes)]
-    assert max(steps) <= 0.45 * len(before), steps      # a fifth a period, and chance
+    assert max(steps) <= 0.45 * len(before), steps  # a fifth a period, and chance
     for engine in dead:
         engine.view.faults.append("")
     yard.pass_time(60 * SECOND)
     assert held(yard) == before
-    assert [line for line, _ in yard.said("log") if line.startswith("set ")][0].startswith("set wider")
+    assert [line for line, _ in yard.said("log") if line.startswith("set ")][0].startswith(
+        "set wider"
+    )
 
 
 def test_gateways_that_started_together_do_not_change_their_sets_in_step():
@@ -173,7 +209,9 @@
     moments = []
     for yard in yards:
         yard.gateway.interval_over()
-        moments += [when - yard.now for when, _, method, _ in yard.wakes if method == yard.gateway.set_due]
+        moments += [
+            when - yard.now for when, _, method, _ in yard.wakes if method == yard.gateway.set_due
+        ]
     assert len(moments) == 100
     tenths = Counter(moment * 10 // (2 * SECOND) for moment in moments)
     assert max(tenths.values()) <= 25 and len(tenths) >= 8
@@ -189,16 +227,20 @@
     sizes = {}
     for times in 0.5, 3.0, 30.0:
         yard = gateway_before(fleet_engines(1800))
-        work = 8 * 1800 * control.THREADS_PER_CORE / 870 * times    # cores' worth of its part
+        work = 8 * 1800 * control.THREADS_PER_CORE / 870 * times  # cores' worth of its part
         queue = yard.take().queue
-        for _ in range(40):     # until the count of what is asked for has settled
+        for _ in range(40):  # until the count of what is asked for has settled
             many = int(work * 2 * SECOND / queue.offering.usual)
             queue.badness += [0.5] * many
             yard.gateway.interval_over()
         for _ in range(8):
             yard.gateway.set_due()
         sizes[times] = len(held(yard))
-    assert sizes[0.5] < 70 and 1.8 * sizes[0.5] < sizes[3.0] < 4 * sizes[0.5] and sizes[30.0] < 5.2 * sizes[0.5]
+    assert (
+        sizes[0.5] < 70
+        and 1.8 * sizes[0.5] < sizes[3.0] < 4 * sizes[0.5]
+        and sizes[30.0] < 5.2 * sizes[0.5]
+    )
 
 
 @pytest.mark.parametrize("group", ["cell", "zone"])
@@ -215,7 +257,7 @@
         assert len(sub.handoffs) == 2
         second = sub.handoffs[1].engine
         assert place(second) == place(first) and second is not first
-    assert alone > 10       # in most sets it is the only one of its group
+    assert alone > 10  # in most sets it is the only one of its group
 
 
 def test_what_never_ran_stays_within_the_set():
@@ -234,8 +276,15 @@
     gateways, span, work = 120, SECOND, 2000.0
     engines, yards, sent = fleet_engines(300), [], []
     for number in range(gateways):
-        yard = gateway_before(engines[number % 2 * 150:], number, gateways=int(gateways * told), cold_share=0.3,
-                              fall_multiple=2.0, fall_span=span, cold_span=15 * SECOND)
+        yard = gateway_before(
+            engines[number % 2 * 150 :],
+            number,
+            gateways=int(gateways * told),
+            cold_share=0.3,
+            fall_multiple=2.0,
+            fall_span=span,
+            cold_span=15 * SECOND,
+        )
         yard.now += 20 * SECOND
         yard.gateway.cold_part *= grown
         yards.append(yard)
@@ -266,14 +315,14 @@
 def test_gateways_that_are_told_no_number_do_not_share_one_set():
     found = []
     for name in "n1", "n2", "n3":
-        said = {**STATED_ON_SOCKETS, "instances": 870}      # and one seed in all files
+        said = {**STATED_ON_SOCKETS, "instances": 870}  # and one seed in all files
         host = Yard(engines=0)
         gateway = Stated(said, host, 7, name).gateway
         for engine in fleet_engines(900):
             gateway.engine_told(engine, READY, 0)
         gateway.list_told()
         found.append({engine.tag for engine in gateway.engines})
-    assert all(len(a & b) < 15 for n, a in enumerate(found) for b in found[n + 1:])
+    assert all(len(a & b) < 15 for n, a in enumerate(found) for b in found[n + 1 :])
 
 
 def test_what_a_narrow_offering_needs_does_not_draw_the_work_of_others():
@@ -323,9 +372,18 @@
     def said(number, mark):
         gateway.number = number
         return gateway._rank(mark)
+
     for n in range(30):
         for ranked, engine in (said, b"s-%d" % n), (subsets.rank, subsets.mixed(n, 1)):
             for first in range(0, 256, block):
-                assert sum(ranked(number, engine) < 1 / block for number in range(first, first + block)) == 1
+                assert (
+                    sum(
+                        ranked(number, engine) < 1 / block for number in range(first, first + block)
+                    )
+                    == 1
+                )
             for part in 0.7 / block, 0.9 / block:
-                assert abs(sum(ranked(number, engine) <= part for number in range(870)) - 870 * part) <= 3
+                assert (
+                    abs(sum(ranked(number, engine) <= part for number in range(870)) - 870 * part)
+                    <= 3
+                )
--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -21,8 +21,11 @@
 def ended(fleet):
     """What the judge found, and what any process raised or found out of balance."""
     fleet.settle()
-    return fleet.broken(SLACK) + [line for line in fleet.logs() if "exceptions stopped" in line
-                                  or "out of balance" in line or "Traceback" in line]
+    return fleet.broken(SLACK) + [
+        line
+        for line in fleet.logs()
+        if "exceptions stopped" in line or "out of balance" in line or "Traceback" in line
+    ]
 
 
 def killed(fleet):
@@ -41,16 +44,29 @@
     for name in victims:
         fleet.engines[name].end()
     back = fleet.hub.now
-    fleet.until(20, lambda: not any(line.startswith("n1") and "set as before" in line for line in fleet.logs()))
-    fleet.until(6)      # from there on a tenth a period
+    fleet.until(
+        20,
+        lambda: not any(line.startswith("n1") and "set as before" in line for line in fleet.logs()),
+    )
+    fleet.until(6)  # from there on a tenth a period
     settled = fleet.hub.now
     fleet.until(2)
-    return {"held": held, "next": next_, "before": before, "victims": {*victims},
-            "meanwhile": fleet.reached_by("n1", gone), "after": fleet.reached_by("n1", settled + SECOND // 2),
-            "wider": [line for line in fleet.logs() if line.startswith("n1") and "set wider" in line],
-            "narrow": [line for line in fleet.logs() if line.startswith("n1") and "set as before" in line],
-            "given back": {run.engine for run in fleet.runs_of("n1", back)} & {*victims},
-            "served": fleet.served(gone, settled), "settled": (settled - back) / SECOND, "broken": ended(fleet)}
+    return {
+        "held": held,
+        "next": next_,
+        "before": before,
+        "victims": {*victims},
+        "meanwhile": fleet.reached_by("n1", gone),
+        "after": fleet.reached_by("n1", settled + SECOND // 2),
+        "wider": [line for line in fleet.logs() if line.startswith("n1") and "set wider" in line],
+        "narrow": [
+            line for line in fleet.logs() if line.startswith("n1") and "set as before" in line
+        ],
+        "given back": {run.engine for run in fleet.runs_of("n1", back)} & {*victims},
+        "served": fleet.served(gone, settled),
+        "settled": (settled - back) / SECOND,
+        "broken": ended(fleet),
+    }
 
 
 def replaced(fleet):
@@ -63,9 +79,19 @@
     fleet.tell(kept + new, full=True)
     when = fleet.hub.now
     fleet.until(5)
-    second = {name: (fleet.working_set(name), fleet.reached_by(name, when + SECOND)) for name in fleet.gateways}
-    return {"first": first, "second": second, "reports": (reports, fleet.served(when, offering="report")),
-            "served": fleet.served(when), "new": {*new}, "kept": {*kept}, "broken": ended(fleet)}
+    second = {
+        name: (fleet.working_set(name), fleet.reached_by(name, when + SECOND))
+        for name in fleet.gateways
+    }
+    return {
+        "first": first,
+        "second": second,
+        "reports": (reports, fleet.served(when, offering="report")),
+        "served": fleet.served(when),
+        "new": {*new},
+        "kept": {*kept},
+        "broken": ended(fleet),
+    }
 
 
 def only(fleet):
@@ -80,7 +106,7 @@
     started; the others hear it four seconds later."""
     fleet.until(3)
     new = [name for name in fleet.engines if name not in fleet.first]
-    listed, names = fleet.first[2:4] + fleet.first[len(new):] + new, [*fleet.gateways]
+    listed, names = fleet.first[2:4] + fleet.first[len(new) :] + new, [*fleet.gateways]
     fleet.started(new)
     when = fleet.hub.now
     fleet.tell(listed, full=True, to=names[1::2])
@@ -89,7 +115,10 @@
     fleet.tell(listed, full=True, to=names[::2])
     fleet.until(4)
     cold = {name: fleet.reached_by(name, when) & {*new} for name in names}
-    early = {name: {run.engine for run in fleet.runs_of(name, when) if run.came < told} & {*new} for name in names}
+    early = {
+        name: {run.engine for run in fleet.runs_of(name, when) if run.came < told} & {*new}
+        for name in names
+    }
     return {"cold": cold, "early": early, "served": fleet.served(when), "broken": ended(fleet)}
 
 
@@ -119,8 +148,9 @@
             if ask.want.offering == "load" and (mine := runs[ask.trace]):
                 first = mine[0].engine
                 again += [(cells[first], cells[run.engine], run.engine in held) for run in mine[1:]]
-                if any(first in bad and since <= mine[0].came < until for bad, since, until in spells) and not [
-                        each for each in wide if each != first and cells[each] == cells[first]]:
+                if any(
+                    first in bad and since <= mine[0].came < until for bad, since, until in spells
+                ) and not [each for each in wide if each != first and cells[each] == cells[first]]:
                     alone.append(bool(ask.answers) and ask.answers[0][1] == SERVED)
     return {"again": again, "alone": alone, "broken": broken}
 
@@ -129,11 +159,17 @@
 CELLS = {"numbers": (7, 23, 41), "cell": 3, "wants": LOADS, "rates": (100.0,) * 3}
 SCENES = {
     "killed": (killed, {"numbers": (7, 23, 41), "rates": (250.0, 25.0, 25.0)}),
-    "replaced": (replaced, {"numbers": (3, 200, MISSING, MISSING), "rates": (50.0,) * 4, "few": 1, "more": 150}),
+    "replaced": (
+        replaced,
+        {"numbers": (3, 200, MISSING, MISSING), "rates": (50.0,) * 4, "few": 1, "more": 150},
+    ),
     "only": (only, {"numbers": (3, 20, 44), "few": 1, "wants": REPORTS}),
     "only, any kind": (only, {"numbers": (3, 20, 44), "few": 1, "wants": REPORTS, "spoilt": "few"}),
     "ages": (ages, {"numbers": FAR, "rates": (40.0,) * 6, "more": 100, "wants": REPORTS}),
-    "ages, no cold": (ages, {"numbers": FAR, "rates": (40.0,) * 6, "more": 100, "wants": REPORTS, "spoilt": "cold"}),
+    "ages, no cold": (
+        ages,
+        {"numbers": FAR, "rates": (40.0,) * 6, "more": 100, "wants": REPORTS, "spoilt": "cold"},
+    ),
     "repeats": (repeats, CELLS),
     "repeats, anywhere": (repeats, {**CELLS, "spoilt": "groups"}),
     "repeats, in the set": (repeats, {**CELLS, "spoilt": "beyond"}),
@@ -154,7 +190,9 @@
 @pytest.fixture(scope="module")
 def scenes():
     # Danger: three hundred engines on one hub and its gateways take two cores; with less, answers are late by the rig.
-    with ProcessPoolExecutor(max(1, min(4, len(os.sched_getaffinity(0)) // 2)), initializer=tied(os.getpid())) as pool:
+    with ProcessPoolExecutor(
+        max(1, min(4, len(os.sched_getaffinity(0)) // 2)), initializer=tied(os.getpid())
+    ) as pool:
         yield {scene: pool.submit(staged, scene) for scene in SCENES}
 
 
@@ -178,8 +216,12 @@
     seen = scenes["replaced"].result()
     for when in "first", "second":
         sets = [held for held, _ in seen[when].values()]
-        assert all(reached <= held and 40 < len(held) < 130 for held, reached in seen[when].values())
-        assert all(len(one & other) < 0.6 * len(one) for one in sets for other in sets if one is not other)
+        assert all(
+            reached <= held and 40 < len(held) < 130 for held, reached in seen[when].values()
+        )
+        assert all(
+            len(one & other) < 0.6 * len(one) for one in sets for other in sets if one is not other
+        )
 
 
 def test_the_only_engine_of_a_kind_serves_all_gateways(scenes):
@@ -187,7 +229,7 @@
     served, broken = scenes["only"].result()
     bare, without = scenes["only, any kind"].result()
     assert served > 0.95 and broken == without == []
-    assert bare < 0.75      # by rank alone it lies outside some gateways' sets
+    assert bare < 0.75  # by rank alone it lies outside some gateways' sets
 
 
 def test_gateways_with_lists_of_different_age_keep_the_cold_rule_in_sum(scenes):
@@ -210,9 +252,15 @@
 
 
 def test_the_judge_objects_where_it_is_tried_again_anywhere(scenes):
-    assert any(each.startswith("effect: ") for each in scenes["repeats, anywhere"].result()["broken"])
+    assert any(
+        each.startswith("effect: ") for each in scenes["repeats, anywhere"].result()["broken"]
+    )
 
 
 def test_where_nothing_is_sought_outside_the_set_what_broke_off_stays_unserved(scenes):
     seen = scenes["repeats, in the set"].result()
-    assert seen["broken"] == [] and len(seen["alone"]) >= 5 and sum(seen["alone"]) < 0.3 * len(seen["alone"])
+    assert (
+        seen["broken"] == []
+        and len(seen["alone"]) >= 5
+        and sum(seen["alone"]) < 0.3 * len(seen["alone"])
+    )
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -56,9 +56,11 @@
     """Calls of `fill` and `withdraw` by engine, and walks over all engines of the host."""
     seen = {"fill": [], "withdraw": []}
     for kind in seen:
+
         def noted(station, kind=kind, real=getattr(Station, kind)):
             seen[kind].append(station.engine.name)
             real(station)
+
         monkeypatch.setattr(Station, kind, noted)
 
     def watch(premises):
@@ -67,6 +69,7 @@
         for each in seen.values():
             each.clear()
         return seen
+
     return watch
 
 
@@ -77,19 +80,22 @@
 
     def dial(station, where):
         found.append(station.engine.name)
+
     monkeypatch.setattr(Station, "dial", dial)
 
     def begin(premises):
-        monkeypatch.setattr(Station, "dial", dial)     # the rig puts its own there
+        monkeypatch.setattr(Station, "dial", dial)  # the rig puts its own there
         for station in premises.house.stations.values():
             station.dialling, station.house.dials = False, 0
         found.clear()
         return found
+
     return begin
 
 
 # A change of the list.
 
+
 @pytest.mark.parametrize("count", [10, 40, 160])
 def test_a_change_of_one_engine_costs_one_however_long_the_list(count, walked):
     premises = Premises([listing(1, *many(count))], instances=200)
@@ -106,14 +112,22 @@
     premises = Premises([listing(1, *many(30))], instances=200)
     seen = walked(premises)
     changed(premises, *many(20, 11), full=True)
-    assert seen == {"fill": [f"e{n}" for n in range(11, 31)], "withdraw": [f"e{n}" for n in range(1, 11)]}
+    assert seen == {
+        "fill": [f"e{n}" for n in range(11, 31)],
+        "withdraw": [f"e{n}" for n in range(1, 11)],
+    }
     assert Walked.walks == 2 and [*premises.house.stations] == [f"e{n}" for n in range(11, 31)]
 
 
 def test_what_is_told_of_several_acts_in_the_order_in_which_the_list_first_named_them(walked):
     premises = Premises([listing(1, *many(30))], instances=200)
     seen = walked(premises)
-    changed(premises, *reversed(many(3, 4)), {"id": "e9", "addr": "127.0.0.9:9", "state": "DRAINING"}, *many(1, 2))
+    changed(
+        premises,
+        *reversed(many(3, 4)),
+        {"id": "e9", "addr": "127.0.0.9:9", "state": "DRAINING"},
+        *many(1, 2),
+    )
     assert seen == {"fill": ["e2", "e4", "e5", "e6"], "withdraw": ["e9"]}
 
 
@@ -124,20 +138,20 @@
     mine, its = socket.socketpair()
     station = premises.house.stations["e1"]
     link = engines.EngineLink(station, its)
-    station.links.append(link)      # it is there, and nobody has filled it yet
+    station.links.append(link)  # it is there, and nobody has filled it yet
     seen = walked(premises)
     changed(premises, *many(1, 2))
     assert {*seen["fill"]} == {"e1", "e2"} and name(1).encode() in mine.recv(4096)
     seen["fill"].clear()
     changed(premises, *many(1, 3))
-    assert seen["fill"] == ["e3"]       # nothing waits at the first any more
+    assert seen["fill"] == ["e3"]  # nothing waits at the first any more
 
 
 def test_a_link_ahead_that_was_not_to_be_had_is_tried_again_with_the_next_change(walked, dialled):
     premises = Premises([listing(1, {}, *many(1, 2))], instances=3)
     station = premises.house.stations["e1"]
     found = dialled(premises)
-    station.spare_from = premises.hub.now + SECOND     # as after a dial that was refused
+    station.spare_from = premises.hub.now + SECOND  # as after a dial that was refused
     station.fill()
     changed(premises, *many(1, 3))
     premises.turn()
@@ -162,7 +176,12 @@
         for station in self.house.stations.values():
             station.dialling = False
             station.fill()
-        self.client, self.whole, self.stream, self.states = self.premises.client(), whole, 0, dict.fromkeys(range(1, 9))
+        self.client, self.whole, self.stream, self.states = (
+            self.premises.client(),
+            whole,
+            0,
+            dict.fromkeys(range(1, 9)),
+        )
 
     def dial(self, hub, where, span):
         self.trace.append(("dial", where[1]))
@@ -180,8 +199,15 @@
             n = 1 + self.chance.below(8)
             state = ("SERVING", "SERVING", "DRAINING", "DELETED")[self.chance.below(4)]
             moved, started = self.chance.below(8) == 0, self.chance.below(6) == 0
-            changed(self.premises, {"id": f"e{n}", "addr": f"127.0.0.9:{n + 100 * moved}", "state": state,
-                                    "started_ms": self.premises.time // 10 if started else 0})
+            changed(
+                self.premises,
+                {
+                    "id": f"e{n}",
+                    "addr": f"127.0.0.9:{n + 100 * moved}",
+                    "state": state,
+                    "started_ms": self.premises.time // 10 if started else 0,
+                },
+            )
             if self.whole:
                 for station in [*self.house.stations.values()]:
                     station.fill()
@@ -190,7 +216,7 @@
         elif what == 3 and self.guests:
             self.guests.pop(self.chance.below(len(self.guests)))[1].close()
         else:
-            if not self.house.callers:      # an idle one gives way where there are no descriptors
+            if not self.house.callers:  # an idle one gives way where there are no descriptors
                 self.client = self.premises.client()
             self.stream += 1
             self.client.sendall(request(self.stream, patience="900"))
@@ -209,7 +235,9 @@
 
     def over(self):
         engines.dial = self.kept
-        assert not [line for line in self.premises.logged if "Traceback" in line], self.premises.logged
+        assert not [line for line in self.premises.logged if "Traceback" in line], (
+            self.premises.logged
+        )
         return self.trace
 
 
@@ -228,6 +256,7 @@
 
 # Links.
 
+
 def test_a_dial_costs_no_walk_over_all_engines(walked):
     premises = Premises([listing(1, *many(50))], sockets=90, instances=200)
     ends = [premises.engine(f"e{n}") for n in range(1, 21)]
@@ -253,7 +282,7 @@
 def test_links_are_shared_by_the_working_set_and_what_closes_not_by_the_list():
     premises = Premises([listing(1, *many(60))], sockets=96, instances=200)
     house = premises.house
-    assert house.links_each() == 2      # as ever where all engines are in the set
+    assert house.links_each() == 2  # as ever where all engines are in the set
     held(premises, "e1", "e2", "e3", "e4")
     assert house.links_each() == 96 // 3 // 4
     house.stations["e9"].engine.state = DRAINING
@@ -287,7 +316,7 @@
     assert [each.station.engine.name for each in premises.house.links] == ["e1", "e2"]
     ends.append(premises.engine("e4"))
     assert not premises.house.descriptor_left(True)
-    premises.turn()     # all in the set: the one that has been idle longest, as ever
+    premises.turn()  # all in the set: the one that has been idle longest, as ever
     assert [each.station.engine.name for each in premises.house.links] == ["e2", "e4"]
 
 
@@ -297,7 +326,9 @@
     held(premises, "e1")
     premises.pass_time(SECOND + SECOND // 4)
     assert premises.heard(ends[0]).startswith(command("alive", "alive-1"))
-    assert ends[1].recv(100) == b"" and not premises.house.stations["e2"].links     # closed, with nothing said before
+    assert (
+        ends[1].recv(100) == b"" and not premises.house.stations["e2"].links
+    )  # closed, with nothing said before
     assert [each.station.engine.name for each in premises.house.links] == ["e1"]
 
 
@@ -346,7 +377,9 @@
     station.dialling = False
     end = premises.engine()
     premises.turn()
-    assert premises.heard(end).count(b"fetch") == 2     # they share it, and no further one is dialled ahead
+    assert (
+        premises.heard(end).count(b"fetch") == 2
+    )  # they share it, and no further one is dialled ahead
     assert found == ["e1"]
     station.engine.near = True
     station.fill()
@@ -361,8 +394,12 @@
         tracemalloc.start()
         try:
             premises = Premises([event], instances=870)
-            snapshot = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(True, "*/corkgauge/net/*"),
-                                                                  tracemalloc.Filter(True, "*/corkgauge/figures/*")])
+            snapshot = tracemalloc.take_snapshot().filter_traces(
+                [
+                    tracemalloc.Filter(True, "*/corkgauge/net/*"),
+                    tracemalloc.Filter(True, "*/corkgauge/figures/*"),
+                ]
+            )
             took.append(sum(each.size for each in snapshot.statistics("filename")))
         finally:
             tracemalloc.stop()
--- a/tests/test_subset_options.py
+++ b/tests/test_subset_options.py
@@ -11,11 +11,29 @@
 from hypothesis import strategies as st
 
 from corkgauge.model import subsets
-from corkgauge.model.subsets import BASE, FEW, LEAST, OPTIONS, bars, mixed, ours, rank, rounds, tournament, wanted
-
-BOUND = 1.25            # sets an engine, worst over mean
-APART = 3.0             # holders of an engine beside gateways x threshold, at most
-SIZES = [(41, 200), (78, 400), (100, 300), (129, 500), (200, 400)]     # gateways (odd ones on purpose), engines
+from corkgauge.model.subsets import (
+    BASE,
+    FEW,
+    LEAST,
+    OPTIONS,
+    bars,
+    mixed,
+    ours,
+    rank,
+    rounds,
+    tournament,
+    wanted,
+)
+
+BOUND = 1.25  # sets an engine, worst over mean
+APART = 3.0  # holders of an engine beside gateways x threshold, at most
+SIZES = [
+    (41, 200),
+    (78, 400),
+    (100, 300),
+    (129, 500),
+    (200, 400),
+]  # gateways (odd ones on purpose), engines
 
 
 def names(count, seed=1):
@@ -33,7 +51,9 @@
 def unevenness(option, gateways, count, size=0.0):
     """Worst over mean; of the size that the rule wants."""
     engines = names(count)
-    held = holders(sets_of(option, gateways, engines, int(size or wanted(gateways, count))), engines)
+    held = holders(
+        sets_of(option, gateways, engines, int(size or wanted(gateways, count))), engines
+    )
     return max(held) * count / sum(held)
 
 
@@ -49,18 +69,30 @@
 
 
 @settings(max_examples=40, deadline=None)
-@given(gateways=st.integers(17, 300), part=st.floats(0.02, 1), seed=st.integers(0, 10 ** 6))
+@given(gateways=st.integers(17, 300), part=st.floats(0.02, 1), seed=st.integers(0, 10**6))
 def test_an_engine_has_its_part_of_any_number_of_gateways(gateways, part, seed):
     for engine in names(20, seed):
-        assert abs(sum(rank(gateway, engine) <= part for gateway in range(gateways)) - gateways * part) <= APART
+        assert (
+            abs(sum(rank(gateway, engine) <= part for gateway in range(gateways)) - gateways * part)
+            <= APART
+        )
 
 
 @pytest.mark.parametrize("spoilt", ["no spread over blocks", "hash alone"])
-def test_without_the_tournament_or_the_spread_over_blocks_an_engine_has_more_or_less(monkeypatch, spoilt):
+def test_without_the_tournament_or_the_spread_over_blocks_an_engine_has_more_or_less(
+    monkeypatch, spoilt
+):
     if spoilt == "no spread over blocks":
         monkeypatch.setattr(subsets, "GOLDEN", 0.0)
-    ranked = rank if spoilt == "no spread over blocks" else lambda gateway, engine: mixed(gateway, engine) / 2 ** 64
-    worst = max(abs(sum(ranked(gateway, engine) <= 0.2 for gateway in range(200)) - 40) for engine in names(100))
+    ranked = (
+        rank
+        if spoilt == "no spread over blocks"
+        else lambda gateway, engine: mixed(gateway, engine) / 2**64
+    )
+    worst = max(
+        abs(sum(ranked(gateway, engine) <= 0.2 for gateway in range(200)) - 40)
+        for engine in names(100)
+    )
     assert worst > APART
 
 
@@ -68,7 +100,10 @@
 def test_of_each_block_of_gateways_one_holds_an_engine(block):
     for engine in names(50):
         for first in range(0, 256, block):
-            assert sum(rank(gateway, engine) < 1 / block for gateway in range(first, first + block)) == 1
+            assert (
+                sum(rank(gateway, engine) < 1 / block for gateway in range(first, first + block))
+                == 1
+            )
 
 
 def common(engines):
@@ -78,7 +113,7 @@
 
 
 def test_sets_do_not_fall_into_shards(monkeypatch):
-    engines = names(256)       # 32 in a set; by chance alone two have 4 in common
+    engines = names(256)  # 32 in a set; by chance alone two have 4 in common
     assert common(engines) <= 16
     # A hash that is linear over GF(2): who wins in one block is who wins in another, or the other way round for all.
     monkeypatch.setattr(subsets, "mixed", lambda a, b, c=0: crc32(pack("<QQQ", a, b, c)) << 32)
@@ -86,14 +121,22 @@
 
 
 @settings(max_examples=25, deadline=None)
-@given(gateway=st.integers(0, 2000), count=st.integers(10, 300), seed=st.integers(0, 10 ** 6),
-       sizes=st.tuples(st.integers(1, 300), st.integers(1, 300)))
-def test_a_smaller_set_lies_within_a_larger_one_and_a_shorter_list_takes_nothing_away(gateway, count, sizes, seed):
+@given(
+    gateway=st.integers(0, 2000),
+    count=st.integers(10, 300),
+    seed=st.integers(0, 10**6),
+    sizes=st.tuples(st.integers(1, 300), st.integers(1, 300)),
+)
+def test_a_smaller_set_lies_within_a_larger_one_and_a_shorter_list_takes_nothing_away(
+    gateway, count, sizes, seed
+):
     engines, (small, large) = names(count, seed), sorted(sizes)
     held = set(tournament(gateway, 870, engines, small))
     assert held <= set(tournament(gateway, 870, engines, large))
     gone = set(engines[::7])
-    assert held - gone <= set(tournament(gateway, 870, [e for e in engines if e not in gone], small))
+    assert held - gone <= set(
+        tournament(gateway, 870, [e for e in engines if e not in gone], small)
+    )
 
 
 @pytest.mark.parametrize("option", ["chance", "rounds"])
@@ -107,7 +150,10 @@
 
 def joined(option, before, after, gateways=100, then=100):
     """Pairs that join at the gateways that were there."""
-    return sum(len(set(option(g, then, after, BASE)) - set(option(g, gateways, before, BASE))) for g in range(gateways))
+    return sum(
+        len(set(option(g, then, after, BASE)) - set(option(g, gateways, before, BASE)))
+        for g in range(gateways)
+    )
 
 
 def test_one_engine_more_or_less_moves_about_its_own_part_of_the_pairs():
@@ -128,7 +174,7 @@
 def test_a_release_of_all_moves_nothing_for_good():
     engines = names(200)
     before, order = sets_of(tournament, 50, engines, BASE), names(200)
-    for n in range(0, 200, 20):     # a tenth leaves, and comes back at the end of the list
+    for n in range(0, 200, 20):  # a tenth leaves, and comes back at the end of the list
         order = order[20:] + order[:20]
         assert sets_of(tournament, 50, order[:-20], BASE) != before
     assert sets_of(tournament, 50, order, BASE) == before
@@ -146,8 +192,12 @@
     classes = [[*places], [(1, 1)]]
     found, reach = bars(870, places, classes), set(places[1, 1])
     assert found[0, 0] < found[1, 1] <= 1
-    assert min(len(reach & set(ours(g, places, found, classes))) for g in range(100)) >= min(FEW, smallest)
-    assert sum(len(reach & set(ours(g, places, found, classes))) for g in range(100)) >= 90 * min(LEAST, smallest)
+    assert min(len(reach & set(ours(g, places, found, classes))) for g in range(100)) >= min(
+        FEW, smallest
+    )
+    assert sum(len(reach & set(ours(g, places, found, classes))) for g in range(100)) >= 90 * min(
+        LEAST, smallest
+    )
 
 
 @pytest.mark.parametrize("smallest", [1, 2, 5, 12])
@@ -157,13 +207,22 @@
     assert not all(reach & set(tournament(g, 870, engines, BASE)) for g in range(100))
 
 
-@pytest.mark.parametrize("gateways, counts, whole", [(10, [20, 10, 9, 1], True), (870, [60, 30, 30, 8], True),
-                                                     (16, [600, 300, 200, 100], True), (870, [100, 50, 40, 10], False)])
+@pytest.mark.parametrize(
+    "gateways, counts, whole",
+    [
+        (10, [20, 10, 9, 1], True),
+        (870, [60, 30, 30, 8], True),
+        (16, [600, 300, 200, 100], True),
+        (870, [100, 50, 40, 10], False),
+    ],
+)
 def test_at_todays_sizes_the_whole_list_is_the_set(gateways, counts, whole):
     places = places_of(counts)
     classes = [[*places]]
     found, listed = bars(gateways, places, classes), sorted(sum(places.values(), []))
-    assert all((ours(g, places, found, classes) == listed) == whole for g in range(min(gateways, 20)))
+    assert all(
+        (ours(g, places, found, classes) == listed) == whole for g in range(min(gateways, 20))
+    )
 
 
 def test_a_gateway_with_several_times_the_traffic_holds_more_and_keeps_what_it_had():
@@ -182,7 +241,9 @@
     rows = {row["key"]: row["points"][0]["median"] for row in json.loads(said.stdout)}
     assert said.exit_code == 0 and {key.split(".")[1] for key in rows} == {*scale_subset.NAMES}
     assert rows["subset.ours.evenness"] <= BOUND < rows["subset.rendezvous.evenness"]
-    assert rows["subset.ours.good"] == rows["subset.ours.without"] == 0 < rows["subset.rounds.without"]
+    assert (
+        rows["subset.ours.good"] == rows["subset.ours.without"] == 0 < rows["subset.rounds.without"]
+    )
 
 
 def test_a_table_that_is_not_what_the_pure_function_says_ends_the_run(monkeypatch):
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -22,7 +22,18 @@
 )
 from corkgauge.works.party import Party
 from corkgauge.works.pieces import SIZE, Fetch, piece_of
-from corkgauge.works.plan import ASKED, BACK, DRAINING, GRANTED, LATE, NEXT, OUT, RETURNING, Plan, Senseless
+from corkgauge.works.plan import (
+    ASKED,
+    BACK,
+    DRAINING,
+    GRANTED,
+    LATE,
+    NEXT,
+    OUT,
+    RETURNING,
+    Plan,
+    Senseless,
+)
 from corkgauge.works.scribe import FORGOTTEN, IDLE, LEADING, Scribe
 
 ASK = ["ask", ["a", "engine", ["e1"], "ada", "", 9, 5, 1, "", 0]]
@@ -92,8 +103,10 @@
     for which, state, at in moves:
         name = f"e{which}"
         if name not in plan.units:
-            changes = [["ask", [name, "engine", [name], "ada", "", 9, 5, 1, "", 0]],
-                       ["unit", name, name, "engine", [name]]]
+            changes = [
+                ["ask", [name, "engine", [name], "ada", "", 9, 5, 1, "", 0]],
+                ["unit", name, name, "engine", [name]],
+            ]
             states[name] = ASKED
         else:
             changes = [["time", at], ["state", name, state, ""]]
@@ -109,15 +122,32 @@
         except Senseless:
             assert not fits
         assert copy.packed() == plan.packed() and plan.time >= copy.time
-    assert {*plan.levels()} == {name for name, unit in plan.units.items() if GRANTED <= unit.state <= LATE}
+    assert {*plan.levels()} == {
+        name for name, unit in plan.units.items() if GRANTED <= unit.state <= LATE
+    }
 
 
 def test_an_ask_is_over_with_its_last_unit_and_a_cancelled_one_keeps_what_is_out():
     plan = Plan()
-    plan.apply([ASK, UNIT, ["state", "e1", GRANTED, ""], ["state", "e1", DRAINING, ""], ["overrule", "e1", "n3", "ada"],
-                ["state", "e1", OUT, ""], ["cancel", "a", "bob"]])
-    assert plan.units["e1"].state == OUT and plan.asks["a"].cancelled == "bob" and plan.units["e1"].overruled == ["n3"]
-    plan.apply([["state", "e1", LATE, ""], ["state", "e1", RETURNING, ""], ["state", "e1", BACK, ""]])
+    plan.apply(
+        [
+            ASK,
+            UNIT,
+            ["state", "e1", GRANTED, ""],
+            ["state", "e1", DRAINING, ""],
+            ["overrule", "e1", "n3", "ada"],
+            ["state", "e1", OUT, ""],
+            ["cancel", "a", "bob"],
+        ]
+    )
+    assert (
+        plan.units["e1"].state == OUT
+        and plan.asks["a"].cancelled == "bob"
+        and plan.units["e1"].overruled == ["n3"]
+    )
+    plan.apply(
+        [["state", "e1", LATE, ""], ["state", "e1", RETURNING, ""], ["state", "e1", BACK, ""]]
+    )
     assert not plan.units and not plan.asks
     with pytest.raises(Senseless):
         plan.apply([["cancel", "a", "bob"]])
@@ -145,9 +175,13 @@
     assert desk.sent == [] and one.stamp == (7, 1)
     kept = desk.safe()
     assert desk.sent.pop() == ("h", [TAKEN, 7, 7, 1])
-    again = Keeper(Desk(), kept, 500)       # started anew from what was written
-    assert (again.promised, again.stamp, again.blank) == (7, (7, 1), False) and "e1" in again.plan.units
-    one.heard("h", [STEP, 7, 5, 1, 1, [ASK, UNIT]])     # the same once more
+    again = Keeper(Desk(), kept, 500)  # started anew from what was written
+    assert (again.promised, again.stamp, again.blank) == (
+        7,
+        (7, 1),
+        False,
+    ) and "e1" in again.plan.units
+    one.heard("h", [STEP, 7, 5, 1, 1, [ASK, UNIT]])  # the same once more
     desk.safe()
     assert desk.sent.pop() == ("h", [TAKEN, 7, 7, 1]) and one.plan.serial == 1
 
@@ -158,7 +192,7 @@
     assert desk.sent.pop()[1][0] == WANT and one.stamp == (5, 1)
     whole = Plan()
     whole.apply([ASK, UNIT, ["time", 9]])
-    one.heard("h", [PIECE, 7, 6, 9, 0, 1, whole.packed()])      # of an earlier time in office, late
+    one.heard("h", [PIECE, 7, 6, 9, 0, 1, whole.packed()])  # of an earlier time in office, late
     assert one.stamp == (5, 1)
     one.heard("h", [PIECE, 7, 7, 4, 0, 1, whole.packed()])
     desk.safe()
@@ -174,18 +208,18 @@
     one.heard("h", [PROMISE, 7])
     assert desk.sent.pop() == ("h", [PROMISED, 7, 0, 0, True])
     one.heard("h", [WANT, 8, [], [0]])
-    assert desk.sent == []      # it has nothing that anybody should begin from
+    assert desk.sent == []  # it has nothing that anybody should begin from
 
 
 def test_pieces_of_two_states_are_never_put_together():
     desk, got = Desk(), []
     fetch = Fetch(desk, WANT, "k", 7, 100, lambda stamp, data: got.append((stamp, data)), (5, 0))
     old, new = b"a" * (2 * SIZE + 1), b"b" * (SIZE + 5)
-    fetch.heard("k", (4, 9), 0, *piece_of(b"x", 0))     # below what was promised
+    fetch.heard("k", (4, 9), 0, *piece_of(b"x", 0))  # below what was promised
     fetch.heard("k", (5, 1), 0, *piece_of(old, 0))
     fetch.heard("other", (5, 1), 1, *piece_of(old, 1))
     fetch.heard("k", (5, 2), 1, *piece_of(new, 1))
-    fetch.heard("k", (5, 1), 2, *piece_of(old, 2))      # late
+    fetch.heard("k", (5, 1), 2, *piece_of(old, 2))  # late
     assert not got
     before = len(desk.sent)
     desk.pass_time(150)
@@ -217,14 +251,16 @@
     scribe.heard("stranger", [PROMISED, 9, 8, 1, False])
     assert scribe.state != LEADING
     scribe.heard("k3", [PROMISED, 9, 5, 2, False])
-    assert desk.sent[-1][0] == "k3" and desk.sent[-1][1][0] == WANT     # the later of the two
-    scribe.piece("k3", [PIECE, 5, 5, 1, 0, 1, Plan().packed()])         # but what it held before does not count
+    assert desk.sent[-1][0] == "k3" and desk.sent[-1][1][0] == WANT  # the later of the two
+    scribe.piece(
+        "k3", [PIECE, 5, 5, 1, 0, 1, Plan().packed()]
+    )  # but what it held before does not count
     assert scribe.state != LEADING
     scribe.piece("k3", [PIECE, 5, 5, 2, 0, 1, Plan().packed()])
     assert scribe.state == LEADING and "led" not in desk.events
     scribe.heard("k3", [TAKEN, 9, 9, 1])
     scribe.heard("k3", [TAKEN, 9, 9, 1])
-    assert "led" not in desk.events         # one keeper twice is no majority
+    assert "led" not in desk.events  # one keeper twice is no majority
     scribe.heard("k2", [TAKEN, 9, 9, 1])
     assert "led" in desk.events
 
@@ -251,9 +287,11 @@
     scribe.gained(9)
     scribe.heard("k1", [PROMISED, 9, 5, 1, False])
     scribe.heard("k2", [PROMISED, 9, 0, 0, True])
-    assert scribe.state != FORGOTTEN        # the third may remember
+    assert scribe.state != FORGOTTEN  # the third may remember
     scribe.heard("k3", [PROMISED, 9, 0, 0, True])
-    assert scribe.state == FORGOTTEN and desk.events == ["forgot"] and not scribe.propose(["time", 5])
+    assert (
+        scribe.state == FORGOTTEN and desk.events == ["forgot"] and not scribe.propose(["time", 5])
+    )
     told = Plan()
     told.apply([["known", "told by ada"]])
     scribe.begin_anew(told)
@@ -279,10 +317,19 @@
 
 
 def ground(bounds=None, offerings=(), engines=None, **more):
-    engines = engines or [(f"e{n}", "ab"[n % 2], ("c8", "c12")[n // 2 % 2], 10.0, WELL) for n in range(8)]
-    facts = {tag: EngineFact(tag, hall, kind, None, cores, state) for tag, hall, kind, cores, state in engines}
-    return Ground(Bounds(**{"most": 8, "share": 1.0, "hall": 1.0, "kind": 1.0, **(bounds or {})}), facts, offerings,
-                  **more)
+    engines = engines or [
+        (f"e{n}", "ab"[n % 2], ("c8", "c12")[n // 2 % 2], 10.0, WELL) for n in range(8)
+    ]
+    facts = {
+        tag: EngineFact(tag, hall, kind, None, cores, state)
+        for tag, hall, kind, cores, state in engines
+    }
+    return Ground(
+        Bounds(**{"most": 8, "share": 1.0, "hall": 1.0, "kind": 1.0, **(bounds or {})}),
+        facts,
+        offerings,
+        **more,
+    )
 
 
 def unit(*tags, **more):
@@ -292,32 +339,81 @@
 REPORT = OfferingFact("report", frozenset(), frozenset({"c12"}), 0.0)
 
 
-@pytest.mark.parametrize("place, asked, why", [
-    (ground({"most": 2}, away={"e0", "e1"}), unit("e2"), "3 would be out, 2 at once"),
-    (ground({"most": 2}, away={"e0"}), unit("e2", "e3"), "3 would be out, 2 at once"),
-    (ground({"share": 0.25}, away={"e0", "e1"}), unit("e2"), "all: 30 of 80 cores"),
-    (ground({"hall": 0.5}, away={"e0", "e2"}), unit("e4"), "hall a: 30 of 40"),
-    (ground({"hall": 0.5}, away={"e0", "e2"}), unit("e1"), ""),
-    (ground({"kind": 0.5}, away={"e0", "e1"}), unit("e4"), "kind c8: 30 of 40"),
-    (ground({"share": 0.01}), unit("e4"), ""),      # a part below one engine is one engine
-    (ground({"least": 2}, [REPORT], away={"e2", "e3"}), unit("e6"), "offering report: 1 engines left"),
-    (ground({"least": 2}, [REPORT], away={"e2"}), unit("e6"), ""),
-    (ground({}, [replace(REPORT, cores=30.0)], away={"e2"}), unit("e6"), "report: 30.0 cores needed, 0.7 of 20 left"),
-    (ground({}, [replace(REPORT, cores=8.0), OfferingFact("lookup", frozenset(), frozenset(), 40.0)], away={"e0"}),
-     unit("e1"), "lookup report: 48.0 cores needed"),
-    (ground({}, unknown=["n1", "n2"]), unit("e1"), "load of n1 n2 not known"),
-    (ground(), unit("e99"), "e99 is not in the list"),
-    (ground({"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, WELL)]), unit("e1"),
-     "2 would be out"),
-    # what is dead may be seen to, whatever else is out; what rests may be back in a moment
-    (ground({"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, DEAD)]), unit("e1"), ""),
-    (ground({"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, PASSING)]), unit("e1"),
-     "2 would be out"),
-    (ground(gateways={"n1": "a", "n2": "a"}, gateways_away={"n1"}), unit("n2", gateway=True), "1 of hall a at once"),
-    (ground({"gateways": 2}, gateways={"n1": "a", "n2": "a", "n3": "b"}, gateways_away={"n1"},
-            voters=["n1", "n2", "n3"]), unit("n2", gateway=True), "1 of 3 voters would be left"),
-    (ground(gateways={"n1": "a", "n2": "b"}), unit("n9", gateway=True), "no gateway n9"),
-])
+@pytest.mark.parametrize(
+    "place, asked, why",
+    [
+        (ground({"most": 2}, away={"e0", "e1"}), unit("e2"), "3 would be out, 2 at once"),
+        (ground({"most": 2}, away={"e0"}), unit("e2", "e3"), "3 would be out, 2 at once"),
+        (ground({"share": 0.25}, away={"e0", "e1"}), unit("e2"), "all: 30 of 80 cores"),
+        (ground({"hall": 0.5}, away={"e0", "e2"}), unit("e4"), "hall a: 30 of 40"),
+        (ground({"hall": 0.5}, away={"e0", "e2"}), unit("e1"), ""),
+        (ground({"kind": 0.5}, away={"e0", "e1"}), unit("e4"), "kind c8: 30 of 40"),
+        (ground({"share": 0.01}), unit("e4"), ""),  # a part below one engine is one engine
+        (
+            ground({"least": 2}, [REPORT], away={"e2", "e3"}),
+            unit("e6"),
+            "offering report: 1 engines left",
+        ),
+        (ground({"least": 2}, [REPORT], away={"e2"}), unit("e6"), ""),
+        (
+            ground({}, [replace(REPORT, cores=30.0)], away={"e2"}),
+            unit("e6"),
+            "report: 30.0 cores needed, 0.7 of 20 left",
+        ),
+        (
+            ground(
+                {},
+                [
+                    replace(REPORT, cores=8.0),
+                    OfferingFact("lookup", frozenset(), frozenset(), 40.0),
+                ],
+                away={"e0"},
+            ),
+            unit("e1"),
+            "lookup report: 48.0 cores needed",
+        ),
+        (ground({}, unknown=["n1", "n2"]), unit("e1"), "load of n1 n2 not known"),
+        (ground(), unit("e99"), "e99 is not in the list"),
+        (
+            ground(
+                {"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, WELL)]
+            ),
+            unit("e1"),
+            "2 would be out",
+        ),
+        # what is dead may be seen to, whatever else is out; what rests may be back in a moment
+        (
+            ground(
+                {"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, DEAD)]
+            ),
+            unit("e1"),
+            "",
+        ),
+        (
+            ground(
+                {"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, PASSING)]
+            ),
+            unit("e1"),
+            "2 would be out",
+        ),
+        (
+            ground(gateways={"n1": "a", "n2": "a"}, gateways_away={"n1"}),
+            unit("n2", gateway=True),
+            "1 of hall a at once",
+        ),
+        (
+            ground(
+                {"gateways": 2},
+                gateways={"n1": "a", "n2": "a", "n3": "b"},
+                gateways_away={"n1"},
+                voters=["n1", "n2", "n3"],
+            ),
+            unit("n2", gateway=True),
+            "1 of 3 voters would be left",
+        ),
+        (ground(gateways={"n1": "a", "n2": "b"}), unit("n9", gateway=True), "no gateway n9"),
+    ],
+)
 def test_limits(place, asked, why):
     said = place.objection(asked)
     assert said.startswith(why) if why else said == ""
@@ -326,22 +422,45 @@
 def test_a_group_in_which_marks_are_remembered_keeps_one():
     def grouped(*tags):
         place = ground(away={"e0"})
-        place.engines = {tag: replace(each, group="x" if tag in tags else "y") for tag, each in place.engines.items()}
+        place.engines = {
+            tag: replace(each, group="x" if tag in tags else "y")
+            for tag, each in place.engines.items()
+        }
         return place.objection(unit("e1"))
+
     assert "none would be left where its marks are known" in grouped("e0", "e1")
-    assert grouped("e1") == ""      # alone in its group: its gateways say when no mark is open there
+    assert grouped("e1") == ""  # alone in its group: its gateways say when no mark is open there
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from("ab"), st.sampled_from(["c8", "c12"]), st.integers(1, 9)), min_size=1,
-                max_size=5),
-       st.lists(st.tuples(st.sets(st.sampled_from("ab")), st.sets(st.sampled_from(["c8", "c12"])), st.integers(0, 12)),
-                max_size=4))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from("ab"), st.sampled_from(["c8", "c12"]), st.integers(1, 9)),
+        min_size=1,
+        max_size=5,
+    ),
+    st.lists(
+        st.tuples(
+            st.sets(st.sampled_from("ab")),
+            st.sets(st.sampled_from(["c8", "c12"])),
+            st.integers(0, 12),
+        ),
+        max_size=4,
+    ),
+)
 def test_demand_fits_just_where_a_flow_carries_it(engines, offerings):
     """Every unit of demand on some engine that may take it: augmenting paths, core by core."""
-    place = ground({"room": 1.0}, [OfferingFact(f"o{n}", frozenset(halls), frozenset(kinds), float(cores))
-                                   for n, (halls, kinds, cores) in enumerate(offerings)],
-                   [(f"e{n}", hall, kind, float(cores), WELL) for n, (hall, kind, cores) in enumerate(engines)])
+    place = ground(
+        {"room": 1.0},
+        [
+            OfferingFact(f"o{n}", frozenset(halls), frozenset(kinds), float(cores))
+            for n, (halls, kinds, cores) in enumerate(offerings)
+        ],
+        [
+            (f"e{n}", hall, kind, float(cores), WELL)
+            for n, (hall, kind, cores) in enumerate(engines)
+        ],
+    )
     slots = [(n, k) for n, (*_, cores) in enumerate(engines) for k in range(cores)]
     taken = {}
 
@@ -355,13 +474,19 @@
                     taken[slot] = want
                     return True
         return False
+
     fits = all(place_one(n, set()) for n, (*_, cores) in enumerate(offerings) for _ in range(cores))
     assert (place.crowded(set()) == "") == fits
 
 
 def test_what_is_due_goes_first_what_was_passed_often_is_passed_no_more_and_the_planner_goes_last():
-    waiting = [unit("e0", lasting=90), unit("e1", lasting=30), unit("e2", due=100, lasting=50),
-               unit("n1", gateway=True), unit("n2", gateway=True)]
+    waiting = [
+        unit("e0", lasting=90),
+        unit("e1", lasting=30),
+        unit("e2", due=100, lasting=50),
+        unit("n1", gateway=True),
+        unit("n2", gateway=True),
+    ]
     place = ground({"most": 2}, gateways={"n1": "a", "n2": "b"})
     granted, against = next_out(place, waiting, "n1")
     assert granted == ["e2", "e1", "n2"] and "planner itself goes last" in against["n1"]
@@ -381,7 +506,9 @@
 
     def refresh(self):
         if self.party is not None:
-            self.seen.append({tag: self.party.how(tag, where) for tag, where in self.places.items()})
+            self.seen.append(
+                {tag: self.party.how(tag, where) for tag, where in self.places.items()}
+            )
 
     def quiet(self, tag):
         return tag not in self.open
@@ -413,7 +540,7 @@
     desk.pass_time(300)
     kept = desk.safe()
     assert sorted(one.word()[4]) == ["e1", "e2"]
-    _, again = party(kept)      # over a restart: before anything is heard
+    _, again = party(kept)  # over a restart: before anything is heard
     assert again.how("e1") == 2 and not again.blank and again.word()[1:3] == [7, 1]
     one.ordered(7, 2, 0, 0, 1, {"e2": DRAINING})
     assert one.how("e1") == 0 and desk.seen[-1] == {"e1": 0, "e2": 2}
@@ -435,14 +562,14 @@
     desk, one = party()
     serial = one.word()[0]
     asked = desk.now
-    desk.pass_time(3_000)       # the answer takes its time
+    desk.pass_time(3_000)  # the answer takes its time
     one.ordered(7, 1, serial, 0, 1, {"e1": GRANTED})
     assert one.how("e1") == 0
     desk.pass_time(asked + SECOND - desk.now - 1)
     assert one.how("e1") == 0
     desk.pass_time(1)
-    assert one.how("e1") == 1 and desk.seen[-1]["e1"] == 1      # it was told to the module
-    one.ordered(7, 1, serial, 0, 1, {"e1": GRANTED})            # the same answer again, late: nothing new
+    assert one.how("e1") == 1 and desk.seen[-1]["e1"] == 1  # it was told to the module
+    one.ordered(7, 1, serial, 0, 1, {"e1": GRANTED})  # the same answer again, late: nothing new
     assert one.how("e1") == 1
     one.ordered(7, 1, one.word()[0], 0, 1, {"e1": GRANTED})
     assert one.how("e1") == 0 and desk.seen[-1]["e1"] == 0
@@ -461,22 +588,22 @@
     span, (desk, one) = 5_000, party()
     assert one.waits(span, False, "")
     desk.pass_time(span)
-    assert not one.waits(span, False, "")       # nobody is there
+    assert not one.waits(span, False, "")  # nobody is there
     desk, one = party()
-    desk.pass_time(4_000)                       # a slow start: whoever was reached just now has had no time to tell
+    desk.pass_time(4_000)  # a slow start: whoever was reached just now has had no time to tell
     assert one.waits(span, True, "")
     desk.pass_time(span - 1)
     assert one.waits(span, True, "")
     desk.pass_time(1)
-    assert not one.waits(span, True, "")        # nobody plans
-    assert one.waits(span, True, "n2")          # n2 does, and is slow
+    assert not one.waits(span, True, "")  # nobody plans
+    assert one.waits(span, True, "n2")  # n2 does, and is slow
     one.asked = True
-    assert not one.waits(span, True, "n2")      # it knows no more than we
+    assert not one.waits(span, True, "n2")  # it knows no more than we
     one.asked = False
     desk.pass_time(5 * span - 9_001)
     assert one.waits(span, True, "n2")
     desk.pass_time(1)
-    assert not one.waits(span, True, "n2")      # whatever is, we serve
+    assert not one.waits(span, True, "n2")  # whatever is, we serve
     desk, one = party()
     one.ordered(7, 1, 0, 0, 1, {"e1": OUT})
     assert not one.waits(span, True, "n2")
@@ -489,27 +616,44 @@
     desk.pass_time(300)
     desk.safe()
     told = [one.word() for _ in range(4)]
-    assert all(word[5] == 60 for word in told) and {tag for word in told for tag in word[4]} == {*tags}
+    assert all(word[5] == 60 for word in told) and {tag for word in told for tag in word[4]} == {
+        *tags
+    }
 
 
 FELLOWS = """<fellows><key file="{key}"/><fellow name="n1" address="127.0.0.1:7100"/></fellows>"""
 DUTIES = """<duties><voters>n1</voters><duty name="books" kind="books"/></duties>"""
 
 
-@pytest.mark.parametrize("said, wrong", [
-    ('<works/>', "an element duties beside it"),
-    (DUTIES + '<works/>', "an element fellows beside it"),
-    (FELLOWS + DUTIES + '<works most="0"/>', "most"),
-    (FELLOWS + DUTIES + '<works share="1.5"/>', "share"),
-    (FELLOWS + DUTIES + '<works grant="0.5" each="0.5"/>', "a grant of two times `each` or more"),
-    (FELLOWS + DUTIES + '<works><machine name="m">e1 e1</machine></works>', "engines, each on one machine"),
-    (FELLOWS + DUTIES + '<works><machine name="m">e1</machine><machine name="k">e1</machine></works>', "each on one"),
-    ('<shared/>', "an element fellows beside it"),
-    (FELLOWS + '<shared octets="10"/>', "octets"),
-])
+@pytest.mark.parametrize(
+    "said, wrong",
+    [
+        ("<works/>", "an element duties beside it"),
+        (DUTIES + "<works/>", "an element fellows beside it"),
+        (FELLOWS + DUTIES + '<works most="0"/>', "most"),
+        (FELLOWS + DUTIES + '<works share="1.5"/>', "share"),
+        (
+            FELLOWS + DUTIES + '<works grant="0.5" each="0.5"/>',
+            "a grant of two times `each` or more",
+        ),
+        (
+            FELLOWS + DUTIES + '<works><machine name="m">e1 e1</machine></works>',
+            "engines, each on one machine",
+        ),
+        (
+            FELLOWS
+            + DUTIES
+            + '<works><machine name="m">e1</machine><machine name="k">e1</machine></works>',
+            "each on one",
+        ),
+        ("<shared/>", "an element fellows beside it"),
+        (FELLOWS + '<shared octets="10"/>', "octets"),
+    ],
+)
 def test_faulty_elements_are_named(tmp_path, said, wrong):
     from corkgauge import operator
     from corkgauge.configuration import Faulty
+
     key, path = tmp_path / "key", tmp_path / "operator.xml"
     key.touch(0o600)
     key.write_text("ab" * 32)
@@ -520,11 +664,21 @@
 
 def test_a_whole_element_becomes_few_figures(tmp_path):
     from corkgauge import operator
+
     key, path = tmp_path / "key", tmp_path / "operator.xml"
     key.touch(0o600)
     key.write_text("ab" * 32)
-    works = '<works most="6" room="0.5"><machine name="m3">e7 e9</machine></works><shared each="0.5"/>'
+    works = (
+        '<works most="6" room="0.5"><machine name="m3">e7 e9</machine></works><shared each="0.5"/>'
+    )
     path.write_text(f'<operator version="1">{FELLOWS.format(key=key)}{DUTIES}{works}</operator>')
     said = operator.read(str(path))
-    assert said.works.bounds == (6, 0.25, 0.5, 0.5, 0.5, 1, 1) and said.works.machines == (("m3", ("e7", "e9")),)
-    assert (said.works.each, said.works.grant, said.shared.each, said.shared.octets) == (5_000, 50_000, 5_000, 8_000)
+    assert said.works.bounds == (6, 0.25, 0.5, 0.5, 0.5, 1, 1) and said.works.machines == (
+        ("m3", ("e7", "e9")),
+    )
+    assert (said.works.each, said.works.grant, said.shared.each, said.shared.octets) == (
+        5_000,
+        50_000,
+        5_000,
+        8_000,
+    )
