--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -6,10 +6,10 @@
 from math import sqrt
 
 from benchmarks.capacity import PEAKS, SIZE, Ask, Missing, Size, Worked
-from corkgauge.loop.hub import SECOND
-from corkgauge.net import feed_wire, frames
-from corkgauge.shared import findings
-from corkgauge.works import plan
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.net import discovery_protocol as feed_wire, platform_frontend as frames
+from corkgauge.peer_health import reports as findings
+from corkgauge.maintenance import plan
 
 TENTH = 0.1  # of all, restarted at a time by a release
 RATE, DAY = SIZE["statements"], SIZE["day"]
@@ -21,14 +21,14 @@
     "holder of a duty",
 )
 PLANNER, FEED, DATABASE, TOOLS = "planner", "list feed", "database", "operator's tools"
-CHOICE = "working set of engines, `corkgauge/control.py`"
-HUB, CODEC = "the hub's poll, `corkgauge/loop/hub.py`", "frames by hand, `corkgauge/net/`"
-RINGS = "rings that lie empty between requests, `corkgauge/loop/ring.py`"
-RESTART = "restart by hand, `corkgauge/daemon.py` (`Source.reload` names what waits)"
-SWIM = "asking one a period, `corkgauge/fellows/company.py`"
-FINDINGS = "findings of a witness, the last of each, `corkgauge/shared/findings.py`"
-LEASES = "leases by votes, `corkgauge/duties/`"
-BOOKS = "the fleet's books, `corkgauge/duties/books.py`"
+CHOICE = "working set of engines, `corkgauge/policy/gateway.py`"
+HUB, CODEC = "the hub's poll, `corkgauge/eventloop/loop.py`", "frames by hand, `corkgauge/net/`"
+RINGS = "rings that lie empty between requests, `corkgauge/eventloop/ring_buffer.py`"
+RESTART = "restart by hand, `corkgauge/daemon/process.py` (`Source.reload` names what waits)"
+SWIM = "asking one a period, `corkgauge/membership/member_list.py`"
+FINDINGS = "findings of a witness, the last of each, `corkgauge/peer_health/reports.py`"
+LEASES = "leases by votes, `corkgauge/leases/`"
+BOOKS = "the fleet's books, `corkgauge/leases/fleet_accounts.py`"
 
 
 def serving(ask: Ask, n: Size, times: float) -> float:
@@ -210,7 +210,7 @@
         lambda ask, n: ask("alone.ready.engines", n.engines),
         SIZE["change_s"],
         "day",
-        "`corkgauge/daemon.py`",
+        "`corkgauge/daemon/process.py`",
     ),
     "serving.ready.tenth": Worked(
         SERVING,
@@ -219,7 +219,7 @@
         lambda ask, n: ask("alone.ready.engines.tenth", n.engines),
         SIZE["primary_s"],
         "worst",
-        "`corkgauge/daemon.py`",
+        "`corkgauge/daemon/process.py`",
     ),
     # Control of a workload manager, apart from serving.
     "control.list.memory": Worked(
@@ -229,7 +229,7 @@
         lambda ask, n: ask("alone.memory.engines", n.engines) / 1024,
         MEMORY,
         "rest",
-        "`corkgauge/interface.py` (`View`)",
+        "`corkgauge/policy/records.py` (`View`)",
     ),
     "control.list.start": Worked(
         CONTROL,
@@ -247,7 +247,7 @@
         lambda ask, n: ask("alone.list.change", n.engines) * changes_a_day(n) / DAY / 10,
         CORE,
         "day",
-        "events of what changed, `corkgauge/net/feed.py`",
+        "events of what changed, `corkgauge/net/discovery.py`",
     ),
     "control.list.octets": Worked(
         CONTROL,
@@ -256,7 +256,7 @@
         lambda ask, n: event(ask) * changes_a_day(n) / DAY,
         OCTETS,
         "day",
-        "`corkgauge/net/feed.py`",
+        "`corkgauge/net/discovery.py`",
     ),
     "control.list.zone": Worked(
         CONTROL,
@@ -265,7 +265,7 @@
         lambda ask, n: event(ask) * n.engines / n.zones / 10,
         OCTETS,
         "worst",
-        "`corkgauge/net/feed.py`",
+        "`corkgauge/net/discovery.py`",
     ),
     "control.restart.processor": Worked(
         CONTROL,
@@ -674,7 +674,7 @@
         lambda ask, n: ask("fleet.order.engines", n.engines),
         1000,
         "day",
-        "Hall's condition, `corkgauge/works/order.py`",
+        "Hall's condition, `corkgauge/maintenance/schedule.py`",
     ),
     "planner.units": Worked(
         PLANNER,
@@ -683,7 +683,7 @@
         lambda ask, n: n.engines + n.gateways,
         plan.MOST_UNITS,
         "day",
-        "none; `corkgauge/works/plan.py` refuses more",
+        "none; `corkgauge/maintenance/plan.py` refuses more",
     ),
     # What the list feed and the databases see.
     **{
@@ -694,7 +694,7 @@
             lambda ask, n, key="settings.list.octets" + name: ask(key, n.engines),
             feed_wire.LONGEST,
             "day",
-            "one event up to a bound (`corkgauge/net/feed_wire.py`); a longer one ends the connection, the list stays",
+            "one event up to a bound (`corkgauge/net/discovery_protocol.py`); a longer one ends the connection, the list stays",
         )
         for name, said in (
             ("", "ids of 8 characters"),
@@ -754,7 +754,7 @@
         lambda ask, n: n.engines,
         findings.MOST_EACH,
         "worst",
-        "`corkgauge/shared/findings.py`",
+        "`corkgauge/peer_health/reports.py`",
     ),
     # Ways in which a change of configuration could reach all.
     "ways.one.whole": Worked(
@@ -861,7 +861,7 @@
         lambda ask, n: ask("fleet.handover.lost", n.gateways),
         SIZE["primary_s"],
         "open",
-        "`corkgauge/duties/`",
+        "`corkgauge/leases/`",
     ),
     "open.primary.database": Worked(
         FEED,
@@ -870,7 +870,7 @@
         lambda ask, n: 2 * event(ask) * n.gateways,
         None,
         "open",
-        "`corkgauge/net/feed.py`",
+        "`corkgauge/net/discovery.py`",
     ),
     "open.memory.control": Worked(
         CONTROL,
@@ -948,8 +948,8 @@
         "Books of the fleet that are summed on the way, orders that go out on a change",
         ("holder.rest.octets", "holder.rest.processor"),
         "a holder asks all members in one turn of its loop: that of `works` twice a second, also with an empty "
-        "plan (`corkgauge/works/planner.py`, `orders`), that of the books each five seconds "
-        "(`corkgauge/duties/clerk.py`, `begin`). The answers come together, and beyond some 250 a socket's "
+        "plan (`corkgauge/maintenance/planner.py`, `orders`), that of the books each five seconds "
+        "(`corkgauge/leases/fleet_accounts_collector.py`, `begin`). The answers come together, and beyond some 250 a socket's "
         "buffer drops them: {{fleet.books.missing.without-shared}} were missing in an entry. Orders on a change "
         "alone, asking spread over the period; sums by zone or by a tree of members, each with what is missing "
         "and how old it is.",
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -20,10 +20,10 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from corkgauge.loop.hub import SECOND  # noqa: E402
-from corkgauge.model.explore import explore  # noqa: E402
+from corkgauge.eventloop.loop import SECOND  # noqa: E402
+from corkgauge.model.model_checker import explore  # noqa: E402
 from corkgauge.model.leases import World, drawn  # noqa: E402
-from corkgauge.standins.fleet import Fault, Fleet  # noqa: E402
+from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
 
 DEFENCES = {
     "check": [],
@@ -271,7 +271,7 @@
 
 
 def scale(said):
-    from corkgauge.model.company import measured
+    from corkgauge.model.membership import measured
 
     for many in (3, 30, 200, 1000):
         print(measured(many), flush=True)
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -22,8 +22,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from corkgauge.figures import terms  # noqa: E402
-from corkgauge.figures.auditor import SLICE  # noqa: E402
+from corkgauge.accounting import counter_names as terms  # noqa: E402
+from corkgauge.accounting.auditor import SLICE  # noqa: E402
 from tests.test_figures import Books, Record  # noqa: E402
 
 
@@ -77,9 +77,9 @@
 
 
 def scrape():
-    from corkgauge.figures import exposition
-    from corkgauge.figures.cut import cut_of, with_audit
-    from corkgauge.figures.door import json_pieces
+    from corkgauge.accounting import exposition
+    from corkgauge.accounting.snapshot import cut_of, with_audit
+    from corkgauge.accounting.http_listener import json_pieces
 
     made = books(10_000, 1_000)
     begun = time.perf_counter()
@@ -150,9 +150,9 @@
 
 
 def one_load(tree, seconds, rate, operator):
-    from corkgauge.standins.play import Play
+    from corkgauge.testkit.fleet.day import Day
 
-    play = Play(
+    play = Day(
         5,
         (),
         rate=rate,
@@ -209,9 +209,9 @@
 
 
 def start(base, runs):
-    from corkgauge.standins.play import settings
-    from corkgauge.standins.ports import free_port
-    from corkgauge.standins.program import Program
+    from corkgauge.testkit.fleet.day import settings
+    from corkgauge.testkit.fleet.ports import free_port
+    from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 
     with tempfile.TemporaryDirectory() as folder:
         before = tree_of(base, folder)
@@ -219,7 +219,7 @@
             for name, tree in ("before", before), ("now", ROOT):
                 held = []
                 for _ in range(runs):
-                    program = Program(
+                    program = GatewayProcess(
                         folder,
                         {
                             "name": "n",
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -24,13 +24,13 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from corkgauge.flow import codec  # noqa: E402
-from corkgauge.flow.delta import Delta  # noqa: E402
-from corkgauge.flow.held import Held  # noqa: E402
-from corkgauge.flow.meter import SLOT, SLOTS  # noqa: E402
-from corkgauge.flow.session import Session  # noqa: E402
-from corkgauge.flow.wheel import Wheel  # noqa: E402
-from corkgauge.loop.hub import SECOND  # noqa: E402
+from corkgauge.flow_export import codec  # noqa: E402
+from corkgauge.flow_export.counter_deltas import Delta  # noqa: E402
+from corkgauge.flow_export.pending_records import PendingRecords  # noqa: E402
+from corkgauge.flow_export.meter import SLOT, SLOTS  # noqa: E402
+from corkgauge.flow_export.session import Session  # noqa: E402
+from corkgauge.flow_export.timer_wheel import TimerWheel  # noqa: E402
+from corkgauge.eventloop.loop import SECOND  # noqa: E402
 
 
 def deltas(count):
@@ -116,7 +116,7 @@
     for count in 10_000, 100_000:
         for name in "wheel", "heap":
             draw, entries = Random(1), [Entry() for _ in range(count)]
-            kept = Wheel(SLOTS, SLOT) if name == "wheel" else []
+            kept = TimerWheel(SLOTS, SLOT) if name == "wheel" else []
             begun = time.perf_counter()
             for n, each in enumerate(entries):
                 due = draw.randrange(60 * SECOND)
@@ -166,7 +166,7 @@
             each.reason = 3
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
-        keeps, begun = Held(memory), time.perf_counter()
+        keeps, begun = PendingRecords(memory), time.perf_counter()
         for each in some:
             keeps.add(each)
         took = (time.perf_counter() - begun) / len(some) * 1e6
@@ -179,14 +179,14 @@
 
 
 def one_load(sort, seconds, rate):
-    from corkgauge.standins.collector import CollectorStandIn
-    from corkgauge.standins.play import Play
+    from corkgauge.testkit.emulators.collector import EmulatedCollector
+    from corkgauge.testkit.fleet.day import Day
 
-    play = Play(5, (), rate=rate, scrapes=0, gives_up=0.0, hangs_up=0.01, operator="")
+    play = Day(5, (), rate=rate, scrapes=0, gives_up=0.0, hangs_up=0.01, operator="")
     heard = []
     if sort != "none":
         transport = "tcp" if sort == "deaf" else "udp"
-        collector = CollectorStandIn(
+        collector = EmulatedCollector(
             play.hub, transport, lambda message, data: heard.append(message)
         )
         collector.deaf = sort == "deaf"
@@ -256,12 +256,12 @@
     """Engines of one hall eight times as slow from the 10th second to the 20th, of 30."""
     import json
 
-    from corkgauge.flow.rows import rows_of
-    from corkgauge.standins.collector import CollectorStandIn
-    from corkgauge.standins.play import Play
-    from corkgauge.standins.script import read
+    from corkgauge.flow_export.report_rows import rows_of
+    from corkgauge.testkit.emulators.collector import EmulatedCollector
+    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.faults.script import read
 
-    play = Play(
+    play = Day(
         5,
         read("at 10 for 10: e1 slow 30\nat 10 for 10: e2 slow 30", ["e1", "e2", "e3", "e4"]),
         rate=250,
@@ -269,7 +269,7 @@
         operator="",
     )
     rows = []
-    collector = CollectorStandIn(
+    collector = EmulatedCollector(
         play.hub, "udp", lambda message, data: rows.extend(rows_of(message))
     )
     said = os.path.join(play.folder, "operator.xml")
--- a/benchmarks/recall.py
+++ b/benchmarks/recall.py
@@ -24,11 +24,11 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from corkgauge.loop.hub import SECOND  # noqa: E402
-from corkgauge.standins.clients import Want  # noqa: E402
-from corkgauge.standins.fleet import Fault, Fleet  # noqa: E402
-from corkgauge.standins.play import Play  # noqa: E402
-from corkgauge.standins.script import read  # noqa: E402
+from corkgauge.eventloop.loop import SECOND  # noqa: E402
+from corkgauge.testkit.emulators.clients import Want  # noqa: E402
+from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
+from corkgauge.testkit.fleet.day import Day  # noqa: E402
+from corkgauge.testkit.faults.script import read  # noqa: E402
 
 NAMES = [f"e{n}" for n in range(1, 7)]
 FILE = '<operator version="1">{recall}</operator>'
@@ -48,7 +48,7 @@
 def kills_of(count, seed):
     """One lane: killed each 0.5 s. Starts, those that recalled, and lines that should not be."""
     script = "".join(f"at {1 + 0.5 * n:.2f}: program kill\n" for n in range(count))
-    play = Play(seed, read(script, NAMES), engines=6, rate=150, scrapes=0, operator=operator(True))
+    play = Day(seed, read(script, NAMES), engines=6, rate=150, scrapes=0, operator=operator(True))
     try:
         play.run(1.5 + 0.5 * count, drain=1.0)
         log, killed, broken = play.program.log(), len(play.program.kills), play.broken(2500)
@@ -80,7 +80,7 @@
     script = "at 0.1 for 20: all slow 12\n" + "".join(
         f"at {n}: program kill\n" for n in range(1, 11)
     )
-    play = Play(
+    play = Day(
         seed,
         read(script, NAMES),
         engines=6,
@@ -130,7 +130,7 @@
     troubles = "at 0.1 for 30: e1 slow 10\nat 0.1 for 30: e4 silent\n"
     if wrong:  # until the restart only: then all engines are others
         troubles = "at 0.1 for 7.9: e1 slow 10\nat 0.1 for 7.9: e4 silent\n"
-    play = Play(
+    play = Day(
         seed,
         read(troubles + "at 8: program kill", NAMES),
         engines=6,
@@ -175,7 +175,7 @@
 
 
 def cost_of(sort):
-    play = Play(
+    play = Day(
         5,
         (),
         engines=6,
@@ -298,11 +298,11 @@
 
 
 def start():
-    from corkgauge.recall import learned, snapshot
-    from tests.yard import Premises, listing
+    from corkgauge.recovery import learned_state as learned, snapshot
+    from tests.harness import HostHarness, listing
 
     rows = [{"id": f"e{n}", "addr": f"127.0.{n // 250}.9:{n % 250 + 1}"} for n in range(1000)]
-    house = Premises(events=[listing(1, *rows)]).house
+    house = HostHarness(events=[listing(1, *rows)]).house
     for engine in house.gateway.engines:
         engine.view.slowness.extend([1.5] * 8)
         engine.view.faults.extend([""] * 8)
@@ -316,7 +316,7 @@
     with tempfile.NamedTemporaryFile() as file:
         file.write(data)
         file.flush()
-        again = Premises(events=[listing(1, *rows)]).house
+        again = HostHarness(events=[listing(1, *rows)]).house
         before = time.perf_counter()
         with open(file.name, "rb") as source:
             said = snapshot.read(source.read(), "n", 1)
--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -23,11 +23,11 @@
 import click
 
 from benchmarks.scaling import TooLarge, bounded, fitted, kept, single, slope
-from corkgauge.interface import DRAINING
-from corkgauge.loop.hub import READ, Hub
-from corkgauge.standins import sampled
-from corkgauge.standins.hollow_one import RATE, TABLE_GROUPS, Alone, Front, busy, listing
-from corkgauge.standins.hollow_serve import Serve
+from corkgauge.policy.records import DRAINING
+from corkgauge.eventloop.loop import READ, EventLoop
+from corkgauge.testkit.fleet import profile_sampler as sampled
+from corkgauge.testkit.fleet.hollow_gateway import RATE, TABLE_GROUPS, Alone, Front, busy, listing
+from corkgauge.testkit.fleet.hollow_serve import Serve
 
 FULL, CLIENTS, OPEN = (
     1_800,
@@ -498,7 +498,7 @@
 def turn(run: Run, count: int) -> float:
     """ms of a turn that polls so many descriptors, one of which has something to read each time."""
     descriptors(count + 8)
-    hub, (mine, its), (idle, other) = Hub(), socket.socketpair(), socket.socketpair()
+    hub, (mine, its), (idle, other) = EventLoop(), socket.socketpair(), socket.socketpair()
     fds = [os.dup(idle.fileno()) for _ in range(count - 1)]
     try:
 
@@ -672,7 +672,10 @@
     whole = 1000 * median(on_sockets(run, 40) for _ in range(1 if run.quick else 3))
     with tempfile.NamedTemporaryFile(suffix=".stacks") as file:
         watched = 1000 * on_sockets(
-            run, 40, start=("-m", "corkgauge.standins.sampled", file.name), lasts=4 * LASTS
+            run,
+            40,
+            start=("-m", "corkgauge.testkit.fleet.profile_sampler", file.name),
+            lasts=4 * LASTS,
         )
         looks, on_top, within = sampled.read(file.name)
     print(
@@ -686,7 +689,14 @@
         own[file] += count
     for name in [*within]:  # what stands beneath all of it tells nothing
         if name.startswith(
-            ("library", "standins", "commands", "daemon", "loop/hub.py:run", "loop/hub.py:turn")
+            (
+                "library",
+                "standins",
+                "commands",
+                "daemon",
+                "eventloop/loop.py:run",
+                "eventloop/loop.py:turn",
+            )
         ):
             del within[name]
     tables = (
--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from benchmarks.scaling import slope
-from corkgauge.shared.findings import SILENT, Findings
-from corkgauge.works.order import (
+from corkgauge.peer_health.reports import SILENT, HealthReports
+from corkgauge.maintenance.schedule import (
     MOST_LOOKS,
     WELL,
     Bounds,
@@ -76,8 +76,8 @@
     ]
 
 
-def held(engines: int) -> Findings:
-    findings = Findings("me", 1)
+def held(engines: int) -> HealthReports:
+    findings = HealthReports("me", 1)
     findings.merge(0, rows_on(engines))
     assert len(findings) == WITNESSES * engines
     return findings
@@ -87,7 +87,7 @@
     rows = rows_on(engines)
     gc.collect()
     tracemalloc.start()
-    findings = Findings("me", 1)
+    findings = HealthReports("me", 1)
     findings.merge(0, rows)
     grown = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -104,7 +104,7 @@
 def merge_ms(engines: int) -> float:
     """All of it heard a first time."""
     rows = rows_on(engines)
-    return spent(lambda: Findings("me", 1).merge(0, rows), 3)
+    return spent(lambda: HealthReports("me", 1).merge(0, rows), 3)
 
 
 def digest_ms(engines: int) -> float:
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -20,13 +20,13 @@
 import click
 
 from benchmarks.scaling import bounded, kept, single, slope
-from corkgauge.configuration import Post
-from corkgauge.loop.ring import Allowance
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.eventloop.ring_buffer import MemoryBudget
 from corkgauge.model.dissemination import spread
-from corkgauge.net.feed_wire import FeedWire
-from corkgauge.net.host import Aside, stated_of
-from corkgauge.standins.parent import tied
-from corkgauge.standins.play import KINDS, settings
+from corkgauge.net.discovery_protocol import DiscoveryProtocol
+from corkgauge.net.host import UnstartedHost, stated_of
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.day import KINDS, settings
 
 FULL, GATEWAYS = 1_800, 870
 ENGINES = 10, 40, 100, 400, 1_000
@@ -119,7 +119,7 @@
 def is_taken(engines: int, id_size: int, spaced: bool) -> bool:
     """Does the program's own reader of the feed take the whole list in one event?"""
     taker = Taker()
-    wire = FeedWire(taker, Allowance(2**24))
+    wire = DiscoveryProtocol(taker, MemoryBudget(2**24))
     event = json.dumps(listed(engines, id_size), separators=None if spaced else (",", ":"))
     data = f"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 1\ndata: {event}\n\n".encode()
     for at in range(0, len(data), READ):
@@ -332,7 +332,7 @@
     said = json.dumps(configuration(**how))
     begun = time.process_time()
     for _ in range(20):
-        stated_of(Post(json.loads(said), ""), Aside())
+        stated_of(PlatformConfig(json.loads(said), ""), UnstartedHost())
     return 1000 * (time.process_time() - begun) / 20
 
 
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -15,11 +15,11 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from corkgauge.loop.hub import SECOND  # noqa: E402
-from corkgauge.model.spread import measured  # noqa: E402
-from corkgauge.shared.findings import Findings  # noqa: E402
-from corkgauge.standins.chance import Chance  # noqa: E402
-from corkgauge.standins.fleet import Fault, Fleet, drawn  # noqa: E402
+from corkgauge.eventloop.loop import SECOND  # noqa: E402
+from corkgauge.model.gossip import measured  # noqa: E402
+from corkgauge.peer_health.reports import HealthReports  # noqa: E402
+from corkgauge.testkit.seeded_random import SeededRandom  # noqa: E402
+from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn  # noqa: E402
 
 WORTH = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
 SHARED = {"each": 0.2, "octets": 8000}
@@ -135,7 +135,7 @@
         for name in "n1", "n3":
             fleet.gateways[name].program.start_with = (
                 "-m",
-                "corkgauge.standins.undefended",
+                "corkgauge.testkit.faults.disabled_safeguards",
                 "liar",
                 "1.0",
             )
@@ -171,14 +171,14 @@
 
 def merge(said):
     """A thousand findings of 200 witnesses on 1,000 engines, merged and looked up, against a list that is searched."""
-    chance = Chance(3)
+    chance = SeededRandom(3)
     rows = [
         [f"n{chance.below(200)}", 1, n + 1, 0, f"e{chance.below(1000)}", 1, 4, 0, 0]
         for n in range(1000)
     ]
 
     def ours():
-        findings = Findings("me", 1)
+        findings = HealthReports("me", 1)
         findings.merge(0, rows)
         return sum(len([*findings.of(f"e{n}")]) for n in range(1000))
 
@@ -220,7 +220,7 @@
         faults=drawn(seed, names, seconds, 0.4, 2.0),
         off="leases" if off else "none",
     )
-    chance, worst = Chance(seed), 0.0
+    chance, worst = SeededRandom(seed), 0.0
     renewals = []
 
     def renew():
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -19,14 +19,14 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from corkgauge.loop.hub import SECOND  # noqa: E402
-from corkgauge.model.agreement import PlanWorld, plan_day  # noqa: E402
-from corkgauge.model.night import POLICIES, Night  # noqa: E402
-from corkgauge.standins.chance import Chance  # noqa: E402
-from corkgauge.standins.crew import Crew  # noqa: E402
-from corkgauge.standins.fleet import Fault, Fleet  # noqa: E402
-from corkgauge.standins.worksday import AIMS, WorksDay, aimed  # noqa: E402
-from corkgauge.works.order import Bounds, EngineFact, Ground, Wanted, next_out  # noqa: E402
+from corkgauge.eventloop.loop import SECOND  # noqa: E402
+from corkgauge.model.plan_consensus import PlanWorld, plan_day  # noqa: E402
+from corkgauge.model.rolling_maintenance import POLICIES, Night  # noqa: E402
+from corkgauge.testkit.seeded_random import SeededRandom  # noqa: E402
+from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew  # noqa: E402
+from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
+from corkgauge.testkit.fleet.maintenance_day import AIMS, MaintenanceDay, aimed  # noqa: E402
+from corkgauge.maintenance.schedule import Bounds, EngineFact, Ground, Wanted, next_out  # noqa: E402
 
 WORTH = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
 
@@ -38,7 +38,7 @@
 
 def day(job):
     gateways, engines, seconds, seed = job
-    return WorksDay(seed, gateways, engines, seconds, gap=0.4, each=1.0).run()
+    return MaintenanceDay(seed, gateways, engines, seconds, gap=0.4, each=1.0).run()
 
 
 def drills(said):
@@ -73,7 +73,7 @@
     return aimed(*job, 5, 3)
 
 
-class Hard(Crew):
+class Hard(MaintenanceCrew):
     """Its machines are down while it works; by itself it asks nobody."""
 
     def work(self, work):
@@ -108,7 +108,7 @@
                 crew.ask("hall", hall)
             fleet.until(90, lambda: not crew.over(24))
         elif policy != "none":
-            from corkgauge.standins.inspector import Work
+            from corkgauge.testkit.checkers.maintenance import Work
 
             queues = {
                 "alone": [names[n::4] for n in range(4)],
@@ -352,7 +352,7 @@
         disk=bool(seed % 2),
         works=works,
     )
-    crew = Crew(fleet, lasting=0.1, seed=seed)
+    crew = MaintenanceCrew(fleet, lasting=0.1, seed=seed)
     out, back, led = [], [], []
     try:
         fleet.start()
@@ -503,7 +503,7 @@
     """Sum of lateness and time for all, against the best of all permutations."""
     worse = []
     for seed in range(said.times * 10):
-        chance = Chance(seed)
+        chance = SeededRandom(seed)
         engines = {
             f"e{n}": EngineFact(f"e{n}", "ab"[n % 2], "c8", None, (8.0, 12.0)[chance.below(2)])
             for n in range(6)
@@ -533,7 +533,7 @@
 
         best = min(cost(listed(each, ground_of, lasting)) for each in permutations(units))
         least = min(cost(listed(each, ground_of, lasting))[1] for each in permutations(units))
-        from corkgauge.works.order import order_of
+        from corkgauge.maintenance.schedule import order_of
 
         mine = cost(
             listed(
--- a/corkgauge/figures/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -14,9 +14,9 @@
 from itertools import islice
 from typing import Any, Protocol
 
-from corkgauge.figures import finding as f
-from corkgauge.figures.ledger import CLOSED, Ledger
-from corkgauge.figures.terms import SIDES, SORTS, TERM_OF, TERMS
+from corkgauge.accounting import discrepancies as f
+from corkgauge.accounting.ledger import CLOSED, RequestLedger
+from corkgauge.accounting.counter_names import SIDES, SORTS, TERM_OF, TERMS
 
 SLICE = 500  # records of one step
 
@@ -52,11 +52,11 @@
         """Where else a submission is still found."""
 
 
-class Auditor:
+class LedgerAuditor:
     """Steps through one pass after another."""
 
     def __init__(
-        self, ledger: Ledger, live: Live, findings: f.Findings, slice_: int = SLICE
+        self, ledger: RequestLedger, live: Live, findings: f.Discrepancies, slice_: int = SLICE
     ) -> None:
         self.ledger, self.live, self.findings = ledger, live, findings
         self.slice, self.passes, self.walk = slice_, 0, iter(())
--- a/corkgauge/figures/epoch.py
+++ b/corkgauge/accounting/checkpoint.py
@@ -73,7 +73,7 @@
 
 def folded(cut: dict[str, Any]) -> dict[str, Any]:
     """A cut with all its engines in one row, where they would not fit a slot."""
-    from corkgauge.figures.cut import together
+    from corkgauge.accounting.snapshot import together
 
     rows = [
         {**cut, "offerings": {}, "connections": {}, "engines": {FOLDED: row}}
--- a/corkgauge/figures/shelf.py
+++ b/corkgauge/accounting/checkpoint_file.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.figures import epoch
-from corkgauge.figures.cut import Cut, EngineRows, closed_epoch
+from corkgauge.accounting import checkpoint as epoch
+from corkgauge.accounting.snapshot import Cut, EngineRows, closed_epoch
 
 
-class Shelf:
+class CheckpointFile:
     """Writes cuts into the two slots in turn. It writes to memory that the system writes out, so a kill of
     the process loses nothing that was put, and no call waits for the disk; power is another matter."""
 
--- a/corkgauge/figures/terms.py
+++ b/corkgauge/accounting/counter_names.py
@@ -4,7 +4,7 @@
 has. Must never hold a count. A name here never changes its meaning: scrapes of years are compared by it.
 """
 
-from corkgauge.interface import Submission
+from corkgauge.policy.records import Request
 
 # The terms of `taken = served + refused + failed + open`, by the codes of the clients' protocol.
 TAKEN, SERVED, REFUSED, FAILED = range(4)
@@ -59,12 +59,12 @@
 DEPARTED_ROW = "(departed)"  # engines that left
 
 
-def reason_of(code: int, sub: Submission, now: int, last_moment: int) -> int:
+def reason_of(code: int, sub: Request, now: int, last_moment: int) -> int:
     """The reason of an end that the gateway gave a submission.
 
     `last_moment` is how long before its expiry the last moment begins, in tenths of a millisecond.
 
-    >>> from corkgauge.interface import Offering
+    >>> from corkgauge.policy.records import Offering
     >>> sub = Submission(None, Offering("quick", 10, 0.0, 500, 1.0), 0, 0.0, taken=1000, life=500, aim=100.0)
     >>> [REASON_NAMES[reason_of(SERVED, sub, now, 20)] for now in (1100, 1101)]
     ['in_time', 'late']
--- a/corkgauge/figures/finding.py
+++ b/corkgauge/accounting/discrepancies.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Finding:
+class Discrepancy:
     """One mistake, as it was first seen and as it is now. Times are tenths of a millisecond."""
 
     kind: str
@@ -50,12 +50,12 @@
         )
 
 
-class Findings:
+class Discrepancies:
     """The findings; `alarm` is raised while there is one that nobody cleared."""
 
     def __init__(self, clock: Callable[[], int], log: Callable[[str], None]) -> None:
         self.clock, self.log = clock, log
-        self.held: dict[tuple[str, str], Finding] = {}
+        self.held: dict[tuple[str, str], Discrepancy] = {}
         self.untold = 0  # that found no room
 
     @property
@@ -77,7 +77,7 @@
             if len(self.held) >= MOST:
                 self.untold += 1
                 return
-            found = self.held[kind, row] = Finding(
+            found = self.held[kind, row] = Discrepancy(
                 kind, row, now, now, difference, detail, events or []
             )
             found.told = difference
--- a/corkgauge/figures/exposition.py
+++ b/corkgauge/accounting/exposition.py
@@ -16,9 +16,9 @@
     Metric,
 )
 
-from corkgauge.figures.cut import Cut
-from corkgauge.figures.terms import SORTS
-from corkgauge.figures.waits import buckets
+from corkgauge.accounting.snapshot import Cut
+from corkgauge.accounting.counter_names import SORTS
+from corkgauge.accounting.latency_sketches import buckets
 
 ROWS = 32  # of one piece
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -185,7 +185,7 @@
 
 
 def _ends(offerings: Any) -> Iterator[Sample]:
-    from corkgauge.figures.terms import REASONS, TERMS
+    from corkgauge.accounting.counter_names import REASONS, TERMS
 
     for name, row in offerings:
         for term, reason in REASONS:
--- a/corkgauge/figures/door.py
+++ b/corkgauge/accounting/http_listener.py
@@ -17,8 +17,8 @@
 
 import h11
 
-from corkgauge.figures.cut import Cut
-from corkgauge.loop.hub import READ, SECOND, WRITE, Hub
+from corkgauge.accounting.snapshot import Cut
+from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 
 PATIENCE = 5 * SECOND  # that a reader has for its request, and for each piece of the answer
 IDLE = 60 * SECOND  # that it may keep a connection without asking
@@ -26,12 +26,12 @@
 PIECE = 32_768
 
 
-class Readers:
+class HttpListener:
     """The listener and its readers. `cut` makes a whole cut, `clear` forgets the findings."""
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         where: str | tuple[str, int],
         most: int,
         cut: Callable[[], Cut],
@@ -131,7 +131,7 @@
         self, method: bytes, target: bytes, asked: bytes
     ) -> tuple[int, str, Iterable[bytes]]:
         if (method, target) == (b"GET", b"/metrics"):
-            from corkgauge.figures import exposition
+            from corkgauge.accounting import exposition
 
             return 200, exposition.CONTENT_TYPE, exposition.pieces(self.cut())
         if (method, target) == (b"GET", b"/figures"):
--- a/corkgauge/figures/waits.py
+++ b/corkgauge/accounting/latency_sketches.py
@@ -15,7 +15,7 @@
 SCALE = 1e-4  # seconds in a tenth of a millisecond
 
 
-class Waits:
+class LatencySketches:
     """One method for each thing that is timed."""
 
     def __init__(self, error: float) -> None:
--- a/corkgauge/figures/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from corkgauge.figures.finding import (
+from corkgauge.accounting.discrepancies import (
     CLOSED_TWICE,
     ENTERED_TWICE,
     HAND_CLOSED_TWICE,
@@ -20,7 +20,7 @@
     NEVER_ENTERED,
     OVER_BUDGET,
 )
-from corkgauge.figures.terms import (
+from corkgauge.accounting.counter_names import (
     AT_THE_DOOR,
     CLIENT,
     DEPARTED_ROW,
@@ -42,7 +42,7 @@
 (ENTERED, CLOSED, HANDED, OVER) = EVENTS = "entered", "closed", "handed off", "over"
 
 
-class OfferingRow:
+class RequestClassRow:
     """The account of one offering."""
 
     __slots__ = "name", "terms", "reasons", "open", "mark", "sorts", "out", "out_mark"
@@ -85,7 +85,7 @@
         self.up = self.ended = self.got = self.sent = self.pages = 0
 
 
-class Ledger:
+class RequestLedger:
     """One method for each thing that is counted. `guard` hears of what is wrong at the entry itself:
     what, the row, the serial."""
 
@@ -97,8 +97,8 @@
         guard: Callable[[str, Any, int], None] = lambda *_: None,
     ) -> None:
         self.clock, self.guard = clock, guard
-        self.offerings = {name: OfferingRow(name) for name in offerings}
-        self.unusable_row = self.offerings[UNUSABLE_ROW] = OfferingRow(UNUSABLE_ROW)
+        self.offerings = {name: RequestClassRow(name) for name in offerings}
+        self.unusable_row = self.offerings[UNUSABLE_ROW] = RequestClassRow(UNUSABLE_ROW)
         self.engines: dict[str, EngineRow] = {}
         self.departed = EngineRow(DEPARTED_ROW)
         self.leaving: list[EngineRow] = []  # gone, with hand-offs out
@@ -147,7 +147,7 @@
         row.mark -= serial
         self.events.append((self.clock(), CLOSED, row, serial))
 
-    def turned_away(self, row: OfferingRow) -> None:
+    def turned_away(self, row: RequestClassRow) -> None:
         """Taken and refused at once: there is no room for it."""
         self._at_once(row, AT_THE_DOOR)
 
@@ -155,7 +155,7 @@
         """Taken, and of no use to anybody; so it names no offering."""
         self._at_once(self.unusable_row, UNUSABLE)
 
-    def _at_once(self, row: OfferingRow, reason: int) -> None:
+    def _at_once(self, row: RequestClassRow, reason: int) -> None:
         row.terms[0] += 1
         row.terms[TERM_OF[reason]] += 1
         row.reasons[reason] += 1
--- a/corkgauge/figures/bureau.py
+++ b/corkgauge/accounting/service.py
@@ -7,12 +7,12 @@
 from typing import Any
 from zlib import crc32
 
-from corkgauge.configuration import Faulty
-from corkgauge.figures.cut import Cut, cut_of, with_audit, with_live
-from corkgauge.operator import Figures
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.accounting.snapshot import Cut, cut_of, with_audit, with_live
+from corkgauge.config.operator_file import Figures
 
 
-class Bureau:
+class AccountingService:
     """Made once for a program; `reload` takes a new element. `house` has `hub`, `ledger`, `findings`,
     `auditor`, `records` and `log`."""
 
@@ -24,13 +24,13 @@
         self.door: Any = None
         self.shelf: Any = None
         if said.error:
-            from corkgauge.figures.waits import Waits
+            from corkgauge.accounting.latency_sketches import LatencySketches
 
-            house.waits = Waits(said.error)
+            house.waits = LatencySketches(said.error)
         if said.keep:
-            from corkgauge.figures.shelf import Shelf
+            from corkgauge.accounting.checkpoint_file import CheckpointFile
 
-            self.shelf = Shelf(said.keep, gateway, house.log)
+            self.shelf = CheckpointFile(said.keep, gateway, house.log)
             self.keep()
         self._open(said)
 
@@ -40,7 +40,7 @@
             old, self.door = self.door, None
             try:
                 self._open(said)
-            except Faulty:
+            except ConfigurationError:
                 self.door = (
                     old  # Danger: a new address that cannot be had must not cost the old one
                 )
@@ -88,11 +88,11 @@
     def _open(self, said: Figures) -> None:
         if said.listen is None:
             return
-        from corkgauge.figures.door import Readers
+        from corkgauge.accounting.http_listener import HttpListener
 
         house = self.house
         try:
-            self.door = Readers(
+            self.door = HttpListener(
                 house.hub,
                 said.listen,
                 said.readers,
@@ -102,7 +102,9 @@
                 house.routes,
             )
         except OSError as problem:
-            raise Faulty(f"figures listen: {said.listen}: {problem.strerror or problem}") from None
+            raise ConfigurationError(
+                f"figures listen: {said.listen}: {problem.strerror or problem}"
+            ) from None
 
     def _close(self) -> None:
         if self.door is not None:
--- a/corkgauge/figures/cut.py
+++ b/corkgauge/accounting/snapshot.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any
 
-from corkgauge.figures.finding import Findings
-from corkgauge.figures.ledger import Ledger
-from corkgauge.figures.terms import OUTCOMES, REASON_NAMES, REASONS, SORTS, TERMS
+from corkgauge.accounting.discrepancies import Discrepancies
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, REASONS, SORTS, TERMS
 
 SCHEMA = 1
 Cut = dict[str, Any]
@@ -44,7 +44,7 @@
         return len(self.flat)
 
 
-def cut_of(ledger: Ledger, now: int, gateway: str, epoch: Mapping[str, Any]) -> Cut:
+def cut_of(ledger: RequestLedger, now: int, gateway: str, epoch: Mapping[str, Any]) -> Cut:
     """The counts alone: what is kept through a kill."""
     return {
         "schema": SCHEMA,
@@ -85,7 +85,7 @@
     return {**cut, "engines": {**cut["engines"]}}
 
 
-def _engines(ledger: Ledger) -> dict[str, Any]:
+def _engines(ledger: RequestLedger) -> dict[str, Any]:
     """Rows by name; those that leave with hand-offs out count as departed."""
     departed = type(ledger.departed)(ledger.departed.name)
     for row in (ledger.departed, *ledger.leaving):
@@ -102,7 +102,7 @@
     return cut
 
 
-def with_audit(cut: Cut, findings: Findings, passes: int) -> Cut:
+def with_audit(cut: Cut, findings: Discrepancies, passes: int) -> Cut:
     """A cut with what does not add up."""
     cut["audit"] = {
         "passes": passes,
@@ -221,7 +221,7 @@
         for each in cut.get("waits", ()):
             told.setdefault((each["what"], each["whose"]), []).append(each)
     if told:
-        from corkgauge.figures.waits import added
+        from corkgauge.accounting.latency_sketches import added
 
         summed["waits"] = [added(several) for several in told.values()]
     return summed
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -5,7 +5,7 @@
 import click
 
 from corkgauge.commands import FOUND, Faulted
-from corkgauge.figures.cut import Cut, differences, shrunk
+from corkgauge.accounting.snapshot import Cut, differences, shrunk
 
 MOST_SAID = 20
 
@@ -40,7 +40,7 @@
 
 def works_wrong(said: dict) -> list[str]:
     """What is wrong with a history of works: a step twice, or one left out."""
-    from corkgauge.works.plan import wrong_history
+    from corkgauge.maintenance.plan import wrong_history
 
     return wrong_history(said["history"])
 
--- a/corkgauge/commands/check.py
+++ b/corkgauge/commands/check.py
@@ -4,7 +4,7 @@
 
 import click
 
-from corkgauge import configuration
+from corkgauge.config import platform as configuration
 from corkgauge.commands import Faulted
 
 
@@ -21,8 +21,8 @@
     """
     try:
         post = configuration.read(os.environ)
-        from corkgauge import daemon
+        from corkgauge.daemon import process as daemon
 
         raise SystemExit(daemon.check(post, operator_file))
-    except configuration.Faulty as problem:
+    except configuration.ConfigurationError as problem:
         raise Faulted(str(problem)) from None
--- a/corkgauge/commands/drills.py
+++ b/corkgauge/commands/drills.py
@@ -37,7 +37,7 @@
     \b
     corkgauge drills draw --seconds 60 --gap 0.5 > day.txt
     """
-    from corkgauge.standins.fleet import drawn
+    from corkgauge.testkit.fleet.processes import drawn
 
     for fault in drawn(seed, [f"n{n}" for n in range(1, gateways + 1)], seconds, gap, longest):
         print(fault.line())
@@ -102,7 +102,7 @@
     corkgauge drills run --gateways 5 --seconds 60 --gap 0.5
     Ends with 1 if the judge objects, or a rule was broken for a client.
     """
-    from corkgauge.standins.fleet import Fleet, Unplayable, drawn, read
+    from corkgauge.testkit.fleet.processes import Fleet, Unplayable, drawn, read
 
     names = [f"n{n}" for n in range(1, gateways + 1)]
     try:
--- a/corkgauge/commands/duties.py
+++ b/corkgauge/commands/duties.py
@@ -144,20 +144,20 @@
         margin: float,
         patience: float,
     ) -> None:
-        from corkgauge.duties.running import Running
+        from corkgauge.leases.leased_command import LeasedCommand
 
         self.where, self.duty, self.what, self.patience = where, duty, what, patience
         self.by = f"{os.uname().nodename}:{os.getpid()}"
         self.child: subprocess.Popen | None = None
         self.told = False  # to end, by an operator
-        self.running = Running(self, grace, margin)
+        self.running = LeasedCommand(self, grace, margin)
 
     @staticmethod
     def now() -> float:
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def play(self) -> int:
-        from corkgauge.duties.running import ENDING, OVER, RUNNING, WAITING
+        from corkgauge.leases.leased_command import ENDING, OVER, RUNNING, WAITING
 
         for sign in signal.SIGTERM, signal.SIGINT:
             signal.signal(sign, self._told)
@@ -195,7 +195,7 @@
             self.running.told(asked, said["held"], said.get("fence", 0), said.get("left", 0.0))
 
     def _post(self, what: str) -> dict | None:
-        from corkgauge.figures.asking import ask
+        from corkgauge.accounting.client import ask
 
         try:
             # Danger: a gateway that stands still would hold us here past the command's time.
--- a/corkgauge/commands/fellows.py
+++ b/corkgauge/commands/fellows.py
@@ -9,7 +9,7 @@
 
 def door(where: str, target: str, body: object = None) -> dict:
     """What a gateway tells at its figures' door."""
-    from corkgauge.figures.asking import ask
+    from corkgauge.accounting.client import ask
 
     try:
         return ask(where, target, "GET" if body is None else "POST", body=body)
--- a/corkgauge/commands/figures.py
+++ b/corkgauge/commands/figures.py
@@ -7,7 +7,7 @@
 import click
 
 from corkgauge.commands import FOUND, Faulted
-from corkgauge.figures.cut import Cut, differences, together
+from corkgauge.accounting.snapshot import Cut, differences, together
 
 
 def cut_at(where: str, clear: bool = False) -> Cut:
@@ -16,11 +16,11 @@
         path = Path(where)
         if path.is_file():
             if where.endswith(".figures"):
-                from corkgauge.figures.shelf import read_file
+                from corkgauge.accounting.checkpoint_file import read_file
 
                 return read_file(where)["cut"]
             return json.loads(path.read_text())
-        from corkgauge.figures.asking import ask
+        from corkgauge.accounting.client import ask
 
         if clear:
             ask(where, "/clear", "POST")
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -84,11 +84,11 @@
     corkgauge flows listen --write night.parquet
     Ends with 1 if anything came that could not be decoded.
     """
-    from corkgauge.flow.rows import rows_of
-    from corkgauge.loop.hub import SECOND, Hub
-    from corkgauge.standins.collector import CollectorStandIn
+    from corkgauge.flow_export.report_rows import rows_of
+    from corkgauge.eventloop.loop import SECOND, EventLoop
+    from corkgauge.testkit.emulators.collector import EmulatedCollector
 
-    hub, count = Hub(), [0, 0, 0]
+    hub, count = EventLoop(), [0, 0, 0]
     out = Out(path) if path else None
     kept = open(capture, "wb") if capture else None
 
@@ -107,7 +107,7 @@
                 print(line_of(row), flush=True)
 
     try:
-        collector = CollectorStandIn(hub, transport, heard, ("127.0.0.1", port))
+        collector = EmulatedCollector(hub, transport, heard, ("127.0.0.1", port))
     except OSError as problem:
         raise Faulted(f"127.0.0.1:{port}: {problem.strerror}") from None
     click.echo(f"listening on 127.0.0.1:{collector.address[1]} ({transport})", err=True)
@@ -140,7 +140,7 @@
 
 def read_rows(path: str) -> Iterator[dict[str, Any]]:
     """Rows of a Parquet file, or of JSON lines."""
-    from corkgauge.flow.rows import COLUMNS
+    from corkgauge.flow_export.report_rows import COLUMNS
 
     if path.endswith(".parquet"):
         library = need("pyarrow.parquet", "reports")
@@ -179,7 +179,7 @@
     \b
     corkgauge flows report night.parquet --plot night.svg
     """
-    from corkgauge.flow.rows import by_minute
+    from corkgauge.flow_export.report_rows import by_minute
 
     sums = by_minute((row for path in files for row in read_rows(path)), int(span * 1000))
     if plot:
@@ -267,7 +267,7 @@
     corkgauge flows dump night.capture
     Ends with 1 if a message could not be decoded.
     """
-    from corkgauge.flow.decoder import Decoder, Malformed
+    from corkgauge.flow_export.decoder import Decoder, MalformedMessageError
 
     decoder, data, at, wrong = Decoder(), Path(capture).read_bytes(), 0, 0
     while at < len(data):
@@ -277,7 +277,7 @@
             raise Faulted(f"{capture}: cut short, or no capture, at octet {at}")
         try:
             heard = decoder.message(message)
-        except Malformed as problem:
+        except MalformedMessageError as problem:
             wrong += 1
             print(f"{at}: malformed: {problem}", file=sys.stderr)
         else:
--- a/corkgauge/commands/recall.py
+++ b/corkgauge/commands/recall.py
@@ -32,7 +32,7 @@
 
 def snapshots(folder: str, gateway: str) -> list[tuple[str, Any, str]]:
     """Path, body and what is wrong with it, the newest first."""
-    from corkgauge.recall import snapshot
+    from corkgauge.recovery import snapshot
 
     found = []
     for end in ("", *(f".{n}" for n in range(1, 20))):
@@ -42,17 +42,17 @@
                 data = file.read(snapshot.LARGEST + 1)
             try:
                 found.append((path, snapshot.read(data), ""))
-            except snapshot.Unusable as problem:
+            except snapshot.UnusableSnapshotError as problem:
                 found.append((path, None, str(problem)))
     return found
 
 
 def logged(folder: str, gateway: str) -> tuple[Any, list[str]]:
     """The state that a log makes, and what is wrong with it."""
-    from corkgauge.recall.effects import Effects, records
-    from corkgauge.recall.writer import segments
+    from corkgauge.recovery.attempt_log import AttemptLog, records
+    from corkgauge.recovery.log_writer import segments
 
-    state, wrong = Effects(), []
+    state, wrong = AttemptLog(), []
     for _, path in segments(folder, gateway, os.listdir(folder)):
         with open(path, "rb") as file:
             data = file.read(64 * 2**20)
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -5,7 +5,7 @@
 
 import click
 
-from corkgauge import configuration
+from corkgauge.config import platform as configuration
 from corkgauge.commands import Faulted
 
 
@@ -34,12 +34,12 @@
     """
     # Danger: a change of the configuration that is told while the program loads would end it. It is read after that.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    from corkgauge import daemon
+    from corkgauge.daemon import process as daemon
 
     woken = daemon.heed()
     try:
         raise SystemExit(
             daemon.serve(configuration.read(os.environ), woken, operator_file, log_form)
         )
-    except configuration.Faulty as problem:
+    except configuration.ConfigurationError as problem:
         raise Faulted(str(problem)) from None
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -35,8 +35,8 @@
 
 def scenes_of(text: str, seconds: float, engines: list[str]) -> list:
     """A script's scenes, again each round."""
-    from corkgauge.loop.hub import SECOND
-    from corkgauge.standins.script import Scene, read
+    from corkgauge.eventloop.loop import SECOND
+    from corkgauge.testkit.faults.script import Scene, read
 
     once = read(text, engines)
     return [
@@ -90,9 +90,9 @@
     corkgauge soak --seconds 600 --rate 300
     Ends with 1 if a scrape does not balance, a rule breaks, or memory grows.
     """
-    from corkgauge.standins import rules
-    from corkgauge.standins.play import Play
-    from corkgauge.standins.script import Unplayable
+    from corkgauge.testkit.checkers import rules
+    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.faults.script import Unplayable
 
     engines = [f"e{n}" for n in range(1, 5)]
     try:
@@ -109,7 +109,7 @@
                 err=True,
             )
 
-    play = Play(seed, scenes, rate=rate, scrapes=scrapes, seen=seen)
+    play = Day(seed, scenes, rate=rate, scrapes=scrapes, seen=seen)
     begun = play.hub.now
     try:
         play.run(seconds)
--- a/corkgauge/commands/tables.py
+++ b/corkgauge/commands/tables.py
@@ -7,8 +7,8 @@
 from rich.table import Table
 from rich.text import Text
 
-from corkgauge.figures.cut import Cut, differences
-from corkgauge.figures.terms import OUTCOMES, REASON_NAMES, SORTS, TERMS
+from corkgauge.accounting.snapshot import Cut, differences
+from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, SORTS, TERMS
 
 
 def plain_table(title: str, first: str, names: Iterable[str]) -> Table:
@@ -86,6 +86,6 @@
 def _times(said: Any) -> tuple[str, str]:
     if not said:
         return "", ""
-    from corkgauge.figures.waits import quantile
+    from corkgauge.accounting.latency_sketches import quantile
 
     return f"{quantile(said, 0.5):.3f}", f"{quantile(said, 0.99):.3f}"
--- a/corkgauge/commands/try_.py
+++ b/corkgauge/commands/try_.py
@@ -46,8 +46,8 @@
     from rich.text import Text
 
     from corkgauge.commands import tables
-    from corkgauge.standins.play import Play
-    from corkgauge.standins.script import read
+    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.faults.script import read
 
     progress = Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:.0f}%")
@@ -61,7 +61,7 @@
             progress.update(bar, completed=min(now, seconds), description=_now(play, now))
             live.update(Group(progress, tables.offerings(cut), tables.engines(cut)))
 
-        play = Play(seed, read(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen)
+        play = Day(seed, read(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen)
         begun = play.hub.now
         try:
             play.run(seconds)
@@ -98,7 +98,7 @@
 def _rules(broken: list[str]) -> object:
     from rich.text import Text
 
-    from corkgauge.standins.rules import worth_saying
+    from corkgauge.testkit.checkers.rules import worth_saying
 
     if broken:
         return Text("\n".join(worth_saying(broken)), style="bold red")
--- /dev/null
+++ b/corkgauge/config/__init__.py
@@ -0,0 +1,1 @@
+"""Platform configuration, settings and operator file: read, checked and defaulted here."""
--- a/corkgauge/operator.py
+++ b/corkgauge/config/operator_file.py
@@ -12,8 +12,8 @@
 
 from lxml import etree
 
-from corkgauge.configuration import Faulty
-from corkgauge.loop.hub import SECOND
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.eventloop.loop import SECOND
 
 LARGEST = 2**20  # bytes of a file
 MOST_DATAGRAM = 65_507  # octets of a datagram, on IPv4
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operated:
+class OperatorConfig:
     """One operator file, whole. What has no element is None."""
 
     path: str
@@ -140,30 +140,30 @@
     shared: Shared | None
 
 
-def read(path: str) -> Operated:
+def read(path: str) -> OperatorConfig:
     """The file, or `Faulty` with the file, the line and the element in its message."""
     try:
         with open(path, "rb") as file:
             data = file.read(LARGEST + 1)
     except OSError as problem:
-        raise Faulty(f"{path}: {problem.strerror}") from None
+        raise ConfigurationError(f"{path}: {problem.strerror}") from None
     if len(data) > LARGEST:
-        raise Faulty(f"{path}: expected {LARGEST} bytes at most")
+        raise ConfigurationError(f"{path}: expected {LARGEST} bytes at most")
     # Danger: entities that name other files, or themselves without end.
     parser = etree.XMLParser(resolve_entities=False, no_network=True, huge_tree=False)
     try:
         tree = etree.fromstring(data, parser)
     except etree.XMLSyntaxError as problem:
-        raise Faulty(f"{path}:{problem.lineno or 1}: {problem.msg}") from None
+        raise ConfigurationError(f"{path}:{problem.lineno or 1}: {problem.msg}") from None
     if tree.getroottree().docinfo.doctype:
-        raise Faulty(f"{path}:1: expected no document type")
+        raise ConfigurationError(f"{path}:1: expected no document type")
     schema = etree.XMLSchema(
-        etree.fromstring(files("corkgauge").joinpath("operator.xsd").read_bytes())
+        etree.fromstring(files("corkgauge.config").joinpath("operator.xsd").read_bytes())
     )
     if not schema.validate(tree):
         first = schema.error_log[0]
-        raise Faulty(f"{path}:{first.line}: {first.message}")
-    return Operated(
+        raise ConfigurationError(f"{path}:{first.line}: {first.message}")
+    return OperatorConfig(
         path,
         _figures(path, tree.find("figures")),
         _flows(path, tree.find("flows")),
@@ -228,7 +228,7 @@
         words = line.partition("#")[0].split()
         if words:
             if len(words) not in (2, 3):
-                raise Faulty(
+                raise ConfigurationError(
                     f"{roster}:{number}: expected NAME ADDRESS:PORT HALL, found {line[:80]!r}"
                 )
             lines.append((said, *words, *[""] * (3 - len(words))))
@@ -416,5 +416,7 @@
     return host.strip("[]"), int(port)
 
 
-def _wrong(path: str, said: Any, expected: str) -> Faulty:
-    return Faulty(f"{path}:{said.sourceline}: element '{said.tag}': expected {expected}")
+def _wrong(path: str, said: Any, expected: str) -> ConfigurationError:
+    return ConfigurationError(
+        f"{path}:{said.sourceline}: element '{said.tag}': expected {expected}"
+    )
--- a/corkgauge/stated.py
+++ b/corkgauge/config/settings.py
@@ -6,13 +6,13 @@
 from typing import Any
 from zlib import crc32
 
-from corkgauge.control import Gateway
-from corkgauge.interface import IRREVERSIBLE, LABELLED, REDOABLE, Engine, Host, Offering
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import IRREVERSIBLE, LABELLED, REDOABLE, Engine, Host, RequestClass
 
 REPEATS = {"pure": REDOABLE, "token": LABELLED, "side_effect": IRREVERSIBLE}
 
 
-class Stated:
+class Settings:
     """What the door of a gateway derives from the settings; the raw ones are not kept."""
 
     def __init__(self, said: Any, host: Host, seed: int, name: str = "") -> None:
@@ -96,11 +96,11 @@
     return int(value) if isinstance(otherwise, int) else float(value)
 
 
-def offering(said: dict, number: int, widths: list) -> Offering:
+def offering(said: dict, number: int, widths: list) -> RequestClass:
     """One of the profiles, in the project's own words."""
     if said.get("effect", "pure") not in REPEATS:
         raise ValueError(f"effect: {said['effect']!r} makes no sense")
-    return Offering(
+    return RequestClass(
         str(said.get("name", number)),
         figure(said, "objectiveUs", 0) // 100,
         figure(said, "aimStretch", 0.0),
--- /dev/null
+++ b/corkgauge/daemon/__init__.py
@@ -0,0 +1,1 @@
+"""The serving process."""
--- a/corkgauge/daemon.py
+++ b/corkgauge/daemon/process.py
@@ -15,15 +15,15 @@
 
 from loguru import logger
 
-from corkgauge import configuration
-from corkgauge.configuration import Faulty, Post
-from corkgauge.loop import log
-from corkgauge.loop.hub import READ, SECOND, Hub
-from corkgauge.loop.link import NEVER
-from corkgauge.net.door import Door
-from corkgauge.net.feed import Feed
-from corkgauge.net.frames import FramesHouse
-from corkgauge.net.host import Aside, House, stated_of
+from corkgauge.config import platform as configuration
+from corkgauge.config.platform import ConfigurationError, PlatformConfig
+from corkgauge.eventloop import logging as log
+from corkgauge.eventloop.loop import READ, SECOND, EventLoop
+from corkgauge.eventloop.connection import NEVER
+from corkgauge.net.acceptor import Acceptor
+from corkgauge.net.discovery import DiscoveryWatch
+from corkgauge.net.platform_frontend import PlatformFrontEnd
+from corkgauge.net.host import UnstartedHost, SocketHost, stated_of
 
 KEPT: list[socket.socket] = []  # the end that signals write to
 MOST_MEMORY = 0.75  # of its limit, before garbage is collected
@@ -48,7 +48,7 @@
 class Troubles:
     """Logs what was stopped at a connection or a timer: one a second, the others are counted."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: EventLoop) -> None:
         self.hub, self.next, self.untold = hub, 0, 0
 
     def __call__(self) -> None:
@@ -61,8 +61,10 @@
 class Source:
     """What SIGHUP reads again: where the control feed is, and the operator file."""
 
-    def __init__(self, house: House, post: Post, beside: "Beside | None" = None) -> None:
-        self.house, self.post, self.feed = house, post, Feed(house, post.feed)
+    def __init__(
+        self, house: SocketHost, post: PlatformConfig, beside: "Beside | None" = None
+    ) -> None:
+        self.house, self.post, self.feed = house, post, DiscoveryWatch(house, post.feed)
         self.beside = beside
         house.hub.spawn(self.feed.run)
 
@@ -71,8 +73,8 @@
         disturb nothing that is open; so only the feed moves, and what else has changed is named."""
         try:
             new = configuration.read(environment)
-            stated_of(new, Aside())
-        except Faulty as problem:
+            stated_of(new, UnstartedHost())
+        except ConfigurationError as problem:
             return self.house.log(f"configuration not taken: {problem}")
         if self.beside is not None:
             self.beside.reload()
@@ -82,7 +84,7 @@
             self.house.log("feed moves to %s:%d at " % new.feed + str(self.house.last_event))
             self.post.feed = new.feed
             self.feed.leave()
-            self.feed = Feed(self.house, new.feed)
+            self.feed = DiscoveryWatch(self.house, new.feed)
             self.house.hub.spawn(self.feed.run)
 
 
@@ -92,49 +94,49 @@
 # nobody is let in yet.
 
 
-def _figures(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
-    from corkgauge.figures.bureau import Bureau
+def _figures(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+    from corkgauge.accounting.service import AccountingService
 
-    return Bureau(house, post.name, post.seed, said)
+    return AccountingService(house, post.name, post.seed, said)
 
 
-def _recall(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
-    from corkgauge.recall.keeping import Keeping
+def _recall(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+    from corkgauge.recovery.service import RecoveryService
 
-    return Keeping(house, post.name, post.mark, said)
+    return RecoveryService(house, post.name, post.mark, said)
 
 
-def _flows(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
-    from corkgauge.flow.exporter import Exporter
+def _flows(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+    from corkgauge.flow_export.exporter import Exporter
 
     return Exporter(house, post.name, post.seed, said)
 
 
-def _fellows(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
-    from corkgauge.fellows.society import Society
+def _fellows(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+    from corkgauge.membership.service import MembershipService
 
-    return Society(house, post, said)
+    return MembershipService(house, post, said)
 
 
-def _duties(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
-    from corkgauge.duties.office import Office
+def _duties(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+    from corkgauge.leases.service import LeaseService
 
-    return Office(house, post, said, running["fellows"])
+    return LeaseService(house, post, said, running["fellows"])
 
 
-def _works(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
-    from corkgauge.works.yard import Yard
+def _works(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+    from corkgauge.maintenance.service import MaintenanceService
 
-    return Yard(house, post, said, running["fellows"], running["duties"])
+    return MaintenanceService(house, post, said, running["fellows"], running["duties"])
 
 
-def _shared(house: House, post: Post, said: Any, running: dict[str, Any]) -> Any:
-    from corkgauge.shared.exchange import Exchange
+def _shared(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+    from corkgauge.peer_health.service import PeerHealthService
 
-    return Exchange(house, post, said, running["fellows"])
+    return PeerHealthService(house, post, said, running["fellows"])
 
 
-SUBSYSTEMS: dict[str, Callable[[House, Post, Any, dict[str, Any]], Any]] = {
+SUBSYSTEMS: dict[str, Callable[[SocketHost, PlatformConfig, Any, dict[str, Any]], Any]] = {
     "figures": _figures,
     "recall": _recall,
     "flows": _flows,
@@ -148,8 +150,8 @@
 class Beside:
     """What an operator file switches on. Without one nothing of it is imported."""
 
-    def __init__(self, house: House, post: Post, path: str) -> None:
-        from corkgauge import operator
+    def __init__(self, house: SocketHost, post: PlatformConfig, path: str) -> None:
+        from corkgauge.config import operator_file as operator
 
         self.house, self.path = house, path
         self.said = operator.read(path)
@@ -160,11 +162,11 @@
 
     def reload(self) -> None:
         """Read it again, whole or not at all."""
-        from corkgauge import operator
+        from corkgauge.config import operator_file as operator
 
         try:
             said = operator.read(self.path)
-        except Faulty as problem:
+        except ConfigurationError as problem:
             return self.house.log(f"operator file not taken: {problem}")
         taken = []
         for name in SUBSYSTEMS:
@@ -175,7 +177,7 @@
                 try:
                     running.reload(element)
                     taken.append((running, getattr(self.said, name)))
-                except Faulty as problem:
+                except ConfigurationError as problem:
                     # Danger: half of a file in force is neither the old nor the new one.
                     for other, before in taken:
                         other.reload(before)
@@ -200,13 +202,15 @@
             running.end()
 
 
-def check(post: Post, operator_file: str = "") -> int:
+def check(post: PlatformConfig, operator_file: str = "") -> int:
     """Everything that serving would read, and no more."""
     if operator_file:
-        from corkgauge import operator
+        from corkgauge.config import operator_file as operator
 
         operator.read(operator_file)
-    house = FramesHouse(Hub(), post, lambda line: print(f"corkgauge: {line}", file=sys.stderr))
+    house = PlatformFrontEnd(
+        EventLoop(), post, lambda line: print(f"corkgauge: {line}", file=sys.stderr)
+    )
     print(
         f"{post.name}: {len(house.stations)} engines, {len(house.offerings)} offerings, "
         f"{len(house.tenants)} tenants, list {house.last_event}"
@@ -229,7 +233,7 @@
 
 
 def serve(
-    post: Post, woken: socket.socket, operator_file: str = "", log_form: str = "plain"
+    post: PlatformConfig, woken: socket.socket, operator_file: str = "", log_form: str = "plain"
 ) -> int:
     """Serve until told to end, by signals that come at `woken` (see `heed`); `log_form` is plain or json."""
     logger.remove()
@@ -240,15 +244,17 @@
         backtrace=False,
         diagnose=False,
     )
-    hub = Hub()
+    hub = EventLoop()
     hub.troubled = Troubles(hub)
-    house = FramesHouse(hub, post, logger.info, memory_held())
+    house = PlatformFrontEnd(hub, post, logger.info, memory_held())
     try:
-        door = house.door = Door(
+        door = house.door = Acceptor(
             hub, house, post.listen, lambda: beside is not None and beside.waiting()
         )
     except OSError as problem:
-        raise Faulty(f"listen: {post.listen[0]}:{post.listen[1]}: {problem.strerror}") from None
+        raise ConfigurationError(
+            f"listen: {post.listen[0]}:{post.listen[1]}: {problem.strerror}"
+        ) from None
 
     def signals() -> None:
         while True:
--- a/corkgauge/loop/link.py
+++ b/corkgauge/eventloop/connection.py
@@ -8,7 +8,7 @@
 import socket
 from typing import Any
 
-from corkgauge.loop.hub import BROKEN, GONE, READ, WRITE, Hub
+from corkgauge.eventloop.loop import BROKEN, GONE, READ, WRITE, EventLoop
 
 ROUNDS = 2  # reads in a row, before others have their turn
 MOST_READ = 16_384  # bytes of one
@@ -21,7 +21,7 @@
 RETRY = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 
 
-class Link:
+class StreamConnection:
     """Calls its owner's `drained` when all that was put has left, and `ended(why)` at the end.
 
     Where a frame may take a time only (`stuck`), it begins with its first byte; the first one, where
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         sock: socket.socket,
         machine: Any,
         owner: Any,
@@ -264,7 +264,7 @@
                 self.hub.wait(self.fd, READ | (WRITE if len(ring) else 0), until)
 
 
-def dial(hub: Hub, address: tuple[str, int], span: int) -> tuple[socket.socket | None, str]:
+def dial(hub: EventLoop, address: tuple[str, int], span: int) -> tuple[socket.socket | None, str]:
     """A connected socket, or why not; only for tasks."""
     sock = None
     try:  # Danger: without a descriptor there is no socket either
--- a/corkgauge/loop/hub.py
+++ b/corkgauge/eventloop/loop.py
@@ -24,7 +24,7 @@
     return time.time_ns() // 100_000
 
 
-class Steady:
+class SteadyClock:
     """Danger: a date that is set back by an hour would stop every timer for an hour, and one that is set on would end
     all that is open at once. So the date is asked once, and a clock that nobody sets counts on from there."""
 
@@ -35,14 +35,14 @@
         return self.base + time.monotonic_ns() // 100_000
 
 
-class Hub:
+class EventLoop:
     """Times are whole tenths of a millisecond. `clock` stands in for both clocks, in tests."""
 
     def __init__(
         self, clock: Callable[[], int] | None = None, troubled: Callable[[], None] = lambda: None
     ) -> None:
         self.troubled = troubled  # called where an exception of a task or timer stops
-        self.clock, self.date = clock or Steady(), clock or unix_time
+        self.clock, self.date = clock or SteadyClock(), clock or unix_time
         self.now, self.stopped, self.worst_lag, self.serial = self.clock(), False, 0, 0
         # When this turn began, how long the one before took, and the longest but the first, which starts all.
         self.began, self.lasted, self.worst_turn = self.now, 0, -1
--- a/corkgauge/loop/ring.py
+++ b/corkgauge/eventloop/ring_buffer.py
@@ -8,7 +8,7 @@
 SMALL = 4096
 
 
-class Allowance:
+class MemoryBudget:
     """Bytes that may be held in common; whoever is refused waits and asks again."""
 
     def __init__(self, most: int) -> None:
@@ -24,7 +24,7 @@
         self.held -= size
 
 
-class Ring:
+class RingBuffer:
     """Bytes in order; starts small, grows as far as `most` and the allowance let it, shrinks when empty.
 
     >>> ring = Ring(20_000, Allowance(4_000))
@@ -32,7 +32,7 @@
     (True, b'ab', b'ab', 1, False)
     """
 
-    def __init__(self, most: int, allowance: Allowance, small: int = SMALL) -> None:
+    def __init__(self, most: int, allowance: MemoryBudget, small: int = SMALL) -> None:
         self.most, self.allowance, self.small = most, allowance, min(small, most)
         self.store, self.head, self.size = bytearray(self.small), 0, 0
 
--- a/corkgauge/flow/codec.py
+++ b/corkgauge/flow_export/codec.py
@@ -13,8 +13,8 @@
 from struct import Struct
 from typing import Any, NamedTuple
 
-from corkgauge.flow.delta import Delta
-from corkgauge.flow.elements import NAMED, OURS, OWN, TCP, VARIABLE
+from corkgauge.flow_export.counter_deltas import Delta
+from corkgauge.flow_export.elements import NAMED, OURS, OWN, TCP, VARIABLE
 
 OWN_LAYOUT, STANDARD, NETFLOW9 = "own", "standard", "netflow9"
 IPFIX_VERSION, V9_VERSION = 10, 9
--- a/corkgauge/flow/delta.py
+++ b/corkgauge/flow_export/counter_deltas.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from corkgauge.flow.elements import LACK
+from corkgauge.flow_export.elements import LACK
 
 
 @dataclass(slots=True, eq=False)
--- a/corkgauge/flow/decoder.py
+++ b/corkgauge/flow_export/decoder.py
@@ -10,8 +10,14 @@
 from struct import Struct
 from typing import Any
 
-from corkgauge.flow.codec import IPFIX_HEADER, IPFIX_VERSION, SET_HEADER, V9_HEADER, V9_VERSION
-from corkgauge.flow.elements import (
+from corkgauge.flow_export.codec import (
+    IPFIX_HEADER,
+    IPFIX_VERSION,
+    SET_HEADER,
+    V9_HEADER,
+    V9_VERSION,
+)
+from corkgauge.flow_export.elements import (
     ADDRESS,
     DATA_TYPES,
     KNOWN,
@@ -28,7 +34,7 @@
 FIELD, ENTERPRISE, OPTIONS = Struct("!HH"), Struct("!I"), Struct("!HHH")
 
 
-class Malformed(ValueError):
+class MalformedMessageError(ValueError):
     """One line: what was expected, and where in the message."""
 
 
@@ -70,30 +76,30 @@
 
     def message(self, data: bytes) -> Heard:
         if len(data) < 2:
-            raise Malformed("a message of less than two octets")
+            raise MalformedMessageError("a message of less than two octets")
         version = int.from_bytes(data[:2], "big")
         if version == IPFIX_VERSION and len(data) >= IPFIX_HEADER.size:
             _, length, exported, sequence, domain = IPFIX_HEADER.unpack_from(data)
             if length != len(data):
-                raise Malformed(f"a message of {len(data)} octets that says {length}")
+                raise MalformedMessageError(f"a message of {len(data)} octets that says {length}")
             heard, at = Heard(version, domain, sequence, exported, 0), IPFIX_HEADER.size
         elif version == V9_VERSION and len(data) >= V9_HEADER.size:
             _, count, uptime, exported, sequence, domain = V9_HEADER.unpack_from(data)
             heard, at = Heard(version, domain, sequence, exported, uptime), V9_HEADER.size
         else:
-            raise Malformed(f"version {version} in {len(data)} octets")
+            raise MalformedMessageError(f"version {version} in {len(data)} octets")
         self._sequence(heard)
         counted = 0
         while at < len(data):
             if at + SET_HEADER.size > len(data):
-                raise Malformed(f"{len(data) - at} octets after the last set")
+                raise MalformedMessageError(f"{len(data) - at} octets after the last set")
             number, length = SET_HEADER.unpack_from(data, at)
             if length < SET_HEADER.size or at + length > len(data):
-                raise Malformed(f"a set of {length} octets at {at}")
+                raise MalformedMessageError(f"a set of {length} octets at {at}")
             counted += self._set(heard, number, data[at + SET_HEADER.size : at + length])
             at += length
         if version == V9_VERSION and not heard.unknown and counted != count:
-            raise Malformed(f"{counted} records in a message that says {count}")
+            raise MalformedMessageError(f"{counted} records in a message that says {count}")
         step = 1 if version == V9_VERSION else len(heard.records) + len(heard.options)
         if heard.unknown and version == IPFIX_VERSION:
             self.expected.pop(domain, None)  # how many records those sets held is not known
@@ -115,7 +121,7 @@
         if number == (1 if v9 else 3):
             return self._options_templates(heard, body, v9)
         if number < 256:
-            raise Malformed(f"set {number}")
+            raise MalformedMessageError(f"set {number}")
         template = self.templates.get((heard.domain, number))
         if template is None or template.v9 != v9:
             heard.unknown += 1
@@ -153,12 +159,14 @@
             at += 6
             if v9:
                 if first % 4 or second % 4:
-                    raise Malformed(f"options template {number} of {first} and {second} octets")
+                    raise MalformedMessageError(
+                        f"options template {number} of {first} and {second} octets"
+                    )
                 scope, fields = first // 4, (first + second) // 4
             else:
                 scope, fields = second, first
             if not 0 < scope <= fields:
-                raise Malformed(
+                raise MalformedMessageError(
                     f"options template {number} with {scope} of {fields} fields as scope"
                 )
             found, at = self._fields(body, at, fields, v9)
@@ -178,22 +186,22 @@
         found = []
         for _ in range(count):
             if at + 4 > len(body):
-                raise Malformed("a template cut short")
+                raise MalformedMessageError("a template cut short")
             number, length = FIELD.unpack_from(body, at)
             enterprise, at = 0, at + 4
             if number & 0x8000 and not v9:
                 if at + 4 > len(body):
-                    raise Malformed("a template cut short")
+                    raise MalformedMessageError("a template cut short")
                 enterprise, number = ENTERPRISE.unpack_from(body, at)[0], number & 0x7FFF
                 at += 4
             if not length or (length == VARIABLE and v9):
-                raise Malformed(f"element {enterprise}/{number} of length {length}")
+                raise MalformedMessageError(f"element {enterprise}/{number} of length {length}")
             found.append((enterprise, number, length))
         return found, at
 
     def _learn(self, heard: Heard, number: int, template: Template) -> None:
         if number < 256:
-            raise Malformed(f"template {number}")
+            raise MalformedMessageError(f"template {number}")
         self.templates[heard.domain, number] = template
         heard.templates += 1
         # Danger: an exporter that makes up domains would fill the memory.
@@ -202,7 +210,7 @@
 
     def _withdrawn(self, domain: int, number: int, set_: int, v9: bool) -> None:
         if v9:
-            raise Malformed(f"template {number} without fields")
+            raise MalformedMessageError(f"template {number} without fields")
         if number == set_:  # all of its sort
             gone = [
                 key
@@ -210,7 +218,7 @@
                 if key[0] == domain and bool(each.scope) == (set_ == 3)
             ]
         elif number < 256:
-            raise Malformed(f"template {number}")
+            raise MalformedMessageError(f"template {number}")
         else:
             gone = [(domain, number)]
         for key in gone:
@@ -218,7 +226,7 @@
 
     def _padding(self, body: bytes, at: int) -> None:
         if any(body[at:]):
-            raise Malformed(f"{len(body) - at} octets of padding that are not zero")
+            raise MalformedMessageError(f"{len(body) - at} octets of padding that are not zero")
 
     # Records.
 
@@ -226,7 +234,7 @@
         at, count, least = 0, 0, template.least
         while len(body) - at >= least:
             if count >= MOST_RECORDS:
-                raise Malformed("records without end")
+                raise MalformedMessageError("records without end")
             record, at = self._record(template, body, at)
             (heard.options if template.scope else heard.records).append(record)
             count += 1
@@ -242,7 +250,7 @@
                 length, at = self._length(body, at)
             value = body[at : at + length]
             if len(value) != length:
-                raise Malformed(f"a record cut short at {at}")
+                raise MalformedMessageError(f"a record cut short at {at}")
             at += length
             element = self.types.get((enterprise, number))
             name = element.name if element else f"{enterprise}/{number}"
@@ -251,11 +259,11 @@
 
     def _length(self, body: bytes, at: int) -> tuple[int, int]:
         if at >= len(body):
-            raise Malformed(f"a record cut short at {at}")
+            raise MalformedMessageError(f"a record cut short at {at}")
         if body[at] < 255:
             return body[at], at + 1
         if at + 3 > len(body):
-            raise Malformed(f"a record cut short at {at}")
+            raise MalformedMessageError(f"a record cut short at {at}")
         return int.from_bytes(body[at + 1 : at + 3], "big"), at + 3
 
     def _type(self, record: dict[str, Any]) -> None:
@@ -302,7 +310,7 @@
         while len(self.held) >= 4:
             version, length = SET_HEADER.unpack_from(self.held)
             if version != IPFIX_VERSION or length < IPFIX_HEADER.size:
-                raise Malformed(f"version {version}, {length} octets, in a stream")
+                raise MalformedMessageError(f"version {version}, {length} octets, in a stream")
             if len(self.held) < length:
                 break
             found.append(bytes(self.held[:length]))
--- a/corkgauge/flow/keeper.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -19,10 +19,10 @@
 from typing import Any, Protocol
 from zlib import crc32
 
-from corkgauge.flow.codec import Layout
-from corkgauge.flow.delta import Delta
-from corkgauge.flow.held import Held
-from corkgauge.flow.session import Session
+from corkgauge.flow_export.codec import Layout
+from corkgauge.flow_export.counter_deltas import Delta
+from corkgauge.flow_export.pending_records import PendingRecords
+from corkgauge.flow_export.session import Session
 
 SECOND = 10_000
 DOWN, OPENING, TRIAL, UP = range(4)
@@ -69,7 +69,7 @@
     def log(self, line: str) -> None: ...
 
 
-class Keeper:
+class ExportBuffer:
     """Keeps one queue of deltas told to the first of its peers that is well."""
 
     def __init__(
@@ -78,7 +78,7 @@
         layout: Layout,
         domain: int,
         peers: list[Peer],
-        held: Held,
+        held: PendingRecords,
         seed: int,
         now: int,
     ) -> None:
--- a/corkgauge/flow/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -8,16 +8,16 @@
 from typing import Any
 from zlib import crc32
 
-from corkgauge.configuration import Faulty
-from corkgauge.flow.codec import Layout
-from corkgauge.flow.delta import Delta
-from corkgauge.flow.elements import ENDED, FORCED, INGRESS
-from corkgauge.flow.held import Held
-from corkgauge.flow.keeper import STATES, Keeper, Peer
-from corkgauge.flow.meter import Flow, Meter
-from corkgauge.flow.tls import Untrusted, context_of
-from corkgauge.flow.transports import Datagrams, Stream
-from corkgauge.operator import Collector, Flows
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.flow_export.codec import Layout
+from corkgauge.flow_export.counter_deltas import Delta
+from corkgauge.flow_export.elements import ENDED, FORCED, INGRESS
+from corkgauge.flow_export.pending_records import PendingRecords
+from corkgauge.flow_export.export_buffer import STATES, ExportBuffer, Peer
+from corkgauge.flow_export.meter import Flow, Meter
+from corkgauge.flow_export.tls import Untrusted, context_of
+from corkgauge.flow_export.transports import Datagrams, Stream
+from corkgauge.config.operator_file import Collector, Flows
 
 TICK = 500  # tenths of a millisecond
 # Why a connection ended by itself, and not by us.
@@ -41,7 +41,7 @@
         self.flows: dict[Any, Flow] = {}
         self.peers: dict[Peer, tuple[Collector, Any]] = {}  # with its TLS context
         self.lines: dict[Peer, Any] = {}
-        self.keepers: dict[str, Keeper] = {}
+        self.keepers: dict[str, ExportBuffer] = {}
         self.meter = Meter(self._told, said.active, said.idle, self.hub.now)
         self._arrange(said, self._contexts(said))
         house.flows = self
@@ -108,7 +108,7 @@
                 for each in said.collectors
             ]
         except Untrusted as problem:
-            raise Faulty(f"flows: {problem}") from None
+            raise ConfigurationError(f"flows: {problem}") from None
 
     def _arrange(self, said: Flows, contexts: list[Any]) -> None:
         layout = Layout(said.layout, self.gateway)
@@ -128,8 +128,8 @@
         for name, group in groups.items():
             keeper = old.pop(name, None)
             if keeper is None:
-                held = Held(said.memory // len(groups))
-                keeper = Keeper(self, layout, self.domain, group, held, self.seed, self.began)
+                held = PendingRecords(said.memory // len(groups))
+                keeper = ExportBuffer(self, layout, self.domain, group, held, self.seed, self.began)
             else:
                 keeper.renew(group, layout, self.hub.now)
             self.keepers[name] = keeper
@@ -167,7 +167,7 @@
     def log(self, line: str) -> None:
         self.house.log(line)
 
-    def _keeper_of(self, peer: Peer) -> Keeper:
+    def _keeper_of(self, peer: Peer) -> ExportBuffer:
         return next(keeper for keeper in self.keepers.values() if peer in keeper.peers)
 
     # Figures.
--- a/corkgauge/flow/meter.py
+++ b/corkgauge/flow_export/meter.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from corkgauge.flow.delta import Delta
-from corkgauge.flow.elements import ACTIVE, IDLE, INGRESS
-from corkgauge.flow.wheel import Wheel
+from corkgauge.flow_export.counter_deltas import Delta
+from corkgauge.flow_export.elements import ACTIVE, IDLE, INGRESS
+from corkgauge.flow_export.timer_wheel import TimerWheel
 
 AT_ONCE = 500  # flows of one call
 SLOTS, SLOT = 512, 1_250  # 64 s in slots of an eighth of a second
@@ -54,7 +54,7 @@
 
     def __init__(self, told: Callable[[Delta], None], active: int, idle: int, now: int) -> None:
         self.told, self.active, self.idle = told, active, idle
-        self.wheel = Wheel(SLOTS, SLOT, now)
+        self.wheel = TimerWheel(SLOTS, SLOT, now)
         self.walk: Iterator[Flow] = iter(())
         self.flows: dict[Flow, None] = {}
         self.serial = 0
--- a/corkgauge/flow/held.py
+++ b/corkgauge/flow_export/pending_records.py
@@ -9,14 +9,14 @@
 named.
 """
 
-from corkgauge.flow.delta import Delta
+from corkgauge.flow_export.counter_deltas import Delta
 
 RECORD = 480  # octets of memory that a delta takes, with its place in a table
 LEAST = 16
 OTHERS = "(others)"  # engines of a hall, or halls, that are told of in one record
 
 
-class Held:
+class PendingRecords:
     """Room for `memory` octets of deltas.
 
     `measured` = `told` + what is held here or under way + `dropped`, in octets; the keeper enters `told`.
--- a/corkgauge/flow/rows.py
+++ b/corkgauge/flow_export/report_rows.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from corkgauge.flow.decoder import Heard
-from corkgauge.flow.elements import EGRESS
+from corkgauge.flow_export.decoder import Heard
+from corkgauge.flow_export.elements import EGRESS
 
 COLUMNS = (
     "gateway",
--- a/corkgauge/flow/session.py
+++ b/corkgauge/flow_export/session.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Callable
 
-from corkgauge.flow.codec import STATISTICS, TYPES, Layout, Message, template_set, withdrawal
-from corkgauge.flow.delta import Delta
+from corkgauge.flow_export.codec import STATISTICS, TYPES, Layout, Message, template_set, withdrawal
+from corkgauge.flow_export.counter_deltas import Delta
 
 
 class Session:
--- a/corkgauge/flow/wheel.py
+++ b/corkgauge/flow_export/timer_wheel.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 
-class Wheel:
+class TimerWheel:
     """`slots` slots of `span` units each.
 
     >>> class Entry: due = 0
--- a/corkgauge/flow/tls.py
+++ b/corkgauge/flow_export/tls.py
@@ -8,7 +8,7 @@
 import ssl
 from typing import Any
 
-from corkgauge.loop.ring import Allowance, Ring
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
 ROOM = 262_144
 RECORD = 17_408  # a TLS record and what its framing may add
@@ -52,10 +52,10 @@
     """Calls its owner: `up()` once the other side is who it should be, `put(bytes)` for what goes out."""
 
     def __init__(
-        self, owner: Any, context: ssl.SSLContext, name: str, allowance: Allowance
+        self, owner: Any, context: ssl.SSLContext, name: str, allowance: MemoryBudget
     ) -> None:
         self.owner, self.whole, self.shaken = owner, 0, False
-        self.inward, self.outward = Ring(32_768, allowance), Ring(ROOM, allowance)
+        self.inward, self.outward = RingBuffer(32_768, allowance), RingBuffer(ROOM, allowance)
         self.came, self.goes = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.session = context.wrap_bio(self.came, self.goes, server_hostname=name)
 
--- a/corkgauge/flow/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -11,11 +11,11 @@
 from fcntl import ioctl
 from typing import Any
 
-from corkgauge.flow.keeper import SECOND, Keeper, Peer
-from corkgauge.flow.tls import TlsWire
-from corkgauge.loop.hub import READ, Hub
-from corkgauge.loop.link import Link, dial
-from corkgauge.loop.ring import Allowance, Ring
+from corkgauge.flow_export.export_buffer import SECOND, ExportBuffer, Peer
+from corkgauge.flow_export.tls import TlsWire
+from corkgauge.eventloop.loop import READ, EventLoop
+from corkgauge.eventloop.connection import StreamConnection, dial
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
 ROOM = 131_072  # of a stream's messages that wait for the socket
 
@@ -23,7 +23,9 @@
 class Datagrams:
     """A connected UDP socket: an ICMP refusal comes back as an error of the next call."""
 
-    def __init__(self, hub: Hub, keeper: Keeper, peer: Peer, address: tuple[str, int]) -> None:
+    def __init__(
+        self, hub: EventLoop, keeper: ExportBuffer, peer: Peer, address: tuple[str, int]
+    ) -> None:
         self.hub, self.keeper, self.peer, self.closed = hub, keeper, peer, False
         self.sock = socket.socket(
             socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM
@@ -85,9 +87,9 @@
 class Deaf:
     """A machine for a peer that has nothing to say: what comes is dropped."""
 
-    def __init__(self, allowance: Allowance) -> None:
+    def __init__(self, allowance: MemoryBudget) -> None:
         self.whole = 0
-        self.inward, self.outward = Ring(4096, allowance), Ring(ROOM, allowance)
+        self.inward, self.outward = RingBuffer(4096, allowance), RingBuffer(ROOM, allowance)
 
     def advance(self) -> str:
         self.inward.drop(len(self.inward))
@@ -99,16 +101,16 @@
 
     def __init__(
         self,
-        hub: Hub,
-        keeper: Keeper,
+        hub: EventLoop,
+        keeper: ExportBuffer,
         peer: Peer,
         address: tuple[str, int],
         context: Any = None,
         name: str = "",
     ) -> None:
         self.hub, self.keeper, self.peer, self.address = hub, keeper, peer, address
-        self.context, self.name, self.allowance = context, name, Allowance(4 * ROOM)
-        self.link: Link | None = None
+        self.context, self.name, self.allowance = context, name, MemoryBudget(4 * ROOM)
+        self.link: StreamConnection | None = None
         self.closed, self.put_whole = False, 0  # octets of whole messages, before any encryption
         # in the system's hands at the last look, and what was sent then
         self.queued, self.queued_at = 0, 0
@@ -125,7 +127,7 @@
             if self.context
             else Deaf(self.allowance)
         )
-        self.link = Link(self.hub, sock, machine, self)
+        self.link = StreamConnection(self.hub, sock, machine, self)
         if self.context:
             machine.advance()  # says the first word
         else:
--- a/corkgauge/duties/holder.py
+++ b/corkgauge/leases/candidate.py
@@ -13,8 +13,14 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from corkgauge.duties.roll import MOST_BALLOT, Roll, Span, ballot_of, round_of
-from corkgauge.duties.voter import GRANT, GRANTED, PREPARE, PROBE, PROMISED, RELEASE, VACANT, WOULD
+from corkgauge.leases.voter_configuration import (
+    MOST_BALLOT,
+    VoterConfiguration,
+    Span,
+    ballot_of,
+    round_of,
+)
+from corkgauge.leases.voter import GRANT, GRANTED, PREPARE, PROBE, PROMISED, RELEASE, VACANT, WOULD
 
 WATCHING, PROBING, PREPARING, ASKING, HOLDING = range(5)
 STATES = "watching", "probing", "preparing", "asking", "holding"
@@ -34,16 +40,22 @@
     def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def chance(self, below: int) -> int: ...
     def rank(self, duty: str) -> int: ...
-    def gained(self, holder: "Holder") -> None: ...
-    def lost(self, holder: "Holder", why: str) -> None: ...
-    def vacant(self, holder: "Holder") -> None: ...
+    def gained(self, holder: "LeaseCandidate") -> None: ...
+    def lost(self, holder: "LeaseCandidate", why: str) -> None: ...
+    def vacant(self, holder: "LeaseCandidate") -> None: ...
 
 
-class Holder:
+class LeaseCandidate:
     """`wanted`: does this gateway stand for the duty?"""
 
     def __init__(
-        self, host: Host, duty: str, name: str, roll: Roll, span: Span, wanted: bool = True
+        self,
+        host: Host,
+        duty: str,
+        name: str,
+        roll: VoterConfiguration,
+        span: Span,
+        wanted: bool = True,
     ) -> None:
         self.host, self.duty, self.name, self.roll, self.span = host, duty, name, roll, span
         self.state, self.wanted = WATCHING, wanted
@@ -90,7 +102,7 @@
             self.give_up("outbid", 1)
             self._watch(1)
 
-    def renew(self, roll: Roll, span: Span) -> None:
+    def renew(self, roll: VoterConfiguration, span: Span) -> None:
         """Another list of voters, or another lease. What is held stays held as long as it was granted for;
         what was granted under another list does not count towards this one."""
         if roll != self.roll:
--- a/corkgauge/duties/safe.py
+++ b/corkgauge/leases/durable_record.py
@@ -12,20 +12,20 @@
 
 import msgpack
 
-from corkgauge.configuration import Faulty
-from corkgauge.duties import store
-from corkgauge.loop.hub import READ, SECOND, WRITE, Hub
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.leases import record_writer as store
+from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 
 AGAIN = SECOND  # until a record that is not safe yet is written once more, where it is asked for
 
 
-class Safe:
+class DurableRecord:
     """The file `name` in `folder`; no folder: nothing is kept, and what waits is called at once. `torn` and
     `unwritten` are the lines that say so. Raises Faulty where the folder cannot be used."""
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         log: Callable[[str], None],
         folder: str,
         name: str,
@@ -56,7 +56,7 @@
         except FileNotFoundError:
             data = b""
         except OSError as problem:
-            raise Faulty(f"duties: {self.folder}: {problem.strerror}") from None
+            raise ConfigurationError(f"duties: {self.folder}: {problem.strerror}") from None
         body = store.unpacked(data)
         self.helper = subprocess.Popen(
             [sys.executable, store.__file__, path], stdin=subprocess.PIPE, stdout=subprocess.PIPE
--- a/corkgauge/duties/guard.py
+++ b/corkgauge/leases/fencing.py
@@ -7,7 +7,7 @@
 MOST = 64
 
 
-class Guard:
+class FencingGuard:
     """
     >>> guard = Guard()
     >>> [guard.admits("books", fence) for fence in (5, 5, 4, 7, 5)]
--- a/corkgauge/duties/books.py
+++ b/corkgauge/leases/fleet_accounts.py
@@ -65,7 +65,7 @@
     return found
 
 
-class FleetBooks:
+class FleetAccounts:
     """The holder's side: what each gateway last told."""
 
     def __init__(self) -> None:
--- a/corkgauge/duties/clerk.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -6,18 +6,18 @@
 
 from typing import Any
 
-from corkgauge.duties.books import FleetBooks, History, account_of
-from corkgauge.figures.cut import cut_of
+from corkgauge.leases.fleet_accounts import FleetAccounts, History, account_of
+from corkgauge.accounting.snapshot import cut_of
 
 SHOWN = 20  # entries that operators are shown
 
 
-class Clerk:
+class FleetAccountsCollector:
     """`office` is the driver of duties; `each` tenths of a millisecond between two rounds."""
 
     def __init__(self, office: Any, duty: str, each: int) -> None:
         self.office, self.duty, self.each = office, duty, each
-        self.books, self.history, self.number, self.fence = FleetBooks(), History(), 0, 0
+        self.books, self.history, self.number, self.fence = FleetAccounts(), History(), 0, 0
         self.epoch = str(office.company.letters.start)
 
     def gained(self) -> None:
--- a/corkgauge/duties/running.py
+++ b/corkgauge/leases/leased_command.py
@@ -17,7 +17,7 @@
     def kill(self) -> None: ...
 
 
-class Running:
+class LeasedCommand:
     """Times are seconds since boot. `grace` is what the command has between SIGTERM and SIGKILL, `margin`
     what lies between SIGKILL and its death."""
 
--- a/corkgauge/duties/office.py
+++ b/corkgauge/leases/service.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.configuration import Faulty, Post
-from corkgauge.duties import preference
-from corkgauge.duties.clerk import Clerk
-from corkgauge.duties.guard import Guard
-from corkgauge.duties.holder import HOLDING, STATES, Holder
-from corkgauge.duties.roll import Roll, Span, Unsafe
-from corkgauge.duties.safe import Safe
-from corkgauge.duties.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
-from corkgauge.fellows.company import ALIVE, SUSPECTED
-from corkgauge.loop.boot import boot_time
-from corkgauge.loop.hub import SECOND
-from corkgauge.operator import Duties
+from corkgauge.config.platform import ConfigurationError, PlatformConfig
+from corkgauge.leases import placement as preference
+from corkgauge.leases.fleet_accounts_collector import FleetAccountsCollector
+from corkgauge.leases.fencing import FencingGuard
+from corkgauge.leases.candidate import HOLDING, STATES, LeaseCandidate
+from corkgauge.leases.voter_configuration import VoterConfiguration, Span, UnsafeChangeError
+from corkgauge.leases.durable_record import DurableRecord
+from corkgauge.leases.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
+from corkgauge.membership.member_list import ALIVE, SUSPECTED
+from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.config.operator_file import Duties
 
 ANSWERS = WOULD, PROMISED, GRANTED, VACANT
 LOOKS = 10  # at our own load, a lease
@@ -27,10 +27,10 @@
 CHANGES = 50  # of duties that operators can look back at
 
 
-class Office:
+class LeaseService:
     """`house` has `hub`, `log`, `ledger` and `routes`; `society` are the fellows."""
 
-    def __init__(self, house: Any, post: Post, said: Duties, society: Any) -> None:
+    def __init__(self, house: Any, post: PlatformConfig, said: Duties, society: Any) -> None:
         self.house, self.hub, self.name, self.said, self.society = (
             house,
             house.hub,
@@ -41,10 +41,10 @@
         self.company = society.company
         try:
             self.roll, self.span = _terms(said)
-        except Unsafe as problem:
-            raise Faulty(f"duties: {problem}") from None
+        except UnsafeChangeError as problem:
+            raise ConfigurationError(f"duties: {problem}") from None
         self.told_rolls: dict[str, tuple[int, int]] = {}  # by gateway: version and mark of its list
-        self.safe = Safe(
+        self.safe = DurableRecord(
             self.hub,
             house.log,
             said.folder,
@@ -52,10 +52,10 @@
             "duties: kept votes are torn, silent at first",
             "duties: votes are not written, no vote until a restart",
         )
-        self.guard = Guard()
+        self.guard = FencingGuard()
         self.voter = Voter(self, self.name, self.roll, self.span, self.safe.kept)
-        self.holders: dict[str, Holder] = {}
-        self.clerks: dict[str, Clerk] = {}
+        self.holders: dict[str, LeaseCandidate] = {}
+        self.clerks: dict[str, FleetAccountsCollector] = {}
         self.owners: dict[str, Any] = {}  # by duty: another subsystem that acts under it
         self.lent: dict[str, tuple[str, int]] = {}  # by duty: to which command, until when
         self.asking: dict[str, int] = {}  # by duty: when a command last asked for it
@@ -75,14 +75,18 @@
     def _stand(self, name: str, kind: str, each: int) -> None:
         """Danger: a gateway that holds a duty for commands while none waits here would keep it from those where one
         does; so it stands for such a duty while one asks."""
-        self.holders[name] = Holder(self, name, self.name, self.roll, self.span, kind == "books")
+        self.holders[name] = LeaseCandidate(
+            self, name, self.name, self.roll, self.span, kind == "books"
+        )
         if kind == "books":
-            self.clerks[name] = Clerk(self, name, each)
+            self.clerks[name] = FleetAccountsCollector(self, name, each)
 
     def stands(self, duty: str, owner: Any) -> None:
         """This gateway stands for a duty of another subsystem's: `owner` hears `gained()` and `lost()`."""
         self.owners[duty] = owner
-        self.holders[duty] = Holder(self, duty, self.name, self.roll, self.span, self._wanted(duty))
+        self.holders[duty] = LeaseCandidate(
+            self, duty, self.name, self.roll, self.span, self._wanted(duty)
+        )
 
     def set_aside(self, aside: bool) -> None:
         """This gateway is to be taken out: it gives up what it holds, and stands for nothing until it is back."""
@@ -105,8 +109,8 @@
             self.roll.step_to(
                 roll, {**self.told_rolls, self.name: (self.roll.version, self.roll.mark)}
             )
-        except Unsafe as problem:
-            raise Faulty(f"duties: {problem}") from None
+        except UnsafeChangeError as problem:
+            raise ConfigurationError(f"duties: {problem}") from None
         if said.folder != self.said.folder:
             self.house.log("operator file: duties folder changed, in force after a restart")
         if roll != self.roll:
@@ -176,7 +180,7 @@
         rank = preference.rank(duty, self.name, self._present(), self._held())
         return rank + self.span.lease // (2 * self.span.stagger) if self.overloaded else rank
 
-    def gained(self, holder: Holder) -> None:
+    def gained(self, holder: LeaseCandidate) -> None:
         self.house.log(f"duty {holder.duty} held under fence {holder.fence}")
         self._changed(holder, "held", holder.why)
         owner = self.clerks.get(holder.duty) or self.owners.get(holder.duty)
@@ -185,7 +189,7 @@
         if self.leaving or self.aside:
             self._give_up(holder.duty, "leaving" if self.leaving else "set aside for work")
 
-    def lost(self, holder: Holder, why: str) -> None:
+    def lost(self, holder: LeaseCandidate, why: str) -> None:
         self.house.log(f"duty {holder.duty} given up under fence {holder.fence}: {why}")
         self._changed(holder, "given up", why)
         self.lent.pop(holder.duty, None)
@@ -193,7 +197,7 @@
         if holder.duty in self.owners:
             self.owners[holder.duty].lost()
 
-    def vacant(self, holder: Holder) -> None:
+    def vacant(self, holder: LeaseCandidate) -> None:
         """It was given back: those that should have it are told, so that nobody waits for a lease."""
         fellows = [each for each in self._present() if each[0] != self.name]
         for name in preference.order(holder.duty, fellows, self._held())[:TOLD_VACANT]:
@@ -282,7 +286,7 @@
         if duty in self.yielding:
             self.holders[duty].give_up(self.yielding.pop(duty), 2 * self.span.lease)
 
-    def _changed(self, holder: Holder, what: str, why: str) -> None:
+    def _changed(self, holder: LeaseCandidate, what: str, why: str) -> None:
         self.changes.append(
             {
                 "at": self.hub.now // 10,
@@ -354,7 +358,7 @@
             return {"told": holder.other, "waits_for": ""}
         raise ValueError(f"nobody is known to hold {duty!r}")
 
-    def _lend(self, holder: Holder, by: str) -> dict[str, Any]:
+    def _lend(self, holder: LeaseCandidate, by: str) -> dict[str, Any]:
         duty = holder.duty
         if duty in self.clerks or duty in self.owners:
             raise ValueError(f"{duty!r} is the gateways' own")
@@ -368,8 +372,8 @@
         return {"held": True, "fence": holder.fence, "left": (holder.until - boot_time()) / SECOND}
 
 
-def _terms(said: Duties) -> tuple[Roll, Span]:
+def _terms(said: Duties) -> tuple[VoterConfiguration, Span]:
     return (
-        Roll(said.version, said.voters, said.lease),
+        VoterConfiguration(said.version, said.voters, said.lease),
         Span(said.lease, said.drift, said.margin, said.longest),
     )
--- a/corkgauge/duties/voter.py
+++ b/corkgauge/leases/voter.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from corkgauge.duties.roll import MOST_BALLOT, Roll, Span
+from corkgauge.leases.voter_configuration import MOST_BALLOT, VoterConfiguration, Span
 
 # Sorts of letters: from candidates, and what voters answer. VACANT goes to candidates.
 PROBE, WOULD, PREPARE, PROMISED, GRANT, GRANTED, RELEASE, VACANT = range(8)
@@ -50,7 +50,12 @@
     then it is silent for a longest lease, as it cannot know what it granted just before it ended."""
 
     def __init__(
-        self, host: Host, name: str, roll: Roll, span: Span, kept: dict[str, list[Any]] | None
+        self,
+        host: Host,
+        name: str,
+        roll: VoterConfiguration,
+        span: Span,
+        kept: dict[str, list[Any]] | None,
     ) -> None:
         self.host, self.name, self.roll, self.span = host, name, roll, span
         self.votes: dict[str, Vote] = {}
@@ -64,7 +69,7 @@
                 promised, ballot, (holder, start), now + span.silent if ballot else 0
             )
 
-    def renew(self, roll: Roll, span: Span) -> None:
+    def renew(self, roll: VoterConfiguration, span: Span) -> None:
         """Another list, or another lease. What was granted stays granted."""
         if roll != self.roll:
             # Danger: a holder under the list before the last may still live on a grant of a voter that went
--- a/corkgauge/duties/roll.py
+++ b/corkgauge/leases/voter_configuration.py
@@ -18,11 +18,11 @@
 MOST_BALLOT = 2**60
 
 
-class Unsafe(ValueError):
+class UnsafeChangeError(ValueError):
     """One line: why a list of voters is not taken."""
 
 
-class Roll:
+class VoterConfiguration:
     """One version of the list, with the lease that its voters grant, in tenths of a millisecond.
 
     >>> Roll(1, "cab").names, Roll(1, "abc").majority, Roll(2, "abcd").majority
@@ -32,13 +32,13 @@
     def __init__(self, version: int, names: Iterable[str], lease: int = 0) -> None:
         self.version, self.names, self.lease = version, tuple(sorted({*names})), lease
         if not LEAST <= len(self.names) <= MOST:
-            raise Unsafe(f"expected {LEAST} to {MOST} voters, found {len(self.names)}")
+            raise UnsafeChangeError(f"expected {LEAST} to {MOST} voters, found {len(self.names)}")
         self.majority = len(self.names) // 2 + 1
         # Danger: a voter that grants a shorter lease than a holder counts would let two hold at once.
         self.mark = crc32(f"{version} {lease} {' '.join(self.names)}".encode())
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Roll) and (self.version, self.names, self.lease) == (
+        return isinstance(other, VoterConfiguration) and (self.version, self.names, self.lease) == (
             other.version,
             other.names,
             other.lease,
@@ -46,7 +46,7 @@
 
     __hash__ = None
 
-    def step_to(self, new: "Roll", told: Mapping[str, tuple[int, int]]) -> None:
+    def step_to(self, new: "VoterConfiguration", told: Mapping[str, tuple[int, int]]) -> None:
         """May a gateway that runs under this list take the new one? `told` holds version and mark of the
         lists that voters, ourselves among them, last told. Raises Unsafe.
 
@@ -54,28 +54,28 @@
         >>> one.step_to(two, {"a": (1, one.mark), "b": (1, one.mark)})
         >>> one.step_to(Roll(2, "abd"), {})
         Traceback (most recent call last):
-        corkgauge.duties.roll.Unsafe: voters: version 2 adds d and removes c: one of both at a time
+        corkgauge.leases.voter_configuration.Unsafe: voters: version 2 adds d and removes c: one of both at a time
         >>> two.step_to(Roll(3, "abd"), {"b": (2, two.mark), "d": (2, two.mark), "c": (1, one.mark)})
         Traceback (most recent call last):
-        corkgauge.duties.roll.Unsafe: voters: version 2 is told by b, d, and 3 of 4 have to, before version 3
+        corkgauge.leases.voter_configuration.Unsafe: voters: version 2 is told by b, d, and 3 of 4 have to, before version 3
         """
         if new == self:
             return
         if new.version != self.version + 1:
-            raise Unsafe(
+            raise UnsafeChangeError(
                 f"voters: expected version {self.version + 1}, as {self.version} is in force, "
                 f"found {new.version}"
             )
         more, fewer = {*new.names} - {*self.names}, {*self.names} - {*new.names}
         if len(more) + len(fewer) > 1:
             adds, removes = (", ".join(sorted(each)) or "none" for each in (more, fewer))
-            raise Unsafe(
+            raise UnsafeChangeError(
                 f"voters: version {new.version} adds {adds} and removes {removes}: "
                 "one of both at a time"
             )
         there = sorted(name for name in self.names if told.get(name) == (self.version, self.mark))
         if len(there) < self.majority:
-            raise Unsafe(
+            raise UnsafeChangeError(
                 f"voters: version {self.version} is told by {', '.join(there) or 'nobody'}, and "
                 f"{self.majority} of {len(self.names)} have to, before version {new.version}"
             )
@@ -102,7 +102,7 @@
         self.silent = int(max(longest, lease) * (1 + drift)) + 1
         self.held = int(lease * (1 - drift)) - margin
         if self.held < lease // 2:
-            raise Unsafe(
+            raise UnsafeChangeError(
                 f"a lease of {lease / 10_000:g} s leaves {max(self.held, 0) / 10_000:g} s of use"
             )
         self.each = max(lease // 8, 1)  # between two renewals: some may be lost
--- a/corkgauge/works/party.py
+++ b/corkgauge/maintenance/participant.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from corkgauge.works.plan import DRAINING, GRANTED
+from corkgauge.maintenance.plan import DRAINING, GRANTED
 
 SENT = 64  # words whose time of writing is remembered
 LOOK = 200  # tenths of a millisecond between two looks whether an engine is quiet
@@ -39,7 +39,7 @@
     def log(self, line: str) -> None: ...
 
 
-class Party:
+class Participant:
     """`kept` is what its folder told, [stamp, levels, closed], or None: then it is blank."""
 
     def __init__(self, host: Host, name: str, grant: int, kept: list[Any] | None) -> None:
--- a/corkgauge/works/plan.py
+++ b/corkgauge/maintenance/plan.py
@@ -38,7 +38,7 @@
 MOST_WORD = 120  # characters of an owner or a reason
 
 
-class Senseless(ValueError):
+class InvalidRequestError(ValueError):
     """A change that does not fit the plan: why, in one line."""
 
 
@@ -111,7 +111,7 @@
     (50, [['e1', 0], ['e1', 1]])
     >>> plan.apply([["state", "e1", OUT, ""]])
     Traceback (most recent call last):
-    corkgauge.works.plan.Senseless: e1 is granted, and cannot be out next
+    corkgauge.maintenance.plan.Senseless: e1 is granted, and cannot be out next
     >>> Plan.unpacked(plan.packed()).packed() == plan.packed()
     True
     """
@@ -135,7 +135,7 @@
         for sort, *what in changes:
             method = _CHANGES.get(sort)
             if method is None:
-                raise Senseless(f"no change {sort!r}")
+                raise InvalidRequestError(f"no change {sort!r}")
             method(self, *what)
 
     def tried(self, changes: Iterable[Sequence[Any]]) -> "Plan":
@@ -160,19 +160,19 @@
     def _ask(self, said: Sequence[Any]) -> None:
         ask = Ask(said)
         if len(self.asks) >= MOST_ASKS and ask.id not in self.asks:
-            raise Senseless(f"{MOST_ASKS} asks are open")
+            raise InvalidRequestError(f"{MOST_ASKS} asks are open")
         self.asks.setdefault(ask.id, ask)
 
     def _unit(self, name: str, ask: str, sort: str, members: Sequence[str]) -> None:
         if ask not in self.asks or name in self.units or len(self.units) >= MOST_UNITS:
-            raise Senseless(f"no room for unit {name} of {ask}")
+            raise InvalidRequestError(f"no room for unit {name} of {ask}")
         self.units[name] = Unit([name, ask, sort, members, ASKED, self.time, "", 0, []])
         self._noted(self.units[name])
 
     def _state(self, name: str, state: int, why: str) -> None:
         unit = self.units.get(name)
         if unit is None or state not in NEXT.get(unit.state, ()):
-            raise Senseless(
+            raise InvalidRequestError(
                 f"{name} is {STATES[unit.state] if unit else 'no unit'}, and cannot be "
                 f"{STATES[state]} next"
             )
@@ -194,13 +194,13 @@
 
     def _cancel(self, ask: str, by: str) -> None:
         if ask not in self.asks:
-            raise Senseless(f"no ask {ask!r}")
+            raise InvalidRequestError(f"no ask {ask!r}")
         self.asks[ask].cancelled = by[:MOST_WORD]
 
     def _overrule(self, name: str, gateway: str, by: str) -> None:
         unit = self.units.get(name)
         if unit is None or unit.state != DRAINING:
-            raise Senseless(f"{name} is not draining")
+            raise InvalidRequestError(f"{name} is not draining")
         unit.overruled = sorted({*unit.overruled, gateway})
         self._noted(unit, f"{gateway} overruled by {by}")
 
@@ -237,7 +237,9 @@
             plan.units = {unit[0]: Unit(unit) for unit in units}
             plan.history.extend(history)
         except (ValueError, TypeError, IndexError, msgpack.UnpackException) as problem:
-            raise Senseless(f"a plan that makes no sense ({type(problem).__name__})") from None
+            raise InvalidRequestError(
+                f"a plan that makes no sense ({type(problem).__name__})"
+            ) from None
         return plan
 
     # What follows from it.
--- a/corkgauge/works/scribe.py
+++ b/corkgauge/maintenance/plan_proposer.py
@@ -13,7 +13,7 @@
 
 import msgpack
 
-from corkgauge.works.keeper import (
+from corkgauge.maintenance.plan_replica import (
     LOW,
     NONE,
     PIECE,
@@ -24,8 +24,8 @@
     WANT,
     tell_pieces,
 )
-from corkgauge.works.pieces import Fetch, Stamp
-from corkgauge.works.plan import Plan, Senseless
+from corkgauge.maintenance.chunk_transfer import Fetch, Stamp
+from corkgauge.maintenance.plan import Plan, InvalidRequestError
 
 IDLE, TAKING, FETCHING, FORGOTTEN, LEADING = range(5)
 STATES = "idle", "taking over", "fetching", "forgotten", "leading"
@@ -50,7 +50,7 @@
     def log(self, line: str) -> None: ...
 
 
-class Scribe:
+class PlanProposer:
     def __init__(self, host: Host) -> None:
         self.host, self.state, self.fence = host, IDLE, 0
         self.plan, self.stamp = Plan(), NONE
@@ -92,9 +92,9 @@
         sized = [(change, len(msgpack.packb(change))) for change in changes]
         try:
             if any(size > MOST_CHANGES for _, size in sized):
-                raise Senseless("a change that no datagram takes")
+                raise InvalidRequestError("a change that no datagram takes")
             self.coming().tried(changes)
-        except Senseless as problem:
+        except InvalidRequestError as problem:
             self.host.log(f"works: not proposed, {problem}")
             return False
         self.waiting += sized
--- a/corkgauge/works/keeper.py
+++ b/corkgauge/maintenance/plan_replica.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from corkgauge.works.pieces import Fetch, Stamp, piece_of
-from corkgauge.works.plan import Plan, Senseless
+from corkgauge.maintenance.chunk_transfer import Fetch, Stamp, piece_of
+from corkgauge.maintenance.plan import Plan, InvalidRequestError
 
 # Sorts of letters. From a holder to keepers: PROMISE, STEP. To a holder: PROMISED, TAKEN, LOW. Either way: WANT a
 # state's pieces, PIECE.
@@ -36,7 +36,7 @@
     def log(self, line: str) -> None: ...
 
 
-class Keeper:
+class PlanReplica:
     """`kept` is what its folder told, [promised, stamp, plan's octets], or None: then it is blank, and deaf to
     plans for `silent` tenths of a millisecond."""
 
@@ -98,7 +98,7 @@
             return self._behind(sender, fence)
         try:
             self.plan.apply(changes)
-        except Senseless as problem:
+        except InvalidRequestError as problem:
             # A plan that came here differently: never seen; the whole of it puts that right.
             self.host.log(f"works: a step that does not fit, {problem}")
             return self._behind(sender, fence)
--- a/corkgauge/works/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any, Protocol
 
-from corkgauge.works.demand import Demand
-from corkgauge.works.order import (
+from corkgauge.maintenance.demand import Demand
+from corkgauge.maintenance.schedule import (
     DEAD,
     NEVER,
     PASSING,
@@ -23,7 +23,7 @@
     next_out,
     units_of,
 )
-from corkgauge.works.plan import (
+from corkgauge.maintenance.plan import (
     ASKED,
     BACK,
     DRAINING,
@@ -40,8 +40,8 @@
     Plan,
     Unit,
 )
-from corkgauge.works.proof import Heard, standing
-from corkgauge.works.scribe import LEADING, Scribe
+from corkgauge.maintenance.quiescence import Heard, standing
+from corkgauge.maintenance.plan_proposer import LEADING, PlanProposer
 
 ROOM = 800  # octets of engines' states in one letter of orders
 TICK = 50_000  # tenths of a millisecond between two agreed moments of works time, at least
@@ -81,7 +81,7 @@
     def __init__(
         self,
         host: Host,
-        scribe: Scribe,
+        scribe: PlanProposer,
         bounds: Bounds,
         each: int,
         grant: int,
--- a/corkgauge/works/yard.py
+++ b/corkgauge/maintenance/service.py
@@ -12,23 +12,23 @@
 
 import msgpack
 
-from corkgauge.configuration import Post
-from corkgauge.duties.safe import Safe
-from corkgauge.fellows.company import ALIVE, LEFT, SUSPECTED
-from corkgauge.figures.terms import TAKEN as TAKEN_TERM
-from corkgauge.interface import CALLED_OFF, LABELLED, READY, RESET, TIMED_OUT
-from corkgauge.loop.boot import boot_time
-from corkgauge.loop.hub import SECOND
-from corkgauge.net.host import House
-from corkgauge.operator import Works
-from corkgauge.works.keeper import PIECE, WANT, Keeper
-from corkgauge.works.order import DEAD, PASSING, WELL, Bounds, EngineFact, OfferingFact
-from corkgauge.works.party import Party
-from corkgauge.works.pieces import Fetch, piece_of
-from corkgauge.works.plan import NEXT, STATES, Plan
-from corkgauge.works.planner import Planner
-from corkgauge.works.scribe import FETCHING, IDLE, LEADING, Scribe
-from corkgauge.works.scribe import STATES as SCRIBE_STATES
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.leases.durable_record import DurableRecord
+from corkgauge.membership.member_list import ALIVE, LEFT, SUSPECTED
+from corkgauge.accounting.counter_names import TAKEN as TAKEN_TERM
+from corkgauge.policy.records import CALLED_OFF, LABELLED, READY, RESET, TIMED_OUT
+from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.net.host import SocketHost
+from corkgauge.config.operator_file import Works
+from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
+from corkgauge.maintenance.schedule import DEAD, PASSING, WELL, Bounds, EngineFact, OfferingFact
+from corkgauge.maintenance.participant import Participant
+from corkgauge.maintenance.chunk_transfer import Fetch, piece_of
+from corkgauge.maintenance.plan import NEXT, STATES, Plan
+from corkgauge.maintenance.planner import Planner
+from corkgauge.maintenance.plan_proposer import FETCHING, IDLE, LEADING, PlanProposer
+from corkgauge.maintenance.plan_proposer import STATES as SCRIBE_STATES
 
 DUTY = "works"
 LOADS = 5  # seconds over which demand is counted
@@ -39,10 +39,12 @@
 MISSED = 600 * SECOND  # that an engine which the list names no more counts as dead
 
 
-class Yard:
+class MaintenanceService:
     """`society` are the fellows, `office` the duties."""
 
-    def __init__(self, house: House, post: Post, said: Works, society: Any, office: Any) -> None:
+    def __init__(
+        self, house: SocketHost, post: PlatformConfig, said: Works, society: Any, office: Any
+    ) -> None:
         self.house, self.hub, self.name, self.said = house, house.hub, post.name, said
         self.company, self.office = society.company, office
         self.doubts: dict[
@@ -56,10 +58,10 @@
         self.pending: list[tuple[int, str, str, str]] = []  # changes to go, who asked, key, answer
         self.copy: tuple[tuple[int, int], Plan, dict[str, str]] = (0, 0), Plan(), {}
         self.fetch: Fetch | None = None
-        self.party: Party | None = None  # it looks at us as it begins
+        self.party: Participant | None = None  # it looks at us as it begins
         drift = 1 + 2 * office.span.drift
         expiry = max(each.expiry for each in house.stated.offerings)
-        self.safe = Safe(
+        self.safe = DurableRecord(
             self.hub,
             house.log,
             office.said.folder,
@@ -68,8 +70,8 @@
             "works: nothing is written, nothing is confirmed until a restart",
         )
         kept = self.safe.kept or [None, None]
-        self.keeper = Keeper(self, kept[0], 0 if office.said.folder else office.span.silent)
-        self.scribe = Scribe(self)
+        self.keeper = PlanReplica(self, kept[0], 0 if office.said.folder else office.span.silent)
+        self.scribe = PlanProposer(self)
         self.planner = Planner(
             self,
             self.scribe,
@@ -89,7 +91,7 @@
         house.routes[b"GET", b"/works"] = self.told
         house.routes[b"POST", b"/works"] = self.asked
         office.stands(DUTY, self)
-        self.party = Party(self, self.name, said.grant, kept[1])
+        self.party = Participant(self, self.name, said.grant, kept[1])
         self.refresh()  # what it remembers holds from the first submission on
         self._count()
 
@@ -558,7 +560,7 @@
 class _Copying:
     """A fetch of a copy: its letters go under a subject of their own, and not for ever."""
 
-    def __init__(self, yard: Yard) -> None:
+    def __init__(self, yard: MaintenanceService) -> None:
         self.yard, self.left = yard, 40
 
     def send(self, name: str, body: list[Any]) -> None:
--- a/corkgauge/fellows/letters.py
+++ b/corkgauge/membership/datagrams.py
@@ -88,7 +88,7 @@
         self.allowance, self.filled = BURST, 0
 
 
-class Letters:
+class DatagramCodec:
     """One gateway's side. `starts(name, start)` is called when another's start becomes known or changes,
     `outgrown(start)` when somebody knows our name under a later start than ours."""
 
--- a/corkgauge/fellows/rumours.py
+++ b/corkgauge/membership/gossip.py
@@ -11,7 +11,7 @@
 TIMES = 3  # over the logarithm of the number of fellows: how often a word is told
 
 
-class Rumours:
+class GossipQueue:
     """
     >>> rumours = Rumours()
     >>> rumours.tell("a", ("a", 1))
--- a/corkgauge/fellows/company.py
+++ b/corkgauge/membership/member_list.py
@@ -14,7 +14,7 @@
 from math import log, log10
 from typing import Any, Protocol
 
-from corkgauge.fellows.letters import (
+from corkgauge.membership.datagrams import (
     ANSWER,
     ASK,
     ASK_ALL,
@@ -25,9 +25,9 @@
     HELLO,
     TELL,
     Key,
-    Letters,
+    DatagramCodec,
 )
-from corkgauge.fellows.rumours import Rumours
+from corkgauge.membership.gossip import GossipQueue
 
 ALIVE, SUSPECTED, GONE, LEFT, UNKNOWN = range(5)
 STATES = "alive", "suspected", "gone", "left", "unknown"
@@ -53,10 +53,10 @@
     def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def chance(self, below: int) -> int: ...
     def log(self, line: str) -> None: ...
-    def changed(self, fellow: "Fellow", before: int) -> None: ...
+    def changed(self, fellow: "Member", before: int) -> None: ...
 
 
-class Fellow:
+class Member:
     """One of the others, as we see it."""
 
     __slots__ = (
@@ -91,12 +91,12 @@
 
     __slots__ = ("fellow", "due", "for_whom", "serial", "helpers", "deaf")
 
-    def __init__(self, fellow: Fellow, due: int, for_whom: str = "", serial: int = 0) -> None:
+    def __init__(self, fellow: Member, due: int, for_whom: str = "", serial: int = 0) -> None:
         self.fellow, self.due, self.for_whom, self.serial = fellow, due, for_whom, serial
         self.helpers, self.deaf = 0, 0
 
 
-class Company:
+class MemberList:
     """`fellows` are (name, hall) of all, ourselves among them; `period` is tenths of a millisecond."""
 
     def __init__(
@@ -109,9 +109,9 @@
         period: int,
     ) -> None:
         self.host, self.name, self.period = host, name, period
-        self.letters = Letters(name, start, keys, self._started, self._outgrown)
-        self.rumours, self.health, self.turn, self.serial = Rumours(), 0, 0, 0
-        self.fellows: dict[str, Fellow] = {}
+        self.letters = DatagramCodec(name, start, keys, self._started, self._outgrown)
+        self.rumours, self.health, self.turn, self.serial = GossipQueue(), 0, 0, 0
+        self.fellows: dict[str, Member] = {}
         self.hall = ""
         self.round: list[str] = []
         self.asked: dict[int, Asked] = {}
@@ -129,7 +129,7 @@
         self.hall = dict(fellows).get(self.name, "")
         before = self.fellows
         self.fellows = {
-            name: before.get(name) or Fellow(name, hall)
+            name: before.get(name) or Member(name, hall)
             for name, hall in fellows
             if name != self.name
         }
@@ -163,7 +163,7 @@
         self._send(name, CALL, [subject, body])
         return True
 
-    def alive(self) -> list[Fellow]:
+    def alive(self) -> list[Member]:
         """Those that are not known to be gone, by name."""
         return sorted(
             (each for each in self.fellows.values() if each.state in (ALIVE, SUSPECTED)),
@@ -202,7 +202,7 @@
             # Danger: a fellow of another version, or one gone wild, holds the key too.
             self.counts["no sense"] += 1
 
-    def _read(self, fellow: Fellow, sort: int, body: Any) -> None:
+    def _read(self, fellow: Member, sort: int, body: Any) -> None:
         if sort == CALL:
             subject, what = body
             if subject in self.calls:
@@ -245,7 +245,7 @@
         self._ask(fellow, int(span * REPLY), span)
 
     def _ask(
-        self, fellow: Fellow, reply: int, span: int, for_whom: str = "", serial: int = 0
+        self, fellow: Member, reply: int, span: int, for_whom: str = "", serial: int = 0
     ) -> None:
         self.serial += 1
         self.asked[self.serial] = Asked(fellow, self.host.now + span, for_whom, serial)
@@ -338,7 +338,7 @@
             # Danger: while we were not heard, our word died out; whoever still accuses us never had it.
             self.rumours.tell(self.name, self._our_word())
 
-    def _suspected(self, fellow: Fellow, accuser: str, why: str) -> None:
+    def _suspected(self, fellow: Member, accuser: str, why: str) -> None:
         if fellow.state != SUSPECTED:
             fellow.accusers, fellow.since = set(), self.host.now
         fellow.accusers.add(accuser)
@@ -364,11 +364,11 @@
             )
         )
 
-    def suspicion_over(self, fellow: Fellow, serial: int) -> None:
+    def suspicion_over(self, fellow: Member, serial: int) -> None:
         if fellow.state == SUSPECTED and fellow.serial == serial:
             self._becomes(fellow, GONE, f"suspected by {len(fellow.accusers)}")
 
-    def _becomes(self, fellow: Fellow, state: int, why: str, accusers: Any = ()) -> None:
+    def _becomes(self, fellow: Member, state: int, why: str, accusers: Any = ()) -> None:
         before, fellow.state, fellow.since, fellow.why = fellow.state, state, self.host.now, why
         self.unknown -= before == UNKNOWN
         fellow.accusers = {*accusers}
@@ -394,7 +394,7 @@
     def _our_word(self) -> list[Any]:
         return [self.name, LEFT if self.left else ALIVE, self.letters.start, self.turn, ""]
 
-    def _tell_all(self, fellow: Fellow) -> None:
+    def _tell_all(self, fellow: Member) -> None:
         """The whole roll, as datagrams take it. Danger: one that asks again and again would be work without
         end."""
         if self.host.now < fellow.told_all + ONCE:
@@ -430,7 +430,7 @@
         self.counts["sent"] += 1
         self.host.post(name, data)
 
-    def _next(self) -> Fellow | None:
+    def _next(self) -> Member | None:
         """Each once a round, in an order by chance; those that are gone more seldom."""
         for _ in range(2 * SELDOM):
             if not self.round:
@@ -442,7 +442,7 @@
                 return fellow
         return fellow
 
-    def _some(self, many: int, but: Fellow | None = None, known: bool = True) -> list[Fellow]:
+    def _some(self, many: int, but: Member | None = None, known: bool = True) -> list[Member]:
         """A few, by chance; those known to be alive, or any."""
         names = [
             each.name
--- a/corkgauge/fellows/society.py
+++ b/corkgauge/membership/service.py
@@ -11,19 +11,19 @@
 from typing import Any
 from zlib import crc32
 
-from corkgauge.configuration import Faulty, Post
-from corkgauge.fellows.company import STATES, Company, Fellow
-from corkgauge.fellows.letters import LARGEST, Key
-from corkgauge.loop.hub import READ, SECOND
-from corkgauge.operator import Fellows
+from corkgauge.config.platform import ConfigurationError, PlatformConfig
+from corkgauge.membership.member_list import STATES, MemberList, Member
+from corkgauge.membership.datagrams import LARGEST, Key
+from corkgauge.eventloop.loop import READ, SECOND
+from corkgauge.config.operator_file import Fellows
 
 AT_ONCE = 32  # datagrams that are read in a row, before others have their turn
 
 
-class Society:
+class MembershipService:
     """`house` has `hub`, `log` and `routes`."""
 
-    def __init__(self, house: Any, post: Post, said: Fellows) -> None:
+    def __init__(self, house: Any, post: PlatformConfig, said: Fellows) -> None:
         self.house, self.hub, self.name, self.said = house, house.hub, post.name, said
         self.seed, self.drawn, self.unsent = post.seed, 0, 0
         self.addresses: dict[str, tuple[str, int]] = {}
@@ -31,7 +31,7 @@
         self._bind(said)
         self._arrange(said)
         start = self.hub.now // 10 << 12 | crc32(pack("<QQ", self.seed, self.hub.now)) & 0xFFF
-        self.company = Company(
+        self.company = MemberList(
             self,
             self.name,
             start,
@@ -64,7 +64,7 @@
         """Our own address among the fellows."""
         where = {name: address for name, address, _ in said.fellows}.get(self.name)
         if where is None:
-            raise Faulty(f"fellows: expected {self.name!r}, our own name, among them")
+            raise ConfigurationError(f"fellows: expected {self.name!r}, our own name, among them")
         return where
 
     def _bind(self, said: Fellows) -> None:
@@ -78,7 +78,9 @@
             self.sock.bind(where)
         except OSError as problem:
             self.sock.close()
-            raise Faulty(f"fellows: {where[0]}:{where[1]}: {problem.strerror}") from None
+            raise ConfigurationError(
+                f"fellows: {where[0]}:{where[1]}: {problem.strerror}"
+            ) from None
 
     def _arrange(self, said: Fellows) -> None:
         self._named(said)
@@ -124,7 +126,7 @@
     def log(self, line: str) -> None:
         self.house.log(line)
 
-    def changed(self, fellow: Fellow, before: int) -> None:
+    def changed(self, fellow: Member, before: int) -> None:
         self.house.log(
             f"fellow {fellow.name} {STATES[fellow.state]}, was {STATES[before]}: {fellow.why}"
         )
--- a/corkgauge/model/dissemination.py
+++ b/corkgauge/model/dissemination.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass, field
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.chance import Chance
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.seeded_random import SeededRandom
 
 ROUND = SECOND // 5  # between two rounds of a member
 LATENCY = (
@@ -52,7 +52,7 @@
         seed: int = 1,
         compare: int = 5,
     ) -> None:
-        self.chance = Chance(seed * 1_000_003 + many * 31 + fanout)
+        self.chance = SeededRandom(seed * 1_000_003 + many * 31 + fanout)
         self.octets, self.fanout, self.loss, self.compare = octets, fanout, loss, compare
         self.count = max(-(-octets // ROOM), 1)
         self.rounds = max(LOG // fanout, 2)
--- a/corkgauge/model/spread.py
+++ b/corkgauge/model/gossip.py
@@ -7,11 +7,11 @@
 import time
 from typing import Any
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.shared.exchange import REPAIR_EACH, ROOM, TOLD_AT_ONCE
-from corkgauge.shared.findings import SILENT, Findings
-from corkgauge.shared.weighing import opinion
-from corkgauge.standins.chance import Chance
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.peer_health.service import REPAIR_EACH, ROOM, TOLD_AT_ONCE
+from corkgauge.peer_health.reports import SILENT, HealthReports
+from corkgauge.peer_health.aggregation import opinion
+from corkgauge.testkit.seeded_random import SeededRandom
 
 EACH, OCTETS = SECOND // 4, 8_000
 ROW = 70  # octets of a finding on its way, on the high side
@@ -32,7 +32,7 @@
         sharing: bool = True,
     ) -> None:
         self.chance, self.engines, self.bad, self.rate, self.loss = (
-            Chance(many * 7 + bad),
+            SeededRandom(many * 7 + bad),
             engines,
             bad,
             rate,
@@ -40,7 +40,7 @@
         )
         self.sharing, self.now, self.turn = sharing, 0, 0
         self.halls = {f"n{n}": f"hall-{n % 4}" for n in range(many)}
-        self.nodes = {name: Findings(name, 1) for name in self.halls}
+        self.nodes = {name: HealthReports(name, 1) for name in self.halls}
         self.lost = {name: [0] * bad for name in self.halls}
         self.knows: dict[
             tuple[str, int], int
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -9,11 +9,11 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from corkgauge.duties.guard import Guard
-from corkgauge.duties.holder import HOLDING, Holder
-from corkgauge.duties.roll import Roll, Span
-from corkgauge.duties.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
-from corkgauge.standins.chance import Chance
+from corkgauge.leases.fencing import FencingGuard
+from corkgauge.leases.candidate import HOLDING, LeaseCandidate
+from corkgauge.leases.voter_configuration import VoterConfiguration, Span
+from corkgauge.leases.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
+from corkgauge.testkit.seeded_random import SeededRandom
 
 LEASE, DRIFT, MARGIN = 10_000, 0.01, 300
 DUTY = "books"
@@ -59,7 +59,7 @@
     sorts: tuple[str, ...] = FAULTS,
 ) -> Day:
     """A day with faults by chance, of these sorts."""
-    chance = Chance(seed)
+    chance = SeededRandom(seed)
     length = 12 * LEASE
     faults = tuple(
         sorted(
@@ -125,7 +125,7 @@
             self.voter.silent_until = 0  # the fleet's first start ever: there is nothing to forget
         if "busy" in off:
             self.voter._busy = lambda vote, who: 0
-        self.holder = Holder(self, DUTY, self.name, world.roll, span)
+        self.holder = LeaseCandidate(self, DUTY, self.name, world.roll, span)
         if "check" in off:
             self.holder.may = lambda: self.holder.state == HOLDING
 
@@ -159,13 +159,13 @@
             self.kept = record
             then(*what)
 
-    def gained(self, holder: Holder) -> None:
+    def gained(self, holder: LeaseCandidate) -> None:
         self.world.gained(self)
 
-    def lost(self, holder: Holder, why: str) -> None:
+    def lost(self, holder: LeaseCandidate, why: str) -> None:
         pass
 
-    def vacant(self, holder: Holder) -> None:
+    def vacant(self, holder: LeaseCandidate) -> None:
         for node in self.world.nodes:
             if node is not self:
                 self.send(node.name, [VACANT, DUTY, 1, 0, 0])
@@ -195,12 +195,12 @@
     """`run` gives what the judge found; nothing where all was well."""
 
     def __init__(self, day: Day) -> None:
-        self.day, self.chance, self.time, self.serial = day, Chance(day.seed), 0, 0
+        self.day, self.chance, self.time, self.serial = day, SeededRandom(day.seed), 0, 0
         self.events: list[tuple] = []
         self.found: list[str] = []
         self.handovers: list[tuple[int, int]] = []  # when, after how long without a holder
-        self.guard, self.acts, self.refused, self.last = Guard(), 0, 0, 0
-        self.roll = Roll(1, [f"n{n}" for n in range(day.voters)], LEASE)
+        self.guard, self.acts, self.refused, self.last = FencingGuard(), 0, 0, 0
+        self.roll = VoterConfiguration(1, [f"n{n}" for n in range(day.voters)], LEASE)
         self.nodes: list[Node] = []
         for number in range(day.nodes):
             self.nodes.append(self.node(number))
--- a/corkgauge/model/company.py
+++ b/corkgauge/model/membership.py
@@ -9,10 +9,10 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from corkgauge.fellows.company import ALIVE, GONE, Company, Fellow
-from corkgauge.fellows.letters import Key
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.chance import Chance
+from corkgauge.membership.member_list import ALIVE, GONE, MemberList, Member
+from corkgauge.membership.datagrams import Key
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.seeded_random import SeededRandom
 
 PERIOD = SECOND // 2
 KEY = Key(b"k" * 32)
@@ -23,7 +23,7 @@
 
     def __init__(self, net: "Net", name: str) -> None:
         self.net, self.name, self.sent, self.octets, self.alive = net, name, 0, 0, True
-        self.company = Company(self, name, 1 + net.now, [KEY], net.roll, PERIOD)
+        self.company = MemberList(self, name, 1 + net.now, [KEY], net.roll, PERIOD)
 
     @property
     def now(self) -> int:
@@ -45,7 +45,7 @@
     def log(self, line: str) -> None:
         pass
 
-    def changed(self, fellow: Fellow, before: int) -> None:
+    def changed(self, fellow: Member, before: int) -> None:
         self.net.wrong_gone += fellow.state == GONE and self.net.nodes[fellow.name].alive
 
 
@@ -53,7 +53,7 @@
     """`many` companies; `loss` of all letters are lost."""
 
     def __init__(self, many: int, loss: float = 0.0) -> None:
-        self.now, self.serial, self.loss, self.chance = 0, 0, loss, Chance(many)
+        self.now, self.serial, self.loss, self.chance = 0, 0, loss, SeededRandom(many)
         self.events: list[tuple] = []
         self.wrong_gone = 0
         self.roll = [(f"n{n}", f"hall-{n % 4}") for n in range(many)]
--- a/corkgauge/model/explore.py
+++ b/corkgauge/model/model_checker.py
@@ -14,13 +14,13 @@
 from collections.abc import Iterator
 from typing import Any
 
-from corkgauge.duties.holder import ASKING, HOLDING, PREPARING, PROBING, Holder
-from corkgauge.duties.roll import Roll, Span
-from corkgauge.duties.voter import GRANTED, PROBE, PROMISED, RELEASE, VACANT, WOULD, Vote, Voter
+from corkgauge.leases.candidate import ASKING, HOLDING, PREPARING, PROBING, LeaseCandidate
+from corkgauge.leases.voter_configuration import VoterConfiguration, Span
+from corkgauge.leases.voter import GRANTED, PROBE, PROMISED, RELEASE, VACANT, WOULD, Vote, Voter
 
 LEASE, VOTERS, CANDIDATES = 800, 3, 2
 DUTY = "d"
-ROLL = Roll(1, [f"v{n}" for n in range(VOTERS)], LEASE)
+ROLL = VoterConfiguration(1, [f"v{n}" for n in range(VOTERS)], LEASE)
 
 
 class Host:
@@ -61,13 +61,13 @@
     def keep(self, record: Any, then: Any, *what: Any) -> None:
         then(*what)
 
-    def gained(self, holder: Holder) -> None:
+    def gained(self, holder: LeaseCandidate) -> None:
         self.world.fences.append(holder.fence)
 
-    def lost(self, holder: Holder, why: str) -> None:
+    def lost(self, holder: LeaseCandidate, why: str) -> None:
         pass
 
-    def vacant(self, holder: Holder) -> None:
+    def vacant(self, holder: LeaseCandidate) -> None:
         pass
 
     def log(self, line: str) -> None:
@@ -93,7 +93,7 @@
         self._enter()
         self.voters = {name: Voter(self.hosts[name], name, ROLL, span, {}) for name in self.starts}
         self.holders = {
-            name: Holder(self.hosts[name], DUTY, name, ROLL, span)
+            name: LeaseCandidate(self.hosts[name], DUTY, name, ROLL, span)
             for name in self.hosts
             if name not in self.starts
         }
@@ -113,7 +113,7 @@
             twin.__dict__.update(voter.__dict__)
             twin.votes = {duty: _twin(vote) for duty, vote in voter.votes.items()}
         for name, holder in self.holders.items():
-            twin = new.holders[name] = Holder.__new__(Holder)
+            twin = new.holders[name] = LeaseCandidate.__new__(LeaseCandidate)
             twin.__dict__.update(holder.__dict__)
             for field in "sent", "said", "left", "acknowledged":
                 setattr(twin, field, {**getattr(holder, field)})
--- a/corkgauge/model/agreement.py
+++ b/corkgauge/model/plan_consensus.py
@@ -6,11 +6,11 @@
 
 from typing import Any
 
-from corkgauge.duties.holder import Holder
+from corkgauge.leases.candidate import LeaseCandidate
 from corkgauge.model.leases import DRIFT, LEASE, MARGIN, Day, Node, World, drawn
-from corkgauge.works.keeper import PIECE, WANT, Keeper
-from corkgauge.works.plan import ASKED, BACK, DRAINING, GRANTED, OUT, RETURNING, TAKEN, Plan
-from corkgauge.works.scribe import FETCHING, LEADING, Scribe
+from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
+from corkgauge.maintenance.plan import ASKED, BACK, DRAINING, GRANTED, OUT, RETURNING, TAKEN, Plan
+from corkgauge.maintenance.plan_proposer import FETCHING, LEADING, PlanProposer
 
 MOST = 2  # units that may be taken at once
 UNITS = 5
@@ -79,8 +79,8 @@
         world, carrier = self.world, Carrier(self)
         off = world.day.off
         silent = 0 if "silence" in off or world.time == 0 else int(LEASE * (1 + DRIFT)) + MARGIN
-        self.keeper = Keeper(carrier, self.kept_plan if world.day.disk else None, silent)
-        self.scribe = Scribe(carrier)
+        self.keeper = PlanReplica(carrier, self.kept_plan if world.day.disk else None, silent)
+        self.scribe = PlanProposer(carrier)
         if "agreement" in off:
             self.scribe._majority = lambda: 1
         if "orders" in off:
@@ -93,11 +93,11 @@
             self.kept_plan = record
             then(*what)
 
-    def gained(self, holder: Holder) -> None:
+    def gained(self, holder: LeaseCandidate) -> None:
         super().gained(holder)
         self.scribe.gained(holder.fence)
 
-    def lost(self, holder: Holder, why: str) -> None:
+    def lost(self, holder: LeaseCandidate, why: str) -> None:
         self.scribe.lost()
 
     def told(self) -> None:
--- a/corkgauge/model/night.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from corkgauge.standins.chance import Chance
-from corkgauge.works.order import (
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.maintenance.schedule import (
     DEAD,
     PASSING,
     WELL,
@@ -61,7 +61,7 @@
     def __init__(
         self, seed: int, engines: int, policy: str, peak: float = 0.97, low: float = 0.55
     ) -> None:
-        self.chance, self.policy, self.now = Chance(seed), policy, 0
+        self.chance, self.policy, self.now = SeededRandom(seed), policy, 0
         self.machines = [
             Machine(f"e{n}", f"hall-{n % 4}", ("c8", "c12")[n // 4 % 2], (8.0, 12.0)[n // 4 % 2])
             for n in range(engines)
--- a/corkgauge/net/door.py
+++ b/corkgauge/net/acceptor.py
@@ -9,18 +9,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.loop.hub import READ, Hub
+from corkgauge.eventloop.loop import READ, EventLoop
 
 BACKLOG = 4096
 AT_ONCE = 64  # that are let in before others have their turn
 BUSY = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-class Door:
+class Acceptor:
     """Listens at one address; `bar`, while it is true, keeps everybody waiting."""
 
     def __init__(
-        self, hub: Hub, house: Any, where: tuple[str, int], bar: Callable[[], bool] = lambda: False
+        self,
+        hub: EventLoop,
+        house: Any,
+        where: tuple[str, int],
+        bar: Callable[[], bool] = lambda: False,
     ) -> None:
         """Raises OSError where the address cannot be had."""
         self.hub, self.house, self.bar, self.open = hub, house, bar, True
--- a/corkgauge/net/clients.py
+++ b/corkgauge/net/client_connection.py
@@ -11,11 +11,18 @@
 from termios import FIONREAD
 from typing import Any
 
-from corkgauge.figures.terms import CLIENT, CLIENT_GONE, CUT_OFF, NOT_READ, TURNED_OUT, WITHDRAWN
-from corkgauge.interface import Submission
-from corkgauge.loop.link import NEVER, Link
-from corkgauge.net import client_wire
-from corkgauge.net.client_wire import ANSWER, FAILED, REFUSED, ClientWire, frame_head
+from corkgauge.accounting.counter_names import (
+    CLIENT,
+    CLIENT_GONE,
+    CUT_OFF,
+    NOT_READ,
+    TURNED_OUT,
+    WITHDRAWN,
+)
+from corkgauge.policy.records import Request
+from corkgauge.eventloop.connection import NEVER, StreamConnection
+from corkgauge.net import client_protocol as client_wire
+from corkgauge.net.client_protocol import ANSWER, FAILED, REFUSED, ClientProtocol, frame_head
 
 MOST_OPEN = 32  # submissions on one client connection
 STUCK = 15_000  # that a client may take over one frame, and before its first is whole
@@ -26,7 +33,7 @@
 OVERHEAD = 3_000  # bytes of memory that a submission takes beside its statement
 
 
-class Order:
+class ClientRequest:
     """A submission's side towards its client: where the answer goes, and what goes on unchanged."""
 
     __slots__ = (
@@ -44,7 +51,13 @@
     )
 
     def __init__(
-        self, caller: "Caller", stream: int, name: str, label: str, statement: bytes, row: Any
+        self,
+        caller: "ClientConnection",
+        stream: int,
+        name: str,
+        label: str,
+        statement: bytes,
+        row: Any,
     ) -> None:
         self.caller, self.stream, self.name, self.label = caller, stream, name, label
         self.statement, self.size = statement, len(statement) + OVERHEAD
@@ -53,21 +66,23 @@
         self.serial = self.reason = 0  # there, below 0 once its end is counted; why it ended
 
 
-class Caller:
+class ClientConnection:
     """One client connection."""
 
     def __init__(self, house: Any, sock: Any) -> None:
         self.house = house
-        self.open: dict[int, Submission | None] = {}
+        self.open: dict[int, Request | None] = {}
         self.waiting = deque[
-            tuple[int, int, list[bytes], int, Order | None]
+            tuple[int, int, list[bytes], int, ClientRequest | None]
         ]()  # without room, until when
         self.unwritten = deque[
-            tuple[int, Order]
+            tuple[int, ClientRequest]
         ]()  # answers put, each with where it ends among what was
         self.faults, self.answered, self.gave_up = 0, 0, 0
-        self.fresh: list[Submission] = []  # the gateway has not been told yet
-        self.link = Link(house.hub, sock, ClientWire(self, house.rings), self, STUCK, True)
+        self.fresh: list[Request] = []  # the gateway has not been told yet
+        self.link = StreamConnection(
+            house.hub, sock, ClientProtocol(self, house.rings), self, STUCK, True
+        )
 
     def requested(self, stream: int, fields: dict[str, str], body: bytes) -> str:
         if (
@@ -169,7 +184,7 @@
         code: int,
         body: list[bytes],
         until: int = NEVER,
-        order: Order | None = None,
+        order: ClientRequest | None = None,
     ) -> None:
         """`order` is the one whose end this is, until the last byte of it has left."""
         house = self.house
@@ -183,19 +198,19 @@
                 code, body = self._not_read(order)
             self.waiting.append((stream, code, body, until, order))
 
-    def _put(self, stream: int, code: int, body: list[bytes], order: Order | None) -> bool:
+    def _put(self, stream: int, code: int, body: list[bytes], order: ClientRequest | None) -> bool:
         if not self.link.send(frame_head(ANSWER, stream, code, sum(map(len, body))), *body):
             return False
         if order is not None:
             self.unwritten.append((self.link.put, order))
         return True
 
-    def _not_read(self, order: Order | None) -> tuple[int, list[bytes]]:
+    def _not_read(self, order: ClientRequest | None) -> tuple[int, list[bytes]]:
         if order is not None:
             order.reason = NOT_READ
         return FAILED, []
 
-    def _gone(self, order: Order | None, reason: int = CLIENT_GONE) -> None:
+    def _gone(self, order: ClientRequest | None, reason: int = CLIENT_GONE) -> None:
         """Its answer goes nowhere any more."""
         if order is not None:
             order.reason = reason
--- a/corkgauge/net/client_wire.py
+++ b/corkgauge/net/client_protocol.py
@@ -7,7 +7,7 @@
 from struct import Struct
 from typing import Any
 
-from corkgauge.loop.ring import Allowance, Ring
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
 LARGEST = 262_144  # a frame's length field at most; it counts all that follows it
 HEADER, STREAM, NAME, VALUE = Struct("<IBI"), Struct("<BI"), Struct("<B"), Struct("<H")
@@ -15,13 +15,13 @@
 SERVED, REFUSED, FAILED = 1, 2, 3
 
 
-class ClientWire:
+class ClientProtocol:
     """Reads frames and calls its owner: `requested`, `withdrawn`, `ready_asked`, `unreadable`. Each says what
     is wrong with the connection as a whole, if anything; so does `advance`."""
 
-    def __init__(self, owner: Any, allowance: Allowance) -> None:
+    def __init__(self, owner: Any, allowance: MemoryBudget) -> None:
         self.owner, self.last_stream, self.whole = owner, 0, 0
-        self.inward, self.outward = (Ring(LARGEST + 4, allowance) for _ in "io")
+        self.inward, self.outward = (RingBuffer(LARGEST + 4, allowance) for _ in "io")
 
     def advance(self) -> str:
         """Take what is whole; what is wrong with the framing, if anything."""
--- a/corkgauge/net/feed.py
+++ b/corkgauge/net/discovery.py
@@ -5,9 +5,9 @@
 
 from typing import Any
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.loop.link import Link, dial
-from corkgauge.net import feed_wire
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.eventloop.connection import StreamConnection, dial
+from corkgauge.net import discovery_protocol as feed_wire
 
 LEAST_PAUSE, MOST_PAUSE = (
     SECOND // 20,
@@ -17,7 +17,7 @@
 FEED_STUCK = 30_000  # that a line may take, with all that is before the first; told counts as heard 7 s later
 
 
-class Feed:
+class DiscoveryWatch:
     """Keeps the control feed at one address connected, until it is left for another."""
 
     def __init__(self, house: Any, where: tuple[str, int]) -> None:
@@ -34,8 +34,8 @@
                     sock.close()
                 return
             if sock is not None:
-                machine = feed_wire.FeedWire(self, self.house.lines)
-                self.link = Link(hub, sock, machine, self)
+                machine = feed_wire.DiscoveryProtocol(self, self.house.lines)
+                self.link = StreamConnection(hub, sock, machine, self)
                 self.link.send(feed_wire.request("%s:%d" % self.where, self.house.last_event))
                 self.watch(self.link)
                 self.link.run()
@@ -64,7 +64,7 @@
             self.house.log(f"feed back at {self.house.last_event}")
         return self.house.event(number, data)
 
-    def watch(self, link: Link, whole: int = -1, since: int = 0) -> None:
+    def watch(self, link: StreamConnection, whole: int = -1, since: int = 0) -> None:
         """Danger: a feed that stops keeps its connection open. A comment comes each second; without any sign
         for half a second more it is dead. One that drips, or never says how it answers, gives signs and no line."""
         if link is self.link and not link.why:
--- a/corkgauge/net/feed_wire.py
+++ b/corkgauge/net/discovery_protocol.py
@@ -6,7 +6,7 @@
 
 from typing import Any
 
-from corkgauge.loop.ring import Allowance, Ring
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
 LARGEST = 262_144  # of what lies unread
 # A line, so an event with the whole list. Danger: one that is refused is asked for again without end, and the gateway
@@ -21,12 +21,12 @@
     ).encode()
 
 
-class FeedWire:
+class DiscoveryProtocol:
     """Reads the stream and calls its owner: `event(id, data)`, which says what is wrong."""
 
-    def __init__(self, owner: Any, allowance: Allowance) -> None:
+    def __init__(self, owner: Any, allowance: MemoryBudget) -> None:
         self.owner, self.whole = owner, 0  # whole lines of the stream so far
-        self.inward, self.outward = Ring(LARGEST, allowance), Ring(4096, allowance)
+        self.inward, self.outward = RingBuffer(LARGEST, allowance), RingBuffer(4096, allowance)
         # What comes next: a line, which `heard` takes, or a stretch of events.
         self.state, self.heard, self.chunked = self._line, self._status, False
         self.left = 0  # of a chunk
--- a/corkgauge/net/counters.py
+++ b/corkgauge/net/edge_counters.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 
-class Counters(Counter):
+class EdgeCounters(Counter):
     """Counts by name.
 
     >>> counts = Counters(); counts["taken"] += 2; counts["answered served"] += 1; print(counts.line())
--- a/corkgauge/net/engines.py
+++ b/corkgauge/net/engine_connection.py
@@ -8,8 +8,8 @@
 import re
 from typing import Any
 
-from corkgauge.figures.terms import ENGINE
-from corkgauge.interface import (
+from corkgauge.accounting.counter_names import ENGINE
+from corkgauge.policy.records import (
     ERROR,
     FULL,
     MOOT,
@@ -18,12 +18,12 @@
     TIMED_OUT,
     UNREACHED,
     Engine,
-    HandOff,
+    Attempt,
 )
-from corkgauge.loop.hub import BROKEN, GONE, SECOND
-from corkgauge.loop.link import NEVER, Link, dial
-from corkgauge.net.clients import Order
-from corkgauge.net.engine_wire import EngineWire, command
+from corkgauge.eventloop.loop import BROKEN, GONE, SECOND
+from corkgauge.eventloop.connection import NEVER, StreamConnection, dial
+from corkgauge.net.client_connection import ClientRequest
+from corkgauge.net.engine_protocol import EngineProtocol, command
 
 MID_ANSWER = 3_000  # that an engine may take over one answer, once it has begun
 SIGN, NO_SIGN = (
@@ -61,7 +61,7 @@
     return TIMED_OUT if why == "late" else RESET
 
 
-class Errand:
+class InFlightAttempt:
     """A hand-off under way: how far it has come, and its pages."""
 
     __slots__ = (
@@ -84,14 +84,14 @@
         "effect",
     )
 
-    def __init__(self, handoff: HandOff, until: int, station: "Station") -> None:
+    def __init__(self, handoff: Attempt, until: int, station: "EnginePool") -> None:
         self.handoff, self.order, self.until, self.station = (
             handoff,
             handoff.submission.tag,
             until,
             station,
         )
-        self.link: EngineLink | None = None
+        self.link: EngineConnection | None = None
         self.begin = self.end = self.spent = self.asked = self.told = 0
         self.need, self.load, self.answered = 0.0, -1.0, False
         self.effect = 0  # its serial among what outlives a restart, where it has one
@@ -109,12 +109,12 @@
         return WRITTEN if self.link.link.sent >= self.end else PART_WRITTEN
 
 
-class EngineLink:
+class EngineConnection:
     """One connection to an engine."""
 
-    def __init__(self, station: "Station", sock: Any) -> None:
+    def __init__(self, station: "EnginePool", sock: Any) -> None:
         self.station, self.house = station, station.house
-        self.open: dict[str, Errand] = {}
+        self.open: dict[str, InFlightAttempt] = {}
         self.past: dict[str, None] = {}  # done with, an answer or a copy of one may still come
         self.retired, self.pages = False, 0
         self.house.links[self] = None
@@ -123,12 +123,14 @@
         self.spoke = self.lively = (
             self.house.now
         )  # its last answer; since when none was long in coming
-        self.link = Link(self.house.hub, sock, EngineWire(self, self.house.lines), self, MID_ANSWER)
+        self.link = StreamConnection(
+            self.house.hub, sock, EngineProtocol(self, self.house.lines), self, MID_ANSWER
+        )
         if self.house.flows is not None:
             halls, hall = self.house.stated.halls, station.engine.hall
             self.house.flows.up(self.link, ENGINE, station.engine.name, str(halls[hall]))
 
-    def room_for(self, order: Order) -> bool:
+    def room_for(self, order: ClientRequest) -> bool:
         # Danger: both hand-offs of a submission carry its id; a late answer to one would pass for the other.
         return not (
             self.retired
@@ -139,7 +141,7 @@
             or order.name in self.past
         )
 
-    def take(self, errand: Errand) -> bool:
+    def take(self, errand: InFlightAttempt) -> bool:
         """Write a hand-off at once, unless there is no room. Danger: one that is put and not written begins when its
         engine reads again, whoever has gone by then; so none is ever kept back here."""
         house, order, handoff = self.house, errand.order, errand.handoff
@@ -189,13 +191,13 @@
             return "" if word == "FIT" or NAME(name) else "an answer to an id that makes no sense"
         return self.house.answered(errand, word, fields, body)
 
-    def let_go(self, errand: Errand) -> None:
+    def let_go(self, errand: InFlightAttempt) -> None:
         """Nothing more is wanted of it. Danger: the engine works on past the time that it was told, and holds
         it until it hears."""
         self.say("done" if errand.answered else "abort", errand.order.name)
         self.forget(errand)
 
-    def forget(self, errand: Errand) -> None:
+    def forget(self, errand: InFlightAttempt) -> None:
         """Danger: what still comes under its id, a copy or a late answer, must not pass for a later one's."""
         if self.open.pop(errand.order.name, None) is not None:
             self.past[errand.order.name] = None
@@ -248,7 +250,7 @@
         station.fill()
 
 
-class Station:
+class EnginePool:
     """An engine, its address, its links, and the hand-offs that wait for one."""
 
     __slots__ = (
@@ -272,8 +274,10 @@
         self.house, self.engine, self.address = house, engine, ("", 0)
         self.number = number  # in the order in which the list named them
         self.row = house.ledger.engine(engine.name)  # its account
-        self.links: list[EngineLink] = []
-        self.waiting: list[Errand] = []  # a deque takes 760 bytes, also where nothing is ever sent
+        self.links: list[EngineConnection] = []
+        self.waiting: list[
+            InFlightAttempt
+        ] = []  # a deque takes 760 bytes, also where nothing is ever sent
         self.dialling, self.spare_from = False, 0
         self.started = 0  # the engine, in ms, as the list told it
         self.era = (
@@ -282,7 +286,7 @@
         self.filling = self.due = False  # a fill is under way; one is due at the end of this turn
         self.wanting = False  # the last dial failed for want of descriptors of our own
 
-    def line_up(self, errand: Errand) -> None:
+    def line_up(self, errand: InFlightAttempt) -> None:
         """A hand-off waits for a link; it is written at the end of this turn, when the gateway has said all."""
         self.waiting.append(errand)
         self.house.awaited[self] = None
@@ -321,7 +325,7 @@
                     return
                 del self.waiting[0]
 
-    def _link_for(self, order: Order) -> EngineLink | None:
+    def _link_for(self, order: ClientRequest) -> EngineConnection | None:
         """The emptiest with room, whose engine has not closed it. Danger: what spoils one answer takes all with it that
         is open on its link, so they keep apart; and what is written to a link whose end has come by now may have run
         or not, nobody knows."""
@@ -394,7 +398,7 @@
         elif era != self.era or self.engine.state != READY:
             sock.close()
         else:
-            link = EngineLink(self, sock)
+            link = EngineConnection(self, sock)
             self.links.append(link)
             self.house.hub.spawn(link.link.run)
             link.watch()
--- a/corkgauge/net/engine_wire.py
+++ b/corkgauge/net/engine_protocol.py
@@ -7,20 +7,23 @@
 import re
 from typing import Any
 
-from corkgauge.loop.ring import Allowance, Ring
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
 LARGEST = 16_384  # an answer, with a page of 6,000 bytes, in any framing
 COMMAND = 262_144 + 4_096  # a command, with a statement as large as a client's frame
 
 
-class EngineWire:
+class EngineProtocol:
     """Reads answers and calls its owner: `answered(id, word, fields, body)`, which says what is wrong. What
     does not parse is the end of the connection, with all that is open there."""
 
-    def __init__(self, owner: Any, allowance: Allowance) -> None:
+    def __init__(self, owner: Any, allowance: MemoryBudget) -> None:
         self.owner, self.whole = owner, 0
         # Danger: clients that stall hold what memory rings may grow by; answers must come in all the same.
-        self.inward, self.outward = Ring(LARGEST, allowance, LARGEST), Ring(COMMAND, allowance)
+        self.inward, self.outward = (
+            RingBuffer(LARGEST, allowance, LARGEST),
+            RingBuffer(COMMAND, allowance),
+        )
 
     def advance(self) -> str:
         """Take what is whole; what is wrong, if anything."""
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.configuration import Faulty, Post, address
-from corkgauge.figures.auditor import Auditor
-from corkgauge.figures.finding import Findings
-from corkgauge.figures.ledger import Ledger
-from corkgauge.figures.terms import DEPARTED_ROW, reason_of, sort_of
-from corkgauge.interface import (
+from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
+from corkgauge.accounting.auditor import LedgerAuditor
+from corkgauge.accounting.discrepancies import Discrepancies
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of, sort_of
+from corkgauge.policy.records import (
     CALLED_OFF,
     DRAINING,
     GONE,
@@ -24,18 +24,24 @@
     MOOT,
     READY,
     Engine,
-    HandOff,
-    Submission,
+    Attempt,
+    Request,
 )
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.loop.ring import Allowance
-from corkgauge.net.client_wire import FAILED, REFUSED, SERVED
-from corkgauge.net.clients import Order
-from corkgauge.net.counters import Counters
-from corkgauge.net.engine_wire import MOST_PAGE, page
-from corkgauge.net.engines import ENDS, EngineLink, Errand, Station, outcome_of
-from corkgauge.net.records import Records
-from corkgauge.stated import Stated
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.eventloop.ring_buffer import MemoryBudget
+from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
+from corkgauge.net.client_connection import ClientRequest
+from corkgauge.net.edge_counters import EdgeCounters
+from corkgauge.net.engine_protocol import MOST_PAGE, page
+from corkgauge.net.engine_connection import (
+    ENDS,
+    EngineConnection,
+    InFlightAttempt,
+    EnginePool,
+    outcome_of,
+)
+from corkgauge.net.live_records import LiveRecords
+from corkgauge.config.settings import Settings
 
 MOST_RESULT = 48_000  # bytes of one result
 MOST_PAGES = 64
@@ -47,7 +53,7 @@
 NOTES = {"advance": 1, "disk": 2, "stall": 3}
 
 
-class Aside:
+class UnstartedHost:
     """Stands in for the host where settings are only checked."""
 
     now = lag = 0
@@ -56,41 +62,43 @@
         pass
 
 
-def stated_of(post: Post, host: Any) -> Stated:
+def stated_of(post: PlatformConfig, host: Any) -> Settings:
     """What a configuration states, or the fault in it."""
     try:
-        return Stated(post.settings, host, post.seed, post.name)
+        return Settings(post.settings, host, post.seed, post.name)
     except (ValueError, TypeError, AttributeError, KeyError) as problem:
-        raise Faulty(f"settings: {problem}") from None
+        raise ConfigurationError(f"settings: {problem}") from None
 
 
-class House:
+class SocketHost:
     """The host protocol on sockets."""
 
-    def __init__(self, hub: Hub, post: Post, log: Callable[[str], None], held: int = 0) -> None:
-        self.hub, self.log, self.counters = hub, log, Counters()
+    def __init__(
+        self, hub: EventLoop, post: PlatformConfig, log: Callable[[str], None], held: int = 0
+    ) -> None:
+        self.hub, self.log, self.counters = hub, log, EdgeCounters()
         # Danger: with little memory the program itself holds most of it. Half of what it had left at its
         # start may be held for others: the clients' rings, the engines', and so on. The rest is for records.
         room = max(post.memory - held, LEAST_ROOM) // 2
         self.rings, self.lines, self.results, self.statements = (
-            Allowance(room // 4) for _ in range(4)
+            MemoryBudget(room // 4) for _ in range(4)
         )
         # A half is the clients' at most, a third goes to engines, and the rest stays free for the feed and what is new.
         self.links_most, self.dials = post.sockets // 3, 0  # dials under way
-        self.names: dict[str, Submission] = {}  # of what is open
-        self.stations: dict[str, Station] = {}
+        self.names: dict[str, Request] = {}  # of what is open
+        self.stations: dict[str, EnginePool] = {}
         # So that no request, timer or change of the list costs what the whole list does: links that are up; stations
         # that drain or are gone; those where something waits for a link; those that lack a link ahead.
-        self.links: dict[EngineLink, None] = {}
+        self.links: dict[EngineConnection, None] = {}
         self.closing, self.awaited, self.short = (
-            dict[Station, None](),
-            dict[Station, None](),
-            dict[Station, None](),
+            dict[EnginePool, None](),
+            dict[EnginePool, None](),
+            dict[EnginePool, None](),
         )
         self.named = 0  # stations, so far
-        self.errands: dict[HandOff, Errand] = {}
-        self.page_line: deque[Errand] = deque()
-        self.ended: deque[Submission] = deque()
+        self.errands: dict[Attempt, InFlightAttempt] = {}
+        self.page_line: deque[InFlightAttempt] = deque()
+        self.ended: deque[Request] = deque()
         self.stated = stated_of(post, self)
         if post.settings.get("myNumber") is None and self.stated.gateway.gateways > 1:
             log(
@@ -100,11 +108,13 @@
         self.most_memory = max(self.stated.sizes, default=1e6)
         self.patience = UNTOLD * self.stated.tells
         self.offerings = {each.name: each for each in self.stated.offerings}
-        self.findings = Findings(lambda: hub.now, log)
-        self.ledger = Ledger(self.offerings, lambda: hub.now, self.stated.budget, self.miscounted)
+        self.findings = Discrepancies(lambda: hub.now, log)
+        self.ledger = RequestLedger(
+            self.offerings, lambda: hub.now, self.stated.budget, self.miscounted
+        )
         self.rows = {each: self.ledger.offerings[each.name] for each in self.stated.offerings}
         self.answering: dict[
-            Order, None
+            ClientRequest, None
         ] = {}  # have their end, and their answer has not left whole
         self.recall: Any = None  # what outlives a restart, likewise
         self.flows: Any = None  # what every connection carries, told to collectors, likewise
@@ -112,16 +122,18 @@
         # What the figures' door answers for other subsystems, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
         self.waits: Any = None  # sketches of what took how long, where an operator file wants them
-        self.called: dict[HandOff, Errand] = {}  # called off, and the gateway has yet to hear of it
-        self.records = Records(self)
-        self.auditor = Auditor(self.ledger, self.records, self.findings)
+        self.called: dict[
+            Attempt, InFlightAttempt
+        ] = {}  # called off, and the gateway has yet to hear of it
+        self.records = LiveRecords(self)
+        self.auditor = LedgerAuditor(self.ledger, self.records, self.findings)
         self.tenants = {name: n for n, name in enumerate(self.stated.tenants)}
         self.last_event = post.known
         for event in post.events:
             if wrong := self.listed(event):
                 self.log(f"known: {wrong}")
 
-    def close(self, station: "Station") -> None:
+    def close(self, station: "EnginePool") -> None:
         """Forget an engine that is gone, once nothing is left of it; its id may by then be another's."""
         tag = station.engine.tag
         if station.engine.state == GONE and not station.links and self.stations.get(tag) is station:
@@ -166,9 +178,9 @@
     def lag(self) -> int:
         return self.hub.lag
 
-    def hand_off(self, handoff: HandOff, allow: int) -> None:
+    def hand_off(self, handoff: Attempt, allow: int) -> None:
         station = self.stations[handoff.engine.tag]
-        errand = self.errands[handoff] = Errand(handoff, self.now + allow, station)
+        errand = self.errands[handoff] = InFlightAttempt(handoff, self.now + allow, station)
         others = any(each.out for each in handoff.submission.handoffs[:-1])
         self.ledger.handed_off(errand, sort_of(handoff.number, others))
         offering = handoff.submission.offering
@@ -183,7 +195,7 @@
         if self.stated.dial_time < allow:
             self.hub.later(self.stated.dial_time, self.waited, errand)
 
-    def set_terms(self, submission: Submission, memory: float, priority: int) -> None:
+    def set_terms(self, submission: Request, memory: float, priority: int) -> None:
         order = submission.tag
         if priority != order.priority and self.stated.priorities:
             for handoff in submission.handoffs:
@@ -192,13 +204,13 @@
                     errand.link.say("renice", order.name, str(priority))
         order.memory, order.priority = memory, priority
 
-    def dismiss(self, submission: Submission, come_back: int) -> None:
+    def dismiss(self, submission: Request, come_back: int) -> None:
         self.final(submission, REFUSED, [])
 
-    def scrap(self, submission: Submission) -> None:
+    def scrap(self, submission: Request) -> None:
         self.final(submission, FAILED, [])
 
-    def call_off(self, handoff: HandOff) -> None:
+    def call_off(self, handoff: Attempt) -> None:
         errand = self.errands.get(handoff)
         if errand is None:
             return
@@ -213,7 +225,7 @@
     def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         self.hub.later(delay, method, *what)
 
-    def barred(self, errand: Errand) -> str:
+    def barred(self, errand: InFlightAttempt) -> str:
         """The one last look directly before an attempt's first byte: why it must not begin, if so. Danger: between its
         decision and its writing there may be a dial, or a long turn; its client may have gone or taken it back, its
         engine be told to drain or have started anew, its time or its window for repeats be over."""
@@ -226,7 +238,7 @@
 
     # Clients.
 
-    def final(self, submission: Submission, code: int, body: list[bytes], reason: int = -1) -> None:
+    def final(self, submission: Request, code: int, body: list[bytes], reason: int = -1) -> None:
         order = submission.tag
         if order.caller.open.pop(order.stream, None) is not None:
             self.statements.give(order.size)
@@ -240,7 +252,7 @@
             self.answering[order] = None
             order.caller.answer(order.stream, code, body, submission.taken + submission.life, order)
 
-    def answer_over(self, order: Order) -> None:
+    def answer_over(self, order: ClientRequest) -> None:
         """The last byte of its answer has left, or never will."""
         self.answering.pop(order, None)
         self.ledger.closed(order, order.reason)
@@ -255,7 +267,7 @@
                     handoff.submission = None
                 sub.tag.statement = b""
 
-    def left(self, submission: Submission | None, reason: int) -> None:
+    def left(self, submission: Request | None, reason: int) -> None:
         """Its client waits no longer."""
         if submission is not None:
             self.ledger.closed(submission.tag, reason)
@@ -286,7 +298,9 @@
 
     # Hand-offs.
 
-    def answered(self, errand: Errand, word: str, fields: dict[str, str], body: bytes) -> str:
+    def answered(
+        self, errand: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
+    ) -> str:
         """An engine's answer; what is wrong with it."""
         handoff = errand.handoff
         errand.told = self.now
@@ -360,7 +374,7 @@
                 self.hub.later(PAGE_TIME, self.pages_late, errand, 1, self.now)
             self.page_line.popleft()
 
-    def untold(self, errand: Errand, link: EngineLink) -> None:
+    def untold(self, errand: InFlightAttempt, link: EngineConnection) -> None:
         """Danger: an answer that never comes holds its submission, its slot and a line until the expiry. An
         engine tells regularly of all that runs; what it tells no more of, while its link is lively, is over.
         """
@@ -374,7 +388,7 @@
             link.let_go(errand)
             self.failed(errand, "broken")
 
-    def pages_late(self, errand: Errand, had: int, since: int) -> None:
+    def pages_late(self, errand: InFlightAttempt, had: int, since: int) -> None:
         """Danger: a page that never comes would hold its submission until the expiry. What else is open on
         that link may be well, so only this hand-off is given up, and only where its engine spoke since."""
         if errand.handoff in self.errands:
@@ -386,7 +400,7 @@
             errand.link.let_go(errand)
             self.failed(errand, "broken")
 
-    def whole(self, errand: Errand) -> str:
+    def whole(self, errand: InFlightAttempt) -> str:
         """All pages are here, or nobody wants them."""
         sub = errand.handoff.submission
         if sum(len(each or b"") for each in errand.pages) > MOST_RESULT:
@@ -397,11 +411,11 @@
         self.done(errand, HONOURED)
         return ""
 
-    def done(self, errand: Errand, outcome: int) -> None:
+    def done(self, errand: InFlightAttempt, outcome: int) -> None:
         self.errands.pop(errand.handoff, None)
         self.over(errand, outcome)
 
-    def over(self, errand: Errand, outcome: int) -> None:
+    def over(self, errand: InFlightAttempt, outcome: int) -> None:
         handoff = errand.handoff
         if errand.asked:
             self.results.give(errand.asked)
@@ -430,18 +444,18 @@
         self.forget()
         self.ask_pages()
 
-    def failed(self, errand: Errand, why: str) -> None:
+    def failed(self, errand: InFlightAttempt, why: str) -> None:
         """The attempt ends for its connection's sake."""
         if errand.handoff in self.errands:
             self.done(errand, outcome_of(errand.stage(), why))
 
-    def waited(self, errand: Errand) -> None:
+    def waited(self, errand: InFlightAttempt) -> None:
         """No connection, or no room on one, in the time that settings give for it."""
         if errand.handoff in self.errands and errand.link is None:
             errand.station.waiting.remove(errand)
             self.failed(errand, "withdrawn" if errand.station.wanting else "unreached")
 
-    def too_late(self, errand: Errand) -> None:
+    def too_late(self, errand: InFlightAttempt) -> None:
         if errand.handoff not in self.errands:
             return
         if errand.link is None:
@@ -486,9 +500,16 @@
                         int(each.get("started_ms", 0)),
                     )
                 )
-        except (Faulty, ValueError, TypeError, KeyError, AttributeError, OverflowError) as problem:
+        except (
+            ConfigurationError,
+            ValueError,
+            TypeError,
+            KeyError,
+            AttributeError,
+            OverflowError,
+        ) as problem:
             return f"an event that makes no sense ({type(problem).__name__} {problem})"
-        changed: dict[Station, None] = {}
+        changed: dict[EnginePool, None] = {}
         if members.get("full"):
             named = {entry[0] for entry in entries}
             for station in self.stations.values():
@@ -501,7 +522,7 @@
                 if self.works is not None:
                     # Danger: a machine that is out for work may be listed anew; it is the same machine.
                     engine.aside = self.works.how(tag, where)
-                station = self.stations[tag] = Station(self, engine, self.named)
+                station = self.stations[tag] = EnginePool(self, engine, self.named)
                 self.named += 1
             engine = station.engine
             renewed = started > station.started
--- a/corkgauge/net/records.py
+++ b/corkgauge/net/live_records.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Records:
+class LiveRecords:
     """The figures' second book; see `figures.auditor.Live` for what each method tells."""
 
     def __init__(self, house: Any) -> None:
--- a/corkgauge/net/frames.py
+++ b/corkgauge/net/platform_frontend.py
@@ -9,17 +9,23 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.configuration import Post
-from corkgauge.figures.terms import CLIENT
-from corkgauge.interface import LABELLED, Submission
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.loop.link import CROSSING, NEVER
-from corkgauge.net import client_wire
-from corkgauge.net.client_wire import REFUSED
-from corkgauge.net.clients import MOST_FAULTS, MOST_OPEN, Caller, Order, unread
-from corkgauge.net.engines import NAME
-from corkgauge.net.host import House, amount
-from corkgauge.net.statement import tables_of
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.accounting.counter_names import CLIENT
+from corkgauge.policy.records import LABELLED, Request
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.eventloop.connection import CROSSING, NEVER
+from corkgauge.net import client_protocol as client_wire
+from corkgauge.net.client_protocol import REFUSED
+from corkgauge.net.client_connection import (
+    MOST_FAULTS,
+    MOST_OPEN,
+    ClientConnection,
+    ClientRequest,
+    unread,
+)
+from corkgauge.net.engine_connection import NAME
+from corkgauge.net.host import SocketHost, amount
+from corkgauge.net.table_group import tables_of
 
 ROOM = 16  # connections that give way at once
 HEAVIEST = 3.6e6  # milliseconds of work that any submission may claim
@@ -33,21 +39,23 @@
 BLANK = re.compile(rb"\s*+").fullmatch
 
 
-class FramesHouse(House):
+class PlatformFrontEnd(SocketHost):
     """The host on sockets, with the platform's frames before it."""
 
-    def __init__(self, hub: Hub, post: Post, log: Callable[[str], None], held: int = 0) -> None:
+    def __init__(
+        self, hub: EventLoop, post: PlatformConfig, log: Callable[[str], None], held: int = 0
+    ) -> None:
         super().__init__(hub, post, log, held)
         self.end = NEVER  # when the last answer goes, once the program is told to end
         self.door: Any = None  # where clients come in, in a program that serves
         self.last_call = NEVER  # when the clients were shown the end
-        self.callers: dict[Caller, None] = {}
+        self.callers: dict[ClientConnection, None] = {}
         self.most_callers = post.sockets // 2  # a third is the usual ones'
         self.keys: dict[
             int, tuple[int, int, bool]
         ] = {}  # when one came, kept back how long, on a new link
         self.unadmitted: dict[
-            int, deque[Submission]
+            int, deque[Request]
         ] = {}  # by key: read, in this order, and not told yet
 
     def make_room(self) -> bool:
@@ -72,7 +80,7 @@
         return bool(quiet)
 
     def accepted(self, sock: Any) -> None:
-        caller = Caller(self, sock)
+        caller = ClientConnection(self, sock)
         self.callers[caller] = None
         self.ledger.connection_up(CLIENT)
         if self.flows is not None:
@@ -114,7 +122,7 @@
                         self.last_call = NEVER  # something came just now
         self.hub.later(step, self.gone)
 
-    def owed(self, caller: Caller) -> bool:
+    def owed(self, caller: ClientConnection) -> bool:
         """Is anything still due to this client, or on its way from it?"""
         link = caller.link
         return (
@@ -129,7 +137,9 @@
             )
         )
 
-    def requested(self, caller: Caller, stream: int, fields: dict[str, str], body: bytes) -> str:
+    def requested(
+        self, caller: ClientConnection, stream: int, fields: dict[str, str], body: bytes
+    ) -> str:
         # Danger: what it says is a stranger's; nothing of it may raise.
         self.forget()
         offering = self.offerings.get(fields.get("route", ""))
@@ -169,7 +179,7 @@
         if wrong:
             return caller.unreadable(stream, f"{wrong}: unusable")
         key, label = int(key, 16), nonce if offering.repeat == LABELLED else ""
-        order = Order(caller, stream, name, label, body, self.rows[offering])
+        order = ClientRequest(caller, stream, name, label, body, self.rows[offering])
         if (
             len(caller.open) >= MOST_OPEN
             or len(self.names) >= self.stated.open_cap
@@ -183,7 +193,7 @@
         life = min(int(life * 10), self.end - self.now)
         # Danger: with a full processor it has waited unread, and its client counts that.
         life = max(life - self.held_back(key, stream == 1) - self.lag, 1)
-        sub = Submission(
+        sub = Request(
             order,
             offering,
             tenant or 0,
@@ -205,7 +215,7 @@
             self.hub.unsent.append(caller.admit)
         return ""
 
-    def let_before(self, sub: Submission) -> None:
+    def let_before(self, sub: Request) -> None:
         """Those of its key that were read before, on other connections, are told first. Danger: one that waits for what
         lies behind it on its connection would be overtaken by a later one of its key on another."""
         line = self.unadmitted.get(sub.key)
--- a/corkgauge/shared/weighing.py
+++ b/corkgauge/peer_health/aggregation.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from corkgauge.shared.findings import LIFE, WELL, Finding
+from corkgauge.peer_health.reports import LIFE, WELL, HealthReport
 
 FAR = 0.5  # weight of a witness in another hall
 ENOUGH = 1.0  # weight of the doubts together
@@ -36,7 +36,7 @@
 
 
 def opinion(
-    findings: Iterable[Finding],
+    findings: Iterable[HealthReport],
     now: int,
     started: int,
     us: str,
--- a/corkgauge/shared/turns.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -30,7 +30,7 @@
     want: float
 
 
-class Turns:
+class PermitTransfer:
     """`window` is the span of the cold rule, tenths of a millisecond.
 
     >>> turns = Turns(10_000)
--- a/corkgauge/shared/findings.py
+++ b/corkgauge/peer_health/reports.py
@@ -31,7 +31,7 @@
 ]  # [witness, start, serial, age, engine, its start, fault, slowness in hundredths, samples]
 
 
-class Finding:
+class HealthReport:
     """One witness's last word on one engine; `at` is when it was found, by our clock."""
 
     __slots__ = (
@@ -77,7 +77,7 @@
         ]
 
 
-class Findings:
+class HealthReports:
     """Of one gateway, `name`, in its present `start`.
 
     >>> one, other = Findings("n1", 1), Findings("n2", 1)
@@ -92,9 +92,11 @@
 
     def __init__(self, name: str, start: int) -> None:
         self.name, self.start, self.serial = name, start, 0
-        self.by_engine: dict[str, dict[str, Finding]] = {}
-        self.by_witness: dict[str, dict[str, Finding]] = {}
-        self.fresh: dict[tuple[str, str], Finding] = {}  # still to be told, in the order they came
+        self.by_engine: dict[str, dict[str, HealthReport]] = {}
+        self.by_witness: dict[str, dict[str, HealthReport]] = {}
+        self.fresh: dict[
+            tuple[str, str], HealthReport
+        ] = {}  # still to be told, in the order they came
         self.refused = 0
 
     def found(
@@ -109,7 +111,9 @@
                 return False
         self.serial += 1
         self._hold(
-            Finding(self.name, self.start, self.serial, now, tag, started, fault, slowness, samples)
+            HealthReport(
+                self.name, self.start, self.serial, now, tag, started, fault, slowness, samples
+            )
         )
         return True
 
@@ -144,7 +148,7 @@
         """Does anybody, ourselves among them, hold something against it: a fault, or a slowness above `slow`?"""
         return any(each.fault != WELL or each.slowness > slow for each in self.of(tag))
 
-    def of(self, tag: str) -> Iterable[Finding]:
+    def of(self, tag: str) -> Iterable[HealthReport]:
         return self.by_engine.get(tag, {}).values()
 
     def forget(self, now: int, witnesses: Iterable[str]) -> None:
@@ -219,13 +223,13 @@
     def __len__(self) -> int:
         return sum(len(held) for held in self.by_witness.values())
 
-    def _hold(self, finding: Finding) -> None:
+    def _hold(self, finding: HealthReport) -> None:
         self.by_engine.setdefault(finding.tag, {})[finding.witness] = finding
         self.by_witness.setdefault(finding.witness, {})[finding.tag] = finding
         self.fresh.pop((finding.witness, finding.tag), None)
         self.fresh[finding.witness, finding.tag] = finding
 
-    def _drop(self, finding: Finding) -> None:
+    def _drop(self, finding: HealthReport) -> None:
         for held, key, other in (
             (self.by_engine, finding.tag, finding.witness),
             (self.by_witness, finding.witness, finding.tag),
@@ -236,7 +240,7 @@
         self.fresh.pop((finding.witness, finding.tag), None)
 
 
-def _sensible(row: Sequence[Any], now: int) -> Finding | None:
+def _sensible(row: Sequence[Any], now: int) -> HealthReport | None:
     """
     >>> _sensible(["n1", 1, 1, 0, "e1", 0, 9, 0, 0], 5) is None, _sensible([], 5) is None
     (True, True)
@@ -254,9 +258,9 @@
         and all(type(each) is int and 0 <= each < 2**62 for each in figures)
     ):
         return None
-    return Finding(witness, start, serial, now - age, tag, started, fault, slowness, samples)
+    return HealthReport(witness, start, serial, now - age, tag, started, fault, slowness, samples)
 
 
-def _size(finding: Finding) -> int:
+def _size(finding: HealthReport) -> int:
     """Octets of a row, on the high side."""
     return 40 + len(finding.witness) + len(finding.tag)
--- a/corkgauge/shared/storm.py
+++ b/corkgauge/peer_health/retry_throttle.py
@@ -18,7 +18,7 @@
 FEWEST = 3  # gateways that have to be heard, ourselves among them
 
 
-class Storm:
+class RetryThrottle:
     """`allowed` is the further hand-offs for each honoured submission that the rule gives, `floor` those beside.
 
     >>> storm = Storm("n1")
--- a/corkgauge/shared/exchange.py
+++ b/corkgauge/peer_health/service.py
@@ -8,15 +8,23 @@
 from statistics import median
 from typing import Any
 
-from corkgauge.configuration import Post
-from corkgauge.interface import READY
-from corkgauge.loop.boot import boot_time
-from corkgauge.loop.hub import SECOND
-from corkgauge.operator import Shared
-from corkgauge.shared.findings import ERROR, FAULTS, RESET, SILENT, UNREACHED, WELL, Findings
-from corkgauge.shared.storm import Storm
-from corkgauge.shared.turns import Turns
-from corkgauge.shared.weighing import NONE, OWN, Opinion, opinion
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.policy.records import READY
+from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.config.operator_file import Shared
+from corkgauge.peer_health.reports import (
+    ERROR,
+    FAULTS,
+    RESET,
+    SILENT,
+    UNREACHED,
+    WELL,
+    HealthReports,
+)
+from corkgauge.peer_health.retry_throttle import RetryThrottle
+from corkgauge.peer_health.permit_transfer import PermitTransfer
+from corkgauge.peer_health.aggregation import NONE, OWN, Opinion, opinion
 
 CODES = {"error": ERROR, "reset": RESET, "unreached": UNREACHED, "silent": SILENT}
 NOTABLE = 2.0  # times the usual slowness, from which it is worth telling
@@ -28,15 +36,15 @@
 TRIALS = 8  # gateways at a time that try an engine which many doubt
 
 
-class Exchange:
+class PeerHealthService:
     """`house` has `hub`, `log`, `gateway`, `stations`, `ledger` and `routes`; `society` are the fellows."""
 
-    def __init__(self, house: Any, post: Post, said: Shared, society: Any) -> None:
+    def __init__(self, house: Any, post: PlatformConfig, said: Shared, society: Any) -> None:
         self.house, self.hub, self.name, self.said = house, house.hub, post.name, said
         self.society, self.company = society, society.company
-        self.findings = Findings(self.name, self.company.letters.start)
-        self.storm = Storm(self.name)
-        self.turns = Turns(house.gateway.fall_span)
+        self.findings = HealthReports(self.name, self.company.letters.start)
+        self.storm = RetryThrottle(self.name)
+        self.turns = PermitTransfer(house.gateway.fall_span)
         self.opinions: dict[str, Opinion] = {}
         self.changed: set[str] = set()  # engines on which something new was heard
         self.serial = self.rounds = 0
