--- a/corkgauge/control.py
+++ b/corkgauge/policy/gateway.py
@@ -12,7 +12,7 @@
 from struct import pack
 from zlib import crc32
 
-from corkgauge.interface import (
+from corkgauge.policy.records import (
     CALLED_OFF,
     ERROR,
     FULL,
@@ -22,17 +22,17 @@
     PROGRESS,
     READY,
 )
-from corkgauge.interface import (
+from corkgauge.policy.records import (
     REDOABLE,
     RESET,
     TIMED_OUT,
     UNREACHED,
     Engine,
-    HandOff,
+    Attempt,
     Host,
-    Offering,
+    RequestClass,
 )
-from corkgauge.interface import Queue, Submission, View
+from corkgauge.policy.records import RequestQueue, Request, EngineStats
 
 SECOND, MOMENT = 10_000, 200  # a figure of many samples stands for a moment
 PERIOD, INTERVALS = 2 * SECOND, 5  # of the feedback; that the linear model sees
@@ -98,7 +98,7 @@
         number: int,
         gateways: int,
         tick: int,
-        offerings: list[Offering],
+        offerings: list[RequestClass],
         cancels: bool,
         copies: bool,
         most_handoffs: int,
@@ -136,16 +136,16 @@
             tuple[int, int], list[Engine]
         ] = {}  # all ready ones, by hall and kind, by rank
         self.placed: dict[Engine, tuple[int, int]] = {}
-        self.last: deque[tuple[View, float, float]] = (
+        self.last: deque[tuple[EngineStats, float, float]] = (
             deque()
         )  # hand-offs: where, usual work, table group
         self.groups: dict[float, float] = {}  # usual work among them, by table group
         self.orders: dict[object, list[Engine]] = {}
-        self.queues: dict[tuple[int, Offering], Queue] = {}
+        self.queues: dict[tuple[int, RequestClass], RequestQueue] = {}
         self.lost: dict[
             int, dict[Engine, int]
         ] = {}  # by hall: engines lost since any there gave a sign
-        self.lines: dict[int, deque[Submission]] = {}  # by key, in the order taken
+        self.lines: dict[int, deque[Request]] = {}  # by key, in the order taken
         self.rests: dict[int, int] = {}  # by key: a hand-off may still run until then
         self.honoured, self.extras = (
             list[int](),
@@ -168,7 +168,7 @@
         """The list names an engine; a drain or departure holds from this moment."""
         if engine.view is None or started > engine.started:
             engine.view, engine.threads = (
-                View(
+                EngineStats(
                     engine.view.spent if engine.view else deque(),
                     *(deque(maxlen=LAST) for _ in "sft"),
                 ),
@@ -203,11 +203,11 @@
         """A turn at a cold engine was passed on (work above 0), or came (below), as if it were sent then."""
         engine.view.spent.append((when, work))
 
-    def submission_taken(self, sub: Submission) -> None:
+    def submission_taken(self, sub: Request) -> None:
         """A client's submission; from now on one final answer is owed."""
         offering = sub.offering
         if (sub.tenant, offering) not in self.queues:
-            self.queues[sub.tenant, offering] = Queue(offering, deque(maxlen=INTERVALS))
+            self.queues[sub.tenant, offering] = RequestQueue(offering, deque(maxlen=INTERVALS))
             for each in self.queues.values():
                 each.share = 1 / len(self.queues)
         sub.queue = self.queues[sub.tenant, offering]
@@ -231,15 +231,15 @@
         else:
             self._join(sub)
 
-    def submission_left(self, sub: Submission) -> None:
+    def submission_left(self, sub: Request) -> None:
         if not sub.over:
             self._close(sub, sub.life)  # the client has gone; nothing more is owed
 
-    def expiry_near(self, sub: Submission) -> None:
+    def expiry_near(self, sub: Request) -> None:
         if not sub.over:
             self._end(sub)
 
-    def wait_over(self, sub: Submission, joined: int) -> None:
+    def wait_over(self, sub: Request, joined: int) -> None:
         """A submission has waited its part in vain: it is dismissed."""
         if not sub.over and joined == len(
             sub.handoffs
@@ -249,7 +249,7 @@
 
     def handoff_over(
         self,
-        handoff: HandOff,
+        handoff: Attempt,
         outcome: int,
         took: int,
         finished: bool,
@@ -283,7 +283,7 @@
         self.turn(sub.key)
         self._pump()
 
-    def handoff_progress(self, handoff: HandOff, sort: int, value: float) -> None:
+    def handoff_progress(self, handoff: Attempt, sort: int, value: float) -> None:
         """A note from the engine on a hand-off that is out."""
         sub, now = handoff.submission, self.host.now
         self._heard(handoff.engine)
@@ -295,7 +295,7 @@
         if self.cancels and left > 3 * self._time_of(sub):
             self._rescue(handoff)
 
-    def may_begin(self, handoff: HandOff) -> bool:
+    def may_begin(self, handoff: Attempt) -> bool:
         """Directly before its first byte, for which it may have waited: does what it rests on still hold?"""
         sub, engine, now = handoff.submission, handoff.engine, self.host.now
         ran = [h for h in self._ran(sub) if h is not handoff]
@@ -314,7 +314,7 @@
             insort(self.extras, now)
         return True
 
-    def patience_over(self, handoff: HandOff) -> None:
+    def patience_over(self, handoff: Attempt) -> None:
         view, now, usual = handoff.engine.view, self.host.now, self._usual_slowness()
         # Danger: an engine that takes work and answers nothing. Any sign clears it; one long or light draw is
         # no proof: all that is out there must have lasted several times the usual since that sign.
@@ -384,7 +384,7 @@
 
     # Shares and the lottery.
 
-    def _equalise(self, moving: list[Queue]) -> None:
+    def _equalise(self, moving: list[RequestQueue]) -> None:
         """Find the level of weighted badness that all can meet, each within one step."""
         lines = []
         for queue in moving:
@@ -414,12 +414,12 @@
         for queue in self.queues.values():
             queue.share /= whole
 
-    def _draw(self, queues: list[Queue]) -> Queue:
+    def _draw(self, queues: list[RequestQueue]) -> RequestQueue:
         self.drawn, tops = self.drawn + 1, [*accumulate(queue.share for queue in queues)]
         ticket = crc32(pack("<QQ", self.seed, self.drawn)) / 2**32 * tops[-1]
         return queues[min(bisect_right(tops, ticket), len(queues) - 1)]
 
-    def _pump(self, *queues: Queue) -> None:
+    def _pump(self, *queues: RequestQueue) -> None:
         """Fill free slots by lottery among the queues that can use one: these, or all."""
         able = [q for q in queues or self.queues.values() if q.waiting]
         while able:
@@ -433,14 +433,14 @@
             if not engine or not queue.waiting:
                 able.remove(queue)
 
-    def _join(self, sub: Submission) -> None:
+    def _join(self, sub: Request) -> None:
         sub.queued = True
         insort(sub.queue.waiting, sub, key=lambda each: each.work)
         self.host.wake(int(sub.life * WAIT_PART), self.wait_over, sub, len(sub.handoffs))
         # Danger: under overload a walk of all queues for each that joins takes the whole processor.
         self._pump(sub.queue)
 
-    def _unqueue(self, sub: Submission) -> None:
+    def _unqueue(self, sub: Request) -> None:
         if sub.queued:
             sub.queued = False
             sub.queue.waiting.remove(sub)
@@ -502,7 +502,7 @@
             : bisect_right(self.places[place], bar, key=lambda each: each.rank)
         ]
 
-    def _beyond(self, sub: Submission, tried: list[Engine]) -> Engine | None:
+    def _beyond(self, sub: Request, tried: list[Engine]) -> Engine | None:
         """Danger: those that know the label of what may have run may all lie outside the working set."""
         offering, ran = sub.offering, self._ran(sub)
         what = (
@@ -525,7 +525,7 @@
             able, key=lambda each: (self._crowd(each, offering, usual), each.rank), default=None
         )
 
-    def _open_to(self, offering: Offering, hall: int, kind: int) -> bool:
+    def _open_to(self, offering: RequestClass, hall: int, kind: int) -> bool:
         return hall in (offering.halls or (hall,)) and kind in (offering.kinds or (kind,))
 
     def _order(self, tables: float, bar: float = 1.0) -> list[Engine]:
@@ -539,7 +539,7 @@
             )
         return self.orders[tables, bar]
 
-    def _choose(self, sub: Submission) -> Engine | None:
+    def _choose(self, sub: Request) -> Engine | None:
         """The engine for the next hand-off; None while all that it may use are full."""
         # Danger: hundreds of gateways, each below its bound, overrun the engines together: hence the price.
         if sub.work * self.price > sub.offering.worth or (
@@ -589,7 +589,7 @@
             if seen:
                 return order[min(near or spare)[1]] if near or spare else None
 
-    def _may(self, sub: Submission, engine: Engine) -> bool:
+    def _may(self, sub: Request, engine: Engine) -> bool:
         """The rules on where a submission may go."""
         offering = sub.offering
         if not self._open_to(offering, engine.hall, engine.kind) or (
@@ -605,7 +605,7 @@
             not self._cold(engine) or self._cold_room(engine, offering.usual)
         )
 
-    def _set_aside(self, sub: Submission, engine: Engine, ran: list[HandOff]) -> bool:
+    def _set_aside(self, sub: Request, engine: Engine, ran: list[Attempt]) -> bool:
         # Danger: what may have run is tried again only where its mark is known, even where that drains.
         return (
             engine.aside > 1
@@ -646,7 +646,7 @@
             self._trusted(view) or all(h.sent < view.rests_until for h in view.out)
         )
 
-    def _full(self, engine: Engine, offering: Offering, usual: float) -> bool:
+    def _full(self, engine: Engine, offering: RequestClass, usual: float) -> bool:
         """The bound acts under pressure only: latency well above its best, or a submission a core told."""
         # Danger: with hundreds of gateways a part is less than one submission, and the busy ones starve.
         slots = engine.view.bound * max(self.slots * engine.cores, offering.threads)
@@ -659,7 +659,7 @@
         slots = slots if pressed else max(slots, CROWDED * engine.cores)
         return 0 < engine.threads > slots - offering.threads or now < view.refused_until
 
-    def _crowd(self, engine: Engine, offering: Offering, usual: float) -> float:
+    def _crowd(self, engine: Engine, offering: RequestClass, usual: float) -> float:
         """This gateway's threads a core, were it sent there; a slower engine has fewer cores in effect."""
         pace = max(
             1.0,
@@ -668,7 +668,7 @@
         )
         return (engine.threads + offering.threads) / engine.cores * pace
 
-    def _slow(self, view: View, otherwise: float) -> float:
+    def _slow(self, view: EngineStats, otherwise: float) -> float:
         """The median slowness of an engine's last answers, and of what is out longer than those took."""
         now = self.host.now
         if now >= view.slow_until:
@@ -679,7 +679,7 @@
             view.slow_until, view.slow = now + MOMENT, median(seen) if len(seen) >= FEW else 0.0
         return view.slow or view.hint or otherwise
 
-    def _trusted(self, view: View) -> bool:
+    def _trusted(self, view: EngineStats) -> bool:
         """After a lost connection or silence one good answer is enough; errors may come between good ones."""
         return view.faults.count("error") < 2 and not (view.faults and view.faults[-1])
 
@@ -720,7 +720,7 @@
 
     # Hand-offs.
 
-    def _release(self, sub: Submission, engine: Engine) -> None:
+    def _release(self, sub: Request, engine: Engine) -> None:
         """Hand a submission off, with its memory and its priority."""
         now, offering = self.host.now, sub.offering
         self._unqueue(sub)
@@ -730,7 +730,7 @@
         if not offering.ordered:
             priority -= sum(sub.work > part * self.usual_work > 0 for part in TIERS)
         self.host.set_terms(sub, self._grant(sub, engine), max(priority, 0))
-        handoff = HandOff(
+        handoff = Attempt(
             sub,
             engine,
             len(sub.handoffs),
@@ -758,7 +758,7 @@
         self.host.hand_off(handoff, max(1, sub.taken + sub.life - now - self.margin // 2))
         self.host.wake(int(max(0.5 * sub.aim, 2 * self._time_of(sub))), self.patience_over, handoff)
 
-    def _grant(self, sub: Submission, engine: Engine) -> float:
+    def _grant(self, sub: Request, engine: Engine) -> float:
         """Memory as estimated, corrected by what answers told; 0 leaves it to the engine."""
         ratios = sorted(need for _, need, _ in sub.offering.samples if need)
         known = sub.memory and len(ratios) >= FEW
@@ -766,7 +766,7 @@
             min(sub.memory * ratios[int(0.85 * len(ratios))], engine.most_memory) if known else 0.0
         )
 
-    def _rescue(self, handoff: HandOff, share: float = 1.0) -> None:
+    def _rescue(self, handoff: Attempt, share: float = 1.0) -> None:
         """Try a hand-off that does badly elsewhere: called off first, or a second copy."""
         sub = (
             handoff.submission
@@ -779,7 +779,7 @@
             elif self.copies and sum(h.out for h in sub.handoffs) < 2:
                 self._join(sub)
 
-    def _may_again(self, sub: Submission) -> bool:
+    def _may_again(self, sub: Request) -> bool:
         """The rule on effects: may there be another hand-off, whatever the budget says?"""
         ran = self._ran(sub)
         # Danger: what two engines cannot use speaks against the submission; more would spend others' budget.
@@ -789,7 +789,7 @@
             and (self._repeatable(sub, ran))
         )
 
-    def _repeatable(self, sub: Submission, ran: list[HandOff]) -> bool:
+    def _repeatable(self, sub: Request, ran: list[Attempt]) -> bool:
         return (
             not ran
             or sub.offering.repeat == REDOABLE
@@ -799,7 +799,7 @@
             )
         )
 
-    def _ran(self, sub: Submission) -> list[HandOff]:
+    def _ran(self, sub: Request) -> list[Attempt]:
         return [*sub.before, *(h for h in sub.handoffs if h.outcome not in NEVER_RAN)]
 
     def _extra_left(self, share: float = 1.0) -> bool:
@@ -809,7 +809,7 @@
             del whens[: bisect_right(whens, self.host.now - span)]
         return len(self.extras) + 1 <= share * self.strict * (floor + part * len(self.honoured))
 
-    def _end(self, sub: Submission) -> None:
+    def _end(self, sub: Request) -> None:
         """The gateway gives a submission up: the answer goes at once."""
         harmless = (
             sub.offering.repeat == REDOABLE
@@ -820,7 +820,7 @@
         self.host.dismiss(sub, self.come_back) if harmless else self.host.scrap(sub)
         self._close(sub, sub.life)
 
-    def _close(self, sub: Submission, latency: int) -> None:
+    def _close(self, sub: Request, latency: int) -> None:
         """A submission is over, however it ended; the starved ones count as badness too."""
         self._unqueue(sub)
         sub.over = True
@@ -829,7 +829,7 @@
             self._call_off(handoff)
         self.turn(sub.key)
 
-    def _call_off(self, handoff: HandOff) -> None:
+    def _call_off(self, handoff: Attempt) -> None:
         if self.cancels and handoff.out and not handoff.called_off:
             handoff.called_off = True
             self.host.call_off(handoff)
@@ -871,7 +871,7 @@
             offering.samples.extend(samples)
             offering.usual = self._usual_work(offering)
         for tenant, offering, share in said["queues"]:
-            self.queues[tenant, offering] = Queue(offering, deque(maxlen=INTERVALS), share)
+            self.queues[tenant, offering] = RequestQueue(offering, deque(maxlen=INTERVALS), share)
 
     def key_rests(self, key: int, until: int) -> None:
         """A hand-off of this key may still run, for an earlier start of this gateway."""
@@ -880,7 +880,7 @@
 
     # Measurements.
 
-    def _learn(self, handoff: HandOff, took: int, work: int, need: float, inflight: float) -> None:
+    def _learn(self, handoff: Attempt, took: int, work: int, need: float, inflight: float) -> None:
         sub, engine, now, outcome = (
             handoff.submission,
             handoff.engine,
@@ -916,13 +916,13 @@
         if outcome in (FULL, TIMED_OUT):
             self._step(view, offering, -STEP)
 
-    def _step(self, view: View, offering: Offering, step: float) -> None:
+    def _step(self, view: EngineStats, offering: RequestClass, step: float) -> None:
         view.bound = min(2.0, max(LEAST_BOUND, view.bound + step))
         told = min(max(offering.usual / max(self.usual_work, 1.0), LEAST_TOLD), 2.0)
         price = max(self.price, self.least_price) * (1 - step * told)
         self.price = min(price, self.most_price) if price > self.least_price else 0.0
 
-    def _expected_work(self, sub: Submission) -> float:
+    def _expected_work(self, sub: Request) -> float:
         """The work of a submission: its estimate, corrected by what this offering's answers told."""
         if not sub.estimate:
             return sub.offering.usual
@@ -931,7 +931,7 @@
         ]  # none where answers do not tell
         return sub.estimate * (median(ratios) if len(ratios) >= FEW else 1.0)
 
-    def _usual_work(self, offering: Offering) -> float:
+    def _usual_work(self, offering: RequestClass) -> float:
         """The usual work of an offering, on the high side while little is known."""
         works = [work for _, _, work in offering.samples]
         return (
@@ -940,5 +940,5 @@
             else max([2.0 * offering.aim * offering.threads, *works])
         )
 
-    def _time_of(self, sub: Submission) -> float:
+    def _time_of(self, sub: Request) -> float:
         return sub.work / sub.offering.threads * self._usual_slowness()
--- a/corkgauge/interface.py
+++ b/corkgauge/policy/records.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Offering:
+class RequestClass:
     """A kind of work, with what its customers were promised."""
 
     name: str
@@ -62,7 +62,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class View:
+class EngineStats:
     """The last few things that one gateway has seen of one engine."""
 
     spent: Any  # when, and usual work sent
@@ -79,27 +79,27 @@
     hint: float = 0.0  # how slow others found it; whether they doubt it: 1, 2
     doubt: int = 0
     slow_until: int = -1
-    out: list["HandOff"] = field(default_factory=list)
+    out: list["Attempt"] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
-class Queue:
+class RequestQueue:
     """The submissions of one tenant and offering that wait for a slot."""
 
-    offering: Offering
+    offering: RequestClass
     model: Any  # the last few intervals: share, p
     share: float = 0.0
     asked: float = 0.0  # ends of the last periods, the older the less
     badness: list[float] = field(default_factory=list)  # latency over promised time, this interval
-    waiting: list["Submission"] = field(default_factory=list)
+    waiting: list["Request"] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
-class Submission:
+class Request:
     """What a client asked for; the gateway owes it one final answer."""
 
     tag: Any
-    offering: Offering
+    offering: RequestClass
     tenant: int
     tables: float
     taken: int
@@ -112,16 +112,16 @@
     work: float = 0.0
     aim: float = 0.0
     queue: Any = None
-    handoffs: list["HandOff"] = field(default_factory=list)
+    handoffs: list["Attempt"] = field(default_factory=list)
     # of its label, that may have run for an earlier try
-    before: list["HandOff"] = field(default_factory=list)
+    before: list["Attempt"] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
-class HandOff:
+class Attempt:
     """One try of a submission at an engine."""
 
-    submission: Submission
+    submission: Request
     engine: Engine
     number: int
     sent: int
@@ -139,10 +139,10 @@
     now: int
     lag: int  # that its events have to wait at present
 
-    def hand_off(self, handoff: HandOff, allow: int) -> None: ...
-    def set_terms(self, submission: Submission, memory: float, priority: int) -> None: ...
-    def dismiss(self, submission: Submission, come_back: int) -> None: ...
-    def scrap(self, submission: Submission) -> None: ...
-    def call_off(self, handoff: HandOff) -> None: ...
+    def hand_off(self, handoff: Attempt, allow: int) -> None: ...
+    def set_terms(self, submission: Request, memory: float, priority: int) -> None: ...
+    def dismiss(self, submission: Request, come_back: int) -> None: ...
+    def scrap(self, submission: Request) -> None: ...
+    def call_off(self, handoff: Attempt) -> None: ...
     def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def log(self, line: str) -> None: ...
--- a/corkgauge/recall/effects.py
+++ b/corkgauge/recovery/attempt_log.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Effect:
+class LoggedAttempt:
     """A hand-off that may have run: of which label and key, where and when; engines know it `until`."""
 
     serial: int
@@ -46,7 +46,7 @@
     return HEAD.pack(len(packed), xxhash.xxh32_intdigest(packed)) + packed
 
 
-def sent(effect: Effect) -> bytes:
+def sent(effect: LoggedAttempt) -> bytes:
     return record(
         [
             SENT,
@@ -114,17 +114,17 @@
     return False
 
 
-class Effects:
+class AttemptLog:
     """What may have run, by label; and the keys whose last hand-off has no outcome."""
 
     def __init__(self) -> None:
-        self.by_serial: dict[int, Effect] = {}
-        self.by_label: dict[tuple[str, str], dict[int, Effect]] = {}
+        self.by_serial: dict[int, LoggedAttempt] = {}
+        self.by_label: dict[tuple[str, str], dict[int, LoggedAttempt]] = {}
 
     def __len__(self) -> int:
         return len(self.by_serial)
 
-    def sent(self, effect: Effect) -> None:
+    def sent(self, effect: LoggedAttempt) -> None:
         self.by_serial[effect.serial] = effect
         self.by_label.setdefault((effect.offering, effect.label), {})[effect.serial] = effect
         # Danger: a log without end, or one that claims to be, would fill the memory.
@@ -152,14 +152,16 @@
                     )
                 ):
                     return False
-                self.sent(Effect(serial, label, offering, key, engine, hall, cell, when, until))
+                self.sent(
+                    LoggedAttempt(serial, label, offering, key, engine, hall, cell, when, until)
+                )
             else:
                 self.over(body[1], bool(body[2]))
         except (ValueError, TypeError, IndexError):
             return False
         return True
 
-    def of(self, offering: str, label: str, now: int) -> list[Effect]:
+    def of(self, offering: str, label: str, now: int) -> list[LoggedAttempt]:
         """Those of a label that engines still remember, the oldest first."""
         found = self.by_label.get((offering, label), {})
         return [effect for effect in found.values() if now < effect.until]
@@ -174,11 +176,11 @@
         """The lowest serial that still counts."""
         return next(iter(self.by_serial), otherwise)
 
-    def unsettled(self) -> list[Effect]:
+    def unsettled(self) -> list[LoggedAttempt]:
         """Without an outcome; after a restart their keys must rest."""
         return [effect for effect in self.by_serial.values() if effect.open]
 
-    def _drop(self, effect: Effect) -> None:
+    def _drop(self, effect: LoggedAttempt) -> None:
         del self.by_serial[effect.serial]
         several = self.by_label[effect.offering, effect.label]
         del several[effect.serial]
--- a/corkgauge/recall/learned.py
+++ b/corkgauge/recovery/learned_state.py
@@ -11,7 +11,7 @@
 
 from typing import Any
 
-from corkgauge.recall import ageing
+from corkgauge.recovery import decay as ageing
 
 
 def copied(gateway: Any) -> dict[str, Any]:
--- a/corkgauge/recall/keeping.py
+++ b/corkgauge/recovery/service.py
@@ -10,14 +10,19 @@
 import sys
 from typing import Any
 
-from corkgauge.figures.shelf import safe
-from corkgauge.interface import NEVER_RAN, RESET, Engine, HandOff
-from corkgauge.loop.boot import boot_of
-from corkgauge.loop.hub import READ, SECOND
-from corkgauge.operator import Recall
-from corkgauge.recall import effects, learned, snapshot, writer
-from corkgauge.recall.ageing import age_of, inf
-from corkgauge.recall.writer import (
+from corkgauge.accounting.checkpoint_file import safe
+from corkgauge.policy.records import NEVER_RAN, RESET, Engine, Attempt
+from corkgauge.eventloop.clock import boot_of
+from corkgauge.eventloop.loop import READ, SECOND
+from corkgauge.config.operator_file import Recall
+from corkgauge.recovery import (
+    attempt_log as effects,
+    learned_state as learned,
+    snapshot,
+    log_writer as writer,
+)
+from corkgauge.recovery.decay import age_of, inf
+from corkgauge.recovery.log_writer import (
     EFFECT,
     FLOOR,
     FRAME,
@@ -34,7 +39,7 @@
 ALL_HALLS = "all"
 
 
-class Keeping:
+class RecoveryService:
     """`house` has `hub`, `gateway`, `stated`, `ledger` and `log`."""
 
     def __init__(self, house: Any, gateway: str, mark: int, said: Recall) -> None:
@@ -46,7 +51,7 @@
             mark,
         )
         self.name = safe(gateway)
-        self.effects = effects.Effects()
+        self.effects = effects.AttemptLog()
         self.serial = 0
         self.helper: subprocess.Popen | None = None
         self.ending = False
@@ -77,7 +82,7 @@
 
     # At a start.
 
-    def _recall(self) -> list[effects.Effect]:
+    def _recall(self) -> list[effects.LoggedAttempt]:
         """The effects that were unsettled."""
         now, (boot, since_boot) = self.hub.now, boot_of()
         unsettled = self._read_effects(now)
@@ -92,7 +97,7 @@
                 counts = learned.recalled(said, self.house.gateway, self.house.offerings, now, age)
             except FileNotFoundError:
                 continue
-            except (OSError, snapshot.Unusable) as problem:
+            except (OSError, snapshot.UnusableSnapshotError) as problem:
                 why = getattr(problem, "strerror", None) or problem
                 self.house.log(f"recall: {path} is {why}, passed over")
                 continue
@@ -109,7 +114,7 @@
             break
         return unsettled
 
-    def _read_effects(self, now: int) -> list[effects.Effect]:
+    def _read_effects(self, now: int) -> list[effects.LoggedAttempt]:
         """The last of the log, as far as its bound; keys with a hand-off of unknown outcome rest."""
         left, paths = MOST_LOG, []
         for _, path in reversed(
@@ -151,11 +156,11 @@
 
     # What the host tells.
 
-    def sending(self, handoff: HandOff, label: str) -> int:
+    def sending(self, handoff: Attempt, label: str) -> int:
         """A hand-off of a labelled or ordered submission goes out; its entry goes first. Its serial here."""
         sub, engine = handoff.submission, handoff.engine
         self.serial += 1
-        effect = effects.Effect(
+        effect = effects.LoggedAttempt(
             self.serial,
             label,
             sub.offering.name,
@@ -180,7 +185,7 @@
         known = self.effects.of(sub.offering.name, label, self.hub.now)
         if known and sub.offering.group != ALL_HALLS:
             sub.before = [
-                HandOff(
+                Attempt(
                     None,
                     Engine(each.engine, b"", each.hall, 0, each.cell),
                     -1,
--- a/corkgauge/recall/snapshot.py
+++ b/corkgauge/recovery/snapshot.py
@@ -18,7 +18,7 @@
 LARGEST = 16 * 2**20
 
 
-class Unusable(ValueError):
+class UnusableSnapshotError(ValueError):
     """One word or two: why a snapshot does not count."""
 
 
@@ -35,28 +35,28 @@
     1
     >>> read(packed({"gateway": "n1", "mark": 7, "at": 1}), "n2", 7)
     Traceback (most recent call last):
-    corkgauge.recall.snapshot.Unusable: of another gateway
+    corkgauge.recovery.snapshot.Unusable: of another gateway
     """
     if len(data) > LARGEST:
-        raise Unusable("too large")
+        raise UnusableSnapshotError("too large")
     if len(data) < OVERHEAD or not data.startswith(MAGIC):
-        raise Unusable("foreign")
+        raise UnusableSnapshotError("foreign")
     _, version, length = HEAD.unpack_from(data)
     if version > VERSION:
-        raise Unusable(f"of version {version}, newer than {VERSION}")
+        raise UnusableSnapshotError(f"of version {version}, newer than {VERSION}")
     body = data[OVERHEAD:]
     if len(body) != length or SUM.unpack_from(data, HEAD.size)[0] != xxhash.xxh64_intdigest(
         body, xxhash.xxh64_intdigest(data[: HEAD.size])
     ):
-        raise Unusable("torn")
+        raise UnusableSnapshotError("torn")
     try:
         said = msgpack.unpackb(body, strict_map_key=False)
     except (ValueError, msgpack.UnpackException):
-        raise Unusable("torn") from None
+        raise UnusableSnapshotError("torn") from None
     if not isinstance(said, dict) or not isinstance(said.get("at"), int):
-        raise Unusable("foreign")
+        raise UnusableSnapshotError("foreign")
     if gateway and said.get("gateway") != gateway:
-        raise Unusable("of another gateway")
+        raise UnusableSnapshotError("of another gateway")
     if gateway and said.get("mark") != mark:
-        raise Unusable("of other settings")
+        raise UnusableSnapshotError("of other settings")
     return said
--- a/corkgauge/drill/__main__.py
+++ b/corkgauge/simulator/__main__.py
@@ -5,8 +5,8 @@
 from struct import Struct, pack
 from typing import BinaryIO
 
-from corkgauge.drill.door import Door
-from corkgauge.drill.wire import Cursor, Malformed, read_frame, write_frame
+from corkgauge.simulator.host import SimulatedHost
+from corkgauge.simulator.protocol import Cursor, ProtocolError, read_frame, write_frame
 
 CODE, INSTANCE, COUNT16, COUNT32 = Struct("<B"), Struct("<I"), Struct("<H"), Struct("<I")
 BORN, UPDATE, DEMAND = Struct("<Q"), Struct("<BIH"), Struct("<QfHfHIIQI")
@@ -20,11 +20,11 @@
     return cursor.take(Struct(f"<{count}f"))
 
 
-class Ground:
+class SimulatorAdapter:
     """All instances of this process; they share nothing but the numbered lists."""
 
     def __init__(self) -> None:
-        self.doors: dict[int, Door] = {}
+        self.doors: dict[int, SimulatedHost] = {}
         self.lists: dict[int, list[tuple]] = {}
         self.actions: list[bytes] = []
 
@@ -38,12 +38,12 @@
             self.lists[number] = list(ENTRY.iter_unpack(run))
             return
         if code not in (10, 20, 30, 40, 50, 60, 70, 80, 90, 100, 110):
-            raise Malformed(f"unknown record code {code}")
+            raise ProtocolError(f"unknown record code {code}")
         (instance,) = cursor.take(INSTANCE)
         if code == 10:
             (seed,) = cursor.take(BORN)
             fields = seed, cursor.run(cursor.take(COUNT32)[0])
-            self.doors[instance] = Door(instance, self.actions)
+            self.doors[instance] = SimulatedHost(instance, self.actions)
         elif code == 20:
             form, _, number = cursor.take(UPDATE)
             fields = form, [] if form == 4 else self.lists.get(number, [])
@@ -100,7 +100,7 @@
             for _ in range(count):
                 self.record(cursor, clock)
             if cursor.at != len(cursor.body):
-                raise Malformed(
+                raise ProtocolError(
                     f"{len(cursor.body) - cursor.at} bytes left over after {count} records"
                 )
             write_frame(sink, number, self.actions)
@@ -109,9 +109,9 @@
 
 def main() -> int:
     try:
-        Ground().serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (Malformed, BrokenPipeError) as problem:
-        print(f"corkgauge.drill: {problem}", file=sys.stderr)
+        SimulatorAdapter().serve(sys.stdin.buffer, sys.stdout.buffer)
+    except (ProtocolError, BrokenPipeError) as problem:
+        print(f"corkgauge.simulator: {problem}", file=sys.stderr)
         return 1
     return 0
 
--- a/corkgauge/drill/door.py
+++ b/corkgauge/simulator/host.py
@@ -5,16 +5,16 @@
 from struct import Struct, pack
 from typing import Any
 
-from corkgauge.control import Gateway
-from corkgauge.interface import GONE, Engine, HandOff, Submission
-from corkgauge.stated import Stated
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import GONE, Engine, Attempt, Request
+from corkgauge.config.settings import Settings
 
 U32 = (1 << 32) - 1
 ROUTE, COOL = Struct("<BIQ6sI"), Struct("<BIQI")
 TERMS, REQUEST, TRY, TIMER = Struct("<BIQfB"), Struct("<BIQ"), Struct("<BIQH"), Struct("<BIQI")
 
 
-class Door:
+class SimulatedHost:
     """Holds the ids of one instance and the host side of its gateway."""
 
     lag = 0  # simulated events never wait
@@ -24,30 +24,30 @@
         self.now = 0
         self.gateway: Gateway | None = None
         self.engines: dict[bytes, Engine] = {}
-        self.submissions: dict[int, Submission] = {}
+        self.submissions: dict[int, Request] = {}
         self.wakes: dict[int, tuple[Callable[..., None], tuple]] = {}
         self.nonce = 0
         self.stated: Any = None
 
     # What the gateway may do.
 
-    def hand_off(self, handoff: HandOff, allow: int) -> None:
+    def hand_off(self, handoff: Attempt, allow: int) -> None:
         self.actions.append(
             ROUTE.pack(
                 90, self.number, handoff.submission.tag, handoff.engine.tag, min(allow * 100, U32)
             )
         )
 
-    def set_terms(self, submission: Submission, memory: float, priority: int) -> None:
+    def set_terms(self, submission: Request, memory: float, priority: int) -> None:
         self.actions.append(TERMS.pack(110, self.number, submission.tag, memory, priority))
 
-    def dismiss(self, submission: Submission, come_back: int) -> None:
+    def dismiss(self, submission: Request, come_back: int) -> None:
         self.actions.append(COOL.pack(40, self.number, submission.tag, min(come_back * 100, U32)))
 
-    def scrap(self, submission: Submission) -> None:
+    def scrap(self, submission: Request) -> None:
         self.actions.append(REQUEST.pack(100, self.number, submission.tag))
 
-    def call_off(self, handoff: HandOff) -> None:
+    def call_off(self, handoff: Attempt) -> None:
         self.actions.append(TRY.pack(120, self.number, handoff.submission.tag, handoff.number))
 
     def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
@@ -63,7 +63,7 @@
 
     def born(self, seed: int, text: bytes) -> None:
         """Read what is stated at start; the gateway keeps only what it derives from it."""
-        self.stated = Stated(json.loads(text), self, seed)
+        self.stated = Settings(json.loads(text), self, seed)
         self.gateway = self.stated.gateway
 
     def update(self, form: int, entries: list[tuple]) -> None:
@@ -95,7 +95,7 @@
         key: int,
         budget: int,
     ) -> None:
-        submission = Submission(
+        submission = Request(
             tag,
             self.stated.offerings[kind],
             tenant,
@@ -137,10 +137,10 @@
         method, what = self.wakes.pop(nonce, (None, ()))
         if method is not None:
             method(*what)
-            if what and isinstance(what[0], Submission):
+            if what and isinstance(what[0], Request):
                 self.forget(what[0])
 
-    def forget(self, submission: Submission) -> None:
+    def forget(self, submission: Request) -> None:
         """An id is kept while its submission lives or one of its hand-offs is out."""
         if submission.over and not any(h.out for h in submission.handoffs):
             self.submissions.pop(submission.tag, None)
--- a/corkgauge/drill/wire.py
+++ b/corkgauge/simulator/protocol.py
@@ -7,7 +7,7 @@
 REPLY = struct.Struct("<III")
 
 
-class Malformed(Exception):
+class ProtocolError(Exception):
     """The peer broke the framing; nothing sensible can follow."""
 
 
@@ -21,7 +21,7 @@
         """The next fields of this shape."""
         at = self.at
         if at + shape.size > len(self.body):
-            raise Malformed(f"record cut short at byte {at} of {len(self.body)}")
+            raise ProtocolError(f"record cut short at byte {at} of {len(self.body)}")
         self.at = at + shape.size
         return shape.unpack_from(self.body, at)
 
@@ -29,7 +29,7 @@
         """The next bytes, so many."""
         at = self.at
         if at + size > len(self.body):
-            raise Malformed(f"{size} bytes announced at byte {at}, {len(self.body) - at} there")
+            raise ProtocolError(f"{size} bytes announced at byte {at}, {len(self.body) - at} there")
         self.at = at + size
         return self.body[at : at + size]
 
@@ -46,19 +46,19 @@
     True
     >>> read_frame(io.BytesIO(b"\\x10\\0"))
     Traceback (most recent call last):
-    corkgauge.drill.wire.Malformed: input ended inside a frame's length
+    corkgauge.simulator.protocol.Malformed: input ended inside a frame's length
     """
     head = source.read(4)
     if not head:
         return None
     if len(head) < 4:
-        raise Malformed("input ended inside a frame's length")
+        raise ProtocolError("input ended inside a frame's length")
     size = int.from_bytes(head, "little")
     if size < HEADER.size - 4:
-        raise Malformed(f"impossible frame length {size}")
+        raise ProtocolError(f"impossible frame length {size}")
     body = source.read(size)
     if len(body) < size:
-        raise Malformed(f"input ended inside a frame: {len(body)} of {size} bytes")
+        raise ProtocolError(f"input ended inside a frame: {len(body)} of {size} bytes")
     _, clock, count, number = HEADER.unpack(head + body[: HEADER.size - 4])
     return clock, count, number, Cursor(body[HEADER.size - 4 :])
 
--- /dev/null
+++ b/corkgauge/testkit/checkers/__init__.py
@@ -0,0 +1,1 @@
+"""Checkers that stand outside of the program under test."""
--- a/corkgauge/standins/judge.py
+++ b/corkgauge/testkit/checkers/leases.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from corkgauge.duties.guard import Guard
-from corkgauge.fellows.company import Company, Fellow
-from corkgauge.fellows.letters import Key
-from corkgauge.loop.hub import READ, Hub
-from corkgauge.standins.chance import Chance
+from corkgauge.leases.fencing import FencingGuard
+from corkgauge.membership.member_list import MemberList, Member
+from corkgauge.membership.datagrams import Key
+from corkgauge.eventloop.loop import READ, EventLoop
+from corkgauge.testkit.seeded_random import SeededRandom
 
 ZERO = {
     "epoch": "judge",
@@ -35,27 +35,27 @@
     admitted: bool
 
 
-class Judge:
+class LeaseChecker:
     """`fellows` are (name, address) of the gateways as the judge reaches them."""
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         name: str,
         keys: list[bytes],
         fellows: list[tuple[str, tuple[str, int]]],
         period: int,
         guarded: bool = True,
     ) -> None:
-        self.hub, self.name, self.chances = hub, name, Chance(97)
+        self.hub, self.name, self.chances = hub, name, SeededRandom(97)
         self.addresses = dict(fellows)
         self.acts: list[Act] = []
-        self.guard, self.guarded = Guard(), guarded
+        self.guard, self.guarded = FencingGuard(), guarded
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        self.company = Company(
+        self.company = MemberList(
             self,
             name,
             hub.now // 10 << 12,
@@ -120,7 +120,7 @@
     def log(self, line: str) -> None:
         pass
 
-    def changed(self, fellow: Fellow, before: int) -> None:
+    def changed(self, fellow: Member, before: int) -> None:
         pass
 
 
--- a/corkgauge/standins/rules.py
+++ b/corkgauge/testkit/checkers/rules.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.net.client_wire import SERVED
-from corkgauge.standins.clients import Ask
-from corkgauge.standins.engines import REMEMBERED, Run
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.net.client_protocol import SERVED
+from corkgauge.testkit.emulators.clients import Ask
+from corkgauge.testkit.emulators.engines import REMEMBERED, Run
 
 MOMENT = 500  # between a signal and its effect
 SLACK = 500  # that each time limit is longer on sockets; tests add what their machine needs
--- /dev/null
+++ b/corkgauge/testkit/emulators/__init__.py
@@ -0,0 +1,1 @@
+"""Emulators of engines, clients, discovery and flow collectors."""
--- a/corkgauge/standins/clients.py
+++ b/corkgauge/testkit/emulators/clients.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.loop.link import dial
-from corkgauge.net.client_wire import FAILED, REFUSED, SERVED
-from corkgauge.standins.chance import Chance
-from corkgauge.standins.listener import linked
-from corkgauge.standins.machines import ClientSide, ready_question, request, withdrawal
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.eventloop.connection import dial
+from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.emulators.listener import linked
+from corkgauge.testkit.emulators.protocols import ClientSide, ready_question, request, withdrawal
 
 PAUSE = 500  # between two dials
 TOLD = {SERVED: "served", REFUSED: "refused", FAILED: "failed"}
@@ -48,13 +48,13 @@
     label: str = ""
 
 
-class ClientStandIn:
+class EmulatedClient:
     """One client. `rate` is submissions a second; `gives_up` the share it takes back, `hangs_up` the share at
     which it closes its connection instead."""
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         address: tuple[str, int],
         wants: list[Want],
         tenant: str,
@@ -71,7 +71,7 @@
             tenant,
             rate,
         )
-        self.gives_up, self.hangs_up, self.chance = gives_up, hangs_up, Chance(seed)
+        self.gives_up, self.hangs_up, self.chance = gives_up, hangs_up, SeededRandom(seed)
         self.book = list[Ask]()
         self.retries, self.again = retries, deque[Ask]()  # labelled ones whose connection went
         self.open: dict[int, Ask] = {}
--- a/corkgauge/standins/collector.py
+++ b/corkgauge/testkit/emulators/collector.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.flow.decoder import Decoder, Heard, Malformed, Stream
-from corkgauge.loop.hub import READ, Hub
-from corkgauge.loop.ring import Allowance, Ring
-from corkgauge.standins.listener import ABORTED, Listener, linked
+from corkgauge.flow_export.decoder import Decoder, Heard, MalformedMessageError, Stream
+from corkgauge.eventloop.loop import READ, EventLoop
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
+from corkgauge.testkit.emulators.listener import ABORTED, Listener, linked
 
 
-class CollectorStandIn:
+class EmulatedCollector:
     """`transport` is udp, tcp or tls (with a server's `context`); `heard(message, bytes)` gets each one."""
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         transport: str,
         heard: Callable[[Heard, bytes], None] = lambda *_: None,
         address: tuple[str, int] = ("127.0.0.1", 0),
@@ -74,7 +74,7 @@
         """One message; False where its session is to be reset."""
         try:
             heard = decoder.message(data)
-        except Malformed as problem:
+        except MalformedMessageError as problem:
             self.wrong.append(str(problem))
             return True
         if heard.unknown:
@@ -86,7 +86,7 @@
 class Guest:
     """One connection to it."""
 
-    def __init__(self, collector: CollectorStandIn, sock: Any) -> None:
+    def __init__(self, collector: EmulatedCollector, sock: Any) -> None:
         self.collector = collector
         collector.sessions += 1
         self.stream, self.decoder = Stream(), Decoder()
@@ -103,7 +103,7 @@
                 if not self.collector.take(self.decoder, message):
                     self.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTED)
                     return "reset at a template"
-        except Malformed as problem:
+        except MalformedMessageError as problem:
             self.collector.wrong.append(str(problem))
             return str(problem)
         return ""
@@ -120,8 +120,8 @@
 
     def __init__(self, owner: Guest, deaf: bool) -> None:
         self.owner, self.whole, self.deaf = owner, 0, deaf
-        allowance = Allowance(2**24)
-        self.inward, self.outward = Ring(65_536, allowance), Ring(4096, allowance)
+        allowance = MemoryBudget(2**24)
+        self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(4096, allowance)
         if deaf:
             self.inward.put(bytes(self.inward.free))
 
@@ -134,8 +134,8 @@
 
     def __init__(self, owner: Guest, context: ssl.SSLContext) -> None:
         self.owner, self.whole, self.shaken = owner, 0, False
-        allowance = Allowance(2**24)
-        self.inward, self.outward = Ring(65_536, allowance), Ring(65_536, allowance)
+        allowance = MemoryBudget(2**24)
+        self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(65_536, allowance)
         self.into, self.out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.session = context.wrap_bio(self.into, self.out, server_side=True)
 
--- a/corkgauge/standins/feed.py
+++ b/corkgauge/testkit/emulators/discovery.py
@@ -6,15 +6,15 @@
 import json
 from typing import Any
 
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.standins.listener import Listener, linked
-from corkgauge.standins.machines import FeedDoor
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.testkit.emulators.listener import Listener, linked
+from corkgauge.testkit.emulators.protocols import FeedDoor
 
 
 class Reader:
     """A gateway that reads the feed."""
 
-    def __init__(self, feed: "FeedStandIn", sock: Any) -> None:
+    def __init__(self, feed: "EmulatedDiscovery", sock: Any) -> None:
         self.feed, self.last = feed, -1
         self.link = linked(feed.hub, sock, FeedDoor(self), self)
 
@@ -39,10 +39,10 @@
         self.feed.listener.left(self)
 
 
-class FeedStandIn:
+class EmulatedDiscovery:
     """`changes` holds when each state of an engine was told: (when, engine, state, started in ms)."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: EventLoop) -> None:
         self.hub, self.version = hub, 0
         self.events: list[dict[str, Any]] = []
         self.changes: list[tuple[int, str, str, int]] = []
--- a/corkgauge/standins/engines.py
+++ b/corkgauge/testkit/emulators/engines.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.net.engine_wire import command
-from corkgauge.standins.chance import Chance
-from corkgauge.standins.listener import Listener, linked
-from corkgauge.standins.machines import EngineDoor
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.net.engine_protocol import command
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.emulators.listener import Listener, linked
+from corkgauge.testkit.emulators.protocols import EngineDoor
 
 REMEMBERED = 20 * SECOND  # that a label is known, against repeats
 # Troubles that an engine may be given, each with what its figure means.
@@ -50,7 +50,7 @@
 class Guest:
     """A gateway's connection."""
 
-    def __init__(self, engine: "EngineStandIn", sock: Any) -> None:
+    def __init__(self, engine: "EmulatedEngine", sock: Any) -> None:
         self.engine, self.runs = engine, dict[str, Run]()
         self.link = linked(engine.hub, sock, EngineDoor(self), self)
 
@@ -68,12 +68,12 @@
         self.runs.clear()
 
 
-class EngineStandIn:
+class EmulatedEngine:
     """One engine. `mean` holds the mean work of each offering in ms of one core, `cores` how many it has."""
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         name: str,
         kind: str,
         hall: str,
@@ -90,7 +90,7 @@
             cores,
             mean,
         )
-        self.chance, self.book = Chance(seed), list[Run]()
+        self.chance, self.book = SeededRandom(seed), list[Run]()
         self.trouble, self.figure = "", 0.0
         self.started_ms, self.busy = 0, 0
         self.held: list[Run] = []  # silent: what waits
--- a/corkgauge/standins/listener.py
+++ b/corkgauge/testkit/emulators/listener.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.loop.hub import READ, Hub
-from corkgauge.loop.link import Link
+from corkgauge.eventloop.loop import READ, EventLoop
+from corkgauge.eventloop.connection import StreamConnection
 
 ABORTED = struct.pack("ii", 1, 0)
 
@@ -18,7 +18,10 @@
     """`guest(sock)` makes an owner with a `link` for each connection that comes."""
 
     def __init__(
-        self, hub: Hub, guest: Callable[[Any], Any], address: tuple[str, int] = ("127.0.0.1", 0)
+        self,
+        hub: EventLoop,
+        guest: Callable[[Any], Any],
+        address: tuple[str, int] = ("127.0.0.1", 0),
     ) -> None:
         self.hub, self.guest, self.address = hub, guest, address
         self.guests: dict[Any, None] = {}
@@ -67,5 +70,5 @@
         sock.close()
 
 
-def linked(hub: Hub, sock: Any, machine: Any, owner: Any) -> Link:
-    return Link(hub, sock, machine, owner)
+def linked(hub: EventLoop, sock: Any, machine: Any, owner: Any) -> StreamConnection:
+    return StreamConnection(hub, sock, machine, owner)
--- a/corkgauge/standins/machines.py
+++ b/corkgauge/testkit/emulators/protocols.py
@@ -5,8 +5,8 @@
 
 from typing import Any
 
-from corkgauge.loop.ring import Allowance, Ring
-from corkgauge.net.client_wire import (
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
+from corkgauge.net.client_protocol import (
     ANSWER,
     HEADER,
     LEAVING,
@@ -18,7 +18,7 @@
     VALUE,
     WITHDRAWN,
 )
-from corkgauge.net.engine_wire import array
+from corkgauge.net.engine_protocol import array
 
 PLENTY = 64 * 2**20
 
@@ -28,8 +28,8 @@
 
     def __init__(self, owner: Any) -> None:
         self.owner, self.whole = owner, 0
-        allowance = Allowance(PLENTY)
-        self.inward, self.outward = Ring(270_000, allowance), Ring(1_000_000, allowance)
+        allowance = MemoryBudget(PLENTY)
+        self.inward, self.outward = RingBuffer(270_000, allowance), RingBuffer(1_000_000, allowance)
 
     def advance(self) -> str:
         ring = self.inward
@@ -53,8 +53,8 @@
 
     def __init__(self, owner: Any) -> None:
         self.owner, self.whole = owner, 0
-        allowance = Allowance(PLENTY)
-        self.inward, self.outward = Ring(16_384, allowance), Ring(4_000_000, allowance)
+        allowance = MemoryBudget(PLENTY)
+        self.inward, self.outward = RingBuffer(16_384, allowance), RingBuffer(4_000_000, allowance)
 
     def advance(self) -> str:
         data = self.inward.peek(len(self.inward))
@@ -77,8 +77,8 @@
 
     def __init__(self, owner: Any) -> None:
         self.owner, self.whole = owner, 0
-        allowance = Allowance(PLENTY)
-        self.inward, self.outward = Ring(300_000, allowance), Ring(300_000, allowance)
+        allowance = MemoryBudget(PLENTY)
+        self.inward, self.outward = RingBuffer(300_000, allowance), RingBuffer(300_000, allowance)
 
     def advance(self) -> str:
         ring = self.inward
--- /dev/null
+++ b/corkgauge/testkit/faults/__init__.py
@@ -0,0 +1,1 @@
+"""Faults that tests inject."""
--- a/corkgauge/standins/undefended.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -1,7 +1,7 @@
 """The program with one defence left out, or with a clock that runs fast or slow: for showing that the judge
 objects.
 
-`python -m corkgauge.standins.undefended OFF RATE serve ...`: OFF is any of check, silence, margin, busy, and of works
+`python -m corkgauge.testkit.faults.disabled_safeguards OFF RATE serve ...`: OFF is any of check, silence, margin, busy, and of works
 agreement, confirmation, orders, of the working set cold, groups, beyond, few, joined by commas, or none; RATE how fast
 the clock since boot runs. `midact` leaves nothing out: the process stops itself once, between its look at the clock and
 the act. Nor does `slowdisk`: what is kept takes a tenth of a second to be safe. Must never be used for anything but
@@ -19,41 +19,41 @@
 
 def slanted(rate: float) -> None:
     """Before anybody has taken the clock by its name."""
-    from corkgauge.loop import boot
+    from corkgauge.eventloop import clock as boot
 
     true, begun = boot.boot_time, boot.boot_time()
     boot.boot_time = lambda: begun + int((true() - begun) * rate)
 
 
 def without(off: str) -> None:
-    from corkgauge.duties.holder import HOLDING, Holder
-    from corkgauge.duties.roll import Span
-    from corkgauge.duties.voter import Voter
+    from corkgauge.leases.candidate import HOLDING, LeaseCandidate
+    from corkgauge.leases.voter_configuration import Span
+    from corkgauge.leases.voter import Voter
 
     if off == "check":
         # Neither before an act nor at a timer: what was granted once is believed in until a voter says no.
-        Holder.may = lambda self: self.state == HOLDING
-        Holder._lapsed = lambda self: self._wake(self.span.each, self._give)
+        LeaseCandidate.may = lambda self: self.state == HOLDING
+        LeaseCandidate._lapsed = lambda self: self._wake(self.span.each, self._give)
     elif off == "busy":
         Voter._busy = lambda self, vote, who: 0
     elif off == "midact":
-        from corkgauge.fellows.company import Company
+        from corkgauge.membership.member_list import MemberList
 
-        call, acts = Company.call, [0]
+        call, acts = MemberList.call, [0]
 
-        def stopped(self: Company, name: str, subject: str, body: list) -> bool:
+        def stopped(self: MemberList, name: str, subject: str, body: list) -> bool:
             acts[0] += subject == "books" and body[0] == "ask"
             if acts[0] == MIDACT:
                 acts[0] += 1
                 os.kill(os.getpid(), signal.SIGSTOP)
             return call(self, name, subject, body)
 
-        Company.call = stopped
+        MemberList.call = stopped
     elif off == "hour":
         # The date is set back by an hour, some seconds after the start; a defence that is in place.
         import time
 
-        from corkgauge.loop import hub
+        from corkgauge.eventloop import loop as hub
 
         true, begun = time.time_ns, time.monotonic()
         hub.unix_time = lambda: true() // 100_000 - (
@@ -61,38 +61,38 @@
         )
     elif off == "slowdisk":
         # Nothing is left out: what is kept takes a while until it is safe.
-        from corkgauge.duties import store
-        from corkgauge.standins import slow_store
+        from corkgauge.leases import record_writer as store
+        from corkgauge.testkit.faults import slow_disk as slow_store
 
         store.__file__ = slow_store.__file__
     elif off == "midorder":
         # Nothing is left out: the process stops itself once, between its look at the clock and an order's writing.
-        from corkgauge.fellows.company import Company
+        from corkgauge.membership.member_list import MemberList
 
-        call, orders = Company.call, [0]
+        call, orders = MemberList.call, [0]
 
-        def halted(self: Company, name: str, subject: str, body: list) -> bool:
+        def halted(self: MemberList, name: str, subject: str, body: list) -> bool:
             orders[0] += subject == "works" and body[0] == "orders" and not body[-1]
             if orders[0] >= MIDORDER and subject == "works" and not name.startswith("judge"):
                 orders[0] = -(10**6)
                 os.kill(os.getpid(), signal.SIGSTOP)
             return call(self, name, subject, body)
 
-        Company.call = halted
+        MemberList.call = halted
     elif off == "liar":
         # It tells of every engine that it is silent and a hundred times as slow.
-        from corkgauge.shared.exchange import Exchange
-        from corkgauge.shared.findings import SILENT
+        from corkgauge.peer_health.service import PeerHealthService
+        from corkgauge.peer_health.reports import SILENT
 
-        def lies(self: Exchange, now: int) -> None:
+        def lies(self: PeerHealthService, now: int) -> None:
             for station in self.house.stations.values():
                 self.findings.serial += 1
                 self.findings.found(now, station.engine.tag, station.started, SILENT, 10_000, 8)
 
-        Exchange._own = lies
+        PeerHealthService._own = lies
     elif off == "witnesses":
         # One word is believed, of whoever it is.
-        from corkgauge.shared import weighing
+        from corkgauge.peer_health import aggregation as weighing
 
         weighing.ENOUGH, weighing.ALONE, weighing.OWN = 0.1, 1, 0
         weighing.FAR = 1.0
@@ -101,27 +101,27 @@
         def believed(findings, now, started, us, halls, own_sign):
             return made(findings, now, started, us, dict.fromkeys(halls, ""), -1)
 
-        from corkgauge.shared import exchange
+        from corkgauge.peer_health import service as exchange
 
         exchange.opinion = believed
     elif off == "leases":
         # A turn that was passed on is not spent here, and one that came is used whenever it is wanted.
-        from corkgauge.control import Gateway
-        from corkgauge.shared.turns import Turns
+        from corkgauge.policy.gateway import Gateway
+        from corkgauge.peer_health.permit_transfer import PermitTransfer
 
         passed = Gateway.turn_passed
         Gateway.turn_passed = lambda self, engine, work, when: work > 0 or [
             passed(self, engine, work, when + 20 * self.fall_span)
         ]
-        Turns.received = lambda self, now, serial, known_for, left: now + left
+        PermitTransfer.received = lambda self, now, serial, known_for, left: now + left
     elif off == "cold":
         # An engine that has just started is sent what any other is.
-        from corkgauge.control import Gateway
+        from corkgauge.policy.gateway import Gateway
 
         Gateway._cold = lambda self, engine: False
     elif off == "groups":
         # What may have run is tried again anywhere, whoever knows its label.
-        from corkgauge.control import Gateway
+        from corkgauge.policy.gateway import Gateway
 
         stated = Gateway.__init__
 
@@ -133,12 +133,12 @@
         Gateway.__init__ = careless
     elif off == "beyond":
         # Nothing is sought outside the working set.
-        from corkgauge.control import Gateway
+        from corkgauge.policy.gateway import Gateway
 
         Gateway._beyond = lambda self, sub, tried: None
     elif off == "few":
         # The working set is what is first by rank, whatever kinds the offerings need.
-        from corkgauge.control import Gateway
+        from corkgauge.policy.gateway import Gateway
 
         gathered = Gateway._gather
 
@@ -150,25 +150,25 @@
         Gateway._gather = bare
     elif off == "day":
         # Its date is a day ahead, from its start.
-        from corkgauge.loop import hub
+        from corkgauge.eventloop import loop as hub
 
         true = hub.unix_time
         hub.unix_time = lambda: true() + 24 * 36_000_000
     elif off == "agreement":
         # One keeper's word is enough, to take the plan over and to change it.
-        from corkgauge.works.scribe import Scribe
+        from corkgauge.maintenance.plan_proposer import PlanProposer
 
-        Scribe._majority = lambda self: 1
+        PlanProposer._majority = lambda self: 1
     elif off == "confirmation":
-        from corkgauge.works.planner import Planner
+        from corkgauge.maintenance.planner import Planner
 
         Planner.confirming = False
     elif off == "orders":
         # Neither gateways nor keepers look at the fence.
-        from corkgauge.works.keeper import Keeper
-        from corkgauge.works.party import Party
+        from corkgauge.maintenance.plan_replica import PlanReplica
+        from corkgauge.maintenance.participant import Participant
 
-        Keeper.defended = Party.defended = False
+        PlanReplica.defended = Participant.defended = False
     elif off in ("silence", "margin"):
         made = Span.__init__
 
--- a/corkgauge/standins/relay.py
+++ b/corkgauge/testkit/faults/relay.py
@@ -9,9 +9,9 @@
 from collections import deque
 from typing import Any
 
-from corkgauge.loop.hub import READ, WRITE, Hub
-from corkgauge.loop.link import dial
-from corkgauge.standins.chance import Chance
+from corkgauge.eventloop.loop import READ, WRITE, EventLoop
+from corkgauge.eventloop.connection import dial
+from corkgauge.testkit.seeded_random import SeededRandom
 
 KEPT = 200  # datagrams that may be played again
 PIECE = 65_536
@@ -21,7 +21,7 @@
     """One way, from one fellow to another. `loss` and `doubled` are parts of 1, `delay` tenths of a
     millisecond at most: so what is sent later may come earlier."""
 
-    def __init__(self, hub: Hub, target: tuple[str, int], chance: Chance) -> None:
+    def __init__(self, hub: EventLoop, target: tuple[str, int], chance: SeededRandom) -> None:
         self.hub, self.target, self.chance = hub, target, chance
         self.loss = self.doubled = 0.0
         self.delay = 0
@@ -81,7 +81,7 @@
 class Passage:
     """Connections to one address, carried on to another. While `cut`, nothing passes and nothing is told."""
 
-    def __init__(self, hub: Hub, target: tuple[str, int]) -> None:
+    def __init__(self, hub: EventLoop, target: tuple[str, int]) -> None:
         self.hub, self.target, self.cut = hub, target, False
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
--- a/corkgauge/standins/script.py
+++ b/corkgauge/testkit/faults/script.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.engines import TROUBLES
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.emulators.engines import TROUBLES
 
 PROGRAM = "kill", "restart", "reload"
 LIST = "drain", "vanish"
@@ -42,7 +42,7 @@
     [Scene(at=20000, span=30000, who='e1', trouble='slow', figure=4.0, whom='')]
     >>> read("at 1: list drain e9", ["e1"])
     Traceback (most recent call last):
-    corkgauge.standins.script.Unplayable: line 1: no engine 'e9'
+    corkgauge.testkit.faults.script.Unplayable: line 1: no engine 'e9'
     """
     scenes = []
     for number, line in enumerate(text.splitlines(), 1):
--- a/corkgauge/standins/slow_store.py
+++ b/corkgauge/testkit/faults/slow_disk.py
@@ -1,4 +1,4 @@
-"""The helper that writes votes and plans (`duties/store.py`), before a disk that takes a tenth of a second.
+"""The helper that writes votes and plans (`leases/record_writer.py`), before a disk that takes a tenth of a second.
 
 Owns the delay alone. Must never be used but in place of that helper, by `undefended.py`.
 """
@@ -11,7 +11,7 @@
 
 if __name__ == "__main__":
     sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
-    from corkgauge.duties import store
+    from corkgauge.leases import record_writer as store
 
     write = store.write
 
--- /dev/null
+++ b/corkgauge/testkit/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""Fleets of real and of hollow processes."""
--- a/corkgauge/standins/play.py
+++ b/corkgauge/testkit/fleet/day.py
@@ -10,16 +10,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.figures.cut import Cut, differences, shrunk
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.standins import rules
-from corkgauge.standins.clients import ClientStandIn, Want
-from corkgauge.standins.engines import EngineStandIn
-from corkgauge.standins.feed import FeedStandIn
-from corkgauge.standins.ports import free_port
-from corkgauge.standins.program import Program
-from corkgauge.standins.scraper import Scraper
-from corkgauge.standins.script import Scene
+from corkgauge.accounting.snapshot import Cut, differences, shrunk
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.testkit.checkers import rules
+from corkgauge.testkit.emulators.clients import EmulatedClient, Want
+from corkgauge.testkit.emulators.engines import EmulatedEngine
+from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
+from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.fleet.gateway_process import GatewayProcess
+from corkgauge.testkit.fleet.scraper import Scraper
+from corkgauge.testkit.faults.script import Scene
 
 # The deployment that is played: offerings with their mean work (ms of one core) and what is promised.
 WORK = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
@@ -113,7 +113,7 @@
 """
 
 
-class Play:
+class Day:
     """The cast on one hub; `run` plays. `operator` may name `{folder}`."""
 
     def __init__(
@@ -133,7 +133,7 @@
         retries: bool = False,
         wants: list[Want] = WANTS,
     ) -> None:
-        self.hub, self.scenes, self.seed, self.rate = Hub(), [*scenes], seed, rate
+        self.hub, self.scenes, self.seed, self.rate = EventLoop(), [*scenes], seed, rate
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
         known: dict[str, dict[str, int]] = {
             hall: {} for hall in HALLS
@@ -142,7 +142,7 @@
             known = dict.fromkeys(HALLS, {})
         names = [f"e{n}" for n in range(1, engines + 1)]
         self.engines = {
-            name: EngineStandIn(
+            name: EmulatedEngine(
                 self.hub,
                 name,
                 KINDS[n % 2],
@@ -154,10 +154,10 @@
             )
             for n, name in enumerate(names)
         }
-        self.feed = FeedStandIn(self.hub)
+        self.feed = EmulatedDiscovery(self.hub)
         first = self.feed.told([*self.engines.values()], full=True)
         self.address = "127.0.0.1", free_port()
-        self.program = Program(
+        self.program = GatewayProcess(
             self.folder,
             {
                 "name": "n1",
@@ -172,7 +172,7 @@
             start,
         )
         self.clients = [
-            ClientStandIn(
+            EmulatedClient(
                 self.hub,
                 self.address,
                 wants,
@@ -242,7 +242,7 @@
                     self.feed.told([engine], "DELETED")
                 self.hub.later(max(scene.span, 1), self.over, engine)
 
-    def over(self, engine: EngineStandIn) -> None:
+    def over(self, engine: EmulatedEngine) -> None:
         back = engine.trouble == "restart"
         engine.end()
         if back:
--- a/corkgauge/standins/program.py
+++ b/corkgauge/testkit/fleet/gateway_process.py
@@ -10,10 +10,10 @@
 import sys
 from typing import Any
 
-from corkgauge.standins.parent import tied
+from corkgauge.testkit.fleet.parent_process import tied
 
 
-class Program:
+class GatewayProcess:
     """`serve` in a process of its own, in a folder of its own. `start` is what is run in place of
     `-m corkgauge`; `tree` another checkout to run it in."""
 
--- a/corkgauge/standins/hollow_fleet.py
+++ b/corkgauge/testkit/fleet/hollow_fleet.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from corkgauge.standins.hollow import ELEMENTS
-from corkgauge.standins.parent import tied
+from corkgauge.testkit.fleet.hollow_node import ELEMENTS
+from corkgauge.testkit.fleet.parent_process import tied
 
 ZONES, RACK, VOTERS = 5, 20, 3
 FIRST_REGION = "z0", "z1", "z2"  # the other zones are the second region
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "corkgauge.standins.hollow_crew"],
+            [sys.executable, "-m", "corkgauge.testkit.fleet.hollow_process"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             preexec_fn=tied(os.getpid()),
--- a/corkgauge/standins/hollow_one.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -14,15 +14,15 @@
 from time import process_time
 from typing import Any
 
-from corkgauge.configuration import Post
-from corkgauge.control import Gateway
-from corkgauge.interface import CALLED_OFF, HONOURED, IRREVERSIBLE, LABELLED, READY
-from corkgauge.interface import Engine, HandOff, Offering, Submission
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.net.engines import EngineLink
-from corkgauge.net.frames import FramesHouse
-from corkgauge.standins.chance import Chance
-from corkgauge.standins.machines import request
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import CALLED_OFF, HONOURED, IRREVERSIBLE, LABELLED, READY
+from corkgauge.policy.records import Engine, Attempt, RequestClass, Request
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.net.engine_connection import EngineConnection
+from corkgauge.net.platform_frontend import PlatformFrontEnd
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.emulators.protocols import request
 
 GATEWAYS, RATE, PERIOD = (
     870,
@@ -58,7 +58,7 @@
 class Uneven:
     """Numbers 0 to n - 1, the k-th as often as 1 / k."""
 
-    def __init__(self, chance: Chance, n: int) -> None:
+    def __init__(self, chance: SeededRandom, n: int) -> None:
         self.chance, self.tops, top = chance, list[float](), 0.0
         for k in range(n):
             self.tops.append(top := top + 1 / (k + 1))
@@ -84,10 +84,10 @@
     ) -> None:
         self.now, self.lag, self.serial, self.wakes = 100 * SECOND, 0, 0, list[tuple]()
         self.taken = self.served = self.refused = self.lasted = self.open = 0
-        self.rate, self.hold, self.chance = rate, hold, Chance(seed)
+        self.rate, self.hold, self.chance = rate, hold, SeededRandom(seed)
         self.groups, self.tenants = Uneven(self.chance, groups), Uneven(self.chance, tenants)
         self.offerings = [
-            Offering(
+            RequestClass(
                 each.name,
                 each.aim,
                 1.0,
@@ -150,7 +150,7 @@
             }
         )
 
-    def drawn(self, count: int) -> list[tuple[int, Submission]]:
+    def drawn(self, count: int) -> list[tuple[int, Request]]:
         """So many statements beforehand, each with its gap after the one before, tenths of a ms."""
         said, left = [], 0.0
         for _ in range(count):
@@ -165,7 +165,7 @@
             said.append(
                 (
                     gap,
-                    Submission(
+                    Request(
                         (took, work),
                         self.offerings[n],
                         self.tenants.draw(),
@@ -179,7 +179,7 @@
             )
         return said
 
-    def play(self, statements: list[tuple[int, Submission]]) -> float:
+    def play(self, statements: list[tuple[int, Request]]) -> float:
         """Seconds of processor time from the first of them until one gap after the last."""
         begun, taken = process_time(), self.gateway.submission_taken
         for gap, sub in statements:
@@ -198,7 +198,7 @@
             method(*what)
         self.now = until
 
-    def answered(self, handoff: HandOff, work: int) -> None:
+    def answered(self, handoff: Attempt, work: int) -> None:
         """Its database is done with an attempt."""
         self.served += not handoff.submission.over
         self.open -= not handoff.submission.over
@@ -206,21 +206,21 @@
 
     # The host protocol.
 
-    def hand_off(self, handoff: HandOff, allow: int) -> None:
+    def hand_off(self, handoff: Attempt, allow: int) -> None:
         took, work = handoff.submission.tag
         self.wake(took, self.answered, handoff, work)
 
-    def set_terms(self, submission: Submission, memory: float, priority: int) -> None:
+    def set_terms(self, submission: Request, memory: float, priority: int) -> None:
         pass
 
-    def dismiss(self, submission: Submission, come_back: int) -> None:
+    def dismiss(self, submission: Request, come_back: int) -> None:
         self.refused += 1
         self.open -= 1
 
-    def scrap(self, submission: Submission) -> None:
+    def scrap(self, submission: Request) -> None:
         self.dismiss(submission, 0)
 
-    def call_off(self, handoff: HandOff) -> None:
+    def call_off(self, handoff: Attempt) -> None:
         self.wake(1, self.gateway.handoff_over, handoff, CALLED_OFF, 0, False, 0, 0.0, -1.0)
 
     def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
@@ -343,9 +343,9 @@
 
     def __init__(self, engines: int, cores: int = 8) -> None:
         self.time, self.others, self.names = 10**9, list[socket.socket](), 0
-        self.hub = Hub(clock=lambda: self.time, troubled=self.troubled)
+        self.hub = EventLoop(clock=lambda: self.time, troubled=self.troubled)
         said = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
-        self.house = FramesHouse(self.hub, Post(said, ""), lambda line: None)
+        self.house = PlatformFrontEnd(self.hub, PlatformConfig(said, ""), lambda line: None)
         self.number = 1
         self.turn()
 
@@ -377,7 +377,7 @@
         """One more link to an engine, as if it had just been dialled."""
         mine, its = socket.socketpair()
         station = self.house.stations[f"db{engine}"]
-        link = EngineLink(station, its)
+        link = EngineConnection(station, its)
         station.links.append(link)
         self.hub.spawn(link.link.run)
         link.watch()
--- a/corkgauge/standins/hollow.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -14,16 +14,16 @@
 from types import SimpleNamespace
 from typing import Any
 
-from corkgauge.duties.office import Office
-from corkgauge.fellows.company import ALIVE, STATES, SUSPECTED, UNKNOWN, Fellow
-from corkgauge.fellows.society import Society
-from corkgauge.figures.ledger import Ledger
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.operator import Duties, Fellows, Shared, Works
-from corkgauge.shared.exchange import Exchange
-from corkgauge.standins.play import settings
-from corkgauge.stated import Stated
-from corkgauge.works.yard import Yard
+from corkgauge.leases.service import LeaseService
+from corkgauge.membership.member_list import ALIVE, STATES, SUSPECTED, UNKNOWN, Member
+from corkgauge.membership.service import MembershipService
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.config.operator_file import Duties, Fellows, Shared, Works
+from corkgauge.peer_health.service import PeerHealthService
+from corkgauge.testkit.fleet.day import settings
+from corkgauge.config.settings import Settings
+from corkgauge.maintenance.service import MaintenanceService
 
 KEY = b"hollow workload managers, no secret"
 SORTS = "hello", "back", "ask", "answer", "ask_for", "deaf", "ask_all", "tell", "call"
@@ -103,7 +103,7 @@
     """A hub as one member sees it: once the member is lost none of its timers runs, and the processor time of what
     does run is added up (nanoseconds)."""
 
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: EventLoop) -> None:
         self.hub, self.lost, self.spent, self.mark = hub, False, 0, 0
         self.date, self.ahead = hub.date, hub.ahead
 
@@ -140,7 +140,7 @@
         self.hub.troubled()
 
 
-class HollowHouse:
+class HollowHost:
     """What a serving host is to the subsystems of several processes, with nothing to serve."""
 
     def __init__(self, beat: Beat, wire: Wire, post: Any, log: Callable[[str], None]) -> None:
@@ -148,10 +148,10 @@
         self.stations: dict[str, Any] = {}
         self.names: dict[str, Any] = {}
         self.works: Any = None
-        self.stated = Stated(post.settings, self, post.seed)
+        self.stated = Settings(post.settings, self, post.seed)
         self.gateway = self.stated.gateway
         self.offerings = {each.name: each for each in self.stated.offerings}
-        self.ledger = Ledger(self.offerings, lambda: beat.now, self.stated.budget)
+        self.ledger = RequestLedger(self.offerings, lambda: beat.now, self.stated.budget)
 
     @property
     def now(self) -> int:
@@ -163,7 +163,7 @@
         """The module's own timers: nothing is served, so nothing of it runs."""
 
 
-class HollowSociety(Society):
+class HollowMembership(MembershipService):
     """The society of service, on a socket that was bound before; who became what is noted."""
 
     def _bind(self, said: Fellows) -> None:
@@ -172,7 +172,7 @@
         self.short = len(said.fellows) - 1  # members that it does not hold alive
         self.settled = 0  # when that came to be none
 
-    def changed(self, fellow: Fellow, before: int) -> None:
+    def changed(self, fellow: Member, before: int) -> None:
         self.became[f"{STATES[before]} {STATES[fellow.state]}"] += 1
         self.short += (before == ALIVE) - (fellow.state == ALIVE)
         if not self.short:
@@ -180,7 +180,7 @@
         super().changed(fellow, before)
 
 
-class SetAside(Office):
+class SetAside(LeaseService):
     """On a machine set aside: it votes, and stands for nothing."""
 
     def _wanted(self, duty: str) -> bool:
@@ -193,7 +193,7 @@
 
     def __init__(
         self,
-        hub: Hub,
+        hub: EventLoop,
         name: str,
         wire: Wire,
         roster: str,
@@ -219,13 +219,13 @@
             seed=number * 7919 + hub.now % 7919,
             settings=settings() | {"instances": max(len(fellows) - len(voters), 1), "myNumber": 0},
         )
-        house = HollowHouse(self.beat, wire, post, lines or (lambda line: None))
-        self.society = HollowSociety(house, post, Fellows((KEY,), fellows, None, SECOND // 2))
+        house = HollowHost(self.beat, wire, post, lines or (lambda line: None))
+        self.society = HollowMembership(house, post, Fellows((KEY,), fellows, None, SECOND // 2))
         company = self.society.company
         self._counted(company.letters)
-        self.office: Office | None = None
-        self.yard: Yard | None = None
-        self.exchange: Exchange | None = None
+        self.office: LeaseService | None = None
+        self.yard: MaintenanceService | None = None
+        self.exchange: PeerHealthService | None = None
         if "duties" in elements:  # spans as an operator file that names none has them
             said = Duties(
                 1,
@@ -237,9 +237,11 @@
                 0.01,
                 "",
             )
-            self.office = (SetAside if name in voters else Office)(house, post, said, self.society)
+            self.office = (SetAside if name in voters else LeaseService)(
+                house, post, said, self.society
+            )
         if "works" in elements and self.office is not None:
-            self.yard = Yard(
+            self.yard = MaintenanceService(
                 house,
                 post,
                 Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
@@ -247,7 +249,7 @@
                 self.office,
             )
         if "shared" in elements:
-            self.exchange = Exchange(house, post, Shared(SECOND // 4, 8_000), self.society)
+            self.exchange = PeerHealthService(house, post, Shared(SECOND // 4, 8_000), self.society)
         if name in voters and self.office is not None:
             for holder in self.office.holders.values():
                 holder.stand(False)
--- a/corkgauge/standins/hollow_crew.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -15,23 +15,23 @@
 from collections import Counter
 from typing import Any
 
-from corkgauge.fellows.company import ALIVE, STATES
-from corkgauge.loop.hub import READ, SECOND, Hub
-from corkgauge.standins.chance import Chance
-from corkgauge.standins.hollow import ELEMENTS, Member, Wire, dropped, resident_mb
+from corkgauge.membership.member_list import ALIVE, STATES
+from corkgauge.eventloop.loop import READ, SECOND, EventLoop
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.fleet.hollow_node import ELEMENTS, Member, Wire, dropped, resident_mb
 
 LONGEST = 2**16  # octets that are read of an order at a time
 
 
 class Crew:
-    def __init__(self, hub: Hub) -> None:
+    def __init__(self, hub: EventLoop) -> None:
         self.hub, self.troubles = hub, 0
         self.wires: dict[str, Wire] = {}
         self.members: dict[str, Member] = {}
         self.numbers: dict[str, int] = {}
         self.roster, self.voters, self.elements = "[]", (), ELEMENTS
         self.empty = 0.0  # MB, of this process before it held a member
-        self.chance = Chance(os.getpid())
+        self.chance = SeededRandom(os.getpid())
         hub.troubled = self.troubled
 
     def troubled(self) -> None:
@@ -177,7 +177,7 @@
 
 
 def main() -> None:
-    hub = Hub()
+    hub = EventLoop()
     crew = Crew(hub)
     hub.spawn(crew.listen)
     hub.run()
--- a/corkgauge/standins/hollow_serve.py
+++ b/corkgauge/testkit/fleet/hollow_serve.py
@@ -10,14 +10,14 @@
 import time
 from typing import Any
 
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.standins import hollow_one
-from corkgauge.standins.clients import ClientStandIn, Want
-from corkgauge.standins.engines import EngineStandIn
-from corkgauge.standins.feed import FeedStandIn
-from corkgauge.standins.machines import ready_question
-from corkgauge.standins.ports import free_port
-from corkgauge.standins.program import Program
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.testkit.fleet import hollow_gateway as hollow_one
+from corkgauge.testkit.emulators.clients import EmulatedClient, Want
+from corkgauge.testkit.emulators.engines import EmulatedEngine
+from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
+from corkgauge.testkit.emulators.protocols import ready_question
+from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 
 LISTENERS, CLIENTS = 8, 8
 CORES = (
@@ -31,7 +31,7 @@
 ]
 
 
-class Counted(Program):
+class Counted(GatewayProcess):
     """`serve`, and how much of a processor it has had."""
 
     def spent(self) -> float:
@@ -46,16 +46,16 @@
     def __init__(
         self, engines: int, seed: int = 7, start: tuple[str, ...] = ("-m", "corkgauge")
     ) -> None:
-        self.hub, self.folder = Hub(), tempfile.mkdtemp(prefix="corkgauge-")
+        self.hub, self.folder = EventLoop(), tempfile.mkdtemp(prefix="corkgauge-")
         means = {each.name: each.work / 10 for each in hollow_one.CLASSES}
         known: dict[str, int] = {}
         self.engines = [
-            EngineStandIn(
+            EmulatedEngine(
                 self.hub, f"listener{n}", "k0", "zone-0", CORES, means, seed * 100 + n, known
             )
             for n in range(min(LISTENERS, engines))
         ]
-        self.feed = FeedStandIn(self.hub)
+        self.feed = EmulatedDiscovery(self.hub)
         self.address = "127.0.0.1", free_port()
         first = hollow_one.listing(
             1, engines, address=lambda n: self.engines[n % len(self.engines)].address
@@ -66,7 +66,7 @@
             hollow_one.configuration(engines, "%s:%d" % self.address, self.feed.address, first),
             start=start,
         )
-        self.clients: list[ClientStandIn] = []
+        self.clients: list[EmulatedClient] = []
 
     def ready(self, patience: float = 60.0) -> tuple[float, float]:
         """Start it: wall and processor seconds until it tells a client that it is ready."""
@@ -94,7 +94,7 @@
     def begin(self, rate: float) -> None:
         """Clients come and ask, so many statements a second in all."""
         self.clients = [
-            ClientStandIn(
+            EmulatedClient(
                 self.hub,
                 self.address,
                 WANTS,
--- a/corkgauge/standins/doors.py
+++ b/corkgauge/testkit/fleet/http_client.py
@@ -10,13 +10,13 @@
 
 import h11
 
-from corkgauge.loop.hub import READ, SECOND, WRITE, Hub
+from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 
 PATIENCE = 2 * SECOND
 
 
 def exchange(
-    hub: Hub,
+    hub: EventLoop,
     sock: socket.socket,
     client: h11.Connection,
     method: str,
@@ -50,12 +50,12 @@
             raise OSError("closed")
 
 
-def ask(hub: Hub, path: str, target: str, body: Any, heard: Callable[[Any], None]) -> None:
+def ask(hub: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]) -> None:
     """In a task of its own: `heard` gets what the door answers, or None where nothing sensible comes."""
     hub.spawn(_ask, hub, path, target, body, heard)
 
 
-def _ask(hub: Hub, path: str, target: str, body: Any, heard: Callable[[Any], None]) -> None:
+def _ask(hub: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]) -> None:
     sock = socket.socket(socket.AF_UNIX)
     sock.setblocking(False)
     said = None
--- a/corkgauge/standins/crew.py
+++ b/corkgauge/testkit/fleet/maintenance_crew.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.chance import Chance
-from corkgauge.standins.doors import ask
-from corkgauge.standins.fleet import Fault
-from corkgauge.standins.inspector import Work
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.fleet.http_client import ask
+from corkgauge.testkit.fleet.processes import Fault
+from corkgauge.testkit.checkers.maintenance import Work
 
 LOOK, AGAIN = (
     1_500,
@@ -20,7 +20,7 @@
 )  # tenths of a millisecond between two looks at a door; until a wish is told again
 
 
-class Crew:
+class MaintenanceCrew:
     """`fleet` is the rig; `lasting` seconds that one unit's work takes by the crew's own clock, `told` what it says it
     takes. Its doors are those of all gateways, one after the other by chance."""
 
@@ -32,7 +32,7 @@
         seed: int = 5,
         owner: str = "crew",
     ) -> None:
-        self.fleet, self.hub, self.chance, self.owner = fleet, fleet.hub, Chance(seed), owner
+        self.fleet, self.hub, self.chance, self.owner = fleet, fleet.hub, SeededRandom(seed), owner
         self.lasting, self.told = int(lasting * SECOND), told
         self.book: list[Work] = []
         self.begun: set[tuple[str, str]] = set()
--- a/corkgauge/standins/worksday.py
+++ b/corkgauge/testkit/fleet/maintenance_day.py
@@ -6,11 +6,11 @@
 import signal
 from typing import Any
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.chance import Chance
-from corkgauge.standins.crew import Crew
-from corkgauge.standins.fleet import Fault, Fleet, drawn
-from corkgauge.standins.inspector import Limits, wrong
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
+from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn
+from corkgauge.testkit.checkers.maintenance import Limits, wrong
 
 MOST = 3
 SLACK = (
@@ -18,7 +18,7 @@
 )
 
 
-class WorksDay:
+class MaintenanceDay:
     """`fleet` plays; asks come about every `each` seconds, some are cancelled."""
 
     def __init__(
@@ -58,9 +58,9 @@
             rate=rate,
             **{"lease": 0.8, "cold": 0.5, "disk": True, "works": works, **more},
         )
-        self.crew = Crew(self.fleet, lasting=0.3, seed=seed)
+        self.crew = MaintenanceCrew(self.fleet, lasting=0.3, seed=seed)
         self.chance, self.seconds, self.each, self.cancels = (
-            Chance(seed + 7),
+            SeededRandom(seed + 7),
             seconds,
             each,
             cancels,
@@ -167,7 +167,7 @@
     """A day made to show what one defence is for, with it or with it left out: what the inspector found."""
     spoilt = [at] * off + ["midorder"] * (at == "orders")
     works = {"each": 0.5, "grant": 2.0, "patience": 0.5, "most": MOST, "share": 0.5, "room": 0.9}
-    day = WorksDay(
+    day = MaintenanceDay(
         seed,
         engines=6,
         off=",".join(spoilt) or "none",
@@ -194,14 +194,14 @@
         fleet.close()
 
 
-def _asked(day: WorksDay, engine: str, seconds: float) -> bool:
+def _asked(day: MaintenanceDay, engine: str, seconds: float) -> bool:
     """Has the crew begun to work on it?"""
     before = len(day.crew.book)
     day.crew.ask("engine", engine)
     return day.fleet.until(seconds, lambda: len(day.crew.book) == before)
 
 
-def _one_hears_nothing(day: WorksDay, engine: str) -> None:
+def _one_hears_nothing(day: MaintenanceDay, engine: str) -> None:
     """A gateway is cut off from its fellows, and sends on: until the work has begun without it, and some time more;
     or, as it must not begin, for all that time."""
     day.fleet.until(10, lambda: not day.crew.seen.get("holder"))
@@ -216,7 +216,7 @@
     day.fleet.until(3)
 
 
-def _steps_are_lost(day: WorksDay, engine: str) -> None:
+def _steps_are_lost(day: MaintenanceDay, engine: str) -> None:
     """Steps are lost on their way to keepers, while orders are told again; then the planner stands still."""
     day.fleet.weather("lose", 0.6)
     if _asked(day, engine, 10):
@@ -225,7 +225,7 @@
     day.fleet.until(3)
 
 
-def _an_order_comes_late(day: WorksDay, engine: str) -> None:
+def _an_order_comes_late(day: MaintenanceDay, engine: str) -> None:
     """The planner stands still between its look at the clock and the writing of an order, and goes on once its
     successor has taken a machine out."""
     fleet = day.fleet
--- a/corkgauge/standins/fleet.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -29,18 +29,18 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from corkgauge.loop.hub import SECOND, Hub
-from corkgauge.standins import rules
-from corkgauge.standins.chance import Chance
-from corkgauge.standins.clients import ClientStandIn
-from corkgauge.standins.engines import EngineStandIn
-from corkgauge.standins.feed import FeedStandIn
-from corkgauge.standins.judge import Judge, vacancies, verdict
-from corkgauge.standins.parent import tied
-from corkgauge.standins.play import CORES, HALLS, KINDS, STAKES, WANTS, WORK, settings
-from corkgauge.standins.ports import Reserved
-from corkgauge.standins.program import Program
-from corkgauge.standins.relay import Passage, Way
+from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.testkit.checkers import rules
+from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.emulators.clients import EmulatedClient
+from corkgauge.testkit.emulators.engines import EmulatedEngine
+from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
+from corkgauge.testkit.checkers.leases import LeaseChecker, vacancies, verdict
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, STAKES, WANTS, WORK, settings
+from corkgauge.testkit.fleet.ports import Reserved
+from corkgauge.testkit.fleet.gateway_process import GatewayProcess
+from corkgauge.testkit.faults.relay import Passage, Way
 
 JUDGE = "judge"
 SORTS = (
@@ -95,7 +95,7 @@
     [Fault(at=20000, span=30000, sort='part', whom=('n1', 'n2'), figure=0.0)]
     >>> read("at 2: stop n9", ["n1"], [])
     Traceback (most recent call last):
-    corkgauge.standins.fleet.Unplayable: line 1: no gateway 'n9'
+    corkgauge.testkit.fleet.processes.Unplayable: line 1: no gateway 'n9'
     """
     found = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -143,7 +143,7 @@
 
 def drawn(seed: int, names: list[str], seconds: float, gap: float, longest: float) -> list[Fault]:
     """Faults by chance, about one each `gap` seconds, of all sorts, none longer than `longest` seconds."""
-    chance, at, found = Chance(seed), 2.0, []
+    chance, at, found = SeededRandom(seed), 2.0, []
     sorts = [
         "stop",
         "stop",
@@ -250,7 +250,12 @@
         cold: float = 15.0,
         **options: Any,
     ) -> None:
-        self.hub, self.seed, self.chance, self.faults = Hub(), seed, Chance(seed), [*faults]
+        self.hub, self.seed, self.chance, self.faults = (
+            EventLoop(),
+            seed,
+            SeededRandom(seed),
+            [*faults],
+        )
         self.folder = tempfile.mkdtemp(prefix="corkgauge-", dir=in_memory())
         self.lease, self.off, self.rates, self.cold = lease, off, rates, int(cold * SECOND)
         share, _, *rest = STAKES.cold
@@ -276,7 +281,7 @@
             str, int
         ] = {}  # labels: all engines of the played deployment remember them together
         self.engines = {
-            f"e{n}": EngineStandIn(
+            f"e{n}": EmulatedEngine(
                 self.hub,
                 f"e{n}",
                 KINDS[n % 2],
@@ -294,21 +299,21 @@
         self.voters = names[: voters or (gateways if gateways < 4 else 3 if gateways < 5 else 5)]
         self.ways = {
             (one, other): Way(
-                self.hub, self.gateways[other].listen, Chance(seed * 1000 + 31 * n + m)
+                self.hub, self.gateways[other].listen, SeededRandom(seed * 1000 + 31 * n + m)
             )
             for n, one in enumerate(names)
             for m, other in enumerate(names)
             if one != other
         }
         # Danger: what arrives late at the judge would count as done late; so no fault is on its ways.
-        self.to_judge = {name: Way(self.hub, ("127.0.0.1", 1), Chance(1)) for name in names}
+        self.to_judge = {name: Way(self.hub, ("127.0.0.1", 1), SeededRandom(1)) for name in names}
         from_judge = [
-            (name, Way(self.hub, each.listen, Chance(1)).address)
+            (name, Way(self.hub, each.listen, SeededRandom(1)).address)
             for name, each in self.gateways.items()
         ]
         with open(self.key, encoding="ascii") as file:
             secret = bytes.fromhex(file.read())
-        self.judge = Judge(
+        self.judge = LeaseChecker(
             self.hub, JUDGE, [secret], from_judge, int(self.options["period"] * SECOND), guarded
         )
         for way in self.to_judge.values():
@@ -317,7 +322,7 @@
         for number, gateway in enumerate(self.gateways.values()):
             gateway.program = self._program(gateway, number)
         self.clients = [
-            ClientStandIn(
+            EmulatedClient(
                 self.hub,
                 self.gateways[names[n % len(names)]].address,
                 WANTS,
@@ -329,14 +334,14 @@
         ]
         self.befallen = 0
 
-    def _feed(self, name: str) -> FeedStandIn:
+    def _feed(self, name: str) -> EmulatedDiscovery:
         """Each gateway reaches each engine by a passage of its own, so each has a list of its own."""
-        feed = FeedStandIn(self.hub)
+        feed = EmulatedDiscovery(self.hub)
         for engine in self.engines.values():
             self.passages[name, engine.name] = Passage(self.hub, engine.listener.address)
         return feed
 
-    def _program(self, gateway: Gateway, number: int) -> Program:
+    def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
         feed = self.feeds[gateway.name]
         reached = [
             _Reached(engine, "%s:%d" % self.passages[gateway.name, engine.name].address)
@@ -358,9 +363,9 @@
         start = (
             ("-m", "corkgauge")
             if self.off == "none" and rate == 1.0
-            else ("-m", "corkgauge.standins.undefended", self.off, str(rate))
+            else ("-m", "corkgauge.testkit.faults.disabled_safeguards", self.off, str(rate))
         )
-        return Program(gateway.folder, said, self.operator(gateway), start)
+        return GatewayProcess(gateway.folder, said, self.operator(gateway), start)
 
     def operator(self, gateway: Gateway, **options: Any) -> str:
         """The operator file of one gateway: it reaches each fellow by the relay of that way."""
@@ -564,7 +569,7 @@
 
     def ask_yield(self) -> None:
         """Whoever acted last is told to give its duty up, at its own door. Blocks for a moment."""
-        from corkgauge.figures.asking import ask
+        from corkgauge.accounting.client import ask
 
         name = self.holder()
         if name and self.hub.now >= self.gateways[name].until:
@@ -585,7 +590,7 @@
         command = [
             sys.executable,
             "-c",
-            "import sys, json; from corkgauge.figures.asking import ask; print(json.dumps("
+            "import sys, json; from corkgauge.accounting.client import ask; print(json.dumps("
             "ask(sys.argv[1], sys.argv[2], sys.argv[3], 5.0, json.loads(sys.argv[4]))))",
             f"{self.gateways[name].folder}/figures.sock",
             target,
@@ -650,7 +655,7 @@
 class _Reached:
     """An engine as one gateway reaches it."""
 
-    def __init__(self, engine: EngineStandIn, address: str) -> None:
+    def __init__(self, engine: EmulatedEngine, address: str) -> None:
         self.name, self.address, self.hall, self.kind = (
             engine.name,
             address,
--- a/corkgauge/standins/sampled.py
+++ b/corkgauge/testkit/fleet/profile_sampler.py
@@ -1,4 +1,4 @@
-"""The program under a sampler: `python -m corkgauge.standins.sampled OUT serve ...` is `python -m corkgauge serve ...`.
+"""The program under a sampler: `python -m corkgauge.testkit.fleet.profile_sampler OUT serve ...` is `python -m corkgauge serve ...`.
 
 Owns one timer, which after each 2 ms of processor time appends to OUT where the program is, as the interpreter's own
 dump of a stack; `read` counts them. Must never be a part of a program that serves. What hooks calls is led astray by
@@ -49,16 +49,16 @@
     out = open(sys.argv.pop(1), "w", encoding="utf-8")
     faulthandler.register(signal.SIGPROF, out, all_threads=False)
     from corkgauge.commands import main as program
-    from corkgauge.loop.hub import Hub
+    from corkgauge.eventloop.loop import EventLoop
 
-    run = Hub.run
+    run = EventLoop.run
 
-    def watched(hub: Hub) -> None:
+    def watched(hub: EventLoop) -> None:
         signal.setitimer(signal.ITIMER_PROF, EACH, EACH)
         run(hub)
         signal.setitimer(signal.ITIMER_PROF, 0)
 
-    Hub.run = watched
+    EventLoop.run = watched
     sys.exit(program())
 
 
--- a/corkgauge/standins/scraper.py
+++ b/corkgauge/testkit/fleet/scraper.py
@@ -10,14 +10,14 @@
 
 import h11
 
-from corkgauge.loop.hub import Hub
-from corkgauge.standins.doors import exchange
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.testkit.fleet.http_client import exchange
 
 
 class Scraper:
     """Calls `heard(cut)` for each cut; asks every `each` tenths of a millisecond, over one connection."""
 
-    def __init__(self, hub: Hub, path: str, each: int, heard: Callable[[Any], None]) -> None:
+    def __init__(self, hub: EventLoop, path: str, each: int, heard: Callable[[Any], None]) -> None:
         self.hub, self.path, self.each, self.heard = hub, path, each, heard
         self.stopped, self.missed = False, 0
         hub.spawn(self.run)
--- a/corkgauge/standins/wide.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -9,20 +9,20 @@
 from dataclasses import replace
 from typing import Any
 
-from corkgauge.control import Gateway as Module
-from corkgauge.interface import READY, Engine
-from corkgauge.loop.hub import SECOND
-from corkgauge.net.host import Aside
-from corkgauge.standins import rules
-from corkgauge.standins.clients import Ask, ClientStandIn, Want
-from corkgauge.standins.engines import Run
-from corkgauge.standins.feed import FeedStandIn
-from corkgauge.standins.fleet import Fleet, Gateway
-from corkgauge.standins.listener import Listener
-from corkgauge.standins.play import CORES, HALLS, KINDS, WANTS, settings
-from corkgauge.standins.ports import free_port
-from corkgauge.standins.program import Program
-from corkgauge.stated import Stated
+from corkgauge.policy.gateway import Gateway as Module
+from corkgauge.policy.records import READY, Engine
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.net.host import UnstartedHost
+from corkgauge.testkit.checkers import rules
+from corkgauge.testkit.emulators.clients import Ask, EmulatedClient, Want
+from corkgauge.testkit.emulators.engines import Run
+from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
+from corkgauge.testkit.fleet.processes import Fleet, Gateway
+from corkgauge.testkit.emulators.listener import Listener
+from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, WANTS, settings
+from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.fleet.gateway_process import GatewayProcess
+from corkgauge.config.settings import Settings
 
 FEW_KIND, FEW_CORES = "x12", 12  # a kind that few engines are of; reports run on it alone
 COLD = (
@@ -41,7 +41,7 @@
     listener.open()
 
 
-class WideFeed(FeedStandIn):
+class WideFeed(EmulatedDiscovery):
     """Tells each engine's cell too."""
 
     def told(
@@ -109,7 +109,7 @@
         super().__init__(seed=seed, gateways=len(self.numbers), engines=listed + more, cold=cold)
         names = [*self.gateways]
         self.clients = [
-            ClientStandIn(
+            EmulatedClient(
                 self.hub,
                 self.gateways[names[n % len(names)]].address,
                 wants,
@@ -137,7 +137,7 @@
             self.stakes, kinds={"report": {FEW_KIND}}, cold=(COLD[0], self.cold, *COLD[1:])
         )
 
-    def _program(self, gateway: Gateway, number: int) -> Program:
+    def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
         feed = self.feeds[gateway.name]
         first = feed.told([self.engines[each] for each in self.first], full=True)
         said = {
@@ -150,11 +150,11 @@
             "settings": self.stated(number),
         }
         start = (
-            ("-m", "corkgauge.standins.undefended", self.spoilt, "1.0")
+            ("-m", "corkgauge.testkit.faults.disabled_safeguards", self.spoilt, "1.0")
             if self.spoilt
             else ("-m", "corkgauge")
         )
-        return Program(gateway.folder, said, "", start)
+        return GatewayProcess(gateway.folder, said, "", start)
 
     def stated(self, number: int) -> dict[str, Any]:
         """What the gateway at this place of the cast is told."""
@@ -178,7 +178,7 @@
         """Foretold: what this gateway holds by the last list that its feed has told, while nothing fails; or with its
         set so much wider."""
         number = [*self.gateways].index(name)
-        stated = Stated(self.stated(number), Aside(), self.seed * 100 + number, name)
+        stated = Settings(self.stated(number), UnstartedHost(), self.seed * 100 + number, name)
         module: Module = stated.gateway
         for tag, (hall, kind, cell, started) in self.listing(name).items():
             engine = Engine(
--- a/corkgauge/standins/chance.py
+++ b/corkgauge/testkit/seeded_random.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 
-class Chance:
+class SeededRandom:
     """Draws by CRC-32 over seed and counter.
 
     >>> one, other = Chance(7), Chance(7)
--- a/fuzz/decoder.py
+++ b/fuzz/decoder.py
@@ -14,7 +14,7 @@
 SEEDS = Path(__file__).parent / "seeds"
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from corkgauge.flow.decoder import Decoder, Malformed, Stream  # noqa: E402
+from corkgauge.flow_export.decoder import Decoder, MalformedMessageError, Stream  # noqa: E402
 
 EDGES = 0, 1, 2, 3, 4, 9, 10, 16, 127, 128, 255
 
@@ -53,7 +53,7 @@
     try:
         decoder.message(data)
         return True
-    except Malformed:
+    except MalformedMessageError:
         return False
 
 
@@ -73,7 +73,7 @@
             try:
                 read += one(decoder, data)
                 Stream().feed(data)
-            except Malformed:
+            except MalformedMessageError:
                 pass
             except Exception:
                 path = SEEDS / f"found-{count}.bin"
--- a/tests/damaged.py
+++ b/tests/corrupted_files.py
@@ -1,7 +1,7 @@
 """The real program with one of its entry points damaged, for tests only; the product has no such command.
 
-python tests/damaged.py DAMAGE serve ...      the program, damaged once after a second
-python tests/damaged.py play DAMAGE           a short day with it; prints what was found, as JSON
+python tests/corrupted_files.py DAMAGE serve ...      the program, damaged once after a second
+python tests/corrupted_files.py play DAMAGE           a short day with it; prints what was found, as JSON
 """
 
 import json
@@ -97,16 +97,16 @@
 
 def damage_entry(what):
     """The method does it once, and then works as ever."""
-    from corkgauge.figures.ledger import Ledger
+    from corkgauge.accounting.ledger import RequestLedger
 
     name, how, _, _ = ENTRIES[what]
-    method, begun = getattr(Ledger, name), time.time()
+    method, begun = getattr(RequestLedger, name), time.time()
     bad = how(method)
 
     def hurt(self, *args):
         if time.time() < begun + AFTER or (name.startswith("connection") and args[0] != 0):
             return method(self, *args)
-        setattr(Ledger, name, method)
+        setattr(RequestLedger, name, method)
         row = getattr(args[0], "engine_row", None) or getattr(args[0], "row", None)
         print(
             f"damaged {time.time():.3f} {row.name if row else 'client connections'}",
@@ -115,32 +115,32 @@
         )
         return bad(self, *args)
 
-    setattr(Ledger, name, hurt)
+    setattr(RequestLedger, name, hurt)
 
 
 def damage_tables(what):
-    from corkgauge.net.frames import FramesHouse
+    from corkgauge.net.platform_frontend import PlatformFrontEnd
 
-    audit, begun = FramesHouse.audit, time.time()
+    audit, begun = PlatformFrontEnd.audit, time.time()
 
     def hurt(self):
         ready = self.errands and self.names and time.time() > begun + AFTER
         if ready:
-            FramesHouse.audit = audit
+            PlatformFrontEnd.audit = audit
             print(
                 f"damaged {time.time():.3f} {hurt_tables(self, what)}", file=sys.stderr, flush=True
             )
             self.auditor.pass_whole()  # some of it is over before the next pass
         self.hub.later(500, self.audit) if not ready else audit(self)
 
-    FramesHouse.audit = hurt
+    PlatformFrontEnd.audit = hurt
 
 
 def play(what):
-    from corkgauge.standins.play import Play
-    from corkgauge.standins.script import read
+    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.faults.script import read
 
-    day = Play(
+    day = Day(
         11,
         read(HOLDS, ["e1"]),
         engines=2,
--- a/tests/yard.py
+++ b/tests/harness.py
@@ -3,13 +3,13 @@
 import socket
 import traceback
 
-from corkgauge.configuration import Post
-from corkgauge.control import Gateway
-from corkgauge.interface import HONOURED, READY, Engine, Offering, Submission
-from corkgauge.loop.hub import Hub
-from corkgauge.net.engine_wire import command
-from corkgauge.net.engines import EngineLink, Station
-from corkgauge.net.frames import FramesHouse
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import HONOURED, READY, Engine, RequestClass, Request
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.net.engine_protocol import command
+from corkgauge.net.engine_connection import EngineConnection, EnginePool
+from corkgauge.net.platform_frontend import PlatformFrontEnd
 
 SECOND = 10_000
 QUICK = dict(name="quick", aim=SECOND, stretch=1.0, expiry=5 * SECOND, worth=1.0)
@@ -33,12 +33,12 @@
 )
 
 
-class Yard:
+class GatewayHarness:
     """Keeps every call in `done` as (what, submission or engine tag, detail)."""
 
     def __init__(self, offerings=(QUICK,), engines=3, **stated):
         self.now, self.lag, self.done, self.wakes, self.serial = 100 * SECOND, 0, [], [], 0
-        self.offerings = [Offering(**o) for o in offerings]
+        self.offerings = [RequestClass(**o) for o in offerings]
         self.gateway = Gateway(self, offerings=self.offerings, **{**STATED, **stated})
         self.engines = [
             Engine(f"e{n}", b"e%d" % n, n % 2, n % 2, n, cores=8.0) for n in range(engines)
@@ -60,7 +60,7 @@
             "estimate": 2000,
             **said,
         }
-        sub = Submission(f"s{self.serial}", self.offerings[offering], **said)
+        sub = Request(f"s{self.serial}", self.offerings[offering], **said)
         self.gateway.submission_taken(sub)
         return sub
 
@@ -171,7 +171,7 @@
     return length.to_bytes(4, "little") + b"\2" + stream.to_bytes(4, "little") + said + body
 
 
-class Premises:
+class HostHarness:
     """A house on a fake clock; clients and engines are the other ends of socket pairs."""
 
     def __init__(self, events=(listing(1, {}),), sockets=1024, **settings):
@@ -185,13 +185,13 @@
             "settings": {**STATED_ON_SOCKETS, **settings},
         }
         self.time, self.logged = 10**9, []
-        self.hub = Hub(
+        self.hub = EventLoop(
             clock=lambda: self.time, troubled=lambda: self.logged.append(traceback.format_exc())
         )
-        Station.dial = (
+        EnginePool.dial = (
             lambda station, where: None
         )  # no engine listens here: `engine` joins them by hand
-        self.house = FramesHouse(self.hub, Post(said, ""), self.logged.append)
+        self.house = PlatformFrontEnd(self.hub, PlatformConfig(said, ""), self.logged.append)
         self.turn()
 
     def turn(self, rounds=6):
@@ -213,7 +213,7 @@
     def engine(self, tag="e1"):
         mine, its = socket.socketpair()
         station = self.house.stations[tag]
-        link = EngineLink(station, its)
+        link = EngineConnection(station, its)
         station.links.append(link)
         self.hub.spawn(link.link.run)
         link.watch()
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from corkgauge.interface import HONOURED, READY
-from tests.yard import QUICK, SECOND, Yard
+from corkgauge.policy.records import HONOURED, READY
+from tests.harness import QUICK, SECOND, GatewayHarness
 
 CORES, SHARE, MULTIPLE, SPAN, WARM = 12.0, 0.4, 3.0, 15_000, 12 * SECOND
 # What is asked for: how often, and its work.
@@ -32,7 +32,7 @@
 
     def gateway(self, number):
         offerings = [dict(QUICK, name=f"o{n}", expiry=25 * SECOND) for n in range(len(self.mix))]
-        yard = Yard(
+        yard = GatewayHarness(
             offerings,
             engines=1,
             gateways=self.gateways,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,19 +11,19 @@
 
 import pytest
 
-from corkgauge.interface import MOOT
-from corkgauge.loop.hub import Hub
-from corkgauge.loop.link import CROSSING
-from corkgauge.net import feed as feeds
-from corkgauge.net.door import Door
-from corkgauge.net.engines import EngineLink, Station
-from corkgauge.net.feed import Feed
-from corkgauge.standins.parent import tied
-from corkgauge.standins.ports import free_port
-from tests.yard import SECOND, STATED_ON_SOCKETS, Premises, listing, name, request
+from corkgauge.policy.records import MOOT
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.eventloop.connection import CROSSING
+from corkgauge.net import discovery as feeds
+from corkgauge.net.acceptor import Acceptor
+from corkgauge.net.engine_connection import EngineConnection, EnginePool
+from corkgauge.net.discovery import DiscoveryWatch
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.ports import free_port
+from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request
 
 ROW, T1 = "a\t\t\n", name(1)
-REAL_DIAL = Station.dial
+REAL_DIAL = EnginePool.dial
 TAKE_BACK = bytes.fromhex("050000000801000000")
 READY_ASKED = bytes.fromhex("05000000100a000000")
 
@@ -43,12 +43,12 @@
     """Wait until the peer's machine has what was written or closed here; loopback needs no more than this."""
     end = time.monotonic() + 1
     while time.monotonic() < end:
-        if Hub().look(sock.fileno())[0]:
+        if EventLoop().look(sock.fileno())[0]:
             return
     raise AssertionError("nothing came")
 
 
-class Loopback(Premises):
+class Loopback(HostHarness):
     """Premises whose clients and engines are TCP connections; the clock is still handed in."""
 
     def client(self):
@@ -62,7 +62,7 @@
     def engine(self, tag="e1", turn=True):
         mine, its = pair()
         station = self.house.stations[tag]
-        link = EngineLink(station, its)
+        link = EngineConnection(station, its)
         station.links.append(link)
         self.hub.spawn(link.link.run)
         link.watch()
@@ -235,11 +235,11 @@
 
     def __init__(self, premises, monkeypatch):
         self.asked, self.let, self.ends = [], [], []
-        Station.dial = REAL_DIAL
+        EnginePool.dial = REAL_DIAL
         premises.house.dials = 0
         for station in premises.house.stations.values():
             station.dialling = False
-        monkeypatch.setattr("corkgauge.net.engines.dial", self.dial)
+        monkeypatch.setattr("corkgauge.net.engine_connection.dial", self.dial)
 
     def dial(self, hub, where, span):
         number = len(self.asked)
@@ -353,7 +353,7 @@
 
 def ending(premises):
     """A program that is told to end, with a door of its own; the clock is let run to its last look."""
-    door = premises.house.door = Door(premises.hub, premises.house, ("127.0.0.1", 0))
+    door = premises.house.door = Acceptor(premises.hub, premises.house, ("127.0.0.1", 0))
     premises.hub.spawn(door.run)
     premises.turn()
     premises.house.leave()
@@ -433,7 +433,7 @@
     def __init__(self, premises, monkeypatch):
         self.premises, self.ends = premises, []
         monkeypatch.setattr(feeds, "dial", self.dial)
-        self.feed = Feed(premises.house, ("127.0.0.1", 1))
+        self.feed = DiscoveryWatch(premises.house, ("127.0.0.1", 1))
         premises.hub.spawn(self.feed.run)
         premises.turn()
 
@@ -502,7 +502,7 @@
     import builtins
     real = builtins.__import__
     def slow(name, *rest):
-        if name == "corkgauge.loop.hub" or name == "corkgauge.daemon":
+        if name == "corkgauge.eventloop.loop" or name == "corkgauge.daemon.process":
             strike()
         return real(name, *rest)
     builtins.__import__ = slow
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -15,29 +15,29 @@
 
 from corkgauge.commands import group
 from corkgauge.commands.soak import SCRIPT, growth, scenes_of
-from corkgauge.figures.shelf import read_file
-from corkgauge.flow.codec import Layout
-from corkgauge.flow.delta import Delta
-from corkgauge.flow.elements import EGRESS
-from corkgauge.flow.session import Session
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins import rules
-from corkgauge.standins.clients import Ask
-from corkgauge.standins.collector import CollectorStandIn
-from corkgauge.standins.engines import Run
-from corkgauge.standins.parent import tied
-from corkgauge.standins.play import STAKES, WANTS, Play, settings
-from corkgauge.standins.ports import free_port
-from corkgauge.standins.program import Program
-from corkgauge.standins.script import Unplayable, read
-from tests.damaged import ALL, ENTRIES, TABLES
+from corkgauge.accounting.checkpoint_file import read_file
+from corkgauge.flow_export.codec import Layout
+from corkgauge.flow_export.counter_deltas import Delta
+from corkgauge.flow_export.elements import EGRESS
+from corkgauge.flow_export.session import Session
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.checkers import rules
+from corkgauge.testkit.emulators.clients import Ask
+from corkgauge.testkit.emulators.collector import EmulatedCollector
+from corkgauge.testkit.emulators.engines import Run
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.day import STAKES, WANTS, Day, settings
+from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.fleet.gateway_process import GatewayProcess
+from corkgauge.testkit.faults.script import Unplayable, read
+from tests.corrupted_files import ALL, ENTRIES, TABLES
 
 HERE = os.path.dirname(__file__)
 SLACK = 2500  # a busy machine may keep any process from its processor for a while
 
 
 def test_every_scrape_of_a_bad_day_balances_through_a_kill_and_a_restart():
-    play = Play(3, scenes_of(SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12)
+    play = Day(3, scenes_of(SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12)
     try:
         play.run(26)
         log = play.program.log()
@@ -101,7 +101,7 @@
 
 def started(folder, *arguments, said=None, **more):
     port = free_port()
-    program = Program(
+    program = GatewayProcess(
         str(folder),
         {
             "name": "n1",
@@ -127,9 +127,9 @@
 
 def test_nothing_of_the_figures_door_is_loaded_without_an_operator_file(tmp_path):
     code = (
-        "import sys; from corkgauge.commands.serve import command; from corkgauge import daemon; "
+        "import sys; from corkgauge.commands.serve import command; from corkgauge.daemon import process as daemon; "
         "print([name for name in sys.modules if name.split('.')[0] in ('lxml', 'h11', 'xxhash', "
-        "'msgpack', 'prometheus_client', 'ddsketch', 'rich') or name == 'corkgauge.operator'])"
+        "'msgpack', 'prometheus_client', 'ddsketch', 'rich') or name == 'corkgauge.config.operator_file'])"
     )
     assert (
         subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout
@@ -290,8 +290,8 @@
         "at 1 for 2: e1 silent\nat 2: e2 reset\nat 3 for 2: e1 restart\nat 6: program restart",
         ["e1", "e2"],
     )
-    play, heard = Play(4, scenes, engines=2, rate=80, scrapes=5, hangs_up=0.01, operator=""), []
-    collector = CollectorStandIn(
+    play, heard = Day(4, scenes, engines=2, rate=80, scrapes=5, hangs_up=0.01, operator=""), []
+    collector = EmulatedCollector(
         play.hub, transport, lambda message, data: heard.append((message, data))
     )
     path = os.path.join(play.folder, "operator.xml")
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,19 +8,19 @@
 import msgpack
 import pytest
 
-from corkgauge.duties import preference, store
-from corkgauge.duties.books import FleetBooks, wrong
-from corkgauge.duties.holder import HOLDING, PROBING, Holder
-from corkgauge.duties.roll import Roll, Span, Unsafe
-from corkgauge.duties.running import ENDING, OVER, RUNNING, WAITING, Running
-from corkgauge.duties.safe import Safe
-from corkgauge.duties.voter import GRANT, PREPARE, PROBE, RELEASE, VACANT, WOULD, Voter
-from corkgauge.loop.hub import Hub
-from corkgauge.model.explore import explore
+from corkgauge.leases import placement as preference, record_writer as store
+from corkgauge.leases.fleet_accounts import FleetAccounts, wrong
+from corkgauge.leases.candidate import HOLDING, PROBING, LeaseCandidate
+from corkgauge.leases.voter_configuration import VoterConfiguration, Span, UnsafeChangeError
+from corkgauge.leases.leased_command import ENDING, OVER, RUNNING, WAITING, LeasedCommand
+from corkgauge.leases.durable_record import DurableRecord
+from corkgauge.leases.voter import GRANT, PREPARE, PROBE, RELEASE, VACANT, WOULD, Voter
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.model.model_checker import explore
 from corkgauge.model.leases import FAULTS, LEASE, World, drawn, shortest
 
 SECOND = 10_000
-ROLL, SPAN = Roll(1, ["a", "b", "c"], SECOND), Span(SECOND, 0.01, 200)
+ROLL, SPAN = VoterConfiguration(1, ["a", "b", "c"], SECOND), Span(SECOND, 0.01, 200)
 
 
 class Booth:
@@ -125,8 +125,8 @@
 
 def test_another_list_gets_no_vote_and_an_older_one_gives_none():
     booth, voter = a_voter()
-    newer = Roll(2, ["a", "b"], SECOND)
-    assert booth.asked(voter, PROBE, roll=Roll(1, ["a", "b"], SECOND)) is None
+    newer = VoterConfiguration(2, ["a", "b"], SECOND)
+    assert booth.asked(voter, PROBE, roll=VoterConfiguration(1, ["a", "b"], SECOND)) is None
     assert booth.asked(voter, PROBE) is True
     assert booth.asked(voter, PROBE, roll=newer) is None and booth.events
     assert booth.asked(voter, PROBE) is None  # it has an old file, and lends its vote to nobody
@@ -162,17 +162,22 @@
 
 
 def test_steps_between_lists():
-    one = Roll(1, "abc", 5)
+    one = VoterConfiguration(1, "abc", 5)
     there = {name: (1, one.mark) for name in "abc"}
-    for new in Roll(2, "abcd", 5), Roll(2, "ab", 5), Roll(2, "abc", 9), Roll(1, "abc", 5):
+    for new in (
+        VoterConfiguration(2, "abcd", 5),
+        VoterConfiguration(2, "ab", 5),
+        VoterConfiguration(2, "abc", 9),
+        VoterConfiguration(1, "abc", 5),
+    ):
         one.step_to(new, there)
     for new, told in (
-        (Roll(3, "abcd", 5), there),
-        (Roll(2, "abd", 5), there),
-        (Roll(1, "abcd", 5), there),
-        (Roll(2, "abcd", 5), {"a": (1, one.mark), "b": (0, 7)}),
+        (VoterConfiguration(3, "abcd", 5), there),
+        (VoterConfiguration(2, "abd", 5), there),
+        (VoterConfiguration(1, "abcd", 5), there),
+        (VoterConfiguration(2, "abcd", 5), {"a": (1, one.mark), "b": (0, 7)}),
     ):
-        with pytest.raises(Unsafe):
+        with pytest.raises(UnsafeChangeError):
             one.step_to(new, told)
 
 
@@ -191,7 +196,7 @@
 
     def __init__(self):
         self.booth = Booth()
-        self.holder = Holder(self.booth, "d", "a", ROLL, SPAN)
+        self.holder = LeaseCandidate(self.booth, "d", "a", ROLL, SPAN)
 
     def pass_time(self, span):
         until = self.booth.now + span
@@ -377,7 +382,7 @@
 
 def test_a_command_is_dead_before_its_duty_is_over():
     child = Child()
-    running = Running(child, grace=1.0, margin=0.1)
+    running = LeasedCommand(child, grace=1.0, margin=0.1)
     running.told(10.0, True, 7, 1.5)
     assert running.state == WAITING  # too little left to begin
     running.told(10.0, True, 7, 5.0)
@@ -392,7 +397,7 @@
 @pytest.mark.parametrize("answer", [(11.0, False, 0, 0.0), (11.0, True, 8, 5.0)])
 def test_a_command_is_ended_when_its_duty_is_gone_or_had_anew(answer):
     child = Child()
-    running = Running(child, 1.0, 0.1)
+    running = LeasedCommand(child, 1.0, 0.1)
     running.told(10.0, True, 7, 5.0)
     running.told(*answer)
     assert running.state == ENDING and child.done == [7, "term"]
@@ -429,7 +434,7 @@
 
 COUNTED = """
 import sys
-from corkgauge.duties import store
+from corkgauge.leases import store
 real, sizes = store.write, []
 store.write = lambda path, data: (sizes.append(len(data)), real(path, data))
 code = store.main()
@@ -452,8 +457,8 @@
 def test_the_same_record_is_written_once_for_all_who_wait_for_it_and_again_where_no_answer_came(
     tmp_path,
 ):
-    hub, said = Hub(), []
-    safe = Safe(hub, said.append, str(tmp_path), "votes", "torn", "unwritten")
+    hub, said = EventLoop(), []
+    safe = DurableRecord(hub, said.append, str(tmp_path), "votes", "torn", "unwritten")
 
     def settled(many):
         until = hub.now + 10 * SECOND
@@ -498,7 +503,7 @@
 
 
 def test_the_fleets_books_add_up_over_epochs_and_say_what_does_not():
-    books = FleetBooks()
+    books = FleetAccounts()
     books.begin()
     books.tells("n1", account("x", 5, 4, 5, open_=1))
     books.tells("n2", account("y", 7, 7, 7))
--- a/tests/test_fellows.py
+++ b/tests/test_fellows.py
@@ -4,9 +4,18 @@
 
 import pytest
 
-from corkgauge.fellows.company import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, Company
-from corkgauge.fellows.letters import ASK, BACK, BURST, CALL, HELLO, LARGEST, Key, Letters
-from corkgauge.standins.chance import Chance
+from corkgauge.membership.member_list import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberList
+from corkgauge.membership.datagrams import (
+    ASK,
+    BACK,
+    BURST,
+    CALL,
+    HELLO,
+    LARGEST,
+    Key,
+    DatagramCodec,
+)
+from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
 SECRET, OTHER = b"a" * 32, b"b" * 32
@@ -14,8 +23,8 @@
 
 def pair():
     """Two that know each other's start."""
-    one = Letters("n1", 100, [Key(SECRET)], lambda *_: None, lambda start: None)
-    two = Letters("n2", 200, [Key(SECRET)], lambda *_: None, lambda start: None)
+    one = DatagramCodec("n1", 100, [Key(SECRET)], lambda *_: None, lambda start: None)
+    two = DatagramCodec("n2", 200, [Key(SECRET)], lambda *_: None, lambda start: None)
     one.named(["n2"])
     two.named(["n1"])
     for here, there in ((one, two), (two, one)):
@@ -31,7 +40,7 @@
     assert two.open(data, 0) == ("n1", CALL, ["x", 1])
     assert two.open(data, 0) is None and two.counts["replay"] == 1
     assert one.open(one.write("n2", CALL, 1), 0) is None and one.counts["stranger"] == 1
-    third = Letters("n3", 300, [Key(SECRET)], lambda *_: None, lambda start: None)
+    third = DatagramCodec("n3", 300, [Key(SECRET)], lambda *_: None, lambda start: None)
     third.named(["n1"])
     assert third.open(one.write("n2", CALL, 1), 0) is None and third.counts["not to us"] == 1
 
@@ -65,7 +74,7 @@
 def test_letters_of_an_hour_ago_say_nothing_to_a_new_start():
     one, two = pair()
     old = [one.write("n2", CALL, n) for n in range(5)]
-    again = Letters("n2", 900, [Key(SECRET)], lambda *_: None, lambda start: None)
+    again = DatagramCodec("n2", 900, [Key(SECRET)], lambda *_: None, lambda start: None)
     again.named(["n1"])
     assert [again.open(data, 0) for data in old] == [
         ("n1", HELLO, 100)
@@ -76,7 +85,7 @@
 def test_a_start_below_the_last_one_is_told_and_grows():
     outgrown = []
     one, two = pair()
-    again = Letters(
+    again = DatagramCodec(
         "n1", 50, [Key(SECRET)], lambda *_: None, outgrown.append
     )  # its clock was set back
     again.named(["n2"])
@@ -96,7 +105,7 @@
 
     def __init__(self, many, period=5_000, blocked=lambda *_: False, seed=1):
         self.now, self.serial, self.events, self.blocked = 0, 0, [], blocked
-        self.chance, self.period, self.sent, self.stopped = Chance(seed), period, 0, {}
+        self.chance, self.period, self.sent, self.stopped = SeededRandom(seed), period, 0, {}
         self.names = [f"n{n}" for n in range(many)]
         self.nodes = {}
         for name in self.names:
@@ -104,7 +113,7 @@
 
     def start(self, name, start):
         node = self.nodes[name] = Node(self, name)
-        node.company = Company(
+        node.company = MemberList(
             node, name, start, [Key(SECRET)], [(each, "") for each in self.names], self.period
         )
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -11,19 +11,19 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from corkgauge.commands import group
-from corkgauge.configuration import Faulty
-from corkgauge.figures import epoch, exposition, terms
-from corkgauge.figures.auditor import Auditor
-from corkgauge.figures.bureau import Bureau
-from corkgauge.figures.cut import cut_of, differences, plain, shrunk, together
-from corkgauge.figures.door import Readers
-from corkgauge.figures.finding import Findings
-from corkgauge.figures.ledger import Ledger
-from corkgauge.figures.shelf import Shelf, read_file
-from corkgauge.figures.waits import Waits, quantile
-from corkgauge.loop.log import event_of
-from corkgauge.operator import read as read_operator
-from tests.yard import SECOND, Premises, listing, name, request
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.accounting import checkpoint as epoch, exposition, counter_names as terms
+from corkgauge.accounting.auditor import LedgerAuditor
+from corkgauge.accounting.service import AccountingService
+from corkgauge.accounting.snapshot import cut_of, differences, plain, shrunk, together
+from corkgauge.accounting.http_listener import HttpListener
+from corkgauge.accounting.discrepancies import Discrepancies
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.accounting.checkpoint_file import CheckpointFile, read_file
+from corkgauge.accounting.latency_sketches import LatencySketches, quantile
+from corkgauge.eventloop.logging import event_of
+from corkgauge.config.operator_file import read as read_operator
+from tests.harness import SECOND, HostHarness, listing, name, request
 
 T1 = name(1)
 
@@ -41,11 +41,11 @@
     def __init__(self, slice_=3, **said):
         self.now, self.logged = 1000, []
         self.open, self.answering, self.out, self.elsewhere = [], [], [], set()
-        self.findings = Findings(lambda: self.now, self.logged.append)
-        self.ledger = Ledger(["a", "b"], lambda: self.now, guard=self.guard, **said)
+        self.findings = Discrepancies(lambda: self.now, self.logged.append)
+        self.ledger = RequestLedger(["a", "b"], lambda: self.now, guard=self.guard, **said)
         self.rows = [self.ledger.offerings["a"], self.ledger.offerings["b"]]
         self.engine_rows = [self.ledger.engine(f"e{n}") for n in range(2)]
-        self.auditor = Auditor(self.ledger, self, self.findings, slice_)
+        self.auditor = LedgerAuditor(self.ledger, self, self.findings, slice_)
 
     def guard(self, kind, row, serial):
         self.findings.count(kind, row.name, f"serial {serial}")
@@ -252,7 +252,7 @@
 
 
 def test_answers_that_come_late_from_an_engine_that_was_silent():
-    premises = Premises(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
+    premises = HostHarness(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
     client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
     premises.ask(client, request(1, patience="600"))
     premises.pass_time(7000)
@@ -265,7 +265,7 @@
 
 
 def test_a_copy_and_its_original_both_answer():
-    premises = Premises(
+    premises = HostHarness(
         events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
         limits={"secondCopies": True, "mostTries": 3},
     )
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("hangs_up, reason", [(True, "cut_off"), (False, "in_time")])
 def test_a_client_that_goes_within_its_answer(hangs_up, reason):
-    premises = Premises()
+    premises = HostHarness()
     client, engine = premises.client(), premises.engine()
     link = next(iter(premises.house.callers)).link
     link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
@@ -311,7 +311,7 @@
 
 
 def test_what_clients_take_back_what_is_of_no_use_and_what_finds_no_room():
-    premises = Premises(limits={"openCap": 2, "streamsPerConn": 4})
+    premises = HostHarness(limits={"openCap": 2, "streamsPerConn": 4})
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request(1) + request(2) + request(3) + request(4, route="none"))
     premises.ask(client, bytes.fromhex("050000000801000000"))
@@ -328,7 +328,7 @@
 
 
 def test_the_end_with_much_open_and_an_id_that_comes_back():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     premises.engine()
     premises.ask(client, request(1) + request(2) + request(3))
@@ -346,7 +346,7 @@
 
 
 def test_a_slot_that_the_gateway_does_not_get_back_is_found():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     premises.engine()
     premises.ask(client, request(1))
@@ -377,7 +377,7 @@
 def test_several_gateways_add_up_their_sketches_too():
     cuts = []
     for n in range(3):
-        waits = Waits(0.02)
+        waits = LatencySketches(0.02)
         for span in range(n + 1, 3000, 3):
             waits.answered("a", span * 10)
         waits.engine_gone("never", "(departed)")
@@ -410,7 +410,7 @@
 
 def shelf(folder, gateway="n1"):
     logged = []
-    return Shelf(str(folder), gateway, logged.append), logged
+    return CheckpointFile(str(folder), gateway, logged.append), logged
 
 
 def test_the_next_start_closes_the_epoch_before(tmp_path):
@@ -506,7 +506,7 @@
         f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
         "</figures></operator>"
     )
-    return Bureau(premises.house, "n1", 7, read_operator(str(operator)).figures)
+    return AccountingService(premises.house, "n1", 7, read_operator(str(operator)).figures)
 
 
 def asked(premises, path, head):
@@ -530,7 +530,7 @@
 
 
 def test_figures_are_told_in_both_forms(tmp_path):
-    premises = Premises()
+    premises = HostHarness()
     path = tmp_path / "sock"
     bureau = door(premises, path, "<waits/>")
     client, engine = premises.client(), premises.engine()
@@ -562,7 +562,7 @@
 
 
 def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
-    premises = Premises(
+    premises = HostHarness(
         events=[listing(1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(900)))]
     )
     path = tmp_path / "sock"
@@ -581,19 +581,19 @@
 
 
 def test_the_door_moves_on_reload_and_replaces_only_dead_sockets(tmp_path):
-    premises = Premises()
+    premises = HostHarness()
     first, second = tmp_path / "one", tmp_path / "two"
     dead = socket.socket(socket.AF_UNIX)
     dead.bind(str(first))
     dead.close()
     bureau = door(premises, first)
     (tmp_path / "file").write_text("kept")
-    with pytest.raises(Faulty):
+    with pytest.raises(ConfigurationError):
         door(premises, tmp_path / "file")
     with pytest.raises(OSError):
-        Readers(premises.hub, str(first), 1, dict, int, print, {})  # somebody listens there
+        HttpListener(premises.hub, str(first), 1, dict, int, print, {})  # somebody listens there
     said = read_operator(str(tmp_path / "operator.xml")).figures
-    with pytest.raises(Faulty):
+    with pytest.raises(ConfigurationError):
         bureau.reload(said)  # the file that is no socket: the old door stays
     assert (
         b"200" in asked(premises, first, get("/figures"))
@@ -648,7 +648,7 @@
 def test_a_faulty_operator_file_names_its_line_and_element(tmp_path, text, wrong):
     path = tmp_path / "operator.xml"
     path.write_text(text)
-    with pytest.raises(Faulty) as said:
+    with pytest.raises(ConfigurationError) as said:
         read_operator(str(path))
     assert wrong in str(said.value) and "\n" not in str(said.value)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.fleet import Fault, Fleet, Unplayable, drawn, in_memory, read
-from corkgauge.standins.parent import tied
-from corkgauge.standins.ports import free_port
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.fleet.processes import Fault, Fleet, Unplayable, drawn, in_memory, read
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.ports import free_port
 
 LEASE = 0.8
 LONG = int(3 * LEASE * SECOND)
@@ -359,8 +359,8 @@
 
 def test_without_fellows_nothing_of_them_is_loaded():
     code = (
-        "import sys; from corkgauge.commands.serve import command; from corkgauge import daemon; "
-        "print([name for name in sys.modules if name.startswith(('corkgauge.fellows', 'corkgauge.duties', "
+        "import sys; from corkgauge.commands.serve import command; from corkgauge.daemon import process as daemon; "
+        "print([name for name in sys.modules if name.startswith(('corkgauge.membership', 'corkgauge.leases', "
         "'cryptography'))])"
     )
     assert (
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -15,25 +15,25 @@
 from hypothesis import given, settings, strategies
 from netflow import parse_packet
 
-from corkgauge.configuration import Faulty
-from corkgauge.daemon import Beside
-from corkgauge.figures.cut import cut_of
-from corkgauge.flow import codec
-from corkgauge.flow.codec import Field, Layout, Message, Template, template_set
-from corkgauge.flow.decoder import Decoder, Malformed, Stream
-from corkgauge.flow.delta import Delta
-from corkgauge.flow.elements import ACTIVE, EGRESS, ENDED, IDLE, INGRESS
-from corkgauge.flow.exporter import Exporter
-from corkgauge.flow.held import RECORD, Held
-from corkgauge.flow.keeper import DOWN, UP, Keeper, Peer
-from corkgauge.flow.meter import Meter
-from corkgauge.flow.session import Session
-from corkgauge.flow.tls import Untrusted, context_of
-from corkgauge.flow.wheel import Wheel
-from corkgauge.operator import read as read_operator
-from corkgauge.standins.collector import CollectorStandIn
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.daemon.process import Beside
+from corkgauge.accounting.snapshot import cut_of
+from corkgauge.flow_export import codec
+from corkgauge.flow_export.codec import Field, Layout, Message, Template, template_set
+from corkgauge.flow_export.decoder import Decoder, MalformedMessageError, Stream
+from corkgauge.flow_export.counter_deltas import Delta
+from corkgauge.flow_export.elements import ACTIVE, EGRESS, ENDED, IDLE, INGRESS
+from corkgauge.flow_export.exporter import Exporter
+from corkgauge.flow_export.pending_records import RECORD, PendingRecords
+from corkgauge.flow_export.export_buffer import DOWN, UP, ExportBuffer, Peer
+from corkgauge.flow_export.meter import Meter
+from corkgauge.flow_export.session import Session
+from corkgauge.flow_export.tls import Untrusted, context_of
+from corkgauge.flow_export.timer_wheel import TimerWheel
+from corkgauge.config.operator_file import read as read_operator
+from corkgauge.testkit.emulators.collector import EmulatedCollector
 from fuzz.decoder import changed, one, seeds
-from tests.yard import Premises, listing, name, request
+from tests.harness import HostHarness, listing, name, request
 
 SECOND = 10_000
 
@@ -248,7 +248,7 @@
                 decoder.message(
                     bytes(bad[: chance.choice((len(bad), chance.randrange(len(bad) + 1)))])
                 )
-            except Malformed as problem:
+            except MalformedMessageError as problem:
                 assert "\n" not in str(problem)
     assert (
         len(decoder.templates) <= 1000
@@ -267,7 +267,7 @@
     ):
         try:
             Decoder().message(head + data)
-        except Malformed:
+        except MalformedMessageError:
             pass
 
 
@@ -288,7 +288,7 @@
 )
 def test_what_does_not_fit_is_malformed(body, wrong):
     data = bytes.fromhex(body)
-    with pytest.raises(Malformed, match=wrong):
+    with pytest.raises(MalformedMessageError, match=wrong):
         Decoder().message(b"\0\x0a" + (16 + len(data)).to_bytes(2, "big") + bytes(12) + data)
 
 
@@ -314,7 +314,7 @@
             each for at in range(0, len(whole), step) for each in stream.feed(whole[at : at + step])
         ]
         assert found == messages_of()
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         Stream().feed(b"\0\x09\0\x20")
 
 
@@ -331,7 +331,7 @@
     class Entry:
         due = 0
 
-    wheel, model, now = Wheel(8, 10), {}, 0
+    wheel, model, now = TimerWheel(8, 10), {}, 0
     for what, value in steps:
         if what == 0:
             entry = Entry()
@@ -432,7 +432,7 @@
 @settings(max_examples=100, deadline=None)
 @given(strategies.lists(strategies.tuples(deltas, strategies.integers(0, 3)), max_size=150))
 def test_nothing_of_the_totals_is_lost_within_the_bound(steps):
-    held, told, under_way = Held(20 * RECORD), 0, []
+    held, told, under_way = PendingRecords(20 * RECORD), 0, []
     for each, what in steps:
         each.flow %= 40
         held.add(each)
@@ -451,7 +451,7 @@
 
 
 def test_beyond_the_bound_flows_merge_by_hall_and_engine_before_any_is_dropped():
-    held = Held(20 * RECORD)
+    held = PendingRecords(20 * RECORD)
     for n in range(500):
         held.add(delta(n, engine=f"e{n % 5}"))
     assert held.dropped == 0 and held.measured == held.octets and held.merged >= 480
@@ -485,8 +485,8 @@
         ]
         self.well = {peer: True for peer in self.peers}
         self.full = set()
-        self.held = Held(memory)
-        self.keeper = Keeper(
+        self.held = PendingRecords(memory)
+        self.keeper = ExportBuffer(
             self, Layout(codec.OWN_LAYOUT, "n1"), 7, self.peers, self.held, seed, 0
         )
 
@@ -682,7 +682,7 @@
         memory=10**6,
         active=2,
     ):
-        self.premises = Premises(events=[listing(1, {})])
+        self.premises = HostHarness(events=[listing(1, {})])
         self.path, self.layout, self.mode, self.tls, self.memory, self.active = (
             tmp_path / "operator.xml",
             layout,
@@ -693,7 +693,7 @@
         )
         self.heard, self.bytes = [[] for _ in transports], [[] for _ in transports]
         self.collectors = [
-            CollectorStandIn(
+            EmulatedCollector(
                 self.premises.hub, each, self.taker(n), context=(contexts or {}).get(n)
             )
             for n, each in enumerate(transports)
@@ -924,7 +924,7 @@
 
 
 def test_an_operator_file_is_taken_whole_or_not_at_all(tmp_path):
-    premises, path = Premises(), tmp_path / "operator.xml"
+    premises, path = HostHarness(), tmp_path / "operator.xml"
 
     def write(sock, inner=""):
         transport = "tls" if inner else "udp"
@@ -1085,7 +1085,7 @@
 def test_faulty_flows_in_the_operator_file(tmp_path, flows, wrong):
     path = tmp_path / "operator.xml"
     path.write_text(f'<operator version="1">\n{flows}</operator>')
-    with pytest.raises(Faulty) as said:
+    with pytest.raises(ConfigurationError) as said:
         read_operator(str(path))
     assert wrong in str(said.value) and "operator.xml:2" in str(said.value)
 
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -11,9 +11,9 @@
 
 from benchmarks.scale_fleet import command, rows_of
 from benchmarks.scaling import TooLarge
-from corkgauge.loop.hub import Hub
-from corkgauge.standins.hollow import Wire
-from corkgauge.standins.hollow_fleet import Fleet
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.testkit.fleet.hollow_node import Wire
+from corkgauge.testkit.fleet.hollow_fleet import Fleet
 
 HOME = Path(__file__).resolve().parent.parent
 MOST = 60  # seconds until something must have been seen; waited for, not slept
@@ -70,7 +70,7 @@
 
 def test_the_processes_of_a_fleet_end_with_whoever_started_it():
     said = (
-        "import os, signal\nfrom corkgauge.standins.hollow_fleet import Fleet\n"
+        "import os, signal\nfrom corkgauge.testkit.fleet.hollow_fleet import Fleet\n"
         "fleet = Fleet(2, 2).__enter__()\nfleet.start()\n"
         "print(*(crew.process.pid for crew in fleet.crews), flush=True)\nos.kill(os.getpid(), signal.SIGKILL)\n"
     )
@@ -94,7 +94,7 @@
 
 
 def test_a_wire_counts_what_passes_and_holds_back_what_crosses_a_cut():
-    one, other, hub = Wire(), Wire(), Hub()
+    one, other, hub = Wire(), Wire(), EventLoop()
     other.note()
     one.sendto(b"four", ("127.0.0.1", other.port))
     one.sendto(b"more", ("127.0.0.1", other.port))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,18 +10,18 @@
 
 import pytest
 
-from corkgauge import configuration
-from corkgauge.daemon import Source
-from corkgauge.interface import DRAINING, MOOT, READY
-from corkgauge.loop.hub import Hub
-from corkgauge.loop.link import dial
-from corkgauge.loop.ring import Allowance, Ring
-from corkgauge.net import clients, feed_wire
-from corkgauge.net.client_wire import ClientWire
-from corkgauge.net.engine_wire import EngineWire, command
-from corkgauge.net.engines import Station
-from corkgauge.net.statement import tables_of
-from tests.yard import SECOND, STATED_ON_SOCKETS, Premises, listing, name, request
+from corkgauge.config import platform as configuration
+from corkgauge.daemon.process import Source
+from corkgauge.policy.records import DRAINING, MOOT, READY
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.eventloop.connection import dial
+from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
+from corkgauge.net import client_connection as clients, discovery_protocol as feed_wire
+from corkgauge.net.client_protocol import ClientProtocol
+from corkgauge.net.engine_protocol import EngineProtocol, command
+from corkgauge.net.engine_connection import EnginePool
+from corkgauge.net.table_group import tables_of
+from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request
 
 PLENTY, ROW = 10**7, "a\t\t\n"
 T1, U1 = name(1), name(99)
@@ -39,26 +39,26 @@
 
 FED = [
     (
-        ClientWire,
+        ClientProtocol,
         request(1)
         + request(2, body=b"")
         + bytes.fromhex("0500000008010000000500000010030000000600000002040000000a"),
         5,
     ),
     (
-        EngineWire,
+        EngineProtocol,
         command("a", "DONE", "chunks=2,l=inflight:3", "x\ty\n")
         + command("b", "WAIT", "-", "")
         + command("a", "MORE", "at=1", "\r\n$3\r\n"),
         3,
     ),
     (
-        feed_wire.FeedWire,
+        feed_wire.DiscoveryProtocol,
         b"HTTP/1.1 200 OK\r\nContent-Type: x\r\n\r\n: hi\n\nid: 4\ndata: {\ndata: }\n\n",
         1,
     ),
     (
-        feed_wire.FeedWire,
+        feed_wire.DiscoveryProtocol,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nid: 4\n\r\n"
         b"9;x\r\ndata: a\n\n\r\n1\r\n:\r\n",
         1,
@@ -68,7 +68,7 @@
 
 def fed(kind, pieces):
     owner = Told()
-    machine = kind(owner, Allowance(PLENTY))
+    machine = kind(owner, MemoryBudget(PLENTY))
     wrong = ""
     for piece in pieces:
         while piece and not wrong:
@@ -102,16 +102,19 @@
 @pytest.mark.parametrize(
     "kind, data",
     [
-        (ClientWire, b"\4\0\0\0" + b"x" * 8),
-        (ClientWire, b"\xff\xff\xff\xff"),
-        (EngineWire, b"*4\r\n$-1\r\n"),
-        (EngineWire, b"*999999999\r\n"),
-        (EngineWire, b"$3\r\nabc\r\n"),
-        (EngineWire, b"*1\r\n$1\r\nab\r\n"),
-        (EngineWire, b"*4\r\n$16000\r\n" + b"x" * 17_000),
-        (feed_wire.FeedWire, b"HTTP/1.1 503 no\r\n"),
-        (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
-        (feed_wire.FeedWire, b"HTTP/1.1 200 OK\r\n\r\ndata: \xff\n"),
+        (ClientProtocol, b"\4\0\0\0" + b"x" * 8),
+        (ClientProtocol, b"\xff\xff\xff\xff"),
+        (EngineProtocol, b"*4\r\n$-1\r\n"),
+        (EngineProtocol, b"*999999999\r\n"),
+        (EngineProtocol, b"$3\r\nabc\r\n"),
+        (EngineProtocol, b"*1\r\n$1\r\nab\r\n"),
+        (EngineProtocol, b"*4\r\n$16000\r\n" + b"x" * 17_000),
+        (feed_wire.DiscoveryProtocol, b"HTTP/1.1 503 no\r\n"),
+        (
+            feed_wire.DiscoveryProtocol,
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        ),
+        (feed_wire.DiscoveryProtocol, b"HTTP/1.1 200 OK\r\n\r\ndata: \xff\n"),
     ],
 )
 def test_framing_that_is_lost_is_said(kind, data):
@@ -137,7 +140,7 @@
     ).encode()
     assert len(event) > 300_000
     heard, wrong = fed(
-        feed_wire.FeedWire,
+        feed_wire.DiscoveryProtocol,
         [b"HTTP/1.1 200 OK\r\n\r\n", head + event * (1 if told else 4) + b"\n\n" * told],
     )
     assert (len(heard), bool(wrong)) == ((1, False) if told else (0, True))
@@ -168,8 +171,8 @@
 
 
 def test_a_ring_keeps_order_within_its_bounds():
-    allowance, chance = Allowance(60_000), random.Random(5)
-    ring, model = Ring(50_000, allowance), b""
+    allowance, chance = MemoryBudget(60_000), random.Random(5)
+    ring, model = RingBuffer(50_000, allowance), b""
     for _ in range(3000):
         data = chance.randbytes(chance.randrange(300))
         if ring.put(data):
@@ -187,12 +190,12 @@
         model = model[size:]
         assert len(ring) == len(model) and allowance.held <= 60_000
     ring.close()
-    assert allowance.held == 0 and not len(Ring(8, allowance, 8).gap()[8:])
+    assert allowance.held == 0 and not len(RingBuffer(8, allowance, 8).gap()[8:])
 
 
 def test_timers_are_never_early_keep_order_and_outlive_what_raises():
     clock, heard, troubles = [1000], [], []
-    hub = Hub(clock=lambda: clock[0], troubled=lambda: troubles.append(1))
+    hub = EventLoop(clock=lambda: clock[0], troubled=lambda: troubles.append(1))
     for delay in (30, 10, 20, 0):
         hub.later(delay, lambda d: heard.append((d, hub.now)), delay)
     hub.later(15, lambda: 1 / 0)
@@ -218,7 +221,7 @@
 
 
 def test_a_submission_goes_on_unchanged_and_its_pages_come_back_in_order():
-    premises = Premises()
+    premises = HostHarness()
     client, engine = premises.client(), premises.engine()
     sent = served(premises, client, engine, body=b"select \xc3\xa9 from s_3.t")
     assert sent.startswith(b"*4\r\n$5\r\nfetch\r\n$16\r\n" + T1.encode())
@@ -270,7 +273,7 @@
 def test_what_cannot_be_served_is_answered_on_its_stream_and_the_rest_lives_on(
     stream, code, fields
 ):
-    premises = Premises()
+    premises = HostHarness()
     client, engine = premises.client(), premises.engine()
     assert served(
         premises, premises.client(), engine, 7
@@ -287,7 +290,7 @@
 
 
 def test_what_is_taken_back_or_makes_no_sense_in_one_go_reaches_no_engine():
-    premises = Premises()
+    premises = HostHarness()
     engine = premises.engine()
     taken_back = b"".join(
         bytes.fromhex("0500000008") + k.to_bytes(4, "little") for k in range(1, 31)
@@ -329,7 +332,7 @@
 def test_a_client_that_cannot_be_served_is_told_within_two_seconds_and_harms_no_other(
     sent, answered
 ):
-    premises = Premises()
+    premises = HostHarness()
     good, bad, engine = premises.client(), premises.client(), premises.engine()
     premises.ask(good, bytes.fromhex("05000000100a000000"))
     for piece in sent:
@@ -350,7 +353,7 @@
 
 
 def test_connections_that_say_nothing_give_way_but_none_that_is_owed_an_answer():
-    premises = Premises(sockets=32)
+    premises = HostHarness(sockets=32)
     house, engine = premises.house, premises.engine()
     owed, once, silent, unread = (premises.client() for _ in range(4))
     served(premises, owed, engine, 1)
@@ -371,7 +374,7 @@
 
 
 def test_a_length_is_a_claim_and_holds_no_memory():
-    premises = Premises()
+    premises = HostHarness()
     for _ in range(50):
         premises.ask(premises.client(), (262_144).to_bytes(4, "little") + b"\2")
     assert premises.house.rings.held == 0
@@ -388,8 +391,8 @@
             "feed": "127.0.0.1:2",
             "settings": STATED_ON_SOCKETS,
         }
-        monkeypatch.setattr("corkgauge.net.feed.dial", self.dial)
-        self.source = Source(premises.house, configuration.Post(self.said, ""))
+        monkeypatch.setattr("corkgauge.net.discovery.dial", self.dial)
+        self.source = Source(premises.house, configuration.PlatformConfig(self.said, ""))
         premises.turn()
 
     def dial(self, hub, where, span):
@@ -409,7 +412,7 @@
 
 
 def test_a_new_configuration_moves_the_feed_and_disturbs_nothing(monkeypatch, tmp_path):
-    premises = Premises()
+    premises = HostHarness()
     client, engine, feeds = (
         premises.client(),
         premises.engine(),
@@ -444,7 +447,7 @@
 def test_a_feed_that_breaks_or_stops_is_asked_again_in_time_and_repeats_are_left_out(
     monkeypatch, tmp_path
 ):
-    premises = Premises()
+    premises = HostHarness()
     feeds = Feeds(premises, monkeypatch, tmp_path)
     for turn in range(3):
         premises.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
@@ -461,7 +464,7 @@
 
 
 def test_more_than_the_open_streams_are_refused():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     premises.ask(client, b"".join(request(n) for n in range(1, 36)))  # in one piece
     assert [answer[1] for answer in premises.answers(client)] == [33, 34, 35]
@@ -482,7 +485,7 @@
 
 @pytest.mark.parametrize("says, code, again", STAGES)
 def test_only_proof_that_it_never_ran_lets_an_irreversible_one_go_again(says, code, again):
-    premises = Premises([listing(1, {}, {"id": "e2"})])
+    premises = HostHarness([listing(1, {}, {"id": "e2"})])
     client, engines = premises.client(), {tag: premises.engine(tag) for tag in ("e1", "e2")}
     premises.ask(client, request(route="once"))
     first = next(tag for tag, sock in engines.items() if premises.heard(sock))
@@ -537,7 +540,7 @@
 
 @pytest.mark.parametrize("said, later, good", PEERS)
 def test_what_an_engine_spoils_goes_elsewhere_and_what_it_adds_harms_nothing(said, later, good):
-    premises = Premises([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
+    premises = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request(1) + request(2))
     assert premises.heard(engine).count(b"fetch") == 2
@@ -564,7 +567,7 @@
 
 
 def test_a_page_that_does_not_come_sends_its_submission_elsewhere_and_leaves_the_link_to_the_others():
-    premises = Premises([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
+    premises = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request(1) + request(2))
     premises.house.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
@@ -586,7 +589,7 @@
 
 
 def test_what_an_engine_tells_no_more_of_goes_elsewhere_before_its_expiry():
-    premises = Premises(
+    premises = HostHarness(
         [listing(1, {}, {"id": "e2", "state": "DRAINING"})],
         extra={**STATED_ON_SOCKETS["extra"], "tellsEveryUs": 300_000},
     )
@@ -609,14 +612,14 @@
 
 
 def test_hand_offs_keep_apart_so_that_one_bad_answer_spoils_few():
-    premises = Premises()
+    premises = HostHarness()
     client, engines = premises.client(), [premises.engine(), premises.engine()]
     premises.ask(client, b"".join(request(n) for n in range(1, 5)))
     assert [premises.heard(engine).count(b"fetch") for engine in engines] == [2, 2]
 
 
 def test_a_hand_off_that_waits_for_a_link_is_withdrawn_when_its_engine_drains():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     premises.ask(client, request())
     (errand,) = premises.house.errands.values()
@@ -627,7 +630,7 @@
 
 
 def test_without_a_link_in_time_it_counts_as_unreached_and_is_answered_once():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     premises.ask(client, request(route="once"))
     premises.pass_time(4 * SECOND)
@@ -636,7 +639,7 @@
 
 
 def test_a_hand_off_whose_own_time_ends_before_a_dial_tells_nothing_of_its_engine():
-    premises = Premises(limits={"mostTries": 1, "streamsPerConn": 4, "dialTimeoutUs": 5_000_000})
+    premises = HostHarness(limits={"mostTries": 1, "streamsPerConn": 4, "dialTimeoutUs": 5_000_000})
     client = premises.client()
     premises.ask(client, request(patience="400"))
     (errand,) = premises.house.errands.values()
@@ -649,12 +652,12 @@
     def full(*_):
         raise OSError(24, "Too many open files")
 
-    monkeypatch.setattr("corkgauge.loop.link.socket.socket", full)
-    assert dial(Hub(), ("127.0.0.1", 1), SECOND) == (None, "EMFILE")
+    monkeypatch.setattr("corkgauge.eventloop.connection.socket.socket", full)
+    assert dial(EventLoop(), ("127.0.0.1", 1), SECOND) == (None, "EMFILE")
 
 
 def test_an_id_of_an_engine_that_is_gone_may_come_back():
-    premises = Premises()
+    premises = HostHarness()
     engine, old = premises.engine(), premises.house.stations["e1"]
     premises.ask(premises.client(), request())
     premises.house.event("2", json.dumps(listing(2)))
@@ -666,7 +669,7 @@
 
 
 def test_a_late_answer_to_one_hand_off_is_not_taken_for_the_next():
-    premises = Premises(limits={"mostTries": 3, "streamsPerConn": 4})
+    premises = HostHarness(limits={"mostTries": 3, "streamsPerConn": 4})
     client, engine = premises.client(), premises.engine()
     served(premises, client, engine, patience="500")
     premises.pass_time(SECOND)
@@ -682,7 +685,7 @@
 
 
 def test_a_new_engine_at_an_old_address_gets_links_of_its_own():
-    premises = Premises()
+    premises = HostHarness()
     engine = premises.engine()
     premises.house.event("2", json.dumps(listing(2, {"id": "e2"})))
     premises.turn()
@@ -694,7 +697,7 @@
 
 
 def test_one_key_keeps_its_order_and_time_kept_back_goes_off_its_life():
-    premises = Premises()
+    premises = HostHarness()
     one, two, engine = premises.client(), premises.client(), premises.engine()
     keyed = dict(route="load", entity="00ff", nonce="n1")
     sent = served(premises, one, engine, **keyed)
@@ -708,7 +711,7 @@
 
 
 def test_time_that_a_submission_may_have_waited_unread_goes_off_its_life():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     client.sendall(request(patience="3000"))
     premises.hub.turn(0)
@@ -720,7 +723,7 @@
 
 
 def test_a_withdrawal_at_expiry_is_still_answered_an_early_one_is_not():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     premises.ask(client, request(1) + request(2))
     premises.ask(client, bytes.fromhex("050000000801000000"))
@@ -730,7 +733,7 @@
 
 
 def test_all_that_is_open_is_answered_before_the_program_ends():
-    premises = Premises()
+    premises = HostHarness()
     client, engine = premises.client(), premises.engine()
     served(premises, client, engine, patience="5000")
     premises.house.leave()
@@ -749,7 +752,7 @@
 
 
 def test_what_lies_unread_at_the_end_is_answered_first():
-    premises = Premises()
+    premises = HostHarness()
     client = premises.client()
     premises.ask(client, bytes.fromhex("05000000100a000000"))
     premises.house.leave()
@@ -767,7 +770,7 @@
 
 def test_many_short_lives_leave_nothing_behind():
     """Danger: nothing collects garbage, so what points to each other stays for good."""
-    premises, held = Premises(), []
+    premises, held = HostHarness(), []
     gc.collect()
     gc.disable()
     for n in range(1, 1201):
@@ -801,7 +804,7 @@
 
 
 def test_clients_that_do_not_read_cannot_fill_the_memory():
-    premises = Premises()
+    premises = HostHarness()
     premises.house.results.most = 300_000
     client, engine = premises.client(), premises.engine()
     caller = next(iter(premises.house.callers))
@@ -817,7 +820,7 @@
 
 
 def test_a_silent_link_is_asked_for_a_sign_before_the_engine_would_close_it():
-    premises = Premises(limits={"connIdleUs": 3_000_000})
+    premises = HostHarness(limits={"connIdleUs": 3_000_000})
     engine = premises.engine()
     premises.pass_time(2 * SECOND)
     assert premises.heard(engine).startswith(command("alive", "alive-1"))
@@ -838,7 +841,7 @@
     ],
 )
 def test_a_feed_event_that_makes_no_sense_changes_nothing(event):
-    premises = Premises()
+    premises = HostHarness()
     assert premises.house.event("2", event)
     assert premises.house.last_event == 1 and premises.house.stations["e1"].engine.state == READY
     assert not premises.house.event("1", json.dumps(listing(1)))  # told before: left out
@@ -869,10 +872,12 @@
 def test_a_faulty_configuration_is_told_by_its_key(change, key, tmp_path):
     said = {"listen": "127.0.0.1:1", "feed": "127.0.0.1:2", "settings": STATED_ON_SOCKETS, **change}
     (tmp_path / "c.json").write_text(json.dumps(said))
-    with pytest.raises(configuration.Faulty, match=key):
-        from corkgauge.net.frames import FramesHouse
+    with pytest.raises(configuration.ConfigurationError, match=key):
+        from corkgauge.net.platform_frontend import PlatformFrontEnd
 
-        FramesHouse(Hub(), configuration.read({"EDGE_CONFIG": str(tmp_path / "c.json")}), print)
+        PlatformFrontEnd(
+            EventLoop(), configuration.read({"EDGE_CONFIG": str(tmp_path / "c.json")}), print
+        )
 
 
 @pytest.mark.parametrize("text", ["", "{", "[1]"])
@@ -883,7 +888,7 @@
         {"EDGE_CONFIG": str(tmp_path / "c.json")},
         {"EDGE_CONFIG": "/nowhere/at/all"},
     ):
-        with pytest.raises(configuration.Faulty, match="EDGE_CONFIG"):
+        with pytest.raises(configuration.ConfigurationError, match="EDGE_CONFIG"):
             configuration.read(environment)
 
 
@@ -905,7 +910,7 @@
 
 def test_engines_are_dialled_when_something_goes_there_and_again_when_two_had_to_share():
     premises, dialled = (
-        Premises((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=200),
+        HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=200),
         [],
     )
 
@@ -913,7 +918,7 @@
         dialled.append(station.engine.name)
         station.dialling = False
 
-    Station.dial = dial
+    EnginePool.dial = dial
     premises.turn()
     assert dialled == []  # hundreds of gateways that dial all engines ahead cost more than they ask
     client = premises.client()
@@ -935,8 +940,8 @@
         dialled.append(station.engine.name)
         station.dialling = False
 
-    premises = Premises((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
-    Station.dial = dial
+    premises = HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
+    EnginePool.dial = dial
     for station in premises.house.stations.values():
         station.dialling = False
         station.fill()
@@ -945,7 +950,7 @@
 
 
 def test_of_one_key_the_one_that_was_read_first_is_told_first_whatever_lies_behind_it(monkeypatch):
-    premises = Premises()
+    premises = HostHarness()
     engine, one, other = premises.engine(), premises.client(), premises.client()
     busy = []
     monkeypatch.setattr(clients, "unread", lambda sock: sock in busy)
@@ -965,7 +970,7 @@
 def test_a_withdrawal_at_expiry_of_what_the_gateway_never_heard_of_is_answered_and_it_never_does(
     monkeypatch,
 ):
-    premises = Premises()
+    premises = HostHarness()
     engine, client = premises.engine(), premises.client()
     monkeypatch.setattr(clients, "unread", lambda sock: 1)  # more lies there, all the time
     premises.ask(client, request(1, patience="40"))
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from corkgauge.duties import office as offices
-from corkgauge.duties.holder import HOLDING
-from corkgauge.duties.office import Office
-from corkgauge.fellows.company import ALIVE
-from corkgauge.operator import Duties
-from corkgauge.standins.chance import Chance
+from corkgauge.leases import service as offices
+from corkgauge.leases.candidate import HOLDING
+from corkgauge.leases.service import LeaseService
+from corkgauge.membership.member_list import ALIVE
+from corkgauge.config.operator_file import Duties
+from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
 LEASE = 8_000
@@ -47,7 +47,7 @@
         )
         house = SimpleNamespace(hub=self.hub, log=self.lines.append, routes={})
         said = Duties(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
-        self.office = Office(
+        self.office = LeaseService(
             house,
             SimpleNamespace(name=name),
             said,
@@ -89,7 +89,7 @@
 
 class Rack:
     def __init__(self, monkeypatch, disk=0):
-        self.now, self.serial, self.events, self.chance = SECOND, 0, [], Chance(7)
+        self.now, self.serial, self.events, self.chance = SECOND, 0, [], SeededRandom(7)
         monkeypatch.setattr(offices, "boot_time", lambda: self.now)
         self.members = {}
         for name in NAMES:
--- a/tests/test_parent.py
+++ b/tests/test_parent.py
@@ -12,8 +12,8 @@
 RIG = """
 import os, signal, sys, time
 from concurrent.futures import ProcessPoolExecutor
-from corkgauge.standins.fleet import Fault, Fleet
-from corkgauge.standins.parent import tied
+from corkgauge.testkit.fleet.processes import Fault, Fleet
+from corkgauge.testkit.fleet.parent_process import tied
 
 def worked():
     fleet = Fleet(gateways=2, lease=0.8, disk=True)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -7,16 +7,25 @@
 
 import pytest
 
-from corkgauge.control import CROWDED, FLOOR, SIGMA, STEP
-from corkgauge.interface import ERROR, FULL, HONOURED, LABELLED, PROGRESS, RESET, TIMED_OUT, Engine
-from tests.yard import QUICK, SECOND, Yard
+from corkgauge.policy.gateway import CROWDED, FLOOR, SIGMA, STEP
+from corkgauge.policy.records import (
+    ERROR,
+    FULL,
+    HONOURED,
+    LABELLED,
+    PROGRESS,
+    RESET,
+    TIMED_OUT,
+    Engine,
+)
+from tests.harness import QUICK, SECOND, GatewayHarness
 
 HEAVY = {**QUICK, "name": "heavy", "worth": 6.0, "threads": 4}
 
 
 @pytest.mark.parametrize("shares", [(0.5, 0.5), (0.75, 0.25), (0.9, 0.1)])
 def test_lottery_follows_shares(shares):
-    yard = Yard([QUICK, HEAVY])
+    yard = GatewayHarness([QUICK, HEAVY])
     yard.take(), yard.take(1)
     queues = list(yard.gateway.queues.values())
     for queue, share in zip(queues, shares):
@@ -28,13 +37,13 @@
 def test_tables_have_a_home_alike_at_all_gateways():
     homes = [
         [s.handoffs[0].engine.tag for s in [yard.take(tables=t) for t in range(12)]]
-        for yard in (Yard(seed=1, engines=8), Yard(seed=2, engines=8))
+        for yard in (GatewayHarness(seed=1, engines=8), GatewayHarness(seed=2, engines=8))
     ]
     assert homes[0] == homes[1] and len(set(homes[0])) > 2
 
 
 def test_the_bound_binds_under_pressure_only():
-    yard = Yard(engines=1)
+    yard = GatewayHarness(engines=1)
     subs = [yard.take() for _ in range(int(8 * CROWDED))]  # a lone gateway on a quiet day
     assert all(s.handoffs for s in subs)
     yard.over(subs[0].handoffs[0], FULL)
@@ -47,12 +56,12 @@
 
 
 def test_a_burst_does_not_go_out_at_once():
-    yard = Yard(engines=1)
+    yard = GatewayHarness(engines=1)
     assert 0 < sum(len(yard.take().handoffs) for _ in range(100)) <= 8 * CROWDED
 
 
 def test_light_submissions_pass_the_heavy():
-    yard = Yard([QUICK, {**HEAVY, "aim": 9 * SECOND}], engines=1)
+    yard = GatewayHarness([QUICK, {**HEAVY, "aim": 9 * SECOND}], engines=1)
     yard.over(yard.take().handoffs[0], took=2000)
     yard.take(1, estimate=9 * SECOND, life=20 * SECOND)
     yard.pass_time(2 * SECOND)
@@ -61,7 +70,7 @@
 
 
 def test_a_queue_that_waits_releases_its_lightest_first():
-    yard = Yard(engines=0)
+    yard = GatewayHarness(engines=0)
     subs = [yard.take(estimate=work) for work in (5000, 900, 3000)]
     yard.tell(Engine("e", b"e", 0, 0, 0, cores=8.0))
     assert [tag for tag, _ in yard.said("hand_off")] == [subs[n].tag for n in (1, 2, 0)]
@@ -69,7 +78,7 @@
 
 @pytest.mark.parametrize("held", [4, 6, 7])
 def test_an_engine_that_stalls_is_pressed(held):
-    yard = Yard(engines=1)
+    yard = GatewayHarness(engines=1)
     for _ in range(held):
         yard.take()
     assert yard.take().handoffs
@@ -79,7 +88,7 @@
 
 @pytest.mark.parametrize("bad", [0, 1])
 def test_feedback_moves_share_to_the_worse_within_a_step(bad):
-    yard = Yard([QUICK, {**QUICK, "name": "other"}])
+    yard = GatewayHarness([QUICK, {**QUICK, "name": "other"}])
     subs = [yard.take(0), yard.take(1)]
     for n, sub in enumerate(subs):
         yard.over(sub.handoffs[0], took=4 * SECOND if n == bad else 2000)
@@ -90,7 +99,7 @@
 
 
 def test_a_starved_queue_looks_bad():
-    yard = Yard([QUICK, HEAVY], engines=0)
+    yard = GatewayHarness([QUICK, HEAVY], engines=0)
     yard.take(1)
     yard.pass_time(int(1.5 * SECOND))
     assert yard.said("dismiss")
@@ -99,7 +108,7 @@
 
 @pytest.mark.parametrize("outcomes, rests", [([ERROR], True), ([RESET], True), ([HONOURED], False)])
 def test_a_faulty_engine_rests(outcomes, rests):
-    yard = Yard()
+    yard = GatewayHarness()
     sub = yard.take()
     home = sub.handoffs[0].engine
     for outcome in outcomes:
@@ -112,7 +121,7 @@
 
 
 def test_all_engines_faulty_are_all_used():
-    yard = Yard()
+    yard = GatewayHarness()
     for _ in range(12):
         for handoff in yard.take().handoffs:
             yard.over(handoff, ERROR)
@@ -129,7 +138,7 @@
     ],
 )
 def test_a_silent_engine(cancels, copies, heard, rescued):
-    yard = Yard(cancels=cancels, copies=copies)
+    yard = GatewayHarness(cancels=cancels, copies=copies)
     for _ in range(9):  # what is usual must be known
         yard.over(yard.take(tables=2.0).handoffs[0], took=2000)
     yard.now += 1
@@ -143,7 +152,7 @@
 
 
 def test_one_long_hand_off_is_no_silence_and_bars_no_trial():
-    yard = Yard([QUICK, HEAVY], engines=2)
+    yard = GatewayHarness([QUICK, HEAVY], engines=2)
     long = yard.take(1, estimate=8 * SECOND, life=30 * SECOND)
     engine, home = long.handoffs[0].engine, long.tables
     yard.pass_time(8 * SECOND)
@@ -158,7 +167,7 @@
 
 
 def test_a_bad_plan_is_called_off():
-    yard = Yard(cancels=True)
+    yard = GatewayHarness(cancels=True)
     sub = yard.take()
     yard.now += 4000
     yard.gateway.handoff_progress(sub.handoffs[0], PROGRESS, 0.02)
@@ -168,7 +177,7 @@
 EVENTS = r"""
 import io, sys
 from struct import pack
-from corkgauge.drill.__main__ import Ground
+from corkgauge.simulator.__main__ import Ground
 boot = (b'{"profiles":[{"name":"a","objectiveUs":1000000,"deadlineUs":5000000}],"instances":2,'
         b'"extra":{"coresByKind":[8],"takesPriority":true},"limits":{"mostTries":4}}')
 def frame(n, records):
@@ -233,7 +242,9 @@
     ],
 )
 def test_bad_input_ends_with_one_line(data, code, line):
-    run = subprocess.run([sys.executable, "-m", "corkgauge.drill"], input=data, capture_output=True)
+    run = subprocess.run(
+        [sys.executable, "-m", "corkgauge.simulator"], input=data, capture_output=True
+    )
     said = run.stderr.decode().splitlines()
     assert run.returncode == code and line in "".join(said) and len(said) == code and not run.stdout
 
@@ -241,16 +252,16 @@
 def test_settings_that_make_no_sense_are_a_fault_with_the_key():
     from struct import pack
 
-    from corkgauge.drill.__main__ import Cursor, Ground
+    from corkgauge.simulator.__main__ import Cursor, SimulatorAdapter
 
-    ground = Ground()
+    ground = SimulatorAdapter()
     boot = b'{"profiles":[{"deadlineUs":-5}]}'
     ground.record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
     assert ground.actions[0][0] == 70 and b"deadlineUs: -5" in ground.actions[0]
 
 
 def test_time_outs_push_the_bound_down_and_answers_in_time_up():
-    yard = Yard(engines=1)
+    yard = GatewayHarness(engines=1)
     engine = yard.engines[0]
     for outcome, least, most in ((HONOURED, 1.0, 2.0), (TIMED_OUT, 0.0, 1.0)):
         engine.view.bound = 1.0
@@ -261,7 +272,7 @@
 
 
 def test_a_gateway_with_little_traffic_spreads_a_hot_group_over_the_order():
-    yard = Yard(gateways=200, engines=8)
+    yard = GatewayHarness(gateways=200, engines=8)
     for _ in range(128):
         yard.over(yard.take().handoffs[0], took=2000)
     engines = [engine for _, engine in yard.said("hand_off")][64:]
@@ -271,7 +282,7 @@
 
 
 def test_late_answers_raise_a_price_that_holds_the_heaviest_back_and_time_lowers_it():
-    yard = Yard([QUICK, HEAVY], gateways=200)
+    yard = GatewayHarness([QUICK, HEAVY], gateways=200)
     yard.over(yard.take().handoffs[0], took=2000)
     yard.pass_time(2 * SECOND)
     for _ in range(40):
@@ -289,7 +300,7 @@
 def test_a_gateway_among_hundreds_has_its_turn_at_a_cold_engine():
     turns = []
     for number in range(200):
-        yard = Yard(engines=1, gateways=200, number=number)
+        yard = GatewayHarness(engines=1, gateways=200, number=number)
         for _ in range(8):
             yard.over(yard.take().handoffs[0], took=2000)
         yard.pass_time(2 * SECOND)
@@ -300,7 +311,7 @@
 
 
 def test_in_a_line_longer_than_its_promise_the_heaviest_are_dismissed():
-    yard = Yard([{**QUICK, "ordered": True, "stretch": 0.0}])
+    yard = GatewayHarness([{**QUICK, "ordered": True, "stretch": 0.0}])
     subs = [yard.take(key=5, estimate=work) for work in (1000, 9000, 2000, 1000)]
     # Danger: the one of 9000 would make all behind it late; the first runs already.
     assert [tag for tag, _ in yard.said("dismiss")] == [subs[1].tag] and subs[0].handoffs
@@ -308,7 +319,7 @@
 
 @pytest.mark.parametrize("late", [20, 2000])
 def test_a_price_that_late_answers_raise_stays_within_reach(late):
-    yard = Yard(engines=8)
+    yard = GatewayHarness(engines=8)
     subs = [yard.take() for _ in range(40)]
     yard.over(subs[0].handoffs[0], took=2000)
     yard.pass_time(2 * SECOND)
@@ -318,7 +329,7 @@
 
 
 def test_a_gateway_that_is_behind_takes_no_more_until_it_has_caught_up():
-    yard = Yard()
+    yard = GatewayHarness()
     yard.lag = 500
     assert yard.take().over and len(yard.said("dismiss")) == 1
     yard.lag = 400
@@ -326,7 +337,7 @@
 
 
 def test_what_befalls_all_engines_alike_lets_none_rest_and_one_that_is_worse_rests_all_the_same():
-    yard = Yard(engines=4)
+    yard = GatewayHarness(engines=4)
     for _ in range(6):
         for _ in yard.engines:
             sub = yard.take(tables=float(yard.serial))
@@ -350,7 +361,7 @@
 
 
 def test_one_that_later_ones_passed_long_ago_is_copied_once_and_one_that_is_told_of_is_not():
-    yard = Yard(engines=2, copies=True)
+    yard = GatewayHarness(engines=2, copies=True)
     for n in range(8):
         yard.over(yard.take(tables=float(n)).handoffs[0], took=2000)
     subs = [yard.take(), yard.take()]
@@ -379,7 +390,7 @@
 
 
 def test_what_two_engines_cannot_use_is_handed_to_no_third():
-    yard = Yard(engines=4)
+    yard = GatewayHarness(engines=4)
     sub = yard.take()
     yard.over(sub.handoffs[0], ERROR)
     yard.over(sub.handoffs[1], ERROR)
@@ -387,7 +398,7 @@
 
 
 def test_nothing_stays_of_what_is_over():
-    yard = Yard([{**QUICK, "ordered": True}], settle=SECOND)
+    yard = GatewayHarness([{**QUICK, "ordered": True}], settle=SECOND)
     subs = []
     for n in range(3000):
         subs = [sub for sub in subs if any(h.out for h in sub.handoffs) or not sub.over]
@@ -407,13 +418,13 @@
     """Danger: each of them alike sends its first one to the first of the order, and together they overrun it."""
     firsts = Counter()
     for number in range(200):
-        yard = Yard(engines=20, gateways=200, number=number, seed=number)
+        yard = GatewayHarness(engines=20, gateways=200, number=number, seed=number)
         firsts.update(sub.handoffs[0].engine.tag for sub in [yard.take()])
     assert len(firsts) >= 18 and max(firsts.values()) < 30
 
 
 def test_a_gateway_that_goes_on_with_one_group_of_many_comes_back_to_its_own_home():
-    yard = Yard(engines=20, gateways=200)
+    yard = GatewayHarness(engines=20, gateways=200)
     homes = []
     for n in range(60):
         sub = yard.take(tables=float(n % 12))
@@ -424,7 +435,7 @@
 
 
 def test_under_a_price_turns_at_cold_engines_further_on_are_used():
-    yard = Yard(engines=8, gateways=1)
+    yard = GatewayHarness(engines=8, gateways=1)
     order = yard.gateway._order(1.0)
     for engine in order[4:]:
         yard.tell(engine, started=yard.now - 2 * SECOND)
@@ -449,7 +460,7 @@
         group="cell",
         remembered=20 * SECOND,
     )
-    yard = Yard([QUICK, labelled], engines=3)
+    yard = GatewayHarness([QUICK, labelled], engines=3)
     first = yard.take(1)
     engine = first.handoffs[0].engine  # alone in its cell
     yard.gateway.engine_aside(engine, 1)
@@ -470,7 +481,7 @@
 
 
 def test_a_hall_without_a_sign_after_two_losses_is_tried_by_one_hand_off_a_rest():
-    yard = Yard(engines=8)
+    yard = GatewayHarness(engines=8)
     first = {}
     for n in range(60):  # one hand-off at each
         sub = yard.take(tables=float(n))
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from corkgauge.standins import ports
-from corkgauge.standins.ports import HIGHEST, LOWEST, Reserved, free_port, highest
+from corkgauge.testkit.fleet import ports
+from corkgauge.testkit.fleet.ports import HIGHEST, LOWEST, Reserved, free_port, highest
 
 
 @pytest.mark.parametrize("sort", [socket.SOCK_STREAM, socket.SOCK_DGRAM])
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -11,21 +11,27 @@
 from hypothesis import given, strategies
 
 from corkgauge.commands import group
-from corkgauge.interface import RESET, UNREACHED
-from corkgauge.operator import Recall
-from corkgauge.recall import ageing, effects, learned, snapshot, writer
-from corkgauge.recall.effects import Effect, Effects
-from corkgauge.recall.keeping import Keeping
-from corkgauge.recall.writer import FRAME, Files, segments
-from corkgauge.standins.play import Play
-from corkgauge.standins.script import read as read_script
-from tests.yard import SECOND, STATED_ON_SOCKETS, Premises, Yard, listing, request
+from corkgauge.policy.records import RESET, UNREACHED
+from corkgauge.config.operator_file import Recall
+from corkgauge.recovery import (
+    decay as ageing,
+    attempt_log as effects,
+    learned_state as learned,
+    snapshot,
+    log_writer as writer,
+)
+from corkgauge.recovery.attempt_log import LoggedAttempt, AttemptLog
+from corkgauge.recovery.service import RecoveryService
+from corkgauge.recovery.log_writer import FRAME, Files, segments
+from corkgauge.testkit.fleet.day import Day
+from corkgauge.testkit.faults.script import read as read_script
+from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, GatewayHarness, listing, request
 
 NONCE = "ab" * 16
 
 
 def effect(serial, label="l1", sent=0, until=100 * SECOND, key=7, hall=0):
-    return Effect(serial, label, "load", key, "e1", hall, 0, sent, until)
+    return LoggedAttempt(serial, label, "load", key, "e1", hall, 0, sent, until)
 
 
 # The log.
@@ -49,7 +55,7 @@
 def test_any_bytes_of_a_log_or_snapshot_do_no_harm(data):
     for body, _, _ in effects.records(effects.sent(effect(1)) + data):
         assert body is None or isinstance(body, list)
-    with pytest.raises(snapshot.Unusable):
+    with pytest.raises(snapshot.UnusableSnapshotError):
         snapshot.read(snapshot.MAGIC[: len(data) % 9] + data, "n", 1)
 
 
@@ -57,11 +63,11 @@
     "body", [[1, "x"], [1, 2, 3, 4, 5, 6, 7, 8, 9, 10], [2, [], True], [1, 1, "l", "o", 1, "e"]]
 )
 def test_records_that_make_no_sense_are_passed_over(body):
-    assert not Effects().take(body) or not len(Effects())
+    assert not AttemptLog().take(body) or not len(AttemptLog())
 
 
 def test_effects_are_known_by_label_until_engines_forget_and_stay_bounded(monkeypatch):
-    known = Effects()
+    known = AttemptLog()
     known.sent(effect(1, sent=0))
     known.sent(effect(2, "l2"))
     known.over(2, ran=False)  # proof that it never ran
@@ -228,10 +234,10 @@
                 try:
                     read = snapshot.read(found.get(f"/d/n.{end}", b""), "n", 1)["at"]
                     break
-                except snapshot.Unusable:
+                except snapshot.UnusableSnapshotError:
                     continue
             assert done <= read <= done + 1 or not done, (until, done, read)  # synced is never lost
-            known = Effects()
+            known = AttemptLog()
             for _, path in segments("/d", "n", [os.path.basename(path) for path in found]):
                 for body, _, _ in effects.records(found[path]):
                     assert body is None or known.take(body)
@@ -246,7 +252,7 @@
 
 
 def test_what_was_learned_comes_back_only_for_the_same_engine():
-    yard = Yard(copies=True)
+    yard = GatewayHarness(copies=True)
     slow, gone, other = yard.engines
     for _ in range(4):
         yard.take()
@@ -257,7 +263,7 @@
     for each in yard.engines:
         each.name = each.tag
     said = {"at": yard.now, **learned.gathered(yard.gateway)}
-    later = Yard(copies=True)
+    later = GatewayHarness(copies=True)
     for each in later.engines:
         each.name = each.tag
     later.engines[1].started = 5  # another process under the same id
@@ -289,7 +295,7 @@
         remembered=20 * SECOND,
         ordered=True,
     )
-    yard = Yard(offerings=(offering,), settle=3000)
+    yard = GatewayHarness(offerings=(offering,), settle=3000)
     yard.gateway.key_rests(9, yard.now + 3000)
     first = yard.take(key=9, life=3 * SECOND)
     assert not first.handoffs
@@ -301,7 +307,7 @@
 
 
 def keeping(folder, premises, each=SECOND, **said):
-    return Keeping(
+    return RecoveryService(
         premises.house, "n", 1, Recall(str(folder), each, said.get("durability", "process"), 3)
     )
 
@@ -325,7 +331,7 @@
 def test_a_retry_after_a_restart_goes_only_where_its_mark_is_known(tmp_path):
     for turn in range(4):  # the hashed order alone would send some of them elsewhere
         folder = tmp_path / str(turn)
-        before = Premises(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
+        before = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
         kept = keeping(folder, before)
         client = before.client()
         sockets = {tag: before.engine(tag) for tag in ("e1", "e2")}
@@ -336,7 +342,7 @@
         kept.helper.stdin.close()
         kept.helper.wait(5)
         os.close(kept.lock)  # as a kill does
-        after = Premises(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
+        after = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
         again = keeping(folder, after)
         assert any("effects=1 unsettled=1" in line for line in after.logged)
         other = {"e1": "e2", "e2": "e1"}[first]
@@ -364,7 +370,7 @@
 )
 def test_a_snapshot_that_is_no_use_means_a_cold_start_and_one_line(tmp_path, content, said):
     (tmp_path / "n.recall").write_bytes(content)
-    premises = Premises()
+    premises = HostHarness()
     kept = keeping(tmp_path, premises)
     assert (
         sum("passed over" in line for line in premises.logged) == 1 and said in premises.logged[0]
@@ -377,7 +383,7 @@
     for name in "n.recall", "n.effects.00000001":
         with open(tmp_path / name, "wb") as file:
             file.truncate(2 * 2**30)
-    begun, premises = time.time(), Premises()
+    begun, premises = time.time(), HostHarness()
     kept = keeping(tmp_path, premises)
     assert time.time() - begun < 2
     assert "more than are read" in premises.logged[0] and "too large" in premises.logged[1]
@@ -385,7 +391,7 @@
 
 
 def test_two_programs_in_one_folder_and_a_folder_that_cannot_be(tmp_path):
-    one, two = Premises(), Premises()
+    one, two = HostHarness(), HostHarness()
     kept, none = keeping(tmp_path, one), keeping(tmp_path, two)
     assert "in use by another" in two.logged[0] and two.house.recall is None and none.helper is None
     (tmp_path / "file").write_text("")
@@ -395,7 +401,7 @@
 
 
 def test_a_helper_that_stands_still_or_dies_costs_nothing_but_entries(tmp_path):
-    premises = Premises()
+    premises = HostHarness()
     kept = keeping(tmp_path, premises, each=10**9)
     os.kill(kept.helper.pid, signal.SIGSTOP)
     begun = time.time()
@@ -415,7 +421,7 @@
 
 
 def test_a_folder_that_goes_in_mid_run_is_told_and_the_helper_goes_on(tmp_path):
-    premises = Premises()
+    premises = HostHarness()
     kept = keeping(tmp_path, premises, each=10**9)
     for path in tmp_path.iterdir():
         path.unlink()
@@ -451,7 +457,7 @@
     script = "at 0.1 for 20: all slow 10\n" + "".join(
         f"at {1 + 0.6 * n}: program kill\n" for n in range(8)
     )
-    play = Play(
+    play = Day(
         6,
         read_script(script, ["e1", "e2"]),
         engines=2,
@@ -474,7 +480,7 @@
 
 
 def test_outcomes_that_prove_nothing_ran_free_the_label():
-    known = Effects()
+    known = AttemptLog()
     for serial, outcome in enumerate((RESET, UNREACHED), 1):
         known.sent(effect(serial, f"l{serial}"))
         known.over(serial, outcome == RESET)
@@ -482,7 +488,7 @@
 
 
 def test_the_commands_show_check_and_prune(tmp_path):
-    premises, run = Premises(), CliRunner().invoke
+    premises, run = HostHarness(), CliRunner().invoke
     kept = keeping(tmp_path, premises)
     assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
     kept._put(writer.EFFECT, effects.sent(effect(1)))
@@ -519,7 +525,7 @@
             files.floor(1, serial)
     many = len(there())
     assert 16 < many <= writer.SEGMENTS
-    found = Effects()
+    found = AttemptLog()
     for _, path in segments(str(tmp_path), "n", os.listdir(tmp_path)):
         with open(path, "rb") as file:
             for body, _, _ in effects.records(file.read()):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from corkgauge.interface import (
+from corkgauge.policy.records import (
     CALLED_OFF,
     DRAINING,
     ERROR,
@@ -16,7 +16,7 @@
     TIMED_OUT,
     UNREACHED,
 )
-from tests.yard import QUICK, SECOND, Yard
+from tests.harness import QUICK, SECOND, GatewayHarness
 
 ORDERED = {
     **QUICK,
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("life", [0, 1, 30, 40, 333, SECOND, 5 * SECOND])
 @pytest.mark.parametrize("engines", [0, 1])
 def test_every_submission_ends_once_before_expiry(life, engines):
-    yard = Yard(engines=engines)
+    yard = GatewayHarness(engines=engines)
     sub = yard.take(life=life)
     yard.pass_time(max(life - 20, 0))
     assert len(yard.said("dismiss") + yard.said("scrap")) == 1 and sub.over
@@ -54,7 +54,7 @@
     ],
 )
 def test_effects(repeat, outcome, again, ending):
-    yard = Yard([{**QUICK, "repeat": repeat, "remembered": 20 * SECOND}])
+    yard = GatewayHarness([{**QUICK, "repeat": repeat, "remembered": 20 * SECOND}])
     sub = yard.take()
     yard.over(sub.handoffs[0], outcome)
     assert (len(sub.handoffs) == 2) == again
@@ -65,7 +65,9 @@
     "group, allowed", [("all", {"e0", "e1", "e2"}), ("zone", {"e0", "e2"}), ("cell", {"e0"})]
 )
 def test_repeats_stay_in_their_group(group, allowed):
-    yard = Yard([{**QUICK, "repeat": LABELLED, "remembered": 20 * SECOND, "group": group}])
+    yard = GatewayHarness(
+        [{**QUICK, "repeat": LABELLED, "remembered": 20 * SECOND, "group": group}]
+    )
     yard.tell(*yard.engines[1:], state=DRAINING)
     sub = yard.take()
     yard.tell(*yard.engines[1:])
@@ -78,7 +80,7 @@
 
 
 def test_repeats_stop_when_no_longer_remembered():
-    yard = Yard([{**QUICK, "repeat": LABELLED, "remembered": SECOND}])
+    yard = GatewayHarness([{**QUICK, "repeat": LABELLED, "remembered": SECOND}])
     sub = yard.take()
     yard.now += SECOND
     yard.over(sub.handoffs[0], RESET)
@@ -87,7 +89,7 @@
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
 def test_drains_stop_at_once(state):
-    yard = Yard()
+    yard = GatewayHarness()
     yard.tell(*yard.engines, state=state)
     sub = yard.take()
     assert not sub.handoffs
@@ -97,7 +99,7 @@
 
 @pytest.mark.parametrize("outcome", [HONOURED, FULL])
 def test_cold_engine_gets_its_part_of_the_work(outcome):
-    yard = Yard(engines=1)
+    yard = GatewayHarness(engines=1)
     for _ in range(8):
         yard.over(yard.take().handoffs[0], took=2000)
     yard.pass_time(2 * SECOND)
@@ -113,7 +115,7 @@
 
 
 def test_a_new_gateway_does_not_trust_its_own_cold_budget():
-    yard = Yard(engines=1)
+    yard = GatewayHarness(engines=1)
     yard.tell(yard.engines[0], started=yard.now - SECOND)
     sub = yard.take()
     assert not sub.handoffs
@@ -123,7 +125,7 @@
     "outcome, settle", [(HONOURED, 0), (ERROR, 0), (TIMED_OUT, 0), (TIMED_OUT, 3000)]
 )
 def test_order(outcome, settle):
-    yard = Yard([ORDERED], most_handoffs=1, settle=settle)
+    yard = GatewayHarness([ORDERED], most_handoffs=1, settle=settle)
     first, second, other = yard.take(key=5), yard.take(key=5), yard.take(key=6)
     assert first.handoffs and not second.handoffs and other.handoffs
     yard.over(first.handoffs[0], outcome)
@@ -138,7 +140,7 @@
 
 
 def test_order_waits_for_outcomes_of_the_ended():
-    yard = Yard([ORDERED])
+    yard = GatewayHarness([ORDERED])
     first = yard.take(key=5, life=SECOND)
     yard.pass_time(SECOND)
     second = yard.take(key=5)
@@ -148,7 +150,7 @@
 
 
 def test_a_line_dismisses_those_that_can_no_longer_start_in_time():
-    yard = Yard([ORDERED])
+    yard = GatewayHarness([ORDERED])
     first, second = yard.take(key=5), yard.take(key=5)
     yard.pass_time(2 * SECOND)
     third = yard.take(key=5)
@@ -158,7 +160,7 @@
 
 
 def test_placement_holds_when_the_allowed_are_down():
-    yard = Yard([{**QUICK, "kinds": (1,)}, QUICK])
+    yard = GatewayHarness([{**QUICK, "kinds": (1,)}, QUICK])
     yard.tell(yard.engines[1], state=GONE)
     bound, free = yard.take(), yard.take(1)
     yard.pass_time(4 * SECOND)
@@ -169,7 +171,7 @@
     "taken, floor, share, most", [(10, 3.0, 0.1, 4), (1, 0.0, 0.1, 0), (30, 0.0, 0.5, 15)]
 )
 def test_budget(taken, floor, share, most):
-    yard = Yard(extra_floor=floor, extra_share=share, extra_span=5 * SECOND)
+    yard = GatewayHarness(extra_floor=floor, extra_share=share, extra_span=5 * SECOND)
     for _ in range(taken):
         yard.over(yard.take().handoffs[0])
     subs = [yard.take() for _ in range(taken)]  # Danger: what was never any use buys nothing
@@ -179,7 +181,7 @@
 
 
 def test_the_window_for_repeats_may_be_over_by_the_time_that_a_link_comes_up():
-    yard = Yard([{**QUICK, "repeat": LABELLED, "remembered": 2 * SECOND}])
+    yard = GatewayHarness([{**QUICK, "repeat": LABELLED, "remembered": 2 * SECOND}])
     sub = yard.take()
     yard.over(sub.handoffs[0], RESET)
     again = sub.handoffs[1]
@@ -190,7 +192,7 @@
 
 @pytest.mark.parametrize("change", ["drain", "anew", "aside", "over"])
 def test_what_an_attempt_rests_on_may_have_changed_by_the_time_that_a_link_comes_up(change):
-    yard = Yard(engines=1)
+    yard = GatewayHarness(engines=1)
     sub = yard.take()
     assert yard.gateway.may_begin(sub.handoffs[0])
     engine = yard.engines[0]
@@ -206,7 +208,7 @@
 
 
 def test_a_further_attempt_counts_in_the_budget_from_when_it_begins():
-    yard = Yard(extra_floor=2.0, extra_span=5 * SECOND)
+    yard = GatewayHarness(extra_floor=2.0, extra_span=5 * SECOND)
     subs = [yard.take(), yard.take()]
     for sub in subs:
         yard.over(sub.handoffs[0], RESET)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,14 +18,14 @@
 from benchmarks import scale_page, scale_settings, scaling
 from benchmarks.capacity import Book
 from benchmarks.scale import main
-from corkgauge.configuration import Post
-from corkgauge.control import MOMENT, PERIOD
-from corkgauge.interface import GONE, HONOURED, READY, Engine
-from corkgauge.loop.hub import SECOND
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.policy.gateway import MOMENT, PERIOD
+from corkgauge.policy.records import GONE, HONOURED, READY, Engine
+from corkgauge.eventloop.loop import SECOND
 from corkgauge.model import dissemination
-from corkgauge.net import feed_wire
-from corkgauge.net.host import Aside, stated_of
-from tests.yard import QUICK, Yard
+from corkgauge.net import discovery_protocol as feed_wire
+from corkgauge.net.host import UnstartedHost, stated_of
+from tests.harness import QUICK, GatewayHarness
 
 ROOT = Path(__file__).resolve().parent.parent
 SIZES = 200, 400, 800, 1_800
@@ -300,8 +300,8 @@
 
 
 def test_the_configuration_that_is_measured_is_one_that_serving_takes():
-    post = Post(scale_settings.configuration(30, 20, 50), "")
-    stated = stated_of(post, Aside())
+    post = PlatformConfig(scale_settings.configuration(30, 20, 50), "")
+    stated = stated_of(post, UnstartedHost())
     assert (
         len(stated.offerings),
         len(stated.tenants),
@@ -442,7 +442,7 @@
 
 def worked(engines):
     """A gateway of 870 that has worked for a while before so many engines."""
-    yard = Yard(
+    yard = GatewayHarness(
         [dict(QUICK, name=f"o{n}", worth=1.0 + n) for n in range(2)],
         engines=0,
         gateways=GATEWAYS,
--- a/tests/test_scale_alone.py
+++ b/tests/test_scale_alone.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.hollow_one import Alone, Front
-from corkgauge.standins.sampled import read
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.fleet.hollow_gateway import Alone, Front
+from corkgauge.testkit.fleet.profile_sampler import read
 
 HERE = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
@@ -72,7 +72,7 @@
 
 def test_the_program_under_measurement_ends_with_a_starter_that_is_killed():
     code = (
-        "from corkgauge.standins.hollow_serve import Serve; import time; s = Serve(20); s.ready(); "
+        "from corkgauge.testkit.fleet.hollow_serve import Serve; import time; s = Serve(20); s.ready(); "
         "print(s.program.process.pid, s.folder, flush=True); time.sleep(60)"
     )
     starter = subprocess.Popen(
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from corkgauge.net import engines
-from corkgauge.net.engine_wire import command
-from corkgauge.net.engines import Station
-from tests.yard import STATED_ON_SOCKETS, Premises, listing, name, request
+from corkgauge.net import engine_connection as engines
+from corkgauge.net.engine_protocol import command
+from corkgauge.net.engine_connection import EnginePool
+from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, name, request
 
-REAL_DIAL = Station.dial
+REAL_DIAL = EnginePool.dial
 ROW = "a\t\t\n"
 EXPIRY = 52_000
 PROOF = "WAIT", "PAST"  # an engine's word that it never ran
@@ -45,8 +45,8 @@
 
     def __init__(self):
         super().__init__()
-        self.premises = Premises([listing(1, {}, {"id": "e2"})])
-        Station.dial = REAL_DIAL
+        self.premises = HostHarness([listing(1, {}, {"id": "e2"})])
+        EnginePool.dial = REAL_DIAL
         self.kept, engines.dial = engines.dial, self.dial
         self.premises.house.dials = 0
         for station in self.premises.house.stations.values():
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -6,11 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from corkgauge.shared.findings import LIFE, SILENT, WELL, Finding, Findings
-from corkgauge.shared.storm import LEAST, Storm
-from corkgauge.shared.turns import Turns
-from corkgauge.shared.weighing import OWN, opinion
-from tests.yard import SECOND, Yard
+from corkgauge.peer_health.reports import LIFE, SILENT, WELL, HealthReport, HealthReports
+from corkgauge.peer_health.retry_throttle import LEAST, RetryThrottle
+from corkgauge.peer_health.permit_transfer import PermitTransfer
+from corkgauge.peer_health.aggregation import OWN, opinion
+from tests.harness import SECOND, GatewayHarness
 
 ROWS = st.lists(
     st.tuples(
@@ -45,7 +45,7 @@
         row(witness, start, serial, age, tag, fault=(start + serial) % 5)
         for witness, start, serial, age, tag in drawn
     ]
-    one, other = Findings("me", 1), Findings("me", 1)
+    one, other = HealthReports("me", 1), HealthReports("me", 1)
     one.merge(1000, rows)
     mixed = rows * 2
     chance.shuffle(mixed)
@@ -56,7 +56,7 @@
 
 def test_a_rumour_dies_out_and_its_age_only_grows():
     names = [f"n{n}" for n in range(8)]
-    all_of_them = {name: Findings(name, 1) for name in names}
+    all_of_them = {name: HealthReports(name, 1) for name in names}
     all_of_them["n0"].found(0, "e1", 7, SILENT, 0, 0)
     told, now = 0, 0
     for turn in range(60):
@@ -78,7 +78,7 @@
 
 
 def test_what_a_rumour_missed_is_mended_by_marks_also_where_the_earlier_one_was_lost():
-    one, other = Findings("n1", 1), Findings("n2", 1)
+    one, other = HealthReports("n1", 1), HealthReports("n2", 1)
     for n in range(3):
         one.found(n, f"e{n}", 7, SILENT, 0, 0)
     other.merge(10, [one.by_engine["e2"]["n1"].row(10)])  # the latest came, the others were lost
@@ -88,7 +88,7 @@
 
 
 def test_nonsense_floods_and_words_on_ourselves_change_nothing():
-    one = Findings("me", 1)
+    one = HealthReports("me", 1)
     wild = [
         row(witness="me"),
         row(age=-1),
@@ -107,7 +107,7 @@
 
 
 def said(witness, fault=SILENT, at=0, slowness=0, started=7):
-    return Finding(witness, 1, 1, at, "e1", started, fault, slowness, 5)
+    return HealthReport(witness, 1, 1, at, "e1", started, fault, slowness, 5)
 
 
 HALLS = {"me": "a", "a2": "a", "a3": "a", "a4": "a", "b1": "b", "b2": "b"}
@@ -149,7 +149,7 @@
 
 
 def test_a_storm_makes_all_stricter_alike_and_lets_go_by_steps():
-    storms = {f"n{n}": Storm(f"n{n}") for n in range(5)}
+    storms = {f"n{n}": RetryThrottle(f"n{n}") for n in range(5)}
     for now in range(0, 10 * SECOND, 2_000):
         bad = now < 4 * SECOND
         figures = (100, 20) if bad else (100, 0)
@@ -162,12 +162,12 @@
         if now == 2 * SECOND:
             assert {round(storm.strict, 3) for storm in storms.values()} == {0.25}
     assert all(storm.strict == 1.0 for storm in storms.values())
-    alone = Storm("n1")
+    alone = RetryThrottle("n1")
     assert alone.looked(0, 100, 50, 0.0, 0.2) == 1.0  # nobody else is heard: as strict as ever
 
 
 def test_a_turn_is_passed_once_to_one_that_needs_it_and_ends_with_its_window_whatever_letters_take():
-    giver, receiver = Turns(SECOND), Turns(SECOND)
+    giver, receiver = PermitTransfer(SECOND), PermitTransfer(SECOND)
     receiver.telling(1_000, 4)  # its clock is another one
     giver.needs("n2", 50_000, 1, 4, 1.0)
     assert (
@@ -191,7 +191,7 @@
         total = 0
         yards = []
         for number in range(40):
-            yard = Yard(engines=1, gateways=40, number=number)
+            yard = GatewayHarness(engines=1, gateways=40, number=number)
             for _ in range(8):
                 yard.over(yard.take().handoffs[0], took=2000)
             yard.pass_time(2 * SECOND)
@@ -212,20 +212,20 @@
 
 
 def test_a_doubted_engine_is_tried_by_one_hand_off_at_a_time_and_a_hint_is_for_lack_of_samples():
-    yard = Yard(engines=2)
+    yard = GatewayHarness(engines=2)
     engine = yard.engines[0]
     yard.gateway.heard_of(engine, 6.0, 1)
     taken = [handoff.engine for n in range(6) for handoff in yard.take(tables=float(n)).handoffs]
     assert taken.count(engine) == 1 and len(taken) > 3
     assert yard.gateway._slow(engine.view, 1.0) == 6.0
-    other = Yard(engines=2)
+    other = GatewayHarness(engines=2)
     other.gateway.heard_of(other.engines[0], 0.0, 2)
     taken = [handoff.engine for n in range(4) for handoff in other.take(tables=float(n)).handoffs]
     assert taken and other.engines[0] not in taken
 
 
 def test_further_hand_offs_only_grow_stricter():
-    yard = Yard(engines=3, extra_floor=4.0, extra_share=0.0, extra_span=SECOND)
+    yard = GatewayHarness(engines=3, extra_floor=4.0, extra_share=0.0, extra_span=SECOND)
     assert yard.gateway._extra_left()
     yard.gateway.strict = 0.2
     assert not yard.gateway._extra_left()
