--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.fleet import Fault, Fleet
-from corkgauge.standins.parent import tied
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.fleet.processes import Fault, Fleet
+from corkgauge.testkit.fleet.parent_process import tied
 
 SHARED = {"each": 0.2, "octets": 8000}
 FLEETS = []
@@ -33,7 +33,7 @@
         for name, off in (spoilt or {}).items():
             self.fleet.gateways[name].program.start_with = (
                 "-m",
-                "corkgauge.standins.undefended",
+                "corkgauge.testkit.faults.disabled_safeguards",
                 off,
                 "1.0",
             )
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from corkgauge import control
-from corkgauge.control import Gateway
-from corkgauge.interface import (
+from corkgauge.policy import gateway as control
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import (
     DRAINING,
     FULL,
     GONE,
@@ -21,8 +21,8 @@
     Engine,
 )
 from corkgauge.model import subsets
-from corkgauge.stated import Stated
-from tests.yard import QUICK, SECOND, STATED_ON_SOCKETS, Yard
+from corkgauge.config.settings import Settings
+from tests.harness import QUICK, SECOND, STATED_ON_SOCKETS, GatewayHarness
 
 RARE = {**QUICK, "name": "rare", "kinds": (1,)}
 
@@ -37,7 +37,9 @@
 
 def gateway_before(engines, number=5, gateways=870, offerings=(QUICK,), **stated):
     """A gateway on its host, told these engines; copies, as what it has seen of them is its own."""
-    yard = Yard(offerings=offerings, engines=0, number=number, gateways=gateways, **stated)
+    yard = GatewayHarness(
+        offerings=offerings, engines=0, number=number, gateways=gateways, **stated
+    )
     yard.engines = [
         Engine(e.tag, e.mark, e.hall, e.kind, e.cell, cores=e.cores, name=e.name) for e in engines
     ]
@@ -91,7 +93,7 @@
 @given(st.integers(300, 900), st.integers(600, 1800), st.integers(0, 10**6))
 def test_each_engine_is_in_nearly_as_many_sets_as_any_other(gateways, many, salt):
     part = max(control.BASE, 128**2 / many, control.COVER * many / gateways) / many
-    gateway, count = Yard(engines=0, gateways=gateways).gateway, [0] * 40
+    gateway, count = GatewayHarness(engines=0, gateways=gateways).gateway, [0] * 40
     for gateway.number in range(gateways):
         for n in range(40):
             count[n] += gateway._rank(b"%d-%d" % (salt, n)) <= part
@@ -316,8 +318,8 @@
     found = []
     for name in "n1", "n2", "n3":
         said = {**STATED_ON_SOCKETS, "instances": 870}  # and one seed in all files
-        host = Yard(engines=0)
-        gateway = Stated(said, host, 7, name).gateway
+        host = GatewayHarness(engines=0)
+        gateway = Settings(said, host, 7, name).gateway
         for engine in fleet_engines(900):
             gateway.engine_told(engine, READY, 0)
         gateway.list_told()
@@ -367,7 +369,7 @@
 @pytest.mark.parametrize("block", [2, 8, 64])
 def test_the_module_ranks_as_the_note_says(block):
     """Written apart: of each block of gateways one lies below 1 / block for both, and between powers of two as many."""
-    gateway = Yard(engines=0).gateway
+    gateway = GatewayHarness(engines=0).gateway
 
     def said(number, mark):
         gateway.number = number
--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.net.client_wire import SERVED
-from corkgauge.standins.clients import Want
-from corkgauge.standins.parent import tied
-from corkgauge.standins.wide import MISSING, Wide
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.net.client_protocol import SERVED
+from corkgauge.testkit.emulators.clients import Want
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.wide_fleet import MISSING, Wide
 
 SLACK = 2_500
 REPORTS = [Want("lookup", 0.60, 1_500, 8.0), Want("report", 0.40, 3_000, 60.0)]
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from corkgauge.interface import DRAINING, GONE, READY
-from corkgauge.net import engines
-from corkgauge.net.engine_wire import command
-from corkgauge.net.engines import Station
-from corkgauge.standins.chance import Chance
-from tests.yard import SECOND, Premises, listing, name, request
+from corkgauge.policy.records import DRAINING, GONE, READY
+from corkgauge.net import engine_connection as engines
+from corkgauge.net.engine_protocol import command
+from corkgauge.net.engine_connection import EnginePool
+from corkgauge.testkit.seeded_random import SeededRandom
+from tests.harness import SECOND, HostHarness, listing, name, request
 
-REAL_DIAL = Station.dial
+REAL_DIAL = EnginePool.dial
 
 
 def many(count, first=1):
@@ -57,11 +57,11 @@
     seen = {"fill": [], "withdraw": []}
     for kind in seen:
 
-        def noted(station, kind=kind, real=getattr(Station, kind)):
+        def noted(station, kind=kind, real=getattr(EnginePool, kind)):
             seen[kind].append(station.engine.name)
             real(station)
 
-        monkeypatch.setattr(Station, kind, noted)
+        monkeypatch.setattr(EnginePool, kind, noted)
 
     def watch(premises):
         premises.house.stations = Walked(premises.house.stations)
@@ -81,10 +81,10 @@
     def dial(station, where):
         found.append(station.engine.name)
 
-    monkeypatch.setattr(Station, "dial", dial)
+    monkeypatch.setattr(EnginePool, "dial", dial)
 
     def begin(premises):
-        monkeypatch.setattr(Station, "dial", dial)  # the rig puts its own there
+        monkeypatch.setattr(EnginePool, "dial", dial)  # the rig puts its own there
         for station in premises.house.stations.values():
             station.dialling, station.house.dials = False, 0
         found.clear()
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("count", [10, 40, 160])
 def test_a_change_of_one_engine_costs_one_however_long_the_list(count, walked):
-    premises = Premises([listing(1, *many(count))], instances=200)
+    premises = HostHarness([listing(1, *many(count))], instances=200)
     seen = walked(premises)
     changed(premises, {"id": "e3", "addr": "127.0.0.9:3", "started_ms": 5})
     changed(premises, {"id": "e4", "addr": "127.0.0.9:4", "state": "DRAINING"})
@@ -109,7 +109,7 @@
 
 
 def test_a_whole_list_costs_the_list_once(walked):
-    premises = Premises([listing(1, *many(30))], instances=200)
+    premises = HostHarness([listing(1, *many(30))], instances=200)
     seen = walked(premises)
     changed(premises, *many(20, 11), full=True)
     assert seen == {
@@ -120,7 +120,7 @@
 
 
 def test_what_is_told_of_several_acts_in_the_order_in_which_the_list_first_named_them(walked):
-    premises = Premises([listing(1, *many(30))], instances=200)
+    premises = HostHarness([listing(1, *many(30))], instances=200)
     seen = walked(premises)
     changed(
         premises,
@@ -132,12 +132,12 @@
 
 
 def test_what_waits_for_a_link_goes_on_with_a_change_that_names_another_engine(walked):
-    premises = Premises([listing(1, {})], instances=200)
+    premises = HostHarness([listing(1, {})], instances=200)
     client = premises.client()
     premises.ask(client, request())
     mine, its = socket.socketpair()
     station = premises.house.stations["e1"]
-    link = engines.EngineLink(station, its)
+    link = engines.EngineConnection(station, its)
     station.links.append(link)  # it is there, and nobody has filled it yet
     seen = walked(premises)
     changed(premises, *many(1, 2))
@@ -148,7 +148,7 @@
 
 
 def test_a_link_ahead_that_was_not_to_be_had_is_tried_again_with_the_next_change(walked, dialled):
-    premises = Premises([listing(1, {}, *many(1, 2))], instances=3)
+    premises = HostHarness([listing(1, {}, *many(1, 2))], instances=3)
     station = premises.house.stations["e1"]
     found = dialled(premises)
     station.spare_from = premises.hub.now + SECOND  # as after a dial that was refused
@@ -167,10 +167,12 @@
     change, as the host once did. `trace` is what the outside sees."""
 
     def __init__(self, seed, whole):
-        self.chance, self.trace, self.guests, self.refused = Chance(seed), [], [], 0
+        self.chance, self.trace, self.guests, self.refused = SeededRandom(seed), [], [], 0
         self.kept, engines.dial = engines.dial, self.dial
-        self.premises = Premises([listing(1, *many(5))], sockets=60, instances=(3, 200)[seed % 2])
-        Station.dial = REAL_DIAL
+        self.premises = HostHarness(
+            [listing(1, *many(5))], sockets=60, instances=(3, 200)[seed % 2]
+        )
+        EnginePool.dial = REAL_DIAL
         self.house = self.premises.house
         self.house.dials = 0
         for station in self.house.stations.values():
@@ -258,7 +260,7 @@
 
 
 def test_a_dial_costs_no_walk_over_all_engines(walked):
-    premises = Premises([listing(1, *many(50))], sockets=90, instances=200)
+    premises = HostHarness([listing(1, *many(50))], sockets=90, instances=200)
     ends = [premises.engine(f"e{n}") for n in range(1, 21)]
     client = premises.client()
     walked(premises)
@@ -269,7 +271,7 @@
 
 
 def test_links_that_end_are_counted_no_more():
-    premises = Premises([listing(1, *many(3))], instances=200)
+    premises = HostHarness([listing(1, *many(3))], instances=200)
     socks = [premises.engine(tag) for tag in ("e1", "e1", "e2")]
     assert len(premises.house.links) == 3
     socks[0].close()
@@ -280,7 +282,7 @@
 
 
 def test_links_are_shared_by_the_working_set_and_what_closes_not_by_the_list():
-    premises = Premises([listing(1, *many(60))], sockets=96, instances=200)
+    premises = HostHarness([listing(1, *many(60))], sockets=96, instances=200)
     house = premises.house
     assert house.links_each() == 2  # as ever where all engines are in the set
     held(premises, "e1", "e2", "e3", "e4")
@@ -292,7 +294,7 @@
 
 @pytest.mark.parametrize("count", [2, 7, 30])
 def test_while_all_engines_are_in_the_set_the_share_is_that_of_the_list(count):
-    premises = Premises([listing(1, *many(count))], sockets=300, instances=200)
+    premises = HostHarness([listing(1, *many(count))], sockets=300, instances=200)
     house = premises.house
     kept = premises.engine("e1")
     for state in "DRAINING", "DELETED", "SERVING", "DRAINING":
@@ -304,7 +306,7 @@
 
 
 def test_where_descriptors_run_out_a_link_outside_the_set_gives_way_first():
-    premises = Premises([listing(1, *many(9))], sockets=32, instances=200)
+    premises = HostHarness([listing(1, *many(9))], sockets=32, instances=200)
     premises.house.links_most, ends = 3, []
     for tag in "e1", "e2", "e3":
         ends.append(premises.engine(tag))
@@ -321,7 +323,7 @@
 
 
 def test_an_idle_link_outside_the_set_ends_and_one_inside_is_kept():
-    premises = Premises([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
+    premises = HostHarness([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
     ends = [premises.engine(tag) for tag in ("e1", "e2")]
     held(premises, "e1")
     premises.pass_time(SECOND + SECOND // 4)
@@ -333,7 +335,7 @@
 
 
 def test_a_link_of_an_engine_that_comes_back_to_the_set_is_kept():
-    premises = Premises([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
+    premises = HostHarness([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
     end = premises.engine("e2")
     held(premises, "e1")
     premises.pass_time(SECOND // 2)
@@ -343,7 +345,7 @@
 
 
 def test_a_link_outside_the_set_is_asked_for_signs_while_something_is_out_there():
-    premises = Premises([listing(1, {})], limits={"connIdleUs": 1_200_000}, instances=200)
+    premises = HostHarness([listing(1, {})], limits={"connIdleUs": 1_200_000}, instances=200)
     end, client = premises.engine(), premises.client()
     premises.ask(client, request(patience="4500"))
     assert b"fetch" in premises.heard(end)
@@ -358,7 +360,7 @@
 
 
 def test_no_engine_outside_the_set_is_dialled_ahead(dialled):
-    premises = Premises([listing(1, *many(4))], instances=3)
+    premises = HostHarness([listing(1, *many(4))], instances=3)
     found = dialled(premises)
     held(premises, "e1", "e3")
     for station in premises.house.stations.values():
@@ -368,7 +370,7 @@
 
 
 def test_an_engine_outside_the_set_is_dialled_for_what_waits_and_for_nothing_more(dialled):
-    premises = Premises([listing(1, {})], instances=3)
+    premises = HostHarness([listing(1, {})], instances=3)
     station, found = premises.house.stations["e1"], dialled(premises)
     station.engine.near = False
     client = premises.client()
@@ -393,7 +395,7 @@
     for event in events:
         tracemalloc.start()
         try:
-            premises = Premises([event], instances=870)
+            premises = HostHarness([event], instances=870)
             snapshot = tracemalloc.take_snapshot().filter_traces(
                 [
                     tracemalloc.Filter(True, "*/corkgauge/net/*"),
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -6,10 +6,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.model.agreement import PlanWorld, plan_day
-from corkgauge.works.keeper import LOW, PIECE, PROMISE, PROMISED, STEP, TAKEN, WANT, Keeper
-from corkgauge.works.order import (
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.model.plan_consensus import PlanWorld, plan_day
+from corkgauge.maintenance.plan_replica import (
+    LOW,
+    PIECE,
+    PROMISE,
+    PROMISED,
+    STEP,
+    TAKEN,
+    WANT,
+    PlanReplica,
+)
+from corkgauge.maintenance.schedule import (
     DEAD,
     PASSING,
     WELL,
@@ -20,9 +29,9 @@
     Wanted,
     next_out,
 )
-from corkgauge.works.party import Party
-from corkgauge.works.pieces import SIZE, Fetch, piece_of
-from corkgauge.works.plan import (
+from corkgauge.maintenance.participant import Participant
+from corkgauge.maintenance.chunk_transfer import SIZE, Fetch, piece_of
+from corkgauge.maintenance.plan import (
     ASKED,
     BACK,
     DRAINING,
@@ -32,9 +41,9 @@
     OUT,
     RETURNING,
     Plan,
-    Senseless,
+    InvalidRequestError,
 )
-from corkgauge.works.scribe import FORGOTTEN, IDLE, LEADING, Scribe
+from corkgauge.maintenance.plan_proposer import FORGOTTEN, IDLE, LEADING, PlanProposer
 
 ASK = ["ask", ["a", "engine", ["e1"], "ada", "", 9, 5, 1, "", 0]]
 UNIT = ["unit", "e1", "a", "engine", ["e1"]]
@@ -119,7 +128,7 @@
             assert tried.packed() == plan.packed()
             copy = Plan.unpacked(copy.packed())
             copy.apply(changes)
-        except Senseless:
+        except InvalidRequestError:
             assert not fits
         assert copy.packed() == plan.packed() and plan.time >= copy.time
     assert {*plan.levels()} == {
@@ -149,9 +158,9 @@
         [["state", "e1", LATE, ""], ["state", "e1", RETURNING, ""], ["state", "e1", BACK, ""]]
     )
     assert not plan.units and not plan.asks
-    with pytest.raises(Senseless):
+    with pytest.raises(InvalidRequestError):
         plan.apply([["cancel", "a", "bob"]])
-    with pytest.raises(Senseless):
+    with pytest.raises(InvalidRequestError):
         Plan.unpacked(b"\x93abc")
 
 
@@ -160,7 +169,7 @@
 
 def keeper(kept=None, silent=500):
     desk = Desk()
-    return desk, Keeper(desk, kept, silent)
+    return desk, PlanReplica(desk, kept, silent)
 
 
 def test_a_keeper_says_nothing_that_is_not_written_and_heeds_no_lower_fence():
@@ -175,7 +184,7 @@
     assert desk.sent == [] and one.stamp == (7, 1)
     kept = desk.safe()
     assert desk.sent.pop() == ("h", [TAKEN, 7, 7, 1])
-    again = Keeper(Desk(), kept, 500)  # started anew from what was written
+    again = PlanReplica(Desk(), kept, 500)  # started anew from what was written
     assert (again.promised, again.stamp, again.blank) == (
         7,
         (7, 1),
@@ -233,7 +242,7 @@
 
 def leading(desk=None):
     desk = desk or Desk()
-    scribe = Scribe(desk)
+    scribe = PlanProposer(desk)
     scribe.gained(9)
     for name in "k1", "k2":
         scribe.heard(name, [PROMISED, 9, 5, 1, False])
@@ -245,7 +254,7 @@
 
 def test_a_scribe_takes_over_from_the_latest_of_a_majority():
     desk, scribe = Desk(), None
-    scribe = Scribe(desk)
+    scribe = PlanProposer(desk)
     scribe.gained(9)
     scribe.heard("k1", [PROMISED, 9, 5, 1, False])
     scribe.heard("stranger", [PROMISED, 9, 8, 1, False])
@@ -283,7 +292,7 @@
 
 def test_a_majority_that_forgot_is_never_taken_for_an_empty_plan():
     desk = Desk()
-    scribe = Scribe(desk)
+    scribe = PlanProposer(desk)
     scribe.gained(9)
     scribe.heard("k1", [PROMISED, 9, 5, 1, False])
     scribe.heard("k2", [PROMISED, 9, 0, 0, True])
@@ -522,7 +531,7 @@
 
 def party(kept=None):
     desk = Premises()
-    desk.party = Party(desk, "n1", SECOND, kept)
+    desk.party = Participant(desk, "n1", SECOND, kept)
     return desk, desk.party
 
 
@@ -651,19 +660,19 @@
     ],
 )
 def test_faulty_elements_are_named(tmp_path, said, wrong):
-    from corkgauge import operator
-    from corkgauge.configuration import Faulty
+    from corkgauge.config import operator_file as operator
+    from corkgauge.config.platform import ConfigurationError
 
     key, path = tmp_path / "key", tmp_path / "operator.xml"
     key.touch(0o600)
     key.write_text("ab" * 32)
     path.write_text(f'<operator version="1">{said.format(key=key)}</operator>')
-    with pytest.raises(Faulty, match=wrong):
+    with pytest.raises(ConfigurationError, match=wrong):
         operator.read(str(path))
 
 
 def test_a_whole_element_becomes_few_figures(tmp_path):
-    from corkgauge import operator
+    from corkgauge.config import operator_file as operator
 
     key, path = tmp_path / "key", tmp_path / "operator.xml"
     key.touch(0o600)
--- a/tests/test_works_fleet.py
+++ b/tests/test_works_fleet.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from corkgauge.loop.hub import SECOND
-from corkgauge.standins.crew import Crew
-from corkgauge.standins.fleet import Fault, Fleet
-from corkgauge.standins.inspector import Limits, wrong
-from corkgauge.standins.parent import tied
-from corkgauge.standins.worksday import WorksDay, aimed, most_at_once
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
+from corkgauge.testkit.fleet.processes import Fault, Fleet
+from corkgauge.testkit.checkers.maintenance import Limits, wrong
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.maintenance_day import MaintenanceDay, aimed, most_at_once
 
 LEASE = 0.8
 WORKS = {"each": 0.2, "grant": 1.0, "patience": 0.5, "most": 2, "share": 0.5, "room": 0.9}
@@ -41,7 +41,7 @@
                 **more,
             }
         )
-        self.crew = Crew(self.fleet, lasting=lasting)
+        self.crew = MaintenanceCrew(self.fleet, lasting=lasting)
         SITES.append(self)
         self.fleet.start()
         if known:
@@ -387,7 +387,7 @@
 
 
 def day():
-    return WorksDay(4, seconds=20).run()
+    return MaintenanceDay(4, seconds=20).run()
 
 
 SCENES = {
@@ -481,7 +481,7 @@
 def test_all_engines_and_all_gateways_are_changed(scenes):
     units, history, (found, _) = scenes["rolling"].result()
     assert found == [] and sorted(units) == ["e1", "e2", "e3", "e4", "e5", "e6", "n1", "n2", "n3"]
-    from corkgauge.works.plan import wrong_history
+    from corkgauge.maintenance.plan import wrong_history
 
     assert wrong_history(history) == []
 
