--- /dev/null
+++ b/tests/landed_samples.py
@@ -0,0 +1,1001 @@
+"""Samples of stored files and of datagrams, built by the program from fixed state.
+
+Every value that would differ from run to run (clocks, key, names, seeds) is fixed here. The tables
+at the end map the name of each sample to the function that builds it;
+`tests/fixtures/write_landed.py` stores the results and `tests/test_landed_fixtures.py` compares
+the program with what is stored. This module is the only place of the three that names modules and
+types of the program.
+"""
+
+import json
+import os
+import socket
+import tempfile
+import time
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import Any, NamedTuple
+from unittest import mock
+
+import msgpack
+
+from corkgauge import operator
+from corkgauge.configuration import Post
+from corkgauge.duties import voter
+from corkgauge.duties.holder import HOLDING
+from corkgauge.duties.office import Office
+from corkgauge.duties.roll import Roll
+from corkgauge.fellows import letters
+from corkgauge.fellows.company import ALIVE
+from corkgauge.fellows.society import Society
+from corkgauge.figures import shelf
+from corkgauge.figures.bureau import Bureau
+from corkgauge.figures.cut import cut_of, plain
+from corkgauge.figures.ledger import Ledger
+from corkgauge.loop.hub import SECOND
+from corkgauge.operator import Duties, Fellows, Figures, Recall, Shared, Works
+from corkgauge.recall import effects, keeping, learned, snapshot, writer
+from corkgauge.shared.exchange import Exchange
+from corkgauge.shared.findings import SILENT
+from corkgauge.shared.weighing import Opinion
+from corkgauge.works import keeper
+from corkgauge.works.pieces import piece_of
+from corkgauge.works.plan import DRAINING, GRANTED, Plan
+from corkgauge.works.scribe import FORGOTTEN
+from corkgauge.works.yard import Yard
+from tests.yard import STATED_ON_SOCKETS, Premises, listing, request
+
+FOLDER = Path(__file__).parent / "fixtures" / "landed"
+NOW = 17_000_000_000_000  # tenths of a millisecond of the date
+BOOT_NANOSECONDS = 5_000_000_000_000  # since the machine's boot
+SECRET = bytes(range(32))
+PEER_INCARNATIONS = {"n2": 6_000_002, "n3": 6_000_003}
+FENCE = 77
+ROSTER = (
+    ("n1", ("10.0.0.11", 7100), "hall-a"),
+    ("n2", ("10.0.0.12", 7100), "hall-b"),
+    ("n3", ("10.0.0.13", 7100), "hall-c"),
+)
+MAINTENANCE_REQUEST = ["a1", "engine", ["e1", "e2"], "ada", "disk", 900_000, 60_000, 2, "", 0]
+PLAN_CHANGES = [
+    ["known", "first start, told by ada"],
+    ["ask", MAINTENANCE_REQUEST],
+    ["unit", "e1", "a1", "engine", ["e1"]],
+    ["unit", "e2", "a1", "engine", ["e2"]],
+    ["time", 5_000],
+    ["state", "e1", GRANTED, "fits"],
+    ["time", 9_000],
+    ["state", "e1", DRAINING, "known to all"],
+    ["overrule", "e1", "n3", "ada"],
+    ["fewer", "a1", 2],
+    ["cancel", "a1", "bob"],
+    ["hold", "ada"],
+]
+
+
+class Datagram(NamedTuple):
+    """One datagram as it left an instance."""
+
+    receiver: str
+    octets: bytes
+
+
+class Opened(NamedTuple):
+    """What a receiver takes out of a datagram, and how its handlers counted it."""
+
+    sender: str
+    sort: int
+    body: Any
+    not_understood: int
+
+
+# Instances.
+
+
+class RecordingSociety(Society):
+    """The membership service of an instance whose datagrams are recorded instead of sent."""
+
+    def _bind(self, said: Fellows) -> None:
+        self.sent: list[Datagram] = []
+        self.sock, self.other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_DGRAM)
+        self.sock.setblocking(False)
+
+    def post(self, name: str, data: bytes) -> None:
+        self.sent.append(Datagram(name, data))
+
+    def close(self) -> None:
+        self.sock.close()
+        self.other_end.close()
+
+
+class Instance:
+    """One instance with every subsystem, on a clock that stands still."""
+
+    def __init__(self, name: str, votes_folder: str = "", met: bool = True) -> None:
+        self.name = name
+        rules = {**STATED_ON_SOCKETS["rules"], "coldUs": 15_000_000}
+        self.premises = Premises([listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules)
+        self.premises.time = NOW
+        self.premises.hub.tick()
+        self.house = self.premises.house
+        said = {
+            "name": name,
+            "listen": "127.0.0.1:1",
+            "feed": "127.0.0.1:2",
+            "seed": "7",
+            "settings": STATED_ON_SOCKETS,
+        }
+        self.post = Post(said, "")
+        self.society = RecordingSociety(
+            self.house, self.post, Fellows((SECRET,), ROSTER, None, SECOND // 2)
+        )
+        self.company = self.society.company
+        if met:
+            self._meet()
+        duties = (("books", "books", 5 * SECOND), ("nightly", "run", 5 * SECOND))
+        self.office = Office(
+            self.house,
+            self.post,
+            Duties(
+                1, ("n1", "n2", "n3"), duties, 5 * SECOND, 5 * SECOND, 2_500, 0.01, votes_folder
+            ),
+            self.society,
+        )
+        self.office.voter.silent_until = 0
+        self.yard = Yard(
+            self.house,
+            self.post,
+            Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
+            self.society,
+            self.office,
+        )
+        self.yard.keeper.deaf_until = 0
+        self.exchange = Exchange(self.house, self.post, Shared(2_500, 8_000), self.society)
+        self.exchange.allowance = 8_000
+        self.society.sent.clear()
+
+    def _meet(self) -> None:
+        for name, incarnation in PEER_INCARNATIONS.items():
+            if name != self.name:
+                self.company.letters.heard_of(name, incarnation)
+                assert self.company.fellows[name].state == ALIVE
+        self.company.met = True
+
+    def receive(self, sort: int, body: Any) -> None:
+        """Take a datagram of n2's."""
+        pens = letters.Letters(
+            "n2",
+            PEER_INCARNATIONS["n2"],
+            [letters.Key(SECRET)],
+            lambda name, start: None,
+            lambda start: None,
+        )
+        pens.named(["n1"])
+        known_as = self.company.letters.start
+        self.company.came(pens.write("n1", sort, body, known_as))
+
+    def hold(self, duty: str) -> None:
+        """Let this instance hold a lease, under the fixed fencing token."""
+        holder = self.office.holders[duty]
+        holder.state, holder.fence, holder.ballot = HOLDING, FENCE, FENCE
+        holder.until = self.office.now + 4 * SECOND
+
+    def lead_plan(self) -> None:
+        """Hold the maintenance lease with a plan that a majority has."""
+        self.hold("works")
+        scribe = self.yard.scribe
+        scribe.gained(FENCE)
+        scribe.state = FORGOTTEN
+        scribe.begin_anew(maintenance_plan())
+        for name in "n2", "n3":
+            scribe.heard(name, [keeper.TAKEN, FENCE, FENCE, 1])
+
+    def last(self, sort: int, subject: str = "", tag: int | str | None = None) -> bytes:
+        """The last datagram sent of this sort and subject."""
+        for datagram in reversed(self.society.sent):
+            said = msgpack.unpackb(datagram.octets[2 : -letters.SEAL], strict_map_key=False)
+            if said[0] != sort:
+                continue
+            if sort != letters.CALL:
+                return datagram.octets
+            named, body = said[6]
+            if named == subject and (tag is None or body[0] == tag):
+                return datagram.octets
+        raise AssertionError(f"no datagram {sort} {subject} {tag} was sent")
+
+    def close(self) -> None:
+        self.office.safe.close()
+        self.yard.safe.close()
+        self.society.close()
+
+
+@contextmanager
+def fixed_boot_clock() -> Iterator[None]:
+    """Let the time since the machine's boot stand still."""
+    with mock.patch.object(time, "clock_gettime_ns", lambda clock: BOOT_NANOSECONDS):
+        yield
+
+
+@contextmanager
+def instance(name: str = "n1", votes_folder: str = "", met: bool = True) -> Iterator[Instance]:
+    """An instance for the length of a block."""
+    with fixed_boot_clock():
+        made = Instance(name, votes_folder, met)
+        try:
+            yield made
+        finally:
+            made.close()
+
+
+# Datagrams. Each function brings an instance to send one.
+
+
+def send_hello(here: Instance) -> bytes:
+    here.company.call("n3", "duty", [])
+    return here.last(letters.HELLO)
+
+
+def send_back(here: Instance) -> bytes:
+    here.receive(letters.HELLO, None)
+    return here.last(letters.BACK)
+
+
+def send_ask_all(here: Instance) -> bytes:
+    here.receive(letters.BACK, None)
+    return here.last(letters.ASK_ALL)
+
+
+def send_ask(here: Instance) -> bytes:
+    here.company.tick()
+    return here.last(letters.ASK)
+
+
+def send_answer(here: Instance) -> bytes:
+    here.receive(letters.ASK, [5, []])
+    return here.last(letters.ANSWER)
+
+
+def send_ask_for(here: Instance) -> bytes:
+    here.company.tick()
+    here.company.unanswered(here.company.serial)
+    return here.last(letters.ASK_FOR)
+
+
+def send_deaf(here: Instance) -> bytes:
+    here.receive(letters.ASK_FOR, [9, "n3", []])
+    here.company.given_up(here.company.serial)
+    return here.last(letters.DEAF)
+
+
+def send_tell(here: Instance) -> bytes:
+    here.receive(letters.ASK_ALL, [[["n3", 1, PEER_INCARNATIONS["n3"], 2, "n2"]]])
+    return here.last(letters.TELL)
+
+
+def send_lease_probe(here: Instance) -> bytes:
+    here.office.holders["books"]._probe()
+    return here.last(letters.CALL, "duty", voter.PROBE)
+
+
+def send_lease_prepare(here: Instance) -> bytes:
+    here.office.holders["books"]._prepare()
+    return here.last(letters.CALL, "duty", voter.PREPARE)
+
+
+def send_lease_grant(here: Instance) -> bytes:
+    here.office.holders["books"]._prepare()
+    here.office.holders["books"]._ask()
+    return here.last(letters.CALL, "duty", voter.GRANT)
+
+
+def send_lease_release(here: Instance) -> bytes:
+    here.hold("books")
+    here.office.holders["books"].give_up("told")
+    return here.last(letters.CALL, "duty", voter.RELEASE)
+
+
+def send_lease_vacant(here: Instance) -> bytes:
+    here.hold("books")
+    here.office.holders["books"].give_up("told")
+    return here.last(letters.CALL, "duty", voter.VACANT)
+
+
+def lease_question(here: Instance, sort: int) -> list[Any]:
+    return [sort, "books", 1, here.office.roll.mark, 3, 500]
+
+
+def send_lease_would(here: Instance) -> bytes:
+    here.office.came("n2", lease_question(here, voter.PROBE))
+    return here.last(letters.CALL, "duty", voter.WOULD)
+
+
+def send_lease_promised(here: Instance) -> bytes:
+    here.office.came("n2", lease_question(here, voter.PREPARE))
+    return here.last(letters.CALL, "duty", voter.PROMISED)
+
+
+def send_lease_granted(here: Instance) -> bytes:
+    here.office.came("n2", lease_question(here, voter.GRANT))
+    return here.last(letters.CALL, "duty", voter.GRANTED)
+
+
+def send_books_ask(here: Instance) -> bytes:
+    here.hold("books")
+    here.office.clerks["books"].gained()
+    return here.last(letters.CALL, "books", "ask")
+
+
+def send_books_entry(here: Instance) -> bytes:
+    here.hold("books")
+    here.office.clerks["books"].gained()
+    here.office.clerks["books"].sum(FENCE)
+    return here.last(letters.CALL, "books", "entry")
+
+
+def send_books_account(here: Instance) -> bytes:
+    here.office.books_came("n2", ["ask", "books", FENCE, 1])
+    return here.last(letters.CALL, "books", "account")
+
+
+def send_books_no(here: Instance) -> bytes:
+    here.office.books_came("n3", ["ask", "books", FENCE + 1, 1])
+    here.office.books_came("n2", ["ask", "books", FENCE, 1])
+    return here.last(letters.CALL, "books", "no")
+
+
+def send_yield(here: Instance) -> bytes:
+    here.office.holders["nightly"].other = "n2"
+    here.office.asked(b'{"do": "yield", "duty": "nightly"}')
+    return here.last(letters.CALL, "yield")
+
+
+def send_plan_promise(here: Instance) -> bytes:
+    here.hold("works")
+    here.yard.gained()
+    return here.last(letters.CALL, "plan", keeper.PROMISE)
+
+
+def send_plan_promised(here: Instance) -> bytes:
+    here.yard._letter("n2", [keeper.PROMISE, FENCE])
+    return here.last(letters.CALL, "plan", keeper.PROMISED)
+
+
+def send_plan_step(here: Instance) -> bytes:
+    here.lead_plan()
+    here.yard.scribe.propose(["hold", ""], ["time", 10_000])
+    return here.last(letters.CALL, "plan", keeper.STEP)
+
+
+def send_plan_taken(here: Instance) -> bytes:
+    here.yard.keeper.blank = False
+    here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, PLAN_CHANGES])
+    return here.last(letters.CALL, "plan", keeper.TAKEN)
+
+
+def send_plan_low(here: Instance) -> bytes:
+    here.yard.keeper.promised = FENCE + 1
+    here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, []])
+    return here.last(letters.CALL, "plan", keeper.LOW)
+
+
+def send_plan_want(here: Instance) -> bytes:
+    here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, []])
+    return here.last(letters.CALL, "plan", keeper.WANT)
+
+
+def send_plan_piece(here: Instance) -> bytes:
+    here.yard.keeper.blank, here.yard.keeper.plan = False, maintenance_plan()
+    here.yard._letter("n2", [keeper.WANT, FENCE, [], [0]])
+    return here.last(letters.CALL, "plan", keeper.PIECE)
+
+
+def send_works_orders(here: Instance) -> bytes:
+    here.lead_plan()
+    here.yard.planner.orders()
+    return here.last(letters.CALL, "works", "orders")
+
+
+def send_works_tell(here: Instance) -> bytes:
+    here.lead_plan()
+    here.yard.planner.ask_all()
+    return here.last(letters.CALL, "works", "tell")
+
+
+def send_works_word(here: Instance) -> bytes:
+    here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING}])
+    return here.last(letters.CALL, "works", "word")
+
+
+def send_works_no(here: Instance) -> bytes:
+    here.yard._told("n3", ["orders", FENCE + 1, 1, 0, 0, 1, {}])
+    here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {}])
+    return here.last(letters.CALL, "works", "no")
+
+
+def send_works_wish(here: Instance) -> bytes:
+    here.office.holders["works"].other = "n2"
+    here.yard.asked(b'{"do": "hold", "key": "k1", "owner": "ada"}')
+    return here.last(letters.CALL, "works", "wish")
+
+
+def send_works_answer(here: Instance) -> bytes:
+    here.lead_plan()
+    here.yard._told("n2", ["wish", "k1", '{"do": "hold"}'])
+    return here.last(letters.CALL, "works", "answer")
+
+
+def send_copy_want(here: Instance) -> bytes:
+    here.office.holders["works"].other = "n2"
+    here.yard.told()
+    return here.last(letters.CALL, "copy", keeper.WANT)
+
+
+def send_copy_piece(here: Instance) -> bytes:
+    here.lead_plan()
+    here.yard._copied("n2", [keeper.WANT, 0, [], [0]])
+    return here.last(letters.CALL, "copy", keeper.PIECE)
+
+
+def send_findings(here: Instance) -> bytes:
+    here.exchange.findings.found(NOW - 300, "e1", NOW - 90_000, SILENT, 250, 6)
+    here.exchange._tell("n2", NOW, 2)
+    return here.last(letters.CALL, "findings")
+
+
+def send_repair_question(here: Instance) -> bytes:
+    here.exchange.findings.found(NOW - 300, "e1", NOW - 90_000, SILENT, 250, 6)
+    here.exchange.rounds = 5  # the comparison is due in the next period
+    here.exchange.period()
+    return here.last(letters.CALL, "repair", 0)
+
+
+def send_repair_answer(here: Instance) -> bytes:
+    here.exchange.findings.found(NOW - 300, "e1", NOW - 90_000, SILENT, 250, 6)
+    here.exchange.compared("n2", [0, {}, []])
+    return here.last(letters.CALL, "repair", 1)
+
+
+def send_turn(here: Instance) -> bytes:
+    engine = here.house.stations["e1"].engine
+    window = here.exchange.turns.window
+    engine.started = NOW - 2 * window - window // 2
+    here.exchange.turns.needs("n2", here.office.now, PEER_INCARNATIONS["n2"], 7, 3.0)
+    here.exchange.look_at_turns()
+    return here.last(letters.CALL, "turn")
+
+
+SENDERS: dict[str, Callable[[Instance], bytes]] = {
+    "hello": send_hello,
+    "back": send_back,
+    "ask": send_ask,
+    "answer": send_answer,
+    "ask-for": send_ask_for,
+    "deaf": send_deaf,
+    "ask-all": send_ask_all,
+    "tell": send_tell,
+    "duty-probe": send_lease_probe,
+    "duty-would": send_lease_would,
+    "duty-prepare": send_lease_prepare,
+    "duty-promised": send_lease_promised,
+    "duty-grant": send_lease_grant,
+    "duty-granted": send_lease_granted,
+    "duty-release": send_lease_release,
+    "duty-vacant": send_lease_vacant,
+    "books-ask": send_books_ask,
+    "books-account": send_books_account,
+    "books-entry": send_books_entry,
+    "books-no": send_books_no,
+    "yield": send_yield,
+    "plan-promise": send_plan_promise,
+    "plan-promised": send_plan_promised,
+    "plan-step": send_plan_step,
+    "plan-taken": send_plan_taken,
+    "plan-low": send_plan_low,
+    "plan-want": send_plan_want,
+    "plan-piece": send_plan_piece,
+    "works-orders": send_works_orders,
+    "works-tell": send_works_tell,
+    "works-word": send_works_word,
+    "works-no": send_works_no,
+    "works-wish": send_works_wish,
+    "works-answer": send_works_answer,
+    "copy-want": send_copy_want,
+    "copy-piece": send_copy_piece,
+    "findings": send_findings,
+    "repair-question": send_repair_question,
+    "repair-answer": send_repair_answer,
+    "turn": send_turn,
+}
+BEFORE_MEETING = "hello", "ask-all"  # sent while the receiver's incarnation is not known
+
+
+def datagram(name: str) -> bytes:
+    """The octets of the datagram of this kind, as n1 sends it."""
+    with instance(met=name not in BEFORE_MEETING) as here:
+        return SENDERS[name](here)
+
+
+def opened(octets: bytes) -> Opened:
+    """What the instance that a datagram is for takes out of it; its handlers take it too."""
+    receiver, known_as = msgpack.unpackb(octets[2 : -letters.SEAL], strict_map_key=False)[3:5]
+    with instance(receiver) as there:
+        # A sender that does not know this incarnation yet writes 0, and only HELLO may.
+        there.company.letters.start = known_as or PEER_INCARNATIONS[receiver]
+        taken = there.company.letters.open(octets, NOW)
+        assert taken is not None, dict(there.company.letters.counts)
+        there.company.letters.pens["n1"].window = letters.Window()
+        there.company.came(octets)
+        return Opened(*taken, there.company.counts["no sense"])
+
+
+# Stored files.
+
+
+def recovery_snapshot() -> bytes:
+    """A snapshot of the learned state, in the form that the recovery service writes."""
+    with instance() as here:
+        gateway = here.house.gateway
+        take_request(here)
+        gateway.price = 0.25
+        gateway.engines[0].view.slowness.extend([1.25, 1.5, 2.0])
+        moment = {"gateway": "n1", "mark": 11, "at": NOW, "boot": "boot-1", "since_boot": 5_000}
+        return snapshot.packed({**moment, **learned.gathered(gateway)})
+
+
+def recovery_snapshot_of_service(folder: str) -> bytes:
+    """The snapshot that a recovery service leaves at its end."""
+    with instance() as here:
+        service = keeping.Keeping(here.house, "n1", 11, Recall(folder, SECOND, "process", 3))
+        service.end()
+        os.close(service.lock)
+        return Path(folder, "n1.recall").read_bytes()
+
+
+def attempt_log() -> bytes:
+    """A segment of the log of attempts that may have run, as its writer leaves it."""
+    first = effects.Effect(1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND)
+    second = effects.Effect(2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND)
+    third = effects.Effect(3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND)
+    with tempfile.TemporaryDirectory() as folder:
+        files = writer.Files(folder, "n1", False, 3)
+        for effect in first, second, third:
+            files.effects(effects.sent(effect))
+        files.effects(effects.over(1, True) + effects.over(2, False))
+        files.disk.close(files.file)
+        return Path(folder, "n1.effects.00000001").read_bytes()
+
+
+def stored_votes() -> bytes:
+    """The file of a voter that promised one lease and granted another."""
+
+    def vote(here: Instance) -> None:
+        mark = here.office.roll.mark
+        here.office.came("n2", [voter.PREPARE, "books", 1, mark, 3, 500])
+        here.office.came("n2", [voter.GRANT, "books", 1, mark, 4, 500])
+        here.office.came("n3", [voter.PREPARE, "works", 1, mark, 3, 600])
+
+    return stored_by_helper("n1.votes", vote)
+
+
+def stored_maintenance() -> bytes:
+    """The file of a plan replica that took a plan, and of a participant under its orders."""
+
+    def take(here: Instance) -> None:
+        here.yard.keeper.blank = False
+        here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, PLAN_CHANGES])
+        here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING, "e2": GRANTED}])
+
+    return stored_by_helper("n1.works", take)
+
+
+def stored_by_helper(name: str, act: Callable[[Instance], None]) -> bytes:
+    """A file as the helper leaves it, once it has answered for all that `act` had written."""
+    with tempfile.TemporaryDirectory() as folder, instance(votes_folder=folder) as here:
+        act(here)
+        give_up_at = time.monotonic() + 10
+        while here.office.safe.waiting or here.yard.safe.waiting:
+            assert time.monotonic() < give_up_at, "the helper has not answered"
+            here.premises.hub.turn(5)
+        return Path(folder, name).read_bytes()
+
+
+def maintenance_plan() -> Plan:
+    plan = Plan()
+    plan.apply(PLAN_CHANGES)
+    return plan
+
+
+def packed_plan() -> bytes:
+    return maintenance_plan().packed()
+
+
+def plan_piece_by_piece() -> list[str]:
+    """A plan of more than one chunk, as hexadecimal chunks in order."""
+    plan = maintenance_plan()
+    plan.apply([["unit", f"engine-{n:03}", "a1", "engine", [f"engine-{n:03}"]] for n in range(30)])
+    packed = plan.packed()
+    count = piece_of(packed, 0)[0]
+    return [piece_of(packed, index)[1].hex() for index in range(count)]
+
+
+def small_ledger() -> Ledger:
+    """Accounts of one class and one engine with a few requests."""
+
+    class Entry:
+        serial = 0
+
+    ledger = Ledger(["quick"], lambda: NOW)
+    entry, attempt = Entry(), Entry()
+    entry.row = ledger.offerings["quick"]
+    attempt.order, attempt.engine_row = entry, ledger.engine("e1")
+    ledger.taken(entry)
+    ledger.handed_off(attempt, 0)
+    ledger.handoff_over(attempt, 0)
+    ledger.closed(entry, 0)
+    ledger.turned_away(ledger.offerings["quick"])
+    ledger.connection_up(0)
+    ledger.connection_over(0, 100, 200, 3)
+    return ledger
+
+
+def accounts_checkpoint() -> bytes:
+    """A checkpoint file that one run wrote and the next one took over, with both slots in use."""
+    with tempfile.TemporaryDirectory() as folder:
+        for epoch in "first", "second":
+            kept = shelf.Shelf(folder, "n1", lambda line: None)
+            for at in NOW, NOW + 5:
+                kept.put(cut_of(small_ledger(), at, "n1", {"id": epoch, "started": NOW - 100}))
+            kept.close()
+        return Path(folder, "n1.figures").read_bytes()
+
+
+def rolls() -> list[list[Any]]:
+    """Voter configurations: version, lease, names, majority, and the mark that datagrams carry."""
+    made = [
+        Roll(1, ["n1", "n2", "n3"], 50_000),
+        Roll(2, ["n3", "n1", "n2", "n4"], 50_000),
+        Roll(9, ["n1"]),
+    ]
+    return [[each.version, each.lease, list(each.names), each.majority, each.mark] for each in made]
+
+
+FILES: dict[str, Callable[[], bytes]] = {
+    "n1.recall": recovery_snapshot,
+    "n1.effects.00000001": attempt_log,
+    "n1.votes": stored_votes,
+    "n1.works": stored_maintenance,
+    "plan.msgpack": packed_plan,
+    "n1.figures": accounts_checkpoint,
+}
+
+
+# What the program reads of a file, as lists in a stated order.
+
+
+def snapshot_read(octets: bytes) -> Any:
+    return snapshot.read(octets, "n1", 11)
+
+
+def attempt_log_read(octets: bytes) -> Any:
+    """Attempts with open ones told apart, and what is wrong at the log's end."""
+    known, wrong = effects.Effects(), ""
+    for body, _, wrong in effects.records(octets):  # noqa: B007 (the last one counts)
+        if body is not None:
+            assert known.take(body)
+    return [
+        [
+            [
+                each.serial,
+                each.label,
+                each.offering,
+                each.key,
+                each.engine,
+                each.hall,
+                each.cell,
+                each.sent,
+                each.until,
+                each.open,
+            ]
+            for each in known.by_serial.values()
+        ],
+        wrong,
+    ]
+
+
+def votes_read(octets: bytes) -> Any:
+    """By lease: promised ballot, granted ballot, holder and its incarnation."""
+    with tempfile.TemporaryDirectory() as folder:
+        Path(folder, "n1.votes").write_bytes(octets)
+        with instance(votes_folder=folder) as here:
+            return {
+                name: [vote.promised, vote.ballot, *vote.holder]
+                for name, vote in here.office.voter.votes.items()
+            }
+
+
+def maintenance_read(octets: bytes) -> Any:
+    """Promise, stamp and plan of the replica; stamp, levels and closed of the participant."""
+    with tempfile.TemporaryDirectory() as folder:
+        Path(folder, "n1.works").write_bytes(octets)
+        with instance(votes_folder=folder) as here:
+            replica, participant = here.yard.keeper, here.yard.party
+            return [
+                replica.blank,
+                replica.promised,
+                list(replica.stamp),
+                plan_values(replica.plan),
+                participant.blank,
+                list(participant.stamp),
+                {name: list(level) for name, level in participant.levels.items()},
+                sorted(participant.closed),
+            ]
+
+
+def plan_values(plan: Plan) -> list[Any]:
+    requests = [
+        [
+            each.id,
+            each.kind,
+            each.names,
+            each.owner,
+            each.reason,
+            each.due,
+            each.lasting,
+            each.count,
+            each.cancelled,
+            each.at,
+        ]
+        for each in plan.asks.values()
+    ]
+    units = [
+        [
+            each.name,
+            each.ask,
+            each.sort,
+            each.members,
+            each.state,
+            each.since,
+            each.why,
+            each.began,
+            each.overruled,
+        ]
+        for each in plan.units.values()
+    ]
+    history = [list(each) for each in plan.history]
+    return [plan.time, plan.known, plan.held, requests, units, history, plan.serial]
+
+
+def plan_read(octets: bytes) -> Any:
+    return plan_values(Plan.unpacked(octets))
+
+
+def plan_of_chunks(chunks: list[str]) -> Any:
+    return plan_read(b"".join(map(bytes.fromhex, chunks)))
+
+
+def checkpoint_read(octets: bytes) -> Any:
+    """The counts that a file holds, and the earlier runs that a program takes over from it."""
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder, "n1.figures")
+        path.write_bytes(octets)
+        body = shelf.read_file(str(path))
+        taken_over = shelf.Shelf(folder, "n1", lambda line: None)
+        taken_over.close()
+        return [plain(body["cut"]), body["earlier"], taken_over.earlier]
+
+
+READERS: dict[str, Callable[[bytes], Any]] = {
+    "n1.recall": snapshot_read,
+    "n1.effects.00000001": attempt_log_read,
+    "n1.votes": votes_read,
+    "n1.works": maintenance_read,
+    "plan.msgpack": plan_read,
+    "n1.figures": checkpoint_read,
+}
+
+
+# Operator files.
+
+OPERATOR_FILES = (
+    "operator-duties.xml",
+    "operator-every-element.xml",
+    "operator-figures.xml",
+    "operator-flows.xml",
+    "operator-recall.xml",
+    "operator-shared.xml",
+    "operator-works.xml",
+)
+SECRETS_FOLDER = "/etc/corkgauge"
+
+
+def operator_values(path: Path) -> list[Any]:
+    """What an operator file says, by section; key and roster files are stood in for."""
+    with tempfile.TemporaryDirectory() as folder:
+        key, roster, copy = (Path(folder, name) for name in ("fellows.key", "roster", path.name))
+        key.write_text(SECRET.hex())
+        key.chmod(0o600)
+        roster.write_text("n3 10.0.0.13:7100 hall-c # a comment\n\nn4 [2001:db8::4]:7100\n")
+        copy.write_text(path.read_text().replace(SECRETS_FOLDER + "/fellows.key", str(key)))
+        copy.write_text(copy.read_text().replace(SECRETS_FOLDER + "/roster", str(roster)))
+        said = operator.read(str(copy))
+    sections = [
+        figures_values(said.figures),
+        flows_values(said.flows),
+        recall_values(said.recall),
+        fellows_values(said.fellows),
+        duties_values(said.duties),
+        works_values(said.works),
+        shared_values(said.shared),
+    ]
+    return json.loads(json.dumps(sections, default=bytes.hex))
+
+
+def figures_values(said: Figures | None) -> list[Any] | None:
+    return said and [said.listen, said.readers, said.keep, said.keep_each, said.error]
+
+
+def flows_values(said: operator.Flows | None) -> list[Any] | None:
+    if said is None:
+        return None
+    collectors = [
+        [
+            each.address,
+            each.transport,
+            each.payload,
+            each.refresh,
+            each.refresh_after,
+            each.tls and [each.tls.ca, each.tls.name, each.tls.certificate, each.tls.key],
+        ]
+        for each in said.collectors
+    ]
+    return [said.layout, said.mode, said.active, said.idle, said.memory, collectors]
+
+
+def recall_values(said: Recall | None) -> list[Any] | None:
+    return said and [said.folder, said.each, said.durability, said.kept]
+
+
+def fellows_values(said: Fellows | None) -> list[Any] | None:
+    return said and [said.keys, said.fellows, said.listen, said.period]
+
+
+def duties_values(said: Duties | None) -> list[Any] | None:
+    return said and [
+        said.version,
+        said.voters,
+        said.duties,
+        said.lease,
+        said.longest,
+        said.margin,
+        said.drift,
+        said.folder,
+    ]
+
+
+def works_values(said: Works | None) -> list[Any] | None:
+    return said and [said.bounds, said.machines, said.each, said.grant, said.patience]
+
+
+def shared_values(said: Shared | None) -> list[Any] | None:
+    return said and [said.each, said.octets]
+
+
+# The HTTP listener.
+
+QUESTIONS: dict[str, tuple[str, str, bytes]] = {
+    "metrics": ("GET", "/metrics", b""),
+    "figures": ("GET", "/figures", b""),
+    "findings": ("GET", "/findings", b""),
+    "clear": ("POST", "/clear", b""),
+    "fellows": ("GET", "/fellows", b""),
+    "duties": ("GET", "/duties", b""),
+    "duties-hold": ("POST", "/duties", b'{"do": "hold", "duty": "nightly", "by": "job"}'),
+    "duties-refused": ("POST", "/duties", b'{"do": "hold", "duty": "books", "by": "job"}'),
+    "duties-done": ("POST", "/duties", b'{"do": "done", "duty": "nightly", "by": "job"}'),
+    "duties-yield": ("POST", "/duties", b'{"do": "yield", "duty": "nightly"}'),
+    "works": ("GET", "/works", b""),
+    "works-hold": ("POST", "/works", b'{"do": "hold", "key": "k1", "owner": "ada"}'),
+    "works-wrong": ("POST", "/works", b'{"do": "other", "key": "k2"}'),
+    "shared": ("GET", "/shared", b""),
+    "unknown": ("GET", "/other", b""),
+}
+
+
+def http_answer(name: str) -> list[Any]:
+    """Status, content type and shape of an answer, asked over a socket."""
+    with tempfile.TemporaryDirectory() as folder, instance() as here:
+        where = os.path.join(folder, "figures.sock")
+        bureau = Bureau(here.house, "n1", 7, Figures(where, 4, folder, SECOND, 0.02))
+        give_state(here)
+        try:
+            head, body = asked(here, where, *QUESTIONS[name])
+        finally:
+            bureau.end()
+    lines = head.decode().split("\r\n")
+    kind = next(each for each in lines if each.lower().startswith("content-type"))
+    return [int(lines[0].split()[1]), kind.partition(": ")[2], shape(kind, body)]
+
+
+def give_state(here: Instance) -> None:
+    """Give every nested part of an answer a row."""
+    here.lead_plan()
+    here.hold("nightly")
+    here.office.gained(here.office.holders["nightly"])
+    here.hold("books")
+    here.office.clerks["books"].gained()
+    here.office.clerks["books"].sum(FENCE)
+    here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING}])
+    rows = [[name, 6, 1, 100, "e1", 0, SILENT, 250, 6] for name in PEER_INCARNATIONS]
+    here.exchange.heard("n2", [1, 5, 1, 20, rows])
+    here.exchange.period()
+    here.exchange.opinions["e1"] = Opinion(2.5, True, "n2 n3")
+    here.house.findings.see("taken", "quick", 1, "one more", [(NOW, "entered", 1)])
+    take_request(here)
+    here.house.ledger.connection_up(0)
+
+
+def take_request(here: Instance) -> None:
+    """Let a client ask for something, so that there is a queue, and its answer is owed."""
+    here.premises.ask(here.premises.client(), request())
+
+
+def asked(here: Instance, where: str, method: str, path: str, body: bytes) -> tuple[bytes, bytes]:
+    """Head and body of an answer; the clock goes on by a tick a turn."""
+    head = f"{method} {path} HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n"
+    with socket.socket(socket.AF_UNIX) as reader:
+        reader.connect(where)
+        reader.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        reader.setblocking(False)
+        received = b""
+        for _ in range(400):
+            here.premises.time += 1
+            here.premises.hub.turn(0)
+            try:
+                more = reader.recv(1 << 20)
+            except BlockingIOError:
+                continue
+            if not more:
+                break
+            received += more
+    head, _, chunked = received.partition(b"\r\n\r\n")
+    return head, joined(chunked)
+
+
+def joined(chunked: bytes) -> bytes:
+    """The body of a message in chunks (RFC 9112, section 7.1)."""
+    body = b""
+    while chunked:
+        size, _, chunked = chunked.partition(b"\r\n")
+        length = int(size, 16)
+        body, chunked = body + chunked[:length], chunked[length + 2 :]
+        if not length:
+            break
+    return body
+
+
+def shape(kind: str, body: bytes) -> Any:
+    """Keys of JSON; of metrics each name with its labels; of other text the text."""
+    if "json" in kind:
+        return keys_of(json.loads(body))
+    if "/metrics" in body.decode():
+        return body.decode()
+    lines = [line for line in body.decode().splitlines() if not line.startswith("#")]
+    return sorted({line.rpartition(" ")[0] for line in lines if line})
+
+
+def keys_of(value: Any) -> Any:
+    """The nested keys of a JSON value; of a list the different shapes in it.
+
+    >>> keys_of({"a": 1, "b": [{"c": 2}, {"c": 3}], "d": {}})
+    {'a': None, 'b': [{'c': None}], 'd': {}}
+    """
+    if isinstance(value, dict):
+        return {key: keys_of(each) for key, each in sorted(value.items())}
+    if isinstance(value, list):
+        shapes: list[Any] = []
+        for each in map(keys_of, value):
+            if each not in shapes:
+                shapes.append(each)
+        return shapes
+    return None
