--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -20,31 +20,31 @@
 
 import msgpack
 
-from corkgauge import operator
-from corkgauge.configuration import Post
-from corkgauge.duties import voter
-from corkgauge.duties.holder import HOLDING
-from corkgauge.duties.office import Office
-from corkgauge.duties.roll import Roll
-from corkgauge.fellows import letters
-from corkgauge.fellows.company import ALIVE
-from corkgauge.fellows.society import Society
-from corkgauge.figures import shelf
-from corkgauge.figures.bureau import Bureau
-from corkgauge.figures.cut import cut_of, plain
-from corkgauge.figures.ledger import Ledger
-from corkgauge.loop.hub import SECOND
-from corkgauge.operator import Duties, Fellows, Figures, Recall, Shared, Works
-from corkgauge.recall import effects, keeping, learned, snapshot, writer
-from corkgauge.shared.exchange import Exchange
-from corkgauge.shared.findings import SILENT
-from corkgauge.shared.weighing import Opinion
-from corkgauge.works import keeper
-from corkgauge.works.pieces import piece_of
-from corkgauge.works.plan import DRAINING, GRANTED, Plan
-from corkgauge.works.scribe import FORGOTTEN
-from corkgauge.works.yard import Yard
-from tests.yard import STATED_ON_SOCKETS, Premises, listing, request
+from corkgauge.config import operator_file as operator
+from corkgauge.config.platform import PlatformConfig
+from corkgauge.leases import voter
+from corkgauge.leases.candidate import HOLDING
+from corkgauge.leases.service import LeaseService
+from corkgauge.leases.voter_configuration import VoterConfiguration
+from corkgauge.membership import datagrams as letters
+from corkgauge.membership.member_list import ALIVE
+from corkgauge.membership.service import MembershipService
+from corkgauge.accounting import checkpoint_file as shelf
+from corkgauge.accounting.service import AccountingService
+from corkgauge.accounting.snapshot import cut_of, plain
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.config.operator_file import Duties, Fellows, Figures, Recall, Shared, Works
+from corkgauge.recovery import attempt_log as effects, service as keeping, learned_state as learned, snapshot, log_writer as writer
+from corkgauge.peer_health.service import PeerHealthService
+from corkgauge.peer_health.reports import SILENT
+from corkgauge.peer_health.aggregation import Opinion
+from corkgauge.maintenance import plan_replica as keeper
+from corkgauge.maintenance.chunk_transfer import piece_of
+from corkgauge.maintenance.plan import DRAINING, GRANTED, Plan
+from corkgauge.maintenance.plan_proposer import FORGOTTEN
+from corkgauge.maintenance.service import MaintenanceService
+from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, request
 
 FOLDER = Path(__file__).parent / "fixtures" / "landed"
 NOW = 17_000_000_000_000  # tenths of a millisecond of the date
@@ -93,7 +93,7 @@
 # Instances.
 
 
-class RecordingSociety(Society):
+class RecordingSociety(MembershipService):
     """The membership service of an instance whose datagrams are recorded instead of sent."""
 
     def _bind(self, said: Fellows) -> None:
@@ -115,7 +115,7 @@
     def __init__(self, name: str, votes_folder: str = "", met: bool = True) -> None:
         self.name = name
         rules = {**STATED_ON_SOCKETS["rules"], "coldUs": 15_000_000}
-        self.premises = Premises([listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules)
+        self.premises = HostHarness([listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules)
         self.premises.time = NOW
         self.premises.hub.tick()
         self.house = self.premises.house
@@ -126,7 +126,7 @@
             "seed": "7",
             "settings": STATED_ON_SOCKETS,
         }
-        self.post = Post(said, "")
+        self.post = PlatformConfig(said, "")
         self.society = RecordingSociety(
             self.house, self.post, Fellows((SECRET,), ROSTER, None, SECOND // 2)
         )
@@ -134,7 +134,7 @@
         if met:
             self._meet()
         duties = (("books", "books", 5 * SECOND), ("nightly", "run", 5 * SECOND))
-        self.office = Office(
+        self.office = LeaseService(
             self.house,
             self.post,
             Duties(
@@ -143,7 +143,7 @@
             self.society,
         )
         self.office.voter.silent_until = 0
-        self.yard = Yard(
+        self.yard = MaintenanceService(
             self.house,
             self.post,
             Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
@@ -151,7 +151,7 @@
             self.office,
         )
         self.yard.keeper.deaf_until = 0
-        self.exchange = Exchange(self.house, self.post, Shared(2_500, 8_000), self.society)
+        self.exchange = PeerHealthService(self.house, self.post, Shared(2_500, 8_000), self.society)
         self.exchange.allowance = 8_000
         self.society.sent.clear()
 
@@ -164,7 +164,7 @@
 
     def receive(self, sort: int, body: Any) -> None:
         """Take a datagram of n2's."""
-        pens = letters.Letters(
+        pens = letters.DatagramCodec(
             "n2",
             PEER_INCARNATIONS["n2"],
             [letters.Key(SECRET)],
@@ -546,7 +546,7 @@
 def recovery_snapshot_of_service(folder: str) -> bytes:
     """The snapshot that a recovery service leaves at its end."""
     with instance() as here:
-        service = keeping.Keeping(here.house, "n1", 11, Recall(folder, SECOND, "process", 3))
+        service = keeping.RecoveryService(here.house, "n1", 11, Recall(folder, SECOND, "process", 3))
         service.end()
         os.close(service.lock)
         return Path(folder, "n1.recall").read_bytes()
@@ -554,9 +554,9 @@
 
 def attempt_log() -> bytes:
     """A segment of the log of attempts that may have run, as its writer leaves it."""
-    first = effects.Effect(1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND)
-    second = effects.Effect(2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND)
-    third = effects.Effect(3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND)
+    first = effects.LoggedAttempt(1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND)
+    second = effects.LoggedAttempt(2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND)
+    third = effects.LoggedAttempt(3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND)
     with tempfile.TemporaryDirectory() as folder:
         files = writer.Files(folder, "n1", False, 3)
         for effect in first, second, third:
@@ -619,13 +619,13 @@
     return [piece_of(packed, index)[1].hex() for index in range(count)]
 
 
-def small_ledger() -> Ledger:
+def small_ledger() -> RequestLedger:
     """Accounts of one class and one engine with a few requests."""
 
     class Entry:
         serial = 0
 
-    ledger = Ledger(["quick"], lambda: NOW)
+    ledger = RequestLedger(["quick"], lambda: NOW)
     entry, attempt = Entry(), Entry()
     entry.row = ledger.offerings["quick"]
     attempt.order, attempt.engine_row = entry, ledger.engine("e1")
@@ -643,7 +643,7 @@
     """A checkpoint file that one run wrote and the next one took over, with both slots in use."""
     with tempfile.TemporaryDirectory() as folder:
         for epoch in "first", "second":
-            kept = shelf.Shelf(folder, "n1", lambda line: None)
+            kept = shelf.CheckpointFile(folder, "n1", lambda line: None)
             for at in NOW, NOW + 5:
                 kept.put(cut_of(small_ledger(), at, "n1", {"id": epoch, "started": NOW - 100}))
             kept.close()
@@ -653,9 +653,9 @@
 def rolls() -> list[list[Any]]:
     """Voter configurations: version, lease, names, majority, and the mark that datagrams carry."""
     made = [
-        Roll(1, ["n1", "n2", "n3"], 50_000),
-        Roll(2, ["n3", "n1", "n2", "n4"], 50_000),
-        Roll(9, ["n1"]),
+        VoterConfiguration(1, ["n1", "n2", "n3"], 50_000),
+        VoterConfiguration(2, ["n3", "n1", "n2", "n4"], 50_000),
+        VoterConfiguration(9, ["n1"]),
     ]
     return [[each.version, each.lease, list(each.names), each.majority, each.mark] for each in made]
 
@@ -679,7 +679,7 @@
 
 def attempt_log_read(octets: bytes) -> Any:
     """Attempts with open ones told apart, and what is wrong at the log's end."""
-    known, wrong = effects.Effects(), ""
+    known, wrong = effects.AttemptLog(), ""
     for body, _, wrong in effects.records(octets):  # noqa: B007 (the last one counts)
         if body is not None:
             assert known.take(body)
@@ -780,7 +780,7 @@
         path = Path(folder, "n1.figures")
         path.write_bytes(octets)
         body = shelf.read_file(str(path))
-        taken_over = shelf.Shelf(folder, "n1", lambda line: None)
+        taken_over = shelf.CheckpointFile(folder, "n1", lambda line: None)
         taken_over.close()
         return [plain(body["cut"]), body["earlier"], taken_over.earlier]
 
@@ -906,7 +906,7 @@
     """Status, content type and shape of an answer, asked over a socket."""
     with tempfile.TemporaryDirectory() as folder, instance() as here:
         where = os.path.join(folder, "figures.sock")
-        bureau = Bureau(here.house, "n1", 7, Figures(where, 4, folder, SECOND, 0.02))
+        bureau = AccountingService(here.house, "n1", 7, Figures(where, 4, folder, SECOND, 0.02))
         give_state(here)
         try:
             head, body = asked(here, where, *QUESTIONS[name])
