--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -177,7 +177,7 @@
 EVENTS = r"""
 import io, sys
 from struct import pack
-from corkgauge.simulator.__main__ import Ground
+from corkgauge.simulator.__main__ import SimulatorAdapter
 boot = (b'{"profiles":[{"name":"a","objectiveUs":1000000,"deadlineUs":5000000}],"instances":2,'
         b'"extra":{"coresByKind":[8],"takesPriority":true},"limits":{"mostTries":4}}')
 def frame(n, records):
@@ -193,7 +193,7 @@
 data = frame(1, [census] + [call(i) for i in chosen for call in (born, update)])
 data += frame(2, [demand(i, n) for i in chosen for n in range(50)])
 out = io.BytesIO()
-Ground().serve(io.BytesIO(data), out)
+SimulatorAdapter().serve(io.BytesIO(data), out)
 reply = out.getvalue()
 size = int.from_bytes(reply[4:8], "little") + 8
 at, routes = size + 12, []
