--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -7,9 +7,10 @@
 
 from benchmarks.capacity import PEAKS, SIZE, Ask, Missing, Size, Worked
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.net import discovery_protocol as feed_wire, platform_frontend as frames
-from corkgauge.peer_health import reports as findings
 from corkgauge.maintenance import plan
+from corkgauge.net import discovery_protocol as feed_wire
+from corkgauge.net import platform_frontend as frames
+from corkgauge.peer_health import reports as findings
 
 TENTH = 0.1  # of all, restarted at a time by a release
 RATE, DAY = SIZE["statements"], SIZE["day"]
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -21,8 +21,8 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from corkgauge.eventloop.loop import SECOND  # noqa: E402
-from corkgauge.model.model_checker import explore  # noqa: E402
 from corkgauge.model.leases import World, drawn  # noqa: E402
+from corkgauge.model.model_checker import explore  # noqa: E402
 from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
 
 DEFENCES = {
@@ -167,9 +167,9 @@
         fleet.start()
         fleet.held(10)
         fleet.weather("lose", loss)
-        before, begun = len(fleet.changes()), fleet.hub.now
+        before, begun = len(fleet.changes()), fleet.event_loop.now
         fleet.until(seconds)
-        hours = (fleet.hub.now - begun) / SECOND / 3600
+        hours = (fleet.event_loop.now - begun) / SECOND / 3600
         many = len(fleet.changes()) - before
         gone = sum(" gone, was" in line for line in fleet.logs())
         return (
@@ -297,25 +297,25 @@
         while any(seen(name, "alive") < 30 for name in (names[0], names[14], names[29])):
             fleet.until(0.5)
         print(
-            f"30 processes: all see 30 others (the judge among them) {(fleet.hub.now - fleet.begun) / SECOND:.1f} s "
+            f"30 processes: all see 30 others (the judge among them) {(fleet.event_loop.now - fleet.begun) / SECOND:.1f} s "
             "after the first start"
         )
         before = [fleet.asked(name, "/fellows")["counters"]["sent"] for name in names[:5]]
-        begun = fleet.hub.now
+        begun = fleet.event_loop.now
         fleet.until(10)
         after = [fleet.asked(name, "/fellows")["counters"]["sent"] for name in names[:5]]
         print(
             f"letters of fellows and duties a second and gateway, five of them: "
-            f"{[round((b - a) / ((fleet.hub.now - begun) / SECOND), 1) for a, b in zip(before, after)]}"
+            f"{[round((b - a) / ((fleet.event_loop.now - begun) / SECOND), 1) for a, b in zip(before, after)]}"
         )
         fleet.befall(Fault(0, 60 * SECOND, "kill", (dead,)))
-        begun = fleet.hub.now
+        begun = fleet.event_loop.now
         while any(
             fleet.asked(name, "/fellows")["fellows"][dead]["state"] != "gone" for name in names[:3]
         ):
             fleet.until(0.2)
         print(
-            f"three that were asked all hold a killed one gone {(fleet.hub.now - begun) / SECOND:.1f} s after"
+            f"three that were asked all hold a killed one gone {(fleet.event_loop.now - begun) / SECOND:.1f} s after"
         )
         print(f"objections {len(fleet.wrong())}, holder {fleet.holder()}")
     finally:
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -67,7 +67,7 @@
     for name, act in (
         ("taken", lambda n: made.ledger.taken(entries[n])),
         ("handed off", lambda n: made.ledger.handed_off(hands[n], terms.FIRST)),
-        ("hand-off over", lambda n: made.ledger.handoff_over(hands[n], 1)),
+        ("hand-off over", lambda n: made.ledger.on_attempt_finished(hands[n], 1)),
         ("closed", lambda n: made.ledger.closed(entries[n], terms.IN_TIME)),
     ):
         begun = time.perf_counter()
@@ -78,8 +78,8 @@
 
 def scrape():
     from corkgauge.accounting import exposition
-    from corkgauge.accounting.snapshot import cut_of, with_audit
     from corkgauge.accounting.http_listener import json_pieces
+    from corkgauge.accounting.snapshot import cut_of, with_audit
 
     made = books(10_000, 1_000)
     begun = time.perf_counter()
@@ -165,7 +165,7 @@
     if tree != ROOT:
         play.program.arguments = ["serve"]
     used = []
-    play.hub.later(
+    play.event_loop.call_later(
         int((seconds - 0.5) * 10_000), lambda: used.append(play.program.processor_time())
     )
     try:
@@ -210,8 +210,8 @@
 
 def start(base, runs):
     from corkgauge.testkit.fleet.day import settings
-    from corkgauge.testkit.fleet.ports import free_port
     from corkgauge.testkit.fleet.gateway_process import GatewayProcess
+    from corkgauge.testkit.fleet.ports import free_port
 
     with tempfile.TemporaryDirectory() as folder:
         before = tree_of(base, folder)
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -24,13 +24,13 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
+from corkgauge.eventloop.loop import SECOND  # noqa: E402
 from corkgauge.flow_export import codec  # noqa: E402
 from corkgauge.flow_export.counter_deltas import Delta  # noqa: E402
-from corkgauge.flow_export.pending_records import PendingRecords  # noqa: E402
 from corkgauge.flow_export.meter import SLOT, SLOTS  # noqa: E402
+from corkgauge.flow_export.pending_records import PendingRecords  # noqa: E402
 from corkgauge.flow_export.session import Session  # noqa: E402
 from corkgauge.flow_export.timer_wheel import TimerWheel  # noqa: E402
-from corkgauge.eventloop.loop import SECOND  # noqa: E402
 
 
 def deltas(count):
@@ -72,7 +72,7 @@
         ("I", delta.reverse),
     ):
         data += struct.pack("!" + form, value)
-    for text in gateway, delta.engine, delta.hall:
+    for text in gateway, delta.engine, delta.zone:
         data += bytes([len(text)]) + text.encode()
     return data
 
@@ -187,7 +187,7 @@
     if sort != "none":
         transport = "tcp" if sort == "deaf" else "udp"
         collector = EmulatedCollector(
-            play.hub, transport, lambda message, data: heard.append(message)
+            play.event_loop, transport, lambda message, data: heard.append(message)
         )
         collector.deaf = sort == "deaf"
         path = os.path.join(play.folder, "operator.xml")
@@ -205,7 +205,7 @@
     def look():
         used.extend((play.program.processor_time(), play.program.memory() / 2**20))
 
-    play.hub.later(int((seconds - 0.5) * SECOND), look)
+    play.event_loop.call_later(int((seconds - 0.5) * SECOND), look)
     try:
         play.run(seconds, drain=1.0)
         log = play.program.log()[-1]
@@ -252,14 +252,14 @@
             )
 
 
-def hall(path):
+def zone(path):
     """Engines of one hall eight times as slow from the 10th second to the 20th, of 30."""
     import json
 
     from corkgauge.flow_export.report_rows import rows_of
     from corkgauge.testkit.emulators.collector import EmulatedCollector
-    from corkgauge.testkit.fleet.day import Day
     from corkgauge.testkit.faults.script import read
+    from corkgauge.testkit.fleet.day import Day
 
     play = Day(
         5,
@@ -270,7 +270,7 @@
     )
     rows = []
     collector = EmulatedCollector(
-        play.hub, "udp", lambda message, data: rows.extend(rows_of(message))
+        play.event_loop, "udp", lambda message, data: rows.extend(rows_of(message))
     )
     said = os.path.join(play.folder, "operator.xml")
     with open(said, "w", encoding="utf-8") as file:
@@ -303,6 +303,6 @@
         "encode": encode,
         "wheel": wheel,
         "held": held,
-        "hall": lambda: hall(asked.file),
+        "hall": lambda: zone(asked.file),
         "load": lambda: load(asked.runs, asked.seconds, asked.rate),
     }[asked.what]()
--- a/benchmarks/recall.py
+++ b/benchmarks/recall.py
@@ -26,9 +26,9 @@
 
 from corkgauge.eventloop.loop import SECOND  # noqa: E402
 from corkgauge.testkit.emulators.clients import Want  # noqa: E402
-from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
-from corkgauge.testkit.fleet.day import Day  # noqa: E402
 from corkgauge.testkit.faults.script import read  # noqa: E402
+from corkgauge.testkit.fleet.day import Day  # noqa: E402
+from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
 
 NAMES = [f"e{n}" for n in range(1, 7)]
 FILE = '<operator version="1">{recall}</operator>'
@@ -140,7 +140,7 @@
         gives_up=0.0,
         operator=operator(recall),
     )
-    begun = play.hub.now
+    begun = play.event_loop.now
     try:
         play.run(18.5, drain=2.0)
     finally:
@@ -149,10 +149,10 @@
     for client in play.clients:
         for ask in client.book:
             if begun + 8.2 * SECOND <= ask.sent < begun + 18.2 * SECOND:
-                worth = EARNS[ask.want.offering]
+                worth = EARNS[ask.want.request_class]
                 asked += worth
                 if ask.answers and ask.answers[0][1] == 1:
-                    aim = 10 * (AIMS[ask.want.offering] + 2 * ask.want.work)
+                    aim = 10 * (AIMS[ask.want.request_class] + 2 * ask.want.work)
                     earned += worth * (1.0 if ask.answers[0][0] - ask.sent <= aim else 0.3)
     return 1 - earned / max(asked, 1e-9)
 
@@ -188,7 +188,9 @@
         operator=operator(sort != "off", sort),
     )
     used = []
-    play.hub.later(int(7.5 * SECOND), lambda: used.append(play.program.processor_time()))
+    play.event_loop.call_later(
+        int(7.5 * SECOND), lambda: used.append(play.program.processor_time())
+    )
     try:
         play.run(8, drain=1.0)
         log, tally = play.program.log()[-1], play.tally()
@@ -254,23 +256,23 @@
                     other.name = name + "b"
                     feed.told([other])
                     feed.told([fleet.reached(gateway, name)], "DELETED")
-        begun = fleet.hub.now
+        begun = fleet.event_loop.now
         fleet.befall(Fault(0, 500, "kill", whom))
         fleet.until(6)
-        over = fleet.hub.now
+        over = fleet.event_loop.now
         fleet.settle()
         good = possible = 0.0
         for n, client in enumerate(fleet.clients):
             if f"n{1 + n % 3}" in whom:
                 for ask in client.book:
                     if begun + 4_000 <= ask.sent < over:
-                        possible += EARNS[ask.want.offering]
+                        possible += EARNS[ask.want.request_class]
                         served = bool(ask.answers) and ask.answers[0][1] == 1
                         good += (
-                            EARNS[ask.want.offering]
+                            EARNS[ask.want.request_class]
                             * served
                             * (
-                                ask.answers[0][0] - ask.sent <= 10 * AIMS[ask.want.offering]
+                                ask.answers[0][0] - ask.sent <= 10 * AIMS[ask.want.request_class]
                                 if served
                                 else 0
                             )
@@ -298,29 +300,30 @@
 
 
 def start():
-    from corkgauge.recovery import learned_state as learned, snapshot
+    from corkgauge.recovery import learned_state as learned
+    from corkgauge.recovery import snapshot
     from tests.harness import HostHarness, listing
 
     rows = [{"id": f"e{n}", "addr": f"127.0.{n // 250}.9:{n % 250 + 1}"} for n in range(1000)]
-    house = HostHarness(events=[listing(1, *rows)]).house
-    for engine in house.gateway.engines:
-        engine.view.slowness.extend([1.5] * 8)
-        engine.view.faults.extend([""] * 8)
+    socket_host = HostHarness(events=[listing(1, *rows)]).socket_host
+    for engine in socket_host.gateway.engines:
+        engine.stats.slowness_samples.extend([1.5] * 8)
+        engine.stats.fault_history.extend([""] * 8)
     begun = time.perf_counter()
-    copies = learned.copied(house.gateway)
+    copies = learned.copied(socket_host.gateway)
     copied = time.perf_counter()
     named = learned.named(copies)
     middle = time.perf_counter()
-    data = snapshot.packed({"gateway": "n", "mark": 1, "at": house.now, **named})
+    data = snapshot.packed({"gateway": "n", "mark": 1, "at": socket_host.now, **named})
     made = time.perf_counter()
     with tempfile.NamedTemporaryFile() as file:
         file.write(data)
         file.flush()
-        again = HostHarness(events=[listing(1, *rows)]).house
+        again = HostHarness(events=[listing(1, *rows)]).socket_host
         before = time.perf_counter()
         with open(file.name, "rb") as source:
             said = snapshot.read(source.read(), "n", 1)
-        counts = learned.recalled(said, again.gateway, again.offerings, again.now, 0)
+        counts = learned.recalled(said, again.gateway, again.request_classes, again.now, 0)
         read_ = time.perf_counter()
     steps = ", ".join(
         f"{1000 * span:.1f}" for span in (copied - begun, middle - copied, made - middle)
--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -23,8 +23,8 @@
 import click
 
 from benchmarks.scaling import TooLarge, bounded, fitted, kept, single, slope
-from corkgauge.policy.records import DRAINING
 from corkgauge.eventloop.loop import READ, EventLoop
+from corkgauge.policy.records import EngineState
 from corkgauge.testkit.fleet import profile_sampler as sampled
 from corkgauge.testkit.fleet.hollow_gateway import RATE, TABLE_GROUPS, Alone, Front, busy, listing
 from corkgauge.testkit.fleet.hollow_serve import Serve
@@ -215,12 +215,12 @@
     alone.play(alone.drawn(WARM))
     for leaves in False, False, True:
         statements = alone.drawn(TABLE_GROUPS)
-        for group, (_, sub) in enumerate(statements):
-            sub.tables = float(group)
+        for group, (_, request) in enumerate(statements):
+            request.table_group = float(group)
         begun = time.process_time()
         if leaves:
-            alone.gateway.engine_told(alone.engines[engines // 2], DRAINING, 0)
-            alone.gateway.list_told()
+            alone.gateway.on_engine_update(alone.engines[engines // 2], EngineState.DRAINING, 0)
+            alone.gateway.on_engine_list_complete()
         told = time.process_time() - begun
         spent.append(1000 * (told + alone.play(statements)))
     return max(spent[2] - spent[1], 0.0)
@@ -412,22 +412,22 @@
     try:
         for n in range(10 * engines):
             front.link(n % engines)
-        callers = [front.client() for _ in range(clients)]
+        client_connections = [front.client() for _ in range(clients)]
         front.turn()
 
         def grow() -> None:
             for n in range(count):
-                front.ask(callers[n % clients], 1 + n // clients)
+                front.ask(client_connections[n % clients], 1 + n // clients)
                 if n % 200 == 199:
                     front.turn(2)
             front.turn(8)
 
         size = held(lambda: grow)
-        if len(front.house.names) != count:
+        if len(front.socket_host.names) != count:
             raise RuntimeError(
-                f"{len(front.house.names)} open of {count}; counters {dict(front.house.counters)}, "
-                f"open {[len(each.open) for each in front.house.callers]}, "
-                f"unread {[len(each.link.machine.inward) for each in front.house.callers]}"
+                f"{len(front.socket_host.names)} open of {count}; counters {dict(front.socket_host.counters)}, "
+                f"open {[len(each.open) for each in front.socket_host.client_connections]}, "
+                f"unread {[len(each.link.machine.inward) for each in front.socket_host.client_connections]}"
             )
         return size
     finally:
@@ -498,28 +498,28 @@
 def turn(run: Run, count: int) -> float:
     """ms of a turn that polls so many descriptors, one of which has something to read each time."""
     descriptors(count + 8)
-    hub, (mine, its), (idle, other) = EventLoop(), socket.socketpair(), socket.socketpair()
+    event_loop, (mine, its), (idle, other) = EventLoop(), socket.socketpair(), socket.socketpair()
     fds = [os.dup(idle.fileno()) for _ in range(count - 1)]
     try:
 
         def reads() -> None:
-            while its.fileno() >= 0 and hub.wait(its.fileno(), READ):
+            while its.fileno() >= 0 and event_loop.wait(its.fileno(), READ):
                 its.recv(16)
 
-        hub.spawn(reads)
+        event_loop.spawn(reads)
         for fd in fds:
-            hub.spawn(hub.wait, fd, READ)
+            event_loop.spawn(event_loop.wait, fd, READ)
         for _ in range(20):
             mine.send(b"x")
-            hub.turn(0)
+            event_loop.turn(0)
         turns = 50 if run.quick else 400
         begun = time.process_time()
         for _ in range(turns):
             mine.send(b"x")
-            hub.turn(0)
+            event_loop.turn(0)
         return 1000 * (time.process_time() - begun) / turns
     finally:
-        hub.parked.clear()
+        event_loop.parked.clear()
         for fd in fds:
             os.close(fd)
         for each in mine, its, idle, other:
--- a/benchmarks/scale_fleet.py
+++ b/benchmarks/scale_fleet.py
@@ -19,8 +19,8 @@
 
 from benchmarks.scale_fleet_parts import findings_rows, order_rows
 from benchmarks.scaling import HOME, TooLarge, bounded, kept, single, slope
-from corkgauge.testkit.fleet.hollow_node import ELEMENTS
 from corkgauge.testkit.fleet.hollow_fleet import VOTERS, Fleet, Late
+from corkgauge.testkit.fleet.hollow_node import ELEMENTS
 
 FULL = 870
 RUNS = HOME / "fleet.jsonl"
--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -12,7 +12,6 @@
 from typing import Any
 
 from benchmarks.scaling import slope
-from corkgauge.peer_health.reports import SILENT, HealthReports
 from corkgauge.maintenance.schedule import (
     MOST_LOOKS,
     WELL,
@@ -23,6 +22,7 @@
     Wanted,
     next_out,
 )
+from corkgauge.peer_health.reports import SILENT, HealthReports
 
 SIZES = [30, 100, 300, 900]
 FULL = 1_800
@@ -48,13 +48,13 @@
         )
         for n in range(engines)
     }
-    offerings = [
+    request_classes = [
         OfferingFact(
             f"class{n}", frozenset(), frozenset({f"k{n % KINDS}"} if n else ()), 0.6 * engines
         )
         for n in range(4)
     ]
-    return Ground(Bounds(most=max(engines // 10, 1), room=0.9), facts, offerings)
+    return Ground(Bounds(most=max(engines // 10, 1), room=0.9), facts, request_classes)
 
 
 def order_ms(engines: int) -> float:
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -25,8 +25,8 @@
 from corkgauge.model.dissemination import spread
 from corkgauge.net.discovery_protocol import DiscoveryProtocol
 from corkgauge.net.host import UnstartedHost, stated_of
-from corkgauge.testkit.fleet.parent_process import tied
 from corkgauge.testkit.fleet.day import KINDS, settings
+from corkgauge.testkit.fleet.parent_process import tied
 
 FULL, GATEWAYS = 1_800, 870
 ENGINES = 10, 40, 100, 400, 1_000
@@ -139,7 +139,7 @@
 
 
 def sizes(run: "Run") -> list[dict[str, Any]]:
-    def stated(**how: int) -> int:
+    def settings(**how: int) -> int:
         return octets(configuration(**how)["settings"])
 
     rows = [
@@ -149,7 +149,7 @@
             "octets",
             "classes",
             (4, 16, 64, 256),
-            lambda n: stated(classes=n, tenants=2),
+            lambda n: settings(classes=n, tenants=2),
             256,
             repeats=1,
         ),
@@ -159,7 +159,7 @@
             "octets",
             "tenants",
             (2, 20, 200, 2_000),
-            lambda n: stated(classes=4, tenants=n),
+            lambda n: settings(classes=4, tenants=n),
             2_000,
             repeats=1,
         ),
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -18,8 +18,8 @@
 from corkgauge.eventloop.loop import SECOND  # noqa: E402
 from corkgauge.model.gossip import measured  # noqa: E402
 from corkgauge.peer_health.reports import HealthReports  # noqa: E402
-from corkgauge.testkit.seeded_random import SeededRandom  # noqa: E402
 from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn  # noqa: E402
+from corkgauge.testkit.seeded_random import SeededRandom  # noqa: E402
 
 WORTH = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
 SHARED = {"each": 0.2, "octets": 8000}
@@ -36,7 +36,7 @@
     for client in fleet.clients:
         for ask in client.book:
             if since <= ask.sent < until:
-                worth = WORTH[ask.want.offering]
+                worth = WORTH[ask.want.request_class]
                 possible += worth
                 good += worth * (bool(ask.answers) and ask.answers[0][1] == 1)
     return good / possible
@@ -58,7 +58,7 @@
     try:
         fleet.start()
         fleet.until(6)
-        begun = fleet.hub.now
+        begun = fleet.event_loop.now
         for name in bad:
             fleet.engines[name].begin(trouble, TROUBLES[trouble])
         if how == "known":
@@ -69,7 +69,7 @@
         if how == "known":
             fleet.listed(bad)
         fleet.until(4)
-        over = fleet.hub.now
+        over = fleet.event_loop.now
         fleet.settle()
         tried = sum(
             begun < run.came < begun + 8 * SECOND
@@ -142,11 +142,11 @@
     try:
         fleet.start()
         fleet.until(5)
-        begun = fleet.hub.now
+        begun = fleet.event_loop.now
         if how == "cut":
             fleet.befall(Fault(0, 6 * SECOND, "part", ("n1", "n2")))
         fleet.until(12)
-        over = fleet.hub.now
+        over = fleet.event_loop.now
         fleet.settle()
         return how, 1 - earned(fleet, begun, over), fleet.broken(2_500)[:2]
     finally:
@@ -227,12 +227,12 @@
         some = [f"e{1 + chance.below(12)}" for _ in range(4)]
         some = [*dict.fromkeys(some)]
         fleet.renewed(some)
-        renewals.append((fleet.hub.now, some))
-        fleet.hub.later(5 * SECOND, renew)
+        renewals.append((fleet.event_loop.now, some))
+        fleet.event_loop.call_later(5 * SECOND, renew)
 
     try:
         fleet.start()
-        fleet.hub.later(4 * SECOND, renew)
+        fleet.event_loop.call_later(4 * SECOND, renew)
         fleet.until(seconds)
         share, span, multiple, fall = fleet.stakes.cold
         for begun, some in renewals:
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -20,13 +20,19 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from corkgauge.eventloop.loop import SECOND  # noqa: E402
+from corkgauge.maintenance.schedule import (  # noqa: E402
+    Bounds,
+    EngineFact,
+    Ground,
+    Wanted,
+    next_out,
+)
 from corkgauge.model.plan_consensus import PlanWorld, plan_day  # noqa: E402
 from corkgauge.model.rolling_maintenance import POLICIES, Night  # noqa: E402
-from corkgauge.testkit.seeded_random import SeededRandom  # noqa: E402
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew  # noqa: E402
-from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
 from corkgauge.testkit.fleet.maintenance_day import AIMS, MaintenanceDay, aimed  # noqa: E402
-from corkgauge.maintenance.schedule import Bounds, EngineFact, Ground, Wanted, next_out  # noqa: E402
+from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
+from corkgauge.testkit.seeded_random import SeededRandom  # noqa: E402
 
 WORTH = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
 
@@ -102,10 +108,10 @@
         fleet.start()
         crew.wish({"do": "known", "out": []})
         fleet.until(6)
-        begun = fleet.hub.now
+        begun = fleet.event_loop.now
         if policy == "works":
-            for hall in "hall-a", "hall-b":
-                crew.ask("hall", hall)
+            for zone in "hall-a", "hall-b":
+                crew.ask("hall", zone)
             fleet.until(90, lambda: not crew.over(24))
         elif policy != "none":
             from corkgauge.testkit.checkers.maintenance import Work
@@ -118,8 +124,10 @@
 
             def next_of(queue):
                 if queue:
-                    work = Work(queue[0], "x", (queue.pop(0),), fleet.hub.now)
-                    crew.wish = lambda *_: fleet.hub.later(int(0.2 * SECOND), next_of, queue)
+                    work = Work(queue[0], "x", (queue.pop(0),), fleet.event_loop.now)
+                    crew.wish = lambda *_: fleet.event_loop.call_later(
+                        int(0.2 * SECOND), next_of, queue
+                    )
                     crew.work(work)
 
             for queue in queues:
@@ -127,7 +135,7 @@
             fleet.until(90, lambda: len([each for each in crew.book if each.ended >= 0]) < 24)
         else:
             fleet.until(20)
-        over = fleet.hub.now
+        over = fleet.event_loop.now
         fleet.until(1.5)
         crew.stopped = True
         fleet.settle()
@@ -137,20 +145,20 @@
             for ask in client.book:
                 if begun <= ask.sent < over:
                     worth, good = (
-                        WORTH[ask.want.offering],
+                        WORTH[ask.want.request_class],
                         bool(ask.answers) and ask.answers[0][1] == 1,
                     )
                     possible += worth
                     earned += worth * good
                     row = seconds.setdefault(
-                        (ask.want.offering, (ask.sent - begun) // SECOND), [0, 0]
+                        (ask.want.request_class, (ask.sent - begun) // SECOND), [0, 0]
                     )
                     row[0] += 1
                     row[1] += good
         worst = {}
-        for (offering, _), (many, good) in seconds.items():
+        for (request_class, _), (many, good) in seconds.items():
             if many >= 5:
-                worst[offering] = max(worst.get(offering, 0.0), 1 - good / many)
+                worst[request_class] = max(worst.get(request_class, 0.0), 1 - good / many)
         return {
             "policy": policy,
             "seed": seed,
@@ -286,9 +294,9 @@
         if kind == "lost":
             fleet.befall(Fault(0, 3600 * SECOND, "cut", (*fleet.gateways,)))
             for way in fleet.to_judge.values():
-                way.cut_until = fleet.hub.now + 3600 * SECOND
+                way.cut_until = fleet.event_loop.now + 3600 * SECOND
         begun, before = (
-            fleet.hub.now,
+            fleet.event_loop.now,
             sum(each.program.processor_time() for each in fleet.gateways.values()),
         )
         fleet.until(seconds)
@@ -366,15 +374,15 @@
             out.append((crew.book[-1].begun - crew.asked[id_]) / SECOND)
             fleet.until(20, lambda: crew.book[-1].ended < 0)
             fleet.until(20, lambda: bool(crew.seen.get("units", [1])))
-            back.append((fleet.hub.now - crew.book[-1].ended) / SECOND)
+            back.append((fleet.event_loop.now - crew.book[-1].ended) / SECOND)
             if n % 3 == 2:
-                planner, begun = crew.seen["holder"], fleet.hub.now
+                planner, begun = crew.seen["holder"], fleet.event_loop.now
                 fleet.befall(Fault(0, 3 * SECOND, "kill", (planner,)))
                 crew.seen = {}
                 fleet.until(
                     15, lambda: crew.seen.get("state") != "leading" and not crew.seen.get("fresh")
                 )
-                led.append((fleet.hub.now - begun) / SECOND)
+                led.append((fleet.event_loop.now - begun) / SECOND)
                 fleet.until(4)
         return out, back, led
     finally:
@@ -426,7 +434,7 @@
             for name in names:
                 fleet.engines[name].end()
             fleet.renewed(names)
-        begun = fleet.hub.now
+        begun = fleet.event_loop.now
         fleet.until(9)
         crew.stopped = True
         fleet.settle()
--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -15,8 +15,8 @@
 from typing import Any, Protocol
 
 from corkgauge.accounting import discrepancies as f
-from corkgauge.accounting.ledger import CLOSED, RequestLedger
 from corkgauge.accounting.counter_names import SIDES, SORTS, TERM_OF, TERMS
+from corkgauge.accounting.ledger import CLOSED, RequestLedger
 
 SLICE = 500  # records of one step
 
@@ -87,7 +87,7 @@
         self._across()
 
     def _submissions(self) -> Iterator[None]:
-        booked = {row: (row.open, row.mark) for row in self.ledger.offerings.values()}
+        booked = {row: (row.open, row.mark) for row in self.ledger.request_classes.values()}
         entries = [*self.live.open_entries(), *self.live.answering_entries()]
         yield
         seen: dict[Any, list[int]] = {}
@@ -98,7 +98,7 @@
     def _hands(self) -> Iterator[None]:
         rows = self.ledger.engine_rows()
         booked = [(row, row.out, row.mark) for row in rows]
-        by_offering = [(row, row.out, row.out_mark) for row in self.ledger.offerings.values()]
+        by_offering = [(row, row.out, row.out_mark) for row in self.ledger.request_classes.values()]
         hands = self.live.hands_out()
         yield
         seen: dict[Any, list[int]] = {}
@@ -122,7 +122,7 @@
 
     def _rows(self) -> Iterator[None]:
         """Equations within one row hold at any moment, so each row is looked at by itself."""
-        for part in _slices([*self.ledger.offerings.values()], self.slice):
+        for part in _slices([*self.ledger.request_classes.values()], self.slice):
             for row in part:
                 terms, sums = row.terms, [0] * len(TERMS)
                 for reason, count in enumerate(row.reasons):
@@ -162,7 +162,7 @@
         """Sums that two rows' kinds hold, each taken in one step."""
         ledger, rows = self.ledger, self.ledger.engine_rows()
         for n, name in enumerate(SORTS):
-            by_offering = sum(row.sorts[n] for row in ledger.offerings.values())
+            by_offering = sum(row.sorts[n] for row in ledger.request_classes.values())
             if difference := by_offering - sum(row.sorts[n] for row in rows):
                 self.findings.see(f.BOOKS_DIFFER, name, difference, "by offering - by engine")
         pages = 0
--- a/corkgauge/accounting/counter_names.py
+++ b/corkgauge/accounting/counter_names.py
@@ -59,27 +59,27 @@
 DEPARTED_ROW = "(departed)"  # engines that left
 
 
-def reason_of(code: int, sub: Request, now: int, last_moment: int) -> int:
+def reason_of(code: int, request: Request, now: int, last_moment: int) -> int:
     """The reason of an end that the gateway gave a submission.
 
     `last_moment` is how long before its expiry the last moment begins, in tenths of a millisecond.
 
-    >>> from corkgauge.policy.records import Offering
-    >>> sub = Submission(None, Offering("quick", 10, 0.0, 500, 1.0), 0, 0.0, taken=1000, life=500, aim=100.0)
-    >>> [REASON_NAMES[reason_of(SERVED, sub, now, 20)] for now in (1100, 1101)]
+    >>> from corkgauge.policy.records import RequestClass
+    >>> request = Request(None, RequestClass("quick", 10, 0.0, 500, 1.0), 0, 0.0, 1000, 500, latency_objective=100.0)
+    >>> [REASON_NAMES[reason_of(SERVED, request, now, 20)] for now in (1100, 1101)]
     ['in_time', 'late']
-    >>> [REASON_NAMES[reason_of(REFUSED, sub, now, 20)] for now in (1100, 1480)]
+    >>> [REASON_NAMES[reason_of(REFUSED, request, now, 20)] for now in (1100, 1480)]
     ['unsent', 'at_expiry']
-    >>> REASON_NAMES[reason_of(FAILED, sub, 1100, 20)]
+    >>> REASON_NAMES[reason_of(FAILED, request, 1100, 20)]
     'given_up'
     """
     if code == SERVED:
-        return IN_TIME if now - sub.taken <= sub.aim else LATE
+        return IN_TIME if now - request.accepted_at <= request.latency_objective else LATE
     if code == FAILED:
         return GIVEN_UP
-    if now >= sub.taken + sub.life - last_moment:
+    if now >= request.accepted_at + request.time_to_deadline - last_moment:
         return AT_EXPIRY
-    return AFTER_TRIES if sub.handoffs else UNSENT
+    return AFTER_TRIES if request.attempts else UNSENT
 
 
 def sort_of(number: int, others_out: bool) -> int:
--- a/corkgauge/accounting/exposition.py
+++ b/corkgauge/accounting/exposition.py
@@ -16,9 +16,9 @@
     Metric,
 )
 
-from corkgauge.accounting.snapshot import Cut
 from corkgauge.accounting.counter_names import SORTS
 from corkgauge.accounting.latency_sketches import buckets
+from corkgauge.accounting.snapshot import Cut
 
 ROWS = 32  # of one piece
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -50,34 +50,34 @@
             yield _text(one, first)
             first = False
 
-    offerings, engines = cut["offerings"].items(), cut["engines"].items()
+    request_classes, engines = cut["offerings"].items(), cut["engines"].items()
     yield from family(
         CounterMetricFamily,
         "corkgauge_submissions_taken",
         "Submissions taken.",
         ("offering",),
-        (([name], row["taken"]) for name, row in offerings),
+        (([name], row["taken"]) for name, row in request_classes),
     )
     yield from family(
         CounterMetricFamily,
         "corkgauge_submissions_ended",
         "Submissions that have their end, by term and reason.",
         ("offering", "term", "reason"),
-        _ends(offerings),
+        _ends(request_classes),
     )
     yield from family(
         GaugeMetricFamily,
         "corkgauge_submissions_open",
         "Submissions open.",
         ("offering",),
-        (([name], row["open"]) for name, row in offerings),
+        (([name], row["open"]) for name, row in request_classes),
     )
     yield from family(
         CounterMetricFamily,
         "corkgauge_handoffs",
         "Hand-offs, by offering and sort.",
         ("offering", "sort"),
-        _by_sort(offerings),
+        _by_sort(request_classes),
     )
     yield from family(
         CounterMetricFamily,
@@ -184,10 +184,10 @@
     return (([name, sort], row[sort]) for name, row in rows for sort in SORTS)
 
 
-def _ends(offerings: Any) -> Iterator[Sample]:
+def _ends(request_classes: Any) -> Iterator[Sample]:
     from corkgauge.accounting.counter_names import REASONS, TERMS
 
-    for name, row in offerings:
+    for name, row in request_classes:
         for term, reason in REASONS:
             yield [name, TERMS[term], reason], row["reasons"][reason]
 
--- a/corkgauge/accounting/http_listener.py
+++ b/corkgauge/accounting/http_listener.py
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         where: str | tuple[str, int],
         most: int,
         cut: Callable[[], Cut],
@@ -39,8 +39,8 @@
         log: Callable[[str], None],
         routes: Mapping[tuple[bytes, bytes], Callable[[bytes], Any]],
     ) -> None:
-        self.hub, self.where, self.most, self.cut, self.clear, self.log = (
-            hub,
+        self.event_loop, self.where, self.most, self.cut, self.clear, self.log = (
+            event_loop,
             where,
             most,
             cut,
@@ -53,13 +53,13 @@
         self.here = 0
         self.sock = opened(where)
         self.fd = self.sock.fileno()
-        hub.spawn(self._accept)
+        event_loop.spawn(self._accept)
 
     def close(self) -> None:
         """No more readers; those that are here finish."""
         sock, self.sock = self.sock, None
         if sock is not None:
-            self.hub.wake(self.fd)
+            self.event_loop.wake(self.fd)
             sock.close()
             if isinstance(self.where, str):
                 try:
@@ -69,7 +69,7 @@
 
     def _accept(self) -> None:
         while self.sock is not None:
-            self.hub.wait(self.fd, READ)
+            self.event_loop.wait(self.fd, READ)
             while self.sock is not None:
                 try:
                     sock, _ = self.sock.accept()
@@ -81,7 +81,7 @@
                     continue
                 sock.setblocking(False)
                 self.here += 1
-                self.hub.spawn(self._serve, sock)
+                self.event_loop.spawn(self._serve, sock)
 
     # One reader's task.
 
@@ -100,11 +100,11 @@
 
     def _one(self, sock: socket.socket, reader: h11.Connection, patience: int) -> bool:
         """One request and its answer; may there be another?"""
-        asked, body, until = None, b"", self.hub.now + patience
+        asked, body, until = None, b"", self.event_loop.now + patience
         while True:
             event = reader.next_event()
             if event is h11.NEED_DATA:
-                if not self.hub.wait(sock.fileno(), READ, until):
+                if not self.event_loop.wait(sock.fileno(), READ, until):
                     return False
                 reader.receive_data(sock.recv(4096))
             elif isinstance(event, h11.Request):
@@ -123,7 +123,7 @@
         for piece in gathered(body):
             self._write(sock, reader.send(h11.Data(data=piece)) or b"")
             # Danger: pieces in a row would hold up all that is served; they have their turn
-            self.hub.sleep(1)
+            self.event_loop.sleep(1)
         self._write(sock, reader.send(h11.EndOfMessage()) or b"")
         return reader.our_state is h11.DONE and reader.their_state is h11.DONE
 
@@ -149,12 +149,12 @@
 
     def _write(self, sock: socket.socket, data: bytes) -> None:
         """Danger: a reader that does not read would hold its cut for ever; it has a while for each piece."""
-        view, until = memoryview(data), self.hub.now + PATIENCE
+        view, until = memoryview(data), self.event_loop.now + PATIENCE
         while view:
             try:
                 view = view[sock.send(view) :]
             except BlockingIOError:
-                if not self.hub.wait(sock.fileno(), WRITE, until):
+                if not self.event_loop.wait(sock.fileno(), WRITE, until):
                     raise OSError("a reader that does not read") from None
 
 
--- a/corkgauge/accounting/latency_sketches.py
+++ b/corkgauge/accounting/latency_sketches.py
@@ -22,12 +22,12 @@
         self.error = error
         self.sketches: dict[tuple[str, str], DDSketch] = {}
 
-    def answered(self, offering: str, span: int) -> None:
-        self._add(LATENCY, offering, span)
+    def answered(self, request_class: str, span: int) -> None:
+        self._add(LATENCY, request_class, span)
 
-    def handed_off(self, offering: str, span: int) -> None:
+    def handed_off(self, request_class: str, span: int) -> None:
         """From when it was taken to its first hand-off."""
-        self._add(WAIT, offering, span)
+        self._add(WAIT, request_class, span)
 
     def honoured(self, engine: str, span: int) -> None:
         self._add(SERVICE, engine, span)
@@ -76,7 +76,7 @@
 def added(several: Iterable[Mapping[str, Any]]) -> dict[str, Any]:
     """Several sketches of one thing, as one.
 
-    >>> one, other = Waits(0.02), Waits(0.02)
+    >>> one, other = LatencySketches(0.02), LatencySketches(0.02)
     >>> for span in range(1, 1000): (one if span % 2 else other).answered("a", span)
     >>> both = added(one.told() + other.told())
     >>> both["count"], abs(quantile(both, 0.5) - 0.05) < 0.002
--- a/corkgauge/accounting/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -11,15 +11,6 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from corkgauge.accounting.discrepancies import (
-    CLOSED_TWICE,
-    ENTERED_TWICE,
-    HAND_CLOSED_TWICE,
-    HAND_ENTERED_TWICE,
-    HAND_NEVER_ENTERED,
-    NEVER_ENTERED,
-    OVER_BUDGET,
-)
 from corkgauge.accounting.counter_names import (
     AT_THE_DOOR,
     CLIENT,
@@ -36,6 +27,15 @@
     UNUSABLE,
     UNUSABLE_ROW,
 )
+from corkgauge.accounting.discrepancies import (
+    CLOSED_TWICE,
+    ENTERED_TWICE,
+    HAND_CLOSED_TWICE,
+    HAND_ENTERED_TWICE,
+    HAND_NEVER_ENTERED,
+    NEVER_ENTERED,
+    OVER_BUDGET,
+)
 
 LAST_EVENTS = 512  # kept in all, to show what happened around a mistake
 SLICES = 50  # of the budget's window; counts of submissions are kept by slice
@@ -91,14 +91,14 @@
 
     def __init__(
         self,
-        offerings: Iterable[str],
+        request_classes: Iterable[str],
         clock: Callable[[], int],
         budget: tuple[float, float, int] | None = None,
         guard: Callable[[str, Any, int], None] = lambda *_: None,
     ) -> None:
         self.clock, self.guard = clock, guard
-        self.offerings = {name: RequestClassRow(name) for name in offerings}
-        self.unusable_row = self.offerings[UNUSABLE_ROW] = RequestClassRow(UNUSABLE_ROW)
+        self.request_classes = {name: RequestClassRow(name) for name in request_classes}
+        self.unusable_row = self.request_classes[UNUSABLE_ROW] = RequestClassRow(UNUSABLE_ROW)
         self.engines: dict[str, EngineRow] = {}
         self.departed = EngineRow(DEPARTED_ROW)
         self.leaving: list[EngineRow] = []  # gone, with hand-offs out
@@ -179,7 +179,7 @@
         if sort != FIRST and self.span:
             self._extra(engine, serial, now)
 
-    def handoff_over(self, hand: Any, outcome: int) -> None:
+    def on_attempt_finished(self, hand: Any, outcome: int) -> None:
         """Its outcome has come."""
         row, engine, serial = hand.order.row, hand.engine_row, hand.serial
         if serial <= 0:
@@ -234,7 +234,7 @@
         return [*self.engines.values(), *self.leaving, self.departed]
 
     def answered(self, term: int) -> int:
-        return sum(row.terms[term] for row in self.offerings.values())
+        return sum(row.terms[term] for row in self.request_classes.values())
 
     def outcome(self, outcome: int) -> int:
         return sum(row.outcomes[outcome] for row in self.engine_rows())
@@ -269,7 +269,7 @@
         # what clients left is no answer of ours
         said["answered failed"] = sum(
             row.reasons[n]
-            for row in self.offerings.values()
+            for row in self.request_classes.values()
             for n in (UNUSABLE, GIVEN_UP, NOT_READ)
         )
         said |= {f"outcome {n}": self.outcome(n) for n in range(len(OUTCOMES))}
--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -7,18 +7,18 @@
 from typing import Any
 from zlib import crc32
 
-from corkgauge.config.platform import ConfigurationError
 from corkgauge.accounting.snapshot import Cut, cut_of, with_audit, with_live
 from corkgauge.config.operator_file import Figures
+from corkgauge.config.platform import ConfigurationError
 
 
 class AccountingService:
     """Made once for a program; `reload` takes a new element. `house` has `hub`, `ledger`, `findings`,
     `auditor`, `records` and `log`."""
 
-    def __init__(self, house: Any, gateway: str, seed: int, said: Figures) -> None:
-        self.house, self.gateway, self.said = house, gateway, said
-        now = house.hub.now
+    def __init__(self, socket_host: Any, gateway: str, seed: int, said: Figures) -> None:
+        self.socket_host, self.gateway, self.said = socket_host, gateway, said
+        now = socket_host.event_loop.now
         mark = crc32(f"{seed} {now} {gateway}".encode())
         self.epoch = {"id": f"{now // 10:x}-{mark:08x}", "started": now}
         self.door: Any = None
@@ -26,11 +26,11 @@
         if said.error:
             from corkgauge.accounting.latency_sketches import LatencySketches
 
-            house.waits = LatencySketches(said.error)
+            socket_host.waits = LatencySketches(said.error)
         if said.keep:
             from corkgauge.accounting.checkpoint_file import CheckpointFile
 
-            self.shelf = CheckpointFile(said.keep, gateway, house.log)
+            self.shelf = CheckpointFile(said.keep, gateway, socket_host.log)
             self.keep()
         self._open(said)
 
@@ -52,19 +52,19 @@
             for name in ("keep", "keep_each", "error")
             if getattr(said, name) != getattr(self.said, name)
         ]:
-            self.house.log(
+            self.socket_host.log(
                 f"operator file: figures {', '.join(waits)} changed, in force after a restart"
             )
         self.said = said
 
     def cut(self) -> Cut:
         """One consistent cut, as readers get it."""
-        house = self.house
-        cut = with_audit(self._counts(), house.findings, house.auditor.passes)
-        if house.waits is not None:
-            cut["waits"] = house.waits.told()
-        if house.flows is not None:
-            cut["flows"] = house.flows.told()
+        socket_host = self.socket_host
+        cut = with_audit(self._counts(), socket_host.findings, socket_host.auditor.passes)
+        if socket_host.waits is not None:
+            cut["waits"] = socket_host.waits.told()
+        if socket_host.flows is not None:
+            cut["flows"] = socket_host.flows.told()
         if self.shelf is not None:
             cut["earlier"] = self.shelf.earlier
         return cut
@@ -72,7 +72,7 @@
     def keep(self) -> None:
         """Put the counts where a kill leaves them."""
         self.shelf.put(self._counts())
-        self.house.hub.later(self.said.keep_each, self.keep)
+        self.socket_host.event_loop.call_later(self.said.keep_each, self.keep)
 
     def end(self) -> None:
         """The program ends in order: the last counts are kept, and the door is shut."""
@@ -82,24 +82,26 @@
         self._close()
 
     def _counts(self) -> Cut:
-        counts = cut_of(self.house.ledger, self.house.hub.now, self.gateway, self.epoch)
-        return with_live(counts, self.house.records.live_bytes())
+        counts = cut_of(
+            self.socket_host.ledger, self.socket_host.event_loop.now, self.gateway, self.epoch
+        )
+        return with_live(counts, self.socket_host.records.live_bytes())
 
     def _open(self, said: Figures) -> None:
         if said.listen is None:
             return
         from corkgauge.accounting.http_listener import HttpListener
 
-        house = self.house
+        socket_host = self.socket_host
         try:
             self.door = HttpListener(
-                house.hub,
+                socket_host.event_loop,
                 said.listen,
                 said.readers,
                 self.cut,
-                house.findings.clear,
-                house.log,
-                house.routes,
+                socket_host.findings.clear,
+                socket_host.log,
+                socket_host.routes,
             )
         except OSError as problem:
             raise ConfigurationError(
--- a/corkgauge/accounting/snapshot.py
+++ b/corkgauge/accounting/snapshot.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any
 
+from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, REASONS, SORTS, TERMS
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, REASONS, SORTS, TERMS
 
 SCHEMA = 1
 Cut = dict[str, Any]
@@ -59,7 +59,7 @@
                 **dict(zip(SORTS, row.sorts)),
                 "out": row.out,
             }
-            for name, row in ledger.offerings.items()
+            for name, row in ledger.request_classes.items()
         },
         "engines": EngineRows(
             {
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -4,8 +4,8 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
 from corkgauge.accounting.snapshot import Cut, differences, shrunk
+from corkgauge.commands import FOUND, Faulted
 
 MOST_SAID = 20
 
--- a/corkgauge/commands/check.py
+++ b/corkgauge/commands/check.py
@@ -4,8 +4,8 @@
 
 import click
 
-from corkgauge.config import platform as configuration
 from corkgauge.commands import Faulted
+from corkgauge.config import platform as configuration
 
 
 @click.command("check")
@@ -20,9 +20,9 @@
     Ends with 2 and one line that names the key, or file, line and element, at fault.
     """
     try:
-        post = configuration.read(os.environ)
+        platform_config = configuration.read(os.environ)
         from corkgauge.daemon import process as daemon
 
-        raise SystemExit(daemon.check(post, operator_file))
+        raise SystemExit(daemon.check(platform_config, operator_file))
     except configuration.ConfigurationError as problem:
         raise Faulted(str(problem)) from None
--- a/corkgauge/commands/figures.py
+++ b/corkgauge/commands/figures.py
@@ -6,8 +6,8 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
 from corkgauge.accounting.snapshot import Cut, differences, together
+from corkgauge.commands import FOUND, Faulted
 
 
 def cut_at(where: str, clear: bool = False) -> Cut:
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -84,11 +84,11 @@
     corkgauge flows listen --write night.parquet
     Ends with 1 if anything came that could not be decoded.
     """
-    from corkgauge.flow_export.report_rows import rows_of
     from corkgauge.eventloop.loop import SECOND, EventLoop
+    from corkgauge.flow_export.report_rows import rows_of
     from corkgauge.testkit.emulators.collector import EmulatedCollector
 
-    hub, count = EventLoop(), [0, 0, 0]
+    event_loop, count = EventLoop(), [0, 0, 0]
     out = Out(path) if path else None
     kept = open(capture, "wb") if capture else None
 
@@ -107,14 +107,14 @@
                 print(line_of(row), flush=True)
 
     try:
-        collector = EmulatedCollector(hub, transport, heard, ("127.0.0.1", port))
+        collector = EmulatedCollector(event_loop, transport, heard, ("127.0.0.1", port))
     except OSError as problem:
         raise Faulted(f"127.0.0.1:{port}: {problem.strerror}") from None
     click.echo(f"listening on 127.0.0.1:{collector.address[1]} ({transport})", err=True)
-    until = hub.now + int(seconds * SECOND)
+    until = event_loop.now + int(seconds * SECOND)
     try:
-        while not seconds or hub.now < until:
-            hub.turn(200)
+        while not seconds or event_loop.now < until:
+            event_loop.turn(200)
     except KeyboardInterrupt:
         pass
     if out:
@@ -189,14 +189,14 @@
             json.dumps(
                 [
                     {
-                        "hall": hall,
+                        "hall": zone,
                         "engine": engine,
                         "spans": [
                             {"begin_ms": begin, "there": there, "back": back}
                             for begin, (there, back) in spans.items()
                         ],
                     }
-                    for (hall, engine), spans in sums.items()
+                    for (zone, engine), spans in sums.items()
                 ]
             )
         )
@@ -211,9 +211,9 @@
         "hall",
         ("engine", *(clock(begin) for begin in begins[-12:]), "all"),
     )
-    for (hall, engine), spans in sums.items():
+    for (zone, engine), spans in sums.items():
         cells = [f"{sum(spans[begin])}" if begin in spans else "" for begin in begins[-12:]]
-        table.add_row(hall, engine, *cells, str(sum(sum(each) for each in spans.values())))
+        table.add_row(zone, engine, *cells, str(sum(sum(each) for each in spans.values())))
     Console().print(table)
 
 
@@ -229,26 +229,26 @@
     matplotlib.use("svg")
     from matplotlib import pyplot
 
-    halls = sorted({hall for hall, _ in sums})
+    zones = sorted({zone for zone, _ in sums})
     begins = sorted({begin for spans in sums.values() for begin in spans})
     figure, panels = pyplot.subplots(
-        max(len(halls), 1),
+        max(len(zones), 1),
         1,
         sharex=True,
         sharey=True,
         squeeze=False,
-        figsize=(9, 2.4 * max(len(halls), 1) + 0.6),
+        figsize=(9, 2.4 * max(len(zones), 1) + 0.6),
     )
-    for panel, hall in zip(panels[:, 0], halls):
+    for panel, zone in zip(panels[:, 0], zones):
         for (where, engine), spans in sums.items():
-            if where == hall:
+            if where == zone:
                 panel.plot(
                     [(begin - begins[0]) / 1000 for begin in begins],
                     [sum(spans.get(begin, (0, 0))) / span / 1000 for begin in begins],
                     label=engine,
                     lw=1.5,
                 )
-        panel.set_title(hall or "(no hall told)", loc="left", fontsize=10)
+        panel.set_title(zone or "(no hall told)", loc="left", fontsize=10)
         panel.set_ylabel("kB a second")
         panel.grid(alpha=0.3)
         panel.legend(loc="upper right", fontsize=8, ncol=4, frameon=False)
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -5,8 +5,8 @@
 
 import click
 
-from corkgauge.config import platform as configuration
 from corkgauge.commands import Faulted
+from corkgauge.config import platform as configuration
 
 
 @click.command("serve")
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -91,8 +91,8 @@
     Ends with 1 if a scrape does not balance, a rule breaks, or memory grows.
     """
     from corkgauge.testkit.checkers import rules
-    from corkgauge.testkit.fleet.day import Day
     from corkgauge.testkit.faults.script import Unplayable
+    from corkgauge.testkit.fleet.day import Day
 
     engines = [f"e{n}" for n in range(1, 5)]
     try:
@@ -104,13 +104,13 @@
         if not as_json and play.scraped % 100 == 0:
             taken = sum(row["taken"] for row in cut["offerings"].values())
             click.echo(
-                f"{(play.hub.now - begun) / 10_000:7.1f} s  epoch {cut['epoch']['id']}  "
+                f"{(play.event_loop.now - begun) / 10_000:7.1f} s  epoch {cut['epoch']['id']}  "
                 f"taken {taken:8}  scrapes {play.scraped}, wrong {len(play.wrong)}",
                 err=True,
             )
 
     play = Day(seed, scenes, rate=rate, scrapes=scrapes, seen=seen)
-    begun = play.hub.now
+    begun = play.event_loop.now
     try:
         play.run(seconds)
         log, epochs = play.program.log(), _epochs(play)
--- a/corkgauge/commands/tables.py
+++ b/corkgauge/commands/tables.py
@@ -7,8 +7,8 @@
 from rich.table import Table
 from rich.text import Text
 
-from corkgauge.accounting.snapshot import Cut, differences
 from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, SORTS, TERMS
+from corkgauge.accounting.snapshot import Cut, differences
 
 
 def plain_table(title: str, first: str, names: Iterable[str]) -> Table:
@@ -20,7 +20,7 @@
     return table
 
 
-def offerings(cut: Cut) -> Table:
+def request_classes(cut: Cut) -> Table:
     table = plain_table(
         f"{cut['gateway']}: taken = served + refused + failed + open",
         "offering",
@@ -80,7 +80,7 @@
 
 
 def whole(cut: Cut, *more: Any) -> Group:
-    return Group(offerings(cut), reasons(cut), engines(cut), balance(cut), *more)
+    return Group(request_classes(cut), reasons(cut), engines(cut), balance(cut), *more)
 
 
 def _times(said: Any) -> tuple[str, str]:
--- a/corkgauge/commands/try_.py
+++ b/corkgauge/commands/try_.py
@@ -46,8 +46,8 @@
     from rich.text import Text
 
     from corkgauge.commands import tables
-    from corkgauge.testkit.fleet.day import Day
     from corkgauge.testkit.faults.script import read
+    from corkgauge.testkit.fleet.day import Day
 
     progress = Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:.0f}%")
@@ -57,12 +57,12 @@
     with Live(progress, console=console, refresh_per_second=4, transient=True) as live:
 
         def seen(cut: dict) -> None:
-            now = (play.hub.now - begun) / 10_000
+            now = (play.event_loop.now - begun) / 10_000
             progress.update(bar, completed=min(now, seconds), description=_now(play, now))
-            live.update(Group(progress, tables.offerings(cut), tables.engines(cut)))
+            live.update(Group(progress, tables.request_classes(cut), tables.engines(cut)))
 
         play = Day(seed, read(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen)
-        begun = play.hub.now
+        begun = play.event_loop.now
         try:
             play.run(seconds)
             log = play.program.log()
--- a/corkgauge/config/operator_file.py
+++ b/corkgauge/config/operator_file.py
@@ -85,7 +85,7 @@
     listen, None for our own address among them; `period` in tenths of a millisecond."""
 
     keys: tuple[bytes, ...]
-    fellows: tuple[tuple[str, tuple[str, int], str], ...]
+    members: tuple[tuple[str, tuple[str, int], str], ...]
     listen: tuple[str, int] | None
     period: int
 
--- a/corkgauge/config/platform.py
+++ b/corkgauge/config/platform.py
@@ -100,7 +100,7 @@
     ('127.0.0.4', 9090)
     >>> address("9090", "listen")
     Traceback (most recent call last):
-    corkgauge.config.platform.Faulty: listen: expected ADDRESS:PORT, found '9090'
+    corkgauge.config.platform.ConfigurationError: listen: expected ADDRESS:PORT, found '9090'
     """
     host, colon, port = said.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
--- a/corkgauge/config/settings.py
+++ b/corkgauge/config/settings.py
@@ -7,9 +7,14 @@
 from zlib import crc32
 
 from corkgauge.policy.gateway import Gateway
-from corkgauge.policy.records import IRREVERSIBLE, LABELLED, REDOABLE, Engine, Host, RequestClass
+from corkgauge.policy.host import Host
+from corkgauge.policy.records import Engine, Repeatability, RequestClass
 
-REPEATS = {"pure": REDOABLE, "token": LABELLED, "side_effect": IRREVERSIBLE}
+REPEATS = {
+    "pure": Repeatability.IDEMPOTENT,
+    "token": Repeatability.KEYED,
+    "side_effect": Repeatability.NON_IDEMPOTENT,
+}
 
 
 class Settings:
@@ -33,10 +38,12 @@
             figure(extra, "tellsEveryUs", 0) // 100
         )  # of every hand-off that is out; 0: not at all
         widths = extra.get("widthByClass", [])
-        self.offerings = [offering(p, n, widths) for n, p in enumerate(said.get("profiles", []))]
-        if not self.offerings:
+        self.request_classes = [
+            request_class(p, n, widths) for n, p in enumerate(said.get("profiles", []))
+        ]
+        if not self.request_classes:
             raise ValueError("profiles: no class")
-        self.halls, self.kinds = list(said.get("azs", [])), list(said.get("kinds", []))
+        self.zones, self.kinds = list(said.get("azs", [])), list(said.get("kinds", []))
         self.tenants = [each["name"] for each in said.get("customers", [])]
         self.streams = figure(limits, "streamsPerConn", 32, 1)
         self.dial_time = figure(limits, "dialTimeoutUs", 250_000, 1) // 100
@@ -55,11 +62,11 @@
             number=figure(said, "myNumber", crc32(b"%d %s" % (seed, name.encode())) % 2**20),
             gateways=figure(said, "instances", 1, 1),
             tick=-(-figure(said, "periodUs", 1000) // 100),
-            offerings=self.offerings,
+            request_classes=self.request_classes,
             cancels=bool(limits.get("cancel")),
             copies=bool(limits.get("secondCopies")),
-            most_handoffs=figure(limits, "mostTries", 1, 1),
-            come_back=figure(limits, "maxRetryAfterUs", 0) // 100
+            max_attempts=figure(limits, "mostTries", 1, 1),
+            retry_after=figure(limits, "maxRetryAfterUs", 0) // 100
             if limits.get("retryAfter")
             else 0,
             cold_share=figure(rules, "coldShare", 1.0, 0),
@@ -72,11 +79,11 @@
             settle=-(-figure(rules, "settleAfterDoubtUs", 0) // 100),
         )
 
-    def place(self, engine: Engine, hall: int, kind: int, cell: int) -> None:
+    def place(self, engine: Engine, zone: int, kind: int, cell: int) -> None:
         """Where an engine stands, and what one of its kind holds."""
-        engine.hall, engine.kind, engine.cell = hall, kind, cell
+        engine.zone, engine.kind, engine.cell = zone, kind, cell
         engine.cores = self.cores.get(kind, 1.0)
-        engine.most_memory = self.most_memory.get(kind, 0.0)
+        engine.max_memory = self.most_memory.get(kind, 0.0)
 
 
 def figure(said: dict, key: str, otherwise: float, least: float = 0) -> Any:
@@ -96,7 +103,7 @@
     return int(value) if isinstance(otherwise, int) else float(value)
 
 
-def offering(said: dict, number: int, widths: list) -> RequestClass:
+def request_class(said: dict, number: int, widths: list) -> RequestClass:
     """One of the profiles, in the project's own words."""
     if said.get("effect", "pure") not in REPEATS:
         raise ValueError(f"effect: {said['effect']!r} makes no sense")
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -18,12 +18,12 @@
 from corkgauge.config import platform as configuration
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
 from corkgauge.eventloop import logging as log
-from corkgauge.eventloop.loop import READ, SECOND, EventLoop
 from corkgauge.eventloop.connection import NEVER
+from corkgauge.eventloop.loop import READ, SECOND, EventLoop
 from corkgauge.net.acceptor import Acceptor
 from corkgauge.net.discovery import DiscoveryWatch
+from corkgauge.net.host import SocketHost, UnstartedHost, stated_of
 from corkgauge.net.platform_frontend import PlatformFrontEnd
-from corkgauge.net.host import UnstartedHost, SocketHost, stated_of
 
 KEPT: list[socket.socket] = []  # the end that signals write to
 MOST_MEMORY = 0.75  # of its limit, before garbage is collected
@@ -48,25 +48,32 @@
 class Troubles:
     """Logs what was stopped at a connection or a timer: one a second, the others are counted."""
 
-    def __init__(self, hub: EventLoop) -> None:
-        self.hub, self.next, self.untold = hub, 0, 0
+    def __init__(self, event_loop: EventLoop) -> None:
+        self.event_loop, self.next, self.untold = event_loop, 0, 0
 
     def __call__(self) -> None:
         self.untold += 1
-        if self.hub.now >= self.next:
+        if self.event_loop.now >= self.next:
             logger.opt(exception=True).error(f"{self.untold} exceptions stopped, the last")
-            self.next, self.untold = self.hub.now + SECOND, 0
+            self.next, self.untold = self.event_loop.now + SECOND, 0
 
 
 class Source:
     """What SIGHUP reads again: where the control feed is, and the operator file."""
 
     def __init__(
-        self, house: SocketHost, post: PlatformConfig, beside: "Beside | None" = None
+        self,
+        socket_host: SocketHost,
+        platform_config: PlatformConfig,
+        beside: "Beside | None" = None,
     ) -> None:
-        self.house, self.post, self.feed = house, post, DiscoveryWatch(house, post.feed)
+        self.socket_host, self.platform_config, self.feed = (
+            socket_host,
+            platform_config,
+            DiscoveryWatch(socket_host, platform_config.feed),
+        )
         self.beside = beside
-        house.hub.spawn(self.feed.run)
+        socket_host.event_loop.spawn(self.feed.run)
 
     def reload(self, environment: Mapping[str, str]) -> None:
         """Read the configuration again. Danger: a faulty one must change nothing at all, and a good one must
@@ -75,17 +82,21 @@
             new = configuration.read(environment)
             stated_of(new, UnstartedHost())
         except ConfigurationError as problem:
-            return self.house.log(f"configuration not taken: {problem}")
+            return self.socket_host.log(f"configuration not taken: {problem}")
         if self.beside is not None:
             self.beside.reload()
-        if changed := self.post.changed(new):
-            self.house.log(f"configuration: {', '.join(changed)} changed, in force after a restart")
-        if new.feed != self.post.feed:
-            self.house.log("feed moves to %s:%d at " % new.feed + str(self.house.last_event))
-            self.post.feed = new.feed
+        if changed := self.platform_config.changed(new):
+            self.socket_host.log(
+                f"configuration: {', '.join(changed)} changed, in force after a restart"
+            )
+        if new.feed != self.platform_config.feed:
+            self.socket_host.log(
+                "feed moves to %s:%d at " % new.feed + str(self.socket_host.last_event)
+            )
+            self.platform_config.feed = new.feed
             self.feed.leave()
-            self.feed = DiscoveryWatch(self.house, new.feed)
-            self.house.hub.spawn(self.feed.run)
+            self.feed = DiscoveryWatch(self.socket_host, new.feed)
+            self.socket_host.event_loop.spawn(self.feed.run)
 
 
 # A subsystem is one entry: its element of the operator file, and what starts it from that, given those that
@@ -94,46 +105,62 @@
 # nobody is let in yet.
 
 
-def _figures(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+def _figures(
+    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
+) -> Any:
     from corkgauge.accounting.service import AccountingService
 
-    return AccountingService(house, post.name, post.seed, said)
+    return AccountingService(socket_host, platform_config.name, platform_config.seed, said)
 
 
-def _recall(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+def _recall(
+    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
+) -> Any:
     from corkgauge.recovery.service import RecoveryService
 
-    return RecoveryService(house, post.name, post.mark, said)
+    return RecoveryService(socket_host, platform_config.name, platform_config.mark, said)
 
 
-def _flows(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+def _flows(
+    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
+) -> Any:
     from corkgauge.flow_export.exporter import Exporter
 
-    return Exporter(house, post.name, post.seed, said)
+    return Exporter(socket_host, platform_config.name, platform_config.seed, said)
 
 
-def _fellows(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+def _fellows(
+    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
+) -> Any:
     from corkgauge.membership.service import MembershipService
 
-    return MembershipService(house, post, said)
+    return MembershipService(socket_host, platform_config, said)
 
 
-def _duties(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+def _duties(
+    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
+) -> Any:
     from corkgauge.leases.service import LeaseService
 
-    return LeaseService(house, post, said, running["fellows"])
+    return LeaseService(socket_host, platform_config, said, running["fellows"])
 
 
-def _works(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+def _works(
+    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
+) -> Any:
     from corkgauge.maintenance.service import MaintenanceService
 
-    return MaintenanceService(house, post, said, running["fellows"], running["duties"])
+    return MaintenanceService(
+        socket_host, platform_config, said, running["fellows"], running["duties"]
+    )
 
 
-def _shared(house: SocketHost, post: PlatformConfig, said: Any, running: dict[str, Any]) -> Any:
+def _shared(
+    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
+) -> Any:
     from corkgauge.peer_health.service import PeerHealthService
 
-    return PeerHealthService(house, post, said, running["fellows"])
+    return PeerHealthService(socket_host, platform_config, said, running["fellows"])
 
 
 SUBSYSTEMS: dict[str, Callable[[SocketHost, PlatformConfig, Any, dict[str, Any]], Any]] = {
@@ -150,15 +177,15 @@
 class Beside:
     """What an operator file switches on. Without one nothing of it is imported."""
 
-    def __init__(self, house: SocketHost, post: PlatformConfig, path: str) -> None:
+    def __init__(self, socket_host: SocketHost, platform_config: PlatformConfig, path: str) -> None:
         from corkgauge.config import operator_file as operator
 
-        self.house, self.path = house, path
+        self.socket_host, self.path = socket_host, path
         self.said = operator.read(path)
         self.running: dict[str, Any] = {}
         for name, start in SUBSYSTEMS.items():
             if (element := getattr(self.said, name)) is not None:
-                self.running[name] = start(house, post, element, self.running)
+                self.running[name] = start(socket_host, platform_config, element, self.running)
 
     def reload(self) -> None:
         """Read it again, whole or not at all."""
@@ -167,12 +194,12 @@
         try:
             said = operator.read(self.path)
         except ConfigurationError as problem:
-            return self.house.log(f"operator file not taken: {problem}")
+            return self.socket_host.log(f"operator file not taken: {problem}")
         taken = []
         for name in SUBSYSTEMS:
             element, running = getattr(said, name), self.running.get(name)
             if (element is None) != (running is None):
-                self.house.log(f"operator file: {name} switched, in force after a restart")
+                self.socket_host.log(f"operator file: {name} switched, in force after a restart")
             elif running is not None:
                 try:
                     running.reload(element)
@@ -181,7 +208,7 @@
                     # Danger: half of a file in force is neither the old nor the new one.
                     for other, before in taken:
                         other.reload(before)
-                    return self.house.log(f"operator file not taken: {problem}")
+                    return self.socket_host.log(f"operator file not taken: {problem}")
         self.said = said
 
     def waiting(self) -> bool:
@@ -202,18 +229,18 @@
             running.end()
 
 
-def check(post: PlatformConfig, operator_file: str = "") -> int:
+def check(platform_config: PlatformConfig, operator_file: str = "") -> int:
     """Everything that serving would read, and no more."""
     if operator_file:
         from corkgauge.config import operator_file as operator
 
         operator.read(operator_file)
-    house = PlatformFrontEnd(
-        EventLoop(), post, lambda line: print(f"corkgauge: {line}", file=sys.stderr)
+    socket_host = PlatformFrontEnd(
+        EventLoop(), platform_config, lambda line: print(f"corkgauge: {line}", file=sys.stderr)
     )
     print(
-        f"{post.name}: {len(house.stations)} engines, {len(house.offerings)} offerings, "
-        f"{len(house.tenants)} tenants, list {house.last_event}"
+        f"{platform_config.name}: {len(socket_host.engine_pools)} engines, {len(socket_host.request_classes)} offerings, "
+        f"{len(socket_host.tenants)} tenants, list {socket_host.last_event}"
     )
     return 0
 
@@ -233,7 +260,10 @@
 
 
 def serve(
-    post: PlatformConfig, woken: socket.socket, operator_file: str = "", log_form: str = "plain"
+    platform_config: PlatformConfig,
+    woken: socket.socket,
+    operator_file: str = "",
+    log_form: str = "plain",
 ) -> int:
     """Serve until told to end, by signals that come at `woken` (see `heed`); `log_form` is plain or json."""
     logger.remove()
@@ -244,57 +274,66 @@
         backtrace=False,
         diagnose=False,
     )
-    hub = EventLoop()
-    hub.troubled = Troubles(hub)
-    house = PlatformFrontEnd(hub, post, logger.info, memory_held())
+    event_loop = EventLoop()
+    event_loop.troubled = Troubles(event_loop)
+    socket_host = PlatformFrontEnd(event_loop, platform_config, logger.info, memory_held())
     try:
-        door = house.door = Acceptor(
-            hub, house, post.listen, lambda: beside is not None and beside.waiting()
+        door = socket_host.door = Acceptor(
+            event_loop,
+            socket_host,
+            platform_config.listen,
+            lambda: beside is not None and beside.waiting(),
         )
     except OSError as problem:
         raise ConfigurationError(
-            f"listen: {post.listen[0]}:{post.listen[1]}: {problem.strerror}"
+            f"listen: {platform_config.listen[0]}:{platform_config.listen[1]}: {problem.strerror}"
         ) from None
 
     def signals() -> None:
         while True:
-            hub.wait(woken.fileno(), READ)
+            event_loop.wait(woken.fileno(), READ)
             for sign in woken.recv(64):
                 if sign == signal.SIGUSR1:
                     logger.info(
-                        f"counters {house.counters.line(house.ledger.line())} {hub.worst()}"
+                        f"counters {socket_host.counters.line(socket_host.ledger.line())} {event_loop.worst()}"
                     )
                 elif (
                     sign == signal.SIGHUP
                 ):  # as a timer: Danger: what it raises must not end this task
-                    hub.later(0, feed.reload, os.environ)
-                elif house.end == NEVER:  # Danger: what is told to end twice would leave twice
-                    hub.later(0, house.leave)
+                    event_loop.call_later(0, feed.reload, os.environ)
+                elif (
+                    socket_host.end == NEVER
+                ):  # Danger: what is told to end twice would leave twice
+                    event_loop.call_later(0, socket_host.leave)
                     if beside is not None:
-                        hub.later(0, beside.leave)
+                        event_loop.call_later(0, beside.leave)
 
     def collect() -> None:
         """Danger: a collection stops all for 100 ms; it waits until memory is short, and then for a while."""
-        short = memory_held() > MOST_MEMORY * post.memory
+        short = memory_held() > MOST_MEMORY * platform_config.memory
         if short:
             logger.warning(
                 f"memory short, {memory_held() >> 20} MB; collected {gc.collect()} objects"
             )
-        hub.later((30 if short else 1) * SECOND, collect)
+        event_loop.call_later((30 if short else 1) * SECOND, collect)
 
-    beside = Beside(house, post, operator_file) if operator_file else None
-    feed = Source(house, post, beside)
+    beside = Beside(socket_host, platform_config, operator_file) if operator_file else None
+    feed = Source(socket_host, platform_config, beside)
     for task in door.run, signals:
-        hub.spawn(task)
+        event_loop.spawn(task)
     gc.collect()
     gc.freeze()
     gc.disable()
-    hub.later(SECOND, collect)
-    hub.later(SECOND, house.audit)
-    logger.info(f"serving as {post.name}, {len(house.stations)} engines, list {house.last_event}")
-    hub.run()
-    house.auditor.pass_whole()
+    event_loop.call_later(SECOND, collect)
+    event_loop.call_later(SECOND, socket_host.audit)
+    logger.info(
+        f"serving as {platform_config.name}, {len(socket_host.engine_pools)} engines, list {socket_host.last_event}"
+    )
+    event_loop.run()
+    socket_host.auditor.pass_whole()
     if beside is not None:
         beside.end()
-    logger.info(f"ended; counters {house.counters.line(house.ledger.line())} {hub.worst()}")
+    logger.info(
+        f"ended; counters {socket_host.counters.line(socket_host.ledger.line())} {event_loop.worst()}"
+    )
     return 0
--- a/corkgauge/eventloop/connection.py
+++ b/corkgauge/eventloop/connection.py
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         sock: socket.socket,
         machine: Any,
         owner: Any,
@@ -40,19 +40,19 @@
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.hub, self.sock, self.machine, self.owner = hub, sock, machine, owner
+        self.event_loop, self.sock, self.machine, self.owner = event_loop, sock, machine, owner
         self.fd, self.why, self.stuck = (
             sock.fileno(),
             "",
             stuck,
         )  # that one frame may take; 0: any time
-        self.greets, self.parting, self.since = greets, False, hub.now
+        self.greets, self.parting, self.since = greets, False, event_loop.now
         self.farewell, self.advancing = FAREWELL, False
         self.put = self.sent = self.got = 0  # bytes, since it came up
         self.blocked = self.unsent = (
             False  # the socket takes no more; a write is due at the end of this turn
         )
-        self.heard = self.wrote = hub.now
+        self.heard = self.wrote = event_loop.now
 
     def run(self) -> None:
         """The task of this connection; it ends with it."""
@@ -63,7 +63,7 @@
                 self._farewell()
         except Exception as problem:
             self.why = f"{type(problem).__name__}: {problem}"
-            self.hub.troubled()
+            self.event_loop.troubled()
         self.fd = -1
         self.sock.close()
         self.owner.ended(self.why)
@@ -75,10 +75,10 @@
     def _once(self) -> None:
         ring = self.machine.inward
         room = bool(ring.free)
-        until = None if room else self.hub.now + STALLED
+        until = None if room else self.event_loop.now + STALLED
         if self._unfinished():
             until = min(until or NEVER, self.since + self.stuck)
-        events = self.hub.wait(self.fd, self._mask(), until)
+        events = self.event_loop.wait(self.fd, self._mask(), until)
         if events & WRITE:
             self.flush()
         if self.greets and events & GONE and not self.why:
@@ -89,7 +89,7 @@
             self._advance()
         if events & (READ | BROKEN) and not self.why:
             self._read(bool(events & BROKEN))
-        if not self.why and self._unfinished() and self.hub.now >= self.since + self.stuck:
+        if not self.why and self._unfinished() and self.event_loop.now >= self.since + self.stuck:
             # Danger: frames that never end, byte by byte or not at all, would hold memory and a descriptor.
             self.part("a frame that does not end" if len(ring) else "nothing said")
 
@@ -104,13 +104,13 @@
         for _ in range(MOST_LOOK):
             if self.why or self.advancing:
                 break
-            (events,) = self.hub.look(self.fd)
+            (events,) = self.event_loop.look(self.fd)
             if events & (GONE | BROKEN):
                 self.end("closed")
             elif events & READ and self.machine.inward.free:
                 self._read(False)
                 if self.why:  # its task is parked, and ends it
-                    self.hub.wake(self.fd)
+                    self.event_loop.wake(self.fd)
             else:
                 break
         return not self.why
@@ -123,7 +123,7 @@
         finally:
             self.advancing = False
         if whole != self.machine.whole:
-            self.since = self.hub.now
+            self.since = self.event_loop.now
 
     def _mask(self) -> int:
         return (
@@ -149,9 +149,9 @@
             if not size:
                 self.why = "closed"
                 return
-            self.heard, self.got = self.hub.now, self.got + size
+            self.heard, self.got = self.event_loop.now, self.got + size
             if not len(ring) and (self.machine.whole or not self.greets):
-                self.since = self.hub.now
+                self.since = self.event_loop.now
             ring.filled(size)
             self._advance()
             if self.why or size < len(gap):
@@ -165,7 +165,7 @@
             self.unsent or self.blocked
         ):  # written with what else this turn puts: a write costs much
             self.unsent = True
-            self.hub.unsent.append(self.flush)
+            self.event_loop.unsent.append(self.flush)
         return True
 
     def _put(self, pieces: tuple[bytes, ...]) -> bool:
@@ -185,13 +185,13 @@
         try:
             while len(ring):
                 size = self.sock.send(ring.stretch())
-                self.sent, self.wrote = self.sent + size, self.hub.now
+                self.sent, self.wrote = self.sent + size, self.event_loop.now
                 ring.drop(size)
         except OSError as problem:
             if problem.errno not in RETRY:
                 return self.end(problem.strerror or "error")
             self.blocked = True
-        self.hub.interest(self.fd, self._mask())
+        self.event_loop.interest(self.fd, self._mask())
         if not len(ring):
             self.owner.drained()
 
@@ -215,7 +215,7 @@
     def end(self, why: str) -> None:
         """Close, for this reason."""
         self.why = self.why or why
-        self.hub.wake(self.fd)
+        self.event_loop.wake(self.fd)
 
     def part(self, why: str) -> None:
         """Turn the peer out; one that greets is told first."""
@@ -226,7 +226,7 @@
 
     def give_way(self, why: str) -> bool:
         """Close of our own accord, unless something has come that was not read: then it stays."""
-        (events,) = self.hub.look(self.fd)
+        (events,) = self.event_loop.look(self.fd)
         if self.why or events & READ and not events & GONE:
             return False
         self.parting, self.farewell = True, CROSSING
@@ -240,13 +240,13 @@
     def cut(self) -> None:
         """No more time for the farewell."""
         self.parting = False
-        self.hub.wake(self.fd)
+        self.event_loop.wake(self.fd)
 
     def _farewell(self) -> None:
         """Danger: a close with unread input is a reset, and takes what was said last with it. So the peer is
         shown the end, and what it still sends is dropped, for a while."""
-        ring, until, shut = self.machine.outward, self.hub.now + self.farewell, False
-        while self.parting and self.hub.now < until:
+        ring, until, shut = self.machine.outward, self.event_loop.now + self.farewell, False
+        while self.parting and self.event_loop.now < until:
             try:
                 while len(ring):
                     size = self.sock.send(ring.stretch())
@@ -257,14 +257,18 @@
                     shut = True
                 if not self.sock.recv_into(UNREAD):
                     return
-                self.hub.sleep(1)  # Danger: one that sends without end; the others have their turn
+                self.event_loop.sleep(
+                    1
+                )  # Danger: one that sends without end; the others have their turn
             except OSError as problem:
                 if problem.errno not in RETRY:
                     return
-                self.hub.wait(self.fd, READ | (WRITE if len(ring) else 0), until)
+                self.event_loop.wait(self.fd, READ | (WRITE if len(ring) else 0), until)
 
 
-def dial(hub: EventLoop, address: tuple[str, int], span: int) -> tuple[socket.socket | None, str]:
+def dial(
+    event_loop: EventLoop, address: tuple[str, int], span: int
+) -> tuple[socket.socket | None, str]:
     """A connected socket, or why not; only for tasks."""
     sock = None
     try:  # Danger: without a descriptor there is no socket either
@@ -274,7 +278,7 @@
         sock.setblocking(False)
         code = sock.connect_ex(address)
         if code == errno.EINPROGRESS:
-            if not hub.wait(sock.fileno(), WRITE, hub.now + span):
+            if not event_loop.wait(sock.fileno(), WRITE, event_loop.now + span):
                 code = errno.ETIMEDOUT
             else:
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/corkgauge/eventloop/loop.py
+++ b/corkgauge/eventloop/loop.py
@@ -63,7 +63,7 @@
         step = self.clock() - self.date()
         return step if abs(step) > SECOND else 0
 
-    def later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call it once so much time has passed, never at once."""
         when = self.now + max(delay, 1)
         slot = -(-when // 10)
@@ -84,7 +84,7 @@
         alarm = 0
         if until is not None:
             alarm = self.serial = self.serial + 1
-            self.later(until - self.now, self._alarm, fd, alarm)
+            self.call_later(until - self.now, self._alarm, fd, alarm)
         self.parked[fd] = getcurrent(), alarm
         self.poller.register(fd, mask)
         return self.main.switch()
@@ -115,7 +115,7 @@
             self.wake(fd)
 
     def sleep(self, span: int) -> None:
-        self.later(span, self.ready.append, (getcurrent(), ()))
+        self.call_later(span, self.ready.append, (getcurrent(), ()))
         self.main.switch()
 
     # The loop.
--- a/corkgauge/eventloop/ring_buffer.py
+++ b/corkgauge/eventloop/ring_buffer.py
@@ -27,7 +27,7 @@
 class RingBuffer:
     """Bytes in order; starts small, grows as far as `most` and the allowance let it, shrinks when empty.
 
-    >>> ring = Ring(20_000, Allowance(4_000))
+    >>> ring = RingBuffer(20_000, MemoryBudget(4_000))
     >>> ring.put(b"abc"), ring.peek(2), ring.take(2), len(ring), ring.put(b"x" * 9_000)
     (True, b'ab', b'ab', 1, False)
     """
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -8,16 +8,16 @@
 from typing import Any
 from zlib import crc32
 
+from corkgauge.config.operator_file import Collector, Flows
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.flow_export.codec import Layout
 from corkgauge.flow_export.counter_deltas import Delta
 from corkgauge.flow_export.elements import ENDED, FORCED, INGRESS
-from corkgauge.flow_export.pending_records import PendingRecords
 from corkgauge.flow_export.export_buffer import STATES, ExportBuffer, Peer
 from corkgauge.flow_export.meter import Flow, Meter
+from corkgauge.flow_export.pending_records import PendingRecords
 from corkgauge.flow_export.tls import Untrusted, context_of
 from corkgauge.flow_export.transports import Datagrams, Stream
-from corkgauge.config.operator_file import Collector, Flows
 
 TICK = 500  # tenths of a millisecond
 # Why a connection ended by itself, and not by us.
@@ -28,68 +28,68 @@
     """`house` has `hub`, `log`, `ledger`, `records` and `auditor`. One keeper tells the first collector that
     is well; or, in mode `all`, each collector has one of its own."""
 
-    def __init__(self, house: Any, gateway: str, seed: int, said: Flows) -> None:
-        self.house, self.hub, self.gateway, self.seed, self.said = (
-            house,
-            house.hub,
+    def __init__(self, socket_host: Any, gateway: str, seed: int, said: Flows) -> None:
+        self.socket_host, self.event_loop, self.gateway, self.seed, self.said = (
+            socket_host,
+            socket_host.event_loop,
             gateway,
             seed,
             said,
         )
-        self.began = self.hub.now
+        self.began = self.event_loop.now
         self.domain = crc32(gateway.encode())  # the same after each restart
         self.flows: dict[Any, Flow] = {}
         self.peers: dict[Peer, tuple[Collector, Any]] = {}  # with its TLS context
         self.lines: dict[Peer, Any] = {}
         self.keepers: dict[str, ExportBuffer] = {}
-        self.meter = Meter(self._told, said.active, said.idle, self.hub.now)
+        self.meter = Meter(self._told, said.active, said.idle, self.event_loop.now)
         self._arrange(said, self._contexts(said))
-        house.flows = self
-        house.auditor.others.append(self.differences)
-        self.hub.later(TICK, self.tick)
+        socket_host.flows = self
+        socket_host.auditor.others.append(self.differences)
+        self.event_loop.call_later(TICK, self.tick)
 
     # What the host tells.
 
     def up(self, link: Any, side: int, engine: str = "", hall: str = "") -> None:
         """A connection: a client's, or one to an engine."""
         self.flows[link] = self.meter.up(
-            link, side, ends_of(link.sock, side), engine, hall, self.hub.now
+            link, side, ends_of(link.sock, side), engine, hall, self.event_loop.now
         )
 
     def over(self, link: Any) -> None:
         if flow := self.flows.pop(link, None):
-            self.meter.over(flow, ENDED if link.why in BY_ITSELF else FORCED, self.hub.now)
+            self.meter.over(flow, ENDED if link.why in BY_ITSELF else FORCED, self.event_loop.now)
 
     def tick(self) -> None:
-        now = self.hub.now
+        now = self.event_loop.now
         self.meter.advance(now)
         for line in [*self.lines.values()]:
             line.look()
         for keeper in [*self.keepers.values()]:
             keeper.tick(now)
-        self.hub.later(TICK, self.tick)
+        self.event_loop.call_later(TICK, self.tick)
 
     def reload(self, said: Flows) -> None:
         """Other collectors, or another layout; what is held stays held. `Faulty`, and nothing is changed."""
         contexts = self._contexts(said)
         self.meter.active, self.meter.idle = said.active, said.idle
         if said.memory != self.said.memory:
-            self.house.log("operator file: flows memory changed, in force after a restart")
+            self.socket_host.log("operator file: flows memory changed, in force after a restart")
         self._arrange(said, contexts)
         self.said = said
 
     def end(self) -> None:
         """The program ends: what is open is told as far as it went, and what can go goes."""
         for link in [*self.flows]:
-            self.meter.over(self.flows.pop(link), FORCED, self.hub.now)
+            self.meter.over(self.flows.pop(link), FORCED, self.event_loop.now)
         for keeper in self.keepers.values():
-            keeper.last(self.hub.now)
+            keeper.last(self.event_loop.now)
         for line in self.lines.values():
             line.flush()
         for name, keeper in self.keepers.items():
-            keeper.part(self.hub.now)
+            keeper.part(self.event_loop.now)
             if keeper.held.octets:
-                self.house.log(
+                self.socket_host.log(
                     f"collector {name}: {keeper.held.octets} octets were held at the end"
                 )
 
@@ -131,11 +131,13 @@
                 held = PendingRecords(said.memory // len(groups))
                 keeper = ExportBuffer(self, layout, self.domain, group, held, self.seed, self.began)
             else:
-                keeper.renew(group, layout, self.hub.now)
+                keeper.renew(group, layout, self.event_loop.now)
             self.keepers[name] = keeper
         for name, keeper in old.items():
-            keeper.renew([], layout, self.hub.now)
-            self.house.log(f"collector {name} left, {keeper.held.octets} octets were held for it")
+            keeper.renew([], layout, self.event_loop.now)
+            self.socket_host.log(
+                f"collector {name} left, {keeper.held.octets} octets were held for it"
+            )
             keeper.held.drop()
         kept = {peer for keeper in self.keepers.values() for peer in keeper.peers}
         self.peers = {peer: what for peer, what in self.peers.items() if peer in kept}
@@ -145,10 +147,10 @@
     def open(self, peer: Peer) -> None:
         (collector, context), keeper = self.peers[peer], self._keeper_of(peer)
         if collector.transport == "udp":
-            self.lines[peer] = Datagrams(self.hub, keeper, peer, collector.address)
+            self.lines[peer] = Datagrams(self.event_loop, keeper, peer, collector.address)
         else:
             self.lines[peer] = Stream(
-                self.hub,
+                self.event_loop,
                 keeper,
                 peer,
                 collector.address,
@@ -165,7 +167,7 @@
             line.close()
 
     def log(self, line: str) -> None:
-        self.house.log(line)
+        self.socket_host.log(line)
 
     def _keeper_of(self, peer: Peer) -> ExportBuffer:
         return next(keeper for keeper in self.keepers.values() if peer in keeper.peers)
@@ -174,9 +176,9 @@
 
     def differences(self) -> list[tuple[str, int, str]]:
         """The equations of export, for the auditor."""
-        house = self.house
-        carried = sum(row.got + row.sent for row in house.ledger.sides)
-        carried += sum(got + sent for got, sent, _ in house.records.live_bytes())
+        socket_host = self.socket_host
+        carried = sum(row.got + row.sent for row in socket_host.ledger.sides)
+        carried += sum(got + sent for got, sent, _ in socket_host.records.live_bytes())
         found = [
             (
                 "flows measured",
--- a/corkgauge/flow_export/timer_wheel.py
+++ b/corkgauge/flow_export/timer_wheel.py
@@ -13,7 +13,7 @@
     """`slots` slots of `span` units each.
 
     >>> class Entry: due = 0
-    >>> wheel, one, two = Wheel(8, 10), Entry(), Entry()
+    >>> wheel, one, two = TimerWheel(8, 10), Entry(), Entry()
     >>> wheel.put(one, 25); wheel.put(two, 125)
     >>> [*wheel.advance(40)] == [one], [*wheel.advance(100)], [*wheel.advance(130)] == [two]
     (True, [], True)
--- a/corkgauge/flow_export/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -11,11 +11,11 @@
 from fcntl import ioctl
 from typing import Any
 
-from corkgauge.flow_export.export_buffer import SECOND, ExportBuffer, Peer
-from corkgauge.flow_export.tls import TlsWire
-from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.eventloop.connection import StreamConnection, dial
+from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
+from corkgauge.flow_export.export_buffer import SECOND, ExportBuffer, Peer
+from corkgauge.flow_export.tls import TlsWire
 
 ROOM = 131_072  # of a stream's messages that wait for the socket
 
@@ -24,9 +24,9 @@
     """A connected UDP socket: an ICMP refusal comes back as an error of the next call."""
 
     def __init__(
-        self, hub: EventLoop, keeper: ExportBuffer, peer: Peer, address: tuple[str, int]
+        self, event_loop: EventLoop, keeper: ExportBuffer, peer: Peer, address: tuple[str, int]
     ) -> None:
-        self.hub, self.keeper, self.peer, self.closed = hub, keeper, peer, False
+        self.event_loop, self.keeper, self.peer, self.closed = event_loop, keeper, peer, False
         self.sock = socket.socket(
             socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM
         )
@@ -34,18 +34,18 @@
         try:
             self.sock.connect(address)
         except OSError as problem:
-            hub.later(0, self._lost, problem.strerror or "error")
+            event_loop.call_later(0, self._lost, problem.strerror or "error")
             return
-        hub.spawn(self._listen)
-        hub.later(0, self._opened)
+        event_loop.spawn(self._listen)
+        event_loop.call_later(0, self._opened)
 
     def _opened(self) -> None:
         if not self.closed:
-            self.keeper.opened(self.peer, self.hub.now)
+            self.keeper.opened(self.peer, self.event_loop.now)
 
     def _listen(self) -> None:
         while not self.closed:
-            self.hub.wait(self.sock.fileno(), READ)
+            self.event_loop.wait(self.sock.fileno(), READ)
             if self.closed:
                 break
             try:
@@ -58,7 +58,7 @@
 
     def _lost(self, why: str) -> None:
         if not self.closed:
-            self.keeper.lost(self.peer, why, self.hub.now)
+            self.keeper.lost(self.peer, why, self.event_loop.now)
 
     def send(self, data: bytes) -> bool:
         try:
@@ -66,7 +66,7 @@
         except OSError as problem:
             if problem.errno not in (errno.EAGAIN, errno.ENOBUFS):
                 # Danger: the keeper is in the middle of a message; it hears of this after that.
-                self.hub.later(0, self._lost, problem.strerror or "error")
+                self.event_loop.call_later(0, self._lost, problem.strerror or "error")
             return False
 
     def look(self) -> None:
@@ -78,8 +78,8 @@
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            if self.sock.fileno() in self.hub.parked:
-                self.hub.wake(self.sock.fileno())
+            if self.sock.fileno() in self.event_loop.parked:
+                self.event_loop.wake(self.sock.fileno())
             else:
                 self.sock.close()
 
@@ -101,23 +101,23 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         keeper: ExportBuffer,
         peer: Peer,
         address: tuple[str, int],
         context: Any = None,
         name: str = "",
     ) -> None:
-        self.hub, self.keeper, self.peer, self.address = hub, keeper, peer, address
+        self.event_loop, self.keeper, self.peer, self.address = event_loop, keeper, peer, address
         self.context, self.name, self.allowance = context, name, MemoryBudget(4 * ROOM)
         self.link: StreamConnection | None = None
         self.closed, self.put_whole = False, 0  # octets of whole messages, before any encryption
         # in the system's hands at the last look, and what was sent then
         self.queued, self.queued_at = 0, 0
-        hub.spawn(self._run)
+        event_loop.spawn(self._run)
 
     def _run(self) -> None:
-        sock, why = dial(self.hub, self.address, 2 * SECOND)
+        sock, why = dial(self.event_loop, self.address, 2 * SECOND)
         if sock is None:
             return self._lost(why)
         if self.closed:
@@ -127,7 +127,7 @@
             if self.context
             else Deaf(self.allowance)
         )
-        self.link = StreamConnection(self.hub, sock, machine, self)
+        self.link = StreamConnection(self.event_loop, sock, machine, self)
         if self.context:
             machine.advance()  # says the first word
         else:
@@ -137,13 +137,13 @@
     def _lost(self, why: str) -> None:
         if not self.closed:
             self.closed = True
-            self.keeper.lost(self.peer, why, self.hub.now, self.in_system())
+            self.keeper.lost(self.peer, why, self.event_loop.now, self.in_system())
 
     # What the machine and the link tell.
 
     def up(self) -> None:
         if not self.closed:
-            self.keeper.opened(self.peer, self.hub.now)
+            self.keeper.opened(self.peer, self.event_loop.now)
 
     def put(self, data: bytes) -> None:
         self.link.send(data)
@@ -151,7 +151,7 @@
     def drained(self) -> None:
         """All that was put is in the system's hands."""
         if not self.closed:
-            self.keeper.wrote(self.peer, self.put_whole, self.hub.now)
+            self.keeper.wrote(self.peer, self.put_whole, self.event_loop.now)
 
     def ended(self, why: str) -> None:
         self._lost(why)
@@ -172,7 +172,7 @@
         link = self.link
         if link is not None and not link.why:
             if not self.context:
-                self.keeper.wrote(self.peer, link.sent, self.hub.now)
+                self.keeper.wrote(self.peer, link.sent, self.event_loop.now)
             try:
                 self.queued = struct.unpack("i", ioctl(link.fd, termios.TIOCOUTQ, b"\0" * 4))[0]
                 self.queued_at = link.sent
@@ -195,10 +195,10 @@
             return
         self.closed = True
         if self.link is not None:
-            self.hub.later(1, self._end, self.hub.now + SECOND)
+            self.event_loop.call_later(1, self._end, self.event_loop.now + SECOND)
 
     def _end(self, until: int) -> None:
         link = self.link
-        if len(link.machine.outward) and not link.why and self.hub.now < until:
-            return self.hub.later(50, self._end, until)
+        if len(link.machine.outward) and not link.why and self.event_loop.now < until:
+            return self.event_loop.call_later(50, self._end, until)
         link.end("left")
--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -13,14 +13,14 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from corkgauge.leases.voter import GRANT, GRANTED, PREPARE, PROBE, PROMISED, RELEASE, VACANT, WOULD
 from corkgauge.leases.voter_configuration import (
     MOST_BALLOT,
-    VoterConfiguration,
     Span,
+    VoterConfiguration,
     ballot_of,
     round_of,
 )
-from corkgauge.leases.voter import GRANT, GRANTED, PREPARE, PROBE, PROMISED, RELEASE, VACANT, WOULD
 
 WATCHING, PROBING, PREPARING, ASKING, HOLDING = range(5)
 STATES = "watching", "probing", "preparing", "asking", "holding"
@@ -37,7 +37,7 @@
     date: int
 
     def send(self, name: str, body: list[Any]) -> None: ...
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def chance(self, below: int) -> int: ...
     def rank(self, duty: str) -> int: ...
     def gained(self, holder: "LeaseCandidate") -> None: ...
@@ -170,7 +170,7 @@
 
     def _wake(self, delay: int, method: Callable[[], None]) -> None:
         self.alarm += 1
-        self.host.wake(max(int(delay), 1), self.woken, self.alarm, method)
+        self.host.call_later(max(int(delay), 1), self.woken, self.alarm, method)
 
     def woken(self, alarm: int, method: Callable[[], None]) -> None:
         if alarm == self.alarm:
--- a/corkgauge/leases/durable_record.py
+++ b/corkgauge/leases/durable_record.py
@@ -13,8 +13,8 @@
 import msgpack
 
 from corkgauge.config.platform import ConfigurationError
-from corkgauge.leases import record_writer as store
 from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
+from corkgauge.leases import record_writer as store
 
 AGAIN = SECOND  # until a record that is not safe yet is written once more, where it is asked for
 
@@ -25,14 +25,14 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         log: Callable[[str], None],
         folder: str,
         name: str,
         torn: str,
         unwritten: str,
     ) -> None:
-        self.hub, self.log, self.folder, self.unwritten = hub, log, folder, unwritten
+        self.event_loop, self.log, self.folder, self.unwritten = event_loop, log, folder, unwritten
         self.helper: subprocess.Popen | None = None
         self.waiting: dict[
             int, list[tuple[Callable[..., None], tuple]]
@@ -63,7 +63,7 @@
         )
         for pipe in self.helper.stdin, self.helper.stdout:
             os.set_blocking(pipe.fileno(), False)
-        self.hub.spawn(self._listen, self.helper)
+        self.event_loop.spawn(self._listen, self.helper)
         if body is not None:
             self.kept = msgpack.unpackb(body)
         elif data:
@@ -80,11 +80,11 @@
             if self.written not in self.waiting:
                 return then(*what)
             if (
-                self.hub.now < self.sent + AGAIN
+                self.event_loop.now < self.sent + AGAIN
             ):  # one that failed is never answered: written again after a while
                 return self.waiting[self.written].append((then, what))
         self.written += 1
-        self.body, self.sent = body, self.hub.now
+        self.body, self.sent = body, self.event_loop.now
         self.waiting[self.written] = [(then, what)]
         frame = store.FRAME.pack(self.written, len(body)) + body
         if self.rest:
@@ -101,12 +101,12 @@
         except OSError:
             self._failed()
         if self.rest:
-            self.hub.spawn(self._go_on, self.helper)
+            self.event_loop.spawn(self._go_on, self.helper)
 
     def _go_on(self, helper: subprocess.Popen) -> None:
         """The helper's pipe was full: its disk is slow, or the record is large."""
         while self.helper is helper and self.rest:
-            self.hub.wait(helper.stdin.fileno(), WRITE)
+            self.event_loop.wait(helper.stdin.fileno(), WRITE)
             try:
                 self.rest = self.rest[os.write(helper.stdin.fileno(), self.rest) :]
             except BlockingIOError:
@@ -133,7 +133,7 @@
         """Numbers of records that are safe."""
         rest, fd = b"", helper.stdout.fileno()
         while self.helper is helper:
-            self.hub.wait(fd, READ)
+            self.event_loop.wait(fd, READ)
             try:
                 data = os.read(fd, 4096)
             except BlockingIOError:
--- a/corkgauge/leases/fencing.py
+++ b/corkgauge/leases/fencing.py
@@ -9,7 +9,7 @@
 
 class FencingGuard:
     """
-    >>> guard = Guard()
+    >>> guard = FencingGuard()
     >>> [guard.admits("books", fence) for fence in (5, 5, 4, 7, 5)]
     [True, True, False, True, False]
     """
--- a/corkgauge/leases/fleet_accounts.py
+++ b/corkgauge/leases/fleet_accounts.py
@@ -23,7 +23,7 @@
 
 
 def account_of(
-    epoch: str, offerings: Iterable[Mapping[str, Any]], engines: Iterable[Sequence[Any]]
+    epoch: str, request_classes: Iterable[Mapping[str, Any]], engines: Iterable[Sequence[Any]]
 ) -> Account:
     """A gateway's own account: rows by offering as a cut has them, by engine as (sorts, outcomes, out, ...).
 
@@ -34,7 +34,7 @@
     ([], 3, 2, 1)
     """
     said: Account = {"epoch": epoch, **dict.fromkeys((*TERMS, *HANDS), 0)}
-    for row in offerings:
+    for row in request_classes:
         for term in TERMS:
             said[term] += row[term]
         said["handed"] += row["firsts"] + row["further"] + row["copies"]
@@ -106,7 +106,7 @@
             )
         self.told[gateway] = self.round
 
-    def entry(self, fence: int, number: int, at: int, fellows: Sequence[str]) -> dict[str, Any]:
+    def entry(self, fence: int, number: int, at: int, members: Sequence[str]) -> dict[str, Any]:
         """The sum over all gateways and epochs, as it goes into the history. What a gateway that did not
         answer told before stays in it; an epoch that is over keeps what was open as cut off."""
         every = [account for epochs in self.accounts.values() for account in epochs.values()]
@@ -123,7 +123,7 @@
             for epochs in self.accounts.values()
             for account in [*epochs.values()][:-1]
         )
-        missing = sorted(name for name in fellows if self.told.get(name) != self.round)
+        missing = sorted(name for name in members if self.told.get(name) != self.round)
         return {
             "fence": fence,
             "number": number,
--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -6,8 +6,8 @@
 
 from typing import Any
 
-from corkgauge.leases.fleet_accounts import FleetAccounts, History, account_of
 from corkgauge.accounting.snapshot import cut_of
+from corkgauge.leases.fleet_accounts import FleetAccounts, History, account_of
 
 SHOWN = 20  # entries that operators are shown
 
@@ -18,7 +18,7 @@
     def __init__(self, office: Any, duty: str, each: int) -> None:
         self.office, self.duty, self.each = office, duty, each
         self.books, self.history, self.number, self.fence = FleetAccounts(), History(), 0, 0
-        self.epoch = str(office.company.letters.start)
+        self.epoch = str(office.member_list.letters.start)
 
     def gained(self) -> None:
         """Held from now on: rounds begin, under this fence alone."""
@@ -32,21 +32,21 @@
             return
         self.books.begin()
         self.number += 1
-        for fellow in office.company.alive():
+        for member in office.member_list.alive():
             if not self._may(fence):  # before each act, not once a round
                 return
-            office.company.call(fellow.name, "books", ["ask", self.duty, fence, self.number])
+            office.member_list.call(member.name, "books", ["ask", self.duty, fence, self.number])
         self.books.tells(office.name, self.account())
-        office.hub.later(max(self.each // 2, 1), self.sum, fence)
-        office.hub.later(self.each, self.begin, fence)
+        office.event_loop.call_later(max(self.each // 2, 1), self.sum, fence)
+        office.event_loop.call_later(self.each, self.begin, fence)
 
     def sum(self, fence: int) -> None:
         """What was answered goes into the history, here and at all others."""
         office = self.office
         if not self._may(fence):
             return
-        alive = [fellow.name for fellow in office.company.alive()]
-        entry = self.books.entry(fence, self.number, office.hub.now // 10, alive)
+        alive = [member.name for member in office.member_list.alive()]
+        entry = self.books.entry(fence, self.number, office.event_loop.now // 10, alive)
         self._add(entry)
         if entry["wrong"]:
             # Loud: what one gateway counts right may still not add up for all.
@@ -54,7 +54,7 @@
         for name in alive:
             if not self._may(fence):
                 return
-            office.company.call(name, "books", ["entry", self.duty, fence, entry])
+            office.member_list.call(name, "books", ["entry", self.duty, fence, entry])
 
     def heard(self, sender: str, what: str, rest: list[Any]) -> None:
         """A holder that asks or tells, or a fellow's answer. What makes no sense raises."""
@@ -66,17 +66,21 @@
             return
         fence = int(rest[0])
         if not office.guard.admits(self.duty, fence):
-            office.company.call(sender, "books", ["no", self.duty, office.guard.highest[self.duty]])
+            office.member_list.call(
+                sender, "books", ["no", self.duty, office.guard.highest[self.duty]]
+            )
         elif what == "ask":
-            office.company.call(
+            office.member_list.call(
                 sender, "books", ["account", self.duty, int(rest[1]), self.account()]
             )
         elif what == "entry":
             self._add(dict(rest[1]))
 
     def account(self) -> dict[str, Any]:
-        house = self.office.house
-        cut = cut_of(house.ledger, house.hub.now, self.office.name, {"id": self.epoch})
+        socket_host = self.office.socket_host
+        cut = cut_of(
+            socket_host.ledger, socket_host.event_loop.now, self.office.name, {"id": self.epoch}
+        )
         return account_of(self.epoch, cut["offerings"].values(), cut["engines"].flat.values())
 
     def told(self) -> dict[str, Any]:
--- a/corkgauge/leases/placement.py
+++ b/corkgauge/leases/placement.py
@@ -14,35 +14,35 @@
 RECOVERED = 100_000  # tenths of a millisecond without a late look, before it stands again
 
 
-def order(duty: str, fellows: Sequence[tuple[str, str]], held: Mapping[str, str]) -> list[str]:
+def order(duty: str, members: Sequence[tuple[str, str]], held: Mapping[str, str]) -> list[str]:
     """Names of the candidates, the first to try first. `fellows` are (name, hall) of those alive, `held` says
     who holds which other duty. Halls that hold less first, then gateways that hold less, then by hash.
 
-    >>> fellows = [("n1", "a"), ("n2", "a"), ("n3", "b")]
-    >>> order("books", fellows, {"works": "n1"})[0]
+    >>> members = [("n1", "a"), ("n2", "a"), ("n3", "b")]
+    >>> order("books", members, {"works": "n1"})[0]
     'n3'
-    >>> order("books", fellows, {"works": "n3"})[0] in ("n1", "n2")
+    >>> order("books", members, {"works": "n3"})[0] in ("n1", "n2")
     True
     """
-    halls = dict(fellows)
-    busy = [name for each, name in held.items() if each != duty and name in halls]
+    zones = dict(members)
+    busy = [name for each, name in held.items() if each != duty and name in zones]
     return [
         name
         for *_, name in sorted(
             (
-                sum(halls[each] == hall for each in busy),
+                sum(zones[each] == zone for each in busy),
                 busy.count(name),
                 crc32(f"{duty} {name}".encode()),
                 name,
             )
-            for name, hall in fellows
+            for name, zone in members
         )
     ]
 
 
-def rank(duty: str, name: str, fellows: Sequence[tuple[str, str]], held: Mapping[str, str]) -> int:
+def rank(duty: str, name: str, members: Sequence[tuple[str, str]], held: Mapping[str, str]) -> int:
     """How many should try before this one, at most MOST_RANK."""
-    names = order(duty, fellows, held)
+    names = order(duty, members, held)
     return min(names.index(name), MOST_RANK) if name in names else MOST_RANK
 
 
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 from typing import Any
 
+from corkgauge.config.operator_file import Duties
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
+from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.loop import SECOND
 from corkgauge.leases import placement as preference
-from corkgauge.leases.fleet_accounts_collector import FleetAccountsCollector
-from corkgauge.leases.fencing import FencingGuard
 from corkgauge.leases.candidate import HOLDING, STATES, LeaseCandidate
-from corkgauge.leases.voter_configuration import VoterConfiguration, Span, UnsafeChangeError
 from corkgauge.leases.durable_record import DurableRecord
+from corkgauge.leases.fencing import FencingGuard
+from corkgauge.leases.fleet_accounts_collector import FleetAccountsCollector
 from corkgauge.leases.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
+from corkgauge.leases.voter_configuration import Span, UnsafeChangeError, VoterConfiguration
 from corkgauge.membership.member_list import ALIVE, SUSPECTED
-from corkgauge.eventloop.clock import boot_time
-from corkgauge.eventloop.loop import SECOND
-from corkgauge.config.operator_file import Duties
 
 ANSWERS = WOULD, PROMISED, GRANTED, VACANT
 LOOKS = 10  # at our own load, a lease
@@ -30,23 +30,25 @@
 class LeaseService:
     """`house` has `hub`, `log`, `ledger` and `routes`; `society` are the fellows."""
 
-    def __init__(self, house: Any, post: PlatformConfig, said: Duties, society: Any) -> None:
-        self.house, self.hub, self.name, self.said, self.society = (
-            house,
-            house.hub,
-            post.name,
+    def __init__(
+        self, socket_host: Any, platform_config: PlatformConfig, said: Duties, membership: Any
+    ) -> None:
+        self.socket_host, self.event_loop, self.name, self.said, self.membership = (
+            socket_host,
+            socket_host.event_loop,
+            platform_config.name,
             said,
-            society,
+            membership,
         )
-        self.company = society.company
+        self.member_list = membership.member_list
         try:
             self.roll, self.span = _terms(said)
         except UnsafeChangeError as problem:
             raise ConfigurationError(f"duties: {problem}") from None
         self.told_rolls: dict[str, tuple[int, int]] = {}  # by gateway: version and mark of its list
         self.safe = DurableRecord(
-            self.hub,
-            house.log,
+            self.event_loop,
+            socket_host.log,
             said.folder,
             f"{self.name}.votes",
             "duties: kept votes are torn, silent at first",
@@ -65,11 +67,11 @@
         self.load = preference.Load(max(self.span.each, SECOND // 10))
         for name, kind, each in said.duties:
             self._stand(name, kind, each)
-        self.company.calls["duty"] = self.came
-        self.company.calls["books"] = self.books_came
-        self.company.calls["yield"] = self.yield_came
-        house.routes[b"GET", b"/duties"] = self.told
-        house.routes[b"POST", b"/duties"] = self.asked
+        self.member_list.calls["duty"] = self.came
+        self.member_list.calls["books"] = self.books_came
+        self.member_list.calls["yield"] = self.yield_came
+        socket_host.routes[b"GET", b"/duties"] = self.told
+        socket_host.routes[b"POST", b"/duties"] = self.asked
         self._look(boot_time())
 
     def _stand(self, name: str, kind: str, each: int) -> None:
@@ -112,9 +114,9 @@
         except UnsafeChangeError as problem:
             raise ConfigurationError(f"duties: {problem}") from None
         if said.folder != self.said.folder:
-            self.house.log("operator file: duties folder changed, in force after a restart")
+            self.socket_host.log("operator file: duties folder changed, in force after a restart")
         if roll != self.roll:
-            self.house.log(
+            self.socket_host.log(
                 f"duties: list {roll.version} of voters in force, {' '.join(roll.names)}"
             )
         self.roll, self.span, self.said = roll, span, said
@@ -157,22 +159,22 @@
 
     @property
     def date(self) -> int:
-        return self.hub.date() // 10
+        return self.event_loop.date() // 10
 
     def send(self, name: str, body: list[Any]) -> None:
         if name == self.name:
-            self.hub.later(0, self.came, name, body)
+            self.event_loop.call_later(0, self.came, name, body)
         else:
-            self.company.call(name, "duty", body)
+            self.member_list.call(name, "duty", body)
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.hub.later(delay, method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        self.event_loop.call_later(delay, method, *what)
 
     def chance(self, below: int) -> int:
-        return self.society.chance(max(below, 1))
+        return self.membership.chance(max(below, 1))
 
     def log(self, line: str) -> None:
-        self.house.log(line)
+        self.socket_host.log(line)
 
     def rank(self, duty: str) -> int:
         """Danger: where all are overloaded at once, as on a machine that stood still for a moment, nobody would hold
@@ -181,7 +183,7 @@
         return rank + self.span.lease // (2 * self.span.stagger) if self.overloaded else rank
 
     def gained(self, holder: LeaseCandidate) -> None:
-        self.house.log(f"duty {holder.duty} held under fence {holder.fence}")
+        self.socket_host.log(f"duty {holder.duty} held under fence {holder.fence}")
         self._changed(holder, "held", holder.why)
         owner = self.clerks.get(holder.duty) or self.owners.get(holder.duty)
         if owner is not None:
@@ -190,7 +192,7 @@
             self._give_up(holder.duty, "leaving" if self.leaving else "set aside for work")
 
     def lost(self, holder: LeaseCandidate, why: str) -> None:
-        self.house.log(f"duty {holder.duty} given up under fence {holder.fence}: {why}")
+        self.socket_host.log(f"duty {holder.duty} given up under fence {holder.fence}: {why}")
         self._changed(holder, "given up", why)
         self.lent.pop(holder.duty, None)
         self.yielding.pop(holder.duty, None)
@@ -199,8 +201,8 @@
 
     def vacant(self, holder: LeaseCandidate) -> None:
         """It was given back: those that should have it are told, so that nobody waits for a lease."""
-        fellows = [each for each in self._present() if each[0] != self.name]
-        for name in preference.order(holder.duty, fellows, self._held())[:TOLD_VACANT]:
+        members = [each for each in self._present() if each[0] != self.name]
+        for name in preference.order(holder.duty, members, self._held())[:TOLD_VACANT]:
             self.send(name, [VACANT, holder.duty, self.roll.version, self.roll.mark, 0])
 
     def keep(self, record: dict[str, Any], then: Callable[..., None], *what: Any) -> None:
@@ -213,7 +215,7 @@
         sort, duty, version, mark = body[:4]
         self.told_rolls[sender] = version, mark
         if sort not in ANSWERS:
-            letters = self.company.letters
+            letters = self.member_list.letters
             start = letters.start if sender == self.name else letters.pens[sender].start
             return self.voter.heard(sender, start, body)
         holder = self.holders.get(duty)
@@ -240,7 +242,7 @@
         now = boot_time()
         was, self.overloaded = self.overloaded, self.load.looked(now, now - due)
         if was != self.overloaded:
-            self.house.log(
+            self.socket_host.log(
                 f"duties: {'overloaded, standing last' if self.overloaded else 'standing again'}"
             )
             for name, holder in self.holders.items():
@@ -255,7 +257,9 @@
                 del self.asking[name]
                 self.holders[name].stand(False)
                 self._give_up(name, "no command asks")
-        self.hub.later(self.span.lease // LOOKS, self._look, now + self.span.lease // LOOKS)
+        self.event_loop.call_later(
+            self.span.lease // LOOKS, self._look, now + self.span.lease // LOOKS
+        )
 
     def _wanted(self, duty: str) -> bool:
         return not (self.leaving or self.aside) and (
@@ -264,10 +268,10 @@
 
     def _present(self) -> list[tuple[str, str]]:
         return [
-            (each.name, each.hall)
-            for each in self.company.fellows.values()
+            (each.name, each.zone)
+            for each in self.member_list.members.values()
             if each.state in (ALIVE, SUSPECTED)
-        ] + [(self.name, self.company.hall)]
+        ] + [(self.name, self.member_list.zone)]
 
     def _held(self) -> dict[str, str]:
         return {name: holder.other for name, holder in self.holders.items() if holder.other}
@@ -289,7 +293,7 @@
     def _changed(self, holder: LeaseCandidate, what: str, why: str) -> None:
         self.changes.append(
             {
-                "at": self.hub.now // 10,
+                "at": self.event_loop.now // 10,
                 "duty": holder.duty,
                 "what": what,
                 "why": why,
@@ -353,7 +357,7 @@
         if (
             holder.other
             and holder.other != self.name
-            and self.company.call(holder.other, "yield", duty)
+            and self.member_list.call(holder.other, "yield", duty)
         ):
             return {"told": holder.other, "waits_for": ""}
         raise ValueError(f"nobody is known to hold {duty!r}")
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from corkgauge.leases.voter_configuration import MOST_BALLOT, VoterConfiguration, Span
+from corkgauge.leases.voter_configuration import MOST_BALLOT, Span, VoterConfiguration
 
 # Sorts of letters: from candidates, and what voters answer. VACANT goes to candidates.
 PROBE, WOULD, PREPARE, PROMISED, GRANT, GRANTED, RELEASE, VACANT = range(8)
--- a/corkgauge/leases/voter_configuration.py
+++ b/corkgauge/leases/voter_configuration.py
@@ -25,7 +25,7 @@
 class VoterConfiguration:
     """One version of the list, with the lease that its voters grant, in tenths of a millisecond.
 
-    >>> Roll(1, "cab").names, Roll(1, "abc").majority, Roll(2, "abcd").majority
+    >>> VoterConfiguration(1, "cab").names, VoterConfiguration(1, "abc").majority, VoterConfiguration(2, "abcd").majority
     (('a', 'b', 'c'), 2, 3)
     """
 
@@ -50,14 +50,14 @@
         """May a gateway that runs under this list take the new one? `told` holds version and mark of the
         lists that voters, ourselves among them, last told. Raises Unsafe.
 
-        >>> one, two = Roll(1, "abc"), Roll(2, "abcd")
+        >>> one, two = VoterConfiguration(1, "abc"), VoterConfiguration(2, "abcd")
         >>> one.step_to(two, {"a": (1, one.mark), "b": (1, one.mark)})
-        >>> one.step_to(Roll(2, "abd"), {})
+        >>> one.step_to(VoterConfiguration(2, "abd"), {})
         Traceback (most recent call last):
-        corkgauge.leases.voter_configuration.Unsafe: voters: version 2 adds d and removes c: one of both at a time
-        >>> two.step_to(Roll(3, "abd"), {"b": (2, two.mark), "d": (2, two.mark), "c": (1, one.mark)})
+        corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 adds d and removes c: one of both at a time
+        >>> two.step_to(VoterConfiguration(3, "abd"), {"b": (2, two.mark), "d": (2, two.mark), "c": (1, one.mark)})
         Traceback (most recent call last):
-        corkgauge.leases.voter_configuration.Unsafe: voters: version 2 is told by b, d, and 3 of 4 have to, before version 3
+        corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 is told by b, d, and 3 of 4 have to, before version 3
         """
         if new == self:
             return
--- a/corkgauge/maintenance/chunk_transfer.py
+++ b/corkgauge/maintenance/chunk_transfer.py
@@ -16,7 +16,7 @@
 
 class Host(Protocol):
     def send(self, name: str, body: list[Any]) -> None: ...
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
 
 
 def piece_of(packed: bytes, index: int) -> tuple[int, bytes]:
@@ -85,7 +85,7 @@
         wanted = [n for n in range(self.count) if n not in self.pieces][:AT_ONCE]
         self.serial += 1
         self.host.send(self.whom, [self.ask, self.fence, [*(self.stamp or ())], wanted])
-        self.host.wake(self.pause, self._again, self.serial)
+        self.host.call_later(self.pause, self._again, self.serial)
 
     def _again(self, serial: int) -> None:
         if serial == self.serial:
--- a/corkgauge/maintenance/demand.py
+++ b/corkgauge/maintenance/demand.py
@@ -42,11 +42,11 @@
                 fresh.append(report[1])
             else:
                 unknown.append(name)
-        offerings = {name for _, cores in self.reports.values() for name in cores}
+        request_classes = {name for _, cores in self.reports.values() for name in cores}
         said = {}
-        for offering in sorted(offerings):
-            told = [cores.get(offering, 0.0) for cores in fresh]
-            said[offering] = sum(told) + len(unknown) * max(told, default=0.0)
+        for request_class in sorted(request_classes):
+            told = [cores.get(request_class, 0.0) for cores in fresh]
+            said[request_class] = sum(told) + len(unknown) * max(told, default=0.0)
         return said, unknown
 
     def forget(self, gateways: Iterable[str]) -> None:
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -33,7 +33,7 @@
     def refresh(self) -> None: ...  # each engine, and this gateway, is set aside as `how` says
     def quiet(self, tag: str) -> bool: ...  # nothing of this gateway's is open there
     def address(self, tag: str) -> str: ...  # as the list last told it; empty: not in the list
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None: ...
     def confirmed(self) -> None: ...  # something is closed: a word is worth sending
     def log(self, line: str) -> None: ...
@@ -127,7 +127,7 @@
         """Counted from before it was asked for: whatever time the letters took is lost, not gained."""
         if until > self.granted_until:
             lapsed, self.granted_until = self.host.now >= self.granted_until, until
-            self.host.wake(max(until - self.host.now, 1), self._lapses, until)
+            self.host.call_later(max(until - self.host.now, 1), self._lapses, until)
             if lapsed and self.levels:
                 self.host.refresh()
 
@@ -143,7 +143,7 @@
             state >= DRAINING and tag not in self.closed for tag, (state, _) in self.levels.items()
         ):
             self.looking = True
-            self.host.wake(1, self._look)
+            self.host.call_later(1, self._look)
 
     def how(self, tag: str, address: str = "") -> int:
         """0: as any engine; 1: nothing new goes there, but what may be tried again nowhere else; 2: nothing at all.
@@ -171,7 +171,7 @@
             self._keep()
         self.looking = len(quiet) < len(draining)
         if self.looking:
-            self.host.wake(LOOK, self._look)
+            self.host.call_later(LOOK, self._look)
 
     def _keep(self) -> None:
         """Danger: one that confirmed, and forgets it over a restart, would send to a machine that is open on a bench.
--- a/corkgauge/maintenance/plan.py
+++ b/corkgauge/maintenance/plan.py
@@ -111,7 +111,7 @@
     (50, [['e1', 0], ['e1', 1]])
     >>> plan.apply([["state", "e1", OUT, ""]])
     Traceback (most recent call last):
-    corkgauge.maintenance.plan.Senseless: e1 is granted, and cannot be out next
+    corkgauge.maintenance.plan.InvalidRequestError: e1 is granted, and cannot be out next
     >>> Plan.unpacked(plan.packed()).packed() == plan.packed()
     True
     """
--- a/corkgauge/maintenance/plan_proposer.py
+++ b/corkgauge/maintenance/plan_proposer.py
@@ -13,6 +13,8 @@
 
 import msgpack
 
+from corkgauge.maintenance.chunk_transfer import Fetch, Stamp
+from corkgauge.maintenance.plan import InvalidRequestError, Plan
 from corkgauge.maintenance.plan_replica import (
     LOW,
     NONE,
@@ -24,8 +26,6 @@
     WANT,
     tell_pieces,
 )
-from corkgauge.maintenance.chunk_transfer import Fetch, Stamp
-from corkgauge.maintenance.plan import Plan, InvalidRequestError
 
 IDLE, TAKING, FETCHING, FORGOTTEN, LEADING = range(5)
 STATES = "idle", "taking over", "fetching", "forgotten", "leading"
@@ -42,7 +42,7 @@
     def may(self, fence: int) -> bool: ...
     def voters(self) -> Sequence[str]: ...
     def send(self, name: str, body: list[Any]) -> None: ...
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def led(self) -> None: ...
     def agreed(self, changes: Changes) -> None: ...
     def forgot(self) -> None: ...
@@ -238,7 +238,7 @@
 
     def _again(self, method: Callable[[], None], delay: int = REPLY) -> None:
         self.alarm += 1
-        self.host.wake(delay, self._woken, self.alarm, method)
+        self.host.call_later(delay, self._woken, self.alarm, method)
 
     def _woken(self, alarm: int, method: Callable[[], None]) -> None:
         if alarm == self.alarm:
--- a/corkgauge/maintenance/plan_replica.py
+++ b/corkgauge/maintenance/plan_replica.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from corkgauge.maintenance.chunk_transfer import Fetch, Stamp, piece_of
-from corkgauge.maintenance.plan import Plan, InvalidRequestError
+from corkgauge.maintenance.plan import InvalidRequestError, Plan
 
 # Sorts of letters. From a holder to keepers: PROMISE, STEP. To a holder: PROMISED, TAKEN, LOW. Either way: WANT a
 # state's pieces, PIECE.
@@ -31,7 +31,7 @@
     now: int
 
     def send(self, name: str, body: list[Any]) -> None: ...
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None: ...
     def log(self, line: str) -> None: ...
 
--- a/corkgauge/maintenance/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -10,19 +10,6 @@
 from typing import Any, Protocol
 
 from corkgauge.maintenance.demand import Demand
-from corkgauge.maintenance.schedule import (
-    DEAD,
-    NEVER,
-    PASSING,
-    WELL,
-    Bounds,
-    EngineFact,
-    Ground,
-    OfferingFact,
-    Wanted,
-    next_out,
-    units_of,
-)
 from corkgauge.maintenance.plan import (
     ASKED,
     BACK,
@@ -40,8 +27,21 @@
     Plan,
     Unit,
 )
-from corkgauge.maintenance.quiescence import Heard, standing
 from corkgauge.maintenance.plan_proposer import LEADING, PlanProposer
+from corkgauge.maintenance.quiescence import Heard, standing
+from corkgauge.maintenance.schedule import (
+    DEAD,
+    NEVER,
+    PASSING,
+    WELL,
+    Bounds,
+    EngineFact,
+    Ground,
+    OfferingFact,
+    Wanted,
+    next_out,
+    units_of,
+)
 
 ROOM = 800  # octets of engines' states in one letter of orders
 TICK = 50_000  # tenths of a millisecond between two agreed moments of works time, at least
@@ -64,12 +64,12 @@
     def gateways(self) -> Mapping[str, tuple[str, bool, bool]]: ...  # hall, alive, ended in order
     def voters(self) -> Sequence[str]: ...
     def engines(self) -> Mapping[str, EngineFact]: ...
-    def offerings(self, cores: Mapping[str, float]) -> Sequence[OfferingFact]: ...
+    def request_classes(self, cores: Mapping[str, float]) -> Sequence[OfferingFact]: ...
     def machines(self) -> Mapping[str, Sequence[str]]: ...
     def idle_since(self, tags: Sequence[str]) -> int: ...
     def order(self, name: str, body: list[Any]) -> None: ...
     def ask(self, name: str) -> None: ...
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def hand_on(self, why: str) -> None: ...
     def log(self, line: str) -> None: ...
 
@@ -111,7 +111,7 @@
         self.scribe.gained(fence)
         # What gateways remember is asked at once: it may be needed, and costs a letter each.
         self.serial += 1
-        self.host.wake(1, self._turn, self.serial)
+        self.host.call_later(1, self._turn, self.serial)
 
     def lost(self) -> None:
         self.serial += 1
@@ -144,7 +144,7 @@
         self.orders()
         if any(sort != "time" for sort, *_ in changes):
             self.serial += 1
-            self.host.wake(1, self._turn, self.serial)
+            self.host.call_later(1, self._turn, self.serial)
 
     def forgot(self) -> None:
         """So many keepers have forgotten that nothing can be known from them."""
@@ -184,7 +184,7 @@
             for unit in units_of(
                 kind,
                 names,
-                [(tag, each.hall) for tag, each in engines.items()],
+                [(tag, each.zone) for tag, each in engines.items()],
                 self.host.machines(),
                 gateways,
             )
@@ -199,11 +199,11 @@
         alone = Ground(
             self.bounds,
             {
-                tag: EngineFact(each.tag, each.hall, each.kind, each.group, each.cores, WELL)
+                tag: EngineFact(each.tag, each.zone, each.kind, each.group, each.cores, WELL)
                 for tag, each in engines.items()
             },
-            self.host.offerings({}),
-            gateways={name: hall for name, (hall, *_) in gateways.items()},
+            self.host.request_classes({}),
+            gateways={name: zone for name, (zone, *_) in gateways.items()},
             voters=self.host.voters(),
         )
         for name, sort, members in units:
@@ -349,7 +349,7 @@
             and not self.soon
         ):
             self.soon = True  # it may be the word that a step waits for
-            self.host.wake(1, self._soon)
+            self.host.call_later(1, self._soon)
 
     # Turns.
 
@@ -364,7 +364,7 @@
         if serial != self.serial:
             return
         self.serial += 1
-        self.host.wake(self.each, self._turn, self.serial)
+        self.host.call_later(self.each, self._turn, self.serial)
         if self.scribe.state == LEADING and self.scribe.led and self.host.may(self.scribe.fence):
             self.orders()
             self.decide()
@@ -528,9 +528,9 @@
         return Ground(
             self.bounds,
             engines,
-            self.host.offerings(cores),
+            self.host.request_classes(cores),
             {tag for unit in taken if unit.sort == ENGINE for tag in unit.members},
-            {name: hall for name, (hall, *_) in gateways.items()},
+            {name: zone for name, (zone, *_) in gateways.items()},
             {name for name, (_, alive, _) in gateways.items() if not alive}
             | {name for unit in taken if unit.sort == GATEWAY for name in unit.members},
             self.host.voters(),
@@ -547,7 +547,7 @@
             )
             >= 2
         ):
-            return EngineFact(fact.tag, fact.hall, fact.kind, fact.group, fact.cores, PASSING)
+            return EngineFact(fact.tag, fact.zone, fact.kind, fact.group, fact.cores, PASSING)
         return fact
 
     def _grants(self, plan: Plan) -> list[list[Any]]:
--- a/corkgauge/maintenance/schedule.py
+++ b/corkgauge/maintenance/schedule.py
@@ -27,7 +27,7 @@
     """An engine as the planner knows it. `group` is where labels are remembered together, None: everywhere."""
 
     tag: str
-    hall: str
+    zone: str
     kind: str
     group: str | None
     cores: float
@@ -39,7 +39,7 @@
     """An offering, and the cores that it needs now. No halls or kinds: any."""
 
     name: str
-    halls: frozenset[str]
+    zones: frozenset[str]
     kinds: frozenset[str]
     cores: float
 
@@ -65,7 +65,7 @@
 
     most: int = 4
     share: float = 0.25
-    hall: float = 0.5
+    zone: float = 0.5
     kind: float = 0.5
     room: float = 0.7
     least: int = 1
@@ -79,7 +79,7 @@
 
     bounds: Bounds
     engines: Mapping[str, EngineFact]
-    offerings: Sequence[OfferingFact]
+    request_classes: Sequence[OfferingFact]
     away: set[str] = field(default_factory=set)
     gateways: Mapping[str, str] = field(default_factory=dict)
     gateways_away: set[str] = field(default_factory=set)
@@ -112,10 +112,10 @@
         name = unit.members[0]
         if name not in self.gateways:
             return f"no gateway {name}"
-        hall = self.gateways[name]
+        zone = self.gateways[name]
         others = [each for each in self.gateways_away if each != name]
-        if sum(self.gateways.get(each) == hall for each in others) >= self.bounds.gateways:
-            return f"{self.bounds.gateways} of hall {hall or '-'} at once, {' '.join(sorted(others))} away"
+        if sum(self.gateways.get(each) == zone for each in others) >= self.bounds.gateways:
+            return f"{self.bounds.gateways} of hall {zone or '-'} at once, {' '.join(sorted(others))} away"
         left = [each for each in self.voters if each != name and each not in others]
         if name in self.voters and len(left) < len(self.voters) // 2 + 1:
             return f"{len(left)} of {len(self.voters)} voters would be left"
@@ -127,7 +127,7 @@
             return f"{len(out)} would be out, {bounds.most} at once"
         for what, part, of in (
             ("", bounds.share, lambda each: ""),
-            ("hall ", bounds.hall, lambda each: each.hall),
+            ("hall ", bounds.zone, lambda each: each.zone),
             ("kind ", bounds.kind, lambda each: each.kind),
         ):
             # A part that is less than one engine counts as one: else nothing could ever be worked on.
@@ -147,10 +147,10 @@
 
     def _left(self, out: set[str], before: set[str]) -> str:
         left = [each for tag, each in self.engines.items() if tag not in out]
-        for offering in self.offerings:
-            able = sum(_may(offering, each) for each in left)
+        for request_class in self.request_classes:
+            able = sum(_may(request_class, each) for each in left)
             if able < self.bounds.least:
-                return f"offering {offering.name}: {able} engines left for it, {self.bounds.least} at least"
+                return f"offering {request_class.name}: {able} engines left for it, {self.bounds.least} at least"
         groups: dict[str, list[str]] = {}
         for tag, each in self.engines.items():
             if each.group is not None:
@@ -174,14 +174,16 @@
     def crowded(self, out: set[str]) -> str:
         """Which demand does not fit on what is left; empty: all does."""
         sorts: dict[tuple[frozenset[str], frozenset[str]], list[OfferingFact]] = {}
-        for offering in self.offerings:
-            if offering.cores > 0:
-                sorts.setdefault((offering.halls, offering.kinds), []).append(offering)
+        for request_class in self.request_classes:
+            if request_class.cores > 0:
+                sorts.setdefault((request_class.zones, request_class.kinds), []).append(
+                    request_class
+                )
         classes: dict[tuple[str, str], float] = {}
         for tag, each in self.engines.items():
             if tag not in out:
-                classes[each.hall, each.kind] = (
-                    classes.get((each.hall, each.kind), 0.0) + each.cores
+                classes[each.zone, each.kind] = (
+                    classes.get((each.zone, each.kind), 0.0) + each.cores
                 )
         listed = sorted(sorts.items(), key=lambda each: min(one.name for one in each[1]))
         for some in _sets(len(listed)):
@@ -189,10 +191,10 @@
             needed = sum(one.cores for _, several in chosen for one in several)
             able = sum(
                 cores
-                for (hall, kind), cores in classes.items()
+                for (zone, kind), cores in classes.items()
                 if any(
-                    (not halls or hall in halls) and (not kinds or kind in kinds)
-                    for (halls, kinds), _ in chosen
+                    (not zones or zone in zones) and (not kinds or kind in kinds)
+                    for (zones, kinds), _ in chosen
                 )
             )
             if needed > self.bounds.room * able + 1e-9:
@@ -201,9 +203,9 @@
         return ""
 
 
-def _may(offering: OfferingFact, engine: EngineFact) -> bool:
-    return (not offering.halls or engine.hall in offering.halls) and (
-        not offering.kinds or engine.kind in offering.kinds
+def _may(request_class: OfferingFact, engine: EngineFact) -> bool:
+    return (not request_class.zones or engine.zone in request_class.zones) and (
+        not request_class.kinds or engine.kind in request_class.kinds
     )
 
 
@@ -258,7 +260,7 @@
         now = Ground(
             ground.bounds,
             ground.engines,
-            ground.offerings,
+            ground.request_classes,
             away,
             ground.gateways,
             gateways_away,
@@ -312,7 +314,7 @@
         tags = {
             "engine": [name] if name in listed else [],
             "machine": [*machines.get(name, ())],
-            "hall": [tag for tag, hall in listed.items() if hall == name],
+            "hall": [tag for tag, zone in listed.items() if zone == name],
         }.get(kind)
         if tags is None:
             raise ValueError(f"expected engine, machine, hall or gateway, found {kind!r}")
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -12,23 +12,23 @@
 
 import msgpack
 
-from corkgauge.config.platform import PlatformConfig
-from corkgauge.leases.durable_record import DurableRecord
-from corkgauge.membership.member_list import ALIVE, LEFT, SUSPECTED
 from corkgauge.accounting.counter_names import TAKEN as TAKEN_TERM
-from corkgauge.policy.records import CALLED_OFF, LABELLED, READY, RESET, TIMED_OUT
+from corkgauge.config.operator_file import Works
+from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.net.host import SocketHost
-from corkgauge.config.operator_file import Works
-from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
-from corkgauge.maintenance.schedule import DEAD, PASSING, WELL, Bounds, EngineFact, OfferingFact
-from corkgauge.maintenance.participant import Participant
+from corkgauge.leases.durable_record import DurableRecord
 from corkgauge.maintenance.chunk_transfer import Fetch, piece_of
+from corkgauge.maintenance.participant import Participant
 from corkgauge.maintenance.plan import NEXT, STATES, Plan
-from corkgauge.maintenance.planner import Planner
 from corkgauge.maintenance.plan_proposer import FETCHING, IDLE, LEADING, PlanProposer
 from corkgauge.maintenance.plan_proposer import STATES as SCRIBE_STATES
+from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
+from corkgauge.maintenance.planner import Planner
+from corkgauge.maintenance.schedule import DEAD, PASSING, WELL, Bounds, EngineFact, OfferingFact
+from corkgauge.membership.member_list import ALIVE, LEFT, SUSPECTED
+from corkgauge.net.host import SocketHost
+from corkgauge.policy.records import AttemptOutcome, EngineState, Repeatability
 
 DUTY = "works"
 LOADS = 5  # seconds over which demand is counted
@@ -43,10 +43,20 @@
     """`society` are the fellows, `office` the duties."""
 
     def __init__(
-        self, house: SocketHost, post: PlatformConfig, said: Works, society: Any, office: Any
+        self,
+        socket_host: SocketHost,
+        platform_config: PlatformConfig,
+        said: Works,
+        membership: Any,
+        office: Any,
     ) -> None:
-        self.house, self.hub, self.name, self.said = house, house.hub, post.name, said
-        self.company, self.office = society.company, office
+        self.socket_host, self.event_loop, self.name, self.said = (
+            socket_host,
+            socket_host.event_loop,
+            platform_config.name,
+            said,
+        )
+        self.member_list, self.office = membership.member_list, office
         self.doubts: dict[
             str, int
         ] = {}  # by engine: until when something that we sent may still run
@@ -60,10 +70,10 @@
         self.fetch: Fetch | None = None
         self.party: Participant | None = None  # it looks at us as it begins
         drift = 1 + 2 * office.span.drift
-        expiry = max(each.expiry for each in house.stated.offerings)
+        expiry = max(each.time_to_deadline for each in socket_host.settings.request_classes)
         self.safe = DurableRecord(
-            self.hub,
-            house.log,
+            self.event_loop,
+            socket_host.log,
             office.said.folder,
             f"{self.name}.works",
             "works: what was kept is torn, blank at first",
@@ -78,18 +88,18 @@
             Bounds(*said.bounds),
             said.each,
             int(said.grant * drift) + 1,
-            int(expiry * drift) + house.stated.gateway.settle,
-            house.stated.gateway.cold_span,
+            int(expiry * drift) + socket_host.settings.gateway.settle,
+            socket_host.settings.gateway.cold_span,
         )
-        house.works = self
+        socket_host.works = self
         for subject, method in (
             ("plan", self._letter),
             ("works", self._told),
             ("copy", self._copied),
         ):
-            self.company.calls[subject] = method
-        house.routes[b"GET", b"/works"] = self.told
-        house.routes[b"POST", b"/works"] = self.asked
+            self.member_list.calls[subject] = method
+        socket_host.routes[b"GET", b"/works"] = self.told
+        socket_host.routes[b"POST", b"/works"] = self.asked
         office.stands(DUTY, self)
         self.party = Participant(self, self.name, said.grant, kept[1])
         self.refresh()  # what it remembers holds from the first submission on
@@ -99,17 +109,17 @@
         self.said = said
         self.planner.bounds, self.planner.each = Bounds(*said.bounds), said.each
         if said.grant != self.party.grant:
-            self.house.log("operator file: works grant changed, in force after a restart")
+            self.socket_host.log("operator file: works grant changed, in force after a restart")
 
     def end(self) -> None:
         self.safe.close()
-        self.house.works = None
+        self.socket_host.works = None
 
     def waiting(self) -> bool:
         """Is nobody let in yet?"""
         planner = self._holder()
         return self.party.waits(
-            self.said.patience, self.company.met, planner if planner != self.name else ""
+            self.said.patience, self.member_list.met, planner if planner != self.name else ""
         )
 
     # The duty.
@@ -137,17 +147,17 @@
     def now(self) -> int:
         return boot_time()
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.hub.later(max(int(delay), 1), method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        self.event_loop.call_later(max(int(delay), 1), method, *what)
 
     def log(self, line: str) -> None:
-        self.house.log(line)
+        self.socket_host.log(line)
 
     def send(self, name: str, body: list[Any]) -> None:
         if name == self.name:
-            self.hub.later(1, self._letter, name, body)
+            self.event_loop.call_later(1, self._letter, name, body)
         else:
-            self.company.call(name, "plan", body)
+            self.member_list.call(name, "plan", body)
 
     def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None:
         """Both records are one file: what is safe of one is safe of the other."""
@@ -174,25 +184,34 @@
     # What the planner may know and do.
 
     def gateways(self) -> Mapping[str, tuple[str, bool, bool]]:
-        fellows = {
-            each.name: (each.hall, each.state in (ALIVE, SUSPECTED), each.state == LEFT)
-            for each in self.company.fellows.values()
+        members = {
+            each.name: (each.zone, each.state in (ALIVE, SUSPECTED), each.state == LEFT)
+            for each in self.member_list.members.values()
         }
-        return {**fellows, self.name: (self.company.hall, True, False)}
+        return {**members, self.name: (self.member_list.zone, True, False)}
 
     def engines(self) -> Mapping[str, EngineFact]:
-        stated, gateway, now, found = self.house.stated, self.house.gateway, self.hub.now, {}
-        marks = {each.group for each in stated.offerings if each.repeat == LABELLED}
-        for tag, station in self.house.stations.items():
-            engine = station.engine
-            well = engine.state == READY
-            passing = well and (gateway._cold(engine) or engine.view.rests_until > now)
-            hall = str(stated.halls[engine.hall])
+        settings, gateway, now, found = (
+            self.socket_host.settings,
+            self.socket_host.gateway,
+            self.event_loop.now,
+            {},
+        )
+        marks = {
+            each.key_scope
+            for each in settings.request_classes
+            if each.repeatability == Repeatability.KEYED
+        }
+        for tag, engine_pool in self.socket_host.engine_pools.items():
+            engine = engine_pool.engine
+            well = engine.state == EngineState.READY
+            passing = well and (gateway._cold(engine) or engine.stats.ejected_until > now)
+            zone = str(settings.zones[engine.zone])
             found[tag] = EngineFact(
                 tag,
-                hall,
-                str(stated.kinds[engine.kind]),
-                str(engine.cell) if "cell" in marks else hall if "zone" in marks else None,
+                zone,
+                str(settings.kinds[engine.kind]),
+                str(engine.cell) if "cell" in marks else zone if "zone" in marks else None,
                 engine.cores,
                 PASSING if passing else WELL if well else DEAD,
             )
@@ -208,16 +227,16 @@
         self.listed = {**found}
         return {**{tag: fact for tag, (fact, _) in self.missed.items()}, **found}
 
-    def offerings(self, cores: Mapping[str, float]) -> Sequence[OfferingFact]:
-        stated = self.house.stated
+    def request_classes(self, cores: Mapping[str, float]) -> Sequence[OfferingFact]:
+        settings = self.socket_host.settings
         return [
             OfferingFact(
                 each.name,
-                frozenset(str(stated.halls[n]) for n in each.halls),
-                frozenset(str(stated.kinds[n]) for n in each.kinds),
+                frozenset(str(settings.zones[n]) for n in each.zones),
+                frozenset(str(settings.kinds[n]) for n in each.engine_kinds),
                 cores.get(each.name, 0.0),
             )
-            for each in stated.offerings
+            for each in settings.request_classes
         ]
 
     def machines(self) -> Mapping[str, Sequence[str]]:
@@ -234,41 +253,47 @@
 
     def _say(self, name: str, body: list[Any]) -> None:
         if name == self.name:
-            self.hub.later(1, self._told, name, body)
+            self.event_loop.call_later(1, self._told, name, body)
         else:
-            self.company.call(name, "works", body)
+            self.member_list.call(name, "works", body)
 
     # What the party may do.
 
     def refresh(self) -> None:
-        for station in [*self.house.stations.values()]:
-            how = self.how(station.engine.tag, station.address)
-            if station.engine.aside != how:
-                self.house.gateway.engine_aside(station.engine, how)
+        for engine_pool in [*self.socket_host.engine_pools.values()]:
+            how = self.how(engine_pool.engine.host_reference, engine_pool.address)
+            if engine_pool.engine.cordon != how:
+                self.socket_host.gateway.on_engine_cordon(engine_pool.engine, how)
         self.office.set_aside(self.how(self.name) > 0)
 
     def quiet(self, tag: str) -> bool:
         """Is nothing of ours open there, in doubt there, or bound to it by its label?"""
         if tag == self.name:
             return self.office.free
-        station = self.house.stations.get(tag)
-        if self.hub.now < self.doubts.get(tag, 0):
+        engine_pool = self.socket_host.engine_pools.get(tag)
+        if self.event_loop.now < self.doubts.get(tag, 0):
             return False
-        if station is None:
+        if engine_pool is None:
             return True
-        engine = station.engine
-        if station.waiting or engine.view.out or any(link.open for link in station.links):
+        engine = engine_pool.engine
+        if (
+            engine_pool.waiting
+            or engine.stats.in_flight
+            or any(link.open for link in engine_pool.links)
+        ):
             return False
         # Danger: a submission that may have run there, or in its group, may be tried again only there.
         return not any(
-            sub.offering.repeat == LABELLED
-            and any(each.engine is engine for each in (*sub.before, *sub.handoffs))
-            for sub in self.house.names.values()
+            request.request_class.repeatability == Repeatability.KEYED
+            and any(
+                each.engine is engine for each in (*request.earlier_attempts, *request.attempts)
+            )
+            for request in self.socket_host.names.values()
         )
 
     def address(self, tag: str) -> str:
-        station = self.house.stations.get(tag)
-        return "" if station is None else _place(station)
+        engine_pool = self.socket_host.engine_pools.get(tag)
+        return "" if engine_pool is None else _place(engine_pool)
 
     def confirmed(self) -> None:
         holder = self.office.holders[DUTY].other
@@ -283,14 +308,20 @@
 
     def over(self, name: str, outcome: int) -> None:
         """A hand-off there has ended; one that ended in doubt may still run for a while."""
-        if outcome in (TIMED_OUT, RESET, CALLED_OFF):
-            self.doubts[name] = self.hub.now + self.house.gateway.settle
-            if len(self.doubts) > 4 * len(self.house.stations) + 64:
+        if outcome in (
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.CONNECTION_RESET,
+            AttemptOutcome.CANCELLED,
+        ):
+            self.doubts[name] = self.event_loop.now + self.socket_host.gateway.settle
+            if len(self.doubts) > 4 * len(self.socket_host.engine_pools) + 64:
                 self.doubts = {
-                    each: until for each, until in self.doubts.items() if until > self.hub.now
+                    each: until
+                    for each, until in self.doubts.items()
+                    if until > self.event_loop.now
                 }
-        station = self.house.stations.get(name)
-        if station is not None and station.engine.view.load == 0:
+        engine_pool = self.socket_host.engine_pools.get(name)
+        if engine_pool is not None and engine_pool.engine.stats.reported_load == 0:
             self.idle[name] = boot_time()
 
     # Letters.
@@ -326,7 +357,7 @@
         elif what == "word":
             serial, fence, number, blank, closed, many, loads, unwell, free = rest
             if self.scribe.state != IDLE:
-                letters = self.company.letters
+                letters = self.member_list.letters
                 start = letters.start if sender == self.name else letters.pens[sender].start
                 self.planner.told(
                     sender,
@@ -351,20 +382,22 @@
                 self.wishes[key].update(answer=answer, wrong=wrong)
 
     def _word(self, to: str) -> None:
-        gateway, now = self.house.gateway, self.hub.now
-        unwell = [each.tag for each in gateway.engines if each.view.rests_until > now][:MOST_UNWELL]
+        gateway, now = self.socket_host.gateway, self.event_loop.now
+        unwell = [
+            each.host_reference for each in gateway.engines if each.stats.ejected_until > now
+        ][:MOST_UNWELL]
         loads = {name: int(100 * cores) + 1 for name, cores in self._loads().items()}
         self._say(to, ["word", *self.party.word(), loads, unwell, self.office.free])
 
     # Measured load.
 
     def _count(self) -> None:
-        rows = self.house.ledger.offerings
+        rows = self.socket_host.ledger.request_classes
         self.counted.append(
-            (self.hub.now, {name: row.terms[TAKEN_TERM] for name, row in rows.items()})
+            (self.event_loop.now, {name: row.terms[TAKEN_TERM] for name, row in rows.items()})
         )
         self.engines()
-        self.hub.later(SECOND, self._count)
+        self.event_loop.call_later(SECOND, self._count)
 
     def _loads(self) -> dict[str, float]:
         """Cores that what is asked here needs, by offering: what comes, times its usual work."""
@@ -373,10 +406,10 @@
             return {}
         return {
             name: (after[name] - before.get(name, 0))
-            * self.house.offerings[name].usual
+            * self.socket_host.request_classes[name].typical_work
             / (now - begun)
             for name in after
-            if name in self.house.offerings and after[name] > before.get(name, 0)
+            if name in self.socket_host.request_classes and after[name] > before.get(name, 0)
         }
 
     # What operators ask.
@@ -396,7 +429,7 @@
                 self.wishes = {
                     each: one
                     for each, one in self.wishes.items()
-                    if one["wrong"] is None and self.hub.now < one["until"]
+                    if one["wrong"] is None and self.event_loop.now < one["until"]
                 }
             if len(self.wishes) >= MOST_WISHES:
                 raise ValueError(f"{MOST_WISHES} wishes wait, try again")
@@ -404,7 +437,7 @@
                 "said": said,
                 "answer": None,
                 "wrong": None,
-                "until": self.hub.now + WISH_TIME,
+                "until": self.event_loop.now + WISH_TIME,
             }
             self._wish(key)
         return {"answer": wish["answer"], "wrong": wish["wrong"], "holder": self._holder()}
@@ -417,7 +450,7 @@
         wish = self.wishes.get(key)
         if wish is None or wish["wrong"] is not None:
             return
-        if self.hub.now >= wish["until"]:
+        if self.event_loop.now >= wish["until"]:
             wish.update(
                 wrong="nobody plans now, or its answer did not come; the same id may be asked again"
             )
@@ -425,7 +458,7 @@
         holder = self._holder()
         if holder:
             self._say(holder, ["wish", key, json.dumps(wish["said"])])
-        self.hub.later(WISH_AGAIN, self._wish, key)
+        self.event_loop.call_later(WISH_AGAIN, self._wish, key)
 
     def _wished(self, sender: str, key: str, text: str) -> None:
         """At the holder: done, and answered once it is agreed."""
@@ -547,7 +580,9 @@
                 for index in body[3][:16]:
                     count, piece = piece_of(data, index)
                     if 0 <= index < count:
-                        self.company.call(sender, "copy", [PIECE, 0, *stamp, index, count, piece])
+                        self.member_list.call(
+                            sender, "copy", [PIECE, 0, *stamp, index, count, piece]
+                        )
         elif sort == PIECE and self.fetch is not None:
             self.fetch.heard(sender, (body[2], body[3]), body[4], body[5], body[6])
 
@@ -568,15 +603,15 @@
         if self.left < 0 and self.yard.fetch is not None:
             self.yard.fetch.end()
         else:
-            self.yard.company.call(name, "copy", body)
+            self.yard.member_list.call(name, "copy", body)
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.yard.hub.later(delay, method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        self.yard.event_loop.call_later(delay, method, *what)
 
 
 _TO_SCRIBE = (1, 3, 4)  # PROMISED, TAKEN, LOW
 _WISHES = "ask", "cancel", "done", "hold", "overrule", "known"
 
 
-def _place(station: Any) -> str:
-    return "%s:%d" % station.address
+def _place(engine_pool: Any) -> str:
+    return "%s:%d" % engine_pool.address
--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -173,7 +173,7 @@
         self.counts["taken"] += 1
         return sender, sort, body
 
-    def heard_of(self, name: str, start: int) -> None:
+    def on_peer_health(self, name: str, start: int) -> None:
         """A fellow tells of another's start. It counts only until the other's own letters say more."""
         pen = self.pens.get(name)
         if pen is not None and start > pen.start:
--- a/corkgauge/membership/gossip.py
+++ b/corkgauge/membership/gossip.py
@@ -13,7 +13,7 @@
 
 class GossipQueue:
     """
-    >>> rumours = Rumours()
+    >>> rumours = GossipQueue()
     >>> rumours.tell("a", ("a", 1))
     >>> rumours.tell("b", ("b", 1))
     >>> rumours.tell("a", ("a", 2))
@@ -39,9 +39,9 @@
         """Only these are fellows still."""
         self.words = {name: said for name, said in self.words.items() if name in names}
 
-    def some(self, fellows: int, room: int, size: Any, first: str = "") -> list[Any]:
+    def some(self, members: int, room: int, size: Any, first: str = "") -> list[Any]:
         """The least told ones that fit into so much room, `first`'s own before all; each told once more."""
-        most = TIMES * ceil(log2(fellows + 1))
+        most = TIMES * ceil(log2(members + 1))
         found = []
         # Danger: the word on the one we speak to must reach it, or it never hears that it is accused.
         order = nsmallest(64, self.words.items(), key=lambda item: (item[0] != first, item[1][:2]))
--- a/corkgauge/membership/member_list.py
+++ b/corkgauge/membership/member_list.py
@@ -24,8 +24,8 @@
     DEAF,
     HELLO,
     TELL,
-    Key,
     DatagramCodec,
+    Key,
 )
 from corkgauge.membership.gossip import GossipQueue
 
@@ -49,11 +49,11 @@
 
     now: int
 
-    def post(self, name: str, data: bytes) -> None: ...
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def send_datagram(self, name: str, data: bytes) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
     def chance(self, below: int) -> int: ...
     def log(self, line: str) -> None: ...
-    def changed(self, fellow: "Member", before: int) -> None: ...
+    def changed(self, member: "Member", before: int) -> None: ...
 
 
 class Member:
@@ -61,7 +61,7 @@
 
     __slots__ = (
         "name",
-        "hall",
+        "zone",
         "state",
         "start",
         "turn",
@@ -73,8 +73,8 @@
         "told_all",
     )
 
-    def __init__(self, name: str, hall: str) -> None:
-        self.name, self.hall = name, hall
+    def __init__(self, name: str, zone: str) -> None:
+        self.name, self.zone = name, zone
         self.state, self.start, self.turn = UNKNOWN, 0, 0
         self.since = self.heard = 0  # in this state; when its last letter came
         self.accusers: set[str] = set()
@@ -89,10 +89,10 @@
 class Asked:
     """A fellow that we asked, for ourselves or for another."""
 
-    __slots__ = ("fellow", "due", "for_whom", "serial", "helpers", "deaf")
+    __slots__ = ("member", "due", "for_whom", "serial", "helpers", "deaf")
 
-    def __init__(self, fellow: Member, due: int, for_whom: str = "", serial: int = 0) -> None:
-        self.fellow, self.due, self.for_whom, self.serial = fellow, due, for_whom, serial
+    def __init__(self, member: Member, due: int, for_whom: str = "", serial: int = 0) -> None:
+        self.member, self.due, self.for_whom, self.serial = member, due, for_whom, serial
         self.helpers, self.deaf = 0, 0
 
 
@@ -105,41 +105,41 @@
         name: str,
         start: int,
         keys: Sequence[Key],
-        fellows: Sequence[tuple[str, str]],
+        members: Sequence[tuple[str, str]],
         period: int,
     ) -> None:
         self.host, self.name, self.period = host, name, period
         self.letters = DatagramCodec(name, start, keys, self._started, self._outgrown)
         self.rumours, self.health, self.turn, self.serial = GossipQueue(), 0, 0, 0
-        self.fellows: dict[str, Member] = {}
-        self.hall = ""
+        self.members: dict[str, Member] = {}
+        self.zone = ""
         self.round: list[str] = []
         self.asked: dict[int, Asked] = {}
         self.calls: dict[str, Callable[[str, Any], None]] = {}  # by subject: who hears of it
         self.counts = Counter[str]()
         self.left = self.met = False
         self.unknown = 0  # fellows whose start nobody has told yet
-        self.named(fellows)
-        self.host.wake(1, self.tick)
+        self.named(members)
+        self.host.call_later(1, self.tick)
 
     # What operators say.
 
-    def named(self, fellows: Sequence[tuple[str, str]]) -> None:
+    def named(self, members: Sequence[tuple[str, str]]) -> None:
         """Who there is, ourselves among them; what is known of those that stay is kept."""
-        self.hall = dict(fellows).get(self.name, "")
-        before = self.fellows
-        self.fellows = {
-            name: before.get(name) or Member(name, hall)
-            for name, hall in fellows
+        self.zone = dict(members).get(self.name, "")
+        before = self.members
+        self.members = {
+            name: before.get(name) or Member(name, zone)
+            for name, zone in members
             if name != self.name
         }
-        for name, hall in fellows:
+        for name, zone in members:
             if name != self.name:
-                self.fellows[name].hall = hall
-        self.unknown = sum(each.state == UNKNOWN for each in self.fellows.values())
-        self.letters.named([*self.fellows])
-        self.rumours.forget({*self.fellows, self.name})
-        self.round = [name for name in self.round if name in self.fellows]
+                self.members[name].zone = zone
+        self.unknown = sum(each.state == UNKNOWN for each in self.members.values())
+        self.letters.named([*self.members])
+        self.rumours.forget({*self.members, self.name})
+        self.round = [name for name in self.round if name in self.members]
 
     def locked(self, keys: Sequence[Key]) -> None:
         """Other keys: the first seals, any opens."""
@@ -148,14 +148,14 @@
     def leave(self) -> None:
         """We end in order: told to a few at once, and by them to all."""
         self.left = True
-        for fellow in self._some(2 * HELPERS):
-            self._send(fellow.name, TELL, [])
+        for member in self._some(2 * HELPERS):
+            self._send(member.name, TELL, [])
 
     # What others may ask.
 
     def call(self, name: str, subject: str, body: Any) -> bool:
         """Send something of another subsystem's; False where its start is unknown yet (it is greeted)."""
-        if name not in self.fellows:
+        if name not in self.members:
             return False
         if not self.letters.known(name):
             self._send(name, HELLO, None)
@@ -166,7 +166,7 @@
     def alive(self) -> list[Member]:
         """Those that are not known to be gone, by name."""
         return sorted(
-            (each for each in self.fellows.values() if each.state in (ALIVE, SUSPECTED)),
+            (each for each in self.members.values() if each.state in (ALIVE, SUSPECTED)),
             key=lambda each: each.name,
         )
 
@@ -174,8 +174,8 @@
         return (
             ALIVE
             if name == self.name
-            else self.fellows[name].state
-            if name in self.fellows
+            else self.members[name].state
+            if name in self.members
             else GONE
         )
 
@@ -187,41 +187,41 @@
         if opened is None:
             return
         sender, sort, body = opened
-        fellow = self.fellows[sender]
+        member = self.members[sender]
         if sort == HELLO:
             return self._send(sender, BACK, None, body)
-        fellow.heard = self.host.now
+        member.heard = self.host.now
         if sort == BACK:
             if not self.met:  # the first that we meet tells us of all others
                 self.met = True
                 self._send(sender, ASK_ALL, [])
             return
         try:
-            self._read(fellow, sort, body)
+            self._read(member, sort, body)
         except (TypeError, ValueError, IndexError, KeyError, AttributeError):
             # Danger: a fellow of another version, or one gone wild, holds the key too.
             self.counts["no sense"] += 1
 
-    def _read(self, fellow: Member, sort: int, body: Any) -> None:
+    def _read(self, member: Member, sort: int, body: Any) -> None:
         if sort == CALL:
             subject, what = body
             if subject in self.calls:
-                self.calls[subject](fellow.name, what)
+                self.calls[subject](member.name, what)
             return
         if sort == ASK:
-            self._send(fellow.name, ANSWER, [int(body[0])])
+            self._send(member.name, ANSWER, [int(body[0])])
         elif sort == ANSWER:
             self._answered(int(body[0]))
         elif sort == ASK_FOR:
-            self._ask_for(fellow.name, int(body[0]), str(body[1]))
+            self._ask_for(member.name, int(body[0]), str(body[1]))
         elif sort == DEAF:
             asked = self.asked.get(int(body[0]))
             if asked is not None:
                 asked.deaf += 1
         elif sort == ASK_ALL:
-            self._tell_all(fellow)
+            self._tell_all(member)
         for word in body[-1]:
-            self._heard(fellow.name, word)
+            self._heard(member.name, word)
 
     def tick(self) -> None:
         """Once a period: ask the next one. Danger: spans that stay short on a slow machine accuse all."""
@@ -229,46 +229,46 @@
         if self.left:
             return
         span = self.period * (1 + self.health)
-        host.wake(span, self.tick)
+        host.call_later(span, self.tick)
         if not self.met:
-            for fellow in self._some(NEWCOMER, known=False):
-                self._send(fellow.name, HELLO, None)
+            for member in self._some(NEWCOMER, known=False):
+                self._send(member.name, HELLO, None)
             return
         if self.unknown and not self.host.chance(SELDOM):
             for other in self._some(1):
                 self._send(other.name, ASK_ALL, [])
-        fellow = self._next()
-        if fellow is None:
+        member = self._next()
+        if member is None:
             return
-        if not self.letters.known(fellow.name):
-            return self._send(fellow.name, HELLO, None)
-        self._ask(fellow, int(span * REPLY), span)
+        if not self.letters.known(member.name):
+            return self._send(member.name, HELLO, None)
+        self._ask(member, int(span * REPLY), span)
 
     def _ask(
-        self, fellow: Member, reply: int, span: int, for_whom: str = "", serial: int = 0
+        self, member: Member, reply: int, span: int, for_whom: str = "", serial: int = 0
     ) -> None:
         self.serial += 1
-        self.asked[self.serial] = Asked(fellow, self.host.now + span, for_whom, serial)
-        self._send(fellow.name, ASK, [self.serial])
+        self.asked[self.serial] = Asked(member, self.host.now + span, for_whom, serial)
+        self._send(member.name, ASK, [self.serial])
         if not for_whom:
-            self.host.wake(reply, self.unanswered, self.serial)
-        self.host.wake(span, self.given_up, self.serial)
+            self.host.call_later(reply, self.unanswered, self.serial)
+        self.host.call_later(span, self.given_up, self.serial)
 
     def unanswered(self, serial: int) -> None:
         """Danger: one bad link is not a dead fellow; others ask for us."""
         asked = self.asked.get(serial)
         if asked is None:
             return
-        for other in self._some(HELPERS, but=asked.fellow):
+        for other in self._some(HELPERS, but=asked.member):
             asked.helpers += 1
-            self._send(other.name, ASK_FOR, [serial, asked.fellow.name])
+            self._send(other.name, ASK_FOR, [serial, asked.member.name])
 
     def given_up(self, serial: int) -> None:
         asked = self.asked.pop(serial, None)
-        if asked is None or asked.fellow.name not in self.fellows:
+        if asked is None or asked.member.name not in self.members:
             return
         if asked.for_whom:
-            if asked.for_whom in self.fellows:
+            if asked.for_whom in self.members:
                 self._send(asked.for_whom, DEAF, [asked.serial])
             return
         # Danger: one that stood still itself hears nothing of what came meanwhile, and would accuse everyone.
@@ -276,23 +276,23 @@
             self.counts["late ourselves"] += 1
             return self._health(1)
         self._health(1 if asked.deaf < asked.helpers else 0)
-        if asked.fellow.state in (ALIVE, UNKNOWN):
-            self._suspected(asked.fellow, self.name, "asked in vain")
+        if asked.member.state in (ALIVE, UNKNOWN):
+            self._suspected(asked.member, self.name, "asked in vain")
 
     def _answered(self, serial: int) -> None:
         asked = self.asked.pop(serial, None)
         if asked is None:
             return
         if asked.for_whom:
-            if asked.for_whom in self.fellows:
+            if asked.for_whom in self.members:
                 self._send(asked.for_whom, ANSWER, [asked.serial])
             return
         self._health(-1)
 
     def _ask_for(self, whom: str, serial: int, name: str) -> None:
-        fellow = self.fellows.get(name)
-        if fellow is not None and self.letters.known(name):
-            self._ask(fellow, 0, int(self.period * (1 - REPLY) * 0.8), whom, serial)
+        member = self.members.get(name)
+        if member is not None and self.letters.known(name):
+            self._ask(member, 0, int(self.period * (1 - REPLY) * 0.8), whom, serial)
 
     # Words.
 
@@ -302,29 +302,29 @@
             raise ValueError("a word that makes no sense")
         if name == self.name:
             return self._of_us(state, start, turn)
-        fellow = self.fellows.get(name)
-        if fellow is None:
+        member = self.members.get(name)
+        if member is None:
             return
-        self.letters.heard_of(name, start)  # may take it up as alive
+        self.letters.on_peer_health(name, start)  # may take it up as alive
         new, old = (
             (start, turn, min(state, GONE)),
-            (fellow.start, fellow.turn, min(fellow.state, GONE)),
+            (member.start, member.turn, min(member.state, GONE)),
         )
-        if fellow.state == UNKNOWN:
+        if member.state == UNKNOWN:
             old = (0, 0, 0)
         if (
             state == SUSPECTED
-            and (start, turn) == (fellow.start, fellow.turn)
-            and fellow.state == SUSPECTED
+            and (start, turn) == (member.start, member.turn)
+            and member.state == SUSPECTED
         ):
-            if accuser and accuser not in fellow.accusers and len(fellow.accusers) <= CONFIRMED:
-                self._suspected(fellow, accuser, "confirmed")
+            if accuser and accuser not in member.accusers and len(member.accusers) <= CONFIRMED:
+                self._suspected(member, accuser, "confirmed")
         elif new > old:
-            fellow.start, fellow.turn = start, turn
+            member.start, member.turn = start, turn
             if state == SUSPECTED:
-                self._suspected(fellow, accuser, f"told by {teller}")
+                self._suspected(member, accuser, f"told by {teller}")
             else:
-                self._becomes(fellow, state, f"told by {teller}")
+                self._becomes(member, state, f"told by {teller}")
 
     def _of_us(self, state: int, start: int, turn: int) -> None:
         """Danger: an accusation that is not answered makes us gone for all."""
@@ -338,23 +338,23 @@
             # Danger: while we were not heard, our word died out; whoever still accuses us never had it.
             self.rumours.tell(self.name, self._our_word())
 
-    def _suspected(self, fellow: Member, accuser: str, why: str) -> None:
-        if fellow.state != SUSPECTED:
-            fellow.accusers, fellow.since = set(), self.host.now
-        fellow.accusers.add(accuser)
-        if fellow.state != SUSPECTED:
-            self._becomes(fellow, SUSPECTED, why, {accuser})
+    def _suspected(self, member: Member, accuser: str, why: str) -> None:
+        if member.state != SUSPECTED:
+            member.accusers, member.since = set(), self.host.now
+        member.accusers.add(accuser)
+        if member.state != SUSPECTED:
+            self._becomes(member, SUSPECTED, why, {accuser})
         else:
-            self.rumours.tell(fellow.name, fellow.word()[:4] + [accuser])
-        fellow.serial += 1
-        left = fellow.since + self._suspicion(len(fellow.accusers) - 1) - self.host.now
-        self.host.wake(max(left, 1), self.suspicion_over, fellow, fellow.serial)
+            self.rumours.tell(member.name, member.word()[:4] + [accuser])
+        member.serial += 1
+        left = member.since + self._suspicion(len(member.accusers) - 1) - self.host.now
+        self.host.call_later(max(left, 1), self.suspicion_over, member, member.serial)
 
     def _suspicion(self, confirmed: int) -> int:
         """How long, in tenths of a millisecond: the more have confirmed it, the shorter."""
-        fellows = len(self.fellows) + 1
-        least = LEAST_SPAN * max(1.0, log10(fellows)) * self.period
-        wanted = min(CONFIRMED, fellows - 2)
+        members = len(self.members) + 1
+        least = LEAST_SPAN * max(1.0, log10(members)) * self.period
+        wanted = min(CONFIRMED, members - 2)
         if wanted < 1:
             return int(least)
         return int(
@@ -364,25 +364,25 @@
             )
         )
 
-    def suspicion_over(self, fellow: Member, serial: int) -> None:
-        if fellow.state == SUSPECTED and fellow.serial == serial:
-            self._becomes(fellow, GONE, f"suspected by {len(fellow.accusers)}")
+    def suspicion_over(self, member: Member, serial: int) -> None:
+        if member.state == SUSPECTED and member.serial == serial:
+            self._becomes(member, GONE, f"suspected by {len(member.accusers)}")
 
-    def _becomes(self, fellow: Member, state: int, why: str, accusers: Any = ()) -> None:
-        before, fellow.state, fellow.since, fellow.why = fellow.state, state, self.host.now, why
+    def _becomes(self, member: Member, state: int, why: str, accusers: Any = ()) -> None:
+        before, member.state, member.since, member.why = member.state, state, self.host.now, why
         self.unknown -= before == UNKNOWN
-        fellow.accusers = {*accusers}
-        self.rumours.tell(fellow.name, fellow.word())
+        member.accusers = {*accusers}
+        self.rumours.tell(member.name, member.word())
         if before != state:
             self.counts[f"became {STATES[state]}"] += 1
-            self.host.changed(fellow, before)
+            self.host.changed(member, before)
 
     def _started(self, name: str, start: int) -> None:
         """Its present start has become known: by itself, or by a word."""
-        fellow = self.fellows[name]
-        if start > fellow.start:
-            fellow.start, fellow.turn = start, 0
-            self._becomes(fellow, ALIVE, "started")
+        member = self.members[name]
+        if start > member.start:
+            member.start, member.turn = start, 0
+            self._becomes(member, ALIVE, "started")
 
     def _outgrown(self, start: int) -> None:
         """They know our name under a later start: a clock was set back, or another process runs under it."""
@@ -394,24 +394,24 @@
     def _our_word(self) -> list[Any]:
         return [self.name, LEFT if self.left else ALIVE, self.letters.start, self.turn, ""]
 
-    def _tell_all(self, fellow: Member) -> None:
+    def _tell_all(self, member: Member) -> None:
         """The whole roll, as datagrams take it. Danger: one that asks again and again would be work without
         end."""
-        if self.host.now < fellow.told_all + ONCE:
+        if self.host.now < member.told_all + ONCE:
             return
-        fellow.told_all = self.host.now
+        member.told_all = self.host.now
         words, size = [], 0
         for word in [
             self._our_word(),
-            *(each.word() for each in self.fellows.values() if each.start),
+            *(each.word() for each in self.members.values() if each.start),
         ]:
             words.append(word)
             size += _size(word)
             if size > ROOM - 60:
-                self._send(fellow.name, TELL, [], words=words)
+                self._send(member.name, TELL, [], words=words)
                 words, size = [], 0
         if words:
-            self._send(fellow.name, TELL, [], words=words)
+            self._send(member.name, TELL, [], words=words)
 
     # Helpers.
 
@@ -420,40 +420,40 @@
             data = self.letters.write(name, sort, body, known_as)
         else:
             if words is None:
-                words, fellow = [], self.fellows[name]
-                if fellow.state in (SUSPECTED, GONE, LEFT):
-                    words.append(fellow.word())  # it must hear what is said of it
+                words, member = [], self.members[name]
+                if member.state in (SUSPECTED, GONE, LEFT):
+                    words.append(member.word())  # it must hear what is said of it
                 if self.left:
                     words.append(self._our_word())
-                words += self.rumours.some(len(self.fellows) + 1, ROOM - 120, _size, name)
+                words += self.rumours.some(len(self.members) + 1, ROOM - 120, _size, name)
             data = self.letters.write(name, sort, [*body, words])
         self.counts["sent"] += 1
-        self.host.post(name, data)
+        self.host.send_datagram(name, data)
 
     def _next(self) -> Member | None:
         """Each once a round, in an order by chance; those that are gone more seldom."""
         for _ in range(2 * SELDOM):
             if not self.round:
-                self.round = self._shuffled([*self.fellows])
+                self.round = self._shuffled([*self.members])
                 if not self.round:
                     return None
-            fellow = self.fellows[self.round.pop()]
-            if fellow.state not in (GONE, LEFT) or not self.host.chance(SELDOM):
-                return fellow
-        return fellow
+            member = self.members[self.round.pop()]
+            if member.state not in (GONE, LEFT) or not self.host.chance(SELDOM):
+                return member
+        return member
 
     def _some(self, many: int, but: Member | None = None, known: bool = True) -> list[Member]:
         """A few, by chance; those known to be alive, or any."""
         names = [
             each.name
-            for each in self.fellows.values()
+            for each in self.members.values()
             if each is not but
             and (not known or each.state == ALIVE and self.letters.known(each.name))
         ]
         found = []
         while names and len(found) < many:
             n = self.host.chance(len(names))
-            found.append(self.fellows[names[n]])
+            found.append(self.members[names[n]])
             names[n] = names[-1]
             names.pop()
         return found
--- a/corkgauge/model/gossip.py
+++ b/corkgauge/model/gossip.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.peer_health.service import REPAIR_EACH, ROOM, TOLD_AT_ONCE
-from corkgauge.peer_health.reports import SILENT, HealthReports
 from corkgauge.peer_health.aggregation import opinion
+from corkgauge.peer_health.reports import SILENT, HealthReports
+from corkgauge.peer_health.service import REPAIR_EACH, ROOM, TOLD_AT_ONCE
 from corkgauge.testkit.seeded_random import SeededRandom
 
 EACH, OCTETS = SECOND // 4, 8_000
@@ -39,9 +39,9 @@
             loss,
         )
         self.sharing, self.now, self.turn = sharing, 0, 0
-        self.halls = {f"n{n}": f"hall-{n % 4}" for n in range(many)}
-        self.nodes = {name: HealthReports(name, 1) for name in self.halls}
-        self.lost = {name: [0] * bad for name in self.halls}
+        self.zones = {f"n{n}": f"hall-{n % 4}" for n in range(many)}
+        self.nodes = {name: HealthReports(name, 1) for name in self.zones}
+        self.lost = {name: [0] * bad for name in self.zones}
         self.knows: dict[
             tuple[str, int], int
         ] = {}  # gateway and engine: since when it leaves that alone
@@ -91,7 +91,7 @@
     def _weigh(self, name: str) -> None:
         for engine in range(self.bad):
             if (name, engine) not in self.knows and opinion(
-                self.nodes[name].of(f"e{engine}"), self.now, 1, name, self.halls, -1
+                self.nodes[name].of(f"e{engine}"), self.now, 1, name, self.zones, -1
             ).doubted:
                 self.knows[name, engine] = self.now
 
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -9,10 +9,10 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from corkgauge.leases.fencing import FencingGuard
 from corkgauge.leases.candidate import HOLDING, LeaseCandidate
-from corkgauge.leases.voter_configuration import VoterConfiguration, Span
+from corkgauge.leases.fencing import FencingGuard
 from corkgauge.leases.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
+from corkgauge.leases.voter_configuration import Span, VoterConfiguration
 from corkgauge.testkit.seeded_random import SeededRandom
 
 LEASE, DRIFT, MARGIN = 10_000, 0.01, 300
@@ -134,8 +134,8 @@
     def send(self, name: str, body: list[Any]) -> None:
         self.world.carry(self, self.world.nodes[int(name[1:])], body)
 
-    def wake(self, delay: int, method: Any, *what: Any) -> None:
-        self.world.later(int(delay / self.rate) + 1, self.woken, self.start, method, what)
+    def call_later(self, delay: int, method: Any, *what: Any) -> None:
+        self.world.call_later(int(delay / self.rate) + 1, self.woken, self.start, method, what)
 
     def woken(self, start: int, method: Any, what: tuple) -> None:
         if start == self.start:
@@ -150,7 +150,7 @@
     def keep(self, record: dict, then: Any, *what: Any) -> None:
         if not self.world.day.disk:
             return then(*what)
-        self.world.later(
+        self.world.call_later(
             20 + self.world.chance.below(200), self.safe, self.start, record, then, what
         )
 
@@ -186,7 +186,7 @@
     def act(self) -> None:
         """Something under the duty, now and then. A stop may come between the look and the act."""
         world = self.world
-        world.later(LEASE // 20, self.act)
+        world.call_later(LEASE // 20, self.act)
         if self.holder.may():
             world.acted(self, self.holder.fence, world.time)
 
@@ -205,14 +205,14 @@
         for number in range(day.nodes):
             self.nodes.append(self.node(number))
         for node in self.nodes:
-            self.later(1 + self.chance.below(LEASE // 20), node.act)
+            self.call_later(1 + self.chance.below(LEASE // 20), node.act)
         for fault in day.faults:
-            self.later(max(fault.at, 1), self.befall, fault)
+            self.call_later(max(fault.at, 1), self.befall, fault)
 
     def node(self, number: int) -> Node:
         return Node(self, number)
 
-    def later(self, delay: int, method: Any, *what: Any) -> None:
+    def call_later(self, delay: int, method: Any, *what: Any) -> None:
         self.serial += 1
         owner = getattr(method, "__self__", None)
         heappush(self.events, (self.time + max(delay, 1), self.serial, owner, method, what))
@@ -244,7 +244,7 @@
         self.acts += 1
         if self.chance.within(0.05):  # stopped between the look and the act
             node.stopped_until = self.time + self.chance.below(3 * LEASE)
-            self.later(node.stopped_until - self.time + 1, self.arrive, fence)
+            self.call_later(node.stopped_until - self.time + 1, self.arrive, fence)
         else:
             self.arrive(fence)
 
@@ -268,13 +268,13 @@
             return
         for _ in range(1 + (sender is not to and self.chance.within(0.02))):  # some come twice
             delay = 1 + self.chance.below(self.day.delay) * (10 if self.chance.within(0.1) else 1)
-            self.later(
+            self.call_later(
                 1 if sender is to else delay, self.arrived, sender, sender.start, to, to.start, body
             )
 
     def arrived(self, sender: Node, start: int, to: Node, known_as: int, body: list[Any]) -> None:
         if sender is to or to.reach["in"] <= self.time:
-            self.later(1, to.heard, sender, start, known_as, body)
+            self.call_later(1, to.heard, sender, start, known_as, body)
 
     # Faults.
 
--- a/corkgauge/model/membership.py
+++ b/corkgauge/model/membership.py
@@ -9,9 +9,9 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from corkgauge.membership.member_list import ALIVE, GONE, MemberList, Member
-from corkgauge.membership.datagrams import Key
 from corkgauge.eventloop.loop import SECOND
+from corkgauge.membership.datagrams import Key
+from corkgauge.membership.member_list import ALIVE, GONE, Member, MemberList
 from corkgauge.testkit.seeded_random import SeededRandom
 
 PERIOD = SECOND // 2
@@ -29,15 +29,15 @@
     def now(self) -> int:
         return self.net.now
 
-    def post(self, name: str, data: bytes) -> None:
+    def send_datagram(self, name: str, data: bytes) -> None:
         self.sent += 1
         self.octets += len(data)
         other = self.net.nodes.get(name)
         if other is not None and not self.net.chance.within(self.net.loss):
-            self.net.later(5 + self.net.chance.below(20), other, other.company.came, data)
+            self.net.call_later(5 + self.net.chance.below(20), other, other.company.came, data)
 
-    def wake(self, delay: int, method: Any, *what: Any) -> None:
-        self.net.later(delay, self, method, *what)
+    def call_later(self, delay: int, method: Any, *what: Any) -> None:
+        self.net.call_later(delay, self, method, *what)
 
     def chance(self, below: int) -> int:
         return self.net.chance.below(below)
@@ -45,8 +45,8 @@
     def log(self, line: str) -> None:
         pass
 
-    def changed(self, fellow: Member, before: int) -> None:
-        self.net.wrong_gone += fellow.state == GONE and self.net.nodes[fellow.name].alive
+    def changed(self, member: Member, before: int) -> None:
+        self.net.wrong_gone += member.state == GONE and self.net.nodes[member.name].alive
 
 
 class Net:
@@ -61,7 +61,7 @@
         for name, _ in self.roll:
             self.nodes[name] = Node(self, name)
 
-    def later(self, delay: int, node: Node, method: Any, *what: Any) -> None:
+    def call_later(self, delay: int, node: Node, method: Any, *what: Any) -> None:
         self.serial += 1
         heappush(self.events, (self.now + max(int(delay), 1), self.serial, node, method, what))
 
--- a/corkgauge/model/model_checker.py
+++ b/corkgauge/model/model_checker.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from corkgauge.leases.candidate import ASKING, HOLDING, PREPARING, PROBING, LeaseCandidate
-from corkgauge.leases.voter_configuration import VoterConfiguration, Span
 from corkgauge.leases.voter import GRANTED, PROBE, PROMISED, RELEASE, VACANT, WOULD, Vote, Voter
+from corkgauge.leases.voter_configuration import Span, VoterConfiguration
 
 LEASE, VOTERS, CANDIDATES = 800, 3, 2
 DUTY = "d"
@@ -49,7 +49,7 @@
                 )
             )
 
-    def wake(self, delay: int, method: Any, *what: Any) -> None:
+    def call_later(self, delay: int, method: Any, *what: Any) -> None:
         self.world.alarms[self.name] = (self.world.now + delay, *what)
 
     def chance(self, below: int) -> int:
--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from corkgauge.leases.candidate import LeaseCandidate
-from corkgauge.model.leases import DRIFT, LEASE, MARGIN, Day, Node, World, drawn
-from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
 from corkgauge.maintenance.plan import ASKED, BACK, DRAINING, GRANTED, OUT, RETURNING, TAKEN, Plan
 from corkgauge.maintenance.plan_proposer import FETCHING, LEADING, PlanProposer
+from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
+from corkgauge.model.leases import DRIFT, LEASE, MARGIN, Day, Node, World, drawn
 
 MOST = 2  # units that may be taken at once
 UNITS = 5
@@ -33,8 +33,8 @@
         if self.start == self.node.start:
             self.node.send(name, ["plan", body])
 
-    def wake(self, delay: int, method: Any, *what: Any) -> None:
-        self.node.wake(delay, method, *what)
+    def call_later(self, delay: int, method: Any, *what: Any) -> None:
+        self.node.call_later(delay, method, *what)
 
     def keep(self, record: Any, then: Any, *what: Any) -> None:
         node = self.node
@@ -42,7 +42,7 @@
             return then(*what)
         # One helper writes one record after the other, as the real one does.
         node.written = max(node.written + 1, node.world.time + 20 + node.world.chance.below(200))
-        node.world.later(
+        node.world.call_later(
             node.written - node.world.time, node.safe_plan, node.start, record, then, what
         )
 
@@ -62,7 +62,7 @@
 
     def forgot(self) -> None:
         """An operator comes, some time later, and tells what is out: he was there."""
-        self.node.wake(LEASE // 2, self.node.told)
+        self.node.call_later(LEASE // 2, self.node.told)
 
     def outbid(self, fence: int) -> None:
         self.node.holder.outbid(fence)
@@ -86,7 +86,7 @@
         if "orders" in off:
             self.keeper.defended = False
         super().begin()
-        self.wake(1 + world.chance.below(TURN), self.turn)
+        self.call_later(1 + world.chance.below(TURN), self.turn)
 
     def safe_plan(self, start: int, record: Any, then: Any, what: tuple) -> None:
         if start == self.start:
@@ -120,7 +120,7 @@
 
     def turn(self) -> None:
         """Whoever leads moves some unit on, as far as the limit lets it."""
-        self.wake(TURN, self.turn)
+        self.call_later(TURN, self.turn)
         scribe, chance = self.scribe, self.world.chance
         if scribe.state != LEADING or not scribe.led or not scribe.host.may(scribe.fence):
             return
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -8,7 +8,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from corkgauge.testkit.seeded_random import SeededRandom
 from corkgauge.maintenance.schedule import (
     DEAD,
     PASSING,
@@ -20,6 +19,7 @@
     Wanted,
     next_out,
 )
+from corkgauge.testkit.seeded_random import SeededRandom
 
 STEP = 10  # seconds
 LASTING, COLD = 600, 20  # of one engine's work; cold, it gives COLD_SHARE of its cores
@@ -36,7 +36,7 @@
     """One engine: away, failed or cold until then, in seconds."""
 
     tag: str
-    hall: str
+    zone: str
     kind: str
     cores: float
     away_until: int = -1
@@ -113,9 +113,9 @@
         waiting = [each for each in self.machines if not each.done and each.away_until < 0]
         away = [each for each in self.machines if each.away_until > now]
         if self.policy == "alone":
-            busy = {each.hall for each in away}
+            busy = {each.zone for each in away}
             return [
-                *{each.hall: each for each in reversed(waiting) if each.hall not in busy}.values()
+                *{each.zone: each for each in reversed(waiting) if each.zone not in busy}.values()
             ]
         if self.policy in ("fixed", "counted"):
             room = max(
@@ -125,14 +125,14 @@
             )
             return waiting[:room]
         engines = {
-            each.tag: EngineFact(each.tag, each.hall, each.kind, None, each.cores, each.state(now))
+            each.tag: EngineFact(each.tag, each.zone, each.kind, None, each.cores, each.state(now))
             for each in self.machines
         }
-        offerings = [
+        request_classes = [
             OfferingFact(name, frozenset(), frozenset(kinds), cores)
             for (name, _, _, kinds), cores in zip(OFFERINGS, demand)
         ]
-        ground = Ground(self.bounds, engines, offerings, {each.tag for each in away})
+        ground = Ground(self.bounds, engines, request_classes, {each.tag for each in away})
         if ground.crowded(ground.out()):
             return []
         wanted = [Wanted(each.tag, (each.tag,), LASTING, place=n) for n, each in enumerate(waiting)]
