--- a/corkgauge/net/acceptor.py
+++ b/corkgauge/net/acceptor.py
@@ -21,13 +21,13 @@
 
     def __init__(
         self,
-        hub: EventLoop,
-        house: Any,
+        event_loop: EventLoop,
+        socket_host: Any,
         where: tuple[str, int],
         bar: Callable[[], bool] = lambda: False,
     ) -> None:
         """Raises OSError where the address cannot be had."""
-        self.hub, self.house, self.bar, self.open = hub, house, bar, True
+        self.event_loop, self.socket_host, self.bar, self.open = event_loop, socket_host, bar, True
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -41,12 +41,17 @@
     def run(self) -> None:
         """The task that lets clients in."""
         while self.open and self.bar():
-            self.hub.sleep(100)
+            self.event_loop.sleep(100)
         while self.open:
-            self.hub.wait(self.sock.fileno(), READ)
+            self.event_loop.wait(self.sock.fileno(), READ)
             for _ in range(AT_ONCE):
-                while self.open and len(self.house.callers) >= self.house.most_callers:
-                    self.hub.sleep(1 if self.house.make_room() else 50)  # more wait at the door
+                while (
+                    self.open
+                    and len(self.socket_host.client_connections) >= self.socket_host.most_callers
+                ):
+                    self.event_loop.sleep(
+                        1 if self.socket_host.make_room() else 50
+                    )  # more wait at the door
                 if not (self.open and self._let_in()):
                     break
 
@@ -56,13 +61,13 @@
             sock, _ = self.sock.accept()
         except OSError as problem:
             if problem.errno in BUSY:
-                self.house.make_room()
-                self.hub.sleep(50)
+                self.socket_host.make_room()
+                self.event_loop.sleep(50)
             return False
         try:
-            self.house.accepted(sock)
+            self.socket_host.accepted(sock)
         except Exception:  # Danger: one bad connection would leave nobody at the door
-            self.hub.troubled()
+            self.event_loop.troubled()
             sock.close()
         return True
 
@@ -78,8 +83,8 @@
             except OSError:
                 break
             found += 1
-            self.house.accepted(sock)
+            self.socket_host.accepted(sock)
         fd = self.sock.fileno()
         self.sock.close()
-        self.hub.wake(fd)
+        self.event_loop.wake(fd)
         return found
--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -19,10 +19,10 @@
     TURNED_OUT,
     WITHDRAWN,
 )
-from corkgauge.policy.records import Request
 from corkgauge.eventloop.connection import NEVER, StreamConnection
 from corkgauge.net import client_protocol as client_wire
 from corkgauge.net.client_protocol import ANSWER, FAILED, REFUSED, ClientProtocol, frame_head
+from corkgauge.policy.records import Request
 
 MOST_OPEN = 32  # submissions on one client connection
 STUCK = 15_000  # that a client may take over one frame, and before its first is whole
@@ -37,7 +37,7 @@
     """A submission's side towards its client: where the answer goes, and what goes on unchanged."""
 
     __slots__ = (
-        "caller",
+        "client_connection",
         "stream",
         "name",
         "label",
@@ -52,14 +52,19 @@
 
     def __init__(
         self,
-        caller: "ClientConnection",
+        client_connection: "ClientConnection",
         stream: int,
         name: str,
         label: str,
         statement: bytes,
         row: Any,
     ) -> None:
-        self.caller, self.stream, self.name, self.label = caller, stream, name, label
+        self.client_connection, self.stream, self.name, self.label = (
+            client_connection,
+            stream,
+            name,
+            label,
+        )
         self.statement, self.size = statement, len(statement) + OVERHEAD
         self.memory, self.priority = 0.0, 1
         self.row = row  # its offering's account
@@ -69,8 +74,8 @@
 class ClientConnection:
     """One client connection."""
 
-    def __init__(self, house: Any, sock: Any) -> None:
-        self.house = house
+    def __init__(self, socket_host: Any, sock: Any) -> None:
+        self.socket_host = socket_host
         self.open: dict[int, Request | None] = {}
         self.waiting = deque[
             tuple[int, int, list[bytes], int, ClientRequest | None]
@@ -81,7 +86,7 @@
         self.faults, self.answered, self.gave_up = 0, 0, 0
         self.fresh: list[Request] = []  # the gateway has not been told yet
         self.link = StreamConnection(
-            house.hub, sock, ClientProtocol(self, house.rings), self, STUCK, True
+            socket_host.event_loop, sock, ClientProtocol(self, socket_host.rings), self, STUCK, True
         )
 
     def requested(self, stream: int, fields: dict[str, str], body: bytes) -> str:
@@ -89,48 +94,51 @@
             len(self.waiting) > 2 * MOST_OPEN
         ):  # Danger: answers for one that does not read fill the memory
             return "answers are not read"
-        return self.house.requested(self, stream, fields, body)
+        return self.socket_host.requested(self, stream, fields, body)
 
     def withdrawn(self, stream: int) -> str:
-        self.house.counters["withdrawn"] += 1
+        self.socket_host.counters["withdrawn"] += 1
         self.gave_up += 1
-        sub, house = self.open.get(stream), self.house
-        if sub is not None and house.now >= sub.taken + sub.life - LAST_MOMENT:
+        request, socket_host = self.open.get(stream), self.socket_host
+        if (
+            request is not None
+            and socket_host.now >= request.accepted_at + request.time_to_deadline - LAST_MOMENT
+        ):
             # Danger: it is its expiry that has come, a little before ours; an answer is still owed. What the gateway
             # has not heard of it never hears of.
-            if sub in self.fresh:
-                sub.over = True
-                house.final(sub, REFUSED, [])
+            if request in self.fresh:
+                request.is_finished = True
+                socket_host.final(request, REFUSED, [])
             else:
-                house.gateway.expiry_near(sub)
+                socket_host.gateway.on_deadline_near(request)
         else:
-            house.left(self.open.pop(stream, None), WITHDRAWN)
+            socket_host.left(self.open.pop(stream, None), WITHDRAWN)
         # Danger: what is asked for by hundreds and taken back at once is work for nobody.
         return "withdrawn too often" if self.gave_up > max(MOST_FAULTS, 2 * self.answered) else ""
 
     def ready_asked(self, stream: int) -> str:
-        self.house.counters["asked ready"] += 1
-        code = 1 if self.house.end == NEVER else 2
+        self.socket_host.counters["asked ready"] += 1
+        code = 1 if self.socket_host.end == NEVER else 2
         sent = self.link.send(frame_head(client_wire.READY, stream, code, 0))
         return "" if sent else "answers are not read"
 
     def unreadable(self, stream: int, why: str) -> str:
         """Nobody can use it: told on its stream. Danger: one that sends nothing else costs all the others."""
-        self.house.counters["unreadable"] += 1
+        self.socket_host.counters["unreadable"] += 1
         if stream:
-            self.house.ledger.unusable()
+            self.socket_host.ledger.unusable()
         self.faults += 1
         self.answer(stream, FAILED, [why.encode()])
         return "" if self.faults <= MOST_FAULTS else "too much that cannot be used"
 
     def parting(self, why: str) -> None:
         """It is turned out. What it has open is given up, so it is answered now; then comes the reason."""
-        self.house.counters["turned out"] += 1
-        for sub in self.fresh:
-            sub.over = True
-            self.house.final(sub, REFUSED, [], TURNED_OUT)
-        for sub in [*self.open.values()]:
-            self.house.gateway.expiry_near(sub)
+        self.socket_host.counters["turned out"] += 1
+        for request in self.fresh:
+            request.is_finished = True
+            self.socket_host.final(request, REFUSED, [], TURNED_OUT)
+        for request in [*self.open.values()]:
+            self.socket_host.gateway.on_deadline_near(request)
         self.answer(0, FAILED, [why.encode()])
 
     def admit(self, patience: int = BURST) -> None:
@@ -139,17 +147,20 @@
         lies there, all of it has a moment."""
         if not self.fresh:
             return
-        now, link = self.house.now, self.link
-        if now < self.fresh[0].taken + patience and not link.why and unread(link.sock):
-            return self.house.hub.later(BURST // 10, self.admit)
+        now, link = self.socket_host.now, self.link
+        if now < self.fresh[0].accepted_at + patience and not link.why and unread(link.sock):
+            return self.socket_host.event_loop.call_later(BURST // 10, self.admit)
         while self.fresh:
-            sub = self.fresh[0]
-            self.house.let_before(sub)
-            if self.fresh and self.fresh[0] is sub:  # else it was told meanwhile, in its turn
+            request = self.fresh[0]
+            self.socket_host.let_before(request)
+            if self.fresh and self.fresh[0] is request:  # else it was told meanwhile, in its turn
                 del self.fresh[0]
-                if not sub.over:
-                    sub.taken, sub.life = now, max(sub.life - (now - sub.taken), 1)
-                    self.house.gateway.submission_taken(sub)
+                if not request.is_finished:
+                    request.accepted_at, request.time_to_deadline = (
+                        now,
+                        max(request.time_to_deadline - (now - request.accepted_at), 1),
+                    )
+                    self.socket_host.gateway.on_request(request)
 
     def there(self) -> bool:
         """Is the client there still, as of this moment? What it has taken back by now is over after this."""
@@ -160,14 +171,18 @@
 
     def depart(self) -> None:
         """The client has gone, with all that it waited for; found once, by whoever looks first."""
-        for sub in [*self.open.values()]:
-            self.house.left(sub, CLIENT_GONE)
+        for request in [*self.open.values()]:
+            self.socket_host.left(request, CLIENT_GONE)
         self.open.clear()
 
     def idle(self) -> bool:
         """Nothing is owed, nothing has come or left for a while, nothing lies unread."""
         link = self.link
-        if self.open or self.waiting or self.house.now < max(link.heard, link.wrote) + SETTLED:
+        if (
+            self.open
+            or self.waiting
+            or self.socket_host.now < max(link.heard, link.wrote) + SETTLED
+        ):
             return False
         return link.parting or not (link.why or len(link.machine.outward) or unread(link.sock))
 
@@ -175,7 +190,9 @@
         """Part of a frame has come, and the rest may be on its way."""
         link = self.link
         return (
-            not link.why and len(link.machine.inward) > 0 and self.house.now < link.heard + SETTLED
+            not link.why
+            and len(link.machine.inward) > 0
+            and self.socket_host.now < link.heard + SETTLED
         )
 
     def answer(
@@ -187,14 +204,14 @@
         order: ClientRequest | None = None,
     ) -> None:
         """`order` is the one whose end this is, until the last byte of it has left."""
-        house = self.house
+        socket_host = self.socket_host
         self.answered += 1
         if self.link.why:
             self._gone(order)
         elif self.waiting or not self._put(stream, code, body, order):
             # Danger: clients that do not read would fill the memory with results; they get a short answer.
-            if not house.results.take(sum(map(len, body))):
-                house.counters["results dropped"] += 1
+            if not socket_host.results.take(sum(map(len, body))):
+                socket_host.counters["results dropped"] += 1
                 code, body = self._not_read(order)
             self.waiting.append((stream, code, body, until, order))
 
@@ -214,14 +231,14 @@
         """Its answer goes nowhere any more."""
         if order is not None:
             order.reason = reason
-            self.house.answer_over(order)
+            self.socket_host.answer_over(order)
 
     def drained(self) -> None:
         """Room again. Danger: what waited past its expiry must not leave as served."""
         self._written()
         while self.waiting:
             stream, code, body, until, order = self.waiting[0]
-            if self.house.now >= until:
+            if self.socket_host.now >= until:
                 code, body = self._not_read(order)
             if not self._put(stream, code, body, order):
                 return
@@ -229,16 +246,16 @@
 
     def _written(self) -> None:
         while self.unwritten and self.unwritten[0][0] <= self.link.sent:
-            self.house.answer_over(self.unwritten.popleft()[1])
+            self.socket_host.answer_over(self.unwritten.popleft()[1])
 
     def _drop(self) -> None:
-        self.house.results.give(sum(map(len, self.waiting.popleft()[2])))
+        self.socket_host.results.give(sum(map(len, self.waiting.popleft()[2])))
 
     def ended(self, why: str) -> None:
-        self.house.callers.pop(self, None)
-        self.house.ledger.connection_over(CLIENT, self.link.got, self.link.sent)
-        if self.house.flows is not None:
-            self.house.flows.over(self.link)
+        self.socket_host.client_connections.pop(self, None)
+        self.socket_host.ledger.connection_over(CLIENT, self.link.got, self.link.sent)
+        if self.socket_host.flows is not None:
+            self.socket_host.flows.over(self.link)
         self._written()
         while self.unwritten:
             self._gone(self.unwritten.popleft()[1], CUT_OFF)
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -5,8 +5,8 @@
 
 from typing import Any
 
-from corkgauge.eventloop.loop import SECOND
 from corkgauge.eventloop.connection import StreamConnection, dial
+from corkgauge.eventloop.loop import SECOND
 from corkgauge.net import discovery_protocol as feed_wire
 
 LEAST_PAUSE, MOST_PAUSE = (
@@ -20,35 +20,35 @@
 class DiscoveryWatch:
     """Keeps the control feed at one address connected, until it is left for another."""
 
-    def __init__(self, house: Any, where: tuple[str, int]) -> None:
-        self.house, self.where, self.link = house, where, None
+    def __init__(self, socket_host: Any, where: tuple[str, int]) -> None:
+        self.socket_host, self.where, self.link = socket_host, where, None
         self.pause, self.lost, self.left = 0, False, False
 
     def run(self) -> None:
-        hub = self.house.hub
-        while not (hub.stopped or self.left):
-            begun = hub.now
-            sock, why = dial(hub, self.where, SECOND)
+        event_loop = self.socket_host.event_loop
+        while not (event_loop.stopped or self.left):
+            begun = event_loop.now
+            sock, why = dial(event_loop, self.where, SECOND)
             if self.left:
                 if sock is not None:
                     sock.close()
                 return
             if sock is not None:
-                machine = feed_wire.DiscoveryProtocol(self, self.house.lines)
-                self.link = StreamConnection(hub, sock, machine, self)
-                self.link.send(feed_wire.request("%s:%d" % self.where, self.house.last_event))
+                machine = feed_wire.DiscoveryProtocol(self, self.socket_host.lines)
+                self.link = StreamConnection(event_loop, sock, machine, self)
+                self.link.send(feed_wire.request("%s:%d" % self.where, self.socket_host.last_event))
                 self.watch(self.link)
                 self.link.run()
                 why = self.link.why
             if not (self.lost or self.left):
                 self.lost = True
-                self.house.log(f"feed lost: {why}")
+                self.socket_host.log(f"feed lost: {why}")
             # Danger: what it tells holds soon after a break, heard or not. So the first try is at once, and
             # only those that end at once again wait, each longer.
-            if hub.now - begun > SECOND:
+            if event_loop.now - begun > SECOND:
                 self.pause = 0
             if self.pause and not self.left:
-                hub.sleep(self.pause)
+                event_loop.sleep(self.pause)
             self.pause = min(max(2 * self.pause, LEAST_PAUSE), MOST_PAUSE)
 
     def leave(self) -> None:
@@ -61,21 +61,21 @@
         self.pause = 0
         if self.lost:
             self.lost = False
-            self.house.log(f"feed back at {self.house.last_event}")
-        return self.house.event(number, data)
+            self.socket_host.log(f"feed back at {self.socket_host.last_event}")
+        return self.socket_host.event(number, data)
 
     def watch(self, link: StreamConnection, whole: int = -1, since: int = 0) -> None:
         """Danger: a feed that stops keeps its connection open. A comment comes each second; without any sign
         for half a second more it is dead. One that drips, or never says how it answers, gives signs and no line."""
         if link is self.link and not link.why:
-            now = self.house.now
+            now = self.socket_host.now
             if link.machine.whole != whole:
                 whole, since = link.machine.whole, now
             if now - link.heard > FEED_SILENT or now - since > FEED_STUCK:
                 return link.end(
                     "silent" if now - link.heard > FEED_SILENT else "a line that does not end"
                 )
-            self.house.hub.later(FEED_SILENT // 8, self.watch, link, whole, since)
+            self.socket_host.event_loop.call_later(FEED_SILENT // 8, self.watch, link, whole, since)
 
     def drained(self) -> None:
         pass
--- a/corkgauge/net/edge_counters.py
+++ b/corkgauge/net/edge_counters.py
@@ -10,7 +10,7 @@
 class EdgeCounters(Counter):
     """Counts by name.
 
-    >>> counts = Counters(); counts["taken"] += 2; counts["answered served"] += 1; print(counts.line())
+    >>> counts = EdgeCounters(); counts["taken"] += 2; counts["answered served"] += 1; print(counts.line())
     answered_served=1 taken=2
     >>> print(counts.line({"open": 1}))
     answered_served=1 open=1 taken=2
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -10,38 +10,34 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
 from corkgauge.accounting.auditor import LedgerAuditor
+from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of, sort_of
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of, sort_of
-from corkgauge.policy.records import (
-    CALLED_OFF,
-    DRAINING,
-    GONE,
-    HONOURED,
-    LABELLED,
-    MOOT,
-    READY,
-    Engine,
-    Attempt,
-    Request,
-)
+from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
+from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget
-from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.client_connection import ClientRequest
+from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.edge_counters import EdgeCounters
-from corkgauge.net.engine_protocol import MOST_PAGE, page
 from corkgauge.net.engine_connection import (
     ENDS,
     EngineConnection,
-    InFlightAttempt,
     EnginePool,
+    InFlightAttempt,
     outcome_of,
 )
+from corkgauge.net.engine_protocol import MOST_PAGE, page
 from corkgauge.net.live_records import LiveRecords
-from corkgauge.config.settings import Settings
+from corkgauge.policy.records import (
+    Attempt,
+    AttemptOutcome,
+    Engine,
+    EngineState,
+    Repeatability,
+    Request,
+)
 
 MOST_RESULT = 48_000  # bytes of one result
 MOST_PAGES = 64
@@ -49,7 +45,11 @@
 UNTOLD = 3  # times that an engine should have told of a hand-off, until that counts as lost
 LEAST_ROOM = 4 * 2**20
 AUDIT_EACH, AUDIT_PAUSE = SECOND, 20  # between two passes over the books; between two slices of one
-STATES = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}
+STATES = {
+    "SERVING": EngineState.READY,
+    "DRAINING": EngineState.DRAINING,
+    "DELETED": EngineState.GONE,
+}
 NOTES = {"advance": 1, "disk": 2, "stall": 3}
 
 
@@ -58,14 +58,14 @@
 
     now = lag = 0
 
-    def wake(self, *_: Any) -> None:
+    def call_later(self, *_: Any) -> None:
         pass
 
 
-def stated_of(post: PlatformConfig, host: Any) -> Settings:
+def stated_of(platform_config: PlatformConfig, host: Any) -> Settings:
     """What a configuration states, or the fault in it."""
     try:
-        return Settings(post.settings, host, post.seed, post.name)
+        return Settings(platform_config.settings, host, platform_config.seed, platform_config.name)
     except (ValueError, TypeError, AttributeError, KeyError) as problem:
         raise ConfigurationError(f"settings: {problem}") from None
 
@@ -74,19 +74,23 @@
     """The host protocol on sockets."""
 
     def __init__(
-        self, hub: EventLoop, post: PlatformConfig, log: Callable[[str], None], held: int = 0
+        self,
+        event_loop: EventLoop,
+        platform_config: PlatformConfig,
+        log: Callable[[str], None],
+        held: int = 0,
     ) -> None:
-        self.hub, self.log, self.counters = hub, log, EdgeCounters()
+        self.event_loop, self.log, self.counters = event_loop, log, EdgeCounters()
         # Danger: with little memory the program itself holds most of it. Half of what it had left at its
         # start may be held for others: the clients' rings, the engines', and so on. The rest is for records.
-        room = max(post.memory - held, LEAST_ROOM) // 2
+        room = max(platform_config.memory - held, LEAST_ROOM) // 2
         self.rings, self.lines, self.results, self.statements = (
             MemoryBudget(room // 4) for _ in range(4)
         )
         # A half is the clients' at most, a third goes to engines, and the rest stays free for the feed and what is new.
-        self.links_most, self.dials = post.sockets // 3, 0  # dials under way
+        self.links_most, self.dials = platform_config.sockets // 3, 0  # dials under way
         self.names: dict[str, Request] = {}  # of what is open
-        self.stations: dict[str, EnginePool] = {}
+        self.engine_pools: dict[str, EnginePool] = {}
         # So that no request, timer or change of the list costs what the whole list does: links that are up; stations
         # that drain or are gone; those where something waits for a link; those that lack a link ahead.
         self.links: dict[EngineConnection, None] = {}
@@ -96,23 +100,25 @@
             dict[EnginePool, None](),
         )
         self.named = 0  # stations, so far
-        self.errands: dict[Attempt, InFlightAttempt] = {}
+        self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
         self.page_line: deque[InFlightAttempt] = deque()
         self.ended: deque[Request] = deque()
-        self.stated = stated_of(post, self)
-        if post.settings.get("myNumber") is None and self.stated.gateway.gateways > 1:
+        self.settings = stated_of(platform_config, self)
+        if platform_config.settings.get("myNumber") is None and self.settings.gateway.gateways > 1:
             log(
-                f"myNumber is not told: {self.stated.gateway.number}, from the name; sets of engines are less even"
+                f"myNumber is not told: {self.settings.gateway.number}, from the name; sets of engines are less even"
             )
-        self.gateway = self.stated.gateway
-        self.most_memory = max(self.stated.sizes, default=1e6)
-        self.patience = UNTOLD * self.stated.tells
-        self.offerings = {each.name: each for each in self.stated.offerings}
-        self.findings = Discrepancies(lambda: hub.now, log)
+        self.gateway = self.settings.gateway
+        self.most_memory = max(self.settings.sizes, default=1e6)
+        self.patience = UNTOLD * self.settings.tells
+        self.request_classes = {each.name: each for each in self.settings.request_classes}
+        self.findings = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
-            self.offerings, lambda: hub.now, self.stated.budget, self.miscounted
+            self.request_classes, lambda: event_loop.now, self.settings.budget, self.miscounted
         )
-        self.rows = {each: self.ledger.offerings[each.name] for each in self.stated.offerings}
+        self.rows = {
+            each: self.ledger.request_classes[each.name] for each in self.settings.request_classes
+        }
         self.answering: dict[
             ClientRequest, None
         ] = {}  # have their end, and their answer has not left whole
@@ -127,20 +133,24 @@
         ] = {}  # called off, and the gateway has yet to hear of it
         self.records = LiveRecords(self)
         self.auditor = LedgerAuditor(self.ledger, self.records, self.findings)
-        self.tenants = {name: n for n, name in enumerate(self.stated.tenants)}
-        self.last_event = post.known
-        for event in post.events:
+        self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
+        self.last_event = platform_config.known
+        for event in platform_config.events:
             if wrong := self.listed(event):
                 self.log(f"known: {wrong}")
 
-    def close(self, station: "EnginePool") -> None:
+    def close(self, engine_pool: "EnginePool") -> None:
         """Forget an engine that is gone, once nothing is left of it; its id may by then be another's."""
-        tag = station.engine.tag
-        if station.engine.state == GONE and not station.links and self.stations.get(tag) is station:
-            del self.stations[tag]
+        tag = engine_pool.engine.host_reference
+        if (
+            engine_pool.engine.state == EngineState.GONE
+            and not engine_pool.links
+            and self.engine_pools.get(tag) is engine_pool
+        ):
+            del self.engine_pools[tag]
             for kept in self.closing, self.awaited, self.short:
-                kept.pop(station, None)
-            self.ledger.engine_gone(station.row)
+                kept.pop(engine_pool, None)
+            self.ledger.engine_gone(engine_pool.row)
             if self.waits is not None:
                 self.waits.engine_gone(tag, DEPARTED_ROW)
 
@@ -160,7 +170,11 @@
             self.counters["links gave way"] += 1
             min(
                 idle,
-                key=lambda each: (each.station.engine.near, each.link.wrote, each.station.number),
+                key=lambda each: (
+                    each.engine_pool.engine.in_subset,
+                    each.link.wrote,
+                    each.engine_pool.number,
+                ),
             ).link.end("room for others")
         return False
 
@@ -172,85 +186,99 @@
 
     @property
     def now(self) -> int:
-        return self.hub.now
+        return self.event_loop.now
 
     @property
     def lag(self) -> int:
-        return self.hub.lag
-
-    def hand_off(self, handoff: Attempt, allow: int) -> None:
-        station = self.stations[handoff.engine.tag]
-        errand = self.errands[handoff] = InFlightAttempt(handoff, self.now + allow, station)
-        others = any(each.out for each in handoff.submission.handoffs[:-1])
-        self.ledger.handed_off(errand, sort_of(handoff.number, others))
-        offering = handoff.submission.offering
-        if self.recall is not None and (offering.repeat == LABELLED or offering.ordered):
-            errand.effect = self.recall.sending(handoff, errand.order.label)
-        if self.waits is not None and not handoff.number:
+        return self.event_loop.lag
+
+    def send_attempt(self, attempt: Attempt, allow: int) -> None:
+        engine_pool = self.engine_pools[attempt.engine.host_reference]
+        in_flight_attempt = self.in_flight_attempts[attempt] = InFlightAttempt(
+            attempt, self.now + allow, engine_pool
+        )
+        others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
+        self.ledger.handed_off(in_flight_attempt, sort_of(attempt.number, others))
+        request_class = attempt.request.request_class
+        if self.recall is not None and (
+            request_class.repeatability == Repeatability.KEYED or request_class.ordered
+        ):
+            in_flight_attempt.effect = self.recall.sending(attempt, in_flight_attempt.order.label)
+        if self.waits is not None and not attempt.number:
             self.waits.handed_off(
-                handoff.submission.offering.name, self.now - handoff.submission.taken
+                attempt.request.request_class.name, self.now - attempt.request.accepted_at
             )
-        self.hub.later(allow, self.too_late, errand)
-        station.line_up(errand)
-        if self.stated.dial_time < allow:
-            self.hub.later(self.stated.dial_time, self.waited, errand)
-
-    def set_terms(self, submission: Request, memory: float, priority: int) -> None:
-        order = submission.tag
-        if priority != order.priority and self.stated.priorities:
-            for handoff in submission.handoffs:
-                errand = self.errands.get(handoff)
-                if errand and errand.link and not errand.answered:
-                    errand.link.say("renice", order.name, str(priority))
+        self.event_loop.call_later(allow, self.too_late, in_flight_attempt)
+        engine_pool.line_up(in_flight_attempt)
+        if self.settings.dial_time < allow:
+            self.event_loop.call_later(self.settings.dial_time, self.waited, in_flight_attempt)
+
+    def set_resources(self, request: Request, memory: float, priority: int) -> None:
+        order = request.host_reference
+        if priority != order.priority and self.settings.priorities:
+            for attempt in request.attempts:
+                in_flight_attempt = self.in_flight_attempts.get(attempt)
+                if in_flight_attempt and in_flight_attempt.link and not in_flight_attempt.answered:
+                    in_flight_attempt.link.say("renice", order.name, str(priority))
         order.memory, order.priority = memory, priority
 
-    def dismiss(self, submission: Request, come_back: int) -> None:
-        self.final(submission, REFUSED, [])
+    def reject(self, request: Request, retry_after: int) -> None:
+        self.final(request, REFUSED, [])
 
-    def scrap(self, submission: Request) -> None:
-        self.final(submission, FAILED, [])
+    def fail(self, request: Request) -> None:
+        self.final(request, FAILED, [])
 
-    def call_off(self, handoff: Attempt) -> None:
-        errand = self.errands.get(handoff)
-        if errand is None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        in_flight_attempt = self.in_flight_attempts.get(attempt)
+        if in_flight_attempt is None:
             return
-        if errand.link is None:
-            errand.station.waiting.remove(errand)
+        if in_flight_attempt.link is None:
+            in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
         else:
-            errand.link.say("abort", errand.order.name)
-            errand.link.forget(errand)
-        self.called[handoff] = self.errands.pop(handoff)
-        self.hub.later(0, self.over, errand, CALLED_OFF if errand.link else MOOT)
+            in_flight_attempt.link.say("abort", in_flight_attempt.order.name)
+            in_flight_attempt.link.forget(in_flight_attempt)
+        self.called[attempt] = self.in_flight_attempts.pop(attempt)
+        self.event_loop.call_later(
+            0,
+            self.over,
+            in_flight_attempt,
+            AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED,
+        )
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.hub.later(delay, method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        self.event_loop.call_later(delay, method, *what)
 
-    def barred(self, errand: InFlightAttempt) -> str:
+    def barred(self, in_flight_attempt: InFlightAttempt) -> str:
         """The one last look directly before an attempt's first byte: why it must not begin, if so. Danger: between its
         decision and its writing there may be a dial, or a long turn; its client may have gone or taken it back, its
         engine be told to drain or have started anew, its time or its window for repeats be over."""
-        self.hub.tick()
-        if not errand.handoff.submission.over:
-            errand.order.caller.there()
-        if errand.handoff not in self.errands or self.now >= errand.until:
+        self.event_loop.tick()
+        if not in_flight_attempt.attempt.request.is_finished:
+            in_flight_attempt.order.client_connection.there()
+        if (
+            in_flight_attempt.attempt not in self.in_flight_attempts
+            or self.now >= in_flight_attempt.until
+        ):
             return "late"
-        return "" if self.gateway.may_begin(errand.handoff) else "withdrawn"
+        return "" if self.gateway.may_start_attempt(in_flight_attempt.attempt) else "withdrawn"
 
     # Clients.
 
-    def final(self, submission: Request, code: int, body: list[bytes], reason: int = -1) -> None:
-        order = submission.tag
-        if order.caller.open.pop(order.stream, None) is not None:
+    def final(self, request: Request, code: int, body: list[bytes], reason: int = -1) -> None:
+        order = request.host_reference
+        if order.client_connection.open.pop(order.stream, None) is not None:
             self.statements.give(order.size)
             self.names.pop(order.name, None)
-            self.ended.append(submission)
+            self.ended.append(request)
             if reason < 0:
-                reason = reason_of(code, submission, self.now, self.gateway.margin)
+                reason = reason_of(code, request, self.now, self.gateway.margin)
             order.reason = reason
             if self.waits is not None:
-                self.waits.answered(submission.offering.name, self.now - submission.taken)
+                self.waits.answered(request.request_class.name, self.now - request.accepted_at)
             self.answering[order] = None
-            order.caller.answer(order.stream, code, body, submission.taken + submission.life, order)
+            order.client_connection.answer(
+                order.stream, code, body, request.accepted_at + request.time_to_deadline, order
+            )
 
     def answer_over(self, order: ClientRequest) -> None:
         """The last byte of its answer has left, or never will."""
@@ -261,34 +289,34 @@
         """Danger: a full collection of garbage stops all for over 100 ms. So there is none: what points to
         each other is taken apart by hand, here, where no call of the gateway's is under way."""
         while self.ended:
-            sub = self.ended.popleft()
-            if not any(handoff.out for handoff in sub.handoffs):
-                for handoff in sub.handoffs:
-                    handoff.submission = None
-                sub.tag.statement = b""
+            request = self.ended.popleft()
+            if not any(attempt.is_in_flight for attempt in request.attempts):
+                for attempt in request.attempts:
+                    attempt.request = None
+                request.host_reference.statement = b""
 
-    def left(self, submission: Request | None, reason: int) -> None:
+    def left(self, request: Request | None, reason: int) -> None:
         """Its client waits no longer."""
-        if submission is not None:
-            self.ledger.closed(submission.tag, reason)
-            self.statements.give(submission.tag.size)
-            self.names.pop(submission.tag.name, None)
-            if submission in submission.tag.caller.fresh:
-                submission.over = True  # the gateway never hears of it
+        if request is not None:
+            self.ledger.closed(request.host_reference, reason)
+            self.statements.give(request.host_reference.size)
+            self.names.pop(request.host_reference.name, None)
+            if request in request.host_reference.client_connection.fresh:
+                request.is_finished = True  # the gateway never hears of it
             else:
-                self.gateway.submission_left(submission)
-                for handoff in submission.handoffs:  # what waits for a link never begins
-                    errand = self.errands.get(handoff)
-                    if errand is not None and errand.link is None:
-                        errand.station.waiting.remove(errand)
-                        self.failed(errand, "withdrawn")
-            self.ended.append(submission)
+                self.gateway.on_client_left(request)
+                for attempt in request.attempts:  # what waits for a link never begins
+                    in_flight_attempt = self.in_flight_attempts.get(attempt)
+                    if in_flight_attempt is not None and in_flight_attempt.link is None:
+                        in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
+                        self.failed(in_flight_attempt, "withdrawn")
+            self.ended.append(request)
 
     # Figures.
 
     def audit(self) -> None:
         """The next slice of a pass; a new pass each second."""
-        self.hub.later(AUDIT_EACH if self.auditor.step() else AUDIT_PAUSE, self.audit)
+        self.event_loop.call_later(AUDIT_EACH if self.auditor.step() else AUDIT_PAUSE, self.audit)
 
     def miscounted(self, kind: str, row: Any, serial: int) -> None:
         """A count that was wrong as it was entered."""
@@ -299,16 +327,16 @@
     # Hand-offs.
 
     def answered(
-        self, errand: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
+        self, in_flight_attempt: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
     ) -> str:
         """An engine's answer; what is wrong with it."""
-        handoff = errand.handoff
-        errand.told = self.now
+        attempt = in_flight_attempt.attempt
+        in_flight_attempt.told = self.now
         if word == "TELL":
             sort, value = NOTES.get(fields.get("n", ""), 0), amount(fields.get("amount", "0"))
-            self.gateway.handoff_progress(handoff, sort, float(value or 0))
+            self.gateway.on_attempt_progress(attempt, sort, float(value or 0))
             return ""
-        errand.load = inflight_of(fields.get("l", ""), errand.load)
+        in_flight_attempt.load = inflight_of(fields.get("l", ""), in_flight_attempt.load)
         if word == "DONE":
             pages, spent, need = (
                 amount(fields.get(name, "0")) for name in ("chunks", "spent", "wanted")
@@ -321,148 +349,160 @@
                 or need is None
             ):
                 return f"a result of {fields.get('chunks')!r} pages"
-            if errand.answered:
+            if in_flight_attempt.answered:
                 return (
                     ""
-                    if [body, int(pages)] == [errand.pages[0], len(errand.pages)]
+                    if [body, int(pages)]
+                    == [in_flight_attempt.pages[0], len(in_flight_attempt.pages)]
                     else "two results"
                 )
             # Danger: the request ran, but what came is spoilt: nothing of it may pass for an answer.
             if not page(body):
                 return "a page that is spoilt"
-            errand.answered = True
-            errand.link.page()
-            errand.spent, errand.need = int(spent * 10), need
-            errand.pages = [body, *[None] * (int(pages) - 1)]
-            if handoff.submission.over or len(errand.pages) == 1:
-                return self.whole(errand)
-            self.page_line.append(errand)
+            in_flight_attempt.answered = True
+            in_flight_attempt.link.page()
+            in_flight_attempt.spent, in_flight_attempt.need = int(spent * 10), need
+            in_flight_attempt.pages = [body, *[None] * (int(pages) - 1)]
+            if attempt.request.is_finished or len(in_flight_attempt.pages) == 1:
+                return self.whole(in_flight_attempt)
+            self.page_line.append(in_flight_attempt)
             self.ask_pages()
             return ""
         if word == "MORE":
             at = fields.get("at", "")
             n = int(at) if at.isdecimal() and len(at) < 4 else 0
             if (
-                not errand.answered
-                or not 0 < n < len(errand.pages)
+                not in_flight_attempt.answered
+                or not 0 < n < len(in_flight_attempt.pages)
                 or not page(body)
-                or (errand.pages[n] not in (None, body))
+                or (in_flight_attempt.pages[n] not in (None, body))
             ):
                 return f"a page {at[:8]!r} out of turn or spoilt"
-            if errand.pages[n] is None:
-                errand.link.page()
-            errand.pages[n] = body
-            return "" if None in errand.pages else self.whole(errand)
+            if in_flight_attempt.pages[n] is None:
+                in_flight_attempt.link.page()
+            in_flight_attempt.pages[n] = body
+            return "" if None in in_flight_attempt.pages else self.whole(in_flight_attempt)
         outcome = ENDS.get(word)
-        if outcome is None or (errand.answered and word != "BROKE"):
+        if outcome is None or (in_flight_attempt.answered and word != "BROKE"):
             return f"an answer {word[:8]!r}"
-        errand.link.forget(errand)
-        self.done(errand, outcome)
+        in_flight_attempt.link.forget(in_flight_attempt)
+        self.done(in_flight_attempt, outcome)
         return ""
 
     def ask_pages(self) -> None:
         """All pages of a result at once, as far as memory for results lets them come."""
         while self.page_line:
-            errand = self.page_line[0]
-            if errand.handoff in self.errands:
-                size = MOST_PAGE * len(errand.pages)
+            in_flight_attempt = self.page_line[0]
+            if in_flight_attempt.attempt in self.in_flight_attempts:
+                size = MOST_PAGE * len(in_flight_attempt.pages)
                 if not self.results.take(size):
                     return
-                errand.asked = size
-                for n in range(1, len(errand.pages)):
-                    errand.link.say("more", errand.order.name, str(n))
-                self.hub.later(PAGE_TIME, self.pages_late, errand, 1, self.now)
+                in_flight_attempt.asked = size
+                for n in range(1, len(in_flight_attempt.pages)):
+                    in_flight_attempt.link.say("more", in_flight_attempt.order.name, str(n))
+                self.event_loop.call_later(
+                    PAGE_TIME, self.pages_late, in_flight_attempt, 1, self.now
+                )
             self.page_line.popleft()
 
-    def untold(self, errand: InFlightAttempt, link: EngineConnection) -> None:
+    def untold(self, in_flight_attempt: InFlightAttempt, link: EngineConnection) -> None:
         """Danger: an answer that never comes holds its submission, its slot and a line until the expiry. An
         engine tells regularly of all that runs; what it tells no more of, while its link is lively, is over.
         """
-        if errand.handoff in self.errands and errand.link is link and not errand.answered:
-            since = self.now - max(errand.told, link.lively)
+        if (
+            in_flight_attempt.attempt in self.in_flight_attempts
+            and in_flight_attempt.link is link
+            and not in_flight_attempt.answered
+        ):
+            since = self.now - max(in_flight_attempt.told, link.lively)
             if since < self.patience or link.spoke < self.now - SECOND // 2:
-                return self.hub.later(
-                    max(self.patience - since, SECOND // 10), self.untold, errand, link
+                return self.event_loop.call_later(
+                    max(self.patience - since, SECOND // 10), self.untold, in_flight_attempt, link
                 )
             self.counters["untold"] += 1
-            link.let_go(errand)
-            self.failed(errand, "broken")
+            link.let_go(in_flight_attempt)
+            self.failed(in_flight_attempt, "broken")
 
-    def pages_late(self, errand: InFlightAttempt, had: int, since: int) -> None:
+    def pages_late(self, in_flight_attempt: InFlightAttempt, had: int, since: int) -> None:
         """Danger: a page that never comes would hold its submission until the expiry. What else is open on
         that link may be well, so only this hand-off is given up, and only where its engine spoke since."""
-        if errand.handoff in self.errands:
-            have = len(errand.pages) - errand.pages.count(None)
-            if have > had or errand.link.spoke < since + PAGE_TIME // 2:
+        if in_flight_attempt.attempt in self.in_flight_attempts:
+            have = len(in_flight_attempt.pages) - in_flight_attempt.pages.count(None)
+            if have > had or in_flight_attempt.link.spoke < since + PAGE_TIME // 2:
                 since = self.now if have > had else since
-                return self.hub.later(PAGE_TIME, self.pages_late, errand, have, since)
+                return self.event_loop.call_later(
+                    PAGE_TIME, self.pages_late, in_flight_attempt, have, since
+                )
             self.counters["pages late"] += 1
-            errand.link.let_go(errand)
-            self.failed(errand, "broken")
+            in_flight_attempt.link.let_go(in_flight_attempt)
+            self.failed(in_flight_attempt, "broken")
 
-    def whole(self, errand: InFlightAttempt) -> str:
+    def whole(self, in_flight_attempt: InFlightAttempt) -> str:
         """All pages are here, or nobody wants them."""
-        sub = errand.handoff.submission
-        if sum(len(each or b"") for each in errand.pages) > MOST_RESULT:
+        request = in_flight_attempt.attempt.request
+        if sum(len(each or b"") for each in in_flight_attempt.pages) > MOST_RESULT:
             return "a result that is too long"
-        errand.link.let_go(errand)
-        if not sub.over:
-            self.final(sub, SERVED, errand.pages)
-        self.done(errand, HONOURED)
+        in_flight_attempt.link.let_go(in_flight_attempt)
+        if not request.is_finished:
+            self.final(request, SERVED, in_flight_attempt.pages)
+        self.done(in_flight_attempt, AttemptOutcome.SUCCEEDED)
         return ""
 
-    def done(self, errand: InFlightAttempt, outcome: int) -> None:
-        self.errands.pop(errand.handoff, None)
-        self.over(errand, outcome)
-
-    def over(self, errand: InFlightAttempt, outcome: int) -> None:
-        handoff = errand.handoff
-        if errand.asked:
-            self.results.give(errand.asked)
-            errand.asked = 0
-        errand.pages = []
-        bills = self.stated.bills and outcome == HONOURED
-        self.called.pop(handoff, None)
-        if self.waits is not None and outcome == HONOURED:
-            self.waits.honoured(errand.engine_row.name, self.now - handoff.sent)
-        self.ledger.handoff_over(errand, outcome)
-        if errand.effect:
-            self.recall.over(errand.effect, outcome)
+    def done(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        self.in_flight_attempts.pop(in_flight_attempt.attempt, None)
+        self.over(in_flight_attempt, outcome)
+
+    def over(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        attempt = in_flight_attempt.attempt
+        if in_flight_attempt.asked:
+            self.results.give(in_flight_attempt.asked)
+            in_flight_attempt.asked = 0
+        in_flight_attempt.pages = []
+        bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
+        self.called.pop(attempt, None)
+        if self.waits is not None and outcome == AttemptOutcome.SUCCEEDED:
+            self.waits.honoured(in_flight_attempt.engine_row.name, self.now - attempt.sent_at)
+        self.ledger.on_attempt_finished(in_flight_attempt, outcome)
+        if in_flight_attempt.effect:
+            self.recall.over(in_flight_attempt.effect, outcome)
         if self.works is not None:
-            self.works.over(errand.engine_row.name, outcome)
-        self.gateway.handoff_over(
-            handoff,
+            self.works.over(in_flight_attempt.engine_row.name, outcome)
+        self.gateway.on_attempt_finished(
+            attempt,
             outcome,
-            self.now - handoff.sent,
-            handoff.submission.over or outcome == HONOURED,
-            errand.spent if bills else 0,
-            errand.need if bills else 0.0,
-            errand.load,
+            self.now - attempt.sent_at,
+            attempt.request.is_finished or outcome == AttemptOutcome.SUCCEEDED,
+            in_flight_attempt.spent if bills else 0,
+            in_flight_attempt.need if bills else 0.0,
+            in_flight_attempt.load,
         )
-        if handoff.submission.over:
-            self.ended.append(handoff.submission)
+        if attempt.request.is_finished:
+            self.ended.append(attempt.request)
         self.forget()
         self.ask_pages()
 
-    def failed(self, errand: InFlightAttempt, why: str) -> None:
+    def failed(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
         """The attempt ends for its connection's sake."""
-        if errand.handoff in self.errands:
-            self.done(errand, outcome_of(errand.stage(), why))
+        if in_flight_attempt.attempt in self.in_flight_attempts:
+            self.done(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
 
-    def waited(self, errand: InFlightAttempt) -> None:
+    def waited(self, in_flight_attempt: InFlightAttempt) -> None:
         """No connection, or no room on one, in the time that settings give for it."""
-        if errand.handoff in self.errands and errand.link is None:
-            errand.station.waiting.remove(errand)
-            self.failed(errand, "withdrawn" if errand.station.wanting else "unreached")
+        if in_flight_attempt.attempt in self.in_flight_attempts and in_flight_attempt.link is None:
+            in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
+            self.failed(
+                in_flight_attempt,
+                "withdrawn" if in_flight_attempt.engine_pool.wanting else "unreached",
+            )
 
-    def too_late(self, errand: InFlightAttempt) -> None:
-        if errand.handoff not in self.errands:
+    def too_late(self, in_flight_attempt: InFlightAttempt) -> None:
+        if in_flight_attempt.attempt not in self.in_flight_attempts:
             return
-        if errand.link is None:
-            errand.station.waiting.remove(errand)
+        if in_flight_attempt.link is None:
+            in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
         else:
-            errand.link.let_go(errand)
-        self.failed(errand, "late")
+            in_flight_attempt.link.let_go(in_flight_attempt)
+        self.failed(in_flight_attempt, "late")
 
     # The list of engines.
 
@@ -494,8 +534,8 @@
                         str(each["id"]),
                         address(each["addr"], "addr"),
                         STATES[each["state"]],
-                        self.stated.halls.index(each["zone"]),
-                        self.stated.kinds.index(each["kind"]),
+                        self.settings.zones.index(each["zone"]),
+                        self.settings.kinds.index(each["kind"]),
                         int(each.get("cell", 0)),
                         int(each.get("started_ms", 0)),
                     )
@@ -512,55 +552,60 @@
         changed: dict[EnginePool, None] = {}
         if members.get("full"):
             named = {entry[0] for entry in entries}
-            for station in self.stations.values():
-                if station.engine.tag not in named and station.engine.state != GONE:
-                    self.gateway.engine_told(station.engine, GONE, station.engine.started)
-        for tag, where, state, hall, kind, cell, started in entries:
-            station = self.stations.get(tag)
-            if station is None:
-                engine = Engine(tag, tag.encode(), hall, kind, cell, name=tag)
+            for engine_pool in self.engine_pools.values():
+                if (
+                    engine_pool.engine.host_reference not in named
+                    and engine_pool.engine.state != EngineState.GONE
+                ):
+                    self.gateway.on_engine_update(
+                        engine_pool.engine, EngineState.GONE, engine_pool.engine.incarnation
+                    )
+        for tag, where, state, zone, kind, cell, started in entries:
+            engine_pool = self.engine_pools.get(tag)
+            if engine_pool is None:
+                engine = Engine(tag, tag.encode(), zone, kind, cell, name=tag)
                 if self.works is not None:
                     # Danger: a machine that is out for work may be listed anew; it is the same machine.
-                    engine.aside = self.works.how(tag, where)
-                station = self.stations[tag] = EnginePool(self, engine, self.named)
+                    engine.cordon = self.works.how(tag, where)
+                engine_pool = self.engine_pools[tag] = EnginePool(self, engine, self.named)
                 self.named += 1
-            engine = station.engine
-            renewed = started > station.started
-            if started != station.started:
-                station.started, moment = started, self.moment(started)
+            engine = engine_pool.engine
+            renewed = started > engine_pool.started
+            if started != engine_pool.started:
+                engine_pool.started, moment = started, self.moment(started)
             else:
-                moment = engine.started
-            self.stated.place(engine, hall, kind, cell)
-            self.gateway.engine_told(engine, state, moment)
-            station.told(where, renewed)
-            changed[station] = None
-        self.gateway.list_told()
+                moment = engine.incarnation
+            self.settings.place(engine, zone, kind, cell)
+            self.gateway.on_engine_update(engine, state, moment)
+            engine_pool.told(where, renewed)
+            changed[engine_pool] = None
+        self.gateway.on_engine_list_complete()
         # A change may let these go on: what it names, what waits for a link, what lacks one ahead. For all others
         # a fill does nothing, as nothing that it looks at has changed since their last.
         told = (
-            self.stations.values()
+            self.engine_pools.values()
             if members.get("full")
             else {**changed, **self.awaited, **self.short}
         )
         told = sorted(told, key=lambda each: each.number)
-        for station in told:
-            if station.engine.state == READY:
-                self.closing.pop(station, None)
+        for engine_pool in told:
+            if engine_pool.engine.state == EngineState.READY:
+                self.closing.pop(engine_pool, None)
             else:
-                self.closing[station] = None
-                self.short.pop(station, None)
-        for station in told:
-            if station.engine.state == READY:
-                station.fill()
+                self.closing[engine_pool] = None
+                self.short.pop(engine_pool, None)
+        for engine_pool in told:
+            if engine_pool.engine.state == EngineState.READY:
+                engine_pool.fill()
             else:
-                station.withdraw()
-                self.close(station)
+                engine_pool.withdraw()
+                self.close(engine_pool)
         return ""
 
     def moment(self, started: int) -> int:
         """When an engine started, by our clock, from the date in ms. Danger: where a date was set, ours may be the
         wrong one, and an engine that counts as warm too early falls. So the later moment counts, but none to come."""
-        ahead = self.hub.ahead()
+        ahead = self.event_loop.ahead()
         return min(started * 10 + max(ahead, 0), self.now) if ahead and started else started * 10
 
 
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -10,63 +10,72 @@
 class LiveRecords:
     """The figures' second book; see `figures.auditor.Live` for what each method tells."""
 
-    def __init__(self, house: Any) -> None:
-        self.house = house
+    def __init__(self, socket_host: Any) -> None:
+        self.socket_host = socket_host
 
     def open_entries(self) -> list[Any]:
-        return [sub.tag for sub in self.house.names.values()]
+        return [request.host_reference for request in self.socket_host.names.values()]
 
     def answering_entries(self) -> list[Any]:
-        return [*self.house.answering]
+        return [*self.socket_host.answering]
 
     def hands_out(self) -> list[Any]:
-        return [*self.house.errands.values(), *self.house.called.values()]
+        return [*self.socket_host.in_flight_attempts.values(), *self.socket_host.called.values()]
 
     def out_of_step(self, hand: Any) -> str:
-        house, handoff = self.house, hand.handoff
-        if handoff in house.errands or handoff in house.called:
-            if not handoff.out or handoff.outcome >= 0:
+        socket_host, attempt = self.socket_host, hand.attempt
+        if attempt in socket_host.in_flight_attempts or attempt in socket_host.called:
+            if not attempt.is_in_flight or attempt.outcome >= 0:
                 return f"the gateway holds hand-off {abs(hand.serial)} over, the host out"
         return ""
 
     def engines(self) -> list[Any]:
-        return [*self.house.stations.values()]
+        return [*self.socket_host.engine_pools.values()]
 
-    def engine_out_of_step(self, station: Any) -> tuple[str, str]:
+    def engine_out_of_step(self, engine_pool: Any) -> tuple[str, str]:
         """Danger: a slot that the gateway never gets back is lost for good, and nothing else shows it."""
-        house, engine = self.house, station.engine
+        socket_host, engine = self.socket_host, engine_pool.engine
         lost = threads = 0
-        for handoff in engine.view.out:
-            lost += handoff not in house.errands and handoff not in house.called
-            threads += handoff.submission.offering.threads if handoff.submission else 0
+        for attempt in engine.stats.in_flight:
+            lost += (
+                attempt not in socket_host.in_flight_attempts and attempt not in socket_host.called
+            )
+            threads += attempt.request.request_class.threads if attempt.request else 0
         if lost:
             return engine.name, f"the gateway holds {lost} hand-offs out that the host does not"
-        if threads != engine.threads:
-            return engine.name, f"{engine.threads} threads counted, {threads} out"
+        if threads != engine.threads_in_flight:
+            return engine.name, f"{engine.threads_in_flight} threads counted, {threads} out"
         return engine.name, ""
 
-    def name_of(self, station: Any) -> str:
-        return station.engine.name
+    def name_of(self, engine_pool: Any) -> str:
+        return engine_pool.engine.name
 
     def connections(self) -> Sequence[tuple[int, int]]:
-        links = [link for station in self.house.stations.values() for link in station.links]
-        return (len(self.house.callers), 0), (len(links), sum(link.pages for link in links))
+        links = [
+            link
+            for engine_pool in self.socket_host.engine_pools.values()
+            for link in engine_pool.links
+        ]
+        return (len(self.socket_host.client_connections), 0), (
+            len(links),
+            sum(link.pages for link in links),
+        )
 
     def live_bytes(self) -> Sequence[tuple[int, int, int]]:
         """By side: bytes received and sent, and pages, of connections that are up."""
         sides = [[0, 0, 0], [0, 0, 0]]
-        for caller in self.house.callers:
-            _add(sides[0], caller.link, 0)
-        for station in self.house.stations.values():
-            for link in station.links:
+        for client_connection in self.socket_host.client_connections:
+            _add(sides[0], client_connection.link, 0)
+        for engine_pool in self.socket_host.engine_pools.values():
+            for link in engine_pool.links:
                 _add(sides[1], link.link, link.pages)
         return [(got, sent, pages) for got, sent, pages in sides]
 
     def traces(self, serial: int) -> str:
         """Danger: a submission that its table lost is still owed its answer, and its stream knows it."""
-        for caller in self.house.callers:
-            for stream, sub in caller.open.items():
-                if sub is not None and abs(sub.tag.serial) == serial:
+        for client_connection in self.socket_host.client_connections:
+            for stream, request in client_connection.open.items():
+                if request is not None and abs(request.host_reference.serial) == serial:
                     return f"stream {stream}"
         return ""
 
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -9,13 +9,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.config.platform import PlatformConfig
 from corkgauge.accounting.counter_names import CLIENT
-from corkgauge.policy.records import LABELLED, Request
-from corkgauge.eventloop.loop import SECOND, EventLoop
+from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.connection import CROSSING, NEVER
+from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net import client_protocol as client_wire
-from corkgauge.net.client_protocol import REFUSED
 from corkgauge.net.client_connection import (
     MOST_FAULTS,
     MOST_OPEN,
@@ -23,9 +21,11 @@
     ClientRequest,
     unread,
 )
+from corkgauge.net.client_protocol import REFUSED
 from corkgauge.net.engine_connection import NAME
 from corkgauge.net.host import SocketHost, amount
 from corkgauge.net.table_group import tables_of
+from corkgauge.policy.records import Repeatability, Request
 
 ROOM = 16  # connections that give way at once
 HEAVIEST = 3.6e6  # milliseconds of work that any submission may claim
@@ -43,14 +43,18 @@
     """The host on sockets, with the platform's frames before it."""
 
     def __init__(
-        self, hub: EventLoop, post: PlatformConfig, log: Callable[[str], None], held: int = 0
+        self,
+        event_loop: EventLoop,
+        platform_config: PlatformConfig,
+        log: Callable[[str], None],
+        held: int = 0,
     ) -> None:
-        super().__init__(hub, post, log, held)
+        super().__init__(event_loop, platform_config, log, held)
         self.end = NEVER  # when the last answer goes, once the program is told to end
         self.door: Any = None  # where clients come in, in a program that serves
         self.last_call = NEVER  # when the clients were shown the end
-        self.callers: dict[ClientConnection, None] = {}
-        self.most_callers = post.sockets // 2  # a third is the usual ones'
+        self.client_connections: dict[ClientConnection, None] = {}
+        self.most_callers = platform_config.sockets // 2  # a third is the usual ones'
         self.keys: dict[
             int, tuple[int, int, bool]
         ] = {}  # when one came, kept back how long, on a new link
@@ -63,7 +67,11 @@
         never asked for anything give way first, then those that have been quiet longest, and last those that have told
         a half of something."""
         quiet = sorted(
-            (caller for caller in self.callers if caller.idle()),
+            (
+                client_connection
+                for client_connection in self.client_connections
+                if client_connection.idle()
+            ),
             key=lambda each: (
                 not each.link.parting,
                 len(each.link.machine.inward) > 0,
@@ -71,78 +79,84 @@
                 each.link.heard,
             ),
         )
-        for caller in quiet[:ROOM]:
-            if caller.link.parting:
-                if caller.link.farewell > CROSSING:  # else it ends by itself in a moment
-                    caller.link.cut()
-            elif caller.link.give_way("room for others"):
+        for client_connection in quiet[:ROOM]:
+            if client_connection.link.parting:
+                if client_connection.link.farewell > CROSSING:  # else it ends by itself in a moment
+                    client_connection.link.cut()
+            elif client_connection.link.give_way("room for others"):
                 self.counters["gave way"] += 1
         return bool(quiet)
 
     def accepted(self, sock: Any) -> None:
-        caller = ClientConnection(self, sock)
-        self.callers[caller] = None
+        client_connection = ClientConnection(self, sock)
+        self.client_connections[client_connection] = None
         self.ledger.connection_up(CLIENT)
         if self.flows is not None:
-            self.flows.up(caller.link, CLIENT)
-        self.hub.spawn(caller.link.run)
+            self.flows.up(client_connection.link, CLIENT)
+        self.event_loop.spawn(client_connection.link.run)
         if self.end != NEVER:
-            caller.link.send(client_wire.leaving())
+            client_connection.link.send(client_wire.leaving())
 
     def leave(self) -> None:
         """The program is to end: no new submissions are asked for, and all that is open ends in time."""
         if self.end != NEVER:
             return
-        longest = max(offering.expiry for offering in self.stated.offerings)
+        longest = max(
+            request_class.time_to_deadline for request_class in self.settings.request_classes
+        )
         self.end = self.now + min(longest, MOST_EXPIRY) + TO_WRITE
-        subs = [sub for caller in self.callers for sub in caller.open.values()]
-        self.log(f"leaving by {self.end}, {len(subs)} open")
-        for caller in [*self.callers]:
-            caller.link.send(client_wire.leaving())
-        for sub in subs:
-            self.hub.later(self.end - self.now, self.gateway.expiry_near, sub)
-        self.hub.later(STILL_COMING, self.gone)
+        requests = [
+            request
+            for client_connection in self.client_connections
+            for request in client_connection.open.values()
+        ]
+        self.log(f"leaving by {self.end}, {len(requests)} open")
+        for client_connection in [*self.client_connections]:
+            client_connection.link.send(client_wire.leaving())
+        for request in requests:
+            self.event_loop.call_later(self.end - self.now, self.gateway.on_deadline_near, request)
+        self.event_loop.call_later(STILL_COMING, self.gone)
 
     def gone(self) -> None:
         """End as soon as nothing is owed and all is written, or when it must be."""
         must, step = self.now >= self.end + TO_WRITE // 4, 100
         if self.last_call != NEVER:
-            if not self.callers or self.now >= self.last_call + CROSSING:
-                self.hub.stopped = True
+            if not self.client_connections or self.now >= self.last_call + CROSSING:
+                self.event_loop.stopped = True
                 return
             step = 20
         # Danger: what has come and lies unread is taken all the same, be it at the door.
-        elif must or not any(self.owed(each) for each in self.callers):
+        elif must or not any(self.owed(each) for each in self.client_connections):
             if self.door is None or not self.door.shut() or must:
                 # Danger: a process that ends over unread bytes resets its connections, and takes the last answers
                 # along. So each client is shown the end, and what had crossed it is read and dropped for a moment.
                 self.last_call = self.now
-                for each in [*self.callers]:
+                for each in [*self.client_connections]:
                     if not (each.link.give_way("the program ends") or must or each.link.why):
                         self.last_call = NEVER  # something came just now
-        self.hub.later(step, self.gone)
+        self.event_loop.call_later(step, self.gone)
 
-    def owed(self, caller: ClientConnection) -> bool:
+    def owed(self, client_connection: ClientConnection) -> bool:
         """Is anything still due to this client, or on its way from it?"""
-        link = caller.link
+        link = client_connection.link
         return (
             link.fd >= 0
             and not link.parting
             and bool(
-                caller.open
-                or caller.waiting
+                client_connection.open
+                or client_connection.waiting
                 or len(link.machine.outward)
                 or unread(link.sock)
-                or caller.half_told()
+                or client_connection.half_told()
             )
         )
 
     def requested(
-        self, caller: ClientConnection, stream: int, fields: dict[str, str], body: bytes
+        self, client_connection: ClientConnection, stream: int, fields: dict[str, str], body: bytes
     ) -> str:
         # Danger: what it says is a stranger's; nothing of it may raise.
         self.forget()
-        offering = self.offerings.get(fields.get("route", ""))
+        request_class = self.request_classes.get(fields.get("route", ""))
         tenant = self.tenants.get(fields.get("customer", ""))
         life, work, memory = (
             amount(fields.get(name) or "0") for name in ("patience", "weight", "est_mb")
@@ -157,11 +171,11 @@
         # (a little longer is no fault: a good client's clock and ours differ, and it adds its own way to us).
         wrong = (
             "route"
-            if offering is None
+            if request_class is None
             else "customer"
             if tenant is None and self.tenants
             else "patience"
-            if not life or life * 10 > 2 * offering.expiry
+            if not life or life * 10 > 2 * request_class.time_to_deadline
             else "weight"
             if work is None or work > HEAVIEST or fields.get("weight") and not work
             else "est_mb"
@@ -171,31 +185,38 @@
             else "trace"
             if not NAME(name) or name in self.names
             else "nonce"
-            if not plain(nonce or ("" if offering.repeat == LABELLED else "-"))
+            if not plain(
+                nonce or ("" if request_class.repeatability == Repeatability.KEYED else "-")
+            )
             else "statement"
             if not text(body)
             else ""
         )
         if wrong:
-            return caller.unreadable(stream, f"{wrong}: unusable")
-        key, label = int(key, 16), nonce if offering.repeat == LABELLED else ""
-        order = ClientRequest(caller, stream, name, label, body, self.rows[offering])
+            return client_connection.unreadable(stream, f"{wrong}: unusable")
+        key, label = (
+            int(key, 16),
+            nonce if request_class.repeatability == Repeatability.KEYED else "",
+        )
+        order = ClientRequest(
+            client_connection, stream, name, label, body, self.rows[request_class]
+        )
         if (
-            len(caller.open) >= MOST_OPEN
-            or len(self.names) >= self.stated.open_cap
+            len(client_connection.open) >= MOST_OPEN
+            or len(self.names) >= self.settings.open_cap
             or not self.statements.take(order.size)
         ):
             self.counters["overfull"] += 1
-            caller.faults += len(caller.open) >= MOST_OPEN
-            self.ledger.turned_away(self.rows[offering])
-            caller.answer(stream, REFUSED, [])
-            return "" if caller.faults <= MOST_FAULTS else "too many open at once"
+            client_connection.faults += len(client_connection.open) >= MOST_OPEN
+            self.ledger.turned_away(self.rows[request_class])
+            client_connection.answer(stream, REFUSED, [])
+            return "" if client_connection.faults <= MOST_FAULTS else "too many open at once"
         life = min(int(life * 10), self.end - self.now)
         # Danger: with a full processor it has waited unread, and its client counts that.
         life = max(life - self.held_back(key, stream == 1) - self.lag, 1)
-        sub = Request(
+        request = Request(
             order,
-            offering,
+            request_class,
             tenant or 0,
             tables_of(body),
             self.now,
@@ -205,28 +226,28 @@
             key,
         )
         if self.recall is not None and label:
-            self.recall.mark_known(sub, label)
-        caller.open[stream] = self.names[name] = sub
+            self.recall.mark_known(request, label)
+        client_connection.open[stream] = self.names[name] = request
         self.ledger.taken(order)
-        if offering.ordered and key:
-            self.unadmitted.setdefault(key, deque()).append(sub)
-        caller.fresh.append(sub)
-        if len(caller.fresh) == 1:
-            self.hub.unsent.append(caller.admit)
+        if request_class.ordered and key:
+            self.unadmitted.setdefault(key, deque()).append(request)
+        client_connection.fresh.append(request)
+        if len(client_connection.fresh) == 1:
+            self.event_loop.unsent.append(client_connection.admit)
         return ""
 
-    def let_before(self, sub: Request) -> None:
+    def let_before(self, request: Request) -> None:
         """Those of its key that were read before, on other connections, are told first. Danger: one that waits for what
         lies behind it on its connection would be overtaken by a later one of its key on another."""
-        line = self.unadmitted.get(sub.key)
-        while line and sub in line:
+        line = self.unadmitted.get(request.order_key)
+        while line and request in line:
             first = line[0]
-            if first is not sub:
-                first.tag.caller.admit(0)
+            if first is not request:
+                first.host_reference.client_connection.admit(0)
             if line and line[0] is first:
                 line.popleft()
         if line is not None and not line:
-            self.unadmitted.pop(sub.key, None)
+            self.unadmitted.pop(request.order_key, None)
 
     def held_back(self, key: int, new: bool) -> int:
         """How long a client may have kept back a submission after its stamp, to keep those of a key apart.
--- a/corkgauge/peer_health/aggregation.py
+++ b/corkgauge/peer_health/aggregation.py
@@ -40,33 +40,33 @@
     now: int,
     started: int,
     us: str,
-    halls: Mapping[str, str],
+    zones: Mapping[str, str],
     own_sign: int,
 ) -> Opinion:
     """`halls` by gateway, ours among them; `started` is the engine's start, in ms, as the list tells it here;
     `own_sign` when it last gave us a sign of its own, by the same clock as `now`.
 
     >>> def said(witness, fault, at, slow=0):
-    ...     return Finding(witness, 1, 1, at, "e1", 7, fault, slow, 3)
-    >>> halls = {"me": "a", "n2": "a", "n3": "a", "n4": "b"}
-    >>> opinion([said("n2", 4, 0), said("n3", 4, 0)], 0, 7, "me", halls, -1).doubted     # one hall may be lying
+    ...     return HealthReport(witness, 1, 1, at, "e1", 7, fault, slow, 3)
+    >>> zones = {"me": "a", "n2": "a", "n3": "a", "n4": "b"}
+    >>> opinion([said("n2", 4, 0), said("n3", 4, 0)], 0, 7, "me", zones, -1).doubted     # one zone may be lying
     False
-    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 7, "me", halls, -1).doubted
+    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 7, "me", zones, -1).doubted
     True
-    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 7, "me", halls, 0).doubted      # we know better
+    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 7, "me", zones, 0).doubted      # we know better
     False
-    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 8, "me", halls, -1).doubted     # it has restarted since
+    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 8, "me", zones, -1).doubted     # it has restarted since
     False
-    >>> opinion([said("n2", 0, 0, 300), said("n3", 0, 0, 200), said("n4", 0, 0, 9900)], 0, 7, "me", halls, -1).slowness
+    >>> opinion([said("n2", 0, 0, 300), said("n3", 0, 0, 200), said("n4", 0, 0, 9900)], 0, 7, "me", zones, -1).slowness
     3.0
     """
-    home, many_halls = halls.get(us, ""), len({*halls.values()}) > 1
+    home, many_halls = zones.get(us, ""), len({*zones.values()}) > 1
     against, well, accusers, samples, seen = 0.0, 0.0, [], [], set[str]()
     for finding in findings:
-        if finding.witness == us or finding.started != started or finding.witness not in halls:
+        if finding.witness == us or finding.started != started or finding.witness not in zones:
             continue
         weight = max(1 - (now - finding.at) / LIFE, 0.0)
-        weight *= 1.0 if halls[finding.witness] == home else FAR
+        weight *= 1.0 if zones[finding.witness] == home else FAR
         if weight <= 0:
             continue
         if finding.fault != WELL:
@@ -76,8 +76,8 @@
             well += weight
         if finding.slowness and finding.samples:
             samples.append((min(max(finding.slowness / 100, LEAST_SLOW), MOST_SLOW), weight))
-            seen.add(halls[finding.witness])
-    enough = len({halls[each] for each in accusers}) > 1 if many_halls else len(accusers) >= ALONE
+            seen.add(zones[finding.witness])
+    enough = len({zones[each] for each in accusers}) > 1 if many_halls else len(accusers) >= ALONE
     doubted = (
         enough
         and against >= ENOUGH
--- a/corkgauge/peer_health/permit_transfer.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -33,7 +33,7 @@
 class PermitTransfer:
     """`window` is the span of the cold rule, tenths of a millisecond.
 
-    >>> turns = Turns(10_000)
+    >>> turns = PermitTransfer(10_000)
     >>> turns.needs("n2", 100, 1, 7, 3.0)
     >>> turns.pass_on(5_000, "e1", 4_000, 0)        # a third of a window has gone by, at most; and it is not needed
     ('n2', 7, 4900, 4000)
@@ -43,7 +43,7 @@
 
     def __init__(self, window: int) -> None:
         self.window = window
-        self.fellows: dict[str, Need] = {}
+        self.members: dict[str, Need] = {}
         self.passed: dict[str, int] = {}  # by engine: in which window, by its end
         self.sent: dict[int, int] = {}  # by serial of a telling of ours: when it was written
         self.counts = Counter[str]()
@@ -51,7 +51,7 @@
     # Giving.
 
     def needs(self, gateway: str, now: int, start: int, serial: int, want: float) -> None:
-        self.fellows[gateway] = Need(now, start, serial, min(max(want, 0.0), 1e6))
+        self.members[gateway] = Need(now, start, serial, min(max(want, 0.0), 1e6))
 
     def pass_on(
         self, now: int, engine: str, left: int, chance: int
@@ -67,7 +67,7 @@
             return None
         able = [
             (name, need)
-            for name, need in sorted(self.fellows.items())
+            for name, need in sorted(self.members.items())
             if need.want > 0 and now < need.at + self.window // 2
         ]
         total = sum(need.want for _, need in able)
@@ -106,6 +106,6 @@
         return until
 
     def forget(self, named: Mapping[str, object]) -> None:
-        self.fellows = {name: need for name, need in self.fellows.items() if name in named}
+        self.members = {name: need for name, need in self.members.items() if name in named}
         if len(self.passed) > 4_096:
             self.passed.clear()
--- a/corkgauge/peer_health/reports.py
+++ b/corkgauge/peer_health/reports.py
@@ -80,7 +80,7 @@
 class HealthReports:
     """Of one gateway, `name`, in its present `start`.
 
-    >>> one, other = Findings("n1", 1), Findings("n2", 1)
+    >>> one, other = HealthReports("n1", 1), HealthReports("n2", 1)
     >>> one.found(0, "e1", 5, SILENT, 0, 0)
     True
     >>> rows = one.some(100, 3, 900)
@@ -161,9 +161,9 @@
 
     # Telling.
 
-    def some(self, now: int, fellows: int, room: int) -> list[Row]:
+    def some(self, now: int, members: int, room: int) -> list[Row]:
         """What is told next, in so many octets: first what has been told least."""
-        times = TIMES * ceil(log2(max(fellows, 2) + 1))
+        times = TIMES * ceil(log2(max(members, 2) + 1))
         rows, size = [], 0
         for key, finding in sorted(self.fresh.items(), key=lambda each: each[1].told)[:64]:
             if now >= finding.at + LIFE:
--- a/corkgauge/peer_health/retry_throttle.py
+++ b/corkgauge/peer_health/retry_throttle.py
@@ -21,7 +21,7 @@
 class RetryThrottle:
     """`allowed` is the further hand-offs for each honoured submission that the rule gives, `floor` those beside.
 
-    >>> storm = Storm("n1")
+    >>> storm = RetryThrottle("n1")
     >>> storm.tells("n2", 0, 10, 10), storm.tells("n3", 0, 10, 9)
     (None, None)
     >>> round(storm.looked(0, 10, 11, 0.0, 1.0), 2)     # all of what is allowed is spent
--- a/corkgauge/policy/records.py
+++ b/corkgauge/policy/records.py
@@ -1,96 +1,137 @@
-"""What the decisions and their surroundings say to each other: the host protocol, outcomes, plain records.
+"""The records that the policy and its host share, and the enumerations in them.
 
-Times are whole tenths of a millisecond. Records point to each other; ids stay with the host (`tag`).
-The host calls the methods of `control.Gateway` that carry no underscore; the gateway calls `Host`.
+Times are whole tenths of a millisecond ("ticks"). Records point to each other; identifiers stay with the
+host, which keeps what it needs to find its own objects in `host_reference`.
 """
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from enum import IntEnum
+from typing import Any
 
-# How a hand-off ended. FULL, UNREACHED and MOOT prove that it never ran.
-ERROR, HONOURED, FULL, TIMED_OUT, UNREACHED, RESET, CALLED_OFF, MOOT = range(8)
-NEVER_RAN = (FULL, UNREACHED, MOOT)
-# States of an engine.
-GONE, READY, DRAINING = range(3)
-# The one sort of note that the gateway acts on; any is a sign of its engine.
-PROGRESS = 1
-# What a repeat does.
-REDOABLE, LABELLED, IRREVERSIBLE = range(3)
+
+class AttemptOutcome(IntEnum):
+    """How an attempt ended. The numbers are those of the simulator's wire."""
+
+    ERROR = 0
+    SUCCEEDED = 1
+    ENGINE_FULL = 2
+    TIMED_OUT = 3
+    UNREACHABLE = 4
+    CONNECTION_RESET = 5
+    CANCELLED = 6
+    ABANDONED = 7  # before its first byte was sent
+
+
+# Outcomes that prove that the attempt never ran.
+NEVER_RAN = (
+    AttemptOutcome.ENGINE_FULL,
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.ABANDONED,
+)
+
+
+class EngineState(IntEnum):
+    """The state of an engine in the endpoint list. The numbers are those of the simulator's wire."""
+
+    GONE = 0
+    READY = 1
+    DRAINING = 2
+
+
+class Repeatability(IntEnum):
+    """What a repeated attempt of a request does."""
+
+    IDEMPOTENT = 0
+    KEYED = 1  # it has an idempotency key, which engines remember for a while
+    NON_IDEMPOTENT = 2
+
+
+class Cordon(IntEnum):
+    """How far maintenance has taken an engine out of service."""
+
+    NONE = 0
+    NO_NEW_WORK = 1  # only repeats whose idempotency key is known there
+    NOTHING = 2
+
+
+class NoteKind(IntEnum):
+    """Notes that engines send about an attempt; any note is a sign of life."""
+
+    PROGRESS = 1  # the only kind that the policy acts on
 
 
 @dataclass(eq=False, slots=True)
 class RequestClass:
-    """A kind of work, with what its customers were promised."""
+    """A class of requests, with the latency objective of its customers."""
 
     name: str
-    aim: int  # the promised time before the stretch
-    stretch: float  # the promised time grows by this times the work of one thread
-    expiry: int
-    worth: float  # earnings of one answer in time
-    repeat: int = REDOABLE
-    group: str = "all"  # labelled: which engines know its repeats: all, zone, cell
-    remembered: int = 0  # labelled: how long they do
+    latency_objective: int  # ticks, before the stretch
+    objective_stretch: float  # the objective grows by this times the work of one thread
+    time_to_deadline: int  # ticks
+    priority_weight: float  # value of one answer in time
+    repeatability: int = Repeatability.IDEMPOTENT
+    key_scope: str = "all"  # keyed: which engines know a key: all, zone, cell
+    key_ttl: int = 0  # keyed: how long they do, in ticks
     ordered: bool = False
-    halls: tuple[int, ...] = ()  # the only ones it may use; none: any
-    kinds: tuple[int, ...] = ()
+    zones: tuple[int, ...] = ()  # the only ones it may use; none: any
+    engine_kinds: tuple[int, ...] = ()
     threads: int = 1
-    samples: Any = None  # the gateway's last few answers
-    usual: float = 0.0  # work, as they tell it
-    bar: float = 1.0  # rank up to which engines of the gateway's working set are for it
+    answer_samples: Any = None  # the gateway's last few answers
+    typical_work: float = 0.0  # as they report it, in thread ticks
+    subset_rank_limit: float = 1.0  # rank up to which engines of the subset serve this class
 
 
 @dataclass(eq=False, slots=True)
 class Engine:
-    """An engine as the list last told it, and what this gateway has seen of it."""
+    """An engine as the endpoint list last described it, and this gateway's state of it."""
 
-    tag: Any
-    mark: bytes  # alike at all gateways; only for the hashed order
-    hall: int
+    host_reference: Any
+    hash_key: bytes  # alike at all gateways; only for the hashed order
+    zone: int
     kind: int
     cell: int
     cores: float = 1.0
-    most_memory: float = 0.0  # MB that one hand-off is granted at most; 0: grants are not heeded
-    state: int = GONE
-    started: int = 0
-    threads: int = 0  # threads of this gateway's hand-offs out there
-    aside: int = 0  # taken out for work: 1, nothing new goes there; 2, nothing at all
-    near: bool = False  # in this gateway's working set
-    rank: float = 0.0  # of this gateway among all, for this engine
-    view: Any = None  # the gateway's last few measurements
+    max_memory: float = 0.0  # MB that one attempt is granted at most; 0: grants are not heeded
+    state: int = EngineState.GONE
+    incarnation: int = 0  # when its process started, in ticks; 0: unknown
+    threads_in_flight: int = 0  # threads of this gateway's attempts there
+    cordon: int = Cordon.NONE
+    in_subset: bool = False  # in this gateway's subset of engines
+    subset_rank: float = 0.0  # of this gateway among all, for this engine
+    stats: Any = None  # `EngineStats`, once the list has named it
     name: str = ""  # for the log
 
 
 @dataclass(eq=False, slots=True)
 class EngineStats:
-    """The last few things that one gateway has seen of one engine."""
-
-    spent: Any  # when, and usual work sent
-    slowness: Any  # time taken over the time of the work alone
-    faults: Any  # one for each outcome; empty: a good answer
-    troubles: Any  # the last few, why and when, also those that are not its own
-    heard: int = -1  # when it last gave a sign of its own
-    rests_until: int = -1
+    """What one gateway has recently measured of one engine."""
+
+    slow_start_usage: Any  # (when, typical work sent) in the overload window
+    slowness_samples: Any  # time taken over the time of the work alone
+    fault_history: Any  # one for each outcome; empty: a good answer
+    trouble_history: Any  # (why, when), also of faults that are not its own
+    last_heard_at: int = -1  # when it last gave a sign of its own
+    ejected_until: int = -1
     refused_until: int = -1
-    bound: float = 1.0  # of its slots, over where they start
-    load: float = -1.0  # submissions that it last reported to hold
-    drawn: float = 0.0  # usual work among the gateway's last hand-offs
-    slow: float = 0.0  # how slow it is, and until when that figure stands
-    hint: float = 0.0  # how slow others found it; whether they doubt it: 1, 2
-    doubt: int = 0
-    slow_until: int = -1
-    out: list["Attempt"] = field(default_factory=list)
+    limit_factor: float = 1.0  # of its concurrency limit, over where it starts
+    reported_load: float = -1.0  # attempts that it last reported to hold
+    recent_work: float = 0.0  # typical work among the gateway's last attempts
+    slowness: float = 0.0  # estimate, valid until `slowness_valid_until`
+    peer_slowness: float = 0.0  # as other gateways report it; 0: unknown
+    peer_suspicion: int = 0  # as other gateways report it: 1: one attempt at a time, 2: none
+    slowness_valid_until: int = -1
+    in_flight: list["Attempt"] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
 class RequestQueue:
-    """The submissions of one tenant and offering that wait for a slot."""
+    """The requests of one tenant and class that wait for a slot."""
 
-    offering: RequestClass
-    model: Any  # the last few intervals: share, p
+    request_class: RequestClass
+    share_history: Any  # the last few intervals: share, inverse of the shortfall
     share: float = 0.0
-    asked: float = 0.0  # ends of the last periods, the older the less
-    badness: list[float] = field(default_factory=list)  # latency over promised time, this interval
+    recent_arrivals: float = 0.0  # ends of the last periods, decayed
+    shortfalls: list[float] = field(default_factory=list)  # latency over objective, this interval
     waiting: list["Request"] = field(default_factory=list)
 
 
@@ -98,51 +139,38 @@
 class Request:
     """What a client asked for; the gateway owes it one final answer."""
 
-    tag: Any
-    offering: RequestClass
+    host_reference: Any
+    request_class: RequestClass
     tenant: int
-    tables: float
-    taken: int
-    life: int  # time until its client gives up
-    estimate: int = 0  # of the whole work; 0: none
-    memory: float = 0.0  # estimated MB; 0: none
-    key: int = 0
-    over: bool = False
-    queued: bool = False
-    work: float = 0.0
-    aim: float = 0.0
-    queue: Any = None
-    handoffs: list["Attempt"] = field(default_factory=list)
-    # of its label, that may have run for an earlier try
-    before: list["Attempt"] = field(default_factory=list)
+    table_group: float
+    accepted_at: int
+    time_to_deadline: int  # from its acceptance
+    estimated_work: int = 0  # in thread ticks; 0: none
+    estimated_memory: float = 0.0  # MB; 0: none
+    order_key: int = 0  # requests of one key are sent in order; 0: none
+    is_finished: bool = False
+    is_queued: bool = False
+    expected_work: float = 0.0
+    latency_objective: float = 0.0
+    queue: Any = None  # `RequestQueue`, once accepted
+    attempts: list["Attempt"] = field(default_factory=list)
+    # Of the same idempotency key, that may have run for an earlier request.
+    earlier_attempts: list["Attempt"] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One try of a submission at an engine."""
+    """One attempt of a request at an engine."""
 
-    submission: Request
+    request: Request
     engine: Engine
     number: int
-    sent: int
-    due: float  # time of the work alone
-    usual: float  # time of the usual work alone
-    out: bool = True
-    called_off: bool = False
+    sent_at: int
+    expected_duration: float  # ticks of the work alone
+    typical_duration: float  # ticks of the class's typical work alone
+    is_in_flight: bool = True
+    is_cancelled: bool = False
     outcome: int = -1
-    passed: int = 0  # answers of its engine to later ones, since it last told of this
-
-
-class Host(Protocol):
-    """What the gateway may do. It is handed over at start."""
-
-    now: int
-    lag: int  # that its events have to wait at present
-
-    def hand_off(self, handoff: Attempt, allow: int) -> None: ...
-    def set_terms(self, submission: Request, memory: float, priority: int) -> None: ...
-    def dismiss(self, submission: Request, come_back: int) -> None: ...
-    def scrap(self, submission: Request) -> None: ...
-    def call_off(self, handoff: Attempt) -> None: ...
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
-    def log(self, line: str) -> None: ...
+    overtaken_count: int = (
+        0  # answers of its engine to later attempts, since it last reported on this one
+    )
--- a/corkgauge/recovery/attempt_log.py
+++ b/corkgauge/recovery/attempt_log.py
@@ -31,10 +31,10 @@
 
     serial: int
     label: str
-    offering: str
+    request_class: str
     key: int
     engine: str
-    hall: int
+    zone: int
     cell: int
     sent: int
     until: int
@@ -52,10 +52,10 @@
             SENT,
             effect.serial,
             effect.label,
-            effect.offering,
+            effect.request_class,
             effect.key,
             effect.engine,
-            effect.hall,
+            effect.zone,
             effect.cell,
             effect.sent,
             effect.until,
@@ -126,7 +126,7 @@
 
     def sent(self, effect: LoggedAttempt) -> None:
         self.by_serial[effect.serial] = effect
-        self.by_label.setdefault((effect.offering, effect.label), {})[effect.serial] = effect
+        self.by_label.setdefault((effect.request_class, effect.label), {})[effect.serial] = effect
         # Danger: a log without end, or one that claims to be, would fill the memory.
         while len(self.by_serial) > MOST:
             self._drop(next(iter(self.by_serial.values())))
@@ -142,18 +142,20 @@
         """A record of a log; False where it makes no sense."""
         try:
             if body[0] == SENT:
-                _, serial, label, offering, key, engine, hall, cell, when, until = body
+                _, serial, label, request_class, key, engine, zone, cell, when, until = body
                 if not (
                     isinstance(label, str)
-                    and isinstance(offering, str)
+                    and isinstance(request_class, str)
                     and isinstance(engine, str)
                     and all(
-                        isinstance(each, int) for each in (serial, key, hall, cell, when, until)
+                        isinstance(each, int) for each in (serial, key, zone, cell, when, until)
                     )
                 ):
                     return False
                 self.sent(
-                    LoggedAttempt(serial, label, offering, key, engine, hall, cell, when, until)
+                    LoggedAttempt(
+                        serial, label, request_class, key, engine, zone, cell, when, until
+                    )
                 )
             else:
                 self.over(body[1], bool(body[2]))
@@ -161,9 +163,9 @@
             return False
         return True
 
-    def of(self, offering: str, label: str, now: int) -> list[LoggedAttempt]:
+    def of(self, request_class: str, label: str, now: int) -> list[LoggedAttempt]:
         """Those of a label that engines still remember, the oldest first."""
-        found = self.by_label.get((offering, label), {})
+        found = self.by_label.get((request_class, label), {})
         return [effect for effect in found.values() if now < effect.until]
 
     def expire(self, now: int, most: int = 1000) -> None:
@@ -182,7 +184,7 @@
 
     def _drop(self, effect: LoggedAttempt) -> None:
         del self.by_serial[effect.serial]
-        several = self.by_label[effect.offering, effect.label]
+        several = self.by_label[effect.request_class, effect.label]
         del several[effect.serial]
         if not several:
-            del self.by_label[effect.offering, effect.label]
+            del self.by_label[effect.request_class, effect.label]
--- a/corkgauge/recovery/learned_state.py
+++ b/corkgauge/recovery/learned_state.py
@@ -22,11 +22,18 @@
         "extras": [*gateway.extras],
         "honoured": [*gateway.honoured],
         "engines": [
-            (e, [*e.view.slowness], e.view.bound, e.view.rests_until, [*e.view.faults])
+            (
+                e,
+                [*e.stats.slowness_samples],
+                e.stats.limit_factor,
+                e.stats.ejected_until,
+                [*e.stats.fault_history],
+            )
             for e in gateway.engines
         ],
         "offerings": [
-            (each, [*each.samples]) for each in {q.offering: 0 for q in gateway.queues.values()}
+            (each, [*each.answer_samples])
+            for each in {q.request_class: 0 for q in gateway.queues.values()}
         ],
         "queues": [(tenant, each, queue.share) for (tenant, each), queue in gateway.queues.items()],
     }
@@ -44,7 +51,7 @@
         "best": said["best"],
         "engines": {
             engine.name: {
-                "started": engine.started,
+                "started": engine.incarnation,
                 "slowness": slowness,
                 "bound": bound,
                 "rests_until": rests_until,
@@ -53,17 +60,19 @@
             for engine, slowness, bound, rests_until, faults in said["engines"]
         },
         "offerings": {
-            offering.name: [list(sample) for sample in samples]
-            for offering, samples in said["offerings"]
+            request_class.name: [list(sample) for sample in samples]
+            for request_class, samples in said["offerings"]
         },
-        "queues": [[tenant, offering.name, share] for tenant, offering, share in said["queues"]],
+        "queues": [
+            [tenant, request_class.name, share] for tenant, request_class, share in said["queues"]
+        ],
         "extras": said["extras"],
         "honoured": said["honoured"],
     }
 
 
 def recalled(
-    said: dict[str, Any], gateway: Any, offerings: dict[str, Any], now: int, age: float
+    said: dict[str, Any], gateway: Any, request_classes: dict[str, Any], now: int, age: float
 ) -> dict[str, int]:
     """Give the module what is left of it; how many engines, offerings and queues that was. What is not as it
     should be is left out, whatever it is."""
@@ -72,7 +81,7 @@
     for engine in gateway.engines:
         known = said["engines"].get(engine.name)
         # Danger: under the same id another process may run by now; nothing is known of that one.
-        if known and known["started"] == engine.started:
+        if known and known["started"] == engine.incarnation:
             aged = ageing.engine(known, age, said["at"], now)
             engines.append(
                 (engine, aged["slowness"], aged["bound"], aged["rests_until"], aged["faults"])
@@ -80,19 +89,19 @@
             counts["engines"] += bool(aged["slowness"] or aged["rests_until"] >= 0)
     samples = [
         (
-            offering,
+            request_class,
             [
                 tuple(each)
                 for each in ageing.last_part(said["offerings"].get(name, []), age, ageing.WORK)
             ],
         )
-        for name, offering in offerings.items()
+        for name, request_class in request_classes.items()
     ]
     counts["offerings"] = sum(bool(each) for _, each in samples)
     queues = [
-        (tenant, offerings[name], share)
+        (tenant, request_classes[name], share)
         for tenant, name, share in said["queues"]
-        if name in offerings
+        if name in request_classes
     ]
     aged = ageing.shares([share for _, _, share in queues], age)
     counts["queues"] = len(queues)
@@ -108,7 +117,8 @@
             "offerings": samples,
             "best": said["best"] if age != ageing.inf else gateway.best,
             "queues": [
-                (tenant, offering, share) for (tenant, offering, _), share in zip(queues, aged)
+                (tenant, request_class, share)
+                for (tenant, request_class, _), share in zip(queues, aged)
             ],
             # Danger: a budget that counts what was honoured before, and not what was sent, would be too wide.
             "extras": lately["extras"],
--- a/corkgauge/recovery/service.py
+++ b/corkgauge/recovery/service.py
@@ -11,16 +11,14 @@
 from typing import Any
 
 from corkgauge.accounting.checkpoint_file import safe
-from corkgauge.policy.records import NEVER_RAN, RESET, Engine, Attempt
+from corkgauge.config.operator_file import Recall
 from corkgauge.eventloop.clock import boot_of
 from corkgauge.eventloop.loop import READ, SECOND
-from corkgauge.config.operator_file import Recall
-from corkgauge.recovery import (
-    attempt_log as effects,
-    learned_state as learned,
-    snapshot,
-    log_writer as writer,
-)
+from corkgauge.policy.records import NEVER_RAN, Attempt, AttemptOutcome, Engine
+from corkgauge.recovery import attempt_log as effects
+from corkgauge.recovery import learned_state as learned
+from corkgauge.recovery import log_writer as writer
+from corkgauge.recovery import snapshot
 from corkgauge.recovery.decay import age_of, inf
 from corkgauge.recovery.log_writer import (
     EFFECT,
@@ -42,10 +40,10 @@
 class RecoveryService:
     """`house` has `hub`, `gateway`, `stated`, `ledger` and `log`."""
 
-    def __init__(self, house: Any, gateway: str, mark: int, said: Recall) -> None:
-        self.house, self.hub, self.said, self.gateway, self.mark = (
-            house,
-            house.hub,
+    def __init__(self, socket_host: Any, gateway: str, mark: int, said: Recall) -> None:
+        self.socket_host, self.event_loop, self.said, self.gateway, self.mark = (
+            socket_host,
+            socket_host.event_loop,
             said,
             gateway,
             mark,
@@ -65,7 +63,7 @@
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as problem:
             why = "in use by another" if isinstance(problem, BlockingIOError) else problem.strerror
-            house.log(f"recall off: {said.folder}: {why}")
+            socket_host.log(f"recall off: {said.folder}: {why}")
             if self.lock >= 0:
                 os.close(self.lock)
                 self.lock = -1
@@ -74,8 +72,8 @@
         self._start()
         for effect in closed:  # else each later start would take them for unsettled again
             self._put(EFFECT, effects.over(effect.serial, True))
-        house.recall = self
-        self.hub.later(said.each, self.keep)
+        socket_host.recall = self
+        self.event_loop.call_later(said.each, self.keep)
 
     def _path(self, end: str) -> str:
         return os.path.join(self.said.folder, f"{self.name}.{end}")
@@ -84,7 +82,7 @@
 
     def _recall(self) -> list[effects.LoggedAttempt]:
         """The effects that were unsettled."""
-        now, (boot, since_boot) = self.hub.now, boot_of()
+        now, (boot, since_boot) = self.event_loop.now, boot_of()
         unsettled = self._read_effects(now)
         for path in (
             self._path("recall"),
@@ -94,20 +92,22 @@
                 with open(path, "rb") as file:
                     said = snapshot.read(file.read(snapshot.LARGEST + 1), self.gateway, self.mark)
                 age = age_of(said, now, boot, since_boot)
-                counts = learned.recalled(said, self.house.gateway, self.house.offerings, now, age)
+                counts = learned.recalled(
+                    said, self.socket_host.gateway, self.socket_host.request_classes, now, age
+                )
             except FileNotFoundError:
                 continue
             except (OSError, snapshot.UnusableSnapshotError) as problem:
                 why = getattr(problem, "strerror", None) or problem
-                self.house.log(f"recall: {path} is {why}, passed over")
+                self.socket_host.log(f"recall: {path} is {why}, passed over")
                 continue
             except (KeyError, TypeError, ValueError, AttributeError, IndexError) as problem:
-                self.house.log(
+                self.socket_host.log(
                     f"recall: {path} makes no sense ({type(problem).__name__}), passed over"
                 )
                 continue
             old = "unknown" if age == inf else f"{age / SECOND:.1f}"
-            self.house.log(
+            self.socket_host.log(
                 f"recall: engines={counts['engines']} offerings={counts['offerings']} "
                 f"queues={counts['queues']} age={old}"
             )
@@ -122,7 +122,9 @@
         ):
             size = os.path.getsize(path)
             if size > left:
-                self.house.log(f"recall: {path} has {size} octets, more than are read; passed over")
+                self.socket_host.log(
+                    f"recall: {path} has {size} octets, more than are read; passed over"
+                )
                 break
             left -= size
             paths.append((path, size))
@@ -135,20 +137,20 @@
                 if body is not None:
                     self.effects.take(body)
                 elif wrong:
-                    self.house.log(f"recall: {path} has {wrong} at {at}")
+                    self.socket_host.log(f"recall: {path} has {wrong} at {at}")
         unsettled = self.effects.unsettled()
         gateway, ordered = (
-            self.house.gateway,
-            {each.name for each in self.house.stated.offerings if each.ordered},
+            self.socket_host.gateway,
+            {each.name for each in self.socket_host.settings.request_classes if each.ordered},
         )
         for effect in unsettled:
             # Danger: it may run on, and the next of its key would run beside it. It was given up with its
             # connection, at the latest when the program before ended; so its key rests as after a reset.
-            if effect.key and effect.offering in ordered:
-                gateway.key_rests(effect.key, now + gateway.settle)
+            if effect.key and effect.request_class in ordered:
+                gateway.hold_order_key(effect.key, now + gateway.settle)
         self.serial = max(self.effects.by_serial, default=0)
         if len(self.effects):
-            self.house.log(f"recall: effects={len(self.effects)} unsettled={len(unsettled)}")
+            self.socket_host.log(f"recall: effects={len(self.effects)} unsettled={len(unsettled)}")
         for effect in unsettled:
             effect.open = False
         self.effects.expire(now, len(self.effects))
@@ -156,20 +158,20 @@
 
     # What the host tells.
 
-    def sending(self, handoff: Attempt, label: str) -> int:
+    def sending(self, attempt: Attempt, label: str) -> int:
         """A hand-off of a labelled or ordered submission goes out; its entry goes first. Its serial here."""
-        sub, engine = handoff.submission, handoff.engine
+        request, engine = attempt.request, attempt.engine
         self.serial += 1
         effect = effects.LoggedAttempt(
             self.serial,
             label,
-            sub.offering.name,
-            sub.key,
+            request.request_class.name,
+            request.order_key,
             engine.name,
-            engine.hall,
+            engine.zone,
             engine.cell,
-            handoff.sent,
-            handoff.sent + sub.offering.remembered,
+            attempt.sent_at,
+            attempt.sent_at + request.request_class.key_ttl,
         )
         self.effects.sent(effect)
         self._put(EFFECT, effects.sent(effect))
@@ -180,46 +182,54 @@
         self.effects.over(serial, ran)
         self._put(EFFECT, effects.over(serial, ran))
 
-    def mark_known(self, sub: Any, label: str) -> None:
+    def mark_known(self, request: Any, label: str) -> None:
         """A labelled submission that may have run goes only where its label is known, and only as long."""
-        known = self.effects.of(sub.offering.name, label, self.hub.now)
-        if known and sub.offering.group != ALL_HALLS:
-            sub.before = [
+        known = self.effects.of(request.request_class.name, label, self.event_loop.now)
+        if known and request.request_class.key_scope != ALL_HALLS:
+            request.earlier_attempts = [
                 Attempt(
                     None,
-                    Engine(each.engine, b"", each.hall, 0, each.cell),
+                    Engine(each.engine, b"", each.zone, 0, each.cell),
                     -1,
                     each.sent,
                     1.0,
                     1.0,
                     False,
-                    outcome=RESET,
+                    outcome=AttemptOutcome.CONNECTION_RESET,
                 )
                 for each in known
             ]
-            sub.life = max(min(sub.life, min(each.until for each in known) - self.hub.now), 1)
+            request.time_to_deadline = max(
+                min(
+                    request.time_to_deadline,
+                    min(each.until for each in known) - self.event_loop.now,
+                ),
+                1,
+            )
 
     def keep(self) -> None:
         """A snapshot, in its time; and what is over and forgotten goes. Danger: a fleet's figures take some
         milliseconds to gather; so they are copied in one turn, named in the next, packed in a third."""
-        self.effects.expire(self.hub.now)
-        if self.house.recall is self:
+        self.effects.expire(self.event_loop.now)
+        if self.socket_host.recall is self:
             self._put(FLOOR, SERIALS.pack(self.effects.oldest(self.serial + 1), self.serial))
-        self.hub.later(1, self._name, self._moment(), learned.copied(self.house.gateway))
-        self.hub.later(self.said.each, self.keep)
+        self.event_loop.call_later(
+            1, self._name, self._moment(), learned.copied(self.socket_host.gateway)
+        )
+        self.event_loop.call_later(self.said.each, self.keep)
 
     def _moment(self) -> dict[str, Any]:
         boot, since_boot = boot_of()
         return {
             "gateway": self.gateway,
             "mark": self.mark,
-            "at": self.hub.now,
+            "at": self.event_loop.now,
             "boot": boot,
             "since_boot": since_boot,
         }
 
     def _name(self, moment: dict[str, Any], said: dict[str, Any]) -> None:
-        self.hub.later(1, self._pack, {**moment, **learned.named(said)})
+        self.event_loop.call_later(1, self._pack, {**moment, **learned.named(said)})
 
     def _pack(self, body: dict[str, Any]) -> None:
         self._put(SNAPSHOT, snapshot.packed(body))
@@ -227,13 +237,13 @@
     def reload(self, said: Recall) -> None:
         """Danger: a folder that changes under an open log would leave effects that nobody finds again."""
         if said != self.said:
-            self.house.log("operator file: recall changed, in force after a restart")
+            self.socket_host.log("operator file: recall changed, in force after a restart")
 
     def end(self) -> None:
         """The program ends in order."""
         self.ending = True
         if self.helper is not None:
-            self._pack({**self._moment(), **learned.gathered(self.house.gateway)})
+            self._pack({**self._moment(), **learned.gathered(self.socket_host.gateway)})
         if self.helper is not None:
             os.set_blocking(self.pipe, True)
             try:
@@ -262,7 +272,7 @@
                 start_new_session=True,
             )
         except OSError as problem:
-            self.house.log(f"recall: no helper: {problem.strerror}")
+            self.socket_host.log(f"recall: no helper: {problem.strerror}")
             return
         self.pipe = self.helper.stdin.fileno()
         os.set_blocking(self.pipe, False)
@@ -272,13 +282,13 @@
         except OSError:
             pass
         self.unwritten.clear()
-        self.hub.spawn(self._listen, self.helper)
+        self.event_loop.spawn(self._listen, self.helper)
 
     def _listen(self, helper: subprocess.Popen) -> None:
         """What it says; and its end, after which another is started."""
         fd = helper.stdout.fileno()
         while True:
-            self.hub.wait(fd, READ)
+            self.event_loop.wait(fd, READ)
             try:
                 said = os.read(fd, 1024)
             except BlockingIOError:
@@ -287,15 +297,15 @@
                 said = b""
             if not said:
                 break
-            self.house.log(
+            self.socket_host.log(
                 f"recall: not written: {said.decode(errors='replace').splitlines()[0][:200]}"
             )
         helper.stdout.close()
         helper.wait()
-        if not self.hub.stopped and not self.ending:
+        if not self.event_loop.stopped and not self.ending:
             self.helper = None
-            self.house.log("recall: the helper ended, nothing is kept until another one runs")
-            self.hub.later(AGAIN, self._start)
+            self.socket_host.log("recall: the helper ended, nothing is kept until another one runs")
+            self.event_loop.call_later(AGAIN, self._start)
 
     def _put(self, sort: bytes, body: bytes) -> None:
         """Danger: a helper that waits for a disk fills the pipe. What does not go in is told as not kept."""
@@ -308,13 +318,13 @@
             self.unwritten.clear()  # nothing of it went: it never was
             return self._missed()
         if self.gap and self.helper is not None:
-            self.house.log(f"recall: written again, {self.gap} entries were not kept")
+            self.socket_host.log(f"recall: written again, {self.gap} entries were not kept")
             self.gap = 0
 
     def _missed(self) -> None:
         self.gap += 1
         if self.gap == 1:
-            self.house.log("recall: the helper does not keep up, entries are not kept")
+            self.socket_host.log("recall: the helper does not keep up, entries are not kept")
 
     def _flush(self) -> bool:
         """Is the pipe free? What is left of a frame goes before the next one, so each goes whole."""
--- a/corkgauge/recovery/snapshot.py
+++ b/corkgauge/recovery/snapshot.py
@@ -35,7 +35,7 @@
     1
     >>> read(packed({"gateway": "n1", "mark": 7, "at": 1}), "n2", 7)
     Traceback (most recent call last):
-    corkgauge.recovery.snapshot.Unusable: of another gateway
+    corkgauge.recovery.snapshot.UnusableSnapshotError: of another gateway
     """
     if len(data) > LARGEST:
         raise UnusableSnapshotError("too large")
--- a/corkgauge/simulator/host.py
+++ b/corkgauge/simulator/host.py
@@ -5,9 +5,9 @@
 from struct import Struct, pack
 from typing import Any
 
-from corkgauge.policy.gateway import Gateway
-from corkgauge.policy.records import GONE, Engine, Attempt, Request
 from corkgauge.config.settings import Settings
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import Attempt, Engine, EngineState, Request
 
 U32 = (1 << 32) - 1
 ROUTE, COOL = Struct("<BIQ6sI"), Struct("<BIQI")
@@ -27,30 +27,38 @@
         self.submissions: dict[int, Request] = {}
         self.wakes: dict[int, tuple[Callable[..., None], tuple]] = {}
         self.nonce = 0
-        self.stated: Any = None
+        self.settings: Any = None
 
     # What the gateway may do.
 
-    def hand_off(self, handoff: Attempt, allow: int) -> None:
+    def send_attempt(self, attempt: Attempt, allow: int) -> None:
         self.actions.append(
             ROUTE.pack(
-                90, self.number, handoff.submission.tag, handoff.engine.tag, min(allow * 100, U32)
+                90,
+                self.number,
+                attempt.request.host_reference,
+                attempt.engine.host_reference,
+                min(allow * 100, U32),
             )
         )
 
-    def set_terms(self, submission: Request, memory: float, priority: int) -> None:
-        self.actions.append(TERMS.pack(110, self.number, submission.tag, memory, priority))
+    def set_resources(self, request: Request, memory: float, priority: int) -> None:
+        self.actions.append(TERMS.pack(110, self.number, request.host_reference, memory, priority))
 
-    def dismiss(self, submission: Request, come_back: int) -> None:
-        self.actions.append(COOL.pack(40, self.number, submission.tag, min(come_back * 100, U32)))
+    def reject(self, request: Request, retry_after: int) -> None:
+        self.actions.append(
+            COOL.pack(40, self.number, request.host_reference, min(retry_after * 100, U32))
+        )
 
-    def scrap(self, submission: Request) -> None:
-        self.actions.append(REQUEST.pack(100, self.number, submission.tag))
+    def fail(self, request: Request) -> None:
+        self.actions.append(REQUEST.pack(100, self.number, request.host_reference))
 
-    def call_off(self, handoff: Attempt) -> None:
-        self.actions.append(TRY.pack(120, self.number, handoff.submission.tag, handoff.number))
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        self.actions.append(
+            TRY.pack(120, self.number, attempt.request.host_reference, attempt.number)
+        )
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         self.nonce += 1
         self.wakes[self.nonce] = method, what
         self.actions.append(TIMER.pack(60, self.number, self.nonce, min(max(delay, 0) * 100, U32)))
@@ -63,8 +71,8 @@
 
     def born(self, seed: int, text: bytes) -> None:
         """Read what is stated at start; the gateway keeps only what it derives from it."""
-        self.stated = Settings(json.loads(text), self, seed)
-        self.gateway = self.stated.gateway
+        self.settings = Settings(json.loads(text), self, seed)
+        self.gateway = self.settings.gateway
 
     def update(self, form: int, entries: list[tuple]) -> None:
         """Changes, or the whole list: what a whole list leaves out is gone."""
@@ -74,14 +82,14 @@
             named = {entry[0] for entry in entries}
             for tag, engine in self.engines.items():
                 if tag not in named:
-                    self.gateway.engine_told(engine, GONE, engine.started)
-        for tag, hall, kind, cell, state, _, since in entries:
+                    self.gateway.on_engine_update(engine, EngineState.GONE, engine.incarnation)
+        for tag, zone, kind, cell, state, _, since in entries:
             engine = self.engines.get(tag)
             if engine is None:
-                engine = self.engines[tag] = Engine(tag, tag, hall, kind, cell, name=tag.hex())
-            self.stated.place(engine, hall, kind, cell)
-            self.gateway.engine_told(engine, state, since // 100)
-        self.gateway.list_told()
+                engine = self.engines[tag] = Engine(tag, tag, zone, kind, cell, name=tag.hex())
+            self.settings.place(engine, zone, kind, cell)
+            self.gateway.on_engine_update(engine, state, since // 100)
+        self.gateway.on_engine_list_complete()
 
     def demand(
         self,
@@ -95,9 +103,9 @@
         key: int,
         budget: int,
     ) -> None:
-        submission = Request(
+        request = Request(
             tag,
-            self.stated.offerings[kind],
+            self.settings.request_classes[kind],
             tenant,
             tables,
             self.now,
@@ -106,32 +114,32 @@
             memory,
             key,
         )
-        self.submissions[tag] = submission
-        self.gateway.submission_taken(submission)
-        self.forget(submission)
+        self.submissions[tag] = request
+        self.gateway.on_request(request)
+        self.forget(request)
 
     def dropped(self, tag: int) -> None:
-        submission = self.submissions.get(tag)
-        if submission is not None:
-            self.gateway.submission_left(submission)
-            self.forget(submission)
+        request = self.submissions.get(tag)
+        if request is not None:
+            self.gateway.on_client_left(request)
+            self.forget(request)
 
     def verdict(
         self, tag: int, number: int, reason: int, took: int, terminal: bool, stats: int, load: tuple
     ) -> None:
-        submission = self.submissions[tag]
-        handoff = submission.handoffs[number]
-        told = dict(zip(self.stated.fields, load))
-        work, need = ((stats >> 12) * 10, (stats & 4095) * 4.0) if self.stated.bills else (0, 0.0)
-        self.gateway.handoff_over(
-            handoff, reason, took // 100, terminal, work, need, told.get("inflight", -1.0)
+        request = self.submissions[tag]
+        attempt = request.attempts[number]
+        told = dict(zip(self.settings.fields, load))
+        work, need = ((stats >> 12) * 10, (stats & 4095) * 4.0) if self.settings.bills else (0, 0.0)
+        self.gateway.on_attempt_finished(
+            attempt, reason, took // 100, terminal, work, need, told.get("inflight", -1.0)
         )
-        self.forget(submission)
+        self.forget(request)
 
     def update_of(self, tag: int, number: int, sort: int, value: float) -> None:
-        submission = self.submissions.get(tag)
-        if submission is not None and number < len(submission.handoffs):
-            self.gateway.handoff_progress(submission.handoffs[number], sort, value)
+        request = self.submissions.get(tag)
+        if request is not None and number < len(request.attempts):
+            self.gateway.on_attempt_progress(request.attempts[number], sort, value)
 
     def deadline_hit(self, nonce: int) -> None:
         method, what = self.wakes.pop(nonce, (None, ()))
@@ -140,7 +148,7 @@
             if what and isinstance(what[0], Request):
                 self.forget(what[0])
 
-    def forget(self, submission: Request) -> None:
+    def forget(self, request: Request) -> None:
         """An id is kept while its submission lives or one of its hand-offs is out."""
-        if submission.over and not any(h.out for h in submission.handoffs):
-            self.submissions.pop(submission.tag, None)
+        if request.is_finished and not any(h.is_in_flight for h in request.attempts):
+            self.submissions.pop(request.host_reference, None)
--- a/corkgauge/simulator/protocol.py
+++ b/corkgauge/simulator/protocol.py
@@ -46,7 +46,7 @@
     True
     >>> read_frame(io.BytesIO(b"\\x10\\0"))
     Traceback (most recent call last):
-    corkgauge.simulator.protocol.Malformed: input ended inside a frame's length
+    corkgauge.simulator.protocol.ProtocolError: input ended inside a frame's length
     """
     head = source.read(4)
     if not head:
--- a/corkgauge/testkit/checkers/leases.py
+++ b/corkgauge/testkit/checkers/leases.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import Any
 
+from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.leases.fencing import FencingGuard
-from corkgauge.membership.member_list import MemberList, Member
 from corkgauge.membership.datagrams import Key
-from corkgauge.eventloop.loop import READ, EventLoop
+from corkgauge.membership.member_list import Member, MemberList
 from corkgauge.testkit.seeded_random import SeededRandom
 
 ZERO = {
@@ -40,37 +40,37 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         name: str,
         keys: list[bytes],
-        fellows: list[tuple[str, tuple[str, int]]],
+        members: list[tuple[str, tuple[str, int]]],
         period: int,
         guarded: bool = True,
     ) -> None:
-        self.hub, self.name, self.chances = hub, name, SeededRandom(97)
-        self.addresses = dict(fellows)
+        self.event_loop, self.name, self.chances = event_loop, name, SeededRandom(97)
+        self.addresses = dict(members)
         self.acts: list[Act] = []
         self.guard, self.guarded = FencingGuard(), guarded
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        self.company = MemberList(
+        self.member_list = MemberList(
             self,
             name,
-            hub.now // 10 << 12,
+            event_loop.now // 10 << 12,
             [Key(each) for each in keys],
             [(each, "") for each in (*self.addresses, name)],
             period,
         )
-        self.company.calls["books"] = self.came
-        self.company.calls["works"] = self.works_came
+        self.member_list.calls["books"] = self.came
+        self.member_list.calls["works"] = self.works_came
         self.words = 0
-        hub.spawn(self._read)
+        event_loop.spawn(self._read)
 
     def _read(self) -> None:
         while True:
-            self.hub.wait(self.sock.fileno(), READ)
+            self.event_loop.wait(self.sock.fileno(), READ)
             for _ in range(64):
                 try:
                     data = self.sock.recv(2_000)
@@ -78,18 +78,18 @@
                     break
                 except OSError:
                     continue
-                self.company.came(data)
+                self.member_list.came(data)
 
     def came(self, sender: str, body: Any) -> None:
         what, duty, fence, *rest = body
         if what not in ("ask", "entry"):
             return
         admitted = self.guard.admits(duty, fence) or not self.guarded
-        self.acts.append(Act(self.hub.now, sender, duty, fence, admitted))
+        self.acts.append(Act(self.event_loop.now, sender, duty, fence, admitted))
         if not admitted:
-            self.company.call(sender, "books", ["no", duty, self.guard.highest[duty]])
+            self.member_list.call(sender, "books", ["no", duty, self.guard.highest[duty]])
         elif what == "ask":
-            self.company.call(sender, "books", ["account", duty, rest[0], ZERO])
+            self.member_list.call(sender, "books", ["account", duty, rest[0], ZERO])
 
     def works_came(self, sender: str, body: Any) -> None:
         """To whoever plans works the judge is a gateway that sends nothing anywhere, and says so."""
@@ -97,22 +97,22 @@
             _, fence, number, *_, levels = body
             self.words += 1
             word = ["word", self.words, fence, number, False, [*levels], len(levels), {}, [], True]
-            self.company.call(sender, "works", word)
+            self.member_list.call(sender, "works", word)
 
     # Its company's host.
 
     @property
     def now(self) -> int:
-        return self.hub.now
+        return self.event_loop.now
 
-    def post(self, name: str, data: bytes) -> None:
+    def send_datagram(self, name: str, data: bytes) -> None:
         try:
             self.sock.sendto(data, self.addresses[name])
         except OSError:
             pass
 
-    def wake(self, delay: int, method: Any, *what: Any) -> None:
-        self.hub.later(delay, method, *what)
+    def call_later(self, delay: int, method: Any, *what: Any) -> None:
+        self.event_loop.call_later(delay, method, *what)
 
     def chance(self, below: int) -> int:
         return self.chances.below(below)
@@ -120,7 +120,7 @@
     def log(self, line: str) -> None:
         pass
 
-    def changed(self, fellow: Member, before: int) -> None:
+    def changed(self, member: Member, before: int) -> None:
         pass
 
 
--- a/corkgauge/testkit/checkers/maintenance.py
+++ b/corkgauge/testkit/checkers/maintenance.py
@@ -26,7 +26,7 @@
 
     most: int
     share: float = 1.0
-    hall: float = 1.0
+    zone: float = 1.0
     kind: float = 1.0
     least: Mapping[str, int] = field(default_factory=dict)
 
@@ -46,7 +46,7 @@
     ['t7 came to e1 10 after its work had begun']
     >>> wrong(works, [], engines, Limits(1))
     ['2 engines at work at once (e1 e2), 1 allowed']
-    >>> wrong(works, [], engines, Limits(3, hall=0.5))
+    >>> wrong(works, [], engines, Limits(3, zone=0.5))
     ['hall a: 16 of 16 cores at work at once, 0.5 of them allowed']
     >>> wrong([*works, Work("e1", "x", ("e1",), 70, 80)], [], engines, Limits(3))
     ['e1 of x was worked on twice']
@@ -89,7 +89,7 @@
         )
     for what, at, part in (
         ("", None, limits.share),
-        ("hall ", 0, limits.hall),
+        ("hall ", 0, limits.zone),
         ("kind ", 1, limits.kind),
     ):
         names = {"" if at is None else engines[tag][at] for tag in tags}
--- a/corkgauge/testkit/checkers/rules.py
+++ b/corkgauge/testkit/checkers/rules.py
@@ -59,7 +59,7 @@
         until = ask.sent + 10 * ask.want.patience + slack
         if not ask.answers:
             if not ask.excused and not at_a_kill(ask, killed, slack):
-                found.append(f"lost: {ask.trace} of {ask.want.offering} has no answer")
+                found.append(f"lost: {ask.trace} of {ask.want.request_class} has no answer")
             continue
         when, code, body = ask.answers[0]
         if len(ask.answers) > 1:
@@ -90,10 +90,10 @@
     for trace, several in by_trace.items():
         ran, sort = (
             [run for run in several if run.ran],
-            stakes.repeats.get(several[0].offering, "pure"),
+            stakes.repeats.get(several[0].request_class, "pure"),
         )
         if sort == "side_effect" and len(ran) > 1 or sort == "token" and len(ran) > 1:
-            found.append(f"effect: {trace} of {several[0].offering} ran {len(ran)} times")
+            found.append(f"effect: {trace} of {several[0].request_class} ran {len(ran)} times")
         if sort == "token" and several[-1].came > several[0].came + REMEMBERED:
             found.append(f"effect: {trace} was sent again after its label was forgotten")
     # Engines of one group drop a repeat by its label; what ran in two ran twice, whoever asked again.
@@ -157,7 +157,7 @@
         by_trace[run.trace].append(run)
     lines = defaultdict[str, list[Ask]](list)
     for ask in asks:
-        if ask.want.offering in stakes.ordered and ask.key:
+        if ask.want.request_class in stakes.ordered and ask.key:
             lines[ask.key].append(ask)
     for key, line in lines.items():
         before: Run | None = None
@@ -177,9 +177,9 @@
 
 def misplaced(runs: list[Run], stakes: Stakes) -> list[str]:
     return [
-        f"placement: {run.trace} of {run.offering} came to {run.engine} of kind {run.kind}"
+        f"placement: {run.trace} of {run.request_class} came to {run.engine} of kind {run.kind}"
         for run in runs
-        if run.kind not in stakes.kinds.get(run.offering, {run.kind})
+        if run.kind not in stakes.kinds.get(run.request_class, {run.kind})
     ]
 
 
--- a/corkgauge/testkit/emulators/clients.py
+++ b/corkgauge/testkit/emulators/clients.py
@@ -8,12 +8,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.eventloop.connection import dial
+from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
-from corkgauge.testkit.seeded_random import SeededRandom
 from corkgauge.testkit.emulators.listener import linked
-from corkgauge.testkit.emulators.protocols import ClientSide, ready_question, request, withdrawal
+from corkgauge.testkit.emulators.protocols import (
+    EmulatedClientProtocol,
+    ready_question,
+    request_frame,
+    withdrawal,
+)
+from corkgauge.testkit.seeded_random import SeededRandom
 
 PAUSE = 500  # between two dials
 TOLD = {SERVED: "served", REFUSED: "refused", FAILED: "failed"}
@@ -25,7 +30,7 @@
 class Want:
     """What clients ask for: an offering's name, its share of all, patience in ms, estimate of work in ms."""
 
-    offering: str
+    request_class: str
     share: float
     patience: int
     work: float
@@ -54,7 +59,7 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         address: tuple[str, int],
         wants: list[Want],
         tenant: str,
@@ -64,8 +69,8 @@
         hangs_up: float = 0.0,
         retries: bool = False,
     ) -> None:
-        self.hub, self.address, self.wants, self.tenant, self.rate = (
-            hub,
+        self.event_loop, self.address, self.wants, self.tenant, self.rate = (
+            event_loop,
             address,
             wants,
             tenant,
@@ -78,26 +83,26 @@
         self.link: Any = None
         self.stream, self.is_ready, self.stopped = 0, False, False
         self.keys = {f"{seed & 0xFFFF:04x}{n:02x}": 0 for n in range(1, 5)}
-        hub.spawn(self.run)
-        hub.later(int(self.chance.wait(SECOND / rate)), self.ask)
+        event_loop.spawn(self.run)
+        event_loop.call_later(int(self.chance.wait(SECOND / rate)), self.ask)
 
     def run(self) -> None:
         """The task that keeps it connected."""
         while not self.stopped:
-            sock, _ = dial(self.hub, self.address, SECOND)
+            sock, _ = dial(self.event_loop, self.address, SECOND)
             if sock is not None:
                 self.stream, self.is_ready = 0, False
-                self.link = linked(self.hub, sock, ClientSide(self), self)
+                self.link = linked(self.event_loop, sock, EmulatedClientProtocol(self), self)
                 self.link.send(ready_question())
                 self.link.run()
             if not self.stopped:
-                self.hub.sleep(PAUSE)
+                self.event_loop.sleep(PAUSE)
 
     def ask(self) -> None:
         if self.stopped:
             return
-        self.hub.later(max(int(self.chance.wait(SECOND / self.rate)), 1), self.ask)
-        link, now = self.link, self.hub.now
+        self.event_loop.call_later(max(int(self.chance.wait(SECOND / self.rate)), 1), self.ask)
+        link, now = self.link, self.event_loop.now
         draw, want = self.chance.part(), self.wants[-1]
         for want in self.wants:
             if draw < want.share:
@@ -117,7 +122,7 @@
             want, key, label = before.want, before.key, before.label
         self.stream += 1
         fields = {
-            "route": want.offering,
+            "route": want.request_class,
             "trace": self.chance.word(),
             "patience": str(want.patience),
             "customer": self.tenant,
@@ -129,14 +134,14 @@
         if key:
             fields["entity"], self.keys[key] = key, now
         body = b"select * from mart_%d.facts" % self.chance.below(40)
-        if link.send(request(self.stream, fields, body)):
+        if link.send(request_frame(self.stream, fields, body)):
             ask = Ask(fields["trace"], want, key, now, link.put, self.stream, label=label)
             self.book.append(ask)
             self.open[self.stream] = ask
             if self.chance.within(self.gives_up):
-                self.hub.later(int(self.chance.wait(200)), self.give_up, ask)
+                self.event_loop.call_later(int(self.chance.wait(200)), self.give_up, ask)
             elif self.chance.within(self.hangs_up):
-                self.hub.later(int(self.chance.wait(300)), self.hang_up, link)
+                self.event_loop.call_later(int(self.chance.wait(300)), self.hang_up, link)
 
     def give_up(self, ask: Ask) -> None:
         if not ask.answers and self.open.get(ask.stream) is ask:
@@ -156,7 +161,7 @@
         if ask is None:
             ask = next((each for each in reversed(self.book) if each.stream == stream), None)
         if ask is not None:
-            ask.answers.append((self.hub.now, code, body))
+            ask.answers.append((self.event_loop.now, code, body))
             self.open.pop(stream, None)
 
     def ready(self, code: int) -> None:
--- a/corkgauge/testkit/emulators/collector.py
+++ b/corkgauge/testkit/emulators/collector.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.flow_export.decoder import Decoder, Heard, MalformedMessageError, Stream
 from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
+from corkgauge.flow_export.decoder import Decoder, Heard, MalformedMessageError, Stream
 from corkgauge.testkit.emulators.listener import ABORTED, Listener, linked
 
 
@@ -19,13 +19,18 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         transport: str,
         heard: Callable[[Heard, bytes], None] = lambda *_: None,
         address: tuple[str, int] = ("127.0.0.1", 0),
         context: ssl.SSLContext | None = None,
     ) -> None:
-        self.hub, self.transport, self.heard, self.context = hub, transport, heard, context
+        self.event_loop, self.transport, self.heard, self.context = (
+            event_loop,
+            transport,
+            heard,
+            context,
+        )
         self.wrong, self.sessions = list[str](), 0
         self.deaf = self.resets_templates = False
         self.listener: Listener | None = None
@@ -34,7 +39,7 @@
             self.address = address
             self.open()
         else:
-            self.listener = Listener(hub, lambda sock: Guest(self, sock), address)
+            self.listener = Listener(event_loop, lambda sock: Guest(self, sock), address)
             self.address = self.listener.address
 
     def open(self) -> None:
@@ -46,20 +51,20 @@
         self.sock.bind(self.address)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        self.hub.spawn(self._datagrams, self.sock)
+        self.event_loop.spawn(self._datagrams, self.sock)
 
     def close(self) -> None:
         """Gone: connections are reset, datagrams refused."""
         if self.listener is not None:
             return self.listener.close(abort=True)
         sock, self.sock = self.sock, None
-        self.hub.wake(sock.fileno())
+        self.event_loop.wake(sock.fileno())
         sock.close()
 
     def _datagrams(self, sock: socket.socket) -> None:
         decoders: dict[Any, Decoder] = {}
         while self.sock is sock:
-            self.hub.wait(sock.fileno(), READ)
+            self.event_loop.wait(sock.fileno(), READ)
             while self.sock is sock:
                 try:
                     data, source = sock.recvfrom(65_536)
@@ -95,7 +100,7 @@
             if collector.context is None
             else Sealed(self, collector.context)
         )
-        self.link = linked(collector.hub, sock, machine, self)
+        self.link = linked(collector.event_loop, sock, machine, self)
 
     def came(self, data: bytes) -> str:
         try:
--- a/corkgauge/testkit/emulators/discovery.py
+++ b/corkgauge/testkit/emulators/discovery.py
@@ -8,7 +8,7 @@
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.testkit.emulators.listener import Listener, linked
-from corkgauge.testkit.emulators.protocols import FeedDoor
+from corkgauge.testkit.emulators.protocols import EmulatedDiscoveryProtocol
 
 
 class Reader:
@@ -16,7 +16,7 @@
 
     def __init__(self, feed: "EmulatedDiscovery", sock: Any) -> None:
         self.feed, self.last = feed, -1
-        self.link = linked(feed.hub, sock, FeedDoor(self), self)
+        self.link = linked(feed.event_loop, sock, EmulatedDiscoveryProtocol(self), self)
 
     def asked(self, last: int) -> None:
         self.link.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
@@ -42,12 +42,12 @@
 class EmulatedDiscovery:
     """`changes` holds when each state of an engine was told: (when, engine, state, started in ms)."""
 
-    def __init__(self, hub: EventLoop) -> None:
-        self.hub, self.version = hub, 0
+    def __init__(self, event_loop: EventLoop) -> None:
+        self.event_loop, self.version = event_loop, 0
         self.events: list[dict[str, Any]] = []
         self.changes: list[tuple[int, str, str, int]] = []
-        self.listener = Listener(hub, lambda sock: Reader(self, sock))
-        hub.later(SECOND, self.comment)
+        self.listener = Listener(event_loop, lambda sock: Reader(self, sock))
+        event_loop.call_later(SECOND, self.comment)
 
     @property
     def address(self) -> str:
@@ -62,7 +62,7 @@
             {
                 "id": each.name,
                 "addr": each.address,
-                "zone": each.hall,
+                "zone": each.zone,
                 "kind": each.kind,
                 "cell": 0,
                 "state": state,
@@ -77,7 +77,7 @@
         }
         self.events.append(event)
         for each in engines:
-            self.changes.append((self.hub.now, each.name, state, each.started_ms))
+            self.changes.append((self.event_loop.now, each.name, state, each.started_ms))
         for reader in self.listener.guests:
             reader.tell()
         return event
@@ -86,4 +86,4 @@
         for reader in self.listener.guests:
             if reader.last >= 0:
                 reader.link.send(b": \n\n")
-        self.hub.later(SECOND, self.comment)
+        self.event_loop.call_later(SECOND, self.comment)
--- a/corkgauge/testkit/emulators/engines.py
+++ b/corkgauge/testkit/emulators/engines.py
@@ -9,9 +9,9 @@
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net.engine_protocol import command
-from corkgauge.testkit.seeded_random import SeededRandom
 from corkgauge.testkit.emulators.listener import Listener, linked
-from corkgauge.testkit.emulators.protocols import EngineDoor
+from corkgauge.testkit.emulators.protocols import EmulatedEngineProtocol
+from corkgauge.testkit.seeded_random import SeededRandom
 
 REMEMBERED = 20 * SECOND  # that a label is known, against repeats
 # Troubles that an engine may be given, each with what its figure means.
@@ -37,7 +37,7 @@
     engine: str
     kind: str
     trace: str
-    offering: str
+    request_class: str
     label: str
     came: int
     work: float  # of one core
@@ -52,7 +52,7 @@
 
     def __init__(self, engine: "EmulatedEngine", sock: Any) -> None:
         self.engine, self.runs = engine, dict[str, Run]()
-        self.link = linked(engine.hub, sock, EngineDoor(self), self)
+        self.link = linked(engine.event_loop, sock, EmulatedEngineProtocol(self), self)
 
     def commanded(self, parts: list[str]) -> None:
         self.engine.commanded(self, parts)
@@ -63,7 +63,7 @@
     def ended(self, why: str) -> None:
         self.engine.listener.left(self)
         for run in self.runs.values():
-            run.ended = self.engine.hub.now if run.ended < 0 else run.ended
+            run.ended = self.engine.event_loop.now if run.ended < 0 else run.ended
         self.engine.busy -= sum(run.ran for run in self.runs.values() if run.link is self)
         self.runs.clear()
 
@@ -73,20 +73,20 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         name: str,
         kind: str,
-        hall: str,
+        zone: str,
         cores: float,
         mean: dict[str, float],
         seed: int,
         known: dict[str, int],
     ) -> None:
-        self.hub, self.name, self.kind, self.hall, self.cores, self.mean = (
-            hub,
+        self.event_loop, self.name, self.kind, self.zone, self.cores, self.mean = (
+            event_loop,
             name,
             kind,
-            hall,
+            zone,
             cores,
             mean,
         )
@@ -95,7 +95,7 @@
         self.started_ms, self.busy = 0, 0
         self.held: list[Run] = []  # silent: what waits
         self.known = known  # labels, and when they ran: of the group of engines that drops repeats
-        self.listener = Listener(hub, lambda sock: Guest(self, sock))
+        self.listener = Listener(event_loop, lambda sock: Guest(self, sock))
 
     @property
     def address(self) -> str:
@@ -114,7 +114,7 @@
         was, self.trouble = self.trouble, ""
         if was in ("refuse", "restart"):
             if was == "restart":
-                self.started_ms = self.hub.now // 10
+                self.started_ms = self.event_loop.now // 10
             self.listener.open()
         held, self.held = self.held, []
         for run in held:
@@ -140,15 +140,15 @@
             self.over(guest.runs.pop(trace, None))
 
     def fetch(self, guest: Guest, trace: str, fields: dict[str, str]) -> None:
-        now, offering = self.hub.now, fields["sort"]
+        now, request_class = self.event_loop.now, fields["sort"]
         run = Run(
             self.name,
             self.kind,
             trace,
-            offering,
+            request_class,
             fields.get("op", ""),
             now,
-            self.chance.spread(self.mean[offering]),
+            self.chance.spread(self.mean[request_class]),
             link=guest,
         )
         self.book.append(run)
@@ -162,7 +162,7 @@
         guest.runs[trace] = run
         self.busy += run.ran
         pace = max(1.0, self.busy / self.cores) * (self.figure if self.trouble == "slow" else 1.0)
-        self.hub.later(int(10 * run.work * pace) + 5, self.finish, run)
+        self.event_loop.call_later(int(10 * run.work * pace) + 5, self.finish, run)
 
     def struck(self, trouble: str) -> bool:
         return self.trouble == trouble and self.chance.within(self.figure)
@@ -174,7 +174,7 @@
             return
         if self.trouble == "silent":
             return self.held.append(run)
-        run.ended = self.hub.now
+        run.ended = self.event_loop.now
         if self.struck("lost"):
             return
         if self.struck("error"):
@@ -183,7 +183,7 @@
         run.pages = 1 + self.chance.below(3)
         if self.struck("midway"):
             self.say(guest, run.trace, "DONE", self.bill(run, 3), self.page(run, 0))
-            return self.hub.later(20, guest.link.end, "broken off by the script")
+            return self.event_loop.call_later(20, guest.link.end, "broken off by the script")
         body = "\x00spoilt" if self.struck("garble") else self.page(run, 0)
         for _ in range(2 if self.struck("twice") else 1):
             self.say(guest, run.trace, "DONE", self.bill(run, run.pages), body)
@@ -202,5 +202,5 @@
 
     def over(self, run: Run | None) -> None:
         if run is not None:
-            run.ended = self.hub.now if run.ended < 0 else run.ended
+            run.ended = self.event_loop.now if run.ended < 0 else run.ended
             self.busy -= run.ran
--- a/corkgauge/testkit/emulators/listener.py
+++ b/corkgauge/testkit/emulators/listener.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.eventloop.connection import StreamConnection
+from corkgauge.eventloop.loop import READ, EventLoop
 
 ABORTED = struct.pack("ii", 1, 0)
 
@@ -19,11 +19,11 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         guest: Callable[[Any], Any],
         address: tuple[str, int] = ("127.0.0.1", 0),
     ) -> None:
-        self.hub, self.guest, self.address = hub, guest, address
+        self.event_loop, self.guest, self.address = event_loop, guest, address
         self.guests: dict[Any, None] = {}
         self.sock: socket.socket | None = None
         self.open()
@@ -37,13 +37,13 @@
             self.sock.listen(512)
             self.sock.setblocking(False)
             self.address = self.sock.getsockname()
-            self.hub.spawn(self._accept, self.sock)
+            self.event_loop.spawn(self._accept, self.sock)
 
     def close(self, abort: bool = False) -> None:
         """Refuse new connections; end those that are there."""
         if self.sock is not None:
             sock, self.sock = self.sock, None
-            self.hub.wake(sock.fileno())
+            self.event_loop.wake(sock.fileno())
         self.drop(abort)
 
     def drop(self, abort: bool = False) -> None:
@@ -58,7 +58,7 @@
 
     def _accept(self, sock: socket.socket) -> None:
         while self.sock is sock:
-            self.hub.wait(sock.fileno(), READ)
+            self.event_loop.wait(sock.fileno(), READ)
             while self.sock is sock:
                 try:
                     found, _ = sock.accept()
@@ -66,9 +66,9 @@
                     break
                 guest = self.guest(found)
                 self.guests[guest] = None
-                self.hub.spawn(guest.link.run)
+                self.event_loop.spawn(guest.link.run)
         sock.close()
 
 
-def linked(hub: EventLoop, sock: Any, machine: Any, owner: Any) -> StreamConnection:
-    return StreamConnection(hub, sock, machine, owner)
+def linked(event_loop: EventLoop, sock: Any, machine: Any, owner: Any) -> StreamConnection:
+    return StreamConnection(event_loop, sock, machine, owner)
--- a/corkgauge/testkit/emulators/protocols.py
+++ b/corkgauge/testkit/emulators/protocols.py
@@ -23,7 +23,7 @@
 PLENTY = 64 * 2**20
 
 
-class EngineDoor:
+class EmulatedEngineProtocol:
     """Reads a gateway's commands and calls its owner: `commanded(parts)`."""
 
     def __init__(self, owner: Any) -> None:
@@ -48,7 +48,7 @@
         return ""
 
 
-class FeedDoor:
+class EmulatedDiscoveryProtocol:
     """Reads a gateway's request for events and calls its owner: `asked(last event)`."""
 
     def __init__(self, owner: Any) -> None:
@@ -72,7 +72,7 @@
         return ""
 
 
-class ClientSide:
+class EmulatedClientProtocol:
     """Reads a gateway's frames and calls `answered(stream, code, body)`, `ready(code)`, `leaving()`."""
 
     def __init__(self, owner: Any) -> None:
@@ -104,10 +104,10 @@
         return ""
 
 
-def request(stream: int, fields: dict[str, str], body: bytes) -> bytes:
+def request_frame(stream: int, fields: dict[str, str], body: bytes) -> bytes:
     """A request's frame.
 
-    >>> request(1, {"route": "a"}, b"x").hex()
+    >>> request_frame(1, {"route": "a"}, b"x").hex()
     '1000000002010000000105726f75746501006178'
     """
     said = bytearray([len(fields)])
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -27,8 +27,8 @@
 
 def without(off: str) -> None:
     from corkgauge.leases.candidate import HOLDING, LeaseCandidate
-    from corkgauge.leases.voter_configuration import Span
     from corkgauge.leases.voter import Voter
+    from corkgauge.leases.voter_configuration import Span
 
     if off == "check":
         # Neither before an act nor at a timer: what was granted once is believed in until a voter says no.
@@ -53,10 +53,10 @@
         # The date is set back by an hour, some seconds after the start; a defence that is in place.
         import time
 
-        from corkgauge.eventloop import loop as hub
+        from corkgauge.eventloop import loop as event_loop
 
         true, begun = time.time_ns, time.monotonic()
-        hub.unix_time = lambda: true() // 100_000 - (
+        event_loop.unix_time = lambda: true() // 100_000 - (
             36_000_000 if time.monotonic() > begun + STEP_AFTER else 0
         )
     elif off == "slowdisk":
@@ -81,13 +81,15 @@
         MemberList.call = halted
     elif off == "liar":
         # It tells of every engine that it is silent and a hundred times as slow.
-        from corkgauge.peer_health.service import PeerHealthService
         from corkgauge.peer_health.reports import SILENT
+        from corkgauge.peer_health.service import PeerHealthService
 
         def lies(self: PeerHealthService, now: int) -> None:
-            for station in self.house.stations.values():
+            for engine_pool in self.socket_host.engine_pools.values():
                 self.findings.serial += 1
-                self.findings.found(now, station.engine.tag, station.started, SILENT, 10_000, 8)
+                self.findings.found(
+                    now, engine_pool.engine.tag, engine_pool.started, SILENT, 10_000, 8
+                )
 
         PeerHealthService._own = lies
     elif off == "witnesses":
@@ -98,19 +100,19 @@
         weighing.FAR = 1.0
         made = weighing.opinion
 
-        def believed(findings, now, started, us, halls, own_sign):
-            return made(findings, now, started, us, dict.fromkeys(halls, ""), -1)
+        def believed(findings, now, started, us, zones, own_sign):
+            return made(findings, now, started, us, dict.fromkeys(zones, ""), -1)
 
         from corkgauge.peer_health import service as exchange
 
         exchange.opinion = believed
     elif off == "leases":
         # A turn that was passed on is not spent here, and one that came is used whenever it is wanted.
-        from corkgauge.policy.gateway import Gateway
         from corkgauge.peer_health.permit_transfer import PermitTransfer
+        from corkgauge.policy.gateway import Gateway
 
-        passed = Gateway.turn_passed
-        Gateway.turn_passed = lambda self, engine, work, when: work > 0 or [
+        passed = Gateway.on_permit_moved
+        Gateway.on_permit_moved = lambda self, engine, work, when: work > 0 or [
             passed(self, engine, work, when + 20 * self.fall_span)
         ]
         PermitTransfer.received = lambda self, now, serial, known_for, left: now + left
@@ -123,12 +125,12 @@
         # What may have run is tried again anywhere, whoever knows its label.
         from corkgauge.policy.gateway import Gateway
 
-        stated = Gateway.__init__
+        settings = Gateway.__init__
 
         def careless(self: Gateway, host: object, **said: object) -> None:
             for each in said["offerings"]:
                 each.group = "all"
-            stated(self, host, **said)
+            settings(self, host, **said)
 
         Gateway.__init__ = careless
     elif off == "beyond":
@@ -143,17 +145,17 @@
         gathered = Gateway._gather
 
         def bare(self: Gateway) -> None:
-            needed, self.offerings = self.offerings, []
+            needed, self.request_classes = self.request_classes, []
             gathered(self)
-            self.offerings = needed
+            self.request_classes = needed
 
         Gateway._gather = bare
     elif off == "day":
         # Its date is a day ahead, from its start.
-        from corkgauge.eventloop import loop as hub
+        from corkgauge.eventloop import loop as event_loop
 
-        true = hub.unix_time
-        hub.unix_time = lambda: true() + 24 * 36_000_000
+        true = event_loop.unix_time
+        event_loop.unix_time = lambda: true() + 24 * 36_000_000
     elif off == "agreement":
         # One keeper's word is enough, to take the plan over and to change it.
         from corkgauge.maintenance.plan_proposer import PlanProposer
@@ -165,8 +167,8 @@
         Planner.confirming = False
     elif off == "orders":
         # Neither gateways nor keepers look at the fence.
-        from corkgauge.maintenance.plan_replica import PlanReplica
         from corkgauge.maintenance.participant import Participant
+        from corkgauge.maintenance.plan_replica import PlanReplica
 
         PlanReplica.defended = Participant.defended = False
     elif off in ("silence", "margin"):
--- a/corkgauge/testkit/faults/relay.py
+++ b/corkgauge/testkit/faults/relay.py
@@ -9,8 +9,8 @@
 from collections import deque
 from typing import Any
 
-from corkgauge.eventloop.loop import READ, WRITE, EventLoop
 from corkgauge.eventloop.connection import dial
+from corkgauge.eventloop.loop import READ, WRITE, EventLoop
 from corkgauge.testkit.seeded_random import SeededRandom
 
 KEPT = 200  # datagrams that may be played again
@@ -21,8 +21,10 @@
     """One way, from one fellow to another. `loss` and `doubled` are parts of 1, `delay` tenths of a
     millisecond at most: so what is sent later may come earlier."""
 
-    def __init__(self, hub: EventLoop, target: tuple[str, int], chance: SeededRandom) -> None:
-        self.hub, self.target, self.chance = hub, target, chance
+    def __init__(
+        self, event_loop: EventLoop, target: tuple[str, int], chance: SeededRandom
+    ) -> None:
+        self.event_loop, self.target, self.chance = event_loop, target, chance
         self.loss = self.doubled = 0.0
         self.delay = 0
         self.cut_until = 0
@@ -32,11 +34,11 @@
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        hub.spawn(self._run)
+        event_loop.spawn(self._run)
 
     def _run(self) -> None:
         while True:
-            self.hub.wait(self.sock.fileno(), READ)
+            self.event_loop.wait(self.sock.fileno(), READ)
             for _ in range(64):
                 try:
                     data = self.sock.recv(PIECE)
@@ -48,12 +50,12 @@
 
     def _carry(self, data: bytes) -> None:
         self.kept.append(data)
-        if self.hub.now < self.cut_until or self.chance.within(self.loss):
+        if self.event_loop.now < self.cut_until or self.chance.within(self.loss):
             self.lost += 1
             return
         for _ in range(2 if self.chance.within(self.doubled) else 1):
             if self.delay:
-                self.hub.later(self.chance.below(self.delay), self.send, data)
+                self.event_loop.call_later(self.chance.below(self.delay), self.send, data)
             else:
                 self.send(data)
 
@@ -81,33 +83,33 @@
 class Passage:
     """Connections to one address, carried on to another. While `cut`, nothing passes and nothing is told."""
 
-    def __init__(self, hub: EventLoop, target: tuple[str, int]) -> None:
-        self.hub, self.target, self.cut = hub, target, False
+    def __init__(self, event_loop: EventLoop, target: tuple[str, int]) -> None:
+        self.event_loop, self.target, self.cut = event_loop, target, False
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(64)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        hub.spawn(self._accept)
+        event_loop.spawn(self._accept)
 
     def _accept(self) -> None:
         while True:
-            self.hub.wait(self.sock.fileno(), READ)
+            self.event_loop.wait(self.sock.fileno(), READ)
             try:
                 near, _ = self.sock.accept()
             except OSError:
                 continue
             near.setblocking(False)
-            self.hub.spawn(self._join, near)
+            self.event_loop.spawn(self._join, near)
 
     def _join(self, near: Any) -> None:
-        far, _ = dial(self.hub, self.target, 10_000)
+        far, _ = dial(self.event_loop, self.target, 10_000)
         if far is None:
             return near.close()
         ends = [near, far]
         for source, sink in ((near, far), (far, near)):
             # Each direction waits on a descriptor of its own, as one task parks at one descriptor.
-            self.hub.spawn(
+            self.event_loop.spawn(
                 self._carry,
                 socket.socket(fileno=socket.dup(source.fileno())),
                 socket.socket(fileno=socket.dup(sink.fileno())),
@@ -117,10 +119,10 @@
     def _carry(self, source: Any, sink: Any, ends: list[Any]) -> None:
         try:
             while True:
-                self.hub.wait(source.fileno(), READ)
+                self.event_loop.wait(source.fileno(), READ)
                 was_cut = self.cut
                 while self.cut:
-                    self.hub.sleep(200)
+                    self.event_loop.sleep(200)
                 try:
                     data = memoryview(source.recv(PIECE))
                 except BlockingIOError:
@@ -132,7 +134,7 @@
                     try:
                         data = data[sink.send(data) :]
                     except BlockingIOError:
-                        self.hub.wait(sink.fileno(), WRITE)
+                        self.event_loop.wait(sink.fileno(), WRITE)
         except OSError:
             pass
         finally:
--- a/corkgauge/testkit/faults/slow_disk.py
+++ b/corkgauge/testkit/faults/slow_disk.py
@@ -10,7 +10,12 @@
 TAKES = 0.1  # seconds, for each write
 
 if __name__ == "__main__":
-    sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
+    sys.path.insert(
+        0,
+        os.path.dirname(
+            os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+        ),
+    )
     from corkgauge.leases import record_writer as store
 
     write = store.write
--- a/corkgauge/testkit/fleet/day.py
+++ b/corkgauge/testkit/fleet/day.py
@@ -14,12 +14,12 @@
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.testkit.checkers import rules
 from corkgauge.testkit.emulators.clients import EmulatedClient, Want
-from corkgauge.testkit.emulators.engines import EmulatedEngine
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
-from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.emulators.engines import EmulatedEngine
+from corkgauge.testkit.faults.script import Scene
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
+from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.scraper import Scraper
-from corkgauge.testkit.faults.script import Scene
 
 # The deployment that is played: offerings with their mean work (ms of one core) and what is promised.
 WORK = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
@@ -133,17 +133,17 @@
         retries: bool = False,
         wants: list[Want] = WANTS,
     ) -> None:
-        self.hub, self.scenes, self.seed, self.rate = EventLoop(), [*scenes], seed, rate
+        self.event_loop, self.scenes, self.seed, self.rate = EventLoop(), [*scenes], seed, rate
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
         known: dict[str, dict[str, int]] = {
-            hall: {} for hall in HALLS
+            zone: {} for zone in HALLS
         }  # labels, by group of engines
         if group == "all":
             known = dict.fromkeys(HALLS, {})
         names = [f"e{n}" for n in range(1, engines + 1)]
         self.engines = {
             name: EmulatedEngine(
-                self.hub,
+                self.event_loop,
                 name,
                 KINDS[n % 2],
                 HALLS[n // 2 % 2],
@@ -154,7 +154,7 @@
             )
             for n, name in enumerate(names)
         }
-        self.feed = EmulatedDiscovery(self.hub)
+        self.feed = EmulatedDiscovery(self.event_loop)
         first = self.feed.told([*self.engines.values()], full=True)
         self.address = "127.0.0.1", free_port()
         self.program = GatewayProcess(
@@ -173,7 +173,7 @@
         )
         self.clients = [
             EmulatedClient(
-                self.hub,
+                self.event_loop,
                 self.address,
                 wants,
                 ("acme", "bolt")[n % 2],
@@ -191,32 +191,33 @@
         self.scraper: Scraper | None = None
         if scrapes:
             self.scraper = Scraper(
-                self.hub, f"{self.folder}/figures.sock", int(SECOND / scrapes), self.scrape
+                self.event_loop, f"{self.folder}/figures.sock", int(SECOND / scrapes), self.scrape
             )
 
     def run(self, seconds: float, drain: float = 4.0) -> None:
         """Play so long, then let all that is open end, and end the program."""
-        begun = self.hub.now
+        begun = self.event_loop.now
         self.program.start()
         for scene in self.scenes:
-            self.hub.later(scene.at, self.begin, scene)
+            self.event_loop.call_later(scene.at, self.begin, scene)
         self.until(begun + int(seconds * SECOND))
         for client in self.clients:
             client.rate = 1e-6
             client.stopped = True
         self.until(
-            self.hub.now + int(drain * SECOND), lambda: any(client.open for client in self.clients)
+            self.event_loop.now + int(drain * SECOND),
+            lambda: any(client.open for client in self.clients),
         )
-        self.until(self.hub.now + SECOND // 2)
+        self.until(self.event_loop.now + SECOND // 2)
         if self.scraper is not None:
             self.scraper.stopped = True
-            self.until(self.hub.now + SECOND // 5)
+            self.until(self.event_loop.now + SECOND // 5)
         self.program.tell(signal.SIGTERM)
-        self.until(self.hub.now + 8 * SECOND, self.program.running)
+        self.until(self.event_loop.now + 8 * SECOND, self.program.running)
 
     def until(self, when: int, while_: Callable[[], Any] = lambda: True) -> None:
-        while self.hub.now < when and while_():
-            self.hub.turn(min((when - self.hub.now) / 10, 20))
+        while self.event_loop.now < when and while_():
+            self.event_loop.turn(min((when - self.event_loop.now) / 10, 20))
 
     def close(self) -> None:
         """End the program, if it still runs, and forget its folder."""
@@ -233,14 +234,14 @@
             engine = self.engines[scene.whom]
             self.feed.told([engine], "DRAINING" if scene.trouble == "drain" else "DELETED")
             if scene.span:
-                self.hub.later(scene.span, self.feed.told, [engine])
+                self.event_loop.call_later(scene.span, self.feed.told, [engine])
             return
         for engine in self.engines.values():
             if scene.who in ("all", engine.name):
                 engine.begin(scene.trouble, scene.figure)
                 if scene.trouble == "restart":
                     self.feed.told([engine], "DELETED")
-                self.hub.later(max(scene.span, 1), self.over, engine)
+                self.event_loop.call_later(max(scene.span, 1), self.over, engine)
 
     def over(self, engine: EmulatedEngine) -> None:
         back = engine.trouble == "restart"
@@ -253,16 +254,16 @@
         if what == "reload":
             return program.tell(signal.SIGHUP)
         if what == "kill":
-            program.kills.append(self.hub.now)
+            program.kills.append(self.event_loop.now)
             program.tell(signal.SIGKILL)
         else:
             program.tell(signal.SIGTERM)
-        self.hub.later(SECOND // 20, self.again)
+        self.event_loop.call_later(SECOND // 20, self.again)
 
     def again(self) -> None:
         """Started anew once it has ended, with the list as it stands."""
         if self.program.running():
-            return self.hub.later(SECOND // 20, self.again)
+            return self.event_loop.call_later(SECOND // 20, self.again)
         self.program.said["known"] = {"n": self.feed.version, "events": self.feed.events}
         self.program.start()
 
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -15,14 +15,21 @@
 from typing import Any
 
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.policy.gateway import Gateway
-from corkgauge.policy.records import CALLED_OFF, HONOURED, IRREVERSIBLE, LABELLED, READY
-from corkgauge.policy.records import Engine, Attempt, RequestClass, Request
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net.engine_connection import EngineConnection
 from corkgauge.net.platform_frontend import PlatformFrontEnd
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import (
+    Attempt,
+    AttemptOutcome,
+    Engine,
+    EngineState,
+    Repeatability,
+    Request,
+    RequestClass,
+)
+from corkgauge.testkit.emulators.protocols import request_frame
 from corkgauge.testkit.seeded_random import SeededRandom
-from corkgauge.testkit.emulators.protocols import request
 
 GATEWAYS, RATE, PERIOD = (
     870,
@@ -50,8 +57,8 @@
 CLASSES = (
     Class("lookup", 0.66, 20, 5 * SECOND, SECOND),
     Class("report", 0.12, 600, 10 * SECOND, 2 * SECOND, kinds=(2,)),
-    Class("load", 0.12, 100, 5 * SECOND, SECOND, LABELLED, True),
-    Class("once", 0.10, 50, 5 * SECOND, SECOND, IRREVERSIBLE),
+    Class("load", 0.12, 100, 5 * SECOND, SECOND, Repeatability.KEYED, True),
+    Class("once", 0.10, 50, 5 * SECOND, SECOND, Repeatability.NON_IDEMPOTENT),
 )
 
 
@@ -86,7 +93,7 @@
         self.taken = self.served = self.refused = self.lasted = self.open = 0
         self.rate, self.hold, self.chance = rate, hold, SeededRandom(seed)
         self.groups, self.tenants = Uneven(self.chance, groups), Uneven(self.chance, tenants)
-        self.offerings = [
+        self.request_classes = [
             RequestClass(
                 each.name,
                 each.aim,
@@ -94,9 +101,9 @@
                 max(each.life, 8 * hold),
                 1.0,
                 each.repeat,
-                remembered=20 * SECOND * (each.repeat == LABELLED),
+                key_ttl=20 * SECOND * (each.repeat == Repeatability.KEYED),
                 ordered=each.ordered,
-                kinds=each.kinds,
+                engine_kinds=each.kinds,
             )
             for each in CLASSES
         ]
@@ -106,11 +113,11 @@
             number=seed % gateways,
             gateways=gateways,
             tick=10,
-            offerings=self.offerings,
+            request_classes=self.request_classes,
             cancels=False,
             copies=True,
-            most_handoffs=6,
-            come_back=0,
+            max_attempts=6,
+            retry_after=0,
             cold_share=0.33,
             cold_span=15 * SECOND,
             fall_multiple=3.0,
@@ -125,8 +132,8 @@
             for n in range(engines)
         ]
         for engine in self.engines:
-            self.gateway.engine_told(engine, READY, 0)
-        self.gateway.list_told()
+            self.gateway.on_engine_update(engine, EngineState.READY, 0)
+        self.gateway.on_engine_list_complete()
         # As a gateway that has served for long: each of its figures has its samples, each tenant's queue is there.
         self.gateway.recall(
             {
@@ -139,13 +146,13 @@
                     for engine in self.engines
                 ],
                 "offerings": [
-                    (offering, [(1.0, 0.0, float(self.hold or each.work))] * 48)
-                    for offering, each in zip(self.offerings, CLASSES)
+                    (request_class, [(1.0, 0.0, float(self.hold or each.work))] * 48)
+                    for request_class, each in zip(self.request_classes, CLASSES)
                 ],
                 "queues": [
-                    (tenant, offering, 1 / len(CLASSES) / tenants)
+                    (tenant, request_class, 1 / len(CLASSES) / tenants)
                     for tenant in range(tenants)
-                    for offering in self.offerings
+                    for request_class in self.request_classes
                 ],
             }
         )
@@ -167,13 +174,13 @@
                     gap,
                     Request(
                         (took, work),
-                        self.offerings[n],
+                        self.request_classes[n],
                         self.tenants.draw(),
                         float(self.groups.draw()),
                         0,
-                        self.offerings[n].expiry,
-                        estimate=work,
-                        key=key,
+                        self.request_classes[n].time_to_deadline,
+                        estimated_work=work,
+                        order_key=key,
                     ),
                 )
             )
@@ -181,13 +188,13 @@
 
     def play(self, statements: list[tuple[int, Request]]) -> float:
         """Seconds of processor time from the first of them until one gap after the last."""
-        begun, taken = process_time(), self.gateway.submission_taken
-        for gap, sub in statements:
+        begun, taken = process_time(), self.gateway.on_request
+        for gap, request in statements:
             self.pass_until(self.now + gap)
-            sub.taken = self.now
+            request.accepted_at = self.now
             self.taken += 1
             self.open += 1
-            taken(sub)
+            taken(request)
         self.pass_until(self.now + 1)
         return process_time() - begun
 
@@ -198,32 +205,44 @@
             method(*what)
         self.now = until
 
-    def answered(self, handoff: Attempt, work: int) -> None:
+    def answered(self, attempt: Attempt, work: int) -> None:
         """Its database is done with an attempt."""
-        self.served += not handoff.submission.over
-        self.open -= not handoff.submission.over
-        self.gateway.handoff_over(handoff, HONOURED, self.now - handoff.sent, True, work, 0.0, -1.0)
+        self.served += not attempt.request.is_finished
+        self.open -= not attempt.request.is_finished
+        self.gateway.on_attempt_finished(
+            attempt, AttemptOutcome.SUCCEEDED, self.now - attempt.sent_at, True, work, 0.0, -1.0
+        )
 
     # The host protocol.
 
-    def hand_off(self, handoff: Attempt, allow: int) -> None:
-        took, work = handoff.submission.tag
-        self.wake(took, self.answered, handoff, work)
+    def send_attempt(self, attempt: Attempt, allow: int) -> None:
+        took, work = attempt.request.host_reference
+        self.call_later(took, self.answered, attempt, work)
 
-    def set_terms(self, submission: Request, memory: float, priority: int) -> None:
+    def set_resources(self, request: Request, memory: float, priority: int) -> None:
         pass
 
-    def dismiss(self, submission: Request, come_back: int) -> None:
+    def reject(self, request: Request, retry_after: int) -> None:
         self.refused += 1
         self.open -= 1
 
-    def scrap(self, submission: Request) -> None:
-        self.dismiss(submission, 0)
-
-    def call_off(self, handoff: Attempt) -> None:
-        self.wake(1, self.gateway.handoff_over, handoff, CALLED_OFF, 0, False, 0, 0.0, -1.0)
+    def fail(self, request: Request) -> None:
+        self.reject(request, 0)
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        self.call_later(
+            1,
+            self.gateway.on_attempt_finished,
+            attempt,
+            AttemptOutcome.CANCELLED,
+            0,
+            False,
+            0,
+            0.0,
+            -1.0,
+        )
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         self.serial += 1
         heappush(self.wakes, (self.now + max(delay, 1), self.serial, method, what))
 
@@ -343,9 +362,11 @@
 
     def __init__(self, engines: int, cores: int = 8) -> None:
         self.time, self.others, self.names = 10**9, list[socket.socket](), 0
-        self.hub = EventLoop(clock=lambda: self.time, troubled=self.troubled)
+        self.event_loop = EventLoop(clock=lambda: self.time, troubled=self.troubled)
         said = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
-        self.house = PlatformFrontEnd(self.hub, PlatformConfig(said, ""), lambda line: None)
+        self.socket_host = PlatformFrontEnd(
+            self.event_loop, PlatformConfig(said, ""), lambda line: None
+        )
         self.number = 1
         self.turn()
 
@@ -354,12 +375,12 @@
 
     def turn(self, rounds: int = 4) -> None:
         for _ in range(rounds):
-            self.hub.turn(0)
+            self.event_loop.turn(0)
 
     def told(self, data: str) -> None:
         """An event of the feed, as it is read."""
         self.number += 1
-        if wrong := self.house.event(str(self.number), data):
+        if wrong := self.socket_host.event(str(self.number), data):
             raise ValueError(wrong)
 
     def changed(self, engine: int) -> str:
@@ -368,7 +389,7 @@
 
     def client(self) -> socket.socket:
         mine, its = socket.socketpair()
-        self.house.accepted(its)
+        self.socket_host.accepted(its)
         mine.setblocking(False)
         self.others.append(mine)
         return mine
@@ -376,10 +397,10 @@
     def link(self, engine: int) -> None:
         """One more link to an engine, as if it had just been dialled."""
         mine, its = socket.socketpair()
-        station = self.house.stations[f"db{engine}"]
-        link = EngineConnection(station, its)
-        station.links.append(link)
-        self.hub.spawn(link.link.run)
+        engine_pool = self.socket_host.engine_pools[f"db{engine}"]
+        link = EngineConnection(engine_pool, its)
+        engine_pool.links.append(link)
+        self.event_loop.spawn(link.link.run)
         link.watch()
         mine.setblocking(False)
         self.others.append(mine)
@@ -388,7 +409,7 @@
         """A statement of the first class, 200 bytes long."""
         self.names += 1
         client.send(
-            request(
+            request_frame(
                 stream,
                 {
                     "route": "lookup",
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -14,16 +14,16 @@
 from types import SimpleNamespace
 from typing import Any
 
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.config.operator_file import Duties, Fellows, Shared, Works
+from corkgauge.config.settings import Settings
+from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.leases.service import LeaseService
+from corkgauge.maintenance.service import MaintenanceService
 from corkgauge.membership.member_list import ALIVE, STATES, SUSPECTED, UNKNOWN, Member
 from corkgauge.membership.service import MembershipService
-from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.eventloop.loop import SECOND, EventLoop
-from corkgauge.config.operator_file import Duties, Fellows, Shared, Works
 from corkgauge.peer_health.service import PeerHealthService
 from corkgauge.testkit.fleet.day import settings
-from corkgauge.config.settings import Settings
-from corkgauge.maintenance.service import MaintenanceService
 
 KEY = b"hollow workload managers, no secret"
 SORTS = "hello", "back", "ask", "answer", "ask_for", "deaf", "ask_all", "tell", "call"
@@ -103,16 +103,16 @@
     """A hub as one member sees it: once the member is lost none of its timers runs, and the processor time of what
     does run is added up (nanoseconds)."""
 
-    def __init__(self, hub: EventLoop) -> None:
-        self.hub, self.lost, self.spent, self.mark = hub, False, 0, 0
-        self.date, self.ahead = hub.date, hub.ahead
+    def __init__(self, event_loop: EventLoop) -> None:
+        self.event_loop, self.lost, self.spent, self.mark = event_loop, False, 0, 0
+        self.date, self.ahead = event_loop.date, event_loop.ahead
 
     @property
     def now(self) -> int:
-        return self.hub.now
+        return self.event_loop.now
 
-    def later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.hub.later(delay, self._run, method, what)
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        self.event_loop.call_later(delay, self._run, method, what)
 
     def _run(self, method: Callable[..., None], what: tuple) -> None:
         if self.lost:
@@ -125,41 +125,43 @@
 
     def spawn(self, method: Callable[..., None], *what: Any) -> None:
         self.mark = time.thread_time_ns()
-        self.hub.spawn(method, *what)
+        self.event_loop.spawn(method, *what)
 
     def wait(self, fd: int, mask: int, until: int | None = None) -> int:
         self.spent += time.thread_time_ns() - self.mark if self.mark else 0
-        found = self.hub.wait(fd, mask, until)
+        found = self.event_loop.wait(fd, mask, until)
         self.mark = time.thread_time_ns()
         return found
 
     def wake(self, fd: int, events: int = 0) -> None:
-        self.hub.wake(fd, events)
+        self.event_loop.wake(fd, events)
 
     def troubled(self) -> None:
-        self.hub.troubled()
+        self.event_loop.troubled()
 
 
 class HollowHost:
     """What a serving host is to the subsystems of several processes, with nothing to serve."""
 
-    def __init__(self, beat: Beat, wire: Wire, post: Any, log: Callable[[str], None]) -> None:
-        self.hub, self.wire, self.log, self.routes = beat, wire, log, {}
-        self.stations: dict[str, Any] = {}
+    def __init__(
+        self, beat: Beat, wire: Wire, platform_config: Any, log: Callable[[str], None]
+    ) -> None:
+        self.event_loop, self.wire, self.log, self.routes = beat, wire, log, {}
+        self.engine_pools: dict[str, Any] = {}
         self.names: dict[str, Any] = {}
         self.works: Any = None
-        self.stated = Settings(post.settings, self, post.seed)
-        self.gateway = self.stated.gateway
-        self.offerings = {each.name: each for each in self.stated.offerings}
-        self.ledger = RequestLedger(self.offerings, lambda: beat.now, self.stated.budget)
+        self.settings = Settings(platform_config.settings, self, platform_config.seed)
+        self.gateway = self.settings.gateway
+        self.request_classes = {each.name: each for each in self.settings.request_classes}
+        self.ledger = RequestLedger(self.request_classes, lambda: beat.now, self.settings.budget)
 
     @property
     def now(self) -> int:
-        return self.hub.now
+        return self.event_loop.now
 
     lag = 0
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """The module's own timers: nothing is served, so nothing of it runs."""
 
 
@@ -167,17 +169,17 @@
     """The society of service, on a socket that was bound before; who became what is noted."""
 
     def _bind(self, said: Fellows) -> None:
-        self.sock = self.house.wire
+        self.sock = self.socket_host.wire
         self.became = Counter[str]()
-        self.short = len(said.fellows) - 1  # members that it does not hold alive
+        self.short = len(said.members) - 1  # members that it does not hold alive
         self.settled = 0  # when that came to be none
 
-    def changed(self, fellow: Member, before: int) -> None:
-        self.became[f"{STATES[before]} {STATES[fellow.state]}"] += 1
-        self.short += (before == ALIVE) - (fellow.state == ALIVE)
+    def changed(self, member: Member, before: int) -> None:
+        self.became[f"{STATES[before]} {STATES[member.state]}"] += 1
+        self.short += (before == ALIVE) - (member.state == ALIVE)
         if not self.short:
-            self.settled = self.hub.now
-        super().changed(fellow, before)
+            self.settled = self.event_loop.now
+        super().changed(member, before)
 
 
 class SetAside(LeaseService):
@@ -193,7 +195,7 @@
 
     def __init__(
         self,
-        hub: EventLoop,
+        event_loop: EventLoop,
         name: str,
         wire: Wire,
         roster: str,
@@ -202,7 +204,7 @@
         elements: tuple[str, ...] = ELEMENTS,
         lines: Callable[[str], None] | None = None,
     ) -> None:
-        self.name, self.wire, self.beat = name, wire, Beat(hub)
+        self.name, self.wire, self.beat = name, wire, Beat(event_loop)
         self.kinds_out, self.octets_by, self.kinds_in = (
             Counter[str](),
             Counter[str](),
@@ -210,19 +212,21 @@
         )
         self.changes: list[dict[str, Any]] = []
         # Read anew for each: in service each process holds its own roster.
-        fellows = tuple(
+        members = tuple(
             (each, ("127.0.0.1", port), zone) for each, port, zone in json.loads(roster)
         )
         wire.drained()
-        post = SimpleNamespace(
+        platform_config = SimpleNamespace(
             name=name,
-            seed=number * 7919 + hub.now % 7919,
-            settings=settings() | {"instances": max(len(fellows) - len(voters), 1), "myNumber": 0},
+            seed=number * 7919 + event_loop.now % 7919,
+            settings=settings() | {"instances": max(len(members) - len(voters), 1), "myNumber": 0},
+        )
+        socket_host = HollowHost(self.beat, wire, platform_config, lines or (lambda line: None))
+        self.membership = HollowMembership(
+            socket_host, platform_config, Fellows((KEY,), members, None, SECOND // 2)
         )
-        house = HollowHost(self.beat, wire, post, lines or (lambda line: None))
-        self.society = HollowMembership(house, post, Fellows((KEY,), fellows, None, SECOND // 2))
-        company = self.society.company
-        self._counted(company.letters)
+        member_list = self.membership.member_list
+        self._counted(member_list.letters)
         self.office: LeaseService | None = None
         self.yard: MaintenanceService | None = None
         self.exchange: PeerHealthService | None = None
@@ -238,18 +242,20 @@
                 "",
             )
             self.office = (SetAside if name in voters else LeaseService)(
-                house, post, said, self.society
+                socket_host, platform_config, said, self.membership
             )
         if "works" in elements and self.office is not None:
             self.yard = MaintenanceService(
-                house,
-                post,
+                socket_host,
+                platform_config,
                 Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
-                self.society,
+                self.membership,
                 self.office,
             )
         if "shared" in elements:
-            self.exchange = PeerHealthService(house, post, Shared(SECOND // 4, 8_000), self.society)
+            self.exchange = PeerHealthService(
+                socket_host, platform_config, Shared(SECOND // 4, 8_000), self.membership
+            )
         if name in voters and self.office is not None:
             for holder in self.office.holders.values():
                 holder.stand(False)
@@ -279,37 +285,37 @@
         if self.office is not None:
             self.office.leave()
             self.office.end()
-        self.society.end()
+        self.membership.end()
         self.lose()
 
     def lose(self) -> None:
         """The machine is gone: nothing more is said, nothing is done."""
         self.beat.lost = True
-        self.society.sock = None
+        self.membership.sock = None
         self.beat.wake(self.wire.fileno())
 
     def told(self, starts: dict[str, int]) -> None:
         """All members' starts at once, with nothing left to pass on: as hours after the start of all."""
-        company = self.society.company
+        member_list = self.membership.member_list
         for name, start in starts.items():
             if name != self.name:
-                company.letters.heard_of(name, start)
-        company.met = True
-        company.rumours.words.clear()
+                member_list.letters.on_peer_health(name, start)
+        member_list.met = True
+        member_list.rumours.words.clear()
 
     # What a coordinator may ask.
 
     def unknown(self) -> int:
         """Members that it does not hold alive."""
-        return self.society.short
+        return self.membership.short
 
     def holds(self, names: list[str], alive: bool) -> bool:
         """Are all of these, but ourselves, alive (or none of them, not even suspected) by its view?"""
-        fellows = self.society.company.fellows
+        members = self.membership.member_list.members
         if alive:
-            return all(fellows[name].state == ALIVE for name in names if name in fellows)
+            return all(members[name].state == ALIVE for name in names if name in members)
         return not any(
-            fellows[name].state in (ALIVE, SUSPECTED, UNKNOWN) for name in names if name in fellows
+            members[name].state in (ALIVE, SUSPECTED, UNKNOWN) for name in names if name in members
         )
 
     def duties(self) -> list[str]:
@@ -320,25 +326,25 @@
         )
 
     def counters(self) -> dict[str, Any]:
-        wire, company = self.wire, self.society.company
+        wire, member_list = self.wire, self.membership.member_list
         return {
             "out": wire.out,
             "octets_out": wire.octets_out,
             "in": wire.got,
             "octets_in": wire.octets_in,
             "held_back": wire.held_back,
-            "words": len(company.rumours.words),
+            "words": len(member_list.rumours.words),
             "spent": self.beat.spent,
             "unknown": self.unknown(),
             "duties": self.duties(),
             "kinds_out": dict(self.kinds_out),
             "octets_by": dict(self.octets_by),
             "kinds_in": dict(self.kinds_in),
-            "became": dict(self.society.became),
-            "refused": dict(company.letters.counts),
-            "health": company.health,
-            "late": company.counts["late ourselves"],
-            "unsent": self.society.unsent,
+            "became": dict(self.membership.became),
+            "refused": dict(member_list.letters.counts),
+            "health": member_list.health,
+            "late": member_list.counts["late ourselves"],
+            "unsent": self.membership.unsent,
             "overloaded": self.office is not None and self.office.overloaded,
             "changes": [] if self.office is None else self.office.changes[-20:],
             "books": self._books(),
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -15,24 +15,24 @@
 from collections import Counter
 from typing import Any
 
-from corkgauge.membership.member_list import ALIVE, STATES
 from corkgauge.eventloop.loop import READ, SECOND, EventLoop
-from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.membership.member_list import ALIVE, STATES
 from corkgauge.testkit.fleet.hollow_node import ELEMENTS, Member, Wire, dropped, resident_mb
+from corkgauge.testkit.seeded_random import SeededRandom
 
 LONGEST = 2**16  # octets that are read of an order at a time
 
 
 class Crew:
-    def __init__(self, hub: EventLoop) -> None:
-        self.hub, self.troubles = hub, 0
+    def __init__(self, event_loop: EventLoop) -> None:
+        self.event_loop, self.troubles = event_loop, 0
         self.wires: dict[str, Wire] = {}
         self.members: dict[str, Member] = {}
         self.numbers: dict[str, int] = {}
         self.roster, self.voters, self.elements = "[]", (), ELEMENTS
         self.empty = 0.0  # MB, of this process before it held a member
         self.chance = SeededRandom(os.getpid())
-        hub.troubled = self.troubled
+        event_loop.troubled = self.troubled
 
     def troubled(self) -> None:
         self.troubles += 1
@@ -43,7 +43,7 @@
         """Orders, until the input ends: whoever steers us has gone."""
         held = b""
         while True:
-            self.hub.wait(0, READ)
+            self.event_loop.wait(0, READ)
             data = os.read(0, LONGEST)
             if not data:
                 os._exit(0)
@@ -71,12 +71,14 @@
         """These of ours, by chance over so many seconds; those that run are let be."""
         ours = [name for name in names if name in self.wires and name not in self.members]
         for name in ours:
-            self.hub.later(int(self.chance.part() * over * SECOND) + 1, self._start, name)
+            self.event_loop.call_later(
+                int(self.chance.part() * over * SECOND) + 1, self._start, name
+            )
         return len(ours)
 
     def _start(self, name: str) -> None:
         self.members[name] = Member(
-            self.hub,
+            self.event_loop,
             name,
             self.wires[name],
             self.roster,
@@ -86,7 +88,9 @@
         )
 
     def do_starts(self) -> dict[str, int]:
-        return {name: each.society.company.letters.start for name, each in self.members.items()}
+        return {
+            name: each.membership.member_list.letters.start for name, each in self.members.items()
+        }
 
     def do_told(self, starts: dict[str, int]) -> None:
         for each in self.members.values():
@@ -96,13 +100,15 @@
         """In order, by chance over so many seconds; started `again` so many seconds after its end, below 0: never."""
         ours = [name for name in names if name in self.members]
         for name in ours:
-            self.hub.later(int(self.chance.part() * over * SECOND) + 1, self._end, name, again)
+            self.event_loop.call_later(
+                int(self.chance.part() * over * SECOND) + 1, self._end, name, again
+            )
         return len(ours)
 
     def _end(self, name: str, again: float) -> None:
         self.members.pop(name).end()
         if again >= 0:
-            self.hub.later(int(again * SECOND) + 1, self._start, name)
+            self.event_loop.call_later(int(again * SECOND) + 1, self._start, name)
 
     def do_lose(self, names: list[str]) -> int:
         ours = [name for name in names if name in self.members]
@@ -133,7 +139,7 @@
             if each.unknown():
                 found.update(
                     f"{other.name} {STATES[other.state]}"
-                    for other in each.society.company.fellows.values()
+                    for other in each.membership.member_list.members.values()
                     if other.state != ALIVE
                 )
         return dict(found.most_common(40))
@@ -141,7 +147,7 @@
     def do_settled(self) -> list[int]:
         """How long ago the last of ours came to hold all alive, tenths of a millisecond; none: no members."""
         return (
-            [self.hub.now - max(each.society.settled for each in self.members.values())]
+            [self.event_loop.now - max(each.membership.settled for each in self.members.values())]
             if self.members
             else []
         )
@@ -156,10 +162,10 @@
         }
 
     def do_counters(self) -> dict[str, Any]:
-        lag, self.hub.worst_lag = self.hub.worst_lag, 0
+        lag, self.event_loop.worst_lag = self.event_loop.worst_lag, 0
         full = dropped()
         return {
-            "at": self.hub.now,
+            "at": self.event_loop.now,
             "processor": time.process_time(),
             "resident": resident_mb(),
             "empty": self.empty,
@@ -173,14 +179,14 @@
         }
 
     def do_quit(self) -> None:
-        self.hub.later(1, os._exit, 0)
+        self.event_loop.call_later(1, os._exit, 0)
 
 
 def main() -> None:
-    hub = EventLoop()
-    crew = Crew(hub)
-    hub.spawn(crew.listen)
-    hub.run()
+    event_loop = EventLoop()
+    crew = Crew(event_loop)
+    event_loop.spawn(crew.listen)
+    event_loop.run()
 
 
 if __name__ == "__main__":
--- a/corkgauge/testkit/fleet/hollow_serve.py
+++ b/corkgauge/testkit/fleet/hollow_serve.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
-from corkgauge.testkit.fleet import hollow_gateway as hollow_one
 from corkgauge.testkit.emulators.clients import EmulatedClient, Want
-from corkgauge.testkit.emulators.engines import EmulatedEngine
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
+from corkgauge.testkit.emulators.engines import EmulatedEngine
 from corkgauge.testkit.emulators.protocols import ready_question
-from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.fleet import hollow_gateway as hollow_one
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
+from corkgauge.testkit.fleet.ports import free_port
 
 LISTENERS, CLIENTS = 8, 8
 CORES = (
@@ -46,16 +46,16 @@
     def __init__(
         self, engines: int, seed: int = 7, start: tuple[str, ...] = ("-m", "corkgauge")
     ) -> None:
-        self.hub, self.folder = EventLoop(), tempfile.mkdtemp(prefix="corkgauge-")
+        self.event_loop, self.folder = EventLoop(), tempfile.mkdtemp(prefix="corkgauge-")
         means = {each.name: each.work / 10 for each in hollow_one.CLASSES}
         known: dict[str, int] = {}
         self.engines = [
             EmulatedEngine(
-                self.hub, f"listener{n}", "k0", "zone-0", CORES, means, seed * 100 + n, known
+                self.event_loop, f"listener{n}", "k0", "zone-0", CORES, means, seed * 100 + n, known
             )
             for n in range(min(LISTENERS, engines))
         ]
-        self.feed = EmulatedDiscovery(self.hub)
+        self.feed = EmulatedDiscovery(self.event_loop)
         self.address = "127.0.0.1", free_port()
         first = hollow_one.listing(
             1, engines, address=lambda n: self.engines[n % len(self.engines)].address
@@ -87,15 +87,15 @@
 
     def until(self, seconds: float) -> None:
         """Play the cast's part for so long."""
-        until = self.hub.now + int(seconds * SECOND)
-        while self.hub.now < until:
-            self.hub.turn(min((until - self.hub.now) / 10, 20))
+        until = self.event_loop.now + int(seconds * SECOND)
+        while self.event_loop.now < until:
+            self.event_loop.turn(min((until - self.event_loop.now) / 10, 20))
 
     def begin(self, rate: float) -> None:
         """Clients come and ask, so many statements a second in all."""
         self.clients = [
             EmulatedClient(
-                self.hub,
+                self.event_loop,
                 self.address,
                 WANTS,
                 f"t{n % hollow_one.TENANTS}",
