--- a/corkgauge/testkit/fleet/http_client.py
+++ b/corkgauge/testkit/fleet/http_client.py
@@ -16,7 +16,7 @@
 
 
 def exchange(
-    hub: EventLoop,
+    event_loop: EventLoop,
     sock: socket.socket,
     client: h11.Connection,
     method: str,
@@ -32,12 +32,12 @@
         try:
             view = view[sock.send(view) :]
         except BlockingIOError:
-            hub.wait(sock.fileno(), WRITE, hub.now + PATIENCE)
-    body, status, until = b"", 0, hub.now + PATIENCE
+            event_loop.wait(sock.fileno(), WRITE, event_loop.now + PATIENCE)
+    body, status, until = b"", 0, event_loop.now + PATIENCE
     while True:
         event = client.next_event()
         if event is h11.NEED_DATA:
-            if not hub.wait(sock.fileno(), READ, until):
+            if not event_loop.wait(sock.fileno(), READ, until):
                 raise OSError("no answer")
             client.receive_data(sock.recv(65_536))
         elif isinstance(event, h11.Response):
@@ -50,19 +50,23 @@
             raise OSError("closed")
 
 
-def ask(hub: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]) -> None:
+def ask(
+    event_loop: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]
+) -> None:
     """In a task of its own: `heard` gets what the door answers, or None where nothing sensible comes."""
-    hub.spawn(_ask, hub, path, target, body, heard)
+    event_loop.spawn(_ask, event_loop, path, target, body, heard)
 
 
-def _ask(hub: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]) -> None:
+def _ask(
+    event_loop: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]
+) -> None:
     sock = socket.socket(socket.AF_UNIX)
     sock.setblocking(False)
     said = None
     try:
         if not sock.connect_ex(path):
             status, data = exchange(
-                hub,
+                event_loop,
                 sock,
                 h11.Connection(h11.CLIENT),
                 "GET" if body is None else "POST",
--- a/corkgauge/testkit/fleet/maintenance_crew.py
+++ b/corkgauge/testkit/fleet/maintenance_crew.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.checkers.maintenance import Work
 from corkgauge.testkit.fleet.http_client import ask
 from corkgauge.testkit.fleet.processes import Fault
-from corkgauge.testkit.checkers.maintenance import Work
+from corkgauge.testkit.seeded_random import SeededRandom
 
 LOOK, AGAIN = (
     1_500,
@@ -32,7 +32,12 @@
         seed: int = 5,
         owner: str = "crew",
     ) -> None:
-        self.fleet, self.hub, self.chance, self.owner = fleet, fleet.hub, SeededRandom(seed), owner
+        self.fleet, self.event_loop, self.chance, self.owner = (
+            fleet,
+            fleet.event_loop,
+            SeededRandom(seed),
+            owner,
+        )
         self.lasting, self.told = int(lasting * SECOND), told
         self.book: list[Work] = []
         self.begun: set[tuple[str, str]] = set()
@@ -43,14 +48,14 @@
         self.seen: dict[str, Any] = {}  # the last that a door told
         self.stopped = False
         self.asked: dict[str, int] = {}  # by ask: when
-        self.hub.later(LOOK, self.look)
+        self.event_loop.call_later(LOOK, self.look)
 
     # Wishes.
 
     def ask(self, kind: str, *names: str, id_: str = "", within: float = 0.0, at: str = "") -> str:
         """Its id. `at` names the gateway that is asked, and only that."""
         id_ = id_ or f"{self.owner}{len(self.asked) + 1}"
-        self.asked.setdefault(id_, self.hub.now)
+        self.asked.setdefault(id_, self.event_loop.now)
         self.wish(
             {
                 "do": "ask",
@@ -82,13 +87,13 @@
         # The same wish at another door has another key there; asks have ids, and the rest may come twice.
         door = at or (door if door and tries % 8 else self._door())
         ask(
-            self.hub,
+            self.event_loop,
             f"{self.fleet.gateways[door].folder}/figures.sock",
             "/works",
             {**said, "key": f"{key}@{door}@{tries // 8}"},
             lambda told: self._answered(key, told, heard),
         )
-        self.hub.later(AGAIN, self._tell, key, said, at, door, tries + 1, heard)
+        self.event_loop.call_later(AGAIN, self._tell, key, said, at, door, tries + 1, heard)
 
     def _answered(self, key: str, told: Any, heard: Any) -> None:
         if told is None or key in self.answers:
@@ -108,9 +113,9 @@
 
     def look(self) -> None:
         if not self.stopped:
-            self.hub.later(LOOK, self.look)
+            self.event_loop.call_later(LOOK, self.look)
             ask(
-                self.hub,
+                self.event_loop,
                 f"{self.fleet.gateways[self._door()].folder}/figures.sock",
                 "/works",
                 None,
@@ -126,14 +131,16 @@
             key = unit["unit"], unit["ask"]
             if unit["state"] == "out" and key not in self.begun and unit["ask"] in self.asked:
                 self.begun.add(key)
-                self.work(Work(unit["unit"], unit["ask"], tuple(unit["members"]), self.hub.now))
+                self.work(
+                    Work(unit["unit"], unit["ask"], tuple(unit["members"]), self.event_loop.now)
+                )
 
     def work(self, work: Work) -> None:
         """A gateway is ended in order, and started again by the rig; an engine is seen to by hand."""
         self.book.append(work)
         if work.members[0] in self.fleet.gateways:
             self.fleet.befall(Fault(0, self.lasting, "end", work.members))
-        self.hub.later(self.lasting, self.end, work)
+        self.event_loop.call_later(self.lasting, self.end, work)
 
     def end(self, work: Work) -> None:
         """The machine runs again, cold; then the crew says so, until somebody has heard. Once, however often."""
@@ -143,10 +150,10 @@
             work.members[0] in self.fleet.gateways
             and not self.fleet.gateways[work.members[0]].program.running()
         ):
-            return self.hub.later(LOOK, self.end, work)
+            return self.event_loop.call_later(LOOK, self.end, work)
         if work.members[0] in self.fleet.engines:
             self.fleet.renewed(work.members)
-        work.ended = self.hub.now
+        work.ended = self.event_loop.now
         self.wish({"do": "done", "names": [work.unit]})
 
     # What became of it.
--- a/corkgauge/testkit/fleet/maintenance_day.py
+++ b/corkgauge/testkit/fleet/maintenance_day.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.checkers.maintenance import Limits, wrong
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn
-from corkgauge.testkit.checkers.maintenance import Limits, wrong
+from corkgauge.testkit.seeded_random import SeededRandom
 
 MOST = 3
 SLACK = (
@@ -75,7 +75,7 @@
         try:
             fleet.start()
             self.crew.wish({"do": "known", "out": []})
-            fleet.hub.later(2 * SECOND, self._ask)
+            fleet.event_loop.call_later(2 * SECOND, self._ask)
             fleet.until(self.seconds)
             self.ended = True
             # Once nothing befalls anybody, all that was asked goes through.
@@ -89,7 +89,7 @@
     def _ask(self) -> None:
         if self.ended:
             return
-        self.fleet.hub.later(int(self.chance.wait(self.each * SECOND)) + 1, self._ask)
+        self.fleet.event_loop.call_later(int(self.chance.wait(self.each * SECOND)) + 1, self._ask)
         names = [*self.fleet.engines]
         if self.chance.within(0.1):
             id_ = self.crew.ask("hall", ("hall-a", "hall-b")[self.chance.below(2)])
@@ -99,7 +99,7 @@
             )
             id_ = self.crew.ask("engine", *some)
         if self.chance.within(self.cancels):
-            self.fleet.hub.later(
+            self.fleet.event_loop.call_later(
                 self.chance.below(SECOND) + 1, self.crew.wish, {"do": "cancel", "id": id_}
             )
 
@@ -113,10 +113,10 @@
             for ask in client.book
         }
         engines = {
-            name: (each.hall, each.kind, float(each.cores)) for name, each in fleet.engines.items()
+            name: (each.zone, each.kind, float(each.cores)) for name, each in fleet.engines.items()
         }
         runs = [
-            (run.came, run.engine, f"{run.offering} {run.trace}")
+            (run.came, run.engine, f"{run.request_class} {run.trace}")
             for each in fleet.engines.values()
             for run in each.book
             if run.trace not in excused
@@ -232,8 +232,10 @@
     if not fleet.until(12, lambda: not fleet.halted()):
         return
     for name in fleet.halted():
-        fleet.gateways[name].troubled.append(fleet.hub.now)
-        fleet.gateways[name].spells.append((fleet.hub.now, fleet.hub.now + 20 * SECOND))
+        fleet.gateways[name].troubled.append(fleet.event_loop.now)
+        fleet.gateways[name].spells.append(
+            (fleet.event_loop.now, fleet.event_loop.now + 20 * SECOND)
+        )
     # It cannot confirm while it stands still: an operator saw to that.
     stopped = fleet.halted()
     day.crew.ask("engine", engine)
--- a/corkgauge/testkit/fleet/processes.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -31,16 +31,16 @@
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.testkit.checkers import rules
-from corkgauge.testkit.seeded_random import SeededRandom
+from corkgauge.testkit.checkers.leases import LeaseChecker, vacancies, verdict
 from corkgauge.testkit.emulators.clients import EmulatedClient
-from corkgauge.testkit.emulators.engines import EmulatedEngine
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
-from corkgauge.testkit.checkers.leases import LeaseChecker, vacancies, verdict
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.emulators.engines import EmulatedEngine
+from corkgauge.testkit.faults.relay import Passage, Way
 from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, STAKES, WANTS, WORK, settings
-from corkgauge.testkit.fleet.ports import Reserved
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
-from corkgauge.testkit.faults.relay import Passage, Way
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.ports import Reserved
+from corkgauge.testkit.seeded_random import SeededRandom
 
 JUDGE = "judge"
 SORTS = (
@@ -216,7 +216,7 @@
     """One process, and where it is reached."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
-        self.fleet, self.name, self.hall = fleet, f"n{number}", HALLS[number % 2]
+        self.fleet, self.name, self.zone = fleet, f"n{number}", HALLS[number % 2]
         self.folder = os.path.join(fleet.folder, self.name)
         os.mkdir(self.folder)
         self.reserved = [Reserved(sort) for sort in (socket.SOCK_STREAM, socket.SOCK_DGRAM)]
@@ -250,7 +250,7 @@
         cold: float = 15.0,
         **options: Any,
     ) -> None:
-        self.hub, self.seed, self.chance, self.faults = (
+        self.event_loop, self.seed, self.chance, self.faults = (
             EventLoop(),
             seed,
             SeededRandom(seed),
@@ -282,7 +282,7 @@
         ] = {}  # labels: all engines of the played deployment remember them together
         self.engines = {
             f"e{n}": EmulatedEngine(
-                self.hub,
+                self.event_loop,
                 f"e{n}",
                 KINDS[n % 2],
                 HALLS[n // 2 % 2],
@@ -299,22 +299,29 @@
         self.voters = names[: voters or (gateways if gateways < 4 else 3 if gateways < 5 else 5)]
         self.ways = {
             (one, other): Way(
-                self.hub, self.gateways[other].listen, SeededRandom(seed * 1000 + 31 * n + m)
+                self.event_loop, self.gateways[other].listen, SeededRandom(seed * 1000 + 31 * n + m)
             )
             for n, one in enumerate(names)
             for m, other in enumerate(names)
             if one != other
         }
         # Danger: what arrives late at the judge would count as done late; so no fault is on its ways.
-        self.to_judge = {name: Way(self.hub, ("127.0.0.1", 1), SeededRandom(1)) for name in names}
+        self.to_judge = {
+            name: Way(self.event_loop, ("127.0.0.1", 1), SeededRandom(1)) for name in names
+        }
         from_judge = [
-            (name, Way(self.hub, each.listen, SeededRandom(1)).address)
+            (name, Way(self.event_loop, each.listen, SeededRandom(1)).address)
             for name, each in self.gateways.items()
         ]
         with open(self.key, encoding="ascii") as file:
             secret = bytes.fromhex(file.read())
         self.judge = LeaseChecker(
-            self.hub, JUDGE, [secret], from_judge, int(self.options["period"] * SECOND), guarded
+            self.event_loop,
+            JUDGE,
+            [secret],
+            from_judge,
+            int(self.options["period"] * SECOND),
+            guarded,
         )
         for way in self.to_judge.values():
             way.target = self.judge.address
@@ -323,7 +330,7 @@
             gateway.program = self._program(gateway, number)
         self.clients = [
             EmulatedClient(
-                self.hub,
+                self.event_loop,
                 self.gateways[names[n % len(names)]].address,
                 WANTS,
                 ("acme", "bolt")[n % 2],
@@ -336,9 +343,9 @@
 
     def _feed(self, name: str) -> EmulatedDiscovery:
         """Each gateway reaches each engine by a passage of its own, so each has a list of its own."""
-        feed = EmulatedDiscovery(self.hub)
+        feed = EmulatedDiscovery(self.event_loop)
         for engine in self.engines.values():
-            self.passages[name, engine.name] = Passage(self.hub, engine.listener.address)
+            self.passages[name, engine.name] = Passage(self.event_loop, engine.listener.address)
         return feed
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
@@ -376,7 +383,7 @@
         for name, each in self.gateways.items():
             where = each.listen if each is gateway else self.ways[gateway.name, name].address
             lines.append(
-                f'    <fellow name="{name}" address="{where[0]}:{where[1]}" hall="{each.hall}"/>'
+                f'    <fellow name="{name}" address="{where[0]}:{where[1]}" hall="{each.zone}"/>'
             )
         if options["recall"] is not None:
             options["recall"] = {"folder": f"{gateway.folder}/recall", **options["recall"]}
@@ -394,7 +401,7 @@
             key=options.pop("key", self.key),
             lease=self.lease,
             listen="%s:%d" % gateway.listen,
-            fellows="\n".join(lines),
+            members="\n".join(lines),
             folder_of_votes=votes,
             **options,
         )
@@ -413,7 +420,7 @@
         for name in names:
             engine = self.engines[name]
             engine.listener.drop()
-            engine.started_ms = self.hub.now // 10
+            engine.started_ms = self.event_loop.now // 10
         self.listed(names)
 
     # Playing.
@@ -424,17 +431,17 @@
                 each.release()
         for gateway in self.gateways.values():
             gateway.program.start()
-        self.begun = self.hub.now
+        self.begun = self.event_loop.now
         for fault in self.faults:
-            self.hub.later(max(fault.at, 1), self.befall, fault)
+            self.event_loop.call_later(max(fault.at, 1), self.befall, fault)
 
     def until(self, seconds: float, while_: Any = lambda: True) -> bool:
         """Go on for so long, or until something no longer holds; did it stop holding?"""
-        when = self.hub.now + int(seconds * SECOND)
-        while self.hub.now < when:
+        when = self.event_loop.now + int(seconds * SECOND)
+        while self.event_loop.now < when:
             if not while_():
                 return True
-            self.hub.turn(min((when - self.hub.now) / 10, 20))
+            self.event_loop.turn(min((when - self.event_loop.now) / 10, 20))
         return not while_()
 
     def held(self, seconds: float = 10.0, duty: str = "books") -> bool:
@@ -474,7 +481,7 @@
 
     def befall(self, fault: Fault) -> None:
         self.befallen += 1
-        until = self.hub.now + fault.span
+        until = self.event_loop.now + fault.span
         if fault.sort in ("cut", "deaf", "mute"):
             for one, other in self.ways:
                 if (
@@ -490,7 +497,7 @@
                     self.ways[one, other].cut_until = until
         elif fault.sort in WITH_FIGURE:
             self.weather(fault.sort, fault.figure)
-            self.hub.later(max(fault.span, 1), self.weather, fault.sort, 0.0)
+            self.event_loop.call_later(max(fault.span, 1), self.weather, fault.sort, 0.0)
         elif fault.sort == "replay":
             for (_, other), way in self.ways.items():
                 if other in fault.whom:
@@ -499,7 +506,7 @@
             for (_, engine), passage in self.passages.items():
                 if engine in fault.whom:
                     passage.cut = True
-                    self.hub.later(max(fault.span, 1), setattr, passage, "cut", False)
+                    self.event_loop.call_later(max(fault.span, 1), setattr, passage, "cut", False)
         elif fault.sort == "yield":
             self.ask_yield()
         else:
@@ -517,24 +524,24 @@
 
     def trouble(self, gateway: Gateway, fault: Fault) -> None:
         program = gateway.program
-        if self.hub.now < gateway.until or not program.running():
+        if self.event_loop.now < gateway.until or not program.running():
             return  # something befell it already
-        gateway.troubled.append(self.hub.now)
-        gateway.until = self.hub.now + max(fault.span, AGAIN)
-        gateway.spells.append((self.hub.now, gateway.until + RECOVERS))
+        gateway.troubled.append(self.event_loop.now)
+        gateway.until = self.event_loop.now + max(fault.span, AGAIN)
+        gateway.spells.append((self.event_loop.now, gateway.until + RECOVERS))
         if fault.sort == "stop":
             program.tell(signal.SIGSTOP)
-            self.hub.later(max(fault.span, 1), program.tell, signal.SIGCONT)
+            self.event_loop.call_later(max(fault.span, 1), program.tell, signal.SIGCONT)
         elif fault.sort == "busy":
             self._burn(gateway, True)
-            self.hub.later(max(fault.span, 1), self._burn, gateway, False)
+            self.event_loop.call_later(max(fault.span, 1), self._burn, gateway, False)
         else:
             program.tell(signal.SIGKILL if fault.sort == "kill" else signal.SIGTERM)
-            self.hub.later(max(fault.span, AGAIN), self.again, gateway)
+            self.event_loop.call_later(max(fault.span, AGAIN), self.again, gateway)
 
     def again(self, gateway: Gateway) -> None:
         if gateway.program.running():
-            return self.hub.later(AGAIN, self.again, gateway)
+            return self.event_loop.call_later(AGAIN, self.again, gateway)
         feed = self.feeds[gateway.name]
         gateway.program.said["known"] = {"n": feed.version, "events": feed.events}
         gateway.program.start()
@@ -572,7 +579,7 @@
         from corkgauge.accounting.client import ask
 
         name = self.holder()
-        if name and self.hub.now >= self.gateways[name].until:
+        if name and self.event_loop.now >= self.gateways[name].until:
             try:
                 ask(
                     f"{self.gateways[name].folder}/figures.sock",
@@ -656,10 +663,10 @@
     """An engine as one gateway reaches it."""
 
     def __init__(self, engine: EmulatedEngine, address: str) -> None:
-        self.name, self.address, self.hall, self.kind = (
+        self.name, self.address, self.zone, self.kind = (
             engine.name,
             address,
-            engine.hall,
+            engine.zone,
             engine.kind,
         )
         self.started_ms = engine.started_ms
--- a/corkgauge/testkit/fleet/profile_sampler.py
+++ b/corkgauge/testkit/fleet/profile_sampler.py
@@ -13,7 +13,7 @@
 from collections import Counter
 
 EACH = 0.002  # s of processor time; the system may make it longer
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 FRAME = re.compile(r'  File "(.*)", line \d+ in (.*)')
 
 
@@ -53,9 +53,9 @@
 
     run = EventLoop.run
 
-    def watched(hub: EventLoop) -> None:
+    def watched(event_loop: EventLoop) -> None:
         signal.setitimer(signal.ITIMER_PROF, EACH, EACH)
-        run(hub)
+        run(event_loop)
         signal.setitimer(signal.ITIMER_PROF, 0)
 
     EventLoop.run = watched
--- a/corkgauge/testkit/fleet/scraper.py
+++ b/corkgauge/testkit/fleet/scraper.py
@@ -17,10 +17,12 @@
 class Scraper:
     """Calls `heard(cut)` for each cut; asks every `each` tenths of a millisecond, over one connection."""
 
-    def __init__(self, hub: EventLoop, path: str, each: int, heard: Callable[[Any], None]) -> None:
-        self.hub, self.path, self.each, self.heard = hub, path, each, heard
+    def __init__(
+        self, event_loop: EventLoop, path: str, each: int, heard: Callable[[Any], None]
+    ) -> None:
+        self.event_loop, self.path, self.each, self.heard = event_loop, path, each, heard
         self.stopped, self.missed = False, 0
-        hub.spawn(self.run)
+        event_loop.spawn(self.run)
 
     def run(self) -> None:
         while not self.stopped:
@@ -30,15 +32,17 @@
                 if not sock.connect_ex(self.path):
                     client = h11.Connection(h11.CLIENT)
                     while not self.stopped:
-                        begun = self.hub.now
+                        begun = self.event_loop.now
                         self.heard(
-                            json.loads(exchange(self.hub, sock, client, "GET", "/figures")[1])
+                            json.loads(
+                                exchange(self.event_loop, sock, client, "GET", "/figures")[1]
+                            )
                         )
                         client.start_next_cycle()
-                        self.hub.sleep(max(self.each - (self.hub.now - begun), 1))
+                        self.event_loop.sleep(max(self.each - (self.event_loop.now - begun), 1))
             except (OSError, ValueError, h11.ProtocolError):
                 self.missed += 1
             finally:
                 sock.close()
             if not self.stopped:
-                self.hub.sleep(self.each)
+                self.event_loop.sleep(self.each)
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -9,20 +9,20 @@
 from dataclasses import replace
 from typing import Any
 
-from corkgauge.policy.gateway import Gateway as Module
-from corkgauge.policy.records import READY, Engine
+from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.net.host import UnstartedHost
+from corkgauge.policy.gateway import Gateway as Module
+from corkgauge.policy.records import Engine, EngineState
 from corkgauge.testkit.checkers import rules
 from corkgauge.testkit.emulators.clients import Ask, EmulatedClient, Want
-from corkgauge.testkit.emulators.engines import Run
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
-from corkgauge.testkit.fleet.processes import Fleet, Gateway
+from corkgauge.testkit.emulators.engines import Run
 from corkgauge.testkit.emulators.listener import Listener
 from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, WANTS, settings
-from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
-from corkgauge.config.settings import Settings
+from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.fleet.processes import Fleet, Gateway
 
 FEW_KIND, FEW_CORES = "x12", 12  # a kind that few engines are of; reports run on it alone
 COLD = (
@@ -52,7 +52,7 @@
             {
                 "id": each.name,
                 "addr": each.address,
-                "zone": each.hall,
+                "zone": each.zone,
                 "kind": each.kind,
                 "cell": each.cell,
                 "state": state,
@@ -69,9 +69,11 @@
             named = {each.name for each in engines}
             for _, name, was, started in [*self.changes]:
                 if was == "SERVING" and name not in named:
-                    self.changes.append((self.hub.now, name, "DELETED", started))
+                    self.changes.append((self.event_loop.now, name, "DELETED", started))
         self.events.append(event)
-        self.changes += [(self.hub.now, each.name, state, each.started_ms) for each in engines]
+        self.changes += [
+            (self.event_loop.now, each.name, state, each.started_ms) for each in engines
+        ]
         for reader in self.listener.guests:
             reader.tell()
         return event
@@ -110,7 +112,7 @@
         names = [*self.gateways]
         self.clients = [
             EmulatedClient(
-                self.hub,
+                self.event_loop,
                 self.gateways[names[n % len(names)]].address,
                 wants,
                 ("acme", "bolt")[n % 2],
@@ -123,7 +125,7 @@
     def _feed(self, name: str) -> WideFeed:
         if not self.marks:
             self._arrange()
-        return WideFeed(self.hub)
+        return WideFeed(self.event_loop)
 
     def _arrange(self) -> None:
         """Kinds and cells, before the first list."""
@@ -147,7 +149,7 @@
             "seed": f"{self.seed * 100 + number:x}",
             "limits": {"memory_mb": 96, "sockets": 512},
             "known": {"n": 1, "events": [first]},
-            "settings": self.stated(number),
+            "settings": self.settings(number),
         }
         start = (
             ("-m", "corkgauge.testkit.faults.disabled_safeguards", self.spoilt, "1.0")
@@ -156,7 +158,7 @@
         )
         return GatewayProcess(gateway.folder, said, "", start)
 
-    def stated(self, number: int) -> dict[str, Any]:
+    def settings(self, number: int) -> dict[str, Any]:
         """What the gateway at this place of the cast is told."""
         said = settings("cell" if self.cell else "all")
         said["profiles"][1]["servedOn"] = [len(KINDS)]
@@ -178,16 +180,16 @@
         """Foretold: what this gateway holds by the last list that its feed has told, while nothing fails; or with its
         set so much wider."""
         number = [*self.gateways].index(name)
-        stated = Settings(self.stated(number), UnstartedHost(), self.seed * 100 + number, name)
-        module: Module = stated.gateway
-        for tag, (hall, kind, cell, started) in self.listing(name).items():
+        settings = Settings(self.settings(number), UnstartedHost(), self.seed * 100 + number, name)
+        module: Module = settings.gateway
+        for tag, (zone, kind, cell, started) in self.listing(name).items():
             engine = Engine(
-                tag, tag.encode(), HALLS.index(hall), stated.kinds.index(kind), cell, name=tag
+                tag, tag.encode(), HALLS.index(zone), settings.kinds.index(kind), cell, name=tag
             )
-            stated.place(engine, engine.hall, engine.kind, cell)
-            module.engine_told(engine, READY, started * 10)
+            settings.place(engine, engine.zone, engine.kind, cell)
+            module.on_engine_update(engine, EngineState.READY, started * 10)
         module.wider = wider
-        module.list_told()
+        module.on_engine_list_complete()
         return {engine.name for engine in module.engines}
 
     def listing(self, name: str) -> Mapping[str, tuple[str, str, int, int]]:
@@ -216,7 +218,7 @@
     def started(self, names: Iterable[str]) -> None:
         """These have just started; nobody has been told yet."""
         for name in names:
-            self.engines[name].started_ms = self.hub.now // 10
+            self.engines[name].started_ms = self.event_loop.now // 10
 
     def close(self) -> None:
         super().close()
@@ -255,13 +257,13 @@
         """Engines that something of one gateway's came to."""
         return {run.engine for run in self.runs_of(name, since)}
 
-    def served(self, since: int = 0, until: int = 2**62, offering: str = "") -> float:
+    def served(self, since: int = 0, until: int = 2**62, request_class: str = "") -> float:
         """Part of what was asked that was served."""
         asks = [
             ask
             for client in self.clients
             for ask in client.book
-            if since <= ask.sent < until and offering in ("", ask.want.offering)
+            if since <= ask.sent < until and request_class in ("", ask.want.request_class)
         ]
         return sum(bool(ask.answers) and ask.answers[0][1] == rules.SERVED for ask in asks) / max(
             len(asks), 1
--- a/corkgauge/testkit/seeded_random.py
+++ b/corkgauge/testkit/seeded_random.py
@@ -8,8 +8,8 @@
 class SeededRandom:
     """Draws by CRC-32 over seed and counter.
 
-    >>> one, other = Chance(7), Chance(7)
-    >>> [one.below(10) for _ in range(5)] == [other.below(10) for _ in range(5)], Chance(8).part() < 1
+    >>> one, other = SeededRandom(7), SeededRandom(7)
+    >>> [one.below(10) for _ in range(5)] == [other.below(10) for _ in range(5)], SeededRandom(8).part() < 1
     (True, True)
     """
 
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -42,17 +42,22 @@
 }
 
 
-def hurt_tables(house, what):
+def hurt_tables(socket_host, what):
     """Damage to the records and counts themselves: what must be found, and where."""
-    ledger = house.ledger
-    rows = [*ledger.offerings.values()]
+    ledger = socket_host.ledger
+    rows = [*ledger.request_classes.values()]
     if what == "name lost":
-        sub = max(house.names.values(), key=lambda sub: sub.taken + sub.life)
-        del house.names[sub.tag.name]
-        return sub.offering.name
+        request = max(
+            socket_host.names.values(),
+            key=lambda request: request.accepted_at + request.time_to_deadline,
+        )
+        del socket_host.names[request.host_reference.name]
+        return request.request_class.name
     if what == "errand lost":
-        errand = house.errands.pop(next(iter(house.errands)))
-        return errand.engine_row.name
+        in_flight_attempt = socket_host.in_flight_attempts.pop(
+            next(iter(socket_host.in_flight_attempts))
+        )
+        return in_flight_attempt.engine_row.name
     if what == "cancelling":  # one in a million, that cancels out in the totals
         rows[0].terms[0] += 1
         rows[0].open += 1
@@ -71,12 +76,12 @@
     if what == "sort altered":
         rows[0].sorts[1] += 1
         return "further"
-    station = next(iter(house.stations.values()))
+    engine_pool = next(iter(socket_host.engine_pools.values()))
     if what == "threads lost":
-        station.engine.threads += 1
-        return station.engine.name
+        engine_pool.engine.threads_in_flight += 1
+        return engine_pool.engine.name
     if what == "page lost":
-        station.row.pages -= 1
+        engine_pool.row.pages -= 1
         return "pages"
     raise SystemExit(f"no damage {what!r}")
 
@@ -124,21 +129,21 @@
     audit, begun = PlatformFrontEnd.audit, time.time()
 
     def hurt(self):
-        ready = self.errands and self.names and time.time() > begun + AFTER
+        ready = self.in_flight_attempts and self.names and time.time() > begun + AFTER
         if ready:
             PlatformFrontEnd.audit = audit
             print(
                 f"damaged {time.time():.3f} {hurt_tables(self, what)}", file=sys.stderr, flush=True
             )
             self.auditor.pass_whole()  # some of it is over before the next pass
-        self.hub.later(500, self.audit) if not ready else audit(self)
+        self.event_loop.call_later(500, self.audit) if not ready else audit(self)
 
     PlatformFrontEnd.audit = hurt
 
 
 def play(what):
-    from corkgauge.testkit.fleet.day import Day
     from corkgauge.testkit.faults.script import read
+    from corkgauge.testkit.fleet.day import Day
 
     day = Day(
         11,
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -4,15 +4,21 @@
 import traceback
 
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.policy.gateway import Gateway
-from corkgauge.policy.records import HONOURED, READY, Engine, RequestClass, Request
 from corkgauge.eventloop.loop import EventLoop
-from corkgauge.net.engine_protocol import command
 from corkgauge.net.engine_connection import EngineConnection, EnginePool
+from corkgauge.net.engine_protocol import command
 from corkgauge.net.platform_frontend import PlatformFrontEnd
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Request, RequestClass
 
 SECOND = 10_000
-QUICK = dict(name="quick", aim=SECOND, stretch=1.0, expiry=5 * SECOND, worth=1.0)
+QUICK = dict(
+    name="quick",
+    latency_objective=SECOND,
+    objective_stretch=1.0,
+    time_to_deadline=5 * SECOND,
+    priority_weight=1.0,
+)
 STATED = dict(
     seed=7,
     number=1,
@@ -20,8 +26,8 @@
     tick=10,
     cancels=False,
     copies=False,
-    most_handoffs=4,
-    come_back=0,
+    max_attempts=4,
+    retry_after=0,
     cold_share=0.3,
     cold_span=15 * SECOND,
     fall_multiple=2.0,
@@ -36,39 +42,39 @@
 class GatewayHarness:
     """Keeps every call in `done` as (what, submission or engine tag, detail)."""
 
-    def __init__(self, offerings=(QUICK,), engines=3, **stated):
+    def __init__(self, request_classes=(QUICK,), engines=3, **settings):
         self.now, self.lag, self.done, self.wakes, self.serial = 100 * SECOND, 0, [], [], 0
-        self.offerings = [RequestClass(**o) for o in offerings]
-        self.gateway = Gateway(self, offerings=self.offerings, **{**STATED, **stated})
+        self.request_classes = [RequestClass(**o) for o in request_classes]
+        self.gateway = Gateway(self, request_classes=self.request_classes, **{**STATED, **settings})
         self.engines = [
             Engine(f"e{n}", b"e%d" % n, n % 2, n % 2, n, cores=8.0) for n in range(engines)
         ]
         self.tell(*self.engines)
 
-    def tell(self, *engines, state=READY, started=0):
+    def tell(self, *engines, state=EngineState.READY, started=0):
         for engine in engines:
-            self.gateway.engine_told(engine, state, started)
-        self.gateway.list_told()
+            self.gateway.on_engine_update(engine, state, started)
+        self.gateway.on_engine_list_complete()
 
-    def take(self, offering=0, **said):
+    def take(self, request_class=0, **said):
         self.serial += 1
         said = {
             "tenant": 0,
-            "tables": 1.0,
-            "taken": self.now,
-            "life": 5 * SECOND,
-            "estimate": 2000,
+            "table_group": 1.0,
+            "accepted_at": self.now,
+            "time_to_deadline": 5 * SECOND,
+            "estimated_work": 2000,
             **said,
         }
-        sub = Request(f"s{self.serial}", self.offerings[offering], **said)
-        self.gateway.submission_taken(sub)
-        return sub
-
-    def over(self, handoff, outcome=HONOURED, took=None, finished=None, work=2000):
-        took = self.now - handoff.sent if took is None else took
-        finished = outcome == HONOURED if finished is None else finished
-        self.gateway.handoff_over(
-            handoff, outcome, took, finished, work if finished else 0, 0.0, -1.0
+        request = Request(f"s{self.serial}", self.request_classes[request_class], **said)
+        self.gateway.on_request(request)
+        return request
+
+    def over(self, attempt, outcome=AttemptOutcome.SUCCEEDED, took=None, finished=None, work=2000):
+        took = self.now - attempt.sent_at if took is None else took
+        finished = outcome == AttemptOutcome.SUCCEEDED if finished is None else finished
+        self.gateway.on_attempt_finished(
+            attempt, outcome, took, finished, work if finished else 0, 0.0, -1.0
         )
 
     def pass_time(self, span):
@@ -87,22 +93,24 @@
 
     # The host protocol.
 
-    def hand_off(self, handoff, allow):
-        self.done.append(("hand_off", handoff.submission.tag, handoff.engine.tag))
+    def send_attempt(self, attempt, allow):
+        self.done.append(
+            ("hand_off", attempt.request.host_reference, attempt.engine.host_reference)
+        )
 
-    def set_terms(self, submission, memory, priority):
-        self.done.append(("terms", submission.tag, priority))
+    def set_resources(self, request, memory, priority):
+        self.done.append(("terms", request.host_reference, priority))
 
-    def dismiss(self, submission, come_back):
-        self.done.append(("dismiss", submission.tag, come_back))
+    def reject(self, request, retry_after):
+        self.done.append(("dismiss", request.host_reference, retry_after))
 
-    def scrap(self, submission):
-        self.done.append(("scrap", submission.tag, None))
+    def fail(self, request):
+        self.done.append(("scrap", request.host_reference, None))
 
-    def call_off(self, handoff):
-        self.done.append(("call_off", handoff.submission.tag, handoff.number))
+    def cancel_attempt(self, attempt):
+        self.done.append(("call_off", attempt.request.host_reference, attempt.number))
 
-    def wake(self, delay, method, *what):
+    def call_later(self, delay, method, *what):
         self.serial += 1
         self.wakes.append((self.now + max(delay, 1), self.serial, method, what))
 
@@ -153,7 +161,7 @@
     return f"{number:016x}"
 
 
-def request(stream=1, body=b"select * from s_3.t", **fields):
+def request_frame(stream=1, body=b"select * from s_3.t", **fields):
     fields = {
         "route": "quick",
         "trace": name(stream),
@@ -185,18 +193,20 @@
             "settings": {**STATED_ON_SOCKETS, **settings},
         }
         self.time, self.logged = 10**9, []
-        self.hub = EventLoop(
+        self.event_loop = EventLoop(
             clock=lambda: self.time, troubled=lambda: self.logged.append(traceback.format_exc())
         )
         EnginePool.dial = (
-            lambda station, where: None
+            lambda engine_pool, where: None
         )  # no engine listens here: `engine` joins them by hand
-        self.house = PlatformFrontEnd(self.hub, PlatformConfig(said, ""), self.logged.append)
+        self.socket_host = PlatformFrontEnd(
+            self.event_loop, PlatformConfig(said, ""), self.logged.append
+        )
         self.turn()
 
     def turn(self, rounds=6):
         for _ in range(rounds):
-            self.hub.turn(0)
+            self.event_loop.turn(0)
 
     def pass_time(self, span, step=50):
         for _ in range(span // step):
@@ -205,19 +215,19 @@
 
     def client(self):
         mine, its = socket.socketpair()
-        self.house.accepted(its)
+        self.socket_host.accepted(its)
         self.turn()
         mine.setblocking(False)
         return mine
 
     def engine(self, tag="e1"):
         mine, its = socket.socketpair()
-        station = self.house.stations[tag]
-        link = EngineConnection(station, its)
-        station.links.append(link)
-        self.hub.spawn(link.link.run)
+        engine_pool = self.socket_host.engine_pools[tag]
+        link = EngineConnection(engine_pool, its)
+        engine_pool.links.append(link)
+        self.event_loop.spawn(link.link.run)
         link.watch()
-        station.fill()
+        engine_pool.fill()
         self.turn()
         mine.setblocking(False)
         return mine
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -20,31 +20,35 @@
 
 import msgpack
 
+from corkgauge.accounting import checkpoint_file as shelf
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.accounting.service import AccountingService
+from corkgauge.accounting.snapshot import cut_of, plain
 from corkgauge.config import operator_file as operator
+from corkgauge.config.operator_file import Duties, Fellows, Figures, Recall, Shared, Works
 from corkgauge.config.platform import PlatformConfig
+from corkgauge.eventloop.loop import SECOND
 from corkgauge.leases import voter
 from corkgauge.leases.candidate import HOLDING
 from corkgauge.leases.service import LeaseService
 from corkgauge.leases.voter_configuration import VoterConfiguration
-from corkgauge.membership import datagrams as letters
-from corkgauge.membership.member_list import ALIVE
-from corkgauge.membership.service import MembershipService
-from corkgauge.accounting import checkpoint_file as shelf
-from corkgauge.accounting.service import AccountingService
-from corkgauge.accounting.snapshot import cut_of, plain
-from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.eventloop.loop import SECOND
-from corkgauge.config.operator_file import Duties, Fellows, Figures, Recall, Shared, Works
-from corkgauge.recovery import attempt_log as effects, service as keeping, learned_state as learned, snapshot, log_writer as writer
-from corkgauge.peer_health.service import PeerHealthService
-from corkgauge.peer_health.reports import SILENT
-from corkgauge.peer_health.aggregation import Opinion
 from corkgauge.maintenance import plan_replica as keeper
 from corkgauge.maintenance.chunk_transfer import piece_of
 from corkgauge.maintenance.plan import DRAINING, GRANTED, Plan
 from corkgauge.maintenance.plan_proposer import FORGOTTEN
 from corkgauge.maintenance.service import MaintenanceService
-from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, request
+from corkgauge.membership import datagrams as letters
+from corkgauge.membership.member_list import ALIVE
+from corkgauge.membership.service import MembershipService
+from corkgauge.peer_health.aggregation import Opinion
+from corkgauge.peer_health.reports import SILENT
+from corkgauge.peer_health.service import PeerHealthService
+from corkgauge.recovery import attempt_log as effects
+from corkgauge.recovery import learned_state as learned
+from corkgauge.recovery import log_writer as writer
+from corkgauge.recovery import service as keeping
+from corkgauge.recovery import snapshot
+from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, request_frame
 
 FOLDER = Path(__file__).parent / "fixtures" / "landed"
 NOW = 17_000_000_000_000  # tenths of a millisecond of the date
@@ -101,7 +105,7 @@
         self.sock, self.other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
 
-    def post(self, name: str, data: bytes) -> None:
+    def send_datagram(self, name: str, data: bytes) -> None:
         self.sent.append(Datagram(name, data))
 
     def close(self) -> None:
@@ -115,10 +119,12 @@
     def __init__(self, name: str, votes_folder: str = "", met: bool = True) -> None:
         self.name = name
         rules = {**STATED_ON_SOCKETS["rules"], "coldUs": 15_000_000}
-        self.premises = HostHarness([listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules)
+        self.premises = HostHarness(
+            [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules
+        )
         self.premises.time = NOW
-        self.premises.hub.tick()
-        self.house = self.premises.house
+        self.premises.event_loop.tick()
+        self.socket_host = self.premises.socket_host
         said = {
             "name": name,
             "listen": "127.0.0.1:1",
@@ -127,40 +133,42 @@
             "settings": STATED_ON_SOCKETS,
         }
         self.post = PlatformConfig(said, "")
-        self.society = RecordingSociety(
-            self.house, self.post, Fellows((SECRET,), ROSTER, None, SECOND // 2)
+        self.membership = RecordingSociety(
+            self.socket_host, self.post, Fellows((SECRET,), ROSTER, None, SECOND // 2)
         )
-        self.company = self.society.company
+        self.member_list = self.membership.member_list
         if met:
             self._meet()
         duties = (("books", "books", 5 * SECOND), ("nightly", "run", 5 * SECOND))
         self.office = LeaseService(
-            self.house,
+            self.socket_host,
             self.post,
             Duties(
                 1, ("n1", "n2", "n3"), duties, 5 * SECOND, 5 * SECOND, 2_500, 0.01, votes_folder
             ),
-            self.society,
+            self.membership,
         )
         self.office.voter.silent_until = 0
         self.yard = MaintenanceService(
-            self.house,
+            self.socket_host,
             self.post,
             Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
-            self.society,
+            self.membership,
             self.office,
         )
         self.yard.keeper.deaf_until = 0
-        self.exchange = PeerHealthService(self.house, self.post, Shared(2_500, 8_000), self.society)
+        self.exchange = PeerHealthService(
+            self.socket_host, self.post, Shared(2_500, 8_000), self.membership
+        )
         self.exchange.allowance = 8_000
-        self.society.sent.clear()
+        self.membership.sent.clear()
 
     def _meet(self) -> None:
         for name, incarnation in PEER_INCARNATIONS.items():
             if name != self.name:
-                self.company.letters.heard_of(name, incarnation)
-                assert self.company.fellows[name].state == ALIVE
-        self.company.met = True
+                self.member_list.letters.on_peer_health(name, incarnation)
+                assert self.member_list.members[name].state == ALIVE
+        self.member_list.met = True
 
     def receive(self, sort: int, body: Any) -> None:
         """Take a datagram of n2's."""
@@ -172,8 +180,8 @@
             lambda start: None,
         )
         pens.named(["n1"])
-        known_as = self.company.letters.start
-        self.company.came(pens.write("n1", sort, body, known_as))
+        known_as = self.member_list.letters.start
+        self.member_list.came(pens.write("n1", sort, body, known_as))
 
     def hold(self, duty: str) -> None:
         """Let this instance hold a lease, under the fixed fencing token."""
@@ -193,7 +201,7 @@
 
     def last(self, sort: int, subject: str = "", tag: int | str | None = None) -> bytes:
         """The last datagram sent of this sort and subject."""
-        for datagram in reversed(self.society.sent):
+        for datagram in reversed(self.membership.sent):
             said = msgpack.unpackb(datagram.octets[2 : -letters.SEAL], strict_map_key=False)
             if said[0] != sort:
                 continue
@@ -207,7 +215,7 @@
     def close(self) -> None:
         self.office.safe.close()
         self.yard.safe.close()
-        self.society.close()
+        self.membership.close()
 
 
 @contextmanager
@@ -232,7 +240,7 @@
 
 
 def send_hello(here: Instance) -> bytes:
-    here.company.call("n3", "duty", [])
+    here.member_list.call("n3", "duty", [])
     return here.last(letters.HELLO)
 
 
@@ -247,7 +255,7 @@
 
 
 def send_ask(here: Instance) -> bytes:
-    here.company.tick()
+    here.member_list.tick()
     return here.last(letters.ASK)
 
 
@@ -257,14 +265,14 @@
 
 
 def send_ask_for(here: Instance) -> bytes:
-    here.company.tick()
-    here.company.unanswered(here.company.serial)
+    here.member_list.tick()
+    here.member_list.unanswered(here.member_list.serial)
     return here.last(letters.ASK_FOR)
 
 
 def send_deaf(here: Instance) -> bytes:
     here.receive(letters.ASK_FOR, [9, "n3", []])
-    here.company.given_up(here.company.serial)
+    here.member_list.given_up(here.member_list.serial)
     return here.last(letters.DEAF)
 
 
@@ -457,9 +465,9 @@
 
 
 def send_turn(here: Instance) -> bytes:
-    engine = here.house.stations["e1"].engine
+    engine = here.socket_host.engine_pools["e1"].engine
     window = here.exchange.turns.window
-    engine.started = NOW - 2 * window - window // 2
+    engine.incarnation = NOW - 2 * window - window // 2
     here.exchange.turns.needs("n2", here.office.now, PEER_INCARNATIONS["n2"], 7, 3.0)
     here.exchange.look_at_turns()
     return here.last(letters.CALL, "turn")
@@ -521,12 +529,12 @@
     receiver, known_as = msgpack.unpackb(octets[2 : -letters.SEAL], strict_map_key=False)[3:5]
     with instance(receiver) as there:
         # A sender that does not know this incarnation yet writes 0, and only HELLO may.
-        there.company.letters.start = known_as or PEER_INCARNATIONS[receiver]
-        taken = there.company.letters.open(octets, NOW)
-        assert taken is not None, dict(there.company.letters.counts)
-        there.company.letters.pens["n1"].window = letters.Window()
-        there.company.came(octets)
-        return Opened(*taken, there.company.counts["no sense"])
+        there.member_list.letters.start = known_as or PEER_INCARNATIONS[receiver]
+        taken = there.member_list.letters.open(octets, NOW)
+        assert taken is not None, dict(there.member_list.letters.counts)
+        there.member_list.letters.pens["n1"].window = letters.Window()
+        there.member_list.came(octets)
+        return Opened(*taken, there.member_list.counts["no sense"])
 
 
 # Stored files.
@@ -535,10 +543,10 @@
 def recovery_snapshot() -> bytes:
     """A snapshot of the learned state, in the form that the recovery service writes."""
     with instance() as here:
-        gateway = here.house.gateway
+        gateway = here.socket_host.gateway
         take_request(here)
         gateway.price = 0.25
-        gateway.engines[0].view.slowness.extend([1.25, 1.5, 2.0])
+        gateway.engines[0].stats.slowness_samples.extend([1.25, 1.5, 2.0])
         moment = {"gateway": "n1", "mark": 11, "at": NOW, "boot": "boot-1", "since_boot": 5_000}
         return snapshot.packed({**moment, **learned.gathered(gateway)})
 
@@ -546,7 +554,9 @@
 def recovery_snapshot_of_service(folder: str) -> bytes:
     """The snapshot that a recovery service leaves at its end."""
     with instance() as here:
-        service = keeping.RecoveryService(here.house, "n1", 11, Recall(folder, SECOND, "process", 3))
+        service = keeping.RecoveryService(
+            here.socket_host, "n1", 11, Recall(folder, SECOND, "process", 3)
+        )
         service.end()
         os.close(service.lock)
         return Path(folder, "n1.recall").read_bytes()
@@ -596,7 +606,7 @@
         give_up_at = time.monotonic() + 10
         while here.office.safe.waiting or here.yard.safe.waiting:
             assert time.monotonic() < give_up_at, "the helper has not answered"
-            here.premises.hub.turn(5)
+            here.premises.event_loop.turn(5)
         return Path(folder, name).read_bytes()
 
 
@@ -627,13 +637,13 @@
 
     ledger = RequestLedger(["quick"], lambda: NOW)
     entry, attempt = Entry(), Entry()
-    entry.row = ledger.offerings["quick"]
+    entry.row = ledger.request_classes["quick"]
     attempt.order, attempt.engine_row = entry, ledger.engine("e1")
     ledger.taken(entry)
     ledger.handed_off(attempt, 0)
-    ledger.handoff_over(attempt, 0)
+    ledger.on_attempt_finished(attempt, 0)
     ledger.closed(entry, 0)
-    ledger.turned_away(ledger.offerings["quick"])
+    ledger.turned_away(ledger.request_classes["quick"])
     ledger.connection_up(0)
     ledger.connection_over(0, 100, 200, 3)
     return ledger
@@ -688,10 +698,10 @@
             [
                 each.serial,
                 each.label,
-                each.offering,
+                each.request_class,
                 each.key,
                 each.engine,
-                each.hall,
+                each.zone,
                 each.cell,
                 each.sent,
                 each.until,
@@ -857,7 +867,7 @@
 
 
 def fellows_values(said: Fellows | None) -> list[Any] | None:
-    return said and [said.keys, said.fellows, said.listen, said.period]
+    return said and [said.keys, said.members, said.listen, said.period]
 
 
 def duties_values(said: Duties | None) -> list[Any] | None:
@@ -906,7 +916,9 @@
     """Status, content type and shape of an answer, asked over a socket."""
     with tempfile.TemporaryDirectory() as folder, instance() as here:
         where = os.path.join(folder, "figures.sock")
-        bureau = AccountingService(here.house, "n1", 7, Figures(where, 4, folder, SECOND, 0.02))
+        bureau = AccountingService(
+            here.socket_host, "n1", 7, Figures(where, 4, folder, SECOND, 0.02)
+        )
         give_state(here)
         try:
             head, body = asked(here, where, *QUESTIONS[name])
@@ -930,14 +942,14 @@
     here.exchange.heard("n2", [1, 5, 1, 20, rows])
     here.exchange.period()
     here.exchange.opinions["e1"] = Opinion(2.5, True, "n2 n3")
-    here.house.findings.see("taken", "quick", 1, "one more", [(NOW, "entered", 1)])
+    here.socket_host.findings.see("taken", "quick", 1, "one more", [(NOW, "entered", 1)])
     take_request(here)
-    here.house.ledger.connection_up(0)
+    here.socket_host.ledger.connection_up(0)
 
 
 def take_request(here: Instance) -> None:
     """Let a client ask for something, so that there is a queue, and its answer is owed."""
-    here.premises.ask(here.premises.client(), request())
+    here.premises.ask(here.premises.client(), request_frame())
 
 
 def asked(here: Instance, where: str, method: str, path: str, body: bytes) -> tuple[bytes, bytes]:
@@ -950,7 +962,7 @@
         received = b""
         for _ in range(400):
             here.premises.time += 1
-            here.premises.hub.turn(0)
+            here.premises.event_loop.turn(0)
             try:
                 more = reader.recv(1 << 20)
             except BlockingIOError:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from corkgauge.policy.records import HONOURED, READY
+from corkgauge.policy.records import AttemptOutcome, EngineState
 from tests.harness import QUICK, SECOND, GatewayHarness
 
 CORES, SHARE, MULTIPLE, SPAN, WARM = 12.0, 0.4, 3.0, 15_000, 12 * SECOND
@@ -31,9 +31,11 @@
             yard.tell(yard.engines[0], started=self.start)
 
     def gateway(self, number):
-        offerings = [dict(QUICK, name=f"o{n}", expiry=25 * SECOND) for n in range(len(self.mix))]
+        request_classes = [
+            dict(QUICK, name=f"o{n}", time_to_deadline=25 * SECOND) for n in range(len(self.mix))
+        ]
         yard = GatewayHarness(
-            offerings,
+            request_classes,
             engines=1,
             gateways=self.gateways,
             number=number,
@@ -45,9 +47,9 @@
         yard.engines[0].cores = CORES
         for n, (part, work) in enumerate(self.mix):
             for _ in range(4):
-                sub = yard.take(n, estimate=work)
-                if sub.handoffs:
-                    yard.over(sub.handoffs[0], took=work, work=work)
+                request = yard.take(n, estimated_work=work)
+                if request.attempts:
+                    yard.over(request.attempts[0], took=work, work=work)
         yard.pass_time(3 * SECOND)
         return yard
 
@@ -55,12 +57,17 @@
         yard = self.yards[number]
         yard.pass_time(max(when - yard.now, 0))
         (n,) = self.chance.choices(range(len(self.mix)), [part for part, _ in self.mix])
-        sub = yard.take(n, estimate=self.mix[n][1])
-        if sub.handoffs:
+        request = yard.take(n, estimated_work=self.mix[n][1])
+        if request.attempts:
             self.sent.append((when, self.mix[n][1]))
-            yard.over(sub.handoffs[0], HONOURED, took=self.mix[n][1], work=self.mix[n][1])
-        elif not sub.over:
-            yard.gateway.expiry_near(sub)
+            yard.over(
+                request.attempts[0],
+                AttemptOutcome.SUCCEEDED,
+                took=self.mix[n][1],
+                work=self.mix[n][1],
+            )
+        elif not request.is_finished:
+            yard.gateway.on_deadline_near(request)
 
     def restart(self, number):
         """It comes back from nothing but the list, which tells the engine's start."""
@@ -69,8 +76,8 @@
         fresh = self.yards[number]
         fresh.pass_time(max(now - fresh.now, 0))
         fresh.gateway.born = fresh.now
-        fresh.gateway.engine_told(fresh.engines[0], READY, self.start)
-        fresh.gateway.list_told()
+        fresh.gateway.on_engine_update(fresh.engines[0], EngineState.READY, self.start)
+        fresh.gateway.on_engine_list_complete()
 
     def worst(self):
         """In mean requests, of any window of the span in which an engine may fall."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,16 +11,16 @@
 
 import pytest
 
-from corkgauge.policy.records import MOOT
-from corkgauge.eventloop.loop import EventLoop
 from corkgauge.eventloop.connection import CROSSING
+from corkgauge.eventloop.loop import EventLoop
 from corkgauge.net import discovery as feeds
 from corkgauge.net.acceptor import Acceptor
-from corkgauge.net.engine_connection import EngineConnection, EnginePool
 from corkgauge.net.discovery import DiscoveryWatch
+from corkgauge.net.engine_connection import EngineConnection, EnginePool
+from corkgauge.policy.records import AttemptOutcome
 from corkgauge.testkit.fleet.parent_process import tied
 from corkgauge.testkit.fleet.ports import free_port
-from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request
+from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
 
 ROW, T1 = "a\t\t\n", name(1)
 REAL_DIAL = EnginePool.dial
@@ -53,29 +53,29 @@
 
     def client(self):
         mine, its = pair()
-        self.house.accepted(its)
+        self.socket_host.accepted(its)
         self.turn()
         mine.setblocking(False)
-        caller = [*self.house.callers][-1]
-        return mine, caller
+        client_connection = [*self.socket_host.client_connections][-1]
+        return mine, client_connection
 
     def engine(self, tag="e1", turn=True):
         mine, its = pair()
-        station = self.house.stations[tag]
-        link = EngineConnection(station, its)
-        station.links.append(link)
-        self.hub.spawn(link.link.run)
+        engine_pool = self.socket_host.engine_pools[tag]
+        link = EngineConnection(engine_pool, its)
+        engine_pool.links.append(link)
+        self.event_loop.spawn(link.link.run)
         link.watch()
         if turn:
             self.turn()
-            station.fill()
+            engine_pool.fill()
             self.turn()
         mine.setblocking(False)
         return mine, link
 
-    def ask_and_settle(self, sock, data, caller):
+    def ask_and_settle(self, sock, data, client_connection):
         sock.sendall(data)
-        settled(caller.link.sock)
+        settled(client_connection.link.sock)
         self.turn()
 
     def heard_soon(self, sock, least=1):
@@ -106,7 +106,7 @@
 def says_much_and_goes(sock):
     """What lies before the end is more than one turn reads."""
     sock.setblocking(True)
-    sock.sendall(b"".join(request(n) for n in range(2, 30)) + request(40)[:60])
+    sock.sendall(b"".join(request_frame(n) for n in range(2, 30)) + request_frame(40)[:60])
     sock.close()
 
 
@@ -117,17 +117,19 @@
 def test_no_attempt_begins_once_its_client_has_gone_while_it_waited_for_a_link(goes):
     """The link comes up in the very turn after the client went, before its connection is read."""
     premises = Loopback()
-    client, caller = premises.client()
-    premises.ask_and_settle(client, request(), caller)
-    assert len(premises.house.stations["e1"].waiting) == 1
+    client, client_connection = premises.client()
+    premises.ask_and_settle(client, request_frame(), client_connection)
+    assert len(premises.socket_host.engine_pools["e1"].waiting) == 1
     goes(client)
-    settled(caller.link.sock)
+    settled(client_connection.link.sock)
     engine, link = premises.engine(turn=False)
-    premises.house.stations[
+    premises.socket_host.engine_pools[
         "e1"
     ].fill()  # as a dial that comes up does it, before the poller is asked again
-    assert link.link.put == 0 and not premises.house.errands
-    assert premises.heard_soon(engine, 0) == b"" and premises.house.counters["handed off"] == 0
+    assert link.link.put == 0 and not premises.socket_host.in_flight_attempts
+    assert (
+        premises.heard_soon(engine, 0) == b"" and premises.socket_host.counters["handed off"] == 0
+    )
     assert not premises.logged
 
 
@@ -135,20 +137,20 @@
 def test_no_further_attempt_begins_once_its_client_has_gone_while_the_first_was_out(goes):
     """The engine's refusal and the client's going lie unread in one turn; the refusal is read first."""
     premises = Loopback([listing(1, {}, {"id": "e2"})])
-    client, caller = premises.client()
+    client, client_connection = premises.client()
     engines = {tag: premises.engine(tag) for tag in ("e1", "e2")}
-    premises.ask_and_settle(client, request(), caller)
+    premises.ask_and_settle(client, request_frame(), client_connection)
     (first,) = (tag for tag, (sock, _) in engines.items() if premises.heard_soon(sock, 0))
     (sock, link), (other, other_link) = engines[first], engines["e2" if first == "e1" else "e1"]
     sock.sendall(b"*4\r\n$16\r\n" + T1.encode() + b"\r\n$4\r\nWAIT\r\n$1\r\n-\r\n$0\r\n\r\n")
     settled(link.link.sock)
     goes(client)
-    settled(caller.link.sock)
+    settled(client_connection.link.sock)
     assert link.link.look()  # the answer is told, as its task would have told it
     for _ in range(3):
-        premises.hub._due()  # what the turn left to do, with the client's end still unread by its task
+        premises.event_loop._due()  # what the turn left to do, with the client's end still unread by its task
     assert other_link.link.put == 0 and premises.heard_soon(other, 0) == b""
-    assert not premises.house.errands and not premises.logged
+    assert not premises.socket_host.in_flight_attempts and not premises.logged
 
 
 @pytest.mark.parametrize("goes", GOINGS)
@@ -156,22 +158,24 @@
     """Request and end have both come before the loop reads either, 0.2 s late. (The gateway takes nothing while it is
     so far behind, so this holds without the last look as well.)"""
     premises = Loopback()
-    client, caller = premises.client()
+    client, client_connection = premises.client()
     engine, _ = premises.engine()
-    client.sendall(request())
+    client.sendall(request_frame())
     goes(client)
-    settled(caller.link.sock)
+    settled(client_connection.link.sock)
     time.sleep(0.01)
     premises.time += 2_000
     premises.turn()
     premises.pass_time(2_000)
-    assert premises.heard_soon(engine, 0) == b"" and premises.house.counters["handed off"] == 0
+    assert (
+        premises.heard_soon(engine, 0) == b"" and premises.socket_host.counters["handed off"] == 0
+    )
 
 
 def test_an_attempt_that_an_engine_does_not_read_is_never_kept_back_in_a_ring():
     """Danger: put into a full socket it would begin when the engine reads again, whoever had gone by then."""
     premises = Loopback()
-    client, caller = premises.client()
+    client, client_connection = premises.client()
     engine, link = premises.engine()
     engine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     link.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -185,45 +189,49 @@
             link.link.sock.send(b"x")
     except BlockingIOError:
         pass
-    premises.ask_and_settle(client, request(), caller)
-    (errand,) = premises.house.errands.values()
-    assert errand.link is None and len(link.link.machine.outward) == 0 and link.link.put == 0
+    premises.ask_and_settle(client, request_frame(), client_connection)
+    (in_flight_attempt,) = premises.socket_host.in_flight_attempts.values()
+    assert (
+        in_flight_attempt.link is None
+        and len(link.link.machine.outward) == 0
+        and link.link.put == 0
+    )
     client.close()
-    settled(caller.link.sock)
+    settled(client_connection.link.sock)
     premises.turn()
-    assert not premises.house.errands
+    assert not premises.socket_host.in_flight_attempts
     assert T1.encode() not in premises.heard_soon(engine, 0)
 
 
 def test_a_client_that_goes_while_its_input_is_paused_is_seen_to_go():
     premises = Loopback()
-    client, caller = premises.client()
+    client, client_connection = premises.client()
     engine, _ = premises.engine()
-    premises.ask_and_settle(client, request(), caller)
-    premises.house.rings.most = (
-        premises.house.rings.held
+    premises.ask_and_settle(client, request_frame(), client_connection)
+    premises.socket_host.rings.most = (
+        premises.socket_host.rings.held
     )  # no memory: what comes now pauses the input
     client.sendall((200_000).to_bytes(4, "little") + b"\2" + b"x" * 9_000)
-    settled(caller.link.sock)
+    settled(client_connection.link.sock)
     premises.turn()
-    assert not caller.link.machine.inward.free and caller.open
+    assert not client_connection.link.machine.inward.free and client_connection.open
     client.close()
     time.sleep(0.01)
     premises.turn()
-    assert not caller.open and not premises.house.callers
+    assert not client_connection.open and not premises.socket_host.client_connections
 
 
 def test_an_engine_that_has_closed_its_link_gets_nothing_written_there():
     """Danger: a request that an unsafe class sent there may have run or not, nobody knows."""
     premises = Loopback([listing(1, {})])
-    client, caller = premises.client()
+    client, client_connection = premises.client()
     engine, link = premises.engine()
     engine.close()
     settled(link.link.sock)
-    client.sendall(request(route="once"))
-    settled(caller.link.sock)
-    caller.link.look()  # the request is read before the engine's end is
-    premises.hub._due()
+    client.sendall(request_frame(route="once"))
+    settled(client_connection.link.sock)
+    client_connection.link.look()  # the request is read before the engine's end is
+    premises.event_loop._due()
     assert link.link.put == 0
     premises.turn()
     second, _ = premises.engine()
@@ -236,16 +244,16 @@
     def __init__(self, premises, monkeypatch):
         self.asked, self.let, self.ends = [], [], []
         EnginePool.dial = REAL_DIAL
-        premises.house.dials = 0
-        for station in premises.house.stations.values():
-            station.dialling = False
+        premises.socket_host.dials = 0
+        for engine_pool in premises.socket_host.engine_pools.values():
+            engine_pool.dialling = False
         monkeypatch.setattr("corkgauge.net.engine_connection.dial", self.dial)
 
-    def dial(self, hub, where, span):
+    def dial(self, event_loop, where, span):
         number = len(self.asked)
         self.asked.append(where)
         while len(self.let) <= number:
-            hub.sleep(10)
+            event_loop.sleep(10)
         if self.let[number]:
             return None, self.let[number]
         mine, its = pair()
@@ -257,10 +265,10 @@
 def test_a_dial_for_an_old_address_does_not_leave_what_waits_for_the_new_one(monkeypatch):
     """The old address refuses only after the engine has moved; nothing else would fill again."""
     premises = Loopback()
-    dials, (client, caller) = Dials(premises, monkeypatch), premises.client()
-    premises.ask_and_settle(client, request(), caller)
+    dials, (client, client_connection) = Dials(premises, monkeypatch), premises.client()
+    premises.ask_and_settle(client, request_frame(), client_connection)
     assert dials.asked == [("127.0.0.9", 1)]
-    assert not premises.house.event(
+    assert not premises.socket_host.event(
         "2", json.dumps(listing(2, {"addr": "127.0.0.9:2"}, full=False))
     )
     dials.let += ["ECONNREFUSED", ""]
@@ -274,29 +282,37 @@
     up, monkeypatch
 ):
     premises = Loopback([listing(1, {"started_ms": 1})])
-    dials, (client, caller) = Dials(premises, monkeypatch), premises.client()
-    premises.ask_and_settle(client, request(), caller)
-    station, (errand,) = premises.house.stations["e1"], premises.house.errands.values()
+    dials, (client, client_connection) = Dials(premises, monkeypatch), premises.client()
+    premises.ask_and_settle(client, request_frame(), client_connection)
+    engine_pool, (in_flight_attempt,) = (
+        premises.socket_host.engine_pools["e1"],
+        premises.socket_host.in_flight_attempts.values(),
+    )
     assert len(dials.asked) == 1
-    assert not premises.house.event(
+    assert not premises.socket_host.event(
         "2", json.dumps(listing(2, {"started_ms": 100_000}, full=False))
     )
     dials.let.append("" if up else "ECONNREFUSED")
     premises.pass_time(100, 20)
-    assert not station.links and not any("rest e1" in line for line in premises.logged)
+    assert not engine_pool.links and not any("rest e1" in line for line in premises.logged)
     if up:  # the connection that reached the process before is closed with nothing on it
         assert premises.heard_soon(dials.ends[0], 0) == b""
-    assert errand.handoff.outcome in (MOOT, -1) and errand.link is None
+    assert (
+        in_flight_attempt.attempt.outcome in (AttemptOutcome.ABANDONED, -1)
+        and in_flight_attempt.link is None
+    )
     dials.let.append("")
     premises.pass_time(100, 20)
-    assert errand.handoff.outcome == MOOT  # what was decided on the one before is decided again
+    assert (
+        in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
+    )  # what was decided on the one before is decided again
 
 
 def test_want_of_descriptors_is_no_fault_of_the_engines_and_ends_when_there_are_some(monkeypatch):
     premises = Loopback()
-    dials, (client, caller) = Dials(premises, monkeypatch), premises.client()
+    dials, (client, client_connection) = Dials(premises, monkeypatch), premises.client()
     dials.let += ["EMFILE"] * 5
-    premises.ask_and_settle(client, request(patience="5000"), caller)
+    premises.ask_and_settle(client, request_frame(patience="5000"), client_connection)
     premises.pass_time(1_000, 50)
     assert len(dials.asked) == 6 and not any("rest e1" in line for line in premises.logged)
     dials.let.append("")
@@ -308,43 +324,51 @@
     """Danger: two to each of many engines are more than the share of the descriptors that is theirs."""
     engines = [{"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(60)]
     premises = Loopback([listing(1, *engines)], sockets=96)
-    premises.house.dials = 0
-    house, kept = premises.house, []
+    premises.socket_host.dials = 0
+    socket_host, kept = premises.socket_host, []
     for n in range(40):
-        for station in house.stations.values():
-            station.dialling = True  # but for what is joined by hand here nobody dials
-        if not house.descriptor_left(True):
+        for engine_pool in socket_host.engine_pools.values():
+            engine_pool.dialling = True  # but for what is joined by hand here nobody dials
+        if not socket_host.descriptor_left(True):
             break
         kept.append(premises.engine(f"e{n}"))
-    assert sum(len(station.links) for station in house.stations.values()) <= 96 // 3
+    assert (
+        sum(len(engine_pool.links) for engine_pool in socket_host.engine_pools.values()) <= 96 // 3
+    )
     premises.turn()  # the one that was idle longest has given way
-    assert house.counters["links gave way"] == 1 and house.descriptor_left(True)
+    assert socket_host.counters["links gave way"] == 1 and socket_host.descriptor_left(True)
 
 
 def test_bytes_that_come_before_an_idle_connection_is_closed_keep_it():
     premises = Loopback()
-    (client, caller), (engine, _) = premises.client(), premises.engine()
-    premises.ask_and_settle(client, READY_ASKED, caller)
+    (client, client_connection), (engine, _) = premises.client(), premises.engine()
+    premises.ask_and_settle(client, READY_ASKED, client_connection)
     premises.heard_soon(client, 7)
     premises.pass_time(700)
-    client.sendall(request())
-    settled(caller.link.sock)
-    assert not caller.link.give_way("room for others")
+    client.sendall(request_frame())
+    settled(client_connection.link.sock)
+    assert not client_connection.link.give_way("room for others")
     premises.turn()
-    assert T1.encode() in premises.heard_soon(engine, 60) and caller in premises.house.callers
+    assert (
+        T1.encode() in premises.heard_soon(engine, 60)
+        and client_connection in premises.socket_host.client_connections
+    )
 
 
 def test_a_close_over_what_crosses_it_takes_no_answer_along():
     """A request comes after our end and before our close; a reset would take the unread answer along."""
     premises = Loopback()
-    client, caller = premises.client()
-    premises.ask_and_settle(client, READY_ASKED, caller)
+    client, client_connection = premises.client()
+    premises.ask_and_settle(client, READY_ASKED, client_connection)
     premises.pass_time(700)
-    assert caller.link.give_way("room for others")
-    client.sendall(request())  # it has not read our end
-    settled(caller.link.sock)
+    assert client_connection.link.give_way("room for others")
+    client.sendall(request_frame())  # it has not read our end
+    settled(client_connection.link.sock)
     premises.pass_time(CROSSING + 200)
-    assert caller not in premises.house.callers and premises.house.counters["handed off"] == 0
+    assert (
+        client_connection not in premises.socket_host.client_connections
+        and premises.socket_host.counters["handed off"] == 0
+    )
     client.setblocking(True)
     client.settimeout(1)
     assert client.recv(100)[4] == 32 and client.recv(100) == b""  # the answer, then the end
@@ -353,10 +377,12 @@
 
 def ending(premises):
     """A program that is told to end, with a door of its own; the clock is let run to its last look."""
-    door = premises.house.door = Acceptor(premises.hub, premises.house, ("127.0.0.1", 0))
-    premises.hub.spawn(door.run)
+    door = premises.socket_host.door = Acceptor(
+        premises.event_loop, premises.socket_host, ("127.0.0.1", 0)
+    )
+    premises.event_loop.spawn(door.run)
     premises.turn()
-    premises.house.leave()
+    premises.socket_host.leave()
     premises.turn()
     return door
 
@@ -366,13 +392,13 @@
     engine, _ = premises.engine()
     door = ending(premises)
     door.open = False  # the loop has had no turn to let them in
-    premises.hub.wake(door.sock.fileno())
+    premises.event_loop.wake(door.sock.fileno())
     premises.turn()
     client = socket.create_connection(door.sock.getsockname())
-    client.sendall(request(patience="4000"))
+    client.sendall(request_frame(patience="4000"))
     door.open = True
     premises.pass_time(9_100, 100)
-    assert T1.encode() in premises.heard_soon(engine, 60) and not premises.hub.stopped
+    assert T1.encode() in premises.heard_soon(engine, 60) and not premises.event_loop.stopped
     premises.engine_says(engine, T1, "DONE", "chunks=1", ROW)
     client.settimeout(1)
     found = b""
@@ -381,33 +407,33 @@
         found += client.recv(100)
     assert ROW.encode() in found
     premises.pass_time(2_000)
-    assert premises.hub.stopped and client.recv(100) == b""
+    assert premises.event_loop.stopped and client.recv(100) == b""
 
 
 def test_half_a_frame_that_is_on_its_way_when_the_program_ends_is_waited_for():
     premises = Loopback()
-    (client, caller), (engine, _) = premises.client(), premises.engine()
+    (client, client_connection), (engine, _) = premises.client(), premises.engine()
     ending(premises)
     premises.pass_time(8_900, 100)
-    data = request()
-    premises.ask_and_settle(client, data[:20], caller)
+    data = request_frame()
+    premises.ask_and_settle(client, data[:20], client_connection)
     premises.pass_time(300, 100)  # the last look comes between the two halves
-    assert not premises.hub.stopped
+    assert not premises.event_loop.stopped
     client.sendall(data[20:])
     assert T1.encode() in premises.heard_soon(engine, 60)
 
 
 def test_clients_that_rest_until_the_end_are_shown_it_and_what_crosses_it_is_not_sent_on():
     premises = Loopback()
-    (client, caller), (engine, _) = premises.client(), premises.engine()
-    premises.ask_and_settle(client, READY_ASKED, caller)
+    (client, client_connection), (engine, _) = premises.client(), premises.engine()
+    premises.ask_and_settle(client, READY_ASKED, client_connection)
     ending(premises)
     premises.pass_time(9_200, 100)
-    assert premises.house.last_call < 2**60 and not premises.hub.stopped
-    client.sendall(request())  # crosses the end
-    settled(caller.link.sock)
+    assert premises.socket_host.last_call < 2**60 and not premises.event_loop.stopped
+    client.sendall(request_frame())  # crosses the end
+    settled(client_connection.link.sock)
     premises.pass_time(1_000, 50)
-    assert premises.hub.stopped and premises.house.counters["handed off"] == 0
+    assert premises.event_loop.stopped and premises.socket_host.counters["handed off"] == 0
     assert premises.heard_soon(engine, 0) == b""
     client.settimeout(1)
     client.setblocking(True)
@@ -418,12 +444,12 @@
 
 def test_told_to_end_twice_it_leaves_once():
     premises = Loopback()
-    client, caller = premises.client()
+    client, client_connection = premises.client()
     ending(premises)
-    end = premises.house.end
+    end = premises.socket_host.end
     premises.pass_time(500)
-    premises.house.leave()
-    assert premises.house.end == end
+    premises.socket_host.leave()
+    assert premises.socket_host.end == end
     assert premises.heard_soon(client, 0).count(bytes.fromhex("050000004000000000")) == 1
 
 
@@ -433,11 +459,11 @@
     def __init__(self, premises, monkeypatch):
         self.premises, self.ends = premises, []
         monkeypatch.setattr(feeds, "dial", self.dial)
-        self.feed = DiscoveryWatch(premises.house, ("127.0.0.1", 1))
-        premises.hub.spawn(self.feed.run)
+        self.feed = DiscoveryWatch(premises.socket_host, ("127.0.0.1", 1))
+        premises.event_loop.spawn(self.feed.run)
         premises.turn()
 
-    def dial(self, hub, where, span):
+    def dial(self, event_loop, where, span):
         mine, its = pair()
         mine.setblocking(False)
         self.ends.append(mine)
@@ -507,7 +533,7 @@
         return real(name, *rest)
     builtins.__import__ = slow
 else:
-    from corkgauge import configuration
+    from corkgauge.config import platform as configuration
     real_read = configuration.read
     def read(environment):
         strike()
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -13,23 +13,23 @@
 from click.testing import CliRunner
 from netflow import parse_packet
 
+from corkgauge.accounting.checkpoint_file import read_file
 from corkgauge.commands import group
 from corkgauge.commands.soak import SCRIPT, growth, scenes_of
-from corkgauge.accounting.checkpoint_file import read_file
+from corkgauge.eventloop.loop import SECOND
 from corkgauge.flow_export.codec import Layout
 from corkgauge.flow_export.counter_deltas import Delta
 from corkgauge.flow_export.elements import EGRESS
 from corkgauge.flow_export.session import Session
-from corkgauge.eventloop.loop import SECOND
 from corkgauge.testkit.checkers import rules
 from corkgauge.testkit.emulators.clients import Ask
 from corkgauge.testkit.emulators.collector import EmulatedCollector
 from corkgauge.testkit.emulators.engines import Run
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.faults.script import Unplayable, read
 from corkgauge.testkit.fleet.day import STAKES, WANTS, Day, settings
-from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
-from corkgauge.testkit.faults.script import Unplayable, read
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.ports import free_port
 from tests.corrupted_files import ALL, ENTRIES, TABLES
 
 HERE = os.path.dirname(__file__)
@@ -190,14 +190,14 @@
     trace,
     came=10,
     engine="e2",
-    offering="lookup",
+    request_class="lookup",
     ended=90,
     kind="c12",
     work=5.0,
     ran=True,
     label="",
 ):
-    return Run(engine, kind, trace, offering, label, came, work, ended, ran)
+    return Run(engine, kind, trace, request_class, label, came, work, ended, ran)
 
 
 FIRST = (0, "e2", "SERVING", 0)
@@ -215,13 +215,13 @@
         (
             "effect",
             [ask("t", want=3)],
-            [run("t", offering="once"), run("t", offering="once")],
+            [run("t", request_class="once"), run("t", request_class="once")],
             [FIRST],
         ),
         (
             "",
             [ask("t", want=3)],
-            [run("t", offering="once", ran=False), run("t", offering="once")],
+            [run("t", request_class="once", ran=False), run("t", request_class="once")],
             [FIRST],
         ),
         ("drain", [ask("t")], [run("t", came=9_000)], [FIRST, (100, "e2", "DRAINING", 0)]),
@@ -234,10 +234,10 @@
         (
             "order",
             [ask("a", want=2, key="k"), ask("b", sent=5, want=2, key="k")],
-            [run("a", offering="load"), run("b", came=50, offering="load")],
+            [run("a", request_class="load"), run("b", came=50, request_class="load")],
             [FIRST],
         ),
-        ("placement", [ask("t", want=1)], [run("t", offering="report", kind="c8")], [FIRST]),
+        ("placement", [ask("t", want=1)], [run("t", request_class="report", kind="c8")], [FIRST]),
         (
             "budget",
             [ask(f"t{n}") for n in range(8)],
@@ -292,7 +292,7 @@
     )
     play, heard = Day(4, scenes, engines=2, rate=80, scrapes=5, hangs_up=0.01, operator=""), []
     collector = EmulatedCollector(
-        play.hub, transport, lambda message, data: heard.append((message, data))
+        play.event_loop, transport, lambda message, data: heard.append((message, data))
     )
     path = os.path.join(play.folder, "operator.xml")
     with open(path, "w", encoding="utf-8") as file:
@@ -300,11 +300,11 @@
             (FLOWS % (layout, collector.address[1], transport)).replace("{folder}", play.folder)
         )
     play.program.arguments += ["--operator", path]
-    play.hub.later(int(3.5 * SECOND), collector.close)
-    play.hub.later(int(4.5 * SECOND), collector.open)
+    play.event_loop.call_later(int(3.5 * SECOND), collector.close)
+    play.event_loop.call_later(int(4.5 * SECOND), collector.open)
     try:
         play.run(9, drain=2)
-        play.until(play.hub.now + SECOND // 5)
+        play.until(play.event_loop.now + SECOND // 5)
         kept, log = read_file(play.kept()), play.program.log()
         last = play.cuts[-1]["flows"]["first"]
     finally:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,16 +8,17 @@
 import msgpack
 import pytest
 
-from corkgauge.leases import placement as preference, record_writer as store
-from corkgauge.leases.fleet_accounts import FleetAccounts, wrong
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.leases import placement as preference
+from corkgauge.leases import record_writer as store
 from corkgauge.leases.candidate import HOLDING, PROBING, LeaseCandidate
-from corkgauge.leases.voter_configuration import VoterConfiguration, Span, UnsafeChangeError
-from corkgauge.leases.leased_command import ENDING, OVER, RUNNING, WAITING, LeasedCommand
 from corkgauge.leases.durable_record import DurableRecord
+from corkgauge.leases.fleet_accounts import FleetAccounts, wrong
+from corkgauge.leases.leased_command import ENDING, OVER, RUNNING, WAITING, LeasedCommand
 from corkgauge.leases.voter import GRANT, PREPARE, PROBE, RELEASE, VACANT, WOULD, Voter
-from corkgauge.eventloop.loop import EventLoop
-from corkgauge.model.model_checker import explore
+from corkgauge.leases.voter_configuration import Span, UnsafeChangeError, VoterConfiguration
 from corkgauge.model.leases import FAULTS, LEASE, World, drawn, shortest
+from corkgauge.model.model_checker import explore
 
 SECOND = 10_000
 ROLL, SPAN = VoterConfiguration(1, ["a", "b", "c"], SECOND), Span(SECOND, 0.01, 200)
@@ -39,7 +40,7 @@
         else:
             then(*what)
 
-    def wake(self, delay, method, *what):
+    def call_later(self, delay, method, *what):
         self.wakes.append((self.now + delay, method, what))
 
     def chance(self, below):
@@ -434,7 +435,7 @@
 
 COUNTED = """
 import sys
-from corkgauge.leases import store
+from corkgauge.leases import record_writer as store
 real, sizes = store.write, []
 store.write = lambda path, data: (sizes.append(len(data)), real(path, data))
 code = store.main()
@@ -457,13 +458,13 @@
 def test_the_same_record_is_written_once_for_all_who_wait_for_it_and_again_where_no_answer_came(
     tmp_path,
 ):
-    hub, said = EventLoop(), []
-    safe = DurableRecord(hub, said.append, str(tmp_path), "votes", "torn", "unwritten")
+    event_loop, said = EventLoop(), []
+    safe = DurableRecord(event_loop, said.append, str(tmp_path), "votes", "torn", "unwritten")
 
     def settled(many):
-        until = hub.now + 10 * SECOND
-        while len(said) < many and hub.now < until:
-            hub.turn(20)
+        until = event_loop.now + 10 * SECOND
+        while len(said) < many and event_loop.now < until:
+            event_loop.turn(20)
         return said
 
     try:
@@ -476,7 +477,7 @@
         safe.keep({"d": 2}, said.append, 6)
         safe.keep({"d": 2}, said.append, 7)
         assert safe.written == 2
-        hub.now += SECOND
+        event_loop.now += SECOND
         safe.keep({"d": 2}, said.append, 8)
         assert safe.written == 3 and said[6:] == []
         safe.helper.send_signal(signal.SIGCONT)
@@ -533,9 +534,9 @@
 
 
 def test_candidates_agree_on_an_order_and_an_overloaded_one_says_so():
-    fellows = [(f"n{n}", f"hall-{n % 3}") for n in range(9)]
+    members = [(f"n{n}", f"hall-{n % 3}") for n in range(9)]
     held = {}
     for duty in "abc":
-        held[duty] = preference.order(duty, fellows, held)[0]
-    assert len({dict(fellows)[name] for name in held.values()}) == 3
-    assert preference.rank("a", "nobody", fellows, {}) == preference.MOST_RANK
+        held[duty] = preference.order(duty, members, held)[0]
+    assert len({dict(members)[name] for name in held.values()}) == 3
+    assert preference.rank("a", "nobody", members, {}) == preference.MOST_RANK
--- a/tests/test_fellows.py
+++ b/tests/test_fellows.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from corkgauge.membership.member_list import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberList
 from corkgauge.membership.datagrams import (
     ASK,
     BACK,
@@ -12,9 +11,10 @@
     CALL,
     HELLO,
     LARGEST,
-    Key,
     DatagramCodec,
+    Key,
 )
+from corkgauge.membership.member_list import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberList
 from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
@@ -113,7 +113,7 @@
 
     def start(self, name, start):
         node = self.nodes[name] = Node(self, name)
-        node.company = MemberList(
+        node.member_list = MemberList(
             node, name, start, [Key(SECRET)], [(each, "") for each in self.names], self.period
         )
 
@@ -124,19 +124,21 @@
             if self.nodes[node.name] is not node:
                 continue
             if (on := self.stopped.get(node.name, 0)) > self.now:
-                self.later(on - self.now, node, method, what)
+                self.call_later(on - self.now, node, method, what)
             else:
                 method(*what)
         self.now = until
 
-    def later(self, delay, node, method, what):
+    def call_later(self, delay, node, method, what):
         self.serial += 1
         heapq.heappush(
             self.events, (self.now + max(int(delay), 1), self.serial, node, method, what)
         )
 
     def states(self, of):
-        return {name: node.company.state_of(of) for name, node in self.nodes.items() if name != of}
+        return {
+            name: node.member_list.state_of(of) for name, node in self.nodes.items() if name != of
+        }
 
 
 class Node:
@@ -145,14 +147,16 @@
 
     now = property(lambda self: self.net.now)
 
-    def post(self, name, data):
+    def send_datagram(self, name, data):
         self.net.sent += 1
         if not self.net.blocked(self.name, name):
             other = self.net.nodes[name]
-            self.net.later(5 + self.net.chance.below(20), other, other.company.came, (data,))
+            self.net.call_later(
+                5 + self.net.chance.below(20), other, other.member_list.came, (data,)
+            )
 
-    def wake(self, delay, method, *what):
-        self.net.later(delay, self, method, what)
+    def call_later(self, delay, method, *what):
+        self.net.call_later(delay, self, method, what)
 
     def chance(self, below):
         return self.net.chance.below(below)
@@ -160,8 +164,8 @@
     def log(self, line):
         self.said.append(line)
 
-    def changed(self, fellow, before):
-        self.changes.append((self.net.now, fellow.name, fellow.state))
+    def changed(self, member, before):
+        self.changes.append((self.net.now, member.name, member.state))
 
 
 @pytest.mark.parametrize("many", [2, 3, 12])
@@ -177,10 +181,10 @@
     net.run(10)
     dead = net.nodes["n3"]
     net.nodes["n3"] = Node(net, "n3")  # nobody behind the address
-    net.nodes["n3"].company = type("Nobody", (), {"came": staticmethod(lambda data: None)})
+    net.nodes["n3"].member_list = type("Nobody", (), {"came": staticmethod(lambda data: None)})
     net.run(25)
     others = [node for name, node in net.nodes.items() if name != "n3"]
-    assert all(node.company.state_of("n3") == GONE for node in others)
+    assert all(node.member_list.state_of("n3") == GONE for node in others)
     assert all(
         [state for _, name, state in node.changes if name == "n3"][-2:] == [SUSPECTED, GONE]
         for node in others
@@ -188,7 +192,8 @@
     net.start("n3", 2000)
     net.run(10)
     assert (
-        all(node.company.state_of("n3") == ALIVE for node in others) and dead is not net.nodes["n3"]
+        all(node.member_list.state_of("n3") == ALIVE for node in others)
+        and dead is not net.nodes["n3"]
     )
 
 
@@ -252,7 +257,7 @@
 def test_a_planned_end_is_told_at_once():
     net = Net(5)
     net.run(10)
-    net.nodes["n1"].company.leave()
+    net.nodes["n1"].member_list.leave()
     net.run(5)
     assert {*net.states("n1").values()} == {LEFT}
 
@@ -271,7 +276,7 @@
 def test_a_word_that_makes_no_sense_changes_nothing():
     net = Net(3)
     net.run(5)
-    one, two = net.nodes["n0"].company, net.nodes["n1"].company
+    one, two = net.nodes["n0"].member_list, net.nodes["n1"].member_list
     for body in (
         None,
         [],
@@ -287,8 +292,8 @@
 def test_fellows_may_be_renamed_in_service_and_what_is_known_of_the_others_stays():
     net = Net(4)
     net.run(8)
-    company = net.nodes["n0"].company
-    start = company.fellows["n1"].start
-    company.named([("n0", "a"), ("n1", "b"), ("n9", "b")])
-    assert sorted(company.fellows) == ["n1", "n9"] and company.fellows["n1"].start == start
-    assert company.state_of("n9") == UNKNOWN and company.state_of("n2") == GONE
+    member_list = net.nodes["n0"].member_list
+    start = member_list.members["n1"].start
+    member_list.named([("n0", "a"), ("n1", "b"), ("n9", "b")])
+    assert sorted(member_list.members) == ["n1", "n9"] and member_list.members["n1"].start == start
+    assert member_list.state_of("n9") == UNKNOWN and member_list.state_of("n2") == GONE
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -10,20 +10,22 @@
 from hypothesis import given, settings, strategies
 from prometheus_client.parser import text_string_to_metric_families
 
-from corkgauge.commands import group
-from corkgauge.config.platform import ConfigurationError
-from corkgauge.accounting import checkpoint as epoch, exposition, counter_names as terms
+from corkgauge.accounting import checkpoint as epoch
+from corkgauge.accounting import counter_names as terms
+from corkgauge.accounting import exposition
 from corkgauge.accounting.auditor import LedgerAuditor
-from corkgauge.accounting.service import AccountingService
-from corkgauge.accounting.snapshot import cut_of, differences, plain, shrunk, together
-from corkgauge.accounting.http_listener import HttpListener
-from corkgauge.accounting.discrepancies import Discrepancies
-from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.accounting.checkpoint_file import CheckpointFile, read_file
+from corkgauge.accounting.discrepancies import Discrepancies
+from corkgauge.accounting.http_listener import HttpListener
 from corkgauge.accounting.latency_sketches import LatencySketches, quantile
-from corkgauge.eventloop.logging import event_of
+from corkgauge.accounting.ledger import RequestLedger
+from corkgauge.accounting.service import AccountingService
+from corkgauge.accounting.snapshot import cut_of, differences, plain, shrunk, together
+from corkgauge.commands import group
 from corkgauge.config.operator_file import read as read_operator
-from tests.harness import SECOND, HostHarness, listing, name, request
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.eventloop.logging import event_of
+from tests.harness import SECOND, HostHarness, listing, name, request_frame
 
 T1 = name(1)
 
@@ -43,7 +45,7 @@
         self.open, self.answering, self.out, self.elsewhere = [], [], [], set()
         self.findings = Discrepancies(lambda: self.now, self.logged.append)
         self.ledger = RequestLedger(["a", "b"], lambda: self.now, guard=self.guard, **said)
-        self.rows = [self.ledger.offerings["a"], self.ledger.offerings["b"]]
+        self.rows = [self.ledger.request_classes["a"], self.ledger.request_classes["b"]]
         self.engine_rows = [self.ledger.engine(f"e{n}") for n in range(2)]
         self.auditor = LedgerAuditor(self.ledger, self, self.findings, slice_)
 
@@ -68,7 +70,7 @@
 
     def over(self, hand, outcome=1):
         self.out.remove(hand)
-        self.ledger.handoff_over(hand, outcome)
+        self.ledger.on_attempt_finished(hand, outcome)
 
     def kinds(self):
         self.auditor.pass_whole()
@@ -164,7 +166,7 @@
         (swapped, ("count altered", "a", 0)),
         (lambda books: books.out.pop(), ("hand-off never closed", "e0", 1)),
         (
-            lambda books: books.ledger.handoff_over(books.out[0], 1),
+            lambda books: books.ledger.on_attempt_finished(books.out[0], 1),
             ("hand-off closed twice", "e0", -1),
         ),
         (
@@ -212,15 +214,15 @@
 
 def test_the_budget_is_counted_from_what_was_taken():
     books = Books(budget=(1.0, 0.1, SECOND))
-    subs = [books.take() for _ in range(10)]
+    requests = [books.take() for _ in range(10)]
     for _ in range(2):
-        books.hand(subs[0], sort=terms.FURTHER)
+        books.hand(requests[0], sort=terms.FURTHER)
     assert books.kinds() == []
-    books.hand(subs[1], sort=terms.COPY)
+    books.hand(requests[1], sort=terms.COPY)
     assert ("over budget", "e0", 1) in books.kinds()
     books.now += 2 * SECOND
     books.findings.clear()
-    books.hand(subs[2], sort=terms.FURTHER)
+    books.hand(requests[2], sort=terms.FURTHER)
     assert books.kinds() == []
 
 
@@ -234,7 +236,7 @@
         again = books.ledger.engine(f"x{n}")
         assert again is not row  # its id came back: another's account
         books.ledger.engine_gone(again)
-        books.ledger.handoff_over(hand, n % 8)
+        books.ledger.on_attempt_finished(hand, n % 8)
     assert len(books.ledger.engine_rows()) == 3 and sum(books.ledger.departed.outcomes) == 300
     assert books.kinds() == []
 
@@ -243,10 +245,12 @@
 
 
 def balanced(premises):
-    house = premises.house
-    house.auditor.pass_whole()
-    assert not house.findings.held, [found.line() for found in house.findings.held.values()]
-    cut = cut_of(house.ledger, house.now, "n", {"id": "x"})
+    socket_host = premises.socket_host
+    socket_host.auditor.pass_whole()
+    assert not socket_host.findings.held, [
+        found.line() for found in socket_host.findings.held.values()
+    ]
+    cut = cut_of(socket_host.ledger, socket_host.now, "n", {"id": "x"})
     assert differences(cut) == []
     return cut
 
@@ -254,7 +258,7 @@
 def test_answers_that_come_late_from_an_engine_that_was_silent():
     premises = HostHarness(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
     client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
-    premises.ask(client, request(1, patience="600"))
+    premises.ask(client, request_frame(1, patience="600"))
     premises.pass_time(7000)
     assert premises.answers(client)[0][2] != b"\1"
     for engine in engines:
@@ -270,12 +274,12 @@
         limits={"secondCopies": True, "mostTries": 3},
     )
     client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
-    premises.ask(client, request(1))
-    sub = premises.house.names[T1]
-    premises.house.gateway._rescue(sub.handoffs[0])
-    premises.house.gateway._pump()
+    premises.ask(client, request_frame(1))
+    request = premises.socket_host.names[T1]
+    premises.socket_host.gateway._rescue(request.attempts[0])
+    premises.socket_host.gateway._pump()
     premises.turn()
-    assert len(sub.handoffs) == 2 and balanced(premises)["offerings"]["quick"]["copies"] == 1
+    assert len(request.attempts) == 2 and balanced(premises)["offerings"]["quick"]["copies"] == 1
     for engine in engines:
         premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     row = balanced(premises)["offerings"]["quick"]
@@ -287,18 +291,18 @@
 def test_a_client_that_goes_within_its_answer(hangs_up, reason):
     premises = HostHarness()
     client, engine = premises.client(), premises.engine()
-    link = next(iter(premises.house.callers)).link
+    link = next(iter(premises.socket_host.client_connections)).link
     link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     row, streams = "x" * 1800 + "\t\t\n", range(1, 5)
     for stream in streams:
-        premises.ask(client, request(stream))
+        premises.ask(client, request_frame(stream))
     for stream in streams:
         premises.engine_says(engine, name(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3)
         for n in range(1, 8):
             premises.engine_says(engine, name(stream), "MORE", f"at={n}", row * 3)
     cut = balanced(premises)
     assert (
-        cut["offerings"]["quick"]["open"] > 0 and not premises.house.names
+        cut["offerings"]["quick"]["open"] > 0 and not premises.socket_host.names
     )  # answered, and not whole yet
     if hangs_up:
         client.close()
@@ -307,13 +311,16 @@
             premises.heard(client)
         premises.turn()
     reasons = balanced(premises)["offerings"]["quick"]["reasons"]
-    assert reasons[reason] > 0 and sum(reasons.values()) == 4 and not premises.house.answering
+    assert reasons[reason] > 0 and sum(reasons.values()) == 4 and not premises.socket_host.answering
 
 
 def test_what_clients_take_back_what_is_of_no_use_and_what_finds_no_room():
     premises = HostHarness(limits={"openCap": 2, "streamsPerConn": 4})
     client, engine = premises.client(), premises.engine()
-    premises.ask(client, request(1) + request(2) + request(3) + request(4, route="none"))
+    premises.ask(
+        client,
+        request_frame(1) + request_frame(2) + request_frame(3) + request_frame(4, route="none"),
+    )
     premises.ask(client, bytes.fromhex("050000000801000000"))
     cut = balanced(premises)
     row = cut["offerings"]["quick"]
@@ -331,17 +338,18 @@
     premises = HostHarness()
     client = premises.client()
     premises.engine()
-    premises.ask(client, request(1) + request(2) + request(3))
-    premises.house.event("2", json.dumps(listing(2, {"state": "DELETED"})))
+    premises.ask(client, request_frame(1) + request_frame(2) + request_frame(3))
+    premises.socket_host.event("2", json.dumps(listing(2, {"state": "DELETED"})))
     premises.turn()
-    premises.house.event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
+    premises.socket_host.event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
     premises.turn()
     balanced(premises)
-    premises.house.leave()
+    premises.socket_host.leave()
     premises.pass_time(4 * SECOND)
     row = balanced(premises)["offerings"]["quick"]
     assert (
-        row["taken"] == 3 == row["served"] + row["refused"] + row["failed"] and premises.hub.stopped
+        row["taken"] == 3 == row["served"] + row["refused"] + row["failed"]
+        and premises.event_loop.stopped
     )
 
 
@@ -349,20 +357,20 @@
     premises = HostHarness()
     client = premises.client()
     premises.engine()
-    premises.ask(client, request(1))
-    premises.house.stations["e1"].engine.threads += 1
-    premises.house.auditor.pass_whole()
-    assert [*premises.house.findings.held] == [("engine out of step", "e1")]
+    premises.ask(client, request_frame(1))
+    premises.socket_host.engine_pools["e1"].engine.threads_in_flight += 1
+    premises.socket_host.auditor.pass_whole()
+    assert [*premises.socket_host.findings.held] == [("engine out of step", "e1")]
 
 
 # Cuts.
 
 
-def cut(**offering):
+def cut(**request_class):
     books = Books()
     books.close(books.take())
     said = cut_of(books.ledger, 5, "n1", {"id": "x", "started": 1})
-    said["offerings"]["a"].update(offering)
+    said["offerings"]["a"].update(request_class)
     return said
 
 
@@ -506,7 +514,7 @@
         f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
         "</figures></operator>"
     )
-    return AccountingService(premises.house, "n1", 7, read_operator(str(operator)).figures)
+    return AccountingService(premises.socket_host, "n1", 7, read_operator(str(operator)).figures)
 
 
 def asked(premises, path, head):
@@ -534,7 +542,7 @@
     path = tmp_path / "sock"
     bureau = door(premises, path, "<waits/>")
     client, engine = premises.client(), premises.engine()
-    premises.ask(client, request(1))
+    premises.ask(client, request_frame(1))
     premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     assert stat.S_ISSOCK(os.stat(path).st_mode)
     assert b'"served":1' in asked(premises, path, get("/figures"))
@@ -554,11 +562,11 @@
     assert len(families) == len(
         {line.split()[2] for line in text.splitlines() if line.startswith("# TYPE")}
     )
-    premises.house.ledger.offerings["quick"].terms[0] += 1
-    premises.house.auditor.pass_whole()
+    premises.socket_host.ledger.request_classes["quick"].terms[0] += 1
+    premises.socket_host.auditor.pass_whole()
     assert b'"kind": "terms differ"' in asked(premises, path, get("/findings"))
     assert b'{"cleared": 1}' in asked(premises, path, get("/clear", "POST"))
-    assert not premises.house.findings.held
+    assert not premises.socket_host.findings.held
 
 
 def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
@@ -591,7 +599,9 @@
     with pytest.raises(ConfigurationError):
         door(premises, tmp_path / "file")
     with pytest.raises(OSError):
-        HttpListener(premises.hub, str(first), 1, dict, int, print, {})  # somebody listens there
+        HttpListener(
+            premises.event_loop, str(first), 1, dict, int, print, {}
+        )  # somebody listens there
     said = read_operator(str(tmp_path / "operator.xml")).figures
     with pytest.raises(ConfigurationError):
         bureau.reload(said)  # the file that is no socket: the old door stays
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,9 +10,9 @@
 import pytest
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.fleet.processes import Fault, Fleet, Unplayable, drawn, in_memory, read
 from corkgauge.testkit.fleet.parent_process import tied
 from corkgauge.testkit.fleet.ports import free_port
+from corkgauge.testkit.fleet.processes import Fault, Fleet, Unplayable, drawn, in_memory, read
 
 LEASE = 0.8
 LONG = int(3 * LEASE * SECOND)
@@ -104,9 +104,9 @@
             for name, each in fleet.gateways.items():
                 with open(f"/proc/{each.program.process.pid}/stat") as file:
                     if file.read().rsplit(")", 1)[1].split()[0] == "T" and name not in stopped:
-                        stopped[name] = fleet.hub.now
-                        each.troubled.append(fleet.hub.now)
-                        fleet.hub.later(LONG, each.program.tell, signal.SIGCONT)
+                        stopped[name] = fleet.event_loop.now
+                        each.troubled.append(fleet.event_loop.now)
+                        fleet.event_loop.call_later(LONG, each.program.tell, signal.SIGCONT)
             return len(stopped) < 2
 
         fleet.until(12, continued)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -15,25 +15,25 @@
 from hypothesis import given, settings, strategies
 from netflow import parse_packet
 
+from corkgauge.accounting.snapshot import cut_of
+from corkgauge.config.operator_file import read as read_operator
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.daemon.process import Beside
-from corkgauge.accounting.snapshot import cut_of
 from corkgauge.flow_export import codec
 from corkgauge.flow_export.codec import Field, Layout, Message, Template, template_set
-from corkgauge.flow_export.decoder import Decoder, MalformedMessageError, Stream
 from corkgauge.flow_export.counter_deltas import Delta
+from corkgauge.flow_export.decoder import Decoder, MalformedMessageError, Stream
 from corkgauge.flow_export.elements import ACTIVE, EGRESS, ENDED, IDLE, INGRESS
-from corkgauge.flow_export.exporter import Exporter
-from corkgauge.flow_export.pending_records import RECORD, PendingRecords
 from corkgauge.flow_export.export_buffer import DOWN, UP, ExportBuffer, Peer
+from corkgauge.flow_export.exporter import Exporter
 from corkgauge.flow_export.meter import Meter
+from corkgauge.flow_export.pending_records import RECORD, PendingRecords
 from corkgauge.flow_export.session import Session
-from corkgauge.flow_export.tls import Untrusted, context_of
 from corkgauge.flow_export.timer_wheel import TimerWheel
-from corkgauge.config.operator_file import read as read_operator
+from corkgauge.flow_export.tls import Untrusted, context_of
 from corkgauge.testkit.emulators.collector import EmulatedCollector
 from fuzz.decoder import changed, one, seeds
-from tests.harness import HostHarness, listing, name, request
+from tests.harness import HostHarness, listing, name, request_frame
 
 SECOND = 10_000
 
@@ -111,7 +111,7 @@
     family=4,
     side=EGRESS,
     engine="e1",
-    hall="hall-a",
+    zone="hall-a",
     first=1000,
     last=2000,
 ):
@@ -125,7 +125,7 @@
         b"\x0a" * size,
         9090,
         engine,
-        hall,
+        zone,
         first,
         last,
         forward,
@@ -457,7 +457,7 @@
     assert held.dropped == 0 and held.measured == held.octets and held.merged >= 480
     assert sum(each.flows for each in held.gathered.values()) == held.merged
     for n in range(500):
-        held.add(delta(n, engine=f"other{n}", hall=f"hall{n % 40}"))
+        held.add(delta(n, engine=f"other{n}", zone=f"hall{n % 40}"))
     assert len(held) <= 20 and held.dropped == 0 and held.measured == held.octets
     assert any(each.engine == "(others)" for each in held.gathered.values())
     assert (
@@ -694,11 +694,11 @@
         self.heard, self.bytes = [[] for _ in transports], [[] for _ in transports]
         self.collectors = [
             EmulatedCollector(
-                self.premises.hub, each, self.taker(n), context=(contexts or {}).get(n)
+                self.premises.event_loop, each, self.taker(n), context=(contexts or {}).get(n)
             )
             for n, each in enumerate(transports)
         ]
-        self.exporter = Exporter(self.premises.house, "n1", 7, self.said())
+        self.exporter = Exporter(self.premises.socket_host, "n1", 7, self.said())
         self.client = self.engine = None
         self.tag, self.stream = "e1", 0
 
@@ -728,7 +728,7 @@
         self.client, self.engine = self.premises.client(), self.premises.engine(self.tag)
         for _ in range(count):
             self.stream += 1
-            self.premises.ask(self.client, request(self.stream))
+            self.premises.ask(self.client, request_frame(self.stream))
             self.premises.engine_says(
                 self.engine, name(self.stream), "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n"
             )
@@ -745,17 +745,19 @@
         self.premises.pass_time(int(seconds * SECOND), step)
 
     def balanced(self):
-        house = self.premises.house
-        house.auditor.pass_whole()
-        assert not house.findings.held, [each.line() for each in house.findings.held.values()]
+        socket_host = self.premises.socket_host
+        socket_host.auditor.pass_whole()
+        assert not socket_host.findings.held, [
+            each.line() for each in socket_host.findings.held.values()
+        ]
 
     def told(self, n=0):
         return octets(self.heard[n])
 
     def carried(self):
-        house = self.premises.house
-        cut = cut_of(house.ledger, house.now, "n1", {"id": "x"})
-        live = sum(got + sent for got, sent, _ in house.records.live_bytes())
+        socket_host = self.premises.socket_host
+        cut = cut_of(socket_host.ledger, socket_host.now, "n1", {"id": "x"})
+        live = sum(got + sent for got, sent, _ in socket_host.records.live_bytes())
         return live + sum(row["received"] + row["sent"] for row in cut["connections"].values())
 
 
@@ -824,7 +826,7 @@
 def test_a_collector_that_accepts_and_never_reads(tmp_path):
     site = Site(tmp_path, ("tcp", "udp"))
     site.collectors[0].deaf = True
-    site.premises.house.stated.idle_time = 10**9
+    site.premises.socket_host.settings.idle_time = 10**9
     for _ in range(400):
         for n in range(250):  # more than a socket's buffers take
             site.exporter.keepers["first"].add(delta(site.stream * 10**6 + n))
@@ -858,7 +860,7 @@
     site = Site(tmp_path)
     site.go_on(1)
     site.serve(2)
-    site.premises.house.event(
+    site.premises.socket_host.event(
         "2", __import__("json").dumps(listing(2, {"state": "DELETED"}, {"id": "e9"}, full=False))
     )
     site.tag = "e9"
@@ -935,7 +937,7 @@
         )
 
     write("one")
-    beside = Beside(premises.house, SimpleNamespace(name="n1", seed=7, mark=1), str(path))
+    beside = Beside(premises.socket_host, SimpleNamespace(name="n1", seed=7, mark=1), str(path))
     write("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
     beside.reload()
     assert "operator file not taken: flows:" in premises.logged[-1]
@@ -950,8 +952,8 @@
     site = Site(tmp_path)
     site.serve(1)
     site.exporter.meter.octets -= 1
-    site.premises.house.auditor.pass_whole()
-    assert ("books differ", "flows measured") in site.premises.house.findings.held
+    site.premises.socket_host.auditor.pass_whole()
+    assert ("books differ", "flows measured") in site.premises.socket_host.findings.held
 
 
 # TLS.
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -12,8 +12,8 @@
 from benchmarks.scale_fleet import command, rows_of
 from benchmarks.scaling import TooLarge
 from corkgauge.eventloop.loop import EventLoop
-from corkgauge.testkit.fleet.hollow_node import Wire
 from corkgauge.testkit.fleet.hollow_fleet import Fleet
+from corkgauge.testkit.fleet.hollow_node import Wire
 
 HOME = Path(__file__).resolve().parent.parent
 MOST = 60  # seconds until something must have been seen; waited for, not slept
@@ -94,7 +94,7 @@
 
 
 def test_a_wire_counts_what_passes_and_holds_back_what_crosses_a_cut():
-    one, other, hub = Wire(), Wire(), EventLoop()
+    one, other, event_loop = Wire(), Wire(), EventLoop()
     other.note()
     one.sendto(b"four", ("127.0.0.1", other.port))
     one.sendto(b"more", ("127.0.0.1", other.port))
@@ -104,7 +104,7 @@
     assert [other.recv(99), other.recv(99)] == [b"four", b"more"]
     assert (other.got, other.octets_in) == (2, 8)
     assert (
-        abs(other.noted[0] - hub.clock()) < 600_000
+        abs(other.noted[0] - event_loop.clock()) < 600_000
     )  # tenths of a millisecond of the date, as a hub has it
     assert other.worst(600_000) == 2 and other.worst(600_000) == 0
     with pytest.raises(BlockingIOError):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,16 +12,17 @@
 
 from corkgauge.config import platform as configuration
 from corkgauge.daemon.process import Source
-from corkgauge.policy.records import DRAINING, MOOT, READY
-from corkgauge.eventloop.loop import EventLoop
 from corkgauge.eventloop.connection import dial
+from corkgauge.eventloop.loop import EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
-from corkgauge.net import client_connection as clients, discovery_protocol as feed_wire
+from corkgauge.net import client_connection as clients
+from corkgauge.net import discovery_protocol as feed_wire
 from corkgauge.net.client_protocol import ClientProtocol
-from corkgauge.net.engine_protocol import EngineProtocol, command
 from corkgauge.net.engine_connection import EnginePool
+from corkgauge.net.engine_protocol import EngineProtocol, command
 from corkgauge.net.table_group import tables_of
-from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request
+from corkgauge.policy.records import AttemptOutcome, EngineState
+from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
 
 PLENTY, ROW = 10**7, "a\t\t\n"
 T1, U1 = name(1), name(99)
@@ -40,8 +41,8 @@
 FED = [
     (
         ClientProtocol,
-        request(1)
-        + request(2, body=b"")
+        request_frame(1)
+        + request_frame(2, body=b"")
         + bytes.fromhex("0500000008010000000500000010030000000600000002040000000a"),
         5,
     ),
@@ -195,28 +196,28 @@
 
 def test_timers_are_never_early_keep_order_and_outlive_what_raises():
     clock, heard, troubles = [1000], [], []
-    hub = EventLoop(clock=lambda: clock[0], troubled=lambda: troubles.append(1))
+    event_loop = EventLoop(clock=lambda: clock[0], troubled=lambda: troubles.append(1))
     for delay in (30, 10, 20, 0):
-        hub.later(delay, lambda d: heard.append((d, hub.now)), delay)
-    hub.later(15, lambda: 1 / 0)
+        event_loop.call_later(delay, lambda d: heard.append((d, event_loop.now)), delay)
+    event_loop.call_later(15, lambda: 1 / 0)
     for now in range(1000, 1040, 5):
         clock[0] = now
-        hub.turn(0)
+        event_loop.turn(0)
     assert heard == [(0, 1010), (10, 1010), (20, 1020), (30, 1030)] and troubles == [1]
     clock[0] = 0  # Danger: a clock set back
-    hub.turn(0)
-    assert hub.now == 1035 and hub.worst_lag == 9 and hub.lag == 0
-    hub.later(0, lambda: clock.__setitem__(0, 2000))
+    event_loop.turn(0)
+    assert event_loop.now == 1035 and event_loop.worst_lag == 9 and event_loop.lag == 0
+    event_loop.call_later(0, lambda: clock.__setitem__(0, 2000))
     clock[0] = 1040
-    hub.turn(0)
-    assert hub.lag == 965  # Danger: what comes now has waited as long
-    hub.turn(0)
-    hub.turn(0)
-    assert hub.lag == 0
+    event_loop.turn(0)
+    assert event_loop.lag == 965  # Danger: what comes now has waited as long
+    event_loop.turn(0)
+    event_loop.turn(0)
+    assert event_loop.lag == 0
 
 
 def served(premises, client, engine, stream=1, **fields):
-    premises.ask(client, request(stream, **fields))
+    premises.ask(client, request_frame(stream, **fields))
     return premises.heard(engine)
 
 
@@ -236,7 +237,8 @@
     assert premises.answers(client) == [(4, 1, b"\1", b"a\t\t\nb\t\t\nc\t\t\n")]
     assert premises.heard(engine) == command("done", T1)
     assert (
-        not premises.logged and premises.house.results.held == premises.house.statements.held == 0
+        not premises.logged
+        and premises.socket_host.results.held == premises.socket_host.statements.held == 0
     )
 
 
@@ -280,7 +282,7 @@
     )  # its id stands for it, whoever else names it
     if "patience" in fields and fields["patience"] is None:
         fields = {**fields, "patience": ""}
-    premises.ask(client, request(stream, **fields))
+    premises.ask(client, request_frame(stream, **fields))
     assert [answer[:3] for answer in premises.answers(client)] == [(4, stream, code)]
     assert served(
         premises, client, engine, 2, patience="5002"
@@ -295,17 +297,17 @@
     taken_back = b"".join(
         bytes.fromhex("0500000008") + k.to_bytes(4, "little") for k in range(1, 31)
     )
-    for n, last in enumerate([taken_back, b"\0\0\0\0", request(30)], 1):
+    for n, last in enumerate([taken_back, b"\0\0\0\0", request_frame(30)], 1):
         client = premises.client()
         sent = [
-            request(k, trace=name(100 * n + k), body=b"from s_3.t" + b" " * 600)
+            request_frame(k, trace=name(100 * n + k), body=b"from s_3.t" + b" " * 600)
             for k in range(1, 31)
         ]
         premises.ask(client, b"".join(sent) + last)
         client.close()
-    assert b"fetch" not in premises.heard(engine) and not premises.house.errands
+    assert b"fetch" not in premises.heard(engine) and not premises.socket_host.in_flight_attempts
     client = premises.client()
-    client.sendall(request(1) + request(2)[:50])
+    client.sendall(request_frame(1) + request_frame(2)[:50])
     premises.pass_time(150)  # what is behind it does not hold it up for long
     assert premises.heard(engine).count(b"fetch") == 1
 
@@ -315,14 +317,17 @@
     ([b"GET / HTTP/1.1\r\n\r\n"], []),
     ([b"\0\0\0\x80" + b"x" * 50], []),
     ([b"\0\0\0\0"], []),
-    ([request()[:9]], []),
-    ([request()[n : n + 1] for n in range(40)], []),
-    ([request(), request(2)[:30]], [1]),
-    ([request(), request(body=b"drop table s_3.t")], [1]),
-    ([request(n, route="nowhere") for n in range(1, 40)], range(1, 34)),
-    ([request(n) for n in range(1, 99)], [*range(33, 66), *range(1, 33)]),
+    ([request_frame()[:9]], []),
+    ([request_frame()[n : n + 1] for n in range(40)], []),
+    ([request_frame(), request_frame(2)[:30]], [1]),
+    ([request_frame(), request_frame(body=b"drop table s_3.t")], [1]),
+    ([request_frame(n, route="nowhere") for n in range(1, 40)], range(1, 34)),
+    ([request_frame(n) for n in range(1, 99)], [*range(33, 66), *range(1, 33)]),
     (
-        [request(n) + bytes.fromhex("0500000008") + n.to_bytes(4, "little") for n in range(1, 40)],
+        [
+            request_frame(n) + bytes.fromhex("0500000008") + n.to_bytes(4, "little")
+            for n in range(1, 40)
+        ],
         [],
     ),
 ]
@@ -348,27 +353,33 @@
         b"\2",
         b"\3",
     }
-    assert bad.recv(9) == b"" and len(premises.house.callers) == 1 and not premises.house.names
-    assert served(premises, good, engine, 1, trace=name(500)) and not premises.house.rings.held
+    assert (
+        bad.recv(9) == b""
+        and len(premises.socket_host.client_connections) == 1
+        and not premises.socket_host.names
+    )
+    assert (
+        served(premises, good, engine, 1, trace=name(500)) and not premises.socket_host.rings.held
+    )
 
 
 def test_connections_that_say_nothing_give_way_but_none_that_is_owed_an_answer():
     premises = HostHarness(sockets=32)
-    house, engine = premises.house, premises.engine()
+    socket_host, engine = premises.socket_host, premises.engine()
     owed, once, silent, unread = (premises.client() for _ in range(4))
     served(premises, owed, engine, 1)
     served(premises, once, engine, 2)
     premises.engine_says(engine, name(2), "DONE", "chunks=1", "a\t\t\n")
     premises.pass_time(600)
     unread.sendall(b"x")
-    assert house.make_room()
+    assert socket_host.make_room()
     premises.turn()
     assert len(premises.answers(once)) == 1 and once.recv(9) == silent.recv(9) == b""
     premises.pass_time(
         600
     )  # what crossed the end is read and dropped: a close over it would be a reset
     unread.sendall(b"x")
-    assert len(house.callers) == 2 and not house.make_room()
+    assert len(socket_host.client_connections) == 2 and not socket_host.make_room()
     premises.engine_says(engine, name(1), "DONE", "chunks=1", "a\t\t\n")
     assert premises.answers(owed)[0][2] == b"\1"
 
@@ -377,7 +388,7 @@
     premises = HostHarness()
     for _ in range(50):
         premises.ask(premises.client(), (262_144).to_bytes(4, "little") + b"\2")
-    assert premises.house.rings.held == 0
+    assert premises.socket_host.rings.held == 0
 
 
 class Feeds:
@@ -392,10 +403,10 @@
             "settings": STATED_ON_SOCKETS,
         }
         monkeypatch.setattr("corkgauge.net.discovery.dial", self.dial)
-        self.source = Source(premises.house, configuration.PlatformConfig(self.said, ""))
+        self.source = Source(premises.socket_host, configuration.PlatformConfig(self.said, ""))
         premises.turn()
 
-    def dial(self, hub, where, span):
+    def dial(self, event_loop, where, span):
         mine, its = socket.socketpair()
         mine.setblocking(False)
         self.ends.setdefault(where[1], []).append(mine)
@@ -439,7 +450,7 @@
     assert "limits.sockets changed" in premises.logged[3] and feeds.ends[2][0].recv(9) == b""
     premises.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
     feeds.tell(2, 3, id="e2", state="DRAINING")
-    assert premises.house.stations["e2"].engine.state == DRAINING
+    assert premises.socket_host.engine_pools["e2"].engine.state == EngineState.DRAINING
     premises.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
     assert premises.answers(client)[0][2] == b"\1" and feeds.ends[3][0].recv(9) == b""
 
@@ -457,7 +468,9 @@
         feeds.ends[2][-1].sendall(b": sign\n\nid: 9\ndata: {")
         feeds.ends[2][-1].close()
         premises.pass_time(200)
-        assert len(feeds.ends[2]) == 2 + turn and premises.house.last_event == 2 + turn  # at once
+        assert (
+            len(feeds.ends[2]) == 2 + turn and premises.socket_host.last_event == 2 + turn
+        )  # at once
     premises.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
     premises.pass_time(17_500)  # it stays open and says nothing
     assert len(feeds.ends[2]) == 5 and f"Last-Event-ID: {4}".encode() in feeds.ends[2][-1].recv(999)
@@ -466,7 +479,7 @@
 def test_more_than_the_open_streams_are_refused():
     premises = HostHarness()
     client = premises.client()
-    premises.ask(client, b"".join(request(n) for n in range(1, 36)))  # in one piece
+    premises.ask(client, b"".join(request_frame(n) for n in range(1, 36)))  # in one piece
     assert [answer[1] for answer in premises.answers(client)] == [33, 34, 35]
 
 
@@ -487,7 +500,7 @@
 def test_only_proof_that_it_never_ran_lets_an_irreversible_one_go_again(says, code, again):
     premises = HostHarness([listing(1, {}, {"id": "e2"})])
     client, engines = premises.client(), {tag: premises.engine(tag) for tag in ("e1", "e2")}
-    premises.ask(client, request(route="once"))
+    premises.ask(client, request_frame(route="once"))
     first = next(tag for tag, sock in engines.items() if premises.heard(sock))
     for parts in says:
         premises.engine_says(engines[first], *parts)
@@ -542,9 +555,9 @@
 def test_what_an_engine_spoils_goes_elsewhere_and_what_it_adds_harms_nothing(said, later, good):
     premises = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
     client, engine = premises.client(), premises.engine()
-    premises.ask(client, request(1) + request(2))
+    premises.ask(client, request_frame(1) + request_frame(2))
     assert premises.heard(engine).count(b"fetch") == 2
-    premises.house.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
     other = premises.engine("e2")
     premises.ask(engine, said)
     premises.pass_time(later)
@@ -552,25 +565,27 @@
     if good:
         assert (
             answers[0][:3] == (4, 1, b"\1")
-            and len(premises.house.stations["e1"].links) == 1
+            and len(premises.socket_host.engine_pools["e1"].links) == 1
             and not again
         )
         premises.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
         assert premises.answers(client) == [(4, 2, b"\1", ROW.encode())]
     else:  # found well before its expiry; both have run, and are tried again at once
         assert (
-            not answers and not premises.house.stations["e1"].links and again.count(b"fetch") == 2
+            not answers
+            and not premises.socket_host.engine_pools["e1"].links
+            and again.count(b"fetch") == 2
         )
         premises.engine_says(other, T1, "DONE", "chunks=1", ROW)
         assert premises.answers(client) == [(4, 1, b"\1", ROW.encode())]
-    assert premises.house.results.held == 0
+    assert premises.socket_host.results.held == 0
 
 
 def test_a_page_that_does_not_come_sends_its_submission_elsewhere_and_leaves_the_link_to_the_others():
     premises = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
     client, engine = premises.client(), premises.engine()
-    premises.ask(client, request(1) + request(2))
-    premises.house.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    premises.ask(client, request_frame(1) + request_frame(2))
+    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
     other = premises.engine("e2")
     premises.ask(engine, TWO.replace(b"chunks=2", b"chunks=3"))
     premises.pass_time(2_000)
@@ -594,8 +609,8 @@
         extra={**STATED_ON_SOCKETS["extra"], "tellsEveryUs": 300_000},
     )
     client, engine = premises.client(), premises.engine()
-    premises.ask(client, request(1) + request(2))
-    premises.house.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    premises.ask(client, request_frame(1) + request_frame(2))
+    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
     other = premises.engine("e2")
     premises.pass_time(9_500)
     premises.engine_says(engine, name(2), "TELL", "-", "")
@@ -614,17 +629,22 @@
 def test_hand_offs_keep_apart_so_that_one_bad_answer_spoils_few():
     premises = HostHarness()
     client, engines = premises.client(), [premises.engine(), premises.engine()]
-    premises.ask(client, b"".join(request(n) for n in range(1, 5)))
+    premises.ask(client, b"".join(request_frame(n) for n in range(1, 5)))
     assert [premises.heard(engine).count(b"fetch") for engine in engines] == [2, 2]
 
 
 def test_a_hand_off_that_waits_for_a_link_is_withdrawn_when_its_engine_drains():
     premises = HostHarness()
     client = premises.client()
-    premises.ask(client, request())
-    (errand,) = premises.house.errands.values()
-    assert not premises.house.event("2", json.dumps(listing(2, {"state": "DRAINING"}, full=False)))
-    assert errand.handoff.outcome == MOOT and not premises.house.stations["e1"].waiting
+    premises.ask(client, request_frame())
+    (in_flight_attempt,) = premises.socket_host.in_flight_attempts.values()
+    assert not premises.socket_host.event(
+        "2", json.dumps(listing(2, {"state": "DRAINING"}, full=False))
+    )
+    assert (
+        in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
+        and not premises.socket_host.engine_pools["e1"].waiting
+    )
     engine = premises.engine()
     assert not premises.heard(engine)  # Danger: nothing begins after a drain
 
@@ -632,7 +652,7 @@
 def test_without_a_link_in_time_it_counts_as_unreached_and_is_answered_once():
     premises = HostHarness()
     client = premises.client()
-    premises.ask(client, request(route="once"))
+    premises.ask(client, request_frame(route="once"))
     premises.pass_time(4 * SECOND)
     assert [answer[:3] for answer in premises.answers(client)] == [(4, 1, b"\2")]
     assert any(line.startswith("rest e1 unreached faults=1") for line in premises.logged)
@@ -641,10 +661,10 @@
 def test_a_hand_off_whose_own_time_ends_before_a_dial_tells_nothing_of_its_engine():
     premises = HostHarness(limits={"mostTries": 1, "streamsPerConn": 4, "dialTimeoutUs": 5_000_000})
     client = premises.client()
-    premises.ask(client, request(patience="400"))
-    (errand,) = premises.house.errands.values()
+    premises.ask(client, request_frame(patience="400"))
+    (in_flight_attempt,) = premises.socket_host.in_flight_attempts.values()
     premises.pass_time(SECOND)
-    assert errand.handoff.outcome == MOOT and not premises.logged
+    assert in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED and not premises.logged
     assert [answer[2] for answer in premises.answers(client)] == [b"\2"]
 
 
@@ -658,14 +678,18 @@
 
 def test_an_id_of_an_engine_that_is_gone_may_come_back():
     premises = HostHarness()
-    engine, old = premises.engine(), premises.house.stations["e1"]
-    premises.ask(premises.client(), request())
-    premises.house.event("2", json.dumps(listing(2)))
-    premises.house.event("3", json.dumps(listing(3, {"started_ms": 5}, full=False)))
-    new = premises.house.stations["e1"]
+    engine, old = premises.engine(), premises.socket_host.engine_pools["e1"]
+    premises.ask(premises.client(), request_frame())
+    premises.socket_host.event("2", json.dumps(listing(2)))
+    premises.socket_host.event("3", json.dumps(listing(3, {"started_ms": 5}, full=False)))
+    new = premises.socket_host.engine_pools["e1"]
     engine.close()
     premises.turn()
-    assert premises.house.stations["e1"] is new and not old.links and new.engine.state == READY
+    assert (
+        premises.socket_host.engine_pools["e1"] is new
+        and not old.links
+        and new.engine.state == EngineState.READY
+    )
 
 
 def test_a_late_answer_to_one_hand_off_is_not_taken_for_the_next():
@@ -675,7 +699,7 @@
     premises.pass_time(SECOND)
     assert premises.heard(engine) == command("abort", T1)  # Danger: it works on until it hears
     assert [answer[2] for answer in premises.answers(client)] == [b"\2"]
-    premises.ask(client, request(2, trace=T1))
+    premises.ask(client, request_frame(2, trace=T1))
     assert not premises.heard(engine)  # the same id: another link
     second = premises.engine()
     premises.engine_says(engine, T1, "DONE", "chunks=1", "old\t\t\n")
@@ -687,12 +711,12 @@
 def test_a_new_engine_at_an_old_address_gets_links_of_its_own():
     premises = HostHarness()
     engine = premises.engine()
-    premises.house.event("2", json.dumps(listing(2, {"id": "e2"})))
+    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"})))
     premises.turn()
     assert engine.recv(10) == b""  # the old one is closed
     assert (
-        premises.house.stations["e2"].engine.state == READY
-        and not premises.house.stations["e2"].links
+        premises.socket_host.engine_pools["e2"].engine.state == EngineState.READY
+        and not premises.socket_host.engine_pools["e2"].links
     )
 
 
@@ -703,9 +727,11 @@
     sent = served(premises, one, engine, **keyed)
     assert b"op=n1" in sent
     premises.pass_time(600)
-    premises.ask(two, request(1, trace=U1, **keyed))
+    premises.ask(two, request_frame(1, trace=U1, **keyed))
     assert not premises.heard(engine)
-    assert [s.life for c in premises.house.callers for s in c.open.values()] == [30_000, 27_500]
+    assert [
+        s.time_to_deadline for c in premises.socket_host.client_connections for s in c.open.values()
+    ] == [30_000, 27_500]
     premises.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
     assert U1.encode() in premises.heard(engine)
 
@@ -713,19 +739,21 @@
 def test_time_that_a_submission_may_have_waited_unread_goes_off_its_life():
     premises = HostHarness()
     client = premises.client()
-    client.sendall(request(patience="3000"))
-    premises.hub.turn(0)
+    client.sendall(request_frame(patience="3000"))
+    premises.event_loop.turn(0)
     premises.time += 300  # a long turn: between the poll that saw it and the reading
-    premises.hub.turn(0)
-    assert [sub.life for caller in premises.house.callers for sub in caller.open.values()] == [
-        29_700
-    ]
+    premises.event_loop.turn(0)
+    assert [
+        request.time_to_deadline
+        for client_connection in premises.socket_host.client_connections
+        for request in client_connection.open.values()
+    ] == [29_700]
 
 
 def test_a_withdrawal_at_expiry_is_still_answered_an_early_one_is_not():
     premises = HostHarness()
     client = premises.client()
-    premises.ask(client, request(1) + request(2))
+    premises.ask(client, request_frame(1) + request_frame(2))
     premises.ask(client, bytes.fromhex("050000000801000000"))
     premises.pass_time(29_600)
     premises.ask(client, bytes.fromhex("050000000802000000"))
@@ -736,11 +764,13 @@
     premises = HostHarness()
     client, engine = premises.client(), premises.engine()
     served(premises, client, engine, patience="5000")
-    premises.house.leave()
+    premises.socket_host.leave()
     assert premises.answers(client)[0][:2] == (64, 0)
     premises.pass_time(SECOND // 2)
     late = premises.client()
-    premises.ask(late, request(1, trace=U1, patience="5000") + bytes.fromhex("050000001002000000"))
+    premises.ask(
+        late, request_frame(1, trace=U1, patience="5000") + bytes.fromhex("050000001002000000")
+    )
     assert [answer[:3] for answer in premises.answers(late)] == [(64, 0, b""), (32, 2, b"\2")]
     for _ in range(4):
         premises.pass_time(SECOND // 2)
@@ -748,24 +778,27 @@
     premises.engine_says(engine, U1, "DONE", "chunks=1", "a\t\t\n")
     premises.pass_time(2 * SECOND)
     answers = premises.answers(client) + premises.answers(late)
-    assert [answer[1:3] for answer in answers] == [(1, b"\2"), (1, b"\1")] and premises.hub.stopped
+    assert [answer[1:3] for answer in answers] == [
+        (1, b"\2"),
+        (1, b"\1"),
+    ] and premises.event_loop.stopped
 
 
 def test_what_lies_unread_at_the_end_is_answered_first():
     premises = HostHarness()
     client = premises.client()
     premises.ask(client, bytes.fromhex("05000000100a000000"))
-    premises.house.leave()
+    premises.socket_host.leave()
     premises.turn()
-    premises.house.end = premises.house.now + 5_000
+    premises.socket_host.end = premises.socket_host.now + 5_000
     premises.answers(client)
-    client.sendall(request())
-    premises.house.gone()
-    assert not premises.hub.stopped
+    client.sendall(request_frame())
+    premises.socket_host.gone()
+    assert not premises.event_loop.stopped
     premises.pass_time(SECOND)
     assert [answer[1:3] for answer in premises.answers(client)] == [
         (1, b"\2")
-    ] and premises.hub.stopped
+    ] and premises.event_loop.stopped
 
 
 def test_many_short_lives_leave_nothing_behind():
@@ -776,7 +809,7 @@
     for n in range(1, 1201):
         engine = premises.engine(f"e{n}")
         client = premises.client()
-        sent = request(
+        sent = request_frame(
             1,
             trace=name(n),
             route="load",
@@ -790,7 +823,7 @@
             says = ("DONE", "chunks=1", ROW) if n % 2 else ("BROKE", "-", "")
             premises.engine_says(engine, name(n), *says)
         event = listing(n + 1, {"id": f"e{n}", "state": "DELETED"}, {"id": f"e{n + 1}"}, full=False)
-        assert not premises.house.event("", json.dumps(event))
+        assert not premises.socket_host.event("", json.dumps(event))
         client.close()
         engine.close()
         premises.pass_time(100, 100)
@@ -798,25 +831,28 @@
             premises.pass_time(4 * SECOND, 500)
             held.append(len(gc.get_objects()))
     gc.enable()
-    house = premises.house
-    assert not (house.callers or house.names or house.errands) and len(house.stations) == 1
+    socket_host = premises.socket_host
+    assert (
+        not (socket_host.client_connections or socket_host.names or socket_host.in_flight_attempts)
+        and len(socket_host.engine_pools) == 1
+    )
     assert held[2] - held[1] < 200
 
 
 def test_clients_that_do_not_read_cannot_fill_the_memory():
     premises = HostHarness()
-    premises.house.results.most = 300_000
+    premises.socket_host.results.most = 300_000
     client, engine = premises.client(), premises.engine()
-    caller = next(iter(premises.house.callers))
-    caller.link.machine.outward.most = 5_000
+    client_connection = next(iter(premises.socket_host.client_connections))
+    client_connection.link.machine.outward.most = 5_000
     for n in range(1, 20):
-        premises.ask(client, request(n, patience="4000"))
+        premises.ask(client, request_frame(n, patience="4000"))
         premises.engine_says(engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n")
-    waiting = sum(len(piece) for entry in caller.waiting for piece in entry[2])
-    assert 0 < waiting <= 300_000 and premises.house.results.held == waiting
+    waiting = sum(len(piece) for entry in client_connection.waiting for piece in entry[2])
+    assert 0 < waiting <= 300_000 and premises.socket_host.results.held == waiting
     client.close()
     premises.turn()
-    assert premises.house.results.held == 0 and not premises.house.callers
+    assert premises.socket_host.results.held == 0 and not premises.socket_host.client_connections
 
 
 def test_a_silent_link_is_asked_for_a_sign_before_the_engine_would_close_it():
@@ -842,9 +878,12 @@
 )
 def test_a_feed_event_that_makes_no_sense_changes_nothing(event):
     premises = HostHarness()
-    assert premises.house.event("2", event)
-    assert premises.house.last_event == 1 and premises.house.stations["e1"].engine.state == READY
-    assert not premises.house.event("1", json.dumps(listing(1)))  # told before: left out
+    assert premises.socket_host.event("2", event)
+    assert (
+        premises.socket_host.last_event == 1
+        and premises.socket_host.engine_pools["e1"].engine.state == EngineState.READY
+    )
+    assert not premises.socket_host.event("1", json.dumps(listing(1)))  # told before: left out
 
 
 @pytest.mark.parametrize(
@@ -914,21 +953,21 @@
         [],
     )
 
-    def dial(station, where):
-        dialled.append(station.engine.name)
-        station.dialling = False
+    def dial(engine_pool, where):
+        dialled.append(engine_pool.engine.name)
+        engine_pool.dialling = False
 
     EnginePool.dial = dial
     premises.turn()
     assert dialled == []  # hundreds of gateways that dial all engines ahead cost more than they ask
     client = premises.client()
-    premises.ask(client, request(1))
+    premises.ask(client, request_frame(1))
     assert len(dialled) == 1
     engine = premises.engine(dialled[0])
     premises.turn()
     assert len(dialled) == 1 and b"fetch" in engine.recv(4096)
     for stream in (3, 5, 7):  # of four, two at least share a link
-        premises.ask(client, request(stream))
+        premises.ask(client, request_frame(stream))
     assert len(dialled) > 1
 
 
@@ -936,15 +975,15 @@
     """Danger: with much traffic the first ones would wait for a dial, and all would share one link."""
     dialled = []
 
-    def dial(station, where):
-        dialled.append(station.engine.name)
-        station.dialling = False
+    def dial(engine_pool, where):
+        dialled.append(engine_pool.engine.name)
+        engine_pool.dialling = False
 
     premises = HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
     EnginePool.dial = dial
-    for station in premises.house.stations.values():
-        station.dialling = False
-        station.fill()
+    for engine_pool in premises.socket_host.engine_pools.values():
+        engine_pool.dialling = False
+        engine_pool.fill()
     premises.turn()
     assert sorted(dialled) == ["e1", "e2"]
 
@@ -954,15 +993,15 @@
     engine, one, other = premises.engine(), premises.client(), premises.client()
     busy = []
     monkeypatch.setattr(clients, "unread", lambda sock: sock in busy)
-    busy += [caller.link.sock for caller in premises.house.callers][
-        :1
-    ]  # more lies there, all the time
-    premises.ask(one, request(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
+    busy += [
+        client_connection.link.sock for client_connection in premises.socket_host.client_connections
+    ][:1]  # more lies there, all the time
+    premises.ask(one, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
     assert name(1).encode() not in premises.heard(engine)
-    premises.ask(other, request(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
+    premises.ask(other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
     said = premises.heard(engine)
     assert name(1).encode() in said and name(2).encode() not in said  # it waits for its turn
-    assert not premises.house.unadmitted
+    assert not premises.socket_host.unadmitted
     premises.pass_time(SECOND // 10)
     assert premises.heard(engine).count(b"fetch") == 0
 
@@ -973,8 +1012,8 @@
     premises = HostHarness()
     engine, client = premises.engine(), premises.client()
     monkeypatch.setattr(clients, "unread", lambda sock: 1)  # more lies there, all the time
-    premises.ask(client, request(1, patience="40"))
+    premises.ask(client, request_frame(1, patience="40"))
     premises.ask(client, bytes.fromhex("050000000801000000"))
     assert [answer[1:3] for answer in premises.answers(client)] == [(1, b"\2")]
     premises.pass_time(SECOND)
-    assert not premises.house.gateway.queues and premises.heard(engine) == b""
+    assert not premises.socket_host.gateway.queues and premises.heard(engine) == b""
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -5,11 +5,11 @@
 
 import pytest
 
+from corkgauge.config.operator_file import Duties
 from corkgauge.leases import service as offices
 from corkgauge.leases.candidate import HOLDING
 from corkgauge.leases.service import LeaseService
 from corkgauge.membership.member_list import ALIVE
-from corkgauge.config.operator_file import Duties
 from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
@@ -30,38 +30,42 @@
 class Member:
     """An office with all that it stands on: `late` is when its loop goes on, `disk` how long a write takes."""
 
-    def __init__(self, rack, name, hall, disk):
+    def __init__(self, rack, name, zone, disk):
         self.rack, self.name, self.disk, self.late, self.lines = rack, name, disk, 0, []
         self.waiting, self.writing = [], []
-        self.hub = SimpleNamespace(now=0, later=self.later, date=lambda: 10 * rack.now)
-        self.company = SimpleNamespace(
+        self.event_loop = SimpleNamespace(
+            now=0, call_later=self.call_later, date=lambda: 10 * rack.now
+        )
+        self.member_list = SimpleNamespace(
             calls={},
-            hall=hall,
+            zone=zone,
             letters=SimpleNamespace(start=1, pens={n: SimpleNamespace(start=1) for n in NAMES}),
-            fellows={
-                n: SimpleNamespace(name=n, hall=f"hall-{n}", state=ALIVE)
+            members={
+                n: SimpleNamespace(name=n, zone=f"hall-{n}", state=ALIVE)
                 for n in NAMES
                 if n != name
             },
             call=self.call,
         )
-        house = SimpleNamespace(hub=self.hub, log=self.lines.append, routes={})
+        socket_host = SimpleNamespace(event_loop=self.event_loop, log=self.lines.append, routes={})
         said = Duties(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
         self.office = LeaseService(
-            house,
+            socket_host,
             SimpleNamespace(name=name),
             said,
-            SimpleNamespace(company=self.company, chance=rack.chance.below),
+            SimpleNamespace(member_list=self.member_list, chance=rack.chance.below),
         )
         self.office.voter.silent_until = 0
         self.office.safe.keep = self.keep
         self.office.stands("works", Owner())
 
-    def later(self, delay, method, *what):
-        self.rack.later(max(delay, 1), self, method, *what)
+    def call_later(self, delay, method, *what):
+        self.rack.call_later(max(delay, 1), self, method, *what)
 
     def call(self, name, subject, body):
-        self.rack.later(5, self.rack.members[name], self.rack.hears, name, subject, self.name, body)
+        self.rack.call_later(
+            5, self.rack.members[name], self.rack.hears, name, subject, self.name, body
+        )
         return True
 
     def keep(self, record, then, *what):
@@ -75,7 +79,7 @@
     def write(self):
         self.writing, self.waiting = self.waiting, []
         if self.writing:
-            self.rack.later(self.disk, self, self.written)
+            self.rack.call_later(self.disk, self, self.written)
 
     def written(self):
         safe = self.writing
@@ -95,12 +99,12 @@
         for name in NAMES:
             self.members[name] = Member(self, name, f"hall-{name}", disk)
 
-    def later(self, delay, member, method, *what):
+    def call_later(self, delay, member, method, *what):
         self.serial += 1
         heappush(self.events, (self.now + int(delay), self.serial, member, method, what))
 
     def hears(self, name, subject, sender, body):
-        self.members[name].company.calls[subject](sender, body)
+        self.members[name].member_list.calls[subject](sender, body)
 
     def until(self, when):
         """Go on to this moment: the longest time without a holder, and who held it."""
@@ -111,7 +115,7 @@
                 self.serial += 1
                 heappush(self.events, (member.late, self.serial, member, method, what))
                 continue
-            self.now = member.hub.now = max(self.now, at)
+            self.now = member.event_loop.now = max(self.now, at)
             method(*what)
             holding = [each.name for each in self.members.values() if each.holds()]
             held.update(holding)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -2,25 +2,15 @@
 
 import subprocess
 import sys
-
 from collections import Counter
 
 import pytest
 
 from corkgauge.policy.gateway import CROWDED, FLOOR, SIGMA, STEP
-from corkgauge.policy.records import (
-    ERROR,
-    FULL,
-    HONOURED,
-    LABELLED,
-    PROGRESS,
-    RESET,
-    TIMED_OUT,
-    Engine,
-)
+from corkgauge.policy.records import AttemptOutcome, Engine, NoteKind, Repeatability
 from tests.harness import QUICK, SECOND, GatewayHarness
 
-HEAVY = {**QUICK, "name": "heavy", "worth": 6.0, "threads": 4}
+HEAVY = {**QUICK, "name": "heavy", "priority_weight": 6.0, "threads": 4}
 
 
 @pytest.mark.parametrize("shares", [(0.5, 0.5), (0.75, 0.25), (0.9, 0.1)])
@@ -36,7 +26,7 @@
 
 def test_tables_have_a_home_alike_at_all_gateways():
     homes = [
-        [s.handoffs[0].engine.tag for s in [yard.take(tables=t) for t in range(12)]]
+        [s.attempts[0].engine.host_reference for s in [yard.take(table_group=t) for t in range(12)]]
         for yard in (GatewayHarness(seed=1, engines=8), GatewayHarness(seed=2, engines=8))
     ]
     assert homes[0] == homes[1] and len(set(homes[0])) > 2
@@ -44,36 +34,38 @@
 
 def test_the_bound_binds_under_pressure_only():
     yard = GatewayHarness(engines=1)
-    subs = [yard.take() for _ in range(int(8 * CROWDED))]  # a lone gateway on a quiet day
-    assert all(s.handoffs for s in subs)
-    yard.over(subs[0].handoffs[0], FULL)
+    requests = [yard.take() for _ in range(int(8 * CROWDED))]  # a lone gateway on a quiet day
+    assert all(s.attempts for s in requests)
+    yard.over(requests[0].attempts[0], AttemptOutcome.ENGINE_FULL)
     late = yard.take()
-    assert not late.handoffs
+    assert not late.attempts
     yard.pass_time(SECOND)
-    for sub in subs[1:]:
-        yard.over(sub.handoffs[0], took=2000)
-    assert yard.take().handoffs  # an idle gateway may send one
+    for request in requests[1:]:
+        yard.over(request.attempts[0], took=2000)
+    assert yard.take().attempts  # an idle gateway may send one
 
 
 def test_a_burst_does_not_go_out_at_once():
     yard = GatewayHarness(engines=1)
-    assert 0 < sum(len(yard.take().handoffs) for _ in range(100)) <= 8 * CROWDED
+    assert 0 < sum(len(yard.take().attempts) for _ in range(100)) <= 8 * CROWDED
 
 
 def test_light_submissions_pass_the_heavy():
-    yard = GatewayHarness([QUICK, {**HEAVY, "aim": 9 * SECOND}], engines=1)
-    yard.over(yard.take().handoffs[0], took=2000)
-    yard.take(1, estimate=9 * SECOND, life=20 * SECOND)
+    yard = GatewayHarness([QUICK, {**HEAVY, "latency_objective": 9 * SECOND}], engines=1)
+    yard.over(yard.take().attempts[0], took=2000)
+    yard.take(1, estimated_work=9 * SECOND, time_to_deadline=20 * SECOND)
     yard.pass_time(2 * SECOND)
     yard.gateway.best = 0.1  # under pressure
-    assert not yard.take(1, estimate=9 * SECOND).handoffs and yard.take().handoffs
+    assert not yard.take(1, estimated_work=9 * SECOND).attempts and yard.take().attempts
 
 
 def test_a_queue_that_waits_releases_its_lightest_first():
     yard = GatewayHarness(engines=0)
-    subs = [yard.take(estimate=work) for work in (5000, 900, 3000)]
+    requests = [yard.take(estimated_work=work) for work in (5000, 900, 3000)]
     yard.tell(Engine("e", b"e", 0, 0, 0, cores=8.0))
-    assert [tag for tag, _ in yard.said("hand_off")] == [subs[n].tag for n in (1, 2, 0)]
+    assert [tag for tag, _ in yard.said("hand_off")] == [
+        requests[n].host_reference for n in (1, 2, 0)
+    ]
 
 
 @pytest.mark.parametrize("held", [4, 6, 7])
@@ -81,17 +73,17 @@
     yard = GatewayHarness(engines=1)
     for _ in range(held):
         yard.take()
-    assert yard.take().handoffs
+    assert yard.take().attempts
     yard.pass_time(6500)
-    assert not yard.take().handoffs
+    assert not yard.take().attempts
 
 
 @pytest.mark.parametrize("bad", [0, 1])
 def test_feedback_moves_share_to_the_worse_within_a_step(bad):
     yard = GatewayHarness([QUICK, {**QUICK, "name": "other"}])
-    subs = [yard.take(0), yard.take(1)]
-    for n, sub in enumerate(subs):
-        yard.over(sub.handoffs[0], took=4 * SECOND if n == bad else 2000)
+    requests = [yard.take(0), yard.take(1)]
+    for n, request in enumerate(requests):
+        yard.over(request.attempts[0], took=4 * SECOND if n == bad else 2000)
     yard.pass_time(2 * SECOND)
     shares = [q.share for q in yard.gateway.queues.values()]
     assert abs(sum(shares) - 1) < 1e-9 and min(shares) >= FLOOR / 2 * 0.99
@@ -103,29 +95,36 @@
     yard.take(1)
     yard.pass_time(int(1.5 * SECOND))
     assert yard.said("dismiss")
-    assert max(next(q for q in yard.gateway.queues.values()).badness) > 1
+    assert max(next(q for q in yard.gateway.queues.values()).shortfalls) > 1
 
 
-@pytest.mark.parametrize("outcomes, rests", [([ERROR], True), ([RESET], True), ([HONOURED], False)])
+@pytest.mark.parametrize(
+    "outcomes, rests",
+    [
+        ([AttemptOutcome.ERROR], True),
+        ([AttemptOutcome.CONNECTION_RESET], True),
+        ([AttemptOutcome.SUCCEEDED], False),
+    ],
+)
 def test_a_faulty_engine_rests(outcomes, rests):
     yard = GatewayHarness()
-    sub = yard.take()
-    home = sub.handoffs[0].engine
+    request = yard.take()
+    home = request.attempts[0].engine
     for outcome in outcomes:
-        yard.over(sub.handoffs[0], outcome)
+        yard.over(request.attempts[0], outcome)
     other = yard.take()
-    assert bool(yard.said("log")) == rests and other.handoffs[0].engine is not home
-    yard.over(other.handoffs[0], took=2000)
+    assert bool(yard.said("log")) == rests and other.attempts[0].engine is not home
+    yard.over(other.attempts[0], took=2000)
     yard.pass_time(int(1.1 * SECOND))
-    assert any(yard.take().handoffs[0].engine is home for _ in range(4))
+    assert any(yard.take().attempts[0].engine is home for _ in range(4))
 
 
 def test_all_engines_faulty_are_all_used():
     yard = GatewayHarness()
     for _ in range(12):
-        for handoff in yard.take().handoffs:
-            yard.over(handoff, ERROR)
-    assert yard.take().handoffs
+        for attempt in yard.take().attempts:
+            yard.over(attempt, AttemptOutcome.ERROR)
+    assert yard.take().attempts
 
 
 @pytest.mark.parametrize(
@@ -140,38 +139,38 @@
 def test_a_silent_engine(cancels, copies, heard, rescued):
     yard = GatewayHarness(cancels=cancels, copies=copies)
     for _ in range(9):  # what is usual must be known
-        yard.over(yard.take(tables=2.0).handoffs[0], took=2000)
+        yard.over(yard.take(table_group=2.0).attempts[0], took=2000)
     yard.now += 1
-    sub = yard.take()
+    request = yard.take()
     yard.pass_time(SECOND // 10)
     if heard:
-        yard.gateway.handoff_progress(sub.handoffs[0], PROGRESS, 0.9)
+        yard.gateway.on_attempt_progress(request.attempts[0], NoteKind.PROGRESS, 0.9)
     yard.pass_time(4 * SECOND)
     assert bool(yard.said("call_off")) == (rescued == "call_off")
-    assert (len(sub.handoffs) == 2) == (rescued == "copy")
+    assert (len(request.attempts) == 2) == (rescued == "copy")
 
 
 def test_one_long_hand_off_is_no_silence_and_bars_no_trial():
     yard = GatewayHarness([QUICK, HEAVY], engines=2)
-    long = yard.take(1, estimate=8 * SECOND, life=30 * SECOND)
-    engine, home = long.handoffs[0].engine, long.tables
+    long = yard.take(1, estimated_work=8 * SECOND, time_to_deadline=30 * SECOND)
+    engine, home = long.attempts[0].engine, long.table_group
     yard.pass_time(8 * SECOND)
     assert not any("silent" in line for line, _ in yard.said("log"))
-    for sub in [yard.take(tables=home) for _ in range(6)]:
-        if sub.handoffs[0].engine is engine:
-            yard.over(sub.handoffs[0], ERROR)
+    for request in [yard.take(table_group=home) for _ in range(6)]:
+        if request.attempts[0].engine is engine:
+            yard.over(request.attempts[0], AttemptOutcome.ERROR)
     yard.pass_time(30 * SECOND // 2)
-    assert not long.over and any(
-        yard.take(tables=home).handoffs[0].engine is engine for _ in range(9)
+    assert not long.is_finished and any(
+        yard.take(table_group=home).attempts[0].engine is engine for _ in range(9)
     )
 
 
 def test_a_bad_plan_is_called_off():
     yard = GatewayHarness(cancels=True)
-    sub = yard.take()
+    request = yard.take()
     yard.now += 4000
-    yard.gateway.handoff_progress(sub.handoffs[0], PROGRESS, 0.02)
-    assert yard.said("call_off") == [(sub.tag, 0)]
+    yard.gateway.on_attempt_progress(request.attempts[0], NoteKind.PROGRESS, 0.02)
+    assert yard.said("call_off") == [(request.host_reference, 0)]
 
 
 EVENTS = r"""
@@ -263,18 +262,21 @@
 def test_time_outs_push_the_bound_down_and_answers_in_time_up():
     yard = GatewayHarness(engines=1)
     engine = yard.engines[0]
-    for outcome, least, most in ((HONOURED, 1.0, 2.0), (TIMED_OUT, 0.0, 1.0)):
-        engine.view.bound = 1.0
+    for outcome, least, most in (
+        (AttemptOutcome.SUCCEEDED, 1.0, 2.0),
+        (AttemptOutcome.TIMED_OUT, 0.0, 1.0),
+    ):
+        engine.stats.limit_factor = 1.0
         for _ in range(20):
-            for handoff in yard.take().handoffs:
-                yard.over(handoff, outcome, took=2000)
-        assert least <= engine.view.bound <= most and engine.view.bound != 1.0
+            for attempt in yard.take().attempts:
+                yard.over(attempt, outcome, took=2000)
+        assert least <= engine.stats.limit_factor <= most and engine.stats.limit_factor != 1.0
 
 
 def test_a_gateway_with_little_traffic_spreads_a_hot_group_over_the_order():
     yard = GatewayHarness(gateways=200, engines=8)
     for _ in range(128):
-        yard.over(yard.take().handoffs[0], took=2000)
+        yard.over(yard.take().attempts[0], took=2000)
     engines = [engine for _, engine in yard.said("hand_off")][64:]
     assert (
         max(engines.count(e) for e in engines) <= 12
@@ -283,18 +285,21 @@
 
 def test_late_answers_raise_a_price_that_holds_the_heaviest_back_and_time_lowers_it():
     yard = GatewayHarness([QUICK, HEAVY], gateways=200)
-    yard.over(yard.take().handoffs[0], took=2000)
+    yard.over(yard.take().attempts[0], took=2000)
     yard.pass_time(2 * SECOND)
     for _ in range(40):
         yard.over(
-            yard.take(1, estimate=SECOND, life=20 * SECOND).handoffs[0],
+            yard.take(1, estimated_work=SECOND, time_to_deadline=20 * SECOND).attempts[0],
             took=15 * SECOND,
             work=SECOND,
         )
-    heavy = yard.take(1, estimate=15 * SECOND, life=20 * SECOND)
-    assert yard.take().handoffs and not heavy.handoffs
+    heavy = yard.take(1, estimated_work=15 * SECOND, time_to_deadline=20 * SECOND)
+    assert yard.take().attempts and not heavy.attempts
     yard.pass_time(20 * SECOND)  # Danger: nothing out, so no answer would ever lower it
-    assert heavy.over and yard.take(1, estimate=15 * SECOND, life=20 * SECOND).handoffs
+    assert (
+        heavy.is_finished
+        and yard.take(1, estimated_work=15 * SECOND, time_to_deadline=20 * SECOND).attempts
+    )
 
 
 def test_a_gateway_among_hundreds_has_its_turn_at_a_cold_engine():
@@ -302,52 +307,58 @@
     for number in range(200):
         yard = GatewayHarness(engines=1, gateways=200, number=number)
         for _ in range(8):
-            yard.over(yard.take().handoffs[0], took=2000)
+            yard.over(yard.take().attempts[0], took=2000)
         yard.pass_time(2 * SECOND)
         yard.tell(yard.engines[0], started=yard.now - 100)
-        turns.append(sum(len(yard.take().handoffs) for _ in range(5)))
+        turns.append(sum(len(yard.take().attempts) for _ in range(5)))
     part = 8 * 0.85 * 2.0 * 0.3 * SECOND
     assert 0 < sum(turns) * 2000 <= part and max(turns) == 1
 
 
 def test_in_a_line_longer_than_its_promise_the_heaviest_are_dismissed():
-    yard = GatewayHarness([{**QUICK, "ordered": True, "stretch": 0.0}])
-    subs = [yard.take(key=5, estimate=work) for work in (1000, 9000, 2000, 1000)]
+    yard = GatewayHarness([{**QUICK, "ordered": True, "objective_stretch": 0.0}])
+    requests = [yard.take(order_key=5, estimated_work=work) for work in (1000, 9000, 2000, 1000)]
     # Danger: the one of 9000 would make all behind it late; the first runs already.
-    assert [tag for tag, _ in yard.said("dismiss")] == [subs[1].tag] and subs[0].handoffs
+    assert [tag for tag, _ in yard.said("dismiss")] == [requests[1].host_reference] and requests[
+        0
+    ].attempts
 
 
 @pytest.mark.parametrize("late", [20, 2000])
 def test_a_price_that_late_answers_raise_stays_within_reach(late):
     yard = GatewayHarness(engines=8)
-    subs = [yard.take() for _ in range(40)]
-    yard.over(subs[0].handoffs[0], took=2000)
+    requests = [yard.take() for _ in range(40)]
+    yard.over(requests[0].attempts[0], took=2000)
     yard.pass_time(2 * SECOND)
     for n in range(late):
-        yard.gateway._step(subs[0].handoffs[0].engine.view, subs[0].offering, -STEP)
-    assert 0 < yard.gateway.price * subs[0].offering.usual <= QUICK["worth"]
+        yard.gateway._step(requests[0].attempts[0].engine.stats, requests[0].request_class, -STEP)
+    assert (
+        0 < yard.gateway.price * requests[0].request_class.typical_work <= QUICK["priority_weight"]
+    )
 
 
 def test_a_gateway_that_is_behind_takes_no_more_until_it_has_caught_up():
     yard = GatewayHarness()
     yard.lag = 500
-    assert yard.take().over and len(yard.said("dismiss")) == 1
+    assert yard.take().is_finished and len(yard.said("dismiss")) == 1
     yard.lag = 400
-    assert yard.take().handoffs
+    assert yard.take().attempts
 
 
 def test_what_befalls_all_engines_alike_lets_none_rest_and_one_that_is_worse_rests_all_the_same():
     yard = GatewayHarness(engines=4)
     for _ in range(6):
         for _ in yard.engines:
-            sub = yard.take(tables=float(yard.serial))
-            yard.over(sub.handoffs[0], RESET, finished=True)
+            request = yard.take(table_group=float(yard.serial))
+            yard.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET, finished=True)
         yard.pass_time(SECOND)
     yard.pass_time(3 * SECOND)
     early = len([line for line, _ in yard.said("log") if line.startswith("rest")])
     for n in range(60):
         yard.over(
-            yard.take(tables=float(n)).handoffs[0], RESET if n % 4 == 0 else HONOURED, finished=True
+            yard.take(table_group=float(n)).attempts[0],
+            AttemptOutcome.CONNECTION_RESET if n % 4 == 0 else AttemptOutcome.SUCCEEDED,
+            finished=True,
         )
         yard.pass_time(SECOND // 10)
     rests = [line for line, _ in yard.said("log") if line.startswith("rest")]
@@ -363,51 +374,59 @@
 def test_one_that_later_ones_passed_long_ago_is_copied_once_and_one_that_is_told_of_is_not():
     yard = GatewayHarness(engines=2, copies=True)
     for n in range(8):
-        yard.over(yard.take(tables=float(n)).handoffs[0], took=2000)
-    subs = [yard.take(), yard.take()]
-    engine = subs[0].handoffs[0].engine
-    subs = [sub for sub in subs if sub.handoffs[0].engine is engine]
+        yard.over(yard.take(table_group=float(n)).attempts[0], took=2000)
+    requests = [yard.take(), yard.take()]
+    engine = requests[0].attempts[0].engine
+    requests = [request for request in requests if request.attempts[0].engine is engine]
     for _ in range(60):
         yard.pass_time(200)
-        yard.gateway.handoff_progress(subs[-1].handoffs[0], 0, 0.0) if len(subs) > 1 else None
+        yard.gateway.on_attempt_progress(requests[-1].attempts[0], 0, 0.0) if len(
+            requests
+        ) > 1 else None
         later = yard.take()
-        yard.over(later.handoffs[0], took=200)
+        yard.over(later.attempts[0], took=200)
     # Danger: its engine is well and answers the others, so silence would never show that this one is lost
-    assert [len(sub.handoffs) for sub in subs] == [2] + [1] * (len(subs) - 1) and not subs[0].over
-    assert subs[0].handoffs[1].engine is not engine
+    assert [len(request.attempts) for request in requests] == [2] + [1] * (
+        len(requests) - 1
+    ) and not requests[0].is_finished
+    assert requests[0].attempts[1].engine is not engine
     # Danger: neither what its own copy answered nor one whose client left may be handed off again
-    yard.over(subs[0].handoffs[1])
+    yard.over(requests[0].attempts[1])
     gone = yard.take()
-    yard.gateway.submission_left(gone)
+    yard.gateway.on_client_left(gone)
     yard.pass_time(2 * SECOND)
     for _ in range(9):
-        yard.over(yard.take().handoffs[0], took=200)
+        yard.over(yard.take().attempts[0], took=200)
     assert (
-        len(subs[0].handoffs) == 2
-        and len(gone.handoffs) == 1
-        and not (subs[0].queued or gone.queued)
+        len(requests[0].attempts) == 2
+        and len(gone.attempts) == 1
+        and not (requests[0].is_queued or gone.is_queued)
     )
 
 
 def test_what_two_engines_cannot_use_is_handed_to_no_third():
     yard = GatewayHarness(engines=4)
-    sub = yard.take()
-    yard.over(sub.handoffs[0], ERROR)
-    yard.over(sub.handoffs[1], ERROR)
-    assert sub.over and len(sub.handoffs) == 2 and yard.said("dismiss")
+    request = yard.take()
+    yard.over(request.attempts[0], AttemptOutcome.ERROR)
+    yard.over(request.attempts[1], AttemptOutcome.ERROR)
+    assert request.is_finished and len(request.attempts) == 2 and yard.said("dismiss")
 
 
 def test_nothing_stays_of_what_is_over():
     yard = GatewayHarness([{**QUICK, "ordered": True}], settle=SECOND)
-    subs = []
+    requests = []
     for n in range(3000):
-        subs = [sub for sub in subs if any(h.out for h in sub.handoffs) or not sub.over]
-        subs.append(yard.take(tables=float(n), key=n + 1, life=5000))
-        for handoff in [h for sub in subs for h in sub.handoffs if h.out]:
-            yard.over(handoff, TIMED_OUT if n % 3 else HONOURED)
+        requests = [
+            request
+            for request in requests
+            if any(h.is_in_flight for h in request.attempts) or not request.is_finished
+        ]
+        requests.append(yard.take(table_group=float(n), order_key=n + 1, time_to_deadline=5000))
+        for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
+            yard.over(attempt, AttemptOutcome.TIMED_OUT if n % 3 else AttemptOutcome.SUCCEEDED)
         yard.pass_time(100)
-    for handoff in [h for sub in subs for h in sub.handoffs if h.out]:
-        yard.over(handoff, TIMED_OUT, finished=True)
+    for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
+        yard.over(attempt, AttemptOutcome.TIMED_OUT, finished=True)
     yard.pass_time(12 * SECOND)
     gateway = yard.gateway
     kept = [gateway.lines, gateway.rests, gateway.orders, gateway.honoured, gateway.extras]
@@ -419,7 +438,7 @@
     firsts = Counter()
     for number in range(200):
         yard = GatewayHarness(engines=20, gateways=200, number=number, seed=number)
-        firsts.update(sub.handoffs[0].engine.tag for sub in [yard.take()])
+        firsts.update(request.attempts[0].engine.host_reference for request in [yard.take()])
     assert len(firsts) >= 18 and max(firsts.values()) < 30
 
 
@@ -427,10 +446,10 @@
     yard = GatewayHarness(engines=20, gateways=200)
     homes = []
     for n in range(60):
-        sub = yard.take(tables=float(n % 12))
+        request = yard.take(table_group=float(n % 12))
         if n % 12 == 0:
-            homes.append(sub.handoffs[0].engine.tag)
-        yard.over(sub.handoffs[0], took=2000)
+            homes.append(request.attempts[0].engine.host_reference)
+        yard.over(request.attempts[0], took=2000)
     assert Counter(homes[1:]).most_common(1)[0][1] >= 3
 
 
@@ -441,42 +460,42 @@
         yard.tell(engine, started=yard.now - 2 * SECOND)
     yard.gateway.born = 0
     for engine in order[:4]:  # the warm ones hold some already
-        engine.threads = 2
-    sub = yard.take()
-    assert sub.handoffs[0].engine in order[:4]
-    yard.over(sub.handoffs[0])
+        engine.threads_in_flight = 2
+    request = yard.take()
+    assert request.attempts[0].engine in order[:4]
+    yard.over(request.attempts[0])
     yard.gateway.price = 1e-9  # what is late or refused has raised one
-    assert yard.take().handoffs[0].engine in order[4:]
+    assert yard.take().attempts[0].engine in order[4:]
 
 
 def test_an_engine_set_aside_gets_nothing_but_what_may_be_tried_again_nowhere_else():
     labelled = dict(
         name="load",
-        aim=SECOND,
-        stretch=1.0,
-        expiry=5 * SECOND,
-        worth=1.0,
-        repeat=LABELLED,
-        group="cell",
-        remembered=20 * SECOND,
+        latency_objective=SECOND,
+        objective_stretch=1.0,
+        time_to_deadline=5 * SECOND,
+        priority_weight=1.0,
+        repeatability=Repeatability.KEYED,
+        key_scope="cell",
+        key_ttl=20 * SECOND,
     )
     yard = GatewayHarness([QUICK, labelled], engines=3)
     first = yard.take(1)
-    engine = first.handoffs[0].engine  # alone in its cell
-    yard.gateway.engine_aside(engine, 1)
-    others = [yard.take(n % 2).handoffs[0] for n in range(6)]
-    assert all(handoff.engine is not engine for handoff in others)
-    for handoff in others:
-        yard.over(handoff)
-    yard.over(first.handoffs[0], RESET)
-    assert first.handoffs[-1].engine is engine and len(first.handoffs) == 2
-    yard.gateway.engine_aside(engine, 2)
-    yard.over(first.handoffs[-1], RESET)
-    assert len(first.handoffs) == 2
-    yard.gateway.engine_aside(engine, 0)
+    engine = first.attempts[0].engine  # alone in its cell
+    yard.gateway.on_engine_cordon(engine, 1)
+    others = [yard.take(n % 2).attempts[0] for n in range(6)]
+    assert all(attempt.engine is not engine for attempt in others)
+    for attempt in others:
+        yard.over(attempt)
+    yard.over(first.attempts[0], AttemptOutcome.CONNECTION_RESET)
+    assert first.attempts[-1].engine is engine and len(first.attempts) == 2
+    yard.gateway.on_engine_cordon(engine, 2)
+    yard.over(first.attempts[-1], AttemptOutcome.CONNECTION_RESET)
+    assert len(first.attempts) == 2
+    yard.gateway.on_engine_cordon(engine, 0)
     yard.pass_time(30 * SECOND)  # its rests are over
     assert engine in {
-        handoff.engine for n in range(12) for handoff in yard.take(tables=float(n)).handoffs
+        attempt.engine for n in range(12) for attempt in yard.take(table_group=float(n)).attempts
     }
 
 
@@ -484,25 +503,25 @@
     yard = GatewayHarness(engines=8)
     first = {}
     for n in range(60):  # one hand-off at each
-        sub = yard.take(tables=float(n))
-        if sub.handoffs and sub.handoffs[0].engine not in first:
-            first[sub.handoffs[0].engine] = sub.handoffs[0]
+        request = yard.take(table_group=float(n))
+        if request.attempts and request.attempts[0].engine not in first:
+            first[request.attempts[0].engine] = request.attempts[0]
         else:
-            yard.gateway.submission_left(sub)
-            for handoff in sub.handoffs:
-                yard.over(handoff, took=2000)
-    lost = [engine for engine in yard.engines if engine.hall == 0]
+            yard.gateway.on_client_left(request)
+            for attempt in request.attempts:
+                yard.over(attempt, took=2000)
+    lost = [engine for engine in yard.engines if engine.zone == 0]
     for engine in lost[:2]:
-        yard.over(first[engine], RESET, finished=True)
+        yard.over(first[engine], AttemptOutcome.CONNECTION_RESET, finished=True)
 
     def sent():
-        subs = [yard.take(tables=float(n)) for n in range(100, 130)]
-        went = [handoff.engine for sub in subs for handoff in sub.handoffs[:1]]
-        for sub in subs:
-            for handoff in sub.handoffs:
-                if handoff.engine.hall:
-                    yard.over(handoff, took=2000)
-        return [engine for engine in went if engine.hall == 0]
+        requests = [yard.take(table_group=float(n)) for n in range(100, 130)]
+        went = [attempt.engine for request in requests for attempt in request.attempts[:1]]
+        for request in requests:
+            for attempt in request.attempts:
+                if attempt.engine.zone:
+                    yard.over(attempt, took=2000)
+        return [engine for engine in went if engine.zone == 0]
 
     assert sent() == []
     yard.pass_time(SECOND + 10)
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -11,27 +11,32 @@
 from hypothesis import given, strategies
 
 from corkgauge.commands import group
-from corkgauge.policy.records import RESET, UNREACHED
 from corkgauge.config.operator_file import Recall
-from corkgauge.recovery import (
-    decay as ageing,
-    attempt_log as effects,
-    learned_state as learned,
-    snapshot,
-    log_writer as writer,
-)
-from corkgauge.recovery.attempt_log import LoggedAttempt, AttemptLog
-from corkgauge.recovery.service import RecoveryService
+from corkgauge.policy.records import AttemptOutcome
+from corkgauge.recovery import attempt_log as effects
+from corkgauge.recovery import decay as ageing
+from corkgauge.recovery import learned_state as learned
+from corkgauge.recovery import log_writer as writer
+from corkgauge.recovery import snapshot
+from corkgauge.recovery.attempt_log import AttemptLog, LoggedAttempt
 from corkgauge.recovery.log_writer import FRAME, Files, segments
-from corkgauge.testkit.fleet.day import Day
+from corkgauge.recovery.service import RecoveryService
 from corkgauge.testkit.faults.script import read as read_script
-from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, GatewayHarness, listing, request
+from corkgauge.testkit.fleet.day import Day
+from tests.harness import (
+    SECOND,
+    STATED_ON_SOCKETS,
+    GatewayHarness,
+    HostHarness,
+    listing,
+    request_frame,
+)
 
 NONCE = "ab" * 16
 
 
-def effect(serial, label="l1", sent=0, until=100 * SECOND, key=7, hall=0):
-    return LoggedAttempt(serial, label, "load", key, "e1", hall, 0, sent, until)
+def effect(serial, label="l1", sent=0, until=100 * SECOND, key=7, zone=0):
+    return LoggedAttempt(serial, label, "load", key, "e1", zone, 0, sent, until)
 
 
 # The log.
@@ -256,51 +261,51 @@
     slow, gone, other = yard.engines
     for _ in range(4):
         yard.take()
-    for handoff in [h for e in yard.engines for h in [*e.view.out]]:
-        yard.over(handoff, took=30_000)
+    for attempt in [h for e in yard.engines for h in [*e.stats.in_flight]]:
+        yard.over(attempt, took=30_000)
     yard.gateway._fault(slow, "silent")
     yard.gateway.price = 1e-6
     for each in yard.engines:
-        each.name = each.tag
+        each.name = each.host_reference
     said = {"at": yard.now, **learned.gathered(yard.gateway)}
     later = GatewayHarness(copies=True)
     for each in later.engines:
-        each.name = each.tag
-    later.engines[1].started = 5  # another process under the same id
-    offerings = {each.name: each for each in later.offerings}
-    counts = learned.recalled(said, later.gateway, offerings, later.now, 0)
-    assert later.engines[0].view.rests_until == later.now + SECOND
+        each.name = each.host_reference
+    later.engines[1].incarnation = 5  # another process under the same id
+    request_classes = {each.name: each for each in later.request_classes}
+    counts = learned.recalled(said, later.gateway, request_classes, later.now, 0)
+    assert later.engines[0].stats.ejected_until == later.now + SECOND
     assert (
-        not later.engines[1].view.slowness
+        not later.engines[1].stats.slowness_samples
         and counts["offerings"] == 1
         and later.gateway.price == 1e-6
     )
     assert not later.gateway._well(later.engines[0]) and later.gateway._well(later.engines[1])
     assert len(later.gateway.queues) == 1
-    sub = later.take()
-    assert sub.handoffs[0].engine is not later.engines[0]
+    request = later.take()
+    assert request.attempts[0].engine is not later.engines[0]
     later.pass_time(2 * SECOND)
-    assert len(later.engines[0].view.out) == 1  # its rest is over: one hand-off tells
+    assert len(later.engines[0].stats.in_flight) == 1  # its rest is over: one hand-off tells
 
 
 def test_a_label_that_may_have_run_keeps_its_hall_and_a_key_rests():
-    offering = dict(
+    request_class = dict(
         name="load",
-        aim=SECOND,
-        stretch=1.0,
-        expiry=5 * SECOND,
-        worth=1.0,
-        repeat=1,
-        group="zone",
-        remembered=20 * SECOND,
+        latency_objective=SECOND,
+        objective_stretch=1.0,
+        time_to_deadline=5 * SECOND,
+        priority_weight=1.0,
+        repeatability=1,
+        key_scope="zone",
+        key_ttl=20 * SECOND,
         ordered=True,
     )
-    yard = GatewayHarness(offerings=(offering,), settle=3000)
-    yard.gateway.key_rests(9, yard.now + 3000)
-    first = yard.take(key=9, life=3 * SECOND)
-    assert not first.handoffs
+    yard = GatewayHarness(request_classes=(request_class,), settle=3000)
+    yard.gateway.hold_order_key(9, yard.now + 3000)
+    first = yard.take(order_key=9, time_to_deadline=3 * SECOND)
+    assert not first.attempts
     yard.pass_time(3100)
-    assert first.handoffs and not yard.gateway.rests
+    assert first.attempts and not yard.gateway.rests
 
 
 # The whole, on sockets.
@@ -308,7 +313,10 @@
 
 def keeping(folder, premises, each=SECOND, **said):
     return RecoveryService(
-        premises.house, "n", 1, Recall(str(folder), each, said.get("durability", "process"), 3)
+        premises.socket_host,
+        "n",
+        1,
+        Recall(str(folder), each, said.get("durability", "process"), 3),
     )
 
 
@@ -336,7 +344,7 @@
         client = before.client()
         sockets = {tag: before.engine(tag) for tag in ("e1", "e2")}
         body = b"select * from s_%d.t" % turn
-        before.ask(client, request(1, route="load", nonce=NONCE, entity="5", body=body))
+        before.ask(client, request_frame(1, route="load", nonce=NONCE, entity="5", body=body))
         first = next(tag for tag, sock in sockets.items() if before.heard(sock))
         settled(before, lambda: any(path.stat().st_size for path in folder.glob("n.effects.*")))
         kept.helper.stdin.close()
@@ -347,13 +355,15 @@
         assert any("effects=1 unsettled=1" in line for line in after.logged)
         other = {"e1": "e2", "e2": "e1"}[first]
         sockets = {tag: after.engine(tag) for tag in (other, first)}
-        after.house.stations[
+        after.socket_host.engine_pools[
             first
-        ].engine.threads = 99  # whatever the load: only there is its mark known
-        after.ask(after.client(), request(1, route="load", nonce=NONCE, entity="6", body=body))
+        ].engine.threads_in_flight = 99  # whatever the load: only there is its mark known
+        after.ask(
+            after.client(), request_frame(1, route="load", nonce=NONCE, entity="6", body=body)
+        )
         assert b"fetch" not in after.heard(sockets[other])
-        sub = next(iter(after.house.names.values()), None)
-        assert sub is None or [each.engine.name for each in sub.before] == [first]
+        request = next(iter(after.socket_host.names.values()), None)
+        assert request is None or [each.engine.name for each in request.earlier_attempts] == [first]
         again.end()
 
 
@@ -393,7 +403,11 @@
 def test_two_programs_in_one_folder_and_a_folder_that_cannot_be(tmp_path):
     one, two = HostHarness(), HostHarness()
     kept, none = keeping(tmp_path, one), keeping(tmp_path, two)
-    assert "in use by another" in two.logged[0] and two.house.recall is None and none.helper is None
+    assert (
+        "in use by another" in two.logged[0]
+        and two.socket_host.recall is None
+        and none.helper is None
+    )
     (tmp_path / "file").write_text("")
     keeping(tmp_path / "file" / "x", two)
     assert "Not a directory" in two.logged[1]
@@ -481,9 +495,11 @@
 
 def test_outcomes_that_prove_nothing_ran_free_the_label():
     known = AttemptLog()
-    for serial, outcome in enumerate((RESET, UNREACHED), 1):
+    for serial, outcome in enumerate(
+        (AttemptOutcome.CONNECTION_RESET, AttemptOutcome.UNREACHABLE), 1
+    ):
         known.sent(effect(serial, f"l{serial}"))
-        known.over(serial, outcome == RESET)
+        known.over(serial, outcome == AttemptOutcome.CONNECTION_RESET)
     assert [*known.by_label] == [("load", "l1")]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,28 +2,15 @@
 
 import pytest
 
-from corkgauge.policy.records import (
-    CALLED_OFF,
-    DRAINING,
-    ERROR,
-    FULL,
-    GONE,
-    HONOURED,
-    IRREVERSIBLE,
-    LABELLED,
-    REDOABLE,
-    RESET,
-    TIMED_OUT,
-    UNREACHED,
-)
+from corkgauge.policy.records import AttemptOutcome, EngineState, Repeatability
 from tests.harness import QUICK, SECOND, GatewayHarness
 
 ORDERED = {
     **QUICK,
     "name": "ordered",
-    "repeat": LABELLED,
+    "repeatability": Repeatability.KEYED,
     "ordered": True,
-    "remembered": 20 * SECOND,
+    "key_ttl": 20 * SECOND,
 }
 
 
@@ -31,11 +18,11 @@
 @pytest.mark.parametrize("engines", [0, 1])
 def test_every_submission_ends_once_before_expiry(life, engines):
     yard = GatewayHarness(engines=engines)
-    sub = yard.take(life=life)
+    request = yard.take(time_to_deadline=life)
     yard.pass_time(max(life - 20, 0))
-    assert len(yard.said("dismiss") + yard.said("scrap")) == 1 and sub.over
-    for handoff in sub.handoffs:  # its outcome comes after the end and changes nothing
-        yard.over(handoff, TIMED_OUT)
+    assert len(yard.said("dismiss") + yard.said("scrap")) == 1 and request.is_finished
+    for attempt in request.attempts:  # its outcome comes after the end and changes nothing
+        yard.over(attempt, AttemptOutcome.TIMED_OUT)
     yard.pass_time(10 * SECOND)
     assert len(yard.said("dismiss") + yard.said("scrap")) == 1 and len(yard.said("hand_off")) <= 1
 
@@ -43,21 +30,21 @@
 @pytest.mark.parametrize(
     "repeat, outcome, again, ending",
     [
-        (REDOABLE, ERROR, True, None),
-        (REDOABLE, TIMED_OUT, True, None),
-        (LABELLED, RESET, True, None),
-        (IRREVERSIBLE, FULL, True, None),
-        (IRREVERSIBLE, UNREACHED, True, None),
-        (IRREVERSIBLE, ERROR, False, "scrap"),
-        (IRREVERSIBLE, RESET, False, "scrap"),
-        (IRREVERSIBLE, CALLED_OFF, False, "scrap"),
+        (Repeatability.IDEMPOTENT, AttemptOutcome.ERROR, True, None),
+        (Repeatability.IDEMPOTENT, AttemptOutcome.TIMED_OUT, True, None),
+        (Repeatability.KEYED, AttemptOutcome.CONNECTION_RESET, True, None),
+        (Repeatability.NON_IDEMPOTENT, AttemptOutcome.ENGINE_FULL, True, None),
+        (Repeatability.NON_IDEMPOTENT, AttemptOutcome.UNREACHABLE, True, None),
+        (Repeatability.NON_IDEMPOTENT, AttemptOutcome.ERROR, False, "scrap"),
+        (Repeatability.NON_IDEMPOTENT, AttemptOutcome.CONNECTION_RESET, False, "scrap"),
+        (Repeatability.NON_IDEMPOTENT, AttemptOutcome.CANCELLED, False, "scrap"),
     ],
 )
 def test_effects(repeat, outcome, again, ending):
-    yard = GatewayHarness([{**QUICK, "repeat": repeat, "remembered": 20 * SECOND}])
-    sub = yard.take()
-    yard.over(sub.handoffs[0], outcome)
-    assert (len(sub.handoffs) == 2) == again
+    yard = GatewayHarness([{**QUICK, "repeatability": repeat, "key_ttl": 20 * SECOND}])
+    request = yard.take()
+    yard.over(request.attempts[0], outcome)
+    assert (len(request.attempts) == 2) == again
     assert ending is None or yard.said(ending)
 
 
@@ -66,105 +53,118 @@
 )
 def test_repeats_stay_in_their_group(group, allowed):
     yard = GatewayHarness(
-        [{**QUICK, "repeat": LABELLED, "remembered": 20 * SECOND, "group": group}]
+        [
+            {
+                **QUICK,
+                "repeatability": Repeatability.KEYED,
+                "key_ttl": 20 * SECOND,
+                "key_scope": group,
+            }
+        ]
     )
-    yard.tell(*yard.engines[1:], state=DRAINING)
-    sub = yard.take()
+    yard.tell(*yard.engines[1:], state=EngineState.DRAINING)
+    request = yard.take()
     yard.tell(*yard.engines[1:])
     for _ in range(3):
-        if sub.handoffs[-1].out:
-            yard.over(sub.handoffs[-1], RESET)
+        if request.attempts[-1].is_in_flight:
+            yard.over(request.attempts[-1], AttemptOutcome.CONNECTION_RESET)
     assert {engine for _, engine in yard.said("hand_off")} <= allowed
     yard.pass_time(5 * SECOND)
     assert bool(yard.said("scrap")) == (group != "all")
 
 
 def test_repeats_stop_when_no_longer_remembered():
-    yard = GatewayHarness([{**QUICK, "repeat": LABELLED, "remembered": SECOND}])
-    sub = yard.take()
+    yard = GatewayHarness([{**QUICK, "repeatability": Repeatability.KEYED, "key_ttl": SECOND}])
+    request = yard.take()
     yard.now += SECOND
-    yard.over(sub.handoffs[0], RESET)
-    assert len(sub.handoffs) == 1 and sub.over
+    yard.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
+    assert len(request.attempts) == 1 and request.is_finished
 
 
-@pytest.mark.parametrize("state", [DRAINING, GONE])
+@pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE])
 def test_drains_stop_at_once(state):
     yard = GatewayHarness()
     yard.tell(*yard.engines, state=state)
-    sub = yard.take()
-    assert not sub.handoffs
+    request = yard.take()
+    assert not request.attempts
     yard.tell(yard.engines[1])
-    assert [h.engine.tag for h in sub.handoffs] == ["e1"]
+    assert [h.engine.host_reference for h in request.attempts] == ["e1"]
 
 
-@pytest.mark.parametrize("outcome", [HONOURED, FULL])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.SUCCEEDED, AttemptOutcome.ENGINE_FULL])
 def test_cold_engine_gets_its_part_of_the_work(outcome):
     yard = GatewayHarness(engines=1)
     for _ in range(8):
-        yard.over(yard.take().handoffs[0], took=2000)
+        yard.over(yard.take().attempts[0], took=2000)
     yard.pass_time(2 * SECOND)
     yard.tell(yard.engines[0], started=yard.now)
     part = 8 * 0.85 * 2.0 * 0.3 * SECOND / 2
     sent = 0
     for _ in range(200):
-        sub = yard.take()
-        sent += len(sub.handoffs)
-        if sub.handoffs:
-            yard.over(sub.handoffs[0], outcome, took=2000)
+        request = yard.take()
+        sent += len(request.attempts)
+        if request.attempts:
+            yard.over(request.attempts[0], outcome, took=2000)
     assert 0 < sent and sent * 2000 <= part
 
 
 def test_a_new_gateway_does_not_trust_its_own_cold_budget():
     yard = GatewayHarness(engines=1)
     yard.tell(yard.engines[0], started=yard.now - SECOND)
-    sub = yard.take()
-    assert not sub.handoffs
+    request = yard.take()
+    assert not request.attempts
 
 
 @pytest.mark.parametrize(
-    "outcome, settle", [(HONOURED, 0), (ERROR, 0), (TIMED_OUT, 0), (TIMED_OUT, 3000)]
+    "outcome, settle",
+    [
+        (AttemptOutcome.SUCCEEDED, 0),
+        (AttemptOutcome.ERROR, 0),
+        (AttemptOutcome.TIMED_OUT, 0),
+        (AttemptOutcome.TIMED_OUT, 3000),
+    ],
 )
 def test_order(outcome, settle):
-    yard = GatewayHarness([ORDERED], most_handoffs=1, settle=settle)
-    first, second, other = yard.take(key=5), yard.take(key=5), yard.take(key=6)
-    assert first.handoffs and not second.handoffs and other.handoffs
-    yard.over(first.handoffs[0], outcome)
-    assert bool(second.handoffs) == (not settle)
+    yard = GatewayHarness([ORDERED], max_attempts=1, settle=settle)
+    first, second, other = yard.take(order_key=5), yard.take(order_key=5), yard.take(order_key=6)
+    assert first.attempts and not second.attempts and other.attempts
+    yard.over(first.attempts[0], outcome)
+    assert bool(second.attempts) == (not settle)
     yard.pass_time(settle)
-    assert second.handoffs
+    assert second.attempts
     # Danger: the next of a key was handed off before the end of the one before it was said.
     said = [(what, tag) for what, tag, _ in yard.done]
-    assert outcome == HONOURED or said.index(("dismiss", first.tag)) < said.index(
-        ("hand_off", second.tag)
-    )
+    assert outcome == AttemptOutcome.SUCCEEDED or said.index(
+        ("dismiss", first.host_reference)
+    ) < said.index(("hand_off", second.host_reference))
 
 
 def test_order_waits_for_outcomes_of_the_ended():
     yard = GatewayHarness([ORDERED])
-    first = yard.take(key=5, life=SECOND)
+    first = yard.take(order_key=5, time_to_deadline=SECOND)
     yard.pass_time(SECOND)
-    second = yard.take(key=5)
-    assert first.over and not second.handoffs
-    yard.over(first.handoffs[0], HONOURED)
-    assert second.handoffs
+    second = yard.take(order_key=5)
+    assert first.is_finished and not second.attempts
+    yard.over(first.attempts[0], AttemptOutcome.SUCCEEDED)
+    assert second.attempts
 
 
 def test_a_line_dismisses_those_that_can_no_longer_start_in_time():
     yard = GatewayHarness([ORDERED])
-    first, second = yard.take(key=5), yard.take(key=5)
+    first, second = yard.take(order_key=5), yard.take(order_key=5)
     yard.pass_time(2 * SECOND)
-    third = yard.take(key=5)
-    assert second.over and not first.over and not third.over
-    yard.over(first.handoffs[0])
-    assert third.handoffs and not second.handoffs
+    third = yard.take(order_key=5)
+    assert second.is_finished and not first.is_finished and not third.is_finished
+    yard.over(first.attempts[0])
+    assert third.attempts and not second.attempts
 
 
 def test_placement_holds_when_the_allowed_are_down():
-    yard = GatewayHarness([{**QUICK, "kinds": (1,)}, QUICK])
-    yard.tell(yard.engines[1], state=GONE)
+    yard = GatewayHarness([{**QUICK, "engine_kinds": (1,)}, QUICK])
+    yard.tell(yard.engines[1], state=EngineState.GONE)
     bound, free = yard.take(), yard.take(1)
     yard.pass_time(4 * SECOND)
-    assert not bound.handoffs and free.handoffs and bound.over
+    assert not bound.attempts and free.attempts and bound.is_finished
 
 
 @pytest.mark.parametrize(
@@ -173,48 +173,48 @@
 def test_budget(taken, floor, share, most):
     yard = GatewayHarness(extra_floor=floor, extra_share=share, extra_span=5 * SECOND)
     for _ in range(taken):
-        yard.over(yard.take().handoffs[0])
-    subs = [yard.take() for _ in range(taken)]  # Danger: what was never any use buys nothing
-    for sub in subs:
-        yard.over(sub.handoffs[0], TIMED_OUT)
-    assert sum(len(s.handoffs) - 1 for s in subs) == most
+        yard.over(yard.take().attempts[0])
+    requests = [yard.take() for _ in range(taken)]  # Danger: what was never any use buys nothing
+    for request in requests:
+        yard.over(request.attempts[0], AttemptOutcome.TIMED_OUT)
+    assert sum(len(s.attempts) - 1 for s in requests) == most
 
 
 def test_the_window_for_repeats_may_be_over_by_the_time_that_a_link_comes_up():
-    yard = GatewayHarness([{**QUICK, "repeat": LABELLED, "remembered": 2 * SECOND}])
-    sub = yard.take()
-    yard.over(sub.handoffs[0], RESET)
-    again = sub.handoffs[1]
-    assert yard.gateway.may_begin(again)
+    yard = GatewayHarness([{**QUICK, "repeatability": Repeatability.KEYED, "key_ttl": 2 * SECOND}])
+    request = yard.take()
+    yard.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
+    again = request.attempts[1]
+    assert yard.gateway.may_start_attempt(again)
     yard.now += 2 * SECOND
-    assert not yard.gateway.may_begin(again)
+    assert not yard.gateway.may_start_attempt(again)
 
 
 @pytest.mark.parametrize("change", ["drain", "anew", "aside", "over"])
 def test_what_an_attempt_rests_on_may_have_changed_by_the_time_that_a_link_comes_up(change):
     yard = GatewayHarness(engines=1)
-    sub = yard.take()
-    assert yard.gateway.may_begin(sub.handoffs[0])
+    request = yard.take()
+    assert yard.gateway.may_start_attempt(request.attempts[0])
     engine = yard.engines[0]
     if change == "drain":
-        yard.tell(engine, state=DRAINING)
+        yard.tell(engine, state=EngineState.DRAINING)
     elif change == "anew":
         yard.tell(engine, started=yard.now)
     elif change == "aside":
-        yard.gateway.engine_aside(engine, 1)
+        yard.gateway.on_engine_cordon(engine, 1)
     else:
-        yard.gateway.submission_left(sub)
-    assert not yard.gateway.may_begin(sub.handoffs[0])
+        yard.gateway.on_client_left(request)
+    assert not yard.gateway.may_start_attempt(request.attempts[0])
 
 
 def test_a_further_attempt_counts_in_the_budget_from_when_it_begins():
     yard = GatewayHarness(extra_floor=2.0, extra_span=5 * SECOND)
-    subs = [yard.take(), yard.take()]
-    for sub in subs:
-        yard.over(sub.handoffs[0], RESET)
+    requests = [yard.take(), yard.take()]
+    for request in requests:
+        yard.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
     begun = yard.now
     yard.now += 1_000
-    assert yard.gateway.may_begin(subs[0].handoffs[1])
+    assert yard.gateway.may_start_attempt(requests[0].attempts[1])
     assert yard.gateway.extras == [begun, begun + 1_000]
     yard.gateway.strict = 0.5  # a storm: the budget is one by now, and that is used
-    assert not yard.gateway.may_begin(subs[1].handoffs[1])
+    assert not yard.gateway.may_start_attempt(requests[1].attempts[1])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,12 +19,12 @@
 from benchmarks.capacity import Book
 from benchmarks.scale import main
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.policy.gateway import MOMENT, PERIOD
-from corkgauge.policy.records import GONE, HONOURED, READY, Engine
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.model import dissemination
 from corkgauge.net import discovery_protocol as feed_wire
 from corkgauge.net.host import UnstartedHost, stated_of
+from corkgauge.policy.gateway import MOMENT, PERIOD
+from corkgauge.policy.records import AttemptOutcome, Engine, EngineState
 from tests.harness import QUICK, GatewayHarness
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -301,10 +301,10 @@
 
 def test_the_configuration_that_is_measured_is_one_that_serving_takes():
     post = PlatformConfig(scale_settings.configuration(30, 20, 50), "")
-    stated = stated_of(post, UnstartedHost())
+    settings = stated_of(post, UnstartedHost())
     assert (
-        len(stated.offerings),
-        len(stated.tenants),
+        len(settings.request_classes),
+        len(settings.tenants),
         len(post.events[0]["members"]["servers"]),
     ) == (20, 50, 30)
 
@@ -443,7 +443,7 @@
 def worked(engines):
     """A gateway of 870 that has worked for a while before so many engines."""
     yard = GatewayHarness(
-        [dict(QUICK, name=f"o{n}", worth=1.0 + n) for n in range(2)],
+        [dict(QUICK, name=f"o{n}", priority_weight=1.0 + n) for n in range(2)],
         engines=0,
         gateways=GATEWAYS,
         number=17,
@@ -462,10 +462,14 @@
     for n in range(statements):
         yard.pass_time(each)
         yard.out += yard.take(
-            n % 2, tables=float(n % GROUPS), tenant=n % 3, estimate=200, life=1_000
-        ).handoffs
+            n % 2,
+            table_group=float(n % GROUPS),
+            tenant=n % 3,
+            estimated_work=200,
+            time_to_deadline=1_000,
+        ).attempts
         while len(yard.out) > 2:
-            yard.over(yard.out.pop(0), HONOURED, took=300, work=200)
+            yard.over(yard.out.pop(0), AttemptOutcome.SUCCEEDED, took=300, work=200)
 
 
 def of_decisions(engines):
@@ -485,7 +489,7 @@
     yard = worked(engines)
 
     def period():
-        yard.gateway.interval_over()
+        yard.gateway.on_feedback_interval()
         yard.pass_time(PERIOD - 1)
 
     return counted(period)
@@ -494,7 +498,7 @@
 def of_new_orders(engines):
     """Reads of the first statement of each table group after the feedback."""
     yard = worked(engines)
-    yard.gateway.interval_over()
+    yard.gateway.on_feedback_interval()
     return counted(lambda: play(yard, GROUPS))
 
 
@@ -504,9 +508,9 @@
     leaves, comes = yard.engines[engines // 2], Counted("new", b"new", 0, 0, 0, cores=8.0)
 
     def change():
-        yard.gateway.engine_told(leaves, GONE, 0)
-        yard.gateway.engine_told(comes, READY, 0)
-        yard.gateway.list_told()
+        yard.gateway.on_engine_update(leaves, EngineState.GONE, 0)
+        yard.gateway.on_engine_update(comes, EngineState.READY, 0)
+        yard.gateway.on_engine_list_complete()
 
     return counted(change)
 
--- a/tests/test_scale_alone.py
+++ b/tests/test_scale_alone.py
@@ -20,10 +20,10 @@
     for _ in range(2):
         alone = Alone(60)
         where = []
-        hand_off = alone.hand_off
-        alone.hand_off = lambda attempt, allow: (
-            where.append(attempt.engine.tag),
-            hand_off(attempt, allow),
+        send_attempt = alone.send_attempt
+        alone.send_attempt = lambda attempt, allow: (
+            where.append(attempt.engine.host_reference),
+            send_attempt(attempt, allow),
         )
         alone.play(alone.drawn(400))
         alone.pass_until(alone.now + 20 * SECOND)
@@ -42,9 +42,9 @@
         for n in range(200):
             front.ask(clients[n % 10], 1 + n // 10)
         front.turn(8)
-        assert len(front.house.names) == len(front.house.errands) == 200
+        assert len(front.socket_host.names) == len(front.socket_host.in_flight_attempts) == 200
         front.told(front.changed(3))
-        assert front.house.stations["db3"].engine.started > 0
+        assert front.socket_host.engine_pools["db3"].engine.incarnation > 0
     finally:
         front.close()
 
@@ -98,12 +98,12 @@
 
 
 def test_a_sampled_stack_counts_once_on_top_and_once_anywhere(tmp_path):
-    path, ours = tmp_path / "stacks", f"{HERE}/corkgauge/control.py"
+    path, ours = tmp_path / "stacks", f"{HERE}/corkgauge/policy/gateway.py"
     stack = (
         f'Current thread 0x0 (most recent call first):\n  File "{ours}", line 1 in _slow\n'
         f'  File "{ours}", line 2 in _slow\n  File "/lib/heapq.py", line 3 in merge\n'
     )
     path.write_text(2 * stack)
     looks, own, within = read(str(path))
-    assert looks == 2 and own == {"control.py:_slow": 2}
-    assert within == {"control.py:_slow": 2, "library:heapq.py": 2}
+    assert looks == 2 and own == {"policy/gateway.py:_slow": 2}
+    assert within == {"policy/gateway.py:_slow": 2, "library:heapq.py": 2}
