--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -8,9 +8,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from corkgauge.net import engine_connection as engines
-from corkgauge.net.engine_protocol import command
 from corkgauge.net.engine_connection import EnginePool
-from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, name, request
+from corkgauge.net.engine_protocol import command
+from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
 
 REAL_DIAL = EnginePool.dial
 ROW = "a\t\t\n"
@@ -48,9 +48,9 @@
         self.premises = HostHarness([listing(1, {}, {"id": "e2"})])
         EnginePool.dial = REAL_DIAL
         self.kept, engines.dial = engines.dial, self.dial
-        self.premises.house.dials = 0
-        for station in self.premises.house.stations.values():
-            station.dialling = False
+        self.premises.socket_host.dials = 0
+        for engine_pool in self.premises.socket_host.engine_pools.values():
+            engine_pool.dialling = False
         self.event, self.traces, self.refuse = 1, 0, False
         self.clients, self.asks, self.guests = [], {}, []
 
@@ -61,14 +61,17 @@
                 self.look()
             for ask in self.asks.values():
                 assert ask.answers == 1 or ask.left, f"{ask.answers} answers to {ask.trace}"
-            assert not self.premises.house.errands and not self.premises.house.names
+            assert (
+                not self.premises.socket_host.in_flight_attempts
+                and not self.premises.socket_host.names
+            )
             assert not [line for line in self.premises.logged if "Traceback" in line], (
                 self.premises.logged
             )
         finally:
             engines.dial = self.kept
 
-    def dial(self, hub, where, span):
+    def dial(self, event_loop, where, span):
         if self.refuse:
             return None, "ECONNREFUSED"
         mine, its = socket.socketpair()
@@ -94,7 +97,7 @@
         more = {"nonce": f"n{self.traces}", "entity": "5"} if route == "load" else {}
         say(
             client.sock,
-            request(ask.stream, trace=ask.trace, route=route, patience=patience, **more),
+            request_frame(ask.stream, trace=ask.trace, route=route, patience=patience, **more),
         )
         client.asks[ask.stream] = self.asks[ask.trace] = ask
         self.premises.turn(turns)
@@ -177,7 +180,7 @@
     def tells(self, tag, state, started):
         self.event += 1
         said = listing(self.event, {"id": tag, "state": state, "started_ms": started}, full=False)
-        assert not self.premises.house.event("", json.dumps(said))
+        assert not self.premises.socket_host.event("", json.dumps(said))
 
     @rule(refuse=st.booleans())
     def dials_fail(self, refuse):
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from corkgauge.peer_health.aggregation import OWN, opinion
+from corkgauge.peer_health.permit_transfer import PermitTransfer
 from corkgauge.peer_health.reports import LIFE, SILENT, WELL, HealthReport, HealthReports
 from corkgauge.peer_health.retry_throttle import LEAST, RetryThrottle
-from corkgauge.peer_health.permit_transfer import PermitTransfer
-from corkgauge.peer_health.aggregation import OWN, opinion
 from tests.harness import SECOND, GatewayHarness
 
 ROWS = st.lists(
@@ -193,19 +193,19 @@
         for number in range(40):
             yard = GatewayHarness(engines=1, gateways=40, number=number)
             for _ in range(8):
-                yard.over(yard.take().handoffs[0], took=2000)
+                yard.over(yard.take().attempts[0], took=2000)
             yard.pass_time(2 * SECOND)
             yard.tell(yard.engines[0], started=yard.now - 100)
             yards.append(yard)
         if passing:  # whoever is in turn passes it on to one that is not
-            work = yards[0].offerings[0].usual
+            work = yards[0].request_classes[0].typical_work
             able = [yard for yard in yards if yard.gateway._cold_room(yard.engines[0], work)]
             others = [yard for yard in yards if yard not in able]
             for giver, receiver in zip(able, others):
-                giver.gateway.turn_passed(giver.engines[0], work, giver.now)
-                receiver.gateway.turn_passed(receiver.engines[0], -work, receiver.now)
+                giver.gateway.on_permit_moved(giver.engines[0], work, giver.now)
+                receiver.gateway.on_permit_moved(receiver.engines[0], -work, receiver.now)
         for yard in yards:
-            total += sum(len(yard.take().handoffs) for _ in range(3))
+            total += sum(len(yard.take().attempts) for _ in range(3))
         return total
 
     assert sent(True) == sent(False) > 0
@@ -214,13 +214,17 @@
 def test_a_doubted_engine_is_tried_by_one_hand_off_at_a_time_and_a_hint_is_for_lack_of_samples():
     yard = GatewayHarness(engines=2)
     engine = yard.engines[0]
-    yard.gateway.heard_of(engine, 6.0, 1)
-    taken = [handoff.engine for n in range(6) for handoff in yard.take(tables=float(n)).handoffs]
+    yard.gateway.on_peer_health(engine, 6.0, 1)
+    taken = [
+        attempt.engine for n in range(6) for attempt in yard.take(table_group=float(n)).attempts
+    ]
     assert taken.count(engine) == 1 and len(taken) > 3
-    assert yard.gateway._slow(engine.view, 1.0) == 6.0
+    assert yard.gateway._slow(engine.stats, 1.0) == 6.0
     other = GatewayHarness(engines=2)
-    other.gateway.heard_of(other.engines[0], 0.0, 2)
-    taken = [handoff.engine for n in range(4) for handoff in other.take(tables=float(n)).handoffs]
+    other.gateway.on_peer_health(other.engines[0], 0.0, 2)
+    taken = [
+        attempt.engine for n in range(4) for attempt in other.take(table_group=float(n)).attempts
+    ]
     assert taken and other.engines[0] not in taken
 
 
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -6,8 +6,8 @@
 import pytest
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.fleet.processes import Fault, Fleet
 from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.processes import Fault, Fleet
 
 SHARED = {"each": 0.2, "octets": 8000}
 FLEETS = []
@@ -48,7 +48,7 @@
         return {tag for tag, said in self.shows(name)["engines"].items() if said["doubted"]}
 
     def served(self, since, until=None):
-        until = until or self.fleet.hub.now
+        until = until or self.fleet.event_loop.now
         asks = [
             ask for client in self.fleet.clients for ask in client.book if since <= ask.sent < until
         ]
@@ -70,20 +70,20 @@
     bad = ("e1", "e4", "e7")
     for name in bad:
         scene.fleet.engines[name].begin("silent", 0)
-    begun, when = scene.fleet.hub.now, {}
-    while len(when) < 5 and scene.fleet.hub.now < begun + 8 * SECOND:
+    begun, when = scene.fleet.event_loop.now, {}
+    while len(when) < 5 and scene.fleet.event_loop.now < begun + 8 * SECOND:
         for line in scene.fleet.logs():
             name, *_, text = line.split(" ", 5)
             if "shared: e1 doubted, " in line:
-                when.setdefault(name, (scene.fleet.hub.now - begun) / SECOND)
+                when.setdefault(name, (scene.fleet.event_loop.now - begun) / SECOND)
         scene.fleet.until(0.1)
     for name in bad:
         scene.fleet.engines[name].end()
-    ended = scene.fleet.hub.now
+    ended = scene.fleet.event_loop.now
     scene.fleet.until(6)
     still = {"n1"}
     while (
-        still and scene.fleet.hub.now < ended + 25 * SECOND
+        still and scene.fleet.event_loop.now < ended + 25 * SECOND
     ):  # rests double, and are told while they last
         scene.fleet.until(1)
         still = scene.doubts("n1") | scene.doubts("n2")
@@ -99,7 +99,7 @@
     found = []
     for spoilt in ({"n1": "liar", "n3": "liar"}, {"n1": "liar", "n2": "liar"}):
         scene = Round(spoilt)
-        begun = scene.fleet.hub.now
+        begun = scene.fleet.event_loop.now
         scene.fleet.until(6)
         found.append((scene.doubts("n4"), scene.doubts("n5"), scene.served(begun), scene.over()))
     return found
@@ -128,7 +128,7 @@
     fleet.until(4)
     for passage in fleet.passages.values():
         passage.cut = False
-    healed = fleet.hub.now
+    healed = fleet.event_loop.now
     fleet.befall(Fault(0, 4 * SECOND, "lose", (), 0.3))
     fleet.engines["e5"].begin("silent", 0)
     fleet.until(3)
@@ -139,7 +139,7 @@
     doubts = {name: scene.doubts(name) & {"e2", "e3", "e5"} for name in ("n1", "n3", "n5")}
     fleet.befall(Fault(0, 500, "kill", (*fleet.gateways,)))
     fleet.until(5)
-    calm = scene.served(fleet.hub.now - 2 * SECOND)
+    calm = scene.served(fleet.event_loop.now - 2 * SECOND)
     return doubts, calm, scene.served(healed, healed + 2 * SECOND), scene.over()
 
 
@@ -156,7 +156,7 @@
     scene.fleet.until(2)
     for engine in scene.fleet.engines.values():
         engine.end()
-    begun = scene.fleet.hub.now
+    begun = scene.fleet.event_loop.now
     scene.fleet.until(4)
     loud = (scene.shows("n1")["octets"] - before) / 6
     return still, loud, scene.served(begun + 2 * SECOND), scene.over()
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,48 +7,39 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from corkgauge.config.settings import Settings
+from corkgauge.model import subsets
 from corkgauge.policy import gateway as control
 from corkgauge.policy.gateway import Gateway
-from corkgauge.policy.records import (
-    DRAINING,
-    FULL,
-    GONE,
-    LABELLED,
-    READY,
-    RESET,
-    TIMED_OUT,
-    UNREACHED,
-    Engine,
-)
-from corkgauge.model import subsets
-from corkgauge.config.settings import Settings
+from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Repeatability
 from tests.harness import QUICK, SECOND, STATED_ON_SOCKETS, GatewayHarness
 
-RARE = {**QUICK, "name": "rare", "kinds": (1,)}
+RARE = {**QUICK, "name": "rare", "engine_kinds": (1,)}
 
 
-def fleet_engines(many, rare=0, halls=5, mark=b"s-%d"):
+def fleet_engines(many, rare=0, zones=5, mark=b"s-%d"):
     """So many engines; the last `rare` of them are of kind 1."""
     return [
-        Engine(f"s{n}", mark % n, n % halls, int(n >= many - rare), n // 3, cores=8.0, name=f"s{n}")
+        Engine(f"s{n}", mark % n, n % zones, int(n >= many - rare), n // 3, cores=8.0, name=f"s{n}")
         for n in range(many)
     ]
 
 
-def gateway_before(engines, number=5, gateways=870, offerings=(QUICK,), **stated):
+def gateway_before(engines, number=5, gateways=870, request_classes=(QUICK,), **settings):
     """A gateway on its host, told these engines; copies, as what it has seen of them is its own."""
     yard = GatewayHarness(
-        offerings=offerings, engines=0, number=number, gateways=gateways, **stated
+        request_classes=request_classes, engines=0, number=number, gateways=gateways, **settings
     )
     yard.engines = [
-        Engine(e.tag, e.mark, e.hall, e.kind, e.cell, cores=e.cores, name=e.name) for e in engines
+        Engine(e.host_reference, e.hash_key, e.zone, e.kind, e.cell, cores=e.cores, name=e.name)
+        for e in engines
     ]
     yard.tell(*yard.engines)
     return yard
 
 
 def held(yard):
-    return {engine.tag for engine in yard.gateway.engines}
+    return {engine.host_reference for engine in yard.gateway.engines}
 
 
 def sets_of(engines, numbers, **more):
@@ -60,15 +51,15 @@
     count = Counter(tag for each in sets for tag in each)
     places = {}
     for engine in engines:
-        places.setdefault((engine.hall, engine.kind), []).append(count[engine.tag])
+        places.setdefault((engine.zone, engine.kind), []).append(count[engine.host_reference])
     return max(max(each) / (sum(each) / len(each)) for each in places.values())
 
 
 @pytest.mark.parametrize("many", [1, 5, 40, 80, 128])
 def test_a_short_list_is_the_set(many):
-    yard = gateway_before(fleet_engines(many, rare=many // 4), offerings=(QUICK, RARE))
-    assert held(yard) == {engine.tag for engine in yard.engines} and all(
-        each.near for each in yard.engines
+    yard = gateway_before(fleet_engines(many, rare=many // 4), request_classes=(QUICK, RARE))
+    assert held(yard) == {engine.host_reference for engine in yard.engines} and all(
+        each.in_subset for each in yard.engines
     )
 
 
@@ -79,14 +70,14 @@
     for number in 0, 1, 7, 500, 869, 10**7:
         yard = gateway_before(fleet_engines(many), number)
         assert least <= len(held(yard)) <= most
-        assert {engine.tag for engine in yard.engines if engine.near} == held(yard)
+        assert {engine.host_reference for engine in yard.engines if engine.in_subset} == held(yard)
 
 
 def test_few_gateways_before_many_engines_hold_them_all_together():
     engines = fleet_engines(600)
     for gateways in 3, 12:
         sets = sets_of(engines, range(gateways), gateways=gateways)
-        assert set().union(*sets) == {engine.tag for engine in engines}
+        assert set().union(*sets) == {engine.host_reference for engine in engines}
 
 
 @settings(max_examples=5, deadline=None)
@@ -104,7 +95,9 @@
     engines = fleet_engines(400, rare=40)
     numbers = range(0, 300)
     assert (
-        worst_over_mean(engines, sets_of(engines, numbers, gateways=300, offerings=(QUICK, RARE)))
+        worst_over_mean(
+            engines, sets_of(engines, numbers, gateways=300, request_classes=(QUICK, RARE))
+        )
         <= 1.25
     )
     monkeypatch.setattr(
@@ -114,7 +107,9 @@
         / 2**32,
     )
     assert (
-        worst_over_mean(engines, sets_of(engines, numbers, gateways=300, offerings=(QUICK, RARE)))
+        worst_over_mean(
+            engines, sets_of(engines, numbers, gateways=300, request_classes=(QUICK, RARE))
+        )
         > 1.25
     )
 
@@ -136,9 +131,12 @@
     assert changed <= 3 * 120 * 48 / 900 + 10, (
         changed
     )  # those that hold it, and as many that let one go
-    assert 3 <= sum("new" in held(yard) for yard in yards) <= 10 and newcomer.rank == 0.0
+    assert 3 <= sum("new" in held(yard) for yard in yards) <= 10 and newcomer.subset_rank == 0.0
     for yard in yards:
-        yard.tell(next(each for each in yard.gateway.placed if each.tag == "new"), state=GONE)
+        yard.tell(
+            next(each for each in yard.gateway.placed if each.host_reference == "new"),
+            state=EngineState.GONE,
+        )
     assert [held(yard) for yard in yards] == before
 
 
@@ -147,9 +145,9 @@
     before = held(yard)
     for first in range(0, 300, 30):
         step = yard.engines[first : first + 30]
-        yard.tell(*step, state=DRAINING)
-        assert not held(yard) & {engine.tag for engine in step}
-        yard.tell(*step, state=GONE)
+        yard.tell(*step, state=EngineState.DRAINING)
+        assert not held(yard) & {engine.host_reference for engine in step}
+        yard.tell(*step, state=EngineState.GONE)
         yard.tell(*step, started=yard.now)
     assert held(yard) == before
 
@@ -157,40 +155,40 @@
 def test_an_offering_that_few_engines_may_run_has_them_at_hand():
     few = fleet_engines(1800, rare=1)
     for number in range(0, 870, 50):
-        assert "s1799" in held(gateway_before(few, number, offerings=(QUICK, RARE)))
+        assert "s1799" in held(gateway_before(few, number, request_classes=(QUICK, RARE)))
     some, many = fleet_engines(1800, rare=60), []
     for number in range(0, 870, 50):
-        yard = gateway_before(some, number, offerings=(QUICK, RARE))
+        yard = gateway_before(some, number, request_classes=(QUICK, RARE))
         rare = [each for each in yard.gateway.engines if each.kind]
         many.append(len(rare))
         yard.take(1)
-        assert yard.said("hand_off")[0][1] in {each.tag for each in rare}
+        assert yard.said("hand_off")[0][1] in {each.host_reference for each in rare}
     assert (
         control.FEW <= min(many) and max(many) < 30 and 6 < sum(many) / len(many) < 12
     )  # without: 1.6
 
 
 def test_an_offering_whose_engines_at_hand_all_fail_gets_others():
-    yard = gateway_before(fleet_engines(600, rare=60), offerings=(QUICK, RARE))
+    yard = gateway_before(fleet_engines(600, rare=60), request_classes=(QUICK, RARE))
     for _ in range(3):  # those that come in their place fail as well
         failing(yard, [each for each in yard.gateway.engines if each.kind])
-        yard.gateway.set_due()
+        yard.gateway.on_subset_update_due()
         able = [
-            each for each in yard.gateway.engines if each.kind and yard.gateway._trusted(each.view)
+            each for each in yard.gateway.engines if each.kind and yard.gateway._trusted(each.stats)
         ]
         assert len(able) >= control.FEW
 
 
 def failing(yard, engines):
     for engine in engines:
-        engine.view.faults.append("unreached")
+        engine.stats.fault_history.append("unreached")
 
 
 def test_what_fails_is_replaced_by_bounded_steps_and_given_back():
     yard = gateway_before(fleet_engines(1500))
     before, sizes = held(yard), []
     for _ in range(8):
-        dead = [engine for engine in yard.gateway.engines if engine.hall in (0, 1, 2)]
+        dead = [engine for engine in yard.gateway.engines if engine.zone in (0, 1, 2)]
         failing(yard, dead)
         yard.pass_time(2 * SECOND)
         sizes.append(len(held(yard)))
@@ -198,7 +196,7 @@
     steps = [later - sooner for sooner, later in zip([len(before), *sizes], sizes)]
     assert max(steps) <= 0.45 * len(before), steps  # a fifth a period, and chance
     for engine in dead:
-        engine.view.faults.append("")
+        engine.stats.fault_history.append("")
     yard.pass_time(60 * SECOND)
     assert held(yard) == before
     assert [line for line, _ in yard.said("log") if line.startswith("set ")][0].startswith(
@@ -210,9 +208,11 @@
     yards = [gateway_before(fleet_engines(200), number) for number in range(100)]
     moments = []
     for yard in yards:
-        yard.gateway.interval_over()
+        yard.gateway.on_feedback_interval()
         moments += [
-            when - yard.now for when, _, method, _ in yard.wakes if method == yard.gateway.set_due
+            when - yard.now
+            for when, _, method, _ in yard.wakes
+            if method == yard.gateway.on_subset_update_due
         ]
     assert len(moments) == 100
     tenths = Counter(moment * 10 // (2 * SECOND) for moment in moments)
@@ -222,7 +222,7 @@
 def test_a_short_list_is_never_looked_at_again():
     yard = gateway_before(fleet_engines(100))
     yard.pass_time(10 * SECOND)
-    assert not [each for each in yard.wakes if each[2] == yard.gateway.set_due]
+    assert not [each for each in yard.wakes if each[2] == yard.gateway.on_subset_update_due]
 
 
 def test_a_gateway_with_several_times_its_part_has_a_wider_set():
@@ -232,11 +232,11 @@
         work = 8 * 1800 * control.THREADS_PER_CORE / 870 * times  # cores' worth of its part
         queue = yard.take().queue
         for _ in range(40):  # until the count of what is asked for has settled
-            many = int(work * 2 * SECOND / queue.offering.usual)
-            queue.badness += [0.5] * many
-            yard.gateway.interval_over()
+            many = int(work * 2 * SECOND / queue.request_class.typical_work)
+            queue.shortfalls += [0.5] * many
+            yard.gateway.on_feedback_interval()
         for _ in range(8):
-            yard.gateway.set_due()
+            yard.gateway.on_subset_update_due()
         sizes[times] = len(held(yard))
     assert (
         sizes[0.5] < 70
@@ -247,28 +247,37 @@
 
 @pytest.mark.parametrize("group", ["cell", "zone"])
 def test_what_may_have_run_is_tried_again_where_its_label_is_known_also_beyond_the_set(group):
-    label = {**QUICK, "repeat": LABELLED, "group": group, "remembered": 60 * SECOND}
+    label = {
+        **QUICK,
+        "repeatability": Repeatability.KEYED,
+        "key_scope": group,
+        "key_ttl": 60 * SECOND,
+    }
     alone = 0
     for number in range(0, 400, 10):
-        yard = gateway_before(fleet_engines(900, halls=300), number, offerings=(label,))
-        sub = yard.take()
-        first = sub.handoffs[0].engine
-        place = (lambda each: each.cell) if group == "cell" else (lambda each: each.hall)
+        yard = gateway_before(fleet_engines(900, zones=300), number, request_classes=(label,))
+        request = yard.take()
+        first = request.attempts[0].engine
+        place = (lambda each: each.cell) if group == "cell" else (lambda each: each.zone)
         alone += sum(place(each) == place(first) for each in yard.gateway.engines) == 1
-        yard.over(sub.handoffs[0], TIMED_OUT)
-        assert len(sub.handoffs) == 2
-        second = sub.handoffs[1].engine
+        yard.over(request.attempts[0], AttemptOutcome.TIMED_OUT)
+        assert len(request.attempts) == 2
+        second = request.attempts[1].engine
         assert place(second) == place(first) and second is not first
     assert alone > 10  # in most sets it is the only one of its group
 
 
 def test_what_never_ran_stays_within_the_set():
     yard = gateway_before(fleet_engines(900))
-    sub = yard.take()
-    for outcome in FULL, UNREACHED, RESET:
-        if not sub.over and sub.handoffs[-1].out:
-            yard.over(sub.handoffs[-1], outcome)
-    assert len(sub.handoffs) > 1 and all(each.engine.near for each in sub.handoffs)
+    request = yard.take()
+    for outcome in (
+        AttemptOutcome.ENGINE_FULL,
+        AttemptOutcome.UNREACHABLE,
+        AttemptOutcome.CONNECTION_RESET,
+    ):
+        if not request.is_finished and request.attempts[-1].is_in_flight:
+            yard.over(request.attempts[-1], outcome)
+    assert len(request.attempts) > 1 and all(each.engine.in_subset for each in request.attempts)
 
 
 def most_at_a_cold_engine(told, grown=1.0):
@@ -290,15 +299,15 @@
         yard.now += 20 * SECOND
         yard.gateway.cold_part *= grown
         yards.append(yard)
-        cold = next(each for each in yard.engines if each.tag == "s200")
-        yard.gateway.engine_told(cold, READY, yard.now)
-        yard.gateway.list_told()
+        cold = next(each for each in yard.engines if each.host_reference == "s200")
+        yard.gateway.on_engine_update(cold, EngineState.READY, yard.now)
+        yard.gateway.on_engine_list_complete()
     for tick in range(0, 5 * SECOND, SECOND // 10):
         for yard in yards:
             yard.now = 120 * SECOND + tick + 1
-            sub = yard.take(estimate=int(work))
-            sent += [tick for each in sub.handoffs if each.engine.tag == "s200"]
-            for each in sub.handoffs:
+            request = yard.take(estimated_work=int(work))
+            sent += [tick for each in request.attempts if each.engine.host_reference == "s200"]
+            for each in request.attempts:
                 yard.over(each, took=500, work=int(work))
     allowed = 2.0 * 0.3 * 8.0 * span / work
     worst = max(sum(since <= when < since + span for when in sent) for since in sent)
@@ -321,9 +330,9 @@
         host = GatewayHarness(engines=0)
         gateway = Settings(said, host, 7, name).gateway
         for engine in fleet_engines(900):
-            gateway.engine_told(engine, READY, 0)
-        gateway.list_told()
-        found.append({engine.tag for engine in gateway.engines})
+            gateway.on_engine_update(engine, EngineState.READY, 0)
+        gateway.on_engine_list_complete()
+        found.append({engine.host_reference for engine in gateway.engines})
     assert all(len(a & b) < 15 for n, a in enumerate(found) for b in found[n + 1 :])
 
 
@@ -331,16 +340,19 @@
     """Danger: engines that are in many sets for one offering would get all others' work from each of these."""
     engines = fleet_engines(1800, rare=32)
     for number in range(0, 870, 60):
-        yard = gateway_before(engines, number, offerings=(QUICK, RARE))
+        yard = gateway_before(engines, number, request_classes=(QUICK, RARE))
         for _ in range(60):
             yard.take()
-        wide, narrow = (each.bar for each in yard.offerings)
-        used = [each for each in yard.engines if each.threads]
+        wide, narrow = (each.subset_rank_limit for each in yard.request_classes)
+        used = [each for each in yard.engines if each.threads_in_flight]
         assert wide < 0.04 and 0.2 < narrow < 0.5 and len(used) > 10
-        assert all(each.rank <= wide for each in used)
-        before = {each.tag: each.threads for each in yard.engines}
+        assert all(each.subset_rank <= wide for each in used)
+        before = {each.host_reference: each.threads_in_flight for each in yard.engines}
         yard.take(1)
-        assert next(e for e in yard.engines if e.threads > before[e.tag]).kind == 1
+        assert (
+            next(e for e in yard.engines if e.threads_in_flight > before[e.host_reference]).kind
+            == 1
+        )
 
 
 def test_a_hall_that_leaves_the_list_widens_sets_later_and_not_all_at_one_moment():
@@ -349,7 +361,7 @@
     for number in range(40):
         yard = gateway_before(fleet_engines(1500), number)
         was = held(yard)
-        yard.tell(*[each for each in yard.engines if each.hall == 0], state=GONE)
+        yard.tell(*[each for each in yard.engines if each.zone == 0], state=EngineState.GONE)
         before.append(was)
         at_once.append(held(yard) - was)
         yard.pass_time(6 * SECOND)
@@ -360,10 +372,10 @@
 
 def test_most_of_a_list_that_goes_is_made_good_at_once():
     yard = gateway_before(fleet_engines(1500))
-    yard.tell(*yard.engines[:1200], state=GONE)
+    yard.tell(*yard.engines[:1200], state=EngineState.GONE)
     assert len(held(yard)) > 30
-    yard.tell(*yard.engines[1200:1450], state=GONE)
-    assert held(yard) == {each.tag for each in yard.engines[1450:]}
+    yard.tell(*yard.engines[1200:1450], state=EngineState.GONE)
+    assert held(yard) == {each.host_reference for each in yard.engines[1450:]}
 
 
 @pytest.mark.parametrize("block", [2, 8, 64])
--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -39,17 +39,17 @@
     victims = sorted(before - few, key=lambda name: (-count[name], name))[:20]
     for name in victims:
         fleet.engines[name].begin("refuse", 0)
-    gone = fleet.hub.now
+    gone = fleet.event_loop.now
     fleet.until(4)
     for name in victims:
         fleet.engines[name].end()
-    back = fleet.hub.now
+    back = fleet.event_loop.now
     fleet.until(
         20,
         lambda: not any(line.startswith("n1") and "set as before" in line for line in fleet.logs()),
     )
     fleet.until(6)  # from there on a tenth a period
-    settled = fleet.hub.now
+    settled = fleet.event_loop.now
     fleet.until(2)
     return {
         "held": held,
@@ -74,10 +74,10 @@
     number and one a number beyond all that are told."""
     fleet.until(4)
     first = {name: (fleet.working_set(name), fleet.reached_by(name)) for name in fleet.gateways}
-    reports = fleet.served(offering="report")
+    reports = fleet.served(request_class="report")
     kept, new = fleet.first[150:], [name for name in fleet.engines if name not in fleet.first]
     fleet.tell(kept + new, full=True)
-    when = fleet.hub.now
+    when = fleet.event_loop.now
     fleet.until(5)
     second = {
         name: (fleet.working_set(name), fleet.reached_by(name, when + SECOND))
@@ -86,7 +86,7 @@
     return {
         "first": first,
         "second": second,
-        "reports": (reports, fleet.served(when, offering="report")),
+        "reports": (reports, fleet.served(when, request_class="report")),
         "served": fleet.served(when),
         "new": {*new},
         "kept": {*kept},
@@ -98,7 +98,7 @@
     """A kind of one engine: how many reports were served."""
     fleet.until(4)
     fleet.settle()
-    return fleet.served(offering="report"), fleet.broken(SLACK)
+    return fleet.served(request_class="report"), fleet.broken(SLACK)
 
 
 def ages(fleet):
@@ -108,10 +108,10 @@
     new = [name for name in fleet.engines if name not in fleet.first]
     listed, names = fleet.first[2:4] + fleet.first[len(new) :] + new, [*fleet.gateways]
     fleet.started(new)
-    when = fleet.hub.now
+    when = fleet.event_loop.now
     fleet.tell(listed, full=True, to=names[1::2])
     fleet.until(4)
-    told = fleet.hub.now
+    told = fleet.event_loop.now
     fleet.tell(listed, full=True, to=names[::2])
     fleet.until(4)
     cold = {name: fleet.reached_by(name, when) & {*new} for name in names}
@@ -129,7 +129,13 @@
     cells, spells = {name: each.cell for name, each in fleet.engines.items()}, []
     for turn in range(3):
         bad = [engine for n, engine in enumerate(fleet.engines.values()) if n % 8 == turn]
-        spells.append(({engine.name for engine in bad}, fleet.hub.now, fleet.hub.now + SECOND // 2))
+        spells.append(
+            (
+                {engine.name for engine in bad},
+                fleet.event_loop.now,
+                fleet.event_loop.now + SECOND // 2,
+            )
+        )
         for engine in bad:
             engine.begin("silent", 0)
         fleet.until(0.5)
@@ -145,7 +151,7 @@
         for run in fleet.runs_of(name):
             runs[run.trace].append(run)
         for ask in fleet.asks_of(name):
-            if ask.want.offering == "load" and (mine := runs[ask.trace]):
+            if ask.want.request_class == "load" and (mine := runs[ask.trace]):
                 first = mine[0].engine
                 again += [(cells[first], cells[run.engine], run.engine in held) for run in mine[1:]]
                 if any(
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from corkgauge.policy.records import DRAINING, GONE, READY
 from corkgauge.net import engine_connection as engines
-from corkgauge.net.engine_protocol import command
 from corkgauge.net.engine_connection import EnginePool
+from corkgauge.net.engine_protocol import command
+from corkgauge.policy.records import EngineState
 from corkgauge.testkit.seeded_random import SeededRandom
-from tests.harness import SECOND, HostHarness, listing, name, request
+from tests.harness import SECOND, HostHarness, listing, name, request_frame
 
 REAL_DIAL = EnginePool.dial
 
@@ -21,16 +21,20 @@
 
 
 def changed(premises, *servers, full=False):
-    number = premises.house.last_event + 1
-    assert not premises.house.event(str(number), json.dumps(listing(number, *servers, full=full)))
+    number = premises.socket_host.last_event + 1
+    assert not premises.socket_host.event(
+        str(number), json.dumps(listing(number, *servers, full=full))
+    )
 
 
 def held(premises, *tags):
     """As the module tells it: these alone are in the working set."""
-    for tag, station in premises.house.stations.items():
-        station.engine.near = tag in tags
-    premises.house.gateway.engines = [premises.house.stations[tag].engine for tag in tags]
-    premises.house.gateway.orders.clear()
+    for tag, engine_pool in premises.socket_host.engine_pools.items():
+        engine_pool.engine.in_subset = tag in tags
+    premises.socket_host.gateway.engines = [
+        premises.socket_host.engine_pools[tag].engine for tag in tags
+    ]
+    premises.socket_host.gateway.orders.clear()
 
 
 class Walked(dict):
@@ -57,14 +61,14 @@
     seen = {"fill": [], "withdraw": []}
     for kind in seen:
 
-        def noted(station, kind=kind, real=getattr(EnginePool, kind)):
-            seen[kind].append(station.engine.name)
-            real(station)
+        def noted(engine_pool, kind=kind, real=getattr(EnginePool, kind)):
+            seen[kind].append(engine_pool.engine.name)
+            real(engine_pool)
 
         monkeypatch.setattr(EnginePool, kind, noted)
 
     def watch(premises):
-        premises.house.stations = Walked(premises.house.stations)
+        premises.socket_host.engine_pools = Walked(premises.socket_host.engine_pools)
         Walked.walks = 0
         for each in seen.values():
             each.clear()
@@ -78,15 +82,15 @@
     """Whom the host dials; nothing ever comes of it."""
     found = []
 
-    def dial(station, where):
-        found.append(station.engine.name)
+    def dial(engine_pool, where):
+        found.append(engine_pool.engine.name)
 
     monkeypatch.setattr(EnginePool, "dial", dial)
 
     def begin(premises):
         monkeypatch.setattr(EnginePool, "dial", dial)  # the rig puts its own there
-        for station in premises.house.stations.values():
-            station.dialling, station.house.dials = False, 0
+        for engine_pool in premises.socket_host.engine_pools.values():
+            engine_pool.dialling, engine_pool.socket_host.dials = False, 0
         found.clear()
         return found
 
@@ -105,7 +109,10 @@
     changed(premises, {"id": "e4", "addr": "127.0.0.9:4", "state": "DELETED"})
     changed(premises, *many(1, count + 1))
     assert seen == {"fill": ["e3", f"e{count + 1}"], "withdraw": ["e4", "e4"]} and Walked.walks == 0
-    assert len(premises.house.stations) == count and "e4" not in premises.house.stations
+    assert (
+        len(premises.socket_host.engine_pools) == count
+        and "e4" not in premises.socket_host.engine_pools
+    )
 
 
 def test_a_whole_list_costs_the_list_once(walked):
@@ -116,7 +123,9 @@
         "fill": [f"e{n}" for n in range(11, 31)],
         "withdraw": [f"e{n}" for n in range(1, 11)],
     }
-    assert Walked.walks == 2 and [*premises.house.stations] == [f"e{n}" for n in range(11, 31)]
+    assert Walked.walks == 2 and [*premises.socket_host.engine_pools] == [
+        f"e{n}" for n in range(11, 31)
+    ]
 
 
 def test_what_is_told_of_several_acts_in_the_order_in_which_the_list_first_named_them(walked):
@@ -134,11 +143,11 @@
 def test_what_waits_for_a_link_goes_on_with_a_change_that_names_another_engine(walked):
     premises = HostHarness([listing(1, {})], instances=200)
     client = premises.client()
-    premises.ask(client, request())
+    premises.ask(client, request_frame())
     mine, its = socket.socketpair()
-    station = premises.house.stations["e1"]
-    link = engines.EngineConnection(station, its)
-    station.links.append(link)  # it is there, and nobody has filled it yet
+    engine_pool = premises.socket_host.engine_pools["e1"]
+    link = engines.EngineConnection(engine_pool, its)
+    engine_pool.links.append(link)  # it is there, and nobody has filled it yet
     seen = walked(premises)
     changed(premises, *many(1, 2))
     assert {*seen["fill"]} == {"e1", "e2"} and name(1).encode() in mine.recv(4096)
@@ -149,10 +158,10 @@
 
 def test_a_link_ahead_that_was_not_to_be_had_is_tried_again_with_the_next_change(walked, dialled):
     premises = HostHarness([listing(1, {}, *many(1, 2))], instances=3)
-    station = premises.house.stations["e1"]
+    engine_pool = premises.socket_host.engine_pools["e1"]
     found = dialled(premises)
-    station.spare_from = premises.hub.now + SECOND  # as after a dial that was refused
-    station.fill()
+    engine_pool.spare_from = premises.event_loop.now + SECOND  # as after a dial that was refused
+    engine_pool.fill()
     changed(premises, *many(1, 3))
     premises.turn()
     assert "e1" not in found
@@ -173,11 +182,11 @@
             [listing(1, *many(5))], sockets=60, instances=(3, 200)[seed % 2]
         )
         EnginePool.dial = REAL_DIAL
-        self.house = self.premises.house
-        self.house.dials = 0
-        for station in self.house.stations.values():
-            station.dialling = False
-            station.fill()
+        self.socket_host = self.premises.socket_host
+        self.socket_host.dials = 0
+        for engine_pool in self.socket_host.engine_pools.values():
+            engine_pool.dialling = False
+            engine_pool.fill()
         self.client, self.whole, self.stream, self.states = (
             self.premises.client(),
             whole,
@@ -185,7 +194,7 @@
             dict.fromkeys(range(1, 9)),
         )
 
-    def dial(self, hub, where, span):
+    def dial(self, event_loop, where, span):
         self.trace.append(("dial", where[1]))
         if self.refused:
             self.refused -= 1
@@ -211,17 +220,19 @@
                 },
             )
             if self.whole:
-                for station in [*self.house.stations.values()]:
-                    station.fill()
+                for engine_pool in [*self.socket_host.engine_pools.values()]:
+                    engine_pool.fill()
         elif what == 2:
             self.refused = self.chance.below(4)
         elif what == 3 and self.guests:
             self.guests.pop(self.chance.below(len(self.guests)))[1].close()
         else:
-            if not self.house.callers:  # an idle one gives way where there are no descriptors
+            if (
+                not self.socket_host.client_connections
+            ):  # an idle one gives way where there are no descriptors
                 self.client = self.premises.client()
             self.stream += 1
-            self.client.sendall(request(self.stream, patience="900"))
+            self.client.sendall(request_frame(self.stream, patience="900"))
         self.premises.turn()
         self.premises.pass_time(100 * (1 + self.chance.below(40)), 100)
         for where, guest in self.guests:
@@ -264,62 +275,65 @@
     ends = [premises.engine(f"e{n}") for n in range(1, 21)]
     client = premises.client()
     walked(premises)
-    assert premises.house.descriptor_left(True) and premises.house.links_each() >= 2
+    assert premises.socket_host.descriptor_left(True) and premises.socket_host.links_each() >= 2
     for n in range(1, 9):
-        premises.ask(client, request(n))
-    assert Walked.walks == 0 and len(premises.house.links) == len(ends)
+        premises.ask(client, request_frame(n))
+    assert Walked.walks == 0 and len(premises.socket_host.links) == len(ends)
 
 
 def test_links_that_end_are_counted_no_more():
     premises = HostHarness([listing(1, *many(3))], instances=200)
     socks = [premises.engine(tag) for tag in ("e1", "e1", "e2")]
-    assert len(premises.house.links) == 3
+    assert len(premises.socket_host.links) == 3
     socks[0].close()
     premises.turn()
     changed(premises, *many(1), full=True)
     premises.turn()
-    assert [each.station.engine.name for each in premises.house.links] == ["e1"]
+    assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e1"]
 
 
 def test_links_are_shared_by_the_working_set_and_what_closes_not_by_the_list():
     premises = HostHarness([listing(1, *many(60))], sockets=96, instances=200)
-    house = premises.house
-    assert house.links_each() == 2  # as ever where all engines are in the set
+    socket_host = premises.socket_host
+    assert socket_host.links_each() == 2  # as ever where all engines are in the set
     held(premises, "e1", "e2", "e3", "e4")
-    assert house.links_each() == 96 // 3 // 4
-    house.stations["e9"].engine.state = DRAINING
-    house.closing[house.stations["e9"]] = None
-    assert house.links_each() == 96 // 3 // 5
+    assert socket_host.links_each() == 96 // 3 // 4
+    socket_host.engine_pools["e9"].engine.state = EngineState.DRAINING
+    socket_host.closing[socket_host.engine_pools["e9"]] = None
+    assert socket_host.links_each() == 96 // 3 // 5
 
 
 @pytest.mark.parametrize("count", [2, 7, 30])
 def test_while_all_engines_are_in_the_set_the_share_is_that_of_the_list(count):
     premises = HostHarness([listing(1, *many(count))], sockets=300, instances=200)
-    house = premises.house
+    socket_host = premises.socket_host
     kept = premises.engine("e1")
     for state in "DRAINING", "DELETED", "SERVING", "DRAINING":
         changed(premises, {"id": "e1", "addr": "127.0.0.9:1", "state": state})
-        assert house.links_each() == max(2, 100 // len(house.stations))
+        assert socket_host.links_each() == max(2, 100 // len(socket_host.engine_pools))
     changed(premises, *many(count - 1, 2), full=True)
-    assert house.links_each() == max(2, 100 // len(house.stations))
-    assert kept.fileno() >= 0 and {each.engine.state for each in house.closing} <= {DRAINING, GONE}
+    assert socket_host.links_each() == max(2, 100 // len(socket_host.engine_pools))
+    assert kept.fileno() >= 0 and {each.engine.state for each in socket_host.closing} <= {
+        EngineState.DRAINING,
+        EngineState.GONE,
+    }
 
 
 def test_where_descriptors_run_out_a_link_outside_the_set_gives_way_first():
     premises = HostHarness([listing(1, *many(9))], sockets=32, instances=200)
-    premises.house.links_most, ends = 3, []
+    premises.socket_host.links_most, ends = 3, []
     for tag in "e1", "e2", "e3":
         ends.append(premises.engine(tag))
         premises.pass_time(100)
-        premises.house.stations[tag].links[0].link.wrote = premises.hub.now
+        premises.socket_host.engine_pools[tag].links[0].link.wrote = premises.event_loop.now
     held(premises, "e1", "e2", "e4")
-    assert not premises.house.descriptor_left(True)
+    assert not premises.socket_host.descriptor_left(True)
     premises.turn()
-    assert [each.station.engine.name for each in premises.house.links] == ["e1", "e2"]
+    assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e1", "e2"]
     ends.append(premises.engine("e4"))
-    assert not premises.house.descriptor_left(True)
+    assert not premises.socket_host.descriptor_left(True)
     premises.turn()  # all in the set: the one that has been idle longest, as ever
-    assert [each.station.engine.name for each in premises.house.links] == ["e2", "e4"]
+    assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e2", "e4"]
 
 
 def test_an_idle_link_outside_the_set_ends_and_one_inside_is_kept():
@@ -329,9 +343,9 @@
     premises.pass_time(SECOND + SECOND // 4)
     assert premises.heard(ends[0]).startswith(command("alive", "alive-1"))
     assert (
-        ends[1].recv(100) == b"" and not premises.house.stations["e2"].links
+        ends[1].recv(100) == b"" and not premises.socket_host.engine_pools["e2"].links
     )  # closed, with nothing said before
-    assert [each.station.engine.name for each in premises.house.links] == ["e1"]
+    assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e1"]
 
 
 def test_a_link_of_an_engine_that_comes_back_to_the_set_is_kept():
@@ -347,44 +361,44 @@
 def test_a_link_outside_the_set_is_asked_for_signs_while_something_is_out_there():
     premises = HostHarness([listing(1, {})], limits={"connIdleUs": 1_200_000}, instances=200)
     end, client = premises.engine(), premises.client()
-    premises.ask(client, request(patience="4500"))
+    premises.ask(client, request_frame(patience="4500"))
     assert b"fetch" in premises.heard(end)
-    premises.house.stations["e1"].engine.near = False
+    premises.socket_host.engine_pools["e1"].engine.in_subset = False
     premises.pass_time(SECOND // 2 + SECOND // 10)
     assert premises.heard(end).startswith(command("alive", "alive-1"))
     premises.engine_says(end, "alive-1", "FIT", "-", "")
     premises.engine_says(end, name(1), "DONE", "chunks=1", "a\t\t\n")
     assert [each[1:3] for each in premises.answers(client)] == [(1, b"\1")]
     premises.pass_time(2 * SECOND)
-    assert not premises.house.links
+    assert not premises.socket_host.links
 
 
 def test_no_engine_outside_the_set_is_dialled_ahead(dialled):
     premises = HostHarness([listing(1, *many(4))], instances=3)
     found = dialled(premises)
     held(premises, "e1", "e3")
-    for station in premises.house.stations.values():
-        station.fill()
+    for engine_pool in premises.socket_host.engine_pools.values():
+        engine_pool.fill()
     premises.turn()
-    assert found == ["e1", "e3"] and len(premises.house.short) <= 2
+    assert found == ["e1", "e3"] and len(premises.socket_host.short) <= 2
 
 
 def test_an_engine_outside_the_set_is_dialled_for_what_waits_and_for_nothing_more(dialled):
     premises = HostHarness([listing(1, {})], instances=3)
-    station, found = premises.house.stations["e1"], dialled(premises)
-    station.engine.near = False
+    engine_pool, found = premises.socket_host.engine_pools["e1"], dialled(premises)
+    engine_pool.engine.in_subset = False
     client = premises.client()
-    premises.ask(client, request(1) + request(2))
+    premises.ask(client, request_frame(1) + request_frame(2))
     assert found == ["e1"]
-    station.dialling = False
+    engine_pool.dialling = False
     end = premises.engine()
     premises.turn()
     assert (
         premises.heard(end).count(b"fetch") == 2
     )  # they share it, and no further one is dialled ahead
     assert found == ["e1"]
-    station.engine.near = True
-    station.fill()
+    engine_pool.engine.in_subset = True
+    engine_pool.fill()
     premises.turn()
     assert found == ["e1", "e1"]
 
@@ -405,5 +419,7 @@
             took.append(sum(each.size for each in snapshot.statistics("filename")))
         finally:
             tracemalloc.stop()
-        assert {each.engine.state for each in premises.house.stations.values()} == {READY}
+        assert {each.engine.state for each in premises.socket_host.engine_pools.values()} == {
+            EngineState.READY
+        }
     assert (took[1] - took[0]) / 400 < 1_100
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -7,7 +7,21 @@
 from hypothesis import strategies as st
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.model.plan_consensus import PlanWorld, plan_day
+from corkgauge.maintenance.chunk_transfer import SIZE, Fetch, piece_of
+from corkgauge.maintenance.participant import Participant
+from corkgauge.maintenance.plan import (
+    ASKED,
+    BACK,
+    DRAINING,
+    GRANTED,
+    LATE,
+    NEXT,
+    OUT,
+    RETURNING,
+    InvalidRequestError,
+    Plan,
+)
+from corkgauge.maintenance.plan_proposer import FORGOTTEN, IDLE, LEADING, PlanProposer
 from corkgauge.maintenance.plan_replica import (
     LOW,
     PIECE,
@@ -29,21 +43,7 @@
     Wanted,
     next_out,
 )
-from corkgauge.maintenance.participant import Participant
-from corkgauge.maintenance.chunk_transfer import SIZE, Fetch, piece_of
-from corkgauge.maintenance.plan import (
-    ASKED,
-    BACK,
-    DRAINING,
-    GRANTED,
-    LATE,
-    NEXT,
-    OUT,
-    RETURNING,
-    Plan,
-    InvalidRequestError,
-)
-from corkgauge.maintenance.plan_proposer import FORGOTTEN, IDLE, LEADING, PlanProposer
+from corkgauge.model.plan_consensus import PlanWorld, plan_day
 
 ASK = ["ask", ["a", "engine", ["e1"], "ada", "", 9, 5, 1, "", 0]]
 UNIT = ["unit", "e1", "a", "engine", ["e1"]]
@@ -59,7 +59,7 @@
     def send(self, name, body):
         self.sent.append((name, body))
 
-    def wake(self, delay, method, *what):
+    def call_later(self, delay, method, *what):
         self.serial += 1
         self.timers.append((self.now + max(int(delay), 1), self.serial, method, what))
 
@@ -325,18 +325,18 @@
 # Order and limits.
 
 
-def ground(bounds=None, offerings=(), engines=None, **more):
+def ground(bounds=None, request_classes=(), engines=None, **more):
     engines = engines or [
         (f"e{n}", "ab"[n % 2], ("c8", "c12")[n // 2 % 2], 10.0, WELL) for n in range(8)
     ]
     facts = {
-        tag: EngineFact(tag, hall, kind, None, cores, state)
-        for tag, hall, kind, cores, state in engines
+        tag: EngineFact(tag, zone, kind, None, cores, state)
+        for tag, zone, kind, cores, state in engines
     }
     return Ground(
-        Bounds(**{"most": 8, "share": 1.0, "hall": 1.0, "kind": 1.0, **(bounds or {})}),
+        Bounds(**{"most": 8, "share": 1.0, "zone": 1.0, "kind": 1.0, **(bounds or {})}),
         facts,
-        offerings,
+        request_classes,
         **more,
     )
 
@@ -354,8 +354,8 @@
         (ground({"most": 2}, away={"e0", "e1"}), unit("e2"), "3 would be out, 2 at once"),
         (ground({"most": 2}, away={"e0"}), unit("e2", "e3"), "3 would be out, 2 at once"),
         (ground({"share": 0.25}, away={"e0", "e1"}), unit("e2"), "all: 30 of 80 cores"),
-        (ground({"hall": 0.5}, away={"e0", "e2"}), unit("e4"), "hall a: 30 of 40"),
-        (ground({"hall": 0.5}, away={"e0", "e2"}), unit("e1"), ""),
+        (ground({"zone": 0.5}, away={"e0", "e2"}), unit("e4"), "hall a: 30 of 40"),
+        (ground({"zone": 0.5}, away={"e0", "e2"}), unit("e1"), ""),
         (ground({"kind": 0.5}, away={"e0", "e1"}), unit("e4"), "kind c8: 30 of 40"),
         (ground({"share": 0.01}), unit("e4"), ""),  # a part below one engine is one engine
         (
@@ -457,34 +457,36 @@
         max_size=4,
     ),
 )
-def test_demand_fits_just_where_a_flow_carries_it(engines, offerings):
+def test_demand_fits_just_where_a_flow_carries_it(engines, request_classes):
     """Every unit of demand on some engine that may take it: augmenting paths, core by core."""
     place = ground(
         {"room": 1.0},
         [
-            OfferingFact(f"o{n}", frozenset(halls), frozenset(kinds), float(cores))
-            for n, (halls, kinds, cores) in enumerate(offerings)
+            OfferingFact(f"o{n}", frozenset(zones), frozenset(kinds), float(cores))
+            for n, (zones, kinds, cores) in enumerate(request_classes)
         ],
         [
-            (f"e{n}", hall, kind, float(cores), WELL)
-            for n, (hall, kind, cores) in enumerate(engines)
+            (f"e{n}", zone, kind, float(cores), WELL)
+            for n, (zone, kind, cores) in enumerate(engines)
         ],
     )
     slots = [(n, k) for n, (*_, cores) in enumerate(engines) for k in range(cores)]
     taken = {}
 
     def place_one(want, seen):
-        halls, kinds, _ = offerings[want]
+        zones, kinds, _ = request_classes[want]
         for slot in slots:
-            hall, kind, _ = engines[slot[0]]
-            if slot not in seen and (not halls or hall in halls) and (not kinds or kind in kinds):
+            zone, kind, _ = engines[slot[0]]
+            if slot not in seen and (not zones or zone in zones) and (not kinds or kind in kinds):
                 seen.add(slot)
                 if slot not in taken or place_one(taken[slot], seen):
                     taken[slot] = want
                     return True
         return False
 
-    fits = all(place_one(n, set()) for n, (*_, cores) in enumerate(offerings) for _ in range(cores))
+    fits = all(
+        place_one(n, set()) for n, (*_, cores) in enumerate(request_classes) for _ in range(cores)
+    )
     assert (place.crowded(set()) == "") == fits
 
 
--- a/tests/test_works_fleet.py
+++ b/tests/test_works_fleet.py
@@ -9,11 +9,11 @@
 import pytest
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
-from corkgauge.testkit.fleet.processes import Fault, Fleet
 from corkgauge.testkit.checkers.maintenance import Limits, wrong
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.maintenance_day import MaintenanceDay, aimed, most_at_once
+from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.processes import Fault, Fleet
 
 LEASE = 0.8
 WORKS = {"each": 0.2, "grant": 1.0, "patience": 0.5, "most": 2, "share": 0.5, "room": 0.9}
@@ -97,7 +97,7 @@
             for run in each.book
         ]
         engines = {
-            name: (each.hall, each.kind, float(each.cores)) for name, each in fleet.engines.items()
+            name: (each.zone, each.kind, float(each.cores)) for name, each in fleet.engines.items()
         }
         limits = Limits(
             self.works["most"], self.works["share"], self.works.get("hall", 0.5), 0.5, {"c12": 1}
@@ -173,7 +173,7 @@
         site.crew.ask("engine", "e4")
         site.until_logged("works: e4 draining", times=1 + len(came))
         if change == "restarted":
-            engine.started_ms = fleet.hub.now // 10
+            engine.started_ms = fleet.event_loop.now // 10
             fleet.listed(["e4"])
         else:
             fleet.listed(["e4"], "DELETED")
@@ -346,7 +346,7 @@
         site.fleet.until(10, lambda: len(site.units()) < 2)
         found.append(sorted((unit["unit"], unit["state"]) for unit in site.units().values()))
         for work in [*site.crew.book]:
-            work.ended = site.fleet.hub.now
+            work.ended = site.fleet.event_loop.now
             site.told({"do": "done", "names": [work.unit]})
         site.fleet.until(10, lambda: bool(site.units()))
         found.append(len(site.units()))
