--- a/benchmarks/decision_trace.py
+++ b/benchmarks/decision_trace.py
@@ -25,16 +25,15 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from corkgauge import control, interface
+from corkgauge.policy import gateway as control
+from corkgauge.policy import records as interface
 
 # The program's names: all of them, so that a renaming is followed in this section alone.
 
-IDEMPOTENT, KEYED, NON_IDEMPOTENT = interface.REDOABLE, interface.LABELLED, interface.IRREVERSIBLE
-READY, DRAINING, GONE = interface.READY, interface.DRAINING, interface.GONE
-ERROR, SUCCEEDED, FULL = interface.ERROR, interface.HONOURED, interface.FULL
-TIMED_OUT, UNREACHED, RESET = interface.TIMED_OUT, interface.UNREACHED, interface.RESET
-CANCELLED, ABANDONED = interface.CALLED_OFF, interface.MOOT
-PROGRESS = interface.PROGRESS
+IDEMPOTENT, KEYED, NON_IDEMPOTENT = interface.Repeatability
+GONE, READY, DRAINING = interface.EngineState
+ERROR, SUCCEEDED, FULL, TIMED_OUT, UNREACHED, RESET, CANCELLED, ABANDONED = interface.AttemptOutcome
+PROGRESS = interface.NoteKind.PROGRESS
 # In a fixed order, as the world draws from it by index.
 OUTCOMES = (ERROR, SUCCEEDED, FULL, TIMED_OUT, UNREACHED, RESET, CANCELLED, ABANDONED)
 # A module and the name of one tuned constant in it: the test changes it and expects other hashes.
@@ -47,23 +46,27 @@
     def __init__(self, world: "World", now: int) -> None:
         self.world, self.now, self.lag = world, now, 0
 
-    def hand_off(self, attempt: Any, allow: int) -> None:
-        facts = AttemptFacts(attempt.number, attempt.sent, attempt.due, attempt.usual)
-        self.world.on_send(attempt, attempt.submission.tag, attempt.engine.tag, allow, facts)
+    def send_attempt(self, attempt: Any, allow: int) -> None:
+        facts = AttemptFacts(
+            attempt.number, attempt.sent_at, attempt.expected_duration, attempt.typical_duration
+        )
+        self.world.on_send(
+            attempt, attempt.request.host_reference, attempt.engine.host_reference, allow, facts
+        )
 
-    def set_terms(self, request: Any, memory: float, priority: int) -> None:
-        self.world.trace.add(self.now, 1, request.tag, memory, priority)
+    def set_resources(self, request: Any, memory: float, priority: int) -> None:
+        self.world.trace.add(self.now, 1, request.host_reference, memory, priority)
 
-    def dismiss(self, request: Any, retry_after: int) -> None:
-        self.world.trace.add(self.now, 2, request.tag, retry_after)
+    def reject(self, request: Any, retry_after: int) -> None:
+        self.world.trace.add(self.now, 2, request.host_reference, retry_after)
 
-    def scrap(self, request: Any) -> None:
-        self.world.trace.add(self.now, 3, request.tag)
+    def fail(self, request: Any) -> None:
+        self.world.trace.add(self.now, 3, request.host_reference)
 
-    def call_off(self, attempt: Any) -> None:
+    def cancel_attempt(self, attempt: Any) -> None:
         self.world.on_cancel(attempt)
 
-    def wake(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         self.world.trace.add(self.now, 5, delay, len(what))
         self.world.schedule(delay, method, *what)
 
@@ -80,11 +83,11 @@
         number=scenario.number,
         gateways=scenario.gateways,
         tick=10,
-        offerings=classes,
+        request_classes=classes,
         cancels=scenario.cancels,
         copies=scenario.hedges,
-        most_handoffs=scenario.most_attempts,
-        come_back=scenario.retry_after,
+        max_attempts=scenario.most_attempts,
+        retry_after=scenario.retry_after,
         cold_share=0.33,
         cold_span=scenario.warm_up,
         fall_multiple=scenario.cold_multiple,
@@ -97,7 +100,7 @@
 
 
 def build_class(spec: "ClassSpec") -> Any:
-    return interface.Offering(
+    return interface.RequestClass(
         spec.name,
         spec.objective,
         spec.stretch,
@@ -119,7 +122,7 @@
 
 
 def build_request(number: int, request_class: Any, draw: "RequestDraw", now: int) -> Any:
-    return interface.Submission(
+    return interface.Request(
         number,
         request_class,
         draw.tenant,
@@ -133,8 +136,8 @@
 
 
 def add_earlier_attempt(request: Any, engine: Any, sent: int, outcome: int) -> None:
-    earlier = interface.HandOff(request, engine, 0, sent, 100.0, 100.0, False, False, outcome)
-    request.before.append(earlier)
+    earlier = interface.Attempt(request, engine, 0, sent, 100.0, 100.0, False, False, outcome)
+    request.earlier_attempts.append(earlier)
 
 
 class GatewayCalls:
@@ -142,17 +145,19 @@
 
     def __init__(self, gateway: Any) -> None:
         self.gateway = gateway
-        self.engine_update = gateway.engine_told  # engine, state, incarnation
-        self.list_complete = gateway.list_told
-        self.cordon = gateway.engine_aside  # engine, level
-        self.peer_report = gateway.heard_of  # engine, slowness, suspicion
-        self.permit_passed = gateway.turn_passed  # engine, work, when
-        self.request = gateway.submission_taken
-        self.client_left = gateway.submission_left
-        self.answer = gateway.handoff_over  # attempt, outcome, took, finished, work, need, inflight
-        self.progress = gateway.handoff_progress  # attempt, sort, value
-        self.may_begin = gateway.may_begin
-        self.key_in_doubt = gateway.key_rests  # key, until
+        self.engine_update = gateway.on_engine_update  # engine, state, incarnation
+        self.list_complete = gateway.on_engine_list_complete
+        self.cordon = gateway.on_engine_cordon  # engine, level
+        self.peer_report = gateway.on_peer_health  # engine, slowness, suspicion
+        self.permit_passed = gateway.on_permit_moved  # engine, work, when
+        self.request = gateway.on_request
+        self.client_left = gateway.on_client_left
+        self.answer = (
+            gateway.on_attempt_finished
+        )  # attempt, outcome, took, finished, work, need, inflight
+        self.progress = gateway.on_attempt_progress  # attempt, sort, value
+        self.may_begin = gateway.may_start_attempt
+        self.key_in_doubt = gateway.hold_order_key  # key, until
 
     def throttle_retries(self, part: float) -> None:
         self.gateway.strict = part
@@ -183,25 +188,34 @@
 
 
 def request_figures(request: Any) -> tuple[Any, ...]:
-    return request.work, request.aim, int(request.over), len(request.handoffs)
+    return (
+        request.expected_work,
+        request.latency_objective,
+        int(request.is_finished),
+        len(request.attempts),
+    )
 
 
 def class_figures(request_class: Any) -> tuple[Any, ...]:
-    return request_class.usual, request_class.bar, len(request_class.samples)
+    return (
+        request_class.typical_work,
+        request_class.subset_rank_limit,
+        len(request_class.answer_samples),
+    )
 
 
 def engine_figures(engine: Any) -> tuple[Any, ...]:
-    stats = engine.view
+    stats = engine.stats
     return (
-        engine.threads,
-        int(engine.near),
-        engine.rank,
-        stats.heard,
-        stats.rests_until,
+        engine.threads_in_flight,
+        int(engine.in_subset),
+        engine.subset_rank,
+        stats.last_heard_at,
+        stats.ejected_until,
         stats.refused_until,
-        stats.bound,
-        stats.load,
-        len(stats.out),
+        stats.limit_factor,
+        stats.reported_load,
+        len(stats.in_flight),
     )
 
 
