--- a/corkgauge/testkit/fleet/processes.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -185,7 +185,7 @@
   <figures><listen unix="{folder}/figures.sock"/></figures>
   <fellows period="{period}" listen="{listen}">
     <key file="{key}"/>
-{fellows}
+{members}
   </fellows>
   <duties lease="{lease}" margin="{margin}" drift="{drift}"{folder_of_votes}>
     <voters version="{version}">{voters}</voters>
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -35,8 +35,8 @@
     "closed doubled": ("closed", doubled, "closed twice", "offering"),
     "handed off skipped": ("handed_off", skipped, "hand-off never entered", "engine"),
     "handed off doubled": ("handed_off", doubled, "hand-off entered twice", "engine"),
-    "handoff over skipped": ("handoff_over", skipped, "hand-off never closed", "engine"),
-    "handoff over doubled": ("handoff_over", doubled, "hand-off closed twice", "engine"),
+    "handoff over skipped": ("on_attempt_finished", skipped, "hand-off never closed", "engine"),
+    "handoff over doubled": ("on_attempt_finished", doubled, "hand-off closed twice", "engine"),
     "connection up skipped": ("connection_up", skipped, "books differ", "client connections"),
     "connection over doubled": ("connection_over", doubled, "books differ", "client connections"),
 }
