--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -88,7 +88,7 @@
             for engine_pool in self.socket_host.engine_pools.values():
                 self.findings.serial += 1
                 self.findings.found(
-                    now, engine_pool.engine.tag, engine_pool.started, SILENT, 10_000, 8
+                    now, engine_pool.engine.host_reference, engine_pool.started, SILENT, 10_000, 8
                 )
 
         PeerHealthService._own = lies
@@ -128,8 +128,8 @@
         settings = Gateway.__init__
 
         def careless(self: Gateway, host: object, **said: object) -> None:
-            for each in said["offerings"]:
-                each.group = "all"
+            for each in said["request_classes"]:
+                each.key_scope = "all"
             settings(self, host, **said)
 
         Gateway.__init__ = careless
