--- a/corkgauge/simulator/host.py
+++ b/corkgauge/simulator/host.py
@@ -1,154 +1,214 @@
-"""One instance's door: decoded fields become calls of its gateway, its gateway's calls become actions."""
+"""The host of one simulated instance: messages become gateway calls, its calls become actions."""
 
 import json
 from collections.abc import Callable
-from struct import Struct, pack
-from typing import Any
+from typing import Any, NamedTuple
 
 from corkgauge.config.settings import Settings
 from corkgauge.policy.gateway import Gateway
 from corkgauge.policy.records import Attempt, Engine, EngineState, Request
-
-U32 = (1 << 32) - 1
-ROUTE, COOL = Struct("<BIQ6sI"), Struct("<BIQI")
-TERMS, REQUEST, TRY, TIMER = Struct("<BIQfB"), Struct("<BIQ"), Struct("<BIQH"), Struct("<BIQI")
+from corkgauge.simulator.messages import (
+    HAS_ESTIMATE,
+    MICROSECONDS_PER_TICK,
+    AttemptNote,
+    AttemptVerdict,
+    Born,
+    ClientLeft,
+    EngineEntry,
+    ListForm,
+    ListUpdate,
+    NewRequest,
+    TimerDue,
+    pack_decline,
+    pack_lose,
+    pack_remind,
+    pack_route,
+    pack_stop_attempt,
+    pack_terms,
+    pack_trace,
+)
+
+TICKS_PER_WORK_UNIT = 10  # work of a verdict's statistics is told in milliseconds
+MEMORY_UNIT_MB = 4.0  # memory of a verdict's statistics is told in so many MB
+MEMORY_BITS = 12
+MEMORY_MASK = (1 << MEMORY_BITS) - 1
+
+
+class Timer(NamedTuple):
+    """A call that the gateway asked for."""
+
+    callback: Callable[..., None]
+    arguments: tuple[Any, ...]
 
 
 class SimulatedHost:
-    """Holds the ids of one instance and the host side of its gateway."""
+    """Holds the identifiers of one instance and the host side of its gateway."""
 
     lag = 0  # simulated events never wait
 
-    def __init__(self, number: int, actions: list[bytes]) -> None:
-        self.number, self.actions = number, actions
+    # Set by the first message, before which there is no other.
+    settings: Settings
+    gateway: Gateway
+
+    def __init__(
+        self,
+        instance: int,
+        actions: list[bytes],
+        engine_lists: dict[int, list[EngineEntry]],
+    ) -> None:
+        self.instance = instance
+        self.actions = actions
+        self.engine_lists = engine_lists
         self.now = 0
-        self.gateway: Gateway | None = None
         self.engines: dict[bytes, Engine] = {}
-        self.submissions: dict[int, Request] = {}
-        self.wakes: dict[int, tuple[Callable[..., None], tuple]] = {}
-        self.nonce = 0
-        self.settings: Any = None
+        self.requests: dict[int, Request] = {}
+        self.timers: dict[int, Timer] = {}
+        self.last_timer = 0
 
-    # What the gateway may do.
+    # The host protocol.
 
-    def send_attempt(self, attempt: Attempt, allow: int) -> None:
-        self.actions.append(
-            ROUTE.pack(
-                90,
-                self.number,
-                attempt.request.host_reference,
-                attempt.engine.host_reference,
-                min(allow * 100, U32),
-            )
-        )
+    def send_attempt(self, attempt: Attempt, timeout: int) -> None:
+        """Send an attempt, with `timeout` ticks for its answer."""
+        request, engine = attempt.request.host_reference, attempt.engine.host_reference
+        self.actions.append(pack_route(self.instance, request, engine, timeout))
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
-        self.actions.append(TERMS.pack(110, self.number, request.host_reference, memory, priority))
+        """Set memory (MB) and priority of a request's attempts."""
+        self.actions.append(pack_terms(self.instance, request.host_reference, memory, priority))
 
     def reject(self, request: Request, retry_after: int) -> None:
-        self.actions.append(
-            COOL.pack(40, self.number, request.host_reference, min(retry_after * 100, U32))
-        )
+        """Reject a request; `retry_after` in ticks."""
+        self.actions.append(pack_decline(self.instance, request.host_reference, retry_after))
 
     def fail(self, request: Request) -> None:
-        self.actions.append(REQUEST.pack(100, self.number, request.host_reference))
+        """Fail a request that may have run."""
+        self.actions.append(pack_lose(self.instance, request.host_reference))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt; its verdict follows."""
         self.actions.append(
-            TRY.pack(120, self.number, attempt.request.host_reference, attempt.number)
+            pack_stop_attempt(self.instance, attempt.request.host_reference, attempt.number)
         )
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.nonce += 1
-        self.wakes[self.nonce] = method, what
-        self.actions.append(TIMER.pack(60, self.number, self.nonce, min(max(delay, 0) * 100, U32)))
+    def call_later(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Call back after `delay` ticks."""
+        self.last_timer += 1
+        self.timers[self.last_timer] = Timer(callback, arguments)
+        self.actions.append(pack_remind(self.instance, self.last_timer, delay))
 
     def log(self, line: str) -> None:
-        text = line.encode()[:200]
-        self.actions.append(pack("<BIH", 80, self.number, len(text)) + text)
+        """Write one line to the simulator's log."""
+        self.actions.append(pack_trace(self.instance, line))
+
+    # Messages.
 
-    # What the wire tells.
+    def handle(self, message: Any) -> None:
+        """Apply one message to this instance."""
+        HANDLERS[type(message)](self, message)
 
-    def born(self, seed: int, text: bytes) -> None:
-        """Read what is stated at start; the gateway keeps only what it derives from it."""
-        self.settings = Settings(json.loads(text), self, seed)
+    def _on_born(self, message: Born) -> None:
+        self.settings = Settings(json.loads(message.settings), self, message.seed)
         self.gateway = self.settings.gateway
 
-    def update(self, form: int, entries: list[tuple]) -> None:
-        """Changes, or the whole list: what a whole list leaves out is gone."""
-        if form == 4:
+    def _on_list_update(self, message: ListUpdate) -> None:
+        if message.form == ListForm.UNCHANGED:
             return
-        if form != 1:
-            named = {entry[0] for entry in entries}
-            for tag, engine in self.engines.items():
-                if tag not in named:
-                    self.gateway.on_engine_update(engine, EngineState.GONE, engine.incarnation)
-        for tag, zone, kind, cell, state, _, since in entries:
-            engine = self.engines.get(tag)
-            if engine is None:
-                engine = self.engines[tag] = Engine(tag, tag, zone, kind, cell, name=tag.hex())
-            self.settings.place(engine, zone, kind, cell)
-            self.gateway.on_engine_update(engine, state, since // 100)
+        entries = self.engine_lists.get(message.list_number, [])
+        if message.form != ListForm.CHANGES:
+            self._remove_unlisted({entry.engine for entry in entries})
+        for entry in entries:
+            self._update_engine(entry)
         self.gateway.on_engine_list_complete()
 
-    def demand(
-        self,
-        tag: int,
-        tables: float,
-        kind: int,
-        memory: float,
-        marks: int,
-        estimate: int,
-        tenant: int,
-        key: int,
-        budget: int,
-    ) -> None:
+    def _remove_unlisted(self, listed: set[bytes]) -> None:
+        """What a whole list leaves out is gone."""
+        for reference, engine in self.engines.items():
+            if reference not in listed:
+                self.gateway.on_engine_update(engine, EngineState.GONE, engine.incarnation)
+
+    def _update_engine(self, entry: EngineEntry) -> None:
+        reference = entry.engine
+        engine = self.engines.get(reference)
+        if engine is None:
+            engine = Engine(
+                reference, reference, entry.zone, entry.kind, entry.cell, name=reference.hex()
+            )
+            self.engines[reference] = engine
+        self.settings.place(engine, entry.zone, entry.kind, entry.cell)
+        incarnation = entry.started_microseconds // MICROSECONDS_PER_TICK
+        self.gateway.on_engine_update(engine, entry.state, incarnation)
+
+    def _on_new_request(self, message: NewRequest) -> None:
+        estimated_work = 0
+        if message.marks & HAS_ESTIMATE:
+            estimated_work = message.estimate_microseconds // MICROSECONDS_PER_TICK
         request = Request(
-            tag,
-            self.settings.request_classes[kind],
-            tenant,
-            tables,
+            message.request,
+            self.settings.request_classes[message.request_class],
+            message.tenant,
+            message.table_group,
             self.now,
-            budget // 100,
-            estimate // 100 if marks & 1 else 0,
-            memory,
-            key,
+            message.deadline_microseconds // MICROSECONDS_PER_TICK,
+            estimated_work,
+            message.memory,
+            message.order_key,
         )
-        self.submissions[tag] = request
+        self.requests[message.request] = request
         self.gateway.on_request(request)
-        self.forget(request)
+        self._forget_if_over(request)
 
-    def dropped(self, tag: int) -> None:
-        request = self.submissions.get(tag)
+    def _on_client_left(self, message: ClientLeft) -> None:
+        request = self.requests.get(message.request)
         if request is not None:
             self.gateway.on_client_left(request)
-            self.forget(request)
-
-    def verdict(
-        self, tag: int, number: int, reason: int, took: int, terminal: bool, stats: int, load: tuple
-    ) -> None:
-        request = self.submissions[tag]
-        attempt = request.attempts[number]
-        told = dict(zip(self.settings.fields, load))
-        work, need = ((stats >> 12) * 10, (stats & 4095) * 4.0) if self.settings.bills else (0, 0.0)
+            self._forget_if_over(request)
+
+    def _on_verdict(self, message: AttemptVerdict) -> None:
+        request = self.requests[message.request]
+        work, memory = 0, 0.0
+        if self.settings.bills:
+            work = (message.statistics >> MEMORY_BITS) * TICKS_PER_WORK_UNIT
+            memory = (message.statistics & MEMORY_MASK) * MEMORY_UNIT_MB
+        # A report may be absent or shorter than the fields that the settings name.
+        report = dict(zip(self.settings.fields, message.load_report, strict=False))
         self.gateway.on_attempt_finished(
-            attempt, reason, took // 100, terminal, work, need, told.get("inflight", -1.0)
+            request.attempts[message.attempt],
+            message.outcome,
+            message.took_microseconds // MICROSECONDS_PER_TICK,
+            message.is_final,
+            work,
+            memory,
+            report.get("inflight", -1.0),
         )
-        self.forget(request)
-
-    def update_of(self, tag: int, number: int, sort: int, value: float) -> None:
-        request = self.submissions.get(tag)
-        if request is not None and number < len(request.attempts):
-            self.gateway.on_attempt_progress(request.attempts[number], sort, value)
-
-    def deadline_hit(self, nonce: int) -> None:
-        method, what = self.wakes.pop(nonce, (None, ()))
-        if method is not None:
-            method(*what)
-            if what and isinstance(what[0], Request):
-                self.forget(what[0])
-
-    def forget(self, request: Request) -> None:
-        """An id is kept while its submission lives or one of its hand-offs is out."""
-        if request.is_finished and not any(h.is_in_flight for h in request.attempts):
-            self.submissions.pop(request.host_reference, None)
+        self._forget_if_over(request)
+
+    def _on_note(self, message: AttemptNote) -> None:
+        request = self.requests.get(message.request)
+        if request is not None and message.attempt < len(request.attempts):
+            attempt = request.attempts[message.attempt]
+            self.gateway.on_attempt_progress(attempt, message.kind, message.value)
+
+    def _on_timer_due(self, message: TimerDue) -> None:
+        timer = self.timers.pop(message.timer, None)
+        if timer is None:
+            return
+        timer.callback(*timer.arguments)
+        if timer.arguments and isinstance(timer.arguments[0], Request):
+            self._forget_if_over(timer.arguments[0])
+
+    def _forget_if_over(self, request: Request) -> None:
+        """An identifier is kept while its request lives or one of its attempts is in flight."""
+        in_flight = any(attempt.is_in_flight for attempt in request.attempts)
+        if request.is_finished and not in_flight:
+            self.requests.pop(request.host_reference, None)
+
+
+HANDLERS: dict[type, Callable[[SimulatedHost, Any], None]] = {
+    Born: SimulatedHost._on_born,
+    ListUpdate: SimulatedHost._on_list_update,
+    NewRequest: SimulatedHost._on_new_request,
+    ClientLeft: SimulatedHost._on_client_left,
+    AttemptVerdict: SimulatedHost._on_verdict,
+    AttemptNote: SimulatedHost._on_note,
+    TimerDue: SimulatedHost._on_timer_due,
+}
--- /dev/null
+++ b/corkgauge/simulator/messages.py
@@ -0,0 +1,295 @@
+"""The records of the simulator's wire: events decoded to typed messages, actions packed to bytes.
+
+Times on the wire are microseconds; a message says so where it keeps them. Actions take ticks
+of a tenth of a millisecond.
+"""
+
+from collections.abc import Callable
+from enum import IntEnum
+from struct import Struct
+from typing import Any, NamedTuple
+
+from corkgauge.simulator.protocol import Cursor, ProtocolError
+
+MICROSECONDS_PER_TICK = 100
+MAX_U32 = (1 << 32) - 1
+MAX_LOG_LINE_BYTES = 200
+MAX_FAULT_BYTES = 500
+HAS_ESTIMATE = 1  # bit of a request's marks: its client estimated the work
+
+
+class EventCode(IntEnum):
+    """Codes of the records that the simulator sends."""
+
+    BORN = 10
+    UPDATE = 20
+    DEMAND = 30
+    OPENED = 40
+    VERDICT = 50
+    DROPPED = 60
+    DEADLINE_HIT = 70
+    PROBED = 80
+    WHISPER = 90
+    DESTROY = 100
+    UPDATE_OF = 110
+    CENSUS = 120
+
+
+class ActionCode(IntEnum):
+    """Codes of the records that this program answers with."""
+
+    DECLINE = 40
+    REMIND = 60
+    FAULT = 70
+    TRACE = 80
+    ROUTE = 90
+    LOSE = 100
+    ASSIGN_TERMS = 110
+    STOP_ATTEMPT = 120
+
+
+class ListForm(IntEnum):
+    """How an `update` changes the engine list; any other form is a whole list."""
+
+    CHANGES = 1
+    UNCHANGED = 4  # an answer without news
+
+
+class EngineEntry(NamedTuple):
+    """One engine of a numbered list."""
+
+    engine: bytes
+    zone: int
+    kind: int
+    cell: int
+    state: int
+    weight: float
+    started_microseconds: int
+
+
+class Born(NamedTuple):
+    """An instance starts."""
+
+    seed: int
+    settings: bytes  # JSON
+
+
+class ListUpdate(NamedTuple):
+    """The engine list changes."""
+
+    form: int
+    list_number: int
+
+
+class NewRequest(NamedTuple):
+    """A client's request."""
+
+    request: int
+    table_group: float
+    request_class: int
+    memory: float
+    marks: int
+    estimate_microseconds: int
+    tenant: int
+    order_key: int
+    deadline_microseconds: int
+
+
+class AttemptVerdict(NamedTuple):
+    """An attempt has ended."""
+
+    request: int
+    attempt: int
+    outcome: int
+    took_microseconds: int
+    is_final: bool
+    statistics: int  # work (20 bits, of a millisecond) and memory (12 bits, of 4 MB)
+    load_report: tuple[float, ...]
+
+
+class AttemptNote(NamedTuple):
+    """An engine reports on an attempt that is in flight."""
+
+    request: int
+    attempt: int
+    kind: int
+    value: float
+
+
+class ClientLeft(NamedTuple):
+    """A client gave up."""
+
+    request: int
+
+
+class TimerDue(NamedTuple):
+    """A timer that was asked for is due."""
+
+    timer: int
+
+
+_CODE = Struct("<B")
+_INSTANCE = Struct("<I")
+_COUNT8 = Struct("<B")
+_COUNT16 = Struct("<H")
+_COUNT32 = Struct("<I")
+_SEED = Struct("<Q")
+_UPDATE = Struct("<BIH")
+_DEMAND = Struct("<QfHfHIIQI")
+_VERDICT = Struct("<QH6sBIBI")
+_IDENTIFIER = Struct("<Q")
+_PROBED = Struct("<6sBI")
+_OPENED = Struct("<QH6sI")
+_NOTE = Struct("<QH6sBf")
+_ENTRY = Struct("<6sHHHBfQ")
+
+_ROUTE = Struct("<BIQ6sI")
+_DECLINE = Struct("<BIQI")
+_ASSIGN_TERMS = Struct("<BIQfB")
+_LOSE = Struct("<BIQ")
+_STOP_ATTEMPT = Struct("<BIQH")
+_REMIND = Struct("<BIQI")
+_TEXT = Struct("<BIH")
+
+
+def read_event_code(cursor: Cursor) -> EventCode:
+    """The code of the next record; raises `ProtocolError` for one that the wire does not know."""
+    (code,) = cursor.take(_CODE)
+    try:
+        return EventCode(code)
+    except ValueError:
+        raise ProtocolError(f"unknown record code {code}") from None
+
+
+def read_instance(cursor: Cursor) -> int:
+    """The instance that the record is for."""
+    instance: int = cursor.take(_INSTANCE)[0]
+    return instance
+
+
+def read_census(cursor: Cursor) -> tuple[int, list[EngineEntry]]:
+    """A numbered list of engines, which later updates refer to."""
+    (number,) = cursor.take(_COUNT16)
+    (count,) = cursor.take(_COUNT32)
+    entries = cursor.run(count * _ENTRY.size)
+    return number, [EngineEntry(*fields) for fields in _ENTRY.iter_unpack(entries)]
+
+
+def _read_load_report(cursor: Cursor) -> tuple[float, ...]:
+    (count,) = cursor.take(_COUNT8)
+    return cursor.take(Struct(f"<{count}f"))
+
+
+def _read_born(cursor: Cursor) -> Born:
+    (seed,) = cursor.take(_SEED)
+    (size,) = cursor.take(_COUNT32)
+    return Born(seed, cursor.run(size))
+
+
+def _read_update(cursor: Cursor) -> ListUpdate:
+    form, _, list_number = cursor.take(_UPDATE)
+    return ListUpdate(form, list_number)
+
+
+def _read_demand(cursor: Cursor) -> NewRequest:
+    return NewRequest(*cursor.take(_DEMAND))
+
+
+def _read_verdict(cursor: Cursor) -> AttemptVerdict:
+    request, attempt, _, outcome, took, is_final, statistics = cursor.take(_VERDICT)
+    load_report = _read_load_report(cursor)
+    return AttemptVerdict(request, attempt, outcome, took, bool(is_final), statistics, load_report)
+
+
+def _read_note(cursor: Cursor) -> AttemptNote:
+    request, attempt, _, kind, value = cursor.take(_NOTE)
+    return AttemptNote(request, attempt, kind, value)
+
+
+def _read_dropped(cursor: Cursor) -> ClientLeft:
+    return ClientLeft(*cursor.take(_IDENTIFIER))
+
+
+def _read_deadline_hit(cursor: Cursor) -> TimerDue:
+    return TimerDue(*cursor.take(_IDENTIFIER))
+
+
+def _skip_probed(cursor: Cursor) -> None:
+    cursor.take(_PROBED)
+    _read_load_report(cursor)
+
+
+def _skip_whisper(cursor: Cursor) -> None:
+    cursor.take(_COUNT16)
+    (size,) = cursor.take(_COUNT16)
+    cursor.run(size)
+
+
+def _skip_opened(cursor: Cursor) -> None:
+    cursor.take(_OPENED)
+
+
+def _skip_nothing(cursor: Cursor) -> None:
+    """A record without fields."""
+
+
+# How the fields of each record are read; None is the message of a record that asks for nothing.
+READERS: dict[EventCode, Callable[[Cursor], Any]] = {
+    EventCode.BORN: _read_born,
+    EventCode.UPDATE: _read_update,
+    EventCode.DEMAND: _read_demand,
+    EventCode.OPENED: _skip_opened,
+    EventCode.VERDICT: _read_verdict,
+    EventCode.DROPPED: _read_dropped,
+    EventCode.DEADLINE_HIT: _read_deadline_hit,
+    EventCode.PROBED: _skip_probed,
+    EventCode.WHISPER: _skip_whisper,
+    EventCode.DESTROY: _skip_nothing,
+    EventCode.UPDATE_OF: _read_note,
+}
+
+
+def _wire_time(ticks: int) -> int:
+    return min(ticks * MICROSECONDS_PER_TICK, MAX_U32)
+
+
+def pack_route(instance: int, request: int, engine: bytes, timeout: int) -> bytes:
+    """Send an attempt; `timeout` in ticks."""
+    return _ROUTE.pack(ActionCode.ROUTE, instance, request, engine, _wire_time(timeout))
+
+
+def pack_decline(instance: int, request: int, retry_after: int) -> bytes:
+    """Reject a request; `retry_after` in ticks."""
+    return _DECLINE.pack(ActionCode.DECLINE, instance, request, _wire_time(retry_after))
+
+
+def pack_lose(instance: int, request: int) -> bytes:
+    """Fail a request."""
+    return _LOSE.pack(ActionCode.LOSE, instance, request)
+
+
+def pack_terms(instance: int, request: int, memory: float, priority: int) -> bytes:
+    """Memory (MB) and priority of a request's attempts."""
+    return _ASSIGN_TERMS.pack(ActionCode.ASSIGN_TERMS, instance, request, memory, priority)
+
+
+def pack_stop_attempt(instance: int, request: int, attempt: int) -> bytes:
+    """Cancel an attempt."""
+    return _STOP_ATTEMPT.pack(ActionCode.STOP_ATTEMPT, instance, request, attempt)
+
+
+def pack_remind(instance: int, timer: int, delay: int) -> bytes:
+    """Ask for a timer; `delay` in ticks."""
+    return _REMIND.pack(ActionCode.REMIND, instance, timer, _wire_time(max(delay, 0)))
+
+
+def pack_trace(instance: int, line: str) -> bytes:
+    """One line for the simulator's log, cut to its bound."""
+    text = line.encode()[:MAX_LOG_LINE_BYTES]
+    return _TEXT.pack(ActionCode.TRACE, instance, len(text)) + text
+
+
+def pack_fault(instance: int, line: str) -> bytes:
+    """A fault of the instance, which ends the day, cut to its bound."""
+    text = line.encode()[:MAX_FAULT_BYTES]
+    return _TEXT.pack(ActionCode.FAULT, instance, len(text)) + text
--- a/corkgauge/simulator/protocol.py
+++ b/corkgauge/simulator/protocol.py
@@ -1,7 +1,7 @@
 """Framing of the simulator's wire: bytes in, fields out, and back."""
 
 import struct
-from typing import BinaryIO
+from typing import Any, BinaryIO
 
 HEADER = struct.Struct("<IQII")
 REPLY = struct.Struct("<III")
@@ -17,7 +17,7 @@
     def __init__(self, body: bytes) -> None:
         self.body, self.at = body, 0
 
-    def take(self, shape: struct.Struct) -> tuple:
+    def take(self, shape: struct.Struct) -> tuple[Any, ...]:
         """The next fields of this shape."""
         at = self.at
         if at + shape.size > len(self.body):
@@ -35,7 +35,7 @@
 
 
 def read_frame(source: BinaryIO) -> tuple[int, int, int, Cursor] | None:
-    """Clock, record count, number and records of the next frame; None at a clean end.
+    r"""Clock, record count, number and records of the next frame; None at a clean end.
 
     >>> import io
     >>> clock, count, number, cursor = read_frame(io.BytesIO(bytes.fromhex(
@@ -44,7 +44,7 @@
     (8412250, 0, 1)
     >>> read_frame(io.BytesIO(b"")) is None
     True
-    >>> read_frame(io.BytesIO(b"\\x10\\0"))
+    >>> read_frame(io.BytesIO(b"\x10\0"))
     Traceback (most recent call last):
     corkgauge.simulator.protocol.ProtocolError: input ended inside a frame's length
     """
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -255,7 +255,7 @@
 
     ground = SimulatorAdapter()
     boot = b'{"profiles":[{"deadlineUs":-5}]}'
-    ground.record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
+    ground.handle_record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
     assert ground.actions[0][0] == 70 and b"deadlineUs: -5" in ground.actions[0]
 
 
