--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -693,7 +693,7 @@
             f"the whole list as one event, {said}, against the longest line that is taken",
             "octets",
             lambda ask, n, key="settings.list.octets" + name: ask(key, n.engines),
-            feed_wire.LONGEST,
+            feed_wire.MAX_LINE_BYTES,
             "day",
             "one event up to a bound (`corkgauge/net/discovery_protocol.py`); a longer one ends the connection, the list stays",
         )
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -1,84 +1,115 @@
-"""The control feed's side: kept connected, asked again from the last whole event.
+"""The watch on endpoint discovery: kept connected, asked again from the last whole event.
 
-Owns the connection to one address, until that is left for another. Must never read an event: the house does.
+Owns the connection to one address, until that is left for another. It reads no event itself: the
+host does.
 """
 
 from typing import Any
 
 from corkgauge.eventloop.connection import StreamConnection, dial
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.net import discovery_protocol as feed_wire
+from corkgauge.net import discovery_protocol
 
-LEAST_PAUSE, MOST_PAUSE = (
-    SECOND // 20,
-    SECOND // 2,
-)  # between two dials of a feed that does not come up
-FEED_SILENT = 15_000  # a comment comes each second
-FEED_STUCK = 30_000  # that a line may take, with all that is before the first; told counts as heard 7 s later
+MIN_BACKOFF_TICKS = SECOND // 20  # between two dials of an address that does not come up
+MAX_BACKOFF_TICKS = SECOND // 2
+MAX_SILENCE_TICKS = 15_000  # a comment comes each second
+# That a line may take, with all that is before the first; notified counts as heard 7 s later.
+MAX_LINE_TICKS = 30_000
+LOOK_TICKS = MAX_SILENCE_TICKS // 8  # between two looks whether it is still alive
 
 
 class DiscoveryWatch:
-    """Keeps the control feed at one address connected, until it is left for another."""
+    """Keeps discovery at one address connected, until it is left for another."""
 
-    def __init__(self, socket_host: Any, where: tuple[str, int]) -> None:
-        self.socket_host, self.where, self.link = socket_host, where, None
-        self.pause, self.lost, self.left = 0, False, False
+    def __init__(self, socket_host: Any, address: tuple[str, int]) -> None:
+        self.socket_host = socket_host
+        self.address = address
+        self.link: StreamConnection | None = None
+        self.backoff = 0  # ticks until the next dial
+        self.is_lost = False
+        self.is_left = False
 
     def run(self) -> None:
+        """The task of this watch; it ends with the loop, or once the address is left."""
         event_loop = self.socket_host.event_loop
-        while not (event_loop.stopped or self.left):
+        while not (event_loop.stopped or self.is_left):
             begun = event_loop.now
-            sock, why = dial(event_loop, self.where, SECOND)
-            if self.left:
+            sock, why = dial(event_loop, self.address, SECOND)
+            if self.is_left:
                 if sock is not None:
                     sock.close()
                 return
             if sock is not None:
-                machine = feed_wire.DiscoveryProtocol(self, self.socket_host.lines)
-                self.link = StreamConnection(event_loop, sock, machine, self)
-                self.link.send(feed_wire.request("%s:%d" % self.where, self.socket_host.last_event))
-                self.watch(self.link)
-                self.link.run()
-                why = self.link.why
-            if not (self.lost or self.left):
-                self.lost = True
+                why = self._watch_connection(sock)
+            if not (self.is_lost or self.is_left):
+                self.is_lost = True
                 self.socket_host.log(f"feed lost: {why}")
-            # Danger: what it tells holds soon after a break, heard or not. So the first try is at once, and
-            # only those that end at once again wait, each longer.
-            if event_loop.now - begun > SECOND:
-                self.pause = 0
-            if self.pause and not self.left:
-                event_loop.sleep(self.pause)
-            self.pause = min(max(2 * self.pause, LEAST_PAUSE), MOST_PAUSE)
+            self._back_off(event_loop.now - begun)
+
+    def _watch_connection(self, sock: Any) -> str:
+        """Read events until the connection ends; why it did."""
+        event_loop = self.socket_host.event_loop
+        protocol = discovery_protocol.DiscoveryProtocol(self, self.socket_host.lines)
+        link = self.link = StreamConnection(event_loop, sock, protocol, self)
+        host = f"{self.address[0]}:{self.address[1]}"
+        link.send(discovery_protocol.request(host, self.socket_host.last_event))
+        self.check_alive(link)
+        link.run()
+        why: str = link.why
+        return why
+
+    def _back_off(self, lasted: int) -> None:
+        """Wait before the next dial.
+
+        What discovery says holds soon after a break, heard or not: so the first dial is at once,
+        and only those after a connection that ended at once wait, each longer.
+        """
+        if lasted > SECOND:
+            self.backoff = 0
+        if self.backoff and not self.is_left:
+            self.socket_host.event_loop.sleep(self.backoff)
+        self.backoff = min(max(2 * self.backoff, MIN_BACKOFF_TICKS), MAX_BACKOFF_TICKS)
 
     def leave(self) -> None:
-        """Another address holds from now on."""
-        self.left = True
+        """End the watch: another address holds from now on."""
+        self.is_left = True
         if self.link is not None:
             self.link.end("left for another")
 
     def event(self, number: str, data: str) -> str:
-        self.pause = 0
-        if self.lost:
-            self.lost = False
+        """Pass one event on to the host; what is wrong with it, or an empty string."""
+        self.backoff = 0
+        if self.is_lost:
+            self.is_lost = False
             self.socket_host.log(f"feed back at {self.socket_host.last_event}")
         return self.socket_host.event(number, data)
 
-    def watch(self, link: StreamConnection, whole: int = -1, since: int = 0) -> None:
-        """Danger: a feed that stops keeps its connection open. A comment comes each second; without any sign
-        for half a second more it is dead. One that drips, or never says how it answers, gives signs and no line."""
-        if link is self.link and not link.why:
-            now = self.socket_host.now
-            if link.machine.whole != whole:
-                whole, since = link.machine.whole, now
-            if now - link.heard > FEED_SILENT or now - since > FEED_STUCK:
-                return link.end(
-                    "silent" if now - link.heard > FEED_SILENT else "a line that does not end"
-                )
-            self.socket_host.event_loop.call_later(FEED_SILENT // 8, self.watch, link, whole, since)
+    def check_alive(
+        self, link: StreamConnection, known_lines: int = -1, line_since: int = 0
+    ) -> None:
+        """End a connection that is silent or stuck in a line, and look again later.
+
+        A server that stops keeps its connection open. A comment comes each second; without any sign
+        for half a second more it is dead. One that drips, or never says how it answers, gives signs
+        and no line.
+        """
+        if link is not self.link or link.why:
+            return
+        now = self.socket_host.now
+        if link.machine.whole != known_lines:
+            known_lines = link.machine.whole
+            line_since = now
+        if now - link.heard > MAX_SILENCE_TICKS:
+            link.end("silent")
+        elif now - line_since > MAX_LINE_TICKS:
+            link.end("a line that does not end")
+        else:
+            self.socket_host.event_loop.call_later(
+                LOOK_TICKS, self.check_alive, link, known_lines, line_since
+            )
 
     def drained(self) -> None:
-        pass
+        """All that was sent has left; nothing more is to be sent."""
 
     def ended(self, why: str) -> None:
-        pass
+        """The connection has ended; `run` goes on from there."""
--- a/corkgauge/net/discovery_protocol.py
+++ b/corkgauge/net/discovery_protocol.py
@@ -1,117 +1,148 @@
-"""The control feed's HTTP and server-sent events.
+"""The protocol of endpoint discovery: HTTP with server-sent events, as a machine fed with bytes.
 
-Owns the request to the feed and the reading of its reply: status, headers, chunks, events. Fed from a ring;
-must know no socket and no clock, and must never raise on bad bytes.
+Owns the request and the reading of its reply: status, headers, chunks, events. Knows no socket and
+no clock, and never raises on bad bytes.
 """
 
-from typing import Any
+from collections.abc import Callable
+from typing import Protocol
 
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
-LARGEST = 262_144  # of what lies unread
-# A line, so an event with the whole list. Danger: one that is refused is asked for again without end, and the gateway
-# goes on with an old list; 1,800 engines with ids of 36 characters take 300,000.
-LONGEST = 2**20
+MAX_UNREAD_BYTES = 262_144
+MAX_HEADER_LINE_BYTES = 16_384
+REQUEST_BYTES = 4096
+# A line, so an event with the whole list. One that is refused is asked for again without end, and
+# the gateway goes on with an old list; 1,800 engines with ids of 36 characters take 300,000.
+MAX_LINE_BYTES = 2**20
+NEED_MORE = "more"  # what a reader returns until more bytes have come
 
 
-def request(host: str, last: int) -> bytes:
+class EventOwner(Protocol):
+    """Who the events are for."""
+
+    def event(self, number: str, data: str) -> str:
+        """Take one event; what is wrong with it, or an empty string."""
+
+
+def request(host: str, last_event: int) -> bytes:
+    """The request for all events after `last_event`."""
     return (
         f"GET /v1/events HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
-        f"Last-Event-ID: {last}\r\nCache-Control: no-cache\r\n\r\n"
+        f"Last-Event-ID: {last_event}\r\nCache-Control: no-cache\r\n\r\n"
     ).encode()
 
 
 class DiscoveryProtocol:
-    """Reads the stream and calls its owner: `event(id, data)`, which says what is wrong."""
-
-    def __init__(self, owner: Any, allowance: MemoryBudget) -> None:
-        self.owner, self.whole = owner, 0  # whole lines of the stream so far
-        self.inward, self.outward = RingBuffer(LARGEST, allowance), RingBuffer(4096, allowance)
-        # What comes next: a line, which `heard` takes, or a stretch of events.
-        self.state, self.heard, self.chunked = self._line, self._status, False
-        self.left = 0  # of a chunk
-        self.text = bytearray()  # a part of a line of events
-        self.number, self.data = "", list[str]()
+    """Reads the stream of events and passes each on to its owner.
+
+    `whole` counts the lines of the stream that have come whole, comments among them.
+    """
+
+    def __init__(self, owner: EventOwner, memory_budget: MemoryBudget) -> None:
+        self.owner = owner
+        self.whole = 0
+        self.inward = RingBuffer(MAX_UNREAD_BYTES, memory_budget)
+        self.outward = RingBuffer(REQUEST_BYTES, memory_budget)
+        # What comes next: a line, which `_on_line` takes, or a stretch of the event stream.
+        self._read: Callable[[], str] = self._read_line
+        self._on_line: Callable[[bytes], str] = self._on_status
+        self._is_chunked = False
+        self._chunk_bytes_left = 0
+        self._partial_line = bytearray()
+        self._event_number = ""
+        self._event_data: list[str] = []
 
     def advance(self) -> str:
-        while (wrong := self.state()) == "":
+        """Take what has come; what is wrong, or an empty string."""
+        while (wrong := self._read()) == "":
             pass
-        return "" if wrong == "more" else wrong
+        return "" if wrong == NEED_MORE else wrong
 
-    def _line(self) -> str:
+    def _read_line(self) -> str:
         data = self.inward.peek(len(self.inward))
         end = data.find(b"\n")
         if end >= 0:
-            return self.heard(self.inward.take(end + 1).rstrip(b"\r\n"))
-        if len(self.inward) >= 16_384:
+            return self._on_line(self.inward.take(end + 1).rstrip(b"\r\n"))
+        if len(self.inward) >= MAX_HEADER_LINE_BYTES:
             return "a line that is too long"
         self.inward.reserve(2 * len(self.inward))
-        return "more"
+        return NEED_MORE
 
-    def _status(self, line: bytes) -> str:
+    def _on_status(self, line: bytes) -> str:
         parts = line.split()
         if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or parts[1] != b"200":
             return f"status {line[:40]!r}"
-        self.heard = self._headers
+        self._on_line = self._on_header
         return ""
 
-    def _headers(self, line: bytes) -> str:
-        if not line and self.chunked:
-            self.heard = self._chunk_size
+    def _on_header(self, line: bytes) -> str:
+        if not line and self._is_chunked:
+            self._on_line = self._on_chunk_size
         elif not line:
-            self.state = self._plain
+            self._read = self._read_plain
         elif line.lower().startswith(b"transfer-encoding:") and b"chunked" in line.lower():
-            self.chunked = True
+            self._is_chunked = True
         return ""
 
-    def _chunk_size(self, line: bytes) -> str:
+    def _on_chunk_size(self, line: bytes) -> str:
         if not line:
             return ""  # the end of the chunk before
         try:
-            self.left = int(line.split(b";")[0], 16)
+            self._chunk_bytes_left = int(line.split(b";")[0], 16)
         except ValueError:
             return f"a chunk of size {line[:20]!r}"
-        if self.left <= 0:
+        if self._chunk_bytes_left <= 0:
             return "the end of the stream"
-        self.state = self._chunk
+        self._read = self._read_chunk
         return ""
 
-    def _chunk(self) -> str:
+    def _read_chunk(self) -> str:
         if not len(self.inward):
-            return "more"
-        data = self.inward.take(min(self.left, len(self.inward)))
-        self.left -= len(data)
-        if not self.left:
-            self.state = self._line
-        return self._events(data)
-
-    def _plain(self) -> str:
-        return self._events(self.inward.take(len(self.inward))) if len(self.inward) else "more"
-
-    def _events(self, data: bytes) -> str:
-        self.text += data
-        while (end := self.text.find(b"\n")) >= 0:
-            line = bytes(self.text[:end]).rstrip(b"\r")
-            del self.text[: end + 1]
+            return NEED_MORE
+        data = self.inward.take(min(self._chunk_bytes_left, len(self.inward)))
+        self._chunk_bytes_left -= len(data)
+        if not self._chunk_bytes_left:
+            self._read = self._read_line
+        return self._on_stream(data)
+
+    def _read_plain(self) -> str:
+        if not len(self.inward):
+            return NEED_MORE
+        return self._on_stream(self.inward.take(len(self.inward)))
+
+    def _on_stream(self, data: bytes) -> str:
+        self._partial_line += data
+        while (end := self._partial_line.find(b"\n")) >= 0:
+            line = bytes(self._partial_line[:end]).rstrip(b"\r")
+            del self._partial_line[: end + 1]
             try:
-                if wrong := self._event_line(line.decode()):
-                    return wrong
+                text = line.decode()
             except UnicodeDecodeError:
                 return "an event that is not text"
-        return "a line that is too long" if len(self.text) > LONGEST else ""
+            if wrong := self._on_event_line(text):
+                return wrong
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            return "a line that is too long"
+        return ""
 
-    def _event_line(self, line: str) -> str:
+    def _on_event_line(self, line: str) -> str:
         self.whole += 1  # a comment counts as well
         if not line:
-            number, data = self.number, self.data
-            self.number, self.data = "", []
-            return self.owner.event(number, "\n".join(data)) if data else ""
+            return self._finish_event()
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if name == "id":
-            self.number = value
+            self._event_number = value
         elif name == "data":
-            self.data.append(value)
-            if sum(map(len, self.data)) > LONGEST:
+            self._event_data.append(value)
+            if sum(map(len, self._event_data)) > MAX_LINE_BYTES:
                 return "an event that is too long"
         return ""
+
+    def _finish_event(self) -> str:
+        number = self._event_number
+        data = self._event_data
+        self._event_number = ""
+        self._event_data = []
+        return self.owner.event(number, "\n".join(data)) if data else ""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -391,12 +391,12 @@
     premises = Loopback()
     engine, _ = premises.engine()
     door = ending(premises)
-    door.open = False  # the loop has had no turn to let them in
+    door.is_open = False  # the loop has had no turn to let them in
     premises.event_loop.wake(door.sock.fileno())
     premises.turn()
     client = socket.create_connection(door.sock.getsockname())
     client.sendall(request_frame(patience="4000"))
-    door.open = True
+    door.is_open = True
     premises.pass_time(9_100, 100)
     assert T1.encode() in premises.heard_soon(engine, 60) and not premises.event_loop.stopped
     premises.engine_says(engine, T1, "DONE", "chunks=1", ROW)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -220,7 +220,7 @@
         "fleet.start.octets": (870, 1),
         "fleet.handover.lost": (870, 8.9),
         "settings.restart.unready": (1_800, 0.6),
-        "settings.list.octets.long": (1_800, 1.01 * feed_wire.LONGEST),
+        "settings.list.octets.long": (1_800, 1.01 * feed_wire.MAX_LINE_BYTES),
     }
     lines = page_of(**kept).next().splitlines()
     titles = (
