--- a/corkgauge/net/client_protocol.py
+++ b/corkgauge/net/client_protocol.py
@@ -1,53 +1,90 @@
-"""The clients' binary frames, both ways.
+"""The protocol of clients: binary frames, both ways, as a machine fed with bytes.
 
-Owns framing and field decoding of one client connection, and the numbers of its streams. Fed from a ring;
-must know no socket and no clock, must never raise on bad bytes, and decides nothing but what a frame says.
+Owns framing and field decoding of one client connection, and the order of its streams. Knows no
+socket and no clock, never raises on bad bytes, and decides nothing but what a frame says.
 """
 
 from struct import Struct
-from typing import Any
+from typing import Protocol
 
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
-LARGEST = 262_144  # a frame's length field at most; it counts all that follows it
-HEADER, STREAM, NAME, VALUE = Struct("<IBI"), Struct("<BI"), Struct("<B"), Struct("<H")
-REQUEST, ANSWER, WITHDRAWN, READY_ASKED, READY, LEAVING = 2, 4, 8, 16, 32, 64
-SERVED, REFUSED, FAILED = 1, 2, 3
+MAX_FRAME_BYTES = 262_144  # in the length field, which counts all that follows it
+LENGTH_BYTES = 4
+MIN_FRAME_BYTES = 5  # kind and stream
+HEADER = Struct("<IBI")  # length, kind, stream
+STREAM = Struct("<BI")  # kind, stream
+NAME = Struct("<B")  # length of a field's name
+VALUE = Struct("<H")  # length of a field's value
+
+# Kinds of frames.
+REQUEST = 2
+ANSWER = 4
+WITHDRAWN = 8
+READY_ASKED = 16
+READY = 32
+LEAVING = 64
+
+# Codes of answers.
+SERVED = 1
+REFUSED = 2
+FAILED = 3
+
+
+class FrameOwner(Protocol):
+    """Who the frames are for. Each method says what is wrong with the connection, if anything."""
+
+    def requested(self, stream: int, fields: dict[str, str], body: bytes) -> str:
+        """Take a request."""
+
+    def withdrawn(self, stream: int) -> str:
+        """Cancel the request of a stream."""
+
+    def ready_asked(self, stream: int) -> str:
+        """Answer a readiness check."""
+
+    def unreadable(self, stream: int, wrong: str) -> str:
+        """Take note of a frame that makes no sense; stream 0: it belongs to none."""
 
 
 class ClientProtocol:
-    """Reads frames and calls its owner: `requested`, `withdrawn`, `ready_asked`, `unreadable`. Each says what
-    is wrong with the connection as a whole, if anything; so does `advance`."""
+    """Reads frames and passes each on to its owner.
+
+    `whole` counts the frames that have come whole.
+    """
 
-    def __init__(self, owner: Any, allowance: MemoryBudget) -> None:
-        self.owner, self.last_stream, self.whole = owner, 0, 0
-        self.inward, self.outward = (RingBuffer(LARGEST + 4, allowance) for _ in "io")
+    def __init__(self, owner: FrameOwner, memory_budget: MemoryBudget) -> None:
+        self.owner = owner
+        self.last_stream = 0
+        self.whole = 0
+        self.inward = RingBuffer(MAX_FRAME_BYTES + LENGTH_BYTES, memory_budget)
+        self.outward = RingBuffer(MAX_FRAME_BYTES + LENGTH_BYTES, memory_budget)
 
     def advance(self) -> str:
-        """Take what is whole; what is wrong with the framing, if anything."""
+        """Take what is whole; what is wrong with the framing, or an empty string."""
         ring = self.inward
-        while len(ring) >= 4:
-            length = int.from_bytes(ring.peek(4), "little")
-            if not 5 <= length <= LARGEST:
+        while len(ring) >= LENGTH_BYTES:
+            length = int.from_bytes(ring.peek(LENGTH_BYTES), "little")
+            if not MIN_FRAME_BYTES <= length <= MAX_FRAME_BYTES:
                 return f"a frame of length {length}"
-            if len(ring) < length + 4:
-                if (
-                    not ring.free
-                ):  # Danger: a length is only a claim; memory is held for what has come
-                    ring.reserve(min(length + 4, 2 * len(ring)))
+            size = length + LENGTH_BYTES
+            if len(ring) < size:
+                # A length is only a claim: memory is held for what has come, not for what is
+                # announced.
+                if not ring.free:
+                    ring.reserve(min(size, 2 * len(ring)))
                 break
-            kind, stream = STREAM.unpack(ring.peek(5, 4))
-            payload = ring.take(length + 4)[9:]
+            kind, stream = STREAM.unpack(ring.peek(STREAM.size, LENGTH_BYTES))
+            payload = ring.take(size)[HEADER.size :]
             self.whole += 1
-            if wrong := self._frame(kind, stream, payload):
+            if wrong := self._on_frame(kind, stream, payload):
                 return wrong
         return ""
 
-    def _frame(self, kind: int, stream: int, payload: bytes) -> str:
+    def _on_frame(self, kind: int, stream: int, payload: bytes) -> str:
         if kind == REQUEST:
-            if (
-                stream <= self.last_stream
-            ):  # Danger: whose answer is it that comes under this number?
+            # With a number used twice nobody could say whose answer comes under it.
+            if stream <= self.last_stream:
                 return f"stream {stream} is not new"
             self.last_stream = stream
             fields, body, wrong = fields_of(payload)
@@ -62,16 +99,17 @@
 
 
 def fields_of(payload: bytes) -> tuple[dict[str, str], bytes, str]:
-    """Fields and body, or what is wrong with them.
+    r"""Return fields and body, or what is wrong with them.
 
-    >>> fields_of(b"\\1\\5route\\3\\0abcselect 1")
+    >>> fields_of(b"\1\5route\3\0abcselect 1")
     ({'route': 'abc'}, b'select 1', '')
-    >>> fields_of(b"\\2\\5route\\3\\0abc")[2], fields_of(b"\\1\\1\\xff\\0\\0")[2], fields_of(b"")[2]
+    >>> fields_of(b"\2\5route\3\0abc")[2], fields_of(b"\1\1\xff\0\0")[2], fields_of(b"")[2]
     ('a field cut short', 'a field that is not text', 'no count of fields')
     """
     if not payload:
         return {}, b"", "no count of fields"
-    fields, at = {}, 1
+    fields: dict[str, str] = {}
+    at = 1
     for _ in range(payload[0]):
         begin = at + 1
         middle = begin + (payload[at] if at < len(payload) else 0)
@@ -81,7 +119,8 @@
         if at > len(payload):
             return {}, b"", "a field cut short"
         try:
-            name, value = payload[begin:middle].decode(), payload[middle + 2 : at].decode()
+            name = payload[begin:middle].decode()
+            value = payload[middle + 2 : at].decode()
         except UnicodeDecodeError:
             return {}, b"", "a field that is not text"
         if name in fields:
@@ -91,7 +130,7 @@
 
 
 def frame_head(kind: int, stream: int, code: int, body: int) -> bytes:
-    """All of an answer but its body, which has so many bytes; no fields are needed.
+    """Return all of an answer but its body, which has `body` bytes; no fields are needed.
 
     >>> frame_head(ANSWER, 7, SERVED, 2).hex()
     '0900000004070000000100'
@@ -100,4 +139,5 @@
 
 
 def leaving() -> bytes:
+    """Return the frame that says that this gateway takes no new requests."""
     return HEADER.pack(5, LEAVING, 0)
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -82,7 +82,8 @@
         if self.is_lost:
             self.is_lost = False
             self.socket_host.log(f"feed back at {self.socket_host.last_event}")
-        return self.socket_host.event(number, data)
+        wrong: str = self.socket_host.event(number, data)
+        return wrong
 
     def check_alive(
         self, link: StreamConnection, known_lines: int = -1, line_since: int = 0
--- a/corkgauge/net/table_group.py
+++ b/corkgauge/net/table_group.py
@@ -1,13 +1,13 @@
-"""The group of tables that a statement reads or writes.
+"""The table group of a statement: the number in the name of the schema that it reads or writes.
 
-Owns nothing; must never raise, whatever the statement. A statement can be as large as a frame, so all work
-by length is done by the regular expressions, none by a loop here.
+Never raises, whatever the statement. A statement can be as large as a frame, so all work that grows
+with its length is done by the regular expressions, none by a loop here.
 """
 
 import re
 
-# What cannot count goes first: strings, comments, and quoted names that are no plain words. What never ends
-# runs on to the end.
+# Strings, comments and quoted names that are no plain words cannot name a group, so they are
+# blanked out. One that is never closed runs on to the end.
 NOISE = re.compile(
     rb"""
     '(?:[^']+|'')*+(?:'|\Z) | --[^\n]* | /\*.*?(?:\*/|\Z)
@@ -23,18 +23,19 @@
     + NAME,
     re.X,
 )
-HIDES = re.compile(rb"['\"`]|--|/\*")
+MAY_HIDE = re.compile(rb"['\"`]|--|/\*")
 ANYWHERE = re.compile(rb"(?i) (?<! [\w$.\x80-\xff] ) " + NAME, re.X)
 
 
 def tables_of(statement: bytes) -> float:
-    """The number behind the underscore in a schema's name; 0.0 when there is none.
+    """Return the number behind the underscore in a schema's name; 0.0 when there is none.
 
     >>> tables_of(b"SELECT 'x from sales_3.a' FROM sales_17.orders"), tables_of(b"select 1")
     (17.0, 0.0)
     """
     found = TABLE.search(statement)
-    if not found or HIDES.search(statement, 0, found.end()):  # what comes before it may hide it
+    # What comes before the match, a comment or a string, may hide it.
+    if not found or MAY_HIDE.search(statement, 0, found.end()):
         plain = NOISE.sub(rb" \1", statement)
         found = TABLE.search(plain) or ANYWHERE.search(plain)
     return float(found[1]) if found else 0.0
