--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -28,7 +28,7 @@
     InFlightAttempt,
     outcome_of,
 )
-from corkgauge.net.engine_protocol import MOST_PAGE, page
+from corkgauge.net.engine_protocol import MAX_PAGE_BYTES, is_valid_page
 from corkgauge.net.live_records import LiveRecords
 from corkgauge.policy.records import (
     Attempt,
@@ -357,7 +357,7 @@
                     else "two results"
                 )
             # Danger: the request ran, but what came is spoilt: nothing of it may pass for an answer.
-            if not page(body):
+            if not is_valid_page(body):
                 return "a page that is spoilt"
             in_flight_attempt.answered = True
             in_flight_attempt.link.page()
@@ -374,7 +374,7 @@
             if (
                 not in_flight_attempt.answered
                 or not 0 < n < len(in_flight_attempt.pages)
-                or not page(body)
+                or not is_valid_page(body)
                 or (in_flight_attempt.pages[n] not in (None, body))
             ):
                 return f"a page {at[:8]!r} out of turn or spoilt"
@@ -394,7 +394,7 @@
         while self.page_line:
             in_flight_attempt = self.page_line[0]
             if in_flight_attempt.attempt in self.in_flight_attempts:
-                size = MOST_PAGE * len(in_flight_attempt.pages)
+                size = MAX_PAGE_BYTES * len(in_flight_attempt.pages)
                 if not self.results.take(size):
                     return
                 in_flight_attempt.asked = size
--- a/corkgauge/testkit/emulators/protocols.py
+++ b/corkgauge/testkit/emulators/protocols.py
@@ -18,7 +18,7 @@
     VALUE,
     WITHDRAWN,
 )
-from corkgauge.net.engine_protocol import array
+from corkgauge.net.engine_protocol import read_array
 
 PLENTY = 64 * 2**20
 
@@ -35,7 +35,7 @@
         ring = self.inward
         while len(ring):
             data = ring.peek(len(ring))
-            end, parts, wrong = array(data, 0)
+            end, parts, wrong = read_array(data, 0)
             if wrong:
                 return wrong
             if not end:
