--- a/corkgauge/net/engine_protocol.py
+++ b/corkgauge/net/engine_protocol.py
@@ -34,15 +34,15 @@
 class EngineProtocol:
     """Reads answers and passes each on to its owner.
 
-    What does not parse is the end of the connection, with all that is open there. `whole` counts the
-    answers that have come whole.
+    What does not parse is the end of the connection, with all that is open there. `whole` counts
+    the answers that have come whole.
     """
 
     def __init__(self, owner: AnswerOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
         self.whole = 0
-        # Clients that stall hold the memory that rings may grow by. Answers must come in all the same,
-        # so this ring starts at its largest size.
+        # Clients that stall hold the memory that rings may grow by. Answers must come in all the
+        # same, so this ring starts at its largest size.
         self.inward = RingBuffer(MAX_ANSWER_BYTES, memory_budget, MAX_ANSWER_BYTES)
         self.outward = RingBuffer(MAX_COMMAND_BYTES, memory_budget)
 
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -21,14 +21,10 @@
 from corkgauge.net.client_connection import ClientRequest
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.edge_counters import EdgeCounters
-from corkgauge.net.engine_connection import (
-    ENDS,
-    EngineConnection,
-    EnginePool,
-    InFlightAttempt,
-    outcome_of,
-)
+from corkgauge.net.engine_connection import ENDS, EngineConnection
+from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import MAX_PAGE_BYTES, is_valid_page
+from corkgauge.net.in_flight import InFlightAttempt, outcome_of
 from corkgauge.net.live_records import LiveRecords
 from corkgauge.policy.records import (
     Attempt,
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -5,7 +5,8 @@
 
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.loop import EventLoop
-from corkgauge.net.engine_connection import EngineConnection, EnginePool
+from corkgauge.net.engine_connection import EngineConnection
+from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import command
 from corkgauge.net.platform_frontend import PlatformFrontEnd
 from corkgauge.policy.gateway import Gateway
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,8 @@
 from corkgauge.net import discovery as feeds
 from corkgauge.net.acceptor import Acceptor
 from corkgauge.net.discovery import DiscoveryWatch
-from corkgauge.net.engine_connection import EngineConnection, EnginePool
+from corkgauge.net.engine_connection import EngineConnection
+from corkgauge.net.engine_pool import EnginePool
 from corkgauge.policy.records import AttemptOutcome
 from corkgauge.testkit.fleet.parent_process import tied
 from corkgauge.testkit.fleet.ports import free_port
@@ -247,7 +248,7 @@
         premises.socket_host.dials = 0
         for engine_pool in premises.socket_host.engine_pools.values():
             engine_pool.dialling = False
-        monkeypatch.setattr("corkgauge.net.engine_connection.dial", self.dial)
+        monkeypatch.setattr("corkgauge.net.engine_pool.dial", self.dial)
 
     def dial(self, event_loop, where, span):
         number = len(self.asked)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,7 +18,7 @@
 from corkgauge.net import client_connection as clients
 from corkgauge.net import discovery_protocol as feed_wire
 from corkgauge.net.client_protocol import ClientProtocol
-from corkgauge.net.engine_connection import EnginePool
+from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import EngineProtocol, command
 from corkgauge.net.table_group import tables_of
 from corkgauge.policy.records import AttemptOutcome, EngineState
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from corkgauge.net import engine_connection as engines
-from corkgauge.net.engine_connection import EnginePool
+from corkgauge.net import engine_pool as engines
+from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import command
 from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
 
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from corkgauge.net import engine_connection as engines
-from corkgauge.net.engine_connection import EnginePool
+from corkgauge.net import engine_pool as engines
+from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import command
 from corkgauge.policy.records import EngineState
 from corkgauge.testkit.seeded_random import SeededRandom
