--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -38,16 +38,18 @@
     """One connection to an engine."""
 
     def __init__(self, engine_pool: EnginePool, sock: Any) -> None:
-        self.engine_pool, self.socket_host = engine_pool, engine_pool.socket_host
+        self.engine_pool = engine_pool
+        self.socket_host = engine_pool.socket_host
         self.open: dict[str, InFlightAttempt] = {}
-        self.past: dict[str, None] = {}  # done with, an answer or a copy of one may still come
-        self.retired, self.pages = False, 0
+        self.past: dict[str, None] = {}  # done with; an answer or a copy of one may still come
+        self.retired = False  # takes nothing new, and ends with the last that is open
+        self.pages = 0
         self.socket_host.links[self] = None
         self.socket_host.ledger.connection_up(ENGINE)
-        self.alive, self.asked = 0, NEVER  # signs asked for; when, while none has come
-        self.spoke = self.lively = (
-            self.socket_host.now
-        )  # its last answer; since when none was long in coming
+        self.alive = 0  # signs of life asked for
+        self.asked = NEVER  # when, while none has come
+        self.spoke = self.socket_host.now  # its last answer
+        self.lively = self.socket_host.now  # since when none was long in coming
         self.link = StreamConnection(
             self.socket_host.event_loop,
             sock,
@@ -56,12 +58,16 @@
             MID_ANSWER,
         )
         if self.socket_host.flows is not None:
-            zones, zone = self.socket_host.settings.zones, engine_pool.engine.zone
-            self.socket_host.flows.up(self.link, ENGINE, engine_pool.engine.name, str(zones[zone]))
+            engine = engine_pool.engine
+            zone = str(self.socket_host.settings.zones[engine.zone])
+            self.socket_host.flows.up(self.link, ENGINE, engine.name, zone)
 
     def room_for(self, order: ClientRequest) -> bool:
-        # Danger: both hand-offs of a submission carry its id; a late answer to one would pass for
-        # the other.
+        """Tell whether an attempt of this request may go here.
+
+        Both attempts of a request carry its id. On one connection a late answer to the one would
+        pass for an answer to the other.
+        """
         return not (
             self.retired
             or self.link.why
@@ -72,14 +78,15 @@
         )
 
     def take(self, in_flight_attempt: InFlightAttempt) -> bool:
-        """Write a hand-off at once, unless there is no room. Danger: one that is put and not written begins when its
-        engine reads again, whoever has gone by then; so none is ever kept back here."""
-        socket_host, order, attempt = (
-            self.socket_host,
-            in_flight_attempt.order,
-            in_flight_attempt.attempt,
-        )
-        request, settings = attempt.request, socket_host.settings
+        """Write an attempt at once; False, with nothing written, where there is no room.
+
+        One that is put and not written would begin when its engine reads again, whoever has gone by
+        then; so none is ever kept back here.
+        """
+        socket_host = self.socket_host
+        settings = socket_host.settings
+        order = in_flight_attempt.order
+        request = in_flight_attempt.attempt.request
         fields = [
             f"sort={request.request_class.name}",
             f"patience={max((in_flight_attempt.until - socket_host.now) // 10, 1)}",
@@ -93,11 +100,9 @@
         said = command("fetch", order.name, ",".join(fields), order.statement)
         if not self.link.send_now(said):
             return False
-        in_flight_attempt.link, in_flight_attempt.begin, in_flight_attempt.end = (
-            self,
-            self.link.put - len(said),
-            self.link.put,
-        )
+        in_flight_attempt.link = self
+        in_flight_attempt.begin = self.link.put - len(said)
+        in_flight_attempt.end = self.link.put
         self.open[order.name] = in_flight_attempt
         socket_host.counters["handed off"] += 1
         in_flight_attempt.told = socket_host.now
@@ -108,39 +113,48 @@
         return True
 
     def page(self) -> None:
-        """A page of a result has come, for the first time."""
+        """Count a page of a result, which has come for the first time."""
         self.pages += 1
         self.engine_pool.row.pages += 1
 
     def say(self, *parts: str) -> None:
+        """Send a command; the connection ends where there is no room for it."""
         if not self.link.send(command(*parts)):
             self.link.end("no room for a command")
 
     def answered(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
+        """Take an answer of the engine; what is wrong with it, or an empty string."""
         in_flight_attempt = self.open.get(name)
-        self.asked, now = NEVER, self.socket_host.now
-        # Danger: an engine that stood still goes on where it was; what was due meanwhile is not
-        # lost.
-        self.lively = now if now > self.spoke + LIVELY else self.lively
+        now = self.socket_host.now
+        self.asked = NEVER
+        # An engine that stood still goes on where it was; what was due meanwhile is not lost.
+        if now > self.spoke + LIVELY:
+            self.lively = now
         self.spoke = now
         if word not in WORDS:
             return f"an answer {word[:8]!r}"
         self.socket_host.counters["answers " + word] += 1
         if in_flight_attempt is None:
-            # Danger: a copy, a late answer or one to an id of nobody's is no fault of what else is
-            # open here.
+            # A copy, a late answer or one to an id of nobody's is no fault of what else is open
+            # here: it is dropped, and the connection lives on.
             self.socket_host.counters["answers dropped"] += word != "FIT"
             return "" if word == "FIT" or NAME(name) else "an answer to an id that makes no sense"
-        return self.socket_host.answered(in_flight_attempt, word, fields, body)
+        wrong: str = self.socket_host.answered(in_flight_attempt, word, fields, body)
+        return wrong
 
     def let_go(self, in_flight_attempt: InFlightAttempt) -> None:
-        """Nothing more is wanted of it. Danger: the engine works on past the time that it was told, and holds
-        it until it hears."""
+        """Tell the engine that nothing more is wanted of an attempt.
+
+        It would work on past the time that it was given, and hold the result until it hears.
+        """
         self.say("done" if in_flight_attempt.answered else "abort", in_flight_attempt.order.name)
         self.forget(in_flight_attempt)
 
     def forget(self, in_flight_attempt: InFlightAttempt) -> None:
-        """Danger: what still comes under its id, a copy or a late answer, must not pass for a later one's."""
+        """Drop an attempt, but remember its id.
+
+        What still comes under it, a copy or a late answer, would pass for a later attempt's.
+        """
         if self.open.pop(in_flight_attempt.order.name, None) is not None:
             self.past[in_flight_attempt.order.name] = None
             if len(self.past) > PAST:
@@ -149,35 +163,45 @@
             self.link.end("no longer needed")
 
     def drained(self) -> None:
+        """All that was put has left: there is room for more."""
         self.engine_pool.fill()
 
     def watch(self) -> None:
-        """Danger: the engine closes what is idle, and a hand-off would meet that. So none is ever idle; one to an
-        engine outside the working set ends before. Danger: in time all pairs of a large fleet would
-        have a link."""
+        """Ask a quiet connection for a sign of life, and end one that gives none.
+
+        The engine closes what is idle, and an attempt would meet that: so none is ever idle. One to
+        an engine outside the subset ends before that, as in time all pairs of a large fleet would
+        be connected.
+        """
         if self.link.why:
             return
-        # Danger: a machine that vanished or was cut off says nothing, and its connections stay
-        # open. All that is out there would wait for its expiry.
-        quiet, now = self.socket_host.now - self.link.heard, self.socket_host.now
+        # A machine that vanished or was cut off says nothing, and its connections stay open. All
+        # that is in flight there would wait for its deadline.
+        now = self.socket_host.now
+        quiet = now - self.link.heard
         if now >= self.asked + NO_SIGN:
-            return self.link.end("no sign")
-        if (
-            quiet > self.idle
-            and not (self.open or self.engine_pool.engine.in_subset)
-            and self.asked == NEVER
-        ):
-            return self.link.end("idle, and outside the working set")
-        if quiet > (min(SIGN, self.idle) if self.open else self.idle) and self.asked == NEVER:
-            self.alive, self.asked = self.alive + 1, now
+            self.link.end("no sign")
+            return
+        is_asked = self.asked != NEVER
+        is_needed = self.open or self.engine_pool.engine.in_subset
+        if quiet > self.idle and not is_needed and not is_asked:
+            self.link.end("idle, and outside the working set")
+            return
+        patience = min(SIGN, self.idle) if self.open else self.idle
+        if quiet > patience and not is_asked:
+            self.alive += 1
+            self.asked = now
             self.say("alive", f"alive-{self.alive}")
         self.socket_host.event_loop.call_later(min(self.idle // 2, SIGN // 2), self.watch)
 
     @property
     def idle(self) -> int:
-        return self.socket_host.settings.idle_time // 3
+        """Ticks of quiet after which it is asked for a sign; a third of what engines allow."""
+        idle_ticks: int = self.socket_host.settings.idle_time // 3
+        return idle_ticks
 
     def ended(self, why: str) -> None:
+        """The connection has ended: all that was open on it failed."""
         engine_pool = self.engine_pool
         engine_pool.links.remove(self)
         self.socket_host.links.pop(self, None)
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -18,43 +18,48 @@
 
 
 class EnginePool:
-    """An engine, its address, its links, and the hand-offs that wait for one."""
+    """An engine, its address, its connections, and the attempts that wait for one."""
 
     __slots__ = (
-        "socket_host",
-        "engine",
         "address",
+        "dialling",
+        "due",
+        "engine",
+        "era",
+        "filling",
+        "links",
         "number",
         "row",
-        "links",
-        "waiting",
-        "dialling",
+        "socket_host",
         "spare_from",
         "started",
-        "era",
-        "filling",
-        "due",
+        "waiting",
         "wanting",
     )
 
     def __init__(self, socket_host: Any, engine: Engine, number: int = 0) -> None:
-        self.socket_host, self.engine, self.address = socket_host, engine, ("", 0)
+        self.socket_host = socket_host
+        self.engine = engine
+        self.address = ("", 0)
         self.number = number  # in the order in which the list named them
-        self.row = socket_host.ledger.engine(engine.name)  # its account
+        self.row = socket_host.ledger.engine(engine.name)  # its row in the ledger
         self.links: list[EngineConnection] = []
-        self.waiting: list[
-            InFlightAttempt
-        ] = []  # a deque takes 760 bytes, also where nothing is ever sent
-        self.dialling, self.spare_from = False, 0
-        self.started = 0  # the engine, in ms, as the list told it
-        self.era = (
-            0  # of its process and address; what a dial of an earlier one brings is for nothing
-        )
-        self.filling = self.due = False  # a fill is under way; one is due at the end of this turn
+        # A list: a deque takes 760 bytes, also where nothing is ever sent.
+        self.waiting: list[InFlightAttempt] = []
+        self.dialling = False
+        self.spare_from = 0  # when a connection ahead of need may be dialled again
+        self.started = 0  # the engine, in ms, as the list reports it
+        # Counts its processes and addresses; what a dial of an earlier one brings is for nothing.
+        self.era = 0
+        self.filling = False  # a fill is under way
+        self.due = False  # one is due at the end of this turn
         self.wanting = False  # the last dial failed for want of descriptors of our own
 
     def line_up(self, in_flight_attempt: InFlightAttempt) -> None:
-        """A hand-off waits for a link; it is written at the end of this turn, when the gateway has said all."""
+        """Let an attempt wait for a connection.
+
+        It is written at the end of this turn, when the gateway has made all its calls.
+        """
         self.waiting.append(in_flight_attempt)
         self.socket_host.awaited[self] = None
         if not self.due:
@@ -62,8 +67,11 @@
             self.socket_host.event_loop.unsent.append(self.fill)
 
     def fill(self) -> None:
-        """Write what waits to links that have room; dial where there are none. Never called from within the gateway's
-        own calls, as the last look at a client may tell the gateway that it has gone."""
+        """Write what waits to connections that have room; dial where there are none.
+
+        Never called from within the gateway's own calls, as the last look at a client may notify
+        the gateway that it has gone.
+        """
         self.due = False
         if self.engine.state != EngineState.READY or self.filling:
             return
@@ -97,9 +105,12 @@
                 del self.waiting[0]
 
     def _link_for(self, order: ClientRequest) -> EngineConnection | None:
-        """The emptiest with room, whose engine has not closed it. Danger: what spoils one answer takes all with it that
-        is open on its link, so they keep apart; and what is written to a link whose end has come by
-        now may have run or not, nobody knows."""
+        """Return the emptiest connection with room, whose engine has not closed it.
+
+        What spoils one answer takes all with it that is open on its connection, so attempts keep
+        apart. Of what is written to a connection whose end has come by now nobody knows whether it
+        ran.
+        """
         able = sorted(
             (each for each in self.links if each.room_for(order)), key=lambda each: len(each.open)
         )
@@ -108,22 +119,25 @@
                 return link
         return None
 
+    def _lacks_spare(self) -> bool:
+        """Tell whether another connection is wanted ahead of need.
+
+        Hundreds of gateways that dial each engine ahead, most of which they send nothing, cost the
+        engines more than their requests do. So where a gateway's part of an engine is below one
+        attempt, the first connection waits for one, and a further one until two attempts had to
+        share. An engine outside the subset is used by exception, and has connections for what waits
+        alone.
+        """
+        if len(self.links) >= SPREAD or not self.engine.in_subset or self.dialling:
+            return False
+        if not all(each.open for each in self.links):
+            return False
+        has_large_part = self.socket_host.gateway.slots * self.engine.cores >= 1.0
+        return has_large_part or any(len(each.open) > 1 for each in self.links)
+
     def _dial_more(self) -> None:
         most = self.socket_host.links_each()
-        # Danger: hundreds of gateways that dial each engine ahead, most of which they send nothing,
-        # cost the engines more than they ask. So where a gateway's part of an engine is below one
-        # hand-off, the first link waits for one, and a further one until two had to share. An
-        # engine outside the working set is used by exception, and has links for what waits alone.
-        ahead = (
-            len(self.links) < SPREAD
-            and self.engine.in_subset
-            and not self.dialling
-            and (all(each.open for each in self.links))
-            and (
-                self.socket_host.gateway.slots * self.engine.cores >= 1.0
-                or any(len(each.open) > 1 for each in self.links)
-            )
-        )
+        ahead = self._lacks_spare()
         if ahead:
             self.socket_host.short[self] = None  # looked at again with the next change of the list
         else:
@@ -140,12 +154,14 @@
             self._want()
 
     def _want(self) -> None:
-        """Danger: descriptors that we lack are no fault of the engine's."""
-        self.wanting, self.spare_from = True, self.socket_host.now + SECOND
+        """Wait for descriptors: those that we lack are no fault of the engine's."""
+        self.wanting = True
+        self.spare_from = self.socket_host.now + SECOND
         self.socket_host.counters["no descriptor"] += 1
         self.socket_host.event_loop.call_later(SECOND // 100, self.fill)
 
     def dial(self, where: tuple[str, int]) -> None:
+        """Dial the engine and take the connection up; the task of one dial."""
         era = self.era
         sock, why = dial(self.socket_host.event_loop, where, self.socket_host.settings.dial_time)
         self.dialling = False
@@ -153,19 +169,17 @@
         self.socket_host.counters["dialled"] += 1
         if why in WANTING:
             self.socket_host.make_room()
-            return self._want()
+            self._want()
+            return
         self.wanting = False
         if sock is None:
             self.socket_host.counters["unreached"] += 1
-            self.spare_from = (
-                self.socket_host.now + SECOND
-            )  # Danger: dials without end where none is taken
+            # Without a pause there would be dials without end where none is accepted.
+            self.spare_from = self.socket_host.now + SECOND
             if era == self.era:
-                in_flight_attempts, self.waiting = self.waiting, []
-                for in_flight_attempt in in_flight_attempts:
-                    self.socket_host.failed(in_flight_attempt, "unreached")
-        # Danger: a dial that began before its engine moved, or was started anew, tells nothing of
-        # the one that waits now, whether it came up or not.
+                self._fail_waiting("unreached")
+        # A dial that began before its engine moved, or was started anew, says nothing of the one
+        # that attempts wait for now, whether it came up or not.
         elif era != self.era or self.engine.state != EngineState.READY:
             sock.close()
         else:
@@ -175,21 +189,30 @@
             link.watch()
         self.fill()
 
-    def told(self, where: tuple[str, int], renewed: bool) -> None:
-        """The list names it: a link to what it was before is for nothing new."""
+    def on_listed(self, where: tuple[str, int], renewed: bool) -> None:
+        """Take its address from the list; a connection to what it was before is for nothing new."""
         if where != self.address or renewed:
-            self.address, self.era = where, self.era + 1
+            self.address = where
+            self.era += 1
             self.retire()
 
     def retire(self) -> None:
+        """Let the connections that there are take nothing new."""
         for link in self.links:
             link.retired = True
             if not link.open:
                 link.link.end("no longer needed")
 
     def withdraw(self) -> None:
-        """It drains or is gone. Danger: a hand-off that waits for room would begin after that."""
+        """Send nothing more to an engine that drains or is gone.
+
+        An attempt that waits for room would begin after that, so it fails now.
+        """
         self.retire()
-        in_flight_attempts, self.waiting = self.waiting, []
-        for in_flight_attempt in in_flight_attempts:
-            self.socket_host.failed(in_flight_attempt, "withdrawn")
+        self._fail_waiting("withdrawn")
+
+    def _fail_waiting(self, why: str) -> None:
+        waiting = self.waiting
+        self.waiting = []
+        for in_flight_attempt in waiting:
+            self.socket_host.failed(in_flight_attempt, why)
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -573,7 +573,7 @@
                 moment = engine.incarnation
             self.settings.place(engine, zone, kind, cell)
             self.gateway.on_engine_update(engine, state, moment)
-            engine_pool.told(where, renewed)
+            engine_pool.on_listed(where, renewed)
             changed[engine_pool] = None
         self.gateway.on_engine_list_complete()
         # A change may let these go on: what it names, what waits for a link, what lacks one ahead. For all others
