--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,8 @@
 """Figures worked out from the kept rows: what each role costs at the users' size, and the factor over its budget.
 
-Owns the users' size, the budgets and every formula of docs/CAPACITY.md. Must never hold a figure that a run gives: a
-formula asks for it by its key, and where no run has given that key yet, what hangs on it is "not run".
+Owns the users' size, the budgets and every formula of docs/CAPACITY.md. Must never hold a figure
+that a run gives: a formula asks for it by its key, and where no run has given that key yet, what
+hangs on it is "not run".
 """
 
 from collections.abc import Callable
@@ -113,8 +114,9 @@
         read: list[Figure] = []
 
         def ask(key: str, at: float | None = None, slope: bool = False) -> float:
-            # One that was checked at full size goes before one that is foretold alone; and where the run after the
-            # mechanism, or with findings, is missing, the other stands in, under its own name.
+            # One that was checked at full size goes before one that is foretold alone; and where
+            # the run after the mechanism, or with findings, is missing, the other stands in, under
+            # its own name.
             there = (
                 [each for each in (key, key + WITHOUT) if each in self.rows]
                 or [each for each in (key + BEFORE,) if each in self.rows]
@@ -139,8 +141,8 @@
 @dataclass(frozen=True)
 class Worked:
     """One row of the page: `formula` is given `ask(key, at)` and the size of the fleet. `budget` is in the
-    row's unit, None: none was stated. `moment`: rest, day, worst; open: a reading of an open word; ways: a way that was
-    weighed. `mechanism`: what carries the row, and its file."""
+    row's unit, None: none was stated. `moment`: rest, day, worst; open: a reading of an open word;
+    ways: a way that was weighed. `mechanism`: what carries the row, and its file."""
 
     role: str
     what: str
@@ -154,7 +156,8 @@
 @dataclass(frozen=True)
 class Missing:
     """A mechanism that is not there: the worked-out rows that show it, what it would take (text of the page, with
-    tags), whether nothing is served without it, whether there is nothing of it yet. Told where a row is over budget."""
+    tags), whether nothing is served without it, whether there is nothing of it yet. Told where a
+    row is over budget."""
 
     title: str
     rows: tuple[str, ...]
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -1,6 +1,7 @@
 """The rows of docs/CAPACITY.md that are worked out: role by role, with budget and mechanism.
 
-Owns the formulas. Must never hold a measured figure: what a run gave is asked for by its key (see capacity.py).
+Owns the formulas. Must never hold a measured figure: what a run gave is asked for by its key (see
+capacity.py).
 """
 
 from math import sqrt
@@ -904,7 +905,8 @@
     ),
 }
 
-# What is not there. The page ranks them: what stands before serving first, then what is wholly absent, then by factor.
+# What is not there. The page ranks them: what stands before serving first, then what is wholly
+# absent, then by factor.
 MISSING = [
     Missing(
         "A change of configuration in force everywhere without a restart",
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -2,8 +2,8 @@
 
     python benchmarks/mixed_fleet.py --tree ../landed      half of the gateways run from that checkout
 
-Real processes on this machine with relays between them. Half of the gateways run this version,
-half the one in the other checkout. The lease holder is cut off, gateways are killed, and two maintenance
+Real processes on this machine with relays between them. Half of the gateways run this version, half
+the one in the other checkout. The lease holder is cut off, gateways are killed, and two maintenance
 requests are worked off while the planner of each is cut off. The lease checker, the maintenance
 checker and the rule checker stand outside; what they object to, exceptions in logs and datagrams
 that could not be read are printed. Exit code 0 when there is nothing of it, 1 otherwise.
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -6,8 +6,8 @@
     python benchmarks/scale.py subset --help        working sets of engines: options side by side
     python benchmarks/scale.py page                 docs/CAPACITY.md anew from docs/capacity/*.json
 
-Each writes docs/capacity/ROLE.json. A size that would pass half of the machine's memory or 300 processes is refused
-beforehand, with exit 2. Must never be run beside other work: it measures time.
+Each writes docs/capacity/ROLE.json. A size that would pass half of the machine's memory or 300
+processes is refused beforehand, with exit 2. Must never be run beside other work: it measures time.
 """
 
 import importlib
--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -1,7 +1,7 @@
 """One workload manager alone: what a statement, a list, a turn of its hub, its memory and its start cost, by sizes.
 
-Owns which sizes are measured and what a row says. Must never be run beside other measurements. Processor time
-throughout: wall time tells of the machine.
+Owns which sizes are measured and what a row says. Must never be run beside other measurements.
+Processor time throughout: wall time tells of the machine.
 """
 
 import cProfile
--- a/benchmarks/scale_fleet.py
+++ b/benchmarks/scale_fleet.py
@@ -1,9 +1,9 @@
 """Several workload managers, hollow: what each costs the others, at several sizes, at rest and while much happens.
 
 Owns what is played and which rows are made of it. A run (one size, some phases) is one line of
-docs/capacity/fleet.jsonl; the rows in docs/capacity/fleet.json are made from all runs kept there, so that a size can be
-played by itself. Must never keep a quick run, and never give a row for a phase that did not come to its end: that is
-said instead.
+docs/capacity/fleet.jsonl; the rows in docs/capacity/fleet.json are made from all runs kept there,
+so that a size can be played by itself. Must never keep a quick run, and never give a row for a
+phase that did not come to its end: that is said instead.
 """
 
 import json
@@ -31,7 +31,8 @@
 
 Values = dict[str, list[float]]
 
-# Key: what, unit. Rates are a second and member, sent and received, octets of datagrams without their 28 of IP and UDP.
+# Key: what, unit. Rates are a second and member, sent and received, octets of datagrams without
+# their 28 of IP and UDP.
 WHAT = {
     "fleet.rest.datagrams": ("datagrams at rest, a workload manager, mean", "a second"),
     "fleet.rest.datagrams.worst": ("datagrams at rest, the worst workload manager", "a second"),
@@ -191,7 +192,8 @@
     values.setdefault(key, []).append(round(value, 4))
 
 
-# Phases. Each takes a fleet that is at rest and leaves it so, but for `start`, which is played alone.
+# Phases. Each takes a fleet that is at rest and leaves it so, but for `start`, which is played
+# alone.
 
 
 def start(fleet: Fleet, values: Values, scale: float) -> None:
--- a/benchmarks/scale_page.py
+++ b/benchmarks/scale_page.py
@@ -1,13 +1,14 @@
 """docs/CAPACITY.md, made from the kept rows.
 
-Owns the page's form: the text is docs/capacity/page.md.in, in which a figure or a table is named by its key, so that
-nobody types one. Must never invent: a key without a run is shown as "not run".
-
-In the text: {{size.NAME}} a figure of the users' size as they gave it; {{KEY}} a figure with unit and kind, {{KEY@400}}
-at a size, {{KEY:bare}} the number alone, {{KEY:slope}}, {{KEY:exponent}}, {{KEY:error}} of what was foretold;
-{{worked.NAME}} and {{worked.NAME:factor}} what is worked out (benchmarks/capacity_rows.py). On a line of its own:
-{{table roles MOMENT}}, {{table over}}, {{table grown}}, {{table next}}, {{table slopes PREFIX...}},
-{{table options PREFIX OPTION...}}, {{table gossip LOSS...}}, {{table missing}}.
+Owns the page's form: the text is docs/capacity/page.md.in, in which a figure or a table is named by
+its key, so that nobody types one. Must never invent: a key without a run is shown as "not run".
+
+In the text: {{size.NAME}} a figure of the users' size as they gave it; {{KEY}} a figure with unit
+and kind, {{KEY@400}} at a size, {{KEY:bare}} the number alone, {{KEY:slope}}, {{KEY:exponent}},
+{{KEY:error}} of what was foretold; {{worked.NAME}} and {{worked.NAME:factor}} what is worked out
+(benchmarks/capacity_rows.py). On a line of its own: {{table roles MOMENT}}, {{table over}}, {{table
+grown}}, {{table next}}, {{table slopes PREFIX...}}, {{table options PREFIX OPTION...}}, {{table
+gossip LOSS...}}, {{table missing}}.
 """
 
 import json
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -1,7 +1,8 @@
 """A change of configuration: what it costs today, how large one is, and by which way it could reach all in time.
 
-Owns the processes that it starts, and which sizes are looked at. Must never leave a process behind, and never keep a
-quick run. A restart is a real `serve` process; gossip is simulated (corkgauge/model/dissemination.py).
+Owns the processes that it starts, and which sizes are looked at. Must never leave a process behind,
+and never keep a quick run. A restart is a real `serve` process; gossip is simulated
+(corkgauge/model/dissemination.py).
 """
 
 import json
@@ -230,7 +231,8 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
         self.said = configuration(engines, classes, tenants, self.at(0), "%s:%d" % self.address)
-        # Danger: what lies at the list's addresses is nobody's on loopback; dials there fail at once.
+        # Danger: what lies at the list's addresses is nobody's on loopback; dials there fail at
+        # once.
         for n, each in enumerate(self.said["known"]["events"][0]["members"]["servers"]):
             each["addr"] = f"127.0.0.1:{1 + n % 8}"
         self.process: subprocess.Popen | None = None
--- a/benchmarks/scale_subset.py
+++ b/benchmarks/scale_subset.py
@@ -3,10 +3,11 @@
     python benchmarks/scale.py subset                   870 gateways before 1,800 engines, three seeds; some two minutes
     python benchmarks/scale.py subset --quick           a tenth of both, one seed, nothing kept
 
-Owns the fleet that the options are held against: ten places unevenly filled, uneven traffic, classes that may use one
-kind or one place only. The sets are those of corkgauge/model/subsets.py; what some options ask of each pair, or of each
-round, is worked out once, and what is made of it is held against the pure function on some gateways in each run.
-Must never serve, open a socket, or hold a figure that no run gave.
+Owns the fleet that the options are held against: ten places unevenly filled, uneven traffic,
+classes that may use one kind or one place only. The sets are those of corkgauge/model/subsets.py;
+what some options ask of each pair, or of each round, is worked out once, and what is made of it is
+held against the pure function on some gateways in each run. Must never serve, open a socket, or
+hold a figure that no run gave.
 """
 
 import json
@@ -130,7 +131,8 @@
             able = numpy.array([i for i, n in enumerate(listed) if self.place[n] in reach])
             for g in numpy.nonzero(held[:, able].sum(axis=1) < subsets.FEW)[0]:
                 held[g, able[numpy.argsort(ranks[g, able])[: subsets.FEW]]] = True
-        # What is held for a class that has few serves that class alone: a narrow place is in many sets.
+        # What is held for a class that has few serves that class alone: a narrow place is in many
+        # sets.
         usual = subsets.wanted(gateways, len(listed), size) / len(listed)
         return numpy.where(held & (ranks > usual * wider[:, None]), NARROW, held)
 
@@ -193,7 +195,8 @@
 
 def homes(fleet: Fleet, sets: Any, listed: Any) -> float:
     """Engines over which the first hand-offs of a table group spread (inverse of the sum of squared parts), where each
-    gateway begins at the first of its set in the order hashed from the group; the mean of some groups."""
+    gateway begins at the first of its set in the order hashed from the group; the mean of some
+    groups."""
     draws, found = numpy.random.default_rng(fleet.seed + 3), []
     for _ in range(GROUPS):
         order = draws.permutation(listed)
@@ -255,7 +258,8 @@
 
 def cold(fleet: Fleet, option: str, size: int, base: Any) -> dict[str, float]:
     """What all holders together may send to one engine that has just started, over its allowance, of the worst engine:
-    each its equal part of all gateways (undivided), or of those expected to hold the engine (divided)."""
+    each its equal part of all gateways (undivided), or of those expected to hold the engine
+    (divided)."""
     listed, many = fleet.listed, fleet.gateways
     out = numpy.array(sorted(fleet.chance.sample(range(fleet.engines), fleet.engines // 10)))
     old = fleet.weights(
--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -1,11 +1,12 @@
 """Slopes: a cost measured at several sizes, fitted, foretold for full size, checked there; kept as JSON.
 
-Owns the form of what `benchmarks/scale.py` measures (docs/capacity/PART.json), the fit, and the bounds of a trial on
-one machine. Must never hold a figure that no run gave.
+Owns the form of what `benchmarks/scale.py` measures (docs/capacity/PART.json), the fit, and the
+bounds of a trial on one machine. Must never hold a figure that no run gave.
 
-A row: {"key", "what", "unit", "by", "kind", "points": [{"at", "values", "median", "least", "most"}],
-"fit": {"base", "slope", "exponent", "r2"}, "foretold": {"at", "value"}, "checked": {"at", "value", "kind", "error"},
-"command"}. `kind` is measured, hollow, simulated, foretold or paper; "foretold" and "checked" may be missing.
+A row: {"key", "what", "unit", "by", "kind", "points": [{"at", "values", "median", "least",
+"most"}], "fit": {"base", "slope", "exponent", "r2"}, "foretold": {"at", "value"}, "checked": {"at",
+"value", "kind", "error"}, "command"}. `kind` is measured, hollow, simulated, foretold or paper;
+"foretold" and "checked" may be missing.
 """
 
 import json
@@ -69,7 +70,8 @@
     command: str = "",
 ) -> dict[str, Any]:
     """One row. `measure(size)` gives a cost in `unit`; `full` is the size it is foretold for, from the points alone,
-    before `check(full)` measures it there (kind `checked_as`); the error is (foretold - checked) / checked."""
+    before `check(full)` measures it there (kind `checked_as`); the error is (foretold - checked) /
+    checked."""
     assert kind in KINDS and checked_as in KINDS and len(sizes) >= 4
     points = []
     for size in sizes:
--- a/corkgauge/flow_export/codec.py
+++ b/corkgauge/flow_export/codec.py
@@ -1,12 +1,13 @@
 """Flow records to bytes: IPFIX (RFC 7011) and NetFlow v9 (RFC 3954).
 
-Owns templates, the layout of messages and each protocol's own sequence rule. Given records, gives bytes;
-knows no socket. Must never put a data record before its template in a session, nor exceed the message's
-limit.
-
-Three layouts. `own` (IPFIX): a biflow a connection (RFC 5103), with hall, engine and gateway as elements of
-variable length. `standard` (IPFIX): a record each way, with IANA's elements of fixed length alone, for
-collectors that know no others. `netflow9`: its two octet counters for the two ways.
+Owns templates, the layout of messages and each protocol's own sequence rule. Given records, gives
+bytes; knows no socket. Must never put a data record before its template in a session, nor exceed
+the message's limit.
+
+Three layouts. `own` (IPFIX): a biflow a connection (RFC 5103), with hall, engine and gateway as
+elements of variable length. `standard` (IPFIX): a record each way, with IANA's elements of fixed
+length alone, for collectors that know no others. `netflow9`: its two octet counters for the two
+ways.
 """
 
 from collections.abc import Iterable, Iterator
--- a/corkgauge/flow_export/counter_deltas.py
+++ b/corkgauge/flow_export/counter_deltas.py
@@ -1,6 +1,7 @@
 """What is told of a flow in one record: octets since the last one.
 
-Owns the record and how two of one flow become one. Times are whole milliseconds of the system's clock.
+Owns the record and how two of one flow become one. Times are whole milliseconds of the system's
+clock.
 """
 
 from dataclasses import dataclass
@@ -11,7 +12,8 @@
 @dataclass(slots=True, eq=False)
 class Delta:
     """Octets from the initiator (`forward`) and back (`reverse`), between `first` and `last`. `family` is 4,
-    6, or 0 where several flows are told of in one record, without addresses; then `flows` counts them."""
+    6, or 0 where several flows are told of in one record, without addresses; then `flows` counts
+    them."""
 
     flow: int
     side: int  # INGRESS: a client's connection; EGRESS: one to an engine
--- a/corkgauge/flow_export/decoder.py
+++ b/corkgauge/flow_export/decoder.py
@@ -1,8 +1,8 @@
 """Flow messages to records: IPFIX (RFC 7011) and NetFlow v9 (RFC 3954), strictly.
 
-Owns the templates that it was told, by observation domain, and the sequence. Fed whole messages; knows no
-socket. Must never raise anything but `Malformed` on any bytes, take a record beyond its set, or grow without
-bound.
+Owns the templates that it was told, by observation domain, and the sequence. Fed whole messages;
+knows no socket. Must never raise anything but `Malformed` on any bytes, take a record beyond its
+set, or grow without bound.
 """
 
 import ipaddress
--- a/corkgauge/flow_export/elements.py
+++ b/corkgauge/flow_export/elements.py
@@ -1,7 +1,8 @@
 """Information elements: the few of IANA's registry that are exported, and our own.
 
 Owns their numbers, names and types. IANA's are those of RFC 7012 and its registry; ours stand under
-enterprise number 32473, kept for documentation (RFC 5612), and their types are exported with them (RFC 5610).
+enterprise number 32473, kept for documentation (RFC 5612), and their types are exported with them
+(RFC 5610).
 """
 
 from typing import NamedTuple
--- a/corkgauge/flow_export/export_buffer.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -1,17 +1,18 @@
 """The keeper: which collector is told, when one counts as down, what it is told first.
 
-Owns the collectors' states, what is under way to each, and the totals of export. Free of I/O, the clock is
-handed in (tenths of a millisecond). It acts through a small host: `open(peer)`, `send(peer, data) -> bool`,
-`close(peer)`.
-
-Must never send data before templates in a session, never hold more than its bound, and never let an octet go
-uncounted: measured = told + held (with what is under way) + dropped.
-
-A peer goes down -> opening -> trial -> up. In the trial the templates are out and nothing is known against it
-yet: a UDP collector that is not there says so by ICMP only once something was sent. What is under way is
-confirmed when a stream has written it, or a while after a datagram went. What comes back unwritten is held
-again; where nobody can know (a stream broke with octets in the system's hands, a datagram was refused), it is
-told: `unsure` is counted as told and may be lost, `repeated` is told again and may have arrived.
+Owns the collectors' states, what is under way to each, and the totals of export. Free of I/O, the
+clock is handed in (tenths of a millisecond). It acts through a small host: `open(peer)`,
+`send(peer, data) -> bool`, `close(peer)`.
+
+Must never send data before templates in a session, never hold more than its bound, and never let an
+octet go uncounted: measured = told + held (with what is under way) + dropped.
+
+A peer goes down -> opening -> trial -> up. In the trial the templates are out and nothing is known
+against it yet: a UDP collector that is not there says so by ICMP only once something was sent. What
+is under way is confirmed when a stream has written it, or a while after a datagram went. What comes
+back unwritten is held again; where nobody can know (a stream broke with octets in the system's
+hands, a datagram was refused), it is told: `unsure` is counted as told and may be lost, `repeated`
+is told again and may have arrived.
 """
 
 from collections import deque
@@ -119,11 +120,12 @@
         for _, end, deltas in peer.window:
             octets = sum(delta.octets for delta in deltas)
             if peer.datagrams:
-                # Danger: refused, and perhaps only the last one; a loss would be nobody's, a repeat is told.
+                # Danger: refused, and perhaps only the last one; a loss would be nobody's, a repeat
+                # is told.
                 self.repeated += octets
             self.held.give_back(deltas)
-        # Danger: what the system had taken may have gone with the connection; told again it would count
-        # twice.
+        # Danger: what the system had taken may have gone with the connection; told again it would
+        # count twice.
         self.unsure += sum(octets for end, octets in peer.recent if end > peer.written - in_system)
         peer.recent.clear()
         peer.window.clear()
@@ -157,7 +159,8 @@
     def renew(self, peers: list[Peer], layout: Layout, now: int) -> None:
         """The operator file names others, or another layout. What is held stays held."""
         if self.active is not None and not self.active.datagrams:
-            # Templates of a stream are withdrawn before others may take their numbers (RFC 7011, 8.1).
+            # Templates of a stream are withdrawn before others may take their numbers (RFC 7011,
+            # 8.1).
             self.host.send(self.active, self.active.session.farewell(now // 10))
         self.part(now)
         self.peers, self.layout = peers, layout
@@ -174,7 +177,8 @@
     def _release(self, peer: Peer, now: int) -> None:
         """Nothing more goes to it: what is on its way counts as told, what is not goes elsewhere."""
         self._settle(peer, now + SETTLED if peer.datagrams else now)
-        # Danger: a stream's ring still has a while to leave, so these may arrive, and are told again.
+        # Danger: a stream's ring still has a while to leave, so these may arrive, and are told
+        # again.
         self.repeated += peer.octets
         self.held.give_back([delta for _, _, deltas in peer.window for delta in deltas])
         peer.window.clear()
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -1,7 +1,7 @@
 """Flow export of one program: the meter, the keepers and their connections, put together.
 
-Owns which connections are metered and how often things are looked at. Must never stall what is served:
-nothing here waits, and what a tick does is bounded.
+Owns which connections are metered and how often things are looked at. Must never stall what is
+served: nothing here waits, and what a tick does is bounded.
 """
 
 import socket
--- a/corkgauge/flow_export/meter.py
+++ b/corkgauge/flow_export/meter.py
@@ -1,8 +1,8 @@
 """The meter: which flows there are, and when a record of one is due.
 
-Owns a flow a connection: what was told of it, and its timeouts on a wheel. Free of I/O, the clock is handed
-in (tenths of a millisecond). Must never count an octet twice, nor leave one out: a record tells what came
-since the last one, whatever made it due.
+Owns a flow a connection: what was told of it, and its timeouts on a wheel. Free of I/O, the clock
+is handed in (tenths of a millisecond). Must never count an octet twice, nor leave one out: a record
+tells what came since the last one, whatever made it due.
 """
 
 from collections.abc import Callable, Iterator
--- a/corkgauge/flow_export/pending_records.py
+++ b/corkgauge/flow_export/pending_records.py
@@ -1,12 +1,12 @@
 """What collectors have yet to be told, within a bound.
 
-Owns the deltas that wait, and what becomes of them where there is no room: nothing of the totals is lost as
-long as it can be told in another form. Free of I/O and time.
+Owns the deltas that wait, and what becomes of them where there is no room: nothing of the totals is
+lost as long as it can be told in another form. Free of I/O and time.
 
-First, deltas of one flow merge into one. Beyond the bound, flows that have ended merge by side, hall and
-engine, the oldest first, then those that go on. Where even those are too many, engines merge within their
-hall, and halls into one. So octets are dropped only with the whole queue, when its collector is no longer
-named.
+First, deltas of one flow merge into one. Beyond the bound, flows that have ended merge by side,
+hall and engine, the oldest first, then those that go on. Where even those are too many, engines
+merge within their hall, and halls into one. So octets are dropped only with the whole queue, when
+its collector is no longer named.
 """
 
 from corkgauge.flow_export.counter_deltas import Delta
@@ -19,7 +19,8 @@
 class PendingRecords:
     """Room for `memory` octets of deltas.
 
-    `measured` = `told` + what is held here or under way + `dropped`, in octets; the keeper enters `told`.
+    `measured` = `told` + what is held here or under way + `dropped`, in octets; the keeper enters
+    `told`.
     """
 
     def __init__(self, memory: int) -> None:
--- a/corkgauge/flow_export/session.py
+++ b/corkgauge/flow_export/session.py
@@ -1,7 +1,7 @@
 """One session with a collector: what it has been told, and the messages that it gets next.
 
-Owns the sequence number, when templates went out last, and the order of things: templates first. Free of I/O,
-the clock is handed in as milliseconds. Must never make a message above its limit.
+Owns the sequence number, when templates went out last, and the order of things: templates first.
+Free of I/O, the clock is handed in as milliseconds. Must never make a message above its limit.
 """
 
 from collections.abc import Callable
@@ -51,7 +51,8 @@
         message, told = Message(self.layout.v9, self.limit), list[Delta]()
         while (delta := next_()) is not None:
             records = self.layout.records(delta, self.up_since)
-            # Both ways of one connection go in one message, so a message that is lost loses no half.
+            # Both ways of one connection go in one message, so a message that is lost loses no
+            # half.
             if message.size + sum(len(record) + 7 for _, record in records) > self.limit:
                 break
             for number, record in records:
--- a/corkgauge/flow_export/timer_wheel.py
+++ b/corkgauge/flow_export/timer_wheel.py
@@ -1,8 +1,8 @@
 """A timing wheel (Varghese and Lauck, 1987) for the timeouts of flows.
 
-Owns which entries are due when. An entry bears `due`, in its own unit, and stands in one slot; putting,
-moving and taking out cost the same however many there are. What is due beyond one turn of the wheel is passed
-over until its time. Free of time itself.
+Owns which entries are due when. An entry bears `due`, in its own unit, and stands in one slot;
+putting, moving and taking out cost the same however many there are. What is due beyond one turn of
+the wheel is passed over until its time. Free of time itself.
 """
 
 from collections.abc import Iterator
@@ -44,7 +44,8 @@
         # After a long stop each slot is looked at once, not once a turn.
         for at in range(max(self.at + 1, until - len(self.slots) + 1), until + 1):
             slot = self.slots[at % len(self.slots)]
-            # Danger: what is put again now must not land in the slot at hand; it would wait a whole turn.
+            # Danger: what is put again now must not land in the slot at hand; it would wait a whole
+            # turn.
             self.at = max(self.at, at)
             for entry in [entry for entry in slot if entry.due // self.span <= until]:
                 if slot.pop(entry, self) is None:  # not taken out meanwhile
--- a/corkgauge/flow_export/tls.py
+++ b/corkgauge/flow_export/tls.py
@@ -1,7 +1,7 @@
 """TLS towards a collector, as a machine fed with bytes.
 
-Owns one TLS session over two rings, by the standard library's ssl. Knows no socket. Must never take a
-collector whose certificate is not for its name, nor use a key that others may read.
+Owns one TLS session over two rings, by the standard library's ssl. Knows no socket. Must never take
+a collector whose certificate is not for its name, nor use a key that others may read.
 """
 
 import os
--- a/corkgauge/flow_export/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -1,7 +1,7 @@
 """The connections to collectors: datagrams, streams, streams under TLS.
 
-Owns one socket each, and tells the keeper what becomes of it. Must never block, never send a part of a
-message, and never look at what a message says.
+Owns one socket each, and tells the keeper what becomes of it. Must never block, never send a part
+of a message, and never look at what a message says.
 """
 
 import errno
--- a/corkgauge/testkit/emulators/clients.py
+++ b/corkgauge/testkit/emulators/clients.py
@@ -1,7 +1,7 @@
 """Clients on loopback: each asks at its own pace over one connection, and keeps a book of what it was told.
 
-Owns what was asked and every answer to it, in the client's own times. Must never ask again for what was
-answered: what the gateway does with one submission is what is looked at.
+Owns what was asked and every answer to it, in the client's own times. Must never ask again for what
+was answered: what the gateway does with one submission is what is looked at.
 """
 
 from collections import deque
--- a/corkgauge/testkit/emulators/engines.py
+++ b/corkgauge/testkit/emulators/engines.py
@@ -1,7 +1,7 @@
 """Engines on loopback: they run what they are sent, at a pace, with the troubles that a script gives them.
 
-Owns each engine's book of what came and what became of it. The book is the stand-in's own: nothing in it
-comes from what the gateway says of itself.
+Owns each engine's book of what came and what became of it. The book is the stand-in's own: nothing
+in it comes from what the gateway says of itself.
 """
 
 from dataclasses import dataclass
--- a/corkgauge/testkit/emulators/protocols.py
+++ b/corkgauge/testkit/emulators/protocols.py
@@ -1,6 +1,7 @@
 """The other ends of the platform's protocols, as machines fed with bytes: an engine's, a feed's, a client's.
 
-Owns framing only. Fed from a ring; knows no socket and no clock. What does not parse ends its connection.
+Owns framing only. Fed from a ring; knows no socket and no clock. What does not parse ends its
+connection.
 """
 
 from typing import Any
--- a/corkgauge/testkit/faults/relay.py
+++ b/corkgauge/testkit/faults/relay.py
@@ -1,8 +1,8 @@
 """Relays between processes on loopback: each way between two fellows has one, and each gateway's way to an
 engine.
 
-Owns what happens to a datagram or a connection on its way: lost, late, doubled, out of order, cut one way or
-both. Must never make up a datagram: what it sends again it has carried before.
+Owns what happens to a datagram or a connection on its way: lost, late, doubled, out of order, cut
+one way or both. Must never make up a datagram: what it sends again it has carried before.
 """
 
 import socket
@@ -127,7 +127,8 @@
                     data = memoryview(source.recv(PIECE))
                 except BlockingIOError:
                     continue
-                # What was written into the cut by one that gave up meanwhile is lost with its connection.
+                # What was written into the cut by one that gave up meanwhile is lost with its
+                # connection.
                 if not data or was_cut and _ended(source):
                     return
                 while data:
--- a/corkgauge/testkit/faults/script.py
+++ b/corkgauge/testkit/faults/script.py
@@ -1,7 +1,7 @@
 """Scripts: which trouble befalls whom, when and for how long.
 
-Owns the language of a script. A line is `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`, `#` begins a
-comment. WHO is an engine, `all`, `program` or `list`:
+Owns the language of a script. A line is `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`, `#` begins
+a comment. WHO is an engine, `all`, `program` or `list`:
 
     at 2 for 3: e1 silent           the engine answers nothing, then all that waited
     at 4 for 2: e2 slow 8           eight times as long
--- a/corkgauge/testkit/fleet/day.py
+++ b/corkgauge/testkit/fleet/day.py
@@ -1,6 +1,7 @@
 """A short day on loopback: the real program between stand-in engines, feed and clients, with a script.
 
-Owns the cast, the deployment that it plays and what it saw. Must never send to any address but loopback ones.
+Owns the cast, the deployment that it plays and what it saw. Must never send to any address but
+loopback ones.
 """
 
 import os
@@ -21,7 +22,8 @@
 from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.scraper import Scraper
 
-# The deployment that is played: offerings with their mean work (ms of one core) and what is promised.
+# The deployment that is played: offerings with their mean work (ms of one core) and what is
+# promised.
 WORK = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
 WANTS = [
     Want("lookup", 0.70, 1_500, 8.0),
@@ -304,7 +306,8 @@
         for client in self.clients:
             for name, count in client.tally().items():
                 said[name] = said.get(name, 0) + count
-        # What the program held when it was killed outright is owed by nobody; any other without an answer is lost.
+        # What the program held when it was killed outright is owed by nobody; any other without an
+        # answer is lost.
         killed = sum(
             not ask.answers and not ask.excused and rules.at_a_kill(ask, self.program.kills)
             for client in self.clients
--- a/corkgauge/testkit/fleet/gateway_process.py
+++ b/corkgauge/testkit/fleet/gateway_process.py
@@ -1,6 +1,7 @@
 """The real program, started for the stand-ins to play with.
 
-Owns one child process, its files and its log. Ends only what it started; the child ends with whoever started it.
+Owns one child process, its files and its log. Ends only what it started; the child ends with
+whoever started it.
 """
 
 import json
--- a/corkgauge/testkit/fleet/hollow_fleet.py
+++ b/corkgauge/testkit/fleet/hollow_fleet.py
@@ -1,10 +1,10 @@
 """A fleet of hollow members in a few processes: started, cut, lost, healed and counted from one place.
 
-Owns the processes, who stands where, and what is asked of all of them at once. Must never leave a process behind, and
-never look into a member but by its counters.
+Owns the processes, who stands where, and what is asked of all of them at once. Must never leave a
+process behind, and never look into a member but by its counters.
 
-Five zones in two regions (three and two), racks of 20 within a zone, three voters on machines set aside: a process each
-that votes and stands for nothing.
+Five zones in two regions (three and two), racks of 20 within a zone, three voters on machines set
+aside: a process each that votes and stands for nothing.
 """
 
 import json
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -1,7 +1,8 @@
 """One workload manager on a made-up host and clock: the module alone, and the host without a network.
 
-Owns virtual time, an open load of statements and what databases answer to it. Must never decide anything, draw from
-anything but its seed, or open a connection to anything but the other end of a socket pair.
+Owns virtual time, an open load of statements and what databases answer to it. Must never decide
+anything, draw from anything but its seed, or open a connection to anything but the other end of a
+socket pair.
 """
 
 import json
@@ -76,7 +77,8 @@
 
 class Alone:
     """The host protocol of a gateway that is alone. A database answers each attempt after its work and up to half as
-    much again; nothing else happens. `hold`: all statements take so long (tenths of a ms), whatever their class."""
+    much again; nothing else happens. `hold`: all statements take so long (tenths of a ms), whatever
+    their class."""
 
     def __init__(
         self,
@@ -134,7 +136,8 @@
         for engine in self.engines:
             self.gateway.on_engine_update(engine, EngineState.READY, 0)
         self.gateway.on_engine_list_complete()
-        # As a gateway that has served for long: each of its figures has its samples, each tenant's queue is there.
+        # As a gateway that has served for long: each of its figures has its samples, each tenant's
+        # queue is there.
         self.gateway.recall(
             {
                 "price": 0.0,
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -1,9 +1,10 @@
 """A process of hollow members: reads orders as lines of JSON on its input, answers each with one line.
 
-Owns a hub and the members of this process. Must never outlive whoever started it, and never do what it was not told.
+Owns a hub and the members of this process. Must never outlive whoever started it, and never do what
+it was not told.
 
-Orders: {"do": "bind", "names", "voters"}, "roster" (all members), "start", "end", "lose", "group" (a cut), "view",
-"counters", "quit".
+Orders: {"do": "bind", "names", "voters"}, "roster" (all members), "start", "end", "lose", "group"
+(a cut), "view", "counters", "quit".
 """
 
 import gc
--- a/corkgauge/testkit/fleet/hollow_serve.py
+++ b/corkgauge/testkit/fleet/hollow_serve.py
@@ -1,7 +1,7 @@
 """The real program before many databases that are one process: a list of any length, a few listeners behind it.
 
-Owns one child process and the cast around it: stand-in databases that share their listeners, a feed, clients. Must
-never send to any address but loopback ones; its child ends with it.
+Owns one child process and the cast around it: stand-in databases that share their listeners, a
+feed, clients. Must never send to any address but loopback ones; its child ends with it.
 """
 
 import shutil
--- a/corkgauge/testkit/fleet/parent_process.py
+++ b/corkgauge/testkit/fleet/parent_process.py
@@ -1,7 +1,7 @@
 """Processes that end with the one that started them.
 
-Owns one call of the system's. Must never be used by a serving program: it is for rigs, whose processes would
-otherwise stay when a rig is killed, and disturb the next.
+Owns one call of the system's. Must never be used by a serving program: it is for rigs, whose
+processes would otherwise stay when a rig is killed, and disturb the next.
 """
 
 import ctypes
--- a/corkgauge/testkit/fleet/ports.py
+++ b/corkgauge/testkit/fleet/ports.py
@@ -1,7 +1,7 @@
 """Ports on loopback that no other rig takes, also while nobody listens there.
 
-Owns the choice of a port and the mark that it is taken. Must never choose one that the system hands out to outgoing
-connections where that can be helped, and never one that another rig has marked.
+Owns the choice of a port and the mark that it is taken. Must never choose one that the system hands
+out to outgoing connections where that can be helped, and never one that another rig has marked.
 """
 
 import secrets
@@ -37,8 +37,9 @@
                 socket.socket(socket.AF_INET, sort),
             )
             try:
-                # Danger: between our release and the listening of the process that we start, and whenever that is
-                # down, another rig would find the port free. A name without a file goes with its process.
+                # Danger: between our release and the listening of the process that we start, and
+                # whenever that is down, another rig would find the port free. A name without a file
+                # goes with its process.
                 self.mark.bind(
                     f"\0corkgauge {'udp' if sort == socket.SOCK_DGRAM else 'tcp'} {port}"
                 )
--- a/corkgauge/testkit/fleet/profile_sampler.py
+++ b/corkgauge/testkit/fleet/profile_sampler.py
@@ -1,8 +1,9 @@
 """The program under a sampler: `python -m corkgauge.testkit.fleet.profile_sampler OUT serve ...` is `python -m corkgauge serve ...`.
 
-Owns one timer, which after each 2 ms of processor time appends to OUT where the program is, as the interpreter's own
-dump of a stack; `read` counts them. Must never be a part of a program that serves. What hooks calls is led astray by
-greenlets and costs most where functions are small; a second thread finds the program mostly where it gives way to it.
+Owns one timer, which after each 2 ms of processor time appends to OUT where the program is, as the
+interpreter's own dump of a stack; `read` counts them. Must never be a part of a program that
+serves. What hooks calls is led astray by greenlets and costs most where functions are small; a
+second thread finds the program mostly where it gives way to it.
 """
 
 import faulthandler
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -1,8 +1,9 @@
 """Several processes of the program before a list that is longer than a working set; engines are all stand-ins.
 
-Owns the cast: some gateways of the many that are told (`instances`), engines on one hub, a feed for each gateway, so
-that their lists may be of different age. Foretells each gateway's working set by the very module, in this process; what
-is judged is what the engines saw. Must never send to any address but loopback ones.
+Owns the cast: some gateways of the many that are told (`instances`), engines on one hub, a feed for
+each gateway, so that their lists may be of different age. Foretells each gateway's working set by
+the very module, in this process; what is judged is what the engines saw. Must never send to any
+address but loopback ones.
 """
 
 from collections.abc import Iterable, Mapping
@@ -81,9 +82,9 @@
 
 class Wide(Fleet):
     """`numbers` are those of the gateways that run, of `told`; `listed` the engines of the first list and `more` those
-    beyond it; the first `few` of both are of a kind of their own; `cell` engines make a cell, which knows its repeats
-    by itself. `spoilt` names what is left out of all. `rates` are submissions a second, a client each, to the gateways
-    in turn."""
+    beyond it; the first `few` of both are of a kind of their own; `cell` engines make a cell, which
+    knows its repeats by itself. `spoilt` names what is left out of all. `rates` are submissions a
+    second, a client each, to the gateways in turn."""
 
     def __init__(
         self,
