--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -753,7 +753,7 @@
         "findings that one witness may have, one an engine, against `MOST_EACH`",
         "findings",
         lambda ask, n: n.engines,
-        findings.MOST_EACH,
+        findings.MAX_REPORTS_PER_REPORTER,
         "worst",
         "`corkgauge/peer_health/reports.py`",
     ),
--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -22,7 +22,8 @@
     Wanted,
     next_out,
 )
-from corkgauge.peer_health.reports import SILENT, HealthReports
+from corkgauge.peer_health.health_report import Fault
+from corkgauge.peer_health.reports import HealthReports
 
 SIZES = [30, 100, 300, 900]
 FULL = 1_800
@@ -70,7 +71,7 @@
 
 def rows_on(engines: int) -> list[list[Any]]:
     return [
-        [f"wm{witness:04}", 1, n + 1, 0, f"e{n:05}", 7, SILENT, 0, 0]
+        [f"wm{witness:04}", 1, n + 1, 0, f"e{n:05}", 7, Fault.SILENT.value, 0, 0]
         for witness in range(WITNESSES)
         for n in range(engines)
     ]
@@ -98,7 +99,7 @@
 def forget_ms(engines: int) -> float:
     """What a period (0.25 s) spends on looking whether anything is too old, where nothing is."""
     findings, names = held(engines), [f"wm{n:04}" for n in range(870)]
-    return spent(lambda: findings.forget(1, names))
+    return spent(lambda: findings.drop_expired(1, names))
 
 
 def merge_ms(engines: int) -> float:
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -180,7 +180,7 @@
     def ours():
         findings = HealthReports("me", 1)
         findings.merge(0, rows)
-        return sum(len([*findings.of(f"e{n}")]) for n in range(1000))
+        return sum(len([*findings.reports_on(f"e{n}")]) for n in range(1000))
 
     def plain():
         held = []
--- a/corkgauge/model/gossip.py
+++ b/corkgauge/model/gossip.py
@@ -8,9 +8,14 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.peer_health.aggregation import opinion
-from corkgauge.peer_health.reports import SILENT, HealthReports
-from corkgauge.peer_health.service import REPAIR_EACH, ROOM, TOLD_AT_ONCE
+from corkgauge.peer_health.aggregation import assess
+from corkgauge.peer_health.health_report import Fault
+from corkgauge.peer_health.reports import HealthReports
+from corkgauge.peer_health.service import (
+    DATAGRAM_ROOM_BYTES,
+    GOSSIP_FANOUT,
+    RECONCILIATION_PERIODS,
+)
 from corkgauge.testkit.seeded_random import SeededRandom
 
 EACH, OCTETS = SECOND // 4, 8_000
@@ -68,31 +73,41 @@
                 self.lost[name][engine] += 1
                 if self.lost[name][engine] >= FOUND_AFTER:
                     self.knows[name, engine] = self.now
-                    self.nodes[name].found(self.now, f"e{engine}", 1, SILENT, 0, 0)
+                    self.nodes[name].record_own(self.now, f"e{engine}", 1, Fault.SILENT, 0, 0)
 
     def _tell(self, name: str, names: list[str]) -> None:
         mine, room = self.nodes[name], OCTETS * EACH // SECOND
-        for _ in range(TOLD_AT_ONCE):
+        for _ in range(GOSSIP_FANOUT):
             to = names[self.chance.below(len(names))]
-            rows = mine.some(self.now, len(names), min(ROOM, room)) if to != name else []
+            rows = (
+                mine.next_gossip(self.now, len(names), min(DATAGRAM_ROOM_BYTES, room))
+                if to != name
+                else []
+            )
             if rows:
                 room -= 60 + ROW * len(rows)
                 self.octets += 60 + ROW * len(rows)
                 self.letters += 1
                 if not self.chance.within(self.loss):
                     self.nodes[to].merge(self.now + 20, rows)
-        if not self.turn % REPAIR_EACH:
+        if not self.turn % RECONCILIATION_PERIODS:
             to = self.nodes[names[self.chance.below(len(names))]]
             if len(mine) or len(to):
-                rows = to.missing(self.now, mine.digest(ROOM, self.turn), ROOM, True, self.turn)
+                rows = to.missing_rows(
+                    self.now,
+                    mine.digest(DATAGRAM_ROOM_BYTES, self.turn),
+                    DATAGRAM_ROOM_BYTES,
+                    True,
+                    self.turn,
+                )
                 self.octets += 300 + ROW * len(rows)
                 mine.merge(self.now + 20, rows)
 
     def _weigh(self, name: str) -> None:
         for engine in range(self.bad):
-            if (name, engine) not in self.knows and opinion(
-                self.nodes[name].of(f"e{engine}"), self.now, 1, name, self.zones, -1
-            ).doubted:
+            if (name, engine) not in self.knows and assess(
+                self.nodes[name].reports_on(f"e{engine}"), self.now, 1, name, self.zones, -1
+            ).is_suspected:
                 self.knows[name, engine] = self.now
 
     def known_by(self, part: float) -> float:
--- a/corkgauge/peer_health/__init__.py
+++ b/corkgauge/peer_health/__init__.py
@@ -1,1 +1,1 @@
-"""What one gateway learns, the others know in time: shared findings, and parts of shared totals that are lent."""
+"""Peer health reports, fleet-wide retry throttling and transfer of unused slow-start permits."""
--- a/corkgauge/peer_health/aggregation.py
+++ b/corkgauge/peer_health/aggregation.py
@@ -1,101 +1,158 @@
-"""What others' findings are worth here: a hint on how slow an engine is, and whether it is doubted.
+"""What the reports of other gateways on one engine come to: suspected or not, and how slow.
 
-Owns the rule on witnesses. Free of I/O. Must never let what is heard command: our own experience goes first, one
-witness counts for nothing, and a doubted engine is still tried.
+Free of I/O. Reports never command: what this gateway observed itself goes first, one reporter alone
+counts for nothing, and a suspected engine is still tried.
 
-The rule: a finding counts by its age, from 1 down to 0 at the end of its life, and by half where its witness sits in
-another hall than we. It is of the engine as it runs now, or it counts for nothing. An engine is *doubted* where
-witnesses of at least two halls found a fault (where there is only one hall, three of it), they weigh as much as one
-that is fresh and near, and more than those that found it well. So a liar, or a majority of liars in one hall, casts no
-doubt; what doubt does is that one hand-off at a time goes there, and the first good answer of our own ends it. A hint
-on slowness is the weighted median of three witnesses or more, of two halls where there are two.
+The rule: the weight of a report falls with its age, from 1 to 0 at the end of its lifetime, and is
+halved where the reporter sits in another zone. A report on another incarnation of the engine counts
+for nothing. An engine is *suspected* where reporters of at least two zones found a fault (at least
+three reporters where the fleet has one zone only), their weights add up to that of one fresh report
+from our zone, and they outweigh those that found it well. So a liar, or a majority of liars in one
+zone, makes no suspicion; and a suspicion lets one attempt at a time go there, until the first good
+answer of our own ends it. The slowness estimate is the weighted median of at least three reporters,
+of two zones where there are two. Times are ticks, tenths of a millisecond.
 """
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from corkgauge.peer_health.reports import LIFE, WELL, HealthReport
+from corkgauge.peer_health.health_report import REPORT_LIFETIME_TICKS, Fault, HealthReport
 
-FAR = 0.5  # weight of a witness in another hall
-ENOUGH = 1.0  # weight of the doubts together
-ALONE = 3  # witnesses of one hall, where the fleet has no other; and for a hint
-OWN = 20_000  # tenths of a millisecond: a sign of our own this young speaks against any doubt
-MOST_SLOW, LEAST_SLOW = 50.0, 0.5  # what a witness may say: wild figures count as these
+OTHER_ZONE_WEIGHT = 0.5  # of a report from another zone, against one from ours
+MIN_SUSPICION_WEIGHT = 1.0  # of all reports of a fault together
+MIN_REPORTERS = 3  # for a suspicion where the fleet has one zone; and for a slowness estimate
+OWN_OBSERVATION_TICKS = 20_000  # a sign of our own this young overrides any suspicion
+MAX_SLOWNESS = 50.0  # what a reporter may say: wild figures are taken as these
+MIN_SLOWNESS = 0.5
+MAX_NAMED_REPORTERS = 6  # that an assessment names
 
 
 @dataclass(frozen=True, slots=True)
-class Opinion:
-    """What is made of it. `slowness` 0: no hint. `why` names the witnesses."""
+class Assessment:
+    """What the reports on one engine come to.
+
+    `slowness` is a multiple of the usual response time, 0 where no estimate can be made.
+    `reporters` are names of those that found a fault, parted by spaces, empty where the engine is
+    not suspected.
+    """
 
     slowness: float
-    doubted: bool
-    why: str
+    is_suspected: bool
+    reporters: str
+
+
+NO_ASSESSMENT = Assessment(0.0, False, "")
+
+
+class SlownessSample(NamedTuple):
+    """A reporter's word on slowness, with its weight."""
+
+    slowness: float
+    weight: float
+
 
+@dataclass(slots=True)
+class Tally:
+    """Sums over the reports that count."""
 
-NONE = Opinion(0.0, False, "")
+    fault_weight: float = 0.0
+    healthy_weight: float = 0.0
+    accusers: list[str] = field(default_factory=list)
+    samples: list[SlownessSample] = field(default_factory=list)
+    sample_zones: set[str] = field(default_factory=set)
+
+    def add(self, report: HealthReport, weight: float, zone: str) -> None:
+        """Count one report, of a reporter in this zone."""
+        if report.fault != Fault.NONE:
+            self.fault_weight += weight
+            self.accusers.append(report.reporter)
+        else:
+            self.healthy_weight += weight
+        if report.slowness_percent and report.sample_count:
+            slowness = min(max(report.slowness_percent / 100, MIN_SLOWNESS), MAX_SLOWNESS)
+            self.samples.append(SlownessSample(slowness, weight))
+            self.sample_zones.add(zone)
 
 
-def opinion(
-    findings: Iterable[HealthReport],
+def assess(
+    reports: Iterable[HealthReport],
     now: int,
-    started: int,
-    us: str,
+    engine_incarnation: int,
+    own_name: str,
     zones: Mapping[str, str],
-    own_sign: int,
-) -> Opinion:
-    """`halls` by gateway, ours among them; `started` is the engine's start, in ms, as the list tells it here;
-    `own_sign` when it last gave us a sign of its own, by the same clock as `now`.
+    own_observation_at: int,
+) -> Assessment:
+    """Weigh the reports on one engine by the rule above.
+
+    `zones` is by gateway, ours among them; `engine_incarnation` is the engine's start as this
+    gateway was told it; `own_observation_at` is when the engine last gave a sign to us, below 0
+    for never.
 
-    >>> def said(witness, fault, at, slow=0):
-    ...     return HealthReport(witness, 1, 1, at, "e1", 7, fault, slow, 3)
+    >>> def report(reporter, fault, slowness=0):
+    ...     return HealthReport(reporter, 1, 1, 0, "e1", 7, fault, slowness, 3)
     >>> zones = {"me": "a", "n2": "a", "n3": "a", "n4": "b"}
-    >>> opinion([said("n2", 4, 0), said("n3", 4, 0)], 0, 7, "me", zones, -1).doubted     # one zone may be lying
+    >>> one_zone = [report("n2", Fault.SILENT), report("n3", Fault.SILENT)]
+    >>> assess(one_zone, 0, 7, "me", zones, -1).is_suspected     # one zone may be lying
     False
-    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 7, "me", zones, -1).doubted
+    >>> two_zones = [report("n2", Fault.SILENT), report("n4", Fault.SILENT)]
+    >>> assess(two_zones, 0, 7, "me", zones, -1).is_suspected
     True
-    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 7, "me", zones, 0).doubted      # we know better
+    >>> assess(two_zones, 0, 7, "me", zones, 0).is_suspected      # we know better
     False
-    >>> opinion([said("n2", 4, 0), said("n4", 4, 0)], 0, 8, "me", zones, -1).doubted     # it has restarted since
+    >>> assess(two_zones, 0, 8, "me", zones, -1).is_suspected     # it has restarted since
     False
-    >>> opinion([said("n2", 0, 0, 300), said("n3", 0, 0, 200), said("n4", 0, 0, 9900)], 0, 7, "me", zones, -1).slowness
+    >>> slow = [report("n2", Fault.NONE, 300), report("n3", Fault.NONE, 200)]
+    >>> assess([*slow, report("n4", Fault.NONE, 9900)], 0, 7, "me", zones, -1).slowness
     3.0
     """
-    home, many_halls = zones.get(us, ""), len({*zones.values()}) > 1
-    against, well, accusers, samples, seen = 0.0, 0.0, [], [], set[str]()
-    for finding in findings:
-        if finding.witness == us or finding.started != started or finding.witness not in zones:
+    has_several_zones = len({*zones.values()}) > 1
+    tally = Tally()
+    for report in reports:
+        is_of_a_member = report.reporter != own_name and report.reporter in zones
+        if not is_of_a_member or report.engine_incarnation != engine_incarnation:
             continue
-        weight = max(1 - (now - finding.at) / LIFE, 0.0)
-        weight *= 1.0 if zones[finding.witness] == home else FAR
-        if weight <= 0:
-            continue
-        if finding.fault != WELL:
-            against += weight
-            accusers.append(finding.witness)
-        else:
-            well += weight
-        if finding.slowness and finding.samples:
-            samples.append((min(max(finding.slowness / 100, LEAST_SLOW), MOST_SLOW), weight))
-            seen.add(zones[finding.witness])
-    enough = len({zones[each] for each in accusers}) > 1 if many_halls else len(accusers) >= ALONE
-    doubted = (
-        enough
-        and against >= ENOUGH
-        and against > well
-        and not (0 <= own_sign and now < own_sign + OWN)
+        zone = zones[report.reporter]
+        weight = max(1 - (now - report.found_at) / REPORT_LIFETIME_TICKS, 0.0)
+        if zone != zones.get(own_name, ""):
+            weight *= OTHER_ZONE_WEIGHT
+        if weight > 0:
+            tally.add(report, weight, zone)
+    own_observation_ends = own_observation_at + OWN_OBSERVATION_TICKS
+    has_own_observation = own_observation_at >= 0 and now < own_observation_ends
+    is_suspected = not has_own_observation and _has_grounds(tally, zones, has_several_zones)
+    slowness = 0.0
+    if len(tally.samples) >= MIN_REPORTERS and (
+        len(tally.sample_zones) > 1 or not has_several_zones
+    ):
+        slowness = _weighted_median(tally.samples)
+    reporters = " ".join(sorted(tally.accusers)[:MAX_NAMED_REPORTERS]) if is_suspected else ""
+    return Assessment(slowness, is_suspected, reporters)
+
+
+def _has_grounds(tally: Tally, zones: Mapping[str, str], has_several_zones: bool) -> bool:
+    """Whether the reports of a fault are enough, and outweigh the others."""
+    if has_several_zones:
+        has_quorum = len({zones[name] for name in tally.accusers}) > 1
+    else:
+        has_quorum = len(tally.accusers) >= MIN_REPORTERS
+    return (
+        has_quorum
+        and tally.fault_weight >= MIN_SUSPICION_WEIGHT
+        and tally.fault_weight > tally.healthy_weight
     )
-    hint = _median(samples) if len(samples) >= ALONE and (len(seen) > 1 or not many_halls) else 0.0
-    return Opinion(hint, doubted, " ".join(sorted(accusers)[:6]) if doubted else "")
 
 
-def _median(samples: list[tuple[float, float]]) -> float:
-    """
-    >>> _median([(1.0, 1.0), (9.0, 0.2), (2.0, 1.0)])
+def _weighted_median(samples: list[SlownessSample]) -> float:
+    """Find the least slowness that half of the weight does not exceed.
+
+    >>> _weighted_median([SlownessSample(*each) for each in ((1.0, 1.0), (9.0, 0.2), (2.0, 1.0))])
     2.0
     """
-    half, so_far = sum(weight for _, weight in samples) / 2, 0.0
-    for value, weight in sorted(samples):
-        so_far += weight
-        if so_far >= half:
-            return value
+    half = sum(sample.weight for sample in samples) / 2
+    weight_so_far = 0.0
+    for sample in sorted(samples):
+        weight_so_far += sample.weight
+        if weight_so_far >= half:
+            return sample.slowness
     return 0.0
--- a/corkgauge/peer_health/permit_transfer.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -1,111 +1,146 @@
-"""Turns at cold engines, passed on: who is in turn and needs it not gives it to a fellow that does.
-
-Owns which turns were passed on by us, and to whom they go. Free of I/O. Must never pass a turn twice, use one that was
-passed on, or let one outlive its window: the sum over all gateways is what it is without any passing.
-
-A turn is one submission's worth of work at one engine in one window of the cold rule. It is spent here before it is
-written to the other (escrow: O'Neil, 1986), so a letter that is lost costs a turn and never makes one. How long it may
-be used counts from a telling of the receiver's own, which the giver answers: on the receiver's clock from when it wrote
-that, and by what the giver had let pass since it heard it; so neither clocks that differ nor letters that are late
-lengthen it. A giver that restarts has forgotten what it passed on, and by the rule on cold engines it sends nothing
-there for a window after its start, when every turn that it may have passed on is over.
+"""Transfer of slow-start permits that a gateway does not need to one that does.
+
+Free of I/O. A permit is never transferred twice, never used by its giver once it was given away,
+and never outlives its window: the sum over all gateways is what it is without any transfer.
+
+A permit is one request's worth of work at one engine in one window of the slow-start rule. The
+giver spends it before it writes the datagram (escrow: O'Neil, 1986), so a lost datagram costs a
+permit and never makes one. How long it may be used counts from a status update of the receiver's,
+which the giver answers: on the receiver's clock from when it wrote that update, plus what the giver
+had let pass since that came. So neither clocks that differ nor datagrams that are late lengthen it.
+A giver that restarts has forgotten what it gave away; by the slow-start rule it sends nothing to a
+new engine for a window after its own start, when every permit that it may have given is over.
+Times are ticks, tenths of a millisecond since the boot of the machine.
 """
 
 from collections import Counter
 from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
-SENT = 64  # tellings whose time of writing is remembered
-LEAST_LEFT = 0.15  # of a window, that has to be left for a turn to be worth passing
-KEPT = 0.3  # of a window, that a turn is kept for what may still come here
+MAX_REMEMBERED_UPDATES = 64  # status updates of ours whose time of writing is kept
+MIN_REMAINING_FRACTION = 0.15  # of a window: with less left a permit is not worth a datagram
+RESERVED_FRACTION = 0.3  # of a window, in which a permit is kept for requests still to come here
+MAX_REMEMBERED_TRANSFERS = 4_096  # engines whose last transfer is kept
+MAX_DEMAND = 1e6  # requests a second: a wild figure would take every permit
+# Ends of windows are compared in hundredths of a second, as their starts are known rounded.
+WINDOW_END_TICKS = 100
+NEVER = -(10**9)  # a window end that is far from any other
 
 
 @dataclass(slots=True)
-class Need:
-    """What a fellow last told: submissions it could not place a second, and the serial of that telling."""
+class PermitDemand:
+    """What a member last told: the requests a second that it could not place.
+
+    `serial` is of the status update that told it, `incarnation` the member's.
+    """
+
+    reported_at: int
+    incarnation: int
+    serial: int
+    unplaced_per_second: float
 
-    at: int
-    start: int
+
+class PermitGrant(NamedTuple):
+    """A permit on its way to `member`, in answer to its status update `serial`."""
+
+    member: str
     serial: int
-    want: float
+    known_ticks: int  # how long that update has been known to the giver
+    remaining_ticks: int  # of the window
 
 
 class PermitTransfer:
-    """`window` is the span of the cold rule, tenths of a millisecond.
+    """Which permits were given away, to whom, and until when one that came may be used.
+
+    `window_ticks` is the window of the slow-start rule.
 
-    >>> turns = PermitTransfer(10_000)
-    >>> turns.needs("n2", 100, 1, 7, 3.0)
-    >>> turns.pass_on(5_000, "e1", 4_000, 0)        # a third of a window has gone by, at most; and it is not needed
-    ('n2', 7, 4900, 4000)
-    >>> turns.pass_on(5_100, "e1", 3_900, 0) is None    # passed on already, in this window
+    >>> permits = PermitTransfer(10_000)
+    >>> permits.record_demand("n2", 100, 1, 7, 3.0)
+    >>> permits.give(5_000, "e1", 4_000, 0)     # over a third of the window is over
+    PermitGrant(member='n2', serial=7, known_ticks=4900, remaining_ticks=4000)
+    >>> permits.give(5_100, "e1", 3_900, 0) is None    # given away already, in this window
     True
     """
 
-    def __init__(self, window: int) -> None:
-        self.window = window
-        self.members: dict[str, Need] = {}
-        self.passed: dict[str, int] = {}  # by engine: in which window, by its end
-        self.sent: dict[int, int] = {}  # by serial of a telling of ours: when it was written
-        self.counts = Counter[str]()
-
-    # Giving.
-
-    def needs(self, gateway: str, now: int, start: int, serial: int, want: float) -> None:
-        self.members[gateway] = Need(now, start, serial, min(max(want, 0.0), 1e6))
-
-    def pass_on(
-        self, now: int, engine: str, left: int, chance: int
-    ) -> tuple[str, int, int, int] | None:
-        """To whom our turn at an engine goes, or None. `left` is what is left of the window, `chance` a draw below
-        2 ** 32. Returns the fellow, the serial of its telling that is answered, how long that has been known here,
-        and what is left. The caller spends it here before it writes."""
-        end = (now + left) // 100  # a window's end, as far as rounding of its start goes
-        if (
-            not LEAST_LEFT * self.window <= left <= (1 - KEPT) * self.window
-            or abs(self.passed.get(engine, -(10**9)) - end) * 100 < self.window // 2
-        ):
+    def __init__(self, window_ticks: int) -> None:
+        self.window_ticks = window_ticks
+        self.demand_by_member: dict[str, PermitDemand] = {}
+        # By engine: the end of the window whose permit was given, in units of WINDOW_END_TICKS.
+        self.given_window_end: dict[str, int] = {}
+        self.update_written_at: dict[int, int] = {}  # by serial of a status update of ours
+        self.counts = Counter[str]()  # names are shown to operators
+
+    def record_demand(
+        self, member: str, now: int, incarnation: int, serial: int, unplaced_per_second: float
+    ) -> None:
+        """Keep what a member's status update tells of its demand."""
+        unplaced = min(max(unplaced_per_second, 0.0), MAX_DEMAND)
+        self.demand_by_member[member] = PermitDemand(now, incarnation, serial, unplaced)
+
+    def give(
+        self, now: int, engine: str, remaining_ticks: int, random_draw: int
+    ) -> PermitGrant | None:
+        """Choose who gets our permit at an engine; None where it is kept.
+
+        `random_draw` is below 2 ** 32. The caller has to spend the permit here before it writes.
+        """
+        window_end = (now + remaining_ticks) // WINDOW_END_TICKS
+        if not self._may_give(engine, remaining_ticks, window_end):
             return None
-        able = [
-            (name, need)
-            for name, need in sorted(self.members.items())
-            if need.want > 0 and now < need.at + self.window // 2
+        candidates = [
+            (member, demand)
+            for member, demand in sorted(self.demand_by_member.items())
+            if demand.unplaced_per_second > 0 and now < demand.reported_at + self.window_ticks // 2
         ]
-        total = sum(need.want for _, need in able)
-        ticket = chance / 2**32 * total
-        for name, need in able:
-            ticket -= need.want
+        total = sum(demand.unplaced_per_second for _, demand in candidates)
+        ticket = random_draw / 2**32 * total
+        for member, demand in candidates:
+            ticket -= demand.unplaced_per_second
             if ticket < 0:
-                need.want = max(
-                    need.want - 1, 0.0
-                )  # the next goes to another, until it tells again
-                self.passed[engine] = end
+                # The next permit goes to another, until this member's next update.
+                demand.unplaced_per_second = max(demand.unplaced_per_second - 1, 0.0)
+                self.given_window_end[engine] = window_end
                 self.counts["turns passed on"] += 1
-                return name, need.serial, now - need.at, left
+                known_ticks = now - demand.reported_at
+                return PermitGrant(member, demand.serial, known_ticks, remaining_ticks)
         return None
 
-    # Receiving.
-
-    def telling(self, now: int, serial: int) -> None:
-        """We wrote a telling, just now."""
-        self.sent[serial] = now
-        while len(self.sent) > SENT:
-            del self.sent[next(iter(self.sent))]
-
-    def received(self, now: int, serial: int, known_for: int, left: int) -> int:
-        """Until when a turn that came may be used; 0: not at all. Each telling is answered with one turn at most for
-        each engine, which the letters' own windows see to."""
-        written = self.sent.get(serial)
-        if written is None or known_for < 0 or not 0 < left <= self.window:
+    def _may_give(self, engine: str, remaining_ticks: int, window_end: int) -> bool:
+        """Whether it is time to give, and this window's permit was not given yet."""
+        earliest = (1 - RESERVED_FRACTION) * self.window_ticks
+        if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= earliest:
+            return False
+        distance = abs(self.given_window_end.get(engine, NEVER) - window_end)
+        return distance * WINDOW_END_TICKS >= self.window_ticks // 2
+
+    def record_update_written(self, now: int, serial: int) -> None:
+        """Keep when a status update of ours was written: now."""
+        self.update_written_at[serial] = now
+        while len(self.update_written_at) > MAX_REMEMBERED_UPDATES:
+            del self.update_written_at[next(iter(self.update_written_at))]
+
+    def accept(self, now: int, serial: int, known_ticks: int, remaining_ticks: int) -> int:
+        """Until when a permit that came may be used; 0: not at all.
+
+        An update may be answered by one permit for each engine. A datagram that comes twice is
+        stopped before, by the window of serials that the membership service keeps.
+        """
+        written_at = self.update_written_at.get(serial)
+        if written_at is None or known_ticks < 0 or not 0 < remaining_ticks <= self.window_ticks:
             self.counts["turns of no telling"] += 1
             return 0
-        until = written + known_for + left
-        if until <= now:
+        usable_until = written_at + known_ticks + remaining_ticks
+        if usable_until <= now:
             self.counts["turns too late"] += 1
             return 0
         self.counts["turns received"] += 1
-        return until
-
-    def forget(self, named: Mapping[str, object]) -> None:
-        self.members = {name: need for name, need in self.members.items() if name in named}
-        if len(self.passed) > 4_096:
-            self.passed.clear()
+        return usable_until
+
+    def retain_members(self, members: Mapping[str, object]) -> None:
+        """Drop the demand of gateways that are no members any more, and bound what is kept."""
+        self.demand_by_member = {
+            name: demand for name, demand in self.demand_by_member.items() if name in members
+        }
+        if len(self.given_window_end) > MAX_REMEMBERED_TRANSFERS:
+            self.given_window_end.clear()
--- a/corkgauge/peer_health/reports.py
+++ b/corkgauge/peer_health/reports.py
@@ -1,266 +1,271 @@
-"""Findings: what each gateway found out about each engine, as small aged summaries that merge in any order.
+"""Latest health report of each gateway on each engine, merged in any order, spread by gossip.
 
-Owns the last finding of each witness on each engine, and how often each is told on. Free of I/O: clock and letters are
-its owner's. Must never make a finding younger by passing it on, never hold more than one of a witness on an engine, and
-must let every one die out.
+Free of I/O: the owner brings the clock and the datagrams. Three bounds hold. Passing a report on
+never makes it younger; of a reporter there is one report an engine, and a limited number in all;
+every report expires.
 
-A map from (witness, engine) to the latest finding, where latest is the greater (start, serial) of the witness itself:
-a last-writer-wins map (Shapiro, Preguica, Baquero and Zawirski, 2011), so merging is commutative, associative and
-idempotent. It spreads by rumour (Demers et al., 1987): each is told a number of times that grows with the logarithm of
-the fellows; what a rumour missed, a comparison of serials mends. Ages are spans, not dates: a clock that is a day ahead
-changes nothing.
+A map from (reporter, engine) to the latest report, where latest is the greater (incarnation,
+serial) of the reporter itself: a last-writer-wins map (Shapiro, Preguica, Baquero and Zawirski,
+2011), so merging is commutative, associative and idempotent. Reports spread as rumours (Demers et
+al., 1987): each is sent a number of times that grows with the logarithm of the members, and a
+comparison of digests (anti-entropy) repairs what gossip missed. Ages are spans, not dates, so a
+clock that is a day ahead changes nothing. Times are ticks, tenths of a millisecond.
 """
 
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Iterable, Iterator, Mapping, Sequence
 from math import ceil, log2
-from typing import Any
+from typing import Any, NamedTuple
 from zlib import crc32
 
-LIFE = 100_000  # tenths of a millisecond: a finding this old counts for nothing, and is forgotten
-PAUSE = 20_000  # between two findings of ours on one engine, that differ in its slowness alone
-TIMES = 2  # over the logarithm of the number of fellows: how often one is told
-MOST_EACH = (
-    2_000  # findings of one witness that are held: a flood of one must not push out the others'
+from corkgauge.peer_health.health_report import (
+    REPORT_LIFETIME_TICKS,
+    Fault,
+    HealthReport,
+    Row,
+    decode_row,
+    encode_row,
 )
-MOST_TAG = 64  # characters of an engine's id
-WELL, ERROR, RESET, UNREACHED, SILENT = range(5)
-FAULTS = "well", "error", "reset", "unreached", "silent"
-
-Row = list[
-    Any
-]  # [witness, start, serial, age, engine, its start, fault, slowness in hundredths, samples]
-
-
-class HealthReport:
-    """One witness's last word on one engine; `at` is when it was found, by our clock."""
-
-    __slots__ = (
-        "witness",
-        "start",
-        "serial",
-        "at",
-        "tag",
-        "started",
-        "fault",
-        "slowness",
-        "samples",
-        "told",
-    )
-
-    def __init__(
-        self,
-        witness: str,
-        start: int,
-        serial: int,
-        at: int,
-        tag: str,
-        started: int,
-        fault: int,
-        slowness: int,
-        samples: int,
-    ) -> None:
-        self.witness, self.start, self.serial, self.at, self.tag = witness, start, serial, at, tag
-        self.started, self.fault, self.slowness, self.samples = started, fault, slowness, samples
-        self.told = 0
-
-    def row(self, now: int) -> Row:
-        return [
-            self.witness,
-            self.start,
-            self.serial,
-            max(now - self.at, 0),
-            self.tag,
-            self.started,
-            self.fault,
-            self.slowness,
-            self.samples,
-        ]
+
+# Between two of our reports on an engine that differ in its slowness alone.
+MIN_REPORT_INTERVAL_TICKS = 20_000
+GOSSIP_FACTOR = 2  # a report is sent this often, times the logarithm of the number of members
+# Held of one reporter: a flood of reports from one must not push out those of the others.
+MAX_REPORTS_PER_REPORTER = 2_000
+MAX_GOSSIP_CANDIDATES = 64  # reports looked at for one datagram
+DIGEST_ENTRY_BYTES = 22  # of a digest's entry beside the name, on the high side
+
+
+class ReporterMark(NamedTuple):
+    """What is held of one reporter, in a digest: its latest version and a checksum of all of it."""
+
+    incarnation: int
+    serial: int
+    checksum: int
 
 
 class HealthReports:
-    """Of one gateway, `name`, in its present `start`.
+    """The reports that the gateway `name` holds in its present `incarnation`, its own among them.
 
     >>> one, other = HealthReports("n1", 1), HealthReports("n2", 1)
-    >>> one.found(0, "e1", 5, SILENT, 0, 0)
+    >>> one.record_own(0, "e1", 5, Fault.SILENT, 0, 0)
     True
-    >>> rows = one.some(100, 3, 900)
+    >>> rows = one.next_gossip(100, 3, 900)
     >>> other.merge(150, rows), other.merge(150, rows)      # the same again changes nothing
     (1, 0)
-    >>> [(each.witness, each.fault, 150 - each.at) for each in other.of("e1")]
+    >>> [(each.reporter, int(each.fault), 150 - each.found_at) for each in other.reports_on("e1")]
     [('n1', 4, 100)]
     """
 
-    def __init__(self, name: str, start: int) -> None:
-        self.name, self.start, self.serial = name, start, 0
+    def __init__(self, name: str, incarnation: int) -> None:
+        self.name = name
+        self.incarnation = incarnation
+        self.serial = 0
         self.by_engine: dict[str, dict[str, HealthReport]] = {}
-        self.by_witness: dict[str, dict[str, HealthReport]] = {}
-        self.fresh: dict[
-            tuple[str, str], HealthReport
-        ] = {}  # still to be told, in the order they came
-        self.refused = 0
-
-    def found(
-        self, now: int, tag: str, started: int, fault: int, slowness: int, samples: int
+        self.by_reporter: dict[str, dict[str, HealthReport]] = {}
+        # By (reporter, engine): still to be sent on, in the order in which they came.
+        self.pending_gossip: dict[tuple[str, str], HealthReport] = {}
+        self.rejected_count = 0
+
+    def __len__(self) -> int:
+        return sum(len(held) for held in self.by_reporter.values())
+
+    def record_own(
+        self,
+        now: int,
+        engine: str,
+        engine_incarnation: int,
+        fault: Fault,
+        slowness_percent: int,
+        sample_count: int,
     ) -> bool:
-        """Our own finding. Told only where it says something else than the last one, or keeps that from dying."""
-        before = self.by_engine.get(tag, {}).get(self.name)
-        if before is not None and (before.started, before.fault) == (started, fault):
-            # Danger: figures that waver would be told without end.
-            moved = abs(before.slowness - slowness) > max(before.slowness, 100) // 2
-            if now < before.at + (PAUSE if moved else LIFE // 2):
-                return False
+        """Take an observation of our own as a report; False where it would add nothing.
+
+        It adds something where it differs from the last report, or keeps that from expiring.
+        """
+        before = self.by_engine.get(engine, {}).get(self.name)
+        if before is not None and not self._adds_to(
+            before, now, engine_incarnation, fault, slowness_percent
+        ):
+            return False
         self.serial += 1
-        self._hold(
-            HealthReport(
-                self.name, self.start, self.serial, now, tag, started, fault, slowness, samples
-            )
+        report = HealthReport(
+            self.name,
+            self.incarnation,
+            self.serial,
+            now,
+            engine,
+            engine_incarnation,
+            fault,
+            slowness_percent,
+            sample_count,
         )
+        self._store(report)
         return True
 
+    @staticmethod
+    def _adds_to(
+        before: HealthReport, now: int, engine_incarnation: int, fault: Fault, slowness_percent: int
+    ) -> bool:
+        if (before.engine_incarnation, before.fault) != (engine_incarnation, fault):
+            return True
+        # A slowness that wavers would be reported without end: it has to move by half, and a
+        # report without news waits until half of the lifetime has passed.
+        change = abs(before.slowness_percent - slowness_percent)
+        has_moved = change > max(before.slowness_percent, 100) // 2
+        pause = MIN_REPORT_INTERVAL_TICKS if has_moved else REPORT_LIFETIME_TICKS // 2
+        return now >= before.found_at + pause
+
     def merge(self, now: int, rows: Iterable[Sequence[Any]]) -> int:
-        """What another tells, of itself or of others: how much of it was new. What makes no sense is passed over."""
-        new = 0
-        for row in rows:
-            finding = _sensible(row, now)
-            if finding is None or finding.witness == self.name:
-                self.refused += finding is None
-                continue  # on our own findings nobody else has a word
-            before = self.by_engine.get(finding.tag, {}).get(finding.witness)
-            if before is not None and (before.start, before.serial) >= (
-                finding.start,
-                finding.serial,
-            ):
-                if (before.start, before.serial) == (finding.start, finding.serial):
-                    before.at = min(
-                        before.at, finding.at
-                    )  # the older of two tellings, whichever came first
-                continue
-            if now >= finding.at + LIFE:
-                continue
-            if before is None and len(self.by_witness.get(finding.witness, ())) >= MOST_EACH:
-                self.refused += 1
-                continue
-            self._hold(finding)
-            new += 1
-        return new
-
-    def disputed(self, tag: str, slow: float) -> bool:
-        """Does anybody, ourselves among them, hold something against it: a fault, or a slowness above `slow`?"""
-        return any(each.fault != WELL or each.slowness > slow for each in self.of(tag))
-
-    def of(self, tag: str) -> Iterable[HealthReport]:
-        return self.by_engine.get(tag, {}).values()
-
-    def forget(self, now: int, witnesses: Iterable[str]) -> None:
-        """What is too old, and of those that are no fellows any more."""
-        named = {*witnesses, self.name}
-        for witness, held in [*self.by_witness.items()]:
-            for finding in [*held.values()]:
-                if now >= finding.at + LIFE or witness not in named:
-                    self._drop(finding)
-
-    # Telling.
-
-    def some(self, now: int, members: int, room: int) -> list[Row]:
-        """What is told next, in so many octets: first what has been told least."""
-        times = TIMES * ceil(log2(max(members, 2) + 1))
-        rows, size = [], 0
-        for key, finding in sorted(self.fresh.items(), key=lambda each: each[1].told)[:64]:
-            if now >= finding.at + LIFE:
-                del self.fresh[key]
+        """Take the rows of another gateway's datagram; the number of reports that were new.
+
+        Malformed rows, and those beyond a reporter's limit, are passed over and counted in
+        `rejected_count`.
+        """
+        return sum(self._merge_row(now, row) for row in rows)
+
+    def _merge_row(self, now: int, row: Sequence[Any]) -> bool:
+        report = decode_row(row, now)
+        if report is None:
+            self.rejected_count += 1
+            return False
+        if report.reporter == self.name:
+            return False  # nobody else may speak for us
+        before = self.by_engine.get(report.engine, {}).get(report.reporter)
+        if before is not None and before.version >= report.version:
+            if before.version == report.version:
+                # The older of two copies is right, whichever came first: transit only adds age.
+                before.found_at = min(before.found_at, report.found_at)
+            return False
+        if report.is_expired(now):
+            return False
+        held_of_reporter = self.by_reporter.get(report.reporter, ())
+        if before is None and len(held_of_reporter) >= MAX_REPORTS_PER_REPORTER:
+            self.rejected_count += 1
+            return False
+        self._store(report)
+        return True
+
+    def reports_on(self, engine: str) -> Iterable[HealthReport]:
+        """Every report held on an engine, our own among them."""
+        return self.by_engine.get(engine, {}).values()
+
+    def is_disputed(self, engine: str, slowness_limit_percent: float) -> bool:
+        """Whether any report held says that the engine has a fault or is slower than the limit."""
+        return any(
+            report.fault != Fault.NONE or report.slowness_percent > slowness_limit_percent
+            for report in self.reports_on(engine)
+        )
+
+    def drop_expired(self, now: int, members: Iterable[str]) -> None:
+        """Drop reports that are too old, and those of gateways that are no members any more."""
+        known_reporters = {*members, self.name}
+        for reporter, held in [*self.by_reporter.items()]:
+            for report in [*held.values()]:
+                if report.is_expired(now) or reporter not in known_reporters:
+                    self._drop(report)
+
+    def next_gossip(self, now: int, member_count: int, room_bytes: int) -> list[Row]:
+        """Choose the next rows to send, within so many bytes: first what was sent least often."""
+        send_limit = GOSSIP_FACTOR * ceil(log2(max(member_count, 2) + 1))
+        by_times_sent = sorted(self.pending_gossip.items(), key=lambda item: item[1].times_sent)
+        rows: list[Row] = []
+        size = 0
+        for key, report in by_times_sent[:MAX_GOSSIP_CANDIDATES]:
+            if report.is_expired(now):
+                del self.pending_gossip[key]
                 continue
-            size += _size(finding)
-            if size > room:
+            size += report.row_bytes()
+            if size > room_bytes:
                 break
-            rows.append(finding.row(now))
-            finding.told += 1
-            if finding.told >= times:
-                del self.fresh[key]
+            rows.append(encode_row(report, now))
+            report.times_sent += 1
+            if report.times_sent >= send_limit:
+                del self.pending_gossip[key]
         return rows
 
-    def digest(self, room: int, turn: int) -> dict[str, list[int]]:
-        """By witness: its start, the highest serial held, and a mark of all that is held; as many as fit, from the
-        `turn`th on."""
-        names = sorted(self.by_witness)
-        said: dict[str, list[int]] = {}
+    def digest(self, room_bytes: int, rotation: int) -> dict[str, ReporterMark]:
+        """Make the marks of as many reporters as fit, beginning with the `rotation`th."""
+        names = sorted(self.by_reporter)
+        marks: dict[str, ReporterMark] = {}
         for n in range(len(names)):
-            name = names[(turn + n) % len(names)]
-            room -= len(name) + 22
-            if room < 0:
+            name = names[(rotation + n) % len(names)]
+            room_bytes -= len(name) + DIGEST_ENTRY_BYTES
+            if room_bytes < 0:
                 break
-            said[name] = self._mark(name)
-        return said
+            marks[name] = self._mark(name)
+        return marks
 
-    def missing(
-        self, now: int, digest: Mapping[str, Sequence[int]], room: int, whole: bool, turn: int
+    def missing_rows(
+        self,
+        now: int,
+        digest: Mapping[str, Sequence[int]],
+        room_bytes: int,
+        include_unlisted: bool,
+        rotation: int,
     ) -> list[Row]:
-        """What the teller of this digest has not heard, in so many octets; with `whole`, also of witnesses that it does
-        not name. Danger: of two serials the earlier may be what was lost; so where the marks differ, all that is held
-        of a witness is told in time, from the `turn`th on."""
-        rows = []
-        for witness, held in sorted(self.by_witness.items()):
-            known = digest.get(witness)
-            if known is None and not whole or known is not None and [*known] == self._mark(witness):
+        """Choose the rows that the sender of this digest lacks, within so many bytes.
+
+        `include_unlisted` adds reporters that the digest does not name. A digest as it comes from
+        the wire is unchecked: one that breaks the format raises TypeError or IndexError.
+        """
+        rows: list[Row] = []
+        for report in self._missing_reports(digest, include_unlisted, rotation):
+            if report.is_expired(now):
                 continue
-            above = (known[0], known[1]) if known is not None else (0, 0)
-            all_held = sorted(held.values(), key=lambda each: (each.start, each.serial))
-            later = [each for each in all_held if (each.start, each.serial) > above]
-            for n, finding in enumerate(later or all_held):
-                finding = finding if later else all_held[(turn + n) % len(all_held)]
-                if now < finding.at + LIFE:
-                    room -= _size(finding)
-                    if room < 0:
-                        return rows
-                    rows.append(finding.row(now))
+            room_bytes -= report.row_bytes()
+            if room_bytes < 0:
+                break
+            rows.append(encode_row(report, now))
         return rows
 
-    def _mark(self, witness: str) -> list[int]:
-        held, mark = self.by_witness[witness], 0
-        for finding in held.values():
-            mark ^= crc32(f"{finding.tag} {finding.start} {finding.serial}".encode())
-        return [*max((each.start, each.serial) for each in held.values()), mark]
+    def _missing_reports(
+        self, digest: Mapping[str, Sequence[int]], include_unlisted: bool, rotation: int
+    ) -> Iterator[HealthReport]:
+        for reporter, held in sorted(self.by_reporter.items()):
+            known = digest.get(reporter)
+            if known is None:
+                if not include_unlisted:
+                    continue
+                known_version = (0, 0)
+            elif [*known] == [*self._mark(reporter)]:
+                continue
+            else:
+                known_version = (known[0], known[1])
+            in_order = sorted(held.values(), key=lambda report: report.version)
+            later = [report for report in in_order if report.version > known_version]
+            if later:
+                yield from later
+                continue
+            # Of two serials the earlier may be the lost one. So where the checksums differ and
+            # nothing is later, all that is held is sent in time, from the `rotation`th on.
+            first = rotation % len(in_order)
+            yield from in_order[first:]
+            yield from in_order[:first]
 
-    def __len__(self) -> int:
-        return sum(len(held) for held in self.by_witness.values())
-
-    def _hold(self, finding: HealthReport) -> None:
-        self.by_engine.setdefault(finding.tag, {})[finding.witness] = finding
-        self.by_witness.setdefault(finding.witness, {})[finding.tag] = finding
-        self.fresh.pop((finding.witness, finding.tag), None)
-        self.fresh[finding.witness, finding.tag] = finding
-
-    def _drop(self, finding: HealthReport) -> None:
-        for held, key, other in (
-            (self.by_engine, finding.tag, finding.witness),
-            (self.by_witness, finding.witness, finding.tag),
-        ):
-            held[key].pop(other, None)
-            if not held[key]:
-                del held[key]
-        self.fresh.pop((finding.witness, finding.tag), None)
+    def _mark(self, reporter: str) -> ReporterMark:
+        held = self.by_reporter[reporter].values()
+        checksum = 0
+        for report in held:
+            identity = f"{report.engine} {report.reporter_incarnation} {report.serial}"
+            checksum ^= crc32(identity.encode())
+        incarnation, serial = max(report.version for report in held)
+        return ReporterMark(incarnation, serial, checksum)
 
+    def _store(self, report: HealthReport) -> None:
+        self.by_engine.setdefault(report.engine, {})[report.reporter] = report
+        self.by_reporter.setdefault(report.reporter, {})[report.engine] = report
+        # Taken out first, so that it goes to the end of the order.
+        self.pending_gossip.pop((report.reporter, report.engine), None)
+        self.pending_gossip[report.reporter, report.engine] = report
 
-def _sensible(row: Sequence[Any], now: int) -> HealthReport | None:
-    """
-    >>> _sensible(["n1", 1, 1, 0, "e1", 0, 9, 0, 0], 5) is None, _sensible([], 5) is None
-    (True, True)
-    """
-    if not isinstance(row, (list, tuple)) or len(row) != 9:
-        return None
-    witness, start, serial, age, tag, started, fault, slowness, samples = row
-    figures = start, serial, age, started, slowness, samples
-    if not (
-        isinstance(witness, str)
-        and isinstance(tag, str)
-        and 0 < len(tag) <= MOST_TAG
-        and type(fault) is int
-        and WELL <= fault <= SILENT
-        and all(type(each) is int and 0 <= each < 2**62 for each in figures)
-    ):
-        return None
-    return HealthReport(witness, start, serial, now - age, tag, started, fault, slowness, samples)
-
-
-def _size(finding: HealthReport) -> int:
-    """Octets of a row, on the high side."""
-    return 40 + len(finding.witness) + len(finding.tag)
+    def _drop(self, report: HealthReport) -> None:
+        _drop_entry(self.by_engine, report.engine, report.reporter)
+        _drop_entry(self.by_reporter, report.reporter, report.engine)
+        self.pending_gossip.pop((report.reporter, report.engine), None)
+
+
+def _drop_entry(index: dict[str, dict[str, HealthReport]], outer: str, inner: str) -> None:
+    """Drop an entry, and with the last one its inner dictionary, which would stay for ever."""
+    index[outer].pop(inner, None)
+    if not index[outer]:
+        del index[outer]
--- a/corkgauge/peer_health/retry_throttle.py
+++ b/corkgauge/peer_health/retry_throttle.py
@@ -1,62 +1,85 @@
-"""Further hand-offs of the whole fleet as one figure: they fall together in a storm, and come back by steps.
+"""Fleet-wide retry throttling: retries of all gateways fall together, and come back by steps.
 
-Owns what each gateway last told of its further hand-offs, and how strict ours is. Free of I/O. Must never allow more
-than the gateway's own rule does: strictness is a part of that, 1 at most.
+Free of I/O. Throttling never allows more than a gateway's own retry budget: it is a fraction of
+that, 1 at most.
 
-Why: what is wrong with an engine or a hall is wrong for all, and every gateway's further hand-offs are within its own
-budget while their sum, on what is left, keeps it from recovering (failures that sustain themselves: Bronson, Aghayev,
-Charapko and Zhu, 2021). Each gateway works out the same factor from the same sums, as far as it has heard; a gateway
-alone is as strict as today.
+Why: a fault of an engine or a zone meets every gateway alike. Each then keeps to its own retry
+budget, while the sum of their retries, on what is left, keeps the fleet from recovering (failures
+that sustain themselves: Bronson, Aghayev, Charapko and Zhu, 2021). Each gateway works out the same
+fraction from the same sums, as far as updates reached it; a gateway that hears of no other keeps
+its whole budget. Times are ticks, tenths of a millisecond.
 """
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
-AGE = 40_000  # tenths of a millisecond, from which a telling counts for nothing
-USUAL = 0.25  # of what the rule allows the fleet in all: below it nothing falls
-LEAST = 0.1  # never stricter: some have to find out when it is over
-STEP = 0.05  # back, a look
-FEWEST = 3  # gateways that have to be heard, ourselves among them
+USAGE_LIFETIME_TICKS = 40_000  # an update this old counts for nothing
+NORMAL_SPENT_FRACTION = 0.25  # of the fleet's retry budget: below it nothing is throttled
+MIN_BUDGET_FRACTION = 0.1  # some retries must go on, to find out when the trouble is over
+RECOVERY_STEP = 0.05  # of the budget, regained an update
+MIN_GATEWAYS = 3  # that must be known, ourselves among them, before anything is throttled
+
+
+class RetryUsage(NamedTuple):
+    """What a gateway counted over the span of its retry budget; `reported_at` by our clock."""
+
+    reported_at: int
+    succeeded: int
+    retries: int
 
 
 class RetryThrottle:
-    """`allowed` is the further hand-offs for each honoured submission that the rule gives, `floor` those beside.
+    """The fraction of its retry budget that the gateway `name` may use.
 
-    >>> storm = RetryThrottle("n1")
-    >>> storm.tells("n2", 0, 10, 10), storm.tells("n3", 0, 10, 9)
+    >>> throttle = RetryThrottle("n1")
+    >>> throttle.record_usage("n2", 0, 10, 10), throttle.record_usage("n3", 0, 10, 9)
     (None, None)
-    >>> round(storm.looked(0, 10, 11, 0.0, 1.0), 2)     # all of what is allowed is spent
+    >>> round(throttle.update(0, 10, 11, 0.0, 1.0), 2)     # all of what is allowed is spent
     0.25
-    >>> storm.tells("n2", 100, 40, 0), storm.tells("n3", 100, 40, 0)
+    >>> throttle.record_usage("n2", 100, 40, 0), throttle.record_usage("n3", 100, 40, 0)
     (None, None)
-    >>> round(storm.looked(100, 40, 0, 0.0, 1.0), 2)
+    >>> round(throttle.update(100, 40, 0, 0.0, 1.0), 2)
     0.3
     """
 
     def __init__(self, name: str) -> None:
-        self.name, self.strict = name, 1.0
-        self.tellings: dict[
-            str, tuple[int, int, int]
-        ] = {}  # by gateway: when, honoured, further, in its span
+        self.name = name
+        self.budget_fraction = 1.0
+        self.usage_by_member: dict[str, RetryUsage] = {}
 
-    def tells(self, gateway: str, now: int, honoured: int, further: int) -> None:
+    def record_usage(self, gateway: str, now: int, succeeded: int, retries: int) -> None:
+        """Keep what another gateway reports of its own succeeded requests and retries."""
         if gateway != self.name:
-            self.tellings[gateway] = now, max(honoured, 0), max(further, 0)
+            self.usage_by_member[gateway] = RetryUsage(now, max(succeeded, 0), max(retries, 0))
 
-    def looked(self, now: int, honoured: int, further: int, floor: float, allowed: float) -> float:
-        """How strict we are from now on: a part of our own rule."""
-        self.tellings = {
-            name: telling for name, telling in self.tellings.items() if now < telling[0] + AGE
+    def update(
+        self, now: int, succeeded: int, retries: int, floor: float, allowed_ratio: float
+    ) -> float:
+        """Work out `budget_fraction` anew, from our own counts and those of others, and return it.
+
+        A gateway's retry budget is `floor` retries and `allowed_ratio` for each succeeded request.
+        """
+        self.usage_by_member = {
+            name: usage
+            for name, usage in self.usage_by_member.items()
+            if now < usage.reported_at + USAGE_LIFETIME_TICKS
         }
-        fresh = [(honoured, further), *(telling[1:] for telling in self.tellings.values())]
-        room = sum(floor + allowed * one for one, _ in fresh)
-        spent = sum(other for _, other in fresh) / room if room > 0 else 0.0
-        if len(fresh) < FEWEST or spent <= USUAL:
-            self.strict = min(1.0, self.strict + STEP)
+        usages = [RetryUsage(now, succeeded, retries), *self.usage_by_member.values()]
+        budget = sum(floor + allowed_ratio * usage.succeeded for usage in usages)
+        spent_fraction = sum(usage.retries for usage in usages) / budget if budget > 0 else 0.0
+        regained = self.budget_fraction + RECOVERY_STEP
+        if len(usages) < MIN_GATEWAYS or spent_fraction <= NORMAL_SPENT_FRACTION:
+            self.budget_fraction = min(1.0, regained)
         else:
-            # The more of what all may do is done, the less each does of it; never more than a moment ago plus a step.
-            self.strict = max(LEAST, min(self.strict + STEP, USUAL / spent))
-        return self.strict
+            # The more of its budget the fleet spends, the less each may; and no jump upwards,
+            # which would bring all retries back at once.
+            throttled = NORMAL_SPENT_FRACTION / spent_fraction
+            self.budget_fraction = max(MIN_BUDGET_FRACTION, min(regained, throttled))
+        return self.budget_fraction
 
-    def forget(self, named: Iterable[str]) -> None:
-        keep = {*named}
-        self.tellings = {name: telling for name, telling in self.tellings.items() if name in keep}
+    def retain_members(self, members: Iterable[str]) -> None:
+        """Drop what is known of gateways that are no members any more."""
+        known = {*members}
+        self.usage_by_member = {
+            name: usage for name, usage in self.usage_by_member.items() if name in known
+        }
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -81,31 +81,32 @@
         MemberList.call = halted
     elif off == "liar":
         # It tells of every engine that it is silent and a hundred times as slow.
-        from corkgauge.peer_health.reports import SILENT
+        from corkgauge.peer_health.health_report import Fault
         from corkgauge.peer_health.service import PeerHealthService
 
         def lies(self: PeerHealthService, now: int) -> None:
             for engine_pool in self.socket_host.engine_pools.values():
-                self.findings.serial += 1
-                self.findings.found(
-                    now, engine_pool.engine.tag, engine_pool.started, SILENT, 10_000, 8
+                self.reports.serial += 1
+                self.reports.record_own(
+                    now, engine_pool.engine.tag, engine_pool.started, Fault.SILENT, 10_000, 8
                 )
 
-        PeerHealthService._own = lies
+        PeerHealthService._record_own_observations = lies
     elif off == "witnesses":
         # One word is believed, of whoever it is.
         from corkgauge.peer_health import aggregation as weighing
 
-        weighing.ENOUGH, weighing.ALONE, weighing.OWN = 0.1, 1, 0
-        weighing.FAR = 1.0
-        made = weighing.opinion
+        weighing.MIN_SUSPICION_WEIGHT, weighing.MIN_REPORTERS = 0.1, 1
+        weighing.OWN_OBSERVATION_TICKS = 0
+        weighing.OTHER_ZONE_WEIGHT = 1.0
+        made = weighing.assess
 
         def believed(findings, now, started, us, zones, own_sign):
             return made(findings, now, started, us, dict.fromkeys(zones, ""), -1)
 
         from corkgauge.peer_health import service as exchange
 
-        exchange.opinion = believed
+        exchange.assess = believed
     elif off == "leases":
         # A turn that was passed on is not spent here, and one that came is used whenever it is wanted.
         from corkgauge.peer_health.permit_transfer import PermitTransfer
@@ -115,7 +116,7 @@
         Gateway.on_permit_moved = lambda self, engine, work, when: work > 0 or [
             passed(self, engine, work, when + 20 * self.fall_span)
         ]
-        PermitTransfer.received = lambda self, now, serial, known_for, left: now + left
+        PermitTransfer.accept = lambda self, now, serial, known_for, left: now + left
     elif off == "cold":
         # An engine that has just started is sent what any other is.
         from corkgauge.policy.gateway import Gateway
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -40,8 +40,8 @@
 from corkgauge.membership import datagrams as letters
 from corkgauge.membership.member_list import ALIVE
 from corkgauge.membership.service import MembershipService
-from corkgauge.peer_health.aggregation import Opinion
-from corkgauge.peer_health.reports import SILENT
+from corkgauge.peer_health.aggregation import Assessment
+from corkgauge.peer_health.health_report import Fault
 from corkgauge.peer_health.service import PeerHealthService
 from corkgauge.recovery import attempt_log as effects
 from corkgauge.recovery import learned_state as learned
@@ -160,7 +160,7 @@
         self.exchange = PeerHealthService(
             self.socket_host, self.post, Shared(2_500, 8_000), self.membership
         )
-        self.exchange.allowance = 8_000
+        self.exchange.byte_budget = 8_000
         self.membership.sent.clear()
 
     def _meet(self) -> None:
@@ -446,30 +446,32 @@
 
 
 def send_findings(here: Instance) -> bytes:
-    here.exchange.findings.found(NOW - 300, "e1", NOW - 90_000, SILENT, 250, 6)
-    here.exchange._tell("n2", NOW, 2)
+    here.exchange.reports.record_own(NOW - 300, "e1", NOW - 90_000, Fault.SILENT, 250, 6)
+    here.exchange._send_status_update("n2", NOW, 2)
     return here.last(letters.CALL, "findings")
 
 
 def send_repair_question(here: Instance) -> bytes:
-    here.exchange.findings.found(NOW - 300, "e1", NOW - 90_000, SILENT, 250, 6)
-    here.exchange.rounds = 5  # the comparison is due in the next period
-    here.exchange.period()
+    here.exchange.reports.record_own(NOW - 300, "e1", NOW - 90_000, Fault.SILENT, 250, 6)
+    here.exchange.period_count = 5  # the comparison is due in the next period
+    here.exchange.run_period()
     return here.last(letters.CALL, "repair", 0)
 
 
 def send_repair_answer(here: Instance) -> bytes:
-    here.exchange.findings.found(NOW - 300, "e1", NOW - 90_000, SILENT, 250, 6)
-    here.exchange.compared("n2", [0, {}, []])
+    here.exchange.reports.record_own(NOW - 300, "e1", NOW - 90_000, Fault.SILENT, 250, 6)
+    here.exchange.on_reconciliation("n2", [0, {}, []])
     return here.last(letters.CALL, "repair", 1)
 
 
 def send_turn(here: Instance) -> bytes:
     engine = here.socket_host.engine_pools["e1"].engine
-    window = here.exchange.turns.window
+    window = here.exchange.permits.transfers.window_ticks
     engine.incarnation = NOW - 2 * window - window // 2
-    here.exchange.turns.needs("n2", here.office.now, PEER_INCARNATIONS["n2"], 7, 3.0)
-    here.exchange.look_at_turns()
+    here.exchange.permits.transfers.record_demand(
+        "n2", here.office.now, PEER_INCARNATIONS["n2"], 7, 3.0
+    )
+    here.exchange.permits.offer_unused()
     return here.last(letters.CALL, "turn")
 
 
@@ -938,10 +940,10 @@
     here.office.clerks["books"].gained()
     here.office.clerks["books"].sum(FENCE)
     here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING}])
-    rows = [[name, 6, 1, 100, "e1", 0, SILENT, 250, 6] for name in PEER_INCARNATIONS]
-    here.exchange.heard("n2", [1, 5, 1, 20, rows])
-    here.exchange.period()
-    here.exchange.opinions["e1"] = Opinion(2.5, True, "n2 n3")
+    rows = [[name, 6, 1, 100, "e1", 0, Fault.SILENT.value, 250, 6] for name in PEER_INCARNATIONS]
+    here.exchange.on_status_update("n2", [1, 5, 1, 20, rows])
+    here.exchange.run_period()
+    here.exchange.assessments["e1"] = Assessment(2.5, True, "n2 n3")
     here.socket_host.findings.see("taken", "quick", 1, "one more", [(NOW, "entered", 1)])
     take_request(here)
     here.socket_host.ledger.connection_up(0)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -6,10 +6,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from corkgauge.peer_health.aggregation import OWN, opinion
+from corkgauge.peer_health.aggregation import OWN_OBSERVATION_TICKS, assess
+from corkgauge.peer_health.health_report import (
+    REPORT_LIFETIME_TICKS,
+    Fault,
+    HealthReport,
+    encode_row,
+)
 from corkgauge.peer_health.permit_transfer import PermitTransfer
-from corkgauge.peer_health.reports import LIFE, SILENT, WELL, HealthReport, HealthReports
-from corkgauge.peer_health.retry_throttle import LEAST, RetryThrottle
+from corkgauge.peer_health.reports import HealthReports
+from corkgauge.peer_health.retry_throttle import MIN_BUDGET_FRACTION, RetryThrottle
 from tests.harness import SECOND, GatewayHarness
 
 ROWS = st.lists(
@@ -17,7 +23,7 @@
         st.sampled_from(["n1", "n2", "n3"]),
         st.integers(1, 2),
         st.integers(1, 4),
-        st.integers(0, LIFE),
+        st.integers(0, REPORT_LIFETIME_TICKS),
         st.sampled_from(["e1", "e2"]),
     ),
     max_size=12,
@@ -25,16 +31,31 @@
 
 
 def row(
-    witness="n2", start=1, serial=1, age=0, tag="e1", started=7, fault=SILENT, slowness=0, samples=0
+    witness="n2",
+    start=1,
+    serial=1,
+    age=0,
+    tag="e1",
+    started=7,
+    fault=Fault.SILENT.value,
+    slowness=0,
+    samples=0,
 ):
     return [witness, start, serial, age, tag, started, fault, slowness, samples]
 
 
 def held(findings):
     return sorted(
-        (each.witness, each.tag, each.start, each.serial, each.at, each.fault)
+        (
+            each.reporter,
+            each.engine,
+            each.reporter_incarnation,
+            each.serial,
+            each.found_at,
+            each.fault,
+        )
         for tag in findings.by_engine
-        for each in findings.of(tag)
+        for each in findings.reports_on(tag)
     )
 
 
@@ -57,34 +78,38 @@
 def test_a_rumour_dies_out_and_its_age_only_grows():
     names = [f"n{n}" for n in range(8)]
     all_of_them = {name: HealthReports(name, 1) for name in names}
-    all_of_them["n0"].found(0, "e1", 7, SILENT, 0, 0)
+    all_of_them["n0"].record_own(0, "e1", 7, Fault.SILENT, 0, 0)
     told, now = 0, 0
     for turn in range(60):
         now += 1_000
         for n, name in enumerate(names):
-            rows = all_of_them[name].some(now, 8, 900)
+            rows = all_of_them[name].next_gossip(now, 8, 900)
             told += len(rows)
             for far in (1, 3):
                 all_of_them[names[(n + far + turn) % 8]].merge(now + 100, rows)
     assert all(
-        [each.at for each in one.of("e1")][0] <= 700 for one in all_of_them.values()
+        [each.found_at for each in one.reports_on("e1")][0] <= 700 for one in all_of_them.values()
     )  # 100 a hop were lost
     before = told
     assert before < 8 * 2 * 4 + 1
     for one in all_of_them.values():
-        assert one.some(now, 8, 900) == []  # it does not circle
-        one.forget(LIFE + 800, names)
+        assert one.next_gossip(now, 8, 900) == []  # it does not circle
+        one.drop_expired(REPORT_LIFETIME_TICKS + 800, names)
         assert len(one) == 0
 
 
 def test_what_a_rumour_missed_is_mended_by_marks_also_where_the_earlier_one_was_lost():
     one, other = HealthReports("n1", 1), HealthReports("n2", 1)
     for n in range(3):
-        one.found(n, f"e{n}", 7, SILENT, 0, 0)
-    other.merge(10, [one.by_engine["e2"]["n1"].row(10)])  # the latest came, the others were lost
+        one.record_own(n, f"e{n}", 7, Fault.SILENT, 0, 0)
+    other.merge(
+        10, [encode_row(one.by_engine["e2"]["n1"], 10)]
+    )  # the latest came, the others were lost
     for turn in range(6):
-        other.merge(20, one.missing(20, other.digest(900, 0), 120, True, turn))
-    assert held(one) == held(other) and one.missing(20, other.digest(900, 0), 900, True, 0) == []
+        other.merge(20, one.missing_rows(20, other.digest(900, 0), 120, True, turn))
+    assert (
+        held(one) == held(other) and one.missing_rows(20, other.digest(900, 0), 900, True, 0) == []
+    )
 
 
 def test_nonsense_floods_and_words_on_ourselves_change_nothing():
@@ -99,14 +124,14 @@
         [1],
         None,
         row(slowness=2**63),
-        row(age=LIFE),
+        row(age=REPORT_LIFETIME_TICKS),
     ]
     assert one.merge(0, wild) == 0 and len(one) == 0
     one.merge(0, [row(tag=f"e{n}", serial=n + 1) for n in range(5_000)])
     assert len(one) == 2_000 and one.merge(0, [row(witness="n3")]) == 1
 
 
-def said(witness, fault=SILENT, at=0, slowness=0, started=7):
+def said(witness, fault=Fault.SILENT, at=0, slowness=0, started=7):
     return HealthReport(witness, 1, 1, at, "e1", started, fault, slowness, 5)
 
 
@@ -118,33 +143,50 @@
     [
         ([said("a2"), said("a3"), said("a4")], 0, -1, False),  # a majority of one hall may be lying
         ([said("a2"), said("b1")], 0, -1, True),
-        ([said("a2"), said("b1")], OWN - 1, 0, False),  # our own sign is younger
-        ([said("a2"), said("b1")], 0, -1 - OWN, True),
+        ([said("a2"), said("b1")], OWN_OBSERVATION_TICKS - 1, 0, False),  # our own sign is younger
+        ([said("a2"), said("b1")], 0, -1 - OWN_OBSERVATION_TICKS, True),
         ([said("b1"), said("b2")], 0, -1, False),
         (
-            [said("a2"), said("b1"), said("a3", WELL), said("a4", WELL)],
+            [said("a2"), said("b1"), said("a3", Fault.NONE), said("a4", Fault.NONE)],
             0,
             -1,
             False,
         ),  # more found it well
-        ([said("a2"), said("b1")], LIFE // 2, -1, False),  # half as old counts half
+        (
+            [said("a2"), said("b1")],
+            REPORT_LIFETIME_TICKS // 2,
+            -1,
+            False,
+        ),  # half as old counts half
         ([said("a2"), said("b1", started=6)], 0, -1, False),  # of the engine before its restart
         ([said("a2"), said("stranger")], 0, -1, False),
     ],
 )
 def test_the_rule_on_witnesses(findings, now, own, doubted):
     for order in permutations(findings):
-        assert opinion(order, now, 7, "me", HALLS, own).doubted == doubted
+        assert assess(order, now, 7, "me", HALLS, own).is_suspected == doubted
 
 
 def test_a_hint_is_the_median_of_three_from_two_halls_and_wild_figures_are_bounded():
     def hint(*findings):
-        return opinion(findings, 0, 7, "me", HALLS, -1).slowness
+        return assess(findings, 0, 7, "me", HALLS, -1).slowness
 
-    assert hint(said("a2", WELL, 0, 300), said("a3", WELL, 0, 300), said("a4", WELL, 0, 300)) == 0
-    assert hint(said("a2", WELL, 0, 300), said("b1", WELL, 0, 400)) == 0
     assert (
-        hint(said("a2", WELL, 0, 300), said("a3", WELL, 0, 400), said("b1", WELL, 0, 10**9)) == 4.0
+        hint(
+            said("a2", Fault.NONE, 0, 300),
+            said("a3", Fault.NONE, 0, 300),
+            said("a4", Fault.NONE, 0, 300),
+        )
+        == 0
+    )
+    assert hint(said("a2", Fault.NONE, 0, 300), said("b1", Fault.NONE, 0, 400)) == 0
+    assert (
+        hint(
+            said("a2", Fault.NONE, 0, 300),
+            said("a3", Fault.NONE, 0, 400),
+            said("b1", Fault.NONE, 0, 10**9),
+        )
+        == 4.0
     )
 
 
@@ -155,35 +197,35 @@
         figures = (100, 20) if bad else (100, 0)
         for name, storm in storms.items():
             for other in storms:
-                storm.tells(other, now, *figures)
-            before = storm.strict
-            storm.looked(now, *figures, 0.0, 0.2)
-            assert LEAST <= storm.strict <= 1.0 and storm.strict <= before + 0.051
+                storm.record_usage(other, now, *figures)
+            before = storm.budget_fraction
+            storm.update(now, *figures, 0.0, 0.2)
+            assert (
+                MIN_BUDGET_FRACTION <= storm.budget_fraction <= 1.0
+                and storm.budget_fraction <= before + 0.051
+            )
         if now == 2 * SECOND:
-            assert {round(storm.strict, 3) for storm in storms.values()} == {0.25}
-    assert all(storm.strict == 1.0 for storm in storms.values())
+            assert {round(storm.budget_fraction, 3) for storm in storms.values()} == {0.25}
+    assert all(storm.budget_fraction == 1.0 for storm in storms.values())
     alone = RetryThrottle("n1")
-    assert alone.looked(0, 100, 50, 0.0, 0.2) == 1.0  # nobody else is heard: as strict as ever
+    assert alone.update(0, 100, 50, 0.0, 0.2) == 1.0  # nobody else is heard: as strict as ever
 
 
 def test_a_turn_is_passed_once_to_one_that_needs_it_and_ends_with_its_window_whatever_letters_take():
     giver, receiver = PermitTransfer(SECOND), PermitTransfer(SECOND)
-    receiver.telling(1_000, 4)  # its clock is another one
-    giver.needs("n2", 50_000, 1, 4, 1.0)
+    receiver.record_update_written(1_000, 4)  # its clock is another one
+    giver.record_demand("n2", 50_000, 1, 4, 1.0)
     assert (
-        giver.pass_on(51_000, "e1", 9_500, 0) is None
+        giver.give(51_000, "e1", 9_500, 0) is None
     )  # it is kept for a while for what may come here
-    to, serial, known_for, left = giver.pass_on(52_000, "e1", 5_000, 0)
+    to, serial, known_for, left = giver.give(52_000, "e1", 5_000, 0)
     assert (to, serial, known_for, left) == ("n2", 4, 2_000, 5_000)
+    assert giver.give(52_100, "e1", 4_900, 0) is None and giver.give(52_100, "e2", 4_900, 0) is None
     assert (
-        giver.pass_on(52_100, "e1", 4_900, 0) is None
-        and giver.pass_on(52_100, "e2", 4_900, 0) is None
-    )
-    assert (
-        receiver.received(3_500, serial, known_for, left) == 8_000
+        receiver.accept(3_500, serial, known_for, left) == 8_000
     )  # written at 1,000: no later than the window
-    assert receiver.received(8_000, serial, known_for, left) == 0
-    assert receiver.received(3_500, 99, known_for, left) == 0
+    assert receiver.accept(8_000, serial, known_for, left) == 0
+    assert receiver.accept(3_500, 99, known_for, left) == 0
 
 
 def test_turns_passed_on_keep_the_sum_of_what_a_cold_engine_is_sent():
