--- a/corkgauge/eventloop/__init__.py
+++ b/corkgauge/eventloop/__init__.py
@@ -1,1 +1,1 @@
-"""What hosts and subsystems stand on: the scheduler, links, rings and the log. Knows none of them."""
+"""Event loop, connections, ring buffers, clocks and log forms, on which every host stands."""
--- a/corkgauge/eventloop/clock.py
+++ b/corkgauge/eventloop/clock.py
@@ -1,22 +1,24 @@
-"""The clock that no setting of the date changes, and the boot that it counts from.
+"""The clock since boot, which no change of the date moves.
 
-Owns nothing. Must never be used for what another machine is told: only spans of it mean anything there.
+Only spans of it mean anything on another machine: an instant of it must not be sent as one.
 """
 
 import time
 
+BOOT_ID_FILE = "/proc/sys/kernel/random/boot_id"
+NANOSECONDS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
+
 
 def boot_time() -> int:
-    """Tenths of a millisecond since this machine's boot; it goes on while the machine or the program stands
-    still."""
-    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 100_000
+    """Read the ticks since this machine's boot; they go on while it or the program stands still."""
+    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_TICK
 
 
 def boot_of() -> tuple[str, int]:
-    """This boot's id, and the time since it."""
+    """Read the id of this boot and the ticks since it; the id is empty where none can be read."""
     try:
-        with open("/proc/sys/kernel/random/boot_id", encoding="ascii") as file:
-            boot = file.read().strip()
+        with open(BOOT_ID_FILE, encoding="ascii") as file:
+            boot_id = file.read().strip()
     except OSError:
-        boot = ""
-    return boot, boot_time()
+        boot_id = ""
+    return boot_id, boot_time()
--- a/corkgauge/eventloop/logging.py
+++ b/corkgauge/eventloop/logging.py
@@ -1,19 +1,30 @@
-"""The log's two forms: plain lines, whose wording on-call.md quotes, and a JSON object a line.
+"""The two forms of the log: plain lines, which on-call.md quotes, and a JSON object a line.
 
-Owns the table of events: a stable name and the fields of each line that the program writes. Must never lose a
-line that the table does not know: it goes as event `line` with its text.
+Holds the table of events: a stable name and the fields of each line that the program writes. A line
+that the table does not know is not lost: it goes as event `line`, with its text.
 """
 
 import json
 import re
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
+MAX_TRACE_CHARS = 2000  # of an exception's trace, its end
 PLAIN = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}"
 
-# Event, and the line's form; groups are fields. The first that fits whole counts.
+NUMBER = re.compile(r"[-+]?\d{1,18}")
+
+
+class EventForm(NamedTuple):
+    """An event, and the form of its whole line; the groups of the form are the event's fields."""
+
+    name: str
+    form: re.Pattern[str]
+
+
+# The first form that fits counts.
 EVENTS = [
-    (name, re.compile(form))
+    EventForm(name, re.compile(form))
     for name, form in (
         ("rest", r"rest (?P<engine>\S+) (?P<why>\w+) faults=(?P<faults>\d+) for=(?P<for>\d+)"),
         ("back", r"back (?P<engine>\S+) faults=(?P<faults>\d+)"),
@@ -38,9 +49,9 @@
         (
             "figures_finding",
             r"figures out of balance: (?P<row>.+?) (?P<kind>(?:hand-off )?(?:entered twice|"
-            r"never entered|never closed|closed twice)|lost from the table|count altered|terms differ|"
-            r"engine out of step|books differ|over budget) (?P<difference>[-+]\d+) since=(?P<since>\d+)"
-            r"(?: (?P<detail>.*))?",
+            r"never entered|never closed|closed twice)|lost from the table|count altered|"
+            r"terms differ|engine out of step|books differ|over budget) "
+            r"(?P<difference>[-+]\d+) since=(?P<since>\d+)(?: (?P<detail>.*))?",
         ),
         ("recall_off", r"recall off: (?P<why>.*)"),
         (
@@ -81,7 +92,8 @@
         ("works_overruled", r"works: (?P<unit>\S+): (?P<gateway>\S+) overruled by (?P<owner>.*)"),
         (
             "works_step",
-            r"works: (?P<unit>\S+) (?P<state>asked|granted|draining|out|late|returning|back)(?:: (?P<why>.*))?",
+            r"works: (?P<unit>\S+) (?P<state>asked|granted|draining|out|late|returning|back)"
+            r"(?:: (?P<why>.*))?",
         ),
         ("works_forgotten", r"works: the plan is forgotten.*"),
         ("works_store", r"works: (?P<why>nothing is written.*|what was kept is torn.*)"),
@@ -102,7 +114,7 @@
 
 
 def event_of(line: str) -> tuple[str, dict[str, Any]]:
-    """The event that a line tells of, and its fields; numbers as numbers.
+    """Name the event that a line of the log tells of, and its fields; numbers as numbers.
 
     >>> event_of("rest e1 error faults=2 for=10000")
     ('rest', {'engine': 'e1', 'why': 'error', 'faults': 2, 'for': 10000})
@@ -110,28 +122,32 @@
     (('ended', {'taken': 3, 'worst_lag': 1}), ('line', {}))
     """
     for name, form in EVENTS:
-        if found := form.fullmatch(line):
-            fields = {
-                key: _number(text) for key, text in found.groupdict().items() if text is not None
-            }
-            if "pairs" in fields:
-                pairs = (pair.partition("=") for pair in str(fields.pop("pairs")).split())
-                fields |= {key: _number(text) for key, _, text in pairs}
-            return name, fields
+        match = form.fullmatch(line)
+        if match is not None:
+            return name, _fields_of(match)
     return "line", {}
 
 
-def _number(text: str) -> int | str:
-    return int(text) if re.fullmatch(r"[-+]?\d{1,18}", text) else text
+def _fields_of(match: re.Match[str]) -> dict[str, Any]:
+    groups = match.groupdict()
+    fields = {key: _number_or_text(text) for key, text in groups.items() if text is not None}
+    if "pairs" in fields:
+        pairs = (pair.partition("=") for pair in str(fields.pop("pairs")).split())
+        fields |= {key: _number_or_text(text) for key, _, text in pairs}
+    return fields
+
+
+def _number_or_text(text: str) -> int | str:
+    return int(text) if NUMBER.fullmatch(text) else text
 
 
 def as_json(write: Callable[[str], None]) -> Callable[[Any], None]:
-    """A sink that writes each record as one JSON object a line."""
+    """Make a loguru sink that writes each record as one JSON object a line."""
 
     def sink(message: Any) -> None:
         record = message.record
         event, fields = event_of(record["message"])
-        said = {
+        entry = {
             "time": record["time"].isoformat(),
             "level": record["level"].name,
             "event": event,
@@ -139,7 +155,7 @@
             "text": record["message"],
         }
         if record["exception"] is not None:
-            said["trace"] = str(message)[-2000:]
-        write(json.dumps(said) + "\n")
+            entry["trace"] = str(message)[-MAX_TRACE_CHARS:]
+        write(json.dumps(entry) + "\n")
 
     return sink
--- a/corkgauge/eventloop/loop.py
+++ b/corkgauge/eventloop/loop.py
@@ -1,7 +1,8 @@
-"""The scheduler: greenlets over select.poll, and timers by the date as it was at the start, counted on steadily.
+"""The event loop: greenlets over select.poll, timers, and the one clock of the process.
 
-Owns the poller, the timers and the one thread. Must never block but in poll, never wake a timer early, and
-never let what one task or timer raises end the others. Nobody else polls, sleeps or asks for the time.
+Blocks nowhere but in poll, wakes no timer early, and lets nothing that a task or a timer raises end
+the others. Nobody else polls, sleeps or asks for the time. Times are whole ticks, tenths of a
+millisecond.
 """
 
 import select
@@ -14,161 +15,220 @@
 
 from greenlet import getcurrent, greenlet
 
-SECOND = 10_000  # in tenths of a millisecond
+SECOND = 10_000  # in ticks
+TICKS_PER_MILLISECOND = 10
+NANOSECONDS_PER_TICK = 100_000
+MAX_POLL_MILLISECONDS = 1000  # of one turn, where nothing else is due
+
 READ, WRITE = select.POLLIN, select.POLLOUT
 BROKEN = select.POLLHUP | select.POLLERR | select.POLLNVAL
 GONE = select.POLLRDHUP  # the peer writes no more, whatever of it still lies unread
 
+Callback = Callable[..., Any]
+Arguments = tuple[Any, ...]
+# Plain tuples, as there are tens of thousands of them and each is made on the path of a request.
+Timer = tuple[int, Callback, Arguments]  # when it is due, what is called, with what
+ReadyTask = tuple[greenlet, Arguments]  # with what it is switched to
+ParkedTask = tuple[greenlet | None, int]  # with the serial of its alarm, 0 for none
+
+NOT_PARKED: ParkedTask = (None, 0)
+
 
 def unix_time() -> int:
-    return time.time_ns() // 100_000
+    """Read the date, in ticks since 1970; it may be set at any time."""
+    return time.time_ns() // NANOSECONDS_PER_TICK
 
 
 class SteadyClock:
-    """Danger: a date that is set back by an hour would stop every timer for an hour, and one that is set on would end
-    all that is open at once. So the date is asked once, and a clock that nobody sets counts on from there."""
+    """The date as it was at the start, counted on by a clock that nobody sets.
+
+    With the date itself, setting it back by an hour would stop every timer for an hour, and setting
+    it on would end all that is open at once.
+    """
 
     def __init__(self) -> None:
-        self.base = unix_time() - time.monotonic_ns() // 100_000
+        self.base = unix_time() - time.monotonic_ns() // NANOSECONDS_PER_TICK
 
     def __call__(self) -> int:
-        return self.base + time.monotonic_ns() // 100_000
+        """Read the ticks since 1970, as the date stood at the start."""
+        return self.base + time.monotonic_ns() // NANOSECONDS_PER_TICK
 
 
 class EventLoop:
-    """Times are whole tenths of a millisecond. `clock` stands in for both clocks, in tests."""
+    """Runs tasks and timers, one at a time.
+
+    `clock` stands in for both clocks, in tests. `troubled` is called in the handler of each
+    exception that a task or a timer raised.
+    """
 
     def __init__(
         self, clock: Callable[[], int] | None = None, troubled: Callable[[], None] = lambda: None
     ) -> None:
-        self.troubled = troubled  # called where an exception of a task or timer stops
-        self.clock, self.date = clock or SteadyClock(), clock or unix_time
-        self.now, self.stopped, self.worst_lag, self.serial = self.clock(), False, 0, 0
-        # When this turn began, how long the one before took, and the longest but the first, which starts all.
-        self.began, self.lasted, self.worst_turn = self.now, 0, -1
-        self.poller, self.parked = select.poll(), dict[int, tuple[greenlet, int]]()
-        self.glance = select.poll()
-        self.ready = deque[tuple[greenlet, tuple]]()
-        # Timers by the whole millisecond that follows them, as poll knows no finer time: far cheaper than a
-        # heap of all, of which there are ten thousand and more.
-        self.timers, self.slots = dict[int, list[tuple]](), list[int]()
-        self.unsent = list[Callable[[], None]]()  # what tasks leave to do for the end of their turn
-        self.main = getcurrent()
+        self.troubled = troubled
+        self.clock: Callable[[], int] = clock or SteadyClock()
+        self.date: Callable[[], int] = clock or unix_time
+        self.now = self.clock()
+        self.stopped = False
+
+        # Figures of turns: the longest is without the first, which starts everything.
+        self.worst_lag = 0
+        self.worst_turn = -1
+        self._turn_began_at = self.now
+        self._last_turn_ticks = 0
+
+        # Tasks.
+        self.parked: dict[int, ParkedTask] = {}  # by descriptor
+        self.unsent: list[Callable[[], None]] = []  # left by tasks for the end of their turn
+        self._main = getcurrent()
+        self._ready: deque[ReadyTask] = deque()
+        self._alarm_serial = 0
+        self._poller = select.poll()
+        self._look_poller = select.poll()
+
+        # Timers by the whole millisecond that follows them, as poll knows no finer time: far
+        # cheaper than a heap of all, of which there are ten thousand and more.
+        self._timers: dict[int, list[Timer]] = {}
+        self._slots: list[int] = []  # heap of the keys of `_timers`
 
     def tick(self) -> None:
+        """Set `now` by the clock; it never goes back."""
         self.now = max(self.now, self.clock())
 
     def ahead(self) -> int:
-        """How far this clock is from the date, where that was set; a date that others tell is so much later here."""
+        """How far this clock is from the date, in ticks, where the date was set; 0 within a second.
+
+        A date that others tell is so much later by this clock.
+        """
         step = self.clock() - self.date()
         return step if abs(step) > SECOND else 0
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """Call it once so much time has passed, never at once."""
-        when = self.now + max(delay, 1)
-        slot = -(-when // 10)
-        if slot not in self.timers:
-            self.timers[slot] = []
-            heappush(self.slots, slot)
-        self.timers[slot].append((when, method, what))
+    def call_later(self, delay: int, method: Callback, *arguments: Any) -> None:
+        """Call the method once, after so many ticks, one at least: never at once."""
+        due = self.now + max(delay, 1)
+        slot = -(-due // TICKS_PER_MILLISECOND)
+        if slot not in self._timers:
+            self._timers[slot] = []
+            heappush(self._slots, slot)
+        self._timers[slot].append((due, method, arguments))
 
-    def spawn(self, method: Callable[..., None], *what: Any) -> None:
-        self.ready.append((greenlet(method, self.main), what))
+    def spawn(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Run the method as a task of its own, from the next turn on."""
+        self._ready.append((greenlet(method, self._main), arguments))
 
     # For tasks.
 
     def wait(self, fd: int, mask: int, until: int | None = None) -> int:
-        """Park until one of these events, or that time: what happened, 0 for the time or a wake."""
+        """Park the calling task until one of these events, or that time.
+
+        Returns the events, 0 for the time or a wake. Raises RuntimeError where another task waits
+        for the descriptor.
+        """
         if fd in self.parked:
             raise RuntimeError(f"two tasks wait for descriptor {fd}")
         alarm = 0
         if until is not None:
-            alarm = self.serial = self.serial + 1
-            self.call_later(until - self.now, self._alarm, fd, alarm)
+            self._alarm_serial += 1
+            alarm = self._alarm_serial
+            self.call_later(until - self.now, self._on_alarm, fd, alarm)
         self.parked[fd] = getcurrent(), alarm
-        self.poller.register(fd, mask)
-        return self.main.switch()
+        self._poller.register(fd, mask)
+        events: int = self._main.switch()
+        return events
 
     def look(self, *fds: int) -> list[int]:
-        """What there is at each of these descriptors at this moment; never waits."""
+        """Ask which events there are at each of these descriptors at this moment; never waits."""
         for fd in fds:
-            self.glance.register(fd, READ | GONE)
-        found = dict(self.glance.poll(0))
+            self._look_poller.register(fd, READ | GONE)
+        found = dict(self._look_poller.poll(0))
         for fd in fds:
-            self.glance.unregister(fd)
+            self._look_poller.unregister(fd)
         return [found.get(fd, 0) for fd in fds]
 
     def interest(self, fd: int, mask: int) -> None:
-        """Change what a parked task waits for."""
+        """Change the events that a parked task waits for."""
         if fd in self.parked:
-            self.poller.modify(fd, mask)
+            self._poller.modify(fd, mask)
 
     def wake(self, fd: int, events: int = 0) -> None:
-        """Let the task that is parked there look again."""
-        task, _ = self.parked.pop(fd, (None, 0))
+        """Let the task that is parked at this descriptor go on, in the next turn."""
+        task, _ = self.parked.pop(fd, NOT_PARKED)
         if task is not None:
-            self.poller.unregister(fd)
-            self.ready.append((task, (events,)))
+            self._poller.unregister(fd)
+            self._ready.append((task, (events,)))
 
-    def _alarm(self, fd: int, alarm: int) -> None:
-        if self.parked.get(fd, (None, 0))[1] == alarm:
+    def _on_alarm(self, fd: int, alarm: int) -> None:
+        # The descriptor may have another task by now, or none: its serial tells.
+        if self.parked.get(fd, NOT_PARKED)[1] == alarm:
             self.wake(fd)
 
     def sleep(self, span: int) -> None:
-        self.call_later(span, self.ready.append, (getcurrent(), ()))
-        self.main.switch()
+        """Park the calling task for so many ticks."""
+        self.call_later(span, self._ready.append, (getcurrent(), ()))
+        self._main.switch()
 
     # The loop.
 
     @property
     def lag(self) -> int:
-        """What is read now may have come just after the poll before the last; so long it has waited."""
-        return self.lasted + self.now - self.began
+        """Ticks that what is read now may have waited.
+
+        It may have come just after the poll before the last.
+        """
+        return self._last_turn_ticks + self.now - self._turn_began_at
 
-    def turn(self, most: float = 1000) -> None:
-        """Tasks that are ready, timers that are due, then poll until the next thing or for so many ms."""
-        for _ in range(len(self.ready)):
-            task, what = self.ready.popleft()
+    def turn(self, most: float = MAX_POLL_MILLISECONDS) -> None:
+        """Run the ready tasks and due timers, then poll until the next thing or for `most` ms."""
+        for _ in range(len(self._ready)):
+            task, arguments = self._ready.popleft()
             self.tick()
-            self._guarded(task.switch, what)
-            # Danger: many tasks in a row would make a last moment pass; timers go between any two.
-            self._due()
+            self._call_guarded(task.switch, arguments)
+            # Many tasks in a row would make a deadline pass: timers go between any two.
+            self._run_due()
         self.tick()
-        self._due()
-        wait = 0.0
-        if not self.ready and not self.stopped:
-            # Rounded up by poll, so a timer is never early.
-            wait = min(max(10 * self.slots[0] - self.clock(), 0) / 10, most) if self.slots else most
-        self.lasted = self.now - self.began
-        self.worst_turn = max(self.worst_turn, self.lasted) if self.worst_turn >= 0 else 0
-        events = self.poller.poll(wait)
+        self._run_due()
+        timeout_ms = 0.0
+        if not self._ready and not self.stopped:
+            timeout_ms = most
+            if self._slots:
+                # Poll rounds up, so a timer is never early.
+                ticks = max(TICKS_PER_MILLISECOND * self._slots[0] - self.clock(), 0)
+                timeout_ms = min(ticks / TICKS_PER_MILLISECOND, most)
+        self._last_turn_ticks = self.now - self._turn_began_at
+        self.worst_turn = max(self.worst_turn, self._last_turn_ticks) if self.worst_turn >= 0 else 0
+        found = self._poller.poll(timeout_ms)
         self.tick()
-        self.began = self.now
-        for fd, what in events:
-            self.wake(fd, what)
-
-    def _due(self) -> None:
-        while self.slots and 10 * self.slots[0] <= self.now and not self.stopped:
-            for due, method, what in sorted(
-                self.timers.pop(heappop(self.slots)), key=itemgetter(0)
-            ):
+        self._turn_began_at = self.now
+        for fd, events in found:
+            self.wake(fd, events)
+
+    def _run_due(self) -> None:
+        """Run the timers that are due, then what tasks left for the end of their turn."""
+        while (
+            self._slots and TICKS_PER_MILLISECOND * self._slots[0] <= self.now and not self.stopped
+        ):
+            timers = self._timers.pop(heappop(self._slots))
+            for due, method, arguments in sorted(timers, key=itemgetter(0)):
                 self.worst_lag = max(self.worst_lag, self.now - due)
-                self._guarded(method, what)
+                self._call_guarded(method, arguments)
             self.tick()
         while self.unsent:
-            unsent, self.unsent = self.unsent, []
+            # A new list, as what is called may leave more.
+            unsent = self.unsent
+            self.unsent = []
             for method in unsent:
-                self._guarded(method, ())
+                self._call_guarded(method, ())
 
     def worst(self) -> str:
+        """Write the worst lag and turn, in ticks, as the log has them."""
         return f"worst_lag={self.worst_lag} worst_turn={self.worst_turn}"
 
     def run(self) -> None:
+        """Turn until `stopped` is set."""
         while not self.stopped:
             self.turn()
 
-    def _guarded(self, method: Callable[..., Any], what: tuple) -> None:
+    def _call_guarded(self, method: Callback, arguments: Arguments) -> None:
         try:
-            method(*what)
-        except Exception:  # Danger: one broken call must not end what serves all others
+            method(*arguments)
+        except Exception:  # one broken call would end what serves all others
             self.troubled()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -148,7 +148,7 @@
     settled(client_connection.link.sock)
     assert link.link.look()  # the answer is told, as its task would have told it
     for _ in range(3):
-        premises.event_loop._due()  # what the turn left to do, with the client's end still unread by its task
+        premises.event_loop._run_due()  # what the turn left to do, with the client's end still unread by its task
     assert other_link.link.put == 0 and premises.heard_soon(other, 0) == b""
     assert not premises.socket_host.in_flight_attempts and not premises.logged
 
@@ -231,7 +231,7 @@
     client.sendall(request_frame(route="once"))
     settled(client_connection.link.sock)
     client_connection.link.look()  # the request is read before the engine's end is
-    premises.event_loop._due()
+    premises.event_loop._run_due()
     assert link.link.put == 0
     premises.turn()
     second, _ = premises.engine()
