--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,4 @@
-"""Sharing without processes: findings that merge in any order, the rule on witnesses, storms, turns passed on."""
+"""Peer health without processes: merging reports, suspicion, retry throttling, permit transfer."""
 
 from itertools import permutations
 
@@ -31,204 +31,233 @@
 
 
 def row(
-    witness="n2",
-    start=1,
+    reporter="n2",
+    incarnation=1,
     serial=1,
     age=0,
-    tag="e1",
-    started=7,
+    engine="e1",
+    engine_incarnation=7,
     fault=Fault.SILENT.value,
     slowness=0,
     samples=0,
 ):
-    return [witness, start, serial, age, tag, started, fault, slowness, samples]
+    return [
+        reporter,
+        incarnation,
+        serial,
+        age,
+        engine,
+        engine_incarnation,
+        fault,
+        slowness,
+        samples,
+    ]
 
 
-def held(findings):
+def held(reports):
     return sorted(
         (
-            each.reporter,
-            each.engine,
-            each.reporter_incarnation,
-            each.serial,
-            each.found_at,
-            each.fault,
+            report.reporter,
+            report.engine,
+            report.reporter_incarnation,
+            report.serial,
+            report.found_at,
+            report.fault,
         )
-        for tag in findings.by_engine
-        for each in findings.reports_on(tag)
+        for engine in reports.by_engine
+        for report in reports.reports_on(engine)
     )
 
 
 @settings(max_examples=100, deadline=None)
 @given(ROWS, st.randoms(use_true_random=False))
-def test_findings_merge_in_any_order_any_number_of_times(drawn, chance):
+def test_reports_merge_in_any_order_any_number_of_times(drawn, chance):
     rows = [
-        row(witness, start, serial, age, tag, fault=(start + serial) % 5)
-        for witness, start, serial, age, tag in drawn
+        row(reporter, incarnation, serial, age, engine, fault=(incarnation + serial) % 5)
+        for reporter, incarnation, serial, age, engine in drawn
     ]
     one, other = HealthReports("me", 1), HealthReports("me", 1)
     one.merge(1000, rows)
-    mixed = rows * 2
-    chance.shuffle(mixed)
-    for each in mixed:
+    shuffled = rows * 2
+    chance.shuffle(shuffled)
+    for each in shuffled:
         other.merge(1000, [each])
     assert [each[:4] for each in held(one)] == [each[:4] for each in held(other)]
 
 
-def test_a_rumour_dies_out_and_its_age_only_grows():
+def test_gossip_of_a_report_ends_and_its_age_only_grows():
     names = [f"n{n}" for n in range(8)]
-    all_of_them = {name: HealthReports(name, 1) for name in names}
-    all_of_them["n0"].record_own(0, "e1", 7, Fault.SILENT, 0, 0)
-    told, now = 0, 0
-    for turn in range(60):
+    reports_by_name = {name: HealthReports(name, 1) for name in names}
+    reports_by_name["n0"].record_own(0, "e1", 7, Fault.SILENT, 0, 0)
+    sent_rows = 0
+    now = 0
+    for period in range(60):
         now += 1_000
         for n, name in enumerate(names):
-            rows = all_of_them[name].next_gossip(now, 8, 900)
-            told += len(rows)
-            for far in (1, 3):
-                all_of_them[names[(n + far + turn) % 8]].merge(now + 100, rows)
+            rows = reports_by_name[name].next_gossip(now, 8, 900)
+            sent_rows += len(rows)
+            for distance in (1, 3):
+                receiver = names[(n + distance + period) % 8]
+                reports_by_name[receiver].merge(now + 100, rows)
+    # The 100 ticks of each hop may be lost from its age, never gained.
     assert all(
-        [each.found_at for each in one.reports_on("e1")][0] <= 700 for one in all_of_them.values()
-    )  # 100 a hop were lost
-    before = told
-    assert before < 8 * 2 * 4 + 1
-    for one in all_of_them.values():
-        assert one.next_gossip(now, 8, 900) == []  # it does not circle
-        one.drop_expired(REPORT_LIFETIME_TICKS + 800, names)
-        assert len(one) == 0
+        [report.found_at for report in reports.reports_on("e1")][0] <= 700
+        for reports in reports_by_name.values()
+    )
+    assert sent_rows < 8 * 2 * 4 + 1
+    for reports in reports_by_name.values():
+        assert reports.next_gossip(now, 8, 900) == []  # it does not circle
+        reports.drop_expired(REPORT_LIFETIME_TICKS + 800, names)
+        assert len(reports) == 0
 
 
-def test_what_a_rumour_missed_is_mended_by_marks_also_where_the_earlier_one_was_lost():
+def test_reconciliation_repairs_lost_gossip_also_of_earlier_reports():
     one, other = HealthReports("n1", 1), HealthReports("n2", 1)
     for n in range(3):
         one.record_own(n, f"e{n}", 7, Fault.SILENT, 0, 0)
-    other.merge(
-        10, [encode_row(one.by_engine["e2"]["n1"], 10)]
-    )  # the latest came, the others were lost
-    for turn in range(6):
-        other.merge(20, one.missing_rows(20, other.digest(900, 0), 120, True, turn))
+    latest = one.by_engine["e2"]["n1"]
+    other.merge(10, [encode_row(latest, 10)])  # the others were lost on the way
+    for rotation in range(6):
+        other.merge(20, one.missing_rows(20, other.digest(900, 0), 120, True, rotation))
     assert (
         held(one) == held(other) and one.missing_rows(20, other.digest(900, 0), 900, True, 0) == []
     )
 
 
-def test_nonsense_floods_and_words_on_ourselves_change_nothing():
-    one = HealthReports("me", 1)
-    wild = [
-        row(witness="me"),
+def test_malformed_rows_floods_and_reports_in_our_name_change_nothing():
+    reports = HealthReports("me", 1)
+    passed_over = [
+        row(reporter="me"),
         row(age=-1),
         row(fault=9),
-        row(tag=""),
-        row(tag="x" * 99),
+        row(engine=""),
+        row(engine="x" * 99),
         row(serial="1"),
         [1],
         None,
         row(slowness=2**63),
         row(age=REPORT_LIFETIME_TICKS),
     ]
-    assert one.merge(0, wild) == 0 and len(one) == 0
-    one.merge(0, [row(tag=f"e{n}", serial=n + 1) for n in range(5_000)])
-    assert len(one) == 2_000 and one.merge(0, [row(witness="n3")]) == 1
+    assert reports.merge(0, passed_over) == 0 and len(reports) == 0
+    reports.merge(0, [row(engine=f"e{n}", serial=n + 1) for n in range(5_000)])
+    assert len(reports) == 2_000 and reports.merge(0, [row(reporter="n3")]) == 1
 
 
-def said(witness, fault=Fault.SILENT, at=0, slowness=0, started=7):
-    return HealthReport(witness, 1, 1, at, "e1", started, fault, slowness, 5)
+def report(reporter, fault=Fault.SILENT, found_at=0, slowness=0, engine_incarnation=7):
+    return HealthReport(reporter, 1, 1, found_at, "e1", engine_incarnation, fault, slowness, 5)
 
 
-HALLS = {"me": "a", "a2": "a", "a3": "a", "a4": "a", "b1": "b", "b2": "b"}
+ZONES = {"me": "a", "a2": "a", "a3": "a", "a4": "a", "b1": "b", "b2": "b"}
 
 
 @pytest.mark.parametrize(
-    "findings, now, own, doubted",
+    "reports, now, own_observation_at, is_suspected",
     [
-        ([said("a2"), said("a3"), said("a4")], 0, -1, False),  # a majority of one hall may be lying
-        ([said("a2"), said("b1")], 0, -1, True),
-        ([said("a2"), said("b1")], OWN_OBSERVATION_TICKS - 1, 0, False),  # our own sign is younger
-        ([said("a2"), said("b1")], 0, -1 - OWN_OBSERVATION_TICKS, True),
-        ([said("b1"), said("b2")], 0, -1, False),
         (
-            [said("a2"), said("b1"), said("a3", Fault.NONE), said("a4", Fault.NONE)],
+            [report("a2"), report("a3"), report("a4")],
+            0,
+            -1,
+            False,
+        ),  # a majority of one zone may be lying
+        ([report("a2"), report("b1")], 0, -1, True),
+        (
+            [report("a2"), report("b1")],
+            OWN_OBSERVATION_TICKS - 1,
+            0,
+            False,
+        ),  # our own sign is younger
+        ([report("a2"), report("b1")], 0, -1 - OWN_OBSERVATION_TICKS, True),
+        ([report("b1"), report("b2")], 0, -1, False),
+        (
+            [report("a2"), report("b1"), report("a3", Fault.NONE), report("a4", Fault.NONE)],
             0,
             -1,
             False,
         ),  # more found it well
         (
-            [said("a2"), said("b1")],
+            [report("a2"), report("b1")],
             REPORT_LIFETIME_TICKS // 2,
             -1,
             False,
         ),  # half as old counts half
-        ([said("a2"), said("b1", started=6)], 0, -1, False),  # of the engine before its restart
-        ([said("a2"), said("stranger")], 0, -1, False),
+        (
+            [report("a2"), report("b1", engine_incarnation=6)],
+            0,
+            -1,
+            False,
+        ),  # of the engine before its restart
+        ([report("a2"), report("stranger")], 0, -1, False),
     ],
 )
-def test_the_rule_on_witnesses(findings, now, own, doubted):
-    for order in permutations(findings):
-        assert assess(order, now, 7, "me", HALLS, own).is_suspected == doubted
+def test_suspicion_needs_reporters_of_two_zones_and_no_own_observation(
+    reports, now, own_observation_at, is_suspected
+):
+    for order in permutations(reports):
+        assessment = assess(order, now, 7, "me", ZONES, own_observation_at)
+        assert assessment.is_suspected == is_suspected
 
 
-def test_a_hint_is_the_median_of_three_from_two_halls_and_wild_figures_are_bounded():
-    def hint(*findings):
-        return assess(findings, 0, 7, "me", HALLS, -1).slowness
+def test_slowness_is_the_median_of_three_reports_from_two_zones_within_bounds():
+    def slowness(*reports):
+        return assess(reports, 0, 7, "me", ZONES, -1).slowness
 
     assert (
-        hint(
-            said("a2", Fault.NONE, 0, 300),
-            said("a3", Fault.NONE, 0, 300),
-            said("a4", Fault.NONE, 0, 300),
+        slowness(
+            report("a2", Fault.NONE, 0, 300),
+            report("a3", Fault.NONE, 0, 300),
+            report("a4", Fault.NONE, 0, 300),
         )
         == 0
     )
-    assert hint(said("a2", Fault.NONE, 0, 300), said("b1", Fault.NONE, 0, 400)) == 0
+    assert slowness(report("a2", Fault.NONE, 0, 300), report("b1", Fault.NONE, 0, 400)) == 0
     assert (
-        hint(
-            said("a2", Fault.NONE, 0, 300),
-            said("a3", Fault.NONE, 0, 400),
-            said("b1", Fault.NONE, 0, 10**9),
+        slowness(
+            report("a2", Fault.NONE, 0, 300),
+            report("a3", Fault.NONE, 0, 400),
+            report("b1", Fault.NONE, 0, 10**9),
         )
         == 4.0
     )
 
 
-def test_a_storm_makes_all_stricter_alike_and_lets_go_by_steps():
-    storms = {f"n{n}": RetryThrottle(f"n{n}") for n in range(5)}
+def test_retry_throttle_cuts_all_alike_and_recovers_by_steps():
+    throttles = {f"n{n}": RetryThrottle(f"n{n}") for n in range(5)}
     for now in range(0, 10 * SECOND, 2_000):
-        bad = now < 4 * SECOND
-        figures = (100, 20) if bad else (100, 0)
-        for name, storm in storms.items():
-            for other in storms:
-                storm.record_usage(other, now, *figures)
-            before = storm.budget_fraction
-            storm.update(now, *figures, 0.0, 0.2)
+        is_bad = now < 4 * SECOND
+        usage = (100, 20) if is_bad else (100, 0)
+        for throttle in throttles.values():
+            for member in throttles:
+                throttle.record_usage(member, now, *usage)
+            before = throttle.budget_fraction
+            throttle.update(now, *usage, 0.0, 0.2)
             assert (
-                MIN_BUDGET_FRACTION <= storm.budget_fraction <= 1.0
-                and storm.budget_fraction <= before + 0.051
+                MIN_BUDGET_FRACTION <= throttle.budget_fraction <= 1.0
+                and throttle.budget_fraction <= before + 0.051
             )
         if now == 2 * SECOND:
-            assert {round(storm.budget_fraction, 3) for storm in storms.values()} == {0.25}
-    assert all(storm.budget_fraction == 1.0 for storm in storms.values())
+            fractions = {round(throttle.budget_fraction, 3) for throttle in throttles.values()}
+            assert fractions == {0.25}
+    assert all(throttle.budget_fraction == 1.0 for throttle in throttles.values())
     alone = RetryThrottle("n1")
-    assert alone.update(0, 100, 50, 0.0, 0.2) == 1.0  # nobody else is heard: as strict as ever
+    assert alone.update(0, 100, 50, 0.0, 0.2) == 1.0  # nothing is known of others
 
 
-def test_a_turn_is_passed_once_to_one_that_needs_it_and_ends_with_its_window_whatever_letters_take():
+def test_permit_is_given_once_to_a_member_in_need_and_ends_with_its_window_however_late():
     giver, receiver = PermitTransfer(SECOND), PermitTransfer(SECOND)
     receiver.record_update_written(1_000, 4)  # its clock is another one
     giver.record_demand("n2", 50_000, 1, 4, 1.0)
-    assert (
-        giver.give(51_000, "e1", 9_500, 0) is None
-    )  # it is kept for a while for what may come here
-    to, serial, known_for, left = giver.give(52_000, "e1", 5_000, 0)
-    assert (to, serial, known_for, left) == ("n2", 4, 2_000, 5_000)
+    # At first it is kept for what may come here.
+    assert giver.give(51_000, "e1", 9_500, 0) is None
+    to, serial, known_ticks, remaining_ticks = giver.give(52_000, "e1", 5_000, 0)
+    assert (to, serial, known_ticks, remaining_ticks) == ("n2", 4, 2_000, 5_000)
     assert giver.give(52_100, "e1", 4_900, 0) is None and giver.give(52_100, "e2", 4_900, 0) is None
-    assert (
-        receiver.accept(3_500, serial, known_for, left) == 8_000
-    )  # written at 1,000: no later than the window
-    assert receiver.accept(8_000, serial, known_for, left) == 0
-    assert receiver.accept(3_500, 99, known_for, left) == 0
+    # The update was written at 1,000: no later than the window.
+    assert receiver.accept(3_500, serial, known_ticks, remaining_ticks) == 8_000
+    assert receiver.accept(8_000, serial, known_ticks, remaining_ticks) == 0
+    assert receiver.accept(3_500, 99, known_ticks, remaining_ticks) == 0
 
 
-def test_turns_passed_on_keep_the_sum_of_what_a_cold_engine_is_sent():
+def test_given_permits_keep_the_sum_of_what_a_warming_engine_is_sent():
     def sent(passing):
         total = 0
         yards = []
@@ -253,7 +282,7 @@
     assert sent(True) == sent(False) > 0
 
 
-def test_a_doubted_engine_is_tried_by_one_hand_off_at_a_time_and_a_hint_is_for_lack_of_samples():
+def test_suspected_engine_gets_one_attempt_at_a_time_and_reported_slowness_serves_without_samples():
     yard = GatewayHarness(engines=2)
     engine = yard.engines[0]
     yard.gateway.on_peer_health(engine, 6.0, 1)
@@ -270,7 +299,7 @@
     assert taken and other.engines[0] not in taken
 
 
-def test_further_hand_offs_only_grow_stricter():
+def test_retry_budget_only_shrinks_by_the_throttle():
     yard = GatewayHarness(engines=3, extra_floor=4.0, extra_share=0.0, extra_span=SECOND)
     assert yard.gateway._extra_left()
     yard.gateway.strict = 0.2
