--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Mapping
 from statistics import median
-from typing import Any
+from typing import Any, NamedTuple
 
 from corkgauge.config.operator_file import Shared
 from corkgauge.config.platform import PlatformConfig
@@ -48,6 +48,14 @@
 LAST_STAGE = 2  # of a reconciliation: it is not answered
 
 
+class Observation(NamedTuple):
+    """What this gateway found out about an engine itself; slowness is in percent of the usual."""
+
+    fault: Fault
+    slowness_percent: int
+    sample_count: int
+
+
 class PeerHealthService:
     """Exchanges reports with a few members each period, and tells the gateway what they come to.
 
@@ -131,38 +139,42 @@
 
     def _record_own_observations(self, now: int) -> None:
         """Report on each engine of which this gateway knows something fresh and worth telling."""
-        gateway = self.socket_host.gateway
-        notable_percent = NOTABLE_SLOWNESS * 100 * gateway._usual_slowness()
+        notable_percent = NOTABLE_SLOWNESS * 100 * self.socket_host.gateway._usual_slowness()
         for engine_pool in self.socket_host.engine_pools.values():
             engine = engine_pool.engine
-            stats = engine.stats
-            if engine.state != EngineState.READY or stats is None:
+            observation = self._observe(engine, now)
+            if observation is None:
                 continue
-            fault = Fault.NONE
-            if stats.ejected_until > now:
-                fault = last_fault(stats.fault_history)
-            elif stats.last_heard_at < now - OWN_OBSERVATION_TICKS or not gateway._trusted(stats):
-                continue  # nothing fresh is known of it here: our last report grows old
-            sample_count = len(stats.slowness_samples)
-            slowness_percent = 0
-            if sample_count >= MIN_SLOWNESS_SAMPLES:
-                slowness_percent = int(100 * median(stats.slowness_samples))
             # Hundreds of gateways telling of hundreds of engines that they are as usual would leave
             # no room for what is not. So that is told only where a report says otherwise.
             if (
-                fault != Fault.NONE
-                or slowness_percent > notable_percent
+                observation.fault != Fault.NONE
+                or observation.slowness_percent > notable_percent
                 or self.reports.is_disputed(engine.host_reference, notable_percent)
             ):
                 self.reports.record_own(
-                    now,
-                    engine.host_reference,
-                    engine_pool.started,
-                    fault,
-                    slowness_percent,
-                    sample_count,
+                    now, engine.host_reference, engine_pool.started, *observation
                 )
 
+    def _observe(self, engine: Any, now: int) -> Observation | None:
+        """Sum up what this gateway knows of an engine; None where nothing of it is fresh."""
+        stats = engine.stats
+        if engine.state != EngineState.READY or stats is None:
+            return None
+        fault = Fault.NONE
+        if stats.ejected_until > now:
+            fault = last_fault(stats.fault_history)
+        elif (
+            stats.last_heard_at < now - OWN_OBSERVATION_TICKS
+            or not self.socket_host.gateway._trusted(stats)
+        ):
+            return None
+        sample_count = len(stats.slowness_samples)
+        slowness_percent = 0
+        if sample_count >= MIN_SLOWNESS_SAMPLES:
+            slowness_percent = int(100 * median(stats.slowness_samples))
+        return Observation(fault, slowness_percent, sample_count)
+
     def _update_retry_throttle(self, now: int) -> None:
         gateway = self.socket_host.gateway
         floor, allowed_ratio, _ = gateway.extra
