--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -18,7 +18,7 @@
     def __init__(self, office: Any, duty: str, each: int) -> None:
         self.office, self.duty, self.each = office, duty, each
         self.books, self.history, self.number, self.fence = FleetAccounts(), History(), 0, 0
-        self.epoch = str(office.member_list.letters.start)
+        self.epoch = str(office.member_list.codec.incarnation)
 
     def gained(self) -> None:
         """Held from now on: rounds begin, under this fence alone."""
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -215,8 +215,8 @@
         sort, duty, version, mark = body[:4]
         self.told_rolls[sender] = version, mark
         if sort not in ANSWERS:
-            letters = self.member_list.letters
-            start = letters.start if sender == self.name else letters.pens[sender].start
+            codec = self.member_list.codec
+            start = codec.incarnation if sender == self.name else codec.peers[sender].incarnation
             return self.voter.heard(sender, start, body)
         holder = self.holders.get(duty)
         if holder is not None:
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -357,8 +357,8 @@
         elif what == "word":
             serial, fence, number, blank, closed, many, loads, unwell, free = rest
             if self.scribe.state != IDLE:
-                letters = self.member_list.letters
-                start = letters.start if sender == self.name else letters.pens[sender].start
+                codec = self.member_list.codec
+                start = codec.incarnation if sender == self.name else codec.peers[sender].incarnation
                 self.planner.told(
                     sender,
                     start,
--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -1,210 +1,300 @@
-"""Datagrams between fellows: sealed with a shared key, bound to one start of sender and receiver, never taken
-twice.
+"""Seals and opens the datagrams between members: authenticated, bound to incarnations, each taken once.
 
-Owns keys, counters and the windows against replay. Fed with bytes; knows no socket and no clock. Must never
-let anything of a datagram count before its seal, its receiver and its counter have been looked at.
+Owns keys, counters, the windows against replay and the rate allowance of each peer. Fed with bytes; knows no socket
+and no clock. Nothing of a datagram may count before its seal, its receiver and its counter have been checked.
 
-A datagram: a mark (1 octet), the key's number (1), a msgpack list, the seal (16, HMAC-SHA256 cut short as RFC
-2104 section 5 lets it). The list: sort, sender, its start, receiver, the receiver's start as the sender knows
-it, counter, body. A start is a number that is new with each start of a program.
+A datagram is a mark (1 octet), the number of the key (1), a msgpack list, and the seal (16: HMAC-SHA256, truncated as
+RFC 2104 section 5 allows). The list: kind, sender, its incarnation, receiver, the receiver's incarnation as the sender
+knows it, counter, body. An incarnation is a number that is new with each start of a program.
 """
 
 from collections import Counter
 from collections.abc import Callable, Sequence
-from typing import Any
+from enum import IntEnum
+from typing import Any, NamedTuple
 
 import msgpack
 from cryptography.hazmat.primitives import constant_time, hashes, hmac
 
 MARK = 0xC9
-SEAL = 16  # octets
-LARGEST = 1_400  # octets of a datagram: none is ever parted on its way
-WINDOW = 256  # counters below the highest that are told apart
-LEAST_KEY = 32  # octets
-MOST_START = 2**62  # above it no start is believed: the next one would not fit
+SEAL_BYTES = 16
+MAX_DATAGRAM_BYTES = 1_400  # below the usual MTU: none is ever fragmented on its way
+REPLAY_WINDOW = 256  # counters below the highest that are told apart
+MIN_KEY_BYTES = 32
+MAX_INCARNATION = 2**62  # not believed from here on: the next one would not fit
+DATAGRAMS_PER_SECOND = 400.0  # of one peer that are opened
+BURST_DATAGRAMS = 800.0  # of one peer that are opened at once
+TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
+ENVELOPE_FIELDS = 7
 
-# Sorts. HELLO asks who is there; BACK answers it, and proves by the asker's start that it is no old one.
-HELLO, BACK, ASK, ANSWER, ASK_FOR, DEAF, ASK_ALL, TELL, CALL = range(9)
+# Why a datagram was not taken, as operators read it among the counters.
+TO_EARLIER_INCARNATION = "to an earlier start"
+OF_EARLIER_INCARNATION = "of an earlier start"
 
 
-RATE, BURST = 400.0, 800.0  # letters of one fellow that are opened: a second; at once
+class DatagramKind(IntEnum):
+    """The kinds by their numbers on the wire.
+
+    HELLO asks who is there; HELLO_REPLY answers it, and proves by the asker's incarnation that it is no replay.
+    """
+
+    HELLO = 0
+    HELLO_REPLY = 1
+    PROBE = 2
+    ACK = 3
+    INDIRECT_PROBE = 4
+    NACK = 5
+    STATE_REQUEST = 6
+    GOSSIP = 7
+    CALL = 8
 
 
 class Key:
-    """A shared secret of 32 octets or more; its number is public, and tells it from another one."""
+    """A shared secret of at least MIN_KEY_BYTES; its public number tells it from another one.
+
+    Raises ValueError for a shorter secret.
+    """
 
     def __init__(self, secret: bytes) -> None:
-        if len(secret) < LEAST_KEY:
-            raise ValueError(f"expected {LEAST_KEY} octets or more, found {len(secret)}")
-        self.fresh = hmac.HMAC(secret, hashes.SHA256())
-        number = hashes.Hash(hashes.SHA256())
-        number.update(b"corkgauge key" + secret)
-        self.number = number.finalize()[0]
+        if len(secret) < MIN_KEY_BYTES:
+            raise ValueError(f"expected {MIN_KEY_BYTES} octets or more, found {len(secret)}")
+        self._unused_hmac = hmac.HMAC(secret, hashes.SHA256())
+        digest = hashes.Hash(hashes.SHA256())
+        digest.update(b"corkgauge key" + secret)
+        self.number = digest.finalize()[0]
 
     def seal(self, data: bytes) -> bytes:
-        one = self.fresh.copy()
-        one.update(data)
-        return one.finalize()[:SEAL]
-
-    def sealed(self, data: bytes, seal: bytes) -> bool:
-        """Danger: a comparison that stops at the first difference tells a stranger how far it was right."""
+        """Return the truncated HMAC of the data."""
+        authenticator = self._unused_hmac.copy()
+        authenticator.update(data)
+        return authenticator.finalize()[:SEAL_BYTES]
+
+    def verifies(self, data: bytes, seal: bytes) -> bool:
+        """Return whether the seal is this key's for the data."""
+        # A comparison that stops at the first difference tells a stranger how far it was right.
         return constant_time.bytes_eq(self.seal(data), seal)
 
 
-class Window:
-    """Which counters of one sender have come (RFC 4303, section 3.4.3, with a wider mask).
+class ReplayWindow:
+    """Which counters of one sender have arrived (RFC 4303, section 3.4.3, with a wider mask).
 
-    >>> window = Window()
-    >>> [window.first(each) for each in (5, 3, 5, 3, 4, 300, 44, 45, 300)]
+    >>> window = ReplayWindow()
+    >>> [window.accept(each) for each in (5, 3, 5, 3, 4, 300, 44, 45, 300)]
     [True, True, False, False, True, True, False, True, False]
     """
 
     __slots__ = ("highest", "mask")
 
     def __init__(self) -> None:
-        self.highest, self.mask = 0, 0
+        self.highest = 0
+        self.mask = 0
 
-    def first(self, counter: int) -> bool:
-        """Is it new? From now on it is not."""
+    def accept(self, counter: int) -> bool:
+        """Return whether the counter is new; from now on it is not."""
         if counter > self.highest:
-            self.mask = (self.mask << min(counter - self.highest, WINDOW) | 1) & (1 << WINDOW) - 1
+            shift = min(counter - self.highest, REPLAY_WINDOW)
+            self.mask = (self.mask << shift | 1) & (1 << REPLAY_WINDOW) - 1
             self.highest = counter
             return True
-        bit = 1 << (self.highest - counter)
-        # Danger: what is older than the window cannot be told from a replay.
-        if self.highest - counter >= WINDOW or self.mask & bit:
+        age = self.highest - counter
+        bit = 1 << age
+        # What is older than the window cannot be told from a replay.
+        if age >= REPLAY_WINDOW or self.mask & bit:
             return False
         self.mask |= bit
         return True
 
 
-class Pen:
-    """What one gateway needs for its letters with one other."""
+class PeerSession:
+    """What one instance keeps for its datagrams with one other."""
 
-    __slots__ = ("name", "start", "written", "window", "allowance", "filled")
+    __slots__ = ("name", "incarnation", "sent_counter", "replay_window", "allowance", "filled_at")
 
     def __init__(self, name: str) -> None:
-        self.name, self.start, self.written, self.window = name, 0, 0, Window()
-        self.allowance, self.filled = BURST, 0
+        self.name = name
+        self.incarnation = 0  # 0: not known yet
+        self.sent_counter = 0
+        self.replay_window = ReplayWindow()
+        self.allowance = BURST_DATAGRAMS  # datagrams that may still be opened
+        self.filled_at = 0  # ticks
+
+    def restart(self, incarnation: int) -> None:
+        """Begin anew with a later incarnation of the peer, whose counters begin anew too."""
+        self.incarnation = incarnation
+        self.replay_window = ReplayWindow()
+
+
+class Envelope(NamedTuple):
+    """The fields of a datagram whose seal was right, in their order on the wire."""
+
+    kind: int
+    sender: str
+    incarnation: int
+    receiver: str
+    receiver_incarnation: int
+    counter: int
+    body: Any
+
+
+class OpenedDatagram(NamedTuple):
+    """What the caller is to act on; of a HELLO the body is the sender's incarnation."""
+
+    sender: str
+    kind: int
+    body: Any
 
 
 class DatagramCodec:
-    """One gateway's side. `starts(name, start)` is called when another's start becomes known or changes,
-    `outgrown(start)` when somebody knows our name under a later start than ours."""
+    """One instance's side of all its exchanges.
+
+    `on_incarnation(name, incarnation)` is called when a peer's incarnation becomes known or changes,
+    `on_superseded(incarnation)` when a peer knows our name under a later incarnation than ours.
+    """
 
     def __init__(
         self,
         name: str,
-        start: int,
+        incarnation: int,
         keys: Sequence[Key],
-        starts: Callable[[str, int], None],
-        outgrown: Callable[[int], None],
+        on_incarnation: Callable[[str, int], None],
+        on_superseded: Callable[[int], None],
     ) -> None:
-        self.name, self.start, self.starts, self.outgrown = name, start, starts, outgrown
-        self.keys = [*keys]
-        self.pens: dict[str, Pen] = {}
-        self.counts = Counter[str]()  # by why it was not taken
-
-    def named(self, names: Sequence[str]) -> None:
-        """Who the others are; what is known of those that stay is kept."""
-        self.pens = {name: self.pens.get(name) or Pen(name) for name in names if name != self.name}
-
-    def write(self, to: str, sort: int, body: Any, known_as: int = 0) -> bytes:
-        """A datagram; KeyError for a stranger, ValueError where the body is too large. `known_as` is for
-        BACK, which repeats the start that it answers."""
-        pen, key = self.pens[to], self.keys[0]
-        pen.written += 1
-        data = bytes((MARK, key.number)) + msgpack.packb(
-            [sort, self.name, self.start, to, max(known_as, pen.start), pen.written, body]
+        self.name = name
+        self.incarnation = incarnation
+        self.keys = [*keys]  # the first seals, any opens
+        self.peers: dict[str, PeerSession] = {}
+        self.counts = Counter[str]()  # by "taken", or why it was not
+        self._on_incarnation = on_incarnation
+        self._on_superseded = on_superseded
+
+    def set_peers(self, names: Sequence[str]) -> None:
+        """Say who the others are; what is known of those that stay is kept."""
+        self.peers = {
+            name: self.peers.get(name) or PeerSession(name) for name in names if name != self.name
+        }
+
+    def encode(self, receiver: str, kind: int, body: Any, answered_incarnation: int = 0) -> bytes:
+        """Return a sealed datagram; `answered_incarnation` is what a HELLO_REPLY repeats of its HELLO.
+
+        Raises KeyError for a receiver that is no peer, ValueError if it is over MAX_DATAGRAM_BYTES.
+        """
+        peer = self.peers[receiver]
+        key = self.keys[0]
+        peer.sent_counter += 1
+        envelope = Envelope(
+            int(kind),
+            self.name,
+            self.incarnation,
+            receiver,
+            max(answered_incarnation, peer.incarnation),
+            peer.sent_counter,
+            body,
         )
-        if len(data) + SEAL > LARGEST:
+        data = bytes((MARK, key.number)) + msgpack.packb([*envelope])
+        if len(data) + SEAL_BYTES > MAX_DATAGRAM_BYTES:
             raise ValueError(f"{len(data)} octets for one datagram")
         return data + key.seal(data)
 
-    def known(self, name: str) -> bool:
-        """May anything but HELLO and BACK be written to it?"""
-        return self.pens[name].start > 0
+    def knows_incarnation(self, name: str) -> bool:
+        """Return whether anything but HELLO and HELLO_REPLY may be written to this peer."""
+        return self.peers[name].incarnation > 0
 
-    def open(self, data: bytes, now: int) -> tuple[str, int, Any] | None:
-        """Sender, sort and body; None for what must not be taken, which costs its reading and one count.
-        `now` in tenths of a millisecond, for the allowance of each sender."""
-        said = self._unsealed(data)
-        if isinstance(said, str):
-            self.counts[said] += 1
+    def decode(self, data: bytes, now_ticks: int) -> OpenedDatagram | None:
+        """Return what to act on; None for what must not be taken, which costs its reading and one count."""
+        envelope = self._unseal(data)
+        if isinstance(envelope, str):
+            self.counts[envelope] += 1
             return None
-        sort, sender, start, to, known_as, counter, body = said
-        pen = self.pens.get(sender)
-        wrong = (
-            "stranger"
-            if pen is None
-            else "not to us"
-            if to != self.name
-            else "flood"
-            if not self._allowed(pen, now)
-            else ""
-        )
-        if not wrong and known_as > self.start:
-            # Danger: after a clock that was set back our start is below the one they knew; they would take
-            # all of ours for old for ever.
-            self.outgrown(known_as)
-            wrong = "to a later start"
-        elif not wrong and sort != HELLO and known_as != self.start:
-            # Danger: what was written to an earlier start of ours may be hours old, and our windows are
-            # empty.
-            wrong = "to an earlier start"
-        elif not wrong and sort != HELLO and start < pen.start:
-            wrong = "of an earlier start"
-        if wrong:
-            self.counts[wrong] += 1
-            # One that does not know us, or our present start, is told by a BACK, which the caller writes.
-            return (
-                (sender, HELLO, start)
-                if wrong in ("to an earlier start", "of an earlier start")
-                else None
-            )
-        if sort == HELLO:  # anybody's old one may come again: it changes nothing, and is answered
-            return sender, HELLO, start
-        if start > pen.start:
-            pen.start, pen.window = start, Window()
-            self.starts(sender, start)
-        if not pen.window.first(counter):
+        rejection = self._rejection(envelope, now_ticks)
+        if rejection:
+            self.counts[rejection] += 1
+            if rejection in (TO_EARLIER_INCARNATION, OF_EARLIER_INCARNATION):
+                # It does not know us, or our present incarnation: treated as a HELLO, it is told by the reply.
+                return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
+            return None
+        if envelope.kind == DatagramKind.HELLO:  # a replayed one changes nothing, and is answered
+            return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
+        peer = self.peers[envelope.sender]
+        self._adopt_incarnation(peer, envelope.incarnation)
+        if not peer.replay_window.accept(envelope.counter):
             self.counts["replay"] += 1
             return None
         self.counts["taken"] += 1
-        return sender, sort, body
-
-    def on_peer_health(self, name: str, start: int) -> None:
-        """A fellow tells of another's start. It counts only until the other's own letters say more."""
-        pen = self.pens.get(name)
-        if pen is not None and start > pen.start:
-            pen.start, pen.window = start, Window()
-            self.starts(name, start)
-
-    def _allowed(self, pen: Pen, now: int) -> bool:
-        """Danger: a fellow that floods would take the time of all that is served."""
-        pen.allowance = min(BURST, pen.allowance + (now - pen.filled) * RATE / 10_000)
-        pen.filled = now
-        if pen.allowance < 1:
+        return OpenedDatagram(envelope.sender, envelope.kind, envelope.body)
+
+    def learn_incarnation(self, name: str, incarnation: int) -> None:
+        """Take a third member's word on a peer's incarnation, until the peer's own datagrams say more."""
+        peer = self.peers.get(name)
+        if peer is not None:
+            self._adopt_incarnation(peer, incarnation)
+
+    def _adopt_incarnation(self, peer: PeerSession, incarnation: int) -> None:
+        if incarnation > peer.incarnation:
+            peer.restart(incarnation)
+            self._on_incarnation(peer.name, incarnation)
+
+    def _rejection(self, envelope: Envelope, now_ticks: int) -> str:
+        """Return why a datagram with a right seal must not be taken; empty if it may be."""
+        peer = self.peers.get(envelope.sender)
+        if peer is None:
+            return "stranger"
+        if envelope.receiver != self.name:
+            return "not to us"
+        if not self._spend_allowance(peer, now_ticks):
+            return "flood"
+        if envelope.receiver_incarnation > self.incarnation:
+            # After a clock that was set back our incarnation is below the one they knew: unless it is raised,
+            # they take all of ours for old for ever.
+            self._on_superseded(envelope.receiver_incarnation)
+            return "to a later start"
+        if envelope.kind == DatagramKind.HELLO:
+            return ""
+        if envelope.receiver_incarnation != self.incarnation:
+            # What was written to an earlier incarnation of ours may be hours old, and our windows are empty:
+            # a replay would be taken.
+            return TO_EARLIER_INCARNATION
+        if envelope.incarnation < peer.incarnation:
+            return OF_EARLIER_INCARNATION
+        return ""
+
+    def _spend_allowance(self, peer: PeerSession, now_ticks: int) -> bool:
+        """Return whether one more of this peer's datagrams may be opened (a token bucket)."""
+        # Without it a member that floods takes the time of all that is served.
+        earned = (now_ticks - peer.filled_at) * DATAGRAMS_PER_SECOND / TICKS_PER_SECOND
+        peer.allowance = min(BURST_DATAGRAMS, peer.allowance + earned)
+        peer.filled_at = now_ticks
+        if peer.allowance < 1:
             return False
-        pen.allowance -= 1
+        peer.allowance -= 1
         return True
 
-    def _unsealed(self, data: bytes) -> list[Any] | str:
-        """What it says, or why nobody should look at it."""
-        if len(data) < 2 + SEAL or len(data) > LARGEST or data[0] != MARK:
+    def _unseal(self, data: bytes) -> Envelope | str:
+        """Return the fields of a datagram, or why nobody should look at it."""
+        if len(data) < 2 + SEAL_BYTES or len(data) > MAX_DATAGRAM_BYTES or data[0] != MARK:
             return "not a letter"
         key = next((each for each in self.keys if each.number == data[1]), None)
-        if key is None or not key.sealed(data[:-SEAL], data[-SEAL:]):
+        if key is None or not key.verifies(data[:-SEAL_BYTES], data[-SEAL_BYTES:]):
             return "seal"
         try:
-            said = msgpack.unpackb(data[2:-SEAL], strict_map_key=True)
+            fields = msgpack.unpackb(data[2:-SEAL_BYTES], strict_map_key=True)
         except (ValueError, msgpack.UnpackException, msgpack.StackError):
             return "unreadable"
-        if not isinstance(said, list) or len(said) != 7:
+        if not isinstance(fields, list) or len(fields) != ENVELOPE_FIELDS:
             return "unreadable"
-        figures, names = (said[0], said[2], said[4], said[5]), (said[1], said[3])
-        if not all(type(each) is int and 0 <= each < MOST_START for each in figures) or not (
-            all(isinstance(each, str) for each in names)
-        ):
+        envelope = Envelope(*fields)
+        if not _has_right_types(envelope):
             return "unreadable"
-        return said
+        return envelope
+
+
+def _has_right_types(envelope: Envelope) -> bool:
+    numbers = (
+        envelope.kind,
+        envelope.incarnation,
+        envelope.receiver_incarnation,
+        envelope.counter,
+    )
+    names = (envelope.sender, envelope.receiver)
+    return all(type(each) is int and 0 <= each < MAX_INCARNATION for each in numbers) and all(
+        isinstance(each, str) for each in names
+    )
--- a/corkgauge/membership/gossip.py
+++ b/corkgauge/membership/gossip.py
@@ -1,57 +1,81 @@
-"""What is passed on: the last word on each fellow, each told a bounded number of times.
+"""Queues what is gossiped: the latest update on each member, each sent a bounded number of times.
 
-Owns which words are still told, and how often each was. Free of I/O. Must never hold more than one word on a
-fellow, and must let every word die out.
+Owns which updates are still sent, and how often each was. Free of I/O. Holds at most one update on a member, and lets
+every update die out, so that what a datagram carries stays bounded (SWIM, section 4.1: infection-style dissemination).
 """
 
+from collections.abc import Callable, Container
 from heapq import nsmallest
 from math import ceil, log2
-from typing import Any
+from typing import Generic, NamedTuple, TypeVar
 
-TIMES = 3  # over the logarithm of the number of fellows: how often a word is told
+TRANSMIT_MULTIPLIER = 3  # times the logarithm of the number of members: how often an update is sent
+MAX_CANDIDATES = 64  # updates considered for one datagram; more never fit into it
 
+Update = TypeVar("Update")
 
-class GossipQueue:
-    """
-    >>> rumours = GossipQueue()
-    >>> rumours.tell("a", ("a", 1))
-    >>> rumours.tell("b", ("b", 1))
-    >>> rumours.tell("a", ("a", 2))
-    >>> rumours.some(2, 1, lambda word: 1)
+
+class QueuedUpdate(NamedTuple, Generic[Update]):
+    """An update, how often it was sent, and its place in the order of arrival."""
+
+    transmissions: int
+    serial: int
+    update: Update
+
+
+class GossipQueue(Generic[Update]):
+    """Updates by member name, the least sent first.
+
+    >>> queue = GossipQueue()
+    >>> queue.add("a", ("a", 1))
+    >>> queue.add("b", ("b", 1))
+    >>> queue.add("a", ("a", 2))
+    >>> queue.take(2, 1, lambda update: 1)
     [('b', 1)]
-    >>> rumours.some(2, 1, lambda word: 1)
+    >>> queue.take(2, 1, lambda update: 1)
     [('a', 2)]
-    >>> [len(rumours.some(2, 9, lambda word: 1)) for _ in range(7)]
+    >>> [len(queue.take(2, 9, lambda update: 1)) for _ in range(7)]
     [2, 2, 2, 2, 2, 0, 0]
     """
 
     def __init__(self) -> None:
-        self.words: dict[str, tuple[int, int, Any]] = {}  # told so often, in this order, the word
-        self.serial = 0
-
-    def tell(self, name: str, word: Any) -> None:
-        """The last word on a fellow; it takes the place of an earlier one."""
-        self.words.pop(name, None)
-        self.words[name] = (0, self.serial, word)
-        self.serial += 1
-
-    def forget(self, names: Any) -> None:
-        """Only these are fellows still."""
-        self.words = {name: said for name, said in self.words.items() if name in names}
-
-    def some(self, members: int, room: int, size: Any, first: str = "") -> list[Any]:
-        """The least told ones that fit into so much room, `first`'s own before all; each told once more."""
-        most = TIMES * ceil(log2(members + 1))
-        found = []
-        # Danger: the word on the one we speak to must reach it, or it never hears that it is accused.
-        order = nsmallest(64, self.words.items(), key=lambda item: (item[0] != first, item[1][:2]))
-        for name, (told, serial, word) in order:
-            room -= size(word)
-            if room < 0:
+        self.updates: dict[str, QueuedUpdate[Update]] = {}
+        self._next_serial = 0
+
+    def add(self, name: str, update: Update) -> None:
+        """Queue the latest update on a member; it takes the place of an earlier one."""
+        self.updates.pop(name, None)
+        self.updates[name] = QueuedUpdate(0, self._next_serial, update)
+        self._next_serial += 1
+
+    def retain(self, names: Container[str]) -> None:
+        """Drop the updates on all but these members."""
+        self.updates = {name: queued for name, queued in self.updates.items() if name in names}
+
+    def take(
+        self,
+        member_count: int,
+        room_bytes: int,
+        size_bytes: Callable[[Update], int],
+        receiver: str = "",
+    ) -> list[Update]:
+        """Return the least sent updates that fit, the one on the receiver before all; each counts as sent."""
+        limit = TRANSMIT_MULTIPLIER * ceil(log2(member_count + 1))
+        taken = []
+        # Unless the update on the receiver goes first, a member may never hear that it is suspected.
+        candidates = nsmallest(
+            MAX_CANDIDATES,
+            self.updates.items(),
+            key=lambda item: (item[0] != receiver, item[1].transmissions, item[1].serial),
+        )
+        for name, queued in candidates:
+            room_bytes -= size_bytes(queued.update)
+            if room_bytes < 0:
                 break
-            found.append(word)
-            if told + 1 >= most:
-                del self.words[name]
+            taken.append(queued.update)
+            transmissions = queued.transmissions + 1
+            if transmissions >= limit:
+                del self.updates[name]
             else:
-                self.words[name] = told + 1, serial, word
-        return found
+                self.updates[name] = queued._replace(transmissions=transmissions)
+        return taken
--- a/corkgauge/membership/member_list.py
+++ b/corkgauge/membership/member_list.py
@@ -14,19 +14,7 @@
 from math import log, log10
 from typing import Any, Protocol
 
-from corkgauge.membership.datagrams import (
-    ANSWER,
-    ASK,
-    ASK_ALL,
-    ASK_FOR,
-    BACK,
-    CALL,
-    DEAF,
-    HELLO,
-    TELL,
-    DatagramCodec,
-    Key,
-)
+from corkgauge.membership.datagrams import DatagramCodec, DatagramKind, Key
 from corkgauge.membership.gossip import GossipQueue
 
 ALIVE, SUSPECTED, GONE, LEFT, UNKNOWN = range(5)
@@ -109,8 +97,8 @@
         period: int,
     ) -> None:
         self.host, self.name, self.period = host, name, period
-        self.letters = DatagramCodec(name, start, keys, self._started, self._outgrown)
-        self.rumours, self.health, self.turn, self.serial = GossipQueue(), 0, 0, 0
+        self.codec = DatagramCodec(name, start, keys, self._started, self._outgrown)
+        self.gossip, self.health, self.turn, self.serial = GossipQueue(), 0, 0, 0
         self.members: dict[str, Member] = {}
         self.zone = ""
         self.round: list[str] = []
@@ -137,19 +125,19 @@
             if name != self.name:
                 self.members[name].zone = zone
         self.unknown = sum(each.state == UNKNOWN for each in self.members.values())
-        self.letters.named([*self.members])
-        self.rumours.forget({*self.members, self.name})
+        self.codec.set_peers([*self.members])
+        self.gossip.retain({*self.members, self.name})
         self.round = [name for name in self.round if name in self.members]
 
     def locked(self, keys: Sequence[Key]) -> None:
         """Other keys: the first seals, any opens."""
-        self.letters.keys = [*keys]
+        self.codec.keys = [*keys]
 
     def leave(self) -> None:
         """We end in order: told to a few at once, and by them to all."""
         self.left = True
         for member in self._some(2 * HELPERS):
-            self._send(member.name, TELL, [])
+            self._send(member.name, DatagramKind.GOSSIP, [])
 
     # What others may ask.
 
@@ -157,10 +145,10 @@
         """Send something of another subsystem's; False where its start is unknown yet (it is greeted)."""
         if name not in self.members:
             return False
-        if not self.letters.known(name):
-            self._send(name, HELLO, None)
+        if not self.codec.knows_incarnation(name):
+            self._send(name, DatagramKind.HELLO, None)
             return False
-        self._send(name, CALL, [subject, body])
+        self._send(name, DatagramKind.CALL, [subject, body])
         return True
 
     def alive(self) -> list[Member]:
@@ -183,18 +171,18 @@
 
     def came(self, data: bytes) -> None:
         """A datagram, from whoever."""
-        opened = self.letters.open(data, self.host.now)
+        opened = self.codec.decode(data, self.host.now)
         if opened is None:
             return
         sender, sort, body = opened
         member = self.members[sender]
-        if sort == HELLO:
-            return self._send(sender, BACK, None, body)
+        if sort == DatagramKind.HELLO:
+            return self._send(sender, DatagramKind.HELLO_REPLY, None, body)
         member.heard = self.host.now
-        if sort == BACK:
+        if sort == DatagramKind.HELLO_REPLY:
             if not self.met:  # the first that we meet tells us of all others
                 self.met = True
-                self._send(sender, ASK_ALL, [])
+                self._send(sender, DatagramKind.STATE_REQUEST, [])
             return
         try:
             self._read(member, sort, body)
@@ -203,22 +191,22 @@
             self.counts["no sense"] += 1
 
     def _read(self, member: Member, sort: int, body: Any) -> None:
-        if sort == CALL:
+        if sort == DatagramKind.CALL:
             subject, what = body
             if subject in self.calls:
                 self.calls[subject](member.name, what)
             return
-        if sort == ASK:
-            self._send(member.name, ANSWER, [int(body[0])])
-        elif sort == ANSWER:
+        if sort == DatagramKind.PROBE:
+            self._send(member.name, DatagramKind.ACK, [int(body[0])])
+        elif sort == DatagramKind.ACK:
             self._answered(int(body[0]))
-        elif sort == ASK_FOR:
+        elif sort == DatagramKind.INDIRECT_PROBE:
             self._ask_for(member.name, int(body[0]), str(body[1]))
-        elif sort == DEAF:
+        elif sort == DatagramKind.NACK:
             asked = self.asked.get(int(body[0]))
             if asked is not None:
                 asked.deaf += 1
-        elif sort == ASK_ALL:
+        elif sort == DatagramKind.STATE_REQUEST:
             self._tell_all(member)
         for word in body[-1]:
             self._heard(member.name, word)
@@ -232,16 +220,16 @@
         host.call_later(span, self.tick)
         if not self.met:
             for member in self._some(NEWCOMER, known=False):
-                self._send(member.name, HELLO, None)
+                self._send(member.name, DatagramKind.HELLO, None)
             return
         if self.unknown and not self.host.chance(SELDOM):
             for other in self._some(1):
-                self._send(other.name, ASK_ALL, [])
+                self._send(other.name, DatagramKind.STATE_REQUEST, [])
         member = self._next()
         if member is None:
             return
-        if not self.letters.known(member.name):
-            return self._send(member.name, HELLO, None)
+        if not self.codec.knows_incarnation(member.name):
+            return self._send(member.name, DatagramKind.HELLO, None)
         self._ask(member, int(span * REPLY), span)
 
     def _ask(
@@ -249,7 +237,7 @@
     ) -> None:
         self.serial += 1
         self.asked[self.serial] = Asked(member, self.host.now + span, for_whom, serial)
-        self._send(member.name, ASK, [self.serial])
+        self._send(member.name, DatagramKind.PROBE, [self.serial])
         if not for_whom:
             self.host.call_later(reply, self.unanswered, self.serial)
         self.host.call_later(span, self.given_up, self.serial)
@@ -261,7 +249,7 @@
             return
         for other in self._some(HELPERS, but=asked.member):
             asked.helpers += 1
-            self._send(other.name, ASK_FOR, [serial, asked.member.name])
+            self._send(other.name, DatagramKind.INDIRECT_PROBE, [serial, asked.member.name])
 
     def given_up(self, serial: int) -> None:
         asked = self.asked.pop(serial, None)
@@ -269,7 +257,7 @@
             return
         if asked.for_whom:
             if asked.for_whom in self.members:
-                self._send(asked.for_whom, DEAF, [asked.serial])
+                self._send(asked.for_whom, DatagramKind.NACK, [asked.serial])
             return
         # Danger: one that stood still itself hears nothing of what came meanwhile, and would accuse everyone.
         if self.host.now > asked.due + int(LATE * self.period):
@@ -285,13 +273,13 @@
             return
         if asked.for_whom:
             if asked.for_whom in self.members:
-                self._send(asked.for_whom, ANSWER, [asked.serial])
+                self._send(asked.for_whom, DatagramKind.ACK, [asked.serial])
             return
         self._health(-1)
 
     def _ask_for(self, whom: str, serial: int, name: str) -> None:
         member = self.members.get(name)
-        if member is not None and self.letters.known(name):
+        if member is not None and self.codec.knows_incarnation(name):
             self._ask(member, 0, int(self.period * (1 - REPLY) * 0.8), whom, serial)
 
     # Words.
@@ -305,7 +293,7 @@
         member = self.members.get(name)
         if member is None:
             return
-        self.letters.on_peer_health(name, start)  # may take it up as alive
+        self.codec.learn_incarnation(name, start)  # may take it up as alive
         new, old = (
             (start, turn, min(state, GONE)),
             (member.start, member.turn, min(member.state, GONE)),
@@ -328,15 +316,15 @@
 
     def _of_us(self, state: int, start: int, turn: int) -> None:
         """Danger: an accusation that is not answered makes us gone for all."""
-        if start > self.letters.start:
+        if start > self.codec.incarnation:
             self._outgrown(start)
-        elif start == self.letters.start and state != ALIVE and not self.left:
+        elif start == self.codec.incarnation and state != ALIVE and not self.left:
             if turn >= self.turn:
                 self.turn = turn + 1
                 self.counts["accused"] += 1
                 self._health(1)
             # Danger: while we were not heard, our word died out; whoever still accuses us never had it.
-            self.rumours.tell(self.name, self._our_word())
+            self.gossip.add(self.name, self._our_word())
 
     def _suspected(self, member: Member, accuser: str, why: str) -> None:
         if member.state != SUSPECTED:
@@ -345,7 +333,7 @@
         if member.state != SUSPECTED:
             self._becomes(member, SUSPECTED, why, {accuser})
         else:
-            self.rumours.tell(member.name, member.word()[:4] + [accuser])
+            self.gossip.add(member.name, member.word()[:4] + [accuser])
         member.serial += 1
         left = member.since + self._suspicion(len(member.accusers) - 1) - self.host.now
         self.host.call_later(max(left, 1), self.suspicion_over, member, member.serial)
@@ -372,7 +360,7 @@
         before, member.state, member.since, member.why = member.state, state, self.host.now, why
         self.unknown -= before == UNKNOWN
         member.accusers = {*accusers}
-        self.rumours.tell(member.name, member.word())
+        self.gossip.add(member.name, member.word())
         if before != state:
             self.counts[f"became {STATES[state]}"] += 1
             self.host.changed(member, before)
@@ -387,12 +375,12 @@
     def _outgrown(self, start: int) -> None:
         """They know our name under a later start: a clock was set back, or another process runs under it."""
         self.counts["outgrown"] += 1
-        self.letters.start = start + 1
+        self.codec.incarnation = start + 1
         self.turn = 0
         self.host.log(f"fellows: known under a later start, taking {start + 1}")
 
     def _our_word(self) -> list[Any]:
-        return [self.name, LEFT if self.left else ALIVE, self.letters.start, self.turn, ""]
+        return [self.name, LEFT if self.left else ALIVE, self.codec.incarnation, self.turn, ""]
 
     def _tell_all(self, member: Member) -> None:
         """The whole roll, as datagrams take it. Danger: one that asks again and again would be work without
@@ -408,16 +396,16 @@
             words.append(word)
             size += _size(word)
             if size > ROOM - 60:
-                self._send(member.name, TELL, [], words=words)
+                self._send(member.name, DatagramKind.GOSSIP, [], words=words)
                 words, size = [], 0
         if words:
-            self._send(member.name, TELL, [], words=words)
+            self._send(member.name, DatagramKind.GOSSIP, [], words=words)
 
     # Helpers.
 
     def _send(self, name: str, sort: int, body: Any, known_as: int = 0, words: Any = None) -> None:
-        if sort in (HELLO, BACK, CALL):
-            data = self.letters.write(name, sort, body, known_as)
+        if sort in (DatagramKind.HELLO, DatagramKind.HELLO_REPLY, DatagramKind.CALL):
+            data = self.codec.encode(name, sort, body, known_as)
         else:
             if words is None:
                 words, member = [], self.members[name]
@@ -425,8 +413,8 @@
                     words.append(member.word())  # it must hear what is said of it
                 if self.left:
                     words.append(self._our_word())
-                words += self.rumours.some(len(self.members) + 1, ROOM - 120, _size, name)
-            data = self.letters.write(name, sort, [*body, words])
+                words += self.gossip.take(len(self.members) + 1, ROOM - 120, _size, name)
+            data = self.codec.encode(name, sort, [*body, words])
         self.counts["sent"] += 1
         self.host.send_datagram(name, data)
 
@@ -448,7 +436,7 @@
             each.name
             for each in self.members.values()
             if each is not but
-            and (not known or each.state == ALIVE and self.letters.known(each.name))
+            and (not known or each.state == ALIVE and self.codec.knows_incarnation(each.name))
         ]
         found = []
         while names and len(found) < many:
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -14,7 +14,7 @@
 from corkgauge.config.operator_file import Fellows
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
 from corkgauge.eventloop.loop import READ, SECOND
-from corkgauge.membership.datagrams import LARGEST, Key
+from corkgauge.membership.datagrams import MAX_DATAGRAM_BYTES, Key
 from corkgauge.membership.member_list import STATES, Member, MemberList
 
 AT_ONCE = 32  # datagrams that are read in a row, before others have their turn
@@ -101,7 +101,7 @@
                 if self.sock is not sock:
                     return
                 try:
-                    data = sock.recv(LARGEST + 1)
+                    data = sock.recv(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError:
@@ -147,7 +147,7 @@
         return {
             "name": self.name,
             "hall": member_list.zone,
-            "start": member_list.letters.start,
+            "start": member_list.codec.incarnation,
             "health": member_list.health,
             "fellows": {
                 each.name: {
@@ -164,6 +164,6 @@
             "counters": {
                 **member_list.counts,
                 "unsent": self.unsent,
-                **{f"letters {why}": count for why, count in member_list.letters.counts.items()},
+                **{f"letters {why}": count for why, count in member_list.codec.counts.items()},
             },
         }
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -49,7 +49,7 @@
             said,
         )
         self.membership, self.member_list = membership, membership.member_list
-        self.findings = HealthReports(self.name, self.member_list.letters.start)
+        self.findings = HealthReports(self.name, self.member_list.codec.incarnation)
         self.storm = RetryThrottle(self.name)
         self.turns = PermitTransfer(socket_host.gateway.fall_span)
         self.opinions: dict[str, Opinion] = {}
@@ -165,7 +165,7 @@
         self._merge(now, rows)
         self.storm.tells(sender, now, int(honoured), int(further))
         self.turns.needs(
-            sender, boot_time(), self.member_list.letters.pens[sender].start, int(serial), want / 10
+            sender, boot_time(), self.member_list.codec.peers[sender].incarnation, int(serial), want / 10
         )
 
     def compared(self, sender: str, body: Any) -> None:
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -226,7 +226,7 @@
             socket_host, platform_config, Fellows((KEY,), members, None, SECOND // 2)
         )
         member_list = self.membership.member_list
-        self._counted(member_list.letters)
+        self._counted(member_list.codec)
         self.office: LeaseService | None = None
         self.yard: MaintenanceService | None = None
         self.exchange: PeerHealthService | None = None
@@ -260,9 +260,9 @@
             for holder in self.office.holders.values():
                 holder.stand(False)
 
-    def _counted(self, letters: Any) -> None:
+    def _counted(self, codec: Any) -> None:
         """By sort, and by subject where another subsystem sends."""
-        write, opened = letters.write, letters.open
+        write, opened = codec.encode, codec.decode
 
         def written(to: str, sort: int, body: Any, known_as: int = 0) -> bytes:
             data = write(to, sort, body, known_as)
@@ -278,7 +278,7 @@
                 self.kinds_in[body[0] if SORTS[sort] == "call" else SORTS[sort]] += 1
             return found
 
-        letters.write, letters.open = written, read
+        codec.encode, codec.decode = written, read
 
     def end(self) -> None:
         """In order, as a restart of the program does: duties are handed over, a few are told."""
@@ -299,9 +299,9 @@
         member_list = self.membership.member_list
         for name, start in starts.items():
             if name != self.name:
-                member_list.letters.on_peer_health(name, start)
+                member_list.codec.learn_incarnation(name, start)
         member_list.met = True
-        member_list.rumours.words.clear()
+        member_list.gossip.updates.clear()
 
     # What a coordinator may ask.
 
@@ -333,7 +333,7 @@
             "in": wire.got,
             "octets_in": wire.octets_in,
             "held_back": wire.held_back,
-            "words": len(member_list.rumours.words),
+            "words": len(member_list.gossip.updates),
             "spent": self.beat.spent,
             "unknown": self.unknown(),
             "duties": self.duties(),
@@ -341,7 +341,7 @@
             "octets_by": dict(self.octets_by),
             "kinds_in": dict(self.kinds_in),
             "became": dict(self.membership.became),
-            "refused": dict(member_list.letters.counts),
+            "refused": dict(member_list.codec.counts),
             "health": member_list.health,
             "late": member_list.counts["late ourselves"],
             "unsent": self.membership.unsent,
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -89,7 +89,7 @@
 
     def do_starts(self) -> dict[str, int]:
         return {
-            name: each.membership.member_list.letters.start for name, each in self.members.items()
+            name: each.membership.member_list.codec.incarnation for name, each in self.members.items()
         }
 
     def do_told(self, starts: dict[str, int]) -> None:
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -37,7 +37,8 @@
 from corkgauge.maintenance.plan import DRAINING, GRANTED, Plan
 from corkgauge.maintenance.plan_proposer import FORGOTTEN
 from corkgauge.maintenance.service import MaintenanceService
-from corkgauge.membership import datagrams as letters
+from corkgauge.membership import datagrams
+from corkgauge.membership.datagrams import DatagramKind as letters
 from corkgauge.membership.member_list import ALIVE
 from corkgauge.membership.service import MembershipService
 from corkgauge.peer_health.aggregation import Opinion
@@ -166,22 +167,22 @@
     def _meet(self) -> None:
         for name, incarnation in PEER_INCARNATIONS.items():
             if name != self.name:
-                self.member_list.letters.on_peer_health(name, incarnation)
+                self.member_list.codec.learn_incarnation(name, incarnation)
                 assert self.member_list.members[name].state == ALIVE
         self.member_list.met = True
 
     def receive(self, sort: int, body: Any) -> None:
         """Take a datagram of n2's."""
-        pens = letters.DatagramCodec(
+        pens = datagrams.DatagramCodec(
             "n2",
             PEER_INCARNATIONS["n2"],
-            [letters.Key(SECRET)],
+            [datagrams.Key(SECRET)],
             lambda name, start: None,
             lambda start: None,
         )
-        pens.named(["n1"])
-        known_as = self.member_list.letters.start
-        self.member_list.came(pens.write("n1", sort, body, known_as))
+        pens.set_peers(["n1"])
+        known_as = self.member_list.codec.incarnation
+        self.member_list.came(pens.encode("n1", sort, body, known_as))
 
     def hold(self, duty: str) -> None:
         """Let this instance hold a lease, under the fixed fencing token."""
@@ -202,7 +203,7 @@
     def last(self, sort: int, subject: str = "", tag: int | str | None = None) -> bytes:
         """The last datagram sent of this sort and subject."""
         for datagram in reversed(self.membership.sent):
-            said = msgpack.unpackb(datagram.octets[2 : -letters.SEAL], strict_map_key=False)
+            said = msgpack.unpackb(datagram.octets[2 : -datagrams.SEAL_BYTES], strict_map_key=False)
             if said[0] != sort:
                 continue
             if sort != letters.CALL:
@@ -246,39 +247,39 @@
 
 def send_back(here: Instance) -> bytes:
     here.receive(letters.HELLO, None)
-    return here.last(letters.BACK)
+    return here.last(letters.HELLO_REPLY)
 
 
 def send_ask_all(here: Instance) -> bytes:
-    here.receive(letters.BACK, None)
-    return here.last(letters.ASK_ALL)
+    here.receive(letters.HELLO_REPLY, None)
+    return here.last(letters.STATE_REQUEST)
 
 
 def send_ask(here: Instance) -> bytes:
     here.member_list.tick()
-    return here.last(letters.ASK)
+    return here.last(letters.PROBE)
 
 
 def send_answer(here: Instance) -> bytes:
-    here.receive(letters.ASK, [5, []])
-    return here.last(letters.ANSWER)
+    here.receive(letters.PROBE, [5, []])
+    return here.last(letters.ACK)
 
 
 def send_ask_for(here: Instance) -> bytes:
     here.member_list.tick()
     here.member_list.unanswered(here.member_list.serial)
-    return here.last(letters.ASK_FOR)
+    return here.last(letters.INDIRECT_PROBE)
 
 
 def send_deaf(here: Instance) -> bytes:
-    here.receive(letters.ASK_FOR, [9, "n3", []])
+    here.receive(letters.INDIRECT_PROBE, [9, "n3", []])
     here.member_list.given_up(here.member_list.serial)
-    return here.last(letters.DEAF)
+    return here.last(letters.NACK)
 
 
 def send_tell(here: Instance) -> bytes:
-    here.receive(letters.ASK_ALL, [[["n3", 1, PEER_INCARNATIONS["n3"], 2, "n2"]]])
-    return here.last(letters.TELL)
+    here.receive(letters.STATE_REQUEST, [[["n3", 1, PEER_INCARNATIONS["n3"], 2, "n2"]]])
+    return here.last(letters.GOSSIP)
 
 
 def send_lease_probe(here: Instance) -> bytes:
@@ -526,13 +527,13 @@
 
 def opened(octets: bytes) -> Opened:
     """What the instance that a datagram is for takes out of it; its handlers take it too."""
-    receiver, known_as = msgpack.unpackb(octets[2 : -letters.SEAL], strict_map_key=False)[3:5]
+    receiver, known_as = msgpack.unpackb(octets[2 : -datagrams.SEAL_BYTES], strict_map_key=False)[3:5]
     with instance(receiver) as there:
         # A sender that does not know this incarnation yet writes 0, and only HELLO may.
-        there.member_list.letters.start = known_as or PEER_INCARNATIONS[receiver]
-        taken = there.member_list.letters.open(octets, NOW)
-        assert taken is not None, dict(there.member_list.letters.counts)
-        there.member_list.letters.pens["n1"].window = letters.Window()
+        there.member_list.codec.incarnation = known_as or PEER_INCARNATIONS[receiver]
+        taken = there.member_list.codec.decode(octets, NOW)
+        assert taken is not None, dict(there.member_list.codec.counts)
+        there.member_list.codec.peers["n1"].replay_window = datagrams.ReplayWindow()
         there.member_list.came(octets)
         return Opened(*taken, there.member_list.counts["no sense"])
 
--- a/tests/test_fellows.py
+++ b/tests/test_fellows.py
@@ -5,13 +5,10 @@
 import pytest
 
 from corkgauge.membership.datagrams import (
-    ASK,
-    BACK,
-    BURST,
-    CALL,
-    HELLO,
-    LARGEST,
+    BURST_DATAGRAMS,
+    MAX_DATAGRAM_BYTES,
     DatagramCodec,
+    DatagramKind,
     Key,
 )
 from corkgauge.membership.member_list import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberList
@@ -25,59 +22,72 @@
     """Two that know each other's start."""
     one = DatagramCodec("n1", 100, [Key(SECRET)], lambda *_: None, lambda start: None)
     two = DatagramCodec("n2", 200, [Key(SECRET)], lambda *_: None, lambda start: None)
-    one.named(["n2"])
-    two.named(["n1"])
+    one.set_peers(["n2"])
+    two.set_peers(["n1"])
     for here, there in ((one, two), (two, one)):
-        sender, sort, start = there.open(here.write(there.name, HELLO, None), 0)
-        assert (sort, start) == (HELLO, here.start)
-        assert here.open(there.write(here.name, BACK, None, start), 0)[1] == BACK
+        sender, sort, start = there.decode(here.encode(there.name, DatagramKind.HELLO, None), 0)
+        assert (sort, start) == (DatagramKind.HELLO, here.incarnation)
+        assert (
+            here.decode(there.encode(here.name, DatagramKind.HELLO_REPLY, None, start), 0)[1]
+            == DatagramKind.HELLO_REPLY
+        )
     return one, two
 
 
 def test_a_letter_is_taken_once_by_whom_it_was_written_to():
     one, two = pair()
-    data = one.write("n2", CALL, ["x", 1])
-    assert two.open(data, 0) == ("n1", CALL, ["x", 1])
-    assert two.open(data, 0) is None and two.counts["replay"] == 1
-    assert one.open(one.write("n2", CALL, 1), 0) is None and one.counts["stranger"] == 1
+    data = one.encode("n2", DatagramKind.CALL, ["x", 1])
+    assert two.decode(data, 0) == ("n1", DatagramKind.CALL, ["x", 1])
+    assert two.decode(data, 0) is None and two.counts["replay"] == 1
+    assert (
+        one.decode(one.encode("n2", DatagramKind.CALL, 1), 0) is None
+        and one.counts["stranger"] == 1
+    )
     third = DatagramCodec("n3", 300, [Key(SECRET)], lambda *_: None, lambda start: None)
-    third.named(["n1"])
-    assert third.open(one.write("n2", CALL, 1), 0) is None and third.counts["not to us"] == 1
+    third.set_peers(["n1"])
+    assert (
+        third.decode(one.encode("n2", DatagramKind.CALL, 1), 0) is None
+        and third.counts["not to us"] == 1
+    )
 
 
 @pytest.mark.parametrize("change", range(0, 60, 3))
 def test_a_letter_with_one_octet_changed_is_no_letter(change):
     one, two = pair()
-    data = bytearray(one.write("n2", CALL, ["some", "words"]))
+    data = bytearray(one.encode("n2", DatagramKind.CALL, ["some", "words"]))
     data[change % len(data)] ^= 0x41
-    assert two.open(bytes(data), 0) is None and two.counts["taken"] == 1
+    assert two.decode(bytes(data), 0) is None and two.counts["taken"] == 1
 
 
-@pytest.mark.parametrize("data", [b"", b"\xc9", b"\xc9" * 40, bytes(LARGEST + 1), b"\0" * 100])
+@pytest.mark.parametrize(
+    "data", [b"", b"\xc9", b"\xc9" * 40, bytes(MAX_DATAGRAM_BYTES + 1), b"\0" * 100]
+)
 def test_what_is_no_letter_costs_one_count(data):
     one, _ = pair()
-    assert one.open(data, 0) is None
+    assert one.decode(data, 0) is None
     assert one.counts["not a letter"] + one.counts["seal"] == 1
 
 
 def test_another_key_opens_nothing_and_two_hold_while_one_is_changed():
     one, two = pair()
     one.keys = [Key(OTHER)]
-    assert two.open(one.write("n2", CALL, 1), 0) is None and two.counts["seal"] == 1
+    assert two.decode(one.encode("n2", DatagramKind.CALL, 1), 0) is None and two.counts["seal"] == 1
     two.keys = [Key(SECRET), Key(OTHER)]
-    assert two.open(one.write("n2", CALL, 2), 0) == ("n1", CALL, 2)
-    assert one.open(two.write("n1", CALL, 3), 0) is None  # it knows the new one alone
+    assert two.decode(one.encode("n2", DatagramKind.CALL, 2), 0) == ("n1", DatagramKind.CALL, 2)
+    assert (
+        one.decode(two.encode("n1", DatagramKind.CALL, 3), 0) is None
+    )  # it knows the new one alone
     with pytest.raises(ValueError):
         Key(b"short")
 
 
 def test_letters_of_an_hour_ago_say_nothing_to_a_new_start():
     one, two = pair()
-    old = [one.write("n2", CALL, n) for n in range(5)]
+    old = [one.encode("n2", DatagramKind.CALL, n) for n in range(5)]
     again = DatagramCodec("n2", 900, [Key(SECRET)], lambda *_: None, lambda start: None)
-    again.named(["n1"])
-    assert [again.open(data, 0) for data in old] == [
-        ("n1", HELLO, 100)
+    again.set_peers(["n1"])
+    assert [again.decode(data, 0) for data in old] == [
+        ("n1", DatagramKind.HELLO, 100)
     ] * 5  # told our start, and no more
     assert again.counts["to an earlier start"] == 5 and again.counts["taken"] == 0
 
@@ -88,16 +98,20 @@
     again = DatagramCodec(
         "n1", 50, [Key(SECRET)], lambda *_: None, outgrown.append
     )  # its clock was set back
-    again.named(["n2"])
-    sender, sort, start = two.open(again.write("n2", HELLO, None), 0)
-    assert again.open(two.write("n1", BACK, None, start), 0) is None and outgrown == [100]
+    again.set_peers(["n2"])
+    sender, sort, start = two.decode(again.encode("n2", DatagramKind.HELLO, None), 0)
+    assert again.decode(
+        two.encode("n1", DatagramKind.HELLO_REPLY, None, start), 0
+    ) is None and outgrown == [100]
 
 
 def test_a_fellow_that_floods_takes_its_allowance_and_no_more():
     one, two = pair()
-    taken = sum(two.open(one.write("n2", CALL, n), 1) is not None for n in range(3000))
-    assert taken <= BURST and two.counts["flood"] >= 3000 - BURST
-    assert two.open(one.write("n2", CALL, 0), 2 * SECOND) is not None
+    taken = sum(
+        two.decode(one.encode("n2", DatagramKind.CALL, n), 1) is not None for n in range(3000)
+    )
+    assert taken <= BURST_DATAGRAMS and two.counts["flood"] >= 3000 - BURST_DATAGRAMS
+    assert two.decode(one.encode("n2", DatagramKind.CALL, 0), 2 * SECOND) is not None
 
 
 class Net:
@@ -285,7 +299,7 @@
         [7, [["n2", GONE, -1, 1, ""]]],
         ["x", []],
     ):
-        two.came(one.letters.write("n1", ASK, body))
+        two.came(one.codec.encode("n1", DatagramKind.PROBE, body))
     assert two.counts["no sense"] == 6 and two.state_of("n2") == ALIVE
 
 
