--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -119,7 +119,7 @@
         """Is nobody let in yet?"""
         planner = self._holder()
         return self.party.waits(
-            self.said.patience, self.member_list.met, planner if planner != self.name else ""
+            self.said.patience, self.member_list.has_joined, planner if planner != self.name else ""
         )
 
     # The duty.
@@ -358,7 +358,9 @@
             serial, fence, number, blank, closed, many, loads, unwell, free = rest
             if self.scribe.state != IDLE:
                 codec = self.member_list.codec
-                start = codec.incarnation if sender == self.name else codec.peers[sender].incarnation
+                start = (
+                    codec.incarnation if sender == self.name else codec.peers[sender].incarnation
+                )
                 self.planner.told(
                     sender,
                     start,
--- a/corkgauge/membership/__init__.py
+++ b/corkgauge/membership/__init__.py
@@ -1,2 +1,1 @@
-"""Who else is there: fellows named by operators, views of them that agree in time, datagrams that only they
-can write."""
+"""Which other instances there are and which are alive: SWIM with Lifeguard."""
--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -1,11 +1,13 @@
-"""Seals and opens the datagrams between members: authenticated, bound to incarnations, each taken once.
+"""Seals and opens datagrams: authenticated, bound to incarnations, each taken once.
 
-Owns keys, counters, the windows against replay and the rate allowance of each peer. Fed with bytes; knows no socket
-and no clock. Nothing of a datagram may count before its seal, its receiver and its counter have been checked.
+Owns keys, counters, the windows against replay and the rate allowance of each peer. Fed with bytes;
+knows no socket and no clock. Nothing of a datagram may count before its seal, its receiver and its
+counter have been checked.
 
-A datagram is a mark (1 octet), the number of the key (1), a msgpack list, and the seal (16: HMAC-SHA256, truncated as
-RFC 2104 section 5 allows). The list: kind, sender, its incarnation, receiver, the receiver's incarnation as the sender
-knows it, counter, body. An incarnation is a number that is new with each start of a program.
+A datagram is a mark (1 octet), the number of the key (1), a msgpack list, and the seal (16: HMAC-
+SHA256, truncated as RFC 2104 section 5 allows). The list: kind, sender, its incarnation, receiver,
+the receiver's incarnation as the sender knows it, counter, body. An incarnation is a number that is
+new with each start of a program.
 """
 
 from collections import Counter
@@ -13,14 +15,12 @@
 from enum import IntEnum
 from typing import Any, NamedTuple
 
-import msgpack
-from cryptography.hazmat.primitives import constant_time, hashes, hmac
+import msgpack  # type: ignore[import-untyped]
+
+from corkgauge.membership.sealing import SEAL_BYTES, Key, ReplayWindow
 
 MARK = 0xC9
-SEAL_BYTES = 16
 MAX_DATAGRAM_BYTES = 1_400  # below the usual MTU: none is ever fragmented on its way
-REPLAY_WINDOW = 256  # counters below the highest that are told apart
-MIN_KEY_BYTES = 32
 MAX_INCARNATION = 2**62  # not believed from here on: the next one would not fit
 DATAGRAMS_PER_SECOND = 400.0  # of one peer that are opened
 BURST_DATAGRAMS = 800.0  # of one peer that are opened at once
@@ -35,7 +35,8 @@
 class DatagramKind(IntEnum):
     """The kinds by their numbers on the wire.
 
-    HELLO asks who is there; HELLO_REPLY answers it, and proves by the asker's incarnation that it is no replay.
+    HELLO asks who is there; HELLO_REPLY answers it, and proves by the asker's incarnation that it
+    is no replay.
     """
 
     HELLO = 0
@@ -49,66 +50,10 @@
     CALL = 8
 
 
-class Key:
-    """A shared secret of at least MIN_KEY_BYTES; its public number tells it from another one.
-
-    Raises ValueError for a shorter secret.
-    """
-
-    def __init__(self, secret: bytes) -> None:
-        if len(secret) < MIN_KEY_BYTES:
-            raise ValueError(f"expected {MIN_KEY_BYTES} octets or more, found {len(secret)}")
-        self._unused_hmac = hmac.HMAC(secret, hashes.SHA256())
-        digest = hashes.Hash(hashes.SHA256())
-        digest.update(b"corkgauge key" + secret)
-        self.number = digest.finalize()[0]
-
-    def seal(self, data: bytes) -> bytes:
-        """Return the truncated HMAC of the data."""
-        authenticator = self._unused_hmac.copy()
-        authenticator.update(data)
-        return authenticator.finalize()[:SEAL_BYTES]
-
-    def verifies(self, data: bytes, seal: bytes) -> bool:
-        """Return whether the seal is this key's for the data."""
-        # A comparison that stops at the first difference tells a stranger how far it was right.
-        return constant_time.bytes_eq(self.seal(data), seal)
-
-
-class ReplayWindow:
-    """Which counters of one sender have arrived (RFC 4303, section 3.4.3, with a wider mask).
-
-    >>> window = ReplayWindow()
-    >>> [window.accept(each) for each in (5, 3, 5, 3, 4, 300, 44, 45, 300)]
-    [True, True, False, False, True, True, False, True, False]
-    """
-
-    __slots__ = ("highest", "mask")
-
-    def __init__(self) -> None:
-        self.highest = 0
-        self.mask = 0
-
-    def accept(self, counter: int) -> bool:
-        """Return whether the counter is new; from now on it is not."""
-        if counter > self.highest:
-            shift = min(counter - self.highest, REPLAY_WINDOW)
-            self.mask = (self.mask << shift | 1) & (1 << REPLAY_WINDOW) - 1
-            self.highest = counter
-            return True
-        age = self.highest - counter
-        bit = 1 << age
-        # What is older than the window cannot be told from a replay.
-        if age >= REPLAY_WINDOW or self.mask & bit:
-            return False
-        self.mask |= bit
-        return True
-
-
 class PeerSession:
     """What one instance keeps for its datagrams with one other."""
 
-    __slots__ = ("name", "incarnation", "sent_counter", "replay_window", "allowance", "filled_at")
+    __slots__ = ("allowance", "filled_at", "incarnation", "name", "replay_window", "sent_counter")
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -147,8 +92,9 @@
 class DatagramCodec:
     """One instance's side of all its exchanges.
 
-    `on_incarnation(name, incarnation)` is called when a peer's incarnation becomes known or changes,
-    `on_superseded(incarnation)` when a peer knows our name under a later incarnation than ours.
+    `on_incarnation(name, incarnation)` is called when a peer's incarnation becomes known or
+    changes, `on_superseded(incarnation)` when a peer knows our name under a later incarnation than
+    ours.
     """
 
     def __init__(
@@ -174,8 +120,9 @@
         }
 
     def encode(self, receiver: str, kind: int, body: Any, answered_incarnation: int = 0) -> bytes:
-        """Return a sealed datagram; `answered_incarnation` is what a HELLO_REPLY repeats of its HELLO.
+        """Return a sealed datagram.
 
+        `answered_incarnation` is what a HELLO_REPLY repeats of the HELLO that it answers.
         Raises KeyError for a receiver that is no peer, ValueError if it is over MAX_DATAGRAM_BYTES.
         """
         peer = self.peers[receiver]
@@ -190,7 +137,8 @@
             peer.sent_counter,
             body,
         )
-        data = bytes((MARK, key.number)) + msgpack.packb([*envelope])
+        packed: bytes = msgpack.packb([*envelope])
+        data = bytes((MARK, key.number)) + packed
         if len(data) + SEAL_BYTES > MAX_DATAGRAM_BYTES:
             raise ValueError(f"{len(data)} octets for one datagram")
         return data + key.seal(data)
@@ -200,7 +148,7 @@
         return self.peers[name].incarnation > 0
 
     def decode(self, data: bytes, now_ticks: int) -> OpenedDatagram | None:
-        """Return what to act on; None for what must not be taken, which costs its reading and one count."""
+        """Return what to act on; None for what must not be taken, which is counted."""
         envelope = self._unseal(data)
         if isinstance(envelope, str):
             self.counts[envelope] += 1
@@ -209,10 +157,12 @@
         if rejection:
             self.counts[rejection] += 1
             if rejection in (TO_EARLIER_INCARNATION, OF_EARLIER_INCARNATION):
-                # It does not know us, or our present incarnation: treated as a HELLO, it is told by the reply.
+                # It does not know us, or our present incarnation: treated as a HELLO, it is told by
+                # the reply.
                 return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
             return None
-        if envelope.kind == DatagramKind.HELLO:  # a replayed one changes nothing, and is answered
+        if envelope.kind == DatagramKind.HELLO:
+            # A replayed one changes nothing, and is answered.
             return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
         peer = self.peers[envelope.sender]
         self._adopt_incarnation(peer, envelope.incarnation)
@@ -223,7 +173,7 @@
         return OpenedDatagram(envelope.sender, envelope.kind, envelope.body)
 
     def learn_incarnation(self, name: str, incarnation: int) -> None:
-        """Take a third member's word on a peer's incarnation, until the peer's own datagrams say more."""
+        """Take a third member's word on a peer's incarnation, until the peer says more."""
         peer = self.peers.get(name)
         if peer is not None:
             self._adopt_incarnation(peer, incarnation)
@@ -243,15 +193,15 @@
         if not self._spend_allowance(peer, now_ticks):
             return "flood"
         if envelope.receiver_incarnation > self.incarnation:
-            # After a clock that was set back our incarnation is below the one they knew: unless it is raised,
-            # they take all of ours for old for ever.
+            # After a clock that was set back our incarnation is below the one they knew: unless it
+            # is raised, they take all of ours for old for ever.
             self._on_superseded(envelope.receiver_incarnation)
             return "to a later start"
         if envelope.kind == DatagramKind.HELLO:
             return ""
         if envelope.receiver_incarnation != self.incarnation:
-            # What was written to an earlier incarnation of ours may be hours old, and our windows are empty:
-            # a replay would be taken.
+            # What was written to an earlier incarnation of ours may be hours old, and our windows
+            # are empty: a replay would be taken.
             return TO_EARLIER_INCARNATION
         if envelope.incarnation < peer.incarnation:
             return OF_EARLIER_INCARNATION
--- a/corkgauge/membership/gossip.py
+++ b/corkgauge/membership/gossip.py
@@ -1,7 +1,8 @@
 """Queues what is gossiped: the latest update on each member, each sent a bounded number of times.
 
-Owns which updates are still sent, and how often each was. Free of I/O. Holds at most one update on a member, and lets
-every update die out, so that what a datagram carries stays bounded (SWIM, section 4.1: infection-style dissemination).
+Owns which updates are still sent, and how often each was. Free of I/O. Holds at most one update on
+a member, and lets every update die out, so that what a datagram carries stays bounded (SWIM,
+section 4.1: infection-style dissemination).
 """
 
 from collections.abc import Callable, Container
@@ -59,10 +60,11 @@
         size_bytes: Callable[[Update], int],
         receiver: str = "",
     ) -> list[Update]:
-        """Return the least sent updates that fit, the one on the receiver before all; each counts as sent."""
+        """Return the least sent updates that fit, the receiver's first; each counts as sent."""
         limit = TRANSMIT_MULTIPLIER * ceil(log2(member_count + 1))
         taken = []
-        # Unless the update on the receiver goes first, a member may never hear that it is suspected.
+        # Unless the update on the receiver goes first, a member may never hear that it is
+        # suspected.
         candidates = nsmallest(
             MAX_CANDIDATES,
             self.updates.items(),
--- /dev/null
+++ b/corkgauge/membership/sealing.py
@@ -0,0 +1,63 @@
+"""Keys that seal datagrams, and windows that tell a replayed one."""
+
+from cryptography.hazmat.primitives import constant_time, hashes, hmac
+
+SEAL_BYTES = 16
+MIN_KEY_BYTES = 32
+REPLAY_WINDOW = 256  # counters below the highest that are told apart
+
+
+class Key:
+    """A shared secret of at least MIN_KEY_BYTES; its public number tells it from another one.
+
+    Raises ValueError for a shorter secret.
+    """
+
+    def __init__(self, secret: bytes) -> None:
+        if len(secret) < MIN_KEY_BYTES:
+            raise ValueError(f"expected {MIN_KEY_BYTES} octets or more, found {len(secret)}")
+        self._unused_hmac = hmac.HMAC(secret, hashes.SHA256())
+        digest = hashes.Hash(hashes.SHA256())
+        digest.update(b"corkgauge key" + secret)
+        self.number = digest.finalize()[0]
+
+    def seal(self, data: bytes) -> bytes:
+        """Return the truncated HMAC of the data."""
+        authenticator = self._unused_hmac.copy()
+        authenticator.update(data)
+        return authenticator.finalize()[:SEAL_BYTES]
+
+    def verifies(self, data: bytes, seal: bytes) -> bool:
+        """Return whether the seal is this key's for the data."""
+        # A comparison that stops at the first difference tells a stranger how far it was right.
+        return constant_time.bytes_eq(self.seal(data), seal)
+
+
+class ReplayWindow:
+    """Which counters of one sender have arrived (RFC 4303, section 3.4.3, with a wider mask).
+
+    >>> window = ReplayWindow()
+    >>> [window.accept(each) for each in (5, 3, 5, 3, 4, 300, 44, 45, 300)]
+    [True, True, False, False, True, True, False, True, False]
+    """
+
+    __slots__ = ("highest", "mask")
+
+    def __init__(self) -> None:
+        self.highest = 0
+        self.mask = 0
+
+    def accept(self, counter: int) -> bool:
+        """Return whether the counter is new; from now on it is not."""
+        if counter > self.highest:
+            shift = min(counter - self.highest, REPLAY_WINDOW)
+            self.mask = (self.mask << shift | 1) & (1 << REPLAY_WINDOW) - 1
+            self.highest = counter
+            return True
+        age = self.highest - counter
+        bit = 1 << age
+        # What is older than the window cannot be told from a replay.
+        if age >= REPLAY_WINDOW or self.mask & bit:
+            return False
+        self.mask |= bit
+        return True
--- a/corkgauge/model/membership.py
+++ b/corkgauge/model/membership.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.membership.datagrams import Key
 from corkgauge.membership.member_list import ALIVE, GONE, Member, MemberList
+from corkgauge.membership.sealing import Key
 from corkgauge.testkit.seeded_random import SeededRandom
 
 PERIOD = SECOND // 2
@@ -34,7 +34,7 @@
         self.octets += len(data)
         other = self.net.nodes.get(name)
         if other is not None and not self.net.chance.within(self.net.loss):
-            self.net.call_later(5 + self.net.chance.below(20), other, other.company.came, data)
+            self.net.call_later(5 + self.net.chance.below(20), other, other.company.handle_datagram, data)
 
     def call_later(self, delay: int, method: Any, *what: Any) -> None:
         self.net.call_later(delay, self, method, *what)
@@ -45,7 +45,7 @@
     def log(self, line: str) -> None:
         pass
 
-    def changed(self, member: Member, before: int) -> None:
+    def on_member_changed(self, member: Member, before: int) -> None:
         self.net.wrong_gone += member.state == GONE and self.net.nodes[member.name].alive
 
 
@@ -90,7 +90,7 @@
     common = None
     while common is None and net.now < 600 * SECOND:
         net.run(1)
-        if all(not node.company.unknown for node in net.nodes.values()):
+        if all(not node.company.table.unknown_count for node in net.nodes.values()):
             common = net.now / SECOND
     sent, octets, at = _sums(net)
     net.run(20)
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -165,7 +165,11 @@
         self._merge(now, rows)
         self.storm.tells(sender, now, int(honoured), int(further))
         self.turns.needs(
-            sender, boot_time(), self.member_list.codec.peers[sender].incarnation, int(serial), want / 10
+            sender,
+            boot_time(),
+            self.member_list.codec.peers[sender].incarnation,
+            int(serial),
+            want / 10,
         )
 
     def compared(self, sender: str, body: Any) -> None:
--- a/corkgauge/testkit/checkers/leases.py
+++ b/corkgauge/testkit/checkers/leases.py
@@ -12,8 +12,8 @@
 
 from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.leases.fencing import FencingGuard
-from corkgauge.membership.datagrams import Key
-from corkgauge.membership.member_list import Member, MemberList
+from corkgauge.membership.member_list import Member, MemberList, MemberState
+from corkgauge.membership.sealing import Key
 from corkgauge.testkit.seeded_random import SeededRandom
 
 ZERO = {
@@ -78,7 +78,7 @@
                     break
                 except OSError:
                     continue
-                self.member_list.came(data)
+                self.member_list.handle_datagram(data)
 
     def came(self, sender: str, body: Any) -> None:
         what, duty, fence, *rest = body
@@ -120,7 +120,7 @@
     def log(self, line: str) -> None:
         pass
 
-    def changed(self, member: Member, before: int) -> None:
+    def on_member_changed(self, member: Member, before: MemberState) -> None:
         pass
 
 
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -20,7 +20,7 @@
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.leases.service import LeaseService
 from corkgauge.maintenance.service import MaintenanceService
-from corkgauge.membership.member_list import ALIVE, STATES, SUSPECTED, UNKNOWN, Member
+from corkgauge.membership.member_list import ALIVE, SUSPECTED, UNKNOWN, Member, MemberState
 from corkgauge.membership.service import MembershipService
 from corkgauge.peer_health.service import PeerHealthService
 from corkgauge.testkit.fleet.day import settings
@@ -174,12 +174,12 @@
         self.short = len(said.members) - 1  # members that it does not hold alive
         self.settled = 0  # when that came to be none
 
-    def changed(self, member: Member, before: int) -> None:
-        self.became[f"{STATES[before]} {STATES[member.state]}"] += 1
+    def on_member_changed(self, member: Member, before: MemberState) -> None:
+        self.became[f"{before.label} {member.state.label}"] += 1
         self.short += (before == ALIVE) - (member.state == ALIVE)
         if not self.short:
             self.settled = self.event_loop.now
-        super().changed(member, before)
+        super().on_member_changed(member, before)
 
 
 class SetAside(LeaseService):
@@ -300,7 +300,7 @@
         for name, start in starts.items():
             if name != self.name:
                 member_list.codec.learn_incarnation(name, start)
-        member_list.met = True
+        member_list.local.has_joined = True
         member_list.gossip.updates.clear()
 
     # What a coordinator may ask.
@@ -342,7 +342,7 @@
             "kinds_in": dict(self.kinds_in),
             "became": dict(self.membership.became),
             "refused": dict(member_list.codec.counts),
-            "health": member_list.health,
+            "health": member_list.local.health,
             "late": member_list.counts["late ourselves"],
             "unsent": self.membership.unsent,
             "overloaded": self.office is not None and self.office.overloaded,
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import READ, SECOND, EventLoop
-from corkgauge.membership.member_list import ALIVE, STATES
+from corkgauge.membership.member_list import ALIVE
 from corkgauge.testkit.fleet.hollow_node import ELEMENTS, Member, Wire, dropped, resident_mb
 from corkgauge.testkit.seeded_random import SeededRandom
 
@@ -89,7 +89,8 @@
 
     def do_starts(self) -> dict[str, int]:
         return {
-            name: each.membership.member_list.codec.incarnation for name, each in self.members.items()
+            name: each.membership.member_list.codec.incarnation
+            for name, each in self.members.items()
         }
 
     def do_told(self, starts: dict[str, int]) -> None:
@@ -138,7 +139,7 @@
         for each in self.members.values():
             if each.unknown():
                 found.update(
-                    f"{other.name} {STATES[other.state]}"
+                    f"{other.name} {other.state.label}"
                     for other in each.membership.member_list.members.values()
                     if other.state != ALIVE
                 )
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -37,7 +37,7 @@
 from corkgauge.maintenance.plan import DRAINING, GRANTED, Plan
 from corkgauge.maintenance.plan_proposer import FORGOTTEN
 from corkgauge.maintenance.service import MaintenanceService
-from corkgauge.membership import datagrams
+from corkgauge.membership import datagrams, sealing
 from corkgauge.membership.datagrams import DatagramKind as letters
 from corkgauge.membership.member_list import ALIVE
 from corkgauge.membership.service import MembershipService
@@ -169,20 +169,20 @@
             if name != self.name:
                 self.member_list.codec.learn_incarnation(name, incarnation)
                 assert self.member_list.members[name].state == ALIVE
-        self.member_list.met = True
+        self.member_list.local.has_joined = True
 
     def receive(self, sort: int, body: Any) -> None:
         """Take a datagram of n2's."""
         pens = datagrams.DatagramCodec(
             "n2",
             PEER_INCARNATIONS["n2"],
-            [datagrams.Key(SECRET)],
+            [sealing.Key(SECRET)],
             lambda name, start: None,
             lambda start: None,
         )
         pens.set_peers(["n1"])
         known_as = self.member_list.codec.incarnation
-        self.member_list.came(pens.encode("n1", sort, body, known_as))
+        self.member_list.handle_datagram(pens.encode("n1", sort, body, known_as))
 
     def hold(self, duty: str) -> None:
         """Let this instance hold a lease, under the fixed fencing token."""
@@ -203,7 +203,7 @@
     def last(self, sort: int, subject: str = "", tag: int | str | None = None) -> bytes:
         """The last datagram sent of this sort and subject."""
         for datagram in reversed(self.membership.sent):
-            said = msgpack.unpackb(datagram.octets[2 : -datagrams.SEAL_BYTES], strict_map_key=False)
+            said = msgpack.unpackb(datagram.octets[2 : -sealing.SEAL_BYTES], strict_map_key=False)
             if said[0] != sort:
                 continue
             if sort != letters.CALL:
@@ -256,7 +256,7 @@
 
 
 def send_ask(here: Instance) -> bytes:
-    here.member_list.tick()
+    here.member_list.on_period()
     return here.last(letters.PROBE)
 
 
@@ -266,14 +266,18 @@
 
 
 def send_ask_for(here: Instance) -> bytes:
-    here.member_list.tick()
-    here.member_list.unanswered(here.member_list.serial)
+    here.member_list.on_period()
+    here.member_list.failure_detector.on_probe_timeout(
+        here.member_list.failure_detector.last_sequence_number
+    )
     return here.last(letters.INDIRECT_PROBE)
 
 
 def send_deaf(here: Instance) -> bytes:
     here.receive(letters.INDIRECT_PROBE, [9, "n3", []])
-    here.member_list.given_up(here.member_list.serial)
+    here.member_list.failure_detector.on_probe_expired(
+        here.member_list.failure_detector.last_sequence_number
+    )
     return here.last(letters.NACK)
 
 
@@ -527,14 +531,14 @@
 
 def opened(octets: bytes) -> Opened:
     """What the instance that a datagram is for takes out of it; its handlers take it too."""
-    receiver, known_as = msgpack.unpackb(octets[2 : -datagrams.SEAL_BYTES], strict_map_key=False)[3:5]
+    receiver, known_as = msgpack.unpackb(octets[2 : -sealing.SEAL_BYTES], strict_map_key=False)[3:5]
     with instance(receiver) as there:
         # A sender that does not know this incarnation yet writes 0, and only HELLO may.
         there.member_list.codec.incarnation = known_as or PEER_INCARNATIONS[receiver]
         taken = there.member_list.codec.decode(octets, NOW)
         assert taken is not None, dict(there.member_list.codec.counts)
-        there.member_list.codec.peers["n1"].replay_window = datagrams.ReplayWindow()
-        there.member_list.came(octets)
+        there.member_list.codec.peers["n1"].replay_window = sealing.ReplayWindow()
+        there.member_list.handle_datagram(octets)
         return Opened(*taken, there.member_list.counts["no sense"])
 
 
--- a/tests/test_fellows.py
+++ b/tests/test_fellows.py
@@ -9,9 +9,9 @@
     MAX_DATAGRAM_BYTES,
     DatagramCodec,
     DatagramKind,
-    Key,
 )
 from corkgauge.membership.member_list import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberList
+from corkgauge.membership.sealing import Key
 from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
@@ -166,7 +166,7 @@
         if not self.net.blocked(self.name, name):
             other = self.net.nodes[name]
             self.net.call_later(
-                5 + self.net.chance.below(20), other, other.member_list.came, (data,)
+                5 + self.net.chance.below(20), other, other.member_list.handle_datagram, (data,)
             )
 
     def call_later(self, delay, method, *what):
@@ -178,7 +178,7 @@
     def log(self, line):
         self.said.append(line)
 
-    def changed(self, member, before):
+    def on_member_changed(self, member, before):
         self.changes.append((self.net.now, member.name, member.state))
 
 
@@ -195,7 +195,9 @@
     net.run(10)
     dead = net.nodes["n3"]
     net.nodes["n3"] = Node(net, "n3")  # nobody behind the address
-    net.nodes["n3"].member_list = type("Nobody", (), {"came": staticmethod(lambda data: None)})
+    net.nodes["n3"].member_list = type(
+        "Nobody", (), {"handle_datagram": staticmethod(lambda data: None)}
+    )
     net.run(25)
     others = [node for name, node in net.nodes.items() if name != "n3"]
     assert all(node.member_list.state_of("n3") == GONE for node in others)
@@ -299,7 +301,7 @@
         [7, [["n2", GONE, -1, 1, ""]]],
         ["x", []],
     ):
-        two.came(one.codec.encode("n1", DatagramKind.PROBE, body))
+        two.handle_datagram(one.codec.encode("n1", DatagramKind.PROBE, body))
     assert two.counts["no sense"] == 6 and two.state_of("n2") == ALIVE
 
 
@@ -307,7 +309,10 @@
     net = Net(4)
     net.run(8)
     member_list = net.nodes["n0"].member_list
-    start = member_list.members["n1"].start
-    member_list.named([("n0", "a"), ("n1", "b"), ("n9", "b")])
-    assert sorted(member_list.members) == ["n1", "n9"] and member_list.members["n1"].start == start
+    start = member_list.members["n1"].incarnation
+    member_list.set_members([("n0", "a"), ("n1", "b"), ("n9", "b")])
+    assert (
+        sorted(member_list.members) == ["n1", "n9"]
+        and member_list.members["n1"].incarnation == start
+    )
     assert member_list.state_of("n9") == UNKNOWN and member_list.state_of("n2") == GONE
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -39,7 +39,9 @@
         self.member_list = SimpleNamespace(
             calls={},
             zone=zone,
-            codec=SimpleNamespace(incarnation=1, peers={n: SimpleNamespace(incarnation=1) for n in NAMES}),
+            codec=SimpleNamespace(
+                incarnation=1, peers={n: SimpleNamespace(incarnation=1) for n in NAMES}
+            ),
             members={
                 n: SimpleNamespace(name=n, zone=f"hall-{n}", state=ALIVE)
                 for n in NAMES
