--- a/corkgauge/model/dissemination.py
+++ b/corkgauge/model/dissemination.py
@@ -1,12 +1,15 @@
-"""How a change of configuration could reach all members: by gossip, simulated, at sizes sockets do not reach.
+"""Simulates how a change of configuration reaches all members by gossip, at sizes beyond sockets.
 
-Owns simulated members that hold a version of a configuration, and the way between them. Must never be imported by a
-program that serves, and never let a member know what no datagram brought it.
+Owns simulated members that hold a version of a configuration, and the network between them. Never
+imported by a program that serves; no member knows what no datagram brought it.
 
-Push with fan-out, then comparison (Demers and others, "Epidemic algorithms for replicated database maintenance", 1987):
-who has a new version tells it to `fanout` others, chosen by chance, in each of its next `rounds` rounds; all compare
-versions with one other every `compare` rounds, which reaches those that chance left out. A change comes as `pieces`
-datagrams; who has heard of a version but misses pieces asks the one that told it, again in its next round.
+Push with fan-out, then comparison (Demers and others, "Epidemic algorithms for replicated database
+maintenance", 1987): who has a new version sends it to `fanout` others, drawn by chance, in each of
+its next rounds; all compare versions with one other every `compare_rounds` rounds, which reaches
+those that chance left out. A change comes as chunks, a datagram each; who has heard of a version
+but lacks chunks requests them of the one that sent it, again in its next round.
+
+Times are ticks of a tenth of a millisecond.
 """
 
 from dataclasses import dataclass, field
@@ -14,136 +17,207 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.testkit.seeded_random import SeededRandom
 
-ROUND = SECOND // 5  # between two rounds of a member
-LATENCY = (
-    20,
-    300,
-)  # tenths of a millisecond that a datagram takes: within a region, from one region to the other
-HEAD = 28 + 60  # octets of IP and UDP, and of a datagram's own head with its seal
-ROOM = 1_300  # octets of a configuration in one datagram
-LOG = 4  # rounds in which a member tells what is new to it, at a fan-out of one
+ROUND_TICKS = SECOND // 5  # between two rounds of a member
+STEP_TICKS = 10  # of the simulated clock
+LATENCY_TICKS = (20, 300)  # of a datagram: within a region, from one region to the other
+HEADER_BYTES = 28 + 60  # of IP and UDP, and of a datagram's own header with its seal
+CHUNK_BYTES = 1_300  # of a configuration in one datagram
+CONTROL_BYTES = 16  # of a message without a chunk
+PUSH_ROUNDS = 4  # in which a member pushes what is new to it, at a fan-out of one
+MIN_PUSH_ROUNDS = 2
+
+
+@dataclass(frozen=True, slots=True)
+class Chunk:
+    """One chunk of the change."""
+
+    index: int
+
+
+@dataclass(frozen=True, slots=True)
+class ChunkRequest:
+    """A request for the chunks that the sender lacks."""
+
+
+@dataclass(frozen=True, slots=True)
+class Version:
+    """The version that the sender has, for comparison."""
+
+    is_new: bool
+
+
+Message = Chunk | ChunkRequest | Version
+
+
+@dataclass(frozen=True, slots=True)
+class Datagram:
+    """A message on its way; members are numbers."""
+
+    sender: int
+    receiver: int
+    message: Message
 
 
 @dataclass(slots=True)
 class Member:
-    """What one holds: its pieces, when it had them all, what it sent, by second."""
+    """What one member holds, and what it sent by second."""
 
     region: int
-    due: int
-    pieces: set[int] = field(default_factory=set)
-    had: int = -1
-    left: int = 0  # rounds in which it still tells
-    turn: int = 0
-    source: int = -1  # who told it of what it misses
-    sent: dict[int, int] = field(default_factory=dict)
+    next_round_at: int
+    chunks: set[int] = field(default_factory=set)
+    completed_at: int = -1  # when it had all chunks; -1: not yet
+    pushes_left: int = 0  # rounds in which it still pushes
+    rounds: int = 0
+    source: int = -1  # the member that sent of what this one lacks
+    sent_bytes: dict[int, int] = field(default_factory=dict)  # by second
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether it has the whole change."""
+        return self.completed_at >= 0
 
 
 class Dissemination:
-    """`many` members, half in each of two regions; a change of `octets` is at the first at time 0. `loss` of all
-    datagrams are lost. Times are tenths of a millisecond; each member's rounds begin at a moment of its own, and each
-    is up to a tenth longer or shorter."""
+    """One run: a change of `change_bytes` is at the first of `member_count` members at time 0.
+
+    Half of the members are in each of two regions; the share `loss` of all datagrams is lost. Each
+    member's rounds begin at a moment of its own, and each is up to a tenth longer or shorter.
+    """
 
     def __init__(
         self,
-        many: int,
-        octets: int,
+        member_count: int,
+        change_bytes: int,
         fanout: int,
         loss: float = 0.0,
         seed: int = 1,
-        compare: int = 5,
+        compare_rounds: int = 5,
     ) -> None:
-        self.chance = SeededRandom(seed * 1_000_003 + many * 31 + fanout)
-        self.octets, self.fanout, self.loss, self.compare = octets, fanout, loss, compare
-        self.count = max(-(-octets // ROOM), 1)
-        self.rounds = max(LOG // fanout, 2)
+        self.random = SeededRandom(seed * 1_000_003 + member_count * 31 + fanout)
+        self.change_bytes = change_bytes
+        self.fanout = fanout
+        self.loss = loss
+        self.compare_rounds = compare_rounds
+        self.chunk_count = max(-(-change_bytes // CHUNK_BYTES), 1)
+        self.push_rounds = max(PUSH_ROUNDS // fanout, MIN_PUSH_ROUNDS)
         self.members = [
-            Member(n % 2, self.chance.below(ROUND), turn=self.chance.below(compare))
-            for n in range(many)
+            Member(
+                region=number % 2,
+                next_round_at=self.random.below(ROUND_TICKS),
+                rounds=self.random.below(compare_rounds),
+            )
+            for number in range(member_count)
         ]
-        self.now, self.way = (
-            0,
-            dict[int, list[tuple[int, int, int]]](),
-        )  # when: (from, to, piece; -1: an ask)
+        self.now = 0
+        self.in_transit: dict[int, list[Datagram]] = {}  # by time of arrival
         first = self.members[0]
-        first.pieces, first.had, first.left = set(range(self.count)), 0, self.rounds
-        self.missing = many - 1
+        first.chunks = set(range(self.chunk_count))
+        first.completed_at = 0
+        first.pushes_left = self.push_rounds
+        self.incomplete_count = member_count - 1
 
     def run(self, until: int) -> int:
-        """Until all have it, or `until`; the time then, or -1."""
-        step = 10
-        while self.missing and self.now < until:
-            for sender, to, piece in self.way.pop(self.now, ()):
-                self._came(sender, to, piece)
+        """Run until all have the change, or `until`; return the time then, or -1."""
+        while self.incomplete_count and self.now < until:
+            for datagram in self.in_transit.pop(self.now, ()):
+                self._receive(datagram)
             for number, member in enumerate(self.members):
-                if member.due <= self.now:
-                    member.due += int(ROUND * (0.9 + 0.2 * self.chance.part()))
-                    self._round(number, member)
-            self.now += step
-        return max(member.had for member in self.members) if not self.missing else -1
-
-    def _round(self, number: int, member: Member) -> None:
-        member.turn += 1
-        if member.had >= 0 and member.left > 0:
-            member.left -= 1
-            for _ in range(self.fanout):
-                to = self._other(number)
-                for piece in range(self.count):
-                    self._send(number, to, piece)
-        if member.source >= 0 and member.had < 0:
-            self._send(number, member.source, -1)
-        elif (
-            not member.turn % self.compare
-        ):  # a comparison: the version alone; whoever is behind asks
-            to = self._other(number)
-            self._send(number, to, -2 if member.had < 0 else -3)
-
-    def _other(self, number: int) -> int:
-        to = self.chance.below(len(self.members) - 1)
-        return to + (to >= number)
-
-    def _send(self, sender: int, to: int, piece: int) -> None:
-        """A piece of the change; or -1 an ask for what is missed, -2 and -3 the version of one that lacks or has it."""
-        octets = HEAD + (min(ROOM, self.octets - piece * ROOM) if piece >= 0 else 16)
-        sent = self.members[sender].sent
-        sent[self.now // SECOND] = sent.get(self.now // SECOND, 0) + octets
-        if not self.chance.within(self.loss):
-            apart = self.members[sender].region != self.members[to].region
-            when = self.now + LATENCY[apart] // 10 * 10 + 10 * self.chance.below(3)
-            self.way.setdefault(max(when, self.now + 10), []).append((sender, to, piece))
-
-    def _came(self, sender: int, to: int, piece: int) -> None:
-        member = self.members[to]
-        if piece >= 0:
-            if member.had < 0:
-                member.pieces.add(piece)
-                member.source = sender
-                if len(member.pieces) == self.count:
-                    member.had, member.left = self.now, self.rounds
-                    self.missing -= 1
-        elif piece == -3:
-            if member.had < 0:
-                member.source = sender
-                self._send(to, sender, -1)
-        elif (
-            member.had >= 0
-        ):  # an ask, or one that turns out to be behind: what it misses, as it would list it
-            for each in sorted(set(range(self.count)) - self.members[sender].pieces):
-                self._send(to, sender, each)
-
-    def peak(self) -> int:
-        """Octets that the busiest member sent in its busiest second."""
-        return max((most for member in self.members for most in member.sent.values()), default=0)
-
-    def total(self) -> int:
-        """Octets that all sent."""
-        return sum(sum(member.sent.values()) for member in self.members)
+                if member.next_round_at <= self.now:
+                    member.next_round_at += int(ROUND_TICKS * (0.9 + 0.2 * self.random.part()))
+                    self._run_round(number, member)
+            self.now += STEP_TICKS
+        if self.incomplete_count:
+            return -1
+        return max(member.completed_at for member in self.members)
+
+    def peak_bytes(self) -> int:
+        """Return what the busiest member sent in its busiest second."""
+        return max(
+            (most for member in self.members for most in member.sent_bytes.values()), default=0
+        )
+
+    def total_bytes(self) -> int:
+        """Return what all members sent."""
+        return sum(sum(member.sent_bytes.values()) for member in self.members)
+
+    def _run_round(self, number: int, member: Member) -> None:
+        member.rounds += 1
+        if member.is_complete and member.pushes_left > 0:
+            member.pushes_left -= 1
+            self._push(number)
+        if member.source >= 0 and not member.is_complete:
+            self._send(number, member.source, ChunkRequest())
+        elif member.rounds % self.compare_rounds == 0:
+            self._send(number, self._draw_other(number), Version(member.is_complete))
+
+    def _push(self, number: int) -> None:
+        for _ in range(self.fanout):
+            receiver = self._draw_other(number)
+            for index in range(self.chunk_count):
+                self._send(number, receiver, Chunk(index))
+
+    def _draw_other(self, number: int) -> int:
+        other = self.random.below(len(self.members) - 1)
+        return other + (other >= number)
+
+    def _send(self, sender: int, receiver: int, message: Message) -> None:
+        second = self.now // SECOND
+        sent_bytes = self.members[sender].sent_bytes
+        sent_bytes[second] = sent_bytes.get(second, 0) + self._size_bytes(message)
+        if not self.random.within(self.loss):
+            crosses_regions = self.members[sender].region != self.members[receiver].region
+            latency = LATENCY_TICKS[crosses_regions] // STEP_TICKS * STEP_TICKS
+            arrives_at = self.now + latency + STEP_TICKS * self.random.below(3)
+            arrives_at = max(arrives_at, self.now + STEP_TICKS)
+            self.in_transit.setdefault(arrives_at, []).append(Datagram(sender, receiver, message))
+
+    def _size_bytes(self, message: Message) -> int:
+        if isinstance(message, Chunk):
+            rest_bytes = self.change_bytes - message.index * CHUNK_BYTES
+            return HEADER_BYTES + min(CHUNK_BYTES, rest_bytes)
+        return HEADER_BYTES + CONTROL_BYTES
+
+    def _receive(self, datagram: Datagram) -> None:
+        member = self.members[datagram.receiver]
+        match datagram.message:
+            case Chunk(index):
+                self._receive_chunk(member, datagram.sender, index)
+            case Version(is_new=True):
+                if not member.is_complete:
+                    member.source = datagram.sender
+                    self._send(datagram.receiver, datagram.sender, ChunkRequest())
+            case _:  # a request, or the version of one that turns out to be behind
+                if member.is_complete:
+                    self._send_missing_chunks(datagram.receiver, datagram.sender)
+
+    def _receive_chunk(self, member: Member, sender: int, index: int) -> None:
+        if member.is_complete:
+            return
+        member.chunks.add(index)
+        member.source = sender
+        if len(member.chunks) == self.chunk_count:
+            member.completed_at = self.now
+            member.pushes_left = self.push_rounds
+            self.incomplete_count -= 1
+
+    def _send_missing_chunks(self, sender: int, receiver: int) -> None:
+        """Send what the receiver lacks, as its request would list it."""
+        for index in sorted(set(range(self.chunk_count)) - self.members[receiver].chunks):
+            self._send(sender, receiver, Chunk(index))
 
 
 def spread(
-    many: int, octets: int, fanout: int, loss: float, seed: int, until: int = 60 * SECOND
+    member_count: int,
+    change_bytes: int,
+    fanout: int,
+    loss: float,
+    seed: int,
+    until: int = 60 * SECOND,
 ) -> tuple[float, int, float]:
-    """Seconds until all have a change (-1: not in `until`), octets of the busiest member's busiest second, and octets a
-    member sent in all until then.
+    """Run once, and return what it took.
+
+    Seconds until all have the change (-1: not in `until`), octets that the busiest member sent in
+    its busiest second, and octets that a member sent in all until then, on average.
 
     >>> taken, peak, mean = spread(30, 400, 3, 0.0, 1)
     >>> 0 < taken < 3 and peak >= mean > 0
@@ -151,6 +225,7 @@
     >>> spread(30, 400, 3, 0.0, 1) == (taken, peak, mean)
     True
     """
-    model = Dissemination(many, octets, fanout, loss, seed)
-    taken = model.run(until)
-    return (taken / SECOND if taken >= 0 else -1.0), model.peak(), model.total() / many
+    model = Dissemination(member_count, change_bytes, fanout, loss, seed)
+    taken_ticks = model.run(until)
+    taken_seconds = taken_ticks / SECOND if taken_ticks >= 0 else -1.0
+    return taken_seconds, model.peak_bytes(), model.total_bytes() / member_count
--- a/corkgauge/model/gossip.py
+++ b/corkgauge/model/gossip.py
@@ -1,7 +1,7 @@
-"""How findings spread at sizes that sockets do not reach: the real findings and the real rule on one simulated clock.
+"""Simulates how peer health reports spread, at sizes beyond sockets: real reports, simulated clock.
 
-Owns the simulated gateways' experience of engines, and the way between them. Must never let a gateway know what it has
-neither met nor heard.
+Owns the simulated members' experience of engines, and the network between them. No member knows
+what it has neither met nor been told.
 """
 
 import time
@@ -13,110 +13,154 @@
 from corkgauge.peer_health.service import REPAIR_EACH, ROOM, TOLD_AT_ONCE
 from corkgauge.testkit.seeded_random import SeededRandom
 
-EACH, OCTETS = SECOND // 4, 8_000
-ROW = 70  # octets of a finding on its way, on the high side
-FOUND_AFTER = 3  # hand-offs that a gateway loses at a silent engine before it finds that by itself
+PERIOD_TICKS = SECOND // 4  # a tick is a tenth of a millisecond
+BYTES_PER_SECOND = 8_000  # that a member may spend on reports
+ROW_BYTES = 70  # of a report on its way, on the high side
+DATAGRAM_BYTES = 60  # of a datagram beside its rows
+REPAIR_BYTES = 300  # of a comparison beside its rows
+LATENCY_TICKS = 20
+ZONES = 4
+FAILURES_TO_FIND = 3  # attempts lost at a silent engine before a member finds that by itself
+SMALL_FLEET = 500  # members below which a run takes longer
+SMALL_FLEET_SECONDS = 12
+LARGE_FLEET_SECONDS = 6
 
 
 class Spread:
-    """`many` gateways in four halls, `engines`, of which `bad` fall silent at once. Each gateway hands off `rate`
-    submissions a second, to engines by chance. `loss` of all letters are lost; `sharing` False: nobody tells."""
+    """Members in four zones, and engines of which some fall silent at once.
+
+    Each member sends `rate` attempts a second, to engines by chance. The share `loss` of all
+    datagrams is lost; without `sharing` nobody reports to anybody.
+    """
 
     def __init__(
         self,
-        many: int,
-        engines: int,
-        bad: int,
+        member_count: int,
+        engine_count: int,
+        silent_count: int,
         rate: float = 20.0,
         loss: float = 0.0,
         sharing: bool = True,
     ) -> None:
-        self.chance, self.engines, self.bad, self.rate, self.loss = (
-            SeededRandom(many * 7 + bad),
-            engines,
-            bad,
-            rate,
-            loss,
-        )
-        self.sharing, self.now, self.turn = sharing, 0, 0
-        self.zones = {f"n{n}": f"hall-{n % 4}" for n in range(many)}
-        self.nodes = {name: HealthReports(name, 1) for name in self.zones}
-        self.lost = {name: [0] * bad for name in self.zones}
-        self.knows: dict[
-            tuple[str, int], int
-        ] = {}  # gateway and engine: since when it leaves that alone
-        self.wasted = self.octets = self.letters = 0
+        self.random = SeededRandom(member_count * 7 + silent_count)
+        self.engine_count = engine_count
+        self.silent_count = silent_count
+        self.rate = rate
+        self.loss = loss
+        self.sharing = sharing
+        self.now = 0  # ticks
+        self.periods = 0
+        self.zones = {f"n{number}": f"hall-{number % ZONES}" for number in range(member_count)}
+        self.names = [*self.zones]
+        self.reports = {name: HealthReports(name, 1) for name in self.names}
+        self.failures = {name: [0] * silent_count for name in self.names}
+        self.known_since: dict[tuple[str, int], int] = {}  # by member and silent engine
+        self.lost_attempts = 0
+        self.sent_bytes = 0
+        self.sent_datagrams = 0
 
     def run(self, seconds: float) -> None:
-        names = [*self.nodes]
-        for _ in range(int(seconds * SECOND / EACH)):
-            self.now += EACH
-            self.turn += 1
-            for name in names:
+        """Let the clock go on, period by period."""
+        for _ in range(int(seconds * SECOND / PERIOD_TICKS)):
+            self.now += PERIOD_TICKS
+            self.periods += 1
+            for name in self.names:
                 self._serve(name)
             if self.sharing:
-                for name in names:
-                    self._tell(name, names)
-            for name in names:
-                self._weigh(name)
+                for name in self.names:
+                    self._push(name)
+                    self._repair(name)
+            for name in self.names:
+                self._judge(name)
+
+    def known_by(self, part: float) -> float:
+        """Return the seconds until this part of all pairs of member and silent engine is known.
+
+        -1: not yet.
+        """
+        moments = sorted(self.known_since.values())
+        wanted = int(part * len(self.reports) * self.silent_count)
+        return moments[wanted - 1] / SECOND if len(moments) >= wanted > 0 else -1.0
 
     def _serve(self, name: str) -> None:
-        for _ in range(int(self.rate * EACH / SECOND + self.chance.part())):
-            engine = self.chance.below(self.engines)
-            if engine < self.bad and (name, engine) not in self.knows:
-                self.wasted += 1
-                self.lost[name][engine] += 1
-                if self.lost[name][engine] >= FOUND_AFTER:
-                    self.knows[name, engine] = self.now
-                    self.nodes[name].found(self.now, f"e{engine}", 1, SILENT, 0, 0)
-
-    def _tell(self, name: str, names: list[str]) -> None:
-        mine, room = self.nodes[name], OCTETS * EACH // SECOND
+        attempts = int(self.rate * PERIOD_TICKS / SECOND + self.random.part())
+        for _ in range(attempts):
+            engine = self.random.below(self.engine_count)
+            if engine < self.silent_count and (name, engine) not in self.known_since:
+                self._lose_attempt(name, engine)
+
+    def _lose_attempt(self, name: str, engine: int) -> None:
+        self.lost_attempts += 1
+        self.failures[name][engine] += 1
+        if self.failures[name][engine] >= FAILURES_TO_FIND:
+            self.known_since[name, engine] = self.now
+            self.reports[name].found(self.now, f"e{engine}", 1, SILENT, 0, 0)
+
+    def _push(self, name: str) -> None:
+        room_bytes = BYTES_PER_SECOND * PERIOD_TICKS // SECOND
         for _ in range(TOLD_AT_ONCE):
-            to = names[self.chance.below(len(names))]
-            rows = mine.some(self.now, len(names), min(ROOM, room)) if to != name else []
-            if rows:
-                room -= 60 + ROW * len(rows)
-                self.octets += 60 + ROW * len(rows)
-                self.letters += 1
-                if not self.chance.within(self.loss):
-                    self.nodes[to].merge(self.now + 20, rows)
-        if not self.turn % REPAIR_EACH:
-            to = self.nodes[names[self.chance.below(len(names))]]
-            if len(mine) or len(to):
-                rows = to.missing(self.now, mine.digest(ROOM, self.turn), ROOM, True, self.turn)
-                self.octets += 300 + ROW * len(rows)
-                mine.merge(self.now + 20, rows)
-
-    def _weigh(self, name: str) -> None:
-        for engine in range(self.bad):
-            if (name, engine) not in self.knows and opinion(
-                self.nodes[name].of(f"e{engine}"), self.now, 1, name, self.zones, -1
-            ).doubted:
-                self.knows[name, engine] = self.now
+            receiver = self._draw_name()
+            if receiver == name:
+                continue
+            rows = self.reports[name].some(self.now, len(self.names), min(ROOM, room_bytes))
+            if not rows:
+                continue
+            size_bytes = DATAGRAM_BYTES + ROW_BYTES * len(rows)
+            room_bytes -= size_bytes
+            self.sent_bytes += size_bytes
+            self.sent_datagrams += 1
+            if not self.random.within(self.loss):
+                self.reports[receiver].merge(self.now + LATENCY_TICKS, rows)
 
-    def known_by(self, part: float) -> float:
-        """Seconds until so many of all pairs of gateway and bad engine are known; -1: not yet."""
-        moments, wanted = sorted(self.knows.values()), int(part * len(self.nodes) * self.bad)
-        return moments[wanted - 1] / SECOND if len(moments) >= wanted > 0 else -1.0
+    def _repair(self, name: str) -> None:
+        """Compare with one other, which sends what this member lacks."""
+        if self.periods % REPAIR_EACH:
+            return
+        reports = self.reports[name]
+        other = self.reports[self._draw_name()]
+        if len(reports) or len(other):
+            digest = reports.digest(ROOM, self.periods)
+            rows = other.missing(self.now, digest, ROOM, True, self.periods)
+            self.sent_bytes += REPAIR_BYTES + ROW_BYTES * len(rows)
+            reports.merge(self.now + LATENCY_TICKS, rows)
+
+    def _judge(self, name: str) -> None:
+        """Take an engine for silent by the reports of others."""
+        for engine in range(self.silent_count):
+            if (name, engine) in self.known_since:
+                continue
+            reports = self.reports[name].of(f"e{engine}")
+            if opinion(reports, self.now, 1, name, self.zones, -1).doubted:
+                self.known_since[name, engine] = self.now
+
+    def _draw_name(self) -> str:
+        return self.names[self.random.below(len(self.names))]
 
 
 def measured(
-    many: int, engines: int, bad: int, loss: float = 0.0, sharing: bool = True
+    member_count: int,
+    engine_count: int,
+    silent_count: int,
+    loss: float = 0.0,
+    sharing: bool = True,
 ) -> dict[str, Any]:
-    """Time until nine in ten know, hand-offs lost, octets a second and gateway; simulated seconds but `took`."""
-    begun = time.time()
-    spread = Spread(many, engines, bad, loss=loss, sharing=sharing)
-    spread.run(12 if many < 500 else 6)
+    """Run once, and return the time until nine in ten know, attempts lost, octets a second.
+
+    Octets are those of one member. Seconds are simulated, but for `took_s`.
+    """
+    started_at = time.time()
+    spread = Spread(member_count, engine_count, silent_count, loss=loss, sharing=sharing)
+    spread.run(SMALL_FLEET_SECONDS if member_count < SMALL_FLEET else LARGE_FLEET_SECONDS)
+    simulated_seconds = spread.now / SECOND
     return {
-        "gateways": many,
-        "engines": engines,
-        "bad": bad,
+        "gateways": member_count,
+        "engines": engine_count,
+        "bad": silent_count,
         "loss": loss,
         "sharing": sharing,
         "half_know_s": spread.known_by(0.5),
         "nine_in_ten_know_s": spread.known_by(0.9),
-        "lost_hand_offs": spread.wasted,
-        "octets_a_second": round(spread.octets / many / (spread.now / SECOND)),
-        "took_s": round(time.time() - begun, 1),
+        "lost_hand_offs": spread.lost_attempts,
+        "octets_a_second": round(spread.sent_bytes / member_count / simulated_seconds),
+        "took_s": round(time.time() - started_at, 1),
     }
--- a/corkgauge/model/membership.py
+++ b/corkgauge/model/membership.py
@@ -1,122 +1,198 @@
-"""Fellows at sizes that sockets do not reach: the real companies on one simulated clock.
+"""Simulates membership at sizes beyond sockets: the real member lists on one simulated clock.
 
-Owns the simulated way between them. Must never look into a company to decide what happens.
+Owns the simulated network between them; never looks into a member list to decide what happens.
 """
 
 import gc
 import resource
 import time
+from collections.abc import Callable
+from dataclasses import dataclass
 from heapq import heappop, heappush
-from typing import Any
+from typing import Any, NamedTuple
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.membership.member_list import ALIVE, GONE, Member, MemberList
+from corkgauge.membership.member_list import ALIVE, GONE, Member, MemberList, MemberState
 from corkgauge.membership.sealing import Key
 from corkgauge.testkit.seeded_random import SeededRandom
 
-PERIOD = SECOND // 2
+PERIOD_TICKS = SECOND // 2
 KEY = Key(b"k" * 32)
+ZONES = 4
+MIN_LATENCY_TICKS = 5
+LATENCY_SPREAD_TICKS = 20
+JOIN_LIMIT_SECONDS = 600  # until all are to have a common view
+FAILURE_LIMIT_SECONDS = 300  # until all are to know of a failure
+STEADY_SECONDS = 20  # over which the traffic at rest is counted
 
 
-class Node:
-    """One company's host."""
+class Event(NamedTuple):
+    """A call that is due; the serial keeps the order of those due at once."""
+
+    due: int
+    serial: int
+    node: "Node"
+    method: Callable[..., None]
+    arguments: tuple[Any, ...]
 
-    def __init__(self, net: "Net", name: str) -> None:
-        self.net, self.name, self.sent, self.octets, self.alive = net, name, 0, 0, True
-        self.company = MemberList(self, name, 1 + net.now, [KEY], net.roll, PERIOD)
+
+class Node:
+    """The host of one member list."""
+
+    def __init__(self, network: "Network", name: str) -> None:
+        self.network = network
+        self.name = name
+        self.sent_datagrams = 0
+        self.sent_bytes = 0
+        self.is_running = True
+        self.member_list = MemberList(
+            self, name, 1 + network.now, [KEY], network.names_and_zones, PERIOD_TICKS
+        )
 
     @property
     def now(self) -> int:
-        return self.net.now
+        """The simulated time in ticks of a tenth of a millisecond."""
+        return self.network.now
 
     def send_datagram(self, name: str, data: bytes) -> None:
-        self.sent += 1
-        self.octets += len(data)
-        other = self.net.nodes.get(name)
-        if other is not None and not self.net.chance.within(self.net.loss):
-            self.net.call_later(5 + self.net.chance.below(20), other, other.company.handle_datagram, data)
+        """Send over the simulated network."""
+        self.sent_datagrams += 1
+        self.sent_bytes += len(data)
+        self.network.carry(name, data)
 
-    def call_later(self, delay: int, method: Any, *what: Any) -> None:
-        self.net.call_later(delay, self, method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after so many ticks, if this node still runs."""
+        self.network.call_later(delay, self, method, *what)
 
     def chance(self, below: int) -> int:
-        return self.net.chance.below(below)
+        """Draw a number from 0 to below it."""
+        return self.network.random.below(below)
 
     def log(self, line: str) -> None:
-        pass
+        """Drop a line of log."""
 
-    def on_member_changed(self, member: Member, before: int) -> None:
-        self.net.wrong_gone += member.state == GONE and self.net.nodes[member.name].alive
+    def on_member_changed(self, member: Member, before: MemberState) -> None:
+        """Count a running member that is held gone."""
+        is_wrong = member.state == GONE and self.network.nodes[member.name].is_running
+        self.network.wrongly_gone += is_wrong
 
 
-class Net:
-    """`many` companies; `loss` of all letters are lost."""
+class Network:
+    """`node_count` nodes on one clock; the share `loss` of all datagrams is lost."""
 
-    def __init__(self, many: int, loss: float = 0.0) -> None:
-        self.now, self.serial, self.loss, self.chance = 0, 0, loss, SeededRandom(many)
-        self.events: list[tuple] = []
-        self.wrong_gone = 0
-        self.roll = [(f"n{n}", f"hall-{n % 4}") for n in range(many)]
+    def __init__(self, node_count: int, loss: float = 0.0) -> None:
+        self.now = 0
+        self.loss = loss
+        self.random = SeededRandom(node_count)
+        self.wrongly_gone = 0  # running members that were held gone
+        self.names_and_zones = [
+            (f"n{number}", f"hall-{number % ZONES}") for number in range(node_count)
+        ]
         self.nodes: dict[str, Node] = {}
-        for name, _ in self.roll:
+        self._events: list[Event] = []
+        self._serial = 0
+        for name, _ in self.names_and_zones:
             self.nodes[name] = Node(self, name)
 
-    def call_later(self, delay: int, node: Node, method: Any, *what: Any) -> None:
-        self.serial += 1
-        heappush(self.events, (self.now + max(int(delay), 1), self.serial, node, method, what))
+    def carry(self, receiver: str, data: bytes) -> None:
+        """Bring a datagram to its receiver, some time later, or lose it."""
+        node = self.nodes.get(receiver)
+        if node is not None and not self.random.within(self.loss):
+            latency = MIN_LATENCY_TICKS + self.random.below(LATENCY_SPREAD_TICKS)
+            self.call_later(latency, node, node.member_list.handle_datagram, data)
+
+    def call_later(
+        self, delay: int, node: Node, method: Callable[..., None], *arguments: Any
+    ) -> None:
+        """Call the method after so many ticks, if the node still runs."""
+        self._serial += 1
+        due = self.now + max(int(delay), 1)
+        heappush(self._events, Event(due, self._serial, node, method, arguments))
 
     def run(self, seconds: float) -> None:
+        """Let the clock go on."""
         until = self.now + int(seconds * SECOND)
-        while self.events and self.events[0][0] <= until:
-            self.now, _, node, method, what = heappop(self.events)
-            if node.alive:
-                method(*what)
+        while self._events and self._events[0].due <= until:
+            event = heappop(self._events)
+            self.now = event.due
+            if event.node.is_running:
+                event.method(*event.arguments)
         self.now = until
 
-    def seen(self, name: str) -> int:
-        """How many of the living hold it alive."""
+    def count_holding_alive(self, name: str) -> int:
+        """Return how many of the running nodes hold a member alive."""
         return sum(
-            node.company.state_of(name) == ALIVE for node in self.nodes.values() if node.alive
+            node.member_list.state_of(name) == ALIVE
+            for node in self.nodes.values()
+            if node.is_running
+        )
+
+    def has_common_view(self) -> bool:
+        """Return whether no member is unknown to any other."""
+        return not any(node.member_list.table.unknown_count for node in self.nodes.values())
+
+    def traffic(self) -> "Traffic":
+        """Return what all nodes have sent until now."""
+        return Traffic(
+            self.now,
+            sum(node.sent_datagrams for node in self.nodes.values()),
+            sum(node.sent_bytes for node in self.nodes.values()),
         )
 
 
-def measured(many: int) -> dict[str, Any]:
-    """Time to a common view after all start at once and after one is killed, letters and octets a second and gateway,
-    memory of one company. Simulated; seconds of simulated time but `took`."""
-    begun = time.time()
+@dataclass(frozen=True, slots=True)
+class Traffic:
+    """What all nodes had sent at a time."""
+
+    at: int
+    datagrams: int
+    octets: int
+
+
+def measured(node_count: int) -> dict[str, Any]:
+    """Run all from their start until one that failed is known to have; return what was seen.
+
+    Time to a common view after all start at once, and after one fails; datagrams and octets a
+    second and node; memory of one node. Seconds are simulated, but for `took_s`.
+    """
+    started_at = time.time()
     gc.collect()
-    before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    net = Net(many)
-    common = None
-    while common is None and net.now < 600 * SECOND:
-        net.run(1)
-        if all(not node.company.table.unknown_count for node in net.nodes.values()):
-            common = net.now / SECOND
-    sent, octets, at = _sums(net)
-    net.run(20)
-    more, heavier, then = _sums(net)
-    span = (then - at) / SECOND * many
-    dead = net.nodes["n1"]
-    dead.alive, died = False, net.now
-    while net.seen("n1") and net.now < died + 300 * SECOND:
-        net.run(0.5)
+    memory_before = _peak_memory_kb()
+    network = Network(node_count)
+    common_view_seconds = _run_until_common_view(network)
+    before = network.traffic()
+    network.run(STEADY_SECONDS)
+    after = network.traffic()
+    node_seconds = (after.at - before.at) / SECOND * node_count
+    failure_seconds = _run_until_failure_known(network, "n1")
     return {
-        "fellows": many,
-        "common_view_s": common,
-        "letters_a_second": round((more - sent) / span, 2),
-        "octets_a_second": round((heavier - octets) / span),
-        "all_know_of_a_death_s": (net.now - died) / SECOND,
-        "living_held_gone": net.wrong_gone,
-        "memory_kb_each": round(
-            (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / many, 1
-        ),
-        "took_s": round(time.time() - begun, 1),
+        "fellows": node_count,
+        "common_view_s": common_view_seconds,
+        "letters_a_second": round((after.datagrams - before.datagrams) / node_seconds, 2),
+        "octets_a_second": round((after.octets - before.octets) / node_seconds),
+        "all_know_of_a_death_s": failure_seconds,
+        "living_held_gone": network.wrongly_gone,
+        "memory_kb_each": round((_peak_memory_kb() - memory_before) / node_count, 1),
+        "took_s": round(time.time() - started_at, 1),
     }
 
 
-def _sums(net: Net) -> tuple[int, int, int]:
-    return (
-        sum(node.sent for node in net.nodes.values()),
-        sum(node.octets for node in net.nodes.values()),
-        net.now,
-    )
+def _run_until_common_view(network: Network) -> float | None:
+    while network.now < JOIN_LIMIT_SECONDS * SECOND:
+        network.run(1)
+        if network.has_common_view():
+            return network.now / SECOND
+    return None
+
+
+def _run_until_failure_known(network: Network, name: str) -> float:
+    network.nodes[name].is_running = False
+    failed_at = network.now
+    limit = failed_at + FAILURE_LIMIT_SECONDS * SECOND
+    while network.count_holding_alive(name) and network.now < limit:
+        network.run(0.5)
+    return (network.now - failed_at) / SECOND
+
+
+def _peak_memory_kb() -> int:
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -281,13 +281,13 @@
 def test_gossip_reaches_all_and_none_hears_what_no_datagram_brought():
     assert 0 < dissemination.spread(60, 400, 2, 0.3, 1)[0] < 20
     lost = dissemination.Dissemination(60, 400, 2, loss=1.0)
-    assert lost.run(3 * SECOND) == -1 and sum(member.had >= 0 for member in lost.members) == 1
+    assert lost.run(3 * SECOND) == -1 and sum(member.is_complete for member in lost.members) == 1
 
 
 def test_a_whole_in_pieces_comes_together_from_several():
-    model = dissemination.Dissemination(40, 20 * dissemination.ROOM, 2, loss=0.4, seed=3)
+    model = dissemination.Dissemination(40, 20 * dissemination.CHUNK_BYTES, 2, loss=0.4, seed=3)
     assert model.run(30 * SECOND) > 0
-    assert all(member.pieces == set(range(20)) for member in model.members)
+    assert all(member.chunks == set(range(20)) for member in model.members)
 
 
 def test_a_quick_run_of_the_settings_keeps_nothing(monkeypatch):
