--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -165,7 +165,8 @@
             # A replayed one changes nothing, and is answered.
             return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
         peer = self.peers[envelope.sender]
-        self._adopt_incarnation(peer, envelope.incarnation)
+        if envelope.incarnation > peer.incarnation:
+            self._adopt_incarnation(peer, envelope.incarnation)
         if not peer.replay_window.accept(envelope.counter):
             self.counts["replay"] += 1
             return None
@@ -175,13 +176,12 @@
     def learn_incarnation(self, name: str, incarnation: int) -> None:
         """Take a third member's word on a peer's incarnation, until the peer says more."""
         peer = self.peers.get(name)
-        if peer is not None:
+        if peer is not None and incarnation > peer.incarnation:
             self._adopt_incarnation(peer, incarnation)
 
     def _adopt_incarnation(self, peer: PeerSession, incarnation: int) -> None:
-        if incarnation > peer.incarnation:
-            peer.restart(incarnation)
-            self._on_incarnation(peer.name, incarnation)
+        peer.restart(incarnation)
+        self._on_incarnation(peer.name, incarnation)
 
     def _rejection(self, envelope: Envelope, now_ticks: int) -> str:
         """Return why a datagram with a right seal must not be taken; empty if it may be."""
--- a/corkgauge/membership/failure_detector.py
+++ b/corkgauge/membership/failure_detector.py
@@ -12,7 +12,7 @@
 from corkgauge.membership.member_table import MemberTable
 from corkgauge.membership.members import Host, LocalMember, Member
 from corkgauge.membership.message_sender import MessageSender
-from corkgauge.membership.messages import Ack, IndirectProbe, MemberState, Nack, Probe
+from corkgauge.membership.messages import ALIVE, UNKNOWN, Ack, IndirectProbe, Nack, Probe
 from corkgauge.membership.status_tracker import StatusTracker
 
 INDIRECT_PROBES = 3  # members that are asked to probe one that does not answer
@@ -139,7 +139,7 @@
             return
         if probe.nacks < probe.helpers:  # helpers were silent too, so the fault may be ours
             self._local.adjust_health(1)
-        if probe.member.state in (MemberState.ALIVE, MemberState.UNKNOWN):
+        if probe.member.state in (ALIVE, UNKNOWN):
             self._status.suspect(probe.member, self._local.name, "asked in vain")
 
     def _send_probe(self, probe: ProbeInFlight) -> int:
--- a/corkgauge/membership/gossip.py
+++ b/corkgauge/membership/gossip.py
@@ -79,5 +79,5 @@
             if transmissions >= limit:
                 del self.updates[name]
             else:
-                self.updates[name] = queued._replace(transmissions=transmissions)
+                self.updates[name] = QueuedUpdate(transmissions, queued.serial, queued.update)
         return taken
--- a/corkgauge/membership/member_list.py
+++ b/corkgauge/membership/member_list.py
@@ -20,7 +20,12 @@
 from corkgauge.membership.members import Host, LocalMember, Member
 from corkgauge.membership.message_sender import MessageSender
 from corkgauge.membership.messages import (
+    ALIVE,
+    GONE,
+    LEFT,
     MALFORMED,
+    SUSPECTED,
+    UNKNOWN,
     Ack,
     Call,
     Gossip,
@@ -50,12 +55,6 @@
     "MemberState",
 ]
 
-ALIVE = MemberState.ALIVE
-SUSPECTED = MemberState.SUSPECTED
-GONE = MemberState.GONE
-LEFT = MemberState.LEFT
-UNKNOWN = MemberState.UNKNOWN
-
 HELLOS_PER_PERIOD = 6  # members that a newcomer greets, until one answers
 # While members are unknown, the whole state is asked for in one of so many periods.
 STATE_REQUEST_ODDS = 4
--- a/corkgauge/membership/member_table.py
+++ b/corkgauge/membership/member_table.py
@@ -8,7 +8,7 @@
 
 from corkgauge.membership.datagrams import DatagramCodec
 from corkgauge.membership.members import Member
-from corkgauge.membership.messages import MemberState
+from corkgauge.membership.messages import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberState
 
 GONE_PROBE_ODDS = 4  # one in so many turns of a member that is gone is used to probe it
 
@@ -35,14 +35,12 @@
                 member = previous.get(name) or Member(name, zone)
                 member.zone = zone
                 self.members[name] = member
-        self.unknown_count = sum(
-            member.state == MemberState.UNKNOWN for member in self.members.values()
-        )
+        self.unknown_count = sum(member.state == UNKNOWN for member in self.members.values())
         self._round = [name for name in self._round if name in self.members]
 
     def alive(self) -> list[Member]:
         """Return those that are alive or only suspected, by name."""
-        living = (MemberState.ALIVE, MemberState.SUSPECTED)
+        living = (ALIVE, SUSPECTED)
         return sorted(
             (member for member in self.members.values() if member.state in living),
             key=lambda member: member.name,
@@ -51,9 +49,9 @@
     def state_of(self, name: str) -> MemberState:
         """Return the state of a member; this one is alive, one that is no member is gone."""
         if name == self._local_name:
-            return MemberState.ALIVE
+            return ALIVE
         member = self.members.get(name)
-        return MemberState.GONE if member is None else member.state
+        return GONE if member is None else member.state
 
     def next_to_probe(self) -> Member | None:
         """Return each member once a round, in an order by chance, those that are gone more seldom.
@@ -67,7 +65,7 @@
                 if not self._round:
                     return None
             member = self.members[self._round.pop()]
-            has_ended = member.state in (MemberState.GONE, MemberState.LEFT)
+            has_ended = member.state in (GONE, LEFT)
             if not has_ended or not self._draw_below(GONE_PROBE_ODDS):
                 return member
         return member
@@ -78,7 +76,7 @@
             member.name
             for member in self.members.values()
             if member is not excluded
-            and member.state == MemberState.ALIVE
+            and member.state == ALIVE
             and self._codec.knows_incarnation(member.name)
         ]
         return self._draw(names, count)
--- a/corkgauge/membership/members.py
+++ b/corkgauge/membership/members.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from corkgauge.membership.messages import MemberState, StatusUpdate
+from corkgauge.membership.messages import ALIVE, LEFT, UNKNOWN, MemberState, StatusUpdate
 
 MAX_LOCAL_HEALTH = 8  # 0 is well; intervals grow by one of themselves for each (Lifeguard's LHM)
 STATE_SYNC_INTERVAL_TICKS = 30_000  # between two whole states sent to one member
@@ -32,7 +32,7 @@
     def __init__(self, name: str, zone: str) -> None:
         self.name = name
         self.zone = zone
-        self.state = MemberState.UNKNOWN
+        self.state = UNKNOWN
         self.incarnation = 0
         self.refutations = 0  # suspicions that it has refuted in this incarnation
         self.state_since = 0  # ticks
@@ -65,7 +65,7 @@
 
     def status_update(self, incarnation: int) -> StatusUpdate:
         """Return what this member says of itself."""
-        state = MemberState.LEFT if self.has_left else MemberState.ALIVE
+        state = LEFT if self.has_left else ALIVE
         return StatusUpdate(self.name, state, incarnation, self.refutations)
 
 
--- a/corkgauge/membership/message_sender.py
+++ b/corkgauge/membership/message_sender.py
@@ -11,17 +11,19 @@
 from corkgauge.membership.member_table import MemberTable
 from corkgauge.membership.members import Host, LocalMember
 from corkgauge.membership.messages import (
+    GONE,
+    LEFT,
+    SUSPECTED,
     Call,
     Gossip,
     GossipingMessage,
-    MemberState,
     StatusUpdate,
     encode_body,
 )
 
 # Of gossiped updates in a datagram, beside the message and up to two updates before them.
 GOSSIP_ROOM_BYTES = 780
-TOLD_OF_ITSELF = (MemberState.SUSPECTED, MemberState.GONE, MemberState.LEFT)
+TOLD_OF_ITSELF = (SUSPECTED, GONE, LEFT)
 
 
 class MessageSender:
--- a/corkgauge/membership/messages.py
+++ b/corkgauge/membership/messages.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import Any, ClassVar
+from typing import Any, ClassVar, NamedTuple
 
 from corkgauge.membership.datagrams import DatagramKind
 
@@ -33,8 +33,15 @@
         return self.name.lower()
 
 
-@dataclass(frozen=True, slots=True)
-class StatusUpdate:
+# Looked up once: by way of the class each of them costs more than the comparison.
+ALIVE = MemberState.ALIVE
+SUSPECTED = MemberState.SUSPECTED
+GONE = MemberState.GONE
+LEFT = MemberState.LEFT
+UNKNOWN = MemberState.UNKNOWN
+
+
+class StatusUpdate(NamedTuple):
     """What one member says of another, or of itself.
 
     `refutations` counts how often the member has refuted a suspicion in this incarnation; `accuser`
@@ -193,9 +200,14 @@
     return [*message.fields(), [update.encode() for update in updates]]
 
 
+_SENT_STATES: dict[int, MemberState] = {
+    int(state): state for state in MemberState if state != UNKNOWN
+}
+
+
 def _decode_update(fields: Sequence[Any]) -> StatusUpdate:
-    name, state, incarnation, refutations, accuser = fields
-    is_state = MemberState.ALIVE <= state <= MemberState.LEFT
-    if not (is_state and incarnation > 0 and refutations >= 0):
+    name, state_number, incarnation, refutations, accuser = fields
+    state = _SENT_STATES.get(state_number)
+    if state is None or not (incarnation > 0 and refutations >= 0):
         raise MalformedMessageError(f"expected an update on a member, found {fields!r}")
-    return StatusUpdate(name, MemberState(state), incarnation, refutations, accuser)
+    return StatusUpdate(name, state, incarnation, refutations, accuser)
--- a/corkgauge/membership/status_tracker.py
+++ b/corkgauge/membership/status_tracker.py
@@ -11,7 +11,7 @@
 from corkgauge.membership.gossip import GossipQueue
 from corkgauge.membership.member_table import MemberTable
 from corkgauge.membership.members import Host, LocalMember, Member
-from corkgauge.membership.messages import MemberState, StatusUpdate
+from corkgauge.membership.messages import ALIVE, GONE, SUSPECTED, UNKNOWN, MemberState, StatusUpdate
 from corkgauge.membership.suspicion import EXPECTED_CONFIRMATIONS, suspicion_timeout_ticks
 
 
@@ -50,16 +50,16 @@
         elif _overrides(update, member):
             member.incarnation = update.incarnation
             member.refutations = update.refutations
-            if update.state == MemberState.SUSPECTED:
+            if update.state == SUSPECTED:
                 self.suspect(member, update.accuser, f"told by {sender}")
             else:
                 self._set_state(member, update.state, f"told by {sender}")
 
     def suspect(self, member: Member, accuser: str, reason: str) -> None:
         """Suspect a member, or add an accuser; it is gone unless it refutes that in time."""
-        if member.state != MemberState.SUSPECTED:
+        if member.state != SUSPECTED:
             member.state_since = self._host.now
-            self._set_state(member, MemberState.SUSPECTED, reason, {accuser})
+            self._set_state(member, SUSPECTED, reason, {accuser})
         else:
             member.accusers.add(accuser)
             update = StatusUpdate(
@@ -70,8 +70,8 @@
 
     def on_suspicion_timeout(self, member: Member, serial: int) -> None:
         """Hold a member gone that is suspected still, unless a later timer is under way."""
-        if member.state == MemberState.SUSPECTED and member.suspicion_serial == serial:
-            self._set_state(member, MemberState.GONE, f"suspected by {len(member.accusers)}")
+        if member.state == SUSPECTED and member.suspicion_serial == serial:
+            self._set_state(member, GONE, f"suspected by {len(member.accusers)}")
 
     def on_incarnation(self, name: str, incarnation: int) -> None:
         """Take a member for alive whose present incarnation has become known."""
@@ -79,7 +79,7 @@
         if incarnation > member.incarnation:
             member.incarnation = incarnation
             member.refutations = 0
-            self._set_state(member, MemberState.ALIVE, "started")
+            self._set_state(member, ALIVE, "started")
 
     def on_superseded(self, incarnation: int) -> None:
         """Raise our incarnation above one that others know our name under.
@@ -96,7 +96,7 @@
             self.on_superseded(update.incarnation)
             return
         is_ours = update.incarnation == self._codec.incarnation
-        if is_ours and update.state != MemberState.ALIVE and not self._local.has_left:
+        if is_ours and update.state != ALIVE and not self._local.has_left:
             self._refute(update)
 
     def _refute(self, update: StatusUpdate) -> None:
@@ -133,7 +133,7 @@
         member.state_since = self._host.now
         member.reason = reason
         member.accusers = {*accusers}
-        if before == MemberState.UNKNOWN:
+        if before == UNKNOWN:
             self._table.unknown_count -= 1
         self._gossip.add(member.name, member.status_update())
         if before != state:
@@ -143,7 +143,7 @@
 
 def _is_same_suspicion(member: Member, update: StatusUpdate) -> bool:
     return (
-        update.state == member.state == MemberState.SUSPECTED
+        update.state == member.state == SUSPECTED
         and update.incarnation == member.incarnation
         and update.refutations == member.refutations
     )
@@ -154,8 +154,8 @@
 
     The rule is that of SWIM, section 4.2. GONE and LEFT are equal: whichever was heard first stays.
     """
-    said = (update.incarnation, update.refutations, min(update.state, MemberState.GONE))
-    if member.state == MemberState.UNKNOWN:
-        return said > (0, 0, MemberState.ALIVE)
-    held = (member.incarnation, member.refutations, min(member.state, MemberState.GONE))
+    said = (update.incarnation, update.refutations, min(update.state, GONE))
+    if member.state == UNKNOWN:
+        return said > (0, 0, ALIVE)
+    held = (member.incarnation, member.refutations, min(member.state, GONE))
     return said > held
