--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -73,7 +73,7 @@
         self.membership = membership
         self.member_list = membership.member_list
 
-        self.reports = HealthReports(self.name, self.member_list.letters.start)
+        self.reports = HealthReports(self.name, self.member_list.codec.incarnation)
         self.retry_throttle = RetryThrottle(self.name)
         self.permits = PermitExchange(socket_host, membership)
         self.assessments: dict[str, Assessment] = {}
@@ -220,7 +220,7 @@
         self.permits.transfers.record_demand(
             sender,
             boot_time(),
-            self.member_list.letters.pens[sender].start,
+            self.member_list.codec.peers[sender].incarnation,
             int(update.serial),
             update.unplaced_tenths / UNPLACED_SCALE,
         )
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -20,7 +20,7 @@
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.leases.service import LeaseService
 from corkgauge.maintenance.service import MaintenanceService
-from corkgauge.membership.member_list import ALIVE, STATES, SUSPECTED, UNKNOWN, Member
+from corkgauge.membership.member_list import ALIVE, SUSPECTED, UNKNOWN, Member, MemberState
 from corkgauge.membership.service import MembershipService
 from corkgauge.peer_health.service import PeerHealthService
 from corkgauge.testkit.fleet.day import settings
@@ -174,12 +174,12 @@
         self.short = len(said.members) - 1  # members that it does not hold alive
         self.settled = 0  # when that came to be none
 
-    def changed(self, member: Member, before: int) -> None:
-        self.became[f"{STATES[before]} {STATES[member.state]}"] += 1
+    def on_member_changed(self, member: Member, before: MemberState) -> None:
+        self.became[f"{before.label} {member.state.label}"] += 1
         self.short += (before == ALIVE) - (member.state == ALIVE)
         if not self.short:
             self.settled = self.event_loop.now
-        super().changed(member, before)
+        super().on_member_changed(member, before)
 
 
 class SetAside(LeaseService):
@@ -226,7 +226,7 @@
             socket_host, platform_config, Fellows((KEY,), members, None, SECOND // 2)
         )
         member_list = self.membership.member_list
-        self._counted(member_list.letters)
+        self._counted(member_list.codec)
         self.office: LeaseService | None = None
         self.yard: MaintenanceService | None = None
         self.exchange: PeerHealthService | None = None
@@ -260,9 +260,9 @@
             for holder in self.office.holders.values():
                 holder.stand(False)
 
-    def _counted(self, letters: Any) -> None:
+    def _counted(self, codec: Any) -> None:
         """By sort, and by subject where another subsystem sends."""
-        write, opened = letters.write, letters.open
+        write, opened = codec.encode, codec.decode
 
         def written(to: str, sort: int, body: Any, known_as: int = 0) -> bytes:
             data = write(to, sort, body, known_as)
@@ -278,7 +278,7 @@
                 self.kinds_in[body[0] if SORTS[sort] == "call" else SORTS[sort]] += 1
             return found
 
-        letters.write, letters.open = written, read
+        codec.encode, codec.decode = written, read
 
     def end(self) -> None:
         """In order, as a restart of the program does: duties are handed over, a few are told."""
@@ -299,9 +299,9 @@
         member_list = self.membership.member_list
         for name, start in starts.items():
             if name != self.name:
-                member_list.letters.on_peer_health(name, start)
-        member_list.met = True
-        member_list.rumours.words.clear()
+                member_list.codec.learn_incarnation(name, start)
+        member_list.local.has_joined = True
+        member_list.gossip.updates.clear()
 
     # What a coordinator may ask.
 
@@ -333,7 +333,7 @@
             "in": wire.got,
             "octets_in": wire.octets_in,
             "held_back": wire.held_back,
-            "words": len(member_list.rumours.words),
+            "words": len(member_list.gossip.updates),
             "spent": self.beat.spent,
             "unknown": self.unknown(),
             "duties": self.duties(),
@@ -341,8 +341,8 @@
             "octets_by": dict(self.octets_by),
             "kinds_in": dict(self.kinds_in),
             "became": dict(self.membership.became),
-            "refused": dict(member_list.letters.counts),
-            "health": member_list.health,
+            "refused": dict(member_list.codec.counts),
+            "health": member_list.local.health,
             "late": member_list.counts["late ourselves"],
             "unsent": self.membership.unsent,
             "overloaded": self.office is not None and self.office.overloaded,
