--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -45,7 +45,7 @@
             sys.executable,
             "-m",
             "corkgauge",
-            "drills",
+            "chaos",
             "run",
             "--gateways",
             str(gateways),
--- a/corkgauge/__main__.py
+++ b/corkgauge/__main__.py
@@ -1,4 +1,4 @@
-"""The command line's door."""
+"""Entry point of `python -m corkgauge`."""
 
 import sys
 
--- a/corkgauge/commands/__init__.py
+++ b/corkgauge/commands/__init__.py
@@ -5,23 +5,34 @@
 
 import click
 
-# Name, and the module that holds it as `command`.
+# Name, and the module that holds it as `command`, in the order of `--help`.
 COMMANDS = {
+    "demo": "demo",
     "serve": "serve",
     "check": "check",
     "version": "version",
-    "figures": "figures",
+    "accounts": "accounts",
     "audit": "audit",
     "flows": "flows",
-    "recall": "recall",
-    "fellows": "fellows",
-    "duties": "duties",
-    "works": "works",
-    "shared": "shared",
-    "drills": "drills",
-    "try": "try_",
+    "recovery": "recovery",
+    "members": "members",
+    "leases": "leases",
+    "maintenance": "maintenance",
+    "peer-health": "peer_health",
+    "chaos": "chaos",
     "soak": "soak",
 }
+# Earlier names, taken for this version and left out of `--help`.
+ALIASES = {
+    "figures": "accounts",
+    "recall": "recovery",
+    "fellows": "members",
+    "duties": "leases",
+    "works": "maintenance",
+    "shared": "peer-health",
+    "drills": "chaos",
+    "try": "demo",
+}
 FOUND, MISUSE = 1, 2  # exit codes: found what it looks for; misuse or bad input
 
 
@@ -34,26 +45,42 @@
         print(f"corkgauge: {self.message}", file=sys.stderr)
 
 
-class Loaded(click.Group):
-    """Danger: what every command imports, `serve` would hold in memory for its life."""
+class LazyGroup(click.Group):
+    """Imports the module of the command that is called, and no other.
+
+    Danger: what every command imports, `serve` would hold in memory for its life.
+    """
 
     def list_commands(self, context: click.Context) -> list[str]:
         return [*COMMANDS]
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        return (
-            import_module(f"corkgauge.commands.{COMMANDS[name]}").command
-            if name in COMMANDS
-            else None
-        )
-
-
-@click.group(cls=Loaded, context_settings={"help_option_names": ["-h", "--help"]})
+        if name not in COMMANDS:
+            return None
+        return import_module(f"corkgauge.commands.{COMMANDS[name]}").command
+
+    def resolve_command(
+        self, context: click.Context, arguments: list[str]
+    ) -> tuple[str | None, click.Command | None, list[str]]:
+        """Also by its earlier name, with a line on standard error that says the present one."""
+        earlier = arguments[0]
+        if earlier in ALIASES:
+            name = ALIASES[earlier]
+            print(
+                f"corkgauge: '{earlier}' is now '{name}'; the old name goes with the next version",
+                file=sys.stderr,
+            )
+            arguments = [name, *arguments[1:]]
+        return super().resolve_command(context, arguments)
+
+
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def group() -> None:
-    """A workload manager before analytic engines.
+    """A workload manager (gateway) before analytic engines.
 
     \b
-    Start here:  corkgauge try
+    Start here:  corkgauge demo
+    Help on one: corkgauge leases run --help
     Exit codes:  0 done; 1 found what it looks for; 2 misuse or bad input
     """
 
--- a/corkgauge/commands/figures.py
+++ b/corkgauge/commands/accounts.py
@@ -1,4 +1,4 @@
-"""`corkgauge figures`."""
+"""`corkgauge accounts`."""
 
 import json
 import time
@@ -11,7 +11,7 @@
 
 
 def cut_at(where: str, clear: bool = False) -> Cut:
-    """From a door, a file that keeps figures through a kill, or a cut saved as JSON."""
+    """From an HTTP listener, a checkpoint file, or a snapshot saved as JSON."""
     try:
         path = Path(where)
         if path.is_file():
@@ -29,31 +29,32 @@
         raise Faulted(f"{where}: {getattr(problem, 'strerror', None) or problem}") from None
 
 
-@click.command("figures")
+@click.command("accounts")
 @click.argument("where", nargs=-1, required=True)
 @click.option(
     "--watch", type=float, default=0.0, metavar="SECONDS", help="Again and again, so far apart."
 )
-@click.option("--json", "as_json", is_flag=True, help="The cut as JSON, for programs.")
+@click.option("--json", "as_json", is_flag=True, help="The snapshot as JSON, for programs.")
 @click.option(
     "--record",
     type=click.Path(dir_okay=False),
-    help="Add each cut as a line to this file, for `audit`.",
+    help="Add each snapshot as a line to this file, for `audit`.",
 )
 @click.option(
     "--clear",
     is_flag=True,
-    help="Clear the findings that were held so far: an operator has seen them.",
+    help="Clear the discrepancies that were found so far: an operator has seen them.",
 )
 def command(
     where: tuple[str, ...], watch: float, as_json: bool, record: str | None, clear: bool
 ) -> None:
-    """Figures of one or several gateways, summed.
+    """Counters of one or several gateways, summed, and whether they balance.
 
-    WHERE is the Unix socket or ADDRESS:PORT of a gateway, a .figures file, or a saved cut.
+    WHERE is the Unix socket or ADDRESS:PORT of a gateway, a .figures checkpoint file, or a snapshot saved
+    as JSON.
 
     \b
-    corkgauge figures /run/corkgauge/n1.sock /run/corkgauge/n2.sock --watch 1
+    corkgauge accounts /run/corkgauge/n1.sock /run/corkgauge/n2.sock --watch 1
     Ends with 1 if they do not balance.
     """
     from rich.console import Console
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -49,15 +49,15 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
 def command(files: tuple[str, ...], as_json: bool) -> None:
-    """Recorded cuts: does each balance, and does no count shrink within its epoch?
+    """Check recorded snapshots: each balances, and no counter shrinks within its epoch.
 
-    FILES hold a cut as JSON on each line, as `corkgauge figures --record` writes them; or what `corkgauge works show
-    --json` wrote: has each unit gone each step once?
+    FILES hold a snapshot as JSON on each line, as `corkgauge accounts --record` writes them; or what
+    `corkgauge maintenance show --json` wrote: then each unit must have gone each step once.
 
     \b
-    corkgauge figures /run/corkgauge/n1.sock --watch 1 --record day.jsonl
+    corkgauge accounts /run/corkgauge/n1.sock --watch 1 --record day.jsonl
     corkgauge audit day.jsonl
-    Ends with 1 if one does not balance or a count shrank.
+    Ends with 1 if one does not balance or a counter shrank.
     """
     cuts, epochs, found = 0, 0, []
     for name in files:
--- a/corkgauge/commands/drills.py
+++ b/corkgauge/commands/chaos.py
@@ -1,4 +1,4 @@
-"""`corkgauge drills run | draw`."""
+"""`corkgauge chaos run | draw`."""
 
 import json
 from pathlib import Path
@@ -8,9 +8,13 @@
 from corkgauge.commands import FOUND, Faulted
 
 
-@click.group("drills")
+@click.group("chaos")
 def command() -> None:
-    """Days of faults among several gateways on this machine, judged by a party outside."""
+    """Chaos runs: faults among several gateways on this machine, judged by a lease checker.
+
+    \b
+    corkgauge chaos run --gateways 5 --seconds 60 --gap 0.5
+    """
 
 
 @command.command()
@@ -32,10 +36,10 @@
     help="Of one fault, in seconds.",
 )
 def draw(seed: int, gateways: int, seconds: float, gap: float, longest: float) -> None:
-    """Print a script of faults by chance, for `drills run`.
+    """Print a random fault script, for `chaos run`.
 
     \b
-    corkgauge drills draw --seconds 60 --gap 0.5 > day.txt
+    corkgauge chaos draw --seconds 60 --gap 0.5 > day.txt
     """
     from corkgauge.testkit.fleet.processes import drawn
 
@@ -58,13 +62,13 @@
     help="Seconds between two faults, where no script is named.",
 )
 @click.option("--clients", type=click.IntRange(0, 50), default=0, show_default=True)
-@click.option("--disk/--no-disk", default=False, help="Voters keep their votes in a folder.")
+@click.option("--disk/--no-disk", default=False, help="Voters keep their records on disk.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--without",
     type=click.Choice(["none", "check", "silence", "margin", "busy", "fence"]),
     default="none",
-    help="Leave a defence out: the judge should object.",
+    help="Disable a safeguard: the checker should object.",
 )
 @click.option(
     "--rates",
@@ -94,13 +98,14 @@
     drift: float,
     as_json: bool,
 ) -> None:
-    """Play a script of faults, or one by chance, and say whether ever two acted at once.
+    """Play a fault script, or a random one, and say whether ever two held a lease at once.
 
-    Starts gateways in processes of their own, with relays between them and a judge outside; all on loopback.
+    Starts gateways in processes of their own, with relays between them and a checker outside; all on
+    loopback.
 
     \b
-    corkgauge drills run --gateways 5 --seconds 60 --gap 0.5
-    Ends with 1 if the judge objects, or a rule was broken for a client.
+    corkgauge chaos run --gateways 5 --seconds 60 --gap 0.5
+    Ends with 1 if the checker objects, or a rule was broken for a client.
     """
     from corkgauge.testkit.fleet.processes import Fleet, Unplayable, drawn, read
 
@@ -143,7 +148,7 @@
 
 
 def report(fleet: object) -> dict:
-    """What a drill came to; spans without a holder in seconds."""
+    """What a run came to; spans without a holder in seconds."""
     changes = fleet.changes()
     spans = sorted(span / 10_000 for _, span, *_ in changes)
     return {
--- a/corkgauge/commands/try_.py
+++ b/corkgauge/commands/demo.py
@@ -1,4 +1,4 @@
-"""`corkgauge try`."""
+"""`corkgauge demo`."""
 
 import json
 
@@ -12,7 +12,7 @@
 """
 
 
-@click.command("try")
+@click.command("demo")
 @click.option(
     "--seconds",
     type=click.FloatRange(1, 600),
@@ -25,20 +25,20 @@
     type=click.FloatRange(1, 2000),
     default=120.0,
     show_default=True,
-    help="Submissions a second.",
+    help="Requests a second.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
 def command(seconds: float, rate: float, seed: int, as_json: bool) -> None:
     """Play a short day on this machine, with an engine that fails and one that falls silent.
 
-    Starts the real program between stand-in engines, control feed and clients, all on loopback,
-    and shows what
-    is taken, served and where; then whether the figures add up and the rules were kept.
+    Starts the real program between emulators of engines, endpoint discovery and clients, all on
+    loopback, and shows what is accepted, answered and where; then whether the accounts balance and
+    the rules were kept.
 
     \b
-    corkgauge try --seconds 20
-    Ends with 1 if a rule broke or the figures do not balance.
+    corkgauge demo --seconds 20
+    Ends with 1 if a rule was broken or the accounts do not balance.
     """
     from rich.console import Console, Group
     from rich.live import Live
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -16,7 +16,11 @@
 
 @click.group("flows")
 def command() -> None:
-    """Flow records: a collector for trying, reports, captures."""
+    """Flow records: a collector to try with, reports, captures.
+
+    \b
+    corkgauge flows listen --write night.parquet
+    """
 
 
 def need(module: str, extra: str) -> Any:
@@ -78,7 +82,7 @@
 def listen(
     port: int, transport: str, seconds: float, path: str | None, capture: str | None, as_json: bool
 ) -> None:
-    """A collector on loopback: prints what it is told, or writes it.
+    """A collector on loopback: prints the records that it receives, or writes them.
 
     \b
     corkgauge flows listen --write night.parquet
--- a/corkgauge/commands/duties.py
+++ b/corkgauge/commands/leases.py
@@ -1,4 +1,4 @@
-"""`corkgauge duties show | yield | run`."""
+"""`corkgauge leases show | yield | run`."""
 
 import json
 import os
@@ -9,29 +9,37 @@
 import click
 
 from corkgauge.commands import FOUND, Faulted
-from corkgauge.commands.fellows import door
+from corkgauge.commands.members import door
 
 ASK_EACH = 0.25  # seconds, at most, between two questions of a command that runs under a duty
 
 
-@click.group("duties")
+@click.group("leases")
 def command() -> None:
-    """What one gateway does at a time: who holds it, handing it over, running a command under it."""
+    """Leases: who holds each, giving one back, running a command under one.
+
+    \b
+    corkgauge leases show /run/corkgauge/n1.sock
+    """
 
 
 @command.command()
 @click.argument("where", nargs=-1, required=True)
 @click.option(
-    "--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs."
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="The gateways' answers as they are, a list, for programs.",
 )
 def show(where: tuple[str, ...], as_json: bool) -> None:
-    """Who holds what, under which fence, since when, and why it changed.
+    """Who holds each lease, its fencing token, since when, and why it changed.
 
-    WHERE is the Unix socket or ADDRESS:PORT of a gateway's figures.
+    WHERE is the Unix socket or ADDRESS:PORT of a gateway's HTTP listener.
 
     \b
-    corkgauge duties show /run/corkgauge/n1.sock
-    Ends with 1 if a duty that a gateway stands for is held by nobody it knows of, or the fleet's books do not balance.
+    corkgauge leases show /run/corkgauge/n1.sock
+    Ends with 1 if a lease that a gateway is a candidate for has no holder that it knows of, or the
+    fleet's accounts do not balance.
     """
     said = [door(each, "/duties") for each in where]
     if as_json:
@@ -82,10 +90,10 @@
 @click.argument("where")
 @click.argument("duty")
 def yield_(where: str, duty: str) -> None:
-    """Hand a duty over now. Any gateway takes this, and passes it on to the holder.
+    """Give a lease back now. Any gateway takes this, and forwards it to the holder.
 
     \b
-    corkgauge duties yield /run/corkgauge/n1.sock books
+    corkgauge leases yield /run/corkgauge/n1.sock books
     """
     said = door(where, "/duties", {"do": "yield", "duty": duty})
     waits = f", once {said['waits_for']} has ended" if said["waits_for"] else ""
@@ -108,25 +116,26 @@
     type=click.FloatRange(0.02, 10),
     default=0.1,
     show_default=True,
-    help="Seconds before the duty's end by which it is dead.",
+    help="Seconds before the lease's end by which it is dead.",
 )
 @click.option(
     "--patience",
     type=float,
     default=0.0,
-    help="Give up if not begun after so many seconds; 0: never.",
+    help="Give up if not started after so many seconds; 0: never.",
 )
 def run(
     where: str, duty: str, what: tuple[str, ...], grace: float, margin: float, patience: float
 ) -> None:
-    """Run a command under a duty: at one gateway's machine at a time.
+    """Run a command under a lease: on one gateway's machine at a time.
 
-    WHERE is the local gateway's figures' socket. The command begins once the local gateway holds the duty, with
-    CORKGAUGE_DUTY and CORKGAUGE_FENCE in its environment; whatever it changes should refuse a lower fence. It is ended
-    when the duty cannot be kept: SIGTERM, then SIGKILL before the duty's time is over.
+    WHERE is the local gateway's HTTP listener. The command starts once the local gateway holds the
+    lease, with CORKGAUGE_DUTY (the lease's name) and CORKGAUGE_FENCE (its fencing token) in its
+    environment; whatever it changes should refuse a lower token. It is ended when the lease cannot be
+    renewed: SIGTERM, then SIGKILL before the lease is over.
 
     \b
-    corkgauge duties run /run/corkgauge/n1.sock nightly -- /usr/local/bin/nightly-export
+    corkgauge leases run /run/corkgauge/n1.sock nightly -- /usr/local/bin/nightly-export
     Ends with the command's own exit code; with 1 if it had to be ended or was never begun.
     """
     raise SystemExit(Wrapped(where, duty, what, grace, margin, patience).play())
--- a/corkgauge/commands/works.py
+++ b/corkgauge/commands/maintenance.py
@@ -1,4 +1,4 @@
-"""`corkgauge works ask | show | cancel | done | hold | overrule | known`."""
+"""`corkgauge maintenance ask | show | cancel | done | hold | overrule | known`."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 import click
 
 from corkgauge.commands import FOUND, Faulted
-from corkgauge.commands.fellows import door
+from corkgauge.commands.members import door
 
 SPANS = {"": 1.0, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
 PAUSE = 0.1  # seconds between two looks whether a wish was answered
@@ -48,13 +48,17 @@
 
 def owned(method: Any) -> Any:
     return click.option(
-        "--owner", required=True, help="Who wants it; it is logged, and kept with the plan."
+        "--owner", required=True, help="Who requests it; it is logged, and kept with the plan."
     )(method)
 
 
-@click.group("works")
+@click.group("maintenance")
 def command() -> None:
-    """Machines taken out for work, never more at once than the limits allow: asked at any gateway."""
+    """Maintenance: engines and gateways taken out, never more at once than the limits allow.
+
+    \b
+    corkgauge maintenance show /run/corkgauge/figures.sock
+    """
 
 
 @command.command()
@@ -67,9 +71,9 @@
     "--within", default="0", help="By when it should be over, as 2h; what is due goes first."
 )
 @click.option(
-    "--lasting", default="10m", show_default=True, help="What the work on one of them takes."
+    "--lasting", default="10m", show_default=True, help="How long the work on one of them takes."
 )
-@click.option("--id", "id_", default="", help="Of the ask; the same id twice is one ask.")
+@click.option("--id", "id_", default="", help="Of the request; the same id twice is one request.")
 def ask(
     where: str,
     kind: str,
@@ -80,14 +84,14 @@
     lasting: str,
     id_: str,
 ) -> None:
-    """Ask for machines to be taken out.
+    """Request that engines, machines, zones (hall) or gateways be taken out.
 
-    WHERE is the Unix socket or ADDRESS:PORT of any gateway's figures. What the limits never allow is refused at once,
-    with 1 and the reason. `works show` tells when each is out: before that, leave it alone.
+    WHERE is the Unix socket or ADDRESS:PORT of any gateway's HTTP listener. What the limits never
+    allow is refused at once, with 1 and the reason. `maintenance show` tells when each is out: before that, leave it alone.
 
     \b
-    corkgauge works ask /run/corkgauge/figures.sock engine e7 e9 --owner ada --reason disk --within 2h --lasting 10m
-    corkgauge works ask /run/corkgauge/figures.sock hall hall-a --owner ada
+    corkgauge maintenance ask /run/corkgauge/figures.sock engine e7 e9 --owner ada --reason disk --within 2h --lasting 10m
+    corkgauge maintenance ask /run/corkgauge/figures.sock hall hall-a --owner ada
     """
     id_ = id_ or f"{owner[:16]}-{time.time_ns() // 1_000_000:x}"
     answer = wish(
@@ -111,10 +115,10 @@
 @click.argument("id_", metavar="ID")
 @owned
 def cancel(where: str, id_: str, owner: str) -> None:
-    """Take an ask back. What is out already stays out until `done`: somebody may be at work there.
+    """Cancel a request. What is out already stays out until `done`: somebody may be at work there.
 
     \b
-    corkgauge works cancel /run/corkgauge/figures.sock ada-19f2 --owner ada
+    corkgauge maintenance cancel /run/corkgauge/figures.sock ada-19f2 --owner ada
     """
     print(wish(where, {"do": "cancel", "id": id_, "owner": owner}))
 
@@ -124,10 +128,10 @@
 @click.argument("names", nargs=-1, required=True)
 @owned
 def done(where: str, names: tuple[str, ...], owner: str) -> None:
-    """The work on these units, or on all of an ask that are out, is over: they are taken back.
+    """Work on these units, or on all of a request that are out, is over: take them back.
 
     \b
-    corkgauge works done /run/corkgauge/figures.sock e7 --owner ada
+    corkgauge maintenance done /run/corkgauge/figures.sock e7 --owner ada
     """
     print(wish(where, {"do": "done", "names": [*names], "owner": owner}))
 
@@ -140,7 +144,7 @@
     """Grant nothing new, until `hold --off`. What is under way goes on.
 
     \b
-    corkgauge works hold /run/corkgauge/figures.sock --owner ada
+    corkgauge maintenance hold /run/corkgauge/figures.sock --owner ada
     """
     print(wish(where, {"do": "hold", "on": not off, "owner": owner}))
 
@@ -151,10 +155,10 @@
 @click.argument("gateway")
 @owned
 def overrule(where: str, unit: str, gateway: str, owner: str) -> None:
-    """Begin although a gateway has not confirmed. Only where you know that it sends nothing: it is your word.
+    """Begin although a gateway has not confirmed. Only where you know that it sends nothing there.
 
     \b
-    corkgauge works overrule /run/corkgauge/figures.sock e7 n4 --owner ada
+    corkgauge maintenance overrule /run/corkgauge/figures.sock e7 n4 --owner ada
     """
     print(wish(where, {"do": "overrule", "unit": unit, "gateway": gateway, "owner": owner}))
 
@@ -164,11 +168,11 @@
 @click.argument("out", nargs=-1)
 @owned
 def known(where: str, out: tuple[str, ...], owner: str) -> None:
-    """Before the first use, or after everything was forgotten: name all that is out now; nobody: nothing is.
+    """State what is out, before the first use or after all was forgotten; no names: nothing is.
 
     \b
-    corkgauge works known /run/corkgauge/figures.sock --owner ada
-    corkgauge works known /run/corkgauge/figures.sock e7 e9 --owner ada
+    corkgauge maintenance known /run/corkgauge/figures.sock --owner ada
+    corkgauge maintenance known /run/corkgauge/figures.sock e7 e9 --owner ada
     """
     print(wish(where, {"do": "known", "out": [*out], "owner": owner}))
 
@@ -179,7 +183,7 @@
     "--json",
     "as_json",
     is_flag=True,
-    help="As the gateway tells it, for programs, and for `audit`.",
+    help="The gateway's answer as it is, for programs, and for `audit`.",
 )
 @click.option(
     "--watch",
@@ -187,10 +191,10 @@
     help="Again each so many seconds, until nothing is open.",
 )
 def show(where: str, as_json: bool, watch: float | None) -> None:
-    """What was asked, where each unit stands, and what it waits for.
+    """Requests, the state of each unit, and what it waits for.
 
     \b
-    corkgauge works show /run/corkgauge/figures.sock --watch 2
+    corkgauge maintenance show /run/corkgauge/figures.sock --watch 2
     Ends with 1 if a unit is late, nobody plans, or what is out is not known.
     """
     while True:
--- a/corkgauge/commands/fellows.py
+++ b/corkgauge/commands/members.py
@@ -1,4 +1,4 @@
-"""`corkgauge fellows`."""
+"""`corkgauge members`."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def door(where: str, target: str, body: object = None) -> dict:
-    """What a gateway tells at its figures' door."""
+    """What a gateway's HTTP listener answers."""
     from corkgauge.accounting.client import ask
 
     try:
@@ -17,19 +17,22 @@
         raise Faulted(f"{where}: {getattr(problem, 'strerror', None) or problem}") from None
 
 
-@click.command("fellows")
+@click.command("members")
 @click.argument("where", nargs=-1, required=True)
 @click.option(
-    "--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs."
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="The gateways' answers as they are, a list, for programs.",
 )
 def command(where: tuple[str, ...], as_json: bool) -> None:
-    """Who sees whom: the fellows as one or several gateways see them.
+    """Members of the fleet, and their states as one or several gateways see them.
 
-    WHERE is the Unix socket or ADDRESS:PORT of a gateway's figures.
+    WHERE is the Unix socket or ADDRESS:PORT of a gateway's HTTP listener.
 
     \b
-    corkgauge fellows /run/corkgauge/n1.sock /run/corkgauge/n2.sock
-    Ends with 1 if one of them sees a fellow that is not alive.
+    corkgauge members /run/corkgauge/n1.sock /run/corkgauge/n2.sock
+    Ends with 1 if one of them sees a member that is not alive.
     """
     said = [door(each, "/fellows") for each in where]
     if as_json:
--- a/corkgauge/commands/shared.py
+++ b/corkgauge/commands/peer_health.py
@@ -1,31 +1,38 @@
-"""`corkgauge shared show`."""
+"""`corkgauge peer-health show`."""
 
 import json
 
 import click
 
 from corkgauge.commands import FOUND
-from corkgauge.commands.fellows import door
+from corkgauge.commands.members import door
 
 
-@click.group("shared")
+@click.group("peer-health")
 def command() -> None:
-    """What one gateway learned and the others heard: findings on engines, storms, turns passed on."""
+    """Peer health reports: what gateways tell each other about engines and retries.
+
+    \b
+    corkgauge peer-health show /run/corkgauge/n1.sock
+    """
 
 
 @command.command()
 @click.argument("where", nargs=-1, required=True)
 @click.option(
-    "--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs."
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="The gateways' answers as they are, a list, for programs.",
 )
 def show(where: tuple[str, ...], as_json: bool) -> None:
-    """What is heard, from whom, how old, and what it changed.
+    """Reports received, from whom, how old, and what they changed.
 
-    WHERE is the Unix socket or ADDRESS:PORT of a gateway's figures.
+    WHERE is the Unix socket or ADDRESS:PORT of a gateway's HTTP listener.
 
     \b
-    corkgauge shared show /run/corkgauge/n1.sock /run/corkgauge/n2.sock
-    Ends with 1 if one of them doubts an engine by what it heard, or is stricter than its own rule.
+    corkgauge peer-health show /run/corkgauge/n1.sock /run/corkgauge/n2.sock
+    Ends with 1 if one of them suspects an engine by reports, or throttles retries below its own budget.
     """
     said = [door(each, "/shared") for each in where]
     if as_json:
--- a/corkgauge/commands/recall.py
+++ b/corkgauge/commands/recovery.py
@@ -1,4 +1,4 @@
-"""`corkgauge recall`: show, check, prune."""
+"""`corkgauge recovery`: show, check, prune."""
 
 import json
 import os
@@ -10,9 +10,13 @@
 from corkgauge.commands import FOUND, Faulted
 
 
-@click.group("recall")
+@click.group("recovery")
 def command() -> None:
-    """What a gateway keeps over a restart: its snapshots and its log of open effects."""
+    """What a gateway keeps over a restart: its snapshots, and its log of attempts that may have run.
+
+    \b
+    corkgauge recovery show /var/lib/corkgauge
+    """
 
 
 def gateways_of(folder: str) -> list[str]:
@@ -68,10 +72,10 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
 def show(folder: str, as_json: bool) -> None:
-    """What is remembered: engines, offerings, shares, and what may have run.
+    """What is kept: learned state of engines and queues, and attempts that may have run.
 
     \b
-    corkgauge recall show /var/lib/corkgauge
+    corkgauge recovery show /var/lib/corkgauge
     """
     said = []
     for gateway in gateways_of(folder):
@@ -124,11 +128,11 @@
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def check(folder: str) -> None:
-    """Are all files whole? A torn end of the newest segment is what a kill leaves, and no fault.
+    """Check that no file is corrupted. A truncated end of the newest segment is what a kill leaves.
 
     \b
-    corkgauge recall check /var/lib/corkgauge
-    Ends with 1 if one is damaged.
+    corkgauge recovery check /var/lib/corkgauge
+    Ends with 1 if one is corrupted.
     """
     wrong = []
     for gateway in gateways_of(folder):
@@ -143,10 +147,10 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.option("--gateway", required=True, help="Whose files; it must not run.")
 def prune(folder: str, gateway: str) -> None:
-    """Forget all that a gateway that does not run has left.
+    """Remove all files of a gateway that does not run.
 
     \b
-    corkgauge recall prune /var/lib/corkgauge --gateway n1
+    corkgauge recovery prune /var/lib/corkgauge --gateway n1
     """
     import fcntl
 
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -80,11 +80,10 @@
 def command(
     seconds: float, rate: float, scrapes: float, seed: int, script: str | None, as_json: bool
 ) -> None:
-    """Play a long day of troubles on loopback, and check every scrape and every rule.
+    """Play a long day of faults on loopback, and check every scrape and every rule.
 
-    The engines fall silent, slow down, restart, spoil answers; the program is killed,
-    restarted and told to read
-    its files again. A script's lines are `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`.
+    The engines fall silent, slow down, restart, corrupt answers; the program is killed, restarted
+    and told to read its files again. A script's lines are `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`.
 
     \b
     corkgauge soak --seconds 600 --rate 300
--- a/corkgauge/commands/version.py
+++ b/corkgauge/commands/version.py
@@ -7,5 +7,9 @@
 
 @click.command("version")
 def command() -> None:
-    """Print the version."""
+    """Print the version.
+
+    \b
+    corkgauge version
+    """
     print(VERSION)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -402,15 +402,15 @@
         "\n".join(json.dumps(plain(each)) for each in (cut(), cut(served=0), cut(taken=0)))
     )
     run = CliRunner().invoke
-    for command in "figures", "audit":
+    for command in "accounts", "audit":
         assert run(group, [command, str(good)]).exit_code == 0
-    assert run(group, ["figures", str(good), str(good), "--json"]).exit_code == 0
+    assert run(group, ["accounts", str(good), str(good), "--json"]).exit_code == 0
     said = run(group, ["audit", "--json", str(bad)])
     assert said.exit_code == 1 and len(json.loads(said.output)["wrong"]) == 5
     (tmp_path / "x").write_text("{}")
     said = run(group, ["audit", str(tmp_path / "x")])
     assert said.exit_code == 2 and "x:1: not a cut" in said.output
-    assert run(group, ["figures", "/nowhere.sock"]).exit_code == 2
+    assert run(group, ["accounts", "/nowhere.sock"]).exit_code == 2
 
 
 # What is kept.
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -935,7 +935,7 @@
     (tmp_path / "rich").mkdir()
     (tmp_path / "rich" / "__init__.py").write_text("raise ModuleNotFoundError('gone', name='rich')")
     said = subprocess.run(
-        [sys.executable, "-m", "corkgauge", "try", "--seconds", "1"],
+        [sys.executable, "-m", "corkgauge", "demo", "--seconds", "1"],
         capture_output=True,
         text=True,
         env={**os.environ, "PYTHONPATH": str(tmp_path)},
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -506,23 +506,23 @@
 def test_the_commands_show_check_and_prune(tmp_path):
     premises, run = HostHarness(), CliRunner().invoke
     kept = keeping(tmp_path, premises)
-    assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
+    assert run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
     kept._put(writer.EFFECT, effects.sent(effect(1)))
     kept.end()
     assert (
-        run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
+        run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
     )  # it still runs
-    said = json.loads(run(group, ["recall", "show", str(tmp_path), "--json"]).output)
+    said = json.loads(run(group, ["recovery", "show", str(tmp_path), "--json"]).output)
     assert said[0]["effects"] == 1 and said[0]["body"]["engines"]["e1"]["bound"] == 1.0
-    assert run(group, ["recall", "show", str(tmp_path)]).exit_code == 0
-    assert run(group, ["recall", "check", str(tmp_path)]).exit_code == 0
+    assert run(group, ["recovery", "show", str(tmp_path)]).exit_code == 0
+    assert run(group, ["recovery", "check", str(tmp_path)]).exit_code == 0
     (tmp_path / "n.recall").write_bytes(b"x")
     assert (
-        "foreign" in (bad := run(group, ["recall", "check", str(tmp_path)])).output
+        "foreign" in (bad := run(group, ["recovery", "check", str(tmp_path)])).output
         and bad.exit_code == 1
     )
     os.close(kept.lock)
-    assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 0
+    assert run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 0
     assert {path.name for path in tmp_path.iterdir()} == {"n.lock"}
 
 
--- a/tests/test_works_fleet.py
+++ b/tests/test_works_fleet.py
@@ -530,15 +530,25 @@
         return process.communicate()[0], process.returncode
 
     asked = command(
-        "works", "ask", where, "engine", "e2", "--owner", "ada", "--within", "2h", "--id", "x1"
+        "maintenance",
+        "ask",
+        where,
+        "engine",
+        "e2",
+        "--owner",
+        "ada",
+        "--within",
+        "2h",
+        "--id",
+        "x1",
     )
     assert asked == ("x1: asked\n", 0)
     site.fleet.until(5, lambda: site.units().get("e2", {}).get("state") != "out")
-    shown, code = command("works", "show", where)
+    shown, code = command("maintenance", "show", where)
     assert "e2" in shown and "out" in shown and "ada" in shown and code == 0
-    assert command("works", "done", where, "e2", "--owner", "ada") == ("returning: e2\n", 0)
-    assert command("works", "done", where, "e9", "--owner", "ada")[1] == 1
-    out, code = command("works", "show", where, "--json")
+    assert command("maintenance", "done", where, "e2", "--owner", "ada") == ("returning: e2\n", 0)
+    assert command("maintenance", "done", where, "e9", "--owner", "ada")[1] == 1
+    out, code = command("maintenance", "show", where, "--json")
     (tmp_path / "history").write_text(out)
     assert code == 0 and json.loads(out)["fresh"]
     assert command("audit", str(tmp_path / "history")) == ("1 cuts of 0 epochs, 0 wrong\n", 0)
