--- a/corkgauge/commands/__init__.py
+++ b/corkgauge/commands/__init__.py
@@ -36,8 +36,8 @@
 FOUND, MISUSE = 1, 2  # exit codes: found what it looks for; misuse or bad input
 
 
-class Faulted(click.ClickException):
-    """Bad input: one line that names the file, key or element."""
+class InputError(click.ClickException):
+    """Misuse or bad input: one line that names the file, key or element at fault."""
 
     exit_code = MISUSE
 
@@ -102,7 +102,10 @@
 
 
 def main() -> int:
-    """Danger: a traceback tells an operator nothing of what to install."""
+    """Run the command line; the exit code.
+
+    Danger: a traceback tells an operator nothing of what to install.
+    """
     try:
         return group.main(prog_name="corkgauge", standalone_mode=True) or 0
     except ModuleNotFoundError as problem:
--- a/corkgauge/commands/accounts.py
+++ b/corkgauge/commands/accounts.py
@@ -7,10 +7,11 @@
 import click
 
 from corkgauge.accounting.snapshot import Cut, differences, together
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option, several_gateways
 
 
-def cut_at(where: str, clear: bool = False) -> Cut:
+def snapshot_at(where: str, clear: bool = False) -> Cut:
     """From an HTTP listener, a checkpoint file, or a snapshot saved as JSON."""
     try:
         path = Path(where)
@@ -26,15 +27,15 @@
             ask(where, "/clear", "POST")
         return ask(where)
     except (OSError, ValueError, KeyError) as problem:
-        raise Faulted(f"{where}: {getattr(problem, 'strerror', None) or problem}") from None
+        raise InputError(f"{where}: {getattr(problem, 'strerror', None) or problem}") from None
 
 
 @click.command("accounts")
-@click.argument("where", nargs=-1, required=True)
+@several_gateways
 @click.option(
     "--watch", type=float, default=0.0, metavar="SECONDS", help="Again and again, so far apart."
 )
-@click.option("--json", "as_json", is_flag=True, help="The snapshot as JSON, for programs.")
+@json_option("The snapshot as JSON, for programs.")
 @click.option(
     "--record",
     type=click.Path(dir_okay=False),
@@ -61,7 +62,7 @@
 
     console = Console()
     while True:
-        cuts = [cut_at(each, clear) for each in where]
+        cuts = [snapshot_at(each, clear) for each in where]
         cut = cuts[0] if len(cuts) == 1 else together(cuts)
         if record:
             with open(record, "a", encoding="utf-8") as file:
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -5,7 +5,8 @@
 import click
 
 from corkgauge.accounting.snapshot import Cut, differences, shrunk
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option
 
 MOST_SAID = 20
 
@@ -28,7 +29,7 @@
             if gateway in last:
                 said += shrunk(last[gateway], cut)
         except (ValueError, KeyError, TypeError, AttributeError) as problem:
-            raise Faulted(
+            raise InputError(
                 f"{name}:{number}: not a cut ({type(problem).__name__} {problem})"
             ) from None
         last[gateway] = cut
@@ -47,7 +48,7 @@
 
 @click.command("audit")
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
+@json_option()
 def command(files: tuple[str, ...], as_json: bool) -> None:
     """Check recorded snapshots: each balances, and no counter shrinks within its epoch.
 
--- a/corkgauge/commands/chaos.py
+++ b/corkgauge/commands/chaos.py
@@ -5,7 +5,8 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option, seed_option
 
 
 @click.group("chaos")
@@ -18,7 +19,7 @@
 
 
 @command.command()
-@click.option("--seed", type=int, default=1, show_default=True)
+@seed_option
 @click.option("--gateways", type=click.IntRange(2, 12), default=3, show_default=True)
 @click.option("--seconds", type=click.FloatRange(3, 36_000), default=30.0, show_default=True)
 @click.option(
@@ -63,7 +64,7 @@
 )
 @click.option("--clients", type=click.IntRange(0, 50), default=0, show_default=True)
 @click.option("--disk/--no-disk", default=False, help="Voters keep their records on disk.")
-@click.option("--seed", type=int, default=1, show_default=True)
+@seed_option
 @click.option(
     "--without",
     type=click.Choice(["none", "check", "silence", "margin", "busy", "fence"]),
@@ -83,7 +84,7 @@
     show_default=True,
     help="That is assumed.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
+@json_option()
 def run(
     script: str | None,
     gateways: int,
@@ -118,7 +119,7 @@
         )
         rated = tuple(float(each) for each in rates.split(",")) if rates else ()
     except (Unplayable, ValueError) as problem:
-        raise Faulted(f"{script or '--rates'}: {problem}") from None
+        raise InputError(f"{script or '--rates'}: {problem}") from None
     fleet = Fleet(
         seed,
         gateways,
--- a/corkgauge/commands/check.py
+++ b/corkgauge/commands/check.py
@@ -4,7 +4,7 @@
 
 import click
 
-from corkgauge.commands import Faulted
+from corkgauge.commands import InputError
 from corkgauge.config import platform as configuration
 
 
@@ -25,4 +25,4 @@
 
         raise SystemExit(daemon.check(platform_config, operator_file))
     except configuration.ConfigurationError as problem:
-        raise Faulted(str(problem)) from None
+        raise InputError(str(problem)) from None
--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -5,6 +5,7 @@
 import click
 
 from corkgauge.commands import FOUND
+from corkgauge.commands.shared_options import json_option, seed_option
 
 SCRIPT = """
 at 2 for 3: e1 error 0.6
@@ -27,8 +28,8 @@
     show_default=True,
     help="Requests a second.",
 )
-@click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
+@seed_option
+@json_option()
 def command(seconds: float, rate: float, seed: int, as_json: bool) -> None:
     """Play a short day on this machine, with an engine that fails and one that falls silent.
 
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -8,7 +8,8 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option
 
 BATCH = 10_000  # rows of one group in a Parquet file
 MOST_MESSAGE = 65_535
@@ -29,7 +30,7 @@
     try:
         return import_module(module)
     except ImportError:
-        raise Faulted(f"{module} is not installed: pip install corkgauge[{extra}]") from None
+        raise InputError(f"{module} is not installed: pip install corkgauge[{extra}]") from None
 
 
 class Out:
@@ -78,7 +79,7 @@
 )
 @click.option("--write", "path", metavar="FILE", help="Write rows: .parquet, or JSON lines.")
 @click.option("--capture", metavar="FILE", help="Keep the messages as they came, for `dump`.")
-@click.option("--json", "as_json", is_flag=True, help="Print rows as JSON lines.")
+@json_option("Print rows as JSON lines.")
 def listen(
     port: int, transport: str, seconds: float, path: str | None, capture: str | None, as_json: bool
 ) -> None:
@@ -113,7 +114,7 @@
     try:
         collector = EmulatedCollector(event_loop, transport, heard, ("127.0.0.1", port))
     except OSError as problem:
-        raise Faulted(f"127.0.0.1:{port}: {problem.strerror}") from None
+        raise InputError(f"127.0.0.1:{port}: {problem.strerror}") from None
     click.echo(f"listening on 127.0.0.1:{collector.address[1]} ({transport})", err=True)
     until = event_loop.now + int(seconds * SECOND)
     try:
@@ -152,7 +153,7 @@
             for batch in library.ParquetFile(path).iter_batches():
                 yield from batch.to_pylist()
         except (OSError, ValueError) as problem:
-            raise Faulted(f"{path}: {problem}") from None
+            raise InputError(f"{path}: {problem}") from None
         return
     with open(path, encoding="utf-8", errors="replace") as file:
         for number, line in enumerate(file, 1):
@@ -160,9 +161,9 @@
                 row = json.loads(line)
                 missing = [name for name in COLUMNS if name not in row]
             except (ValueError, TypeError) as problem:
-                raise Faulted(f"{path}:{number}: not a row ({problem})") from None
+                raise InputError(f"{path}:{number}: not a row ({problem})") from None
             if missing:
-                raise Faulted(f"{path}:{number}: a row without {missing[0]}")
+                raise InputError(f"{path}:{number}: a row without {missing[0]}")
             yield row
 
 
@@ -176,7 +177,7 @@
     help="Seconds of one column.",
 )
 @click.option("--plot", metavar="FILE", help="An SVG plot, a panel a hall and a line an engine.")
-@click.option("--json", "as_json", is_flag=True, help="The sums as JSON, for programs.")
+@json_option("The sums as JSON, for programs.")
 def report(files: tuple[str, ...], span: float, plot: str | None, as_json: bool) -> None:
     """Octets by hall, engine and minute, from files that `listen` wrote.
 
@@ -263,7 +264,7 @@
 
 @command.command()
 @click.argument("capture", type=click.Path(exists=True, dir_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="JSON lines, for programs.")
+@json_option("JSON lines, for programs.")
 def dump(capture: str, as_json: bool) -> None:
     """Decode a capture: messages, templates, options and records.
 
@@ -278,7 +279,7 @@
         size = int.from_bytes(data[at : at + 4], "big")
         message = data[at + 4 : at + 4 + size]
         if size > MOST_MESSAGE or len(message) != size:
-            raise Faulted(f"{capture}: cut short, or no capture, at octet {at}")
+            raise InputError(f"{capture}: cut short, or no capture, at octet {at}")
         try:
             heard = decoder.message(message)
         except MalformedMessageError as problem:
--- a/corkgauge/commands/leases.py
+++ b/corkgauge/commands/leases.py
@@ -8,8 +8,14 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
-from corkgauge.commands.members import door
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import (
+    ANSWERS,
+    ask_gateway,
+    json_option,
+    one_gateway,
+    several_gateways,
+)
 
 ASK_EACH = 0.25  # seconds, at most, between two questions of a command that runs under a duty
 
@@ -24,13 +30,8 @@
 
 
 @command.command()
-@click.argument("where", nargs=-1, required=True)
-@click.option(
-    "--json",
-    "as_json",
-    is_flag=True,
-    help="The gateways' answers as they are, a list, for programs.",
-)
+@several_gateways
+@json_option(ANSWERS)
 def show(where: tuple[str, ...], as_json: bool) -> None:
     """Who holds each lease, its fencing token, since when, and why it changed.
 
@@ -41,7 +42,7 @@
     Ends with 1 if a lease that a gateway is a candidate for has no holder that it knows of, or the
     fleet's accounts do not balance.
     """
-    said = [door(each, "/duties") for each in where]
+    said = [ask_gateway(each, "/duties") for each in where]
     if as_json:
         print(json.dumps(said))
     else:
@@ -87,7 +88,7 @@
 
 
 @command.command("yield")
-@click.argument("where")
+@one_gateway
 @click.argument("duty")
 def yield_(where: str, duty: str) -> None:
     """Give a lease back now. Any gateway takes this, and forwards it to the holder.
@@ -95,13 +96,13 @@
     \b
     corkgauge leases yield /run/corkgauge/n1.sock books
     """
-    said = door(where, "/duties", {"do": "yield", "duty": duty})
+    said = ask_gateway(where, "/duties", {"do": "yield", "duty": duty})
     waits = f", once {said['waits_for']} has ended" if said["waits_for"] else ""
     print(f"{said['told']} gives {duty} up{waits}")
 
 
 @command.command(context_settings={"ignore_unknown_options": True})
-@click.argument("where")
+@one_gateway
 @click.argument("duty")
 @click.argument("what", nargs=-1, required=True, type=click.UNPROCESSED)
 @click.option(
@@ -213,7 +214,7 @@
             )
         except ValueError as problem:
             if "no duty" in str(problem) or "own" in str(problem):
-                raise Faulted(str(problem)) from None
+                raise InputError(str(problem)) from None
             return None
         except OSError:
             return None
--- a/corkgauge/commands/maintenance.py
+++ b/corkgauge/commands/maintenance.py
@@ -8,12 +8,12 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
-from corkgauge.commands.members import door
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import ask_gateway, json_option, one_gateway
 
 SPANS = {"": 1.0, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
-PAUSE = 0.1  # seconds between two looks whether a wish was answered
-PATIENCE = 35.0  # seconds that an answer may take: a gateway gives a wish up after 30
+PAUSE = 0.1  # seconds between two looks whether a command was answered
+PATIENCE = 35.0  # seconds that an answer may take: a gateway gives a command up after 30
 
 
 def span_of(text: str) -> int:
@@ -31,22 +31,22 @@
     return int(float(found[1]) * SPANS[found[2]] * 10_000)
 
 
-def wish(where: str, said: dict[str, Any]) -> str:
-    """Told at a gateway's door until whoever plans has agreed on it; what came of it."""
+def send_command(where: str, said: dict[str, Any]) -> str:
+    """Send an operator's command until the plan's proposer has answered it; its answer."""
     key = f"{os.uname().nodename}-{os.getpid()}-{time.time_ns():x}"
     until = time.monotonic() + PATIENCE
     while time.monotonic() < until:
-        told = door(where, "/works", {**said, "key": key})
+        told = ask_gateway(where, "/works", {**said, "key": key})
         if told["wrong"]:
             print(f"corkgauge: {told['wrong']}")
             raise SystemExit(FOUND)
         if told["answer"] is not None:
             return told["answer"]
         time.sleep(PAUSE)
-    raise Faulted(f"{where}: no answer; {told['holder'] or 'nobody'} is known to plan")
+    raise InputError(f"{where}: no answer; {told['holder'] or 'nobody'} is known to plan")
 
 
-def owned(method: Any) -> Any:
+def owner_option(method: Any) -> Any:
     return click.option(
         "--owner", required=True, help="Who requests it; it is logged, and kept with the plan."
     )(method)
@@ -62,10 +62,10 @@
 
 
 @command.command()
-@click.argument("where")
+@one_gateway
 @click.argument("kind", type=click.Choice(["engine", "machine", "hall", "gateway"]))
 @click.argument("names", nargs=-1, required=True)
-@owned
+@owner_option
 @click.option("--reason", default="", help="What for.")
 @click.option(
     "--within", default="0", help="By when it should be over, as 2h; what is due goes first."
@@ -94,7 +94,7 @@
     corkgauge maintenance ask /run/corkgauge/figures.sock hall hall-a --owner ada
     """
     id_ = id_ or f"{owner[:16]}-{time.time_ns() // 1_000_000:x}"
-    answer = wish(
+    answer = send_command(
         where,
         {
             "do": "ask",
@@ -111,34 +111,34 @@
 
 
 @command.command()
-@click.argument("where")
+@one_gateway
 @click.argument("id_", metavar="ID")
-@owned
+@owner_option
 def cancel(where: str, id_: str, owner: str) -> None:
     """Cancel a request. What is out already stays out until `done`: somebody may be at work there.
 
     \b
     corkgauge maintenance cancel /run/corkgauge/figures.sock ada-19f2 --owner ada
     """
-    print(wish(where, {"do": "cancel", "id": id_, "owner": owner}))
+    print(send_command(where, {"do": "cancel", "id": id_, "owner": owner}))
 
 
 @command.command()
-@click.argument("where")
+@one_gateway
 @click.argument("names", nargs=-1, required=True)
-@owned
+@owner_option
 def done(where: str, names: tuple[str, ...], owner: str) -> None:
     """Work on these units, or on all of a request that are out, is over: take them back.
 
     \b
     corkgauge maintenance done /run/corkgauge/figures.sock e7 --owner ada
     """
-    print(wish(where, {"do": "done", "names": [*names], "owner": owner}))
+    print(send_command(where, {"do": "done", "names": [*names], "owner": owner}))
 
 
 @command.command()
-@click.argument("where")
-@owned
+@one_gateway
+@owner_option
 @click.option("--off", is_flag=True, help="Go on.")
 def hold(where: str, owner: str, off: bool) -> None:
     """Grant nothing new, until `hold --off`. What is under way goes on.
@@ -146,27 +146,27 @@
     \b
     corkgauge maintenance hold /run/corkgauge/figures.sock --owner ada
     """
-    print(wish(where, {"do": "hold", "on": not off, "owner": owner}))
+    print(send_command(where, {"do": "hold", "on": not off, "owner": owner}))
 
 
 @command.command()
-@click.argument("where")
+@one_gateway
 @click.argument("unit")
 @click.argument("gateway")
-@owned
+@owner_option
 def overrule(where: str, unit: str, gateway: str, owner: str) -> None:
     """Begin although a gateway has not confirmed. Only where you know that it sends nothing there.
 
     \b
     corkgauge maintenance overrule /run/corkgauge/figures.sock e7 n4 --owner ada
     """
-    print(wish(where, {"do": "overrule", "unit": unit, "gateway": gateway, "owner": owner}))
+    print(send_command(where, {"do": "overrule", "unit": unit, "gateway": gateway, "owner": owner}))
 
 
 @command.command()
-@click.argument("where")
+@one_gateway
 @click.argument("out", nargs=-1)
-@owned
+@owner_option
 def known(where: str, out: tuple[str, ...], owner: str) -> None:
     """State what is out, before the first use or after all was forgotten; no names: nothing is.
 
@@ -174,17 +174,12 @@
     corkgauge maintenance known /run/corkgauge/figures.sock --owner ada
     corkgauge maintenance known /run/corkgauge/figures.sock e7 e9 --owner ada
     """
-    print(wish(where, {"do": "known", "out": [*out], "owner": owner}))
+    print(send_command(where, {"do": "known", "out": [*out], "owner": owner}))
 
 
 @command.command()
-@click.argument("where")
-@click.option(
-    "--json",
-    "as_json",
-    is_flag=True,
-    help="The gateway's answer as it is, for programs, and for `audit`.",
-)
+@one_gateway
+@json_option("The gateway's answer as it is, for programs, and for `audit`.")
 @click.option(
     "--watch",
     type=click.FloatRange(0.2, 3600),
@@ -215,10 +210,10 @@
 
 
 def latest(where: str, patience: float = 3.0) -> dict[str, Any]:
-    """The plan as it is agreed; another gateway than the planner has to fetch it first."""
+    """The plan as it is agreed; a gateway that does not plan has to fetch it first."""
     until = time.monotonic() + patience
     while True:
-        said = door(where, "/works")
+        said = ask_gateway(where, "/works")
         if said["fresh"] or time.monotonic() >= until:
             return said
         time.sleep(PAUSE)
--- a/corkgauge/commands/members.py
+++ b/corkgauge/commands/members.py
@@ -4,27 +4,13 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
-
-
-def door(where: str, target: str, body: object = None) -> dict:
-    """What a gateway's HTTP listener answers."""
-    from corkgauge.accounting.client import ask
-
-    try:
-        return ask(where, target, "GET" if body is None else "POST", body=body)
-    except (OSError, ValueError) as problem:
-        raise Faulted(f"{where}: {getattr(problem, 'strerror', None) or problem}") from None
+from corkgauge.commands import FOUND
+from corkgauge.commands.shared_options import ANSWERS, ask_gateway, json_option, several_gateways
 
 
 @click.command("members")
-@click.argument("where", nargs=-1, required=True)
-@click.option(
-    "--json",
-    "as_json",
-    is_flag=True,
-    help="The gateways' answers as they are, a list, for programs.",
-)
+@several_gateways
+@json_option(ANSWERS)
 def command(where: tuple[str, ...], as_json: bool) -> None:
     """Members of the fleet, and their states as one or several gateways see them.
 
@@ -34,7 +20,7 @@
     corkgauge members /run/corkgauge/n1.sock /run/corkgauge/n2.sock
     Ends with 1 if one of them sees a member that is not alive.
     """
-    said = [door(each, "/fellows") for each in where]
+    said = [ask_gateway(each, "/fellows") for each in where]
     if as_json:
         print(json.dumps(said))
     else:
--- a/corkgauge/commands/peer_health.py
+++ b/corkgauge/commands/peer_health.py
@@ -5,7 +5,7 @@
 import click
 
 from corkgauge.commands import FOUND
-from corkgauge.commands.members import door
+from corkgauge.commands.shared_options import ANSWERS, ask_gateway, json_option, several_gateways
 
 
 @click.group("peer-health")
@@ -18,13 +18,8 @@
 
 
 @command.command()
-@click.argument("where", nargs=-1, required=True)
-@click.option(
-    "--json",
-    "as_json",
-    is_flag=True,
-    help="The gateways' answers as they are, a list, for programs.",
-)
+@several_gateways
+@json_option(ANSWERS)
 def show(where: tuple[str, ...], as_json: bool) -> None:
     """Reports received, from whom, how old, and what they changed.
 
@@ -34,7 +29,7 @@
     corkgauge peer-health show /run/corkgauge/n1.sock /run/corkgauge/n2.sock
     Ends with 1 if one of them suspects an engine by reports, or throttles retries below its own budget.
     """
-    said = [door(each, "/shared") for each in where]
+    said = [ask_gateway(each, "/shared") for each in where]
     if as_json:
         print(json.dumps(said))
     else:
--- a/corkgauge/commands/recovery.py
+++ b/corkgauge/commands/recovery.py
@@ -7,7 +7,8 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option
 
 
 @click.group("recovery")
@@ -24,7 +25,7 @@
     try:
         names = sorted(os.listdir(folder))
     except OSError as problem:
-        raise Faulted(f"{folder}: {problem.strerror}") from None
+        raise InputError(f"{folder}: {problem.strerror}") from None
     return sorted(
         {
             name.split(".recall")[0].split(".effects.")[0]
@@ -70,7 +71,7 @@
 
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
+@json_option("As JSON, for programs.")
 def show(folder: str, as_json: bool) -> None:
     """What is kept: learned state of engines and queues, and attempts that may have run.
 
@@ -156,12 +157,12 @@
 
     lock = os.path.join(folder, f"{gateway}.lock")
     if gateway not in gateways_of(folder):
-        raise Faulted(f"{folder}: nothing of {gateway!r}")
+        raise InputError(f"{folder}: nothing of {gateway!r}")
     descriptor = os.open(lock, os.O_RDWR | os.O_CREAT, 0o640)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
-        raise Faulted(f"{folder}: {gateway} runs") from None
+        raise InputError(f"{folder}: {gateway} runs") from None
     gone = 0
     for name in os.listdir(folder):
         if name.startswith((f"{gateway}.recall", f"{gateway}.effects.")):
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -5,7 +5,7 @@
 
 import click
 
-from corkgauge.commands import Faulted
+from corkgauge.commands import InputError
 from corkgauge.config import platform as configuration
 
 
@@ -42,4 +42,4 @@
             daemon.serve(configuration.read(os.environ), woken, operator_file, log_form)
         )
     except configuration.ConfigurationError as problem:
-        raise Faulted(str(problem)) from None
+        raise InputError(str(problem)) from None
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -6,7 +6,8 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option, seed_option
 
 # What befalls the engines, again and again: a round of it lasts so many seconds.
 ROUND = 30
@@ -70,13 +71,13 @@
     show_default=True,
     help="Scrapes a second; each must balance.",
 )
-@click.option("--seed", type=int, default=1, show_default=True)
+@seed_option
 @click.option(
     "--script",
     type=click.Path(exists=True, dir_okay=False),
     help="Troubles to play in place of the usual round.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
+@json_option()
 def command(
     seconds: float, rate: float, scrapes: float, seed: int, script: str | None, as_json: bool
 ) -> None:
@@ -97,7 +98,7 @@
     try:
         scenes = scenes_of(Path(script).read_text() if script else SCRIPT, seconds, engines)
     except Unplayable as problem:
-        raise Faulted(f"{script}: {problem}") from None
+        raise InputError(f"{script}: {problem}") from None
 
     def seen(cut: dict) -> None:
         if not as_json and play.scraped % 100 == 0:
