--- a/corkgauge/commands/accounts.py
+++ b/corkgauge/commands/accounts.py
@@ -51,8 +51,8 @@
 ) -> None:
     """Counters of one or several gateways, summed, and whether they balance.
 
-    WHERE is the Unix socket or ADDRESS:PORT of a gateway, a .figures checkpoint file, or a snapshot saved
-    as JSON.
+    WHERE is the Unix socket or ADDRESS:PORT of a gateway, a .figures checkpoint file, or a
+    snapshot saved as JSON.
 
     \b
     corkgauge accounts /run/corkgauge/n1.sock /run/corkgauge/n2.sock --watch 1
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -52,8 +52,8 @@
 def command(files: tuple[str, ...], as_json: bool) -> None:
     """Check recorded snapshots: each balances, and no counter shrinks within its epoch.
 
-    FILES hold a snapshot as JSON on each line, as `corkgauge accounts --record` writes them; or what
-    `corkgauge maintenance show --json` wrote: then each unit must have gone each step once.
+    FILES hold a snapshot as JSON on each line, as `corkgauge accounts --record` writes them; or
+    what `corkgauge maintenance show --json` wrote: then each unit must have gone each step once.
 
     \b
     corkgauge accounts /run/corkgauge/n1.sock --watch 1 --record day.jsonl
--- a/corkgauge/commands/chaos.py
+++ b/corkgauge/commands/chaos.py
@@ -101,8 +101,8 @@
 ) -> None:
     """Play a fault script, or a random one, and say whether ever two held a lease at once.
 
-    Starts gateways in processes of their own, with relays between them and a checker outside; all on
-    loopback.
+    Starts gateways in processes of their own, with relays between them and a checker outside; all
+    on loopback.
 
     \b
     corkgauge chaos run --gateways 5 --seconds 60 --gap 0.5
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -304,7 +304,8 @@
 
 def text_of(said: dict[str, Any]) -> str:
     lines = [
-        f"{said['at']}: version {said['version']} domain {said['domain']} sequence {said['sequence']} "
+        f"{said['at']}: version {said['version']} domain {said['domain']} "
+        f"sequence {said['sequence']} "
         f"templates {said['templates']} missed {said['missed']}"
     ]
     for sort in "options", "records":
--- a/corkgauge/commands/leases.py
+++ b/corkgauge/commands/leases.py
@@ -72,7 +72,8 @@
                 if books["entries"]:
                     last = books["entries"][-1]
                     print(
-                        f"{name}: {last['gateways']} gateways, taken {last['taken']}, served {last['served']}, "
+                        f"{name}: {last['gateways']} gateways, taken {last['taken']}, "
+                        f"served {last['served']}, "
                         f"refused {last['refused']}, failed {last['failed']}, open {last['open']}, "
                         f"handed off {last['handed']}; {'; '.join(last['wrong']) or 'in balance'}"
                     )
@@ -132,8 +133,8 @@
 
     WHERE is the local gateway's HTTP listener. The command starts once the local gateway holds the
     lease, with CORKGAUGE_DUTY (the lease's name) and CORKGAUGE_FENCE (its fencing token) in its
-    environment; whatever it changes should refuse a lower token. It is ended when the lease cannot be
-    renewed: SIGTERM, then SIGKILL before the lease is over.
+    environment; whatever it changes should refuse a lower token. It is ended when the lease cannot
+    be renewed: SIGTERM, then SIGKILL before the lease is over.
 
     \b
     corkgauge leases run /run/corkgauge/n1.sock nightly -- /usr/local/bin/nightly-export
@@ -143,7 +144,10 @@
 
 
 class Wrapped:
-    """The command's process, and what its gateway says. Its clock is the machine's since boot, as the gateway's."""
+    """The command's process, and what its gateway says.
+
+    Its clock is the machine's since boot, as the gateway's.
+    """
 
     def __init__(
         self,
@@ -244,7 +248,10 @@
 
 
 def with_parent() -> None:
-    """Danger: a command whose keeper was killed outright would go on for ever; it dies with it (prctl, Linux)."""
+    """Have the process end with its parent (prctl, Linux).
+
+    Danger: a command whose keeper was killed outright would go on for ever.
+    """
     import ctypes
 
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)
--- a/corkgauge/commands/maintenance.py
+++ b/corkgauge/commands/maintenance.py
@@ -87,11 +87,12 @@
     """Request that engines, machines, zones (hall) or gateways be taken out.
 
     WHERE is the Unix socket or ADDRESS:PORT of any gateway's HTTP listener. What the limits never
-    allow is refused at once, with 1 and the reason. `maintenance show` tells when each is out: before that, leave it alone.
+    allow is refused at once, with 1 and the reason. `maintenance show` tells when each is out:
+    before that, leave it alone.
 
     \b
-    corkgauge maintenance ask /run/corkgauge/figures.sock engine e7 e9 --owner ada --reason disk --within 2h --lasting 10m
-    corkgauge maintenance ask /run/corkgauge/figures.sock hall hall-a --owner ada
+    corkgauge maintenance ask n1.sock engine e7 e9 --owner ada --reason disk --within 2h
+    corkgauge maintenance ask n1.sock hall hall-a --owner ada --lasting 30m
     """
     id_ = id_ or f"{owner[:16]}-{time.time_ns() // 1_000_000:x}"
     answer = send_command(
--- a/corkgauge/commands/peer_health.py
+++ b/corkgauge/commands/peer_health.py
@@ -27,7 +27,7 @@
 
     \b
     corkgauge peer-health show /run/corkgauge/n1.sock /run/corkgauge/n2.sock
-    Ends with 1 if one of them suspects an engine by reports, or throttles retries below its own budget.
+    Ends with 1 if one of them suspects an engine by reports, or throttles retries.
     """
     said = [ask_gateway(each, "/shared") for each in where]
     if as_json:
--- a/corkgauge/commands/recovery.py
+++ b/corkgauge/commands/recovery.py
@@ -13,7 +13,7 @@
 
 @click.group("recovery")
 def command() -> None:
-    """What a gateway keeps over a restart: its snapshots, and its log of attempts that may have run.
+    """What a gateway keeps over a restart: snapshots, and the log of attempts that may have run.
 
     \b
     corkgauge recovery show /var/lib/corkgauge
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -32,7 +32,8 @@
     EDGE_CONFIG=config.json corkgauge serve --operator deploy/operator.xml
     Ends with 0 after SIGTERM, with 2 where it cannot start.
     """
-    # Danger: a change of the configuration that is told while the program loads would end it. It is read after that.
+    # Danger: a change of the configuration that is told while the program loads would end it. It is
+    # read after that.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from corkgauge.daemon import process as daemon
 
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -84,7 +84,8 @@
     """Play a long day of faults on loopback, and check every scrape and every rule.
 
     The engines fall silent, slow down, restart, corrupt answers; the program is killed, restarted
-    and told to read its files again. A script's lines are `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`.
+    and told to read its files again. A script's lines are
+    `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`.
 
     \b
     corkgauge soak --seconds 600 --rate 300
@@ -143,8 +144,10 @@
 
 
 def growth(memory: list[int]) -> int:
-    """Bytes by which the last epoch's last third lies above its first one, by their medians. A start anew
-    shows as a fall by a tenth."""
+    """Bytes by which the last epoch's last third lies above its first one, by their medians.
+
+    A start anew shows as a fall by a tenth.
+    """
     begins = [n for n in range(1, len(memory)) if memory[n] < 0.9 * memory[n - 1]]
     last = memory[begins[-1] if begins else 0 :]
     third = len(last) // 3
