--- a/corkgauge/commands/fellows.py
+++ b/corkgauge/commands/members.py
@@ -1,37 +1,26 @@
-"""`corkgauge fellows`."""
+"""`corkgauge members`."""
 
 import json
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND
+from corkgauge.commands.shared_options import ANSWERS, ask_gateway, json_option, several_gateways
 
 
-def door(where: str, target: str, body: object = None) -> dict:
-    """What a gateway tells at its figures' door."""
-    from corkgauge.accounting.client import ask
-
-    try:
-        return ask(where, target, "GET" if body is None else "POST", body=body)
-    except (OSError, ValueError) as problem:
-        raise Faulted(f"{where}: {getattr(problem, 'strerror', None) or problem}") from None
-
-
-@click.command("fellows")
-@click.argument("where", nargs=-1, required=True)
-@click.option(
-    "--json", "as_json", is_flag=True, help="As the gateways tell it, a list, for programs."
-)
+@click.command("members")
+@several_gateways
+@json_option(ANSWERS)
 def command(where: tuple[str, ...], as_json: bool) -> None:
-    """Who sees whom: the fellows as one or several gateways see them.
+    """Members of the fleet, and their states as one or several gateways see them.
 
-    WHERE is the Unix socket or ADDRESS:PORT of a gateway's figures.
+    WHERE is the Unix socket or ADDRESS:PORT of a gateway's HTTP listener.
 
     \b
-    corkgauge fellows /run/corkgauge/n1.sock /run/corkgauge/n2.sock
-    Ends with 1 if one of them sees a fellow that is not alive.
+    corkgauge members /run/corkgauge/n1.sock /run/corkgauge/n2.sock
+    Ends with 1 if one of them sees a member that is not alive.
     """
-    said = [door(each, "/fellows") for each in where]
+    said = [ask_gateway(each, "/fellows") for each in where]
     if as_json:
         print(json.dumps(said))
     else:
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -6,7 +6,8 @@
 
 import click
 
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option, seed_option
 
 # What befalls the engines, again and again: a round of it lasts so many seconds.
 ROUND = 30
@@ -70,21 +71,21 @@
     show_default=True,
     help="Scrapes a second; each must balance.",
 )
-@click.option("--seed", type=int, default=1, show_default=True)
+@seed_option
 @click.option(
     "--script",
     type=click.Path(exists=True, dir_okay=False),
     help="Troubles to play in place of the usual round.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
+@json_option()
 def command(
     seconds: float, rate: float, scrapes: float, seed: int, script: str | None, as_json: bool
 ) -> None:
-    """Play a long day of troubles on loopback, and check every scrape and every rule.
+    """Play a long day of faults on loopback, and check every scrape and every rule.
 
-    The engines fall silent, slow down, restart, spoil answers; the program is killed,
-    restarted and told to read
-    its files again. A script's lines are `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`.
+    The engines fall silent, slow down, restart, corrupt answers; the program is killed, restarted
+    and told to read its files again. A script's lines are
+    `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`.
 
     \b
     corkgauge soak --seconds 600 --rate 300
@@ -98,7 +99,7 @@
     try:
         scenes = scenes_of(Path(script).read_text() if script else SCRIPT, seconds, engines)
     except Unplayable as problem:
-        raise Faulted(f"{script}: {problem}") from None
+        raise InputError(f"{script}: {problem}") from None
 
     def seen(cut: dict) -> None:
         if not as_json and play.scraped % 100 == 0:
@@ -143,8 +144,10 @@
 
 
 def growth(memory: list[int]) -> int:
-    """Bytes by which the last epoch's last third lies above its first one, by their medians. A start anew
-    shows as a fall by a tenth."""
+    """Bytes by which the last epoch's last third lies above its first one, by their medians.
+
+    A start anew shows as a fall by a tenth.
+    """
     begins = [n for n in range(1, len(memory)) if memory[n] < 0.9 * memory[n - 1]]
     last = memory[begins[-1] if begins else 0 :]
     third = len(last) // 3
