--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -23,13 +23,13 @@
 sys.path.insert(0, str(ROOT))
 
 from corkgauge.accounting import counter_names as terms  # noqa: E402
-from corkgauge.accounting.auditor import SLICE  # noqa: E402
+from corkgauge.accounting.auditor import SLICE_RECORDS  # noqa: E402
 from tests.test_figures import Books, Record  # noqa: E402
 
 
 def books(open_, engines):
-    made = Books(SLICE)
-    made.engine_rows = [made.ledger.engine(f"e{n}") for n in range(engines)]
+    made = Books(SLICE_RECORDS)
+    made.engine_rows = [made.ledger.engine_row(f"e{n}") for n in range(engines)]
     for n in range(open_):
         made.hand(made.take(n % 2), n % engines)
     return made
@@ -50,13 +50,13 @@
     for open_, engines in (100, 6), (1_000, 100), (10_000, 100), (10_000, 1_000), (20_000, 1_000):
         made, longest, whole, plain = books(open_, engines), [], [], []
         for _ in range(15):
-            steps = spans(made.auditor._pass())
+            steps = spans(made.auditor._run_pass())
             longest.append(max(steps))
             whole.append(sum(steps))
             begun = time.perf_counter()
-            made.auditor.pass_whole()
+            made.auditor.run_whole_pass()
             plain.append((time.perf_counter() - begun) * 1000)
-        assert not made.findings.held
+        assert not made.findings.by_place
         print(
             f"{open_:6} {engines:7} {len(steps):6} {statistics.median(longest):12.2f} "
             f"{statistics.median(whole):12.2f} {statistics.median(plain):12.2f}"
@@ -65,10 +65,10 @@
     entries = [Record(made.rows[0]) for _ in range(count)]
     hands = [Record(None, made.engine_rows[0], entry) for entry in entries]
     for name, act in (
-        ("taken", lambda n: made.ledger.taken(entries[n])),
-        ("handed off", lambda n: made.ledger.handed_off(hands[n], terms.FIRST)),
+        ("taken", lambda n: made.ledger.record_accepted(entries[n])),
+        ("handed off", lambda n: made.ledger.record_attempt_sent(hands[n], terms.AttemptSort.FIRST)),
         ("hand-off over", lambda n: made.ledger.on_attempt_finished(hands[n], 1)),
-        ("closed", lambda n: made.ledger.closed(entries[n], terms.IN_TIME)),
+        ("closed", lambda n: made.ledger.record_closed(entries[n], terms.EndReason.WITHIN_OBJECTIVE)),
     ):
         begun = time.perf_counter()
         for n in range(count):
--- a/corkgauge/accounting/__init__.py
+++ b/corkgauge/accounting/__init__.py
@@ -1,1 +1,1 @@
-"""Accounts: what was taken, answered, handed off and is still open, and the proof that it adds up."""
+"""Accounting: what was accepted, answered, sent and is open, and the proof that it adds up."""
--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -1,228 +1,285 @@
-"""The second book: recounts from the live records and compares with the ledger.
+"""The auditor: recounts from the live records and compares with the ledger.
 
-Owns the pass over the records and what an imbalance is called. Free of I/O and of time. Must never take a
-count from the ledger for a record, never change either, and never look at more than a slice of records in one
-step, but for the cut.
+Owns the pass over the records and the decision what an imbalance is called. Free of I/O and of
+time. Never takes a count from the ledger for a record, never changes either, and never looks at
+more than a slice of the records in one step, apart from copying their references.
 
-How it is right although things happen between slices: a pass begins with a cut, which copies the tables'
-references and the counts in one step, while nothing else runs. What is summed afterwards (row and serial)
-never changes in a record, so the copy stays the state of that moment however long the pass takes. What may
-change is checked record by record against the tables of the moment at which it is looked at.
+Why it is right although things happen between slices: each part of a pass begins by copying the
+references of the records and the counts in one step, while nothing else runs. What is summed
+afterwards (row and serial number) never changes in a record, so the copy stays the state of that
+moment however long the pass takes. What may change is checked record by record against the tables
+of the moment at which it is looked at.
 """
 
-from collections.abc import Callable, Iterable, Iterator, Sequence
-from itertools import islice
-from typing import Any, Protocol
+from collections.abc import Callable, Iterable, Iterator
+from typing import Any, NamedTuple
 
-from corkgauge.accounting import discrepancies as f
-from corkgauge.accounting.counter_names import SIDES, SORTS, TERM_OF, TERMS
-from corkgauge.accounting.ledger import CLOSED, RequestLedger
+from corkgauge.accounting.audited_records import AuditedRecords
+from corkgauge.accounting.counter_names import SIDES, SORTS, TERM_OF, TERMS, Term
+from corkgauge.accounting.discrepancies import Discrepancies, DiscrepancyKind
+from corkgauge.accounting.ledger import EventKind, RequestLedger
+from corkgauge.accounting.ledger_rows import (
+    AttemptEntry,
+    EngineRow,
+    RequestClassRow,
+    RequestEntry,
+    Row,
+)
+from corkgauge.accounting.tallies import (
+    Expected,
+    Tallies,
+    Tally,
+    expected_in_flight,
+    expected_open,
+    in_slices,
+    tally_records,
+)
 
-SLICE = 500  # records of one step
+SLICE_RECORDS = 500  # records of one step
 
 
-class Live(Protocol):
-    """The live records, as their owner shows them. All are asked for between two things that happen."""
+class Equation(NamedTuple):
+    """What another subsystem compares for the auditor: it holds if the difference is 0."""
 
-    def open_entries(self) -> list[Any]:
-        """A copy of what is open: each has `row` and `serial`."""
+    name: str
+    difference: int
+    detail: str
 
-    def answering_entries(self) -> list[Any]:
-        """A copy of what has its end, while its answer has not left whole."""
 
-    def hands_out(self) -> list[Any]:
-        """A copy of the hand-offs out: each has `order`, `engine_row`, `serial`."""
-
-    def out_of_step(self, hand: Any) -> str:
-        """What is wrong between this hand-off, if it is still out, and the gateway's own record of it."""
-
-    def engines(self) -> list[Any]:
-        """A copy of the engines."""
-
-    def engine_out_of_step(self, engine: Any) -> tuple[str, str]:
-        """Its name, and what the gateway holds out there that nobody else does."""
-
-    def name_of(self, engine: Any) -> str:
-        """Its name alone."""
-
-    def connections(self) -> Sequence[tuple[int, int]]:
-        """By side: connections that are up, pages that came on them."""
-
-    def traces(self, serial: int) -> str:
-        """Where else a submission is still found."""
+KindOf = Callable[[Row, int, int], DiscrepancyKind]
+"""What a difference of one is called, by the row, the difference, and the serial number."""
 
 
 class LedgerAuditor:
-    """Steps through one pass after another."""
+    """Compares the ledger with the live records, one slice of a pass after another."""
 
     def __init__(
-        self, ledger: RequestLedger, live: Live, findings: f.Discrepancies, slice_: int = SLICE
+        self,
+        ledger: RequestLedger,
+        records: AuditedRecords,
+        findings: Discrepancies,
+        slice_records: int = SLICE_RECORDS,
     ) -> None:
-        self.ledger, self.live, self.findings = ledger, live, findings
-        self.slice, self.passes, self.walk = slice_, 0, iter(())
-        # Equations of other subsystems: each gives (name, difference, what it says).
-        self.others: list[Callable[[], Iterable[tuple[str, int, str]]]] = []
+        self.ledger = ledger
+        self.records = records
+        self.findings = findings
+        self.slice_records = slice_records
+        # A row of an engine, and an engine, cost more to check than a record does.
+        self.slice_rows = slice_records // 2 + 1
+        self.slice_engines = slice_records // 8 + 1
+        self.passes = 0
+        self.running_pass: Iterator[None] = iter(())
+        # Equations of other subsystems, checked at the end of each pass.
+        self.equations: list[Callable[[], Iterable[tuple[str, int, str]]]] = []
 
     def step(self) -> bool:
-        """One slice; True at the end of a pass."""
-        if next(self.walk, self) is not self:
+        """Check one slice; True at the end of a pass."""
+        for _ in self.running_pass:
             return False
-        self.walk = self._pass()
+        self.running_pass = self._run_pass()
         self.passes += 1
         return True
 
-    def pass_whole(self) -> None:
-        """A whole pass at once, for the end of the program and for tests."""
-        for _ in self._pass():
+    def run_whole_pass(self) -> None:
+        """Run a pass at once, for the end of the program and for tests."""
+        for _ in self._run_pass():
             pass
         self.passes += 1
 
-    # A pass.
-
-    def _pass(self) -> Iterator[None]:
-        yield from self._submissions()
-        yield from self._hands()
-        yield from self._rows()
-        yield from self._gateway()
-        self._across()
-
-    def _submissions(self) -> Iterator[None]:
-        booked = {row: (row.open, row.mark) for row in self.ledger.request_classes.values()}
-        entries = [*self.live.open_entries(), *self.live.answering_entries()]
+    # The parts of a pass; each yields between two slices.
+
+    def _run_pass(self) -> Iterator[None]:
+        yield from self._check_requests()
+        yield from self._check_attempts()
+        yield from self._check_request_class_rows()
+        yield from self._check_engine_rows()
+        yield from self._check_attempts_of_gateway()
+        yield from self._check_engines_of_gateway()
+        self._check_accounts_without_engine()
+        self._check_sums_of_attempts()
+        self._check_connections()
+        self._check_equations()
+
+    def _check_requests(self) -> Iterator[None]:
+        expected = [*map(expected_open, self.ledger.request_classes.values())]
+        entries = [*self.records.open_entries(), *self.records.answering_entries()]
         yield
-        seen: dict[Any, list[int]] = {}
-        yield from self._tally(entries, lambda each: each.row, seen)
-        for row, (count, mark) in booked.items():
-            self._compare(row, count, mark, *seen.get(row, (0, 0)), self._submission_kind)
-
-    def _hands(self) -> Iterator[None]:
-        rows = self.ledger.engine_rows()
-        booked = [(row, row.out, row.mark) for row in rows]
-        by_offering = [(row, row.out, row.out_mark) for row in self.ledger.request_classes.values()]
-        hands = self.live.hands_out()
+        tallies: Tallies = {}
+        yield from self._tally(entries, _row_of_request, tallies)
+        for each in expected:
+            self._compare(each, tallies, self._kind_of_request)
+
+    def _check_attempts(self) -> Iterator[None]:
+        expected_by_engine = [*map(expected_in_flight, self.ledger.engine_rows())]
+        expected_by_class = [*map(expected_in_flight, self.ledger.request_classes.values())]
+        attempts = self.records.attempts_in_flight()
         yield
-        seen: dict[Any, list[int]] = {}
-        yield from self._tally(hands, lambda each: each.engine_row, seen)
-        for part in _slices(booked, self.slice // 2 + 1):
-            for row, count, mark in part:
-                self._compare(row, count, mark, *seen.get(row, (0, 0)), self._hand_kind)
-            yield
-        seen.clear()
-        yield from self._tally(hands, lambda each: each.order.row, seen)
-        for row, count, mark in by_offering:
-            self._compare(row, count, mark, *seen.get(row, (0, 0)), self._hand_kind)
-
-    def _tally(self, records: list[Any], row_of: Any, seen: dict[Any, list[int]]) -> Iterator[None]:
-        for part in _slices(records, self.slice):
+        tallies: Tallies = {}
+        yield from self._tally(attempts, _engine_row_of_attempt, tallies)
+        for part in in_slices(expected_by_engine, self.slice_rows):
             for each in part:
-                sums = seen.setdefault(row_of(each), [0, 0])
-                sums[0] += 1
-                sums[1] += abs(each.serial)  # below 0 once it has ended since the cut
+                self._compare(each, tallies, self._kind_of_attempt)
+            yield
+        tallies.clear()
+        yield from self._tally(attempts, _row_of_attempt, tallies)
+        for each in expected_by_class:
+            self._compare(each, tallies, self._kind_of_attempt)
+
+    def _tally(
+        self, records: list[Any], row_of: Callable[[Any], Row], tallies: Tallies
+    ) -> Iterator[None]:
+        for part in in_slices(records, self.slice_records):
+            tally_records(part, row_of, tallies)
             yield
 
-    def _rows(self) -> Iterator[None]:
-        """Equations within one row hold at any moment, so each row is looked at by itself."""
-        for part in _slices([*self.ledger.request_classes.values()], self.slice):
+    def _check_request_class_rows(self) -> Iterator[None]:
+        """Check the equations within a row, which hold at any moment: each row alone."""
+        for part in in_slices([*self.ledger.request_classes.values()], self.slice_records):
             for row in part:
-                terms, sums = row.terms, [0] * len(TERMS)
-                for reason, count in enumerate(row.reasons):
-                    sums[TERM_OF[reason]] += count
-                if difference := terms[0] - sum(terms[1:]) - row.open:
-                    self._see(
-                        f.TERMS_DIFFER, row, difference, "taken - served - refused - failed - open"
-                    )
-                for n, name in enumerate(TERMS):
-                    if n and (difference := terms[n] - sums[n]):
-                        self._see(f.TERMS_DIFFER, row, difference, f"{name} - its reasons")
+                self._check_request_class_row(row)
             yield
-        for part in _slices(self.ledger.engine_rows(), self.slice // 2 + 1):
+
+    def _check_request_class_row(self, row: RequestClassRow) -> None:
+        accepted, *ends = row.terms
+        difference = accepted - sum(ends) - row.open
+        if difference:
+            detail = "taken - served - refused - failed - open"
+            self._record(DiscrepancyKind.TERMS_DIFFER, row, difference, detail)
+        reasons_of_term = [0] * len(TERMS)
+        for reason, count in enumerate(row.reasons):
+            reasons_of_term[TERM_OF[reason]] += count
+        for term in (Term.SUCCEEDED, Term.REJECTED, Term.FAILED):
+            difference = row.terms[term] - reasons_of_term[term]
+            if difference:
+                detail = f"{TERMS[term]} - its reasons"
+                self._record(DiscrepancyKind.TERMS_DIFFER, row, difference, detail)
+
+    def _check_engine_rows(self) -> Iterator[None]:
+        for part in in_slices(self.ledger.engine_rows(), self.slice_rows):
             for row in part:
-                if difference := sum(row.sorts) - sum(row.outcomes) - row.out:
-                    self._see(f.TERMS_DIFFER, row, difference, "handed off - outcomes - out")
+                difference = sum(row.sorts) - sum(row.outcomes) - row.in_flight
+                if difference:
+                    detail = "handed off - outcomes - out"
+                    self._record(DiscrepancyKind.TERMS_DIFFER, row, difference, detail)
             yield
 
-    def _gateway(self) -> Iterator[None]:
-        """Two records of the same hand-offs, the host's and the gateway's."""
-        for part in _slices(self.live.hands_out(), self.slice):
-            for hand in part:
-                if wrong := self.live.out_of_step(hand):
-                    self._see(f.OUT_OF_STEP, hand.engine_row, 1, wrong)
+    def _check_attempts_of_gateway(self) -> Iterator[None]:
+        """Compare two records of the same attempts, the host's and the gateway's."""
+        for part in in_slices(self.records.attempts_in_flight(), self.slice_records):
+            for attempt in part:
+                mismatch = self.records.attempt_mismatch(attempt)
+                if mismatch:
+                    self._record(DiscrepancyKind.ENGINE_MISMATCH, attempt.engine_row, 1, mismatch)
             yield
-        for part in _slices(self.live.engines(), self.slice // 8 + 1):
+
+    def _check_engines_of_gateway(self) -> Iterator[None]:
+        for part in in_slices(self.records.engines(), self.slice_engines):
             for engine in part:
-                name, wrong = self.live.engine_out_of_step(engine)
-                if wrong:
-                    self.findings.see(f.OUT_OF_STEP, name, 1, wrong)
+                name, mismatch = self.records.engine_mismatch(engine)
+                if mismatch:
+                    self.findings.record_difference(
+                        DiscrepancyKind.ENGINE_MISMATCH, name, 1, mismatch
+                    )
             yield
-        there = {self.live.name_of(engine) for engine in self.live.engines()}
-        for name in self.ledger.engines.keys() - there:
-            self.findings.see(f.OUT_OF_STEP, name, 1, "an account of an engine that is not there")
-
-    def _across(self) -> None:
-        """Sums that two rows' kinds hold, each taken in one step."""
-        ledger, rows = self.ledger, self.ledger.engine_rows()
-        for n, name in enumerate(SORTS):
-            by_offering = sum(row.sorts[n] for row in ledger.request_classes.values())
-            if difference := by_offering - sum(row.sorts[n] for row in rows):
-                self.findings.see(f.BOOKS_DIFFER, name, difference, "by offering - by engine")
-        pages = 0
-        for side, name, (up, came) in zip(ledger.sides, SIDES, self.live.connections()):
-            if difference := side.up - side.ended - up:
-                self.findings.see(
-                    f.BOOKS_DIFFER, f"{name} connections", difference, "up - ended - those there"
-                )
-            pages += side.pages + came
-        if difference := sum(row.pages for row in rows) - pages:
-            self.findings.see(f.BOOKS_DIFFER, "pages", difference, "by engine - by connection")
-        for other in self.others:
-            for name, difference, says in other():
-                if difference:
-                    self.findings.see(f.BOOKS_DIFFER, name, difference, says)
 
-    # What it is called.
+    def _check_accounts_without_engine(self) -> None:
+        listed = {self.records.engine_name(engine) for engine in self.records.engines()}
+        for name in self.ledger.engines.keys() - listed:
+            self.findings.record_difference(
+                DiscrepancyKind.ENGINE_MISMATCH,
+                name,
+                1,
+                "an account of an engine that is not there",
+            )
 
-    def _compare(
-        self, row: Any, booked: int, booked_mark: int, seen: int, seen_mark: int, kind: Any
-    ) -> None:
-        difference, mark = booked - seen, booked_mark - seen_mark
-        if not difference and not mark:
-            return
-        # One thing alone explains a difference of one, and the difference of the marks is its serial. A live
-        # record that was never entered has none.
-        suspect = mark * difference if abs(difference) == 1 else -1
-        if suspect > 0 or suspect == 0 and difference < 0:
-            return self._see(
-                kind(row, difference, suspect), row, difference, f"serial {suspect}", suspect
+    def _check_sums_of_attempts(self) -> None:
+        """Compare the sums that rows of two kinds hold."""
+        engine_rows = self.ledger.engine_rows()
+        for sort, name in enumerate(SORTS):
+            by_class = sum(row.sorts[sort] for row in self.ledger.request_classes.values())
+            by_engine = sum(row.sorts[sort] for row in engine_rows)
+            self._check_sum(Equation(name, by_class - by_engine, "by offering - by engine"))
+
+    def _check_connections(self) -> None:
+        pages = 0
+        sides = zip(self.ledger.sides, SIDES, self.records.connections(), strict=True)
+        for side, name, (connections_up, pages_received) in sides:
+            difference = side.opened - side.closed - connections_up
+            self._check_sum(Equation(f"{name} connections", difference, "up - ended - those there"))
+            pages += side.pages + pages_received
+        difference = sum(row.pages for row in self.ledger.engine_rows()) - pages
+        self._check_sum(Equation("pages", difference, "by engine - by connection"))
+
+    def _check_equations(self) -> None:
+        for equations in self.equations:
+            for name, difference, detail in equations():
+                self._check_sum(Equation(name, difference, detail))
+
+    def _check_sum(self, equation: Equation) -> None:
+        if equation.difference:
+            self.findings.record_difference(
+                DiscrepancyKind.SUMS_DIFFER, equation.name, equation.difference, equation.detail
             )
-        self._see(f.COUNT_ALTERED, row, difference, f"serials differ by {mark}")
 
-    def _submission_kind(self, row: Any, difference: int, serial: int) -> str:
-        """One submission that the counts hold open and no record is, or the other way round."""
+    # What a difference is called.
+
+    def _compare(self, expected: Expected, tallies: Tallies, kind_of: KindOf) -> None:
+        row = expected.row
+        tally = tallies.get(row) or Tally()
+        difference = expected.count - tally.count
+        serials = expected.serials - tally.serials
+        if not difference and not serials:
+            return
+        # One request or attempt alone explains a difference of one, and the difference of the sums
+        # is then its serial number. A live record that was never counted has the number 0.
+        if abs(difference) == 1:
+            serial = serials * difference
+            if serial > 0 or (serial == 0 and difference < 0):
+                kind = kind_of(row, difference, serial)
+                self._record(kind, row, difference, f"serial {serial}", serial)
+                return
+        detail = f"serials differ by {serials}"
+        self._record(DiscrepancyKind.COUNT_ALTERED, row, difference, detail)
+
+    def _kind_of_request(self, row: Row, difference: int, serial: int) -> DiscrepancyKind:
+        """Name a request that is open by the counts and in no record, or the other way round."""
         if not serial:
-            return f.NEVER_ENTERED
-        if not 0 < serial <= self.ledger.serial:
-            return f.COUNT_ALTERED
+            return DiscrepancyKind.NEVER_ENTERED
+        if not 0 < serial <= self.ledger.last_request_serial:
+            return DiscrepancyKind.COUNT_ALTERED
         if difference > 0:
-            return f.LOST if self.live.traces(serial) else f.NEVER_CLOSED
-        ended = any(what == CLOSED for _, what, _ in self.ledger.last_events(row, serial))
-        return f.CLOSED_TWICE if ended else f.NEVER_ENTERED
-
-    def _hand_kind(self, row: Any, difference: int, serial: int) -> str:
+            if self.records.find_trace(serial):
+                return DiscrepancyKind.LOST_FROM_TABLE
+            return DiscrepancyKind.NEVER_CLOSED
+        events = self.ledger.last_events(row, serial)
+        if any(event.kind == EventKind.CLOSED for event in events):
+            return DiscrepancyKind.CLOSED_TWICE
+        return DiscrepancyKind.NEVER_ENTERED
+
+    def _kind_of_attempt(self, row: Row, difference: int, serial: int) -> DiscrepancyKind:
+        """Name an attempt that is in flight by the counts alone, or by the records alone."""
         if not serial:
-            return f.HAND_NEVER_ENTERED
-        if not 0 < serial <= self.ledger.handoff_serial:
-            return f.COUNT_ALTERED
-        return f.HAND_NEVER_CLOSED if difference > 0 else f.HAND_CLOSED_TWICE
-
-    def _see(self, kind: str, row: Any, difference: int, detail: str, serial: int = 0) -> None:
-        self.findings.see(kind, row.name, difference, detail, self.ledger.last_events(row, serial))
-
-
-def _slices(records: Iterable[Any], size: int) -> Iterator[list[Any]]:
-    """
-    >>> [*_slices(range(5), 2)]
-    [[0, 1], [2, 3], [4]]
-    """
-    left = iter(records)
-    while part := [*islice(left, size)]:
-        yield part
+            return DiscrepancyKind.ATTEMPT_NEVER_ENTERED
+        if not 0 < serial <= self.ledger.last_attempt_serial:
+            return DiscrepancyKind.COUNT_ALTERED
+        if difference > 0:
+            return DiscrepancyKind.ATTEMPT_NEVER_CLOSED
+        return DiscrepancyKind.ATTEMPT_CLOSED_TWICE
+
+    def _record(
+        self, kind: DiscrepancyKind, row: Row, difference: int, detail: str, serial: int = 0
+    ) -> None:
+        events = self.ledger.last_events(row, serial)
+        self.findings.record_difference(kind, row.name, difference, detail, events)
+
+
+def _row_of_request(entry: RequestEntry) -> RequestClassRow:
+    return entry.row
+
+
+def _engine_row_of_attempt(attempt: AttemptEntry) -> EngineRow:
+    return attempt.engine_row
+
+
+def _row_of_attempt(attempt: AttemptEntry) -> RequestClassRow:
+    return attempt.order.row
--- a/corkgauge/accounting/counter_names.py
+++ b/corkgauge/accounting/counter_names.py
@@ -1,91 +1,153 @@
-"""The words of the accounts: terms, reasons beneath them, sorts of hand-offs, outcomes.
+"""Names of the accounts: terms, end reasons, attempt sorts, outcomes and connection sides.
 
-Owns the names of all series that do not come from the settings or the engine list, and which reason an end
-has. Must never hold a count. A name here never changes its meaning: scrapes of years are compared by it.
+Owns the names of all series that do not come from the settings or the engine list, and the rules
+that say which reason an end has and which sort an attempt is. Holds no count. A name here never
+changes its meaning: metrics scraped over years are compared by it.
 """
 
+from enum import IntEnum
+
 from corkgauge.policy.records import Request
 
-# The terms of `taken = served + refused + failed + open`, by the codes of the clients' protocol.
-TAKEN, SERVED, REFUSED, FAILED = range(4)
-TERMS = "taken", "served", "refused", "failed"
 
-# Why a submission ended as it did. Each reason lies beneath one term; reasons sum to their terms.
-REASONS = (
-    (SERVED, "in_time"),  # within the promised time
-    (SERVED, "late"),  # after it, within the client's patience
-    (REFUSED, "at_the_door"),  # no room for another one open
-    (REFUSED, "unsent"),  # the gateway gave it up before any hand-off
-    (REFUSED, "after_tries"),  # the gateway gave it up after a hand-off, harmless to try again
-    (REFUSED, "at_expiry"),  # its last moment came
-    (REFUSED, "turned_out"),  # its client was turned out, before the gateway heard of it
-    (FAILED, "unusable"),  # nobody could use it; told on its stream
-    (FAILED, "given_up"),  # scrapped: a repeat might do harm
-    (FAILED, "withdrawn"),  # its client took it back
-    (FAILED, "client_gone"),  # its client's connection ended before an answer
-    (FAILED, "not_read"),  # its client did not read its answer in time, or not for our memory
-    (FAILED, "cut_off"),  # the connection ended within its answer
-)
-(
-    IN_TIME,
-    LATE,
-    AT_THE_DOOR,
-    UNSENT,
-    AFTER_TRIES,
-    AT_EXPIRY,
-    TURNED_OUT,
-    UNUSABLE,
-    GIVEN_UP,
-    WITHDRAWN,
-    CLIENT_GONE,
-    NOT_READ,
-    CUT_OFF,
-) = range(len(REASONS))
-TERM_OF = tuple(term for term, _ in REASONS)
-REASON_NAMES = tuple(name for _, name in REASONS)
+class Term(IntEnum):
+    """Index of a term of `taken = served + refused + failed + open`.
+
+    All but the first are the result codes of the client protocol.
+    """
+
+    ACCEPTED = 0
+    SUCCEEDED = 1
+    REJECTED = 2
+    FAILED = 3
+
+
+class EndReason(IntEnum):
+    """Index of the reason why a request ended as it did."""
+
+    WITHIN_OBJECTIVE = 0
+    """Succeeded within its latency objective."""
+    AFTER_OBJECTIVE = 1
+    """Succeeded after its latency objective and before its deadline."""
+    NO_CAPACITY = 2
+    """Rejected on arrival: as many requests are open as may be."""
+    NEVER_SENT = 3
+    """Rejected by the gateway before any attempt was sent."""
+    AFTER_ATTEMPTS = 4
+    """Rejected by the gateway after an attempt; a retry by the client would do no harm."""
+    AT_DEADLINE = 5
+    """Rejected because its deadline was about to pass."""
+    CONNECTION_EVICTED = 6
+    """Its connection was evicted before the gateway was notified of the request."""
+    UNUSABLE = 7
+    """Not a request that anybody could serve; answered on its stream."""
+    GIVEN_UP = 8
+    """Failed: a retry could do harm."""
+    CANCELLED = 9
+    """Its client cancelled it."""
+    CLIENT_GONE = 10
+    """Its client's connection ended before an answer."""
+    ANSWER_NOT_READ = 11
+    """Its client did not read the answer in time, or the answer had no room in our memory."""
+    ANSWER_CUT_OFF = 12
+    """Its client's connection ended within the answer."""
 
-# Sorts of hand-offs: the first of a submission, another after one had ended, a second beside one that is out.
-FIRST, FURTHER, COPY = range(3)
-SORTS = "firsts", "further", "copies"
 
-# Names of interface.py's outcomes, in its order.
-OUTCOMES = "error", "honoured", "full", "timed_out", "unreached", "reset", "called_off", "moot"
+class AttemptSort(IntEnum):
+    """Index of the sort of an attempt."""
 
-# Sides of a connection.
-CLIENT, ENGINE = range(2)
+    FIRST = 0
+    """The first attempt of a request."""
+    RETRY = 1
+    """An attempt after an earlier one had ended."""
+    HEDGE = 2
+    """An attempt beside one that is still in flight."""
+
+
+class Side(IntEnum):
+    """Index of the side of the gateway that a connection is on."""
+
+    CLIENT = 0
+    ENGINE = 1
+
+
+# What the enums' members are called in JSON, metrics, checkpoints and logs, by index.
+TERMS = "taken", "served", "refused", "failed"
+SORTS = "firsts", "further", "copies"
 SIDES = "client", "engine"
+OUTCOMES = (  # of policy.records.AttemptOutcome
+    "error",
+    "honoured",
+    "full",
+    "timed_out",
+    "unreached",
+    "reset",
+    "called_off",
+    "moot",
+)
+# Each reason lies beneath one term; the counts of the reasons sum to those of their terms.
+REASONS = (
+    (Term.SUCCEEDED, "in_time"),
+    (Term.SUCCEEDED, "late"),
+    (Term.REJECTED, "at_the_door"),
+    (Term.REJECTED, "unsent"),
+    (Term.REJECTED, "after_tries"),
+    (Term.REJECTED, "at_expiry"),
+    (Term.REJECTED, "turned_out"),
+    (Term.FAILED, "unusable"),
+    (Term.FAILED, "given_up"),
+    (Term.FAILED, "withdrawn"),
+    (Term.FAILED, "client_gone"),
+    (Term.FAILED, "not_read"),
+    (Term.FAILED, "cut_off"),
+)
+TERM_OF = tuple(term for term, _ in REASONS)
+REASON_NAMES = tuple(name for _, name in REASONS)
 
-UNUSABLE_ROW = "(unusable)"  # what names no offering of ours
-DEPARTED_ROW = "(departed)"  # engines that left
+UNUSABLE_ROW = "(unusable)"  # the row of what names no request class of ours
+DEPARTED_ROW = "(departed)"  # the row of all engines that were removed
 
 
-def reason_of(code: int, request: Request, now: int, last_moment: int) -> int:
-    """The reason of an end that the gateway gave a submission.
+def reason_of_end(
+    code: int, request: Request, now_ticks: int, deadline_margin_ticks: int
+) -> EndReason:
+    """Return the reason of an end that the gateway gave a request.
 
-    `last_moment` is how long before its expiry the last moment begins, in tenths of a millisecond.
+    `code` is a result code of the client protocol, as in `Term`. Times are tenths of a
+    millisecond; `deadline_margin_ticks` is how long before its deadline a rejection of the request
+    counts as one by the deadline.
 
     >>> from corkgauge.policy.records import RequestClass
-    >>> request = Request(None, RequestClass("quick", 10, 0.0, 500, 1.0), 0, 0.0, 1000, 500, latency_objective=100.0)
-    >>> [REASON_NAMES[reason_of(SERVED, request, now, 20)] for now in (1100, 1101)]
+    >>> quick = RequestClass("quick", 10, 0.0, 500, 1.0)
+    >>> request = Request(None, quick, 0, 0.0, 1000, 500, latency_objective=100.0)
+    >>> [REASON_NAMES[reason_of_end(Term.SUCCEEDED, request, now, 20)] for now in (1100, 1101)]
     ['in_time', 'late']
-    >>> [REASON_NAMES[reason_of(REFUSED, request, now, 20)] for now in (1100, 1480)]
+    >>> [REASON_NAMES[reason_of_end(Term.REJECTED, request, now, 20)] for now in (1100, 1480)]
     ['unsent', 'at_expiry']
-    >>> REASON_NAMES[reason_of(FAILED, request, 1100, 20)]
+    >>> REASON_NAMES[reason_of_end(Term.FAILED, request, 1100, 20)]
     'given_up'
     """
-    if code == SERVED:
-        return IN_TIME if now - request.accepted_at <= request.latency_objective else LATE
-    if code == FAILED:
-        return GIVEN_UP
-    if now >= request.accepted_at + request.time_to_deadline - last_moment:
-        return AT_EXPIRY
-    return AFTER_TRIES if request.attempts else UNSENT
+    if code == Term.SUCCEEDED:
+        if now_ticks - request.accepted_at <= request.latency_objective:
+            return EndReason.WITHIN_OBJECTIVE
+        return EndReason.AFTER_OBJECTIVE
+    if code == Term.FAILED:
+        return EndReason.GIVEN_UP
+    if now_ticks >= request.accepted_at + request.time_to_deadline - deadline_margin_ticks:
+        return EndReason.AT_DEADLINE
+    if request.attempts:
+        return EndReason.AFTER_ATTEMPTS
+    return EndReason.NEVER_SENT
 
 
-def sort_of(number: int, others_out: bool) -> int:
-    """Of a hand-off: its number within its submission, and whether another one of it is out.
+def sort_of_attempt(number: int, has_others_in_flight: bool) -> AttemptSort:
+    """Return the sort of an attempt by its number within its request, from 0.
 
-    >>> sort_of(0, False), sort_of(1, False), sort_of(1, True)
-    (0, 1, 2)
+    >>> [int(sort_of_attempt(*each)) for each in ((0, False), (1, False), (1, True))]
+    [0, 1, 2]
     """
-    return FIRST if not number else COPY if others_out else FURTHER
+    if not number:
+        return AttemptSort.FIRST
+    if has_others_in_flight:
+        return AttemptSort.HEDGE
+    return AttemptSort.RETRY
--- a/corkgauge/accounting/discrepancies.py
+++ b/corkgauge/accounting/discrepancies.py
@@ -1,113 +1,148 @@
-"""What does not add up: named, dated, kept until an operator clears it.
+"""Discrepancies: what does not add up, named, dated, and kept until an operator clears it.
 
-Owns the findings and the log lines about them. Free of I/O, the clock is handed in. Must never change a
-count, never drop a finding by itself, and never grow with the damage: one finding a kind and row.
+Owns the findings and the log lines about them. Free of I/O, the clock is handed in. Never changes a
+count, never drops a finding by itself, and does not grow with the damage: it keeps one finding a
+kind and row.
 """
 
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from enum import StrEnum
 
-MOST = 256  # findings kept; what comes beyond is counted only
+MAX_FINDINGS = 256  # kept; what comes beyond is only counted
 
-# Kinds, each with what it says.
-ENTERED_TWICE = "entered twice"  # one thing was counted as taken two times
-NEVER_ENTERED = "never entered"  # a live record, or an end, that no count knows
-NEVER_CLOSED = "never closed"  # its end was not counted, and no live record holds it
-CLOSED_TWICE = (
-    "closed twice"  # one end was counted two times, or a closed one is still in the table
+Event = tuple[int, str, int]
+"""When (tenths of a millisecond), what, and the serial number of what it happened to."""
+
+
+class DiscrepancyKind(StrEnum):
+    """What is wrong; the values stand in logs, JSON and metrics, and never change."""
+
+    ENTERED_TWICE = "entered twice"
+    """One request was counted as accepted two times."""
+    NEVER_ENTERED = "never entered"
+    """A live record, or an end, of a request that was never counted."""
+    NEVER_CLOSED = "never closed"
+    """The end of a request was not counted, and no live record holds it."""
+    CLOSED_TWICE = "closed twice"
+    """One end was counted two times, or a closed request is still in the table."""
+    ATTEMPT_NEVER_CLOSED = "hand-off never closed"
+    """The outcome of an attempt was not counted, and it is not in flight."""
+    ATTEMPT_CLOSED_TWICE = "hand-off closed twice"
+    """The outcome of an attempt was counted two times, or while it is in flight."""
+    ATTEMPT_ENTERED_TWICE = "hand-off entered twice"
+    """One attempt was counted as sent two times."""
+    ATTEMPT_NEVER_ENTERED = "hand-off never entered"
+    """An attempt in flight, or an outcome, of which no sending was counted."""
+    LOST_FROM_TABLE = "lost from the table"
+    """A request is open and known elsewhere, but is no longer in the table."""
+    COUNT_ALTERED = "count altered"
+    """A count differs by what no single request or attempt explains."""
+    TERMS_DIFFER = "terms differ"
+    """An equation within one row does not hold."""
+    ENGINE_MISMATCH = "engine out of step"
+    """The gateway and the host hold different attempts in flight at an engine."""
+    SUMS_DIFFER = "books differ"
+    """Sums by request class and by engine, or by connection, differ."""
+    OVER_BUDGET = "over budget"
+    """More retries and hedged attempts in a window than the budget allows."""
+
+
+# Mistakes after which the counts hold less than the records do; they are counted downwards.
+COUNTS_HOLD_LESS = frozenset(
+    {
+        DiscrepancyKind.CLOSED_TWICE,
+        DiscrepancyKind.ATTEMPT_CLOSED_TWICE,
+        DiscrepancyKind.NEVER_ENTERED,
+        DiscrepancyKind.ATTEMPT_NEVER_ENTERED,
+    }
 )
-HAND_NEVER_CLOSED = "hand-off never closed"  # its outcome was not counted, and nothing is out
-HAND_CLOSED_TWICE = "hand-off closed twice"  # its outcome was counted two times, or while it is out
-HAND_ENTERED_TWICE = "hand-off entered twice"
-HAND_NEVER_ENTERED = "hand-off never entered"
-LOST = "lost from the table"  # open, a record of it is left elsewhere, not in the table
-COUNT_ALTERED = "count altered"  # a count differs by what no single thing explains
-TERMS_DIFFER = "terms differ"  # an equation within one row does not hold
-OUT_OF_STEP = "engine out of step"  # the gateway and the host hold other hand-offs out at an engine
-BOOKS_DIFFER = "books differ"  # sums by offering and by engine, or by connection, differ
-OVER_BUDGET = "over budget"  # more further hand-offs in a window than are allowed
-LESS = CLOSED_TWICE, HAND_CLOSED_TWICE, NEVER_ENTERED, HAND_NEVER_ENTERED  # the counts hold less
 
 
 @dataclass(slots=True)
 class Discrepancy:
-    """One mistake, as it was first seen and as it is now. Times are tenths of a millisecond."""
+    """One finding, as it was first seen and as it is now. Times are tenths of a millisecond."""
 
     kind: str
-    row: str  # of the offering, the engine or the side
-    first: int
-    last: int
-    difference: int  # what the counts say, less what the records say; or how often
+    row: str  # name of the request class, the engine or the side
+    first_seen_at: int
+    last_seen_at: int
+    difference: int  # what the counts say, less what the records say; or how often it happened
     detail: str
-    events: list[tuple[int, str, int]] = field(default_factory=list)
-    told: int = 0  # the difference that the log last told
-    times: int = 1  # passes, or entries, that saw it
+    events: Sequence[Event]
+    logged_difference: int  # the difference in the last log line about it
+    times_seen: int = 1  # passes, or entries, that saw it
 
-    def line(self) -> str:
-        return (
-            f"figures out of balance: {self.row} {self.kind} {self.difference:+d} since={self.first}"
-            + (f" {self.detail}" if self.detail else "")
-        )
+    def log_line(self) -> str:
+        """Return the line that tells of it in the log."""
+        line = f"figures out of balance: {self.row} {self.kind} {self.difference:+d}"
+        line += f" since={self.first_seen_at}"
+        if self.detail:
+            line += f" {self.detail}"
+        return line
+
+    def has_changed_much(self, difference: int) -> bool:
+        """Whether a new difference has the other sign, or is twice the one that was logged."""
+        logged = self.logged_difference
+        return difference * logged < 0 or abs(difference) >= 2 * abs(logged) > 0
 
 
 class Discrepancies:
-    """The findings; `alarm` is raised while there is one that nobody cleared."""
+    """The findings that nobody has cleared."""
 
     def __init__(self, clock: Callable[[], int], log: Callable[[str], None]) -> None:
-        self.clock, self.log = clock, log
-        self.held: dict[tuple[str, str], Discrepancy] = {}
-        self.untold = 0  # that found no room
+        self.clock = clock
+        self.log = log
+        self.by_place: dict[tuple[str, str], Discrepancy] = {}  # by kind and row
+        self.omitted = 0  # findings beyond MAX_FINDINGS
 
     @property
     def alarm(self) -> bool:
-        return bool(self.held)
-
-    def see(
-        self,
-        kind: str,
-        row: str,
-        difference: int,
-        detail: str = "",
-        events: list[tuple[int, str, int]] | None = None,
+        """Whether there is a finding."""
+        return bool(self.by_place)
+
+    def record_difference(
+        self, kind: str, row: str, difference: int, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
-        """An imbalance, as one pass sees it."""
-        now, found = self.clock(), self.held.get((kind, row))
+        """Record a difference as one pass of the auditor sees it, in place of the last one."""
+        now = self.clock()
+        found = self.by_place.get((kind, row))
         if found is None:
-            # Danger: damage in every row would fill the memory with its own report
-            if len(self.held) >= MOST:
-                self.untold += 1
+            # Damage in every row would otherwise fill the memory with its own report.
+            if len(self.by_place) >= MAX_FINDINGS:
+                self.omitted += 1
                 return
-            found = self.held[kind, row] = Discrepancy(
-                kind, row, now, now, difference, detail, events or []
-            )
-            found.told = difference
-            return self.log(found.line())
-        found.last, found.times, found.difference = now, found.times + 1, difference
-        # One line a change; Danger: a count that runs away would write a line a pass.
-        if difference * found.told < 0 or abs(difference) >= 2 * abs(found.told) > 0:
-            found.told, found.detail = difference, detail
-            self.log(found.line())
-
-    def count(
-        self,
-        kind: str,
-        row: str,
-        detail: str = "",
-        events: list[tuple[int, str, int]] | None = None,
+            found = Discrepancy(kind, row, now, now, difference, detail, events, difference)
+            self.by_place[kind, row] = found
+            self.log(found.log_line())
+            return
+        found.last_seen_at = now
+        found.times_seen += 1
+        found.difference = difference
+        # A count that runs away would otherwise write a line a pass.
+        if found.has_changed_much(difference):
+            found.logged_difference = difference
+            found.detail = detail
+            self.log(found.log_line())
+
+    def record_mistake(
+        self, kind: str, row: str, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
-        """A mistake seen at an entry itself: each one adds to its finding."""
-        found = self.held.get((kind, row))
-        self.see(
-            kind,
-            row,
-            (found.difference if found else 0) + (-1 if kind in LESS else 1),
-            detail,
-            events,
-        )
+        """Record a mistake that was seen at an entry itself: each one adds to its finding."""
+        difference = -1 if kind in COUNTS_HOLD_LESS else 1
+        found = self.by_place.get((kind, row))
+        if found is not None:
+            difference += found.difference
+        self.record_difference(kind, row, difference, detail, events)
 
     def clear(self) -> int:
-        """An operator has seen them; what is still wrong comes again with the next pass."""
-        count, self.held, self.untold = len(self.held), {}, 0
+        """Forget all findings and return how many there were.
+
+        What is still wrong is found again by the next pass.
+        """
+        count = len(self.by_place)
+        self.by_place = {}
+        self.omitted = 0
         if count:
             self.log(f"figures: {count} findings cleared")
         return count
--- a/corkgauge/accounting/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -1,280 +1,286 @@
-"""The first book: counts entered where things happen, per offering, engine and side of a connection.
+"""The request ledger: counts entered where things happen, by class, engine and connection side.
 
-Owns the rows and the last events. Free of I/O, the clock is handed in. Must never look at the live records
-(the auditor does, and compares), never put a count right, and never cost more than a few additions an entry.
-
-A row keeps, beside how many are open, the sum of their serials. So two mistakes that cancel out in a count
-(one lost, another entered twice) do not cancel here, and the difference of a single mistake is its serial.
+Owns the rows and the last events. Free of I/O, the clock is handed in. Never looks at the live
+records (the auditor does, and compares), never puts a count right, and costs no more than a few
+additions an entry: it is on the path of every request.
 """
 
 from collections import deque
 from collections.abc import Callable, Iterable
-from typing import Any
+from enum import StrEnum
+from typing import NamedTuple
 
 from corkgauge.accounting.counter_names import (
-    AT_THE_DOOR,
-    CLIENT,
     DEPARTED_ROW,
-    FIRST,
-    GIVEN_UP,
-    NOT_READ,
     OUTCOMES,
-    REASONS,
     SIDES,
-    SORTS,
     TERM_OF,
     TERMS,
-    UNUSABLE,
     UNUSABLE_ROW,
+    AttemptSort,
+    EndReason,
+    Side,
+    Term,
 )
-from corkgauge.accounting.discrepancies import (
-    CLOSED_TWICE,
-    ENTERED_TWICE,
-    HAND_CLOSED_TWICE,
-    HAND_ENTERED_TWICE,
-    HAND_NEVER_ENTERED,
-    NEVER_ENTERED,
-    OVER_BUDGET,
+from corkgauge.accounting.discrepancies import DiscrepancyKind
+from corkgauge.accounting.ledger_rows import (
+    AttemptEntry,
+    EngineRow,
+    RequestClassRow,
+    RequestEntry,
+    Row,
+    SideRow,
 )
+from corkgauge.accounting.retry_budget_check import RetryBudget, RetryBudgetCheck
 
-LAST_EVENTS = 512  # kept in all, to show what happened around a mistake
-SLICES = 50  # of the budget's window; counts of submissions are kept by slice
-(ENTERED, CLOSED, HANDED, OVER) = EVENTS = "entered", "closed", "handed off", "over"
-
+MAX_EVENTS = 512  # kept of all rows together, to show what happened around a mistake
+MAX_EVENTS_SHOWN = 8  # of one finding
 
-class RequestClassRow:
-    """The account of one offering."""
+MistakeHandler = Callable[[str, Row, int], None]
+"""Called with the kind of a mistake, the row, and the serial number that was entered wrongly."""
 
-    __slots__ = "name", "terms", "reasons", "open", "mark", "sorts", "out", "out_mark"
 
-    def __init__(self, name: str) -> None:
-        self.name = name
-        self.terms = [0] * len(TERMS)  # taken, served, refused, failed
-        self.reasons = [0] * len(REASONS)
-        self.open = self.mark = 0  # how many are open, and the sum of their serials
-        self.sorts = [0] * len(SORTS)  # hand-offs: firsts, further, copies
-        self.out = self.out_mark = 0  # hand-offs out, and the sum of their serials
+class EventKind(StrEnum):
+    """What an event of the ledger was; the values are shown in findings."""
 
+    ACCEPTED = "entered"
+    CLOSED = "closed"
+    ATTEMPT_SENT = "handed off"
+    ATTEMPT_FINISHED = "over"
 
-class EngineRow:
-    """The account of one engine, by its id; of all that left, in one row."""
 
-    __slots__ = "name", "sorts", "outcomes", "out", "mark", "pages", "links", "gone"
+class LedgerEvent(NamedTuple):
+    """An event of one row, as a finding shows it."""
 
-    def __init__(self, name: str) -> None:
-        self.name, self.gone = name, False
-        self.sorts = [0] * len(SORTS)
-        self.outcomes = [0] * len(OUTCOMES)
-        self.out = self.mark = self.pages = self.links = 0
+    at: int
+    """Tenths of a millisecond."""
+    kind: str
+    serial: int
 
-    def add(self, other: "EngineRow") -> None:
-        self.sorts = [*map(sum, zip(self.sorts, other.sorts))]
-        self.outcomes = [*map(sum, zip(self.outcomes, other.outcomes))]
-        self.out += other.out
-        self.mark += other.mark
-        self.pages += other.pages
 
+# A NamedTuple costs a call to make, four times a request; events are kept as tuples until they are
+# shown.
+_StoredEvent = tuple[int, str, Row, int]
 
-class SideRow:
-    """The account of the connections of one side; bytes and pages are of those that have ended."""
+# Members of an enum are looked up through their class; on the path of a request the names are bound
+# once.
+_ACCEPTED = Term.ACCEPTED
+_FIRST = AttemptSort.FIRST
+_EVENT_ACCEPTED = EventKind.ACCEPTED
+_EVENT_CLOSED = EventKind.CLOSED
+_EVENT_ATTEMPT_SENT = EventKind.ATTEMPT_SENT
+_EVENT_ATTEMPT_FINISHED = EventKind.ATTEMPT_FINISHED
 
-    __slots__ = "name", "up", "ended", "got", "sent", "pages"
 
-    def __init__(self, name: str) -> None:
-        self.name = name
-        self.up = self.ended = self.got = self.sent = self.pages = 0
+def _ignore_mistake(kind: str, row: Row, serial: int) -> None:
+    """Do nothing: for ledgers that nobody audits."""
 
 
 class RequestLedger:
-    """One method for each thing that is counted. `guard` hears of what is wrong at the entry itself:
-    what, the row, the serial."""
+    """Counts requests, attempts and connections; one method for each thing that is counted.
+
+    `clock` returns tenths of a millisecond. `budget` is the retry budget's floor, share and window
+    in tenths of a millisecond; without it, or with a window of 0, no budget is checked.
+    `on_mistake` is notified of what is wrong at an entry itself.
+    """
 
     def __init__(
         self,
         request_classes: Iterable[str],
         clock: Callable[[], int],
         budget: tuple[float, float, int] | None = None,
-        guard: Callable[[str, Any, int], None] = lambda *_: None,
+        on_mistake: MistakeHandler = _ignore_mistake,
     ) -> None:
-        self.clock, self.guard = clock, guard
+        self.clock = clock
+        self.on_mistake = on_mistake
         self.request_classes = {name: RequestClassRow(name) for name in request_classes}
         self.unusable_row = self.request_classes[UNUSABLE_ROW] = RequestClassRow(UNUSABLE_ROW)
         self.engines: dict[str, EngineRow] = {}
         self.departed = EngineRow(DEPARTED_ROW)
-        self.leaving: list[EngineRow] = []  # gone, with hand-offs out
+        self.departing: list[EngineRow] = []  # removed, with attempts in flight
         self.sides = [SideRow(name) for name in SIDES]
-        self.serial = self.handoff_serial = 0
-        self.events = deque[tuple[int, str, Any, int]](maxlen=LAST_EVENTS)
-        # What the rule on further hand-offs counts: floor, share and window; when those were sent; what was
-        # taken, by slice of the window, and the sum of it.
-        self.floor, self.share, self.span = budget or (0.0, 0.0, 0)
-        self.slice = max(self.span // SLICES, 1)
-        self.extras, self.taken_by, self.taken_lately = deque[int](), deque[list[int]](), 0
-
-    # Submissions. An entry bears `row`, and `serial`: 0 before it is entered, below 0 once it is closed.
-
-    def taken(self, entry: Any) -> None:
-        """From now on one final answer is owed."""
-        row = entry.row
-        if entry.serial:
-            self.guard(ENTERED_TWICE, row, abs(entry.serial))
-        self.serial = entry.serial = self.serial + 1
-        row.terms[0] += 1
+        self.last_request_serial = 0
+        self.last_attempt_serial = 0
+        self.events = deque[_StoredEvent](maxlen=MAX_EVENTS)
+        self.budget_check: RetryBudgetCheck | None = None
+        if budget is not None and budget[2]:
+            self.budget_check = RetryBudgetCheck(RetryBudget(*budget))
+
+    # Requests.
+
+    def record_accepted(self, request: RequestEntry) -> None:
+        """Count an accepted request: from now on it is owed one final answer."""
+        row = request.row
+        if request.serial:
+            self.on_mistake(DiscrepancyKind.ENTERED_TWICE, row, abs(request.serial))
+        serial = self.last_request_serial + 1
+        self.last_request_serial = request.serial = serial
+        row.terms[_ACCEPTED] += 1
         row.open += 1
-        row.mark += self.serial
+        row.open_serials += serial
         now = self.clock()
-        self.events.append((now, ENTERED, row, self.serial))
-        if self.span:
-            self.taken_lately += 1
-            if self.taken_by and self.taken_by[-1][0] + self.slice > now:
-                self.taken_by[-1][1] += 1
-            else:
-                self._trim(now)
-                self.taken_by.append([now, 1])
-
-    def closed(self, entry: Any, reason: int) -> None:
-        """It is over, for this reason."""
-        row, serial = entry.row, entry.serial
+        self.events.append((now, _EVENT_ACCEPTED, row, serial))
+        if self.budget_check is not None:
+            self.budget_check.record_accepted(now)
+
+    def record_closed(self, request: RequestEntry, reason: int) -> None:
+        """Count the end of a request, for an `EndReason`."""
+        row = request.row
+        serial = request.serial
         if serial <= 0:
-            # Danger: a second end would pass unseen where another is lost. It is entered all the same, since
-            # counts are never put right in silence.
-            self.guard(CLOSED_TWICE if serial else NEVER_ENTERED, row, -serial)
+            # A second end would pass unseen where another one is lost, so it is reported here. It
+            # is counted all the same: counts are never put right in silence.
+            kind = DiscrepancyKind.CLOSED_TWICE if serial else DiscrepancyKind.NEVER_ENTERED
             serial = -serial
-        entry.serial = -serial
+            self.on_mistake(kind, row, serial)
+        request.serial = -serial
         row.terms[TERM_OF[reason]] += 1
         row.reasons[reason] += 1
         row.open -= 1
-        row.mark -= serial
-        self.events.append((self.clock(), CLOSED, row, serial))
+        row.open_serials -= serial
+        self.events.append((self.clock(), _EVENT_CLOSED, row, serial))
 
-    def turned_away(self, row: RequestClassRow) -> None:
-        """Taken and refused at once: there is no room for it."""
-        self._at_once(row, AT_THE_DOOR)
+    def record_rejected(self, row: RequestClassRow) -> None:
+        """Count a request that was accepted and rejected at once, as there is no room for it."""
+        self._record_at_once(row, EndReason.NO_CAPACITY)
 
-    def unusable(self) -> None:
-        """Taken, and of no use to anybody; so it names no offering."""
-        self._at_once(self.unusable_row, UNUSABLE)
+    def record_unusable(self) -> None:
+        """Count a request that nobody can serve, and that therefore names no request class."""
+        self._record_at_once(self.unusable_row, EndReason.UNUSABLE)
 
-    def _at_once(self, row: RequestClassRow, reason: int) -> None:
-        row.terms[0] += 1
+    def _record_at_once(self, row: RequestClassRow, reason: EndReason) -> None:
+        row.terms[_ACCEPTED] += 1
         row.terms[TERM_OF[reason]] += 1
         row.reasons[reason] += 1
 
-    # Hand-offs.
+    # Attempts.
 
-    def handed_off(self, hand: Any, sort: int) -> None:
-        """It goes out. A hand bears `order` with its row, `engine_row`, and `serial` as an entry does."""
-        row, engine = hand.order.row, hand.engine_row
-        if hand.serial:
-            self.guard(HAND_ENTERED_TWICE, engine, abs(hand.serial))
-        serial = self.handoff_serial = hand.serial = self.handoff_serial + 1
+    def record_attempt_sent(self, attempt: AttemptEntry, sort: int) -> None:
+        """Count an attempt that is sent; `sort` is an `AttemptSort`."""
+        row = attempt.order.row
+        engine = attempt.engine_row
+        if attempt.serial:
+            self.on_mistake(DiscrepancyKind.ATTEMPT_ENTERED_TWICE, engine, abs(attempt.serial))
+        serial = self.last_attempt_serial + 1
+        self.last_attempt_serial = attempt.serial = serial
         row.sorts[sort] += 1
-        row.out += 1
-        row.out_mark += serial
+        row.in_flight += 1
+        row.in_flight_serials += serial
         engine.sorts[sort] += 1
-        engine.out += 1
-        engine.mark += serial
+        engine.in_flight += 1
+        engine.in_flight_serials += serial
         now = self.clock()
-        self.events.append((now, HANDED, engine, serial))
-        if sort != FIRST and self.span:
-            self._extra(engine, serial, now)
-
-    def on_attempt_finished(self, hand: Any, outcome: int) -> None:
-        """Its outcome has come."""
-        row, engine, serial = hand.order.row, hand.engine_row, hand.serial
+        self.events.append((now, _EVENT_ATTEMPT_SENT, engine, serial))
+        if (
+            sort != _FIRST
+            and self.budget_check is not None
+            and self.budget_check.record_extra_attempt(now)
+        ):
+            self.on_mistake(DiscrepancyKind.OVER_BUDGET, engine, serial)
+
+    def on_attempt_finished(self, attempt: AttemptEntry, outcome: int) -> None:
+        """Count the outcome of an attempt, an `AttemptOutcome`."""
+        row = attempt.order.row
+        engine = attempt.engine_row
+        serial = attempt.serial
         if serial <= 0:
-            self.guard(HAND_CLOSED_TWICE if serial else HAND_NEVER_ENTERED, engine, -serial)
+            kind = DiscrepancyKind.ATTEMPT_CLOSED_TWICE
+            if not serial:
+                kind = DiscrepancyKind.ATTEMPT_NEVER_ENTERED
             serial = -serial
-        hand.serial = -serial
+            self.on_mistake(kind, engine, serial)
+        attempt.serial = -serial
         engine.outcomes[outcome] += 1
-        engine.out -= 1
-        engine.mark -= serial
-        row.out -= 1
-        row.out_mark -= serial
-        self.events.append((self.clock(), OVER, engine, serial))
-        if engine.gone and not engine.out and engine in self.leaving:
-            self.leaving.remove(engine)
-            self.departed.add(engine)
+        engine.in_flight -= 1
+        engine.in_flight_serials -= serial
+        row.in_flight -= 1
+        row.in_flight_serials -= serial
+        self.events.append((self.clock(), _EVENT_ATTEMPT_FINISHED, engine, serial))
+        if engine.is_removed and not engine.in_flight and engine in self.departing:
+            self.departing.remove(engine)
+            self.departed.add_row(engine)
 
     # Engines and connections.
 
-    def engine(self, name: str) -> EngineRow:
-        """The row of an engine that the list names. One that comes back under its id starts anew: what it
-        was before has departed."""
-        if name not in self.engines:
-            self.engines[name] = EngineRow(name)
-        return self.engines[name]
-
-    def engine_gone(self, row: EngineRow) -> None:
-        """Danger: engines that come and go under new ids all day would be kept without end; they fold."""
-        if not row.gone:
-            row.gone = True
-            if self.engines.get(row.name) is row:
-                del self.engines[row.name]
-            if row.out:
-                self.leaving.append(row)
-            else:
-                self.departed.add(row)
-
-    def connection_up(self, side: int) -> None:
-        self.sides[side].up += 1
-
-    def connection_over(self, side: int, got: int, sent: int, pages: int = 0) -> None:
-        """Bytes read and written of one connection, and pages of results that came on it."""
+    def engine_row(self, name: str) -> EngineRow:
+        """Return the row of a listed engine, made if there is none.
+
+        An engine that comes back under its id starts a new row; what it was before has departed.
+        """
+        row = self.engines.get(name)
+        if row is None:
+            row = self.engines[name] = EngineRow(name)
+        return row
+
+    def record_engine_removed(self, row: EngineRow) -> None:
+        """Fold the row of an engine into that of the departed, once nothing of it is in flight.
+
+        Engines that come and go under new ids all day would otherwise be kept without end.
+        """
+        if row.is_removed:
+            return
+        row.is_removed = True
+        if self.engines.get(row.name) is row:
+            del self.engines[row.name]
+        if row.in_flight:
+            self.departing.append(row)
+        else:
+            self.departed.add_row(row)
+
+    def record_connection_opened(self, side: int) -> None:
+        """Count a connection that came up; `side` is a `Side`."""
+        self.sides[side].opened += 1
+
+    def record_connection_closed(
+        self, side: int, received_bytes: int, sent_bytes: int, pages: int = 0
+    ) -> None:
+        """Count the end of a connection, with its bytes and the pages of results received on it."""
         row = self.sides[side]
-        row.ended += 1
-        row.got += got
-        row.sent += sent
+        row.closed += 1
+        row.received_bytes += received_bytes
+        row.sent_bytes += sent_bytes
         row.pages += pages
 
-    # What is asked of it.
+    # Reading.
 
     def engine_rows(self) -> list[EngineRow]:
-        """All rows of engines, the departed ones last."""
-        return [*self.engines.values(), *self.leaving, self.departed]
+        """Return all rows of engines, the departed ones last."""
+        return [*self.engines.values(), *self.departing, self.departed]
 
-    def answered(self, term: int) -> int:
+    def term_total(self, term: int) -> int:
+        """Return the count of a `Term` over all request classes."""
         return sum(row.terms[term] for row in self.request_classes.values())
 
-    def outcome(self, outcome: int) -> int:
+    def outcome_total(self, outcome: int) -> int:
+        """Return the count of an `AttemptOutcome` over all engines."""
         return sum(row.outcomes[outcome] for row in self.engine_rows())
 
-    def _extra(self, engine: EngineRow, serial: int, now: int) -> None:
-        """The rule on further hand-offs, as it stands when one is sent: counted here from what was taken, not
-        from what the gateway holds of it. The window is one slice wider for what was taken."""
-        self._trim(now)
-        self.extras.append(now)
-        if len(self.extras) > self.floor + self.share * self.taken_lately:
-            self.guard(OVER_BUDGET, engine, serial)
-
-    def _trim(self, now: int) -> None:
-        while self.extras and self.extras[0] <= now - self.span:
-            self.extras.popleft()
-        while self.taken_by and self.taken_by[0][0] + self.slice <= now - self.span:
-            self.taken_lately -= self.taken_by.popleft()[1]
-
-    def last_events(self, row: Any, serial: int = 0, most: int = 8) -> list[tuple[int, str, int]]:
-        """The last events of a row, or those of one serial there: when, what, serial."""
+    def last_events(
+        self, row: Row, serial: int = 0, limit: int = MAX_EVENTS_SHOWN
+    ) -> list[LedgerEvent]:
+        """Return the last events of a row, or, with a serial number, those of that alone."""
         found = [
-            (when, what, which)
-            for when, what, where, which in self.events
-            if where is row and (not serial or which == serial)
+            LedgerEvent(at, kind, each)
+            for at, kind, where, each in self.events
+            if where is row and (not serial or each == serial)
         ]
-        return found[-most:]
-
-    def line(self) -> dict[str, int]:
-        """Totals under the names that the log has always had."""
-        said = {"taken": self.answered(0)}
-        said |= {f"answered {name}": self.answered(n) for n, name in enumerate(TERMS) if n}
-        # what clients left is no answer of ours
-        said["answered failed"] = sum(
-            row.reasons[n]
+        return found[-limit:]
+
+    def log_totals(self) -> dict[str, int]:
+        """Return totals that are not 0, under the names that the log has always had."""
+        totals = {TERMS[Term.ACCEPTED]: self.term_total(Term.ACCEPTED)}
+        for term in (Term.SUCCEEDED, Term.REJECTED):
+            totals[f"answered {TERMS[term]}"] = self.term_total(term)
+        # What clients cancelled or left is no answer of ours.
+        answered_failed = (EndReason.UNUSABLE, EndReason.GIVEN_UP, EndReason.ANSWER_NOT_READ)
+        totals[f"answered {TERMS[Term.FAILED]}"] = sum(
+            row.reasons[reason]
             for row in self.request_classes.values()
-            for n in (UNUSABLE, GIVEN_UP, NOT_READ)
+            for reason in answered_failed
         )
-        said |= {f"outcome {n}": self.outcome(n) for n in range(len(OUTCOMES))}
-        said |= {
-            "connections": self.sides[CLIENT].up,
-            "connections ended": self.sides[CLIENT].ended,
-        }
-        return {name: count for name, count in said.items() if count}
+        for outcome in range(len(OUTCOMES)):
+            totals[f"outcome {outcome}"] = self.outcome_total(outcome)
+        clients = self.sides[Side.CLIENT]
+        totals["connections"] = clients.opened
+        totals["connections ended"] = clients.closed
+        return {name: count for name, count in totals.items() if count}
--- a/corkgauge/accounting/snapshot.py
+++ b/corkgauge/accounting/snapshot.py
@@ -57,22 +57,22 @@
                 "open": row.open,
                 "reasons": dict(zip(REASON_NAMES, row.reasons)),
                 **dict(zip(SORTS, row.sorts)),
-                "out": row.out,
+                "out": row.in_flight,
             }
             for name, row in ledger.request_classes.items()
         },
         "engines": EngineRows(
             {
-                name: (row.sorts.copy(), row.outcomes.copy(), row.out, row.pages)
+                name: (row.sorts.copy(), row.outcomes.copy(), row.in_flight, row.pages)
                 for name, row in _engines(ledger).items()
             }
         ),
         "connections": {
             row.name: {
-                "up": row.up,
-                "ended": row.ended,
-                "received": row.got,
-                "sent": row.sent,
+                "up": row.opened,
+                "ended": row.closed,
+                "received": row.received_bytes,
+                "sent": row.sent_bytes,
                 "pages": row.pages,
             }
             for row in ledger.sides
@@ -88,8 +88,8 @@
 def _engines(ledger: RequestLedger) -> dict[str, Any]:
     """Rows by name; those that leave with hand-offs out count as departed."""
     departed = type(ledger.departed)(ledger.departed.name)
-    for row in (ledger.departed, *ledger.leaving):
-        departed.add(row)
+    for row in (ledger.departed, *ledger.departing):
+        departed.add_row(row)
     return {**ledger.engines, departed.name: departed}
 
 
@@ -107,19 +107,19 @@
     cut["audit"] = {
         "passes": passes,
         "alarm": findings.alarm,
-        "untold": findings.untold,
+        "untold": findings.omitted,
         "findings": [
             {
                 "kind": each.kind,
                 "row": each.row,
                 "difference": each.difference,
-                "first": each.first,
-                "last": each.last,
-                "times": each.times,
+                "first": each.first_seen_at,
+                "last": each.last_seen_at,
+                "times": each.times_seen,
                 "detail": each.detail,
                 "events": each.events,
             }
-            for each in findings.held.values()
+            for each in findings.by_place.values()
         ],
     }
     return cut
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -295,7 +295,7 @@
             for sign in woken.recv(64):
                 if sign == signal.SIGUSR1:
                     logger.info(
-                        f"counters {socket_host.counters.line(socket_host.ledger.line())} {event_loop.worst()}"
+                        f"counters {socket_host.counters.line(socket_host.ledger.log_totals())} {event_loop.worst()}"
                     )
                 elif (
                     sign == signal.SIGHUP
@@ -330,10 +330,10 @@
         f"serving as {platform_config.name}, {len(socket_host.engine_pools)} engines, list {socket_host.last_event}"
     )
     event_loop.run()
-    socket_host.auditor.pass_whole()
+    socket_host.auditor.run_whole_pass()
     if beside is not None:
         beside.end()
     logger.info(
-        f"ended; counters {socket_host.counters.line(socket_host.ledger.line())} {event_loop.worst()}"
+        f"ended; counters {socket_host.counters.line(socket_host.ledger.log_totals())} {event_loop.worst()}"
     )
     return 0
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -45,7 +45,7 @@
         self.meter = Meter(self._told, said.active, said.idle, self.event_loop.now)
         self._arrange(said, self._contexts(said))
         socket_host.flows = self
-        socket_host.auditor.others.append(self.differences)
+        socket_host.auditor.equations.append(self.differences)
         self.event_loop.call_later(TICK, self.tick)
 
     # What the host tells.
@@ -177,7 +177,7 @@
     def differences(self) -> list[tuple[str, int, str]]:
         """The equations of export, for the auditor."""
         socket_host = self.socket_host
-        carried = sum(row.got + row.sent for row in socket_host.ledger.sides)
+        carried = sum(row.received_bytes + row.sent_bytes for row in socket_host.ledger.sides)
         carried += sum(got + sent for got, sent, _ in socket_host.records.live_bytes())
         found = [
             (
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from corkgauge.accounting.counter_names import TAKEN as TAKEN_TERM
+from corkgauge.accounting.counter_names import Term
 from corkgauge.config.operator_file import Works
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
@@ -394,7 +394,7 @@
     def _count(self) -> None:
         rows = self.socket_host.ledger.request_classes
         self.counted.append(
-            (self.event_loop.now, {name: row.terms[TAKEN_TERM] for name, row in rows.items()})
+            (self.event_loop.now, {name: row.terms[Term.ACCEPTED] for name, row in rows.items()})
         )
         self.engines()
         self.event_loop.call_later(SECOND, self._count)
--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -11,14 +11,7 @@
 from termios import FIONREAD
 from typing import Any
 
-from corkgauge.accounting.counter_names import (
-    CLIENT,
-    CLIENT_GONE,
-    CUT_OFF,
-    NOT_READ,
-    TURNED_OUT,
-    WITHDRAWN,
-)
+from corkgauge.accounting.counter_names import EndReason, Side
 from corkgauge.eventloop.connection import NEVER, StreamConnection
 from corkgauge.net import client_protocol as client_wire
 from corkgauge.net.client_protocol import ANSWER, FAILED, REFUSED, ClientProtocol, frame_head
@@ -112,7 +105,7 @@
             else:
                 socket_host.gateway.on_deadline_near(request)
         else:
-            socket_host.left(self.open.pop(stream, None), WITHDRAWN)
+            socket_host.left(self.open.pop(stream, None), EndReason.CANCELLED)
         # Danger: what is asked for by hundreds and taken back at once is work for nobody.
         return "withdrawn too often" if self.gave_up > max(MOST_FAULTS, 2 * self.answered) else ""
 
@@ -126,7 +119,7 @@
         """Nobody can use it: told on its stream. Danger: one that sends nothing else costs all the others."""
         self.socket_host.counters["unreadable"] += 1
         if stream:
-            self.socket_host.ledger.unusable()
+            self.socket_host.ledger.record_unusable()
         self.faults += 1
         self.answer(stream, FAILED, [why.encode()])
         return "" if self.faults <= MOST_FAULTS else "too much that cannot be used"
@@ -136,7 +129,7 @@
         self.socket_host.counters["turned out"] += 1
         for request in self.fresh:
             request.is_finished = True
-            self.socket_host.final(request, REFUSED, [], TURNED_OUT)
+            self.socket_host.final(request, REFUSED, [], EndReason.CONNECTION_EVICTED)
         for request in [*self.open.values()]:
             self.socket_host.gateway.on_deadline_near(request)
         self.answer(0, FAILED, [why.encode()])
@@ -172,7 +165,7 @@
     def depart(self) -> None:
         """The client has gone, with all that it waited for; found once, by whoever looks first."""
         for request in [*self.open.values()]:
-            self.socket_host.left(request, CLIENT_GONE)
+            self.socket_host.left(request, EndReason.CLIENT_GONE)
         self.open.clear()
 
     def idle(self) -> bool:
@@ -224,10 +217,10 @@
 
     def _not_read(self, order: ClientRequest | None) -> tuple[int, list[bytes]]:
         if order is not None:
-            order.reason = NOT_READ
+            order.reason = EndReason.ANSWER_NOT_READ
         return FAILED, []
 
-    def _gone(self, order: ClientRequest | None, reason: int = CLIENT_GONE) -> None:
+    def _gone(self, order: ClientRequest | None, reason: int = EndReason.CLIENT_GONE) -> None:
         """Its answer goes nowhere any more."""
         if order is not None:
             order.reason = reason
@@ -253,12 +246,12 @@
 
     def ended(self, why: str) -> None:
         self.socket_host.client_connections.pop(self, None)
-        self.socket_host.ledger.connection_over(CLIENT, self.link.got, self.link.sent)
+        self.socket_host.ledger.record_connection_closed(Side.CLIENT, self.link.got, self.link.sent)
         if self.socket_host.flows is not None:
             self.socket_host.flows.over(self.link)
         self._written()
         while self.unwritten:
-            self._gone(self.unwritten.popleft()[1], CUT_OFF)
+            self._gone(self.unwritten.popleft()[1], EndReason.ANSWER_CUT_OFF)
         while self.waiting:
             self._gone(self.waiting[0][4])
             self._drop()
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -8,7 +8,7 @@
 import re
 from typing import Any
 
-from corkgauge.accounting.counter_names import ENGINE
+from corkgauge.accounting.counter_names import Side
 from corkgauge.eventloop.connection import NEVER, StreamConnection, dial
 from corkgauge.eventloop.loop import BROKEN, GONE, SECOND
 from corkgauge.net.client_connection import ClientRequest
@@ -112,7 +112,7 @@
         self.past: dict[str, None] = {}  # done with, an answer or a copy of one may still come
         self.retired, self.pages = False, 0
         self.socket_host.links[self] = None
-        self.socket_host.ledger.connection_up(ENGINE)
+        self.socket_host.ledger.record_connection_opened(Side.ENGINE)
         self.alive, self.asked = 0, NEVER  # signs asked for; when, while none has come
         self.spoke = self.lively = (
             self.socket_host.now
@@ -126,7 +126,7 @@
         )
         if self.socket_host.flows is not None:
             zones, zone = self.socket_host.settings.zones, engine_pool.engine.zone
-            self.socket_host.flows.up(self.link, ENGINE, engine_pool.engine.name, str(zones[zone]))
+            self.socket_host.flows.up(self.link, Side.ENGINE, engine_pool.engine.name, str(zones[zone]))
 
     def room_for(self, order: ClientRequest) -> bool:
         # Danger: both hand-offs of a submission carry its id; a late answer to one would pass for the other.
@@ -246,7 +246,7 @@
         engine_pool = self.engine_pool
         engine_pool.links.remove(self)
         self.socket_host.links.pop(self, None)
-        self.socket_host.ledger.connection_over(ENGINE, self.link.got, self.link.sent, self.pages)
+        self.socket_host.ledger.record_connection_closed(Side.ENGINE, self.link.got, self.link.sent, self.pages)
         if self.socket_host.flows is not None:
             self.socket_host.flows.over(self.link)
         in_flight_attempts, self.open = [*self.open.values()], {}
@@ -283,7 +283,7 @@
     def __init__(self, socket_host: Any, engine: Engine, number: int = 0) -> None:
         self.socket_host, self.engine, self.address = socket_host, engine, ("", 0)
         self.number = number  # in the order in which the list named them
-        self.row = socket_host.ledger.engine(engine.name)  # its account
+        self.row = socket_host.ledger.engine_row(engine.name)  # its account
         self.links: list[EngineConnection] = []
         self.waiting: list[
             InFlightAttempt
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from corkgauge.accounting.auditor import LedgerAuditor
-from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of, sort_of
+from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of_end, sort_of_attempt
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
@@ -150,7 +150,7 @@
             del self.engine_pools[tag]
             for kept in self.closing, self.awaited, self.short:
                 kept.pop(engine_pool, None)
-            self.ledger.engine_gone(engine_pool.row)
+            self.ledger.record_engine_removed(engine_pool.row)
             if self.waits is not None:
                 self.waits.engine_gone(tag, DEPARTED_ROW)
 
@@ -198,7 +198,7 @@
             attempt, self.now + allow, engine_pool
         )
         others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
-        self.ledger.handed_off(in_flight_attempt, sort_of(attempt.number, others))
+        self.ledger.record_attempt_sent(in_flight_attempt, sort_of_attempt(attempt.number, others))
         request_class = attempt.request.request_class
         if self.recall is not None and (
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
@@ -271,7 +271,7 @@
             self.names.pop(order.name, None)
             self.ended.append(request)
             if reason < 0:
-                reason = reason_of(code, request, self.now, self.gateway.margin)
+                reason = reason_of_end(code, request, self.now, self.gateway.margin)
             order.reason = reason
             if self.waits is not None:
                 self.waits.answered(request.request_class.name, self.now - request.accepted_at)
@@ -283,7 +283,7 @@
     def answer_over(self, order: ClientRequest) -> None:
         """The last byte of its answer has left, or never will."""
         self.answering.pop(order, None)
-        self.ledger.closed(order, order.reason)
+        self.ledger.record_closed(order, order.reason)
 
     def forget(self) -> None:
         """Danger: a full collection of garbage stops all for over 100 ms. So there is none: what points to
@@ -298,7 +298,7 @@
     def left(self, request: Request | None, reason: int) -> None:
         """Its client waits no longer."""
         if request is not None:
-            self.ledger.closed(request.host_reference, reason)
+            self.ledger.record_closed(request.host_reference, reason)
             self.statements.give(request.host_reference.size)
             self.names.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.fresh:
@@ -320,7 +320,7 @@
 
     def miscounted(self, kind: str, row: Any, serial: int) -> None:
         """A count that was wrong as it was entered."""
-        self.findings.count(
+        self.findings.record_mistake(
             kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
         )
 
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -8,7 +8,7 @@
 
 
 class LiveRecords:
-    """The figures' second book; see `figures.auditor.Live` for what each method tells."""
+    """What the auditor compares; see `AuditedRecords` for what each method returns."""
 
     def __init__(self, socket_host: Any) -> None:
         self.socket_host = socket_host
@@ -19,10 +19,10 @@
     def answering_entries(self) -> list[Any]:
         return [*self.socket_host.answering]
 
-    def hands_out(self) -> list[Any]:
+    def attempts_in_flight(self) -> list[Any]:
         return [*self.socket_host.in_flight_attempts.values(), *self.socket_host.called.values()]
 
-    def out_of_step(self, hand: Any) -> str:
+    def attempt_mismatch(self, hand: Any) -> str:
         socket_host, attempt = self.socket_host, hand.attempt
         if attempt in socket_host.in_flight_attempts or attempt in socket_host.called:
             if not attempt.is_in_flight or attempt.outcome >= 0:
@@ -32,7 +32,7 @@
     def engines(self) -> list[Any]:
         return [*self.socket_host.engine_pools.values()]
 
-    def engine_out_of_step(self, engine_pool: Any) -> tuple[str, str]:
+    def engine_mismatch(self, engine_pool: Any) -> tuple[str, str]:
         """Danger: a slot that the gateway never gets back is lost for good, and nothing else shows it."""
         socket_host, engine = self.socket_host, engine_pool.engine
         lost = threads = 0
@@ -47,7 +47,7 @@
             return engine.name, f"{engine.threads_in_flight} threads counted, {threads} out"
         return engine.name, ""
 
-    def name_of(self, engine_pool: Any) -> str:
+    def engine_name(self, engine_pool: Any) -> str:
         return engine_pool.engine.name
 
     def connections(self) -> Sequence[tuple[int, int]]:
@@ -71,7 +71,7 @@
                 _add(sides[1], link.link, link.pages)
         return [(got, sent, pages) for got, sent, pages in sides]
 
-    def traces(self, serial: int) -> str:
+    def find_trace(self, serial: int) -> str:
         """Danger: a submission that its table lost is still owed its answer, and its stream knows it."""
         for client_connection in self.socket_host.client_connections:
             for stream, request in client_connection.open.items():
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.accounting.counter_names import CLIENT
+from corkgauge.accounting.counter_names import Side
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.connection import CROSSING, NEVER
 from corkgauge.eventloop.loop import SECOND, EventLoop
@@ -90,9 +90,9 @@
     def accepted(self, sock: Any) -> None:
         client_connection = ClientConnection(self, sock)
         self.client_connections[client_connection] = None
-        self.ledger.connection_up(CLIENT)
+        self.ledger.record_connection_opened(Side.CLIENT)
         if self.flows is not None:
-            self.flows.up(client_connection.link, CLIENT)
+            self.flows.up(client_connection.link, Side.CLIENT)
         self.event_loop.spawn(client_connection.link.run)
         if self.end != NEVER:
             client_connection.link.send(client_wire.leaving())
@@ -208,7 +208,7 @@
         ):
             self.counters["overfull"] += 1
             client_connection.faults += len(client_connection.open) >= MOST_OPEN
-            self.ledger.turned_away(self.rows[request_class])
+            self.ledger.record_rejected(self.rows[request_class])
             client_connection.answer(stream, REFUSED, [])
             return "" if client_connection.faults <= MOST_FAULTS else "too many open at once"
         life = min(int(life * 10), self.end - self.now)
@@ -228,7 +228,7 @@
         if self.recall is not None and label:
             self.recall.mark_known(request, label)
         client_connection.open[stream] = self.names[name] = request
-        self.ledger.taken(order)
+        self.ledger.record_accepted(order)
         if request_class.ordered and key:
             self.unadmitted.setdefault(key, deque()).append(request)
         client_connection.fresh.append(request)
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -29,16 +29,26 @@
 
 # Damage: which method of the ledger, how; and the kind that must be found, on what sort of row.
 ENTRIES = {
-    "taken skipped": ("taken", skipped, "never entered", "offering"),
-    "taken doubled": ("taken", doubled, "entered twice", "offering"),
-    "closed skipped": ("closed", skipped, "never closed", "offering"),
-    "closed doubled": ("closed", doubled, "closed twice", "offering"),
-    "handed off skipped": ("handed_off", skipped, "hand-off never entered", "engine"),
-    "handed off doubled": ("handed_off", doubled, "hand-off entered twice", "engine"),
-    "handoff over skipped": ("handoff_over", skipped, "hand-off never closed", "engine"),
-    "handoff over doubled": ("handoff_over", doubled, "hand-off closed twice", "engine"),
-    "connection up skipped": ("connection_up", skipped, "books differ", "client connections"),
-    "connection over doubled": ("connection_over", doubled, "books differ", "client connections"),
+    "taken skipped": ("record_accepted", skipped, "never entered", "offering"),
+    "taken doubled": ("record_accepted", doubled, "entered twice", "offering"),
+    "closed skipped": ("record_closed", skipped, "never closed", "offering"),
+    "closed doubled": ("record_closed", doubled, "closed twice", "offering"),
+    "handed off skipped": ("record_attempt_sent", skipped, "hand-off never entered", "engine"),
+    "handed off doubled": ("record_attempt_sent", doubled, "hand-off entered twice", "engine"),
+    "handoff over skipped": ("on_attempt_finished", skipped, "hand-off never closed", "engine"),
+    "handoff over doubled": ("on_attempt_finished", doubled, "hand-off closed twice", "engine"),
+    "connection up skipped": (
+        "record_connection_opened",
+        skipped,
+        "books differ",
+        "client connections",
+    ),
+    "connection over doubled": (
+        "record_connection_closed",
+        doubled,
+        "books differ",
+        "client connections",
+    ),
 }
 
 
@@ -65,7 +75,7 @@
         rows[1].open -= 1
         return rows[0].name
     if what == "swapped":  # cancels out even in its own row's count
-        rows[0].mark += 1
+        rows[0].open_serials += 1
         return rows[0].name
     if what == "term altered":
         rows[0].terms[1] += 1
@@ -109,7 +119,7 @@
     bad = how(method)
 
     def hurt(self, *args):
-        if time.time() < begun + AFTER or (name.startswith("connection") and args[0] != 0):
+        if time.time() < begun + AFTER or (name.startswith("record_connection") and args[0] != 0):
             return method(self, *args)
         setattr(RequestLedger, name, method)
         row = getattr(args[0], "engine_row", None) or getattr(args[0], "row", None)
@@ -135,7 +145,7 @@
             print(
                 f"damaged {time.time():.3f} {hurt_tables(self, what)}", file=sys.stderr, flush=True
             )
-            self.auditor.pass_whole()  # some of it is over before the next pass
+            self.auditor.run_whole_pass()  # some of it is over before the next pass
         self.event_loop.call_later(500, self.audit) if not ready else audit(self)
 
     PlatformFrontEnd.audit = hurt
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -638,14 +638,14 @@
     ledger = RequestLedger(["quick"], lambda: NOW)
     entry, attempt = Entry(), Entry()
     entry.row = ledger.request_classes["quick"]
-    attempt.order, attempt.engine_row = entry, ledger.engine("e1")
-    ledger.taken(entry)
-    ledger.handed_off(attempt, 0)
+    attempt.order, attempt.engine_row = entry, ledger.engine_row("e1")
+    ledger.record_accepted(entry)
+    ledger.record_attempt_sent(attempt, 0)
     ledger.on_attempt_finished(attempt, 0)
-    ledger.closed(entry, 0)
-    ledger.turned_away(ledger.request_classes["quick"])
-    ledger.connection_up(0)
-    ledger.connection_over(0, 100, 200, 3)
+    ledger.record_closed(entry, 0)
+    ledger.record_rejected(ledger.request_classes["quick"])
+    ledger.record_connection_opened(0)
+    ledger.record_connection_closed(0, 100, 200, 3)
     return ledger
 
 
@@ -942,9 +942,11 @@
     here.exchange.heard("n2", [1, 5, 1, 20, rows])
     here.exchange.period()
     here.exchange.opinions["e1"] = Opinion(2.5, True, "n2 n3")
-    here.socket_host.findings.see("taken", "quick", 1, "one more", [(NOW, "entered", 1)])
+    here.socket_host.findings.record_difference(
+        "taken", "quick", 1, "one more", [(NOW, "entered", 1)]
+    )
     take_request(here)
-    here.socket_host.ledger.connection_up(0)
+    here.socket_host.ledger.record_connection_opened(0)
 
 
 def take_request(here: Instance) -> None:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -44,27 +44,27 @@
         self.now, self.logged = 1000, []
         self.open, self.answering, self.out, self.elsewhere = [], [], [], set()
         self.findings = Discrepancies(lambda: self.now, self.logged.append)
-        self.ledger = RequestLedger(["a", "b"], lambda: self.now, guard=self.guard, **said)
+        self.ledger = RequestLedger(["a", "b"], lambda: self.now, on_mistake=self.guard, **said)
         self.rows = [self.ledger.request_classes["a"], self.ledger.request_classes["b"]]
-        self.engine_rows = [self.ledger.engine(f"e{n}") for n in range(2)]
+        self.engine_rows = [self.ledger.engine_row(f"e{n}") for n in range(2)]
         self.auditor = LedgerAuditor(self.ledger, self, self.findings, slice_)
 
     def guard(self, kind, row, serial):
-        self.findings.count(kind, row.name, f"serial {serial}")
+        self.findings.record_mistake(kind, row.name, f"serial {serial}")
 
     def take(self, row=0):
         record = Record(self.rows[row])
-        self.ledger.taken(record)
+        self.ledger.record_accepted(record)
         self.open.append(record)
         return record
 
-    def close(self, record, reason=terms.IN_TIME):
+    def close(self, record, reason=terms.EndReason.WITHIN_OBJECTIVE):
         self.open.remove(record)
-        self.ledger.closed(record, reason)
+        self.ledger.record_closed(record, reason)
 
-    def hand(self, record, engine=0, sort=terms.FIRST):
+    def hand(self, record, engine=0, sort=terms.AttemptSort.FIRST):
         hand = Record(None, self.engine_rows[engine], record)
-        self.ledger.handed_off(hand, sort)
+        self.ledger.record_attempt_sent(hand, sort)
         self.out.append(hand)
         return hand
 
@@ -73,8 +73,10 @@
         self.ledger.on_attempt_finished(hand, outcome)
 
     def kinds(self):
-        self.auditor.pass_whole()
-        return [(found.kind, found.row, found.difference) for found in self.findings.held.values()]
+        self.auditor.run_whole_pass()
+        return [
+            (found.kind, found.row, found.difference) for found in self.findings.by_place.values()
+        ]
 
     # What the auditor asks.
 
@@ -84,25 +86,25 @@
     def answering_entries(self):
         return [*self.answering]
 
-    def hands_out(self):
+    def attempts_in_flight(self):
         return [*self.out]
 
-    def out_of_step(self, hand):
+    def attempt_mismatch(self, hand):
         return ""
 
     def engines(self):
         return [*self.engine_rows]
 
-    def engine_out_of_step(self, row):
+    def engine_mismatch(self, row):
         return row.name, ""
 
-    def name_of(self, row):
+    def engine_name(self, row):
         return row.name
 
     def connections(self):
         return (0, 0), (0, 0)
 
-    def traces(self, serial):
+    def find_trace(self, serial):
         return "stream 1" if serial in self.elsewhere else ""
 
 
@@ -136,12 +138,12 @@
 def doubled_end(books):
     record = books.take()
     books.close(record)
-    books.ledger.closed(record, terms.IN_TIME)
+    books.ledger.record_closed(record, terms.EndReason.WITHIN_OBJECTIVE)
 
 
 def left_in_the_table(books):
     record = books.take()
-    books.ledger.closed(record, terms.IN_TIME)
+    books.ledger.record_closed(record, terms.EndReason.WITHIN_OBJECTIVE)
 
 
 def lost_from_the_table(books):
@@ -157,7 +159,7 @@
 @pytest.mark.parametrize(
     "meddle, found",
     [
-        (lambda books: books.ledger.taken(books.open[0]), ("entered twice", "a", 1)),
+        (lambda books: books.ledger.record_accepted(books.open[0]), ("entered twice", "a", 1)),
         (lambda books: books.open.append(Record(books.rows[1])), ("never entered", "b", -1)),
         (lambda books: books.open.pop(), ("never closed", "a", 1)),
         (doubled_end, ("closed twice", "a", -1)),
@@ -170,7 +172,7 @@
             ("hand-off closed twice", "e0", -1),
         ),
         (
-            lambda books: books.ledger.handed_off(books.out[0], 0),
+            lambda books: books.ledger.record_attempt_sent(books.out[0], 0),
             ("hand-off entered twice", "e0", 1),
         ),
         (
@@ -180,8 +182,11 @@
         (lambda books: books.rows[0].terms.__setitem__(2, 5), ("terms differ", "a", 5)),
         (lambda books: books.engine_rows[0].outcomes.__setitem__(3, 1), ("terms differ", "e0", -1)),
         (lambda books: books.rows[1].sorts.__setitem__(1, 2), ("books differ", "further", 2)),
-        (lambda books: books.ledger.connection_up(0), ("books differ", "client connections", 1)),
-        (lambda books: books.ledger.engine("e9"), ("engine out of step", "e9", 1)),
+        (
+            lambda books: books.ledger.record_connection_opened(0),
+            ("books differ", "client connections", 1),
+        ),
+        (lambda books: books.ledger.engine_row("e9"), ("engine out of step", "e9", 1)),
     ],
 )
 def test_an_imbalance_is_named_with_its_place(meddle, found):
@@ -208,34 +213,34 @@
 def test_damage_everywhere_is_bounded():
     books = Books()
     for n in range(2000):
-        books.findings.see("count altered", f"r{n}", 1)
-    assert len(books.findings.held) == 256 and books.findings.untold == 1744
+        books.findings.record_difference("count altered", f"r{n}", 1)
+    assert len(books.findings.by_place) == 256 and books.findings.omitted == 1744
 
 
 def test_the_budget_is_counted_from_what_was_taken():
     books = Books(budget=(1.0, 0.1, SECOND))
     requests = [books.take() for _ in range(10)]
     for _ in range(2):
-        books.hand(requests[0], sort=terms.FURTHER)
+        books.hand(requests[0], sort=terms.AttemptSort.RETRY)
     assert books.kinds() == []
-    books.hand(requests[1], sort=terms.COPY)
+    books.hand(requests[1], sort=terms.AttemptSort.HEDGE)
     assert ("over budget", "e0", 1) in books.kinds()
     books.now += 2 * SECOND
     books.findings.clear()
-    books.hand(requests[2], sort=terms.FURTHER)
+    books.hand(requests[2], sort=terms.AttemptSort.RETRY)
     assert books.kinds() == []
 
 
 def test_engines_that_left_fold_into_one_row():
     books = Books()
     for n in range(300):
-        row = books.ledger.engine(f"x{n}")
+        row = books.ledger.engine_row(f"x{n}")
         hand = Record(None, row, books.take())
-        books.ledger.handed_off(hand, 0)
-        books.ledger.engine_gone(row)  # with a hand-off out
-        again = books.ledger.engine(f"x{n}")
+        books.ledger.record_attempt_sent(hand, 0)
+        books.ledger.record_engine_removed(row)  # with a hand-off out
+        again = books.ledger.engine_row(f"x{n}")
         assert again is not row  # its id came back: another's account
-        books.ledger.engine_gone(again)
+        books.ledger.record_engine_removed(again)
         books.ledger.on_attempt_finished(hand, n % 8)
     assert len(books.ledger.engine_rows()) == 3 and sum(books.ledger.departed.outcomes) == 300
     assert books.kinds() == []
@@ -246,9 +251,9 @@
 
 def balanced(premises):
     socket_host = premises.socket_host
-    socket_host.auditor.pass_whole()
-    assert not socket_host.findings.held, [
-        found.line() for found in socket_host.findings.held.values()
+    socket_host.auditor.run_whole_pass()
+    assert not socket_host.findings.by_place, [
+        found.log_line() for found in socket_host.findings.by_place.values()
     ]
     cut = cut_of(socket_host.ledger, socket_host.now, "n", {"id": "x"})
     assert differences(cut) == []
@@ -359,8 +364,8 @@
     premises.engine()
     premises.ask(client, request_frame(1))
     premises.socket_host.engine_pools["e1"].engine.threads_in_flight += 1
-    premises.socket_host.auditor.pass_whole()
-    assert [*premises.socket_host.findings.held] == [("engine out of step", "e1")]
+    premises.socket_host.auditor.run_whole_pass()
+    assert [*premises.socket_host.findings.by_place] == [("engine out of step", "e1")]
 
 
 # Cuts.
@@ -496,7 +501,7 @@
 def test_more_engines_than_fit_are_kept_in_one_row(tmp_path):
     books = Books()
     for n in range(12_000):
-        books.ledger.engine(f"engine-{n:05d}").outcomes[1] = 10**9
+        books.ledger.engine_row(f"engine-{n:05d}").outcomes[1] = 10**9
     kept, logged = shelf(tmp_path)
     for _ in range(3):
         kept.put(cut_of(books.ledger, 7, "n1", {"id": "x"}))
@@ -563,10 +568,10 @@
         {line.split()[2] for line in text.splitlines() if line.startswith("# TYPE")}
     )
     premises.socket_host.ledger.request_classes["quick"].terms[0] += 1
-    premises.socket_host.auditor.pass_whole()
+    premises.socket_host.auditor.run_whole_pass()
     assert b'"kind": "terms differ"' in asked(premises, path, get("/findings"))
     assert b'{"cleared": 1}' in asked(premises, path, get("/clear", "POST"))
-    assert not premises.socket_host.findings.held
+    assert not premises.socket_host.findings.by_place
 
 
 def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -746,9 +746,9 @@
 
     def balanced(self):
         socket_host = self.premises.socket_host
-        socket_host.auditor.pass_whole()
-        assert not socket_host.findings.held, [
-            each.line() for each in socket_host.findings.held.values()
+        socket_host.auditor.run_whole_pass()
+        assert not socket_host.findings.by_place, [
+            each.log_line() for each in socket_host.findings.by_place.values()
         ]
 
     def told(self, n=0):
@@ -952,8 +952,8 @@
     site = Site(tmp_path)
     site.serve(1)
     site.exporter.meter.octets -= 1
-    site.premises.socket_host.auditor.pass_whole()
-    assert ("books differ", "flows measured") in site.premises.socket_host.findings.held
+    site.premises.socket_host.auditor.run_whole_pass()
+    assert ("books differ", "flows measured") in site.premises.socket_host.findings.by_place
 
 
 # TLS.
