--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -71,7 +71,7 @@
         while left and len(running) < 5:
             what = left.pop()
             running[what] = subprocess.Popen(
-                [sys.executable, f"{HERE}/damaged.py", "play", what],
+                [sys.executable, f"{HERE}/corrupted_files.py", "play", what],
                 stdout=subprocess.PIPE,
                 text=True,
                 preexec_fn=tied(os.getpid()),
