--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -24,14 +24,14 @@
 
 from corkgauge.accounting import counter_names  # noqa: E402
 from corkgauge.accounting.auditor import SLICE_RECORDS  # noqa: E402
-from tests.test_figures import Books, Record  # noqa: E402
+from tests.test_figures import AuditedLedger, Record  # noqa: E402
 
 
 def books(open_, engines):
-    made = Books(SLICE_RECORDS)
+    made = AuditedLedger(SLICE_RECORDS)
     made.engine_rows = [made.ledger.engine_row(f"e{n}") for n in range(engines)]
     for n in range(open_):
-        made.hand(made.take(n % 2), n % engines)
+        made.send(made.accept(n % 2), n % engines)
     return made
 
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""The figures: both books, what a difference is called, the kept file, the door, the operator file."""
+"""Accounting: ledger, auditor, snapshots, checkpoint file, HTTP listener, operator file."""
 
 import json
 import os
@@ -33,18 +33,25 @@
 
 
 class Record:
-    """A submission, or a hand-off of one, without anything else."""
+    """A request, or an attempt of one, without anything else."""
 
     def __init__(self, row, engine_row=None, order=None):
-        self.row, self.engine_row, self.order, self.serial = row, engine_row, order, 0
+        self.row = row
+        self.engine_row = engine_row
+        self.order = order
+        self.serial = 0
 
 
-class Books:
+class AuditedLedger:
     """A ledger beside records that do what they should, unless a test meddles."""
 
     def __init__(self, slice_=3, **said):
-        self.now, self.logged = 1000, []
-        self.open, self.answering, self.out, self.elsewhere = [], [], [], set()
+        self.now = 1000
+        self.logged = []
+        self.open = []
+        self.answering = []
+        self.in_flight = []
+        self.elsewhere = set()
         self.discrepancies = Discrepancies(lambda: self.now, self.logged.append)
         self.ledger = RequestLedger(["a", "b"], lambda: self.now, on_mistake=self.guard, **said)
         self.rows = [self.ledger.request_classes["a"], self.ledger.request_classes["b"]]
@@ -54,7 +61,7 @@
     def guard(self, kind, row, serial):
         self.discrepancies.record_mistake(kind, row.name, f"serial {serial}")
 
-    def take(self, row=0):
+    def accept(self, row=0):
         record = Record(self.rows[row])
         self.ledger.record_accepted(record)
         self.open.append(record)
@@ -64,17 +71,18 @@
         self.open.remove(record)
         self.ledger.record_closed(record, reason)
 
-    def hand(self, record, engine=0, sort=counter_names.AttemptSort.FIRST):
-        hand = Record(None, self.engine_rows[engine], record)
-        self.ledger.record_attempt_sent(hand, sort)
-        self.out.append(hand)
-        return hand
+    def send(self, record, engine=0, sort=counter_names.AttemptSort.FIRST):
+        attempt = Record(None, self.engine_rows[engine], record)
+        self.ledger.record_attempt_sent(attempt, sort)
+        self.in_flight.append(attempt)
+        return attempt
 
-    def over(self, hand, outcome=1):
-        self.out.remove(hand)
-        self.ledger.on_attempt_finished(hand, outcome)
+    def finish(self, attempt, outcome=1):
+        self.in_flight.remove(attempt)
+        self.ledger.on_attempt_finished(attempt, outcome)
 
-    def kinds(self):
+    def run_pass(self):
+        """Run a whole pass; return kind, row and difference of all that was found."""
         self.auditor.run_whole_pass()
         return [
             (found.kind, found.row, found.difference)
@@ -90,9 +98,9 @@
         return [*self.answering]
 
     def attempts_in_flight(self):
-        return [*self.out]
+        return [*self.in_flight]
 
-    def attempt_mismatch(self, hand):
+    def attempt_mismatch(self, attempt):
         return ""
 
     def engines(self):
@@ -119,136 +127,152 @@
     strategies.integers(1, 7),
 )
 def test_a_pass_in_slices_is_right_whatever_happens_between_them(steps, slice_):
-    books = Books(slice_)
+    accounts = AuditedLedger(slice_)
     for what, which in steps:
-        books.now += 1
+        accounts.now += 1
         if what == 0:
-            books.take(which % 2)
-        elif what == 1 and books.open:
-            books.close(books.open[which % len(books.open)], which % len(counter_names.REASONS))
-        elif what == 2 and books.open:
-            books.hand(books.open[which % len(books.open)], which % 2, which % 3)
-        elif what == 3 and books.out:
-            books.over(books.out[which % len(books.out)], which % 8)
+            accounts.accept(which % 2)
+        elif what == 1 and accounts.open:
+            accounts.close(
+                accounts.open[which % len(accounts.open)], which % len(counter_names.REASONS)
+            )
+        elif what == 2 and accounts.open:
+            accounts.send(accounts.open[which % len(accounts.open)], which % 2, which % 3)
+        elif what == 3 and accounts.in_flight:
+            accounts.finish(accounts.in_flight[which % len(accounts.in_flight)], which % 8)
         else:
-            books.auditor.step()
-    while not books.auditor.step():
+            accounts.auditor.step()
+    while not accounts.auditor.step():
         pass
-    assert books.kinds() == [] and books.logged == []
-    assert find_imbalances(take_snapshot(books.ledger, books.now, "n", {"id": "x"})) == []
+    assert accounts.run_pass() == [] and accounts.logged == []
+    assert find_imbalances(take_snapshot(accounts.ledger, accounts.now, "n", {"id": "x"})) == []
 
 
-def doubled_end(books):
-    record = books.take()
-    books.close(record)
-    books.ledger.record_closed(record, counter_names.EndReason.WITHIN_OBJECTIVE)
+def doubled_end(accounts):
+    record = accounts.accept()
+    accounts.close(record)
+    accounts.ledger.record_closed(record, counter_names.EndReason.WITHIN_OBJECTIVE)
 
 
-def left_in_the_table(books):
-    record = books.take()
-    books.ledger.record_closed(record, counter_names.EndReason.WITHIN_OBJECTIVE)
+def left_in_the_table(accounts):
+    record = accounts.accept()
+    accounts.ledger.record_closed(record, counter_names.EndReason.WITHIN_OBJECTIVE)
 
 
-def lost_from_the_table(books):
-    books.elsewhere.add(books.open.pop().serial)
+def lost_from_the_table(accounts):
+    accounts.elsewhere.add(accounts.open.pop().serial)
 
 
-def swapped(books):
-    books.take()  # entered, and its record lost
-    books.open.pop()
-    books.open.append(Record(books.rows[0]))  # a record that was never entered
+def swapped(accounts):
+    accounts.accept()  # entered, and its record lost
+    accounts.open.pop()
+    accounts.open.append(Record(accounts.rows[0]))  # a record that was never entered
 
 
 @pytest.mark.parametrize(
     "meddle, found",
     [
-        (lambda books: books.ledger.record_accepted(books.open[0]), ("entered twice", "a", 1)),
-        (lambda books: books.open.append(Record(books.rows[1])), ("never entered", "b", -1)),
-        (lambda books: books.open.pop(), ("never closed", "a", 1)),
+        (
+            lambda accounts: accounts.ledger.record_accepted(accounts.open[0]),
+            ("entered twice", "a", 1),
+        ),
+        (
+            lambda accounts: accounts.open.append(Record(accounts.rows[1])),
+            ("never entered", "b", -1),
+        ),
+        (lambda accounts: accounts.open.pop(), ("never closed", "a", 1)),
         (doubled_end, ("closed twice", "a", -1)),
         (left_in_the_table, ("closed twice", "a", -1)),
         (lost_from_the_table, ("lost from the table", "a", 1)),
         (swapped, ("count altered", "a", 0)),
-        (lambda books: books.out.pop(), ("hand-off never closed", "e0", 1)),
+        (lambda accounts: accounts.in_flight.pop(), ("hand-off never closed", "e0", 1)),
         (
-            lambda books: books.ledger.on_attempt_finished(books.out[0], 1),
+            lambda accounts: accounts.ledger.on_attempt_finished(accounts.in_flight[0], 1),
             ("hand-off closed twice", "e0", -1),
         ),
         (
-            lambda books: books.ledger.record_attempt_sent(books.out[0], 0),
+            lambda accounts: accounts.ledger.record_attempt_sent(accounts.in_flight[0], 0),
             ("hand-off entered twice", "e0", 1),
         ),
         (
-            lambda books: books.out.append(Record(None, books.engine_rows[1], books.open[0])),
+            lambda accounts: accounts.in_flight.append(
+                Record(None, accounts.engine_rows[1], accounts.open[0])
+            ),
             ("hand-off never entered", "e1", -1),
         ),
-        (lambda books: books.rows[0].terms.__setitem__(2, 5), ("terms differ", "a", 5)),
-        (lambda books: books.engine_rows[0].outcomes.__setitem__(3, 1), ("terms differ", "e0", -1)),
-        (lambda books: books.rows[1].sorts.__setitem__(1, 2), ("books differ", "further", 2)),
+        (lambda accounts: accounts.rows[0].terms.__setitem__(2, 5), ("terms differ", "a", 5)),
         (
-            lambda books: books.ledger.record_connection_opened(0),
+            lambda accounts: accounts.engine_rows[0].outcomes.__setitem__(3, 1),
+            ("terms differ", "e0", -1),
+        ),
+        (lambda accounts: accounts.rows[1].sorts.__setitem__(1, 2), ("books differ", "further", 2)),
+        (
+            lambda accounts: accounts.ledger.record_connection_opened(0),
             ("books differ", "client connections", 1),
         ),
-        (lambda books: books.ledger.engine_row("e9"), ("engine out of step", "e9", 1)),
+        (lambda accounts: accounts.ledger.engine_row("e9"), ("engine out of step", "e9", 1)),
     ],
 )
 def test_an_imbalance_is_named_with_its_place(meddle, found):
-    books = Books()
-    books.hand(books.take())
-    books.take(0)
-    assert books.kinds() == []
-    meddle(books)
-    assert found in books.kinds() and found[1] in books.logged[0]
+    accounts = AuditedLedger()
+    accounts.send(accounts.accept())
+    accounts.accept(0)
+    assert accounts.run_pass() == []
+    meddle(accounts)
+    assert found in accounts.run_pass() and found[1] in accounts.logged[0]
 
 
 def test_a_finding_is_told_once_a_change_and_stays_until_it_is_cleared():
-    books = Books()
-    books.rows[0].open += 1
+    accounts = AuditedLedger()
+    accounts.rows[0].open += 1
     for _ in range(5):
-        books.kinds()
-    assert len(books.logged) == 2  # that a count is altered, and that its row's terms differ
-    books.rows[0].open -= 1
-    assert len(books.kinds()) == 2 and books.discrepancies.alarm  # right again, and still held
+        accounts.run_pass()
+    assert len(accounts.logged) == 2  # that a count is altered, and that its row's terms differ
+    accounts.rows[0].open -= 1
+    # right again, and still held
+    assert len(accounts.run_pass()) == 2 and accounts.discrepancies.alarm
     assert (
-        books.discrepancies.clear() == 2 and books.kinds() == [] and not books.discrepancies.alarm
+        accounts.discrepancies.clear() == 2
+        and accounts.run_pass() == []
+        and not accounts.discrepancies.alarm
     )
-    assert books.ledger.last_events(books.rows[0]) == []
+    assert accounts.ledger.last_events(accounts.rows[0]) == []
 
 
 def test_damage_everywhere_is_bounded():
-    books = Books()
+    accounts = AuditedLedger()
     for n in range(2000):
-        books.discrepancies.record_difference("count altered", f"r{n}", 1)
-    assert len(books.discrepancies.by_place) == 256 and books.discrepancies.omitted == 1744
+        accounts.discrepancies.record_difference("count altered", f"r{n}", 1)
+    assert len(accounts.discrepancies.by_place) == 256 and accounts.discrepancies.omitted == 1744
 
 
 def test_the_budget_is_counted_from_what_was_taken():
-    books = Books(budget=(1.0, 0.1, SECOND))
-    requests = [books.take() for _ in range(10)]
+    accounts = AuditedLedger(budget=(1.0, 0.1, SECOND))
+    requests = [accounts.accept() for _ in range(10)]
     for _ in range(2):
-        books.hand(requests[0], sort=counter_names.AttemptSort.RETRY)
-    assert books.kinds() == []
-    books.hand(requests[1], sort=counter_names.AttemptSort.HEDGE)
-    assert ("over budget", "e0", 1) in books.kinds()
-    books.now += 2 * SECOND
-    books.discrepancies.clear()
-    books.hand(requests[2], sort=counter_names.AttemptSort.RETRY)
-    assert books.kinds() == []
+        accounts.send(requests[0], sort=counter_names.AttemptSort.RETRY)
+    assert accounts.run_pass() == []
+    accounts.send(requests[1], sort=counter_names.AttemptSort.HEDGE)
+    assert ("over budget", "e0", 1) in accounts.run_pass()
+    accounts.now += 2 * SECOND
+    accounts.discrepancies.clear()
+    accounts.send(requests[2], sort=counter_names.AttemptSort.RETRY)
+    assert accounts.run_pass() == []
 
 
 def test_engines_that_left_fold_into_one_row():
-    books = Books()
+    accounts = AuditedLedger()
     for n in range(300):
-        row = books.ledger.engine_row(f"x{n}")
-        hand = Record(None, row, books.take())
-        books.ledger.record_attempt_sent(hand, 0)
-        books.ledger.record_engine_removed(row)  # with a hand-off out
-        again = books.ledger.engine_row(f"x{n}")
+        row = accounts.ledger.engine_row(f"x{n}")
+        attempt = Record(None, row, accounts.accept())
+        accounts.ledger.record_attempt_sent(attempt, 0)
+        accounts.ledger.record_engine_removed(row)  # with an attempt in flight
+        again = accounts.ledger.engine_row(f"x{n}")
         assert again is not row  # its id came back: another's account
-        books.ledger.record_engine_removed(again)
-        books.ledger.on_attempt_finished(hand, n % 8)
-    assert len(books.ledger.engine_rows()) == 3 and sum(books.ledger.departed.outcomes) == 300
-    assert books.kinds() == []
+        accounts.ledger.record_engine_removed(again)
+        accounts.ledger.on_attempt_finished(attempt, n % 8)
+    assert len(accounts.ledger.engine_rows()) == 3 and sum(accounts.ledger.departed.outcomes) == 300
+    assert accounts.run_pass() == []
 
 
 # The program's own records, on a fake clock.
@@ -373,13 +397,13 @@
     assert [*premises.socket_host.discrepancies.by_place] == [("engine out of step", "e1")]
 
 
-# Cuts.
+# Snapshots.
 
 
-def cut(**request_class):
-    books = Books()
-    books.close(books.take())
-    said = take_snapshot(books.ledger, 5, "n1", {"id": "x", "started": 1})
+def one_snapshot(**request_class):
+    accounts = AuditedLedger()
+    accounts.close(accounts.accept())
+    said = take_snapshot(accounts.ledger, 5, "n1", {"id": "x", "started": 1})
     said["offerings"]["a"].update(request_class)
     return said
 
@@ -388,8 +412,8 @@
     "after, wrong", [({}, 0), ({"taken": 0}, 1), ({"served": 0, "taken": 0}, 2)]
 )
 def test_counts_that_shrink_within_an_epoch(after, wrong):
-    assert len(find_decreases(cut(), cut(**after))) == wrong
-    assert find_decreases(cut(), {**cut(**after), "epoch": {"id": "y"}}) == []
+    assert len(find_decreases(one_snapshot(), one_snapshot(**after))) == wrong
+    assert find_decreases(one_snapshot(), {**one_snapshot(**after), "epoch": {"id": "y"}}) == []
 
 
 def test_several_gateways_add_up_their_sketches_too():
@@ -399,7 +423,7 @@
         for span in range(n + 1, 3000, 3):
             sketches.record_answered("a", span * 10)
         sketches.merge_engine("never", "(departed)")
-        cuts.append({**cut(), "gateway": f"n{n}", "waits": sketches.fields()})
+        cuts.append({**one_snapshot(), "gateway": f"n{n}", "waits": sketches.fields()})
     both = merge_snapshots(cuts)
     assert both["offerings"]["a"]["served"] == 3 and find_imbalances(both) == []
     assert abs(quantile(both["waits"][0], 0.99) - 2.97) < 0.07 and both["waits"][0]["count"] == 2999
@@ -407,9 +431,12 @@
 
 def test_the_commands_tell_what_is_wrong(tmp_path):
     good, bad = tmp_path / "good.json", tmp_path / "bad.jsonl"
-    good.write_text(json.dumps(as_plain(cut())))
+    good.write_text(json.dumps(as_plain(one_snapshot())))
     bad.write_text(
-        "\n".join(json.dumps(as_plain(each)) for each in (cut(), cut(served=0), cut(taken=0)))
+        "\n".join(
+            json.dumps(as_plain(each))
+            for each in (one_snapshot(), one_snapshot(served=0), one_snapshot(taken=0))
+        )
     )
     run = CliRunner().invoke
     for command in "figures", "audit":
@@ -423,28 +450,28 @@
     assert run(group, ["figures", "/nowhere.sock"]).exit_code == 2
 
 
-# What is kept.
+# The checkpoint file.
 
 
-def shelf(folder, gateway="n1"):
+def checkpoint_file_in(folder, gateway="n1"):
     logged = []
     return CheckpointFile(str(folder), gateway, logged.append), logged
 
 
 def test_the_next_start_closes_the_epoch_before(tmp_path):
-    books = Books()
-    books.close(books.take())
-    books.take()
-    first, logged = shelf(tmp_path)
+    accounts = AuditedLedger()
+    accounts.close(accounts.accept())
+    accounts.accept()
+    first, logged = checkpoint_file_in(tmp_path)
     for now in range(5):
-        first.write(take_snapshot(books.ledger, now, "n1", {"id": f"x{now}"}))
-    second, said = shelf(tmp_path)
+        first.write(take_snapshot(accounts.ledger, now, "n1", {"id": f"x{now}"}))
+    second, said = checkpoint_file_in(tmp_path)
     assert "in use by another" in said[0] and second.mapping is None  # two programs in one folder
-    second.write(cut())
+    second.write(one_snapshot())
     first.close()  # as a kill does
-    third, said = shelf(tmp_path)
+    third, said = checkpoint_file_in(tmp_path)
     assert said == ["figures: epoch x4 closed, taken=2 cut_off=1"]
-    third.write(cut())
+    third.write(one_snapshot())
     third.close()
     kept = read_checkpoint_file(third.path)
     assert kept["cut"]["gateway"] == "n1" and kept["earlier"][0]["offerings"]["a"]["cut_off"] == 1
@@ -452,7 +479,8 @@
 
 def test_a_slot_torn_at_any_place_leaves_the_other(tmp_path):
     old, new = (
-        checkpoint.encode_slot(n, {"cut": as_plain(cut()), "earlier": [], "n": n}) for n in (4, 5)
+        checkpoint.encode_slot(n, {"cut": as_plain(one_snapshot()), "earlier": [], "n": n})
+        for n in (4, 5)
     )
     assert checkpoint.latest_slot(old.ljust(checkpoint.SLOT_BYTES, b"\0") + new)[1]["n"] == 5
     for at in range(len(new)):
@@ -478,9 +506,9 @@
 )
 def test_files_that_are_no_use_are_told_and_left(tmp_path, data, why):
     (tmp_path / "n1.figures").write_bytes(data)
-    kept, logged = shelf(tmp_path)
+    kept, logged = checkpoint_file_in(tmp_path)
     assert len(logged) == 1 and why in logged[0] and "a fresh epoch" in logged[0]
-    kept.write(cut())
+    kept.write(one_snapshot())
     kept.close()
     assert read_checkpoint_file(kept.path)["cut"]["at"] == 5
 
@@ -492,26 +520,26 @@
 
 def test_a_folder_that_is_full_or_no_folder(tmp_path, monkeypatch):
     (tmp_path / "file").write_text("")
-    none, logged = shelf(tmp_path / "file" / "folder")
-    none.write(cut())
+    none, logged = checkpoint_file_in(tmp_path / "file" / "folder")
+    none.write(one_snapshot())
     assert none.mapping is None and "Not a directory" in logged[0]
 
     def full(*_):
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(os, "posix_fallocate", full)
-    none, logged = shelf(tmp_path / "full")
-    none.write(cut())
+    none, logged = checkpoint_file_in(tmp_path / "full")
+    none.write(one_snapshot())
     assert none.mapping is None and "No space left" in logged[0]
 
 
 def test_more_engines_than_fit_are_kept_in_one_row(tmp_path):
-    books = Books()
+    accounts = AuditedLedger()
     for n in range(12_000):
-        books.ledger.engine_row(f"engine-{n:05d}").outcomes[1] = 10**9
-    kept, logged = shelf(tmp_path)
+        accounts.ledger.engine_row(f"engine-{n:05d}").outcomes[1] = 10**9
+    kept, logged = checkpoint_file_in(tmp_path)
     for _ in range(3):
-        kept.write(take_snapshot(books.ledger, 7, "n1", {"id": "x"}))
+        kept.write(take_snapshot(accounts.ledger, 7, "n1", {"id": "x"}))
     kept.close()
     assert len(logged) == 1 and "engines are kept in one row" in logged[0]
     assert (
@@ -520,10 +548,10 @@
     )
 
 
-# The door.
+# The HTTP listener.
 
 
-def door(premises, path, said="", most=2):
+def accounting_service(premises, path, said="", most=2):
     operator = path.parent / "operator.xml"
     operator.write_text(
         f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
@@ -555,7 +583,7 @@
 def test_figures_are_told_in_both_forms(tmp_path):
     premises = HostHarness()
     path = tmp_path / "sock"
-    service = door(premises, path, "<waits/>")
+    service = accounting_service(premises, path, "<waits/>")
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request_frame(1))
     premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
@@ -589,7 +617,7 @@
         events=[listing(1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(900)))]
     )
     path = tmp_path / "sock"
-    service = door(premises, path)
+    service = accounting_service(premises, path)
     idle = [socket.socket(socket.AF_UNIX) for _ in range(4)]
     for sock in idle:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
@@ -611,10 +639,10 @@
     dead = socket.socket(socket.AF_UNIX)
     dead.bind(str(first))
     dead.close()
-    service = door(premises, first)
+    service = accounting_service(premises, first)
     (tmp_path / "file").write_text("kept")
     with pytest.raises(ConfigurationError):
-        door(premises, tmp_path / "file")
+        accounting_service(premises, tmp_path / "file")
     with pytest.raises(OSError):
         HttpListener(
             premises.event_loop, str(first), 1, dict, int, print, {}
@@ -694,13 +722,13 @@
 
 
 def test_every_line_of_a_finding_has_its_event():
-    books = Books()
-    books.open.append(Record(books.rows[0]))
-    books.rows[1].terms[0] += 1
-    books.kinds()
-    books.discrepancies.clear()
-    assert [event_of(line)[0] for line in books.logged] == [
+    accounts = AuditedLedger()
+    accounts.open.append(Record(accounts.rows[0]))
+    accounts.rows[1].terms[0] += 1
+    accounts.run_pass()
+    accounts.discrepancies.clear()
+    assert [event_of(line)[0] for line in accounts.logged] == [
         *["figures_finding"] * 2,
         "figures_cleared",
     ]
-    assert event_of(books.logged[0])[1]["kind"] == "never entered"
+    assert event_of(accounts.logged[0])[1]["kind"] == "never entered"
