--- a/corkgauge/commands/shared_options.py
+++ b/corkgauge/commands/shared_options.py
@@ -27,9 +27,9 @@
 
     `where` is a Unix socket or ADDRESS:PORT. Raises `InputError` where nothing sensible comes.
     """
-    from corkgauge.accounting.client import ask
+    from corkgauge.accounting.client import request_json
 
     try:
-        return ask(where, path, "GET" if body is None else "POST", body=body)
+        return request_json(where, path, "GET" if body is None else "POST", body=body)
     except (OSError, ValueError) as problem:
         raise InputError(f"{where}: {getattr(problem, 'strerror', None) or problem}") from None
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -10,7 +10,7 @@
 import re
 from typing import TYPE_CHECKING, Any
 
-from corkgauge.accounting.counter_names import ENGINE
+from corkgauge.accounting.counter_names import Side
 from corkgauge.eventloop.connection import NEVER, StreamConnection
 from corkgauge.net.client_connection import ClientRequest
 from corkgauge.net.engine_protocol import EngineProtocol, command
@@ -45,7 +45,7 @@
         self.retired = False  # takes nothing new, and ends with the last that is open
         self.pages = 0
         self.socket_host.links[self] = None
-        self.socket_host.ledger.connection_up(ENGINE)
+        self.socket_host.ledger.record_connection_opened(Side.ENGINE)
         self.alive = 0  # signs of life asked for
         self.asked = NEVER  # when, while none has come
         self.spoke = self.socket_host.now  # its last answer
@@ -60,7 +60,7 @@
         if self.socket_host.flows is not None:
             engine = engine_pool.engine
             zone = str(self.socket_host.settings.zones[engine.zone])
-            self.socket_host.flows.up(self.link, ENGINE, engine.name, zone)
+            self.socket_host.flows.up(self.link, Side.ENGINE, engine.name, zone)
 
     def room_for(self, order: ClientRequest) -> bool:
         """Tell whether an attempt of this request may go here.
@@ -205,7 +205,9 @@
         engine_pool = self.engine_pool
         engine_pool.links.remove(self)
         self.socket_host.links.pop(self, None)
-        self.socket_host.ledger.connection_over(ENGINE, self.link.got, self.link.sent, self.pages)
+        self.socket_host.ledger.record_connection_closed(
+            Side.ENGINE, self.link.got, self.link.sent, self.pages
+        )
         if self.socket_host.flows is not None:
             self.socket_host.flows.over(self.link)
         in_flight_attempts, self.open = [*self.open.values()], {}
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -42,7 +42,7 @@
         self.engine = engine
         self.address = ("", 0)
         self.number = number  # in the order in which the list named them
-        self.row = socket_host.ledger.engine(engine.name)  # its row in the ledger
+        self.row = socket_host.ledger.engine_row(engine.name)  # its row in the ledger
         self.links: list[EngineConnection] = []
         # A list: a deque takes 760 bytes, also where nothing is ever sent.
         self.waiting: list[InFlightAttempt] = []
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from corkgauge.accounting.auditor import LedgerAuditor
-from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of, sort_of
+from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of_end, sort_of_attempt
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
@@ -108,7 +108,7 @@
         self.most_memory = max(self.settings.sizes, default=1e6)
         self.patience = UNTOLD * self.settings.tells
         self.request_classes = {each.name: each for each in self.settings.request_classes}
-        self.findings = Discrepancies(lambda: event_loop.now, log)
+        self.discrepancies = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
             self.request_classes, lambda: event_loop.now, self.settings.budget, self.miscounted
         )
@@ -123,12 +123,14 @@
         self.works: Any = None  # which engines are set aside for work, likewise
         # What the figures' door answers for other subsystems, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
-        self.waits: Any = None  # sketches of what took how long, where an operator file wants them
+        self.latency_sketches: Any = (
+            None  # sketches of what took how long, where an operator file wants them
+        )
         self.called: dict[
             Attempt, InFlightAttempt
         ] = {}  # called off, and the gateway has yet to hear of it
         self.records = LiveRecords(self)
-        self.auditor = LedgerAuditor(self.ledger, self.records, self.findings)
+        self.auditor = LedgerAuditor(self.ledger, self.records, self.discrepancies)
         self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
         self.last_event = platform_config.known
         for event in platform_config.events:
@@ -146,9 +148,9 @@
             del self.engine_pools[tag]
             for kept in self.closing, self.awaited, self.short:
                 kept.pop(engine_pool, None)
-            self.ledger.engine_gone(engine_pool.row)
-            if self.waits is not None:
-                self.waits.engine_gone(tag, DEPARTED_ROW)
+            self.ledger.record_engine_removed(engine_pool.row)
+            if self.latency_sketches is not None:
+                self.latency_sketches.merge_engine(tag, DEPARTED_ROW)
 
     def links_each(self) -> int:
         """What each engine of the working set may have, and each that closes.
@@ -194,14 +196,14 @@
             attempt, self.now + allow, engine_pool
         )
         others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
-        self.ledger.handed_off(in_flight_attempt, sort_of(attempt.number, others))
+        self.ledger.record_attempt_sent(in_flight_attempt, sort_of_attempt(attempt.number, others))
         request_class = attempt.request.request_class
         if self.recall is not None and (
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
         ):
             in_flight_attempt.effect = self.recall.sending(attempt, in_flight_attempt.order.label)
-        if self.waits is not None and not attempt.number:
-            self.waits.handed_off(
+        if self.latency_sketches is not None and not attempt.number:
+            self.latency_sketches.record_first_attempt(
                 attempt.request.request_class.name, self.now - attempt.request.accepted_at
             )
         self.event_loop.call_later(allow, self.too_late, in_flight_attempt)
@@ -267,10 +269,12 @@
             self.names.pop(order.name, None)
             self.ended.append(request)
             if reason < 0:
-                reason = reason_of(code, request, self.now, self.gateway.margin)
+                reason = reason_of_end(code, request, self.now, self.gateway.margin)
             order.reason = reason
-            if self.waits is not None:
-                self.waits.answered(request.request_class.name, self.now - request.accepted_at)
+            if self.latency_sketches is not None:
+                self.latency_sketches.record_answered(
+                    request.request_class.name, self.now - request.accepted_at
+                )
             self.answering[order] = None
             order.client_connection.answer(
                 order.stream, code, body, request.accepted_at + request.time_to_deadline, order
@@ -279,7 +283,7 @@
     def answer_over(self, order: ClientRequest) -> None:
         """The last byte of its answer has left, or never will."""
         self.answering.pop(order, None)
-        self.ledger.closed(order, order.reason)
+        self.ledger.record_closed(order, order.reason)
 
     def forget(self) -> None:
         """Danger: a full collection of garbage stops all for over 100 ms. So there is none: what points to
@@ -294,7 +298,7 @@
     def left(self, request: Request | None, reason: int) -> None:
         """Its client waits no longer."""
         if request is not None:
-            self.ledger.closed(request.host_reference, reason)
+            self.ledger.record_closed(request.host_reference, reason)
             self.statements.give(request.host_reference.size)
             self.names.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.fresh:
@@ -316,7 +320,7 @@
 
     def miscounted(self, kind: str, row: Any, serial: int) -> None:
         """A count that was wrong as it was entered."""
-        self.findings.count(
+        self.discrepancies.record_mistake(
             kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
         )
 
@@ -456,8 +460,10 @@
         in_flight_attempt.pages = []
         bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
         self.called.pop(attempt, None)
-        if self.waits is not None and outcome == AttemptOutcome.SUCCEEDED:
-            self.waits.honoured(in_flight_attempt.engine_row.name, self.now - attempt.sent_at)
+        if self.latency_sketches is not None and outcome == AttemptOutcome.SUCCEEDED:
+            self.latency_sketches.record_succeeded(
+                in_flight_attempt.engine_row.name, self.now - attempt.sent_at
+            )
         self.ledger.on_attempt_finished(in_flight_attempt, outcome)
         if in_flight_attempt.effect:
             self.recall.over(in_flight_attempt.effect, outcome)
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -20,10 +20,10 @@
 
 import msgpack
 
-from corkgauge.accounting import checkpoint_file as shelf
+from corkgauge.accounting import checkpoint_file
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.accounting.service import AccountingService
-from corkgauge.accounting.snapshot import cut_of, plain
+from corkgauge.accounting.snapshot import as_plain, take_snapshot
 from corkgauge.config import operator_file as operator
 from corkgauge.config.operator_file import Duties, Fellows, Figures, Recall, Shared, Works
 from corkgauge.config.platform import PlatformConfig
@@ -645,14 +645,14 @@
     ledger = RequestLedger(["quick"], lambda: NOW)
     entry, attempt = Entry(), Entry()
     entry.row = ledger.request_classes["quick"]
-    attempt.order, attempt.engine_row = entry, ledger.engine("e1")
-    ledger.taken(entry)
-    ledger.handed_off(attempt, 0)
+    attempt.order, attempt.engine_row = entry, ledger.engine_row("e1")
+    ledger.record_accepted(entry)
+    ledger.record_attempt_sent(attempt, 0)
     ledger.on_attempt_finished(attempt, 0)
-    ledger.closed(entry, 0)
-    ledger.turned_away(ledger.request_classes["quick"])
-    ledger.connection_up(0)
-    ledger.connection_over(0, 100, 200, 3)
+    ledger.record_closed(entry, 0)
+    ledger.record_rejected(ledger.request_classes["quick"])
+    ledger.record_connection_opened(0)
+    ledger.record_connection_closed(0, 100, 200, 3)
     return ledger
 
 
@@ -660,9 +660,11 @@
     """A checkpoint file that one run wrote and the next one took over, with both slots in use."""
     with tempfile.TemporaryDirectory() as folder:
         for epoch in "first", "second":
-            kept = shelf.CheckpointFile(folder, "n1", lambda line: None)
+            kept = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
             for at in NOW, NOW + 5:
-                kept.put(cut_of(small_ledger(), at, "n1", {"id": epoch, "started": NOW - 100}))
+                kept.write(
+                    take_snapshot(small_ledger(), at, "n1", {"id": epoch, "started": NOW - 100})
+                )
             kept.close()
         return Path(folder, "n1.figures").read_bytes()
 
@@ -796,10 +798,10 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "n1.figures")
         path.write_bytes(octets)
-        body = shelf.read_file(str(path))
-        taken_over = shelf.CheckpointFile(folder, "n1", lambda line: None)
+        body = checkpoint_file.read_checkpoint_file(str(path))
+        taken_over = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
         taken_over.close()
-        return [plain(body["cut"]), body["earlier"], taken_over.earlier]
+        return [as_plain(body["cut"]), body["earlier"], taken_over.earlier_epochs]
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
@@ -923,14 +925,14 @@
     """Status, content type and shape of an answer, asked over a socket."""
     with tempfile.TemporaryDirectory() as folder, instance() as here:
         where = os.path.join(folder, "figures.sock")
-        bureau = AccountingService(
+        service = AccountingService(
             here.socket_host, "n1", 7, Figures(where, 4, folder, SECOND, 0.02)
         )
         give_state(here)
         try:
             head, body = asked(here, where, *QUESTIONS[name])
         finally:
-            bureau.end()
+            service.end()
     lines = head.decode().split("\r\n")
     kind = next(each for each in lines if each.lower().startswith("content-type"))
     return [int(lines[0].split()[1]), kind.partition(": ")[2], shape(kind, body)]
@@ -949,9 +951,11 @@
     here.exchange.on_status_update("n2", [1, 5, 1, 20, rows])
     here.exchange.run_period()
     here.exchange.assessments["e1"] = Assessment(2.5, True, "n2 n3")
-    here.socket_host.findings.see("taken", "quick", 1, "one more", [(NOW, "entered", 1)])
+    here.socket_host.discrepancies.record_difference(
+        "taken", "quick", 1, "one more", [(NOW, "entered", 1)]
+    )
     take_request(here)
-    here.socket_host.ledger.connection_up(0)
+    here.socket_host.ledger.record_connection_opened(0)
 
 
 def take_request(here: Instance) -> None:
