--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -18,6 +18,7 @@
 from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget
+from corkgauge.net.amounts import parse_amount, parse_load
 from corkgauge.net.client_connection import ClientRequest
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.edge_counters import EdgeCounters
@@ -333,13 +334,13 @@
         attempt = in_flight_attempt.attempt
         in_flight_attempt.told = self.now
         if word == "TELL":
-            sort, value = NOTES.get(fields.get("n", ""), 0), amount(fields.get("amount", "0"))
+            sort, value = NOTES.get(fields.get("n", ""), 0), parse_amount(fields.get("amount", "0"))
             self.gateway.on_attempt_progress(attempt, sort, float(value or 0))
             return ""
-        in_flight_attempt.load = inflight_of(fields.get("l", ""), in_flight_attempt.load)
+        in_flight_attempt.load = parse_load(fields.get("l", ""), in_flight_attempt.load)
         if word == "DONE":
             pages, spent, need = (
-                amount(fields.get(name, "0")) for name in ("chunks", "spent", "wanted")
+                parse_amount(fields.get(name, "0")) for name in ("chunks", "spent", "wanted")
             )
             if (
                 not pages
@@ -609,29 +610,3 @@
         wrong one, and an engine that counts as warm too early falls. So the later moment counts, but none to come."""
         ahead = self.event_loop.ahead()
         return min(started * 10 + max(ahead, 0), self.now) if ahead and started else started * 10
-
-
-def amount(text: str) -> float | None:
-    """A number that makes sense, or None.
-
-    >>> amount("820.0"), amount("-3"), amount("nan"), amount("x"), amount("1e99")
-    (820.0, None, None, None, None)
-    """
-    try:
-        value = float(text)
-    except ValueError:
-        return None
-    return value if 0 <= value < 1e12 else None
-
-
-def inflight_of(report: str, otherwise: float) -> float:
-    """
-    >>> inflight_of("inflight:7;util:0.61", -1.0), inflight_of("", 3.0), inflight_of("inflight:x", -1.0)
-    (7.0, 3.0, -1.0)
-    """
-    for pair in report.split(";"):
-        name, _, value = pair.partition(":")
-        if name == "inflight":
-            found = amount(value)
-            return otherwise if found is None else float(found)
-    return otherwise
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -4,7 +4,6 @@
 answer goes. Must never decide, and never let what a stranger says raise.
 """
 
-import re
 from collections import deque
 from collections.abc import Callable
 from typing import Any
@@ -22,21 +21,22 @@
     unread,
 )
 from corkgauge.net.client_protocol import REFUSED
-from corkgauge.net.engine_connection import NAME
-from corkgauge.net.host import SocketHost, amount
+from corkgauge.net.host import SocketHost
+from corkgauge.net.request_fields import (
+    TICKS_PER_MS,
+    RequestFieldReader,
+    RequestFields,
+    UnusableField,
+)
 from corkgauge.net.table_group import tables_of
-from corkgauge.policy.records import Repeatability, Request
+from corkgauge.policy.records import Request
 
 ROOM = 16  # connections that give way at once
-HEAVIEST = 3.6e6  # milliseconds of work that any submission may claim
 # After the signal to end: the longest expiry counts for so much at most; the rest is the page's 0.7 s, less
 # what it takes to write the last answers. Until then submissions still come.
 MOST_EXPIRY, TO_WRITE, STILL_COMING = 3 * SECOND, 4_000, 9_000
 # Clients write submissions of one key so far apart, and so long after one that came on a new connection.
 APART, APART_NEW, ARRIVAL = 600, 2_500, 100
-PLAIN = re.compile(r"[!-+\-.-<>-~]{1,128}").fullmatch
-KEY = re.compile(r"[0-9a-fA-F]{1,16}").fullmatch
-BLANK = re.compile(rb"\s*+").fullmatch
 
 
 class PlatformFrontEnd(SocketHost):
@@ -50,6 +50,9 @@
         held: int = 0,
     ) -> None:
         super().__init__(event_loop, platform_config, log, held)
+        self.field_reader = RequestFieldReader(
+            self.request_classes, self.tenants, self.most_memory, self.names
+        )
         self.end = NEVER  # when the last answer goes, once the program is told to end
         self.door: Any = None  # where clients come in, in a program that serves
         self.last_call = NEVER  # when the clients were shown the end
@@ -154,87 +157,65 @@
     def requested(
         self, client_connection: ClientConnection, stream: int, fields: dict[str, str], body: bytes
     ) -> str:
-        # Danger: what it says is a stranger's; nothing of it may raise.
+        """Take a request; what is wrong with the connection as a whole, or an empty string."""
         self.forget()
-        request_class = self.request_classes.get(fields.get("route", ""))
-        tenant = self.tenants.get(fields.get("customer", ""))
-        life, work, memory = (
-            amount(fields.get(name) or "0") for name in ("patience", "weight", "est_mb")
-        )
-        name, key, nonce = (
-            fields.get("trace", ""),
-            fields.get("entity") or "0",
-            fields.get("nonce", ""),
-        )
-        # Danger: an engine closes on what it cannot use, with all that others have open there. A figure that
-        # is named must be one; an id names one submission; nobody waits much longer than its offering lets it
-        # (a little longer is no fault: a good client's clock and ours differ, and it adds its own way to us).
-        wrong = (
-            "route"
-            if request_class is None
-            else "customer"
-            if tenant is None and self.tenants
-            else "patience"
-            if not life or life * 10 > 2 * request_class.time_to_deadline
-            else "weight"
-            if work is None or work > HEAVIEST or fields.get("weight") and not work
-            else "est_mb"
-            if memory is None or memory > self.most_memory
-            else "entity"
-            if not KEY(key)
-            else "trace"
-            if not NAME(name) or name in self.names
-            else "nonce"
-            if not plain(
-                nonce or ("" if request_class.repeatability == Repeatability.KEYED else "-")
-            )
-            else "statement"
-            if not text(body)
-            else ""
-        )
-        if wrong:
-            return client_connection.unreadable(stream, f"{wrong}: unusable")
-        key, label = (
-            int(key, 16),
-            nonce if request_class.repeatability == Repeatability.KEYED else "",
-        )
+        said = self.field_reader.read(fields, body)
+        if isinstance(said, UnusableField):
+            return client_connection.unreadable(stream, f"{said.name}: unusable")
         order = ClientRequest(
-            client_connection, stream, name, label, body, self.rows[request_class]
+            client_connection, stream, said.name, said.label, body, self.rows[said.request_class]
         )
-        if (
-            len(client_connection.open) >= MOST_OPEN
-            or len(self.names) >= self.settings.open_cap
-            or not self.statements.take(order.size)
-        ):
-            self.counters["overfull"] += 1
-            client_connection.faults += len(client_connection.open) >= MOST_OPEN
-            self.ledger.record_rejected(self.rows[request_class])
-            client_connection.answer(stream, REFUSED, [])
-            return "" if client_connection.faults <= MOST_FAULTS else "too many open at once"
-        life = min(int(life * 10), self.end - self.now)
-        # Danger: with a full processor it has waited unread, and its client counts that.
-        life = max(life - self.held_back(key, stream == 1) - self.lag, 1)
+        if not self._has_room_for(client_connection, order):
+            return self._turn_away(client_connection, order)
         request = Request(
             order,
-            request_class,
-            tenant or 0,
+            said.request_class,
+            said.tenant,
             tables_of(body),
             self.now,
-            life,
-            int(work * 10),
-            float(memory),
-            key,
+            self._time_left(said, stream),
+            int(said.work_ms * TICKS_PER_MS),
+            float(said.memory_mb),
+            said.order_key,
+        )
+        self._open(client_connection, request)
+        return ""
+
+    def _has_room_for(self, client_connection: ClientConnection, order: ClientRequest) -> bool:
+        return (
+            len(client_connection.open) < MOST_OPEN
+            and len(self.names) < self.settings.open_cap
+            and self.statements.take(order.size)
         )
-        if self.recall is not None and label:
-            self.recall.mark_known(request, label)
-        client_connection.open[stream] = self.names[name] = request
+
+    def _turn_away(self, client_connection: ClientConnection, order: ClientRequest) -> str:
+        """Reject what there is no room for; too much of it on one connection ends that."""
+        self.counters["overfull"] += 1
+        client_connection.faults += len(client_connection.open) >= MOST_OPEN
+        self.ledger.record_rejected(order.row)
+        client_connection.answer(order.stream, REFUSED, [])
+        return "" if client_connection.faults <= MOST_FAULTS else "too many open at once"
+
+    def _time_left(self, said: RequestFields, stream: int) -> int:
+        """Return the ticks until the client gives up, by its own clock.
+
+        With a full processor the request has waited unread, and its client counts that.
+        """
+        time_left = min(int(said.time_to_deadline_ms * TICKS_PER_MS), self.end - self.now)
+        return max(time_left - self.held_back(said.order_key, stream == 1) - self.lag, 1)
+
+    def _open(self, client_connection: ClientConnection, request: Request) -> None:
+        """Enter a request where it is looked for, and tell the gateway at the end of this turn."""
+        order = request.host_reference
+        if self.recall is not None and order.label:
+            self.recall.mark_known(request, order.label)
+        client_connection.open[order.stream] = self.names[order.name] = request
         self.ledger.record_accepted(order)
-        if request_class.ordered and key:
-            self.unadmitted.setdefault(key, deque()).append(request)
+        if request.request_class.ordered and request.order_key:
+            self.unadmitted.setdefault(request.order_key, deque()).append(request)
         client_connection.fresh.append(request)
         if len(client_connection.fresh) == 1:
             self.event_loop.unsent.append(client_connection.admit)
-        return ""
 
     def let_before(self, request: Request) -> None:
         """Those of its key that were read before, on other connections, are told first. Danger: one that waits for what
@@ -265,25 +246,3 @@
         while self.now - next(iter(self.keys.values()))[0] > APART_NEW + ARRIVAL:
             del self.keys[next(iter(self.keys))]
         return held
-
-
-def text(statement: bytes) -> bool:
-    """May it go on to an engine?
-
-    >>> text(b"select 1"), text(b""), text(b" "), text(b"a" + bytes(1)), text(bytes([255]))
-    (True, False, False, False, False)
-    """
-    try:
-        statement.decode()
-    except UnicodeDecodeError:
-        return False
-    return b"\0" not in statement and BLANK(statement) is None
-
-
-def plain(text: str) -> bool:
-    """May it stand in a command's fields unchanged?
-
-    >>> plain("9b1f03aa"), plain(""), plain("a,b"), plain("a=b"), plain("a b"), plain("x" * 129)
-    (True, False, False, False, False, False)
-    """
-    return PLAIN(text) is not None
--- /dev/null
+++ b/corkgauge/net/request_fields.py
@@ -0,0 +1,140 @@
+"""The fields of a client's request: read, checked, and turned into the program's own records.
+
+All that a client says is a stranger's: nothing of it may raise, and the first field that cannot be used is
+named. An engine closes the connection on what it cannot use, with all that others have open there.
+"""
+
+import re
+from collections.abc import Container, Mapping
+from dataclasses import dataclass
+
+from corkgauge.net.amounts import parse_amount
+from corkgauge.net.engine_connection import NAME
+from corkgauge.policy.records import Repeatability, RequestClass
+
+MAX_WORK_MS = 3.6e6  # work that any request may claim
+TICKS_PER_MS = 10
+# A client may name a time to its deadline of so many times its class's. A little more is no fault: a good
+# client's clock and ours differ, and it adds its own way to us.
+MAX_DEADLINE_RATIO = 2
+PLAIN = re.compile(r"[!-+\-.-<>-~]{1,128}").fullmatch
+ORDER_KEY = re.compile(r"[0-9a-fA-F]{1,16}").fullmatch
+BLANK = re.compile(rb"\s*+").fullmatch
+
+
+@dataclass(frozen=True, slots=True)
+class RequestFields:
+    """What a request says, once every field of it can be used."""
+
+    request_class: RequestClass
+    tenant: int
+    time_to_deadline_ms: float
+    work_ms: float
+    memory_mb: float
+    name: str
+    order_key: int
+    label: str  # its idempotency key; empty: none
+
+
+@dataclass(frozen=True, slots=True)
+class UnusableField:
+    """The first field that cannot be used."""
+
+    name: str
+
+
+class RequestFieldReader:
+    """Reads the fields of requests against what the settings allow."""
+
+    def __init__(
+        self,
+        request_classes: Mapping[str, RequestClass],
+        tenants: Mapping[str, int],
+        max_memory_mb: float,
+        names_in_use: Container[str],
+    ) -> None:
+        self.request_classes = request_classes
+        self.tenants = tenants
+        self.max_memory_mb = max_memory_mb
+        self.names_in_use = names_in_use
+
+    def read(self, fields: Mapping[str, str], statement: bytes) -> RequestFields | UnusableField:
+        """Return the fields of a request, or the first that cannot be used."""
+        request_class = self.request_classes.get(fields.get("route", ""))
+        if request_class is None:
+            return UnusableField("route")
+        tenant = self.tenants.get(fields.get("customer", ""))
+        if tenant is None and self.tenants:
+            return UnusableField("customer")
+        time_to_deadline = parse_amount(fields.get("patience") or "0")
+        if not time_to_deadline or not _is_in_time(time_to_deadline, request_class):
+            return UnusableField("patience")
+        work = parse_amount(fields.get("weight") or "0")
+        # A figure that is named must be one.
+        if work is None or work > MAX_WORK_MS or (fields.get("weight") and not work):
+            return UnusableField("weight")
+        memory = parse_amount(fields.get("est_mb") or "0")
+        if memory is None or memory > self.max_memory_mb:
+            return UnusableField("est_mb")
+        if wrong := self._wrong_identity(fields, request_class):
+            return UnusableField(wrong)
+        if not is_sendable(statement):
+            return UnusableField("statement")
+        is_keyed = request_class.repeatability == Repeatability.KEYED
+        return RequestFields(
+            request_class,
+            tenant or 0,
+            time_to_deadline,
+            work,
+            memory,
+            fields.get("trace", ""),
+            int(fields.get("entity") or "0", 16),
+            fields.get("nonce", "") if is_keyed else "",
+        )
+
+    def _wrong_identity(self, fields: Mapping[str, str], request_class: RequestClass) -> str:
+        """Return the first of the identifying fields that cannot be used, or an empty string."""
+        if not ORDER_KEY(fields.get("entity") or "0"):
+            return "entity"
+        name = fields.get("trace", "")
+        # An id names one request: an answer under it would be another's.
+        if not NAME(name) or name in self.names_in_use:
+            return "trace"
+        nonce = fields.get("nonce", "")
+        is_keyed = request_class.repeatability == Repeatability.KEYED
+        is_absent_and_needless = not nonce and not is_keyed
+        if not is_absent_and_needless and not is_plain(nonce):
+            return "nonce"
+        return ""
+
+
+def _is_in_time(time_to_deadline_ms: float, request_class: RequestClass) -> bool:
+    """Tell whether nobody would wait much longer than the class lets him."""
+    ticks = time_to_deadline_ms * TICKS_PER_MS
+    return ticks <= MAX_DEADLINE_RATIO * request_class.time_to_deadline
+
+
+def is_sendable(statement: bytes) -> bool:
+    """Tell whether a statement may go on to an engine.
+
+    >>> is_sendable(b"select 1"), is_sendable(b""), is_sendable(b" ")
+    (True, False, False)
+    >>> is_sendable(b"a" + bytes(1)), is_sendable(bytes([255]))
+    (False, False)
+    """
+    try:
+        statement.decode()
+    except UnicodeDecodeError:
+        return False
+    return b"\0" not in statement and BLANK(statement) is None
+
+
+def is_plain(text: str) -> bool:
+    """Tell whether a text may stand in a command's fields unchanged.
+
+    >>> is_plain("9b1f03aa"), is_plain(""), is_plain("a,b"), is_plain("a=b"), is_plain("a b")
+    (True, False, False, False, False)
+    >>> is_plain("x" * 129)
+    False
+    """
+    return PLAIN(text) is not None
