--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -1,8 +1,8 @@
 """The clients' side: one connection each, what it has open, and what is said to it.
 
-Owns the answers that wait for room, the time and the faults that a client is allowed, and how it is turned
-out. Must never hand anything on while more bytes of the same connection may at once take it back, and never
-close one that is owed an answer without giving it.
+Owns the answers that wait for room, the time and the faults that a client is allowed, and how it is
+turned out. Must never hand anything on while more bytes of the same connection may at once take it
+back, and never close one that is owed an answer without giving it.
 """
 
 import sys
@@ -97,8 +97,8 @@
             request is not None
             and socket_host.now >= request.accepted_at + request.time_to_deadline - LAST_MOMENT
         ):
-            # Danger: it is its expiry that has come, a little before ours; an answer is still owed. What the gateway
-            # has not heard of it never hears of.
+            # Danger: it is its expiry that has come, a little before ours; an answer is still owed.
+            # What the gateway has not heard of it never hears of.
             if request in self.fresh:
                 request.is_finished = True
                 socket_host.final(request, REFUSED, [])
@@ -136,8 +136,8 @@
 
     def admit(self, patience: int = BURST) -> None:
         """Tell the gateway what has come. Danger: of hundreds that come at once, many are taken back by what
-        lies unread behind them, or make no sense; handed off, they would be work for nobody. So while more
-        lies there, all of it has a moment."""
+        lies unread behind them, or make no sense; handed off, they would be work for nobody. So
+        while more lies there, all of it has a moment."""
         if not self.fresh:
             return
         now, link = self.socket_host.now, self.link
@@ -202,7 +202,8 @@
         if self.link.why:
             self._gone(order)
         elif self.waiting or not self._put(stream, code, body, order):
-            # Danger: clients that do not read would fill the memory with results; they get a short answer.
+            # Danger: clients that do not read would fill the memory with results; they get a short
+            # answer.
             if not socket_host.results.take(sum(map(len, body))):
                 socket_host.counters["results dropped"] += 1
                 code, body = self._not_read(order)
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -1,11 +1,10 @@
 """The gateway's host on sockets.
 
-Owns the open submissions, the hand-offs under way with their pages, the lists of engines and of clients, and
-the ids of all of them. Must never decide: it tells the gateway what happened and does what that says. Must
-never call the gateway from within one of the gateway's own calls.
+Owns the open submissions, the hand-offs under way with their pages, the lists of engines and of
+clients, and the ids of all of them. Must never decide: it tells the gateway what happened and does
+what that says. Must never call the gateway from within one of the gateway's own calls.
 """
 
-import json
 from collections import deque
 from collections.abc import Callable
 from typing import Any
@@ -14,7 +13,7 @@
 from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of_end, sort_of_attempt
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
+from corkgauge.config.platform import ConfigurationError, PlatformConfig
 from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget
@@ -22,31 +21,23 @@
 from corkgauge.net.client_connection import ClientRequest
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.edge_counters import EdgeCounters
+from corkgauge.net.endpoint_list import EndpointList
 from corkgauge.net.engine_connection import ENDS, EngineConnection
 from corkgauge.net.engine_pool import EnginePool
-from corkgauge.net.engine_protocol import MAX_PAGE_BYTES, is_valid_page
 from corkgauge.net.in_flight import InFlightAttempt, outcome_of
 from corkgauge.net.live_records import LiveRecords
+from corkgauge.net.results import MAX_RESULT_BYTES, ResultPager
 from corkgauge.policy.records import (
     Attempt,
     AttemptOutcome,
-    Engine,
     EngineState,
     Repeatability,
     Request,
 )
 
-MOST_RESULT = 48_000  # bytes of one result
-MOST_PAGES = 64
-PAGE_TIME = 2_500  # that an engine may take over the next page of a result
 UNTOLD = 3  # times that an engine should have told of a hand-off, until that counts as lost
 LEAST_ROOM = 4 * 2**20
 AUDIT_EACH, AUDIT_PAUSE = SECOND, 20  # between two passes over the books; between two slices of one
-STATES = {
-    "SERVING": EngineState.READY,
-    "DRAINING": EngineState.DRAINING,
-    "DELETED": EngineState.GONE,
-}
 NOTES = {"advance": 1, "disk": 2, "stall": 3}
 
 
@@ -78,27 +69,29 @@
         held: int = 0,
     ) -> None:
         self.event_loop, self.log, self.counters = event_loop, log, EdgeCounters()
-        # Danger: with little memory the program itself holds most of it. Half of what it had left at its
-        # start may be held for others: the clients' rings, the engines', and so on. The rest is for records.
+        # Danger: with little memory the program itself holds most of it. Half of what it had left
+        # at its start may be held for others: the clients' rings, the engines', and so on. The rest
+        # is for records.
         room = max(platform_config.memory - held, LEAST_ROOM) // 2
         self.rings, self.lines, self.results, self.statements = (
             MemoryBudget(room // 4) for _ in range(4)
         )
-        # A half is the clients' at most, a third goes to engines, and the rest stays free for the feed and what is new.
+        # A half is the clients' at most, a third goes to engines, and the rest stays free for the
+        # feed and what is new.
         self.links_most, self.dials = platform_config.sockets // 3, 0  # dials under way
         self.names: dict[str, Request] = {}  # of what is open
         self.engine_pools: dict[str, EnginePool] = {}
-        # So that no request, timer or change of the list costs what the whole list does: links that are up; stations
-        # that drain or are gone; those where something waits for a link; those that lack a link ahead.
+        # So that no request, timer or change of the list costs what the whole list does: links that
+        # are up; stations that drain or are gone; those where something waits for a link; those
+        # that lack a link ahead.
         self.links: dict[EngineConnection, None] = {}
         self.closing, self.awaited, self.short = (
             dict[EnginePool, None](),
             dict[EnginePool, None](),
             dict[EnginePool, None](),
         )
-        self.named = 0  # stations, so far
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
-        self.page_line: deque[InFlightAttempt] = deque()
+        self.pager = ResultPager(self)
         self.ended: deque[Request] = deque()
         self.settings = stated_of(platform_config, self)
         if platform_config.settings.get("myNumber") is None and self.settings.gateway.gateways > 1:
@@ -133,9 +126,9 @@
         self.records = LiveRecords(self)
         self.auditor = LedgerAuditor(self.ledger, self.records, self.discrepancies)
         self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
-        self.last_event = platform_config.known
+        self.endpoint_list = EndpointList(self, platform_config.known)
         for event in platform_config.events:
-            if wrong := self.listed(event):
+            if wrong := self.endpoint_list.apply(event):
                 self.log(f"known: {wrong}")
 
     def close(self, engine_pool: "EnginePool") -> None:
@@ -156,8 +149,9 @@
     def links_each(self) -> int:
         """What each engine of the working set may have, and each that closes.
 
-        Danger: with fewer links than hand-offs fill, an engine that is well would count as unreached. So the links are
-        shared by those that use them, not by all that a long list names."""
+        Danger: with fewer links than hand-offs fill, an engine that is well would count as
+        unreached. So the links are shared by those that use them, not by all that a long list
+        names."""
         return max(2, self.links_most // max(len(self.gateway.engines) + len(self.closing), 1))
 
     def descriptor_left(self, needed: bool) -> bool:
@@ -249,8 +243,9 @@
 
     def barred(self, in_flight_attempt: InFlightAttempt) -> str:
         """The one last look directly before an attempt's first byte: why it must not begin, if so. Danger: between its
-        decision and its writing there may be a dial, or a long turn; its client may have gone or taken it back, its
-        engine be told to drain or have started anew, its time or its window for repeats be over."""
+        decision and its writing there may be a dial, or a long turn; its client may have gone or
+        taken it back, its engine be told to drain or have started anew, its time or its window for
+        repeats be over."""
         self.event_loop.tick()
         if not in_flight_attempt.attempt.request.is_finished:
             in_flight_attempt.order.client_connection.there()
@@ -339,50 +334,9 @@
             return ""
         in_flight_attempt.load = parse_load(fields.get("l", ""), in_flight_attempt.load)
         if word == "DONE":
-            pages, spent, need = (
-                parse_amount(fields.get(name, "0")) for name in ("chunks", "spent", "wanted")
-            )
-            if (
-                not pages
-                or pages != int(pages)
-                or pages > MOST_PAGES
-                or spent is None
-                or need is None
-            ):
-                return f"a result of {fields.get('chunks')!r} pages"
-            if in_flight_attempt.answered:
-                return (
-                    ""
-                    if [body, int(pages)]
-                    == [in_flight_attempt.pages[0], len(in_flight_attempt.pages)]
-                    else "two results"
-                )
-            # Danger: the request ran, but what came is spoilt: nothing of it may pass for an answer.
-            if not is_valid_page(body):
-                return "a page that is spoilt"
-            in_flight_attempt.answered = True
-            in_flight_attempt.link.page()
-            in_flight_attempt.spent, in_flight_attempt.need = int(spent * 10), need
-            in_flight_attempt.pages = [body, *[None] * (int(pages) - 1)]
-            if attempt.request.is_finished or len(in_flight_attempt.pages) == 1:
-                return self.whole(in_flight_attempt)
-            self.page_line.append(in_flight_attempt)
-            self.ask_pages()
-            return ""
+            return self.pager.on_first_page(in_flight_attempt, fields, body)
         if word == "MORE":
-            at = fields.get("at", "")
-            n = int(at) if at.isdecimal() and len(at) < 4 else 0
-            if (
-                not in_flight_attempt.answered
-                or not 0 < n < len(in_flight_attempt.pages)
-                or not is_valid_page(body)
-                or (in_flight_attempt.pages[n] not in (None, body))
-            ):
-                return f"a page {at[:8]!r} out of turn or spoilt"
-            if in_flight_attempt.pages[n] is None:
-                in_flight_attempt.link.page()
-            in_flight_attempt.pages[n] = body
-            return "" if None in in_flight_attempt.pages else self.whole(in_flight_attempt)
+            return self.pager.on_further_page(in_flight_attempt, fields, body)
         outcome = ENDS.get(word)
         if outcome is None or (in_flight_attempt.answered and word != "BROKE"):
             return f"an answer {word[:8]!r}"
@@ -390,25 +344,10 @@
         self.done(in_flight_attempt, outcome)
         return ""
 
-    def ask_pages(self) -> None:
-        """All pages of a result at once, as far as memory for results lets them come."""
-        while self.page_line:
-            in_flight_attempt = self.page_line[0]
-            if in_flight_attempt.attempt in self.in_flight_attempts:
-                size = MAX_PAGE_BYTES * len(in_flight_attempt.pages)
-                if not self.results.take(size):
-                    return
-                in_flight_attempt.asked = size
-                for n in range(1, len(in_flight_attempt.pages)):
-                    in_flight_attempt.link.say("more", in_flight_attempt.order.name, str(n))
-                self.event_loop.call_later(
-                    PAGE_TIME, self.pages_late, in_flight_attempt, 1, self.now
-                )
-            self.page_line.popleft()
-
     def untold(self, in_flight_attempt: InFlightAttempt, link: EngineConnection) -> None:
         """Danger: an answer that never comes holds its submission, its slot and a line until the expiry. An
-        engine tells regularly of all that runs; what it tells no more of, while its link is lively, is over.
+        engine tells regularly of all that runs; what it tells no more of, while its link is lively,
+        is over.
         """
         if (
             in_flight_attempt.attempt in self.in_flight_attempts
@@ -424,24 +363,10 @@
             link.let_go(in_flight_attempt)
             self.failed(in_flight_attempt, "broken")
 
-    def pages_late(self, in_flight_attempt: InFlightAttempt, had: int, since: int) -> None:
-        """Danger: a page that never comes would hold its submission until the expiry. What else is open on
-        that link may be well, so only this hand-off is given up, and only where its engine spoke since."""
-        if in_flight_attempt.attempt in self.in_flight_attempts:
-            have = len(in_flight_attempt.pages) - in_flight_attempt.pages.count(None)
-            if have > had or in_flight_attempt.link.spoke < since + PAGE_TIME // 2:
-                since = self.now if have > had else since
-                return self.event_loop.call_later(
-                    PAGE_TIME, self.pages_late, in_flight_attempt, have, since
-                )
-            self.counters["pages late"] += 1
-            in_flight_attempt.link.let_go(in_flight_attempt)
-            self.failed(in_flight_attempt, "broken")
-
     def whole(self, in_flight_attempt: InFlightAttempt) -> str:
         """All pages are here, or nobody wants them."""
         request = in_flight_attempt.attempt.request
-        if sum(len(each or b"") for each in in_flight_attempt.pages) > MOST_RESULT:
+        if sum(len(each or b"") for each in in_flight_attempt.pages) > MAX_RESULT_BYTES:
             return "a result that is too long"
         in_flight_attempt.link.let_go(in_flight_attempt)
         if not request.is_finished:
@@ -482,7 +407,7 @@
         if attempt.request.is_finished:
             self.ended.append(attempt.request)
         self.forget()
-        self.ask_pages()
+        self.pager.ask_pages()
 
     def failed(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
         """The attempt ends for its connection's sake."""
@@ -509,104 +434,11 @@
 
     # The list of engines.
 
-    def event(self, number: str, data: str) -> str:
-        """An event of the feed; what is wrong with it."""
-        try:
-            said = json.loads(data)
-            count = int(said["n"])
-        except (ValueError, TypeError, KeyError, RecursionError, OverflowError):
-            return "an event that makes no sense"
-        members = said.get("members")
-        if count <= self.last_event:
-            return ""  # told before
-        if count > self.last_event + 1 and not (isinstance(members, dict) and members.get("full")):
-            return f"event {count} after {self.last_event}"
-        wrong = self.listed(said) if members is not None else ""  # other news is none of ours
-        if not wrong:
-            self.last_event = count
-            self.counters["events"] += 1
-        return wrong
-
-    def listed(self, said: Any) -> str:
-        """Engines as told: checked in full before anything of it holds."""
-        try:
-            members, entries = said["members"], []
-            for each in members["servers"]:
-                entries.append(
-                    (
-                        str(each["id"]),
-                        address(each["addr"], "addr"),
-                        STATES[each["state"]],
-                        self.settings.zones.index(each["zone"]),
-                        self.settings.kinds.index(each["kind"]),
-                        int(each.get("cell", 0)),
-                        int(each.get("started_ms", 0)),
-                    )
-                )
-        except (
-            ConfigurationError,
-            ValueError,
-            TypeError,
-            KeyError,
-            AttributeError,
-            OverflowError,
-        ) as problem:
-            return f"an event that makes no sense ({type(problem).__name__} {problem})"
-        changed: dict[EnginePool, None] = {}
-        if members.get("full"):
-            named = {entry[0] for entry in entries}
-            for engine_pool in self.engine_pools.values():
-                if (
-                    engine_pool.engine.host_reference not in named
-                    and engine_pool.engine.state != EngineState.GONE
-                ):
-                    self.gateway.on_engine_update(
-                        engine_pool.engine, EngineState.GONE, engine_pool.engine.incarnation
-                    )
-        for tag, where, state, zone, kind, cell, started in entries:
-            engine_pool = self.engine_pools.get(tag)
-            if engine_pool is None:
-                engine = Engine(tag, tag.encode(), zone, kind, cell, name=tag)
-                if self.works is not None:
-                    # Danger: a machine that is out for work may be listed anew; it is the same machine.
-                    engine.cordon = self.works.how(tag, where)
-                engine_pool = self.engine_pools[tag] = EnginePool(self, engine, self.named)
-                self.named += 1
-            engine = engine_pool.engine
-            renewed = started > engine_pool.started
-            if started != engine_pool.started:
-                engine_pool.started, moment = started, self.moment(started)
-            else:
-                moment = engine.incarnation
-            self.settings.place(engine, zone, kind, cell)
-            self.gateway.on_engine_update(engine, state, moment)
-            engine_pool.on_listed(where, renewed)
-            changed[engine_pool] = None
-        self.gateway.on_engine_list_complete()
-        # A change may let these go on: what it names, what waits for a link, what lacks one ahead. For all others
-        # a fill does nothing, as nothing that it looks at has changed since their last.
-        told = (
-            self.engine_pools.values()
-            if members.get("full")
-            else {**changed, **self.awaited, **self.short}
-        )
-        told = sorted(told, key=lambda each: each.number)
-        for engine_pool in told:
-            if engine_pool.engine.state == EngineState.READY:
-                self.closing.pop(engine_pool, None)
-            else:
-                self.closing[engine_pool] = None
-                self.short.pop(engine_pool, None)
-        for engine_pool in told:
-            if engine_pool.engine.state == EngineState.READY:
-                engine_pool.fill()
-            else:
-                engine_pool.withdraw()
-                self.close(engine_pool)
-        return ""
+    @property
+    def last_event(self) -> int:
+        """The number of the last event of discovery that was applied."""
+        return self.endpoint_list.last_event
 
-    def moment(self, started: int) -> int:
-        """When an engine started, by our clock, from the date in ms. Danger: where a date was set, ours may be the
-        wrong one, and an engine that counts as warm too early falls. So the later moment counts, but none to come."""
-        ahead = self.event_loop.ahead()
-        return min(started * 10 + max(ahead, 0), self.now) if ahead and started else started * 10
+    def event(self, number: str, data: str) -> str:
+        """Apply an event of discovery; what is wrong with it, or an empty string."""
+        return self.endpoint_list.on_event(data)
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -1,7 +1,7 @@
 """The platform's frames as a front: who calls, what a frame asks for, the way out.
 
-Owns the clients' connections, the reading of what they say into submissions, and the time at which the last
-answer goes. Must never decide, and never let what a stranger says raise.
+Owns the clients' connections, the reading of what they say into submissions, and the time at which
+the last answer goes. Must never decide, and never let what a stranger says raise.
 """
 
 from collections import deque
@@ -32,10 +32,11 @@
 from corkgauge.policy.records import Request
 
 ROOM = 16  # connections that give way at once
-# After the signal to end: the longest expiry counts for so much at most; the rest is the page's 0.7 s, less
-# what it takes to write the last answers. Until then submissions still come.
+# After the signal to end: the longest expiry counts for so much at most; the rest is the page's 0.7
+# s, less what it takes to write the last answers. Until then submissions still come.
 MOST_EXPIRY, TO_WRITE, STILL_COMING = 3 * SECOND, 4_000, 9_000
-# Clients write submissions of one key so far apart, and so long after one that came on a new connection.
+# Clients write submissions of one key so far apart, and so long after one that came on a new
+# connection.
 APART, APART_NEW, ARRIVAL = 600, 2_500, 100
 
 
@@ -67,8 +68,8 @@
 
     def make_room(self) -> bool:
         """Danger: connections that say nothing, or nothing more, would keep others at the door. Those that
-        never asked for anything give way first, then those that have been quiet longest, and last those that have told
-        a half of something."""
+        never asked for anything give way first, then those that have been quiet longest, and last
+        those that have told a half of something."""
         quiet = sorted(
             (
                 client_connection
@@ -131,8 +132,9 @@
         # Danger: what has come and lies unread is taken all the same, be it at the door.
         elif must or not any(self.owed(each) for each in self.client_connections):
             if self.door is None or not self.door.shut() or must:
-                # Danger: a process that ends over unread bytes resets its connections, and takes the last answers
-                # along. So each client is shown the end, and what had crossed it is read and dropped for a moment.
+                # Danger: a process that ends over unread bytes resets its connections, and takes
+                # the last answers along. So each client is shown the end, and what had crossed it
+                # is read and dropped for a moment.
                 self.last_call = self.now
                 for each in [*self.client_connections]:
                     if not (each.link.give_way("the program ends") or must or each.link.why):
--- a/corkgauge/net/request_fields.py
+++ b/corkgauge/net/request_fields.py
@@ -1,7 +1,8 @@
 """The fields of a client's request: read, checked, and turned into the program's own records.
 
-All that a client says is a stranger's: nothing of it may raise, and the first field that cannot be used is
-named. An engine closes the connection on what it cannot use, with all that others have open there.
+All that a client says is a stranger's: nothing of it may raise, and the first field that cannot be
+used is named. An engine closes the connection on what it cannot use, with all that others have open
+there.
 """
 
 import re
@@ -14,8 +15,8 @@
 
 MAX_WORK_MS = 3.6e6  # work that any request may claim
 TICKS_PER_MS = 10
-# A client may name a time to its deadline of so many times its class's. A little more is no fault: a good
-# client's clock and ours differ, and it adds its own way to us.
+# A client may name a time to its deadline of so many times its class's. A little more is no fault:
+# a good client's clock and ours differ, and it adds its own way to us.
 MAX_DEADLINE_RATIO = 2
 PLAIN = re.compile(r"[!-+\-.-<>-~]{1,128}").fullmatch
 ORDER_KEY = re.compile(r"[0-9a-fA-F]{1,16}").fullmatch
