--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -1,8 +1,8 @@
-"""The clients' side: one connection each, what it has open, and what is said to it.
+"""A client's connection: its open requests, and the answers to them.
 
-Owns the answers that wait for room, the time and the faults that a client is allowed, and how it is
-turned out. Must never hand anything on while more bytes of the same connection may at once take it
-back, and never close one that is owed an answer without giving it.
+Owns the answers that wait for room, the time and the faults that a client is allowed, and how its
+connection is closed. It passes nothing on while more bytes of the same connection may at once
+cancel it, and closes none that is owed an answer without giving it.
 """
 
 import sys
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -1,8 +1,8 @@
 """The gateway's host on sockets.
 
-Owns the open submissions, the hand-offs under way with their pages, the lists of engines and of
-clients, and the ids of all of them. Must never decide: it tells the gateway what happened and does
-what that says. Must never call the gateway from within one of the gateway's own calls.
+Owns the open requests, the attempts in flight, the engine pools, and the bounds on memory and
+descriptors. It decides nothing: it notifies the gateway of what happened and does what that says.
+It never calls the gateway from within one of the gateway's own calls.
 """
 
 from collections import deque
@@ -35,9 +35,10 @@
     Request,
 )
 
-UNTOLD = 3  # times that an engine should have told of a hand-off, until that counts as lost
-LEAST_ROOM = 4 * 2**20
-AUDIT_EACH, AUDIT_PAUSE = SECOND, 20  # between two passes over the books; between two slices of one
+MISSED_REPORTS = 3  # reports on an attempt that an engine may omit, until it counts as lost
+MIN_HELD_BYTES = 4 * 2**20
+AUDIT_TICKS = SECOND  # between two passes over the ledger
+AUDIT_SLICE_TICKS = 20  # between two slices of a pass
 NOTES = {"advance": 1, "disk": 2, "stall": 3}
 
 
@@ -47,11 +48,11 @@
     now = lag = 0
 
     def call_later(self, *_: Any) -> None:
-        pass
+        """Nothing is ever called back."""
 
 
 def stated_of(platform_config: PlatformConfig, host: Any) -> Settings:
-    """What a configuration states, or the fault in it."""
+    """Return what a configuration states; raises `ConfigurationError` where it makes no sense."""
     try:
         return Settings(platform_config.settings, host, platform_config.seed, platform_config.name)
     except (ValueError, TypeError, AttributeError, KeyError) as problem:
@@ -59,7 +60,10 @@
 
 
 class SocketHost:
-    """The host protocol on sockets."""
+    """The host protocol on sockets.
+
+    `held` is the memory in bytes that the program holds at its start.
+    """
 
     def __init__(
         self,
@@ -68,39 +72,37 @@
         log: Callable[[str], None],
         held: int = 0,
     ) -> None:
-        self.event_loop, self.log, self.counters = event_loop, log, EdgeCounters()
-        # Danger: with little memory the program itself holds most of it. Half of what it had left
-        # at its start may be held for others: the clients' rings, the engines', and so on. The rest
-        # is for records.
-        room = max(platform_config.memory - held, LEAST_ROOM) // 2
-        self.rings, self.lines, self.results, self.statements = (
-            MemoryBudget(room // 4) for _ in range(4)
-        )
-        # A half is the clients' at most, a third goes to engines, and the rest stays free for the
-        # feed and what is new.
-        self.links_most, self.dials = platform_config.sockets // 3, 0  # dials under way
-        self.names: dict[str, Request] = {}  # of what is open
+        self.event_loop = event_loop
+        self.log = log
+        self.counters = EdgeCounters()
+        # With little memory the program itself holds most of it. Half of what it had left at its
+        # start may be held for others, in four equal parts. The rest is for records.
+        part_bytes = max(platform_config.memory - held, MIN_HELD_BYTES) // 2 // 4
+        self.rings = MemoryBudget(part_bytes)  # of client connections
+        self.lines = MemoryBudget(part_bytes)  # of connections to engines and to discovery
+        self.results = MemoryBudget(part_bytes)
+        self.statements = MemoryBudget(part_bytes)
+        # A half is the clients' at most, a third goes to engines, and the rest stays free for
+        # discovery and what is new.
+        self.links_most = platform_config.sockets // 3
+        self.dials = 0  # under way
+        self.names: dict[str, Request] = {}  # open requests
         self.engine_pools: dict[str, EnginePool] = {}
-        # So that no request, timer or change of the list costs what the whole list does: links that
-        # are up; stations that drain or are gone; those where something waits for a link; those
-        # that lack a link ahead.
-        self.links: dict[EngineConnection, None] = {}
-        self.closing, self.awaited, self.short = (
-            dict[EnginePool, None](),
-            dict[EnginePool, None](),
-            dict[EnginePool, None](),
-        )
+        # Kept so that no request, timer or change of the list costs what the whole list does.
+        self.links: dict[EngineConnection, None] = {}  # that are up
+        self.closing: dict[EnginePool, None] = {}  # engines that drain or are gone
+        self.awaited: dict[EnginePool, None] = {}  # where something waits for a connection
+        self.short: dict[EnginePool, None] = {}  # that lack a connection ahead of need
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
         self.pager = ResultPager(self)
         self.ended: deque[Request] = deque()
         self.settings = stated_of(platform_config, self)
         if platform_config.settings.get("myNumber") is None and self.settings.gateway.gateways > 1:
-            log(
-                f"myNumber is not told: {self.settings.gateway.number}, from the name; sets of engines are less even"
-            )
+            number = self.settings.gateway.number
+            log(f"myNumber is not told: {number}, from the name; sets of engines are less even")
         self.gateway = self.settings.gateway
         self.most_memory = max(self.settings.sizes, default=1e6)
-        self.patience = UNTOLD * self.settings.tells
+        self.patience = MISSED_REPORTS * self.settings.tells
         self.request_classes = {each.name: each for each in self.settings.request_classes}
         self.discrepancies = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
@@ -109,20 +111,17 @@
         self.rows = {
             each: self.ledger.request_classes[each.name] for each in self.settings.request_classes
         }
-        self.answering: dict[
-            ClientRequest, None
-        ] = {}  # have their end, and their answer has not left whole
-        self.recall: Any = None  # what outlives a restart, likewise
-        self.flows: Any = None  # what every connection carries, told to collectors, likewise
-        self.works: Any = None  # which engines are set aside for work, likewise
-        # What the figures' door answers for other subsystems, by method and path.
+        # Requests that have their end, and whose answer has not left whole.
+        self.answering: dict[ClientRequest, None] = {}
+        # Subsystems, where an operator file switches them on.
+        self.recall: Any = None  # recovery
+        self.flows: Any = None  # flow export
+        self.works: Any = None  # maintenance
+        self.latency_sketches: Any = None  # of accounting
+        # What the accounting listener answers for other subsystems, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
-        self.latency_sketches: Any = (
-            None  # sketches of what took how long, where an operator file wants them
-        )
-        self.called: dict[
-            Attempt, InFlightAttempt
-        ] = {}  # called off, and the gateway has yet to hear of it
+        # Attempts that were cancelled, of which the gateway has yet to be notified.
+        self.called: dict[Attempt, InFlightAttempt] = {}
         self.records = LiveRecords(self)
         self.auditor = LedgerAuditor(self.ledger, self.records, self.discrepancies)
         self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
@@ -132,7 +131,10 @@
                 self.log(f"known: {wrong}")
 
     def close(self, engine_pool: "EnginePool") -> None:
-        """Forget an engine that is gone, once nothing is left of it; its id may by then be another's."""
+        """Forget an engine that is gone, once nothing is left of it.
+
+        Its id may be another's by then.
+        """
         tag = engine_pool.engine.host_reference
         if (
             engine_pool.engine.state == EngineState.GONE
@@ -147,45 +149,54 @@
                 self.latency_sketches.merge_engine(tag, DEPARTED_ROW)
 
     def links_each(self) -> int:
-        """What each engine of the working set may have, and each that closes.
+        """Return the connections that each engine of the subset may have, and each that closes.
 
-        Danger: with fewer links than hand-offs fill, an engine that is well would count as
-        unreached. So the links are shared by those that use them, not by all that a long list
-        names."""
+        With fewer connections than attempts fill, an engine that is well would count as
+        unreachable. So connections are shared by those that use them, not by all that a long list
+        names.
+        """
         return max(2, self.links_most // max(len(self.gateway.engines) + len(self.closing), 1))
 
     def descriptor_left(self, needed: bool) -> bool:
-        """May there be another link? Danger: two to each of many engines would take what the feed and the clients need.
-        Where one is needed, the link that has been idle longest gives way."""
+        """Tell whether there may be another connection to an engine.
+
+        Two to each of many engines would take what discovery and the clients need. Where one is
+        needed, the connection that has been idle longest gives way.
+        """
         if len(self.links) + self.dials < self.links_most:
             return True
-        if needed and (idle := [link for link in self.links if not (link.open or link.link.why)]):
+        idle = [link for link in self.links if not (link.open or link.link.why)] if needed else []
+        if idle:
             self.counters["links gave way"] += 1
-            min(
+            longest_idle = min(
                 idle,
                 key=lambda each: (
                     each.engine_pool.engine.in_subset,
                     each.link.wrote,
                     each.engine_pool.number,
                 ),
-            ).link.end("room for others")
+            )
+            longest_idle.link.end("room for others")
         return False
 
     def make_room(self) -> bool:
-        """Let go of what holds a descriptor for nothing; was there any?"""
+        """Close what holds a descriptor for nothing; whether there was any."""
         return False
 
-    # What the gateway may do.
+    # The host protocol; `policy.host.Host` says what each method is for.
 
     @property
     def now(self) -> int:
+        """Ticks of the event loop's clock."""
         return self.event_loop.now
 
     @property
     def lag(self) -> int:
+        """Ticks that events have to wait at present."""
         return self.event_loop.lag
 
     def send_attempt(self, attempt: Attempt, allow: int) -> None:
+        """Let an attempt wait for a connection, for `allow` ticks until its answer at most."""
         engine_pool = self.engine_pools[attempt.engine.host_reference]
         in_flight_attempt = self.in_flight_attempts[attempt] = InFlightAttempt(
             attempt, self.now + allow, engine_pool
@@ -207,21 +218,26 @@
             self.event_loop.call_later(self.settings.dial_time, self.waited, in_flight_attempt)
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
+        """Set memory and priority; engines are told of a priority that changes in flight."""
         order = request.host_reference
         if priority != order.priority and self.settings.priorities:
             for attempt in request.attempts:
                 in_flight_attempt = self.in_flight_attempts.get(attempt)
                 if in_flight_attempt and in_flight_attempt.link and not in_flight_attempt.answered:
                     in_flight_attempt.link.say("renice", order.name, str(priority))
-        order.memory, order.priority = memory, priority
+        order.memory = memory
+        order.priority = priority
 
     def reject(self, request: Request, retry_after: int) -> None:
+        """Answer that the request was not run; the frames have no field for `retry_after`."""
         self.final(request, REFUSED, [])
 
     def fail(self, request: Request) -> None:
+        """Answer that the request failed."""
         self.final(request, FAILED, [])
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt; the gateway is notified of its outcome in a later turn."""
         in_flight_attempt = self.in_flight_attempts.get(attempt)
         if in_flight_attempt is None:
             return
@@ -231,21 +247,20 @@
             in_flight_attempt.link.say("abort", in_flight_attempt.order.name)
             in_flight_attempt.link.forget(in_flight_attempt)
         self.called[attempt] = self.in_flight_attempts.pop(attempt)
-        self.event_loop.call_later(
-            0,
-            self.over,
-            in_flight_attempt,
-            AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED,
-        )
+        outcome = AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED
+        self.event_loop.call_later(0, self.over, in_flight_attempt, outcome)
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call back once `delay` ticks have passed, never at once."""
         self.event_loop.call_later(delay, method, *what)
 
     def barred(self, in_flight_attempt: InFlightAttempt) -> str:
-        """The one last look directly before an attempt's first byte: why it must not begin, if so. Danger: between its
-        decision and its writing there may be a dial, or a long turn; its client may have gone or
-        taken it back, its engine be told to drain or have started anew, its time or its window for
-        repeats be over."""
+        """Check an attempt directly before its first byte; why it must not begin, or an empty string.
+
+        Between its decision and its writing there may be a dial, or a long turn: its client may
+        have gone or cancelled, its engine drain or have restarted, its time or the time for repeats
+        be over.
+        """
         self.event_loop.tick()
         if not in_flight_attempt.attempt.request.is_finished:
             in_flight_attempt.order.client_connection.there()
@@ -259,31 +274,34 @@
     # Clients.
 
     def final(self, request: Request, code: int, body: list[bytes], reason: int = -1) -> None:
+        """Give a request its one final answer; a reason below 0 is found from the code."""
         order = request.host_reference
-        if order.client_connection.open.pop(order.stream, None) is not None:
-            self.statements.give(order.size)
-            self.names.pop(order.name, None)
-            self.ended.append(request)
-            if reason < 0:
-                reason = reason_of_end(code, request, self.now, self.gateway.margin)
-            order.reason = reason
-            if self.latency_sketches is not None:
-                self.latency_sketches.record_answered(
-                    request.request_class.name, self.now - request.accepted_at
-                )
-            self.answering[order] = None
-            order.client_connection.answer(
-                order.stream, code, body, request.accepted_at + request.time_to_deadline, order
+        if order.client_connection.open.pop(order.stream, None) is None:
+            return
+        self.statements.give(order.size)
+        self.names.pop(order.name, None)
+        self.ended.append(request)
+        if reason < 0:
+            reason = reason_of_end(code, request, self.now, self.gateway.margin)
+        order.reason = reason
+        if self.latency_sketches is not None:
+            self.latency_sketches.record_answered(
+                request.request_class.name, self.now - request.accepted_at
             )
+        self.answering[order] = None
+        deadline = request.accepted_at + request.time_to_deadline
+        order.client_connection.answer(order.stream, code, body, deadline, order)
 
     def answer_over(self, order: ClientRequest) -> None:
-        """The last byte of its answer has left, or never will."""
+        """Close its record: the last byte of its answer has left, or never will."""
         self.answering.pop(order, None)
         self.ledger.record_closed(order, order.reason)
 
     def forget(self) -> None:
-        """Danger: a full collection of garbage stops all for over 100 ms. So there is none: what points to
-        each other is taken apart by hand, here, where no call of the gateway's is under way."""
+        """Take apart by hand what points to each other, where no call of the gateway's is under way.
+
+        A full collection of garbage would stop everything for over 100 ms, so there is none.
+        """
         while self.ended:
             request = self.ended.popleft()
             if not any(attempt.is_in_flight for attempt in request.attempts):
@@ -292,7 +310,7 @@
                 request.host_reference.statement = b""
 
     def left(self, request: Request | None, reason: int) -> None:
-        """Its client waits no longer."""
+        """End a request whose client waits no longer."""
         if request is not None:
             self.ledger.record_closed(request.host_reference, reason)
             self.statements.give(request.host_reference.size)
@@ -308,29 +326,32 @@
                         self.failed(in_flight_attempt, "withdrawn")
             self.ended.append(request)
 
-    # Figures.
+    # Accounting.
 
     def audit(self) -> None:
-        """The next slice of a pass; a new pass each second."""
-        self.event_loop.call_later(AUDIT_EACH if self.auditor.step() else AUDIT_PAUSE, self.audit)
+        """Check the next slice of the ledger; a new pass begins each second."""
+        is_whole = self.auditor.step()
+        pause = AUDIT_TICKS if is_whole else AUDIT_SLICE_TICKS
+        self.event_loop.call_later(pause, self.audit)
 
     def miscounted(self, kind: str, row: Any, serial: int) -> None:
-        """A count that was wrong as it was entered."""
+        """Record a count that was wrong as it was entered."""
         self.discrepancies.record_mistake(
             kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
         )
 
-    # Hand-offs.
+    # Attempts.
 
     def answered(
         self, in_flight_attempt: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
     ) -> str:
-        """An engine's answer; what is wrong with it."""
+        """Take an engine's answer; what is wrong with it, or an empty string."""
         attempt = in_flight_attempt.attempt
         in_flight_attempt.told = self.now
         if word == "TELL":
-            sort, value = NOTES.get(fields.get("n", ""), 0), parse_amount(fields.get("amount", "0"))
-            self.gateway.on_attempt_progress(attempt, sort, float(value or 0))
+            kind = NOTES.get(fields.get("n", ""), 0)
+            value = parse_amount(fields.get("amount", "0"))
+            self.gateway.on_attempt_progress(attempt, kind, float(value or 0))
             return ""
         in_flight_attempt.load = parse_load(fields.get("l", ""), in_flight_attempt.load)
         if word == "DONE":
@@ -345,26 +366,26 @@
         return ""
 
     def untold(self, in_flight_attempt: InFlightAttempt, link: EngineConnection) -> None:
-        """Danger: an answer that never comes holds its submission, its slot and a line until the expiry. An
-        engine tells regularly of all that runs; what it tells no more of, while its link is lively,
-        is over.
+        """Give up an attempt that its engine reports on no more; called again by timer.
+
+        An answer that never comes would hold its request, its slot and its ordering key until the
+        deadline. An engine reports regularly on all that runs; what it omits, while its connection
+        is lively, is over.
         """
-        if (
-            in_flight_attempt.attempt in self.in_flight_attempts
-            and in_flight_attempt.link is link
-            and not in_flight_attempt.answered
-        ):
-            since = self.now - max(in_flight_attempt.told, link.lively)
-            if since < self.patience or link.spoke < self.now - SECOND // 2:
-                return self.event_loop.call_later(
-                    max(self.patience - since, SECOND // 10), self.untold, in_flight_attempt, link
-                )
-            self.counters["untold"] += 1
-            link.let_go(in_flight_attempt)
-            self.failed(in_flight_attempt, "broken")
+        is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
+        if not is_in_flight or in_flight_attempt.link is not link or in_flight_attempt.answered:
+            return
+        since = self.now - max(in_flight_attempt.told, link.lively)
+        if since < self.patience or link.spoke < self.now - SECOND // 2:
+            pause = max(self.patience - since, SECOND // 10)
+            self.event_loop.call_later(pause, self.untold, in_flight_attempt, link)
+            return
+        self.counters["untold"] += 1
+        link.let_go(in_flight_attempt)
+        self.failed(in_flight_attempt, "broken")
 
     def whole(self, in_flight_attempt: InFlightAttempt) -> str:
-        """All pages are here, or nobody wants them."""
+        """Answer with a result that is whole, or drop one that nobody wants."""
         request = in_flight_attempt.attempt.request
         if sum(len(each or b"") for each in in_flight_attempt.pages) > MAX_RESULT_BYTES:
             return "a result that is too long"
@@ -375,10 +396,12 @@
         return ""
 
     def done(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        """End an attempt that is in flight."""
         self.in_flight_attempts.pop(in_flight_attempt.attempt, None)
         self.over(in_flight_attempt, outcome)
 
     def over(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        """Notify everybody of an attempt's end, the gateway last."""
         attempt = in_flight_attempt.attempt
         if in_flight_attempt.asked:
             self.results.give(in_flight_attempt.asked)
@@ -410,20 +433,21 @@
         self.pager.ask_pages()
 
     def failed(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
-        """The attempt ends for its connection's sake."""
+        """End an attempt for its connection's sake: "unreached", "broken", "late", "withdrawn"."""
         if in_flight_attempt.attempt in self.in_flight_attempts:
             self.done(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
 
     def waited(self, in_flight_attempt: InFlightAttempt) -> None:
-        """No connection, or no room on one, in the time that settings give for it."""
-        if in_flight_attempt.attempt in self.in_flight_attempts and in_flight_attempt.link is None:
-            in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
-            self.failed(
-                in_flight_attempt,
-                "withdrawn" if in_flight_attempt.engine_pool.wanting else "unreached",
-            )
+        """End an attempt without a connection, or room on one, in the time that settings give."""
+        is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
+        if not is_in_flight or in_flight_attempt.link is not None:
+            return
+        engine_pool = in_flight_attempt.engine_pool
+        engine_pool.waiting.remove(in_flight_attempt)
+        self.failed(in_flight_attempt, "withdrawn" if engine_pool.wanting else "unreached")
 
     def too_late(self, in_flight_attempt: InFlightAttempt) -> None:
+        """End an attempt whose time is over."""
         if in_flight_attempt.attempt not in self.in_flight_attempts:
             return
         if in_flight_attempt.link is None:
