--- a/benchmarks/decision_trace.py
+++ b/benchmarks/decision_trace.py
@@ -25,8 +25,16 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from corkgauge.policy import gateway as control
+from corkgauge.policy import admission
 from corkgauge.policy import records as interface
+from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.learned_state import (
+    LearnedClass,
+    LearnedEngine,
+    LearnedShare,
+    LearnedState,
+)
+from corkgauge.policy.options import GatewayOptions
 
 # The program's names: all of them, so that a renaming is followed in this section alone.
 
@@ -37,7 +45,7 @@
 # In a fixed order, as the world draws from it by index.
 OUTCOMES = (ERROR, SUCCEEDED, FULL, TIMED_OUT, UNREACHED, RESET, CANCELLED, ABANDONED)
 # A module and the name of one tuned constant in it: the test changes it and expects other hashes.
-TUNED_SAMPLE = (control, "WAIT_PART")
+TUNED_SAMPLE = (admission, "MAX_WAIT_PART")
 
 
 class HostAdapter:
@@ -77,26 +85,25 @@
 def build_gateway(host: HostAdapter, scenario: "Scenario", classes: list[Any], seed: int) -> Any:
     """A gateway with what the scenario states."""
     floor, share, span = scenario.retry_budget
-    return control.Gateway(
-        host,
+    options = GatewayOptions(
         seed=seed,
-        number=scenario.number,
-        gateways=scenario.gateways,
-        tick=10,
-        request_classes=classes,
-        cancels=scenario.cancels,
-        copies=scenario.hedges,
+        gateway_number=scenario.number,
+        gateway_count=scenario.gateways,
+        host_period_ticks=10,
+        can_cancel=scenario.cancels,
+        can_hedge=scenario.hedges,
         max_attempts=scenario.most_attempts,
-        retry_after=scenario.retry_after,
-        cold_share=0.33,
-        cold_span=scenario.warm_up,
-        fall_multiple=scenario.cold_multiple,
-        fall_span=SECOND,
-        extra_floor=floor,
-        extra_share=share,
-        extra_span=span,
-        settle=scenario.settle,
+        retry_after_ticks=scenario.retry_after,
+        slow_start_speed=0.33,
+        slow_start_ticks=scenario.warm_up,
+        overload_factor=scenario.cold_multiple,
+        overload_window_ticks=SECOND,
+        retry_floor=floor,
+        retry_share=share,
+        retry_window_ticks=span,
+        settle_ticks=scenario.settle,
     )
+    return Gateway(host, options, classes)
 
 
 def build_class(spec: "ClassSpec") -> Any:
@@ -160,23 +167,23 @@
         self.key_in_doubt = gateway.hold_order_key  # key, until
 
     def throttle_retries(self, part: float) -> None:
-        self.gateway.strict = part
+        self.gateway.retry_budget.throttle = part
 
     def recover(self, learned: "Learned") -> None:
-        self.gateway.recall(
-            {
-                "price": learned.price,
-                "best": learned.best,
-                "extras": learned.retries,
-                "honoured": learned.succeeded,
-                "engines": learned.engines,
-                "offerings": learned.classes,
-                "queues": learned.queues,
-            }
+        self.gateway.restore_learned_state(
+            LearnedState(
+                learned.price,
+                learned.best,
+                learned.retries,
+                learned.succeeded,
+                [LearnedEngine(*each) for each in learned.engines],
+                [LearnedClass(*each) for each in learned.classes],
+                [LearnedShare(*each) for each in learned.queues],
+            )
         )
 
     def price(self) -> float:
-        return self.gateway.price
+        return self.gateway.price.current
 
 
 def queue_of(request: Any) -> Any:
--- a/corkgauge/config/settings.py
+++ b/corkgauge/config/settings.py
@@ -1,4 +1,4 @@
-"""Stated settings to records: the one place where what operators state becomes the project's own figures.
+"""Stated settings to records: the one place where what operators state becomes our own figures.
 
 The simulator's first message and the configuration of a real workload manager hold the same object.
 """
@@ -8,6 +8,7 @@
 
 from corkgauge.policy.gateway import Gateway
 from corkgauge.policy.host import Host
+from corkgauge.policy.options import GatewayOptions
 from corkgauge.policy.records import Engine, Repeatability, RequestClass
 
 REPEATS = {
@@ -21,8 +22,11 @@
     """What the door of a gateway derives from the settings; the raw ones are not kept."""
 
     def __init__(self, said: Any, host: Host, seed: int, name: str = "") -> None:
-        """`name` is the gateway's own. Danger: gateways that are told no number would all be in turn at cold engines at
-        once, and have one working set; also seeds may be alike. So names stand in."""
+        """Read the settings; `name` is the gateway's own.
+
+        Gateways that are told no number would all have their slow-start permits at once, and one
+        subset; also seeds may be alike. So names stand in for numbers.
+        """
         if not isinstance(said, dict):
             raise ValueError("settings: not an object")
         rules, limits = said.get("rules", {}), said.get("limits", {})
@@ -50,34 +54,34 @@
         self.idle_time = figure(limits, "connIdleUs", 30_000_000, 1) // 100
         self.open_cap = figure(limits, "openCap", 20_000, 1)
         span = figure(rules, "budgetSpanUs", 0) // 100
-        # The rule on further hand-offs, where one is stated: floor, share of what was taken, window.
+        # The retry budget, where one is stated: floor, share of what was taken, window.
         self.budget = (
             (figure(rules, "extraFloor", 0.0), figure(rules, "extraPerRequest", 0.0), span)
             if span
             else None
         )
-        self.gateway = Gateway(
-            host,
+        number_from_name = crc32(b"%d %s" % (seed, name.encode())) % 2**20
+        options = GatewayOptions(
             seed=seed,
-            number=figure(said, "myNumber", crc32(b"%d %s" % (seed, name.encode())) % 2**20),
-            gateways=figure(said, "instances", 1, 1),
-            tick=-(-figure(said, "periodUs", 1000) // 100),
-            request_classes=self.request_classes,
-            cancels=bool(limits.get("cancel")),
-            copies=bool(limits.get("secondCopies")),
+            gateway_number=figure(said, "myNumber", number_from_name),
+            gateway_count=figure(said, "instances", 1, 1),
+            host_period_ticks=-(-figure(said, "periodUs", 1000) // 100),
+            can_cancel=bool(limits.get("cancel")),
+            can_hedge=bool(limits.get("secondCopies")),
             max_attempts=figure(limits, "mostTries", 1, 1),
-            retry_after=figure(limits, "maxRetryAfterUs", 0) // 100
+            retry_after_ticks=figure(limits, "maxRetryAfterUs", 0) // 100
             if limits.get("retryAfter")
             else 0,
-            cold_share=figure(rules, "coldShare", 1.0, 0),
-            cold_span=figure(rules, "coldUs", 0) // 100,
-            fall_multiple=figure(rules, "fallMultiple", 1.0, 0),
-            fall_span=figure(rules, "fallUs", 0) // 100,
-            extra_floor=figure(rules, "extraFloor", 0.0),
-            extra_share=figure(rules, "extraPerRequest", 0.0),
-            extra_span=figure(rules, "budgetSpanUs", 0) // 100,
-            settle=-(-figure(rules, "settleAfterDoubtUs", 0) // 100),
+            slow_start_speed=figure(rules, "coldShare", 1.0, 0),
+            slow_start_ticks=figure(rules, "coldUs", 0) // 100,
+            overload_factor=figure(rules, "fallMultiple", 1.0, 0),
+            overload_window_ticks=figure(rules, "fallUs", 0) // 100,
+            retry_floor=figure(rules, "extraFloor", 0.0),
+            retry_share=figure(rules, "extraPerRequest", 0.0),
+            retry_window_ticks=figure(rules, "budgetSpanUs", 0) // 100,
+            settle_ticks=-(-figure(rules, "settleAfterDoubtUs", 0) // 100),
         )
+        self.gateway = Gateway(host, options, self.request_classes)
 
     def place(self, engine: Engine, zone: int, kind: int, cell: int) -> None:
         """Where an engine stands, and what one of its kind holds."""
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -88,8 +88,8 @@
             Bounds(*said.bounds),
             said.each,
             int(said.grant * drift) + 1,
-            int(expiry * drift) + socket_host.settings.gateway.settle,
-            socket_host.settings.gateway.cold_span,
+            int(expiry * drift) + socket_host.settings.gateway.options.settle_ticks,
+            socket_host.settings.gateway.slow_start.warm_up_ticks,
         )
         socket_host.works = self
         for subject, method in (
@@ -205,7 +205,9 @@
         for tag, engine_pool in self.socket_host.engine_pools.items():
             engine = engine_pool.engine
             well = engine.state == EngineState.READY
-            passing = well and (gateway._cold(engine) or engine.stats.ejected_until > now)
+            passing = well and (
+                gateway.slow_start.is_warming_up(engine) or engine.stats.ejected_until > now
+            )
             zone = str(settings.zones[engine.zone])
             found[tag] = EngineFact(
                 tag,
@@ -313,7 +315,7 @@
             AttemptOutcome.CONNECTION_RESET,
             AttemptOutcome.CANCELLED,
         ):
-            self.doubts[name] = self.event_loop.now + self.socket_host.gateway.settle
+            self.doubts[name] = self.event_loop.now + self.socket_host.gateway.options.settle_ticks
             if len(self.doubts) > 4 * len(self.socket_host.engine_pools) + 64:
                 self.doubts = {
                     each: until
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -363,7 +363,7 @@
             and not self.dialling
             and (all(each.open for each in self.links))
             and (
-                self.socket_host.gateway.slots * self.engine.cores >= 1.0
+                self.socket_host.gateway.limit.threads_per_core * self.engine.cores >= 1.0
                 or any(len(each.open) > 1 for each in self.links)
             )
         )
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -104,9 +104,12 @@
         self.page_line: deque[InFlightAttempt] = deque()
         self.ended: deque[Request] = deque()
         self.settings = stated_of(platform_config, self)
-        if platform_config.settings.get("myNumber") is None and self.settings.gateway.gateways > 1:
+        if (
+            platform_config.settings.get("myNumber") is None
+            and self.settings.gateway.options.gateway_count > 1
+        ):
             log(
-                f"myNumber is not told: {self.settings.gateway.number}, from the name; sets of engines are less even"
+                f"myNumber is not told: {self.settings.gateway.options.gateway_number}, from the name; sets of engines are less even"
             )
         self.gateway = self.settings.gateway
         self.most_memory = max(self.settings.sizes, default=1e6)
@@ -271,7 +274,9 @@
             self.names.pop(order.name, None)
             self.ended.append(request)
             if reason < 0:
-                reason = reason_of(code, request, self.now, self.gateway.margin)
+                reason = reason_of(
+                    code, request, self.now, self.gateway.options.deadline_margin_ticks
+                )
             order.reason = reason
             if self.waits is not None:
                 self.waits.answered(request.request_class.name, self.now - request.accepted_at)
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -24,6 +24,7 @@
     HealthReports,
 )
 from corkgauge.peer_health.retry_throttle import RetryThrottle
+from corkgauge.policy.outlier_detection import is_trusted
 from corkgauge.policy.records import EngineState
 
 CODES = {"error": ERROR, "reset": RESET, "unreached": UNREACHED, "silent": SILENT}
@@ -51,7 +52,7 @@
         self.membership, self.member_list = membership, membership.member_list
         self.findings = HealthReports(self.name, self.member_list.letters.start)
         self.storm = RetryThrottle(self.name)
-        self.turns = PermitTransfer(socket_host.gateway.fall_span)
+        self.turns = PermitTransfer(socket_host.gateway.slow_start.window_ticks)
         self.opinions: dict[str, Opinion] = {}
         self.changed: set[str] = set()  # engines on which something new was heard
         self.serial = self.rounds = 0
@@ -63,7 +64,7 @@
         self.member_list.calls["turn"] = self.turn_came
         socket_host.routes[b"GET", b"/shared"] = self.told
         self.event_loop.call_later(said.each, self.period)
-        if socket_host.gateway.cold_span:
+        if socket_host.gateway.slow_start.warm_up_ticks:
             self.event_loop.call_later(TURN_LOOK, self.look_at_turns)
 
     def reload(self, said: Shared) -> None:
@@ -103,7 +104,7 @@
 
     def _own(self, now: int) -> None:
         """What we found out ourselves, engine by engine."""
-        notable = NOTABLE * 100 * self.socket_host.gateway._usual_slowness()
+        notable = NOTABLE * 100 * self.socket_host.gateway.slowness.usual()
         for engine_pool in self.socket_host.engine_pools.values():
             engine = engine_pool.engine
             view = engine.stats
@@ -112,7 +113,7 @@
             fault = WELL
             if view.ejected_until > now:
                 fault = next((CODES[why] for why in reversed(view.fault_history) if why), WELL)
-            elif view.last_heard_at < now - OWN or not self.socket_host.gateway._trusted(view):
+            elif view.last_heard_at < now - OWN or not is_trusted(view):
                 continue  # nothing fresh is known of it here; what we said before grows old
             samples = len(view.slowness_samples)
             slow = int(100 * median(view.slowness_samples)) if samples >= 3 else 0
@@ -129,9 +130,9 @@
 
     def _storm(self, now: int) -> None:
         gateway = self.socket_host.gateway
-        floor, part, _ = gateway.extra
-        gateway.strict = self.storm.looked(
-            now, len(gateway.honoured), len(gateway.extras), floor, part
+        budget = gateway.retry_budget
+        budget.throttle = self.storm.looked(
+            now, len(budget.success_times), len(budget.retry_times), budget.floor, budget.share
         )
         ledger = self.socket_host.ledger
         refused = sum(
@@ -148,7 +149,13 @@
         self._say(
             name,
             "findings",
-            [self.serial, len(gateway.honoured), len(gateway.extras), int(self.want * 10), rows],
+            [
+                self.serial,
+                len(gateway.retry_budget.success_times),
+                len(gateway.retry_budget.retry_times),
+                int(self.want * 10),
+                rows,
+            ],
         )
 
     def _say(self, name: str, subject: str, body: list[Any]) -> None:
@@ -228,11 +235,14 @@
         if not said.doubted:
             return 0
         gateway = self.socket_host.gateway
-        gateways = max(gateway.gateways, 1)
-        turn = (gateway.number + self.rounds * max(1, int(gateways * 0.618))) % gateways
+        gateways = max(gateway.options.gateway_count, 1)
+        turn = (
+            gateway.options.gateway_number + self.rounds * max(1, int(gateways * 0.618))
+        ) % gateways
         return (
             1
-            if gateways <= TRIALS or turn * TRIALS < TRIALS * TRIALS * gateway.gateways // gateways
+            if gateways <= TRIALS
+            or turn * TRIALS < TRIALS * TRIALS * gateway.options.gateway_count // gateways
             else 2
         )
 
@@ -242,9 +252,15 @@
         """What we are in turn for, and do not need, goes to a fellow that does."""
         self.event_loop.call_later(TURN_LOOK, self.look_at_turns)
         gateway, now = self.socket_host.gateway, self.event_loop.now
-        if gateway.price or self.want or any(queue.waiting for queue in gateway.queues.values()):
+        if (
+            gateway.price.current
+            or self.want
+            or any(queue.waiting for queue in gateway.queues.values())
+        ):
             return  # we need them ourselves
-        for engine in [each for each in gateway.engines if gateway._cold(each)][:MOST_TURNS]:
+        for engine in [each for each in gateway.engines if gateway.slow_start.is_warming_up(each)][
+            :MOST_TURNS
+        ]:
             work = max(
                 (
                     request_class.typical_work
@@ -253,7 +269,7 @@
                 default=0.0,
             )
             left = self.turns.window - (now - engine.incarnation) % self.turns.window
-            if not work or not gateway._cold_room(engine, work):
+            if not work or not gateway.slow_start.has_budget(engine, work):
                 continue
             given = self.turns.pass_on(
                 boot_time(), engine.host_reference, left, self.membership.chance(2**32)
@@ -280,7 +296,9 @@
         ):
             gateway = self.socket_host.gateway
             gateway.on_permit_moved(
-                engine_pool.engine, -float(work), now + (until - boot) - gateway.fall_span
+                engine_pool.engine,
+                -float(work),
+                now + (until - boot) - gateway.slow_start.window_ticks,
             )
 
     # Figures.
--- /dev/null
+++ b/corkgauge/policy/recent_work.py
@@ -0,0 +1,46 @@
+"""How the work of the last attempts was spread over engines and table groups."""
+
+from collections import deque
+from typing import NamedTuple
+
+from corkgauge.policy.records import Engine, EngineStats
+from corkgauge.policy.subsetting import EngineSubset
+from corkgauge.policy.units import RECENT_SAMPLES
+
+LEAST_GROUP_WORK = 1  # thread ticks; what rounding leaves of a group is less
+
+
+class SentWork(NamedTuple):
+    """One attempt of the last ones."""
+
+    stats: EngineStats
+    work: float  # typical work of its class
+    table_group: float
+
+
+class RecentWork:
+    """Owns the last attempts, some for each engine of the subset."""
+
+    def __init__(self, subset: EngineSubset) -> None:
+        self._subset = subset
+        self._sent: deque[SentWork] = deque()
+        self._work_by_group: dict[float, float] = {}
+
+    def of_group(self, table_group: float) -> float:
+        """The work of a table group."""
+        return self._work_by_group.get(table_group, 0.0)
+
+    def record(self, engine: Engine, work: float, table_group: float) -> None:
+        """Count an attempt; the oldest is forgotten."""
+        engine.stats.recent_work += work
+        self._sent.append(SentWork(engine.stats, work, table_group))
+        self._work_by_group[table_group] = self.of_group(table_group) + work
+        if len(self._sent) > RECENT_SAMPLES * len(self._subset.engines):
+            self._forget_oldest()
+
+    def _forget_oldest(self) -> None:
+        oldest = self._sent.popleft()
+        oldest.stats.recent_work -= oldest.work
+        self._work_by_group[oldest.table_group] -= oldest.work
+        if self._work_by_group[oldest.table_group] < LEAST_GROUP_WORK:
+            del self._work_by_group[oldest.table_group]
--- a/corkgauge/policy/records.py
+++ b/corkgauge/policy/records.py
@@ -1,9 +1,10 @@
 """The records that the policy and its host share, and the enumerations in them.
 
-Times are whole tenths of a millisecond ("ticks"). Records point to each other; identifiers stay with the
-host, which keeps what it needs to find its own objects in `host_reference`.
+Times are whole tenths of a millisecond ("ticks"). Records point to each other; identifiers stay
+with the host, which keeps what it needs to find its own objects in `host_reference`.
 """
 
+from collections import deque
 from dataclasses import dataclass, field
 from enum import IntEnum
 from typing import Any
@@ -31,7 +32,7 @@
 
 
 class EngineState(IntEnum):
-    """The state of an engine in the endpoint list. The numbers are those of the simulator's wire."""
+    """An engine's state in the endpoint list. The numbers are those of the simulator's wire."""
 
     GONE = 0
     READY = 1
@@ -76,7 +77,8 @@
     zones: tuple[int, ...] = ()  # the only ones it may use; none: any
     engine_kinds: tuple[int, ...] = ()
     threads: int = 1
-    answer_samples: Any = None  # the gateway's last few answers
+    # The gateway's last few answers: work and memory, each true over estimated; true work.
+    answer_samples: deque[tuple[float, float, float]] = field(default_factory=deque)
     typical_work: float = 0.0  # as they report it, in thread ticks
     subset_rank_limit: float = 1.0  # rank up to which engines of the subset serve this class
 
@@ -106,10 +108,10 @@
 class EngineStats:
     """What one gateway has recently measured of one engine."""
 
-    slow_start_usage: Any  # (when, typical work sent) in the overload window
-    slowness_samples: Any  # time taken over the time of the work alone
-    fault_history: Any  # one for each outcome; empty: a good answer
-    trouble_history: Any  # (why, when), also of faults that are not its own
+    slow_start_usage: deque[tuple[int, float]]  # (when, typical work sent), overload window
+    slowness_samples: deque[float]  # time taken over the time of the work alone
+    fault_history: deque[str]  # one for each outcome; empty: a good answer
+    trouble_history: deque[tuple[str, int]]  # (why, when), also of faults that are not its own
     last_heard_at: int = -1  # when it last gave a sign of its own
     ejected_until: int = -1
     refused_until: int = -1
@@ -128,7 +130,7 @@
     """The requests of one tenant and class that wait for a slot."""
 
     request_class: RequestClass
-    share_history: Any  # the last few intervals: share, inverse of the shortfall
+    share_history: deque[tuple[float, float]]  # last intervals: share, inverse of the shortfall
     share: float = 0.0
     recent_arrivals: float = 0.0  # ends of the last periods, decayed
     shortfalls: list[float] = field(default_factory=list)  # latency over objective, this interval
@@ -171,6 +173,5 @@
     is_in_flight: bool = True
     is_cancelled: bool = False
     outcome: int = -1
-    overtaken_count: int = (
-        0  # answers of its engine to later attempts, since it last reported on this one
-    )
+    # Answers of its engine to later attempts, since it last reported on this one.
+    overtaken_count: int = 0
--- /dev/null
+++ b/corkgauge/policy/work_estimates.py
@@ -0,0 +1,82 @@
+"""How much work and memory requests need, learned from answers."""
+
+from collections import deque
+from collections.abc import Iterable, Sequence
+from statistics import fmean, median
+
+from corkgauge.policy.records import Engine, Request, RequestClass, RequestQueue
+from corkgauge.policy.units import MIN_SAMPLES
+
+ANSWER_SAMPLES = 48  # kept for a request class
+UNSEEN_WORK_FACTOR = 2.0  # of the work that fits the objective, while little is known
+MEMORY_QUANTILE = 0.85  # of true over estimated memory, that a grant covers
+
+
+class WorkEstimates:
+    """The mean work over all classes, as of the last feedback interval."""
+
+    def __init__(self, request_classes: Sequence[RequestClass]) -> None:
+        self.mean_typical_work = 0.0  # of one class as any other
+        self.mean_requested_work = 0.0  # of one request as any other
+        for request_class in request_classes:
+            # (true work over its estimate, true memory over its estimate, true work)
+            request_class.answer_samples = deque(maxlen=ANSWER_SAMPLES)
+            request_class.typical_work = typical_work(request_class)
+
+    def update(self, queues: Iterable[RequestQueue]) -> None:
+        """Work the means out anew."""
+        works = [queue.request_class.typical_work for queue in queues]
+        self.mean_typical_work = fmean(works or [0.0])
+
+    def update_requested(self, queues: Iterable[RequestQueue]) -> None:
+        """Work out the mean of what is asked for, after the arrivals were counted."""
+        counts = [queue.recent_arrivals for queue in queues]
+        works = [queue.recent_arrivals * queue.request_class.typical_work for queue in queues]
+        self.mean_requested_work = sum(works) / (sum(counts) or 1.0)
+
+    @staticmethod
+    def record_answer(request: Request, work: int, memory: float) -> None:
+        """Take what an answer told of its work (thread ticks) and memory (MB); 0: untold."""
+        request_class = request.request_class
+        request_class.answer_samples.append(
+            (
+                work / (request.estimated_work or 1),
+                memory / (request.estimated_memory or 1),
+                work or request.expected_work,
+            )
+        )
+        request_class.typical_work = typical_work(request_class)
+
+    @staticmethod
+    def restore(request_class: RequestClass, samples: Iterable[tuple[float, float, float]]) -> None:
+        """Take the samples of an earlier start of this gateway."""
+        request_class.answer_samples.extend(samples)
+        request_class.typical_work = typical_work(request_class)
+
+
+def expected_work(request: Request) -> float:
+    """The work of a request: its estimate, corrected by what answers of its class told."""
+    if not request.estimated_work:
+        return request.request_class.typical_work
+    # There are none where answers do not tell their work.
+    ratios = [ratio for ratio, _, _ in request.request_class.answer_samples if ratio]
+    correction = median(ratios) if len(ratios) >= MIN_SAMPLES else 1.0
+    return request.estimated_work * correction
+
+
+def typical_work(request_class: RequestClass) -> float:
+    """The mean work of a class, on the high side while little is known."""
+    works = [work for _, _, work in request_class.answer_samples]
+    if len(works) >= MIN_SAMPLES:
+        return fmean(works)
+    unseen = UNSEEN_WORK_FACTOR * request_class.latency_objective * request_class.threads
+    return max([unseen, *works])
+
+
+def memory_grant(request: Request, engine: Engine) -> float:
+    """Memory (MB) as estimated, corrected by what answers told; 0 leaves it to the engine."""
+    ratios = sorted(ratio for _, ratio, _ in request.request_class.answer_samples if ratio)
+    if not request.estimated_memory or len(ratios) < MIN_SAMPLES:
+        return 0.0
+    ratio = ratios[int(MEMORY_QUANTILE * len(ratios))]
+    return min(request.estimated_memory * ratio, engine.max_memory)
--- a/corkgauge/recovery/learned_state.py
+++ b/corkgauge/recovery/learned_state.py
@@ -11,16 +11,22 @@
 
 from typing import Any
 
+from corkgauge.policy.learned_state import (
+    LearnedClass,
+    LearnedEngine,
+    LearnedShare,
+    LearnedState,
+)
 from corkgauge.recovery import decay as ageing
 
 
 def copied(gateway: Any) -> dict[str, Any]:
     """What the module has learned, as copies; cheap, so that it is taken between two events."""
     return {
-        "price": gateway.price,
-        "best": gateway.best,
-        "extras": [*gateway.extras],
-        "honoured": [*gateway.honoured],
+        "price": gateway.price.current,
+        "best": gateway.slowness.best,
+        "extras": [*gateway.retry_budget.retry_times],
+        "honoured": [*gateway.retry_budget.success_times],
         "engines": [
             (
                 e,
@@ -35,7 +41,10 @@
             (each, [*each.answer_samples])
             for each in {q.request_class: 0 for q in gateway.queues.values()}
         ],
-        "queues": [(tenant, each, queue.share) for (tenant, each), queue in gateway.queues.items()],
+        "queues": [
+            (tenant, each, queue.share)
+            for (tenant, each), queue in gateway.queues.by_tenant_and_class.items()
+        ],
     }
 
 
@@ -84,11 +93,13 @@
         if known and known["started"] == engine.incarnation:
             aged = ageing.engine(known, age, said["at"], now)
             engines.append(
-                (engine, aged["slowness"], aged["bound"], aged["rests_until"], aged["faults"])
+                LearnedEngine(
+                    engine, aged["slowness"], aged["bound"], aged["rests_until"], aged["faults"]
+                )
             )
             counts["engines"] += bool(aged["slowness"] or aged["rests_until"] >= 0)
     samples = [
-        (
+        LearnedClass(
             request_class,
             [
                 tuple(each)
@@ -105,24 +116,24 @@
     ]
     aged = ageing.shares([share for _, _, share in queues], age)
     counts["queues"] = len(queues)
-    span = gateway.extra[2]
+    span = gateway.retry_budget.window_ticks
     lately = {
         name: [when for when in said[name] if now - span < when <= now]
         for name in ("extras", "honoured")
     }
-    gateway.recall(
-        {
-            "price": ageing.price(said["price"], age),
-            "engines": engines,
-            "offerings": samples,
-            "best": said["best"] if age != ageing.inf else gateway.best,
-            "queues": [
-                (tenant, request_class, share)
+    gateway.restore_learned_state(
+        LearnedState(
+            price=ageing.price(said["price"], age),
+            best_slowness=said["best"] if age != ageing.inf else gateway.slowness.best,
+            # A budget that counts what succeeded before, and not what was sent, would be too wide.
+            retry_times=lately["extras"],
+            success_times=lately["honoured"],
+            engines=engines,
+            request_classes=samples,
+            shares=[
+                LearnedShare(tenant, request_class, share)
                 for (tenant, request_class, _), share in zip(queues, aged)
             ],
-            # Danger: a budget that counts what was honoured before, and not what was sent, would be too wide.
-            "extras": lately["extras"],
-            "honoured": lately["honoured"],
-        }
+        )
     )
     return counts
--- a/corkgauge/recovery/service.py
+++ b/corkgauge/recovery/service.py
@@ -147,7 +147,7 @@
             # Danger: it may run on, and the next of its key would run beside it. It was given up with its
             # connection, at the latest when the program before ended; so its key rests as after a reset.
             if effect.key and effect.request_class in ordered:
-                gateway.hold_order_key(effect.key, now + gateway.settle)
+                gateway.hold_order_key(effect.key, now + gateway.options.settle_ticks)
         self.serial = max(self.effects.by_serial, default=0)
         if len(self.effects):
             self.socket_host.log(f"recall: effects={len(self.effects)} unsettled={len(unsettled)}")
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -113,43 +113,43 @@
 
         passed = Gateway.on_permit_moved
         Gateway.on_permit_moved = lambda self, engine, work, when: work > 0 or [
-            passed(self, engine, work, when + 20 * self.fall_span)
+            passed(self, engine, work, when + 20 * self.slow_start.window_ticks)
         ]
         PermitTransfer.received = lambda self, now, serial, known_for, left: now + left
     elif off == "cold":
         # An engine that has just started is sent what any other is.
-        from corkgauge.policy.gateway import Gateway
+        from corkgauge.policy.slow_start import SlowStart
 
-        Gateway._cold = lambda self, engine: False
+        SlowStart.is_warming_up = lambda self, engine: False
     elif off == "groups":
         # What may have run is tried again anywhere, whoever knows its label.
         from corkgauge.policy.gateway import Gateway
 
         settings = Gateway.__init__
 
-        def careless(self: Gateway, host: object, **said: object) -> None:
-            for each in said["offerings"]:
-                each.group = "all"
-            settings(self, host, **said)
+        def careless(self: Gateway, host: object, options: object, request_classes: list) -> None:
+            for each in request_classes:
+                each.key_scope = "all"
+            settings(self, host, options, request_classes)
 
         Gateway.__init__ = careless
     elif off == "beyond":
         # Nothing is sought outside the working set.
-        from corkgauge.policy.gateway import Gateway
+        from corkgauge.policy.engine_selection import EngineSelector
 
-        Gateway._beyond = lambda self, sub, tried: None
+        EngineSelector.select_outside_subset = lambda self, request, tried: None
     elif off == "few":
         # The working set is what is first by rank, whatever kinds the offerings need.
-        from corkgauge.policy.gateway import Gateway
+        from corkgauge.policy.subsetting import EngineSubset
 
-        gathered = Gateway._gather
+        gathered = EngineSubset.rebuild
 
-        def bare(self: Gateway) -> None:
+        def bare(self: EngineSubset) -> None:
             needed, self.request_classes = self.request_classes, []
             gathered(self)
             self.request_classes = needed
 
-        Gateway._gather = bare
+        EngineSubset.rebuild = bare
     elif off == "day":
         # Its date is a day ahead, from its start.
         from corkgauge.eventloop import loop as event_loop
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -19,6 +19,13 @@
 from corkgauge.net.engine_connection import EngineConnection
 from corkgauge.net.platform_frontend import PlatformFrontEnd
 from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.learned_state import (
+    LearnedClass,
+    LearnedEngine,
+    LearnedShare,
+    LearnedState,
+)
+from corkgauge.policy.options import GatewayOptions
 from corkgauge.policy.records import (
     Attempt,
     AttemptOutcome,
@@ -107,26 +114,25 @@
             )
             for each in CLASSES
         ]
-        self.gateway = Gateway(
-            self,
+        options = GatewayOptions(
             seed=seed,
-            number=seed % gateways,
-            gateways=gateways,
-            tick=10,
-            request_classes=self.request_classes,
-            cancels=False,
-            copies=True,
+            gateway_number=seed % gateways,
+            gateway_count=gateways,
+            host_period_ticks=10,
+            can_cancel=False,
+            can_hedge=True,
             max_attempts=6,
-            retry_after=0,
-            cold_share=0.33,
-            cold_span=15 * SECOND,
-            fall_multiple=3.0,
-            fall_span=15_000,
-            extra_floor=3.0,
-            extra_share=0.1,
-            extra_span=5 * SECOND,
-            settle=3_000,
+            retry_after_ticks=0,
+            slow_start_speed=0.33,
+            slow_start_ticks=15 * SECOND,
+            overload_factor=3.0,
+            overload_window_ticks=15_000,
+            retry_floor=3.0,
+            retry_share=0.1,
+            retry_window_ticks=5 * SECOND,
+            settle_ticks=3_000,
         )
+        self.gateway = Gateway(self, options, self.request_classes)
         self.engines = [
             Engine(f"db{n}", b"db%d" % n, n % ZONES, n % KINDS, n, cores=cores, name=f"db{n}")
             for n in range(engines)
@@ -135,26 +141,28 @@
             self.gateway.on_engine_update(engine, EngineState.READY, 0)
         self.gateway.on_engine_list_complete()
         # As a gateway that has served for long: each of its figures has its samples, each tenant's queue is there.
-        self.gateway.recall(
-            {
-                "price": 0.0,
-                "best": 1.1,
-                "extras": [],
-                "honoured": [],
-                "engines": [
-                    (engine, [1.0 + self.chance.part() / 2 for _ in range(8)], 1.0, -1, [])
+        self.gateway.restore_learned_state(
+            LearnedState(
+                price=0.0,
+                best_slowness=1.1,
+                retry_times=[],
+                success_times=[],
+                engines=[
+                    LearnedEngine(
+                        engine, [1.0 + self.chance.part() / 2 for _ in range(8)], 1.0, -1, []
+                    )
                     for engine in self.engines
                 ],
-                "offerings": [
-                    (request_class, [(1.0, 0.0, float(self.hold or each.work))] * 48)
+                request_classes=[
+                    LearnedClass(request_class, [(1.0, 0.0, float(self.hold or each.work))] * 48)
                     for request_class, each in zip(self.request_classes, CLASSES)
                 ],
-                "queues": [
-                    (tenant, request_class, 1 / len(CLASSES) / tenants)
+                shares=[
+                    LearnedShare(tenant, request_class, 1 / len(CLASSES) / tenants)
                     for tenant in range(tenants)
                     for request_class in self.request_classes
                 ],
-            }
+            )
         )
 
     def drawn(self, count: int) -> list[tuple[int, Request]]:
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -188,7 +188,7 @@
             )
             settings.place(engine, engine.zone, engine.kind, cell)
             module.on_engine_update(engine, EngineState.READY, started * 10)
-        module.wider = wider
+        module.subset.failure_growth = wider
         module.on_engine_list_complete()
         return {engine.name for engine in module.engines}
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -9,6 +9,7 @@
 from corkgauge.net.engine_protocol import command
 from corkgauge.net.platform_frontend import PlatformFrontEnd
 from corkgauge.policy.gateway import Gateway
+from corkgauge.policy.options import GatewayOptions
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Request, RequestClass
 
 SECOND = 10_000
@@ -21,21 +22,21 @@
 )
 STATED = dict(
     seed=7,
-    number=1,
-    gateways=2,
-    tick=10,
-    cancels=False,
-    copies=False,
+    gateway_number=1,
+    gateway_count=2,
+    host_period_ticks=10,
+    can_cancel=False,
+    can_hedge=False,
     max_attempts=4,
-    retry_after=0,
-    cold_share=0.3,
-    cold_span=15 * SECOND,
-    fall_multiple=2.0,
-    fall_span=SECOND,
-    extra_floor=0.0,
-    extra_share=0.0,
-    extra_span=0,
-    settle=0,
+    retry_after_ticks=0,
+    slow_start_speed=0.3,
+    slow_start_ticks=15 * SECOND,
+    overload_factor=2.0,
+    overload_window_ticks=SECOND,
+    retry_floor=0.0,
+    retry_share=0.0,
+    retry_window_ticks=0,
+    settle_ticks=0,
 )
 
 
@@ -45,7 +46,8 @@
     def __init__(self, request_classes=(QUICK,), engines=3, **settings):
         self.now, self.lag, self.done, self.wakes, self.serial = 100 * SECOND, 0, [], [], 0
         self.request_classes = [RequestClass(**o) for o in request_classes]
-        self.gateway = Gateway(self, request_classes=self.request_classes, **{**STATED, **settings})
+        options = GatewayOptions(**{**STATED, **settings})
+        self.gateway = Gateway(self, options, self.request_classes)
         self.engines = [
             Engine(f"e{n}", b"e%d" % n, n % 2, n % 2, n, cores=8.0) for n in range(engines)
         ]
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -545,7 +545,7 @@
     with instance() as here:
         gateway = here.socket_host.gateway
         take_request(here)
-        gateway.price = 0.25
+        gateway.price.current = 0.25
         gateway.engines[0].stats.slowness_samples.extend([1.25, 1.5, 2.0])
         moment = {"gateway": "n1", "mark": 11, "at": NOW, "boot": "boot-1", "since_boot": 5_000}
         return snapshot.packed({**moment, **learned.gathered(gateway)})
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -37,12 +37,12 @@
         yard = GatewayHarness(
             request_classes,
             engines=1,
-            gateways=self.gateways,
-            number=number,
-            cold_share=SHARE,
-            fall_multiple=MULTIPLE,
-            fall_span=SPAN,
-            cold_span=WARM,
+            gateway_count=self.gateways,
+            gateway_number=number,
+            slow_start_speed=SHARE,
+            overload_factor=MULTIPLE,
+            overload_window_ticks=SPAN,
+            slow_start_ticks=WARM,
         )
         yard.engines[0].cores = CORES
         for n, (part, work) in enumerate(self.mix):
@@ -75,7 +75,7 @@
         now, self.yards[number] = yard.now, self.gateway(number)
         fresh = self.yards[number]
         fresh.pass_time(max(now - fresh.now, 0))
-        fresh.gateway.born = fresh.now
+        fresh.gateway.slow_start.started_at = fresh.now
         fresh.gateway.on_engine_update(fresh.engines[0], EngineState.READY, self.start)
         fresh.gateway.on_engine_list_complete()
 
@@ -128,7 +128,7 @@
         for number in range(30):
             if again:
                 fleet.restart(number)
-                fleet.yards[number].gateway.born = when + again * 3_000
+                fleet.yards[number].gateway.slow_start.started_at = when + again * 3_000
             fleet.ask(number, when + again * 3_000 + 100)
     assert 0.1 * fleet.allowed < fleet.worst() <= fleet.allowed + 2 * sqrt(fleet.allowed) + 2
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -6,8 +6,10 @@
 
 import pytest
 
-from corkgauge.policy.gateway import CROWDED, FLOOR, SIGMA, STEP
+from corkgauge.policy.concurrency_limit import MAX_THREADS_PER_CORE
+from corkgauge.policy.outcome_learning import BAD_STEP
 from corkgauge.policy.records import AttemptOutcome, Engine, NoteKind, Repeatability
+from corkgauge.policy.share_controller import MAX_SHARE_STEP, MIN_SHARE
 from tests.harness import QUICK, SECOND, GatewayHarness
 
 HEAVY = {**QUICK, "name": "heavy", "priority_weight": 6.0, "threads": 4}
@@ -20,7 +22,7 @@
     queues = list(yard.gateway.queues.values())
     for queue, share in zip(queues, shares):
         queue.share = share
-    drawn = sum(yard.gateway._draw(queues) is queues[0] for _ in range(4000)) / 4000
+    drawn = sum(yard.gateway.lottery.draw(queues) is queues[0] for _ in range(4000)) / 4000
     assert abs(drawn - shares[0]) < 0.03
 
 
@@ -34,7 +36,9 @@
 
 def test_the_bound_binds_under_pressure_only():
     yard = GatewayHarness(engines=1)
-    requests = [yard.take() for _ in range(int(8 * CROWDED))]  # a lone gateway on a quiet day
+    requests = [
+        yard.take() for _ in range(int(8 * MAX_THREADS_PER_CORE))
+    ]  # a lone gateway on a quiet day
     assert all(s.attempts for s in requests)
     yard.over(requests[0].attempts[0], AttemptOutcome.ENGINE_FULL)
     late = yard.take()
@@ -47,7 +51,7 @@
 
 def test_a_burst_does_not_go_out_at_once():
     yard = GatewayHarness(engines=1)
-    assert 0 < sum(len(yard.take().attempts) for _ in range(100)) <= 8 * CROWDED
+    assert 0 < sum(len(yard.take().attempts) for _ in range(100)) <= 8 * MAX_THREADS_PER_CORE
 
 
 def test_light_submissions_pass_the_heavy():
@@ -55,7 +59,7 @@
     yard.over(yard.take().attempts[0], took=2000)
     yard.take(1, estimated_work=9 * SECOND, time_to_deadline=20 * SECOND)
     yard.pass_time(2 * SECOND)
-    yard.gateway.best = 0.1  # under pressure
+    yard.gateway.slowness.best = 0.1  # under pressure
     assert not yard.take(1, estimated_work=9 * SECOND).attempts and yard.take().attempts
 
 
@@ -86,8 +90,8 @@
         yard.over(request.attempts[0], took=4 * SECOND if n == bad else 2000)
     yard.pass_time(2 * SECOND)
     shares = [q.share for q in yard.gateway.queues.values()]
-    assert abs(sum(shares) - 1) < 1e-9 and min(shares) >= FLOOR / 2 * 0.99
-    assert 0.5 < shares[bad] <= 0.5 + SIGMA + 1e-6
+    assert abs(sum(shares) - 1) < 1e-9 and min(shares) >= MIN_SHARE / 2 * 0.99
+    assert 0.5 < shares[bad] <= 0.5 + MAX_SHARE_STEP + 1e-6
 
 
 def test_a_starved_queue_looks_bad():
@@ -137,7 +141,7 @@
     ],
 )
 def test_a_silent_engine(cancels, copies, heard, rescued):
-    yard = GatewayHarness(cancels=cancels, copies=copies)
+    yard = GatewayHarness(can_cancel=cancels, can_hedge=copies)
     for _ in range(9):  # what is usual must be known
         yard.over(yard.take(table_group=2.0).attempts[0], took=2000)
     yard.now += 1
@@ -166,7 +170,7 @@
 
 
 def test_a_bad_plan_is_called_off():
-    yard = GatewayHarness(cancels=True)
+    yard = GatewayHarness(can_cancel=True)
     request = yard.take()
     yard.now += 4000
     yard.gateway.on_attempt_progress(request.attempts[0], NoteKind.PROGRESS, 0.02)
@@ -274,7 +278,7 @@
 
 
 def test_a_gateway_with_little_traffic_spreads_a_hot_group_over_the_order():
-    yard = GatewayHarness(gateways=200, engines=8)
+    yard = GatewayHarness(gateway_count=200, engines=8)
     for _ in range(128):
         yard.over(yard.take().attempts[0], took=2000)
     engines = [engine for _, engine in yard.said("hand_off")][64:]
@@ -284,7 +288,7 @@
 
 
 def test_late_answers_raise_a_price_that_holds_the_heaviest_back_and_time_lowers_it():
-    yard = GatewayHarness([QUICK, HEAVY], gateways=200)
+    yard = GatewayHarness([QUICK, HEAVY], gateway_count=200)
     yard.over(yard.take().attempts[0], took=2000)
     yard.pass_time(2 * SECOND)
     for _ in range(40):
@@ -305,7 +309,7 @@
 def test_a_gateway_among_hundreds_has_its_turn_at_a_cold_engine():
     turns = []
     for number in range(200):
-        yard = GatewayHarness(engines=1, gateways=200, number=number)
+        yard = GatewayHarness(engines=1, gateway_count=200, gateway_number=number)
         for _ in range(8):
             yard.over(yard.take().attempts[0], took=2000)
         yard.pass_time(2 * SECOND)
@@ -331,9 +335,13 @@
     yard.over(requests[0].attempts[0], took=2000)
     yard.pass_time(2 * SECOND)
     for n in range(late):
-        yard.gateway._step(requests[0].attempts[0].engine.stats, requests[0].request_class, -STEP)
+        yard.gateway.learning.move_limits(
+            requests[0].attempts[0].engine.stats, requests[0].request_class, BAD_STEP
+        )
     assert (
-        0 < yard.gateway.price * requests[0].request_class.typical_work <= QUICK["priority_weight"]
+        0
+        < yard.gateway.price.current * requests[0].request_class.typical_work
+        <= QUICK["priority_weight"]
     )
 
 
@@ -366,13 +374,13 @@
         len(rests) == early <= 4
     )  # Danger: each in turn would rest, though none is worse than others
     for _ in range(9):  # what an engine that died answers, beside that
-        yard.gateway._fault(yard.engines[0], "unreached")
+        yard.gateway.outliers.record_fault(yard.engines[0], "unreached")
         yard.pass_time(1)
     assert yard.said("log")[-1][0].startswith("rest  unreached")
 
 
 def test_one_that_later_ones_passed_long_ago_is_copied_once_and_one_that_is_told_of_is_not():
-    yard = GatewayHarness(engines=2, copies=True)
+    yard = GatewayHarness(engines=2, can_hedge=True)
     for n in range(8):
         yard.over(yard.take(table_group=float(n)).attempts[0], took=2000)
     requests = [yard.take(), yard.take()]
@@ -413,7 +421,7 @@
 
 
 def test_nothing_stays_of_what_is_over():
-    yard = GatewayHarness([{**QUICK, "ordered": True}], settle=SECOND)
+    yard = GatewayHarness([{**QUICK, "ordered": True}], settle_ticks=SECOND)
     requests = []
     for n in range(3000):
         requests = [
@@ -429,7 +437,9 @@
         yard.over(attempt, AttemptOutcome.TIMED_OUT, finished=True)
     yard.pass_time(12 * SECOND)
     gateway = yard.gateway
-    kept = [gateway.lines, gateway.rests, gateway.orders, gateway.honoured, gateway.extras]
+    order, budget = gateway.order, gateway.retry_budget
+    kept = [order.lines, order.held_until, budget.success_times, budget.retry_times]
+    kept.append(gateway.selector.cached_order_count)
     assert not any(kept) and len(yard.wakes) < 5  # Danger: keys and table groups are always new
 
 
@@ -437,13 +447,13 @@
     """Danger: each of them alike sends its first one to the first of the order, and together they overrun it."""
     firsts = Counter()
     for number in range(200):
-        yard = GatewayHarness(engines=20, gateways=200, number=number, seed=number)
+        yard = GatewayHarness(engines=20, gateway_count=200, gateway_number=number, seed=number)
         firsts.update(request.attempts[0].engine.host_reference for request in [yard.take()])
     assert len(firsts) >= 18 and max(firsts.values()) < 30
 
 
 def test_a_gateway_that_goes_on_with_one_group_of_many_comes_back_to_its_own_home():
-    yard = GatewayHarness(engines=20, gateways=200)
+    yard = GatewayHarness(engines=20, gateway_count=200)
     homes = []
     for n in range(60):
         request = yard.take(table_group=float(n % 12))
@@ -454,17 +464,17 @@
 
 
 def test_under_a_price_turns_at_cold_engines_further_on_are_used():
-    yard = GatewayHarness(engines=8, gateways=1)
-    order = yard.gateway._order(1.0)
+    yard = GatewayHarness(engines=8, gateway_count=1)
+    order = yard.gateway.selector.order_for(1.0)
     for engine in order[4:]:
         yard.tell(engine, started=yard.now - 2 * SECOND)
-    yard.gateway.born = 0
+    yard.gateway.slow_start.started_at = 0
     for engine in order[:4]:  # the warm ones hold some already
         engine.threads_in_flight = 2
     request = yard.take()
     assert request.attempts[0].engine in order[:4]
     yard.over(request.attempts[0])
-    yard.gateway.price = 1e-9  # what is late or refused has raised one
+    yard.gateway.price.current = 1e-9  # what is late or refused has raised one
     assert yard.take().attempts[0].engine in order[4:]
 
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -257,18 +257,18 @@
 
 
 def test_what_was_learned_comes_back_only_for_the_same_engine():
-    yard = GatewayHarness(copies=True)
+    yard = GatewayHarness(can_hedge=True)
     slow, gone, other = yard.engines
     for _ in range(4):
         yard.take()
     for attempt in [h for e in yard.engines for h in [*e.stats.in_flight]]:
         yard.over(attempt, took=30_000)
-    yard.gateway._fault(slow, "silent")
-    yard.gateway.price = 1e-6
+    yard.gateway.outliers.record_fault(slow, "silent")
+    yard.gateway.price.current = 1e-6
     for each in yard.engines:
         each.name = each.host_reference
     said = {"at": yard.now, **learned.gathered(yard.gateway)}
-    later = GatewayHarness(copies=True)
+    later = GatewayHarness(can_hedge=True)
     for each in later.engines:
         each.name = each.host_reference
     later.engines[1].incarnation = 5  # another process under the same id
@@ -278,9 +278,10 @@
     assert (
         not later.engines[1].stats.slowness_samples
         and counts["offerings"] == 1
-        and later.gateway.price == 1e-6
+        and later.gateway.price.current == 1e-6
     )
-    assert not later.gateway._well(later.engines[0]) and later.gateway._well(later.engines[1])
+    assert not later.gateway.outliers.is_healthy(later.engines[0])
+    assert later.gateway.outliers.is_healthy(later.engines[1])
     assert len(later.gateway.queues) == 1
     request = later.take()
     assert request.attempts[0].engine is not later.engines[0]
@@ -300,12 +301,12 @@
         key_ttl=20 * SECOND,
         ordered=True,
     )
-    yard = GatewayHarness(request_classes=(request_class,), settle=3000)
+    yard = GatewayHarness(request_classes=(request_class,), settle_ticks=3000)
     yard.gateway.hold_order_key(9, yard.now + 3000)
     first = yard.take(order_key=9, time_to_deadline=3 * SECOND)
     assert not first.attempts
     yard.pass_time(3100)
-    assert first.attempts and not yard.gateway.rests
+    assert first.attempts and not yard.gateway.order.held_until
 
 
 # The whole, on sockets.
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -125,7 +125,7 @@
     ],
 )
 def test_order(outcome, settle):
-    yard = GatewayHarness([ORDERED], max_attempts=1, settle=settle)
+    yard = GatewayHarness([ORDERED], max_attempts=1, settle_ticks=settle)
     first, second, other = yard.take(order_key=5), yard.take(order_key=5), yard.take(order_key=6)
     assert first.attempts and not second.attempts and other.attempts
     yard.over(first.attempts[0], outcome)
@@ -171,7 +171,7 @@
     "taken, floor, share, most", [(10, 3.0, 0.1, 4), (1, 0.0, 0.1, 0), (30, 0.0, 0.5, 15)]
 )
 def test_budget(taken, floor, share, most):
-    yard = GatewayHarness(extra_floor=floor, extra_share=share, extra_span=5 * SECOND)
+    yard = GatewayHarness(retry_floor=floor, retry_share=share, retry_window_ticks=5 * SECOND)
     for _ in range(taken):
         yard.over(yard.take().attempts[0])
     requests = [yard.take() for _ in range(taken)]  # Danger: what was never any use buys nothing
@@ -208,13 +208,13 @@
 
 
 def test_a_further_attempt_counts_in_the_budget_from_when_it_begins():
-    yard = GatewayHarness(extra_floor=2.0, extra_span=5 * SECOND)
+    yard = GatewayHarness(retry_floor=2.0, retry_window_ticks=5 * SECOND)
     requests = [yard.take(), yard.take()]
     for request in requests:
         yard.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
     begun = yard.now
     yard.now += 1_000
     assert yard.gateway.may_start_attempt(requests[0].attempts[1])
-    assert yard.gateway.extras == [begun, begun + 1_000]
-    yard.gateway.strict = 0.5  # a storm: the budget is one by now, and that is used
+    assert yard.gateway.retry_budget.retry_times == [begun, begun + 1_000]
+    yard.gateway.retry_budget.throttle = 0.5  # a storm: the budget is one by now, and that is used
     assert not yard.gateway.may_start_attempt(requests[1].attempts[1])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,7 @@
 from corkgauge.model import dissemination
 from corkgauge.net import discovery_protocol as feed_wire
 from corkgauge.net.host import UnstartedHost, stated_of
-from corkgauge.policy.gateway import MOMENT, PERIOD
+from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, FEEDBACK_INTERVAL_TICKS
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState
 from tests.harness import QUICK, GatewayHarness
 
@@ -445,8 +445,8 @@
     yard = GatewayHarness(
         [dict(QUICK, name=f"o{n}", priority_weight=1.0 + n) for n in range(2)],
         engines=0,
-        gateways=GATEWAYS,
-        number=17,
+        gateway_count=GATEWAYS,
+        gateway_number=17,
     )
     yard.out = []
     yard.engines = [
@@ -481,7 +481,7 @@
 def of_a_moment(engines):
     """Reads a statement where each comes after a moment, when figures that stand for one are renewed."""
     yard, statements = worked(engines), 20
-    return counted(lambda: play(yard, statements, MOMENT + STATEMENT)) / statements
+    return counted(lambda: play(yard, statements, ESTIMATE_VALIDITY_TICKS + STATEMENT)) / statements
 
 
 def of_a_period(engines):
@@ -490,7 +490,7 @@
 
     def period():
         yard.gateway.on_feedback_interval()
-        yard.pass_time(PERIOD - 1)
+        yard.pass_time(FEEDBACK_INTERVAL_TICKS - 1)
 
     return counted(period)
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -191,7 +191,7 @@
         total = 0
         yards = []
         for number in range(40):
-            yard = GatewayHarness(engines=1, gateways=40, number=number)
+            yard = GatewayHarness(engines=1, gateway_count=40, gateway_number=number)
             for _ in range(8):
                 yard.over(yard.take().attempts[0], took=2000)
             yard.pass_time(2 * SECOND)
@@ -199,7 +199,9 @@
             yards.append(yard)
         if passing:  # whoever is in turn passes it on to one that is not
             work = yards[0].request_classes[0].typical_work
-            able = [yard for yard in yards if yard.gateway._cold_room(yard.engines[0], work)]
+            able = [
+                yard for yard in yards if yard.gateway.slow_start.has_budget(yard.engines[0], work)
+            ]
             others = [yard for yard in yards if yard not in able]
             for giver, receiver in zip(able, others):
                 giver.gateway.on_permit_moved(giver.engines[0], work, giver.now)
@@ -219,7 +221,7 @@
         attempt.engine for n in range(6) for attempt in yard.take(table_group=float(n)).attempts
     ]
     assert taken.count(engine) == 1 and len(taken) > 3
-    assert yard.gateway._slow(engine.stats, 1.0) == 6.0
+    assert yard.gateway.slowness.of_engine(engine.stats, 1.0) == 6.0
     other = GatewayHarness(engines=2)
     other.gateway.on_peer_health(other.engines[0], 0.0, 2)
     taken = [
@@ -229,7 +231,7 @@
 
 
 def test_further_hand_offs_only_grow_stricter():
-    yard = GatewayHarness(engines=3, extra_floor=4.0, extra_share=0.0, extra_span=SECOND)
-    assert yard.gateway._extra_left()
-    yard.gateway.strict = 0.2
-    assert not yard.gateway._extra_left()
+    yard = GatewayHarness(engines=3, retry_floor=4.0, retry_share=0.0, retry_window_ticks=SECOND)
+    assert yard.gateway.retry_budget.has_left()
+    yard.gateway.retry_budget.throttle = 0.2
+    assert not yard.gateway.retry_budget.has_left()
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -9,8 +9,9 @@
 
 from corkgauge.config.settings import Settings
 from corkgauge.model import subsets
-from corkgauge.policy import gateway as control
-from corkgauge.policy.gateway import Gateway
+from corkgauge.policy import subsetting
+from corkgauge.policy.concurrency_limit import THREADS_PER_CORE
+from corkgauge.policy.outlier_detection import is_trusted
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Repeatability
 from tests.harness import QUICK, SECOND, STATED_ON_SOCKETS, GatewayHarness
 
@@ -25,10 +26,16 @@
     ]
 
 
-def gateway_before(engines, number=5, gateways=870, request_classes=(QUICK,), **settings):
+def gateway_before(
+    engines, gateway_number=5, gateway_count=870, request_classes=(QUICK,), **settings
+):
     """A gateway on its host, told these engines; copies, as what it has seen of them is its own."""
     yard = GatewayHarness(
-        request_classes=request_classes, engines=0, number=number, gateways=gateways, **settings
+        request_classes=request_classes,
+        engines=0,
+        gateway_number=gateway_number,
+        gateway_count=gateway_count,
+        **settings,
     )
     yard.engines = [
         Engine(e.host_reference, e.hash_key, e.zone, e.kind, e.cell, cores=e.cores, name=e.name)
@@ -76,18 +83,18 @@
 def test_few_gateways_before_many_engines_hold_them_all_together():
     engines = fleet_engines(600)
     for gateways in 3, 12:
-        sets = sets_of(engines, range(gateways), gateways=gateways)
+        sets = sets_of(engines, range(gateways), gateway_count=gateways)
         assert set().union(*sets) == {engine.host_reference for engine in engines}
 
 
 @settings(max_examples=5, deadline=None)
 @given(st.integers(300, 900), st.integers(600, 1800), st.integers(0, 10**6))
 def test_each_engine_is_in_nearly_as_many_sets_as_any_other(gateways, many, salt):
-    part = max(control.BASE, 128**2 / many, control.COVER * many / gateways) / many
-    gateway, count = GatewayHarness(engines=0, gateways=gateways).gateway, [0] * 40
-    for gateway.number in range(gateways):
+    part = max(subsetting.BASE_SIZE, 128**2 / many, subsetting.COVERAGE * many / gateways) / many
+    count = [0] * 40
+    for number in range(gateways):
         for n in range(40):
-            count[n] += gateway._rank(b"%d-%d" % (salt, n)) <= part
+            count[n] += subsetting.subset_rank(number, b"%d-%d" % (salt, n)) <= part
     assert max(count) <= 1.25 * gateways * part and min(count) >= 0.75 * gateways * part
 
 
@@ -96,19 +103,18 @@
     numbers = range(0, 300)
     assert (
         worst_over_mean(
-            engines, sets_of(engines, numbers, gateways=300, request_classes=(QUICK, RARE))
+            engines, sets_of(engines, numbers, gateway_count=300, request_classes=(QUICK, RARE))
         )
         <= 1.25
     )
     monkeypatch.setattr(
-        Gateway,
-        "_rank",
-        lambda gateway, mark: int.from_bytes(md5(b"%d" % gateway.number + mark).digest()[:4])
-        / 2**32,
+        subsetting,
+        "subset_rank",
+        lambda number, mark: int.from_bytes(md5(b"%d" % number + mark).digest()[:4]) / 2**32,
     )
     assert (
         worst_over_mean(
-            engines, sets_of(engines, numbers, gateways=300, request_classes=(QUICK, RARE))
+            engines, sets_of(engines, numbers, gateway_count=300, request_classes=(QUICK, RARE))
         )
         > 1.25
     )
@@ -134,7 +140,7 @@
     assert 3 <= sum("new" in held(yard) for yard in yards) <= 10 and newcomer.subset_rank == 0.0
     for yard in yards:
         yard.tell(
-            next(each for each in yard.gateway.placed if each.host_reference == "new"),
+            next(each for each in yard.gateway.subset.place_of if each.host_reference == "new"),
             state=EngineState.GONE,
         )
     assert [held(yard) for yard in yards] == before
@@ -164,7 +170,9 @@
         yard.take(1)
         assert yard.said("hand_off")[0][1] in {each.host_reference for each in rare}
     assert (
-        control.FEW <= min(many) and max(many) < 30 and 6 < sum(many) / len(many) < 12
+        subsetting.MIN_HEALTHY_ENGINES <= min(many)
+        and max(many) < 30
+        and 6 < sum(many) / len(many) < 12
     )  # without: 1.6
 
 
@@ -173,10 +181,8 @@
     for _ in range(3):  # those that come in their place fail as well
         failing(yard, [each for each in yard.gateway.engines if each.kind])
         yard.gateway.on_subset_update_due()
-        able = [
-            each for each in yard.gateway.engines if each.kind and yard.gateway._trusted(each.stats)
-        ]
-        assert len(able) >= control.FEW
+        able = [each for each in yard.gateway.engines if each.kind and is_trusted(each.stats)]
+        assert len(able) >= subsetting.MIN_HEALTHY_ENGINES
 
 
 def failing(yard, engines):
@@ -229,7 +235,7 @@
     sizes = {}
     for times in 0.5, 3.0, 30.0:
         yard = gateway_before(fleet_engines(1800))
-        work = 8 * 1800 * control.THREADS_PER_CORE / 870 * times  # cores' worth of its part
+        work = 8 * 1800 * THREADS_PER_CORE / 870 * times  # cores' worth of its part
         queue = yard.take().queue
         for _ in range(40):  # until the count of what is asked for has settled
             many = int(work * 2 * SECOND / queue.request_class.typical_work)
@@ -290,14 +296,14 @@
         yard = gateway_before(
             engines[number % 2 * 150 :],
             number,
-            gateways=int(gateways * told),
-            cold_share=0.3,
-            fall_multiple=2.0,
-            fall_span=span,
-            cold_span=15 * SECOND,
+            gateway_count=int(gateways * told),
+            slow_start_speed=0.3,
+            overload_factor=2.0,
+            overload_window_ticks=span,
+            slow_start_ticks=15 * SECOND,
         )
         yard.now += 20 * SECOND
-        yard.gateway.cold_part *= grown
+        yard.gateway.slow_start.budget_per_core *= grown
         yards.append(yard)
         cold = next(each for each in yard.engines if each.host_reference == "s200")
         yard.gateway.on_engine_update(cold, EngineState.READY, yard.now)
@@ -381,14 +387,11 @@
 @pytest.mark.parametrize("block", [2, 8, 64])
 def test_the_module_ranks_as_the_note_says(block):
     """Written apart: of each block of gateways one lies below 1 / block for both, and between powers of two as many."""
-    gateway = GatewayHarness(engines=0).gateway
-
-    def said(number, mark):
-        gateway.number = number
-        return gateway._rank(mark)
-
     for n in range(30):
-        for ranked, engine in (said, b"s-%d" % n), (subsets.rank, subsets.mixed(n, 1)):
+        for ranked, engine in (
+            (subsetting.subset_rank, b"s-%d" % n),
+            (subsets.rank, subsets.mixed(n, 1)),
+        ):
             for first in range(0, 256, block):
                 assert (
                     sum(
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -31,10 +31,10 @@
     """As the module tells it: these alone are in the working set."""
     for tag, engine_pool in premises.socket_host.engine_pools.items():
         engine_pool.engine.in_subset = tag in tags
-    premises.socket_host.gateway.engines = [
+    premises.socket_host.gateway.subset.engines = [
         premises.socket_host.engine_pools[tag].engine for tag in tags
     ]
-    premises.socket_host.gateway.orders.clear()
+    premises.socket_host.gateway.selector.forget_orders()
 
 
 class Walked(dict):
