--- a/corkgauge/config/settings.py
+++ b/corkgauge/config/settings.py
@@ -40,7 +40,7 @@
         self.priorities = bool(extra.get("takesPriority"))
         self.tells = (
             figure(extra, "tellsEveryUs", 0) // 100
-        )  # of every hand-off that is out; 0: not at all
+        )  # of every attempt in flight; 0: not at all
         widths = extra.get("widthByClass", [])
         self.request_classes = [
             request_class(p, n, widths) for n, p in enumerate(said.get("profiles", []))
--- a/corkgauge/policy/engine_selection.py
+++ b/corkgauge/policy/engine_selection.py
@@ -190,7 +190,8 @@
                     # A gateway with one attempt at a time sees no load at an engine that all
                     # gateways share; so its last work is spread by cores, whatever is in flight.
                     is_over_share = engine.stats.recent_work > even_work * engine.cores + work_slack
-                    (spare if is_over_share else near).append((load, position))
+                    preference = spare if is_over_share else near
+                    preference.append((load, position))
                 if near and eligible_count >= enough and not search.looks_at_all:
                     break
         if near or spare:
--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -73,7 +73,7 @@
         """What acts on it."""
         host, options = self.host, self.options
         self.lottery = Lottery(options.seed)
-        self.order = KeyedOrder(host, options.settle_ticks, self.enqueue)
+        self.order = KeyedOrder(host, options.settle_ticks, self.on_order_turn)
         self.selector = EngineSelector(
             host,
             options,
@@ -193,7 +193,7 @@
         """The request's answer must go now to be in time."""
         self.admission.on_deadline_near(request)
 
-    def enqueue(self, request: Request) -> None:
+    def on_order_turn(self, request: Request) -> None:
         """It is the request's turn in its keyed order."""
         self.admission.enqueue(request)
 
--- a/corkgauge/policy/outcome_learning.py
+++ b/corkgauge/policy/outcome_learning.py
@@ -86,7 +86,8 @@
         objective = (
             request_class.latency_objective + request_class.objective_stretch * work_duration
         )
-        self.move_limits(stats, request_class, GOOD_STEP if took <= objective else BAD_STEP)
+        step = GOOD_STEP if took <= objective else BAD_STEP
+        self.move_limits(stats, request_class, step)
 
     def move_limits(self, stats: EngineStats, request_class: RequestClass, step: float) -> None:
         """Move the engine's concurrency limit up, and the price down, by `step`."""
--- a/corkgauge/policy/share_controller.py
+++ b/corkgauge/policy/share_controller.py
@@ -48,10 +48,10 @@
     mean_performance = fmean(each for _, each in queue.share_history)
     spread = sum((a - mean_share) ** 2 for a, _ in queue.share_history)
     rise = sum((a - mean_share) * (p - mean_performance) for a, p in queue.share_history)
-    slope = max(rise / spread if spread > MIN_SPREAD else 0.0, MIN_SLOPE)
+    slope = rise / spread if spread > MIN_SPREAD else 0.0
     # Value for the time that a slot is held: by value alone, heavy classes would take all slots.
     weight = queue.request_class.priority_weight * SECOND / queue.request_class.typical_work
-    return ShareModel(queue, share, performance, slope, weight)
+    return ShareModel(queue, share, performance, max(slope, MIN_SLOPE), weight)
 
 
 def equalise_shares(moving: Sequence[RequestQueue], queues: Sequence[RequestQueue]) -> None:
