--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -18,23 +18,23 @@
 
 
 class Fleet:
-    """Gateways that know nothing of each other, all before one engine; each has seen some of every offering."""
+    """Gateways that know nothing of each other, all before one engine; each has seen some of every request class."""
 
     def __init__(self, gateways, mix, seed):
         self.chance, self.mix, self.sent, self.gateways = random.Random(seed), mix, [], gateways
         self.mean = sum(part * work for part, work in mix)
         self.allowed = MULTIPLE * SHARE * SPAN * CORES / self.mean  # N
-        self.yards = [self.gateway(number) for number in range(gateways)]
-        self.start = max(yard.now for yard in self.yards)
-        for yard in self.yards:
-            yard.pass_time(self.start - yard.now)
-            yard.tell(yard.engines[0], started=self.start)
+        self.harnesses = [self.gateway(number) for number in range(gateways)]
+        self.start = max(harness.now for harness in self.harnesses)
+        for harness in self.harnesses:
+            harness.pass_time(self.start - harness.now)
+            harness.tell(harness.engines[0], started=self.start)
 
     def gateway(self, number):
         request_classes = [
             dict(QUICK, name=f"o{n}", time_to_deadline=25 * SECOND) for n in range(len(self.mix))
         ]
-        yard = GatewayHarness(
+        harness = GatewayHarness(
             request_classes,
             engines=1,
             gateway_count=self.gateways,
@@ -44,36 +44,36 @@
             overload_window_ticks=SPAN,
             slow_start_ticks=WARM,
         )
-        yard.engines[0].cores = CORES
+        harness.engines[0].cores = CORES
         for n, (part, work) in enumerate(self.mix):
             for _ in range(4):
-                request = yard.take(n, estimated_work=work)
+                request = harness.take(n, estimated_work=work)
                 if request.attempts:
-                    yard.over(request.attempts[0], took=work, work=work)
-        yard.pass_time(3 * SECOND)
-        return yard
+                    harness.over(request.attempts[0], took=work, work=work)
+        harness.pass_time(3 * SECOND)
+        return harness
 
     def ask(self, number, when):
-        yard = self.yards[number]
-        yard.pass_time(max(when - yard.now, 0))
+        harness = self.harnesses[number]
+        harness.pass_time(max(when - harness.now, 0))
         (n,) = self.chance.choices(range(len(self.mix)), [part for part, _ in self.mix])
-        request = yard.take(n, estimated_work=self.mix[n][1])
+        request = harness.take(n, estimated_work=self.mix[n][1])
         if request.attempts:
             self.sent.append((when, self.mix[n][1]))
-            yard.over(
+            harness.over(
                 request.attempts[0],
                 AttemptOutcome.SUCCEEDED,
                 took=self.mix[n][1],
                 work=self.mix[n][1],
             )
         elif not request.is_finished:
-            yard.gateway.on_deadline_near(request)
+            harness.gateway.on_deadline_near(request)
 
     def restart(self, number):
         """It comes back from nothing but the list, which tells the engine's start."""
-        yard = self.yards[number]
-        now, self.yards[number] = yard.now, self.gateway(number)
-        fresh = self.yards[number]
+        harness = self.harnesses[number]
+        now, self.harnesses[number] = harness.now, self.gateway(number)
+        fresh = self.harnesses[number]
         fresh.pass_time(max(now - fresh.now, 0))
         fresh.gateway.slow_start.started_at = fresh.now
         fresh.gateway.on_engine_update(fresh.engines[0], EngineState.READY, self.start)
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 20, 30, 200])
 @pytest.mark.parametrize("mix", [ALIKE, LIGHT, MIXED], ids=["alike", "light", "mixed"])
-def test_whatever_comes_together_the_fleet_keeps_to_the_cold_budget(gateways, mix):
+def test_whatever_comes_together_the_fleet_keeps_to_the_slow_start_budget(gateways, mix):
     """All ask at once, just before and just after each moment at which turns used to pass on together."""
     fleet = Fleet(gateways, mix, seed=gateways)
     for k in range(1, 7):
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("gateways", [20, 30])
-def test_with_uneven_traffic_and_restarts_the_fleet_keeps_to_the_cold_budget(gateways):
+def test_with_uneven_traffic_and_restarts_the_fleet_keeps_to_the_slow_start_budget(gateways):
     fleet = Fleet(gateways, MIXED, seed=7)
     weights = [fleet.chance.choice([0.3, 1, 1, 2, 5]) for _ in range(gateways)]
     now, asks = fleet.start, int(8 * fleet.allowed * 11 * SECOND / SPAN)
@@ -128,12 +128,12 @@
         for number in range(30):
             if again:
                 fleet.restart(number)
-                fleet.yards[number].gateway.slow_start.started_at = when + again * 3_000
+                fleet.harnesses[number].gateway.slow_start.started_at = when + again * 3_000
             fleet.ask(number, when + again * 3_000 + 100)
     assert 0.1 * fleet.allowed < fleet.worst() <= fleet.allowed + 2 * sqrt(fleet.allowed) + 2
 
 
-def test_turns_that_were_not_used_are_not_saved_up():
+def test_permits_that_were_not_used_are_not_saved_up():
     quiet, busy = Fleet(30, ALIKE, seed=3), Fleet(30, ALIKE, seed=3)
     for number in range(30):
         for _ in range(3):
