--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -97,8 +97,11 @@
         self.pager = ResultPager(self)
         self.ended: deque[Request] = deque()
         self.settings = stated_of(platform_config, self)
-        if platform_config.settings.get("myNumber") is None and self.settings.gateway.gateways > 1:
-            number = self.settings.gateway.number
+        if (
+            platform_config.settings.get("myNumber") is None
+            and self.settings.gateway.options.gateway_count > 1
+        ):
+            number = self.settings.gateway.options.gateway_number
             log(f"myNumber is not told: {number}, from the name; sets of engines are less even")
         self.gateway = self.settings.gateway
         self.most_memory = max(self.settings.sizes, default=1e6)
@@ -282,7 +285,9 @@
         self.names.pop(order.name, None)
         self.ended.append(request)
         if reason < 0:
-            reason = reason_of_end(code, request, self.now, self.gateway.margin)
+            reason = reason_of_end(
+                code, request, self.now, self.gateway.options.deadline_margin_ticks
+            )
         order.reason = reason
         if self.latency_sketches is not None:
             self.latency_sketches.record_answered(
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -37,6 +37,7 @@
 from corkgauge.peer_health.retry_throttle import RetryThrottle
 from corkgauge.peer_health.status_view import status_report
 from corkgauge.peer_health.trials import suspicion_level
+from corkgauge.policy.outlier_detection import is_trusted
 from corkgauge.policy.records import EngineState
 
 NOTABLE_SLOWNESS = 2.0  # times the usual one: from there on it is worth a report
@@ -139,7 +140,7 @@
 
     def _record_own_observations(self, now: int) -> None:
         """Report on each engine of which this gateway knows something fresh and worth telling."""
-        notable_percent = NOTABLE_SLOWNESS * 100 * self.socket_host.gateway._usual_slowness()
+        notable_percent = NOTABLE_SLOWNESS * 100 * self.socket_host.gateway.slowness.usual()
         for engine_pool in self.socket_host.engine_pools.values():
             engine = engine_pool.engine
             observation = self._observe(engine, now)
@@ -164,10 +165,7 @@
         fault = Fault.NONE
         if stats.ejected_until > now:
             fault = last_fault(stats.fault_history)
-        elif (
-            stats.last_heard_at < now - OWN_OBSERVATION_TICKS
-            or not self.socket_host.gateway._trusted(stats)
-        ):
+        elif stats.last_heard_at < now - OWN_OBSERVATION_TICKS or not is_trusted(stats):
             return None
         sample_count = len(stats.slowness_samples)
         slowness_percent = 0
@@ -176,10 +174,9 @@
         return Observation(fault, slowness_percent, sample_count)
 
     def _update_retry_throttle(self, now: int) -> None:
-        gateway = self.socket_host.gateway
-        floor, allowed_ratio, _ = gateway.extra
-        gateway.strict = self.retry_throttle.update(
-            now, len(gateway.honoured), len(gateway.extras), floor, allowed_ratio
+        budget = self.socket_host.gateway.retry_budget
+        budget.throttle = self.retry_throttle.update(
+            now, len(budget.success_times), len(budget.retry_times), budget.floor, budget.share
         )
 
     # Datagrams out.
@@ -190,8 +187,8 @@
         self.permits.transfers.record_update_written(boot_time(), self.status_serial)
         update = StatusUpdate(
             self.status_serial,
-            len(gateway.honoured),
-            len(gateway.extras),
+            len(gateway.retry_budget.success_times),
+            len(gateway.retry_budget.retry_times),
             int(self.permits.unplaced_per_second * UNPLACED_SCALE),
             self.reports.next_gossip(now, member_count, DATAGRAM_ROOM_BYTES),
         )
@@ -279,7 +276,10 @@
         if engine_pool is not None:
             gateway = self.socket_host.gateway
             level = suspicion_level(
-                assessment.is_suspected, gateway.number, gateway.gateways, self.period_count
+                assessment.is_suspected,
+                gateway.options.gateway_number,
+                gateway.options.gateway_count,
+                self.period_count,
             )
             gateway.on_peer_health(engine_pool.engine, assessment.slowness, level.value)
 
