--- a/corkgauge/config/settings.py
+++ b/corkgauge/config/settings.py
@@ -60,27 +60,7 @@
             if span
             else None
         )
-        number_from_name = crc32(b"%d %s" % (seed, name.encode())) % 2**20
-        options = GatewayOptions(
-            seed=seed,
-            gateway_number=figure(said, "myNumber", number_from_name),
-            gateway_count=figure(said, "instances", 1, 1),
-            host_period_ticks=-(-figure(said, "periodUs", 1000) // 100),
-            can_cancel=bool(limits.get("cancel")),
-            can_hedge=bool(limits.get("secondCopies")),
-            max_attempts=figure(limits, "mostTries", 1, 1),
-            retry_after_ticks=figure(limits, "maxRetryAfterUs", 0) // 100
-            if limits.get("retryAfter")
-            else 0,
-            slow_start_speed=figure(rules, "coldShare", 1.0, 0),
-            slow_start_ticks=figure(rules, "coldUs", 0) // 100,
-            overload_factor=figure(rules, "fallMultiple", 1.0, 0),
-            overload_window_ticks=figure(rules, "fallUs", 0) // 100,
-            retry_floor=figure(rules, "extraFloor", 0.0),
-            retry_share=figure(rules, "extraPerRequest", 0.0),
-            retry_window_ticks=figure(rules, "budgetSpanUs", 0) // 100,
-            settle_ticks=-(-figure(rules, "settleAfterDoubtUs", 0) // 100),
-        )
+        options = gateway_options(said, seed, name)
         self.gateway = Gateway(host, options, self.request_classes)
 
     def place(self, engine: Engine, zone: int, kind: int, cell: int) -> None:
@@ -90,6 +70,32 @@
         engine.max_memory = self.most_memory.get(kind, 0.0)
 
 
+def gateway_options(said: dict, seed: int, name: str) -> GatewayOptions:
+    """Turn the settings that the decisions need into their options; `name` is the gateway's own."""
+    rules, limits = said.get("rules", {}), said.get("limits", {})
+    number_from_name = crc32(b"%d %s" % (seed, name.encode())) % 2**20
+    return GatewayOptions(
+        seed=seed,
+        gateway_number=figure(said, "myNumber", number_from_name),
+        gateway_count=figure(said, "instances", 1, 1),
+        host_period_ticks=-(-figure(said, "periodUs", 1000) // 100),
+        can_cancel=bool(limits.get("cancel")),
+        can_hedge=bool(limits.get("secondCopies")),
+        max_attempts=figure(limits, "mostTries", 1, 1),
+        retry_after_ticks=figure(limits, "maxRetryAfterUs", 0) // 100
+        if limits.get("retryAfter")
+        else 0,
+        slow_start_speed=figure(rules, "coldShare", 1.0, 0),
+        slow_start_ticks=figure(rules, "coldUs", 0) // 100,
+        overload_factor=figure(rules, "fallMultiple", 1.0, 0),
+        overload_window_ticks=figure(rules, "fallUs", 0) // 100,
+        retry_floor=figure(rules, "extraFloor", 0.0),
+        retry_share=figure(rules, "extraPerRequest", 0.0),
+        retry_window_ticks=figure(rules, "budgetSpanUs", 0) // 100,
+        settle_ticks=-(-figure(rules, "settleAfterDoubtUs", 0) // 100),
+    )
+
+
 def figure(said: dict, key: str, otherwise: float, least: float = 0) -> Any:
     """A number that makes sense, or an error that names its key.
 
--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -51,7 +51,10 @@
         self.options = options
         self.request_classes = request_classes
         self._build_knowledge()
-        self._build_decisions()
+        self._build_selection()
+        self._build_dispatch()
+        self._build_admission()
+        self._build_hedging()
         host.call_later(FEEDBACK_INTERVAL_TICKS, self.on_feedback_interval)
 
     def _build_knowledge(self) -> None:
@@ -69,14 +72,13 @@
         self.retry_budget = RetryBudget(host, options)
         self.retries = RetryPolicy(host, options, self.retry_budget)
 
-    def _build_decisions(self) -> None:
-        """What acts on it."""
-        host, options = self.host, self.options
-        self.lottery = Lottery(options.seed)
-        self.order = KeyedOrder(host, options.settle_ticks, self.on_order_turn)
+    def _build_selection(self) -> None:
+        """What chooses a queue, a request and an engine."""
+        self.lottery = Lottery(self.options.seed)
+        self.order = KeyedOrder(self.host, self.options.settle_ticks, self.on_order_turn)
         self.selector = EngineSelector(
-            host,
-            options,
+            self.host,
+            self.options,
             subset=self.subset,
             slowness=self.slowness,
             slow_start=self.slow_start,
@@ -85,9 +87,12 @@
             price=self.price,
             recent_work=self.recent_work,
         )
+
+    def _build_dispatch(self) -> None:
+        """What sends attempts."""
         self.dispatcher = Dispatcher(
-            host,
-            options,
+            self.host,
+            self.options,
             queues=self.queues,
             estimates=self.estimates,
             slowness=self.slowness,
@@ -97,9 +102,12 @@
             retry_budget=self.retry_budget,
             on_answer_overdue=self.on_answer_overdue,
         )
+
+    def _build_admission(self) -> None:
+        """What lets requests wait, and sends or gives up each."""
         self.admission = Admission(
-            host,
-            options,
+            self.host,
+            self.options,
             queues=self.queues,
             lottery=self.lottery,
             price=self.price,
@@ -109,9 +117,12 @@
             order=self.order,
             slowness=self.slowness,
         )
+
+    def _build_hedging(self) -> None:
+        """What acts on attempts in flight and on their outcomes."""
         self.hedging = Hedging(
-            host,
-            options,
+            self.host,
+            self.options,
             admission=self.admission,
             dispatcher=self.dispatcher,
             retries=self.retries,
@@ -120,7 +131,7 @@
             slowness=self.slowness,
         )
         self.learning = OutcomeLearning(
-            host,
+            self.host,
             estimates=self.estimates,
             slowness=self.slowness,
             outliers=self.outliers,
