--- a/corkgauge/commands/duties.py
+++ b/corkgauge/commands/duties.py
@@ -157,42 +157,45 @@
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def play(self) -> int:
-        from corkgauge.leases.leased_command import ENDING, OVER, RUNNING, WAITING
+        from corkgauge.leases.leased_command import CommandState
 
         for sign in signal.SIGTERM, signal.SIGINT:
             signal.signal(sign, self._told)
         begun = self.now()
-        while self.running.state != OVER:
+        while self.running.state != CommandState.OVER:
             self._ask()
-            if self.running.state == WAITING and (
+            if self.running.state == CommandState.WAITING and (
                 self.told or (self.patience and self.now() > begun + self.patience)
             ):
                 return FOUND
             until = self.now() + ASK_EACH
-            while self.running.state != OVER and self.now() < until:
-                self.running.looked(self.now())
+            while self.running.state != CommandState.OVER and self.now() < until:
+                self.running.on_time(self.now())
                 if self.child is not None and self.child.poll() is not None:
-                    self.running.ended()
-                elif self.running.state in (RUNNING, ENDING):
-                    time.sleep(min(self.running.next_look(self.now()), 0.01) + 0.001)
+                    self.running.on_exited()
+                elif self.running.state in (CommandState.RUNNING, CommandState.ENDING):
+                    time.sleep(min(self.running.seconds_to_next_check(self.now()), 0.01) + 0.001)
                 else:
                     time.sleep(0.01)
         code = self.child.wait()
         self._post("done")
-        if self.running.why and not self.told:
-            print(f"corkgauge: {self.duty}: the command was ended, {self.running.why}", flush=True)
+        if self.running.end_reason and not self.told:
+            print(
+                f"corkgauge: {self.duty}: the command was ended, {self.running.end_reason}",
+                flush=True,
+            )
             return FOUND
         return code if code >= 0 else 128 - code
 
     def _told(self, *_: object) -> None:
         self.told = True
-        self.running.give_up(self.now())
+        self.running.request_end(self.now())
 
     def _ask(self) -> None:
         asked = self.now()
         said = self._post("hold")
         if said is not None:  # a gateway that does not answer leaves what it granted
-            self.running.told(asked, said["held"], said.get("fence", 0), said.get("left", 0.0))
+            self.running.on_answer(asked, said["held"], said.get("fence", 0), said.get("left", 0.0))
 
     def _post(self, what: str) -> dict | None:
         from corkgauge.accounting.client import ask
--- a/corkgauge/leases/__init__.py
+++ b/corkgauge/leases/__init__.py
@@ -1,2 +1,1 @@
-"""Who holds what: duties that one gateway holds at a time, by leases from a majority of voters, with
-fences."""
+"""Leases: what one instance does at a time, granted by a majority of voters."""
--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -1,278 +1,412 @@
-"""A candidate for one duty, and its holder once it has it.
-
-Owns whether this gateway may act under the duty, under which fence and until when. Free of I/O: clocks,
-chance and way out are its host's. Must never say yes to `may` past the time that a majority granted, counted
-from before each grant was asked for; a look at it is valid for the very next act alone.
-
-Three rounds to a duty: PROBE (would you? changes nothing: the pre-vote), PREPARE (a ballot above all others),
-GRANT; then GRANT again, several times a lease. Each voter's last grant counts from when that letter was
-written, and the duty is held while a majority's last grants all run: one lost letter costs nothing. One that is told
-that the duty was just given back begins with PREPARE.
+"""A candidate for one lease, and its holder once it has it.
+
+Owns whether this instance may act under the lease, under which fencing token and until when. Free
+of I/O: clocks, chance and datagrams are its host's. Must never say yes to `may_act` past the time
+that a majority granted, counted from before each grant was requested; the answer is valid for the
+very next act alone.
+
+Three rounds to a lease: probe (would you? changes nothing: the pre-vote), prepare (a ballot above
+all others), grant request; then requests again, several times a lease. Each voter's last grant
+counts from when that request was written, and the lease is held while a majority's last grants all
+run: one lost datagram costs nothing. A candidate that is notified that the lease was just given
+back begins with prepare.
 """
 
 from collections.abc import Callable
+from enum import Enum
 from typing import Any, Protocol
 
-from corkgauge.leases.voter import GRANT, GRANTED, PREPARE, PROBE, PROMISED, RELEASE, VACANT, WOULD
+from corkgauge.leases import messages
+from corkgauge.leases.messages import (
+    CandidateRequest,
+    Envelope,
+    GrantReply,
+    GrantRequest,
+    MessageKind,
+    Prepare,
+    PrepareReply,
+    Probe,
+    ProbeReply,
+    Release,
+    VoterReply,
+)
+from corkgauge.leases.tally import Tally
 from corkgauge.leases.voter_configuration import (
-    MOST_BALLOT,
-    Span,
+    LeaseTiming,
     VoterConfiguration,
     ballot_of,
     round_of,
 )
 
-WATCHING, PROBING, PREPARING, ASKING, HOLDING = range(5)
-STATES = "watching", "probing", "preparing", "asking", "holding"
-SENT = 64  # letters whose time of writing is remembered
-MOST_REPLY = 3  # spans that voters have for an answer, after rounds that came to nothing
+MAX_SENT_REQUESTS = 64  # grant requests whose time of writing is remembered
+MAX_PATIENCE = 3  # reply times that voters have, after rounds that came to nothing
+MAX_BACKOFF = 4  # reply times between two rounds, after rounds that nobody answered
+MAX_JITTER = 8  # times the stagger, between candidates that failed together
+
+
+class CandidateState(Enum):
+    """Where a candidate is on its way; the values are what operators are shown."""
+
+    WATCHING = "watching"
+    PROBING = "probing"
+    PREPARING = "preparing"
+    REQUESTING = "asking"
+    HOLDING = "holding"
 
 
 class Host(Protocol):
-    """What a candidate may do. `now` is tenths of a millisecond since boot, read anew each time; `date` is
-    the system's time in milliseconds, whose steps cost no safety; `rank` is how many others should try
-    first."""
+    """What a candidate needs of its host."""
+
+    @property
+    def now(self) -> int:
+        """Tenths of a millisecond since boot, read anew each time."""
+
+    @property
+    def date(self) -> int:
+        """The system's time in milliseconds, whose steps cost no safety."""
+
+    def send(self, name: str, body: list[Any]) -> None:
+        """Send a datagram to a voter."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call a method after so many tenths of a millisecond."""
+
+    def random_below(self, limit: int) -> int:
+        """Return a number from 0 to `limit` - 1."""
 
-    now: int
-    date: int
+    def rank_of(self, lease: str) -> int:
+        """Return how many others should try first."""
 
-    def send(self, name: str, body: list[Any]) -> None: ...
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
-    def chance(self, below: int) -> int: ...
-    def rank(self, duty: str) -> int: ...
-    def gained(self, holder: "LeaseCandidate") -> None: ...
-    def lost(self, holder: "LeaseCandidate", why: str) -> None: ...
-    def vacant(self, holder: "LeaseCandidate") -> None: ...
+    def on_lease_gained(self, candidate: "LeaseCandidate") -> None:
+        """Notify the host that the lease is held from now on."""
+
+    def on_lease_lost(self, candidate: "LeaseCandidate", reason: str) -> None:
+        """Notify the host that the lease is held no more."""
+
+    def on_lease_released(self, candidate: "LeaseCandidate") -> None:
+        """Notify the host that the lease was given back: the next candidates should know."""
 
 
 class LeaseCandidate:
-    """`wanted`: does this gateway stand for the duty?"""
+    """One instance's way to one lease. `is_wanted` says whether it stands for it."""
 
     def __init__(
         self,
         host: Host,
-        duty: str,
+        lease: str,
         name: str,
-        roll: VoterConfiguration,
-        span: Span,
-        wanted: bool = True,
+        configuration: VoterConfiguration,
+        timing: LeaseTiming,
+        is_wanted: bool = True,
     ) -> None:
-        self.host, self.duty, self.name, self.roll, self.span = host, duty, name, roll, span
-        self.state, self.wanted = WATCHING, wanted
-        self.fence = self.until = self.since = 0  # of what is held
-        self.seen = 0  # the highest ballot or fence heard of
-        self.serial = self.begun = self.ballot = 0
-        self.sent: dict[int, int] = {}  # serial of a letter: when it was written
-        self.said: dict[str, bool] = {}  # what voters answered in this round
-        self.left: dict[str, int] = {}  # and how long they are bound
-        self.acknowledged: dict[
-            str, int
-        ] = {}  # by voter: when the last letter it granted was written
-        self.alarm = 0  # the one timer that counts
-        self.other, self.why = "", "started"  # who holds it, as voters tell; why the last change
-        self.tries = 0  # rounds in a row that came to nothing
-        self._watch(1 + host.rank(duty) * span.stagger)
+        self.host = host
+        self.lease = lease
+        self.name = name
+        self.configuration = configuration
+        self.timing = timing
+        self.state = CandidateState.WATCHING
+        self.is_wanted = is_wanted
+        # Of what is held; times are tenths of a millisecond since boot.
+        self.fencing_token = 0
+        self.held_until = 0
+        self.held_since = 0
+        # Of the round that runs, and those before it.
+        self.highest_ballot = 0  # that was seen, as a ballot or a fencing token
+        self.serial = 0
+        self.ballot = 0
+        self.requesting_since = 0
+        self.failed_rounds = 0  # in a row
+        self.tally = Tally()
+        self.sent_at: dict[int, int] = {}  # by serial of a grant request: when it was written
+        self.granted_at: dict[str, int] = {}  # by voter: when its last granted request was written
+        self.timer = 0  # the number of the one timer that counts
+        # For operators, and for placement.
+        self.known_holder = ""  # as voters report
+        self.last_reason = "started"  # of the last change
+        self._reply_handlers: dict[type[VoterReply], Callable[..., None]] = {
+            ProbeReply: LeaseCandidate._on_probe_reply,
+            PrepareReply: LeaseCandidate._on_prepare_reply,
+            GrantReply: LeaseCandidate._on_grant_reply,
+        }
+        self._watch(self._turn_ticks())
 
     # What others ask.
 
-    def may(self) -> bool:
-        """May the act that follows at once be done? To be asked immediately before each."""
-        return self.state == HOLDING and self.host.now < self.until
-
-    def stand(self, wanted: bool) -> None:
-        self.wanted = wanted
-        if wanted and self.state == WATCHING:
-            self._watch(1 + self.host.rank(self.duty) * self.span.stagger)
-
-    def give_up(self, why: str, pause: int = 0) -> None:
-        """End it now: nothing is done under it any more, voters are told, then the next ones. For so long
-        this gateway does not stand for it."""
-        was = self.state
-        self._over(why)
-        if was in (ASKING, HOLDING):
-            self._tell(RELEASE, self.ballot)
-            self.host.vacant(self)
-        self._watch(max(pause, self.span.lease))
-
-    def outbid(self, fence: int) -> None:
-        """Who guards an act has seen a higher fence than ours. Danger: after all voters forgot, clocks set
-        back may give a fence below one that was used; the next one must be above."""
-        self.seen = max(self.seen, fence)
-        if self.state == HOLDING and fence > self.fence:
-            self.give_up("outbid", 1)
+    def may_act(self) -> bool:
+        """Return whether the act that follows at once may be done: ask before each."""
+        return self.state is CandidateState.HOLDING and self.host.now < self.held_until
+
+    def set_wanted(self, is_wanted: bool) -> None:
+        """Stand for the lease from now on, or no more. What is held stays held."""
+        self.is_wanted = is_wanted
+        if is_wanted and self.state is CandidateState.WATCHING:
+            self._watch(self._turn_ticks())
+
+    def release(self, reason: str, pause_ticks: int = 0) -> None:
+        """End it now: nothing is done under it any more, and voters and the next candidates know.
+
+        For `pause_ticks`, and at least a lease, this instance does not stand for it.
+        """
+        previous = self.state
+        self._end_holding(reason)
+        if previous in (CandidateState.REQUESTING, CandidateState.HOLDING):
+            self._broadcast(Release, self.ballot)
+            self.host.on_lease_released(self)
+        self._watch(max(pause_ticks, self.timing.lease_ticks))
+
+    def on_preempted(self, fencing_token: int) -> None:
+        """Give way to a higher fencing token, which whoever guards an act has seen.
+
+        After all voters forgot, clocks set back may give a token below one that was used: every
+        act under it would be refused, so the next token must be above the one seen.
+        """
+        self.highest_ballot = max(self.highest_ballot, fencing_token)
+        if self.state is CandidateState.HOLDING and fencing_token > self.fencing_token:
+            self.release("outbid", 1)
             self._watch(1)
 
-    def renew(self, roll: VoterConfiguration, span: Span) -> None:
-        """Another list of voters, or another lease. What is held stays held as long as it was granted for;
-        what was granted under another list does not count towards this one."""
-        if roll != self.roll:
-            self.acknowledged.clear()
-        self.roll, self.span = roll, span
-
-    # What happens.
-
-    def heard(self, sender: str, body: list[Any]) -> None:
-        """A voter's answer. Anything that makes no sense raises, and changes nothing."""
-        sort, _, version, mark, serial = body[:5]
-        if sort == VACANT:
-            # Danger: answers that are on their way tell of the grant that was just given back, and would make us wait
-            # for its end; so a round that only asks is over. Nor is another needed first: a voter that still grants
-            # it to somebody refuses a ballot, and changes nothing.
-            if self.state in (WATCHING, PROBING) and self.wanted:
-                self.state, self.other = WATCHING, ""
-                self._wake(1 + self.host.rank(self.duty) * self.span.stagger, self._vacated)
+    def reconfigure(self, configuration: VoterConfiguration, timing: LeaseTiming) -> None:
+        """Take another voter configuration, or another lease.
+
+        What is held stays held as long as it was granted for; what was granted under another
+        configuration does not count towards this one.
+        """
+        if configuration != self.configuration:
+            self.granted_at.clear()
+        self.configuration = configuration
+        self.timing = timing
+
+    # Datagrams.
+
+    def on_datagram(self, sender: str, body: Any) -> None:
+        """Apply one voter's reply, or a holder's notice that the lease is vacant.
+
+        Replies under another voter configuration or of an earlier round are ignored. A malformed
+        body raises ProtocolError, and changes nothing.
+        """
+        envelope = messages.decode_reply_envelope(body)
+        if envelope.kind == MessageKind.VACANT:
+            self._on_lease_vacant()
             return
-        if sender not in self.roll.names or (version, mark) != (self.roll.version, self.roll.mark):
+        if not self._is_from_voter(sender, envelope):
             return
-        yes, promised, left, holder = body[5:9]
-        if not (
-            type(promised) is int
-            and 0 <= promised < MOST_BALLOT
-            and type(left) is int
-            and left >= 0
-        ):
-            raise ValueError("an answer that makes no sense")
-        self.seen = max(self.seen, promised)
-        if sort == GRANTED:
-            return self._granted(sender, serial, bool(yes))
-        if serial != self.serial or (sort, self.state) not in (
-            (WOULD, PROBING),
-            (PROMISED, PREPARING),
-        ):
+        reply = messages.decode_reply(body)
+        self.highest_ballot = max(self.highest_ballot, reply.promised_ballot)
+        handler = self._reply_handlers[type(reply)]
+        handler(self, sender, reply)
+
+    def _is_from_voter(self, sender: str, envelope: Envelope) -> bool:
+        configuration = self.configuration
+        expected = configuration.version, configuration.fingerprint
+        is_current = (envelope.version, envelope.fingerprint) == expected
+        return sender in configuration.names and is_current
+
+    def _on_lease_vacant(self) -> None:
+        # Replies on their way report the grant that was just given back, and would make us wait
+        # for its end: a round that only probes is over. Nor is another probe needed first: a voter
+        # that still grants the lease to somebody refuses a ballot, and changes nothing.
+        if self.is_wanted and self.state in (CandidateState.WATCHING, CandidateState.PROBING):
+            self.state = CandidateState.WATCHING
+            self.known_holder = ""
+            self._set_timer(self._turn_ticks(), self._begin_after_vacancy)
+
+    def _on_probe_reply(self, sender: str, reply: ProbeReply) -> None:
+        if self.state is not CandidateState.PROBING or reply.serial != self.serial:
             return
-        self.said[sender], self.left[sender] = bool(yes), min(left, self.span.granted)
-        self.other = holder or self.other
-        if sum(self.said.values()) >= self.roll.majority:
-            if self.state == PREPARING:
-                self._ask()
-            elif self.wanted:
-                self._prepare()
-            else:  # it was asked for what operators are told alone
-                self._watch(self.span.lease)
-        elif len(self.said) - sum(self.said.values()) > len(self.roll.names) - self.roll.majority:
-            self._refused()
-
-    def _refused(self) -> None:
-        """Not now: the next try is when so many are free again that they may be a majority, in our turn."""
-        free = sorted(0 if yes else self.left[name] for name, yes in self.said.items())
-        free += [self.span.reply] * (len(self.roll.names) - len(free))
-        bound = free[self.roll.majority - 1]
-        self.state, self.tries = WATCHING, 0 if bound else self.tries + 1
-        self._watch(bound + self.host.rank(self.duty) * self.span.stagger + self._pause())
-
-    def _pause(self) -> int:
-        """Danger: two that try again and again at the same moment would never let either have it."""
-        return 1 + self.host.chance(self.span.stagger * min(1 + self.tries, 8))
+        self._count_reply(sender, reply)
+        if not self.tally.has_majority(self.configuration):
+            self._check_lost()
+        elif self.is_wanted:
+            self._prepare()
+        else:  # it was probed for what operators are shown alone
+            self._watch(self.timing.lease_ticks)
+
+    def _on_prepare_reply(self, sender: str, reply: PrepareReply) -> None:
+        if self.state is not CandidateState.PREPARING or reply.serial != self.serial:
+            return
+        self._count_reply(sender, reply)
+        if self.tally.has_majority(self.configuration):
+            self._begin_requesting()
+        else:
+            self._check_lost()
+
+    def _on_grant_reply(self, sender: str, reply: GrantReply) -> None:
+        is_expected = self.state in (CandidateState.REQUESTING, CandidateState.HOLDING)
+        if not is_expected or reply.serial not in self.sent_at:
+            return
+        if reply.is_accepted:
+            self._count_grant(sender, self.sent_at[reply.serial])
+        elif self.state is CandidateState.REQUESTING:
+            self.tally.record(sender, is_accepted=False)
+            if self.tally.is_lost(self.configuration):
+                self.state = CandidateState.WATCHING
+                self._back_off()
+
+    def _count_reply(self, sender: str, reply: VoterReply) -> None:
+        blocked_ticks = min(reply.blocked_ticks, self.timing.grant_ticks)
+        self.tally.record(sender, reply.is_accepted, blocked_ticks)
+        self.known_holder = reply.holder or self.known_holder
+
+    def _count_grant(self, sender: str, sent_at: int) -> None:
+        self.granted_at[sender] = max(sent_at, self.granted_at.get(sender, 0))
+        majority = self.configuration.majority
+        if len(self.granted_at) < majority:
+            return
+        majority_since = sorted(self.granted_at.values(), reverse=True)[majority - 1]
+        until = majority_since + self.timing.hold_ticks
+        if self.state is CandidateState.HOLDING:
+            self.held_until = max(self.held_until, until)
+        else:
+            self.held_until = until
+            if self.host.now < until:
+                self._begin_holding()
+
+    # Rounds.
+
+    def _turn_ticks(self) -> int:
+        """Return how long those that rank before us have, to try first."""
+        return 1 + self.host.rank_of(self.lease) * self.timing.stagger_ticks
+
+    def _check_lost(self) -> None:
+        """If refused, try when so many are free that they may be a majority, in our turn."""
+        if not self.tally.is_lost(self.configuration):
+            return
+        wait_ticks = self.tally.earliest_retry_ticks(self.configuration, self.timing.reply_ticks)
+        self.state = CandidateState.WATCHING
+        self.failed_rounds = 0 if wait_ticks else self.failed_rounds + 1
+        rank_ticks = self.host.rank_of(self.lease) * self.timing.stagger_ticks
+        self._watch(wait_ticks + rank_ticks + self._jitter_ticks())
+
+    def _jitter_ticks(self) -> int:
+        """Draw a pause.
+
+        Two that try again and again at the same moment would never let either have the lease.
+        """
+        stretch = min(1 + self.failed_rounds, MAX_JITTER)
+        return 1 + self.host.random_below(self.timing.stagger_ticks * stretch)
 
     def _watch(self, delay: int) -> None:
-        self.state = WATCHING
-        self._wake(delay, self._probe)
+        self.state = CandidateState.WATCHING
+        self._set_timer(delay, self._probe)
 
-    def _wake(self, delay: int, method: Callable[[], None]) -> None:
-        self.alarm += 1
-        self.host.call_later(max(int(delay), 1), self.woken, self.alarm, method)
+    def _set_timer(self, delay: int, method: Callable[[], None]) -> None:
+        """Start the one timer that counts; those set before are void."""
+        self.timer += 1
+        self.host.call_later(max(int(delay), 1), self.on_timer, self.timer, method)
 
-    def woken(self, alarm: int, method: Callable[[], None]) -> None:
-        if alarm == self.alarm:
+    def on_timer(self, timer: int, method: Callable[[], None]) -> None:
+        """Call what a timer was set for, unless another was set since."""
+        if timer == self.timer:
             method()
 
     def _probe(self) -> None:
-        self.other = ""
-        self._round(PROBING, PROBE, 0)
+        self.known_holder = ""
+        self._begin_round(CandidateState.PROBING, Probe, 0)
 
-    def _vacated(self) -> None:
-        """It was given back a moment ago."""
-        if self.wanted:
+    def _begin_after_vacancy(self) -> None:
+        """Begin a round for a lease that was given back a moment ago."""
+        if self.is_wanted:
             self._prepare()
         else:
-            self._watch(self.span.lease)
+            self._watch(self.timing.lease_ticks)
 
     def _prepare(self) -> None:
-        """Danger: a ballot below one that a voter has promised is lost time; and all may have forgotten, so
-        the date keeps fences growing where clocks are right."""
-        self.ballot = ballot_of(max(round_of(self.seen) + 1, self.host.date), self.name)
-        self._round(PREPARING, PREPARE, self.ballot)
-
-    def _round(self, state: int, sort: int, ballot: int) -> None:
-        self.state, self.said, self.left = state, {}, {}
-        self._tell(sort, ballot)
-        # Danger: where disks or processors take longer than that for a promise, no round would ever be answered in
-        # time; after each that was not, the next is waited for longer, and less before it. A promise is used no later
-        # than a voter remembers it, a lease from its start: at most 3/8 of one here, and half of one in `_give`.
-        self._wake(self.span.reply * self._patience(), self._unheard)
+        # A ballot below one that a voter has promised is lost time. The date is a floor: all may
+        # have forgotten, and where clocks are right it keeps fencing tokens growing.
+        next_round = max(round_of(self.highest_ballot) + 1, self.host.date)
+        self.ballot = ballot_of(next_round, self.name)
+        self._begin_round(CandidateState.PREPARING, Prepare, self.ballot)
+
+    def _begin_round(
+        self, state: CandidateState, request_type: type[CandidateRequest], ballot: int
+    ) -> None:
+        self.state = state
+        self.tally = Tally()
+        self._broadcast(request_type, ballot)
+        # Where disks or processors take longer than a reply time for a promise, no round would
+        # ever be answered in time: after each that was not, the next is waited for longer, and
+        # less before it. A promise is used no later than a voter remembers it, a lease from its
+        # start: at most 3/8 of one here, and half of one in `_request_grant`.
+        self._set_timer(self.timing.reply_ticks * self._patience(), self._on_round_unanswered)
 
     def _patience(self) -> int:
-        return min(1 + self.tries, MOST_REPLY)
-
-    def _unheard(self) -> None:
-        self._unanswered(self._patience() - 1)
-
-    def _unanswered(self, waited: int = 0) -> None:
-        """Until the next round; what was waited for answers beyond the first span is part of it."""
-        self.tries += 1
-        self._watch(self.span.reply * (min(self.tries, 4) - waited) + self._pause())
-
-    def _ask(self) -> None:
-        self.state, self.begun, self.acknowledged = ASKING, self.host.now, {}
-        # Danger: a late answer to a letter of an earlier time in office speaks of a grant that was given
-        # back.
-        self.said, self.sent = {}, {}
-        self._give()
-
-    def _give(self) -> None:
+        """Return how many reply times the voters have in this round."""
+        return min(1 + self.failed_rounds, MAX_PATIENCE)
+
+    def _on_round_unanswered(self) -> None:
+        self._back_off(self._patience() - 1)
+
+    def _back_off(self, waited: int = 0) -> None:
+        """Wait for the next round, less the reply times beyond the first `waited` already."""
+        self.failed_rounds += 1
+        pauses = min(self.failed_rounds, MAX_BACKOFF) - waited
+        self._watch(self.timing.reply_ticks * pauses + self._jitter_ticks())
+
+    def _begin_requesting(self) -> None:
+        self.state = CandidateState.REQUESTING
+        self.requesting_since = self.host.now
+        # A late reply to a request of an earlier time as holder speaks of a grant that was given
+        # back: it finds no request that it answers.
+        self.granted_at = {}
+        self.sent_at = {}
+        self.tally.begin_anew()
+        self._request_grant()
+
+    def _request_grant(self) -> None:
         """Ask for the grant, or for more of it."""
-        if self.state == HOLDING and self.host.now >= self.until:
-            return self._lapsed()
-        if self.state == ASKING and self.host.now >= self.begun + self.span.held // 2:
-            # Danger: promises are remembered by voters for a lease after their start; older ones prove
-            # nothing.
-            return self._unanswered()
-        self.sent[self.serial + 1] = self.host.now  # before it is written
-        self._tell(GRANT, self.ballot)
-        while len(self.sent) > SENT:
-            del self.sent[next(iter(self.sent))]
-        each = self.span.each
-        self._wake(
-            min(each, self.until - self.host.now) if self.state == HOLDING else each // 2,
-            self._give,
-        )
-
-    def _granted(self, sender: str, serial: int, yes: bool) -> None:
-        if self.state not in (ASKING, HOLDING) or serial not in self.sent:
-            return
-        if not yes:
-            if self.state == ASKING:
-                self.said[sender] = False
-                if len(self.said) > len(self.roll.names) - self.roll.majority:
-                    self.state = WATCHING
-                    self._unanswered()
+        now = self.host.now
+        if self.state is CandidateState.HOLDING and now >= self.held_until:
+            self._lapse()
             return
-        self.acknowledged[sender] = max(self.sent[serial], self.acknowledged.get(sender, 0))
-        if len(self.acknowledged) < self.roll.majority:
+        promises_end = self.requesting_since + self.timing.hold_ticks // 2
+        if self.state is CandidateState.REQUESTING and now >= promises_end:
+            # Voters remember promises for a lease after their start; older ones prove nothing.
+            self._back_off()
             return
-        since = sorted(self.acknowledged.values(), reverse=True)[self.roll.majority - 1]
-        until = since + self.span.held
-        self.until = max(self.until, until) if self.state == HOLDING else until
-        if self.state == ASKING and self.host.now < self.until:
-            self.state, self.fence, self.since, self.tries = HOLDING, self.ballot, self.host.now, 0
-            self.seen, self.other, self.why = max(self.seen, self.ballot), self.name, "granted"
-            self._wake(min(self.span.each, self.until - self.host.now), self._give)
-            self.host.gained(self)
-
-    def _lapsed(self) -> None:
-        self._over("lapsed")
-        self._watch(1 + self._pause())
-
-    def _over(self, why: str) -> None:
-        was, self.state = self.state, WATCHING
-        if was == HOLDING:
-            self.why, self.other = why, ""
-            self.host.lost(self, why)
-        self.fence = self.until = 0
-
-    def _tell(self, sort: int, ballot: int) -> None:
+        self.sent_at[self.serial + 1] = self.host.now  # before it is written
+        self._broadcast(GrantRequest, self.ballot)
+        while len(self.sent_at) > MAX_SENT_REQUESTS:
+            del self.sent_at[next(iter(self.sent_at))]
+        if self.state is CandidateState.HOLDING:
+            self._schedule_renewal()
+        else:
+            self._set_timer(self.timing.renewal_ticks // 2, self._request_grant)
+
+    def _schedule_renewal(self) -> None:
+        time_left = self.held_until - self.host.now
+        self._set_timer(min(self.timing.renewal_ticks, time_left), self._request_grant)
+
+    def _begin_holding(self) -> None:
+        self.state = CandidateState.HOLDING
+        self.fencing_token = self.ballot
+        self.held_since = self.host.now
+        self.failed_rounds = 0
+        self.highest_ballot = max(self.highest_ballot, self.ballot)
+        self.known_holder = self.name
+        self.last_reason = "granted"
+        self._schedule_renewal()
+        self.host.on_lease_gained(self)
+
+    def _lapse(self) -> None:
+        self._end_holding("lapsed")
+        self._watch(1 + self._jitter_ticks())
+
+    def _end_holding(self, reason: str) -> None:
+        previous = self.state
+        self.state = CandidateState.WATCHING
+        if previous is CandidateState.HOLDING:
+            self.last_reason = reason
+            self.known_holder = ""
+            self.host.on_lease_lost(self, reason)
+        self.fencing_token = 0
+        self.held_until = 0
+
+    def _broadcast(self, request_type: type[CandidateRequest], ballot: int) -> None:
+        """Send a request to all voters, under the next serial."""
         self.serial += 1
-        for name in self.roll.names:
-            self.host.send(
-                name, [sort, self.duty, self.roll.version, self.roll.mark, self.serial, ballot]
-            )
+        configuration = self.configuration
+        request = request_type(
+            self.lease, configuration.version, configuration.fingerprint, self.serial, ballot
+        )
+        for name in configuration.names:
+            self.host.send(name, request.encode())
--- /dev/null
+++ b/corkgauge/leases/command_loans.py
@@ -0,0 +1,107 @@
+"""Leases lent to commands: which command runs under which lease, and until when.
+
+Owns the loans, and when commands last asked. A command's time is bounded by what its lease was
+granted for, so a loan is never taken back: the lease is given up once the command has ended.
+"""
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.leases.candidate import LeaseCandidate
+
+if TYPE_CHECKING:
+    from corkgauge.leases.service import LeaseService
+
+
+class Loan(NamedTuple):
+    """A command under a lease, and until when, in tenths of a millisecond since boot."""
+
+    command: str
+    until: int
+
+
+class CommandLoans:
+    """The loans of one instance, by lease."""
+
+    def __init__(self, service: "LeaseService") -> None:
+        self.service = service
+        self.loans: dict[str, Loan] = {}
+        self.last_asked: dict[str, int] = {}  # tenths of a millisecond since boot
+        self.release_reasons: dict[str, str] = {}  # of leases to be given up once returned
+
+    def is_lent(self, lease: str) -> bool:
+        """Return whether a command runs under the lease."""
+        return lease in self.loans
+
+    def has_demand(self, lease: str) -> bool:
+        """Return whether a command has asked for the lease a short time ago."""
+        return lease in self.last_asked
+
+    def command_of(self, lease: str) -> str:
+        """Return the command that runs under a lease, or nothing."""
+        loan = self.loans.get(lease)
+        return loan.command if loan is not None else ""
+
+    def lend(self, candidate: LeaseCandidate, command: str) -> dict[str, Any]:
+        """Answer a command that asks for a lease, or for more of it; times are seconds.
+
+        Raises ValueError for a lease of the instances' own.
+        """
+        service = self.service
+        lease = candidate.lease
+        if lease in service.collectors or lease in service.owners:
+            raise ValueError(f"{lease!r} is the gateways' own")
+        loan = self.loans.get(lease)
+        self.last_asked[lease] = service.now
+        if not candidate.is_wanted and service.is_wanted(lease):
+            candidate.set_wanted(True)
+        is_ending = lease in self.release_reasons
+        is_lent_to_other = loan is not None and loan.command != command
+        if not candidate.may_act() or is_ending or is_lent_to_other:
+            return {
+                "held": False,
+                "holder": candidate.known_holder,
+                "in_use": self.command_of(lease),
+            }
+        self.loans[lease] = Loan(command, candidate.held_until)
+        return {
+            "held": True,
+            "fence": candidate.fencing_token,
+            "left": (candidate.held_until - service.now) / SECOND,
+        }
+
+    def finish(self, candidate: LeaseCandidate, command: str) -> dict[str, Any]:
+        """Take a lease back from a command that has ended."""
+        lease = candidate.lease
+        if self.command_of(lease) == command:
+            self.last_asked.pop(lease, None)
+            candidate.set_wanted(False)
+            self.release_reasons.setdefault(lease, "its command has ended")
+            self._return(lease)
+        return {"held": False}
+
+    def release_when_returned(self, lease: str, reason: str) -> None:
+        """Give a lease up once its command has ended; it is refused more time when it asks next."""
+        self.release_reasons[lease] = reason
+
+    def forget(self, lease: str) -> None:
+        """Drop the loan of a lease that is held no more."""
+        self.loans.pop(lease, None)
+        self.release_reasons.pop(lease, None)
+
+    def expire(self, now: int) -> None:
+        """Take back loans that are over, and stand for no lease that no command asks for."""
+        for lease, loan in [*self.loans.items()]:
+            if now >= loan.until:  # its command was killed, or does not ask any more
+                self._return(lease)
+        for lease, asked_at in [*self.last_asked.items()]:
+            if now > asked_at + self.service.timing.lease_ticks and not self.is_lent(lease):
+                del self.last_asked[lease]
+                self.service.candidates[lease].set_wanted(False)
+                self.service.hand_over(lease, "no command asks")
+
+    def _return(self, lease: str) -> None:
+        """Note that no command runs under the lease any more."""
+        self.loans.pop(lease, None)
+        if lease in self.release_reasons:
+            self.service.release(lease, self.release_reasons.pop(lease))
--- a/corkgauge/leases/durable_record.py
+++ b/corkgauge/leases/durable_record.py
@@ -1,27 +1,38 @@
-"""A record that is written before anything is said of it: our end of the helper in `store.py`.
+"""A record that is on disk before anything is said of it: our end of the helper process.
 
-Owns the helper process and what waits for it. Must never call what waits before the record, or a later one that holds
-more, is safe on the disk; and never hold up the loop.
+Owns the helper process (`record_writer.py`) and what waits for it. Must never call what waits
+before the record, or a later one that holds more, is safe on the disk; and never hold up the loop.
 """
 
 import os
 import subprocess
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgpack
 
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
-from corkgauge.leases import record_writer as store
+from corkgauge.leases import record_writer
 
-AGAIN = SECOND  # until a record that is not safe yet is written once more, where it is asked for
+REWRITE_TICKS = SECOND  # until a record that is not safe yet is written again, if asked for
+READ_BYTES = 4096  # of the helper's answers at a time
+
+
+class Waiter(NamedTuple):
+    """What is called once a record is safe."""
+
+    then: Callable[..., None]
+    arguments: tuple[Any, ...]
 
 
 class DurableRecord:
-    """The file `name` in `folder`; no folder: nothing is kept, and what waits is called at once. `torn` and
-    `unwritten` are the lines that say so. Raises Faulty where the folder cannot be used."""
+    """The file `name` in `folder`; no folder: nothing is kept, and what waits is called at once.
+
+    `torn` and `unwritten` are the lines of the log that say so. Raises ConfigurationError where the
+    folder cannot be used.
+    """
 
     def __init__(
         self,
@@ -32,19 +43,19 @@
         torn: str,
         unwritten: str,
     ) -> None:
-        self.event_loop, self.log, self.folder, self.unwritten = event_loop, log, folder, unwritten
-        self.helper: subprocess.Popen | None = None
-        self.waiting: dict[
-            int, list[tuple[Callable[..., None], tuple]]
-        ] = {}  # records that are not safe yet
-        self.written, self.body, self.sent = (
-            0,
-            b"",
-            0,
-        )  # the last one: its number, what it is, when it went
-        self.rest = b""  # of the frame that the helper's pipe did not take yet
-        self.after: bytes | None = None  # the last frame that waits for that
-        self.kept: Any = None  # what a folder told; None: nothing, or it was torn
+        self.event_loop = event_loop
+        self.log = log
+        self.folder = folder
+        self.unwritten = unwritten
+        self.helper: subprocess.Popen[bytes] | None = None
+        self.stored: Any = None  # what the file held; None: nothing, or it was torn
+        # The last record: its number, its packed body, when it was sent.
+        self.last_number = 0
+        self.last_body = b""
+        self.last_sent_at = 0
+        self.waiting: dict[int, list[Waiter]] = {}  # by number of records that are not safe yet
+        self.unsent = b""  # of the frame that the helper's pipe did not take yet
+        self.next_frame: bytes | None = None  # the last frame that waits for that
         if folder:
             self._open(os.path.join(folder, name), torn)
 
@@ -52,90 +63,121 @@
         try:
             os.makedirs(self.folder, exist_ok=True)
             with open(path, "rb") as file:
-                data = file.read(store.LARGEST)
+                data = file.read(record_writer.MAX_RECORD_BYTES)
         except FileNotFoundError:
             data = b""
         except OSError as problem:
             raise ConfigurationError(f"duties: {self.folder}: {problem.strerror}") from None
-        body = store.unpacked(data)
-        self.helper = subprocess.Popen(
-            [sys.executable, store.__file__, path], stdin=subprocess.PIPE, stdout=subprocess.PIPE
-        )
-        for pipe in self.helper.stdin, self.helper.stdout:
-            os.set_blocking(pipe.fileno(), False)
-        self.event_loop.spawn(self._listen, self.helper)
+        body = record_writer.unpack_record(data)
+        self._start_helper(path)
         if body is not None:
-            self.kept = msgpack.unpackb(body)
+            self.stored = msgpack.unpackb(body)
         elif data:
             self.log(torn)
 
-    def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Danger: a promise that a power cut takes back is none; so it is written before it is said. The
-        helper waits for the disk, and what it does not answer is never said."""
+    def _start_helper(self, path: str) -> None:
+        helper = subprocess.Popen(
+            [sys.executable, record_writer.__file__, path],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
+        self.helper = helper
+        os.set_blocking(_input_of(helper), False)
+        os.set_blocking(_output_of(helper), False)
+        self.event_loop.spawn(self._read_answers, helper)
+
+    def write(self, record: Any, then: Callable[..., None], *arguments: Any) -> None:
+        """Call `then` once the record is safe on disk.
+
+        A promise that a power cut takes back is none, so it is written before it is said. The
+        helper waits for the disk, and what it does not answer is never said.
+        """
+        waiter = Waiter(then, arguments)
         if self.helper is None:
-            return None if self.folder else then(*what)
+            if not self.folder:
+                then(*arguments)
+            return
         body = msgpack.packb(record)
-        if body == self.body:
-            # Danger: whoever is not answered yet asks again, and would make a slow disk slower by the same record.
-            if self.written not in self.waiting:
-                return then(*what)
-            if (
-                self.event_loop.now < self.sent + AGAIN
-            ):  # one that failed is never answered: written again after a while
-                return self.waiting[self.written].append((then, what))
-        self.written += 1
-        self.body, self.sent = body, self.event_loop.now
-        self.waiting[self.written] = [(then, what)]
-        frame = store.FRAME.pack(self.written, len(body)) + body
-        if self.rest:
-            # Danger: half a frame would spoil all later ones. The last one that waits holds what those before it did.
-            self.after = frame
+        if body == self.last_body and self._join_last(waiter):
+            return
+        self.last_number += 1
+        self.last_body = body
+        self.last_sent_at = self.event_loop.now
+        self.waiting[self.last_number] = [waiter]
+        frame = record_writer.FRAME.pack(self.last_number, len(body)) + body
+        if self.unsent:
+            # Half a frame would spoil all later ones. The last one that waits holds what those
+            # before it did.
+            self.next_frame = frame
         else:
-            self._write(frame)
+            self._send(frame)
 
-    def _write(self, frame: bytes) -> None:
+    def _join_last(self, waiter: Waiter) -> bool:
+        """Wait for the last record, which is the same; False: it must be written again.
+
+        Whoever is not answered yet asks again, and would make a slow disk slower by the same
+        record. One that failed is never answered, so it is written again after a while.
+        """
+        if self.last_number not in self.waiting:
+            waiter.then(*waiter.arguments)
+            return True
+        if self.event_loop.now < self.last_sent_at + REWRITE_TICKS:
+            self.waiting[self.last_number].append(waiter)
+            return True
+        return False
+
+    def _send(self, frame: bytes) -> None:
+        helper = self.helper
+        if helper is None:
+            return
         try:
-            self.rest = frame[os.write(self.helper.stdin.fileno(), frame) :]
+            self.unsent = frame[os.write(_input_of(helper), frame) :]
         except BlockingIOError:
-            self.rest = frame
+            self.unsent = frame
         except OSError:
-            self._failed()
-        if self.rest:
-            self.event_loop.spawn(self._go_on, self.helper)
-
-    def _go_on(self, helper: subprocess.Popen) -> None:
-        """The helper's pipe was full: its disk is slow, or the record is large."""
-        while self.helper is helper and self.rest:
-            self.event_loop.wait(helper.stdin.fileno(), WRITE)
+            self._on_helper_failed()
+        if self.unsent:
+            self.event_loop.spawn(self._send_rest, self.helper)
+
+    def _send_rest(self, helper: subprocess.Popen[bytes]) -> None:
+        """Send what the helper's pipe did not take: its disk is slow, or the record large."""
+        while self.helper is helper and self.unsent:
+            self.event_loop.wait(_input_of(helper), WRITE)
             try:
-                self.rest = self.rest[os.write(helper.stdin.fileno(), self.rest) :]
+                self.unsent = self.unsent[os.write(_input_of(helper), self.unsent) :]
             except BlockingIOError:
                 continue
             except (OSError, ValueError):
-                return self._failed()
-            if not self.rest and self.after is not None:
-                self.rest, self.after = self.after, None
+                self._on_helper_failed()
+                return
+            if not self.unsent and self.next_frame is not None:
+                self.unsent = self.next_frame
+                self.next_frame = None
 
-    def _failed(self) -> None:
-        self.rest, self.after = b"", None
+    def _on_helper_failed(self) -> None:
+        self.unsent = b""
+        self.next_frame = None
         if self.helper is not None:
             self.log(self.unwritten)
             self.helper.kill()
             self.helper = None
 
     def close(self) -> None:
-        helper, self.helper = self.helper, None
-        if helper is not None:
+        """Close the helper's pipes: it writes what it has, and ends."""
+        helper = self.helper
+        self.helper = None
+        if helper is not None and helper.stdin is not None and helper.stdout is not None:
             helper.stdin.close()
             helper.stdout.close()
 
-    def _listen(self, helper: subprocess.Popen) -> None:
-        """Numbers of records that are safe."""
-        rest, fd = b"", helper.stdout.fileno()
+    def _read_answers(self, helper: subprocess.Popen[bytes]) -> None:
+        """Read the numbers of records that are safe, until the helper ends."""
+        rest = b""
+        descriptor = _output_of(helper)
         while self.helper is helper:
-            self.event_loop.wait(fd, READ)
+            self.event_loop.wait(descriptor, READ)
             try:
-                data = os.read(fd, 4096)
+                data = os.read(descriptor, READ_BYTES)
             except BlockingIOError:
                 continue
             except (OSError, ValueError):
@@ -143,10 +185,28 @@
             if not data:
                 break
             rest += data
-            while len(rest) >= 4:
-                number, rest = int.from_bytes(rest[:4], "little"), rest[4:]
-                # One that failed is never answered; a later one that is safe holds more than it did.
-                for older in [each for each in self.waiting if each < number]:
-                    del self.waiting[older]
-                for then, what in self.waiting.pop(number, ()):
-                    then(*what)
+            while len(rest) >= record_writer.NUMBER.size:
+                (number,) = record_writer.NUMBER.unpack_from(rest)
+                rest = rest[record_writer.NUMBER.size :]
+                self._on_record_safe(number)
+
+    def _on_record_safe(self, number: int) -> None:
+        # One that failed is never answered; a later one that is safe holds more than it did.
+        for older in [each for each in self.waiting if each < number]:
+            del self.waiting[older]
+        for waiter in self.waiting.pop(number, ()):
+            waiter.then(*waiter.arguments)
+
+
+def _input_of(helper: subprocess.Popen[bytes]) -> int:
+    """Return the descriptor of the helper's input. Raises ValueError once it is closed."""
+    if helper.stdin is None:
+        raise ValueError("the helper has no input")
+    return helper.stdin.fileno()
+
+
+def _output_of(helper: subprocess.Popen[bytes]) -> int:
+    """Return the descriptor of the helper's answers. Raises ValueError once it is closed."""
+    if helper.stdout is None:
+        raise ValueError("the helper has no output")
+    return helper.stdout.fileno()
--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -1,94 +1,114 @@
-"""The duty *fleet's books* at one gateway: asking all others while it is held, answering whoever holds it.
+"""The fleet accounts at one instance: asks all others while the lease is held, answers its holder.
 
-Owns the rounds of asking and this gateway's copy of the history. Must never ask, sum or tell without a look
-at the holder's `may` immediately before, and never answer under a lower fence than it has seen.
+Owns the rounds of asking and this instance's copy of the history. Must never ask, sum or tell
+without a look at the candidate's `may_act` immediately before, and never answer under a lower
+fencing token than it has seen.
 """
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from corkgauge.accounting.snapshot import cut_of
-from corkgauge.leases.fleet_accounts import FleetAccounts, History, account_of
+from corkgauge.leases.fleet_accounts import AccountsHistory, FleetAccounts, build_account
 
-SHOWN = 20  # entries that operators are shown
+if TYPE_CHECKING:
+    from corkgauge.leases.service import LeaseService
+
+MAX_SHOWN_ENTRIES = 20  # that operators are shown
+MAX_LOG_LINE = 300  # characters
 
 
 class FleetAccountsCollector:
-    """`office` is the driver of duties; `each` tenths of a millisecond between two rounds."""
+    """One lease on fleet accounts; `period_ticks` is tenths of a millisecond between two rounds."""
 
-    def __init__(self, office: Any, duty: str, each: int) -> None:
-        self.office, self.duty, self.each = office, duty, each
-        self.books, self.history, self.number, self.fence = FleetAccounts(), History(), 0, 0
-        self.epoch = str(office.member_list.letters.start)
+    def __init__(self, service: "LeaseService", lease: str, period_ticks: int) -> None:
+        self.service = service
+        self.lease = lease
+        self.period_ticks = period_ticks
+        self.accounts = FleetAccounts()
+        self.history = AccountsHistory()
+        self.round_number = 0  # under the present fencing token
+        self.fencing_token = 0
+        self.epoch = str(service.member_list.letters.start)
 
-    def gained(self) -> None:
-        """Held from now on: rounds begin, under this fence alone."""
-        self.number, self.fence = 0, self.office.holders[self.duty].fence
-        self.begin(self.fence)
+    def on_lease_gained(self) -> None:
+        """Begin rounds, under this fencing token alone."""
+        self.round_number = 0
+        self.fencing_token = self.service.candidates[self.lease].fencing_token
+        self.begin_round(self.fencing_token)
 
-    def begin(self, fence: int) -> None:
+    def begin_round(self, fencing_token: int) -> None:
         """Ask all that are alive."""
-        office = self.office
-        if not self._may(fence):
+        if not self._may_act(fencing_token):
             return
-        self.books.begin()
-        self.number += 1
-        for member in office.member_list.alive():
-            if not self._may(fence):  # before each act, not once a round
+        self.accounts.begin_round()
+        self.round_number += 1
+        for member in self.service.member_list.alive():
+            if not self._may_act(fencing_token):  # before each act, not once a round
                 return
-            office.member_list.call(member.name, "books", ["ask", self.duty, fence, self.number])
-        self.books.tells(office.name, self.account())
-        office.event_loop.call_later(max(self.each // 2, 1), self.sum, fence)
-        office.event_loop.call_later(self.each, self.begin, fence)
-
-    def sum(self, fence: int) -> None:
-        """What was answered goes into the history, here and at all others."""
-        office = self.office
-        if not self._may(fence):
+            self._send(member.name, ["ask", self.lease, fencing_token, self.round_number])
+        self.accounts.record_account(self.service.name, self.build_own_account())
+        event_loop = self.service.event_loop
+        event_loop.call_later(max(self.period_ticks // 2, 1), self.finish_round, fencing_token)
+        event_loop.call_later(self.period_ticks, self.begin_round, fencing_token)
+
+    def finish_round(self, fencing_token: int) -> None:
+        """Put the sum of what was answered into the history, here and at all others."""
+        service = self.service
+        if not self._may_act(fencing_token):
             return
-        alive = [member.name for member in office.member_list.alive()]
-        entry = self.books.entry(fence, self.number, office.event_loop.now // 10, alive)
-        self._add(entry)
+        alive = [member.name for member in service.member_list.alive()]
+        now_ms = service.event_loop.now // 10
+        entry = self.accounts.build_entry(fencing_token, self.round_number, now_ms, alive)
+        self.history.append(entry)
         if entry["wrong"]:
-            # Loud: what one gateway counts right may still not add up for all.
-            office.log(f"fleet out of balance: {'; '.join(entry['wrong'])}"[:300])
+            # Logged, as what one instance counts right may still not add up for all.
+            line = f"fleet out of balance: {'; '.join(entry['wrong'])}"
+            service.log(line[:MAX_LOG_LINE])
         for name in alive:
-            if not self._may(fence):
+            if not self._may_act(fencing_token):
                 return
-            office.member_list.call(name, "books", ["entry", self.duty, fence, entry])
-
-    def heard(self, sender: str, what: str, rest: list[Any]) -> None:
-        """A holder that asks or tells, or a fellow's answer. What makes no sense raises."""
-        office = self.office
-        if what == "account":
-            number, account = rest
-            if number == self.number and self._may(self.fence):
-                self.books.tells(sender, account)
+            self._send(name, ["entry", self.lease, fencing_token, entry])
+
+    def on_datagram(self, sender: str, kind: str, fields: list[Any]) -> None:
+        """Take a holder's question or sum, or an instance's answer. A malformed one raises."""
+        if kind == "account":
+            self._on_account(sender, fields)
             return
-        fence = int(rest[0])
-        if not office.guard.admits(self.duty, fence):
-            office.member_list.call(
-                sender, "books", ["no", self.duty, office.guard.highest[self.duty]]
-            )
-        elif what == "ask":
-            office.member_list.call(
-                sender, "books", ["account", self.duty, int(rest[1]), self.account()]
-            )
-        elif what == "entry":
-            self._add(dict(rest[1]))
-
-    def account(self) -> dict[str, Any]:
-        socket_host = self.office.socket_host
-        cut = cut_of(
-            socket_host.ledger, socket_host.event_loop.now, self.office.name, {"id": self.epoch}
+        fencing_token = int(fields[0])
+        guard = self.service.fencing_guard
+        if not guard.admits(self.lease, fencing_token):
+            self._send(sender, ["no", self.lease, guard.highest[self.lease]])
+        elif kind == "ask":
+            round_number = int(fields[1])
+            self._send(sender, ["account", self.lease, round_number, self.build_own_account()])
+        elif kind == "entry":
+            self.history.append(dict(fields[1]))
+
+    def _on_account(self, sender: str, fields: list[Any]) -> None:
+        round_number, account = fields
+        if round_number == self.round_number and self._may_act(self.fencing_token):
+            self.accounts.record_account(sender, account)
+
+    def build_own_account(self) -> dict[str, Any]:
+        """Return the account of this instance at the moment."""
+        socket_host = self.service.socket_host
+        snapshot = cut_of(
+            socket_host.ledger, socket_host.event_loop.now, self.service.name, {"id": self.epoch}
+        )
+        return build_account(
+            self.epoch, snapshot["offerings"].values(), snapshot["engines"].flat.values()
         )
-        return account_of(self.epoch, cut["offerings"].values(), cut["engines"].flat.values())
 
-    def told(self) -> dict[str, Any]:
-        return {"entries": [*self.history.entries][-SHOWN:], "refused": self.history.refused}
+    def report_status(self) -> dict[str, Any]:
+        """Return the last entries of the history, for operators."""
+        entries = [*self.history.entries][-MAX_SHOWN_ENTRIES:]
+        return {"entries": entries, "refused": self.history.refused}
 
-    def _may(self, fence: int) -> bool:
-        holder = self.office.holders.get(self.duty)
-        return holder is not None and holder.may() and holder.fence == fence
+    def _may_act(self, fencing_token: int) -> bool:
+        candidate = self.service.candidates.get(self.lease)
+        if candidate is None or not candidate.may_act():
+            return False
+        return candidate.fencing_token == fencing_token
 
-    def _add(self, entry: dict[str, Any]) -> None:
-        self.history.add(entry)
+    def _send(self, name: str, body: list[Any]) -> None:
+        self.service.member_list.call(name, "books", body)
--- a/corkgauge/leases/leased_command.py
+++ b/corkgauge/leases/leased_command.py
@@ -1,73 +1,105 @@
-"""A command that runs under a duty: when it is begun, and when it must be over.
+"""A command that runs under a lease: when it is begun, and when it must be over.
 
-Owns that decision. Free of I/O: the clock is handed in, what to do is its host's. Must never let the command
-run past the time that the gateway granted, counted from before it was asked.
+Owns that decision. Free of I/O: the clock is handed in, what to do is its host's. Must never let
+the command run past the time that the instance granted, counted from before it was asked.
 """
 
+from enum import Enum
 from typing import Protocol
 
-WAITING, RUNNING, ENDING, OVER = range(4)
+
+class CommandState(Enum):
+    """Where the command is in its life."""
+
+    WAITING = "waiting"
+    RUNNING = "running"
+    ENDING = "ending"
+    OVER = "over"
 
 
 class Host(Protocol):
     """What may be done with the command."""
 
-    def begin(self, fence: int) -> None: ...
-    def terminate(self) -> None: ...
-    def kill(self) -> None: ...
+    def begin(self, fencing_token: int) -> None:
+        """Start it, under this fencing token."""
+
+    def terminate(self) -> None:
+        """Send it SIGTERM."""
+
+    def kill(self) -> None:
+        """Send it SIGKILL."""
 
 
 class LeasedCommand:
-    """Times are seconds since boot. `grace` is what the command has between SIGTERM and SIGKILL, `margin`
-    what lies between SIGKILL and its death."""
-
-    def __init__(self, host: Host, grace: float, margin: float) -> None:
-        self.host, self.grace, self.margin = host, grace, margin
-        self.state, self.fence, self.until = WAITING, 0, 0.0
-        self.why = ""
-
-    def told(self, asked: float, held: bool, fence: int, left: float) -> None:
-        """The gateway's answer to what was asked at `asked`: so long it is held from then on."""
-        if not held:
-            return self._end("no longer held")
-        if self.state in (ENDING, OVER):
-            return
-        if self.state == WAITING:
-            # Danger: what is begun with less than its grace left would have to be killed at once.
-            if left > 2 * (self.grace + self.margin):
-                self.state, self.fence, self.until = RUNNING, fence, asked + left
-                self.host.begin(fence)
-        elif fence != self.fence:
-            # Danger: lost and had again in between, another may have run meanwhile.
-            self._end("held anew")
-        else:
-            self.until = max(self.until, asked + left)
-
-    def looked(self, now: float) -> None:
-        """Time goes by, answer or none."""
-        if self.state == RUNNING and now >= self.until - self.grace - self.margin:
-            self._end("the time is nearly over")
-        if self.state == ENDING and now >= self.until - self.margin:
-            self.state = OVER
+    """One command. All times are seconds since boot, or seconds.
+
+    `grace_seconds` is what the command has between SIGTERM and SIGKILL, `margin_seconds` what lies
+    between SIGKILL and its death.
+    """
+
+    def __init__(self, host: Host, grace_seconds: float, margin_seconds: float) -> None:
+        self.host = host
+        self.grace_seconds = grace_seconds
+        self.margin_seconds = margin_seconds
+        self.state = CommandState.WAITING
+        self.fencing_token = 0
+        self.held_until = 0.0
+        self.end_reason = ""
+
+    def on_answer(
+        self, asked_at: float, is_held: bool, fencing_token: int, left_seconds: float
+    ) -> None:
+        """Take the instance's answer: the lease is held for so long from `asked_at` on."""
+        if not is_held:
+            self._terminate("no longer held")
+        elif self.state is CommandState.WAITING:
+            # What is begun with less than its grace left would have to be killed at once.
+            if left_seconds > 2 * (self.grace_seconds + self.margin_seconds):
+                self.state = CommandState.RUNNING
+                self.fencing_token = fencing_token
+                self.held_until = asked_at + left_seconds
+                self.host.begin(fencing_token)
+        elif self.state is CommandState.RUNNING:
+            if fencing_token != self.fencing_token:
+                # Lost and had again in between: another may have run meanwhile.
+                self._terminate("held anew")
+            else:
+                self.held_until = max(self.held_until, asked_at + left_seconds)
+
+    def on_time(self, now: float) -> None:
+        """Act on the time that goes by, answer or none."""
+        if self.state is CommandState.RUNNING and now >= self._terminate_at():
+            self._terminate("the time is nearly over")
+        if self.state is CommandState.ENDING and now >= self._kill_at():
+            self.state = CommandState.OVER
             self.host.kill()
 
-    def next_look(self, now: float) -> float:
-        """Seconds until time alone may change something."""
-        if self.state == RUNNING:
-            return max(self.until - self.grace - self.margin - now, 0.0)
-        return max(self.until - self.margin - now, 0.0) if self.state == ENDING else 1.0
-
-    def give_up(self, now: float) -> None:
-        """An operator ends it: it has its grace, and no longer."""
-        if self.state == RUNNING:
-            self.until = min(self.until, now + self.grace + self.margin)
-            self._end("told to end")
-
-    def ended(self) -> None:
-        """The command has ended by itself, or as it was told."""
-        self.state = OVER
-
-    def _end(self, why: str) -> None:
-        if self.state == RUNNING:
-            self.state, self.why = ENDING, why
+    def seconds_to_next_check(self, now: float) -> float:
+        """Return the seconds until time alone may change something."""
+        if self.state is CommandState.RUNNING:
+            return max(self._terminate_at() - now, 0.0)
+        if self.state is CommandState.ENDING:
+            return max(self._kill_at() - now, 0.0)
+        return 1.0
+
+    def request_end(self, now: float) -> None:
+        """End it for an operator: it has its grace, and no longer."""
+        if self.state is CommandState.RUNNING:
+            self.held_until = min(self.held_until, now + self.grace_seconds + self.margin_seconds)
+            self._terminate("told to end")
+
+    def on_exited(self) -> None:
+        """Note that the command has ended by itself, or as it was told."""
+        self.state = CommandState.OVER
+
+    def _terminate_at(self) -> float:
+        return self.held_until - self.grace_seconds - self.margin_seconds
+
+    def _kill_at(self) -> float:
+        return self.held_until - self.margin_seconds
+
+    def _terminate(self, reason: str) -> None:
+        if self.state is CommandState.RUNNING:
+            self.state = CommandState.ENDING
+            self.end_reason = reason
             self.host.terminate()
--- /dev/null
+++ b/corkgauge/leases/operator_commands.py
@@ -0,0 +1,101 @@
+"""What operators and commands ask of the leases over HTTP, at `/duties`.
+
+Owns the form of questions and answers; names of keys are those that operators and old versions of
+the command line read.
+"""
+
+import json
+from typing import TYPE_CHECKING, Any
+
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.leases.candidate import CandidateState, LeaseCandidate
+
+if TYPE_CHECKING:
+    from corkgauge.leases.service import LeaseService
+
+MAX_COMMAND_NAME = 100  # characters of a command's name that are kept
+
+
+class OperatorCommands:
+    """The HTTP handlers of one instance's leases."""
+
+    def __init__(self, service: "LeaseService") -> None:
+        self.service = service
+
+    def report_status(self, _body: bytes = b"") -> dict[str, Any]:
+        """Answer GET: times are seconds, moments milliseconds of the system's date."""
+        service = self.service
+        now = service.now
+        return {
+            "name": service.name,
+            "voters": [*service.configuration.names],
+            "version": service.configuration.version,
+            "voting": service.voter.is_voting,
+            "silent_for": max(service.voter.silent_until - now, 0) / SECOND,
+            "overloaded": service.is_overloaded,
+            "duties": {
+                name: self._report_lease(candidate, now)
+                for name, candidate in service.candidates.items()
+            },
+            "books": {
+                name: collector.report_status() for name, collector in service.collectors.items()
+            },
+            "changes": service.changes,
+            "fences": {**service.fencing_guard.highest},
+            "counters": {
+                **service.voter.counts,
+                "acts refused": service.fencing_guard.refused,
+            },
+        }
+
+    def _report_lease(self, candidate: LeaseCandidate, now: int) -> dict[str, Any]:
+        holder = candidate.known_holder
+        if candidate.may_act():
+            holder = self.service.name
+        held_seconds = None
+        if candidate.may_act():
+            held_seconds = (now - candidate.held_since) / SECOND
+        return {
+            "state": candidate.state.value,
+            "holder": holder,
+            "fence": candidate.fencing_token,
+            "left": max(candidate.held_until - now, 0) / SECOND,
+            "for": held_seconds,
+            "why": candidate.last_reason,
+            "wanted": candidate.is_wanted,
+            "lent": self.service.command_loans.command_of(candidate.lease),
+        }
+
+    def handle_request(self, body: bytes) -> dict[str, Any]:
+        """Answer POST.
+
+        Requests are `{"do": "hold", "duty", "by"}`, `{"do": "done", "duty", "by"}` and
+        `{"do": "yield", "duty"}`. Raises ValueError and KeyError for any other.
+        """
+        request = json.loads(body)
+        lease = request["duty"]
+        action = request["do"]
+        command = str(request.get("by", ""))[:MAX_COMMAND_NAME]
+        candidate = self.service.candidates.get(lease)
+        if candidate is None:
+            raise ValueError(f"no duty {lease!r} here")
+        if action == "hold":
+            return self.service.command_loans.lend(candidate, command)
+        if action == "done":
+            return self.service.command_loans.finish(candidate, command)
+        if action == "yield":
+            return self._yield_lease(candidate)
+        raise ValueError("expected hold, done or yield")
+
+    def _yield_lease(self, candidate: LeaseCandidate) -> dict[str, Any]:
+        """Give a lease up, or ask its holder to."""
+        service = self.service
+        lease = candidate.lease
+        holder = candidate.known_holder
+        if candidate.state is CandidateState.HOLDING:
+            service.hand_over(lease, "told")
+            return {"told": service.name, "waits_for": service.command_loans.command_of(lease)}
+        is_held_elsewhere = holder and holder != service.name
+        if is_held_elsewhere and service.member_list.call(holder, "yield", lease):
+            return {"told": holder, "waits_for": ""}
+        raise ValueError(f"nobody is known to hold {lease!r}")
--- a/corkgauge/leases/placement.py
+++ b/corkgauge/leases/placement.py
@@ -1,69 +1,73 @@
-"""Where duties should be: spread over halls, and away from gateways that are overloaded.
+"""Where leases should be held: spread over zones, and away from instances that are overloaded.
 
-Owns an order among candidates that all work out alike from what they know, and a gateway's word on its own
-load. Free of I/O. Must never take a duty from a holder that keeps it: this is a hint on who tries first.
+Owns an order among candidates that all work out alike from what they know, and an instance's
+judgement of its own load. Free of I/O. Must never take a lease from a holder that keeps it: this is
+a hint on who tries first.
 """
 
 from collections import deque
 from collections.abc import Mapping, Sequence
 from zlib import crc32
 
-MOST_RANK = 6  # later ones try together, with chance between them
-LOOKS = 8  # last ones, of our own load
-LATE_LOOKS = 2  # of these late: overloaded
-RECOVERED = 100_000  # tenths of a millisecond without a late look, before it stands again
+MAX_RANK = 6  # later ones try together, with chance between them
+SAMPLES = 8  # last checks of our own load that count
+LATE_SAMPLES = 2  # of these late: overloaded
+RECOVERY_TICKS = 100_000  # tenths of a millisecond without a late check, before it stands again
 
 
-def order(duty: str, members: Sequence[tuple[str, str]], held: Mapping[str, str]) -> list[str]:
-    """Names of the candidates, the first to try first. `fellows` are (name, hall) of those alive, `held` says
-    who holds which other duty. Halls that hold less first, then gateways that hold less, then by hash.
+def preferred_order(
+    lease: str, members: Sequence[tuple[str, str]], holders: Mapping[str, str]
+) -> list[str]:
+    """Return names of the candidates, the first to try first.
+
+    `members` are name and zone of those alive, `holders` says who holds which lease. Zones that
+    hold fewer other leases come first, then instances that hold fewer, then by hash.
 
     >>> members = [("n1", "a"), ("n2", "a"), ("n3", "b")]
-    >>> order("books", members, {"works": "n1"})[0]
+    >>> preferred_order("books", members, {"works": "n1"})[0]
     'n3'
-    >>> order("books", members, {"works": "n3"})[0] in ("n1", "n2")
+    >>> preferred_order("books", members, {"works": "n3"})[0] in ("n1", "n2")
     True
     """
     zones = dict(members)
-    busy = [name for each, name in held.items() if each != duty and name in zones]
-    return [
-        name
-        for *_, name in sorted(
-            (
-                sum(zones[each] == zone for each in busy),
-                busy.count(name),
-                crc32(f"{duty} {name}".encode()),
-                name,
-            )
-            for name, zone in members
-        )
-    ]
-
-
-def rank(duty: str, name: str, members: Sequence[tuple[str, str]], held: Mapping[str, str]) -> int:
-    """How many should try before this one, at most MOST_RANK."""
-    names = order(duty, members, held)
-    return min(names.index(name), MOST_RANK) if name in names else MOST_RANK
-
-
-class Load:
-    """A gateway's word on itself: is its loop late, again and again?
-
-    >>> load = Load(100)
-    >>> [load.looked(now, late) for now, late in ((0, 0), (500, 130), (1000, 0), (1500, 150), (2000, 0))]
+    busy = [name for held, name in holders.items() if held != lease and name in zones]
+
+    def preference(member: tuple[str, str]) -> tuple[int, int, int, str]:
+        name, zone = member
+        held_in_zone = sum(zones[other] == zone for other in busy)
+        return held_in_zone, busy.count(name), crc32(f"{lease} {name}".encode()), name
+
+    return [name for name, _ in sorted(members, key=preference)]
+
+
+def rank_of(
+    lease: str, name: str, members: Sequence[tuple[str, str]], holders: Mapping[str, str]
+) -> int:
+    """Return how many should try before this one, at most MAX_RANK."""
+    names = preferred_order(lease, members, holders)
+    return min(names.index(name), MAX_RANK) if name in names else MAX_RANK
+
+
+class LoadSampler:
+    """An instance's judgement of itself: whether its loop is late again and again.
+
+    >>> load = LoadSampler(100)
+    >>> checks = (0, 0), (500, 130), (1000, 0), (1500, 150), (2000, 0)
+    >>> [load.record_check(now, late) for now, late in checks]
     [False, False, False, True, True]
-    >>> load.looked(1500 + RECOVERED, 0)
+    >>> load.record_check(1500 + RECOVERY_TICKS, 0)
     False
     """
 
-    def __init__(self, late: int) -> None:
-        self.late = late  # tenths of a millisecond, from which a look counts as late
-        self.looks: deque[bool] = deque(maxlen=LOOKS)
-        self.until = -1
-
-    def looked(self, now: int, late: int) -> bool:
-        """A timer that was due `late` ago: are we overloaded?"""
-        self.looks.append(late >= self.late)
-        if late >= self.late and sum(self.looks) >= LATE_LOOKS:
-            self.until = now + RECOVERED
-        return now < self.until
+    def __init__(self, late_ticks: int) -> None:
+        self.late_ticks = late_ticks  # tenths of a millisecond, from which a check counts as late
+        self.samples: deque[bool] = deque(maxlen=SAMPLES)
+        self.overloaded_until = -1
+
+    def record_check(self, now: int, late_by: int) -> bool:
+        """Return whether we are overloaded, after a timer that was `late_by` late."""
+        is_late = late_by >= self.late_ticks
+        self.samples.append(is_late)
+        if is_late and sum(self.samples) >= LATE_SAMPLES:
+            self.overloaded_until = now + RECOVERY_TICKS
+        return now < self.overloaded_until
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -1,383 +1,340 @@
-"""Duties of one program: its vote, what it stands for and holds, and what is done under each.
+"""Leases of one process: its vote, the leases it stands for and holds, and who acts under each.
 
-Owns the timers, the helper that writes votes, and which command was lent a duty. Must never decide who holds
-what: voter and holders do. Must never do an act under a duty without a look at `may` immediately before it.
+Owns the I/O: datagrams, timers, the helper that writes votes, and the HTTP routes of operators.
+Must never decide who holds what: voter and candidates do. Must never do an act under a lease
+without a look at `may_act` immediately before it.
 """
 
-import json
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 from corkgauge.config.operator_file import Duties
-from corkgauge.config.platform import ConfigurationError, PlatformConfig
+from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
-from corkgauge.eventloop.loop import SECOND
-from corkgauge.leases import placement as preference
-from corkgauge.leases.candidate import HOLDING, STATES, LeaseCandidate
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.leases import messages, placement, reconfiguration
+from corkgauge.leases.candidate import CandidateState, LeaseCandidate
+from corkgauge.leases.command_loans import CommandLoans
 from corkgauge.leases.durable_record import DurableRecord
 from corkgauge.leases.fencing import FencingGuard
 from corkgauge.leases.fleet_accounts_collector import FleetAccountsCollector
-from corkgauge.leases.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
-from corkgauge.leases.voter_configuration import Span, UnsafeChangeError, VoterConfiguration
+from corkgauge.leases.load_monitor import LoadMonitor
+from corkgauge.leases.messages import LeaseVacant
+from corkgauge.leases.operator_commands import OperatorCommands
+from corkgauge.leases.voter import Voter
 from corkgauge.membership.member_list import ALIVE, SUSPECTED
 
-ANSWERS = WOULD, PROMISED, GRANTED, VACANT
-LOOKS = 10  # at our own load, a lease
-TOLD_VACANT = 2  # of the next in order
-CHANGES = 50  # of duties that operators can look back at
+ACCOUNTS_KIND = "books"  # of a lease in the operator file: the fleet accounts
+VACANCY_NOTICES = 2  # to the next in order
+MAX_CHANGES = 50  # of leases that operators can look back at
+PAUSE_LEASES = 2  # that this instance does not stand for a lease after it handed it over
+
+
+class SocketHost(Protocol):
+    """What leases need of the process that they run in."""
+
+    event_loop: EventLoop
+    ledger: Any
+    routes: dict[tuple[bytes, bytes], Callable[[bytes], dict[str, Any]]]
+
+    def log(self, line: str) -> None:
+        """Write a line to the log."""
+
+
+class LeaseOwner(Protocol):
+    """A subsystem that acts under a lease."""
+
+    def on_lease_gained(self) -> None:
+        """Notify the owner that the lease is held from now on."""
+
+    def on_lease_lost(self) -> None:
+        """Notify the owner that the lease is held no more."""
 
 
 class LeaseService:
-    """`house` has `hub`, `log`, `ledger` and `routes`; `society` are the fellows."""
+    """The leases of one instance. `membership` is the membership service that carries datagrams.
+
+    Raises ConfigurationError where the lease's times or the voters make no sense.
+    """
 
     def __init__(
-        self, socket_host: Any, platform_config: PlatformConfig, said: Duties, membership: Any
+        self,
+        socket_host: SocketHost,
+        platform_config: PlatformConfig,
+        settings: Duties,
+        membership: Any,
     ) -> None:
-        self.socket_host, self.event_loop, self.name, self.said, self.membership = (
-            socket_host,
-            socket_host.event_loop,
-            platform_config.name,
-            said,
-            membership,
-        )
+        self.socket_host = socket_host
+        self.event_loop = socket_host.event_loop
+        self.name: str = platform_config.name
+        self.settings = settings
+        self.membership = membership
         self.member_list = membership.member_list
-        try:
-            self.roll, self.span = _terms(said)
-        except UnsafeChangeError as problem:
-            raise ConfigurationError(f"duties: {problem}") from None
-        self.told_rolls: dict[str, tuple[int, int]] = {}  # by gateway: version and mark of its list
-        self.safe = DurableRecord(
+        self.configuration, self.timing = reconfiguration.read_terms(settings)
+        # By instance: version and fingerprint of its voter configuration, as last heard.
+        self.reported_configurations: dict[str, tuple[int, int]] = {}
+        self.durable_record = DurableRecord(
             self.event_loop,
             socket_host.log,
-            said.folder,
+            settings.folder,
             f"{self.name}.votes",
             "duties: kept votes are torn, silent at first",
             "duties: votes are not written, no vote until a restart",
         )
-        self.guard = FencingGuard()
-        self.voter = Voter(self, self.name, self.roll, self.span, self.safe.kept)
-        self.holders: dict[str, LeaseCandidate] = {}
-        self.clerks: dict[str, FleetAccountsCollector] = {}
-        self.owners: dict[str, Any] = {}  # by duty: another subsystem that acts under it
-        self.lent: dict[str, tuple[str, int]] = {}  # by duty: to which command, until when
-        self.asking: dict[str, int] = {}  # by duty: when a command last asked for it
-        self.yielding: dict[str, str] = {}  # to be given up once no command runs under it, and why
+        self.fencing_guard = FencingGuard()
+        self.voter = Voter(
+            self, self.name, self.configuration, self.timing, self.durable_record.stored
+        )
+        # By lease: its candidate, and whoever acts under it; commands are known to `command_loans`.
+        self.candidates: dict[str, LeaseCandidate] = {}
+        self.collectors: dict[str, FleetAccountsCollector] = {}
+        self.owners: dict[str, LeaseOwner] = {}
         self.changes: list[dict[str, Any]] = []
-        self.leaving = self.overloaded = self.aside = False
-        self.load = preference.Load(max(self.span.each, SECOND // 10))
-        for name, kind, each in said.duties:
-            self._stand(name, kind, each)
-        self.member_list.calls["duty"] = self.came
-        self.member_list.calls["books"] = self.books_came
-        self.member_list.calls["yield"] = self.yield_came
-        socket_host.routes[b"GET", b"/duties"] = self.told
-        socket_host.routes[b"POST", b"/duties"] = self.asked
-        self._look(boot_time())
-
-    def _stand(self, name: str, kind: str, each: int) -> None:
-        """Danger: a gateway that holds a duty for commands while none waits here would keep it from those where one
-        does; so it stands for such a duty while one asks."""
-        self.holders[name] = LeaseCandidate(
-            self, name, self.name, self.roll, self.span, kind == "books"
+        self.is_leaving = False
+        self.is_cordoned = False
+        self.command_loans = CommandLoans(self)
+        self.operator_commands = OperatorCommands(self)
+        self.load_monitor = LoadMonitor(self)
+        for name, kind, period_ticks in settings.duties:
+            self.add_named_lease(name, kind, period_ticks)
+        self._subscribe()
+        self.load_monitor.check(boot_time())
+
+    def _subscribe(self) -> None:
+        self.member_list.calls["duty"] = self.on_lease_datagram
+        self.member_list.calls["books"] = self.on_accounts_datagram
+        self.member_list.calls["yield"] = self.on_yield_datagram
+        routes = self.socket_host.routes
+        routes[b"GET", b"/duties"] = self.operator_commands.report_status
+        routes[b"POST", b"/duties"] = self.operator_commands.handle_request
+
+    # Leases.
+
+    def add_named_lease(self, name: str, kind: str, period_ticks: int) -> None:
+        """Add a lease of the operator file; `period_ticks` is between two rounds of accounts.
+
+        An instance that holds a lease for commands while no command waits here would keep it from
+        those where one does: it stands for such a lease only while a command asks.
+        """
+        is_accounts = kind == ACCOUNTS_KIND
+        self.candidates[name] = LeaseCandidate(
+            self, name, self.name, self.configuration, self.timing, is_accounts
         )
-        if kind == "books":
-            self.clerks[name] = FleetAccountsCollector(self, name, each)
-
-    def stands(self, duty: str, owner: Any) -> None:
-        """This gateway stands for a duty of another subsystem's: `owner` hears `gained()` and `lost()`."""
-        self.owners[duty] = owner
-        self.holders[duty] = LeaseCandidate(
-            self, duty, self.name, self.roll, self.span, self._wanted(duty)
+        if is_accounts:
+            self.collectors[name] = FleetAccountsCollector(self, name, period_ticks)
+
+    def add_candidate(self, lease: str, owner: LeaseOwner) -> None:
+        """Stand for a lease of another subsystem, which is notified when it is gained or lost."""
+        self.owners[lease] = owner
+        self.candidates[lease] = LeaseCandidate(
+            self, lease, self.name, self.configuration, self.timing, self.is_wanted(lease)
         )
 
-    def set_aside(self, aside: bool) -> None:
-        """This gateway is to be taken out: it gives up what it holds, and stands for nothing until it is back."""
-        if aside != self.aside:
-            self.aside = aside
-            for name, holder in self.holders.items():
-                holder.stand(self._wanted(name))
-                if aside:
-                    self._give_up(name, "set aside for work")
+    def is_wanted(self, lease: str) -> bool:
+        """Return whether this instance stands for the lease at the moment."""
+        if self.is_leaving or self.is_cordoned:
+            return False
+        has_owner = lease in self.collectors or lease in self.owners
+        return has_owner or self.command_loans.has_demand(lease)
+
+    def set_cordoned(self, is_cordoned: bool) -> None:
+        """Take this instance out: it gives up its leases, and stands for none until it is back."""
+        if is_cordoned == self.is_cordoned:
+            return
+        self.is_cordoned = is_cordoned
+        for name, candidate in self.candidates.items():
+            candidate.set_wanted(self.is_wanted(name))
+            if is_cordoned:
+                self.hand_over(name, "set aside for work")
 
     @property
-    def free(self) -> bool:
-        """Holds nothing, and stands for nothing."""
-        return not any(holder.state == HOLDING or holder.wanted for holder in self.holders.values())
-
-    def reload(self, said: Duties) -> None:
-        """Another list of voters, other duties; Faulty, and nothing is changed, where that is not safe."""
-        try:
-            roll, span = _terms(said)
-            self.roll.step_to(
-                roll, {**self.told_rolls, self.name: (self.roll.version, self.roll.mark)}
-            )
-        except UnsafeChangeError as problem:
-            raise ConfigurationError(f"duties: {problem}") from None
-        if said.folder != self.said.folder:
-            self.socket_host.log("operator file: duties folder changed, in force after a restart")
-        if roll != self.roll:
-            self.socket_host.log(
-                f"duties: list {roll.version} of voters in force, {' '.join(roll.names)}"
-            )
-        self.roll, self.span, self.said = roll, span, said
-        self.voter.renew(roll, span)
-        named = {name for name, *_ in said.duties}
-        for name in self.owners:
-            self.holders[name].renew(roll, span)
-        for name in [*self.holders]:
-            if name not in named and name not in self.owners:
-                self.holders[name].give_up("no longer named")
-                self.holders.pop(name).stand(False)
-                self.clerks.pop(name, None)
-        for name, kind, each in said.duties:
-            if name not in self.holders:
-                self._stand(name, kind, each)
-            else:
-                self.holders[name].renew(roll, span)
-            if name in self.clerks:
-                self.clerks[name].each = each
+    def is_idle(self) -> bool:
+        """Whether it holds nothing, and stands for nothing."""
+        return not any(
+            candidate.state is CandidateState.HOLDING or candidate.is_wanted
+            for candidate in self.candidates.values()
+        )
+
+    @property
+    def is_overloaded(self) -> bool:
+        """Whether our loop is late, again and again."""
+        return self.load_monitor.is_overloaded
+
+    def hand_over(self, lease: str, reason: str) -> None:
+        """Give a lease up if it is held: at once, or as soon as no command runs under it."""
+        candidate = self.candidates[lease]
+        if candidate.state is not CandidateState.HOLDING:
+            return
+        if self.command_loans.is_lent(lease):
+            self.command_loans.release_when_returned(lease, reason)
+        else:
+            self.release(lease, reason)
+
+    def release(self, lease: str, reason: str) -> None:
+        """Give a lease up now, and leave it to others for a while."""
+        self.candidates[lease].release(reason, PAUSE_LEASES * self.timing.lease_ticks)
+
+    # The process's life.
+
+    def reload(self, settings: Duties) -> None:
+        """Take another voter configuration, or other leases.
+
+        Raises ConfigurationError, and changes nothing, where that is not safe.
+        """
+        reconfiguration.reload_settings(self, settings)
 
     def leave(self) -> None:
-        """A planned end: what is held is handed over at once, what a command runs under as soon as that
-        ends."""
-        self.leaving = True
-        for name, holder in self.holders.items():
-            holder.stand(False)
-            self._give_up(name, "leaving")
+        """Begin a planned end: leases are handed over, one lent to a command once that ends."""
+        self.is_leaving = True
+        for name, candidate in self.candidates.items():
+            candidate.set_wanted(False)
+            self.hand_over(name, "leaving")
 
     def end(self) -> None:
-        for name, holder in self.holders.items():
-            if holder.state == HOLDING and name not in self.lent:
-                holder.give_up("ended")
-        self.safe.close()
+        """Give back what no command runs under, and end the helper."""
+        for name, candidate in self.candidates.items():
+            is_held = candidate.state is CandidateState.HOLDING
+            if is_held and not self.command_loans.is_lent(name):
+                candidate.release("ended")
+        self.durable_record.close()
 
-    # What a voter and the holders may do.
+    # What voter and candidates need of their host.
 
     @property
     def now(self) -> int:
+        """Tenths of a millisecond since boot, read anew each time."""
         return boot_time()
 
     @property
     def date(self) -> int:
+        """The system's time in milliseconds."""
         return self.event_loop.date() // 10
 
     def send(self, name: str, body: list[Any]) -> None:
+        """Send a datagram on leases; one to ourselves arrives in the loop's next turn."""
         if name == self.name:
-            self.event_loop.call_later(0, self.came, name, body)
+            self.event_loop.call_later(0, self.on_lease_datagram, name, body)
         else:
             self.member_list.call(name, "duty", body)
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.event_loop.call_later(delay, method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call a method after so many tenths of a millisecond."""
+        self.event_loop.call_later(delay, method, *arguments)
 
-    def chance(self, below: int) -> int:
-        return self.membership.chance(max(below, 1))
+    def random_below(self, limit: int) -> int:
+        """Return a number from 0 to `limit` - 1; 0 for limits below 1."""
+        number: int = self.membership.chance(max(limit, 1))
+        return number
 
     def log(self, line: str) -> None:
+        """Write a line to the log."""
         self.socket_host.log(line)
 
-    def rank(self, duty: str) -> int:
-        """Danger: where all are overloaded at once, as on a machine that stood still for a moment, nobody would hold
-        the duty for as long as each stays away. So one that is overloaded tries last, and still tries."""
-        rank = preference.rank(duty, self.name, self._present(), self._held())
-        return rank + self.span.lease // (2 * self.span.stagger) if self.overloaded else rank
-
-    def gained(self, holder: LeaseCandidate) -> None:
-        self.socket_host.log(f"duty {holder.duty} held under fence {holder.fence}")
-        self._changed(holder, "held", holder.why)
-        owner = self.clerks.get(holder.duty) or self.owners.get(holder.duty)
+    def persist(self, record: dict[str, Any], then: Callable[..., None], *arguments: Any) -> None:
+        """Call `then` once the votes are safe on disk."""
+        self.durable_record.write(record, then, *arguments)
+
+    def rank_of(self, lease: str) -> int:
+        """Return how many others should try first.
+
+        Where all are overloaded at once, as on a machine that stood still for a moment, nobody
+        would hold the lease for as long as each stays away: an overloaded instance tries last, and
+        still tries.
+        """
+        rank = placement.rank_of(lease, self.name, self._candidate_zones(), self._known_holders())
+        if self.is_overloaded:
+            rank += self.timing.lease_ticks // (2 * self.timing.stagger_ticks)
+        return rank
+
+    def on_lease_gained(self, candidate: LeaseCandidate) -> None:
+        """Notify whoever acts under the lease."""
+        lease = candidate.lease
+        self.socket_host.log(f"duty {lease} held under fence {candidate.fencing_token}")
+        self._record_change(candidate, "held", candidate.last_reason)
+        owner = self.collectors.get(lease) or self.owners.get(lease)
         if owner is not None:
-            owner.gained()
-        if self.leaving or self.aside:
-            self._give_up(holder.duty, "leaving" if self.leaving else "set aside for work")
-
-    def lost(self, holder: LeaseCandidate, why: str) -> None:
-        self.socket_host.log(f"duty {holder.duty} given up under fence {holder.fence}: {why}")
-        self._changed(holder, "given up", why)
-        self.lent.pop(holder.duty, None)
-        self.yielding.pop(holder.duty, None)
-        if holder.duty in self.owners:
-            self.owners[holder.duty].lost()
-
-    def vacant(self, holder: LeaseCandidate) -> None:
-        """It was given back: those that should have it are told, so that nobody waits for a lease."""
-        members = [each for each in self._present() if each[0] != self.name]
-        for name in preference.order(holder.duty, members, self._held())[:TOLD_VACANT]:
-            self.send(name, [VACANT, holder.duty, self.roll.version, self.roll.mark, 0])
-
-    def keep(self, record: dict[str, Any], then: Callable[..., None], *what: Any) -> None:
-        self.safe.keep(record, then, *what)
-
-    # What comes.
-
-    def came(self, sender: str, body: Any) -> None:
-        """A letter on duties, of a candidate or a voter."""
-        sort, duty, version, mark = body[:4]
-        self.told_rolls[sender] = version, mark
-        if sort not in ANSWERS:
+            owner.on_lease_gained()
+        if self.is_leaving:
+            self.hand_over(lease, "leaving")
+        elif self.is_cordoned:
+            self.hand_over(lease, "set aside for work")
+
+    def on_lease_lost(self, candidate: LeaseCandidate, reason: str) -> None:
+        """Notify whoever acted under the lease."""
+        lease = candidate.lease
+        token = candidate.fencing_token
+        self.socket_host.log(f"duty {lease} given up under fence {token}: {reason}")
+        self._record_change(candidate, "given up", reason)
+        self.command_loans.forget(lease)
+        if lease in self.owners:
+            self.owners[lease].on_lease_lost()
+
+    def on_lease_released(self, candidate: LeaseCandidate) -> None:
+        """Notify the next candidates of a lease given back, so that nobody waits for its end."""
+        others = [each for each in self._candidate_zones() if each[0] != self.name]
+        names = placement.preferred_order(candidate.lease, others, self._known_holders())
+        configuration = self.configuration
+        notice = LeaseVacant(
+            candidate.lease, configuration.version, configuration.fingerprint
+        ).encode()
+        for name in names[:VACANCY_NOTICES]:
+            self.send(name, notice)
+
+    # Datagrams.
+
+    def on_lease_datagram(self, sender: str, body: Any) -> None:
+        """Hand a datagram to the voter, or to the candidate of its lease."""
+        address = messages.decode_address(body)
+        self.reported_configurations[sender] = address.version, address.fingerprint
+        if not address.is_for_candidate:
             letters = self.member_list.letters
-            start = letters.start if sender == self.name else letters.pens[sender].start
-            return self.voter.heard(sender, start, body)
-        holder = self.holders.get(duty)
-        if holder is not None:
-            holder.heard(sender, body)
-
-    def books_came(self, sender: str, body: Any) -> None:
-        what, duty, *rest = body
-        clerk = self.clerks.get(duty)
-        if what == "no" and duty in self.holders:
-            self.holders[duty].outbid(int(rest[0]))
-        elif clerk is not None:
-            clerk.heard(sender, what, rest)
-
-    def yield_came(self, sender: str, body: Any) -> None:
-        if body in self.holders:
-            self._give_up(body, f"told at {sender}")
-
-    # Our own load.
-
-    def _look(self, due: int) -> None:
-        """Danger: a gateway whose loop is late loses its duties by the clock, in the middle of what it
-        does."""
-        now = boot_time()
-        was, self.overloaded = self.overloaded, self.load.looked(now, now - due)
-        if was != self.overloaded:
-            self.socket_host.log(
-                f"duties: {'overloaded, standing last' if self.overloaded else 'standing again'}"
-            )
-            for name, holder in self.holders.items():
-                holder.stand(self._wanted(name))
-                if self.overloaded:  # once: whoever takes it next may be no better off
-                    self._give_up(name, "overloaded")
-        for name, (_, until) in [*self.lent.items()]:
-            if now >= until:  # its command was killed, or does not ask any more
-                self._returned(name)
-        for name, asked in [*self.asking.items()]:
-            if now > asked + self.span.lease and name not in self.lent:
-                del self.asking[name]
-                self.holders[name].stand(False)
-                self._give_up(name, "no command asks")
-        self.event_loop.call_later(
-            self.span.lease // LOOKS, self._look, now + self.span.lease // LOOKS
-        )
-
-    def _wanted(self, duty: str) -> bool:
-        return not (self.leaving or self.aside) and (
-            duty in self.clerks or duty in self.owners or duty in self.asking
-        )
+            incarnation = letters.start
+            if sender != self.name:
+                incarnation = letters.pens[sender].start
+            self.voter.on_datagram(sender, incarnation, body)
+            return
+        candidate = self.candidates.get(address.lease)
+        if candidate is not None:
+            candidate.on_datagram(sender, body)
+
+    def on_accounts_datagram(self, sender: str, body: Any) -> None:
+        """Hand a datagram on fleet accounts to its collector; a refusal preempts the candidate."""
+        kind, lease, *fields = body
+        collector = self.collectors.get(lease)
+        if kind == "no" and lease in self.candidates:
+            self.candidates[lease].on_preempted(int(fields[0]))
+        elif collector is not None:
+            collector.on_datagram(sender, kind, fields)
+
+    def on_yield_datagram(self, sender: str, body: Any) -> None:
+        """Give a lease up that an operator asked another instance for."""
+        if body in self.candidates:
+            self.hand_over(body, f"told at {sender}")
+
+    def _candidate_zones(self) -> list[tuple[str, str]]:
+        """Name and zone of the instances that are there, ourselves last."""
+        present = [
+            (member.name, member.zone)
+            for member in self.member_list.members.values()
+            if member.state in (ALIVE, SUSPECTED)
+        ]
+        return [*present, (self.name, self.member_list.zone)]
+
+    def _known_holders(self) -> dict[str, str]:
+        return {
+            name: candidate.known_holder
+            for name, candidate in self.candidates.items()
+            if candidate.known_holder
+        }
 
-    def _present(self) -> list[tuple[str, str]]:
-        return [
-            (each.name, each.zone)
-            for each in self.member_list.members.values()
-            if each.state in (ALIVE, SUSPECTED)
-        ] + [(self.name, self.member_list.zone)]
-
-    def _held(self) -> dict[str, str]:
-        return {name: holder.other for name, holder in self.holders.items() if holder.other}
-
-    def _give_up(self, duty: str, why: str) -> None:
-        holder = self.holders[duty]
-        if duty in self.lent and holder.state == HOLDING:
-            # Danger: a command still runs under it. It is told when it asks next, and its time is bounded.
-            self.yielding[duty] = why
-        elif holder.state == HOLDING:
-            holder.give_up(why, 2 * self.span.lease)
-
-    def _returned(self, duty: str) -> None:
-        """No command runs under it any more."""
-        self.lent.pop(duty, None)
-        if duty in self.yielding:
-            self.holders[duty].give_up(self.yielding.pop(duty), 2 * self.span.lease)
-
-    def _changed(self, holder: LeaseCandidate, what: str, why: str) -> None:
+    def _record_change(self, candidate: LeaseCandidate, change: str, reason: str) -> None:
         self.changes.append(
             {
                 "at": self.event_loop.now // 10,
-                "duty": holder.duty,
-                "what": what,
-                "why": why,
-                "fence": holder.fence,
+                "duty": candidate.lease,
+                "what": change,
+                "why": reason,
+                "fence": candidate.fencing_token,
             }
         )
-        del self.changes[:-CHANGES]
-
-    # What operators and commands ask at the door.
-
-    def told(self, asked: bytes = b"") -> dict[str, Any]:
-        """Spans are seconds, moments milliseconds of the system's date."""
-        now = boot_time()
-        return {
-            "name": self.name,
-            "voters": [*self.roll.names],
-            "version": self.roll.version,
-            "voting": self.voter.votes_now,
-            "silent_for": max(self.voter.silent_until - now, 0) / SECOND,
-            "overloaded": self.overloaded,
-            "duties": {
-                name: {
-                    "state": STATES[holder.state],
-                    "holder": self.name if holder.may() else holder.other,
-                    "fence": holder.fence,
-                    "left": max(holder.until - now, 0) / SECOND,
-                    "for": (now - holder.since) / SECOND if holder.may() else None,
-                    "why": holder.why,
-                    "wanted": holder.wanted,
-                    "lent": self.lent.get(name, ("",))[0],
-                }
-                for name, holder in self.holders.items()
-            },
-            "books": {name: clerk.told() for name, clerk in self.clerks.items()},
-            "changes": self.changes,
-            "fences": {**self.guard.highest},
-            "counters": {**self.voter.counts, "acts refused": self.guard.refused},
-        }
-
-    def asked(self, body: bytes) -> dict[str, Any]:
-        """`{"do": "hold", "duty", "by"}`, `{"do": "done", ...}`, `{"do": "yield", "duty"}`."""
-        said = json.loads(body)
-        duty, what, by = said["duty"], said["do"], str(said.get("by", ""))[:100]
-        holder = self.holders.get(duty)
-        if holder is None:
-            raise ValueError(f"no duty {duty!r} here")
-        if what == "hold":
-            return self._lend(holder, by)
-        if what == "done":
-            if self.lent.get(duty, ("",))[0] == by:
-                self.asking.pop(duty, None)
-                holder.stand(False)
-                self.yielding.setdefault(duty, "its command has ended")
-                self._returned(duty)
-            return {"held": False}
-        if what != "yield":
-            raise ValueError("expected hold, done or yield")
-        if holder.state == HOLDING:
-            self._give_up(duty, "told")
-            return {"told": self.name, "waits_for": self.lent.get(duty, ("",))[0]}
-        if (
-            holder.other
-            and holder.other != self.name
-            and self.member_list.call(holder.other, "yield", duty)
-        ):
-            return {"told": holder.other, "waits_for": ""}
-        raise ValueError(f"nobody is known to hold {duty!r}")
-
-    def _lend(self, holder: LeaseCandidate, by: str) -> dict[str, Any]:
-        duty = holder.duty
-        if duty in self.clerks or duty in self.owners:
-            raise ValueError(f"{duty!r} is the gateways' own")
-        lent = self.lent.get(duty)
-        self.asking[duty] = boot_time()
-        if not holder.wanted and self._wanted(duty):
-            holder.stand(True)
-        if not holder.may() or duty in self.yielding or (lent is not None and lent[0] != by):
-            return {"held": False, "holder": holder.other, "in_use": lent[0] if lent else ""}
-        self.lent[duty] = by, holder.until
-        return {"held": True, "fence": holder.fence, "left": (holder.until - boot_time()) / SECOND}
-
-
-def _terms(said: Duties) -> tuple[VoterConfiguration, Span]:
-    return (
-        VoterConfiguration(said.version, said.voters, said.lease),
-        Span(said.lease, said.drift, said.margin, said.longest),
-    )
+        del self.changes[:-MAX_CHANGES]
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -1,194 +1,278 @@
-"""A voter: what it has promised and granted, for each duty.
+"""The voter: what one instance has promised and granted, for each lease.
 
-Owns promises and grants. Free of I/O: clock, way out and store are its host's. Must never grant a duty while
-a grant of its own to another still runs, never promise less than before, and never say anything while it may
-have forgotten what it said.
+Owns promises and grants. Free of I/O: clock, datagrams and disk are its host's. Must never grant a
+lease while a grant of its own to another still runs, never promise less than before, and never
+answer while it may have forgotten what it said.
 
-Leases by voters without disks: PaxosLease (Trencseni, Gazso, Reinhardt, 2012), after Gray and Cheriton
-(1989). Here a voter refuses whatever is not its live holder's, so that no number, however wild, disturbs a
-holder.
+Leases by voters without disks: PaxosLease (Trencseni, Gazso, Reinhardt, 2012), after Gray and
+Cheriton (1989). Here a voter refuses whatever is not its live holder's, so that no ballot, however
+high, disturbs a holder.
 """
 
 from collections import Counter
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
-from corkgauge.leases.voter_configuration import MOST_BALLOT, Span, VoterConfiguration
+from corkgauge.leases import messages
+from corkgauge.leases.messages import (
+    CandidateRequest,
+    Envelope,
+    GrantReply,
+    GrantRequest,
+    Prepare,
+    PrepareReply,
+    Probe,
+    ProbeReply,
+    Release,
+    VoterReply,
+)
+from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 
-# Sorts of letters: from candidates, and what voters answer. VACANT goes to candidates.
-PROBE, WOULD, PREPARE, PROMISED, GRANT, GRANTED, RELEASE, VACANT = range(8)
-MOST_DUTIES = 64  # that a voter remembers
+MAX_LEASES = 64  # that a voter remembers
 
 
 class Host(Protocol):
-    """What a voter may do. `now` is tenths of a millisecond since boot, read anew each time."""
+    """What a voter needs of its host."""
+
+    @property
+    def now(self) -> int:
+        """Tenths of a millisecond since boot, read anew each time."""
+
+    def send(self, name: str, body: list[Any]) -> None:
+        """Send a datagram to a candidate."""
+
+    def persist(self, record: dict[str, Any], then: Callable[..., None], *arguments: Any) -> None:
+        """Call `then` once the record is safe on disk, and never before."""
+
+    def log(self, line: str) -> None:
+        """Write a line to the log."""
 
-    now: int
 
-    def send(self, name: str, body: list[Any]) -> None: ...
-    def keep(self, record: dict[str, Any], then: Callable[..., None], *what: Any) -> None: ...
-    def log(self, line: str) -> None: ...
+class Holder(NamedTuple):
+    """Whom a lease is granted: a restarted instance is another one."""
+
+    name: str
+    incarnation: int
+
+
+NOBODY = Holder("", 0)
 
 
 class Vote:
-    """Of one duty: the highest ballot promised, the last one granted, to whom and until when."""
+    """Of one lease: the highest ballot promised, the last one granted, to whom and until when.
+
+    `granted_ballot` is 0 where nothing is granted; times are tenths of a millisecond since boot.
+    """
 
-    __slots__ = ("promised", "ballot", "holder", "until", "since")
+    __slots__ = ("granted_ballot", "granted_since", "granted_until", "holder", "promised_ballot")
 
     def __init__(
-        self, promised: int = 0, ballot: int = 0, holder: tuple[str, int] = ("", 0), until: int = 0
+        self,
+        promised_ballot: int = 0,
+        granted_ballot: int = 0,
+        holder: Holder = NOBODY,
+        granted_until: int = 0,
     ) -> None:
-        self.promised, self.ballot, self.holder, self.until = promised, ballot, holder, until
-        self.since = 0
+        self.promised_ballot = promised_ballot
+        self.granted_ballot = granted_ballot
+        self.holder = holder
+        self.granted_until = granted_until
+        self.granted_since = 0
 
-    def record(self) -> list[Any]:
-        return [self.promised, self.ballot, *self.holder]
+    def encode(self) -> list[Any]:
+        """As it is stored: promised ballot, granted ballot, holder's name and incarnation."""
+        return [self.promised_ballot, self.granted_ballot, *self.holder]
 
 
 class Voter:
-    """One gateway's votes. `kept` is what was read from its folder, or None where it has none, or nothing:
-    then it is silent for a longest lease, as it cannot know what it granted just before it ended."""
+    """One instance's votes.
+
+    `stored` is what was read from its folder, or None where it has none, or nothing: then it is
+    silent for a longest lease, as it cannot know what it granted just before it ended.
+    """
 
     def __init__(
         self,
         host: Host,
         name: str,
-        roll: VoterConfiguration,
-        span: Span,
-        kept: dict[str, list[Any]] | None,
+        configuration: VoterConfiguration,
+        timing: LeaseTiming,
+        stored: dict[str, list[Any]] | None,
     ) -> None:
-        self.host, self.name, self.roll, self.span = host, name, roll, span
+        self.host = host
+        self.name = name
+        self.configuration = configuration
+        self.timing = timing
         self.votes: dict[str, Vote] = {}
         self.counts = Counter[str]()
-        self.outdated = 0  # a later version of the list that was heard of
+        self.newer_version = 0  # a later version of the configuration that was heard of
         now = host.now
-        self.silent_until = now + span.silent if kept is None else now
-        for duty, (promised, ballot, holder, start) in (kept or {}).items():
-            # Danger: how long ago it was granted is not known any more, so it counts as granted now.
-            self.votes[duty] = Vote(
-                promised, ballot, (holder, start), now + span.silent if ballot else 0
-            )
+        self.silent_until = now
+        if stored is None:
+            self.silent_until = now + timing.silence_ticks
+        for lease, (promised, granted, holder, incarnation) in (stored or {}).items():
+            # When it was granted is not stored: counted as granted now, it is never given to
+            # another too soon.
+            until = now + timing.silence_ticks if granted else 0
+            self.votes[lease] = Vote(promised, granted, Holder(holder, incarnation), until)
+        self._handlers: dict[type[CandidateRequest], Callable[..., None]] = {
+            Probe: Voter._on_probe,
+            Prepare: Voter._on_prepare,
+            GrantRequest: Voter._on_grant_request,
+            Release: Voter._on_release,
+        }
 
-    def renew(self, roll: VoterConfiguration, span: Span) -> None:
-        """Another list, or another lease. What was granted stays granted."""
-        if roll != self.roll:
-            # Danger: a holder under the list before the last may still live on a grant of a voter that went
-            # on.
-            self.silent_until = self.host.now + max(span.silent, self.span.silent)
-        self.roll, self.span = roll, span
-        if self.outdated <= roll.version:
-            self.outdated = 0
+    def reconfigure(self, configuration: VoterConfiguration, timing: LeaseTiming) -> None:
+        """Take another voter configuration, or another lease. What was granted stays granted."""
+        if configuration != self.configuration:
+            # A holder under the configuration before the last may still live on a grant of a voter
+            # that has gone on: silence until that grant is over.
+            self.silent_until = self.host.now + max(timing.silence_ticks, self.timing.silence_ticks)
+        self.configuration = configuration
+        self.timing = timing
+        if self.newer_version <= configuration.version:
+            self.newer_version = 0
 
     @property
-    def votes_now(self) -> bool:
+    def is_voting(self) -> bool:
+        """Whether it answers candidates at the moment."""
         return (
-            self.name in self.roll.names
-            and not self.outdated
+            self.name in self.configuration.names
+            and not self.newer_version
             and self.host.now >= self.silent_until
         )
 
-    def heard(self, sender: str, start: int, body: list[Any]) -> None:
-        """A letter of a candidate. Anything that makes no sense raises, and changes nothing."""
-        sort, duty, version, mark, serial, ballot = body[:6]
-        if version > self.roll.version and not self.outdated:
-            # Danger: a gateway that came up with an old file would lend its vote to a list long replaced.
-            self.outdated = version
+    def on_datagram(self, sender: str, incarnation: int, body: Any) -> None:
+        """Answer a candidate. A malformed body raises ProtocolError, and changes no vote."""
+        envelope = messages.decode_request_envelope(body)
+        self._note_version(sender, envelope)
+        if not self._is_answered(envelope):
+            return
+        request = messages.decode_request(body)
+        vote = self._vote_of(request.lease)
+        if vote is not None:
+            handler = self._handlers[type(request)]
+            handler(self, Holder(sender, incarnation), vote, request)
+
+    def _note_version(self, sender: str, envelope: Envelope) -> None:
+        if envelope.version > self.configuration.version and not self.newer_version:
+            # An instance that came up with an old file would lend its vote to a configuration long
+            # replaced: it votes no more until it is reloaded.
+            self.newer_version = envelope.version
             self.host.log(
-                f"duties: no vote, list {self.roll.version} is older than list {version} "
-                f"of {sender}"
+                f"duties: no vote, list {self.configuration.version} is older than list "
+                f"{envelope.version} of {sender}"
             )
-        if self.name not in self.roll.names:
-            return
-        if not self.votes_now:
+
+    def _is_answered(self, envelope: Envelope) -> bool:
+        configuration = self.configuration
+        if self.name not in configuration.names:
+            return False
+        if not self.is_voting:
             self.counts["silent"] += 1
-            return
-        if (version, mark) != (self.roll.version, self.roll.mark):
+            return False
+        expected = configuration.version, configuration.fingerprint
+        if (envelope.version, envelope.fingerprint) != expected:
             self.counts["other list"] += 1
-            return
-        if not (isinstance(duty, str) and type(ballot) is int and 0 <= ballot < MOST_BALLOT):
-            raise ValueError("a ballot that makes no sense")
-        vote = self.votes.get(duty)
+            return False
+        return True
+
+    def _vote_of(self, lease: str) -> Vote | None:
+        vote = self.votes.get(lease)
         if vote is None:
-            # Danger: names without end would fill the memory.
-            if len(self.votes) >= MOST_DUTIES:
+            # Lease names without end would fill the memory.
+            if len(self.votes) >= MAX_LEASES:
                 self.counts["too many duties"] += 1
-                return
-            vote = self.votes[duty] = Vote()
-        who = sender, start
-        methods = {
-            PROBE: self._probe,
-            PREPARE: self._prepare,
-            GRANT: self._grant,
-            RELEASE: self._release,
-        }
-        methods[sort](who, duty, vote, serial, ballot)
+                return None
+            vote = self.votes[lease] = Vote()
+        return vote
 
-    def _busy(self, vote: Vote, who: tuple[str, int]) -> int:
-        """How long a grant to another still runs; 0: not at all."""
-        return max(vote.until - self.host.now, 0) if vote.ballot and vote.holder != who else 0
+    def _blocked_ticks(self, vote: Vote, candidate: Holder) -> int:
+        """Return how long a grant to another still runs; 0: not at all."""
+        if vote.granted_ballot and vote.holder != candidate:
+            return max(vote.granted_until - self.host.now, 0)
+        return 0
 
-    def _probe(self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int) -> None:
-        """Would it? Nothing changes: what comes back from a cut asks this first."""
-        self._say(WOULD, who, duty, vote, serial, not self._busy(vote, who))
+    def _on_probe(self, candidate: Holder, vote: Vote, request: Probe) -> None:
+        """Answer, and change nothing: what comes back from a partition asks this first."""
+        is_free = not self._blocked_ticks(vote, candidate)
+        self._reply(ProbeReply, candidate, vote, request, is_free)
 
-    def _prepare(
-        self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int
-    ) -> None:
-        if self._busy(vote, who) or ballot <= vote.promised:
-            return self._say(PROMISED, who, duty, vote, serial, False)
-        vote.promised = ballot
-        self._keep(self._say, PROMISED, who, duty, vote, serial, True)
-
-    def _grant(self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int) -> None:
-        if self._busy(vote, who) or ballot < vote.promised or not ballot:
-            return self._say(GRANTED, who, duty, vote, serial, False)
-        known = (vote.ballot, vote.holder) == (ballot, who)
-        if vote.holder != who:
-            vote.since = self.host.now
-        vote.promised = vote.ballot = ballot
-        vote.holder = who
-        self._granted(who, duty, vote, serial, ballot, known)
-
-    def _granted(
-        self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int, known: bool
+    def _on_prepare(self, candidate: Holder, vote: Vote, request: Prepare) -> None:
+        if self._blocked_ticks(vote, candidate) or request.ballot <= vote.promised_ballot:
+            self._reply(PrepareReply, candidate, vote, request, False)
+            return
+        vote.promised_ballot = request.ballot
+        self._persist(self._reply, PrepareReply, candidate, vote, request, True)
+
+    def _on_grant_request(self, candidate: Holder, vote: Vote, request: GrantRequest) -> None:
+        ballot = request.ballot
+        is_blocked = self._blocked_ticks(vote, candidate) > 0
+        if is_blocked or ballot < vote.promised_ballot or not ballot:
+            self._reply(GrantReply, candidate, vote, request, False)
+            return
+        is_renewal = (vote.granted_ballot, vote.holder) == (ballot, candidate)
+        if vote.holder != candidate:
+            vote.granted_since = self.host.now
+        vote.promised_ballot = ballot
+        vote.granted_ballot = ballot
+        vote.holder = candidate
+        self._grant(candidate, vote, request, is_renewal)
+
+    def _grant(
+        self, candidate: Holder, vote: Vote, request: GrantRequest, is_persisted: bool
     ) -> None:
-        """Counted from now, after all that had to be written: the holder counts from before it asked."""
-        if vote.ballot != ballot or vote.holder != who:
+        """Grant the lease from now on, and answer once the grant is on disk.
+
+        Counted from after all that had to be written: the holder counts from before it asked.
+        """
+        if vote.granted_ballot != request.ballot or vote.holder != candidate:
             return  # released, or another's, while it was written
-        vote.until = self.host.now + self.span.granted
-        if known:  # a renewal needs no disk: what is read back counts as granted at the start
-            self._say(GRANTED, who, duty, vote, serial, True)
+        vote.granted_until = self.host.now + self.timing.grant_ticks
+        if is_persisted:
+            # A renewal needs no disk either: what is read back counts as granted at the start.
+            self._reply(GrantReply, candidate, vote, request, True)
         else:
-            self._keep(self._granted, who, duty, vote, serial, ballot, True)
+            self._persist(self._grant, candidate, vote, request, True)
 
-    def _release(
-        self, who: tuple[str, int], duty: str, vote: Vote, serial: int, ballot: int
-    ) -> None:
-        """Its holder has ended; what it was granted later, under another ballot, is none of this."""
-        if (vote.ballot, vote.holder) == (ballot, who):
-            # Danger: a grant that was asked for before comes late, and would bind it for a lease to nobody.
-            vote.promised, vote.ballot, vote.until = max(vote.promised, ballot + 1), 0, 0
-            # Not written by itself: the successor's promise would wait behind it, and holds it. Who forgets it over a
-            # restart counts as granted what was given back, for a lease.
-
-    def _keep(self, then: Callable[..., None], *what: Any) -> None:
-        self.host.keep({duty: vote.record() for duty, vote in self.votes.items()}, then, *what)
-
-    def _say(
-        self, sort: int, who: tuple[str, int], duty: str, vote: Vote, serial: int, yes: bool
+    def _on_release(self, candidate: Holder, vote: Vote, request: Release) -> None:
+        """Free the lease, if it is the sender's under this ballot.
+
+        What the sender was granted later, under another ballot, is none of this.
+        """
+        if (vote.granted_ballot, vote.holder) != (request.ballot, candidate):
+            return
+        # A grant request that arrives after this would bind the lease to nobody: its ballot is
+        # refused now.
+        vote.promised_ballot = max(vote.promised_ballot, request.ballot + 1)
+        vote.granted_ballot = 0
+        vote.granted_until = 0
+        # Not written by itself: the successor's promise would wait behind it, and holds it. A voter
+        # that forgets it over a restart counts as granted what was given back, for a lease.
+
+    def _persist(self, then: Callable[..., None], *arguments: Any) -> None:
+        record = {lease: vote.encode() for lease, vote in self.votes.items()}
+        self.host.persist(record, then, *arguments)
+
+    def _reply(
+        self,
+        reply_type: type[VoterReply],
+        candidate: Holder,
+        vote: Vote,
+        request: CandidateRequest,
+        is_accepted: bool,
     ) -> None:
-        holder = vote.holder[0] if vote.ballot and vote.until > self.host.now else ""
-        self.host.send(
-            who[0],
-            [
-                sort,
-                duty,
-                self.roll.version,
-                self.roll.mark,
-                serial,
-                yes,
-                vote.promised,
-                self._busy(vote, who),
-                holder,
-            ],
+        holder = ""
+        if vote.granted_ballot and vote.granted_until > self.host.now:
+            holder = vote.holder.name
+        reply = reply_type(
+            request.lease,
+            self.configuration.version,
+            self.configuration.fingerprint,
+            request.serial,
+            is_accepted,
+            vote.promised_ballot,
+            self._blocked_ticks(vote, candidate),
+            holder,
         )
+        self.host.send(candidate.name, reply.encode())
--- a/corkgauge/leases/voter_configuration.py
+++ b/corkgauge/leases/voter_configuration.py
@@ -1,64 +1,82 @@
-"""The roll of voters: who votes, in which version of the list, and which step from one list to another is
-safe.
+"""The voter configuration: who votes, which change is safe; and the times that follow from a lease.
 
-Owns the numbers that leases are worked out with. Free of I/O. Must never let two lists count whose majorities
-need not meet.
+Owns the numbers that leases are worked out with. Free of I/O. Must never let two configurations
+count whose majorities need not meet.
 
-Why a step adds or removes one voter only: majorities of two lists that differ by one always share a voter,
-and that voter remembers what it granted. Why a step waits until most voters of the list in force tell that
-they are there, and why a voter is silent for a longest lease after it: else two steps in a row may leave two
-voters on the list before the last, enough for a holder, while two others are on the new one, enough for
-another.
+Why a change adds or removes one voter only: majorities of two configurations that differ by one
+always share a voter, and that voter remembers what it granted. Why a change waits until most voters
+of the configuration in force report it, and why a voter is silent for a longest lease after it:
+else two changes in a row may leave two voters in the configuration before the last, enough for a
+holder, while two others are in the new one, enough for another.
 """
 
 from collections.abc import Iterable, Mapping
 from zlib import crc32
 
-LEAST, MOST = 1, 7  # voters; 3, 5 or 7 are of use
-MOST_BALLOT = 2**60
+MIN_VOTERS = 1
+MAX_VOTERS = 7  # 3, 5 or 7 are of use
+BALLOT_LIMIT = 2**60  # ballots are below this
+RENEWALS_PER_LEASE = 8  # some may be lost
+MIN_STAGGER_TICKS = 10
+MAX_STAGGER_TICKS = 600
+TICKS_PER_SECOND = 10_000  # all times are tenths of a millisecond
+NAME_BITS = 8  # of a ballot, below its round
 
 
 class UnsafeChangeError(ValueError):
-    """One line: why a list of voters is not taken."""
+    """One line: why a voter configuration is not taken."""
 
 
 class VoterConfiguration:
-    """One version of the list, with the lease that its voters grant, in tenths of a millisecond.
+    """One version of the list of voters, with the lease that they grant.
 
-    >>> VoterConfiguration(1, "cab").names, VoterConfiguration(1, "abc").majority, VoterConfiguration(2, "abcd").majority
+    `lease_ticks` is tenths of a millisecond. Raises UnsafeChangeError for too few or too many
+    voters.
+
+    >>> three, four = VoterConfiguration(1, "cab"), VoterConfiguration(2, "abcd")
+    >>> three.names, three.majority, four.majority
     (('a', 'b', 'c'), 2, 3)
     """
 
-    def __init__(self, version: int, names: Iterable[str], lease: int = 0) -> None:
-        self.version, self.names, self.lease = version, tuple(sorted({*names})), lease
-        if not LEAST <= len(self.names) <= MOST:
-            raise UnsafeChangeError(f"expected {LEAST} to {MOST} voters, found {len(self.names)}")
+    def __init__(self, version: int, names: Iterable[str], lease_ticks: int = 0) -> None:
+        self.version = version
+        self.names = tuple(sorted({*names}))
+        self.lease_ticks = lease_ticks
+        if not MIN_VOTERS <= len(self.names) <= MAX_VOTERS:
+            raise UnsafeChangeError(
+                f"expected {MIN_VOTERS} to {MAX_VOTERS} voters, found {len(self.names)}"
+            )
         self.majority = len(self.names) // 2 + 1
-        # Danger: a voter that grants a shorter lease than a holder counts would let two hold at once.
-        self.mark = crc32(f"{version} {lease} {' '.join(self.names)}".encode())
+        # The lease is part of it: a voter that grants a shorter one than a holder counts on would
+        # let two hold the lease at once.
+        self.fingerprint = crc32(f"{version} {lease_ticks} {' '.join(self.names)}".encode())
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, VoterConfiguration) and (self.version, self.names, self.lease) == (
-            other.version,
-            other.names,
-            other.lease,
-        )
+        return isinstance(other, VoterConfiguration) and (
+            self.version,
+            self.names,
+            self.lease_ticks,
+        ) == (other.version, other.names, other.lease_ticks)
+
+    __hash__ = None  # type: ignore[assignment]
 
-    __hash__ = None
+    def check_change_to(
+        self, new: "VoterConfiguration", reported: Mapping[str, tuple[int, int]]
+    ) -> None:
+        """Check that an instance that runs under this configuration may take the new one.
 
-    def step_to(self, new: "VoterConfiguration", told: Mapping[str, tuple[int, int]]) -> None:
-        """May a gateway that runs under this list take the new one? `told` holds version and mark of the
-        lists that voters, ourselves among them, last told. Raises Unsafe.
+        `reported` holds version and fingerprint that voters, this instance among them, last sent.
+        Raises UnsafeChangeError if it may not.
 
         >>> one, two = VoterConfiguration(1, "abc"), VoterConfiguration(2, "abcd")
-        >>> one.step_to(two, {"a": (1, one.mark), "b": (1, one.mark)})
-        >>> one.step_to(VoterConfiguration(2, "abd"), {})
+        >>> one.check_change_to(two, {"a": (1, one.fingerprint), "b": (1, one.fingerprint)})
+        >>> one.check_change_to(VoterConfiguration(2, "abd"), {})
         Traceback (most recent call last):
         corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 adds d and removes c: one of both at a time
-        >>> two.step_to(VoterConfiguration(3, "abd"), {"b": (2, two.mark), "d": (2, two.mark), "c": (1, one.mark)})
+        >>> two.check_change_to(VoterConfiguration(3, "abd"), {"b": (2, two.fingerprint), "d": (2, two.fingerprint), "c": (1, one.fingerprint)})
         Traceback (most recent call last):
         corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 is told by b, d, and 3 of 4 have to, before version 3
-        """
+        """  # noqa: E501
         if new == self:
             return
         if new.version != self.version + 1:
@@ -66,58 +84,76 @@
                 f"voters: expected version {self.version + 1}, as {self.version} is in force, "
                 f"found {new.version}"
             )
-        more, fewer = {*new.names} - {*self.names}, {*self.names} - {*new.names}
-        if len(more) + len(fewer) > 1:
-            adds, removes = (", ".join(sorted(each)) or "none" for each in (more, fewer))
+        added = {*new.names} - {*self.names}
+        removed = {*self.names} - {*new.names}
+        if len(added) + len(removed) > 1:
             raise UnsafeChangeError(
-                f"voters: version {new.version} adds {adds} and removes {removes}: "
-                "one of both at a time"
+                f"voters: version {new.version} adds {_listed(added)} and removes "
+                f"{_listed(removed)}: one of both at a time"
             )
-        there = sorted(name for name in self.names if told.get(name) == (self.version, self.mark))
-        if len(there) < self.majority:
+        current = self.version, self.fingerprint
+        confirming = sorted(name for name in self.names if reported.get(name) == current)
+        if len(confirming) < self.majority:
             raise UnsafeChangeError(
-                f"voters: version {self.version} is told by {', '.join(there) or 'nobody'}, and "
-                f"{self.majority} of {len(self.names)} have to, before version {new.version}"
+                f"voters: version {self.version} is told by {', '.join(confirming) or 'nobody'}, "
+                f"and {self.majority} of {len(self.names)} have to, before version {new.version}"
             )
 
 
-class Span:
-    """What follows from a lease, its bound on drift and its margin; all in tenths of a millisecond, on clocks
-    that count from the machine's boot. Assumed: no such clock gains or loses more than `drift` of the true
-    time.
+def _listed(names: Iterable[str]) -> str:
+    return ", ".join(sorted(names)) or "none"
 
-    A voter keeps a grant for `granted`, so in true time for no less than the lease; a holder believes in it
-    for `held`, so in true time for no more than the lease, less a margin for what lies between a look at the
-    clock and the act's arrival.
 
-    >>> span = Span(30_000, 0.01, 1_000)
-    >>> span.granted, span.held, span.each, span.reply
+class LeaseTiming:
+    """What follows from a lease, its bound on drift and its margin, in tenths of a millisecond.
+
+    Clocks count from the machine's boot. Assumed: no such clock gains or loses more than `drift` of
+    the true time. A voter keeps a grant for `grant_ticks`, so in true time for no less than the
+    lease; a holder believes in it for `hold_ticks`, so in true time for no more than the lease,
+    less a margin for what lies between a look at the clock and the act's arrival. Raises
+    UnsafeChangeError where less than half of the lease is left.
+
+    >>> timing = LeaseTiming(30_000, 0.01, 1_000)
+    >>> timing.grant_ticks, timing.hold_ticks, timing.renewal_ticks, timing.reply_ticks
     (30300, 28700, 3750, 3750)
     """
 
-    def __init__(self, lease: int, drift: float, margin: int, longest: int = 0) -> None:
-        self.lease, self.drift, self.margin = lease, drift, margin
-        self.granted = int(lease * (1 + drift)) + (lease * drift % 1 > 0)
-        # Voters that may have forgotten are silent for as long as the longest lease that was ever granted.
-        self.silent = int(max(longest, lease) * (1 + drift)) + 1
-        self.held = int(lease * (1 - drift)) - margin
-        if self.held < lease // 2:
+    def __init__(
+        self, lease_ticks: int, drift: float, margin_ticks: int, longest_lease_ticks: int = 0
+    ) -> None:
+        self.lease_ticks = lease_ticks
+        self.drift = drift
+        self.margin_ticks = margin_ticks
+        is_fraction_left = lease_ticks * drift % 1 > 0
+        self.grant_ticks = int(lease_ticks * (1 + drift)) + is_fraction_left
+        # Voters that may have forgotten are silent for as long as the longest lease that was ever
+        # granted.
+        self.silence_ticks = int(max(longest_lease_ticks, lease_ticks) * (1 + drift)) + 1
+        self.hold_ticks = int(lease_ticks * (1 - drift)) - margin_ticks
+        if self.hold_ticks < lease_ticks // 2:
+            lease_seconds = lease_ticks / TICKS_PER_SECOND
+            usable_seconds = max(self.hold_ticks, 0) / TICKS_PER_SECOND
             raise UnsafeChangeError(
-                f"a lease of {lease / 10_000:g} s leaves {max(self.held, 0) / 10_000:g} s of use"
+                f"a lease of {lease_seconds:g} s leaves {usable_seconds:g} s of use"
             )
-        self.each = max(lease // 8, 1)  # between two renewals: some may be lost
-        self.reply = max(lease // 8, 1)  # that voters have for an answer, until it is asked again
-        self.stagger = min(600, max(lease // 40, 10))  # between candidates, as they rank
+        self.renewal_ticks = max(lease_ticks // RENEWALS_PER_LEASE, 1)
+        # What voters have for a reply, until they are asked again.
+        self.reply_ticks = max(lease_ticks // RENEWALS_PER_LEASE, 1)
+        # Between the first attempts of two candidates, as they rank.
+        self.stagger_ticks = min(MAX_STAGGER_TICKS, max(lease_ticks // 40, MIN_STAGGER_TICKS))
+
 
+def ballot_of(round_number: int, name: str) -> int:
+    """Return a number that only one instance proposes.
 
-def ballot_of(round_: int, name: str) -> int:
-    """A number that only one gateway proposes: rounds grow, the rest tells names apart.
+    Rounds grow, the rest tells names apart.
 
     >>> ballot_of(5, "n1") >> 8, ballot_of(6, "n1") > ballot_of(5, "n2")
     (5, True)
     """
-    return round_ << 8 | crc32(name.encode()) & 255
+    return round_number << NAME_BITS | crc32(name.encode()) & 255
 
 
 def round_of(ballot: int) -> int:
-    return ballot >> 8
+    """Return the round that a ballot belongs to."""
+    return ballot >> NAME_BITS
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -69,18 +69,20 @@
         self.copy: tuple[tuple[int, int], Plan, dict[str, str]] = (0, 0), Plan(), {}
         self.fetch: Fetch | None = None
         self.party: Participant | None = None  # it looks at us as it begins
-        drift = 1 + 2 * office.span.drift
+        drift = 1 + 2 * office.timing.drift
         expiry = max(each.time_to_deadline for each in socket_host.settings.request_classes)
         self.safe = DurableRecord(
             self.event_loop,
             socket_host.log,
-            office.said.folder,
+            office.settings.folder,
             f"{self.name}.works",
             "works: what was kept is torn, blank at first",
             "works: nothing is written, nothing is confirmed until a restart",
         )
-        kept = self.safe.kept or [None, None]
-        self.keeper = PlanReplica(self, kept[0], 0 if office.said.folder else office.span.silent)
+        kept = self.safe.stored or [None, None]
+        self.keeper = PlanReplica(
+            self, kept[0], 0 if office.settings.folder else office.timing.silence_ticks
+        )
         self.scribe = PlanProposer(self)
         self.planner = Planner(
             self,
@@ -100,7 +102,7 @@
             self.member_list.calls[subject] = method
         socket_host.routes[b"GET", b"/works"] = self.told
         socket_host.routes[b"POST", b"/works"] = self.asked
-        office.stands(DUTY, self)
+        office.add_candidate(DUTY, self)
         self.party = Participant(self, self.name, said.grant, kept[1])
         self.refresh()  # what it remembers holds from the first submission on
         self._count()
@@ -124,22 +126,22 @@
 
     # The duty.
 
-    def gained(self) -> None:
-        self.planner.gained(self.office.holders[DUTY].fence)
+    def on_lease_gained(self) -> None:
+        self.planner.gained(self.office.candidates[DUTY].fencing_token)
 
-    def lost(self) -> None:
+    def on_lease_lost(self) -> None:
         self.pending.clear()
         self.planner.lost()
 
     def may(self, fence: int) -> bool:
-        holder = self.office.holders[DUTY]
-        return holder.may() and holder.fence == fence
+        holder = self.office.candidates[DUTY]
+        return holder.may_act() and holder.fencing_token == fence
 
     def hand_on(self, why: str) -> None:
-        self.office._give_up(DUTY, why)
+        self.office.hand_over(DUTY, why)
 
     def outbid(self, fence: int) -> None:
-        self.office.holders[DUTY].outbid(fence)
+        self.office.candidates[DUTY].on_preempted(fence)
 
     # What the machines may do.
 
@@ -161,12 +163,12 @@
 
     def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None:
         """Both records are one file: what is safe of one is safe of the other."""
-        self.safe.keep(
+        self.safe.write(
             [self.keeper.record(), None if self.party.blank else self.party.record()], then, *what
         )
 
     def voters(self) -> Sequence[str]:
-        return self.office.roll.names
+        return self.office.configuration.names
 
     def led(self) -> None:
         self.planner.led()
@@ -264,12 +266,12 @@
             how = self.how(engine_pool.engine.host_reference, engine_pool.address)
             if engine_pool.engine.cordon != how:
                 self.socket_host.gateway.on_engine_cordon(engine_pool.engine, how)
-        self.office.set_aside(self.how(self.name) > 0)
+        self.office.set_cordoned(self.how(self.name) > 0)
 
     def quiet(self, tag: str) -> bool:
         """Is nothing of ours open there, in doubt there, or bound to it by its label?"""
         if tag == self.name:
-            return self.office.free
+            return self.office.is_idle
         engine_pool = self.socket_host.engine_pools.get(tag)
         if self.event_loop.now < self.doubts.get(tag, 0):
             return False
@@ -296,7 +298,7 @@
         return "" if engine_pool is None else _place(engine_pool)
 
     def confirmed(self) -> None:
-        holder = self.office.holders[DUTY].other
+        holder = self.office.candidates[DUTY].known_holder
         if holder:
             self._word(holder)
 
@@ -387,7 +389,7 @@
             each.host_reference for each in gateway.engines if each.stats.ejected_until > now
         ][:MOST_UNWELL]
         loads = {name: int(100 * cores) + 1 for name, cores in self._loads().items()}
-        self._say(to, ["word", *self.party.word(), loads, unwell, self.office.free])
+        self._say(to, ["word", *self.party.word(), loads, unwell, self.office.is_idle])
 
     # Measured load.
 
@@ -443,8 +445,8 @@
         return {"answer": wish["answer"], "wrong": wish["wrong"], "holder": self._holder()}
 
     def _holder(self) -> str:
-        holder = self.office.holders[DUTY]
-        return self.name if holder.may() else holder.other
+        holder = self.office.candidates[DUTY]
+        return self.name if holder.may_act() else holder.known_holder
 
     def _wish(self, key: str) -> None:
         wish = self.wishes.get(key)
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -9,15 +9,15 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from corkgauge.leases.candidate import HOLDING, LeaseCandidate
+from corkgauge.leases.candidate import CandidateState, LeaseCandidate
 from corkgauge.leases.fencing import FencingGuard
-from corkgauge.leases.voter import GRANTED, PROMISED, VACANT, WOULD, Voter
-from corkgauge.leases.voter_configuration import Span, VoterConfiguration
+from corkgauge.leases.messages import LeaseVacant, decode_address
+from corkgauge.leases.voter import Voter
+from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 from corkgauge.testkit.seeded_random import SeededRandom
 
 LEASE, DRIFT, MARGIN = 10_000, 0.01, 300
 DUTY = "books"
-ANSWERS = WOULD, PROMISED, GRANTED, VACANT
 FAULTS = "stop", "restart", "cut", "deaf", "mute", "yield", "all", "wild"
 
 
@@ -115,19 +115,20 @@
     def begin(self) -> None:
         """A start: nothing is known but what a disk kept."""
         world, off = self.world, self.world.day.off
-        span = Span(
+        timing = LeaseTiming(
             LEASE, 0.0 if "drift" in off else world.day.drift, 0 if "drift" in off else MARGIN
         )
         if "silence" in off:
-            span.silent = 0
-        self.voter = Voter(self, self.name, world.roll, span, self.kept if world.day.disk else None)
+            timing.silence_ticks = 0
+        stored = self.kept if world.day.disk else None
+        self.voter = Voter(self, self.name, world.roll, timing, stored)
         if world.time == 0 and not world.day.disk:
             self.voter.silent_until = 0  # the fleet's first start ever: there is nothing to forget
         if "busy" in off:
-            self.voter._busy = lambda vote, who: 0
-        self.holder = LeaseCandidate(self, DUTY, self.name, world.roll, span)
+            self.voter._blocked_ticks = lambda vote, candidate: 0
+        self.holder = LeaseCandidate(self, DUTY, self.name, world.roll, timing)
         if "check" in off:
-            self.holder.may = lambda: self.holder.state == HOLDING
+            self.holder.may_act = lambda: self.holder.state is CandidateState.HOLDING
 
     # The machines' host.
 
@@ -141,13 +142,13 @@
         if start == self.start:
             method(*what)
 
-    def chance(self, below: int) -> int:
+    def random_below(self, below: int) -> int:
         return self.world.chance.below(below)
 
-    def rank(self, duty: str) -> int:
+    def rank_of(self, lease: str) -> int:
         return self.number
 
-    def keep(self, record: dict, then: Any, *what: Any) -> None:
+    def persist(self, record: dict, then: Any, *what: Any) -> None:
         if not self.world.day.disk:
             return then(*what)
         self.world.call_later(
@@ -159,16 +160,16 @@
             self.kept = record
             then(*what)
 
-    def gained(self, holder: LeaseCandidate) -> None:
+    def on_lease_gained(self, holder: LeaseCandidate) -> None:
         self.world.gained(self)
 
-    def lost(self, holder: LeaseCandidate, why: str) -> None:
+    def on_lease_lost(self, holder: LeaseCandidate, why: str) -> None:
         pass
 
-    def vacant(self, holder: LeaseCandidate) -> None:
+    def on_lease_released(self, holder: LeaseCandidate) -> None:
         for node in self.world.nodes:
             if node is not self:
-                self.send(node.name, [VACANT, DUTY, 1, 0, 0])
+                self.send(node.name, LeaseVacant(DUTY, 1, 0).encode())
 
     def log(self, line: str) -> None:
         pass
@@ -178,17 +179,17 @@
     def heard(self, sender: "Node", start: int, known_as: int, body: list[Any]) -> None:
         if known_as != self.start:
             return  # written to an earlier start: the letters' own rule
-        if body[0] in ANSWERS:
-            self.holder.heard(sender.name, body)
+        if decode_address(body).is_for_candidate:
+            self.holder.on_datagram(sender.name, body)
         else:
-            self.voter.heard(sender.name, start, body)
+            self.voter.on_datagram(sender.name, start, body)
 
     def act(self) -> None:
         """Something under the duty, now and then. A stop may come between the look and the act."""
         world = self.world
         world.call_later(LEASE // 20, self.act)
-        if self.holder.may():
-            world.acted(self, self.holder.fence, world.time)
+        if self.holder.may_act():
+            world.acted(self, self.holder.fencing_token, world.time)
 
 
 class World:
@@ -233,7 +234,7 @@
 
     def _judge(self) -> None:
         """No two at once, in true time."""
-        able = [node for node in self.nodes if node.holder.may()]
+        able = [node for node in self.nodes if node.holder.may_act()]
         if len(able) > 1:
             self.found.append(
                 f"{self.time}: {' and '.join(node.name for node in able)} hold at once"
@@ -290,11 +291,11 @@
         elif fault.sort in ("cut", "deaf"):
             node.reach["in"] = until
         elif fault.sort == "wild":
-            node.holder.seen = 2**50 + self.chance.below(1000)
+            node.holder.highest_ballot = 2**50 + self.chance.below(1000)
         if fault.sort in ("cut", "mute"):
             node.reach["out"] = until
         if fault.sort == "yield":
-            node.holder.give_up("told")
+            node.holder.release("told")
 
     def restart(self, node: Node) -> None:
         node.start += 1
--- a/corkgauge/model/model_checker.py
+++ b/corkgauge/model/model_checker.py
@@ -14,12 +14,14 @@
 from collections.abc import Iterator
 from typing import Any
 
-from corkgauge.leases.candidate import ASKING, HOLDING, PREPARING, PROBING, LeaseCandidate
-from corkgauge.leases.voter import GRANTED, PROBE, PROMISED, RELEASE, VACANT, WOULD, Vote, Voter
-from corkgauge.leases.voter_configuration import Span, VoterConfiguration
+from corkgauge.leases.candidate import CandidateState, LeaseCandidate
+from corkgauge.leases.messages import MessageKind
+from corkgauge.leases.voter import Vote, Voter
+from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 
 LEASE, VOTERS, CANDIDATES = 800, 3, 2
 DUTY = "d"
+HAS_PROMISES = CandidateState.REQUESTING, CandidateState.HOLDING
 ROLL = VoterConfiguration(1, [f"v{n}" for n in range(VOTERS)], LEASE)
 
 
@@ -38,7 +40,7 @@
         return 1 + self.world.now // 10
 
     def send(self, name: str, body: list[Any]) -> None:
-        if body[0] != RELEASE:  # nobody gives a duty up here
+        if body[0] != MessageKind.RELEASE:  # nobody gives a duty up here
             self.world.letters.append(
                 (
                     self.name,
@@ -52,22 +54,22 @@
     def call_later(self, delay: int, method: Any, *what: Any) -> None:
         self.world.alarms[self.name] = (self.world.now + delay, *what)
 
-    def chance(self, below: int) -> int:
+    def random_below(self, below: int) -> int:
         return 0
 
-    def rank(self, duty: str) -> int:
+    def rank_of(self, lease: str) -> int:
         return int(self.name[1:])
 
-    def keep(self, record: Any, then: Any, *what: Any) -> None:
+    def persist(self, record: Any, then: Any, *what: Any) -> None:
         then(*what)
 
-    def gained(self, holder: LeaseCandidate) -> None:
-        self.world.fences.append(holder.fence)
+    def on_lease_gained(self, holder: LeaseCandidate) -> None:
+        self.world.fences.append(holder.fencing_token)
 
-    def lost(self, holder: LeaseCandidate, why: str) -> None:
+    def on_lease_lost(self, holder: LeaseCandidate, why: str) -> None:
         pass
 
-    def vacant(self, holder: LeaseCandidate) -> None:
+    def on_lease_released(self, holder: LeaseCandidate) -> None:
         pass
 
     def log(self, line: str) -> None:
@@ -84,16 +86,18 @@
         self.alarms: dict[str, tuple] = {}
         self.fences: list[int] = []
         self.starts = {f"v{n}": 1 for n in range(VOTERS)}
-        span = Span(LEASE, 0.0, 0)
+        timing = LeaseTiming(LEASE, 0.0, 0)
         if off == "silence":
-            span.silent = 0
+            timing.silence_ticks = 0
         self.hosts = {
             name: Host(name) for name in (*self.starts, *(f"c{n}" for n in range(CANDIDATES)))
         }
         self._enter()
-        self.voters = {name: Voter(self.hosts[name], name, ROLL, span, {}) for name in self.starts}
+        self.voters = {
+            name: Voter(self.hosts[name], name, ROLL, timing, {}) for name in self.starts
+        }
         self.holders = {
-            name: LeaseCandidate(self.hosts[name], DUTY, name, ROLL, span)
+            name: LeaseCandidate(self.hosts[name], DUTY, name, ROLL, timing)
             for name in self.hosts
             if name not in self.starts
         }
@@ -115,8 +119,9 @@
         for name, holder in self.holders.items():
             twin = new.holders[name] = LeaseCandidate.__new__(LeaseCandidate)
             twin.__dict__.update(holder.__dict__)
-            for field in "sent", "said", "left", "acknowledged":
-                setattr(twin, field, {**getattr(holder, field)})
+            twin.sent_at = {**holder.sent_at}
+            twin.granted_at = {**holder.granted_at}
+            twin.tally = holder.tally.copy()
         return new
 
     def mark(self) -> tuple:
@@ -127,15 +132,16 @@
             alone.append(
                 (
                     holder.state,
-                    holder.fence,
-                    max(holder.until - now, 0),
-                    holder.seen,
+                    holder.fencing_token,
+                    max(holder.held_until - now, 0),
+                    holder.highest_ballot,
                     holder.ballot,
-                    now - holder.begun if holder.state > 2 else 0,
-                    holder.tries,
+                    now - holder.requesting_since if holder.state in HAS_PROMISES else 0,
+                    holder.failed_rounds,
                     self.alarms[name][0] - now,
                     tuple(
-                        (serial - holder.serial, now - when) for serial, when in holder.sent.items()
+                        (serial - holder.serial, now - when)
+                        for serial, when in holder.sent_at.items()
                     ),
                 )
             )
@@ -149,14 +155,19 @@
                 max(voter.silent_until - now, 0),
                 self.starts[name],
                 tuple(
-                    (vote.promised, vote.ballot, vote.holder, max(vote.until - now, 0))
+                    (
+                        vote.promised_ballot,
+                        vote.granted_ballot,
+                        vote.holder,
+                        max(vote.granted_until - now, 0),
+                    )
                     for vote in voter.votes.values()
                 ),
                 tuple(
                     (
-                        holder.said.get(name, -1),
-                        holder.left.get(name, -1),
-                        now - holder.acknowledged[name] if name in holder.acknowledged else -1,
+                        holder.tally.accepted.get(name, -1),
+                        holder.tally.blocked_ticks.get(name, -1),
+                        now - holder.granted_at[name] if name in holder.granted_at else -1,
                     )
                     for _, holder in sorted(self.holders.items())
                 ),
@@ -173,16 +184,16 @@
 
     def _matters(self, who: str, to: str, body: tuple, start: int, known_as: int) -> bool:
         if to in self.voters:
-            stale = body[0] == PROBE and body[4] != self.holders[who].serial
+            stale = body[0] == MessageKind.PROBE and body[4] != self.holders[who].serial
             return known_as == self.starts[to] and not stale
         holder, sort, serial = self.holders[to], body[0], body[4]
         if start != self.starts[who]:
             return False
-        if sort == GRANTED:
-            return serial in holder.sent and holder.state in (ASKING, HOLDING)
+        if sort == MessageKind.GRANT_REPLY:
+            return serial in holder.sent_at and holder.state in HAS_PROMISES
         return serial == holder.serial and (sort, holder.state) in (
-            (WOULD, PROBING),
-            (PROMISED, PREPARING),
+            (MessageKind.PROBE_REPLY, CandidateState.PROBING),
+            (MessageKind.PREPARE_REPLY, CandidateState.PREPARING),
         )
 
     def steps(self) -> Iterator[tuple[str, "World"]]:
@@ -203,8 +214,8 @@
                 new.restarts -= 1
                 new.starts[name] += 1
                 new._enter()
-                span = new.voters[name].span
-                new.voters[name] = Voter(new.hosts[name], name, ROLL, span, None)
+                timing = new.voters[name].timing
+                new.voters[name] = Voter(new.hosts[name], name, ROLL, timing, None)
                 yield f"{name} starts anew", new
         yield self._later()
 
@@ -212,15 +223,15 @@
         """On to the next moment at which something may be different."""
         moments = [due for due, *_ in self.alarms.values()]
         for voter in self.voters.values():
-            moments += [voter.silent_until, *(vote.until for vote in voter.votes.values())]
-        moments += [holder.until for holder in self.holders.values()]
+            moments += [voter.silent_until, *(vote.granted_until for vote in voter.votes.values())]
+        moments += [holder.held_until for holder in self.holders.values()]
         new = self.copy()
         new.now = min(moment for moment in moments if moment > self.now)
         new._enter()
         for name, (due, alarm, method) in sorted(new.alarms.items()):
             if due <= new.now:
                 holder = new.holders[name]
-                holder.woken(alarm, getattr(holder, method.__name__))
+                holder.on_timer(alarm, getattr(holder, method.__name__))
         return f"time goes on to {new.now}", new
 
     def _arrives(self, letter: tuple) -> None:
@@ -230,18 +241,18 @@
                 voter = self.voters[to]
                 if self.off == "busy":
                     for vote in voter.votes.values():
-                        vote.until = 0
-                voter.heard(who, 1, [*body])
-        elif start == self.starts[who] and body[0] != VACANT:
+                        vote.granted_until = 0
+                voter.on_datagram(who, 1, [*body])
+        elif start == self.starts[who] and body[0] != MessageKind.VACANT:
             holder = self.holders[to]
             if self.off == "before":
-                holder.sent = dict.fromkeys(holder.sent, self.now)
-            holder.heard(who, [*body])
+                holder.sent_at = dict.fromkeys(holder.sent_at, self.now)
+            holder.on_datagram(who, [*body])
 
     def wrong(self) -> str:
         """What must never be."""
         self._enter()
-        able = [name for name, holder in self.holders.items() if holder.may()]
+        able = [name for name, holder in self.holders.items() if holder.may_act()]
         if len(able) > 1:
             return f"{' and '.join(able)} hold at once"
         if self.fences != sorted({*self.fences}):
@@ -250,8 +261,8 @@
 
 
 def _twin(vote: Vote) -> Vote:
-    twin = Vote(vote.promised, vote.ballot, vote.holder, vote.until)
-    twin.since = vote.since
+    twin = Vote(vote.promised_ballot, vote.granted_ballot, vote.holder, vote.granted_until)
+    twin.granted_since = vote.granted_since
     return twin
 
 
@@ -285,7 +296,9 @@
         while edge:
             world, way = edge.popleft()
             world._enter()
-            said.held += any(each.state == HOLDING for each in world.holders.values())
+            said.held += any(
+                each.state is CandidateState.HOLDING for each in world.holders.values()
+            )
             for what, new in world.steps():
                 new._pruned()
                 mark = hash(new.mark())
--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -48,8 +48,8 @@
 
     def may(self, fence: int) -> bool:
         return (
-            self.node.holder.may() or "may" in self.node.world.day.off
-        ) and self.node.holder.fence == fence
+            self.node.holder.may_act() or "may" in self.node.world.day.off
+        ) and self.node.holder.fencing_token == fence
 
     def voters(self) -> tuple[str, ...]:
         return self.node.world.roll.names
@@ -65,7 +65,7 @@
         self.node.call_later(LEASE // 2, self.node.told)
 
     def outbid(self, fence: int) -> None:
-        self.node.holder.outbid(fence)
+        self.node.holder.on_preempted(fence)
 
     def log(self, line: str) -> None:
         pass
@@ -93,11 +93,11 @@
             self.kept_plan = record
             then(*what)
 
-    def gained(self, holder: LeaseCandidate) -> None:
-        super().gained(holder)
-        self.scribe.gained(holder.fence)
+    def on_lease_gained(self, holder: LeaseCandidate) -> None:
+        super().on_lease_gained(holder)
+        self.scribe.gained(holder.fencing_token)
 
-    def lost(self, holder: LeaseCandidate, why: str) -> None:
+    def on_lease_lost(self, holder: LeaseCandidate, why: str) -> None:
         self.scribe.lost()
 
     def told(self) -> None:
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -26,16 +26,18 @@
 
 
 def without(off: str) -> None:
-    from corkgauge.leases.candidate import HOLDING, LeaseCandidate
+    from corkgauge.leases.candidate import CandidateState, LeaseCandidate
     from corkgauge.leases.voter import Voter
-    from corkgauge.leases.voter_configuration import Span
+    from corkgauge.leases.voter_configuration import LeaseTiming
 
     if off == "check":
         # Neither before an act nor at a timer: what was granted once is believed in until a voter says no.
-        LeaseCandidate.may = lambda self: self.state == HOLDING
-        LeaseCandidate._lapsed = lambda self: self._wake(self.span.each, self._give)
+        LeaseCandidate.may_act = lambda self: self.state == CandidateState.HOLDING
+        LeaseCandidate._lapse = lambda self: self._set_timer(
+            self.timing.renewal_ticks, self._request_grant
+        )
     elif off == "busy":
-        Voter._busy = lambda self, vote, who: 0
+        Voter._blocked_ticks = lambda self, vote, candidate: 0
     elif off == "midact":
         from corkgauge.membership.member_list import MemberList
 
@@ -172,9 +174,11 @@
 
         PlanReplica.defended = Participant.defended = False
     elif off in ("silence", "margin"):
-        made = Span.__init__
+        made = LeaseTiming.__init__
 
-        def spoilt(self: Span, lease: int, drift: float, margin: int, longest: int = 0) -> None:
+        def spoilt(
+            self: LeaseTiming, lease: int, drift: float, margin: int, longest: int = 0
+        ) -> None:
             made(
                 self,
                 lease,
@@ -183,9 +187,9 @@
                 longest,
             )
             if off == "silence":
-                self.silent = 0
+                self.silence_ticks = 0
 
-        Span.__init__ = spoilt
+        LeaseTiming.__init__ = spoilt
     else:
         raise SystemExit(f"no defence {off!r}")
 
--- a/corkgauge/testkit/faults/slow_disk.py
+++ b/corkgauge/testkit/faults/slow_disk.py
@@ -18,11 +18,11 @@
     )
     from corkgauge.leases import record_writer as store
 
-    write = store.write
+    write = store.write_file
 
     def slowly(path: str, data: bytes) -> None:
         time.sleep(TAKES)
         write(path, data)
 
-    store.write = slowly
+    store.write_file = slowly
     sys.exit(store.main())
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -185,7 +185,7 @@
 class SetAside(LeaseService):
     """On a machine set aside: it votes, and stands for nothing."""
 
-    def _wanted(self, duty: str) -> bool:
+    def is_wanted(self, lease: str) -> bool:
         return False
 
 
@@ -257,8 +257,8 @@
                 socket_host, platform_config, Shared(SECOND // 4, 8_000), self.membership
             )
         if name in voters and self.office is not None:
-            for holder in self.office.holders.values():
-                holder.stand(False)
+            for holder in self.office.candidates.values():
+                holder.set_wanted(False)
 
     def _counted(self, letters: Any) -> None:
         """By sort, and by subject where another subsystem sends."""
@@ -322,7 +322,7 @@
         return (
             []
             if self.office is None
-            else [each.duty for each in self.office.holders.values() if each.may()]
+            else [each.lease for each in self.office.candidates.values() if each.may_act()]
         )
 
     def counters(self) -> dict[str, Any]:
@@ -345,13 +345,13 @@
             "health": member_list.health,
             "late": member_list.counts["late ourselves"],
             "unsent": self.membership.unsent,
-            "overloaded": self.office is not None and self.office.overloaded,
+            "overloaded": self.office is not None and self.office.is_overloaded,
             "changes": [] if self.office is None else self.office.changes[-20:],
             "books": self._books(),
         }
 
     def _books(self) -> list[dict[str, Any]]:
-        clerk = self.office.clerks.get("books") if self.office is not None else None
+        clerk = self.office.collectors.get("books") if self.office is not None else None
         return (
             []
             if clerk is None
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -28,8 +28,8 @@
 from corkgauge.config.operator_file import Duties, Fellows, Figures, Recall, Shared, Works
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.leases import voter
-from corkgauge.leases.candidate import HOLDING
+from corkgauge.leases.candidate import CandidateState
+from corkgauge.leases.messages import MessageKind
 from corkgauge.leases.service import LeaseService
 from corkgauge.leases.voter_configuration import VoterConfiguration
 from corkgauge.maintenance import plan_replica as keeper
@@ -185,9 +185,9 @@
 
     def hold(self, duty: str) -> None:
         """Let this instance hold a lease, under the fixed fencing token."""
-        holder = self.office.holders[duty]
-        holder.state, holder.fence, holder.ballot = HOLDING, FENCE, FENCE
-        holder.until = self.office.now + 4 * SECOND
+        holder = self.office.candidates[duty]
+        holder.state, holder.fencing_token, holder.ballot = CandidateState.HOLDING, FENCE, FENCE
+        holder.held_until = self.office.now + 4 * SECOND
 
     def lead_plan(self) -> None:
         """Hold the maintenance lease with a plan that a majority has."""
@@ -213,7 +213,7 @@
         raise AssertionError(f"no datagram {sort} {subject} {tag} was sent")
 
     def close(self) -> None:
-        self.office.safe.close()
+        self.office.durable_record.close()
         self.yard.safe.close()
         self.membership.close()
 
@@ -282,85 +282,85 @@
 
 
 def send_lease_probe(here: Instance) -> bytes:
-    here.office.holders["books"]._probe()
-    return here.last(letters.CALL, "duty", voter.PROBE)
+    here.office.candidates["books"]._probe()
+    return here.last(letters.CALL, "duty", MessageKind.PROBE)
 
 
 def send_lease_prepare(here: Instance) -> bytes:
-    here.office.holders["books"]._prepare()
-    return here.last(letters.CALL, "duty", voter.PREPARE)
+    here.office.candidates["books"]._prepare()
+    return here.last(letters.CALL, "duty", MessageKind.PREPARE)
 
 
 def send_lease_grant(here: Instance) -> bytes:
-    here.office.holders["books"]._prepare()
-    here.office.holders["books"]._ask()
-    return here.last(letters.CALL, "duty", voter.GRANT)
+    here.office.candidates["books"]._prepare()
+    here.office.candidates["books"]._begin_requesting()
+    return here.last(letters.CALL, "duty", MessageKind.GRANT_REQUEST)
 
 
 def send_lease_release(here: Instance) -> bytes:
     here.hold("books")
-    here.office.holders["books"].give_up("told")
-    return here.last(letters.CALL, "duty", voter.RELEASE)
+    here.office.candidates["books"].release("told")
+    return here.last(letters.CALL, "duty", MessageKind.RELEASE)
 
 
 def send_lease_vacant(here: Instance) -> bytes:
     here.hold("books")
-    here.office.holders["books"].give_up("told")
-    return here.last(letters.CALL, "duty", voter.VACANT)
+    here.office.candidates["books"].release("told")
+    return here.last(letters.CALL, "duty", MessageKind.VACANT)
 
 
 def lease_question(here: Instance, sort: int) -> list[Any]:
-    return [sort, "books", 1, here.office.roll.mark, 3, 500]
+    return [sort, "books", 1, here.office.configuration.fingerprint, 3, 500]
 
 
 def send_lease_would(here: Instance) -> bytes:
-    here.office.came("n2", lease_question(here, voter.PROBE))
-    return here.last(letters.CALL, "duty", voter.WOULD)
+    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.PROBE))
+    return here.last(letters.CALL, "duty", MessageKind.PROBE_REPLY)
 
 
 def send_lease_promised(here: Instance) -> bytes:
-    here.office.came("n2", lease_question(here, voter.PREPARE))
-    return here.last(letters.CALL, "duty", voter.PROMISED)
+    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.PREPARE))
+    return here.last(letters.CALL, "duty", MessageKind.PREPARE_REPLY)
 
 
 def send_lease_granted(here: Instance) -> bytes:
-    here.office.came("n2", lease_question(here, voter.GRANT))
-    return here.last(letters.CALL, "duty", voter.GRANTED)
+    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.GRANT_REQUEST))
+    return here.last(letters.CALL, "duty", MessageKind.GRANT_REPLY)
 
 
 def send_books_ask(here: Instance) -> bytes:
     here.hold("books")
-    here.office.clerks["books"].gained()
+    here.office.collectors["books"].on_lease_gained()
     return here.last(letters.CALL, "books", "ask")
 
 
 def send_books_entry(here: Instance) -> bytes:
     here.hold("books")
-    here.office.clerks["books"].gained()
-    here.office.clerks["books"].sum(FENCE)
+    here.office.collectors["books"].on_lease_gained()
+    here.office.collectors["books"].finish_round(FENCE)
     return here.last(letters.CALL, "books", "entry")
 
 
 def send_books_account(here: Instance) -> bytes:
-    here.office.books_came("n2", ["ask", "books", FENCE, 1])
+    here.office.on_accounts_datagram("n2", ["ask", "books", FENCE, 1])
     return here.last(letters.CALL, "books", "account")
 
 
 def send_books_no(here: Instance) -> bytes:
-    here.office.books_came("n3", ["ask", "books", FENCE + 1, 1])
-    here.office.books_came("n2", ["ask", "books", FENCE, 1])
+    here.office.on_accounts_datagram("n3", ["ask", "books", FENCE + 1, 1])
+    here.office.on_accounts_datagram("n2", ["ask", "books", FENCE, 1])
     return here.last(letters.CALL, "books", "no")
 
 
 def send_yield(here: Instance) -> bytes:
-    here.office.holders["nightly"].other = "n2"
-    here.office.asked(b'{"do": "yield", "duty": "nightly"}')
+    here.office.candidates["nightly"].known_holder = "n2"
+    here.office.operator_commands.handle_request(b'{"do": "yield", "duty": "nightly"}')
     return here.last(letters.CALL, "yield")
 
 
 def send_plan_promise(here: Instance) -> bytes:
     here.hold("works")
-    here.yard.gained()
+    here.yard.on_lease_gained()
     return here.last(letters.CALL, "plan", keeper.PROMISE)
 
 
@@ -422,7 +422,7 @@
 
 
 def send_works_wish(here: Instance) -> bytes:
-    here.office.holders["works"].other = "n2"
+    here.office.candidates["works"].known_holder = "n2"
     here.yard.asked(b'{"do": "hold", "key": "k1", "owner": "ada"}')
     return here.last(letters.CALL, "works", "wish")
 
@@ -434,7 +434,7 @@
 
 
 def send_copy_want(here: Instance) -> bytes:
-    here.office.holders["works"].other = "n2"
+    here.office.candidates["works"].known_holder = "n2"
     here.yard.told()
     return here.last(letters.CALL, "copy", keeper.WANT)
 
@@ -580,10 +580,10 @@
     """The file of a voter that promised one lease and granted another."""
 
     def vote(here: Instance) -> None:
-        mark = here.office.roll.mark
-        here.office.came("n2", [voter.PREPARE, "books", 1, mark, 3, 500])
-        here.office.came("n2", [voter.GRANT, "books", 1, mark, 4, 500])
-        here.office.came("n3", [voter.PREPARE, "works", 1, mark, 3, 600])
+        mark = here.office.configuration.fingerprint
+        here.office.on_lease_datagram("n2", [MessageKind.PREPARE, "books", 1, mark, 3, 500])
+        here.office.on_lease_datagram("n2", [MessageKind.GRANT_REQUEST, "books", 1, mark, 4, 500])
+        here.office.on_lease_datagram("n3", [MessageKind.PREPARE, "works", 1, mark, 3, 600])
 
     return stored_by_helper("n1.votes", vote)
 
@@ -604,7 +604,7 @@
     with tempfile.TemporaryDirectory() as folder, instance(votes_folder=folder) as here:
         act(here)
         give_up_at = time.monotonic() + 10
-        while here.office.safe.waiting or here.yard.safe.waiting:
+        while here.office.durable_record.waiting or here.yard.safe.waiting:
             assert time.monotonic() < give_up_at, "the helper has not answered"
             here.premises.event_loop.turn(5)
         return Path(folder, name).read_bytes()
@@ -667,7 +667,10 @@
         VoterConfiguration(2, ["n3", "n1", "n2", "n4"], 50_000),
         VoterConfiguration(9, ["n1"]),
     ]
-    return [[each.version, each.lease, list(each.names), each.majority, each.mark] for each in made]
+    return [
+        [each.version, each.lease_ticks, list(each.names), each.majority, each.fingerprint]
+        for each in made
+    ]
 
 
 FILES: dict[str, Callable[[], bytes]] = {
@@ -719,7 +722,7 @@
         Path(folder, "n1.votes").write_bytes(octets)
         with instance(votes_folder=folder) as here:
             return {
-                name: [vote.promised, vote.ballot, *vote.holder]
+                name: [vote.promised_ballot, vote.granted_ballot, *vote.holder]
                 for name, vote in here.office.voter.votes.items()
             }
 
@@ -933,10 +936,10 @@
     """Give every nested part of an answer a row."""
     here.lead_plan()
     here.hold("nightly")
-    here.office.gained(here.office.holders["nightly"])
+    here.office.on_lease_gained(here.office.candidates["nightly"])
     here.hold("books")
-    here.office.clerks["books"].gained()
-    here.office.clerks["books"].sum(FENCE)
+    here.office.collectors["books"].on_lease_gained()
+    here.office.collectors["books"].finish_round(FENCE)
     here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING}])
     rows = [[name, 6, 1, 100, "e1", 0, SILENT, 250, 6] for name in PEER_INCARNATIONS]
     here.exchange.heard("n2", [1, 5, 1, 20, rows])
