--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,17 +11,18 @@
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.leases import placement as preference
 from corkgauge.leases import record_writer as store
-from corkgauge.leases.candidate import HOLDING, PROBING, LeaseCandidate
+from corkgauge.leases.candidate import CandidateState, LeaseCandidate
 from corkgauge.leases.durable_record import DurableRecord
-from corkgauge.leases.fleet_accounts import FleetAccounts, wrong
-from corkgauge.leases.leased_command import ENDING, OVER, RUNNING, WAITING, LeasedCommand
-from corkgauge.leases.voter import GRANT, PREPARE, PROBE, RELEASE, VACANT, WOULD, Voter
-from corkgauge.leases.voter_configuration import Span, UnsafeChangeError, VoterConfiguration
+from corkgauge.leases.fleet_accounts import FleetAccounts, find_discrepancies
+from corkgauge.leases.leased_command import CommandState, LeasedCommand
+from corkgauge.leases.messages import MessageKind
+from corkgauge.leases.voter import Voter
+from corkgauge.leases.voter_configuration import LeaseTiming, UnsafeChangeError, VoterConfiguration
 from corkgauge.model.leases import FAULTS, LEASE, World, drawn, shortest
 from corkgauge.model.model_checker import explore
 
 SECOND = 10_000
-ROLL, SPAN = VoterConfiguration(1, ["a", "b", "c"], SECOND), Span(SECOND, 0.01, 200)
+ROLL, SPAN = VoterConfiguration(1, ["a", "b", "c"], SECOND), LeaseTiming(SECOND, 0.01, 200)
 
 
 class Booth:
@@ -34,7 +35,7 @@
     def send(self, name, body):
         self.said.append((name, body))
 
-    def keep(self, record, then, *what):
+    def persist(self, record, then, *what):
         if self.slow_disk:
             self.kept.append((record, then, what))
         else:
@@ -43,28 +44,28 @@
     def call_later(self, delay, method, *what):
         self.wakes.append((self.now + delay, method, what))
 
-    def chance(self, below):
+    def random_below(self, below):
         return 0
 
-    def rank(self, duty):
+    def rank_of(self, lease):
         return 0
 
     def log(self, line):
         self.events.append(line)
 
-    def gained(self, holder):
+    def on_lease_gained(self, holder):
         self.events.append("gained")
 
-    def lost(self, holder, why):
+    def on_lease_lost(self, holder, why):
         self.events.append(f"lost: {why}")
 
-    def vacant(self, holder):
+    def on_lease_released(self, holder):
         self.events.append("vacant")
 
     def asked(self, voter, sort, who="a", start=1, ballot=0, roll=ROLL):
         """One letter to a voter: yes, no, or None for silence."""
         before = len(self.said)
-        voter.heard(who, start, [sort, "d", roll.version, roll.mark, 1, ballot])
+        voter.on_datagram(who, start, [sort, "d", roll.version, roll.fingerprint, 1, ballot])
         return self.said[-1][1][5] if len(self.said) > before else None
 
 
@@ -75,111 +76,130 @@
 
 def test_a_grant_is_kept_from_others_until_it_is_over_and_no_number_disturbs_it():
     booth, voter = a_voter()
-    assert booth.asked(voter, PROBE) and booth.asked(voter, PREPARE, ballot=7)
-    assert booth.asked(voter, GRANT, ballot=7)
-    for sort in PROBE, PREPARE, GRANT:
+    assert booth.asked(voter, MessageKind.PROBE) and booth.asked(
+        voter, MessageKind.PREPARE, ballot=7
+    )
+    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7)
+    for sort in MessageKind.PROBE, MessageKind.PREPARE, MessageKind.GRANT_REQUEST:
         assert booth.asked(voter, sort, who="c", ballot=2**59) is False
-    assert booth.asked(voter, GRANT, ballot=7)  # its holder renews it
-    booth.now += SPAN.granted - 1
-    assert booth.asked(voter, PROBE, who="c") is False
+    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7)  # its holder renews it
+    booth.now += SPAN.grant_ticks - 1
+    assert booth.asked(voter, MessageKind.PROBE, who="c") is False
     booth.now += 1
-    assert booth.asked(voter, PROBE, who="c") and booth.asked(voter, PREPARE, who="c", ballot=8)
-    assert booth.asked(voter, GRANT, ballot=7) is False  # what was promised is above it
+    assert booth.asked(voter, MessageKind.PROBE, who="c") and booth.asked(
+        voter, MessageKind.PREPARE, who="c", ballot=8
+    )
+    assert (
+        booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7) is False
+    )  # what was promised is above it
 
 
 def test_a_holder_that_started_anew_is_another():
     booth, voter = a_voter()
-    assert booth.asked(voter, PREPARE, ballot=7) and booth.asked(voter, GRANT, ballot=7)
-    assert booth.asked(voter, PREPARE, start=2, ballot=9) is False
+    assert booth.asked(voter, MessageKind.PREPARE, ballot=7) and booth.asked(
+        voter, MessageKind.GRANT_REQUEST, ballot=7
+    )
+    assert booth.asked(voter, MessageKind.PREPARE, start=2, ballot=9) is False
 
 
 def test_a_duty_that_is_given_back_is_free_at_once_and_a_late_grant_binds_nobody():
     booth, voter = a_voter()
-    assert booth.asked(voter, PREPARE, ballot=7) and booth.asked(voter, GRANT, ballot=7)
-    assert booth.asked(voter, RELEASE, who="c", ballot=7) is None
-    assert booth.asked(voter, PROBE, who="c") is False  # not its to give back
-    booth.asked(voter, RELEASE, ballot=7)
-    assert booth.asked(voter, GRANT, ballot=7) is False and booth.asked(voter, PROBE, who="c")
+    assert booth.asked(voter, MessageKind.PREPARE, ballot=7) and booth.asked(
+        voter, MessageKind.GRANT_REQUEST, ballot=7
+    )
+    assert booth.asked(voter, MessageKind.RELEASE, who="c", ballot=7) is None
+    assert booth.asked(voter, MessageKind.PROBE, who="c") is False  # not its to give back
+    booth.asked(voter, MessageKind.RELEASE, ballot=7)
+    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7) is False and booth.asked(
+        voter, MessageKind.PROBE, who="c"
+    )
 
 
 def test_a_voter_that_may_have_forgotten_is_silent_for_a_longest_lease():
     booth, voter = a_voter(kept=None)
-    assert booth.asked(voter, PROBE) is None and not voter.votes_now
-    booth.now += SPAN.silent
-    assert booth.asked(voter, PROBE) and voter.votes_now
+    assert booth.asked(voter, MessageKind.PROBE) is None and not voter.is_voting
+    booth.now += SPAN.silence_ticks
+    assert booth.asked(voter, MessageKind.PROBE) and voter.is_voting
 
 
 def test_a_voter_with_a_folder_says_nothing_before_it_is_written_and_needs_no_silence():
     booth, voter = a_voter()
     booth.slow_disk = True
-    assert booth.asked(voter, PREPARE, ballot=7) is None
+    assert booth.asked(voter, MessageKind.PREPARE, ballot=7) is None
     record, then, what = booth.kept.pop()
     then(*what)
     assert booth.said[-1][1][5] is True
     booth.slow_disk = False
-    assert booth.asked(voter, GRANT, ballot=7)
-    record = {"d": voter.votes["d"].record()}
+    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7)
+    record = {"d": voter.votes["d"].encode()}
     again, voter = a_voter(kept=record)
-    assert again.asked(voter, PROBE, who="c") is False and again.asked(voter, GRANT, ballot=7)
-    assert again.asked(voter, PREPARE, who="c", ballot=6) is False
+    assert again.asked(voter, MessageKind.PROBE, who="c") is False and again.asked(
+        voter, MessageKind.GRANT_REQUEST, ballot=7
+    )
+    assert again.asked(voter, MessageKind.PREPARE, who="c", ballot=6) is False
 
 
 def test_another_list_gets_no_vote_and_an_older_one_gives_none():
     booth, voter = a_voter()
     newer = VoterConfiguration(2, ["a", "b"], SECOND)
-    assert booth.asked(voter, PROBE, roll=VoterConfiguration(1, ["a", "b"], SECOND)) is None
-    assert booth.asked(voter, PROBE) is True
-    assert booth.asked(voter, PROBE, roll=newer) is None and booth.events
-    assert booth.asked(voter, PROBE) is None  # it has an old file, and lends its vote to nobody
-    voter.renew(newer, SPAN)
-    assert booth.asked(voter, PROBE, roll=newer) is None
-    booth.now += SPAN.silent
-    assert booth.asked(voter, PROBE, roll=newer) is True
+    assert (
+        booth.asked(voter, MessageKind.PROBE, roll=VoterConfiguration(1, ["a", "b"], SECOND))
+        is None
+    )
+    assert booth.asked(voter, MessageKind.PROBE) is True
+    assert booth.asked(voter, MessageKind.PROBE, roll=newer) is None and booth.events
+    assert (
+        booth.asked(voter, MessageKind.PROBE) is None
+    )  # it has an old file, and lends its vote to nobody
+    voter.reconfigure(newer, SPAN)
+    assert booth.asked(voter, MessageKind.PROBE, roll=newer) is None
+    booth.now += SPAN.silence_ticks
+    assert booth.asked(voter, MessageKind.PROBE, roll=newer) is True
 
 
 @pytest.mark.parametrize(
     "body",
     [
-        [PROBE, "d", 1, ROLL.mark, 1, -1],
-        [PREPARE, "d", 1, ROLL.mark, 1, 2**60],
-        [PREPARE, "d", 1, ROLL.mark, 1, "7"],
-        [PREPARE, 7, 1, ROLL.mark, 1, 7],
-        [PROBE],
-        [99, "d", 1, ROLL.mark, 1, 7],
+        [MessageKind.PROBE, "d", 1, ROLL.fingerprint, 1, -1],
+        [MessageKind.PREPARE, "d", 1, ROLL.fingerprint, 1, 2**60],
+        [MessageKind.PREPARE, "d", 1, ROLL.fingerprint, 1, "7"],
+        [MessageKind.PREPARE, 7, 1, ROLL.fingerprint, 1, 7],
+        [MessageKind.PROBE],
+        [99, "d", 1, ROLL.fingerprint, 1, 7],
     ],
 )
 def test_a_letter_that_makes_no_sense_changes_no_vote(body):
     booth, voter = a_voter()
     with pytest.raises((ValueError, TypeError, KeyError)):
-        voter.heard("a", 1, body)
-    assert all(vote.record() == [0, 0, "", 0] for vote in voter.votes.values()) and not booth.said
+        voter.on_datagram("a", 1, body)
+    assert all(vote.encode() == [0, 0, "", 0] for vote in voter.votes.values()) and not booth.said
 
 
 def test_names_of_duties_without_end_do_not_fill_a_voter():
     booth, voter = a_voter()
     for n in range(300):
-        voter.heard("a", 1, [PROBE, f"d{n}", 1, ROLL.mark, 1, 0])
+        voter.on_datagram("a", 1, [MessageKind.PROBE, f"d{n}", 1, ROLL.fingerprint, 1, 0])
     assert len(voter.votes) == 64 and voter.counts["too many duties"] == 236
 
 
 def test_steps_between_lists():
     one = VoterConfiguration(1, "abc", 5)
-    there = {name: (1, one.mark) for name in "abc"}
+    there = {name: (1, one.fingerprint) for name in "abc"}
     for new in (
         VoterConfiguration(2, "abcd", 5),
         VoterConfiguration(2, "ab", 5),
         VoterConfiguration(2, "abc", 9),
         VoterConfiguration(1, "abc", 5),
     ):
-        one.step_to(new, there)
+        one.check_change_to(new, there)
     for new, told in (
         (VoterConfiguration(3, "abcd", 5), there),
         (VoterConfiguration(2, "abd", 5), there),
         (VoterConfiguration(1, "abcd", 5), there),
-        (VoterConfiguration(2, "abcd", 5), {"a": (1, one.mark), "b": (0, 7)}),
+        (VoterConfiguration(2, "abcd", 5), {"a": (1, one.fingerprint), "b": (0, 7)}),
     ):
         with pytest.raises(UnsafeChangeError):
-            one.step_to(new, told)
+            one.check_change_to(new, told)
 
 
 def test_majorities_of_lists_one_step_apart_always_meet():
@@ -215,13 +235,15 @@
         """The last letter to each of these is answered."""
         for voter in voters:
             body = next(body for name, body in reversed(self.booth.said) if name == voter)
-            self.holder.heard(voter, [body[0] + 1, "d", 1, ROLL.mark, body[4], yes, 0, left, ""])
+            self.holder.on_datagram(
+                voter, [body[0] + 1, "d", 1, ROLL.fingerprint, body[4], yes, 0, left, ""]
+            )
 
     def hold(self):
         self.pass_time(10)
         for _ in range(3):
             self.answer("a", "b")
-        assert self.holder.state == HOLDING
+        assert self.holder.state == CandidateState.HOLDING
         return self
 
 
@@ -229,31 +251,42 @@
     candidate = Candidate()
     candidate.pass_time(10)
     holder, booth = candidate.holder, candidate.booth
-    assert holder.state == PROBING
+    assert holder.state == CandidateState.PROBING
     late = [
-        [WOULD, "d", 1, ROLL.mark, booth.said[-1][1][4], False, 0, SPAN.granted, "c"] for _ in "ab"
+        [
+            MessageKind.PROBE_REPLY,
+            "d",
+            1,
+            ROLL.fingerprint,
+            booth.said[-1][1][4],
+            False,
+            0,
+            SPAN.grant_ticks,
+            "c",
+        ]
+        for _ in "ab"
     ]
-    holder.heard("c", [VACANT, "d", 1, ROLL.mark, 0])
+    holder.on_datagram("c", [MessageKind.VACANT, "d", 1, ROLL.fingerprint, 0])
     for voter, body in zip("ab", late):
-        holder.heard(voter, body)
+        holder.on_datagram(voter, body)
     candidate.pass_time(10)
     for _ in range(2):  # a ballot, a grant: nobody has to be asked first
         candidate.answer("a", "b")
-    assert holder.state == HOLDING
+    assert holder.state == CandidateState.HOLDING
 
 
 def test_after_a_round_that_nobody_answered_in_time_the_next_is_waited_for_longer_up_to_a_bound():
     candidate, waited = Candidate(), []
     for _ in range(5):
-        while candidate.holder.state != PROBING:
+        while candidate.holder.state != CandidateState.PROBING:
             candidate.pass_time(1)
         begun = candidate.booth.now
-        while candidate.holder.state == PROBING:
+        while candidate.holder.state == CandidateState.PROBING:
             candidate.pass_time(1)
         waited.append(candidate.booth.now - begun)
-    assert waited == [SPAN.reply, 2 * SPAN.reply, *[3 * SPAN.reply] * 3]
+    assert waited == [SPAN.reply_ticks, 2 * SPAN.reply_ticks, *[3 * SPAN.reply_ticks] * 3]
     # A promise is used while its voter would still be silent, had it forgotten it.
-    assert waited[-1] + SPAN.held // 2 < SPAN.silent
+    assert waited[-1] + SPAN.hold_ticks // 2 < SPAN.silence_ticks
 
 
 def test_a_duty_is_held_from_before_it_was_asked_for_and_not_a_moment_longer():
@@ -264,36 +297,38 @@
     asked = one.booth.now
     one.pass_time(300)  # the answers take their time, and that is lost
     one.answer("a", "c")
-    assert one.holder.may() and one.holder.until <= asked + 300 + SPAN.held
-    one.booth.now = one.holder.until - 1
-    assert one.holder.may()
-    one.booth.now = one.holder.until
-    assert not one.holder.may() and one.holder.state == HOLDING  # whatever its timers say
+    assert one.holder.may_act() and one.holder.held_until <= asked + 300 + SPAN.hold_ticks
+    one.booth.now = one.holder.held_until - 1
+    assert one.holder.may_act()
+    one.booth.now = one.holder.held_until
+    assert (
+        not one.holder.may_act() and one.holder.state == CandidateState.HOLDING
+    )  # whatever its timers say
 
 
 def test_grants_of_a_minority_hold_nothing_and_old_ones_run_out_voter_by_voter():
     one = Candidate().hold()
-    until = one.holder.until
-    one.pass_time(2 * SPAN.each)
+    until = one.holder.held_until
+    one.pass_time(2 * SPAN.renewal_ticks)
     one.answer("a")
-    assert one.holder.until == until
+    assert one.holder.held_until == until
     one.answer("c")
-    assert one.holder.until > until
+    assert one.holder.held_until > until
     one.pass_time(SECOND)
-    assert not one.holder.may() and "lost: lapsed" in one.booth.events
+    assert not one.holder.may_act() and "lost: lapsed" in one.booth.events
 
 
 def test_a_late_answer_of_an_earlier_time_in_office_counts_for_nothing():
     one = Candidate().hold()
-    one.pass_time(SPAN.each)
+    one.pass_time(SPAN.renewal_ticks)
     late = [body for name, body in one.booth.said if name == "b"][-1]
-    one.holder.give_up("told")
+    one.holder.release("told")
     one.pass_time(SECOND)
     for _ in range(2):
         one.answer("a", "b")
-    one.holder.heard("b", [late[0] + 1, "d", 1, ROLL.mark, late[4], True, 0, 0, ""])
-    one.holder.heard("a", [late[0] + 1, "d", 1, ROLL.mark, late[4], True, 0, 0, ""])
-    assert not one.holder.may()
+    one.holder.on_datagram("b", [late[0] + 1, "d", 1, ROLL.fingerprint, late[4], True, 0, 0, ""])
+    one.holder.on_datagram("a", [late[0] + 1, "d", 1, ROLL.fingerprint, late[4], True, 0, 0, ""])
+    assert not one.holder.may_act()
 
 
 def test_a_candidate_comes_back_when_a_majority_is_free_again():
@@ -309,20 +344,22 @@
 
 def test_a_planned_end_is_told_to_voters_and_to_the_next():
     one = Candidate().hold()
-    one.holder.give_up("told")
-    assert [body[0] for _, body in one.booth.said[-3:]] == [RELEASE] * 3 and not one.holder.may()
+    one.holder.release("told")
+    assert [body[0] for _, body in one.booth.said[-3:]] == [
+        MessageKind.RELEASE
+    ] * 3 and not one.holder.may_act()
     assert one.booth.events[-2:] == ["lost: told", "vacant"]
 
 
 def test_an_outbid_holder_gives_up_and_comes_back_above():
     one = Candidate().hold()
-    one.holder.outbid(one.holder.fence + 10**6)
-    assert not one.holder.may()
-    high = one.holder.seen
+    one.holder.on_preempted(one.holder.fencing_token + 10**6)
+    assert not one.holder.may_act()
+    high = one.holder.highest_ballot
     one.pass_time(200)
     for _ in range(3):
         one.answer("a", "b")
-    assert one.holder.may() and one.holder.fence > high
+    assert one.holder.may_act() and one.holder.fencing_token > high
 
 
 def test_every_order_of_events_near_the_start_and_around_a_holder():
@@ -383,14 +420,19 @@
 
 def test_a_command_is_dead_before_its_duty_is_over():
     child = Child()
-    running = LeasedCommand(child, grace=1.0, margin=0.1)
-    running.told(10.0, True, 7, 1.5)
-    assert running.state == WAITING  # too little left to begin
-    running.told(10.0, True, 7, 5.0)
-    assert running.state == RUNNING and child.done == [7]
-    running.told(11.0, True, 7, 5.0)
-    for now, state in ((14.8, RUNNING), (14.91, ENDING), (15.8, ENDING), (15.91, OVER)):
-        running.looked(now)
+    running = LeasedCommand(child, grace_seconds=1.0, margin_seconds=0.1)
+    running.on_answer(10.0, True, 7, 1.5)
+    assert running.state == CommandState.WAITING  # too little left to begin
+    running.on_answer(10.0, True, 7, 5.0)
+    assert running.state == CommandState.RUNNING and child.done == [7]
+    running.on_answer(11.0, True, 7, 5.0)
+    for now, state in (
+        (14.8, CommandState.RUNNING),
+        (14.91, CommandState.ENDING),
+        (15.8, CommandState.ENDING),
+        (15.91, CommandState.OVER),
+    ):
+        running.on_time(now)
         assert running.state == state, now
     assert child.done == [7, "term", "kill"]
 
@@ -399,21 +441,21 @@
 def test_a_command_is_ended_when_its_duty_is_gone_or_had_anew(answer):
     child = Child()
     running = LeasedCommand(child, 1.0, 0.1)
-    running.told(10.0, True, 7, 5.0)
-    running.told(*answer)
-    assert running.state == ENDING and child.done == [7, "term"]
-    running.ended()
-    running.looked(99.0)
+    running.on_answer(10.0, True, 7, 5.0)
+    running.on_answer(*answer)
+    assert running.state == CommandState.ENDING and child.done == [7, "term"]
+    running.on_exited()
+    running.on_time(99.0)
     assert child.done == [7, "term"]
 
 
 @pytest.mark.parametrize("cut", range(0, 40, 4))
 def test_kept_votes_are_whole_or_nothing(cut):
-    data = store.packed(b"votes of a voter")
-    assert store.unpacked(data) == b"votes of a voter"
+    data = store.pack_record(b"votes of a voter")
+    assert store.unpack_record(data) == b"votes of a voter"
     if cut < len(data):
-        assert store.unpacked(data[:cut]) is None
-        assert store.unpacked(data[:cut] + bytes([data[cut] ^ 1]) + data[cut + 1 :]) is None
+        assert store.unpack_record(data[:cut]) is None
+        assert store.unpack_record(data[:cut] + bytes([data[cut] ^ 1]) + data[cut + 1 :]) is None
 
 
 def test_the_helper_answers_what_is_safe_and_only_that(tmp_path):
@@ -424,7 +466,10 @@
         input=frames + store.FRAME.pack(3, 9) + b"part",
         capture_output=True,
     )
-    assert done.stdout == b"\1\0\0\0\2\0\0\0" and store.unpacked(open(path, "rb").read()) == b"vot2"
+    assert (
+        done.stdout == b"\1\0\0\0\2\0\0\0"
+        and store.unpack_record(open(path, "rb").read()) == b"vot2"
+    )
     gone = subprocess.run(
         [sys.executable, store.__file__, str(tmp_path / "no" / "votes")],
         input=frames,
@@ -436,8 +481,8 @@
 COUNTED = """
 import sys
 from corkgauge.leases import record_writer as store
-real, sizes = store.write, []
-store.write = lambda path, data: (sizes.append(len(data)), real(path, data))
+real, sizes = store.write_file, []
+store.write_file = lambda path, data: (sizes.append(len(data)), real(path, data))
 code = store.main()
 print(len(sizes), file=sys.stderr)
 sys.exit(code)
@@ -452,7 +497,7 @@
         done.stdout == b"".join(n.to_bytes(4, "little") for n in range(1, 41))
         and done.returncode == 0
     )
-    assert store.unpacked(open(path, "rb").read()) == b"vo40" and int(done.stderr) <= 2
+    assert store.unpack_record(open(path, "rb").read()) == b"vo40" and int(done.stderr) <= 2
 
 
 def test_the_same_record_is_written_once_for_all_who_wait_for_it_and_again_where_no_answer_came(
@@ -469,20 +514,20 @@
 
     try:
         for n in range(5):
-            safe.keep({"d": 1}, said.append, n)
-        assert safe.written == 1 and said == [] and settled(5) == [0, 1, 2, 3, 4]
-        safe.keep({"d": 1}, said.append, 5)
-        assert said[5:] == [5] and safe.written == 1  # it is safe already
+            safe.write({"d": 1}, said.append, n)
+        assert safe.last_number == 1 and said == [] and settled(5) == [0, 1, 2, 3, 4]
+        safe.write({"d": 1}, said.append, 5)
+        assert said[5:] == [5] and safe.last_number == 1  # it is safe already
         safe.helper.send_signal(signal.SIGSTOP)
-        safe.keep({"d": 2}, said.append, 6)
-        safe.keep({"d": 2}, said.append, 7)
-        assert safe.written == 2
+        safe.write({"d": 2}, said.append, 6)
+        safe.write({"d": 2}, said.append, 7)
+        assert safe.last_number == 2
         event_loop.now += SECOND
-        safe.keep({"d": 2}, said.append, 8)
-        assert safe.written == 3 and said[6:] == []
+        safe.write({"d": 2}, said.append, 8)
+        assert safe.last_number == 3 and said[6:] == []
         safe.helper.send_signal(signal.SIGCONT)
         assert settled(9)[6:] == [6, 7, 8]
-        assert store.unpacked((tmp_path / "votes").read_bytes()) == msgpack.packb({"d": 2})
+        assert store.unpack_record((tmp_path / "votes").read_bytes()) == msgpack.packb({"d": 2})
     finally:
         safe.helper.kill()
         safe.close()
@@ -505,31 +550,32 @@
 
 def test_the_fleets_books_add_up_over_epochs_and_say_what_does_not():
     books = FleetAccounts()
-    books.begin()
-    books.tells("n1", account("x", 5, 4, 5, open_=1))
-    books.tells("n2", account("y", 7, 7, 7))
-    entry = books.entry(9, 1, 0, ["n2", "n3"])
+    books.begin_round()
+    books.record_account("n1", account("x", 5, 4, 5, open_=1))
+    books.record_account("n2", account("y", 7, 7, 7))
+    entry = books.build_entry(9, 1, 0, ["n2", "n3"])
     assert (entry["taken"], entry["missing"], entry["wrong"], entry["cut_off"]) == (
         12,
         ["n3"],
         [],
         0,
     )
-    books.begin()
-    books.tells("n1", account("z", 1, 1, 1))  # it started anew: what was open was cut off
-    books.tells("n2", account("y", 6, 6, 6))
-    entry = books.entry(9, 2, 0, ["n2"])
+    books.begin_round()
+    books.record_account("n1", account("z", 1, 1, 1))  # it started anew: what was open was cut off
+    books.record_account("n2", account("y", 6, 6, 6))
+    entry = books.build_entry(9, 2, 0, ["n2"])
     assert (
         entry["taken"] == 12 and entry["cut_off"] == 1 and "n2: taken was 7, is 6" in entry["wrong"]
     )
-    books.tells("n2", account("y", 9, 8, 9, engines=8))
-    assert any("engines were handed" in line for line in books.entry(9, 3, 0, [])["wrong"])
+    books.record_account("n2", account("y", 9, 8, 9, engines=8))
+    assert any("engines were handed" in line for line in books.build_entry(9, 3, 0, [])["wrong"])
     with pytest.raises(ValueError):
-        books.tells("n3", {"epoch": "q", "taken": -1})
+        books.record_account("n3", {"epoch": "q", "taken": -1})
     for n in range(40):
-        books.tells("n4", account(f"e{n}", 1, 1, 1))
+        books.record_account("n4", account(f"e{n}", 1, 1, 1))
     assert (
-        books.entry(9, 4, 0, [])["taken"] == 5 + 1 + 9 + 40 and wrong(account("q", 1, 0, 0)) != []
+        books.build_entry(9, 4, 0, [])["taken"] == 5 + 1 + 9 + 40
+        and find_discrepancies(account("q", 1, 0, 0)) != []
     )
 
 
@@ -537,6 +583,6 @@
     members = [(f"n{n}", f"hall-{n % 3}") for n in range(9)]
     held = {}
     for duty in "abc":
-        held[duty] = preference.order(duty, members, held)[0]
+        held[duty] = preference.preferred_order(duty, members, held)[0]
     assert len({dict(members)[name] for name in held.values()}) == 3
-    assert preference.rank("a", "nobody", members, {}) == preference.MOST_RANK
+    assert preference.rank_of("a", "nobody", members, {}) == preference.MAX_RANK
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -7,7 +7,7 @@
 
 from corkgauge.config.operator_file import Duties
 from corkgauge.leases import service as offices
-from corkgauge.leases.candidate import HOLDING
+from corkgauge.leases.candidate import CandidateState
 from corkgauge.leases.service import LeaseService
 from corkgauge.membership.member_list import ALIVE
 from corkgauge.testkit.seeded_random import SeededRandom
@@ -20,10 +20,10 @@
 class Owner:
     """Of the duty, at one office; nothing is done under it but to hold it."""
 
-    def gained(self):
+    def on_lease_gained(self):
         pass
 
-    def lost(self):
+    def on_lease_lost(self):
         pass
 
 
@@ -56,8 +56,8 @@
             SimpleNamespace(member_list=self.member_list, chance=rack.chance.below),
         )
         self.office.voter.silent_until = 0
-        self.office.safe.keep = self.keep
-        self.office.stands("works", Owner())
+        self.office.durable_record.write = self.keep
+        self.office.add_candidate("works", Owner())
 
     def call_later(self, delay, method, *what):
         self.rack.call_later(max(delay, 1), self, method, *what)
@@ -88,7 +88,7 @@
             then(*what)
 
     def holds(self):
-        return self.office.holders["works"].state == HOLDING
+        return self.office.candidates["works"].state is CandidateState.HOLDING
 
 
 class Rack:
@@ -140,12 +140,12 @@
     rack.until(3 * SECOND)
     assert [each.holds() for each in rack.members.values()].count(True) == 1
     rack.overload(NAMES)
-    assert all(each.office.overloaded for each in rack.members.values())
+    assert all(each.office.is_overloaded for each in rack.members.values())
     vacant, held = rack.until(
         rack.now + 9 * SECOND
     )  # they call themselves overloaded for ten seconds
     assert vacant < 2 * LEASE and held
-    assert all(each.office.overloaded for each in rack.members.values())
+    assert all(each.office.is_overloaded for each in rack.members.values())
 
 
 @pytest.mark.parametrize("many", [1, 2])
@@ -161,7 +161,7 @@
     vacant, held = rack.until(rack.now + 7 * SECOND)
     assert vacant == 0 and len(held) == 1 and not held & {*names}
     rack.until(rack.now + 10 * SECOND)
-    assert not any(each.office.overloaded for each in rack.members.values())
+    assert not any(each.office.is_overloaded for each in rack.members.values())
 
 
 @pytest.mark.parametrize("part", [0.5, 1.3, 2.0])
