--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -14,9 +14,11 @@
 
 from collections.abc import Callable
 from enum import Enum
-from typing import Any, Protocol
+from typing import Any
 
 from corkgauge.leases import messages
+from corkgauge.leases.grant_times import GrantTimes
+from corkgauge.leases.interfaces import CandidateHost
 from corkgauge.leases.messages import (
     CandidateRequest,
     Envelope,
@@ -30,6 +32,7 @@
     Release,
     VoterReply,
 )
+from corkgauge.leases.round_pacing import RoundPacing
 from corkgauge.leases.tally import Tally
 from corkgauge.leases.voter_configuration import (
     LeaseTiming,
@@ -38,11 +41,6 @@
     round_of,
 )
 
-MAX_SENT_REQUESTS = 64  # grant requests whose time of writing is remembered
-MAX_PATIENCE = 3  # reply times that voters have, after rounds that came to nothing
-MAX_BACKOFF = 4  # reply times between two rounds, after rounds that nobody answered
-MAX_JITTER = 8  # times the stagger, between candidates that failed together
-
 
 class CandidateState(Enum):
     """Where a candidate is on its way; the values are what operators are shown."""
@@ -54,45 +52,12 @@
     HOLDING = "holding"
 
 
-class Host(Protocol):
-    """What a candidate needs of its host."""
-
-    @property
-    def now(self) -> int:
-        """Tenths of a millisecond since boot, read anew each time."""
-
-    @property
-    def date(self) -> int:
-        """The system's time in milliseconds, whose steps cost no safety."""
-
-    def send(self, name: str, body: list[Any]) -> None:
-        """Send a datagram to a voter."""
-
-    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
-        """Call a method after so many tenths of a millisecond."""
-
-    def random_below(self, limit: int) -> int:
-        """Return a number from 0 to `limit` - 1."""
-
-    def rank_of(self, lease: str) -> int:
-        """Return how many others should try first."""
-
-    def on_lease_gained(self, candidate: "LeaseCandidate") -> None:
-        """Notify the host that the lease is held from now on."""
-
-    def on_lease_lost(self, candidate: "LeaseCandidate", reason: str) -> None:
-        """Notify the host that the lease is held no more."""
-
-    def on_lease_released(self, candidate: "LeaseCandidate") -> None:
-        """Notify the host that the lease was given back: the next candidates should know."""
-
-
 class LeaseCandidate:
     """One instance's way to one lease. `is_wanted` says whether it stands for it."""
 
     def __init__(
         self,
-        host: Host,
+        host: CandidateHost,
         lease: str,
         name: str,
         configuration: VoterConfiguration,
@@ -115,10 +80,9 @@
         self.serial = 0
         self.ballot = 0
         self.requesting_since = 0
-        self.failed_rounds = 0  # in a row
+        self.pacing = RoundPacing()
         self.tally = Tally()
-        self.sent_at: dict[int, int] = {}  # by serial of a grant request: when it was written
-        self.granted_at: dict[str, int] = {}  # by voter: when its last granted request was written
+        self.grants = GrantTimes()
         self.timer = 0  # the number of the one timer that counts
         # For operators, and for placement.
         self.known_holder = ""  # as voters report
@@ -172,7 +136,7 @@
         configuration does not count towards this one.
         """
         if configuration != self.configuration:
-            self.granted_at.clear()
+            self.grants.forget_grants()
         self.configuration = configuration
         self.timing = timing
 
@@ -232,10 +196,10 @@
 
     def _on_grant_reply(self, sender: str, reply: GrantReply) -> None:
         is_expected = self.state in (CandidateState.REQUESTING, CandidateState.HOLDING)
-        if not is_expected or reply.serial not in self.sent_at:
+        if not is_expected or not self.grants.is_request_known(reply.serial):
             return
         if reply.is_accepted:
-            self._count_grant(sender, self.sent_at[reply.serial])
+            self._count_grant(sender, reply.serial)
         elif self.state is CandidateState.REQUESTING:
             self.tally.record(sender, is_accepted=False)
             if self.tally.is_lost(self.configuration):
@@ -247,12 +211,11 @@
         self.tally.record(sender, reply.is_accepted, blocked_ticks)
         self.known_holder = reply.holder or self.known_holder
 
-    def _count_grant(self, sender: str, sent_at: int) -> None:
-        self.granted_at[sender] = max(sent_at, self.granted_at.get(sender, 0))
-        majority = self.configuration.majority
-        if len(self.granted_at) < majority:
+    def _count_grant(self, sender: str, serial: int) -> None:
+        self.grants.record_grant(sender, serial)
+        majority_since = self.grants.majority_since(self.configuration.majority)
+        if majority_since is None:
             return
-        majority_since = sorted(self.granted_at.values(), reverse=True)[majority - 1]
         until = majority_since + self.timing.hold_ticks
         if self.state is CandidateState.HOLDING:
             self.held_until = max(self.held_until, until)
@@ -273,17 +236,16 @@
             return
         wait_ticks = self.tally.earliest_retry_ticks(self.configuration, self.timing.reply_ticks)
         self.state = CandidateState.WATCHING
-        self.failed_rounds = 0 if wait_ticks else self.failed_rounds + 1
+        if wait_ticks:
+            self.pacing.record_success()
+        else:
+            self.pacing.record_failure()
         rank_ticks = self.host.rank_of(self.lease) * self.timing.stagger_ticks
         self._watch(wait_ticks + rank_ticks + self._jitter_ticks())
 
     def _jitter_ticks(self) -> int:
-        """Draw a pause.
-
-        Two that try again and again at the same moment would never let either have the lease.
-        """
-        stretch = min(1 + self.failed_rounds, MAX_JITTER)
-        return 1 + self.host.random_below(self.timing.stagger_ticks * stretch)
+        limit = self.pacing.jitter_limit_ticks(self.timing.stagger_ticks)
+        return 1 + self.host.random_below(limit)
 
     def _watch(self, delay: int) -> None:
         self.state = CandidateState.WATCHING
@@ -323,32 +285,24 @@
         self.state = state
         self.tally = Tally()
         self._broadcast(request_type, ballot)
-        # Where disks or processors take longer than a reply time for a promise, no round would
-        # ever be answered in time: after each that was not, the next is waited for longer, and
-        # less before it. A promise is used no later than a voter remembers it, a lease from its
-        # start: at most 3/8 of one here, and half of one in `_request_grant`.
-        self._set_timer(self.timing.reply_ticks * self._patience(), self._on_round_unanswered)
-
-    def _patience(self) -> int:
-        """Return how many reply times the voters have in this round."""
-        return min(1 + self.failed_rounds, MAX_PATIENCE)
+        reply_ticks = self.timing.reply_ticks * self.pacing.patience
+        self._set_timer(reply_ticks, self._on_round_unanswered)
 
     def _on_round_unanswered(self) -> None:
-        self._back_off(self._patience() - 1)
+        self._back_off(waited=self.pacing.patience - 1)
 
     def _back_off(self, waited: int = 0) -> None:
-        """Wait for the next round, less the reply times beyond the first `waited` already."""
-        self.failed_rounds += 1
-        pauses = min(self.failed_rounds, MAX_BACKOFF) - waited
-        self._watch(self.timing.reply_ticks * pauses + self._jitter_ticks())
+        """Wait for the next round; `waited` are reply times that a longer patience took already."""
+        self.pacing.record_failure()
+        pause_ticks = self.timing.reply_ticks * self.pacing.backoff(waited)
+        self._watch(pause_ticks + self._jitter_ticks())
 
     def _begin_requesting(self) -> None:
         self.state = CandidateState.REQUESTING
         self.requesting_since = self.host.now
         # A late reply to a request of an earlier time as holder speaks of a grant that was given
         # back: it finds no request that it answers.
-        self.granted_at = {}
-        self.sent_at = {}
+        self.grants = GrantTimes()
         self.tally.begin_anew()
         self._request_grant()
 
@@ -363,10 +317,9 @@
             # Voters remember promises for a lease after their start; older ones prove nothing.
             self._back_off()
             return
-        self.sent_at[self.serial + 1] = self.host.now  # before it is written
+        self.grants.record_request(self.serial + 1, self.host.now)  # before it is written
         self._broadcast(GrantRequest, self.ballot)
-        while len(self.sent_at) > MAX_SENT_REQUESTS:
-            del self.sent_at[next(iter(self.sent_at))]
+        self.grants.forget_oldest_requests()
         if self.state is CandidateState.HOLDING:
             self._schedule_renewal()
         else:
@@ -380,7 +333,7 @@
         self.state = CandidateState.HOLDING
         self.fencing_token = self.ballot
         self.held_since = self.host.now
-        self.failed_rounds = 0
+        self.pacing.record_success()
         self.highest_ballot = max(self.highest_ballot, self.ballot)
         self.known_holder = self.name
         self.last_reason = "granted"
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -6,51 +6,29 @@
 """
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
 from corkgauge.config.operator_file import Duties
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
-from corkgauge.eventloop.loop import EventLoop
-from corkgauge.leases import messages, placement, reconfiguration
+from corkgauge.leases import messages, reconfiguration
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
+from corkgauge.leases.candidate_ranking import CandidateRanking
 from corkgauge.leases.command_loans import CommandLoans
 from corkgauge.leases.durable_record import DurableRecord
 from corkgauge.leases.fencing import FencingGuard
 from corkgauge.leases.fleet_accounts_collector import FleetAccountsCollector
+from corkgauge.leases.interfaces import LeaseOwner, SocketHost
 from corkgauge.leases.load_monitor import LoadMonitor
 from corkgauge.leases.messages import LeaseVacant
 from corkgauge.leases.operator_commands import OperatorCommands
 from corkgauge.leases.voter import Voter
-from corkgauge.membership.member_list import ALIVE, SUSPECTED
 
 ACCOUNTS_KIND = "books"  # of a lease in the operator file: the fleet accounts
-VACANCY_NOTICES = 2  # to the next in order
 MAX_CHANGES = 50  # of leases that operators can look back at
 PAUSE_LEASES = 2  # that this instance does not stand for a lease after it handed it over
 
 
-class SocketHost(Protocol):
-    """What leases need of the process that they run in."""
-
-    event_loop: EventLoop
-    ledger: Any
-    routes: dict[tuple[bytes, bytes], Callable[[bytes], dict[str, Any]]]
-
-    def log(self, line: str) -> None:
-        """Write a line to the log."""
-
-
-class LeaseOwner(Protocol):
-    """A subsystem that acts under a lease."""
-
-    def on_lease_gained(self) -> None:
-        """Notify the owner that the lease is held from now on."""
-
-    def on_lease_lost(self) -> None:
-        """Notify the owner that the lease is held no more."""
-
-
 class LeaseService:
     """The leases of one instance. `membership` is the membership service that carries datagrams.
 
@@ -92,6 +70,7 @@
         self.changes: list[dict[str, Any]] = []
         self.is_leaving = False
         self.is_cordoned = False
+        self.ranking = CandidateRanking(self)
         self.command_loans = CommandLoans(self)
         self.operator_commands = OperatorCommands(self)
         self.load_monitor = LoadMonitor(self)
@@ -235,16 +214,8 @@
         self.durable_record.write(record, then, *arguments)
 
     def rank_of(self, lease: str) -> int:
-        """Return how many others should try first.
-
-        Where all are overloaded at once, as on a machine that stood still for a moment, nobody
-        would hold the lease for as long as each stays away: an overloaded instance tries last, and
-        still tries.
-        """
-        rank = placement.rank_of(lease, self.name, self._candidate_zones(), self._known_holders())
-        if self.is_overloaded:
-            rank += self.timing.lease_ticks // (2 * self.timing.stagger_ticks)
-        return rank
+        """Return how many others should try first."""
+        return self.ranking.rank_of(lease)
 
     def on_lease_gained(self, candidate: LeaseCandidate) -> None:
         """Notify whoever acts under the lease."""
@@ -271,13 +242,11 @@
 
     def on_lease_released(self, candidate: LeaseCandidate) -> None:
         """Notify the next candidates of a lease given back, so that nobody waits for its end."""
-        others = [each for each in self._candidate_zones() if each[0] != self.name]
-        names = placement.preferred_order(candidate.lease, others, self._known_holders())
         configuration = self.configuration
         notice = LeaseVacant(
             candidate.lease, configuration.version, configuration.fingerprint
         ).encode()
-        for name in names[:VACANCY_NOTICES]:
+        for name in self.ranking.successors(candidate.lease):
             self.send(name, notice)
 
     # Datagrams.
@@ -311,22 +280,6 @@
         if body in self.candidates:
             self.hand_over(body, f"told at {sender}")
 
-    def _candidate_zones(self) -> list[tuple[str, str]]:
-        """Name and zone of the instances that are there, ourselves last."""
-        present = [
-            (member.name, member.zone)
-            for member in self.member_list.members.values()
-            if member.state in (ALIVE, SUSPECTED)
-        ]
-        return [*present, (self.name, self.member_list.zone)]
-
-    def _known_holders(self) -> dict[str, str]:
-        return {
-            name: candidate.known_holder
-            for name, candidate in self.candidates.items()
-            if candidate.known_holder
-        }
-
     def _record_change(self, candidate: LeaseCandidate, change: str, reason: str) -> None:
         self.changes.append(
             {
--- a/corkgauge/leases/tally.py
+++ b/corkgauge/leases/tally.py
@@ -47,7 +47,8 @@
     def earliest_retry_ticks(self, configuration: VoterConfiguration, unanswered_ticks: int) -> int:
         """Return how long until so many voters are free that they may be a majority.
 
-        A voter that has not answered counts as bound for `unanswered_ticks`.
+        Voters that have not answered are counted after all others, as bound for
+        `unanswered_ticks`.
         """
         waits = [
             0 if is_accepted else self.blocked_ticks[voter]
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -11,9 +11,10 @@
 
 from collections import Counter
 from collections.abc import Callable
-from typing import Any, NamedTuple, Protocol
+from typing import Any, NamedTuple
 
 from corkgauge.leases import messages
+from corkgauge.leases.interfaces import VoterHost
 from corkgauge.leases.messages import (
     CandidateRequest,
     Envelope,
@@ -31,23 +32,6 @@
 MAX_LEASES = 64  # that a voter remembers
 
 
-class Host(Protocol):
-    """What a voter needs of its host."""
-
-    @property
-    def now(self) -> int:
-        """Tenths of a millisecond since boot, read anew each time."""
-
-    def send(self, name: str, body: list[Any]) -> None:
-        """Send a datagram to a candidate."""
-
-    def persist(self, record: dict[str, Any], then: Callable[..., None], *arguments: Any) -> None:
-        """Call `then` once the record is safe on disk, and never before."""
-
-    def log(self, line: str) -> None:
-        """Write a line to the log."""
-
-
 class Holder(NamedTuple):
     """Whom a lease is granted: a restarted instance is another one."""
 
@@ -93,7 +77,7 @@
 
     def __init__(
         self,
-        host: Host,
+        host: VoterHost,
         name: str,
         configuration: VoterConfiguration,
         timing: LeaseTiming,
--- a/corkgauge/model/model_checker.py
+++ b/corkgauge/model/model_checker.py
@@ -16,6 +16,7 @@
 
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
 from corkgauge.leases.messages import MessageKind
+from corkgauge.leases.round_pacing import RoundPacing
 from corkgauge.leases.voter import Vote, Voter
 from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 
@@ -119,8 +120,8 @@
         for name, holder in self.holders.items():
             twin = new.holders[name] = LeaseCandidate.__new__(LeaseCandidate)
             twin.__dict__.update(holder.__dict__)
-            twin.sent_at = {**holder.sent_at}
-            twin.granted_at = {**holder.granted_at}
+            twin.grants = holder.grants.copy()
+            twin.pacing = RoundPacing(holder.pacing.failed_rounds)
             twin.tally = holder.tally.copy()
         return new
 
@@ -137,11 +138,11 @@
                     holder.highest_ballot,
                     holder.ballot,
                     now - holder.requesting_since if holder.state in HAS_PROMISES else 0,
-                    holder.failed_rounds,
+                    holder.pacing.failed_rounds,
                     self.alarms[name][0] - now,
                     tuple(
                         (serial - holder.serial, now - when)
-                        for serial, when in holder.sent_at.items()
+                        for serial, when in holder.grants.sent_at.items()
                     ),
                 )
             )
@@ -167,7 +168,9 @@
                     (
                         holder.tally.accepted.get(name, -1),
                         holder.tally.blocked_ticks.get(name, -1),
-                        now - holder.granted_at[name] if name in holder.granted_at else -1,
+                        now - holder.grants.granted_at[name]
+                        if name in holder.grants.granted_at
+                        else -1,
                     )
                     for _, holder in sorted(self.holders.items())
                 ),
@@ -190,7 +193,7 @@
         if start != self.starts[who]:
             return False
         if sort == MessageKind.GRANT_REPLY:
-            return serial in holder.sent_at and holder.state in HAS_PROMISES
+            return serial in holder.grants.sent_at and holder.state in HAS_PROMISES
         return serial == holder.serial and (sort, holder.state) in (
             (MessageKind.PROBE_REPLY, CandidateState.PROBING),
             (MessageKind.PREPARE_REPLY, CandidateState.PREPARING),
@@ -246,7 +249,7 @@
         elif start == self.starts[who] and body[0] != MessageKind.VACANT:
             holder = self.holders[to]
             if self.off == "before":
-                holder.sent_at = dict.fromkeys(holder.sent_at, self.now)
+                holder.grants.sent_at = dict.fromkeys(holder.grants.sent_at, self.now)
             holder.on_datagram(who, [*body])
 
     def wrong(self) -> str:
