--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,8 +9,7 @@
 import pytest
 
 from corkgauge.eventloop.loop import EventLoop
-from corkgauge.leases import placement as preference
-from corkgauge.leases import record_writer as store
+from corkgauge.leases import placement, record_writer
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
 from corkgauge.leases.durable_record import DurableRecord
 from corkgauge.leases.fleet_accounts import FleetAccounts, find_discrepancies
@@ -22,27 +21,35 @@
 from corkgauge.model.model_checker import explore
 
 SECOND = 10_000
-ROLL, SPAN = VoterConfiguration(1, ["a", "b", "c"], SECOND), LeaseTiming(SECOND, 0.01, 200)
+CONFIGURATION = VoterConfiguration(1, ["a", "b", "c"], SECOND)
+TIMING = LeaseTiming(SECOND, 0.01, 200)
 
 
-class Booth:
-    """A voter's or holder's host."""
+class RecordingHost:
+    """A voter's or candidate's host, which records what it is asked for."""
 
     def __init__(self):
-        self.now, self.date, self.said, self.wakes, self.kept, self.events = 1000, 5, [], [], [], []
+        self.now, self.date, self.sent, self.timers, self.unwritten, self.events = (
+            1000,
+            5,
+            [],
+            [],
+            [],
+            [],
+        )
         self.slow_disk = False
 
     def send(self, name, body):
-        self.said.append((name, body))
+        self.sent.append((name, body))
 
     def persist(self, record, then, *what):
         if self.slow_disk:
-            self.kept.append((record, then, what))
+            self.unwritten.append((record, then, what))
         else:
             then(*what)
 
     def call_later(self, delay, method, *what):
-        self.wakes.append((self.now + delay, method, what))
+        self.timers.append((self.now + delay, method, what))
 
     def random_below(self, below):
         return 0
@@ -62,123 +69,124 @@
     def on_lease_released(self, holder):
         self.events.append("vacant")
 
-    def asked(self, voter, sort, who="a", start=1, ballot=0, roll=ROLL):
-        """One letter to a voter: yes, no, or None for silence."""
-        before = len(self.said)
-        voter.on_datagram(who, start, [sort, "d", roll.version, roll.fingerprint, 1, ballot])
-        return self.said[-1][1][5] if len(self.said) > before else None
+    def ask(self, voter, kind, sender="a", incarnation=1, ballot=0, configuration=CONFIGURATION):
+        """One request to a voter: yes, no, or None for silence."""
+        before = len(self.sent)
+        body = [kind, "d", configuration.version, configuration.fingerprint, 1, ballot]
+        voter.on_datagram(sender, incarnation, body)
+        return self.sent[-1][1][5] if len(self.sent) > before else None
 
 
-def a_voter(kept=(), **more):
-    booth = Booth()
-    return booth, Voter(booth, "b", ROLL, SPAN, dict(kept) if kept is not None else None, **more)
+def make_voter(kept=(), **more):
+    host = RecordingHost()
+    return host, Voter(
+        host, "b", CONFIGURATION, TIMING, dict(kept) if kept is not None else None, **more
+    )
 
 
 def test_a_grant_is_kept_from_others_until_it_is_over_and_no_number_disturbs_it():
-    booth, voter = a_voter()
-    assert booth.asked(voter, MessageKind.PROBE) and booth.asked(
-        voter, MessageKind.PREPARE, ballot=7
-    )
-    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7)
-    for sort in MessageKind.PROBE, MessageKind.PREPARE, MessageKind.GRANT_REQUEST:
-        assert booth.asked(voter, sort, who="c", ballot=2**59) is False
-    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7)  # its holder renews it
-    booth.now += SPAN.grant_ticks - 1
-    assert booth.asked(voter, MessageKind.PROBE, who="c") is False
-    booth.now += 1
-    assert booth.asked(voter, MessageKind.PROBE, who="c") and booth.asked(
-        voter, MessageKind.PREPARE, who="c", ballot=8
+    host, voter = make_voter()
+    assert host.ask(voter, MessageKind.PROBE) and host.ask(voter, MessageKind.PREPARE, ballot=7)
+    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7)
+    for kind in MessageKind.PROBE, MessageKind.PREPARE, MessageKind.GRANT_REQUEST:
+        assert host.ask(voter, kind, sender="c", ballot=2**59) is False
+    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7)  # its holder renews it
+    host.now += TIMING.grant_ticks - 1
+    assert host.ask(voter, MessageKind.PROBE, sender="c") is False
+    host.now += 1
+    assert host.ask(voter, MessageKind.PROBE, sender="c") and host.ask(
+        voter, MessageKind.PREPARE, sender="c", ballot=8
     )
     assert (
-        booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7) is False
+        host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7) is False
     )  # what was promised is above it
 
 
 def test_a_holder_that_started_anew_is_another():
-    booth, voter = a_voter()
-    assert booth.asked(voter, MessageKind.PREPARE, ballot=7) and booth.asked(
+    host, voter = make_voter()
+    assert host.ask(voter, MessageKind.PREPARE, ballot=7) and host.ask(
         voter, MessageKind.GRANT_REQUEST, ballot=7
     )
-    assert booth.asked(voter, MessageKind.PREPARE, start=2, ballot=9) is False
+    assert host.ask(voter, MessageKind.PREPARE, incarnation=2, ballot=9) is False
 
 
 def test_a_duty_that_is_given_back_is_free_at_once_and_a_late_grant_binds_nobody():
-    booth, voter = a_voter()
-    assert booth.asked(voter, MessageKind.PREPARE, ballot=7) and booth.asked(
+    host, voter = make_voter()
+    assert host.ask(voter, MessageKind.PREPARE, ballot=7) and host.ask(
         voter, MessageKind.GRANT_REQUEST, ballot=7
     )
-    assert booth.asked(voter, MessageKind.RELEASE, who="c", ballot=7) is None
-    assert booth.asked(voter, MessageKind.PROBE, who="c") is False  # not its to give back
-    booth.asked(voter, MessageKind.RELEASE, ballot=7)
-    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7) is False and booth.asked(
-        voter, MessageKind.PROBE, who="c"
+    assert host.ask(voter, MessageKind.RELEASE, sender="c", ballot=7) is None
+    assert host.ask(voter, MessageKind.PROBE, sender="c") is False  # not its to give back
+    host.ask(voter, MessageKind.RELEASE, ballot=7)
+    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7) is False and host.ask(
+        voter, MessageKind.PROBE, sender="c"
     )
 
 
 def test_a_voter_that_may_have_forgotten_is_silent_for_a_longest_lease():
-    booth, voter = a_voter(kept=None)
-    assert booth.asked(voter, MessageKind.PROBE) is None and not voter.is_voting
-    booth.now += SPAN.silence_ticks
-    assert booth.asked(voter, MessageKind.PROBE) and voter.is_voting
+    host, voter = make_voter(kept=None)
+    assert host.ask(voter, MessageKind.PROBE) is None and not voter.is_voting
+    host.now += TIMING.silence_ticks
+    assert host.ask(voter, MessageKind.PROBE) and voter.is_voting
 
 
 def test_a_voter_with_a_folder_says_nothing_before_it_is_written_and_needs_no_silence():
-    booth, voter = a_voter()
-    booth.slow_disk = True
-    assert booth.asked(voter, MessageKind.PREPARE, ballot=7) is None
-    record, then, what = booth.kept.pop()
+    host, voter = make_voter()
+    host.slow_disk = True
+    assert host.ask(voter, MessageKind.PREPARE, ballot=7) is None
+    record, then, what = host.unwritten.pop()
     then(*what)
-    assert booth.said[-1][1][5] is True
-    booth.slow_disk = False
-    assert booth.asked(voter, MessageKind.GRANT_REQUEST, ballot=7)
+    assert host.sent[-1][1][5] is True
+    host.slow_disk = False
+    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7)
     record = {"d": voter.votes["d"].encode()}
-    again, voter = a_voter(kept=record)
-    assert again.asked(voter, MessageKind.PROBE, who="c") is False and again.asked(
+    again, voter = make_voter(kept=record)
+    assert again.ask(voter, MessageKind.PROBE, sender="c") is False and again.ask(
         voter, MessageKind.GRANT_REQUEST, ballot=7
     )
-    assert again.asked(voter, MessageKind.PREPARE, who="c", ballot=6) is False
+    assert again.ask(voter, MessageKind.PREPARE, sender="c", ballot=6) is False
 
 
 def test_another_list_gets_no_vote_and_an_older_one_gives_none():
-    booth, voter = a_voter()
+    host, voter = make_voter()
     newer = VoterConfiguration(2, ["a", "b"], SECOND)
     assert (
-        booth.asked(voter, MessageKind.PROBE, roll=VoterConfiguration(1, ["a", "b"], SECOND))
+        host.ask(voter, MessageKind.PROBE, configuration=VoterConfiguration(1, ["a", "b"], SECOND))
         is None
     )
-    assert booth.asked(voter, MessageKind.PROBE) is True
-    assert booth.asked(voter, MessageKind.PROBE, roll=newer) is None and booth.events
+    assert host.ask(voter, MessageKind.PROBE) is True
+    assert host.ask(voter, MessageKind.PROBE, configuration=newer) is None and host.events
     assert (
-        booth.asked(voter, MessageKind.PROBE) is None
+        host.ask(voter, MessageKind.PROBE) is None
     )  # it has an old file, and lends its vote to nobody
-    voter.reconfigure(newer, SPAN)
-    assert booth.asked(voter, MessageKind.PROBE, roll=newer) is None
-    booth.now += SPAN.silence_ticks
-    assert booth.asked(voter, MessageKind.PROBE, roll=newer) is True
+    voter.reconfigure(newer, TIMING)
+    assert host.ask(voter, MessageKind.PROBE, configuration=newer) is None
+    host.now += TIMING.silence_ticks
+    assert host.ask(voter, MessageKind.PROBE, configuration=newer) is True
 
 
 @pytest.mark.parametrize(
     "body",
     [
-        [MessageKind.PROBE, "d", 1, ROLL.fingerprint, 1, -1],
-        [MessageKind.PREPARE, "d", 1, ROLL.fingerprint, 1, 2**60],
-        [MessageKind.PREPARE, "d", 1, ROLL.fingerprint, 1, "7"],
-        [MessageKind.PREPARE, 7, 1, ROLL.fingerprint, 1, 7],
+        [MessageKind.PROBE, "d", 1, CONFIGURATION.fingerprint, 1, -1],
+        [MessageKind.PREPARE, "d", 1, CONFIGURATION.fingerprint, 1, 2**60],
+        [MessageKind.PREPARE, "d", 1, CONFIGURATION.fingerprint, 1, "7"],
+        [MessageKind.PREPARE, 7, 1, CONFIGURATION.fingerprint, 1, 7],
         [MessageKind.PROBE],
-        [99, "d", 1, ROLL.fingerprint, 1, 7],
+        [99, "d", 1, CONFIGURATION.fingerprint, 1, 7],
     ],
 )
 def test_a_letter_that_makes_no_sense_changes_no_vote(body):
-    booth, voter = a_voter()
+    host, voter = make_voter()
     with pytest.raises((ValueError, TypeError, KeyError)):
         voter.on_datagram("a", 1, body)
-    assert all(vote.encode() == [0, 0, "", 0] for vote in voter.votes.values()) and not booth.said
+    assert all(vote.encode() == [0, 0, "", 0] for vote in voter.votes.values()) and not host.sent
 
 
 def test_names_of_duties_without_end_do_not_fill_a_voter():
-    booth, voter = a_voter()
+    host, voter = make_voter()
     for n in range(300):
-        voter.on_datagram("a", 1, [MessageKind.PROBE, f"d{n}", 1, ROLL.fingerprint, 1, 0])
+        voter.on_datagram("a", 1, [MessageKind.PROBE, f"d{n}", 1, CONFIGURATION.fingerprint, 1, 0])
     assert len(voter.votes) == 64 and voter.counts["too many duties"] == 236
 
 
@@ -213,30 +221,30 @@
 
 
 class Candidate:
-    """A holder against voters that answer as the test says."""
+    """A candidate against voters that answer as the test says."""
 
     def __init__(self):
-        self.booth = Booth()
-        self.holder = LeaseCandidate(self.booth, "d", "a", ROLL, SPAN)
+        self.host = RecordingHost()
+        self.holder = LeaseCandidate(self.host, "d", "a", CONFIGURATION, TIMING)
 
     def pass_time(self, span):
-        until = self.booth.now + span
+        until = self.host.now + span
         while due := min(
-            (each for each in self.booth.wakes if each[0] <= until),
+            (each for each in self.host.timers if each[0] <= until),
             key=lambda each: each[0],
             default=None,
         ):
-            self.booth.wakes.remove(due)
-            self.booth.now = max(self.booth.now, due[0])
+            self.host.timers.remove(due)
+            self.host.now = max(self.host.now, due[0])
             due[1](*due[2])
-        self.booth.now = until
+        self.host.now = until
 
     def answer(self, *voters, yes=True, left=0):
-        """The last letter to each of these is answered."""
+        """The last request to each of these is answered."""
         for voter in voters:
-            body = next(body for name, body in reversed(self.booth.said) if name == voter)
+            body = next(body for name, body in reversed(self.host.sent) if name == voter)
             self.holder.on_datagram(
-                voter, [body[0] + 1, "d", 1, ROLL.fingerprint, body[4], yes, 0, left, ""]
+                voter, [body[0] + 1, "d", 1, CONFIGURATION.fingerprint, body[4], yes, 0, left, ""]
             )
 
     def hold(self):
@@ -250,23 +258,23 @@
 def test_a_duty_given_back_while_it_is_asked_for_is_asked_for_again_and_answers_of_before_count_for_nothing():
     candidate = Candidate()
     candidate.pass_time(10)
-    holder, booth = candidate.holder, candidate.booth
+    holder, host = candidate.holder, candidate.host
     assert holder.state == CandidateState.PROBING
     late = [
         [
             MessageKind.PROBE_REPLY,
             "d",
             1,
-            ROLL.fingerprint,
-            booth.said[-1][1][4],
+            CONFIGURATION.fingerprint,
+            host.sent[-1][1][4],
             False,
             0,
-            SPAN.grant_ticks,
+            TIMING.grant_ticks,
             "c",
         ]
         for _ in "ab"
     ]
-    holder.on_datagram("c", [MessageKind.VACANT, "d", 1, ROLL.fingerprint, 0])
+    holder.on_datagram("c", [MessageKind.VACANT, "d", 1, CONFIGURATION.fingerprint, 0])
     for voter, body in zip("ab", late):
         holder.on_datagram(voter, body)
     candidate.pass_time(10)
@@ -280,13 +288,13 @@
     for _ in range(5):
         while candidate.holder.state != CandidateState.PROBING:
             candidate.pass_time(1)
-        begun = candidate.booth.now
+        begun = candidate.host.now
         while candidate.holder.state == CandidateState.PROBING:
             candidate.pass_time(1)
-        waited.append(candidate.booth.now - begun)
-    assert waited == [SPAN.reply_ticks, 2 * SPAN.reply_ticks, *[3 * SPAN.reply_ticks] * 3]
+        waited.append(candidate.host.now - begun)
+    assert waited == [TIMING.reply_ticks, 2 * TIMING.reply_ticks, *[3 * TIMING.reply_ticks] * 3]
     # A promise is used while its voter would still be silent, had it forgotten it.
-    assert waited[-1] + SPAN.hold_ticks // 2 < SPAN.silence_ticks
+    assert waited[-1] + TIMING.hold_ticks // 2 < TIMING.silence_ticks
 
 
 def test_a_duty_is_held_from_before_it_was_asked_for_and_not_a_moment_longer():
@@ -294,13 +302,13 @@
     one.pass_time(10)
     one.answer("a", "b")
     one.answer("b", "c")
-    asked = one.booth.now
+    asked = one.host.now
     one.pass_time(300)  # the answers take their time, and that is lost
     one.answer("a", "c")
-    assert one.holder.may_act() and one.holder.held_until <= asked + 300 + SPAN.hold_ticks
-    one.booth.now = one.holder.held_until - 1
+    assert one.holder.may_act() and one.holder.held_until <= asked + 300 + TIMING.hold_ticks
+    one.host.now = one.holder.held_until - 1
     assert one.holder.may_act()
-    one.booth.now = one.holder.held_until
+    one.host.now = one.holder.held_until
     assert (
         not one.holder.may_act() and one.holder.state == CandidateState.HOLDING
     )  # whatever its timers say
@@ -309,25 +317,29 @@
 def test_grants_of_a_minority_hold_nothing_and_old_ones_run_out_voter_by_voter():
     one = Candidate().hold()
     until = one.holder.held_until
-    one.pass_time(2 * SPAN.renewal_ticks)
+    one.pass_time(2 * TIMING.renewal_ticks)
     one.answer("a")
     assert one.holder.held_until == until
     one.answer("c")
     assert one.holder.held_until > until
     one.pass_time(SECOND)
-    assert not one.holder.may_act() and "lost: lapsed" in one.booth.events
+    assert not one.holder.may_act() and "lost: lapsed" in one.host.events
 
 
 def test_a_late_answer_of_an_earlier_time_in_office_counts_for_nothing():
     one = Candidate().hold()
-    one.pass_time(SPAN.renewal_ticks)
-    late = [body for name, body in one.booth.said if name == "b"][-1]
+    one.pass_time(TIMING.renewal_ticks)
+    late = [body for name, body in one.host.sent if name == "b"][-1]
     one.holder.release("told")
     one.pass_time(SECOND)
     for _ in range(2):
         one.answer("a", "b")
-    one.holder.on_datagram("b", [late[0] + 1, "d", 1, ROLL.fingerprint, late[4], True, 0, 0, ""])
-    one.holder.on_datagram("a", [late[0] + 1, "d", 1, ROLL.fingerprint, late[4], True, 0, 0, ""])
+    one.holder.on_datagram(
+        "b", [late[0] + 1, "d", 1, CONFIGURATION.fingerprint, late[4], True, 0, 0, ""]
+    )
+    one.holder.on_datagram(
+        "a", [late[0] + 1, "d", 1, CONFIGURATION.fingerprint, late[4], True, 0, 0, ""]
+    )
     assert not one.holder.may_act()
 
 
@@ -335,20 +347,20 @@
     one = Candidate()
     one.pass_time(10)
     one.answer("a", "b", yes=False, left=4000)
-    before = len(one.booth.said)
+    before = len(one.host.sent)
     one.pass_time(3990)
-    assert len(one.booth.said) == before
+    assert len(one.host.sent) == before
     one.pass_time(100)
-    assert len(one.booth.said) > before
+    assert len(one.host.sent) > before
 
 
 def test_a_planned_end_is_told_to_voters_and_to_the_next():
     one = Candidate().hold()
     one.holder.release("told")
-    assert [body[0] for _, body in one.booth.said[-3:]] == [
+    assert [body[0] for _, body in one.host.sent[-3:]] == [
         MessageKind.RELEASE
     ] * 3 and not one.holder.may_act()
-    assert one.booth.events[-2:] == ["lost: told", "vacant"]
+    assert one.host.events[-2:] == ["lost: told", "vacant"]
 
 
 def test_an_outbid_holder_gives_up_and_comes_back_above():
@@ -451,27 +463,30 @@
 
 @pytest.mark.parametrize("cut", range(0, 40, 4))
 def test_kept_votes_are_whole_or_nothing(cut):
-    data = store.pack_record(b"votes of a voter")
-    assert store.unpack_record(data) == b"votes of a voter"
+    data = record_writer.pack_record(b"votes of a voter")
+    assert record_writer.unpack_record(data) == b"votes of a voter"
     if cut < len(data):
-        assert store.unpack_record(data[:cut]) is None
-        assert store.unpack_record(data[:cut] + bytes([data[cut] ^ 1]) + data[cut + 1 :]) is None
+        assert record_writer.unpack_record(data[:cut]) is None
+        assert (
+            record_writer.unpack_record(data[:cut] + bytes([data[cut] ^ 1]) + data[cut + 1 :])
+            is None
+        )
 
 
 def test_the_helper_answers_what_is_safe_and_only_that(tmp_path):
     path = str(tmp_path / "votes")
-    frames = b"".join(store.FRAME.pack(n, 4) + b"vot%d" % n for n in (1, 2))
+    frames = b"".join(record_writer.FRAME.pack(n, 4) + b"vot%d" % n for n in (1, 2))
     done = subprocess.run(
-        [sys.executable, store.__file__, path],
-        input=frames + store.FRAME.pack(3, 9) + b"part",
+        [sys.executable, record_writer.__file__, path],
+        input=frames + record_writer.FRAME.pack(3, 9) + b"part",
         capture_output=True,
     )
     assert (
         done.stdout == b"\1\0\0\0\2\0\0\0"
-        and store.unpack_record(open(path, "rb").read()) == b"vot2"
+        and record_writer.unpack_record(open(path, "rb").read()) == b"vot2"
     )
     gone = subprocess.run(
-        [sys.executable, store.__file__, str(tmp_path / "no" / "votes")],
+        [sys.executable, record_writer.__file__, str(tmp_path / "no" / "votes")],
         input=frames,
         capture_output=True,
     )
@@ -480,10 +495,10 @@
 
 COUNTED = """
 import sys
-from corkgauge.leases import record_writer as store
-real, sizes = store.write_file, []
-store.write_file = lambda path, data: (sizes.append(len(data)), real(path, data))
-code = store.main()
+from corkgauge.leases import record_writer
+real, sizes = record_writer.write_file, []
+record_writer.write_file = lambda path, data: (sizes.append(len(data)), real(path, data))
+code = record_writer.main()
 print(len(sizes), file=sys.stderr)
 sys.exit(code)
 """
@@ -491,20 +506,22 @@
 
 def test_what_comes_while_the_disk_is_busy_is_written_once_and_all_of_it_answered(tmp_path):
     path = str(tmp_path / "votes")
-    frames = b"".join(store.FRAME.pack(n, 4) + b"vo%02d" % n for n in range(1, 41))
+    frames = b"".join(record_writer.FRAME.pack(n, 4) + b"vo%02d" % n for n in range(1, 41))
     done = subprocess.run([sys.executable, "-c", COUNTED, path], input=frames, capture_output=True)
     assert (
         done.stdout == b"".join(n.to_bytes(4, "little") for n in range(1, 41))
         and done.returncode == 0
     )
-    assert store.unpack_record(open(path, "rb").read()) == b"vo40" and int(done.stderr) <= 2
+    assert record_writer.unpack_record(open(path, "rb").read()) == b"vo40" and int(done.stderr) <= 2
 
 
 def test_the_same_record_is_written_once_for_all_who_wait_for_it_and_again_where_no_answer_came(
     tmp_path,
 ):
     event_loop, said = EventLoop(), []
-    safe = DurableRecord(event_loop, said.append, str(tmp_path), "votes", "torn", "unwritten")
+    durable_record = DurableRecord(
+        event_loop, said.append, str(tmp_path), "votes", "torn", "unwritten"
+    )
 
     def settled(many):
         until = event_loop.now + 10 * SECOND
@@ -514,23 +531,25 @@
 
     try:
         for n in range(5):
-            safe.write({"d": 1}, said.append, n)
-        assert safe.last_number == 1 and said == [] and settled(5) == [0, 1, 2, 3, 4]
-        safe.write({"d": 1}, said.append, 5)
-        assert said[5:] == [5] and safe.last_number == 1  # it is safe already
-        safe.helper.send_signal(signal.SIGSTOP)
-        safe.write({"d": 2}, said.append, 6)
-        safe.write({"d": 2}, said.append, 7)
-        assert safe.last_number == 2
+            durable_record.write({"d": 1}, said.append, n)
+        assert durable_record.last_number == 1 and said == [] and settled(5) == [0, 1, 2, 3, 4]
+        durable_record.write({"d": 1}, said.append, 5)
+        assert said[5:] == [5] and durable_record.last_number == 1  # it is safe already
+        durable_record.helper.send_signal(signal.SIGSTOP)
+        durable_record.write({"d": 2}, said.append, 6)
+        durable_record.write({"d": 2}, said.append, 7)
+        assert durable_record.last_number == 2
         event_loop.now += SECOND
-        safe.write({"d": 2}, said.append, 8)
-        assert safe.last_number == 3 and said[6:] == []
-        safe.helper.send_signal(signal.SIGCONT)
+        durable_record.write({"d": 2}, said.append, 8)
+        assert durable_record.last_number == 3 and said[6:] == []
+        durable_record.helper.send_signal(signal.SIGCONT)
         assert settled(9)[6:] == [6, 7, 8]
-        assert store.unpack_record((tmp_path / "votes").read_bytes()) == msgpack.packb({"d": 2})
+        assert record_writer.unpack_record((tmp_path / "votes").read_bytes()) == msgpack.packb(
+            {"d": 2}
+        )
     finally:
-        safe.helper.kill()
-        safe.close()
+        durable_record.helper.kill()
+        durable_record.close()
 
 
 def account(epoch, taken, served, handed, engines=None, open_=0):
@@ -583,6 +602,6 @@
     members = [(f"n{n}", f"hall-{n % 3}") for n in range(9)]
     held = {}
     for duty in "abc":
-        held[duty] = preference.preferred_order(duty, members, held)[0]
+        held[duty] = placement.preferred_order(duty, members, held)[0]
     assert len({dict(members)[name] for name in held.values()}) == 3
-    assert preference.rank_of("a", "nobody", members, {}) == preference.MAX_RANK
+    assert placement.rank_of("a", "nobody", members, {}) == placement.MAX_RANK
