--- a/corkgauge/testkit/checkers/leases.py
+++ b/corkgauge/testkit/checkers/leases.py
@@ -1,12 +1,13 @@
-"""An outside judge of duties: a fellow that holds none, and sees each act that arrives, under which fence and
-when.
+"""An outside checker of leases: a member that holds none, and sees each act that arrives.
 
-Owns the record of acts and the verdict. Must never ask a gateway what it holds, nor read its log: what
-arrived is what was done. It takes acts as any fellow does, and refuses a lower fence; `guarded` False leaves
-that out.
+Owns the record of acts, under which fencing token and when, and the verdict. Must never ask an
+instance what it holds, nor read its log: what arrived is what was done. It takes acts as any member
+does, and refuses a lower fencing token; `guarded` False leaves that out.
 """
 
+import contextlib
 import socket
+from collections import Counter
 from dataclasses import dataclass
 from typing import Any
 
@@ -16,27 +17,30 @@
 from corkgauge.membership.member_list import Member, MemberList
 from corkgauge.testkit.seeded_random import SeededRandom
 
-ZERO = {
+EMPTY_ACCOUNT = {
     "epoch": "judge",
     **dict.fromkeys(
         ("taken", "served", "refused", "failed", "open", "handed", "engines", "ended", "out"), 0
     ),
 }
+SEED = 97
+DATAGRAMS_AT_ONCE = 64  # then others have their turn
+MAX_DATAGRAM_BYTES = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class Act:
-    """One act, as it arrived; `at` in tenths of a millisecond of the judge's clock."""
+    """One act, as it arrived; `at` in tenths of a millisecond of the checker's clock."""
 
     at: int
     sender: str
-    duty: str
-    fence: int
+    lease: str
+    fencing_token: int
     admitted: bool
 
 
 class LeaseChecker:
-    """`fellows` are (name, address) of the gateways as the judge reaches them."""
+    """One checker; `members` are name and address of the instances as it reaches them."""
 
     def __init__(
         self,
@@ -47,10 +51,13 @@
         period: int,
         guarded: bool = True,
     ) -> None:
-        self.event_loop, self.name, self.chances = event_loop, name, SeededRandom(97)
+        self.event_loop = event_loop
+        self.name = name
+        self.random = SeededRandom(SEED)
         self.addresses = dict(members)
         self.acts: list[Act] = []
-        self.guard, self.guarded = FencingGuard(), guarded
+        self.guard = FencingGuard()
+        self.guarded = guarded
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
@@ -63,71 +70,79 @@
             [(each, "") for each in (*self.addresses, name)],
             period,
         )
-        self.member_list.calls["books"] = self.came
-        self.member_list.calls["works"] = self.works_came
-        self.words = 0
+        self.member_list.calls["books"] = self.on_accounts_datagram
+        self.member_list.calls["works"] = self.on_maintenance_datagram
+        self.reports = 0  # sent to whoever plans maintenance
         event_loop.spawn(self._read)
 
     def _read(self) -> None:
         while True:
             self.event_loop.wait(self.sock.fileno(), READ)
-            for _ in range(64):
+            for _ in range(DATAGRAMS_AT_ONCE):
                 try:
-                    data = self.sock.recv(2_000)
+                    data = self.sock.recv(MAX_DATAGRAM_BYTES)
                 except BlockingIOError:
                     break
                 except OSError:
                     continue
                 self.member_list.came(data)
 
-    def came(self, sender: str, body: Any) -> None:
-        what, duty, fence, *rest = body
-        if what not in ("ask", "entry"):
+    def on_accounts_datagram(self, sender: str, body: Any) -> None:
+        """Record an act under a lease, and answer as a member does that has done nothing."""
+        kind, lease, fencing_token, *fields = body
+        if kind not in ("ask", "entry"):
             return
-        admitted = self.guard.admits(duty, fence) or not self.guarded
-        self.acts.append(Act(self.event_loop.now, sender, duty, fence, admitted))
+        admitted = self.guard.admits(lease, fencing_token) or not self.guarded
+        self.acts.append(Act(self.event_loop.now, sender, lease, fencing_token, admitted))
         if not admitted:
-            self.member_list.call(sender, "books", ["no", duty, self.guard.highest[duty]])
-        elif what == "ask":
-            self.member_list.call(sender, "books", ["account", duty, rest[0], ZERO])
-
-    def works_came(self, sender: str, body: Any) -> None:
-        """To whoever plans works the judge is a gateway that sends nothing anywhere, and says so."""
-        if body[0] == "orders":
-            _, fence, number, *_, levels = body
-            self.words += 1
-            word = ["word", self.words, fence, number, False, [*levels], len(levels), {}, [], True]
-            self.member_list.call(sender, "works", word)
+            self.member_list.call(sender, "books", ["no", lease, self.guard.highest[lease]])
+        elif kind == "ask":
+            answer = ["account", lease, fields[0], EMPTY_ACCOUNT]
+            self.member_list.call(sender, "books", answer)
+
+    def on_maintenance_datagram(self, sender: str, body: Any) -> None:
+        """Answer whoever plans maintenance: this is an instance that sends nothing anywhere."""
+        if body[0] != "orders":
+            return
+        _, fencing_token, number, *_, levels = body
+        self.reports += 1
+        nothing_sent = [False, [*levels], len(levels), {}, [], True]
+        report = ["word", self.reports, fencing_token, number, *nothing_sent]
+        self.member_list.call(sender, "works", report)
 
-    # Its company's host.
+    # What the member list needs of its host.
 
     @property
     def now(self) -> int:
+        """Tenths of a millisecond."""
         return self.event_loop.now
 
     def send_datagram(self, name: str, data: bytes) -> None:
-        try:
+        """Send a datagram; one that cannot be sent is lost."""
+        with contextlib.suppress(OSError):
             self.sock.sendto(data, self.addresses[name])
-        except OSError:
-            pass
 
     def call_later(self, delay: int, method: Any, *what: Any) -> None:
+        """Call a method after so many tenths of a millisecond."""
         self.event_loop.call_later(delay, method, *what)
 
     def chance(self, below: int) -> int:
-        return self.chances.below(below)
+        """Return a number from 0 to `below` - 1."""
+        return self.random.below(below)
 
     def log(self, line: str) -> None:
-        pass
+        """Lines are not kept."""
 
     def changed(self, member: Member, before: int) -> None:
-        pass
+        """Who is alive does not matter here."""
 
 
 def verdict(acts: list[Act], stops: dict[str, list[int]]) -> list[str]:
-    """What must never be, found among acts in the order of arrival. `stops` tells, by gateway, when it was
-    stopped or kept from its processor: one act for each of these may be on its way between the look at the
-    clock and its writing, and it is the fence that must catch it.
+    """Return what must never be, found among acts in the order of arrival.
+
+    `stops` tells, by instance, when it was stopped or kept from its processor: one act for each of
+    these may be on its way between the look at the clock and its writing, and it is the fencing
+    token that must catch it.
 
     >>> one, two = Act(10, "n1", "d", 5, True), Act(20, "n2", "d", 7, True)
     >>> verdict([one, two], {}), verdict([one, two, Act(30, "n1", "d", 5, False)], {"n1": [15]})
@@ -140,41 +155,60 @@
     ['n1 and n2 acted under one fence 5 of d']
     """
     found: list[str] = []
-    highest: dict[str, Act] = {}
-    by_fence: dict[tuple[str, int], str] = {}
-    late: dict[tuple[str, int], int] = {}
+    highest: dict[str, Act] = {}  # by lease
+    holders: dict[tuple[str, int], str] = {}  # by lease and fencing token
+    late: Counter[tuple[str, int]] = Counter()  # by instance and fencing token
     for act in acts:
-        owner = by_fence.setdefault((act.duty, act.fence), act.sender)
-        if owner != act.sender:
-            found.append(
-                f"{owner} and {act.sender} acted under one fence {act.fence} of {act.duty}"
-            )
-        best = highest.get(act.duty)
-        if best is None or act.fence > best.fence:
-            highest[act.duty] = act
-        elif act.fence < best.fence:
-            if act.admitted:
-                found.append(
-                    f"an act of {act.sender} under fence {act.fence} of {act.duty} was taken, "
-                    f"after one under {best.fence}"
-                )
-            key = act.sender, act.fence
-            late[key] = late.get(key, 0) + 1
-            if late[key] > sum(moment <= act.at for moment in stops.get(act.sender, ())):
-                found.append(
-                    f"{act.sender} acted under fence {act.fence} of {act.duty} at {act.at}, "
-                    f"after {best.sender} under {best.fence} at {best.at}"
-                )
+        found += _check_one_holder(act, holders)
+        best = highest.get(act.lease)
+        if best is None or act.fencing_token > best.fencing_token:
+            highest[act.lease] = act
+        elif act.fencing_token < best.fencing_token:
+            found += _check_late_act(act, best, late, stops)
+    return found
+
+
+def _check_one_holder(act: Act, holders: dict[tuple[str, int], str]) -> list[str]:
+    token = act.fencing_token
+    owner = holders.setdefault((act.lease, token), act.sender)
+    if owner == act.sender:
+        return []
+    return [f"{owner} and {act.sender} acted under one fence {token} of {act.lease}"]
+
+
+def _check_late_act(
+    act: Act, best: Act, late: Counter[tuple[str, int]], stops: dict[str, list[int]]
+) -> list[str]:
+    """Judge an act that arrived after one under a higher fencing token."""
+    found = []
+    token = act.fencing_token
+    if act.admitted:
+        found.append(
+            f"an act of {act.sender} under fence {token} of {act.lease} was taken, "
+            f"after one under {best.fencing_token}"
+        )
+    late[act.sender, token] += 1
+    excused = sum(moment <= act.at for moment in stops.get(act.sender, ()))
+    if late[act.sender, token] > excused:
+        found.append(
+            f"{act.sender} acted under fence {token} of {act.lease} at {act.at}, "
+            f"after {best.sender} under {best.fencing_token} at {best.at}"
+        )
     return found
 
 
-def vacancies(acts: list[Act], duty: str) -> list[tuple[int, int, int, str, str]]:
-    """Changes of holder as acts show them: when, how long there was no act, the new fence, from whom to
-    whom."""
-    found, last = [], None
+def vacancies(acts: list[Act], lease: str) -> list[tuple[int, int, int, str, str]]:
+    """Return changes of holder as acts show them.
+
+    Of each: when, how long there was no act, the new fencing token, from whom, to whom.
+    """
+    found = []
+    last: Act | None = None
     for act in acts:
-        if act.duty == duty and act.admitted:
-            if last is not None and act.fence > last.fence:
-                found.append((act.at, act.at - last.at, act.fence, last.sender, act.sender))
-            last = act
+        if act.lease != lease or not act.admitted:
+            continue
+        if last is not None and act.fencing_token > last.fencing_token:
+            gap = act.at - last.at
+            found.append((act.at, gap, act.fencing_token, last.sender, act.sender))
+        last = act
     return found
--- a/corkgauge/testkit/fleet/processes.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -448,7 +448,7 @@
         """Until somebody's act has arrived since now."""
         since = len(self.judge.acts)
         return self.until(
-            seconds, lambda: not any(act.duty == duty for act in self.judge.acts[since:])
+            seconds, lambda: not any(act.lease == duty for act in self.judge.acts[since:])
         )
 
     def holder(self) -> str:
