--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -8,7 +8,16 @@
 from typing import TYPE_CHECKING, Any
 
 from corkgauge.accounting.snapshot import cut_of
+from corkgauge.leases.accounts_messages import (
+    AccountReply,
+    AccountsDatagram,
+    AccountsKind,
+    AskAccount,
+    EntryNotice,
+    TokenRefused,
+)
 from corkgauge.leases.fleet_accounts import AccountsHistory, FleetAccounts, build_account
+from corkgauge.leases.messages import ACCOUNTS_SUBJECT
 
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
@@ -45,7 +54,7 @@
         for member in self.service.member_list.alive():
             if not self._may_act(fencing_token):  # before each act, not once a round
                 return
-            self._send(member.name, ["ask", self.lease, fencing_token, self.round_number])
+            self._send(member.name, AskAccount(self.lease, fencing_token, self.round_number))
         self.accounts.record_account(self.service.name, self.build_own_account())
         event_loop = self.service.event_loop
         event_loop.call_later(max(self.period_ticks // 2, 1), self.finish_round, fencing_token)
@@ -67,27 +76,29 @@
         for name in alive:
             if not self._may_act(fencing_token):
                 return
-            self._send(name, ["entry", self.lease, fencing_token, entry])
+            self._send(name, EntryNotice(self.lease, fencing_token, entry))
 
-    def on_datagram(self, sender: str, kind: str, fields: list[Any]) -> None:
-        """Take a holder's question or sum, or an instance's answer. A malformed one raises."""
-        if kind == "account":
-            self._on_account(sender, fields)
+    def on_datagram(self, sender: str, datagram: AccountsDatagram) -> None:
+        """Take a holder's question or sum, or an instance's answer.
+
+        Raises ProtocolError, ValueError or KeyError for a malformed one.
+        """
+        if datagram.kind == AccountsKind.ACCOUNT:
+            self._on_account(sender, datagram.reply)
             return
-        fencing_token = int(fields[0])
         guard = self.service.fencing_guard
-        if not guard.admits(self.lease, fencing_token):
-            self._send(sender, ["no", self.lease, guard.highest[self.lease]])
-        elif kind == "ask":
-            round_number = int(fields[1])
-            self._send(sender, ["account", self.lease, round_number, self.build_own_account()])
-        elif kind == "entry":
-            self.history.append(dict(fields[1]))
-
-    def _on_account(self, sender: str, fields: list[Any]) -> None:
-        round_number, account = fields
-        if round_number == self.round_number and self._may_act(self.fencing_token):
-            self.accounts.record_account(sender, account)
+        if not guard.admits(self.lease, datagram.fencing_token):
+            self._send(sender, TokenRefused(self.lease, guard.highest[self.lease]))
+        elif datagram.kind == AccountsKind.ASK:
+            round_number = datagram.round_number
+            account = self.build_own_account()
+            self._send(sender, AccountReply(self.lease, round_number, account))
+        elif datagram.kind == AccountsKind.ENTRY:
+            self.history.append(datagram.entry)
+
+    def _on_account(self, sender: str, reply: AccountReply) -> None:
+        if reply.round_number == self.round_number and self._may_act(self.fencing_token):
+            self.accounts.record_account(sender, reply.account)
 
     def build_own_account(self) -> dict[str, Any]:
         """Return the account of this instance at the moment."""
@@ -110,5 +121,7 @@
             return False
         return candidate.fencing_token == fencing_token
 
-    def _send(self, name: str, body: list[Any]) -> None:
-        self.service.member_list.call(name, "books", body)
+    def _send(
+        self, name: str, message: AskAccount | AccountReply | EntryNotice | TokenRefused
+    ) -> None:
+        self.service.member_list.call(name, ACCOUNTS_SUBJECT, message.encode())
--- a/corkgauge/leases/messages.py
+++ b/corkgauge/leases/messages.py
@@ -15,6 +15,11 @@
 
 from corkgauge.leases.voter_configuration import BALLOT_LIMIT
 
+# Subjects, by which the membership service hands datagrams over.
+LEASE_SUBJECT = "duty"
+ACCOUNTS_SUBJECT = "books"
+YIELD_SUBJECT = "yield"  # the body is the lease that an operator asked another instance for
+
 REQUEST_FIELDS = 6
 REPLY_FIELDS = 9
 NOTICE_FIELDS = 5
--- a/corkgauge/leases/operator_commands.py
+++ b/corkgauge/leases/operator_commands.py
@@ -9,6 +9,7 @@
 
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
+from corkgauge.leases.messages import YIELD_SUBJECT
 
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
@@ -96,6 +97,6 @@
             service.hand_over(lease, "told")
             return {"told": service.name, "waits_for": service.command_loans.command_of(lease)}
         is_held_elsewhere = holder and holder != service.name
-        if is_held_elsewhere and service.member_list.call(holder, "yield", lease):
+        if is_held_elsewhere and service.member_list.call(holder, YIELD_SUBJECT, lease):
             return {"told": holder, "waits_for": ""}
         raise ValueError(f"nobody is known to hold {lease!r}")
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -12,6 +12,7 @@
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
 from corkgauge.leases import messages, reconfiguration
+from corkgauge.leases.accounts_messages import AccountsDatagram, AccountsKind
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
 from corkgauge.leases.candidate_ranking import CandidateRanking
 from corkgauge.leases.command_loans import CommandLoans
@@ -20,7 +21,12 @@
 from corkgauge.leases.fleet_accounts_collector import FleetAccountsCollector
 from corkgauge.leases.interfaces import LeaseOwner, SocketHost
 from corkgauge.leases.load_monitor import LoadMonitor
-from corkgauge.leases.messages import LeaseVacant
+from corkgauge.leases.messages import (
+    ACCOUNTS_SUBJECT,
+    LEASE_SUBJECT,
+    YIELD_SUBJECT,
+    LeaseVacant,
+)
 from corkgauge.leases.operator_commands import OperatorCommands
 from corkgauge.leases.voter import Voter
 
@@ -80,9 +86,9 @@
         self.load_monitor.check(boot_time())
 
     def _subscribe(self) -> None:
-        self.member_list.calls["duty"] = self.on_lease_datagram
-        self.member_list.calls["books"] = self.on_accounts_datagram
-        self.member_list.calls["yield"] = self.on_yield_datagram
+        self.member_list.calls[LEASE_SUBJECT] = self.on_lease_datagram
+        self.member_list.calls[ACCOUNTS_SUBJECT] = self.on_accounts_datagram
+        self.member_list.calls[YIELD_SUBJECT] = self.on_yield_datagram
         routes = self.socket_host.routes
         routes[b"GET", b"/duties"] = self.operator_commands.report_status
         routes[b"POST", b"/duties"] = self.operator_commands.handle_request
@@ -194,7 +200,7 @@
         if name == self.name:
             self.event_loop.call_later(0, self.on_lease_datagram, name, body)
         else:
-            self.member_list.call(name, "duty", body)
+            self.member_list.call(name, LEASE_SUBJECT, body)
 
     def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
         """Call a method after so many tenths of a millisecond."""
@@ -268,12 +274,12 @@
 
     def on_accounts_datagram(self, sender: str, body: Any) -> None:
         """Hand a datagram on fleet accounts to its collector; a refusal preempts the candidate."""
-        kind, lease, *fields = body
-        collector = self.collectors.get(lease)
-        if kind == "no" and lease in self.candidates:
-            self.candidates[lease].on_preempted(int(fields[0]))
+        datagram = AccountsDatagram.decode(body)
+        collector = self.collectors.get(datagram.lease)
+        if datagram.kind == AccountsKind.REFUSED and datagram.lease in self.candidates:
+            self.candidates[datagram.lease].on_preempted(datagram.fencing_token)
         elif collector is not None:
-            collector.on_datagram(sender, kind, fields)
+            collector.on_datagram(sender, datagram)
 
     def on_yield_datagram(self, sender: str, body: Any) -> None:
         """Give a lease up that an operator asked another instance for."""
--- a/tests/test_lease_messages.py
+++ b/tests/test_lease_messages.py
@@ -3,6 +3,13 @@
 import msgpack
 import pytest
 
+from corkgauge.leases.accounts_messages import (
+    AccountReply,
+    AccountsDatagram,
+    AskAccount,
+    EntryNotice,
+    TokenRefused,
+)
 from corkgauge.leases.grant_times import MAX_SENT_REQUESTS, GrantTimes
 from corkgauge.leases.messages import (
     GrantReply,
@@ -189,3 +196,51 @@
     assert pacing.backoff(waited=0) == 4
     pacing.record_success()
     assert pacing.patience == 1
+
+
+@pytest.mark.parametrize(
+    ("message", "body"),
+    [
+        (AskAccount("books", 700, 3), ["ask", "books", 700, 3]),
+        (AccountReply("books", 3, {"epoch": "x"}), ["account", "books", 3, {"epoch": "x"}]),
+        (EntryNotice("books", 700, {"number": 3}), ["entry", "books", 700, {"number": 3}]),
+        (TokenRefused("books", 900), ["no", "books", 900]),
+    ],
+    ids=["ask", "account", "entry", "refused"],
+)
+def test_a_message_on_accounts_is_the_list_of_the_wire(message, body):
+    assert message.encode() == body
+    assert type(message.encode()[0]) is str
+
+
+def test_a_datagram_on_accounts_is_decoded_where_it_is_needed():
+    assert AccountsDatagram.decode(["ask", "books", 700, 3]).round_number == 3
+    assert AccountsDatagram.decode(["entry", "books", 700, {"number": 3}]).entry == {"number": 3}
+    reply = AccountsDatagram.decode(["account", "books", 3, {}]).reply
+    assert reply == AccountReply("books", 3, {})
+    assert AccountsDatagram.decode(["later", "books"]).kind == "later"
+
+
+@pytest.mark.parametrize(
+    ("body", "part"),
+    [
+        (["ask", "books"], "fencing_token"),
+        (["ask", "books", "x"], "fencing_token"),
+        (["ask", "books", 700], "round_number"),
+        (["ask", "books", 700, None], "round_number"),
+        (["entry", "books", 700], "entry"),
+        (["entry", "books", 700, 5], "entry"),
+        (["account", "books", 3], "reply"),
+        (["account", "books", 3, {}, "more"], "reply"),
+    ],
+)
+def test_a_malformed_part_of_a_datagram_on_accounts_raises(body, part):
+    datagram = AccountsDatagram.decode(body)
+    with pytest.raises(ProtocolError):
+        getattr(datagram, part)
+
+
+@pytest.mark.parametrize("body", [None, {}, "ask", ["ask"]])
+def test_a_datagram_on_accounts_without_kind_and_lease_raises(body):
+    with pytest.raises(ProtocolError):
+        AccountsDatagram.decode(body)
