--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -8,7 +8,7 @@
 from zlib import crc32
 
 from corkgauge.accounting.snapshot import Cut, cut_of, with_audit, with_live
-from corkgauge.config.operator_file import Figures
+from corkgauge.config.operator_file import AccountingConfig
 from corkgauge.config.platform import ConfigurationError
 
 
@@ -16,7 +16,7 @@
     """Made once for a program; `reload` takes a new element. `house` has `hub`, `ledger`, `findings`,
     `auditor`, `records` and `log`."""
 
-    def __init__(self, socket_host: Any, gateway: str, seed: int, said: Figures) -> None:
+    def __init__(self, socket_host: Any, gateway: str, seed: int, said: AccountingConfig) -> None:
         self.socket_host, self.gateway, self.said = socket_host, gateway, said
         now = socket_host.event_loop.now
         mark = crc32(f"{seed} {now} {gateway}".encode())
@@ -34,7 +34,7 @@
             self.keep()
         self._open(said)
 
-    def reload(self, said: Figures) -> None:
+    def reload(self, said: AccountingConfig) -> None:
         """A new element. The listener moves at once; folder and sketches wait for a restart."""
         if (said.listen, said.readers) != (self.said.listen, self.said.readers):
             old, self.door = self.door, None
@@ -87,7 +87,7 @@
         )
         return with_live(counts, self.socket_host.records.live_bytes())
 
-    def _open(self, said: Figures) -> None:
+    def _open(self, said: AccountingConfig) -> None:
         if said.listen is None:
             return
         from corkgauge.accounting.http_listener import HttpListener
--- /dev/null
+++ b/corkgauge/config/operator_instance.py
@@ -0,0 +1,113 @@
+"""Elements of the operator file that concern one instance: `figures`, `flows`, `recall`."""
+
+from corkgauge.config.operator_element import OperatorElement
+from corkgauge.config.operator_records import (
+    AccountingConfig,
+    CollectorConfig,
+    FlowExportConfig,
+    RecoveryConfig,
+    TlsConfig,
+)
+from corkgauge.eventloop.loop import SECOND
+
+MAX_DATAGRAM_BYTES = 65_507  # of a UDP payload on IPv4
+MAX_UNIX_PATH_BYTES = 107  # of a Unix socket's path, by the system's own limit
+CHECKPOINT_SECONDS = "0.25"
+LATENCY_ERROR = "0.02"
+MAX_READERS = "4"
+
+
+def read_accounting(element: OperatorElement | None) -> AccountingConfig | None:
+    """Return the accounting configuration of `figures`."""
+    if element is None:
+        return None
+    listener, keep, latencies = (element.child(name) for name in ("listen", "keep", "waits"))
+    readers, folder = MAX_READERS, ""
+    checkpoint_ticks = int(float(CHECKPOINT_SECONDS) * SECOND)
+    relative_error = 0.0
+    listen = _read_listen_address(listener)
+    if listener is not None:
+        readers = listener.text("readers", MAX_READERS)
+    if keep is not None:
+        folder = keep.text("folder")
+        checkpoint_ticks = keep.ticks("each", CHECKPOINT_SECONDS)
+    if latencies is not None:
+        relative_error = latencies.number("error", LATENCY_ERROR)
+    return AccountingConfig(listen, int(readers), folder, checkpoint_ticks, relative_error)
+
+
+def _read_listen_address(element: OperatorElement | None) -> str | tuple[str, int] | None:
+    if element is None:
+        return None
+    if element.has("unix") == element.has("address"):
+        raise element.error("one of unix or address")
+    if element.has("unix"):
+        path = element.text("unix")
+        if len(path.encode()) > MAX_UNIX_PATH_BYTES:
+            raise element.error(f"a path of {MAX_UNIX_PATH_BYTES} bytes at most")
+        return path
+    host, _, port = element.text("address").rpartition(":")
+    has_bad_octet = any(int(part) > 255 for part in host.split(".") if part.isdigit())
+    if not 0 <= int(port) < 65536 or has_bad_octet:
+        raise element.error("an address on loopback with a port")
+    return host.strip("[]"), int(port)
+
+
+def read_flow_export(element: OperatorElement | None) -> FlowExportConfig | None:
+    """Return the flow export configuration of `flows`."""
+    if element is None:
+        return None
+    layout = element.text("layout", "own")
+    collectors = tuple(_read_collector(each, layout) for each in element.children("collector"))
+    if len({each.address for each in collectors}) < len(collectors):
+        raise element.error("collectors of different addresses")
+    return FlowExportConfig(
+        layout=layout,
+        mode=element.text("mode", "failover"),
+        active=element.ticks("active", "60"),
+        idle=element.ticks("idle", "15"),
+        memory=element.integer("memory", "1048576"),
+        collectors=collectors,
+    )
+
+
+def _read_collector(element: OperatorElement, layout: str) -> CollectorConfig:
+    transport, tls = element.text("transport"), element.child("tls")
+    if layout == "netflow9" and transport != "udp":
+        raise element.error("transport udp, the only one of netflow9")
+    if (transport == "tls") != (tls is not None):
+        raise element.error("an element tls with transport tls, and with no other")
+    address = element.address(element.text("address"))
+    tls_config = None if tls is None else _read_tls(tls)
+    default_payload = "1400" if transport == "udp" else "16384"
+    payload = element.integer("payload", default_payload)
+    if transport == "udp" and payload > MAX_DATAGRAM_BYTES:
+        raise element.error(f"a payload of {MAX_DATAGRAM_BYTES} octets at most on udp")
+    return CollectorConfig(
+        address=address,
+        transport=transport,
+        payload=payload,
+        refresh=element.ticks("templates", "300"),
+        refresh_after=element.integer("messages", "1000"),
+        tls=tls_config,
+    )
+
+
+def _read_tls(element: OperatorElement) -> TlsConfig:
+    if element.has("certificate") != element.has("key"):
+        raise element.error("certificate and key together")
+    return TlsConfig(
+        element.text("ca"), element.text("name"), element.text("certificate"), element.text("key")
+    )
+
+
+def read_recovery(element: OperatorElement | None) -> RecoveryConfig | None:
+    """Return the recovery configuration of `recall`."""
+    if element is None:
+        return None
+    return RecoveryConfig(
+        folder=element.text("folder"),
+        snapshot_interval_ticks=element.ticks("each", "1"),
+        durability=element.text("durability", "process"),
+        snapshots_kept=element.integer("kept", "3"),
+    )
--- a/corkgauge/config/platform.py
+++ b/corkgauge/config/platform.py
@@ -1,6 +1,6 @@
-"""The configuration: read, checked and given defaults here and nowhere else.
+"""Reads, checks and completes the platform's configuration: the JSON file that EDGE_CONFIG names.
 
-Owns the messages that name a faulty key. Must never start, open or listen to anything.
+Starts, opens and listens to nothing but that file. Every error names the faulty key.
 """
 
 import json
@@ -8,101 +8,135 @@
 from typing import Any
 from zlib import crc32
 
-# What a running program cannot change; `feed` takes effect at once, `seed` and `known` count at a start only.
-AT_A_START = "name", "listen", "memory", "sockets", "mark"
+from corkgauge.errors import ConfigurationError
 
+__all__ = ["ConfigurationError", "PlatformConfig", "parse_address", "read"]
 
-class ConfigurationError(Exception):
-    """One line: the key, what was expected, what was found."""
+MIN_MEMORY_BYTES = 32 * 2**20
+MIN_SOCKETS = 32
+MAX_NUMBER = 1e15  # whole numbers below it are exact as floats
+
+# Attributes that a running program cannot change, and their keys in the file. The discovery
+# address takes effect at once; `seed` and `known` are read at a start only.
+RESTART_KEYS = {
+    "name": "name",
+    "listen": "listen",
+    "memory_bytes": "limits.memory_mb",
+    "max_sockets": "limits.sockets",
+    "settings_checksum": "settings",
+}
 
 
 class PlatformConfig:
-    """Where this gateway stands: its addresses, limits, the list it starts from, and what operators state."""
-
-    def __init__(self, said: dict, listen: str) -> None:
-        self.name = text(said, "name", "?")
-        self.listen = address(listen or text(said, "listen"), "listen")
-        self.feed = address(text(said, "feed"), "feed")
-        try:
-            self.seed = int(text(said, "seed", "0"), 16) % 2**64
-        except ValueError:
-            raise ConfigurationError(
-                f"seed: expected hexadecimal digits, found {said['seed']!r}"
-            ) from None
-        limits = part(said, "limits", {})
-        self.memory = int(amount(limits, "memory_mb", 192, "limits.") * 2**20)
-        self.sockets = int(amount(limits, "sockets", 1024, "limits."))
-        if self.memory < 32 * 2**20:
+    """Where this gateway stands: addresses, limits, first endpoint list, operators' settings.
+
+    `document` is the file's JSON object, `listen` an address that stands in for the file's unless
+    it is empty. Raises ConfigurationError.
+    """
+
+    def __init__(self, document: dict[str, Any], listen: str) -> None:
+        self.name = _text(document, "name", "?")
+        self.listen = parse_address(listen or _text(document, "listen"), "listen")
+        self.discovery_address = parse_address(_text(document, "feed"), "feed")
+        self.seed = _seed(document)
+        limits = _object(document, "limits", {})
+        self.memory_bytes = int(_number(limits, "memory_mb", 192, "limits.") * 2**20)
+        self.max_sockets = int(_number(limits, "sockets", 1024, "limits."))
+        if self.memory_bytes < MIN_MEMORY_BYTES:
             raise ConfigurationError(
                 f"limits.memory_mb: expected 32 or more, found {limits['memory_mb']!r}"
             )
-        if self.sockets < 32:
+        if self.max_sockets < MIN_SOCKETS:
             raise ConfigurationError(
                 f"limits.sockets: expected 32 or more, found {limits['sockets']!r}"
             )
-        known = part(said, "known", {"n": 0, "events": []})
-        self.known = int(amount(known, "n", 0, "known.", 0))
-        self.events = known.get("events", [])
-        if not isinstance(self.events, list):
-            raise ConfigurationError(f"known.events: expected a list, found {self.events!r}"[:200])
-        self.settings = part(said, "settings")
-        self.mark = crc32(json.dumps(self.settings, sort_keys=True).encode())
-
-    def changed(self, new: "PlatformConfig") -> list[str]:
-        """The keys of a new configuration that wait for a restart."""
-        keys = {"memory": "limits.memory_mb", "sockets": "limits.sockets", "mark": "settings"}
+        known = _object(document, "known", {"n": 0, "events": []})
+        self.known_event_number = int(_number(known, "n", 0, "known.", 0))
+        self.known_events: list[Any] = _list(known, "events", "known.")
+        self.settings = _object(document, "settings")
+        self.settings_checksum = crc32(json.dumps(self.settings, sort_keys=True).encode())
+
+    def keys_needing_restart(self, new: "PlatformConfig") -> list[str]:
+        """Return the keys of a new configuration that take effect at the next start only."""
         return [
-            keys.get(name, name) for name in AT_A_START if getattr(self, name) != getattr(new, name)
+            key
+            for attribute, key in RESTART_KEYS.items()
+            if getattr(self, attribute) != getattr(new, attribute)
         ]
 
 
 def read(environment: Mapping[str, str]) -> PlatformConfig:
-    """The post that the environment names."""
+    """Return the configuration that the environment names by EDGE_CONFIG and EDGE_LISTEN.
+
+    Raises ConfigurationError where it is missing, unreadable or faulty.
+    """
     path = environment.get("EDGE_CONFIG")
     if not path:
         raise ConfigurationError("EDGE_CONFIG: expected the path of the configuration, found none")
     try:
         with open(path, encoding="utf-8") as file:
-            said = json.load(file)
+            document = json.load(file)
     except (OSError, ValueError) as problem:
         raise ConfigurationError(f"EDGE_CONFIG: cannot read {path}: {problem}") from None
-    if not isinstance(said, dict):
+    if not isinstance(document, dict):
         raise ConfigurationError(f"EDGE_CONFIG: expected an object in {path}")
-    return PlatformConfig(said, environment.get("EDGE_LISTEN", ""))
+    return PlatformConfig(document, environment.get("EDGE_LISTEN", ""))
+
+
+def parse_address(text: str, key: str) -> tuple[str, int]:
+    """Return host and port of ADDRESS:PORT; `key` is named in the error.
+
+    >>> parse_address("127.0.0.4:9090", "listen")
+    ('127.0.0.4', 9090)
+    >>> parse_address("9090", "listen")
+    Traceback (most recent call last):
+    corkgauge.errors.ConfigurationError: listen: expected ADDRESS:PORT, found '9090'
+    """
+    host, colon, port = text.rpartition(":")
+    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
+        raise ConfigurationError(f"{key}: expected ADDRESS:PORT, found {text!r}")
+    return host, int(port)
 
 
-def text(said: dict, key: str, otherwise: str | None = None) -> str:
-    value = said.get(key, otherwise)
+def _seed(document: dict[str, Any]) -> int:
+    try:
+        return int(_text(document, "seed", "0"), 16) % 2**64
+    except ValueError:
+        raise ConfigurationError(
+            f"seed: expected hexadecimal digits, found {document['seed']!r}"
+        ) from None
+
+
+def _text(document: dict[str, Any], key: str, default: str | None = None) -> str:
+    value = document.get(key, default)
     if not isinstance(value, str) or not value:
         raise ConfigurationError(f"{key}: expected a text, found {value!r}")
     return value
 
 
-def part(said: dict, key: str, otherwise: dict | None = None) -> dict:
-    value = said.get(key, otherwise)
+def _object(
+    document: dict[str, Any], key: str, default: dict[str, Any] | None = None
+) -> dict[str, Any]:
+    value = document.get(key, default)
     if not isinstance(value, dict):
         raise ConfigurationError(f"{key}: expected an object, found {value!r}"[:200])
     return value
 
 
-def amount(said: dict, key: str, otherwise: float, path: str, least: float = 1) -> Any:
-    value = said.get(key, otherwise)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < 1e15:
-        raise ConfigurationError(
-            f"{path}{key}: expected a number of {least} or more, found {value!r}"
-        )
+def _list(document: dict[str, Any], key: str, prefix: str) -> list[Any]:
+    value = document.get(key, [])
+    if not isinstance(value, list):
+        raise ConfigurationError(f"{prefix}{key}: expected a list, found {value!r}"[:200])
     return value
 
 
-def address(said: str, key: str) -> tuple[str, int]:
-    """
-    >>> address("127.0.0.4:9090", "listen")
-    ('127.0.0.4', 9090)
-    >>> address("9090", "listen")
-    Traceback (most recent call last):
-    corkgauge.config.platform.ConfigurationError: listen: expected ADDRESS:PORT, found '9090'
-    """
-    host, colon, port = said.rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigurationError(f"{key}: expected ADDRESS:PORT, found {said!r}")
-    return host, int(port)
+def _number(
+    document: dict[str, Any], key: str, default: float, prefix: str, least: float = 1
+) -> Any:
+    value: Any = document.get(key, default)
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not least <= value < MAX_NUMBER:
+        raise ConfigurationError(
+            f"{prefix}{key}: expected a number of {least} or more, found {value!r}"
+        )
+    return value
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -70,7 +70,7 @@
         self.socket_host, self.platform_config, self.feed = (
             socket_host,
             platform_config,
-            DiscoveryWatch(socket_host, platform_config.feed),
+            DiscoveryWatch(socket_host, platform_config.discovery_address),
         )
         self.beside = beside
         socket_host.event_loop.spawn(self.feed.run)
@@ -85,17 +85,17 @@
             return self.socket_host.log(f"configuration not taken: {problem}")
         if self.beside is not None:
             self.beside.reload()
-        if changed := self.platform_config.changed(new):
+        if changed := self.platform_config.keys_needing_restart(new):
             self.socket_host.log(
                 f"configuration: {', '.join(changed)} changed, in force after a restart"
             )
-        if new.feed != self.platform_config.feed:
+        if new.discovery_address != self.platform_config.discovery_address:
             self.socket_host.log(
-                "feed moves to %s:%d at " % new.feed + str(self.socket_host.last_event)
+                "feed moves to %s:%d at " % new.discovery_address + str(self.socket_host.last_event)
             )
-            self.platform_config.feed = new.feed
+            self.platform_config.discovery_address = new.discovery_address
             self.feed.leave()
-            self.feed = DiscoveryWatch(self.socket_host, new.feed)
+            self.feed = DiscoveryWatch(self.socket_host, new.discovery_address)
             self.socket_host.event_loop.spawn(self.feed.run)
 
 
@@ -118,7 +118,7 @@
 ) -> Any:
     from corkgauge.recovery.service import RecoveryService
 
-    return RecoveryService(socket_host, platform_config.name, platform_config.mark, said)
+    return RecoveryService(socket_host, platform_config.name, platform_config.settings_checksum, said)
 
 
 def _flows(
@@ -174,6 +174,18 @@
 }
 
 
+# Attribute of the operator's configuration, by the element of its file.
+ATTRIBUTES = {
+    "figures": "accounting",
+    "recall": "recovery",
+    "flows": "flow_export",
+    "fellows": "membership",
+    "duties": "leases",
+    "works": "maintenance",
+    "shared": "peer_health",
+}
+
+
 class Beside:
     """What an operator file switches on. Without one nothing of it is imported."""
 
@@ -184,7 +196,7 @@
         self.said = operator.read(path)
         self.running: dict[str, Any] = {}
         for name, start in SUBSYSTEMS.items():
-            if (element := getattr(self.said, name)) is not None:
+            if (element := getattr(self.said, ATTRIBUTES[name])) is not None:
                 self.running[name] = start(socket_host, platform_config, element, self.running)
 
     def reload(self) -> None:
@@ -197,13 +209,13 @@
             return self.socket_host.log(f"operator file not taken: {problem}")
         taken = []
         for name in SUBSYSTEMS:
-            element, running = getattr(said, name), self.running.get(name)
+            element, running = getattr(said, ATTRIBUTES[name]), self.running.get(name)
             if (element is None) != (running is None):
                 self.socket_host.log(f"operator file: {name} switched, in force after a restart")
             elif running is not None:
                 try:
                     running.reload(element)
-                    taken.append((running, getattr(self.said, name)))
+                    taken.append((running, getattr(self.said, ATTRIBUTES[name])))
                 except ConfigurationError as problem:
                     # Danger: half of a file in force is neither the old nor the new one.
                     for other, before in taken:
@@ -310,7 +322,7 @@
 
     def collect() -> None:
         """Danger: a collection stops all for 100 ms; it waits until memory is short, and then for a while."""
-        short = memory_held() > MOST_MEMORY * platform_config.memory
+        short = memory_held() > MOST_MEMORY * platform_config.memory_bytes
         if short:
             logger.warning(
                 f"memory short, {memory_held() >> 20} MB; collected {gc.collect()} objects"
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -8,7 +8,7 @@
 from typing import Any
 from zlib import crc32
 
-from corkgauge.config.operator_file import Collector, Flows
+from corkgauge.config.operator_file import CollectorConfig, FlowExportConfig
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.flow_export.codec import Layout
 from corkgauge.flow_export.counter_deltas import Delta
@@ -28,7 +28,7 @@
     """`house` has `hub`, `log`, `ledger`, `records` and `auditor`. One keeper tells the first collector that
     is well; or, in mode `all`, each collector has one of its own."""
 
-    def __init__(self, socket_host: Any, gateway: str, seed: int, said: Flows) -> None:
+    def __init__(self, socket_host: Any, gateway: str, seed: int, said: FlowExportConfig) -> None:
         self.socket_host, self.event_loop, self.gateway, self.seed, self.said = (
             socket_host,
             socket_host.event_loop,
@@ -39,7 +39,7 @@
         self.began = self.event_loop.now
         self.domain = crc32(gateway.encode())  # the same after each restart
         self.flows: dict[Any, Flow] = {}
-        self.peers: dict[Peer, tuple[Collector, Any]] = {}  # with its TLS context
+        self.peers: dict[Peer, tuple[CollectorConfig, Any]] = {}  # with its TLS context
         self.lines: dict[Peer, Any] = {}
         self.keepers: dict[str, ExportBuffer] = {}
         self.meter = Meter(self._told, said.active, said.idle, self.event_loop.now)
@@ -69,7 +69,7 @@
             keeper.tick(now)
         self.event_loop.call_later(TICK, self.tick)
 
-    def reload(self, said: Flows) -> None:
+    def reload(self, said: FlowExportConfig) -> None:
         """Other collectors, or another layout; what is held stays held. `Faulty`, and nothing is changed."""
         contexts = self._contexts(said)
         self.meter.active, self.meter.idle = said.active, said.idle
@@ -101,7 +101,7 @@
 
     # Collectors.
 
-    def _contexts(self, said: Flows) -> list[Any]:
+    def _contexts(self, said: FlowExportConfig) -> list[Any]:
         try:
             return [
                 context_of(each.tls.ca, each.tls.certificate, each.tls.key) if each.tls else None
@@ -110,7 +110,7 @@
         except Untrusted as problem:
             raise ConfigurationError(f"flows: {problem}") from None
 
-    def _arrange(self, said: Flows, contexts: list[Any]) -> None:
+    def _arrange(self, said: FlowExportConfig, contexts: list[Any]) -> None:
         layout = Layout(said.layout, self.gateway)
         old, self.keepers = self.keepers, {}
         peers = []
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkgauge.config.operator_file import Duties
+from corkgauge.config.operator_file import LeaseConfig
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
 from corkgauge.eventloop.clock import boot_time
 from corkgauge.eventloop.loop import SECOND
@@ -31,7 +31,7 @@
     """`house` has `hub`, `log`, `ledger` and `routes`; `society` are the fellows."""
 
     def __init__(
-        self, socket_host: Any, platform_config: PlatformConfig, said: Duties, membership: Any
+        self, socket_host: Any, platform_config: PlatformConfig, said: LeaseConfig, membership: Any
     ) -> None:
         self.socket_host, self.event_loop, self.name, self.said, self.membership = (
             socket_host,
@@ -104,7 +104,7 @@
         """Holds nothing, and stands for nothing."""
         return not any(holder.state == HOLDING or holder.wanted for holder in self.holders.values())
 
-    def reload(self, said: Duties) -> None:
+    def reload(self, said: LeaseConfig) -> None:
         """Another list of voters, other duties; Faulty, and nothing is changed, where that is not safe."""
         try:
             roll, span = _terms(said)
@@ -376,7 +376,7 @@
         return {"held": True, "fence": holder.fence, "left": (holder.until - boot_time()) / SECOND}
 
 
-def _terms(said: Duties) -> tuple[VoterConfiguration, Span]:
+def _terms(said: LeaseConfig) -> tuple[VoterConfiguration, Span]:
     return (
         VoterConfiguration(said.version, said.voters, said.lease),
         Span(said.lease, said.drift, said.margin, said.longest),
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -13,7 +13,7 @@
 import msgpack
 
 from corkgauge.accounting.counter_names import TAKEN as TAKEN_TERM
-from corkgauge.config.operator_file import Works
+from corkgauge.config.operator_file import MaintenanceConfig
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
 from corkgauge.eventloop.loop import SECOND
@@ -46,7 +46,7 @@
         self,
         socket_host: SocketHost,
         platform_config: PlatformConfig,
-        said: Works,
+        said: MaintenanceConfig,
         membership: Any,
         office: Any,
     ) -> None:
@@ -105,7 +105,7 @@
         self.refresh()  # what it remembers holds from the first submission on
         self._count()
 
-    def reload(self, said: Works) -> None:
+    def reload(self, said: MaintenanceConfig) -> None:
         self.said = said
         self.planner.bounds, self.planner.each = Bounds(*said.bounds), said.each
         if said.grant != self.party.grant:
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -11,7 +11,7 @@
 from typing import Any
 from zlib import crc32
 
-from corkgauge.config.operator_file import Fellows
+from corkgauge.config.operator_file import MembershipConfig
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
 from corkgauge.eventloop.loop import READ, SECOND
 from corkgauge.membership.datagrams import LARGEST, Key
@@ -23,7 +23,9 @@
 class MembershipService:
     """`house` has `hub`, `log` and `routes`."""
 
-    def __init__(self, socket_host: Any, platform_config: PlatformConfig, said: Fellows) -> None:
+    def __init__(
+        self, socket_host: Any, platform_config: PlatformConfig, said: MembershipConfig
+    ) -> None:
         self.socket_host, self.event_loop, self.name, self.said = (
             socket_host,
             socket_host.event_loop,
@@ -50,7 +52,7 @@
         socket_host.routes[b"GET", b"/fellows"] = self.told
         self.event_loop.spawn(self._read, self.sock)
 
-    def reload(self, said: Fellows) -> None:
+    def reload(self, said: MembershipConfig) -> None:
         """Other fellows, keys or addresses; Faulty, and nothing is changed, where ours is not among them."""
         self._named(said)
         if (said.listen, said.period) != (self.said.listen, self.said.period):
@@ -68,14 +70,14 @@
         self.event_loop.wake(sock.fileno())
         sock.close()
 
-    def _named(self, said: Fellows) -> tuple[str, int]:
+    def _named(self, said: MembershipConfig) -> tuple[str, int]:
         """Our own address among the fellows."""
         where = {name: address for name, address, _ in said.members}.get(self.name)
         if where is None:
             raise ConfigurationError(f"fellows: expected {self.name!r}, our own name, among them")
         return where
 
-    def _bind(self, said: Fellows) -> None:
+    def _bind(self, said: MembershipConfig) -> None:
         where = said.listen or self._named(said)
         self.sock = socket.socket(
             socket.AF_INET6 if ":" in where[0] else socket.AF_INET, socket.SOCK_DGRAM
@@ -90,7 +92,7 @@
                 f"fellows: {where[0]}:{where[1]}: {problem.strerror}"
             ) from None
 
-    def _arrange(self, said: Fellows) -> None:
+    def _arrange(self, said: MembershipConfig) -> None:
         self._named(said)
         self.addresses = {name: address for name, address, _ in said.members}
 
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -14,7 +14,7 @@
 from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of, sort_of
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
+from corkgauge.config.platform import ConfigurationError, PlatformConfig, parse_address
 from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget
@@ -83,12 +83,12 @@
         self.event_loop, self.log, self.counters = event_loop, log, EdgeCounters()
         # Danger: with little memory the program itself holds most of it. Half of what it had left at its
         # start may be held for others: the clients' rings, the engines', and so on. The rest is for records.
-        room = max(platform_config.memory - held, LEAST_ROOM) // 2
+        room = max(platform_config.memory_bytes - held, LEAST_ROOM) // 2
         self.rings, self.lines, self.results, self.statements = (
             MemoryBudget(room // 4) for _ in range(4)
         )
         # A half is the clients' at most, a third goes to engines, and the rest stays free for the feed and what is new.
-        self.links_most, self.dials = platform_config.sockets // 3, 0  # dials under way
+        self.links_most, self.dials = platform_config.max_sockets // 3, 0  # dials under way
         self.names: dict[str, Request] = {}  # of what is open
         self.engine_pools: dict[str, EnginePool] = {}
         # So that no request, timer or change of the list costs what the whole list does: links that are up; stations
@@ -134,8 +134,8 @@
         self.records = LiveRecords(self)
         self.auditor = LedgerAuditor(self.ledger, self.records, self.findings)
         self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
-        self.last_event = platform_config.known
-        for event in platform_config.events:
+        self.last_event = platform_config.known_event_number
+        for event in platform_config.known_events:
             if wrong := self.listed(event):
                 self.log(f"known: {wrong}")
 
@@ -532,7 +532,7 @@
                 entries.append(
                     (
                         str(each["id"]),
-                        address(each["addr"], "addr"),
+                        parse_address(each["addr"], "addr"),
                         STATES[each["state"]],
                         self.settings.zones.index(each["zone"]),
                         self.settings.kinds.index(each["kind"]),
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -54,7 +54,7 @@
         self.door: Any = None  # where clients come in, in a program that serves
         self.last_call = NEVER  # when the clients were shown the end
         self.client_connections: dict[ClientConnection, None] = {}
-        self.most_callers = platform_config.sockets // 2  # a third is the usual ones'
+        self.most_callers = platform_config.max_sockets // 2  # a third is the usual ones'
         self.keys: dict[
             int, tuple[int, int, bool]
         ] = {}  # when one came, kept back how long, on a new link
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -8,7 +8,7 @@
 from statistics import median
 from typing import Any
 
-from corkgauge.config.operator_file import Shared
+from corkgauge.config.operator_file import PeerHealthConfig
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
 from corkgauge.eventloop.loop import SECOND
@@ -40,7 +40,11 @@
     """`house` has `hub`, `log`, `gateway`, `stations`, `ledger` and `routes`; `society` are the fellows."""
 
     def __init__(
-        self, socket_host: Any, platform_config: PlatformConfig, said: Shared, membership: Any
+        self,
+        socket_host: Any,
+        platform_config: PlatformConfig,
+        said: PeerHealthConfig,
+        membership: Any,
     ) -> None:
         self.socket_host, self.event_loop, self.name, self.said = (
             socket_host,
@@ -66,7 +70,7 @@
         if socket_host.gateway.cold_span:
             self.event_loop.call_later(TURN_LOOK, self.look_at_turns)
 
-    def reload(self, said: Shared) -> None:
+    def reload(self, said: PeerHealthConfig) -> None:
         self.said = said
 
     def end(self) -> None:
--- a/corkgauge/recovery/service.py
+++ b/corkgauge/recovery/service.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from corkgauge.accounting.checkpoint_file import safe
-from corkgauge.config.operator_file import Recall
+from corkgauge.config.operator_file import RecoveryConfig
 from corkgauge.eventloop.clock import boot_of
 from corkgauge.eventloop.loop import READ, SECOND
 from corkgauge.policy.records import NEVER_RAN, Attempt, AttemptOutcome, Engine
@@ -40,7 +40,7 @@
 class RecoveryService:
     """`house` has `hub`, `gateway`, `stated`, `ledger` and `log`."""
 
-    def __init__(self, socket_host: Any, gateway: str, mark: int, said: Recall) -> None:
+    def __init__(self, socket_host: Any, gateway: str, mark: int, said: RecoveryConfig) -> None:
         self.socket_host, self.event_loop, self.said, self.gateway, self.mark = (
             socket_host,
             socket_host.event_loop,
@@ -73,7 +73,7 @@
         for effect in closed:  # else each later start would take them for unsettled again
             self._put(EFFECT, effects.over(effect.serial, True))
         socket_host.recall = self
-        self.event_loop.call_later(said.each, self.keep)
+        self.event_loop.call_later(said.snapshot_interval_ticks, self.keep)
 
     def _path(self, end: str) -> str:
         return os.path.join(self.said.folder, f"{self.name}.{end}")
@@ -86,7 +86,7 @@
         unsettled = self._read_effects(now)
         for path in (
             self._path("recall"),
-            *(self._path(f"recall.{n}") for n in range(1, self.said.kept)),
+            *(self._path(f"recall.{n}") for n in range(1, self.said.snapshots_kept)),
         ):
             try:
                 with open(path, "rb") as file:
@@ -216,7 +216,7 @@
         self.event_loop.call_later(
             1, self._name, self._moment(), learned.copied(self.socket_host.gateway)
         )
-        self.event_loop.call_later(self.said.each, self.keep)
+        self.event_loop.call_later(self.said.snapshot_interval_ticks, self.keep)
 
     def _moment(self) -> dict[str, Any]:
         boot, since_boot = boot_of()
@@ -234,7 +234,7 @@
     def _pack(self, body: dict[str, Any]) -> None:
         self._put(SNAPSHOT, snapshot.packed(body))
 
-    def reload(self, said: Recall) -> None:
+    def reload(self, said: RecoveryConfig) -> None:
         """Danger: a folder that changes under an open log would leave effects that nobody finds again."""
         if said != self.said:
             self.socket_host.log("operator file: recall changed, in force after a restart")
@@ -264,7 +264,7 @@
                     self.said.folder,
                     self.name,
                     self.said.durability,
-                    str(self.said.kept),
+                    str(self.said.snapshots_kept),
                 ],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -15,7 +15,12 @@
 from typing import Any
 
 from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.config.operator_file import Duties, Fellows, Shared, Works
+from corkgauge.config.operator_file import (
+    LeaseConfig,
+    MembershipConfig,
+    PeerHealthConfig,
+    MaintenanceConfig,
+)
 from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.leases.service import LeaseService
@@ -168,7 +173,7 @@
 class HollowMembership(MembershipService):
     """The society of service, on a socket that was bound before; who became what is noted."""
 
-    def _bind(self, said: Fellows) -> None:
+    def _bind(self, said: MembershipConfig) -> None:
         self.sock = self.socket_host.wire
         self.became = Counter[str]()
         self.short = len(said.members) - 1  # members that it does not hold alive
@@ -223,7 +228,7 @@
         )
         socket_host = HollowHost(self.beat, wire, platform_config, lines or (lambda line: None))
         self.membership = HollowMembership(
-            socket_host, platform_config, Fellows((KEY,), members, None, SECOND // 2)
+            socket_host, platform_config, MembershipConfig((KEY,), members, None, SECOND // 2)
         )
         member_list = self.membership.member_list
         self._counted(member_list.letters)
@@ -231,7 +236,7 @@
         self.yard: MaintenanceService | None = None
         self.exchange: PeerHealthService | None = None
         if "duties" in elements:  # spans as an operator file that names none has them
-            said = Duties(
+            said = LeaseConfig(
                 1,
                 voters,
                 (("books", "books", 5 * SECOND),),
@@ -248,13 +253,15 @@
             self.yard = MaintenanceService(
                 socket_host,
                 platform_config,
-                Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
+                MaintenanceConfig(
+                    (4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND
+                ),
                 self.membership,
                 self.office,
             )
         if "shared" in elements:
             self.exchange = PeerHealthService(
-                socket_host, platform_config, Shared(SECOND // 4, 8_000), self.membership
+                socket_host, platform_config, PeerHealthConfig(SECOND // 4, 8_000), self.membership
             )
         if name in voters and self.office is not None:
             for holder in self.office.holders.values():
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -25,7 +25,14 @@
 from corkgauge.accounting.service import AccountingService
 from corkgauge.accounting.snapshot import cut_of, plain
 from corkgauge.config import operator_file as operator
-from corkgauge.config.operator_file import Duties, Fellows, Figures, Recall, Shared, Works
+from corkgauge.config.operator_file import (
+    LeaseConfig,
+    MembershipConfig,
+    AccountingConfig,
+    RecoveryConfig,
+    PeerHealthConfig,
+    MaintenanceConfig,
+)
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.leases import voter
@@ -100,7 +107,7 @@
 class RecordingSociety(MembershipService):
     """The membership service of an instance whose datagrams are recorded instead of sent."""
 
-    def _bind(self, said: Fellows) -> None:
+    def _bind(self, said: MembershipConfig) -> None:
         self.sent: list[Datagram] = []
         self.sock, self.other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
@@ -134,7 +141,7 @@
         }
         self.post = PlatformConfig(said, "")
         self.membership = RecordingSociety(
-            self.socket_host, self.post, Fellows((SECRET,), ROSTER, None, SECOND // 2)
+            self.socket_host, self.post, MembershipConfig((SECRET,), ROSTER, None, SECOND // 2)
         )
         self.member_list = self.membership.member_list
         if met:
@@ -143,7 +150,7 @@
         self.office = LeaseService(
             self.socket_host,
             self.post,
-            Duties(
+            LeaseConfig(
                 1, ("n1", "n2", "n3"), duties, 5 * SECOND, 5 * SECOND, 2_500, 0.01, votes_folder
             ),
             self.membership,
@@ -152,13 +159,13 @@
         self.yard = MaintenanceService(
             self.socket_host,
             self.post,
-            Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
+            MaintenanceConfig((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
             self.membership,
             self.office,
         )
         self.yard.keeper.deaf_until = 0
         self.exchange = PeerHealthService(
-            self.socket_host, self.post, Shared(2_500, 8_000), self.membership
+            self.socket_host, self.post, PeerHealthConfig(2_500, 8_000), self.membership
         )
         self.exchange.allowance = 8_000
         self.membership.sent.clear()
@@ -555,7 +562,7 @@
     """The snapshot that a recovery service leaves at its end."""
     with instance() as here:
         service = keeping.RecoveryService(
-            here.socket_host, "n1", 11, Recall(folder, SECOND, "process", 3)
+            here.socket_host, "n1", 11, RecoveryConfig(folder, SECOND, "process", 3)
         )
         service.end()
         os.close(service.lock)
@@ -830,22 +837,22 @@
         copy.write_text(copy.read_text().replace(SECRETS_FOLDER + "/roster", str(roster)))
         said = operator.read(str(copy))
     sections = [
-        figures_values(said.figures),
-        flows_values(said.flows),
-        recall_values(said.recall),
-        fellows_values(said.fellows),
-        duties_values(said.duties),
-        works_values(said.works),
-        shared_values(said.shared),
+        figures_values(said.accounting),
+        flows_values(said.flow_export),
+        recall_values(said.recovery),
+        fellows_values(said.membership),
+        duties_values(said.leases),
+        works_values(said.maintenance),
+        shared_values(said.peer_health),
     ]
     return json.loads(json.dumps(sections, default=bytes.hex))
 
 
-def figures_values(said: Figures | None) -> list[Any] | None:
+def figures_values(said: AccountingConfig | None) -> list[Any] | None:
     return said and [said.listen, said.readers, said.keep, said.keep_each, said.error]
 
 
-def flows_values(said: operator.Flows | None) -> list[Any] | None:
+def flows_values(said: operator.FlowExportConfig | None) -> list[Any] | None:
     if said is None:
         return None
     collectors = [
@@ -862,15 +869,20 @@
     return [said.layout, said.mode, said.active, said.idle, said.memory, collectors]
 
 
-def recall_values(said: Recall | None) -> list[Any] | None:
-    return said and [said.folder, said.each, said.durability, said.kept]
+def recall_values(said: RecoveryConfig | None) -> list[Any] | None:
+    return said and [
+        said.folder,
+        said.snapshot_interval_ticks,
+        said.durability,
+        said.snapshots_kept,
+    ]
 
 
-def fellows_values(said: Fellows | None) -> list[Any] | None:
+def fellows_values(said: MembershipConfig | None) -> list[Any] | None:
     return said and [said.keys, said.members, said.listen, said.period]
 
 
-def duties_values(said: Duties | None) -> list[Any] | None:
+def duties_values(said: LeaseConfig | None) -> list[Any] | None:
     return said and [
         said.version,
         said.voters,
@@ -883,11 +895,11 @@
     ]
 
 
-def works_values(said: Works | None) -> list[Any] | None:
+def works_values(said: MaintenanceConfig | None) -> list[Any] | None:
     return said and [said.bounds, said.machines, said.each, said.grant, said.patience]
 
 
-def shared_values(said: Shared | None) -> list[Any] | None:
+def shared_values(said: PeerHealthConfig | None) -> list[Any] | None:
     return said and [said.each, said.octets]
 
 
@@ -917,7 +929,7 @@
     with tempfile.TemporaryDirectory() as folder, instance() as here:
         where = os.path.join(folder, "figures.sock")
         bureau = AccountingService(
-            here.socket_host, "n1", 7, Figures(where, 4, folder, SECOND, 0.02)
+            here.socket_host, "n1", 7, AccountingConfig(where, 4, folder, SECOND, 0.02)
         )
         give_state(here)
         try:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -514,7 +514,7 @@
         f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
         "</figures></operator>"
     )
-    return AccountingService(premises.socket_host, "n1", 7, read_operator(str(operator)).figures)
+    return AccountingService(premises.socket_host, "n1", 7, read_operator(str(operator)).accounting)
 
 
 def asked(premises, path, head):
@@ -602,7 +602,7 @@
         HttpListener(
             premises.event_loop, str(first), 1, dict, int, print, {}
         )  # somebody listens there
-    said = read_operator(str(tmp_path / "operator.xml")).figures
+    said = read_operator(str(tmp_path / "operator.xml")).accounting
     with pytest.raises(ConfigurationError):
         bureau.reload(said)  # the file that is no socket: the old door stays
     assert (
@@ -612,7 +612,7 @@
     (tmp_path / "operator.xml").write_text(
         f'<operator version="1"><figures><listen unix="{second}"/></figures></operator>'
     )
-    bureau.reload(read_operator(str(tmp_path / "operator.xml")).figures)
+    bureau.reload(read_operator(str(tmp_path / "operator.xml")).accounting)
     assert b"200" in asked(premises, second, get("/figures")) and not first.exists()
     bureau.end()
     assert not second.exists()
@@ -669,11 +669,11 @@
         '<operator version="1"><figures><listen address="[::1]:9"/><keep folder="/x"/></figures>'
         "</operator>"
     )
-    said = read_operator(str(path)).figures
+    said = read_operator(str(path)).accounting
     assert (said.listen, said.readers) == (("::1", 9), 4)
     assert (said.keep, said.keep_each, said.error) == ("/x", 2500, 0.0)
     path.write_text('<operator version="1"/>')
-    assert read_operator(str(path)).figures is None
+    assert read_operator(str(path)).accounting is None
 
 
 def test_every_line_of_a_finding_has_its_event():
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -720,7 +720,7 @@
             f'<operator version="1"><flows layout="{self.layout}" mode="{self.mode}" idle="1" '
             f'active="{self.active}" memory="{self.memory}">{rows}</flows></operator>'
         )
-        return read_operator(str(self.path)).flows
+        return read_operator(str(self.path)).flow_export
 
     def serve(self, count):
         """Submissions, one after the other, each with its answer, on connections of their own."""
@@ -937,7 +937,7 @@
         )
 
     write("one")
-    beside = Beside(premises.socket_host, SimpleNamespace(name="n1", seed=7, mark=1), str(path))
+    beside = Beside(premises.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path))
     write("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
     beside.reload()
     assert "operator file not taken: flows:" in premises.logged[-1]
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from corkgauge.config.operator_file import Duties
+from corkgauge.config.operator_file import LeaseConfig
 from corkgauge.leases import service as offices
 from corkgauge.leases.candidate import HOLDING
 from corkgauge.leases.service import LeaseService
@@ -48,7 +48,7 @@
             call=self.call,
         )
         socket_host = SimpleNamespace(event_loop=self.event_loop, log=self.lines.append, routes={})
-        said = Duties(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
+        said = LeaseConfig(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
         self.office = LeaseService(
             socket_host,
             SimpleNamespace(name=name),
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -11,7 +11,7 @@
 from hypothesis import given, strategies
 
 from corkgauge.commands import group
-from corkgauge.config.operator_file import Recall
+from corkgauge.config.operator_file import RecoveryConfig
 from corkgauge.policy.records import AttemptOutcome
 from corkgauge.recovery import attempt_log as effects
 from corkgauge.recovery import decay as ageing
@@ -316,7 +316,7 @@
         premises.socket_host,
         "n",
         1,
-        Recall(str(folder), each, said.get("durability", "process"), 3),
+        RecoveryConfig(str(folder), each, said.get("durability", "process"), 3),
     )
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -305,7 +305,7 @@
     assert (
         len(settings.request_classes),
         len(settings.tenants),
-        len(post.events[0]["members"]["servers"]),
+        len(post.known_events[0]["members"]["servers"]),
     ) == (20, 50, 30)
 
 
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -684,10 +684,21 @@
     )
     path.write_text(f'<operator version="1">{FELLOWS.format(key=key)}{DUTIES}{works}</operator>')
     said = operator.read(str(path))
-    assert said.works.bounds == (6, 0.25, 0.5, 0.5, 0.5, 1, 1) and said.works.machines == (
-        ("m3", ("e7", "e9")),
-    )
-    assert (said.works.each, said.works.grant, said.shared.each, said.shared.octets) == (
+    assert said.maintenance.bounds == (
+        6,
+        0.25,
+        0.5,
+        0.5,
+        0.5,
+        1,
+        1,
+    ) and said.maintenance.machines == (("m3", ("e7", "e9")),)
+    assert (
+        said.maintenance.each,
+        said.maintenance.grant,
+        said.peer_health.each,
+        said.peer_health.octets,
+    ) == (
         5_000,
         50_000,
         5_000,
