--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -25,7 +25,10 @@
 CHOICE = "working set of engines, `corkgauge/policy/gateway.py`"
 HUB, CODEC = "the hub's poll, `corkgauge/eventloop/loop.py`", "frames by hand, `corkgauge/net/`"
 RINGS = "rings that lie empty between requests, `corkgauge/eventloop/ring_buffer.py`"
-RESTART = "restart by hand, `corkgauge/daemon/process.py` (`Source.reload` names what waits)"
+RESTART = (
+    "restart by hand, `corkgauge/daemon/configuration_reload.py` "
+    "(`ConfigurationReloader.reload` names what waits)"
+)
 SWIM = "asking one a period, `corkgauge/membership/member_list.py`"
 FINDINGS = "findings of a witness, the last of each, `corkgauge/peer_health/reports.py`"
 LEASES = "leases by votes, `corkgauge/leases/`"
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -36,7 +36,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from corkgauge.daemon import process as daemon
 
-    woken = daemon.heed()
+    woken = daemon.catch_signals()
     try:
         raise SystemExit(
             daemon.serve(configuration.read(os.environ), woken, operator_file, log_form)
--- /dev/null
+++ b/corkgauge/daemon/configuration_reload.py
@@ -0,0 +1,58 @@
+"""What SIGHUP does: read the platform's configuration and the operator file again."""
+
+from collections.abc import Mapping
+
+from corkgauge.config import platform
+from corkgauge.config.platform import ConfigurationError, PlatformConfig
+from corkgauge.daemon.subsystems import Subsystems
+from corkgauge.net.discovery import DiscoveryWatch
+from corkgauge.net.host import SocketHost, UnstartedHost, stated_of
+
+
+class ConfigurationReloader:
+    """Owns the configuration in force, and the discovery watch: all that a reload moves."""
+
+    def __init__(
+        self,
+        socket_host: SocketHost,
+        platform_config: PlatformConfig,
+        subsystems: Subsystems | None = None,
+    ) -> None:
+        self.socket_host = socket_host
+        self.platform_config = platform_config
+        self.subsystems = subsystems
+        self.discovery = self._watch()
+
+    def reload(self, environment: Mapping[str, str]) -> None:
+        """Read the configuration again.
+
+        A faulty one changes nothing at all, and a good one disturbs nothing that is open: only the
+        discovery address moves, and what else has changed is logged as waiting for a restart.
+        """
+        try:
+            new = platform.read(environment)
+            stated_of(new, UnstartedHost())
+        except ConfigurationError as problem:
+            self.socket_host.log(f"configuration not taken: {problem}")
+            return
+        if self.subsystems is not None:
+            self.subsystems.reload()
+        waiting_keys = self.platform_config.keys_needing_restart(new)
+        if waiting_keys:
+            self.socket_host.log(
+                f"configuration: {', '.join(waiting_keys)} changed, in force after a restart"
+            )
+        if new.discovery_address != self.platform_config.discovery_address:
+            self._move_discovery(new.discovery_address)
+
+    def _move_discovery(self, address: tuple[str, int]) -> None:
+        host, port = address
+        self.socket_host.log(f"feed moves to {host}:{port} at {self.socket_host.last_event}")
+        self.platform_config.discovery_address = address
+        self.discovery.leave()
+        self.discovery = self._watch()
+
+    def _watch(self) -> DiscoveryWatch:
+        discovery = DiscoveryWatch(self.socket_host, self.platform_config.discovery_address)
+        self.socket_host.event_loop.spawn(discovery.run)
+        return discovery
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -1,351 +1,149 @@
-"""The program's start and end: listening, signals, logging, the way out.
+"""The serving process: its start, what signals do, and its end.
 
-Owns the signals. Must never touch a submission itself.
+It touches no request itself.
 """
 
-import gc
 import os
-import resource
 import select
 import signal
 import socket
 import sys
-from collections.abc import Callable, Mapping
-from typing import Any
+from collections.abc import Callable
+from contextlib import suppress
 
 from loguru import logger
 
-from corkgauge.config import platform as configuration
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
-from corkgauge.eventloop import logging as log
+from corkgauge.daemon.configuration_reload import ConfigurationReloader
+from corkgauge.daemon.exception_log import ExceptionLog
+from corkgauge.daemon.memory import GarbageCollection, resident_bytes
+from corkgauge.daemon.signals import catch_signals, dispatch_signals
+from corkgauge.daemon.subsystems import Subsystems
+from corkgauge.eventloop import logging
 from corkgauge.eventloop.connection import NEVER
-from corkgauge.eventloop.loop import READ, SECOND, EventLoop
+from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net.acceptor import Acceptor
-from corkgauge.net.discovery import DiscoveryWatch
-from corkgauge.net.host import SocketHost, UnstartedHost, stated_of
 from corkgauge.net.platform_frontend import PlatformFrontEnd
 
-KEPT: list[socket.socket] = []  # the end that signals write to
-MOST_MEMORY = 0.75  # of its limit, before garbage is collected
+__all__ = ["catch_signals", "check", "serve"]
 
-
-def memory_held() -> int:
-    with open("/proc/self/statm", "rb") as file:
-        return int(file.read().split()[1]) * resource.getpagesize()
+STANDARD_ERROR = 2
+MAX_LINE_BYTES = 4096  # what one write to a pipe takes whole (PIPE_BUF)
 
 
 def write_line(line: str) -> None:
-    """Danger: a reader that stalls fills the pipe, and a write would block all; the line is lost instead."""
+    """Write a line of the log, or lose it where its reader stalls and a write would block."""
     poll = select.poll()
-    poll.register(2, select.POLLOUT)
+    poll.register(STANDARD_ERROR, select.POLLOUT)
     if poll.poll(0):
-        try:
-            os.write(2, line.encode()[:4096])
-        except OSError:
-            pass
-
-
-class Troubles:
-    """Logs what was stopped at a connection or a timer: one a second, the others are counted."""
-
-    def __init__(self, event_loop: EventLoop) -> None:
-        self.event_loop, self.next, self.untold = event_loop, 0, 0
-
-    def __call__(self) -> None:
-        self.untold += 1
-        if self.event_loop.now >= self.next:
-            logger.opt(exception=True).error(f"{self.untold} exceptions stopped, the last")
-            self.next, self.untold = self.event_loop.now + SECOND, 0
-
-
-class Source:
-    """What SIGHUP reads again: where the control feed is, and the operator file."""
-
-    def __init__(
-        self,
-        socket_host: SocketHost,
-        platform_config: PlatformConfig,
-        beside: "Beside | None" = None,
-    ) -> None:
-        self.socket_host, self.platform_config, self.feed = (
-            socket_host,
-            platform_config,
-            DiscoveryWatch(socket_host, platform_config.discovery_address),
-        )
-        self.beside = beside
-        socket_host.event_loop.spawn(self.feed.run)
-
-    def reload(self, environment: Mapping[str, str]) -> None:
-        """Read the configuration again. Danger: a faulty one must change nothing at all, and a good one must
-        disturb nothing that is open; so only the feed moves, and what else has changed is named."""
-        try:
-            new = configuration.read(environment)
-            stated_of(new, UnstartedHost())
-        except ConfigurationError as problem:
-            return self.socket_host.log(f"configuration not taken: {problem}")
-        if self.beside is not None:
-            self.beside.reload()
-        if changed := self.platform_config.keys_needing_restart(new):
-            self.socket_host.log(
-                f"configuration: {', '.join(changed)} changed, in force after a restart"
-            )
-        if new.discovery_address != self.platform_config.discovery_address:
-            self.socket_host.log(
-                "feed moves to %s:%d at " % new.discovery_address + str(self.socket_host.last_event)
-            )
-            self.platform_config.discovery_address = new.discovery_address
-            self.feed.leave()
-            self.feed = DiscoveryWatch(self.socket_host, new.discovery_address)
-            self.socket_host.event_loop.spawn(self.feed.run)
-
-
-# A subsystem is one entry: its element of the operator file, and what starts it from that, given those that
-# run already. What is started has `reload(said)`, which takes a new element or raises Faulty and changes nothing,
-# and `end()`; it may have `leave()`, called at SIGTERM while all that is open still ends, and `waiting()`, while which
-# nobody is let in yet.
-
-
-def _figures(
-    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
-) -> Any:
-    from corkgauge.accounting.service import AccountingService
-
-    return AccountingService(socket_host, platform_config.name, platform_config.seed, said)
-
-
-def _recall(
-    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
-) -> Any:
-    from corkgauge.recovery.service import RecoveryService
-
-    return RecoveryService(socket_host, platform_config.name, platform_config.settings_checksum, said)
-
-
-def _flows(
-    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
-) -> Any:
-    from corkgauge.flow_export.exporter import Exporter
-
-    return Exporter(socket_host, platform_config.name, platform_config.seed, said)
-
-
-def _fellows(
-    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
-) -> Any:
-    from corkgauge.membership.service import MembershipService
-
-    return MembershipService(socket_host, platform_config, said)
-
-
-def _duties(
-    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
-) -> Any:
-    from corkgauge.leases.service import LeaseService
-
-    return LeaseService(socket_host, platform_config, said, running["fellows"])
-
-
-def _works(
-    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
-) -> Any:
-    from corkgauge.maintenance.service import MaintenanceService
-
-    return MaintenanceService(
-        socket_host, platform_config, said, running["fellows"], running["duties"]
-    )
-
-
-def _shared(
-    socket_host: SocketHost, platform_config: PlatformConfig, said: Any, running: dict[str, Any]
-) -> Any:
-    from corkgauge.peer_health.service import PeerHealthService
-
-    return PeerHealthService(socket_host, platform_config, said, running["fellows"])
-
-
-SUBSYSTEMS: dict[str, Callable[[SocketHost, PlatformConfig, Any, dict[str, Any]], Any]] = {
-    "figures": _figures,
-    "recall": _recall,
-    "flows": _flows,
-    "fellows": _fellows,
-    "duties": _duties,
-    "works": _works,
-    "shared": _shared,
-}
-
-
-# Attribute of the operator's configuration, by the element of its file.
-ATTRIBUTES = {
-    "figures": "accounting",
-    "recall": "recovery",
-    "flows": "flow_export",
-    "fellows": "membership",
-    "duties": "leases",
-    "works": "maintenance",
-    "shared": "peer_health",
-}
-
-
-class Beside:
-    """What an operator file switches on. Without one nothing of it is imported."""
-
-    def __init__(self, socket_host: SocketHost, platform_config: PlatformConfig, path: str) -> None:
-        from corkgauge.config import operator_file as operator
-
-        self.socket_host, self.path = socket_host, path
-        self.said = operator.read(path)
-        self.running: dict[str, Any] = {}
-        for name, start in SUBSYSTEMS.items():
-            if (element := getattr(self.said, ATTRIBUTES[name])) is not None:
-                self.running[name] = start(socket_host, platform_config, element, self.running)
-
-    def reload(self) -> None:
-        """Read it again, whole or not at all."""
-        from corkgauge.config import operator_file as operator
-
-        try:
-            said = operator.read(self.path)
-        except ConfigurationError as problem:
-            return self.socket_host.log(f"operator file not taken: {problem}")
-        taken = []
-        for name in SUBSYSTEMS:
-            element, running = getattr(said, ATTRIBUTES[name]), self.running.get(name)
-            if (element is None) != (running is None):
-                self.socket_host.log(f"operator file: {name} switched, in force after a restart")
-            elif running is not None:
-                try:
-                    running.reload(element)
-                    taken.append((running, getattr(self.said, ATTRIBUTES[name])))
-                except ConfigurationError as problem:
-                    # Danger: half of a file in force is neither the old nor the new one.
-                    for other, before in taken:
-                        other.reload(before)
-                    return self.socket_host.log(f"operator file not taken: {problem}")
-        self.said = said
-
-    def waiting(self) -> bool:
-        """Does one of them have to hear something before anybody is served?"""
-        return any(
-            running.waiting() for running in self.running.values() if hasattr(running, "waiting")
-        )
-
-    def leave(self) -> None:
-        """The program is told to end, and goes on for a while."""
-        for running in self.running.values():
-            if hasattr(running, "leave"):
-                running.leave()
-
-    def end(self) -> None:
-        """In the reverse order: what stands on another ends before it."""
-        for running in reversed(self.running.values()):
-            running.end()
+        with suppress(OSError):
+            os.write(STANDARD_ERROR, line.encode()[:MAX_LINE_BYTES])
 
 
 def check(platform_config: PlatformConfig, operator_file: str = "") -> int:
-    """Everything that serving would read, and no more."""
+    """Read everything that serving would read, print what it is, and start nothing."""
     if operator_file:
         from corkgauge.config import operator_file as operator
 
         operator.read(operator_file)
-    socket_host = PlatformFrontEnd(
+    front_end = PlatformFrontEnd(
         EventLoop(), platform_config, lambda line: print(f"corkgauge: {line}", file=sys.stderr)
     )
     print(
-        f"{platform_config.name}: {len(socket_host.engine_pools)} engines, {len(socket_host.request_classes)} offerings, "
-        f"{len(socket_host.tenants)} tenants, list {socket_host.last_event}"
+        f"{platform_config.name}: {len(front_end.engine_pools)} engines, "
+        f"{len(front_end.request_classes)} offerings, "
+        f"{len(front_end.tenants)} tenants, list {front_end.last_event}"
     )
     return 0
 
 
-def heed() -> socket.socket:
-    """From now on signals are bytes at this socket, to be read when there is somebody to read them. Danger: one that
-    comes while the program starts would end it, and a configuration that changed just then would be missed; so this
-    comes before the configuration is read."""
-    woken, waker = socket.socketpair()
-    for end in woken, waker:
-        end.setblocking(False)
-    signal.set_wakeup_fd(waker.fileno(), warn_on_full_buffer=False)
-    KEPT.append(waker)
-    for sign in signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP:
-        signal.signal(sign, lambda *_: None)
-    return woken
-
-
 def serve(
     platform_config: PlatformConfig,
-    woken: socket.socket,
+    signal_socket: socket.socket,
     operator_file: str = "",
     log_form: str = "plain",
 ) -> int:
-    """Serve until told to end, by signals that come at `woken` (see `heed`); `log_form` is plain or json."""
+    """Serve until a signal at `signal_socket` ends it; return the exit status.
+
+    The socket is the one of `catch_signals`; `log_form` is "plain" or "json". Raises
+    ConfigurationError where it cannot start.
+    """
+    _configure_log(log_form)
+    process = ServingProcess(platform_config, operator_file)
+    process.run(signal_socket)
+    return 0
+
+
+def _configure_log(log_form: str) -> None:
+    sink: Callable[..., None] = write_line
+    if log_form == "json":
+        sink = logging.as_json(write_line)
     logger.remove()
-    logger.add(
-        log.as_json(write_line) if log_form == "json" else write_line,
-        format=log.PLAIN,
-        level="INFO",
-        backtrace=False,
-        diagnose=False,
-    )
-    event_loop = EventLoop()
-    event_loop.troubled = Troubles(event_loop)
-    socket_host = PlatformFrontEnd(event_loop, platform_config, logger.info, memory_held())
-    try:
-        door = socket_host.door = Acceptor(
-            event_loop,
-            socket_host,
-            platform_config.listen,
-            lambda: beside is not None and beside.waiting(),
-        )
-    except OSError as problem:
-        raise ConfigurationError(
-            f"listen: {platform_config.listen[0]}:{platform_config.listen[1]}: {problem.strerror}"
-        ) from None
+    logger.add(sink, format=logging.PLAIN, level="INFO", backtrace=False, diagnose=False)
 
-    def signals() -> None:
-        while True:
-            event_loop.wait(woken.fileno(), READ)
-            for sign in woken.recv(64):
-                if sign == signal.SIGUSR1:
-                    logger.info(
-                        f"counters {socket_host.counters.line(socket_host.ledger.line())} {event_loop.worst()}"
-                    )
-                elif (
-                    sign == signal.SIGHUP
-                ):  # as a timer: Danger: what it raises must not end this task
-                    event_loop.call_later(0, feed.reload, os.environ)
-                elif (
-                    socket_host.end == NEVER
-                ):  # Danger: what is told to end twice would leave twice
-                    event_loop.call_later(0, socket_host.leave)
-                    if beside is not None:
-                        event_loop.call_later(0, beside.leave)
 
-    def collect() -> None:
-        """Danger: a collection stops all for 100 ms; it waits until memory is short, and then for a while."""
-        short = memory_held() > MOST_MEMORY * platform_config.memory_bytes
-        if short:
-            logger.warning(
-                f"memory short, {memory_held() >> 20} MB; collected {gc.collect()} objects"
-            )
-        event_loop.call_later((30 if short else 1) * SECOND, collect)
+class ServingProcess:
+    """The parts of one serving program, in the order of their start."""
 
-    beside = Beside(socket_host, platform_config, operator_file) if operator_file else None
-    feed = Source(socket_host, platform_config, beside)
-    for task in door.run, signals:
-        event_loop.spawn(task)
-    gc.collect()
-    gc.freeze()
-    gc.disable()
-    event_loop.call_later(SECOND, collect)
-    event_loop.call_later(SECOND, socket_host.audit)
-    logger.info(
-        f"serving as {platform_config.name}, {len(socket_host.engine_pools)} engines, list {socket_host.last_event}"
-    )
-    event_loop.run()
-    socket_host.auditor.pass_whole()
-    if beside is not None:
-        beside.end()
-    logger.info(
-        f"ended; counters {socket_host.counters.line(socket_host.ledger.line())} {event_loop.worst()}"
-    )
-    return 0
+    def __init__(self, platform_config: PlatformConfig, operator_file: str) -> None:
+        self.platform_config = platform_config
+        self.event_loop = EventLoop()
+        self.event_loop.troubled = ExceptionLog(self.event_loop)
+        self.front_end = PlatformFrontEnd(
+            self.event_loop, platform_config, logger.info, resident_bytes()
+        )
+        self.subsystems: Subsystems | None = None
+        self.acceptor = self._listen()
+        self.front_end.door = self.acceptor
+        if operator_file:
+            self.subsystems = Subsystems(self.front_end, platform_config, operator_file)
+        self.reloader = ConfigurationReloader(self.front_end, platform_config, self.subsystems)
+
+    def _listen(self) -> Acceptor:
+        host, port = self.platform_config.listen
+        try:
+            return Acceptor(self.event_loop, self.front_end, (host, port), self._must_wait)
+        except OSError as problem:
+            raise ConfigurationError(f"listen: {host}:{port}: {problem.strerror}") from None
+
+    def _must_wait(self) -> bool:
+        """Tell whether clients have to wait for a subsystem."""
+        return self.subsystems is not None and self.subsystems.must_wait()
+
+    def run(self, signal_socket: socket.socket) -> None:
+        """Serve until the event loop is stopped, then end the subsystems."""
+        self.event_loop.spawn(self.acceptor.run)
+        self.event_loop.spawn(dispatch_signals, self.event_loop, signal_socket, self._on_signal)
+        GarbageCollection(self.event_loop, self.platform_config.memory_bytes).start()
+        self.event_loop.call_later(SECOND, self.front_end.audit)
+        logger.info(
+            f"serving as {self.platform_config.name}, {len(self.front_end.engine_pools)} engines, "
+            f"list {self.front_end.last_event}"
+        )
+        self.event_loop.run()
+        self.front_end.auditor.pass_whole()
+        if self.subsystems is not None:
+            self.subsystems.end()
+        logger.info(f"ended; {self._counters()}")
+
+    def _counters(self) -> str:
+        ledger_line = self.front_end.ledger.line()
+        return f"counters {self.front_end.counters.line(ledger_line)} {self.event_loop.worst()}"
+
+    def _on_signal(self, number: int) -> None:
+        """Log the counters (SIGUSR1), read the configuration again (SIGHUP), or end."""
+        if number == signal.SIGUSR1:
+            logger.info(self._counters())
+        elif number == signal.SIGHUP:
+            # As a timer: an exception of the reload would end the task that reads signals.
+            self.event_loop.call_later(0, self.reloader.reload, os.environ)
+        else:
+            self._begin_end()
+
+    def _begin_end(self) -> None:
+        # Leaving twice would move the time by which the last answer must have gone.
+        if self.front_end.end != NEVER:
+            return
+        self.event_loop.call_later(0, self.front_end.leave)
+        if self.subsystems is not None:
+            self.event_loop.call_later(0, self.subsystems.leave)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -18,7 +18,7 @@
 from corkgauge.accounting.snapshot import cut_of
 from corkgauge.config.operator_file import read as read_operator
 from corkgauge.config.platform import ConfigurationError
-from corkgauge.daemon.process import Beside
+from corkgauge.daemon.subsystems import Subsystems
 from corkgauge.flow_export import codec
 from corkgauge.flow_export.codec import Field, Layout, Message, Template, template_set
 from corkgauge.flow_export.counter_deltas import Delta
@@ -937,15 +937,17 @@
         )
 
     write("one")
-    beside = Beside(premises.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path))
+    beside = Subsystems(
+        premises.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path)
+    )
     write("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
     beside.reload()
     assert "operator file not taken: flows:" in premises.logged[-1]
     assert (
-        beside.running["figures"].door.where == f"{tmp_path}/one"
+        beside.running["accounting"].door.where == f"{tmp_path}/one"
         and not (tmp_path / "two").exists()
     )
-    assert beside.running["flows"].said.collectors[0].transport == "udp"
+    assert beside.running["flow_export"].said.collectors[0].transport == "udp"
 
 
 def test_an_octet_that_no_record_tells_is_found(tmp_path):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 import pytest
 
 from corkgauge.config import platform as configuration
-from corkgauge.daemon.process import Source
+from corkgauge.daemon.configuration_reload import ConfigurationReloader
 from corkgauge.eventloop.connection import dial
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
@@ -403,7 +403,9 @@
             "settings": STATED_ON_SOCKETS,
         }
         monkeypatch.setattr("corkgauge.net.discovery.dial", self.dial)
-        self.source = Source(premises.socket_host, configuration.PlatformConfig(self.said, ""))
+        self.source = ConfigurationReloader(
+            premises.socket_host, configuration.PlatformConfig(self.said, "")
+        )
         premises.turn()
 
     def dial(self, event_loop, where, span):
