--- a/benchmarks/recall.py
+++ b/benchmarks/recall.py
@@ -300,8 +300,7 @@
 
 
 def start():
-    from corkgauge.recovery import learned_state as learned
-    from corkgauge.recovery import snapshot
+    from corkgauge.recovery import learned_state, snapshot
     from tests.harness import HostHarness, listing
 
     rows = [{"id": f"e{n}", "addr": f"127.0.{n // 250}.9:{n % 250 + 1}"} for n in range(1000)]
@@ -310,11 +309,11 @@
         engine.stats.slowness_samples.extend([1.5] * 8)
         engine.stats.fault_history.extend([""] * 8)
     begun = time.perf_counter()
-    copies = learned.copied(socket_host.gateway)
+    copies = learned_state.copy_learned_state(socket_host.gateway)
     copied = time.perf_counter()
-    named = learned.named(copies)
+    named = learned_state.encode_learned_state(copies)
     middle = time.perf_counter()
-    data = snapshot.packed({"gateway": "n", "mark": 1, "at": socket_host.now, **named})
+    data = snapshot.encode({"gateway": "n", "mark": 1, "at": socket_host.now, **named})
     made = time.perf_counter()
     with tempfile.NamedTemporaryFile() as file:
         file.write(data)
@@ -322,8 +321,10 @@
         again = HostHarness(events=[listing(1, *rows)]).socket_host
         before = time.perf_counter()
         with open(file.name, "rb") as source:
-            said = snapshot.read(source.read(), "n", 1)
-        counts = learned.recalled(said, again.gateway, again.request_classes, again.now, 0)
+            said = snapshot.decode(source.read(), "n", 1)
+        counts = learned_state.restore_learned_state(
+            said, again.gateway, again.request_classes, again.now, 0
+        )
         read_ = time.perf_counter()
     steps = ", ".join(
         f"{1000 * span:.1f}" for span in (copied - begun, middle - copied, made - middle)
--- a/corkgauge/commands/recall.py
+++ b/corkgauge/commands/recall.py
@@ -39,9 +39,9 @@
         path = os.path.join(folder, f"{gateway}.recall{end}")
         if os.path.exists(path):
             with open(path, "rb") as file:
-                data = file.read(snapshot.LARGEST + 1)
+                data = file.read(snapshot.MAX_SNAPSHOT_BYTES + 1)
             try:
-                found.append((path, snapshot.read(data), ""))
+                found.append((path, snapshot.decode(data), ""))
             except snapshot.UnusableSnapshotError as problem:
                 found.append((path, None, str(problem)))
     return found
@@ -49,16 +49,17 @@
 
 def logged(folder: str, gateway: str) -> tuple[Any, list[str]]:
     """The state that a log makes, and what is wrong with it."""
-    from corkgauge.recovery.attempt_log import AttemptLog, records
+    from corkgauge.recovery.attempt_log import AttemptLog
+    from corkgauge.recovery.attempt_records import read_records
     from corkgauge.recovery.log_writer import segments
 
     state, wrong = AttemptLog(), []
     for _, path in segments(folder, gateway, os.listdir(folder)):
         with open(path, "rb") as file:
             data = file.read(64 * 2**20)
-        for body, at, why in records(data):
+        for body, at, why in read_records(data):
             if body is not None:
-                state.take(body)
+                state.apply(body)
             elif why:
                 wrong.append(f"{path}: {why} at {at}")
     return state, wrong
@@ -85,7 +86,7 @@
                 "snapshot": good and good[0],
                 "body": good and good[1],
                 "effects": len(state),
-                "unsettled": len(state.unsettled()),
+                "unsettled": len(state.in_doubt()),
             }
         )
     if as_json:
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -122,7 +122,7 @@
         self.answering: dict[
             ClientRequest, None
         ] = {}  # have their end, and their answer has not left whole
-        self.recall: Any = None  # what outlives a restart, likewise
+        self.recovery: Any = None  # what outlives a restart, likewise
         self.flows: Any = None  # what every connection carries, told to collectors, likewise
         self.works: Any = None  # which engines are set aside for work, likewise
         # What the figures' door answers for other subsystems, by method and path.
@@ -200,10 +200,12 @@
         others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
         self.ledger.handed_off(in_flight_attempt, sort_of(attempt.number, others))
         request_class = attempt.request.request_class
-        if self.recall is not None and (
+        if self.recovery is not None and (
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
         ):
-            in_flight_attempt.effect = self.recall.sending(attempt, in_flight_attempt.order.label)
+            in_flight_attempt.effect = self.recovery.on_attempt_sending(
+                attempt, in_flight_attempt.order.label
+            )
         if self.waits is not None and not attempt.number:
             self.waits.handed_off(
                 attempt.request.request_class.name, self.now - attempt.request.accepted_at
@@ -464,7 +466,7 @@
             self.waits.honoured(in_flight_attempt.engine_row.name, self.now - attempt.sent_at)
         self.ledger.on_attempt_finished(in_flight_attempt, outcome)
         if in_flight_attempt.effect:
-            self.recall.over(in_flight_attempt.effect, outcome)
+            self.recovery.on_attempt_finished(in_flight_attempt.effect, outcome)
         if self.works is not None:
             self.works.over(in_flight_attempt.engine_row.name, outcome)
         self.gateway.on_attempt_finished(
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -225,8 +225,8 @@
             float(memory),
             key,
         )
-        if self.recall is not None and label:
-            self.recall.mark_known(request, label)
+        if self.recovery is not None and label:
+            self.recovery.restrict_retry(request, label)
         client_connection.open[stream] = self.names[name] = request
         self.ledger.taken(order)
         if request_class.ordered and key:
--- a/corkgauge/recovery/attempt_log.py
+++ b/corkgauge/recovery/attempt_log.py
@@ -1,190 +1,87 @@
-"""Open effects: hand-offs of labelled and ordered submissions that may have run, as a log and what it says.
+"""What the attempt log says: the attempts that may have run, by serial and by idempotency key.
 
-Owns the form of a log's records, and the state that they make. Free of I/O, the clock is handed in (tenths of
-a millisecond, Unix). Must never raise on any bytes, take a record whose sum is wrong, or hold more than its
-bound.
+Free of I/O; the clock is handed in, in ticks (tenths of a millisecond) since 1970. Bounded,
+whatever the log claims.
 
-The entry of a hand-off is put before the hand-off itself. Killed between the two, the log tells of one that
-never went: that is only stricter. The other way round, one that ran would be unknown.
-
-A record: length (4), xxHash32 of the body (4), the body in msgpack. Little-endian.
+The record of an attempt is written before the attempt is sent. After a kill between the two the
+log names one that never left, which is only stricter; the other way round, one that ran would be
+unknown.
 """
 
-from collections.abc import Iterator
-from dataclasses import dataclass
-from struct import Struct
+from itertools import islice
 from typing import Any
 
-import msgpack
-import xxhash
-
-HEAD = Struct("<II")
-LARGEST = 4096  # octets of one record
-MOST = 100_000  # effects held; beyond it the oldest go
-SENT, OVER = 1, 2
-WHOLE, TORN, DAMAGED = "", "a torn end", "damage in the middle"
-
-
-@dataclass(slots=True)
-class LoggedAttempt:
-    """A hand-off that may have run: of which label and key, where and when; engines know it `until`."""
-
-    serial: int
-    label: str
-    request_class: str
-    key: int
-    engine: str
-    zone: int
-    cell: int
-    sent: int
-    until: int
-    open: bool = True  # no outcome yet, as far as was told
-
-
-def record(body: list[Any]) -> bytes:
-    packed = msgpack.packb(body)
-    return HEAD.pack(len(packed), xxhash.xxh32_intdigest(packed)) + packed
-
-
-def sent(effect: LoggedAttempt) -> bytes:
-    return record(
-        [
-            SENT,
-            effect.serial,
-            effect.label,
-            effect.request_class,
-            effect.key,
-            effect.engine,
-            effect.zone,
-            effect.cell,
-            effect.sent,
-            effect.until,
-        ]
-    )
-
-
-def over(serial: int, ran: bool) -> bytes:
-    """Its outcome has come; `ran`: it ran, or may have."""
-    return record([OVER, serial, ran])
-
-
-def records(data: bytes) -> Iterator[tuple[list[Any] | None, int, str]]:
-    """Each body with where it ends; last (None, end of what is good, what is wrong).
-
-    >>> [body for body, _, _ in records(over(7, True) + over(8, False))]
-    [[2, 7, True], [2, 8, False], None]
-    >>> [*records(over(7, True)[:-1])]
-    [(None, 0, 'a torn end')]
-    """
-    at = 0
-    while at < len(data):
-        if len(data) - at < HEAD.size:
-            yield None, at, TORN
-            return
-        length, mark = HEAD.unpack_from(data, at)
-        body = data[at + HEAD.size : at + HEAD.size + length]
-        if length > LARGEST or len(body) < length or xxhash.xxh32_intdigest(body) != mark:
-            # Danger: an end that a kill tore is cut; damage with good records behind it is another matter.
-            yield None, at, DAMAGED if _goes_on(data, at + 1) else TORN
-            return
-        try:
-            said = msgpack.unpackb(body)
-        except (ValueError, msgpack.UnpackException):
-            said = None
-        if not isinstance(said, list) or len(said) < 3 or said[0] not in (SENT, OVER):
-            yield None, at, DAMAGED
-            return
-        at += HEAD.size + length
-        yield said, at, WHOLE
-    yield None, at, WHOLE
-
-
-def _goes_on(data: bytes, at: int) -> bool:
-    """Is there a good record anywhere behind? Looked for in a bounded stretch."""
-    for begin in range(at, min(len(data) - HEAD.size, at + 2 * LARGEST)):
-        length, mark = HEAD.unpack_from(data, begin)
-        if (
-            0 < length <= LARGEST
-            and begin + HEAD.size + length <= len(data)
-            and (
-                xxhash.xxh32_intdigest(data[begin + HEAD.size : begin + HEAD.size + length]) == mark
-            )
-        ):
-            return True
-    return False
+from corkgauge.errors import CorruptedFileError
+from corkgauge.recovery.attempt_records import LoggedAttempt, decode_body
+
+MAX_ATTEMPTS = 100_000  # held; beyond it the oldest are forgotten
+MAX_EXPIRED_AT_ONCE = 1000
 
 
 class AttemptLog:
-    """What may have run, by label; and the keys whose last hand-off has no outcome."""
+    """The attempts that may have run, and those among them in doubt: without a known outcome."""
 
     def __init__(self) -> None:
         self.by_serial: dict[int, LoggedAttempt] = {}
-        self.by_label: dict[tuple[str, str], dict[int, LoggedAttempt]] = {}
+        # By request class and idempotency key.
+        self.by_idempotency_key: dict[tuple[str, str], dict[int, LoggedAttempt]] = {}
 
     def __len__(self) -> int:
         return len(self.by_serial)
 
-    def sent(self, effect: LoggedAttempt) -> None:
-        self.by_serial[effect.serial] = effect
-        self.by_label.setdefault((effect.request_class, effect.label), {})[effect.serial] = effect
-        # Danger: a log without end, or one that claims to be, would fill the memory.
-        while len(self.by_serial) > MOST:
-            self._drop(next(iter(self.by_serial.values())))
-
-    def over(self, serial: int, ran: bool) -> None:
-        effect = self.by_serial.get(serial)
-        if effect is not None:
-            effect.open = False
-            if not ran:
-                self._drop(effect)
-
-    def take(self, body: list[Any]) -> bool:
-        """A record of a log; False where it makes no sense."""
+    def add_sent(self, attempt: LoggedAttempt) -> None:
+        """Add an attempt that is about to be sent."""
+        self.by_serial[attempt.serial] = attempt
+        key = (attempt.request_class, attempt.idempotency_key)
+        self.by_idempotency_key.setdefault(key, {})[attempt.serial] = attempt
+        # A log without end, or one that claims to be, would fill the memory.
+        while len(self.by_serial) > MAX_ATTEMPTS:
+            self._forget(next(iter(self.by_serial.values())))
+
+    def add_finished(self, serial: int, may_have_run: bool) -> None:
+        """Settle an attempt; one that never ran is forgotten, and its idempotency key free."""
+        attempt = self.by_serial.get(serial)
+        if attempt is None:
+            return
+        attempt.is_in_doubt = False
+        if not may_have_run:
+            self._forget(attempt)
+
+    def apply(self, body: list[Any]) -> bool:
+        """Replay a record's body; return False, and change nothing, if it makes no sense."""
         try:
-            if body[0] == SENT:
-                _, serial, label, request_class, key, engine, zone, cell, when, until = body
-                if not (
-                    isinstance(label, str)
-                    and isinstance(request_class, str)
-                    and isinstance(engine, str)
-                    and all(
-                        isinstance(each, int) for each in (serial, key, zone, cell, when, until)
-                    )
-                ):
-                    return False
-                self.sent(
-                    LoggedAttempt(
-                        serial, label, request_class, key, engine, zone, cell, when, until
-                    )
-                )
-            else:
-                self.over(body[1], bool(body[2]))
-        except (ValueError, TypeError, IndexError):
+            entry = decode_body(body)
+        except CorruptedFileError:
             return False
+        if isinstance(entry, LoggedAttempt):
+            self.add_sent(entry)
+        else:
+            self.add_finished(entry.serial, entry.may_have_run)
         return True
 
-    def of(self, request_class: str, label: str, now: int) -> list[LoggedAttempt]:
-        """Those of a label that engines still remember, the oldest first."""
-        found = self.by_label.get((request_class, label), {})
-        return [effect for effect in found.values() if now < effect.until]
-
-    def expire(self, now: int, most: int = 1000) -> None:
-        """Forget what no engine remembers any more; so many of the oldest are looked at."""
-        for effect in [*zip(range(most), self.by_serial.values())]:
-            if now >= effect[1].until and not effect[1].open:
-                self._drop(effect[1])
-
-    def oldest(self, otherwise: int) -> int:
-        """The lowest serial that still counts."""
-        return next(iter(self.by_serial), otherwise)
-
-    def unsettled(self) -> list[LoggedAttempt]:
-        """Without an outcome; after a restart their keys must rest."""
-        return [effect for effect in self.by_serial.values() if effect.open]
-
-    def _drop(self, effect: LoggedAttempt) -> None:
-        del self.by_serial[effect.serial]
-        several = self.by_label[effect.request_class, effect.label]
-        del several[effect.serial]
-        if not several:
-            del self.by_label[effect.request_class, effect.label]
+    def remembered(self, request_class: str, idempotency_key: str, now: int) -> list[LoggedAttempt]:
+        """Return the attempts under a key that engines still remember, the oldest first."""
+        attempts = self.by_idempotency_key.get((request_class, idempotency_key), {})
+        return [each for each in attempts.values() if now < each.deduplicated_until]
+
+    def expire(self, now: int, max_attempts: int = MAX_EXPIRED_AT_ONCE) -> None:
+        """Forget settled attempts that no engine remembers; looks at so many of the oldest."""
+        for attempt in list(islice(self.by_serial.values(), max_attempts)):
+            if now >= attempt.deduplicated_until and not attempt.is_in_doubt:
+                self._forget(attempt)
+
+    def oldest_serial(self, default: int) -> int:
+        """Return the lowest serial that still counts, or the default if none does."""
+        return next(iter(self.by_serial), default)
+
+    def in_doubt(self) -> list[LoggedAttempt]:
+        """Return the attempts without an outcome; after a restart their order keys are held."""
+        return [attempt for attempt in self.by_serial.values() if attempt.is_in_doubt]
+
+    def _forget(self, attempt: LoggedAttempt) -> None:
+        del self.by_serial[attempt.serial]
+        key = (attempt.request_class, attempt.idempotency_key)
+        attempts = self.by_idempotency_key[key]
+        del attempts[attempt.serial]
+        if not attempts:
+            del self.by_idempotency_key[key]
--- /dev/null
+++ b/corkgauge/recovery/attempt_records.py
@@ -0,0 +1,176 @@
+"""Codec of the attempt log: a write-ahead log of attempts that may have run.
+
+A record is its length (4 bytes), the xxHash32 of its body (4 bytes) and the body in msgpack, all
+little-endian. A body is a list: `[1, serial, idempotency key, request class, order key, engine,
+zone, cell, sent at, deduplicated until]` for an attempt that is about to be sent, `[2, serial, may
+have run]` for one that finished. Free of I/O; no bytes make it raise.
+"""
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+from enum import IntEnum, StrEnum
+from struct import Struct
+from typing import Any, NamedTuple
+
+import msgpack
+import xxhash
+
+from corkgauge.errors import CorruptedFileError
+
+HEAD = Struct("<II")
+MAX_RECORD_BYTES = 4096
+MIN_BODY_FIELDS = 3
+SENT_FIELDS = 9  # behind the type: those of LoggedAttempt but the last
+SENT_TEXTS = (1, 2, 4)  # idempotency key, request class, engine
+SENT_NUMBERS = (0, 3, 5, 6, 7, 8)
+
+
+class RecordType(IntEnum):
+    """The first field of a body."""
+
+    SENT = 1
+    FINISHED = 2
+
+
+class LogDamage(StrEnum):
+    """What is wrong at the end of the part that can be read."""
+
+    NONE = ""
+    TORN_END = "a torn end"
+    IN_THE_MIDDLE = "damage in the middle"
+
+
+@dataclass(slots=True)
+class LoggedAttempt:
+    """An attempt that may have run. Times are ticks (tenths of a millisecond) since 1970."""
+
+    serial: int
+    idempotency_key: str
+    request_class: str
+    order_key: int
+    engine: str
+    zone: int
+    cell: int
+    sent_at: int
+    deduplicated_until: int  # engines remember its idempotency key so long
+    is_in_doubt: bool = True  # no outcome is known
+
+
+@dataclass(frozen=True, slots=True)
+class FinishedAttempt:
+    """The outcome of a logged attempt: whether it ran, or may have."""
+
+    serial: int
+    may_have_run: bool
+
+
+class LogRecord(NamedTuple):
+    """A body and the offset at which it ends; the last one has no body and says what is wrong."""
+
+    body: list[Any] | None
+    end: int
+    damage: LogDamage
+
+
+def encode_sent(attempt: LoggedAttempt) -> bytes:
+    """Return the record of an attempt that is about to be sent."""
+    return _encode(
+        [
+            int(RecordType.SENT),
+            attempt.serial,
+            attempt.idempotency_key,
+            attempt.request_class,
+            attempt.order_key,
+            attempt.engine,
+            attempt.zone,
+            attempt.cell,
+            attempt.sent_at,
+            attempt.deduplicated_until,
+        ]
+    )
+
+
+def encode_finished(serial: int, may_have_run: bool) -> bytes:
+    """Return the record of an attempt's outcome."""
+    return _encode([int(RecordType.FINISHED), serial, may_have_run])
+
+
+def _encode(body: list[Any]) -> bytes:
+    packed: bytes = msgpack.packb(body)
+    return HEAD.pack(len(packed), xxhash.xxh32_intdigest(packed)) + packed
+
+
+def read_records(data: bytes) -> Iterator[LogRecord]:
+    """Yield each record as far as the log is good; last one without a body, saying what is wrong.
+
+    >>> log = encode_finished(7, True) + encode_finished(8, False)
+    >>> [record.body for record in read_records(log)]
+    [[2, 7, True], [2, 8, False], None]
+    >>> [(record.end, str(record.damage)) for record in read_records(log[:-1])]
+    [(12, ''), (12, 'a torn end')]
+    """
+    position = 0
+    while position < len(data):
+        packed = _checked_body(data, position)
+        if packed is None:
+            yield LogRecord(None, position, _damage_at(data, position))
+            return
+        body = _unpack(packed)
+        if body is None:
+            yield LogRecord(None, position, LogDamage.IN_THE_MIDDLE)
+            return
+        position += HEAD.size + len(packed)
+        yield LogRecord(body, position, LogDamage.NONE)
+    yield LogRecord(None, position, LogDamage.NONE)
+
+
+def _checked_body(data: bytes, position: int) -> bytes | None:
+    """Return the packed body of the record there, or None if it is not whole."""
+    if len(data) - position < HEAD.size:
+        return None
+    length, checksum = HEAD.unpack_from(data, position)
+    begin = position + HEAD.size
+    body = data[begin : begin + length]
+    if length > MAX_RECORD_BYTES or len(body) < length:
+        return None
+    return body if xxhash.xxh32_intdigest(body) == checksum else None
+
+
+def _unpack(packed: bytes) -> list[Any] | None:
+    try:
+        body = msgpack.unpackb(packed)
+    except (ValueError, msgpack.UnpackException):
+        return None
+    if not isinstance(body, list) or len(body) < MIN_BODY_FIELDS:
+        return None
+    return body if body[0] in (RecordType.SENT, RecordType.FINISHED) else None
+
+
+def _damage_at(data: bytes, position: int) -> LogDamage:
+    """Tell what a record that is not whole means.
+
+    A kill tears the end of a log, which is no fault; good records behind the bad one are.
+    """
+    if len(data) - position < HEAD.size:
+        return LogDamage.TORN_END
+    search_end = min(len(data) - HEAD.size, position + 1 + 2 * MAX_RECORD_BYTES)
+    for begin in range(position + 1, search_end):
+        if _checked_body(data, begin):
+            return LogDamage.IN_THE_MIDDLE
+    return LogDamage.TORN_END
+
+
+def decode_body(body: list[Any]) -> LoggedAttempt | FinishedAttempt:
+    """Return what a body says; raise CorruptedFileError if it makes no sense."""
+    fields = body[1:]
+    if body[0] == RecordType.FINISHED:
+        if not isinstance(fields[0], int):
+            raise CorruptedFileError(f"the serial {fields[0]!r} is no whole number")
+        return FinishedAttempt(fields[0], bool(fields[1]))
+    if len(fields) != SENT_FIELDS:
+        raise CorruptedFileError(f"{len(fields)} fields, expected {SENT_FIELDS}")
+    if not all(isinstance(fields[index], str) for index in SENT_TEXTS):
+        raise CorruptedFileError("a field that is no text")
+    if not all(isinstance(fields[index], int) for index in SENT_NUMBERS):
+        raise CorruptedFileError("a field that is no whole number")
+    return LoggedAttempt(*fields)
--- a/corkgauge/recovery/decay.py
+++ b/corkgauge/recovery/decay.py
@@ -1,81 +1,116 @@
-"""Ageing: what is left of each remembered figure after the time that has passed.
+"""Decay: what is left of each learned value after the time that the program was down.
 
-Owns the half lives and what "unknown" is for each figure. Free of I/O and of clocks: it is told how long the
-program was down. Must never make a rest longer than it had left, and never let what was remembered loosen a
-rule.
+Owns the half-lives, and what "unknown" is for each value. Free of I/O and of clocks. Decay never
+makes an ejection longer than it had left, and never loosens a rule. Spans are ticks (tenths of a
+millisecond).
 """
 
 from collections.abc import Mapping
 from math import inf
-from typing import Any
+from typing import Any, NamedTuple, TypeVar
+
+Sample = TypeVar("Sample")
 
 SECOND = 10_000
-# After so long, half of what a figure says is left (tenths of a millisecond).
-SLOWNESS = 20 * SECOND  # of an engine; neighbours and load change within a league night's minute
-BOUND = 30 * SECOND
-FAULTS = 10 * SECOND  # the module itself compares faults of ten seconds
-PRICE = 6 * SECOND  # the module takes a fifth off each two seconds
-SHARES = 60 * SECOND
-WORK = 600 * SECOND  # what submissions of an offering need changes slowest
+UNKNOWN_AGE = inf  # nobody knows how long ago: nothing is left
+NOT_EJECTED = -1
+
+# After so many ticks, half of what a value says is left.
+SLOWNESS_HALF_LIFE_TICKS = 20 * SECOND  # neighbours and load of an engine change within a minute
+LIMIT_HALF_LIFE_TICKS = 30 * SECOND
+FAULT_HALF_LIFE_TICKS = 10 * SECOND  # outlier detection compares faults of ten seconds
+PRICE_HALF_LIFE_TICKS = 6 * SECOND  # admission itself takes a fifth off each two seconds
+SHARE_HALF_LIFE_TICKS = 60 * SECOND
+ESTIMATE_HALF_LIFE_TICKS = 600 * SECOND  # what requests of a class need changes slowest
+
+FULL_LIMIT_FACTOR = 1.0  # of an engine's concurrency limit, while nothing is known against it
+
+
+class LearnedEngine(NamedTuple):
+    """What was learned of one engine; `ejected_until` in ticks since 1970, or NOT_EJECTED."""
 
+    slowness_samples: list[float]
+    limit_factor: float
+    ejected_until: int
+    fault_history: list[str]
 
-def left_of(age: float, half: int) -> float:
-    """The part that is left.
 
-    >>> left_of(0, 10), left_of(10, 10), left_of(inf, 10)
+def remaining_fraction(age: float, half_life: int) -> float:
+    """Return the fraction that is left.
+
+    >>> remaining_fraction(0, 10), remaining_fraction(10, 10), remaining_fraction(inf, 10)
     (1.0, 0.5, 0.0)
     """
-    return 0.0 if age == inf else 0.5 ** (max(age, 0) / half)
+    if age == UNKNOWN_AGE:
+        return 0.0
+    return float(0.5 ** (max(age, 0) / half_life))
+
 
+def snapshot_age(body: Mapping[str, Any], now: int, boot_id: str, since_boot: int) -> float:
+    """Return how many ticks ago a snapshot was saved.
 
-def age_of(saved: Mapping[str, Any], now: int, boot: str, since_boot: int) -> float:
-    """How long ago it was saved. Within one boot the system's own clock tells, whatever was done to the date.
-    Over a boot the date tells, and where that went back nobody knows: then it is for ever ago.
+    Within one boot the clock since boot tells, whatever was done to the date. Over a boot the date
+    tells, and where that went back nobody knows: the age is UNKNOWN_AGE.
 
-    >>> age_of({"boot": "x", "since_boot": 100, "at": 5_000}, 1, "x", 700)
+    >>> snapshot_age({"boot": "x", "since_boot": 100, "at": 5_000}, 1, "x", 700)
     600
-    >>> age_of({"boot": "y", "at": 50}, 80, "x", 1), age_of({"boot": "y", "at": 50}, 20, "x", 1)
+    >>> saved = {"boot": "y", "at": 50}
+    >>> snapshot_age(saved, 80, "x", 1), snapshot_age(saved, 20, "x", 1)
     (30, inf)
     """
-    if boot and saved.get("boot") == boot and since_boot >= saved.get("since_boot", inf):
-        return since_boot - saved["since_boot"]
-    return now - saved["at"] if now >= saved["at"] else inf
+    if boot_id and body.get("boot") == boot_id and since_boot >= body.get("since_boot", inf):
+        age: int = since_boot - body["since_boot"]
+        return age
+    saved_at: int = body["at"]
+    return now - saved_at if now >= saved_at else UNKNOWN_AGE
 
 
-def last_part(samples: list[Any], age: float, half: int) -> list[Any]:
-    """The newest of the samples, fewer the older they are.
+def newest_samples(samples: list[Sample], age: float, half_life: int) -> list[Sample]:
+    """Return the newest of the samples, fewer the older they are.
 
-    >>> last_part([1, 2, 3, 4], 0, 10), last_part([1, 2, 3, 4], 10, 10), last_part([1, 2, 3, 4], inf, 10)
-    ([1, 2, 3, 4], [3, 4], [])
+    >>> newest_samples([1, 2, 3, 4], 0, 10), newest_samples([1, 2, 3, 4], 10, 10)
+    ([1, 2, 3, 4], [3, 4])
+    >>> newest_samples([1, 2, 3, 4], inf, 10)
+    []
     """
-    count = int(len(samples) * left_of(age, half) + 0.5)
+    count = int(len(samples) * remaining_fraction(age, half_life) + 0.5)
     return samples[len(samples) - count :]
 
 
-def towards(value: float, unknown: float, age: float, half: int) -> float:
-    return unknown + (value - unknown) * left_of(age, half)
-
+def decay_towards(value: float, unknown: float, age: float, half_life: int) -> float:
+    """Return the value, moved towards what stands for "unknown"."""
+    return unknown + (value - unknown) * remaining_fraction(age, half_life)
 
-def engine(said: Mapping[str, Any], age: float, saved_at: int, now: int) -> dict[str, Any]:
-    """One engine's figures; its rest ends no later than it would have, counted from the moment of saving."""
-    left = max(said["rests_until"] - saved_at - age, 0) if age != inf else 0
-    return {
-        "slowness": last_part(said["slowness"], age, SLOWNESS),
-        "bound": towards(said["bound"], 1.0, age, BOUND),
-        "faults": last_part(said["faults"], age, FAULTS),
-        "rests_until": int(now + left) if left else -1,
-    }
 
+def decay_engine(learned: LearnedEngine, age: float, saved_at: int, now: int) -> LearnedEngine:
+    """Return what is left of an engine's values.
 
-def shares(said: list[float], age: float) -> list[float]:
-    """Shares of queues, towards equal ones; they still sum to what they summed to.
-
-    >>> shares([0.8, 0.2], 60 * SECOND)
+    Its ejection lasts at most what it had left when it was saved, counted from then.
+    """
+    ejected_for: float = 0
+    if age != UNKNOWN_AGE:
+        ejected_for = max(learned.ejected_until - saved_at - age, 0)
+    ejected_until = int(now + ejected_for) if ejected_for else NOT_EJECTED
+    return LearnedEngine(
+        newest_samples(learned.slowness_samples, age, SLOWNESS_HALF_LIFE_TICKS),
+        decay_towards(learned.limit_factor, FULL_LIMIT_FACTOR, age, LIMIT_HALF_LIFE_TICKS),
+        ejected_until,
+        newest_samples(learned.fault_history, age, FAULT_HALF_LIFE_TICKS),
+    )
+
+
+def decay_shares(shares: list[float], age: float) -> list[float]:
+    """Return the shares of queues, moved towards equal ones; their sum stays.
+
+    >>> decay_shares([0.8, 0.2], 60 * SECOND)
     [0.65, 0.35]
     """
-    equal = sum(said) / max(len(said), 1)
-    return [round(towards(each, equal, age, SHARES), 9) for each in said]
+    equal_share = sum(shares) / max(len(shares), 1)
+    return [
+        round(decay_towards(share, equal_share, age, SHARE_HALF_LIFE_TICKS), 9) for share in shares
+    ]
 
 
-def price(said: float, age: float) -> float:
-    return said * left_of(age, PRICE)
+def decay_price(price: float, age: float) -> float:
+    """Return what is left of the admission price; unknown is no price at all."""
+    return price * remaining_fraction(age, PRICE_HALF_LIFE_TICKS)
--- a/corkgauge/recovery/learned_state.py
+++ b/corkgauge/recovery/learned_state.py
@@ -1,128 +1,206 @@
-"""What the module has learned, to bare figures and back.
+"""The learned state of the gateway: to a snapshot's body and back.
 
-Owns which figures are remembered and whose they are by name. Free of I/O. Must never remember what a restart
-of an engine makes untrue, nor give the module anything of an engine that is not the one remembered.
+Owns which values are remembered, and whose they are by name. Free of I/O.
 
-Kept, and why: per engine slowness and bound (which engine is slow costs seconds to learn, by late answers),
-rests and faults (a silent one costs a promised time each); per offering its samples (grants, corrected
-estimates); shares and price (a flood met with equal shares and no price is met late). Not kept: what is out,
-loads (stale in a second), what was drawn, the last few troubles.
+Kept, and why: of each engine its slowness and limit factor (which engine is slow costs seconds to
+learn, by late answers), ejection and faults (a silent one costs a latency objective each); of each
+request class its samples (grants, corrected estimates); shares and admission price (a flood met
+with equal shares and no price is met late). Not kept: in-flight attempts, loads (stale in a
+second), the lottery's draws, the last few troubles.
 """
 
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
-from corkgauge.recovery import decay as ageing
+from corkgauge.policy.records import Engine, RequestClass
+from corkgauge.recovery import decay
+from corkgauge.recovery.decay import LearnedEngine
 
 
-def copied(gateway: Any) -> dict[str, Any]:
-    """What the module has learned, as copies; cheap, so that it is taken between two events."""
-    return {
-        "price": gateway.price,
-        "best": gateway.best,
-        "extras": [*gateway.extras],
-        "honoured": [*gateway.honoured],
-        "engines": [
-            (
-                e,
-                [*e.stats.slowness_samples],
-                e.stats.limit_factor,
-                e.stats.ejected_until,
-                [*e.stats.fault_history],
+class EngineCopy(NamedTuple):
+    """An engine and what was learned of it."""
+
+    engine: Engine
+    learned: LearnedEngine
+
+
+class SamplesCopy(NamedTuple):
+    """A request class and the samples of its last answers."""
+
+    request_class: RequestClass
+    samples: list[Any]
+
+
+class QueueShare(NamedTuple):
+    """The share of one tenant's queue of a request class."""
+
+    tenant: Any
+    request_class: RequestClass
+    share: float
+
+
+@dataclass(frozen=True, slots=True)
+class LearnedStateCopy:
+    """What the gateway has learned, as copies. Times are ticks since 1970."""
+
+    price: float
+    best: float
+    extras: list[int]
+    honoured: list[int]
+    engines: list[EngineCopy]
+    samples: list[SamplesCopy]
+    queues: list[QueueShare]
+
+
+@dataclass(frozen=True, slots=True)
+class RestoredCounts:
+    """How many of each had something left to restore."""
+
+    engines: int
+    request_classes: int
+    queues: int
+
+
+def copy_learned_state(gateway: Any) -> LearnedStateCopy:
+    """Copy what the gateway has learned; cheap enough to be done between two events."""
+    return LearnedStateCopy(
+        price=gateway.price,
+        best=gateway.best,
+        extras=[*gateway.extras],
+        honoured=[*gateway.honoured],
+        engines=[
+            EngineCopy(
+                engine,
+                LearnedEngine(
+                    [*engine.stats.slowness_samples],
+                    engine.stats.limit_factor,
+                    engine.stats.ejected_until,
+                    [*engine.stats.fault_history],
+                ),
             )
-            for e in gateway.engines
+            for engine in gateway.engines
         ],
-        "offerings": [
-            (each, [*each.answer_samples])
-            for each in {q.request_class: 0 for q in gateway.queues.values()}
+        samples=[
+            SamplesCopy(request_class, [*request_class.answer_samples])
+            for request_class in {q.request_class: 0 for q in gateway.queues.values()}
         ],
-        "queues": [(tenant, each, queue.share) for (tenant, each), queue in gateway.queues.items()],
-    }
-
-
-def gathered(gateway: Any) -> dict[str, Any]:
-    """Bare figures, by names, in one step."""
-    return named(copied(gateway))
+        queues=[
+            QueueShare(tenant, request_class, queue.share)
+            for (tenant, request_class), queue in gateway.queues.items()
+        ],
+    )
 
 
-def named(said: dict[str, Any]) -> dict[str, Any]:
-    """What the module said, by names; it holds copies, so this may come later."""
+def encode_learned_state(state: LearnedStateCopy) -> dict[str, Any]:
+    """Return the fields of a snapshot's body; the state is a copy, so this may come later."""
     return {
-        "price": said["price"],
-        "best": said["best"],
+        "price": state.price,
+        "best": state.best,
         "engines": {
             engine.name: {
                 "started": engine.incarnation,
-                "slowness": slowness,
-                "bound": bound,
-                "rests_until": rests_until,
-                "faults": faults,
+                "slowness": learned.slowness_samples,
+                "bound": learned.limit_factor,
+                "rests_until": learned.ejected_until,
+                "faults": learned.fault_history,
             }
-            for engine, slowness, bound, rests_until, faults in said["engines"]
+            for engine, learned in state.engines
         },
         "offerings": {
             request_class.name: [list(sample) for sample in samples]
-            for request_class, samples in said["offerings"]
+            for request_class, samples in state.samples
         },
         "queues": [
-            [tenant, request_class.name, share] for tenant, request_class, share in said["queues"]
+            [tenant, request_class.name, share] for tenant, request_class, share in state.queues
         ],
-        "extras": said["extras"],
-        "honoured": said["honoured"],
+        "extras": state.extras,
+        "honoured": state.honoured,
     }
 
 
-def recalled(
-    said: dict[str, Any], gateway: Any, request_classes: dict[str, Any], now: int, age: float
-) -> dict[str, int]:
-    """Give the module what is left of it; how many engines, offerings and queues that was. What is not as it
-    should be is left out, whatever it is."""
-    counts = {"engines": 0, "offerings": 0, "queues": 0}
-    engines = []
-    for engine in gateway.engines:
-        known = said["engines"].get(engine.name)
-        # Danger: under the same id another process may run by now; nothing is known of that one.
-        if known and known["started"] == engine.incarnation:
-            aged = ageing.engine(known, age, said["at"], now)
-            engines.append(
-                (engine, aged["slowness"], aged["bound"], aged["rests_until"], aged["faults"])
-            )
-            counts["engines"] += bool(aged["slowness"] or aged["rests_until"] >= 0)
+def _decode_engine(fields: dict[str, Any]) -> LearnedEngine:
+    return LearnedEngine(
+        fields["slowness"], fields["bound"], fields["rests_until"], fields["faults"]
+    )
+
+
+def restore_learned_state(
+    body: dict[str, Any],
+    gateway: Any,
+    request_classes: dict[str, RequestClass],
+    now: int,
+    age: float,
+) -> RestoredCounts:
+    """Give the gateway what is left of a snapshot's body that is `age` ticks old.
+
+    A body that makes no sense raises KeyError, TypeError, ValueError, AttributeError or IndexError
+    before the gateway is given anything.
+    """
+    engines = _remaining_engines(body, gateway.engines, now, age)
     samples = [
-        (
-            request_class,
-            [
-                tuple(each)
-                for each in ageing.last_part(said["offerings"].get(name, []), age, ageing.WORK)
-            ],
-        )
+        (request_class, _remaining_samples(body["offerings"].get(name, []), age))
         for name, request_class in request_classes.items()
     ]
-    counts["offerings"] = sum(bool(each) for _, each in samples)
-    queues = [
-        (tenant, request_classes[name], share)
-        for tenant, name, share in said["queues"]
-        if name in request_classes
-    ]
-    aged = ageing.shares([share for _, _, share in queues], age)
-    counts["queues"] = len(queues)
+    queues = _remaining_shares(body["queues"], request_classes, age)
     span = gateway.extra[2]
-    lately = {
-        name: [when for when in said[name] if now - span < when <= now]
-        for name in ("extras", "honoured")
-    }
     gateway.recall(
         {
-            "price": ageing.price(said["price"], age),
-            "engines": engines,
+            "price": decay.decay_price(body["price"], age),
+            "engines": [(engine, *learned) for engine, learned in engines],
             "offerings": samples,
-            "best": said["best"] if age != ageing.inf else gateway.best,
-            "queues": [
-                (tenant, request_class, share)
-                for (tenant, request_class, _), share in zip(queues, aged)
-            ],
-            # Danger: a budget that counts what was honoured before, and not what was sent, would be too wide.
-            "extras": lately["extras"],
-            "honoured": lately["honoured"],
+            "best": gateway.best if age == decay.UNKNOWN_AGE else body["best"],
+            "queues": queues,
+            # Both counts of the retry budget: successes of before without the retries of before
+            # would make it too wide.
+            "extras": _within(body["extras"], span, now),
+            "honoured": _within(body["honoured"], span, now),
         }
     )
-    return counts
+    return RestoredCounts(
+        engines=sum(_has_something_left(learned) for _, learned in engines),
+        request_classes=sum(bool(each) for _, each in samples),
+        queues=len(queues),
+    )
+
+
+def _remaining_engines(
+    body: dict[str, Any], engines: list[Engine], now: int, age: float
+) -> list[EngineCopy]:
+    """Return what is left of each engine that is the one remembered.
+
+    Under the same name another process may run by now, of which nothing is known.
+    """
+    remaining = []
+    for engine in engines:
+        fields = body["engines"].get(engine.name)
+        if fields and fields["started"] == engine.incarnation:
+            learned = decay.decay_engine(_decode_engine(fields), age, body["at"], now)
+            remaining.append(EngineCopy(engine, learned))
+    return remaining
+
+
+def _has_something_left(learned: LearnedEngine) -> bool:
+    return bool(learned.slowness_samples or learned.ejected_until >= 0)
+
+
+def _remaining_samples(samples: list[Any], age: float) -> list[tuple[Any, ...]]:
+    newest = decay.newest_samples(samples, age, decay.ESTIMATE_HALF_LIFE_TICKS)
+    return [tuple(each) for each in newest]
+
+
+def _remaining_shares(
+    rows: list[Any], request_classes: dict[str, RequestClass], age: float
+) -> list[QueueShare]:
+    """Return the decayed shares of queues whose request class still exists."""
+    queues = [
+        QueueShare(tenant, request_classes[name], share)
+        for tenant, name, share in rows
+        if name in request_classes
+    ]
+    shares = decay.decay_shares([queue.share for queue in queues], age)
+    return [queue._replace(share=share) for queue, share in zip(queues, shares, strict=True)]
+
+
+def _within(times: list[int], span: int, now: int) -> list[int]:
+    """Return the times of the last `span` ticks."""
+    return [when for when in times if now - span < when <= now]
--- a/corkgauge/recovery/log_writer.py
+++ b/corkgauge/recovery/log_writer.py
@@ -1,14 +1,17 @@
-"""The helper process that writes: `python writer.py FOLDER NAME DURABILITY KEPT`.
+"""The process that writes the files: `python log_writer.py FOLDER NAME DURABILITY KEPT`.
 
-Owns the files of one gateway while it runs, fed over its standard input. It waits for disks so that the
-gateway never does. It ends with its parent: the pipe's end is its own, also when the parent is killed; what
-the pipe still held by then is written first.
+It owns the files of one gateway while that runs, and waits for disks so that the gateway never
+does. It ends with its parent, also when that is killed, as the end of its standard input is the
+end of its work; what the pipe still holds by then is written first.
 
-Fed frames: sort (1), length (4), body. `S` a snapshot, `E` records of effects, `F` two serials (8 each): of the
-oldest effect that still counts, and of the newest. It answers a line a trouble on its standard output, at most one
-a second.
+Frames on standard input: type (1 byte), length (4), body. `S` is a snapshot, `E` records of the
+attempt log, `F` two serials (8 bytes each): of the oldest attempt that still counts, and of the
+newest. On standard output goes a line for a failed write, at most one a second.
+
+Run by its path: it imports the standard library only.
 """
 
+import contextlib
 import os
 import struct
 import sys
@@ -16,40 +19,50 @@
 from typing import Any
 
 FRAME = struct.Struct("<cI")
-SNAPSHOT, EFFECT, FLOOR = b"S", b"E", b"F"
-SERIALS = struct.Struct("<QQ")
-SEGMENT = 2**20  # octets of one
-SEGMENTS = 64  # kept at most, as many as are read at a start
-LARGEST = 32 * 2**20
+SNAPSHOT, RECORDS, SERIALS = b"S", b"E", b"F"  # types of a frame
+SERIALS_BODY = struct.Struct("<QQ")
+SEGMENT_BYTES = 2**20  # of one segment of the log
+MAX_SEGMENTS = 64  # kept, as many as are read at a start
+MAX_FRAME_BYTES = 32 * 2**20
+ERROR_INTERVAL_SECONDS = 1
+STANDARD_OUTPUT = 1
 
 
 class Disk:
     """What the files need of a disk; the tests have one that fails."""
 
     def create(self, path: str) -> Any:
+        """Open a new, empty file."""
         return open(path, "wb", buffering=0)
 
     def write(self, file: Any, data: bytes) -> None:
-        view = memoryview(data)
-        while view:
-            view = view[file.write(view) :]
+        """Write all of it; a raw file may take less at a time."""
+        rest = memoryview(data)
+        while rest:
+            rest = rest[file.write(rest) :]
 
     def sync(self, file: Any) -> None:
+        """Wait until what was written survives loss of power."""
         os.fsync(file.fileno())
 
     def close(self, file: Any) -> None:
+        """Close a file."""
         file.close()
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file, in place of one that has the new name."""
         os.replace(old, new)
 
     def remove(self, path: str) -> None:
+        """Remove a file."""
         os.unlink(path)
 
     def names(self, folder: str) -> list[str]:
+        """Return the names in a folder."""
         return os.listdir(folder)
 
     def sync_folder(self, folder: str) -> None:
+        """Wait until the folder's names survive loss of power."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -57,107 +70,148 @@
             os.close(descriptor)
 
 
-class Files:
-    """`durable` syncs what must survive power; else what survives a kill of the gateway is enough."""
+class RecoveryFiles:
+    """Snapshots and log segments of one gateway.
+
+    `durable` syncs what must survive loss of power; otherwise surviving a kill is enough.
+    """
 
-    def __init__(self, folder: str, name: str, durable: bool, kept: int, disk: Any = None) -> None:
-        self.folder, self.name, self.durable, self.kept = folder, name, durable, kept
+    def __init__(
+        self, folder: str, name: str, durable: bool, snapshots_kept: int, disk: Any = None
+    ) -> None:
+        self.folder = folder
+        self.name = name
+        self.durable = durable
+        self.snapshots_kept = snapshots_kept
         self.disk = disk or Disk()
-        self.file, self.size = None, 0
-        self.bounds: dict[
-            str, int
-        ] = {}  # by closed segment: no effect in it has a higher serial; 0: not told yet
-
-    def path(self, end: str) -> str:
-        return os.path.join(self.folder, f"{self.name}.{end}")
-
-    def snapshot(self, data: bytes) -> None:
-        """Aside, synced, renamed, the folder synced: a reader finds an older one or this, never a part."""
-        disk, aside = self.disk, self.path("recall.new")
-        file = disk.create(aside)
+        self.segment: Any = None  # the one that is written to
+        self.segment_bytes = 0
+        # By closed segment: no attempt in it has a higher serial; 0 until that is known.
+        self.highest_serials: dict[str, int] = {}
+
+    def path(self, suffix: str) -> str:
+        """Return the path of this gateway's file with that suffix."""
+        return os.path.join(self.folder, f"{self.name}.{suffix}")
+
+    def write_snapshot(self, data: bytes) -> None:
+        """Write a snapshot under another name, sync, rename, sync the folder.
+
+        So a reader finds an older one or this one, never a part.
+        """
+        disk = self.disk
+        temporary = self.path("recall.new")
+        file = disk.create(temporary)
         try:
             disk.write(file, data)
             disk.sync(file)
         finally:
             disk.close(file)
-        names = set(disk.names(self.folder))
-        for number in range(self.kept - 1, 0, -1):
-            before = f"{self.name}.recall" + (f".{number - 1}" if number > 1 else "")
-            if before in names:
-                disk.rename(os.path.join(self.folder, before), self.path(f"recall.{number}"))
-        disk.rename(aside, self.path("recall"))
+        self._shift_snapshots()
+        disk.rename(temporary, self.path("recall"))
         if self.durable:
             disk.sync_folder(self.folder)
 
-    def effects(self, data: bytes) -> None:
-        if self.file is None or self.size + len(data) > SEGMENT:
-            self._next()
-        self.disk.write(self.file, data)
-        self.size += len(data)
+    def _shift_snapshots(self) -> None:
+        """Move each snapshot that is kept one number up, the oldest first."""
+        names = set(self.disk.names(self.folder))
+        for number in range(self.snapshots_kept - 1, 0, -1):
+            earlier = f"{self.name}.recall"
+            if number > 1:
+                earlier += f".{number - 1}"
+            if earlier in names:
+                self.disk.rename(os.path.join(self.folder, earlier), self.path(f"recall.{number}"))
+
+    def append_records(self, data: bytes) -> None:
+        """Append records to the log, to a new segment if the present one is full."""
+        if self.segment is None or self.segment_bytes + len(data) > SEGMENT_BYTES:
+            self._open_segment()
+        self.disk.write(self.segment, data)
+        self.segment_bytes += len(data)
         if self.durable:
-            self.disk.sync(self.file)
-
-    def floor(self, oldest: int, newest: int) -> None:
-        """Segments go when all in them is over. Danger: kept by number, marks that outlive so many hand-offs would be
-        lost; a segment that was closed before this was told holds no effect above the newest."""
-        for path, bound in [*self.bounds.items()]:
-            if not bound:
-                self.bounds[path] = newest
-            elif bound < oldest:
+            self.disk.sync(self.segment)
+
+    def drop_settled_segments(self, oldest: int, newest: int) -> None:
+        """Remove closed segments in which no attempt counts any more.
+
+        Serials: of the oldest attempt that still counts, and of the newest. A segment that was
+        closed before this is called holds none above the newest. Were segments kept by number
+        instead, keys remembered for longer than so many attempts take would be lost.
+        """
+        for path, highest in list(self.highest_serials.items()):
+            if not highest:
+                self.highest_serials[path] = newest
+            elif highest < oldest:
                 self.disk.remove(path)
-                del self.bounds[path]
+                del self.highest_serials[path]
 
-    def _next(self) -> None:
+    def _open_segment(self) -> None:
         disk = self.disk
-        if self.file is not None:
-            disk.close(self.file)
-        there = segments(self.folder, self.name, disk.names(self.folder))
-        number = there[-1][0] + 1 if there else 1
-        self.file, self.size = disk.create(self.path(f"effects.{number:08}")), 0
-        for _, path in there:
-            self.bounds.setdefault(path, 0)
-        for _, path in there[: 1 - SEGMENTS]:  # Danger: a log without end would fill the disk
+        if self.segment is not None:
+            disk.close(self.segment)
+        earlier = segments(self.folder, self.name, disk.names(self.folder))
+        number = earlier[-1][0] + 1 if earlier else 1
+        self.segment = disk.create(self.path(f"effects.{number:08}"))
+        self.segment_bytes = 0
+        for _, path in earlier:
+            self.highest_serials.setdefault(path, 0)
+        # A log without end would fill the disk.
+        for _, path in earlier[: 1 - MAX_SEGMENTS]:
             disk.remove(path)
-            self.bounds.pop(path, None)
+            self.highest_serials.pop(path, None)
         if self.durable:
             disk.sync_folder(self.folder)
 
 
 def segments(folder: str, name: str, names: list[str]) -> list[tuple[int, str]]:
-    """Segments of a log among the names of its folder, the oldest first."""
-    found, begin = [], f"{name}.effects."
+    """Return number and path of a log's segments among a folder's names, the oldest first."""
+    found = []
+    prefix = f"{name}.effects."
     for each in names:
-        number = each.removeprefix(begin)
-        if each.startswith(begin) and number.isdigit():
+        number = each.removeprefix(prefix)
+        if each.startswith(prefix) and number.isdigit():
             found.append((int(number), os.path.join(folder, each)))
     return sorted(found)
 
 
+def _read_frame(source: Any) -> tuple[bytes, bytes] | None:
+    """Return type and body of the next frame, or None at the end.
+
+    A frame that is not whole never was: the parent was killed while it wrote.
+    """
+    head = source.read(FRAME.size)
+    if len(head) < FRAME.size:
+        return None
+    frame_type, length = FRAME.unpack(head)
+    body = source.read(length) if length <= MAX_FRAME_BYTES else b""
+    return (frame_type, body) if len(body) == length else None
+
+
+def _write_frame(files: RecoveryFiles, frame_type: bytes, body: bytes) -> None:
+    if frame_type == SERIALS:
+        files.drop_settled_segments(*SERIALS_BODY.unpack(body))
+    elif frame_type == SNAPSHOT:
+        files.write_snapshot(body)
+    else:
+        files.append_records(body)
+
+
 def main() -> int:
-    folder, name, durability, kept = sys.argv[1:5]
-    files, told = Files(folder, name, durability == "machine", int(kept)), 0.0
-    source = sys.stdin.buffer
+    """Write what standard input brings until its end; a failed write is reported, and no end."""
+    folder, name, durability, snapshots_kept = sys.argv[1:5]
+    files = RecoveryFiles(folder, name, durability == "machine", int(snapshots_kept))
+    reported_at = 0.0
     while True:
-        head = source.read(FRAME.size)
-        if len(head) < FRAME.size:
+        frame = _read_frame(sys.stdin.buffer)
+        if frame is None:
             return 0
-        sort, length = FRAME.unpack(head)
-        body = source.read(length) if length <= LARGEST else b""
-        if len(body) < length:
-            return 0  # the parent was killed within a frame: what is not whole never was
         try:
-            if sort == FLOOR:
-                files.floor(*SERIALS.unpack(body))
-            else:
-                (files.snapshot if sort == SNAPSHOT else files.effects)(body)
+            _write_frame(files, *frame)
         except OSError as problem:
-            files.file = None
-            if time.monotonic() > told + 1:
-                told = time.monotonic()
-                try:
-                    os.write(1, f"{problem.strerror}\n".encode())
-                except OSError:
-                    pass
+            files.segment = None  # the next records go to a new one
+            if time.monotonic() > reported_at + ERROR_INTERVAL_SECONDS:
+                reported_at = time.monotonic()
+                with contextlib.suppress(OSError):
+                    os.write(STANDARD_OUTPUT, f"{problem.strerror}\n".encode())
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/corkgauge/recovery/restart.py
@@ -0,0 +1,120 @@
+"""What is read at a start: the attempt log, and the newest snapshot that can be used."""
+
+import os
+from dataclasses import dataclass
+from typing import Any
+
+from corkgauge.config.operator_records import RecoveryConfig
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.recovery import snapshot
+from corkgauge.recovery.attempt_log import AttemptLog
+from corkgauge.recovery.attempt_records import LoggedAttempt, read_records
+from corkgauge.recovery.decay import UNKNOWN_AGE, snapshot_age
+from corkgauge.recovery.learned_state import RestoredCounts, restore_learned_state
+from corkgauge.recovery.log_writer import MAX_SEGMENTS, SEGMENT_BYTES, segments
+
+MAX_LOG_BYTES = MAX_SEGMENTS * SEGMENT_BYTES  # that are read, the newest segments first
+
+# What a snapshot raises that has a good checksum and makes no sense all the same.
+SENSELESS = (KeyError, TypeError, ValueError, AttributeError, IndexError)
+
+
+@dataclass(frozen=True, slots=True)
+class Restart:
+    """One start of a gateway; `name` is the gateway's as part of a file name."""
+
+    socket_host: Any
+    config: RecoveryConfig
+    gateway: str
+    name: str
+    settings_checksum: int
+    now: int  # ticks since 1970
+    boot_id: str
+    since_boot: int  # ticks
+
+    def read_attempt_log(self, attempts: AttemptLog) -> list[LoggedAttempt]:
+        """Replay the log and hold the order keys of attempts in doubt, which are returned."""
+        for path, size in self._segments_to_read():
+            self._replay_segment(attempts, path, size)
+        in_doubt = attempts.in_doubt()
+        self._hold_order_keys(in_doubt)
+        if len(attempts):
+            self.socket_host.log(f"recall: effects={len(attempts)} unsettled={len(in_doubt)}")
+        return in_doubt
+
+    def _segments_to_read(self) -> list[tuple[str, int]]:
+        """Return path and size of the newest segments, as many as the bound allows, in order."""
+        bytes_left = MAX_LOG_BYTES
+        chosen: list[tuple[str, int]] = []
+        folder = self.config.folder
+        for _, path in reversed(segments(folder, self.name, os.listdir(folder))):
+            size = os.path.getsize(path)
+            if size > bytes_left:
+                self.socket_host.log(
+                    f"recall: {path} has {size} octets, more than are read; passed over"
+                )
+                break
+            bytes_left -= size
+            chosen.append((path, size))
+        return chosen[::-1]
+
+    def _replay_segment(self, attempts: AttemptLog, path: str, size: int) -> None:
+        """Replay one segment; one at a time, as together they may be more than our memory."""
+        with open(path, "rb") as file:
+            data = file.read(size)
+        for body, end, damage in read_records(data):
+            if body is not None:
+                attempts.apply(body)
+            elif damage:
+                self.socket_host.log(f"recall: {path} has {damage} at {end}")
+
+    def _hold_order_keys(self, in_doubt: list[LoggedAttempt]) -> None:
+        """Hold the order key of each attempt in doubt as after a connection reset.
+
+        It may still run, and the next of its key would run beside it. It was given up with its
+        connection, at the latest when the program before ended.
+        """
+        gateway = self.socket_host.gateway
+        ordered = {each.name for each in self.socket_host.settings.request_classes if each.ordered}
+        for attempt in in_doubt:
+            if attempt.order_key and attempt.request_class in ordered:
+                gateway.hold_order_key(attempt.order_key, self.now + gateway.settle)
+
+    def restore_snapshot(self) -> None:
+        """Give the gateway what is left of the newest snapshot that can be used, if any."""
+        paths = [os.path.join(self.config.folder, f"{self.name}.recall")]
+        paths += [f"{paths[0]}.{number}" for number in range(1, self.config.snapshots_kept)]
+        for path in paths:
+            if self._restore_from(path):
+                return
+
+    def _restore_from(self, path: str) -> bool:
+        """Restore from one file; return False, having logged why, if it is of no use."""
+        try:
+            with open(path, "rb") as file:
+                data = file.read(snapshot.MAX_SNAPSHOT_BYTES + 1)
+            body = snapshot.decode(data, self.gateway, self.settings_checksum)
+            age = snapshot_age(body, self.now, self.boot_id, self.since_boot)
+            counts = restore_learned_state(
+                body, self.socket_host.gateway, self.socket_host.request_classes, self.now, age
+            )
+        except FileNotFoundError:
+            return False
+        except (OSError, snapshot.UnusableSnapshotError) as problem:
+            reason = getattr(problem, "strerror", None) or problem
+            self.socket_host.log(f"recall: {path} is {reason}, passed over")
+            return False
+        except SENSELESS as problem:
+            self.socket_host.log(
+                f"recall: {path} makes no sense ({type(problem).__name__}), passed over"
+            )
+            return False
+        self._log_restored(counts, age)
+        return True
+
+    def _log_restored(self, counts: RestoredCounts, age: float) -> None:
+        seconds = "unknown" if age == UNKNOWN_AGE else f"{age / SECOND:.1f}"
+        self.socket_host.log(
+            f"recall: engines={counts.engines} offerings={counts.request_classes} "
+            f"queues={counts.queues} age={seconds}"
+        )
--- a/corkgauge/recovery/service.py
+++ b/corkgauge/recovery/service.py
@@ -1,339 +1,228 @@
-"""Recall of one program: the helper that writes, what is read at a start, and what the host tells.
+"""Recovery of one program: what the host notifies it of, snapshots, and the lock on the folder.
 
-Owns the pipe to the helper and the lock on the folder. Must never wait for a disk once the program serves,
-and never claim that anything is kept which the pipe did not take.
+It never waits for a disk once the program serves.
 """
 
 import fcntl
 import os
-import subprocess
-import sys
-from typing import Any
+from typing import Any, Protocol
 
 from corkgauge.accounting.checkpoint_file import safe
-from corkgauge.config.operator_file import RecoveryConfig
+from corkgauge.config.operator_records import RecoveryConfig
 from corkgauge.eventloop.clock import boot_of
-from corkgauge.eventloop.loop import READ, SECOND
-from corkgauge.policy.records import NEVER_RAN, Attempt, AttemptOutcome, Engine
-from corkgauge.recovery import attempt_log as effects
-from corkgauge.recovery import learned_state as learned
-from corkgauge.recovery import log_writer as writer
+from corkgauge.eventloop.loop import EventLoop
+from corkgauge.policy.records import NEVER_RAN, Attempt, AttemptOutcome, Engine, Request
 from corkgauge.recovery import snapshot
-from corkgauge.recovery.decay import age_of, inf
-from corkgauge.recovery.log_writer import (
-    EFFECT,
-    FLOOR,
-    FRAME,
-    SEGMENT,
-    SEGMENTS,
-    SERIALS,
-    SNAPSHOT,
-    segments,
+from corkgauge.recovery.attempt_log import AttemptLog
+from corkgauge.recovery.attempt_records import LoggedAttempt, encode_finished, encode_sent
+from corkgauge.recovery.learned_state import (
+    LearnedStateCopy,
+    copy_learned_state,
+    encode_learned_state,
 )
+from corkgauge.recovery.log_writer import RECORDS, SERIALS, SERIALS_BODY, SNAPSHOT
+from corkgauge.recovery.restart import Restart
+from corkgauge.recovery.writer_process import LogWriterProcess
 
-PIPE = 2**20  # octets that the pipe is asked to hold
-MOST_LOG = SEGMENTS * SEGMENT  # octets of the log that are read at a start, a segment at a time
-AGAIN = 5 * SECOND  # until a helper that ended is started again
-ALL_HALLS = "all"
+EVERY_ZONE = "all"  # the key scope of classes whose idempotency keys all engines share
+
+
+class RecoveryHost(Protocol):
+    """What recovery needs of its host."""
+
+    event_loop: EventLoop
+    gateway: Any
+    settings: Any
+    request_classes: dict[str, Any]
+    recovery: Any
+
+    def log(self, line: str) -> None:
+        """Write a line to the program's log."""
 
 
 class RecoveryService:
-    """`house` has `hub`, `gateway`, `stated`, `ledger` and `log`."""
-
-    def __init__(self, socket_host: Any, gateway: str, mark: int, said: RecoveryConfig) -> None:
-        self.socket_host, self.event_loop, self.said, self.gateway, self.mark = (
-            socket_host,
-            socket_host.event_loop,
-            said,
-            gateway,
-            mark,
-        )
+    """Restores at the start, then logs attempts and keeps snapshots.
+
+    `writer` is None where the folder cannot be had, and recovery is off.
+    """
+
+    def __init__(
+        self, socket_host: Any, gateway: str, settings_checksum: int, config: RecoveryConfig
+    ) -> None:
+        self.socket_host: RecoveryHost = socket_host
+        self.event_loop = self.socket_host.event_loop
+        self.config = config
+        self.gateway = gateway
+        self.settings_checksum = settings_checksum
         self.name = safe(gateway)
-        self.effects = effects.AttemptLog()
-        self.serial = 0
-        self.helper: subprocess.Popen | None = None
-        self.ending = False
-        self.gap = 0  # frames that the pipe did not take
-        self.lock = -1
-        self.unwritten = bytearray()  # the rest of a frame that the pipe took a part of
+        self.attempts = AttemptLog()
+        self.last_serial = 0
+        self.writer: LogWriterProcess | None = None
+        self.lock = -1  # descriptor of the lock file
+        if self._lock_folder():
+            self._start()
+
+    def _lock_folder(self) -> bool:
+        """Lock the folder, or log why recovery is off.
+
+        Two programs in one folder would each take the other's attempts for its own.
+        """
+        folder = self.config.folder
         try:
-            os.makedirs(said.folder, exist_ok=True)
-            self.lock = os.open(self._path("lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
-            # Danger: two programs in one folder would each take the other's effects for its own.
+            os.makedirs(folder, exist_ok=True)
+            path = os.path.join(folder, f"{self.name}.lock")
+            self.lock = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as problem:
-            why = "in use by another" if isinstance(problem, BlockingIOError) else problem.strerror
-            socket_host.log(f"recall off: {said.folder}: {why}")
+            in_use = isinstance(problem, BlockingIOError)
+            reason = "in use by another" if in_use else problem.strerror
+            self.socket_host.log(f"recall off: {folder}: {reason}")
             if self.lock >= 0:
                 os.close(self.lock)
                 self.lock = -1
-            return
-        closed = self._recall()
-        self._start()
-        for effect in closed:  # else each later start would take them for unsettled again
-            self._put(EFFECT, effects.over(effect.serial, True))
-        socket_host.recall = self
-        self.event_loop.call_later(said.snapshot_interval_ticks, self.keep)
-
-    def _path(self, end: str) -> str:
-        return os.path.join(self.said.folder, f"{self.name}.{end}")
-
-    # At a start.
-
-    def _recall(self) -> list[effects.LoggedAttempt]:
-        """The effects that were unsettled."""
-        now, (boot, since_boot) = self.event_loop.now, boot_of()
-        unsettled = self._read_effects(now)
-        for path in (
-            self._path("recall"),
-            *(self._path(f"recall.{n}") for n in range(1, self.said.snapshots_kept)),
-        ):
-            try:
-                with open(path, "rb") as file:
-                    said = snapshot.read(file.read(snapshot.LARGEST + 1), self.gateway, self.mark)
-                age = age_of(said, now, boot, since_boot)
-                counts = learned.recalled(
-                    said, self.socket_host.gateway, self.socket_host.request_classes, now, age
-                )
-            except FileNotFoundError:
-                continue
-            except (OSError, snapshot.UnusableSnapshotError) as problem:
-                why = getattr(problem, "strerror", None) or problem
-                self.socket_host.log(f"recall: {path} is {why}, passed over")
-                continue
-            except (KeyError, TypeError, ValueError, AttributeError, IndexError) as problem:
-                self.socket_host.log(
-                    f"recall: {path} makes no sense ({type(problem).__name__}), passed over"
-                )
-                continue
-            old = "unknown" if age == inf else f"{age / SECOND:.1f}"
-            self.socket_host.log(
-                f"recall: engines={counts['engines']} offerings={counts['offerings']} "
-                f"queues={counts['queues']} age={old}"
-            )
-            break
-        return unsettled
-
-    def _read_effects(self, now: int) -> list[effects.LoggedAttempt]:
-        """The last of the log, as far as its bound; keys with a hand-off of unknown outcome rest."""
-        left, paths = MOST_LOG, []
-        for _, path in reversed(
-            segments(self.said.folder, self.name, os.listdir(self.said.folder))
-        ):
-            size = os.path.getsize(path)
-            if size > left:
-                self.socket_host.log(
-                    f"recall: {path} has {size} octets, more than are read; passed over"
-                )
-                break
-            left -= size
-            paths.append((path, size))
-        for path, size in reversed(
-            paths
-        ):  # one at a time: together they may be more than our memory
-            with open(path, "rb") as file:
-                data = file.read(size)
-            for body, at, wrong in effects.records(data):
-                if body is not None:
-                    self.effects.take(body)
-                elif wrong:
-                    self.socket_host.log(f"recall: {path} has {wrong} at {at}")
-        unsettled = self.effects.unsettled()
-        gateway, ordered = (
-            self.socket_host.gateway,
-            {each.name for each in self.socket_host.settings.request_classes if each.ordered},
+            return False
+        return True
+
+    def _start(self) -> None:
+        in_doubt = self._restore()
+        self.writer = LogWriterProcess(
+            self.event_loop, self.socket_host.log, self.config, self.name
         )
-        for effect in unsettled:
-            # Danger: it may run on, and the next of its key would run beside it. It was given up with its
-            # connection, at the latest when the program before ended; so its key rests as after a reset.
-            if effect.key and effect.request_class in ordered:
-                gateway.hold_order_key(effect.key, now + gateway.settle)
-        self.serial = max(self.effects.by_serial, default=0)
-        if len(self.effects):
-            self.socket_host.log(f"recall: effects={len(self.effects)} unsettled={len(unsettled)}")
-        for effect in unsettled:
-            effect.open = False
-        self.effects.expire(now, len(self.effects))
-        return unsettled
-
-    # What the host tells.
-
-    def sending(self, attempt: Attempt, label: str) -> int:
-        """A hand-off of a labelled or ordered submission goes out; its entry goes first. Its serial here."""
-        request, engine = attempt.request, attempt.engine
-        self.serial += 1
-        effect = effects.LoggedAttempt(
-            self.serial,
-            label,
-            request.request_class.name,
-            request.order_key,
-            engine.name,
-            engine.zone,
-            engine.cell,
-            attempt.sent_at,
-            attempt.sent_at + request.request_class.key_ttl,
+        self.writer.start()
+        # Without these records each later start would take the attempts for in doubt again.
+        for attempt in in_doubt:
+            self.writer.put(RECORDS, encode_finished(attempt.serial, True))
+        self.socket_host.recovery = self
+        self.event_loop.call_later(self.config.snapshot_interval_ticks, self.on_snapshot_timer)
+
+    def _restore(self) -> list[LoggedAttempt]:
+        """Restore what is stored; return the attempts that were in doubt, settled here by now."""
+        boot_id, since_boot = boot_of()
+        restart = Restart(
+            socket_host=self.socket_host,
+            config=self.config,
+            gateway=self.gateway,
+            name=self.name,
+            settings_checksum=self.settings_checksum,
+            now=self.event_loop.now,
+            boot_id=boot_id,
+            since_boot=since_boot,
         )
-        self.effects.sent(effect)
-        self._put(EFFECT, effects.sent(effect))
-        return self.serial
-
-    def over(self, serial: int, outcome: int) -> None:
-        ran = outcome not in NEVER_RAN
-        self.effects.over(serial, ran)
-        self._put(EFFECT, effects.over(serial, ran))
-
-    def mark_known(self, request: Any, label: str) -> None:
-        """A labelled submission that may have run goes only where its label is known, and only as long."""
-        known = self.effects.of(request.request_class.name, label, self.event_loop.now)
-        if known and request.request_class.key_scope != ALL_HALLS:
-            request.earlier_attempts = [
-                Attempt(
-                    None,
-                    Engine(each.engine, b"", each.zone, 0, each.cell),
-                    -1,
-                    each.sent,
-                    1.0,
-                    1.0,
-                    False,
-                    outcome=AttemptOutcome.CONNECTION_RESET,
-                )
-                for each in known
-            ]
-            request.time_to_deadline = max(
-                min(
-                    request.time_to_deadline,
-                    min(each.until for each in known) - self.event_loop.now,
-                ),
-                1,
-            )
-
-    def keep(self) -> None:
-        """A snapshot, in its time; and what is over and forgotten goes. Danger: a fleet's figures take some
-        milliseconds to gather; so they are copied in one turn, named in the next, packed in a third."""
-        self.effects.expire(self.event_loop.now)
-        if self.socket_host.recall is self:
-            self._put(FLOOR, SERIALS.pack(self.effects.oldest(self.serial + 1), self.serial))
-        self.event_loop.call_later(
-            1, self._name, self._moment(), learned.copied(self.socket_host.gateway)
+        in_doubt = restart.read_attempt_log(self.attempts)
+        self.last_serial = max(self.attempts.by_serial, default=0)
+        for attempt in in_doubt:
+            attempt.is_in_doubt = False
+        self.attempts.expire(restart.now, len(self.attempts))
+        restart.restore_snapshot()
+        return in_doubt
+
+    # What the host notifies it of.
+
+    def on_attempt_sending(self, attempt: Attempt, idempotency_key: str) -> int:
+        """Log an attempt of a keyed or ordered request, before it is sent; return its serial."""
+        request, engine = attempt.request, attempt.engine
+        self.last_serial += 1
+        logged = LoggedAttempt(
+            serial=self.last_serial,
+            idempotency_key=idempotency_key,
+            request_class=request.request_class.name,
+            order_key=request.order_key,
+            engine=engine.name,
+            zone=engine.zone,
+            cell=engine.cell,
+            sent_at=attempt.sent_at,
+            deduplicated_until=attempt.sent_at + request.request_class.key_ttl,
         )
-        self.event_loop.call_later(self.said.snapshot_interval_ticks, self.keep)
-
-    def _moment(self) -> dict[str, Any]:
-        boot, since_boot = boot_of()
+        self.attempts.add_sent(logged)
+        self._put(RECORDS, encode_sent(logged))
+        return self.last_serial
+
+    def on_attempt_finished(self, serial: int, outcome: int) -> None:
+        """Log the outcome of an attempt."""
+        may_have_run = outcome not in NEVER_RAN
+        self.attempts.add_finished(serial, may_have_run)
+        self._put(RECORDS, encode_finished(serial, may_have_run))
+
+    def restrict_retry(self, request: Request, idempotency_key: str) -> None:
+        """Bind a keyed request that may have run to where its key is known, and as long."""
+        request_class = request.request_class
+        now = self.event_loop.now
+        known = self.attempts.remembered(request_class.name, idempotency_key, now)
+        if not known or request_class.key_scope == EVERY_ZONE:
+            return
+        request.earlier_attempts = [_as_earlier_attempt(each) for each in known]
+        remembered_for = min(each.deduplicated_until for each in known) - now
+        request.time_to_deadline = max(min(request.time_to_deadline, remembered_for), 1)
+
+    # Snapshots.
+
+    def on_snapshot_timer(self) -> None:
+        """Keep a snapshot, and forget attempts that are settled and remembered by no engine.
+
+        The state of a large fleet takes some milliseconds to gather; so it is copied in one turn of
+        the loop, named in the next and packed in a third.
+        """
+        self.attempts.expire(self.event_loop.now)
+        if self.socket_host.recovery is self:
+            oldest = self.attempts.oldest_serial(self.last_serial + 1)
+            self._put(SERIALS, SERIALS_BODY.pack(oldest, self.last_serial))
+        state = copy_learned_state(self.socket_host.gateway)
+        self.event_loop.call_later(1, self._encode, self._header(), state)
+        self.event_loop.call_later(self.config.snapshot_interval_ticks, self.on_snapshot_timer)
+
+    def _header(self) -> dict[str, Any]:
+        """Return the fields of a snapshot's body that say whose it is, and of when."""
+        boot_id, since_boot = boot_of()
         return {
             "gateway": self.gateway,
-            "mark": self.mark,
+            "mark": self.settings_checksum,
             "at": self.event_loop.now,
-            "boot": boot,
+            "boot": boot_id,
             "since_boot": since_boot,
         }
 
-    def _name(self, moment: dict[str, Any], said: dict[str, Any]) -> None:
-        self.event_loop.call_later(1, self._pack, {**moment, **learned.named(said)})
+    def _encode(self, header: dict[str, Any], state: LearnedStateCopy) -> None:
+        body = {**header, **encode_learned_state(state)}
+        self.event_loop.call_later(1, self._put_snapshot, body)
+
+    def _put_snapshot(self, body: dict[str, Any]) -> None:
+        self._put(SNAPSHOT, snapshot.encode(body))
+
+    def _put(self, frame_type: bytes, body: bytes) -> None:
+        assert self.writer is not None  # the host is given a service that is on only
+        self.writer.put(frame_type, body)
+
+    # The program's.
 
-    def _pack(self, body: dict[str, Any]) -> None:
-        self._put(SNAPSHOT, snapshot.packed(body))
+    def reload(self, config: RecoveryConfig) -> None:
+        """Log a changed configuration as waiting for a restart.
 
-    def reload(self, said: RecoveryConfig) -> None:
-        """Danger: a folder that changes under an open log would leave effects that nobody finds again."""
-        if said != self.said:
+        A folder that changes under an open log would leave attempts that nobody finds again.
+        """
+        if config != self.config:
             self.socket_host.log("operator file: recall changed, in force after a restart")
 
     def end(self) -> None:
-        """The program ends in order."""
-        self.ending = True
-        if self.helper is not None:
-            self._pack({**self._moment(), **learned.gathered(self.socket_host.gateway)})
-        if self.helper is not None:
-            os.set_blocking(self.pipe, True)
-            try:
-                self._flush()
-                self.helper.stdin.close()
-                self.helper.wait(2)
-            except (OSError, subprocess.TimeoutExpired):
-                pass
-
-    # The helper.
-
-    def _start(self) -> None:
-        try:
-            self.helper = subprocess.Popen(
-                [
-                    sys.executable,
-                    writer.__file__,
-                    self.said.folder,
-                    self.name,
-                    self.said.durability,
-                    str(self.said.snapshots_kept),
-                ],
-                stdin=subprocess.PIPE,
-                stdout=subprocess.PIPE,
-                bufsize=0,
-                start_new_session=True,
-            )
-        except OSError as problem:
-            self.socket_host.log(f"recall: no helper: {problem.strerror}")
+        """Keep a last snapshot, and end the writer."""
+        if self.writer is None:
             return
-        self.pipe = self.helper.stdin.fileno()
-        os.set_blocking(self.pipe, False)
-        os.set_blocking(self.helper.stdout.fileno(), False)
-        try:
-            fcntl.fcntl(self.pipe, fcntl.F_SETPIPE_SZ, PIPE)
-        except OSError:
-            pass
-        self.unwritten.clear()
-        self.event_loop.spawn(self._listen, self.helper)
-
-    def _listen(self, helper: subprocess.Popen) -> None:
-        """What it says; and its end, after which another is started."""
-        fd = helper.stdout.fileno()
-        while True:
-            self.event_loop.wait(fd, READ)
-            try:
-                said = os.read(fd, 1024)
-            except BlockingIOError:
-                continue
-            except OSError:
-                said = b""
-            if not said:
-                break
-            self.socket_host.log(
-                f"recall: not written: {said.decode(errors='replace').splitlines()[0][:200]}"
-            )
-        helper.stdout.close()
-        helper.wait()
-        if not self.event_loop.stopped and not self.ending:
-            self.helper = None
-            self.socket_host.log("recall: the helper ended, nothing is kept until another one runs")
-            self.event_loop.call_later(AGAIN, self._start)
-
-    def _put(self, sort: bytes, body: bytes) -> None:
-        """Danger: a helper that waits for a disk fills the pipe. What does not go in is told as not kept."""
-        if self.helper is None or not self._flush():
-            return self._missed()
-        frame = FRAME.pack(sort, len(body)) + body
-        self.unwritten += frame
-        self._flush()
-        if len(self.unwritten) == len(frame):
-            self.unwritten.clear()  # nothing of it went: it never was
-            return self._missed()
-        if self.gap and self.helper is not None:
-            self.socket_host.log(f"recall: written again, {self.gap} entries were not kept")
-            self.gap = 0
-
-    def _missed(self) -> None:
-        self.gap += 1
-        if self.gap == 1:
-            self.socket_host.log("recall: the helper does not keep up, entries are not kept")
-
-    def _flush(self) -> bool:
-        """Is the pipe free? What is left of a frame goes before the next one, so each goes whole."""
-        try:
-            while self.unwritten:
-                del self.unwritten[: os.write(self.pipe, self.unwritten)]
-        except BlockingIOError:
-            return False
-        except OSError:  # it has ended; `_listen` hears of that
-            self.helper = None
-            return False
-        return True
+        self.writer.ending = True
+        if self.writer.process is not None:
+            state = copy_learned_state(self.socket_host.gateway)
+            self._put_snapshot({**self._header(), **encode_learned_state(state)})
+        self.writer.end()
+
+
+def _as_earlier_attempt(logged: LoggedAttempt) -> Attempt:
+    """Return a logged attempt as one of the gateway's; its request died with the program before."""
+    engine = Engine(logged.engine, b"", logged.zone, 0, logged.cell)
+    return Attempt(
+        None,  # type: ignore[arg-type]
+        engine,
+        -1,
+        logged.sent_at,
+        1.0,
+        1.0,
+        False,
+        outcome=AttemptOutcome.CONNECTION_RESET,
+    )
--- a/corkgauge/recovery/snapshot.py
+++ b/corkgauge/recovery/snapshot.py
@@ -1,9 +1,8 @@
-"""A snapshot of what was learned, as bytes.
+"""Codec of a snapshot of the learned state.
 
-Owns the form of a file and why one does not count. Free of I/O. Must never raise on any bytes, nor take a
-file of another deployment, other settings or a newer version.
-
-Magic (8), version (2), length (4), xxHash64 of head and body (8), the body in msgpack. Little-endian.
+A file is magic (8 bytes), version (2), length (4), xxHash64 of head and body (8) and the body in
+msgpack, all little-endian. Free of I/O; whatever the bytes, the only error is
+UnusableSnapshotError.
 """
 
 from struct import Struct
@@ -12,51 +11,70 @@
 import msgpack
 import xxhash
 
-MAGIC, VERSION = b"CKGRECL\n", 1
-HEAD, SUM = Struct("<8sHI"), Struct("<Q")
-OVERHEAD = HEAD.size + SUM.size
-LARGEST = 16 * 2**20
+from corkgauge.errors import CorruptedFileError
+
+MAGIC = b"CKGRECL\n"
+VERSION = 1
+HEAD = Struct("<8sHI")
+CHECKSUM = Struct("<Q")
+OVERHEAD_BYTES = HEAD.size + CHECKSUM.size
+MAX_SNAPSHOT_BYTES = 16 * 2**20
 
 
-class UnusableSnapshotError(ValueError):
-    """One word or two: why a snapshot does not count."""
+class UnusableSnapshotError(CorruptedFileError):
+    """A snapshot does not count; the message is a word or two that say why."""
 
 
-def packed(body: dict[str, Any]) -> bytes:
-    data = msgpack.packb(body)
+def encode(body: dict[str, Any]) -> bytes:
+    """Return the bytes of a snapshot file."""
+    data: bytes = msgpack.packb(body)
     head = HEAD.pack(MAGIC, VERSION, len(data))
-    return head + SUM.pack(xxhash.xxh64_intdigest(data, xxhash.xxh64_intdigest(head))) + data
+    return head + CHECKSUM.pack(_checksum(head, data)) + data
+
+
+def _checksum(head: bytes, body: bytes) -> int:
+    return int(xxhash.xxh64_intdigest(body, xxhash.xxh64_intdigest(head)))
 
 
-def read(data: bytes, gateway: str = "", mark: int = 0) -> dict[str, Any]:
-    """The body of a snapshot; of this gateway under these settings, where they are named.
+def decode(data: bytes, gateway: str = "", settings_checksum: int = 0) -> dict[str, Any]:
+    """Return the body of a snapshot; with a gateway named, only of this one under these settings.
 
-    >>> read(packed({"gateway": "n1", "mark": 7, "at": 1}), "n1", 7)["at"]
+    Raises UnusableSnapshotError for a file that is torn, foreign, too large or of a newer version.
+
+    >>> decode(encode({"gateway": "n1", "mark": 7, "at": 1}), "n1", 7)["at"]
     1
-    >>> read(packed({"gateway": "n1", "mark": 7, "at": 1}), "n2", 7)
+    >>> decode(encode({"gateway": "n1", "mark": 7, "at": 1}), "n2", 7)
     Traceback (most recent call last):
     corkgauge.recovery.snapshot.UnusableSnapshotError: of another gateway
     """
-    if len(data) > LARGEST:
+    body = _decode_body(_checked_body(data))
+    if gateway and body.get("gateway") != gateway:
+        raise UnusableSnapshotError("of another gateway")
+    if gateway and body.get("mark") != settings_checksum:
+        raise UnusableSnapshotError("of other settings")
+    return body
+
+
+def _checked_body(data: bytes) -> bytes:
+    if len(data) > MAX_SNAPSHOT_BYTES:
         raise UnusableSnapshotError("too large")
-    if len(data) < OVERHEAD or not data.startswith(MAGIC):
+    if len(data) < OVERHEAD_BYTES or not data.startswith(MAGIC):
         raise UnusableSnapshotError("foreign")
     _, version, length = HEAD.unpack_from(data)
     if version > VERSION:
         raise UnusableSnapshotError(f"of version {version}, newer than {VERSION}")
-    body = data[OVERHEAD:]
-    if len(body) != length or SUM.unpack_from(data, HEAD.size)[0] != xxhash.xxh64_intdigest(
-        body, xxhash.xxh64_intdigest(data[: HEAD.size])
-    ):
+    body = data[OVERHEAD_BYTES:]
+    (checksum,) = CHECKSUM.unpack_from(data, HEAD.size)
+    if len(body) != length or checksum != _checksum(data[: HEAD.size], body):
         raise UnusableSnapshotError("torn")
+    return body
+
+
+def _decode_body(packed: bytes) -> dict[str, Any]:
     try:
-        said = msgpack.unpackb(body, strict_map_key=False)
+        body = msgpack.unpackb(packed, strict_map_key=False)
     except (ValueError, msgpack.UnpackException):
         raise UnusableSnapshotError("torn") from None
-    if not isinstance(said, dict) or not isinstance(said.get("at"), int):
+    if not isinstance(body, dict) or not isinstance(body.get("at"), int):
         raise UnusableSnapshotError("foreign")
-    if gateway and said.get("gateway") != gateway:
-        raise UnusableSnapshotError("of another gateway")
-    if gateway and said.get("mark") != mark:
-        raise UnusableSnapshotError("of other settings")
-    return said
+    return body
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -51,10 +51,9 @@
 from corkgauge.peer_health.reports import SILENT
 from corkgauge.peer_health.service import PeerHealthService
 from corkgauge.recovery import attempt_log as effects
-from corkgauge.recovery import learned_state as learned
+from corkgauge.recovery import attempt_records, learned_state, snapshot
 from corkgauge.recovery import log_writer as writer
 from corkgauge.recovery import service as keeping
-from corkgauge.recovery import snapshot
 from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, request_frame
 
 FOLDER = Path(__file__).parent / "fixtures" / "landed"
@@ -555,7 +554,12 @@
         gateway.price = 0.25
         gateway.engines[0].stats.slowness_samples.extend([1.25, 1.5, 2.0])
         moment = {"gateway": "n1", "mark": 11, "at": NOW, "boot": "boot-1", "since_boot": 5_000}
-        return snapshot.packed({**moment, **learned.gathered(gateway)})
+        return snapshot.encode(
+            {
+                **moment,
+                **learned_state.encode_learned_state(learned_state.copy_learned_state(gateway)),
+            }
+        )
 
 
 def recovery_snapshot_of_service(folder: str) -> bytes:
@@ -571,15 +575,23 @@
 
 def attempt_log() -> bytes:
     """A segment of the log of attempts that may have run, as its writer leaves it."""
-    first = effects.LoggedAttempt(1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND)
-    second = effects.LoggedAttempt(2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND)
-    third = effects.LoggedAttempt(3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND)
+    first = attempt_records.LoggedAttempt(
+        1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND
+    )
+    second = attempt_records.LoggedAttempt(
+        2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND
+    )
+    third = attempt_records.LoggedAttempt(
+        3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND
+    )
     with tempfile.TemporaryDirectory() as folder:
-        files = writer.Files(folder, "n1", False, 3)
+        files = writer.RecoveryFiles(folder, "n1", False, 3)
         for effect in first, second, third:
-            files.effects(effects.sent(effect))
-        files.effects(effects.over(1, True) + effects.over(2, False))
-        files.disk.close(files.file)
+            files.append_records(attempt_records.encode_sent(effect))
+        files.append_records(
+            attempt_records.encode_finished(1, True) + attempt_records.encode_finished(2, False)
+        )
+        files.disk.close(files.segment)
         return Path(folder, "n1.effects.00000001").read_bytes()
 
 
@@ -691,28 +703,28 @@
 
 
 def snapshot_read(octets: bytes) -> Any:
-    return snapshot.read(octets, "n1", 11)
+    return snapshot.decode(octets, "n1", 11)
 
 
 def attempt_log_read(octets: bytes) -> Any:
     """Attempts with open ones told apart, and what is wrong at the log's end."""
     known, wrong = effects.AttemptLog(), ""
-    for body, _, wrong in effects.records(octets):  # noqa: B007 (the last one counts)
+    for body, _, wrong in attempt_records.read_records(octets):  # noqa: B007 (the last one counts)
         if body is not None:
-            assert known.take(body)
+            assert known.apply(body)
     return [
         [
             [
                 each.serial,
-                each.label,
+                each.idempotency_key,
                 each.request_class,
-                each.key,
+                each.order_key,
                 each.engine,
                 each.zone,
                 each.cell,
-                each.sent,
-                each.until,
-                each.open,
+                each.sent_at,
+                each.deduplicated_until,
+                each.is_in_doubt,
             ]
             for each in known.by_serial.values()
         ],
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -13,13 +13,16 @@
 from corkgauge.commands import group
 from corkgauge.config.operator_file import RecoveryConfig
 from corkgauge.policy.records import AttemptOutcome
-from corkgauge.recovery import attempt_log as effects
-from corkgauge.recovery import decay as ageing
-from corkgauge.recovery import learned_state as learned
-from corkgauge.recovery import log_writer as writer
-from corkgauge.recovery import snapshot
-from corkgauge.recovery.attempt_log import AttemptLog, LoggedAttempt
-from corkgauge.recovery.log_writer import FRAME, Files, segments
+from corkgauge.recovery import attempt_log, decay, learned_state, log_writer, snapshot
+from corkgauge.recovery.attempt_log import AttemptLog
+from corkgauge.recovery.attempt_records import (
+    LoggedAttempt,
+    encode_finished,
+    encode_sent,
+    read_records,
+)
+from corkgauge.recovery.decay import LearnedEngine
+from corkgauge.recovery.log_writer import FRAME, RecoveryFiles, segments
 from corkgauge.recovery.service import RecoveryService
 from corkgauge.testkit.faults.script import read as read_script
 from corkgauge.testkit.fleet.day import Day
@@ -44,65 +47,65 @@
 
 def test_a_log_is_read_as_far_as_it_is_good():
     whole = b"".join(
-        [effects.sent(effect(1)), effects.over(1, True), effects.sent(effect(2, "l2"))]
+        [encode_sent(effect(1)), encode_finished(1, True), encode_sent(effect(2, "l2"))]
     )
-    bodies = [body for body, _, _ in effects.records(whole)]
+    bodies = [body for body, _, _ in read_records(whole)]
     assert len(bodies) == 4 and bodies[-1] is None
     for at in range(len(whole)):
-        said = [*effects.records(whole[:at])]
+        said = [*read_records(whole[:at])]
         assert said[-1][2] in ("", "a torn end") and len(said) - 1 <= 2
     bad = bytearray(whole)
     bad[20] ^= 1
-    assert [*effects.records(bytes(bad))][-1] == (None, 0, "damage in the middle")
+    assert [*read_records(bytes(bad))][-1] == (None, 0, "damage in the middle")
 
 
 @given(strategies.binary(max_size=200))
 def test_any_bytes_of_a_log_or_snapshot_do_no_harm(data):
-    for body, _, _ in effects.records(effects.sent(effect(1)) + data):
+    for body, _, _ in read_records(encode_sent(effect(1)) + data):
         assert body is None or isinstance(body, list)
     with pytest.raises(snapshot.UnusableSnapshotError):
-        snapshot.read(snapshot.MAGIC[: len(data) % 9] + data, "n", 1)
+        snapshot.decode(snapshot.MAGIC[: len(data) % 9] + data, "n", 1)
 
 
 @pytest.mark.parametrize(
     "body", [[1, "x"], [1, 2, 3, 4, 5, 6, 7, 8, 9, 10], [2, [], True], [1, 1, "l", "o", 1, "e"]]
 )
 def test_records_that_make_no_sense_are_passed_over(body):
-    assert not AttemptLog().take(body) or not len(AttemptLog())
+    assert not AttemptLog().apply(body) or not len(AttemptLog())
 
 
 def test_effects_are_known_by_label_until_engines_forget_and_stay_bounded(monkeypatch):
     known = AttemptLog()
-    known.sent(effect(1, sent=0))
-    known.sent(effect(2, "l2"))
-    known.over(2, ran=False)  # proof that it never ran
-    known.over(1, ran=True)
-    assert [each.serial for each in known.of("load", "l1", 5)] == [1] and not known.of(
-        "load", "l2", 5
-    )
-    assert not known.of("load", "l1", 100 * SECOND) and not known.unsettled()
+    known.add_sent(effect(1, sent=0))
+    known.add_sent(effect(2, "l2"))
+    known.add_finished(2, may_have_run=False)  # proof that it never ran
+    known.add_finished(1, may_have_run=True)
+    assert [each.serial for each in known.remembered("load", "l1", 5)] == [
+        1
+    ] and not known.remembered("load", "l2", 5)
+    assert not known.remembered("load", "l1", 100 * SECOND) and not known.in_doubt()
     known.expire(100 * SECOND)
-    assert len(known) == 0 and not known.by_label
-    monkeypatch.setattr(effects, "MOST", 10)
+    assert len(known) == 0 and not known.by_idempotency_key
+    monkeypatch.setattr(attempt_log, "MAX_ATTEMPTS", 10)
     for serial in range(50):
-        known.sent(effect(serial, f"l{serial}"))
-    assert len(known) == 10 and len(known.by_label) == 10
+        known.add_sent(effect(serial, f"l{serial}"))
+    assert len(known) == 10 and len(known.by_idempotency_key) == 10
 
 
 # Ageing.
 
 
 def test_a_rest_is_never_longer_than_it_had_left_and_the_old_counts_for_less():
-    said = {"slowness": [9.0] * 8, "bound": 0.25, "faults": ["error"] * 4, "rests_until": 50_000}
-    for age, left in (0, 10_000), (4_000, 6_000), (20_000, 0), (ageing.inf, 0):
-        aged = ageing.engine(said, age, 40_000, 1_000_000)
-        assert aged["rests_until"] == (1_000_000 + left if left else -1)
+    said = LearnedEngine([9.0] * 8, 0.25, 50_000, ["error"] * 4)
+    for age, left in (0, 10_000), (4_000, 6_000), (20_000, 0), (decay.UNKNOWN_AGE, 0):
+        aged = decay.decay_engine(said, age, 40_000, 1_000_000)
+        assert aged.ejected_until == (1_000_000 + left if left else -1)
     sizes = [
-        len(ageing.engine(said, age, 40_000, 0)["slowness"])
-        for age in (0, ageing.SLOWNESS, 10 * ageing.SLOWNESS)
+        len(decay.decay_engine(said, age, 40_000, 0).slowness_samples)
+        for age in (0, decay.SLOWNESS_HALF_LIFE_TICKS, 10 * decay.SLOWNESS_HALF_LIFE_TICKS)
     ]
     assert sizes == [8, 4, 0]
-    assert ageing.engine(said, ageing.inf, 40_000, 0)["bound"] == 1.0
+    assert decay.decay_engine(said, decay.UNKNOWN_AGE, 40_000, 0).limit_factor == 1.0
 
 
 @pytest.mark.parametrize(
@@ -113,13 +116,14 @@
         ("b1", 900, 5, 400),
         ("b1", 100, 1_700, 700),
         ("b2", 3, 1_700, 700),
-        ("b2", 3, 400, ageing.inf),
-        ("", 3, 400, ageing.inf),
+        ("b2", 3, 400, decay.UNKNOWN_AGE),
+        ("", 3, 400, decay.UNKNOWN_AGE),
     ],
 )
 def test_the_time_it_was_down(boot, since_boot, now, age):
     assert (
-        ageing.age_of({"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot, since_boot) == age
+        decay.snapshot_age({"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot, since_boot)
+        == age
     )
 
 
@@ -224,12 +228,12 @@
         done = logged = 0
         files = None
         try:
-            files = Files("/d", "n", True, 3, disk)
+            files = RecoveryFiles("/d", "n", True, 3, disk)
             for n in range(1, 9):
-                files.snapshot(snapshot.packed(body_of(n)))
+                files.write_snapshot(snapshot.encode(body_of(n)))
                 done = n
                 for k in range(4):
-                    files.effects(effects.sent(effect(10 * n + k)))
+                    files.append_records(encode_sent(effect(10 * n + k)))
                     logged = 10 * n + k
         except Cut:
             points += 1
@@ -237,15 +241,15 @@
             found, read = disk.after(chance), 0
             for end in "recall", "recall.1", "recall.2":
                 try:
-                    read = snapshot.read(found.get(f"/d/n.{end}", b""), "n", 1)["at"]
+                    read = snapshot.decode(found.get(f"/d/n.{end}", b""), "n", 1)["at"]
                     break
                 except snapshot.UnusableSnapshotError:
                     continue
             assert done <= read <= done + 1 or not done, (until, done, read)  # synced is never lost
             known = AttemptLog()
             for _, path in segments("/d", "n", [os.path.basename(path) for path in found]):
-                for body, _, _ in effects.records(found[path]):
-                    assert body is None or known.take(body)
+                for body, _, _ in read_records(found[path]):
+                    assert body is None or known.apply(body)
             assert max(known.by_serial, default=0) >= logged or not logged
             outcomes.add((until, read, max(known.by_serial, default=0)))
         if files is not None and disk.steps < until:
@@ -267,17 +271,20 @@
     yard.gateway.price = 1e-6
     for each in yard.engines:
         each.name = each.host_reference
-    said = {"at": yard.now, **learned.gathered(yard.gateway)}
+    said = {
+        "at": yard.now,
+        **learned_state.encode_learned_state(learned_state.copy_learned_state(yard.gateway)),
+    }
     later = GatewayHarness(copies=True)
     for each in later.engines:
         each.name = each.host_reference
     later.engines[1].incarnation = 5  # another process under the same id
     request_classes = {each.name: each for each in later.request_classes}
-    counts = learned.recalled(said, later.gateway, request_classes, later.now, 0)
+    counts = learned_state.restore_learned_state(said, later.gateway, request_classes, later.now, 0)
     assert later.engines[0].stats.ejected_until == later.now + SECOND
     assert (
         not later.engines[1].stats.slowness_samples
-        and counts["offerings"] == 1
+        and counts.request_classes == 1
         and later.gateway.price == 1e-6
     )
     assert not later.gateway._well(later.engines[0]) and later.gateway._well(later.engines[1])
@@ -347,8 +354,8 @@
         before.ask(client, request_frame(1, route="load", nonce=NONCE, entity="5", body=body))
         first = next(tag for tag, sock in sockets.items() if before.heard(sock))
         settled(before, lambda: any(path.stat().st_size for path in folder.glob("n.effects.*")))
-        kept.helper.stdin.close()
-        kept.helper.wait(5)
+        kept.writer.process.stdin.close()
+        kept.writer.process.wait(5)
         os.close(kept.lock)  # as a kill does
         after = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
         again = keeping(folder, after)
@@ -372,10 +379,10 @@
     [
         (b"", "foreign"),
         (b"CKGRECL\n" + b"\xff\xff" + bytes(40), "newer than 1"),
-        (snapshot.packed({"gateway": "other", "mark": 1, "at": 1}), "of another gateway"),
-        (snapshot.packed({"gateway": "n", "mark": 2, "at": 1}), "of other settings"),
-        (snapshot.packed({"gateway": "n", "mark": 1, "at": 1})[:-1], "torn"),
-        (snapshot.packed({"gateway": "n", "mark": 1, "at": 1, "engines": 3}), "makes no sense"),
+        (snapshot.encode({"gateway": "other", "mark": 1, "at": 1}), "of another gateway"),
+        (snapshot.encode({"gateway": "n", "mark": 2, "at": 1}), "of other settings"),
+        (snapshot.encode({"gateway": "n", "mark": 1, "at": 1})[:-1], "torn"),
+        (snapshot.encode({"gateway": "n", "mark": 1, "at": 1, "engines": 3}), "makes no sense"),
     ],
 )
 def test_a_snapshot_that_is_no_use_means_a_cold_start_and_one_line(tmp_path, content, said):
@@ -386,7 +393,7 @@
         sum("passed over" in line for line in premises.logged) == 1 and said in premises.logged[0]
     )
     kept.end()
-    assert snapshot.read((tmp_path / "n.recall").read_bytes(), "n", 1)
+    assert snapshot.decode((tmp_path / "n.recall").read_bytes(), "n", 1)
 
 
 def test_files_far_larger_than_they_should_be_are_not_read(tmp_path):
@@ -405,8 +412,8 @@
     kept, none = keeping(tmp_path, one), keeping(tmp_path, two)
     assert (
         "in use by another" in two.logged[0]
-        and two.socket_host.recall is None
-        and none.helper is None
+        and two.socket_host.recovery is None
+        and none.writer is None
     )
     (tmp_path / "file").write_text("")
     keeping(tmp_path / "file" / "x", two)
@@ -417,20 +424,24 @@
 def test_a_helper_that_stands_still_or_dies_costs_nothing_but_entries(tmp_path):
     premises = HostHarness()
     kept = keeping(tmp_path, premises, each=10**9)
-    os.kill(kept.helper.pid, signal.SIGSTOP)
+    os.kill(kept.writer.process.pid, signal.SIGSTOP)
     begun = time.time()
     for serial in range(3000):
-        kept._put(writer.EFFECT, bytes(1000))
-    assert time.time() - begun < 2 and kept.gap > 0 and len(kept.unwritten) < 5000
+        kept.writer.put(log_writer.RECORDS, bytes(1000))
+    assert (
+        time.time() - begun < 2
+        and kept.writer.frames_lost > 0
+        and len(kept.writer.unwritten) < 5000
+    )
     assert sum("does not keep up" in line for line in premises.logged) == 1
-    os.kill(kept.helper.pid, signal.SIGCONT)
-    settled(premises, lambda: kept._flush())
-    kept._put(writer.EFFECT, effects.sent(effect(1)))
-    assert any("written again" in line for line in premises.logged) and kept.gap == 0
-    os.kill(kept.helper.pid, signal.SIGKILL)
+    os.kill(kept.writer.process.pid, signal.SIGCONT)
+    settled(premises, lambda: kept.writer.flush())
+    kept.writer.put(log_writer.RECORDS, encode_sent(effect(1)))
+    assert any("written again" in line for line in premises.logged) and kept.writer.frames_lost == 0
+    os.kill(kept.writer.process.pid, signal.SIGKILL)
     settled(premises, lambda: any("the helper ended" in line for line in premises.logged))
     premises.pass_time(6 * SECOND, 500)
-    settled(premises, lambda: kept.helper is not None)
+    settled(premises, lambda: kept.writer.process is not None)
     kept.end()
 
 
@@ -440,10 +451,10 @@
     for path in tmp_path.iterdir():
         path.unlink()
     tmp_path.rmdir()
-    kept._put(writer.EFFECT, effects.sent(effect(1)))
+    kept.writer.put(log_writer.RECORDS, encode_sent(effect(1)))
     settled(premises, lambda: any("not written: No such file" in line for line in premises.logged))
     tmp_path.mkdir()
-    kept._put(writer.EFFECT, effects.sent(effect(2)))
+    kept.writer.put(log_writer.RECORDS, encode_sent(effect(2)))
     settled(premises, lambda: any(path.stat().st_size for path in tmp_path.glob("n.effects.*")))
     kept.end()
 
@@ -453,11 +464,15 @@
     import sys
 
     helper = subprocess.Popen(
-        [sys.executable, writer.__file__, str(tmp_path), "n", "machine", "2"], stdin=subprocess.PIPE
+        [sys.executable, log_writer.__file__, str(tmp_path), "n", "machine", "2"],
+        stdin=subprocess.PIPE,
     )
-    whole = effects.sent(effect(1))
+    whole = encode_sent(effect(1))
     helper.stdin.write(
-        FRAME.pack(writer.EFFECT, len(whole)) + whole + FRAME.pack(writer.EFFECT, 500) + b"x" * 99
+        FRAME.pack(log_writer.RECORDS, len(whole))
+        + whole
+        + FRAME.pack(log_writer.RECORDS, 500)
+        + b"x" * 99
     )
     helper.stdin.close()
     assert helper.wait(5) == 0
@@ -498,16 +513,16 @@
     for serial, outcome in enumerate(
         (AttemptOutcome.CONNECTION_RESET, AttemptOutcome.UNREACHABLE), 1
     ):
-        known.sent(effect(serial, f"l{serial}"))
-        known.over(serial, outcome == AttemptOutcome.CONNECTION_RESET)
-    assert [*known.by_label] == [("load", "l1")]
+        known.add_sent(effect(serial, f"l{serial}"))
+        known.add_finished(serial, outcome == AttemptOutcome.CONNECTION_RESET)
+    assert [*known.by_idempotency_key] == [("load", "l1")]
 
 
 def test_the_commands_show_check_and_prune(tmp_path):
     premises, run = HostHarness(), CliRunner().invoke
     kept = keeping(tmp_path, premises)
     assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
-    kept._put(writer.EFFECT, effects.sent(effect(1)))
+    kept.writer.put(log_writer.RECORDS, encode_sent(effect(1)))
     kept.end()
     assert (
         run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
@@ -527,8 +542,8 @@
 
 
 def test_segments_go_when_all_in_them_is_over_and_not_before(tmp_path, monkeypatch):
-    monkeypatch.setattr(writer, "SEGMENT", 500)
-    files = Files(str(tmp_path), "n", False, 1)
+    monkeypatch.setattr(log_writer, "SEGMENT_BYTES", 500)
+    files = RecoveryFiles(str(tmp_path), "n", False, 1)
 
     def there():
         return [path.name[-8:] for path in sorted(tmp_path.glob("n.effects.*"))]
@@ -536,19 +551,19 @@
     for serial in range(
         1, 401
     ):  # far more than sixteen segments of one mark that is remembered long
-        files.effects(effects.sent(effect(serial)))
+        files.append_records(encode_sent(effect(serial)))
         if serial % 10 == 0:
-            files.floor(1, serial)
+            files.drop_settled_segments(1, serial)
     many = len(there())
-    assert 16 < many <= writer.SEGMENTS
+    assert 16 < many <= log_writer.MAX_SEGMENTS
     found = AttemptLog()
     for _, path in segments(str(tmp_path), "n", os.listdir(tmp_path)):
         with open(path, "rb") as file:
-            for body, _, _ in effects.records(file.read()):
-                assert body is None or found.take(body)
-    assert found.oldest(0) == 1 and len(found) == 400
-    files.floor(200, 400)  # all below is over
+            for body, _, _ in read_records(file.read()):
+                assert body is None or found.apply(body)
+    assert found.oldest_serial(0) == 1 and len(found) == 400
+    files.drop_settled_segments(200, 400)  # all below is over
     left = len(there())
     assert many // 3 < left < many
-    files.floor(401, 400)
+    files.drop_settled_segments(401, 400)
     assert len(there()) == 1  # the one that is written to
