--- a/corkgauge/config/operator_fleet.py
+++ b/corkgauge/config/operator_fleet.py
@@ -6,7 +6,7 @@
 from corkgauge.config.operator_element import OperatorElement
 from corkgauge.config.operator_records import (
     LeaseConfig,
-    LeasedDuty,
+    LeaseEntry,
     Machine,
     MaintenanceBounds,
     MaintenanceConfig,
@@ -87,11 +87,11 @@
     if root.child("fellows") is None:
         raise element.error("an element fellows beside it")
     version, voters = _read_voters(element)
-    duties = tuple(
-        LeasedDuty(each.text("name"), each.text("kind", "run"), each.ticks("each", "5"))
+    leases = tuple(
+        LeaseEntry(each.text("name"), each.text("kind", "run"), each.ticks("each", "5"))
         for each in element.children("duty")
     )
-    if len({duty.name for duty in duties}) < len(duties):
+    if len({each.name for each in leases}) < len(leases):
         raise element.error("duties of different names")
     lease, margin = element.ticks("lease", "5"), element.ticks("margin", "0.25")
     drift = element.number("drift", "0.01")
@@ -101,7 +101,7 @@
     if longest < lease:
         raise element.error("a longest lease no shorter than the lease")
     return LeaseConfig(
-        version, voters, duties, lease, longest, margin, drift, element.text("folder")
+        version, voters, leases, lease, longest, margin, drift, element.text("folder")
     )
 
 
--- a/corkgauge/config/operator_instance.py
+++ b/corkgauge/config/operator_instance.py
@@ -64,9 +64,9 @@
     return FlowExportConfig(
         layout=layout,
         mode=element.text("mode", "failover"),
-        active=element.ticks("active", "60"),
-        idle=element.ticks("idle", "15"),
-        memory=element.integer("memory", "1048576"),
+        active_timeout_ticks=element.ticks("active", "60"),
+        idle_timeout_ticks=element.ticks("idle", "15"),
+        memory_bytes=element.integer("memory", "1048576"),
         collectors=collectors,
     )
 
@@ -79,16 +79,16 @@
         raise element.error("an element tls with transport tls, and with no other")
     address = element.address(element.text("address"))
     tls_config = None if tls is None else _read_tls(tls)
-    default_payload = "1400" if transport == "udp" else "16384"
-    payload = element.integer("payload", default_payload)
-    if transport == "udp" and payload > MAX_DATAGRAM_BYTES:
+    default_bytes = "1400" if transport == "udp" else "16384"
+    max_message_bytes = element.integer("payload", default_bytes)
+    if transport == "udp" and max_message_bytes > MAX_DATAGRAM_BYTES:
         raise element.error(f"a payload of {MAX_DATAGRAM_BYTES} octets at most on udp")
     return CollectorConfig(
         address=address,
         transport=transport,
-        payload=payload,
-        refresh=element.ticks("templates", "300"),
-        refresh_after=element.integer("messages", "1000"),
+        max_message_bytes=max_message_bytes,
+        template_refresh_ticks=element.ticks("templates", "300"),
+        template_refresh_messages=element.integer("messages", "1000"),
         tls=tls_config,
     )
 
--- a/corkgauge/config/operator_records.py
+++ b/corkgauge/config/operator_records.py
@@ -23,10 +23,10 @@
 class TlsConfig:
     """Element `tls`: what a collector is verified by, its name, and our own certificate, if any."""
 
-    ca: str
-    name: str
-    certificate: str
-    key: str
+    ca_file: str
+    server_name: str
+    certificate_file: str
+    key_file: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,9 +35,9 @@
 
     address: tuple[str, int]
     transport: str
-    payload: int  # bytes of a message
-    refresh: int  # ticks between two sendings of templates on UDP
-    refresh_after: int  # messages between two sendings of templates on UDP
+    max_message_bytes: int
+    template_refresh_ticks: int  # between two sendings of templates on UDP
+    template_refresh_messages: int  # between two sendings of templates on UDP
     tls: TlsConfig | None
 
 
@@ -47,9 +47,9 @@
 
     layout: str
     mode: str
-    active: int  # ticks
-    idle: int  # ticks
-    memory: int  # bytes
+    active_timeout_ticks: int
+    idle_timeout_ticks: int
+    memory_bytes: int  # for records that no collector has taken yet
     collectors: tuple[CollectorConfig, ...]
 
 
@@ -88,7 +88,7 @@
     period: int  # ticks
 
 
-class LeasedDuty(NamedTuple):
+class LeaseEntry(NamedTuple):
     """Element `duty`: a lease that one instance holds at a time; `each` is in ticks."""
 
     name: str
@@ -102,7 +102,7 @@
 
     version: int
     voters: tuple[str, ...]
-    duties: tuple[LeasedDuty, ...]
+    duties: tuple[LeaseEntry, ...]
     lease: int
     longest: int
     margin: int
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -42,7 +42,9 @@
         self.peers: dict[Peer, tuple[CollectorConfig, Any]] = {}  # with its TLS context
         self.lines: dict[Peer, Any] = {}
         self.keepers: dict[str, ExportBuffer] = {}
-        self.meter = Meter(self._told, said.active, said.idle, self.event_loop.now)
+        self.meter = Meter(
+            self._told, said.active_timeout_ticks, said.idle_timeout_ticks, self.event_loop.now
+        )
         self._arrange(said, self._contexts(said))
         socket_host.flows = self
         socket_host.auditor.others.append(self.differences)
@@ -72,8 +74,8 @@
     def reload(self, said: FlowExportConfig) -> None:
         """Other collectors, or another layout; what is held stays held. `Faulty`, and nothing is changed."""
         contexts = self._contexts(said)
-        self.meter.active, self.meter.idle = said.active, said.idle
-        if said.memory != self.said.memory:
+        self.meter.active, self.meter.idle = said.active_timeout_ticks, said.idle_timeout_ticks
+        if said.memory_bytes != self.said.memory_bytes:
             self.socket_host.log("operator file: flows memory changed, in force after a restart")
         self._arrange(said, contexts)
         self.said = said
@@ -104,7 +106,9 @@
     def _contexts(self, said: FlowExportConfig) -> list[Any]:
         try:
             return [
-                context_of(each.tls.ca, each.tls.certificate, each.tls.key) if each.tls else None
+                context_of(each.tls.ca_file, each.tls.certificate_file, each.tls.key_file)
+                if each.tls
+                else None
                 for each in said.collectors
             ]
         except Untrusted as problem:
@@ -118,9 +122,9 @@
             peer = Peer(
                 "%s:%d" % each.address,
                 each.transport == "udp",
-                each.payload,
-                each.refresh,
-                each.refresh_after,
+                each.max_message_bytes,
+                each.template_refresh_ticks,
+                each.template_refresh_messages,
             )
             self.peers[peer] = each, context
             peers.append(peer)
@@ -128,7 +132,7 @@
         for name, group in groups.items():
             keeper = old.pop(name, None)
             if keeper is None:
-                held = PendingRecords(said.memory // len(groups))
+                held = PendingRecords(said.memory_bytes // len(groups))
                 keeper = ExportBuffer(self, layout, self.domain, group, held, self.seed, self.began)
             else:
                 keeper.renew(group, layout, self.event_loop.now)
@@ -155,7 +159,7 @@
                 peer,
                 collector.address,
                 context,
-                collector.tls.name if collector.tls else "",
+                collector.tls.server_name if collector.tls else "",
             )
 
     def send(self, peer: Peer, data: bytes) -> bool:
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -871,14 +871,27 @@
         [
             each.address,
             each.transport,
-            each.payload,
-            each.refresh,
-            each.refresh_after,
-            each.tls and [each.tls.ca, each.tls.name, each.tls.certificate, each.tls.key],
+            each.max_message_bytes,
+            each.template_refresh_ticks,
+            each.template_refresh_messages,
+            each.tls
+            and [
+                each.tls.ca_file,
+                each.tls.server_name,
+                each.tls.certificate_file,
+                each.tls.key_file,
+            ],
         ]
         for each in said.collectors
     ]
-    return [said.layout, said.mode, said.active, said.idle, said.memory, collectors]
+    return [
+        said.layout,
+        said.mode,
+        said.active_timeout_ticks,
+        said.idle_timeout_ticks,
+        said.memory_bytes,
+        collectors,
+    ]
 
 
 def recall_values(said: RecoveryConfig | None) -> list[Any] | None:
