--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -1,4 +1,4 @@
-"""Memory over a restart: the log, the snapshot, ageing, a disk that fails, what the gateway does with it."""
+"""Recovery: attempt log, snapshots, decay, a disk that fails, and what the gateway does with it."""
 
 import json
 import os
@@ -38,7 +38,7 @@
 NONCE = "ab" * 16
 
 
-def effect(serial, label="l1", sent=0, until=100 * SECOND, key=7, zone=0):
+def logged_attempt(serial, label="l1", sent=0, until=100 * SECOND, key=7, zone=0):
     return LoggedAttempt(serial, label, "load", key, "e1", zone, 0, sent, until)
 
 
@@ -47,7 +47,11 @@
 
 def test_a_log_is_read_as_far_as_it_is_good():
     whole = b"".join(
-        [encode_sent(effect(1)), encode_finished(1, True), encode_sent(effect(2, "l2"))]
+        [
+            encode_sent(logged_attempt(1)),
+            encode_finished(1, True),
+            encode_sent(logged_attempt(2, "l2")),
+        ]
     )
     bodies = [body for body, _, _ in read_records(whole)]
     assert len(bodies) == 4 and bodies[-1] is None
@@ -61,7 +65,7 @@
 
 @given(strategies.binary(max_size=200))
 def test_any_bytes_of_a_log_or_snapshot_do_no_harm(data):
-    for body, _, _ in read_records(encode_sent(effect(1)) + data):
+    for body, _, _ in read_records(encode_sent(logged_attempt(1)) + data):
         assert body is None or isinstance(body, list)
     with pytest.raises(snapshot.UnusableSnapshotError):
         snapshot.decode(snapshot.MAGIC[: len(data) % 9] + data, "n", 1)
@@ -76,8 +80,8 @@
 
 def test_effects_are_known_by_label_until_engines_forget_and_stay_bounded(monkeypatch):
     known = AttemptLog()
-    known.add_sent(effect(1, sent=0))
-    known.add_sent(effect(2, "l2"))
+    known.add_sent(logged_attempt(1, sent=0))
+    known.add_sent(logged_attempt(2, "l2"))
     known.add_finished(2, may_have_run=False)  # proof that it never ran
     known.add_finished(1, may_have_run=True)
     assert [each.serial for each in known.remembered("load", "l1", 5)] == [
@@ -88,11 +92,11 @@
     assert len(known) == 0 and not known.by_idempotency_key
     monkeypatch.setattr(attempt_log, "MAX_ATTEMPTS", 10)
     for serial in range(50):
-        known.add_sent(effect(serial, f"l{serial}"))
+        known.add_sent(logged_attempt(serial, f"l{serial}"))
     assert len(known) == 10 and len(known.by_idempotency_key) == 10
 
 
-# Ageing.
+# Decay.
 
 
 def test_a_rest_is_never_longer_than_it_had_left_and_the_old_counts_for_less():
@@ -189,7 +193,7 @@
         self.kept, self.waiting = dict(self.folder), []
 
     def after(self, chance):
-        """What a start finds: some of what waited came through, in any part, and of files whole sectors."""
+        """What a start finds: some of what waited came through, and of files whole sectors."""
         folder = dict(self.kept)
         for change in self.waiting:
             if chance.random() < 0.5:
@@ -233,7 +237,7 @@
                 files.write_snapshot(snapshot.encode(body_of(n)))
                 done = n
                 for k in range(4):
-                    files.append_records(encode_sent(effect(10 * n + k)))
+                    files.append_records(encode_sent(logged_attempt(10 * n + k)))
                     logged = 10 * n + k
         except Cut:
             points += 1
@@ -261,19 +265,19 @@
 
 
 def test_what_was_learned_comes_back_only_for_the_same_engine():
-    yard = GatewayHarness(copies=True)
-    slow, gone, other = yard.engines
+    harness = GatewayHarness(copies=True)
+    slow, gone, other = harness.engines
     for _ in range(4):
-        yard.take()
-    for attempt in [h for e in yard.engines for h in [*e.stats.in_flight]]:
-        yard.over(attempt, took=30_000)
-    yard.gateway._fault(slow, "silent")
-    yard.gateway.price = 1e-6
-    for each in yard.engines:
+        harness.take()
+    for attempt in [h for e in harness.engines for h in [*e.stats.in_flight]]:
+        harness.over(attempt, took=30_000)
+    harness.gateway._fault(slow, "silent")
+    harness.gateway.price = 1e-6
+    for each in harness.engines:
         each.name = each.host_reference
     said = {
-        "at": yard.now,
-        **learned_state.encode_learned_state(learned_state.copy_learned_state(yard.gateway)),
+        "at": harness.now,
+        **learned_state.encode_learned_state(learned_state.copy_learned_state(harness.gateway)),
     }
     later = GatewayHarness(copies=True)
     for each in later.engines:
@@ -307,31 +311,31 @@
         key_ttl=20 * SECOND,
         ordered=True,
     )
-    yard = GatewayHarness(request_classes=(request_class,), settle=3000)
-    yard.gateway.hold_order_key(9, yard.now + 3000)
-    first = yard.take(order_key=9, time_to_deadline=3 * SECOND)
+    harness = GatewayHarness(request_classes=(request_class,), settle=3000)
+    harness.gateway.hold_order_key(9, harness.now + 3000)
+    first = harness.take(order_key=9, time_to_deadline=3 * SECOND)
     assert not first.attempts
-    yard.pass_time(3100)
-    assert first.attempts and not yard.gateway.rests
+    harness.pass_time(3100)
+    assert first.attempts and not harness.gateway.rests
 
 
 # The whole, on sockets.
 
 
-def keeping(folder, premises, each=SECOND, **said):
+def start_service(folder, harness, each=SECOND, **said):
     return RecoveryService(
-        premises.socket_host,
+        harness.socket_host,
         "n",
         1,
         RecoveryConfig(str(folder), each, said.get("durability", "process"), 3),
     )
 
 
-def settled(premises, done, patience=5.0):
+def settled(harness, done, patience=5.0):
     until = time.time() + patience
     while not done() and time.time() < until:
-        premises.time += 10
-        premises.turn(2)
+        harness.time += 10
+        harness.turn(2)
         time.sleep(0.005)
     assert done()
 
@@ -347,18 +351,18 @@
     for turn in range(4):  # the hashed order alone would send some of them elsewhere
         folder = tmp_path / str(turn)
         before = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
-        kept = keeping(folder, before)
+        service = start_service(folder, before)
         client = before.client()
         sockets = {tag: before.engine(tag) for tag in ("e1", "e2")}
         body = b"select * from s_%d.t" % turn
         before.ask(client, request_frame(1, route="load", nonce=NONCE, entity="5", body=body))
         first = next(tag for tag, sock in sockets.items() if before.heard(sock))
         settled(before, lambda: any(path.stat().st_size for path in folder.glob("n.effects.*")))
-        kept.writer.process.stdin.close()
-        kept.writer.process.wait(5)
-        os.close(kept.lock)  # as a kill does
+        service.writer.process.stdin.close()
+        service.writer.process.wait(5)
+        os.close(service.lock)  # as a kill does
         after = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
-        again = keeping(folder, after)
+        again = start_service(folder, after)
         assert any("effects=1 unsettled=1" in line for line in after.logged)
         other = {"e1": "e2", "e2": "e1"}[first]
         sockets = {tag: after.engine(tag) for tag in (other, first)}
@@ -387,12 +391,10 @@
 )
 def test_a_snapshot_that_is_no_use_means_a_cold_start_and_one_line(tmp_path, content, said):
     (tmp_path / "n.recall").write_bytes(content)
-    premises = HostHarness()
-    kept = keeping(tmp_path, premises)
-    assert (
-        sum("passed over" in line for line in premises.logged) == 1 and said in premises.logged[0]
-    )
-    kept.end()
+    harness = HostHarness()
+    service = start_service(tmp_path, harness)
+    assert sum("passed over" in line for line in harness.logged) == 1 and said in harness.logged[0]
+    service.end()
     assert snapshot.decode((tmp_path / "n.recall").read_bytes(), "n", 1)
 
 
@@ -400,63 +402,65 @@
     for name in "n.recall", "n.effects.00000001":
         with open(tmp_path / name, "wb") as file:
             file.truncate(2 * 2**30)
-    begun, premises = time.time(), HostHarness()
-    kept = keeping(tmp_path, premises)
+    begun, harness = time.time(), HostHarness()
+    service = start_service(tmp_path, harness)
     assert time.time() - begun < 2
-    assert "more than are read" in premises.logged[0] and "too large" in premises.logged[1]
-    kept.end()
+    assert "more than are read" in harness.logged[0] and "too large" in harness.logged[1]
+    service.end()
 
 
 def test_two_programs_in_one_folder_and_a_folder_that_cannot_be(tmp_path):
     one, two = HostHarness(), HostHarness()
-    kept, none = keeping(tmp_path, one), keeping(tmp_path, two)
+    service, none = start_service(tmp_path, one), start_service(tmp_path, two)
     assert (
         "in use by another" in two.logged[0]
         and two.socket_host.recovery is None
         and none.writer is None
     )
     (tmp_path / "file").write_text("")
-    keeping(tmp_path / "file" / "x", two)
+    start_service(tmp_path / "file" / "x", two)
     assert "Not a directory" in two.logged[1]
-    kept.end()
+    service.end()
 
 
 def test_a_helper_that_stands_still_or_dies_costs_nothing_but_entries(tmp_path):
-    premises = HostHarness()
-    kept = keeping(tmp_path, premises, each=10**9)
-    os.kill(kept.writer.process.pid, signal.SIGSTOP)
+    harness = HostHarness()
+    service = start_service(tmp_path, harness, each=10**9)
+    os.kill(service.writer.process.pid, signal.SIGSTOP)
     begun = time.time()
     for serial in range(3000):
-        kept.writer.put(log_writer.RECORDS, bytes(1000))
+        service.writer.put(log_writer.RECORDS, bytes(1000))
     assert (
         time.time() - begun < 2
-        and kept.writer.frames_lost > 0
-        and len(kept.writer.unwritten) < 5000
+        and service.writer.frames_lost > 0
+        and len(service.writer.unwritten) < 5000
+    )
+    assert sum("does not keep up" in line for line in harness.logged) == 1
+    os.kill(service.writer.process.pid, signal.SIGCONT)
+    settled(harness, lambda: service.writer.flush())
+    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(1)))
+    assert (
+        any("written again" in line for line in harness.logged) and service.writer.frames_lost == 0
     )
-    assert sum("does not keep up" in line for line in premises.logged) == 1
-    os.kill(kept.writer.process.pid, signal.SIGCONT)
-    settled(premises, lambda: kept.writer.flush())
-    kept.writer.put(log_writer.RECORDS, encode_sent(effect(1)))
-    assert any("written again" in line for line in premises.logged) and kept.writer.frames_lost == 0
-    os.kill(kept.writer.process.pid, signal.SIGKILL)
-    settled(premises, lambda: any("the helper ended" in line for line in premises.logged))
-    premises.pass_time(6 * SECOND, 500)
-    settled(premises, lambda: kept.writer.process is not None)
-    kept.end()
+    os.kill(service.writer.process.pid, signal.SIGKILL)
+    settled(harness, lambda: any("the helper ended" in line for line in harness.logged))
+    harness.pass_time(6 * SECOND, 500)
+    settled(harness, lambda: service.writer.process is not None)
+    service.end()
 
 
 def test_a_folder_that_goes_in_mid_run_is_told_and_the_helper_goes_on(tmp_path):
-    premises = HostHarness()
-    kept = keeping(tmp_path, premises, each=10**9)
+    harness = HostHarness()
+    service = start_service(tmp_path, harness, each=10**9)
     for path in tmp_path.iterdir():
         path.unlink()
     tmp_path.rmdir()
-    kept.writer.put(log_writer.RECORDS, encode_sent(effect(1)))
-    settled(premises, lambda: any("not written: No such file" in line for line in premises.logged))
+    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(1)))
+    settled(harness, lambda: any("not written: No such file" in line for line in harness.logged))
     tmp_path.mkdir()
-    kept.writer.put(log_writer.RECORDS, encode_sent(effect(2)))
-    settled(premises, lambda: any(path.stat().st_size for path in tmp_path.glob("n.effects.*")))
-    kept.end()
+    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(2)))
+    settled(harness, lambda: any(path.stat().st_size for path in tmp_path.glob("n.effects.*")))
+    service.end()
 
 
 def test_the_helper_ends_with_its_parent_and_takes_no_part_of_a_frame(tmp_path):
@@ -467,7 +471,7 @@
         [sys.executable, log_writer.__file__, str(tmp_path), "n", "machine", "2"],
         stdin=subprocess.PIPE,
     )
-    whole = encode_sent(effect(1))
+    whole = encode_sent(logged_attempt(1))
     helper.stdin.write(
         FRAME.pack(log_writer.RECORDS, len(whole))
         + whole
@@ -513,17 +517,17 @@
     for serial, outcome in enumerate(
         (AttemptOutcome.CONNECTION_RESET, AttemptOutcome.UNREACHABLE), 1
     ):
-        known.add_sent(effect(serial, f"l{serial}"))
+        known.add_sent(logged_attempt(serial, f"l{serial}"))
         known.add_finished(serial, outcome == AttemptOutcome.CONNECTION_RESET)
     assert [*known.by_idempotency_key] == [("load", "l1")]
 
 
 def test_the_commands_show_check_and_prune(tmp_path):
-    premises, run = HostHarness(), CliRunner().invoke
-    kept = keeping(tmp_path, premises)
+    harness, run = HostHarness(), CliRunner().invoke
+    service = start_service(tmp_path, harness)
     assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
-    kept.writer.put(log_writer.RECORDS, encode_sent(effect(1)))
-    kept.end()
+    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(1)))
+    service.end()
     assert (
         run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
     )  # it still runs
@@ -536,7 +540,7 @@
         "foreign" in (bad := run(group, ["recall", "check", str(tmp_path)])).output
         and bad.exit_code == 1
     )
-    os.close(kept.lock)
+    os.close(service.lock)
     assert run(group, ["recall", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 0
     assert {path.name for path in tmp_path.iterdir()} == {"n.lock"}
 
@@ -551,7 +555,7 @@
     for serial in range(
         1, 401
     ):  # far more than sixteen segments of one mark that is remembered long
-        files.append_records(encode_sent(effect(serial)))
+        files.append_records(encode_sent(logged_attempt(serial)))
         if serial % 10 == 0:
             files.drop_settled_segments(1, serial)
     many = len(there())
