--- a/corkgauge/accounting/checkpoint.py
+++ b/corkgauge/accounting/checkpoint.py
@@ -15,7 +15,7 @@
 from struct import Struct
 from typing import Any, NamedTuple
 
-import msgpack  # type: ignore[import-untyped]
+import msgpack
 import xxhash
 
 from corkgauge.accounting.snapshot import EngineRows, Snapshot, as_plain
--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -49,10 +49,16 @@
     ledger: RequestLedger
     discrepancies: Discrepancies
     auditor: LedgerAuditor
-    records: LiveConnections
     latency_sketches: "LatencySketches | None"
     flows: FlowReport | None
-    routes: Mapping[tuple[bytes, bytes], Callable[[bytes], Any]]
+
+    @property
+    def records(self) -> LiveConnections:
+        """Live records of what is open."""
+
+    @property
+    def routes(self) -> Mapping[tuple[bytes, bytes], Callable[[bytes], Any]]:
+        """What the listener answers for other subsystems, by method and path."""
 
     def log(self, line: str) -> None:
         """Write a log line."""
--- a/corkgauge/config/settings.py
+++ b/corkgauge/config/settings.py
@@ -70,7 +70,7 @@
         engine.max_memory = self.most_memory.get(kind, 0.0)
 
 
-def gateway_options(said: dict, seed: int, name: str) -> GatewayOptions:
+def gateway_options(said: dict[str, Any], seed: int, name: str) -> GatewayOptions:
     """Turn the settings that the decisions need into their options; `name` is the gateway's own."""
     rules, limits = said.get("rules", {}), said.get("limits", {})
     number_from_name = crc32(b"%d %s" % (seed, name.encode())) % 2**20
@@ -96,7 +96,7 @@
     )
 
 
-def figure(said: dict, key: str, otherwise: float, least: float = 0) -> Any:
+def figure(said: dict[str, Any], key: str, otherwise: float, least: float = 0) -> Any:
     """A number that makes sense, or an error that names its key.
 
     >>> figure({"a": 3}, "a", 0), figure({}, "a", 7)
@@ -113,7 +113,7 @@
     return int(value) if isinstance(otherwise, int) else float(value)
 
 
-def request_class(said: dict, number: int, widths: list) -> RequestClass:
+def request_class(said: dict[str, Any], number: int, widths: list[Any]) -> RequestClass:
     """One of the profiles, in the project's own words."""
     if said.get("effect", "pure") not in REPEATS:
         raise ValueError(f"effect: {said['effect']!r} makes no sense")
--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -15,7 +15,7 @@
 from enum import IntEnum
 from typing import Any, NamedTuple
 
-import msgpack  # type: ignore[import-untyped]
+import msgpack
 
 from corkgauge.membership.sealing import SEAL_BYTES, Key, ReplayWindow
 
