--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -12,16 +12,15 @@
 from typing import Any
 
 from benchmarks.scaling import slope
-from corkgauge.maintenance.schedule import (
-    MOST_LOOKS,
-    WELL,
-    Bounds,
+from corkgauge.maintenance.capacity import (
+    CapacitySnapshot,
+    DisruptionLimits,
+    EngineCondition,
     EngineFact,
-    Ground,
-    OfferingFact,
-    Wanted,
-    next_out,
+    RequestClassDemand,
+    WaitingUnit,
 )
+from corkgauge.maintenance.schedule import MAX_UNITS_CHECKED, select_grants
 from corkgauge.peer_health.reports import SILENT, HealthReports
 
 SIZES = [30, 100, 300, 900]
@@ -40,32 +39,32 @@
     return 1000 * (time.process_time() - begun) / times
 
 
-def ground_of(engines: int) -> Ground:
+def ground_of(engines: int) -> CapacitySnapshot:
     """Engines over zones and kinds, four query classes that need a third of them; limits that let a tenth go."""
     facts = {
         f"e{n:05}": EngineFact(
-            f"e{n:05}", f"z{n % ZONES}", f"k{n % KINDS}", f"z{n % ZONES}", 8.0, WELL
+            f"e{n:05}", f"z{n % ZONES}", f"k{n % KINDS}", f"z{n % ZONES}", 8.0, EngineCondition.HEALTHY
         )
         for n in range(engines)
     }
     request_classes = [
-        OfferingFact(
+        RequestClassDemand(
             f"class{n}", frozenset(), frozenset({f"k{n % KINDS}"} if n else ()), 0.6 * engines
         )
         for n in range(4)
     ]
-    return Ground(Bounds(most=max(engines // 10, 1), room=0.9), facts, request_classes)
+    return CapacitySnapshot(DisruptionLimits(max_engines=max(engines // 10, 1), usable_share=0.9), facts, request_classes)
 
 
 def order_ms(engines: int) -> float:
     """One turn of the planner's choice, with as many units waiting as it looks at."""
     ground = ground_of(engines)
     waiting = [
-        Wanted(f"e{n:05}", (f"e{n:05}",), 600_000, place=n)
-        for n in range(min(engines // 2, 2 * MOST_LOOKS))
+        WaitingUnit(f"e{n:05}", (f"e{n:05}",), 600_000, place=n)
+        for n in range(min(engines // 2, 2 * MAX_UNITS_CHECKED))
     ]
-    assert next_out(ground, waiting)[0]  # some are let go: not an objection at the first look
-    return spent(lambda: next_out(ground, waiting))
+    assert select_grants(ground, waiting).granted  # some are let go: not an objection at the first look
+    return spent(lambda: select_grants(ground, waiting))
 
 
 def rows_on(engines: int) -> list[list[Any]]:
@@ -114,7 +113,7 @@
 
 
 def order_rows() -> list[dict[str, Any]]:
-    what = f"one choice of the planner, {2 * MOST_LOOKS} units waiting"
+    what = f"one choice of the planner, {2 * MAX_UNITS_CHECKED} units waiting"
     return [
         slope(
             "fleet.order.engines",
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -20,13 +20,13 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from corkgauge.eventloop.loop import SECOND  # noqa: E402
-from corkgauge.maintenance.schedule import (  # noqa: E402
-    Bounds,
+from corkgauge.maintenance.capacity import (  # noqa: E402
+    CapacitySnapshot,
+    DisruptionLimits,
     EngineFact,
-    Ground,
-    Wanted,
-    next_out,
+    WaitingUnit,
 )
+from corkgauge.maintenance.schedule import select_grants  # noqa: E402
 from corkgauge.model.plan_consensus import PlanWorld, plan_day  # noqa: E402
 from corkgauge.model.rolling_maintenance import POLICIES, Night  # noqa: E402
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew  # noqa: E402
@@ -494,8 +494,8 @@
         while started:
             started = False
             for unit in waiting:
-                if not ground_of({tag for _, tags in out for tag in tags}).objection(
-                    unit, load=False
+                if not ground_of({tag for _, tags in out for tag in tags}).find_objection(
+                    unit, with_load=False
                 ):
                     out.append((now + lasting[unit.name], unit.members))
                     ends[unit.name] = now + lasting[unit.name]
@@ -517,22 +517,22 @@
             for n in range(6)
         }
         units = [
-            Wanted(
+            WaitingUnit(
                 f"e{n}",
                 (f"e{n}",),
                 10 + chance.below(50),
-                due=(60 + chance.below(120)) if chance.within(0.4) else 2**62,
+                due_ticks=(60 + chance.below(120)) if chance.within(0.4) else 2**62,
                 place=n,
             )
             for n in range(6)
         ]
-        lasting = {unit.name: unit.lasting for unit in units}
+        lasting = {unit.name: unit.lasting_ticks for unit in units}
 
         def ground_of(away):
-            return Ground(Bounds(2, 0.5, 1.0, 1.0), engines, (), away)
+            return CapacitySnapshot(DisruptionLimits(2, 0.5, 1.0, 1.0), engines, (), away)
 
         def cost(ends):
-            late = sum(max(ends[unit.name] - unit.due, 0) for unit in units if unit.due < 2**62)
+            late = sum(max(ends[unit.name] - unit.due_ticks, 0) for unit in units if unit.due_ticks < 2**62)
             return (
                 late,
                 max(ends.values()),
@@ -541,16 +541,16 @@
 
         best = min(cost(listed(each, ground_of, lasting)) for each in permutations(units))
         least = min(cost(listed(each, ground_of, lasting))[1] for each in permutations(units))
-        from corkgauge.maintenance.schedule import order_of
+        from corkgauge.maintenance.schedule import grant_order
 
         mine = cost(
             listed(
-                order_of(units, {tag: each.cores for tag, each in engines.items()}),
+                grant_order(units, {tag: each.cores for tag, each in engines.items()}),
                 ground_of,
                 lasting,
             )
         )
-        assert next_out(ground_of(set()), units)[0]
+        assert select_grants(ground_of(set()), units).granted
         worse.append((mine[0] - best[0], mine[1] / least))
     late = [each for each, _ in worse]
     print(
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -40,7 +40,7 @@
 
 def works_wrong(said: dict) -> list[str]:
     """What is wrong with a history of works: a step twice, or one left out."""
-    from corkgauge.maintenance.plan import wrong_history
+    from corkgauge.maintenance.plan_history import wrong_history
 
     return wrong_history(said["history"])
 
--- a/corkgauge/maintenance/chunk_transfer.py
+++ b/corkgauge/maintenance/chunk_transfer.py
@@ -1,92 +1,114 @@
-"""A plan that is too large for one datagram, fetched from one that has it, a few pieces at a time.
+"""Fetches a plan that is too large for one datagram, a few chunks at a time.
 
-Owns which pieces are here. Free of I/O. Must never put pieces of two states together: each names the stamp of the
-state that it is of, and another stamp begins anew.
+Chunks of two states are never put together: each names the stamp of its state, and another stamp begins anew. Free of
+I/O.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Sequence
 from typing import Any, Protocol
 
-SIZE = 900  # octets of a piece
-AT_ONCE = 6  # asked for in one letter
-MOST = 2_000  # pieces of one state
+from corkgauge.maintenance.plan_messages import Chunk, FetchChunks, Stamp
 
-Stamp = tuple[int, int]  # fence, and number under it: the later state is the greater stamp
+CHUNK_BYTES = 900
+MAX_CHUNKS_ASKED = 6  # in one datagram
+MAX_CHUNKS_ANSWERED = 16  # of one datagram
+MAX_CHUNKS = 2_000  # of one state
 
 
 class Host(Protocol):
+    """What a fetch may do."""
+
     def send(self, name: str, body: list[Any]) -> None: ...
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
 
 
-def piece_of(packed: bytes, index: int) -> tuple[int, bytes]:
-    """How many there are, and one of them.
+def chunk_of(packed: bytes, index: int) -> tuple[int, bytes]:
+    """How many chunks there are, and one of them.
 
-    >>> piece_of(b"x" * 1000, 1)[0], len(piece_of(b"x" * 1000, 1)[1]), piece_of(b"", 0)
+    >>> chunk_of(b"x" * 1000, 1)[0], len(chunk_of(b"x" * 1000, 1)[1]), chunk_of(b"", 0)
     (2, 100, (1, b''))
     """
-    return max(-(-len(packed) // SIZE), 1), packed[index * SIZE : (index + 1) * SIZE]
+    count = max(-(-len(packed) // CHUNK_BYTES), 1)
+    return count, packed[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES]
+
 
+def chunks_of(packed: bytes, indexes: Sequence[int], fence: int, stamp: Stamp) -> Iterable[Chunk]:
+    """The chunks that a fetch asks for, as far as there are such."""
+    for index in indexes[:MAX_CHUNKS_ANSWERED]:
+        count, data = chunk_of(packed, index)
+        if 0 <= index < count:
+            yield Chunk(fence, stamp, index, count, data)
 
-class Fetch:
-    """Asks `whom` for its state, letter by letter, until all is here; then `done(stamp, octets)`.
 
-    Letters are `[ask, fence, stamp or [], [indexes]]`, answers `[tell, fence, stamp, index, count, octets]`. An
-    answer of another stamp than the one begun with starts over with that: its teller has gone on. Nothing of a stamp
-    below `least` counts."""
+class ChunkFetch:
+    """Asks `source` for its plan, datagram by datagram, until all is here; then calls `on_complete(stamp, bytes)`.
+
+    Chunks of another stamp than the one begun with start over with that: the source has gone on. Nothing of a stamp
+    below `least` counts. What does not come is asked for again after `retry_ticks`.
+    """
 
     def __init__(
         self,
         host: Host,
-        ask: int,
-        whom: str,
+        source: str,
         fence: int,
-        pause: int,
-        done: Callable[[Stamp, bytes], None],
+        retry_ticks: int,
+        on_complete: Callable[[Stamp, bytes], None],
         least: Stamp = (0, 0),
     ) -> None:
-        self.host, self.ask, self.whom, self.fence, self.pause, self.done = (
-            host,
-            ask,
-            whom,
-            fence,
-            pause,
-            done,
-        )
+        self.host = host
+        self.source = source
+        self.fence = fence
+        self.retry_ticks = retry_ticks
+        self.on_complete = on_complete
         self.least = least
         self.stamp: Stamp | None = None
-        self.count, self.pieces = 1, dict[int, bytes]()
-        self.over, self.serial = False, 0
-        self._more()
-
-    def heard(self, sender: str, stamp: Stamp, index: int, count: int, data: bytes) -> None:
-        # Danger: a piece that was asked for in an earlier time in office comes late, and tells of a state that has been
-        # changed since by agreement.
-        if self.over or sender != self.whom or stamp < self.least or not 0 <= index < count <= MOST:
+        self.count = 1
+        self.chunks: dict[int, bytes] = {}
+        self.is_over = False
+        self.request_serial = 0  # of the last datagram; the timers of earlier ones do nothing
+        self._request_missing()
+
+    def on_chunk(self, sender: str, chunk: Chunk) -> None:
+        """Take a chunk; one of another source or an earlier state is ignored."""
+        if not self._is_wanted(sender, chunk):
             return
-        if stamp != self.stamp:
-            if self.stamp is not None and stamp < self.stamp:
-                return  # a late letter of the state before
-            self.stamp, self.count, self.pieces = stamp, count, {}
-        self.pieces[index] = data
-        if len(self.pieces) == self.count:
-            self.over = True
-            return self.done(stamp, b"".join(self.pieces[n] for n in range(self.count)))
-        if index >= max(self.pieces) or not index % AT_ONCE:
-            self._more()
+        if chunk.stamp != self.stamp:
+            self.stamp = chunk.stamp
+            self.count = chunk.count
+            self.chunks = {}
+        self.chunks[chunk.index] = chunk.data
+        if len(self.chunks) == self.count:
+            self.is_over = True
+            packed = b"".join(self.chunks[index] for index in range(self.count))
+            self.on_complete(chunk.stamp, packed)
+        elif chunk.index >= max(self.chunks) or not chunk.index % MAX_CHUNKS_ASKED:
+            self._request_missing()
+
+    def _is_wanted(self, sender: str, chunk: Chunk) -> bool:
+        # A chunk that was asked for in an earlier span of leading comes late, and is of a state that has been changed
+        # since by agreement: it is below `least`.
+        if self.is_over or sender != self.source or chunk.stamp < self.least:
+            return False
+        if not 0 <= chunk.index < chunk.count <= MAX_CHUNKS:
+            return False
+        is_of_earlier_state = self.stamp is not None and chunk.stamp < self.stamp
+        return not is_of_earlier_state
 
     def end(self) -> None:
-        self.over = True
+        """Ask for nothing any more, and take nothing."""
+        self.is_over = True
 
-    def _more(self) -> None:
+    def _request_missing(self) -> None:
         """Ask for the next few that are not here, and again where none of them comes."""
-        if self.over:
+        if self.is_over:
             return
-        wanted = [n for n in range(self.count) if n not in self.pieces][:AT_ONCE]
-        self.serial += 1
-        self.host.send(self.whom, [self.ask, self.fence, [*(self.stamp or ())], wanted])
-        self.host.call_later(self.pause, self._again, self.serial)
-
-    def _again(self, serial: int) -> None:
-        if serial == self.serial:
-            self._more()
+        missing = [index for index in range(self.count) if index not in self.chunks]
+        request = FetchChunks(self.fence, self.stamp, missing[:MAX_CHUNKS_ASKED])
+        self.request_serial += 1
+        self.host.send(self.source, request.encode())
+        self.host.call_later(self.retry_ticks, self._retry, self.request_serial)
+
+    def _retry(self, serial: int) -> None:
+        if serial == self.request_serial:
+            self._request_missing()
--- a/corkgauge/maintenance/demand.py
+++ b/corkgauge/maintenance/demand.py
@@ -1,55 +1,70 @@
-"""What the fleet has to do now, in cores by offering, as each gateway tells it, with its age.
+"""What the fleet has to do now, in cores by request class, as each gateway reports it.
 
-Owns the last reports. Free of I/O. Must never take a gateway that is silent for one that is idle: what is not known
-counts as loaded.
+Free of I/O. A gateway that is silent is not taken for an idle one: what is not known counts as loaded.
 """
 
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from typing import NamedTuple
 
-AGE = 50_000  # tenths of a millisecond, from which a report is too old to go by
-FADES = 0.93  # of a peak, a report: load that fell a moment ago may come back
+MAX_REPORT_AGE_TICKS = 50_000  # tenths of a millisecond, from which a report is too old to go by
+PEAK_DECAY = 0.93  # of a peak, a report: load that fell a moment ago may come back
+
+
+@dataclass(frozen=True, slots=True)
+class LoadReport:
+    """Cores by request class that one gateway needs, with faded peaks, and when it said so."""
+
+    at_ticks: int
+    cores: Mapping[str, float]
+
+
+class FleetDemand(NamedTuple):
+    """Cores by request class of the whole fleet, and the gateways whose load is not known."""
+
+    cores: dict[str, float]
+    unknown_gateways: list[str]
 
 
 class Demand:
-    """
+    """The last load report of each gateway.
+
     >>> demand = Demand()
-    >>> demand.tells("n1", 0, {"lookup": 3.0})
-    >>> demand.needed(10, ["n1"])
+    >>> demand.record("n1", 0, {"lookup": 3.0})
+    >>> tuple(demand.estimate(10, ["n1"]))
     ({'lookup': 3.0}, [])
-    >>> demand.needed(10, ["n1", "n2"])         # as much as the busiest that is known, and not known
+    >>> tuple(demand.estimate(10, ["n1", "n2"]))    # as much as the busiest that is known, and not known
     ({'lookup': 6.0}, ['n2'])
-    >>> demand.tells("n1", 20, {"lookup": 1.0})
-    >>> round(demand.needed(20, ["n1"])[0]["lookup"], 2)
+    >>> demand.record("n1", 20, {"lookup": 1.0})
+    >>> round(demand.estimate(20, ["n1"]).cores["lookup"], 2)
     2.79
     """
 
     def __init__(self) -> None:
-        self.reports: dict[str, tuple[int, dict[str, float]]] = {}
-
-    def tells(self, gateway: str, now: int, cores: Mapping[str, float]) -> None:
-        before = self.reports.get(gateway, (now, {}))[1]
-        self.reports[gateway] = (
-            now,
-            {name: max(value, FADES * before.get(name, 0.0)) for name, value in cores.items()},
-        )
-
-    def needed(self, now: int, gateways: Iterable[str]) -> tuple[dict[str, float], list[str]]:
-        """Cores by offering, and the gateways whose load is not known: each counts as the busiest that is."""
-        fresh, unknown = [], []
+        self.reports: dict[str, LoadReport] = {}
+
+    def record(self, gateway: str, now_ticks: int, cores: Mapping[str, float]) -> None:
+        """Take a gateway's report; a peak of earlier reports fades slowly."""
+        last = self.reports.get(gateway)
+        before = {} if last is None else last.cores
+        with_peaks = {
+            name: max(value, PEAK_DECAY * before.get(name, 0.0)) for name, value in cores.items()
+        }
+        self.reports[gateway] = LoadReport(now_ticks, with_peaks)
+
+    def estimate(self, now_ticks: int, gateways: Iterable[str]) -> FleetDemand:
+        """The demand on all these gateways; each of unknown load counts as the busiest that is known."""
+        fresh: list[Mapping[str, float]] = []
+        unknown: list[str] = []
         for name in gateways:
             report = self.reports.get(name)
-            if report is not None and now < report[0] + AGE:
-                fresh.append(report[1])
+            if report is not None and now_ticks < report.at_ticks + MAX_REPORT_AGE_TICKS:
+                fresh.append(report.cores)
             else:
                 unknown.append(name)
-        request_classes = {name for _, cores in self.reports.values() for name in cores}
-        said = {}
+        request_classes = {name for report in self.reports.values() for name in report.cores}
+        total = {}
         for request_class in sorted(request_classes):
-            told = [cores.get(request_class, 0.0) for cores in fresh]
-            said[request_class] = sum(told) + len(unknown) * max(told, default=0.0)
-        return said, unknown
-
-    def forget(self, gateways: Iterable[str]) -> None:
-        """Only these are gateways of the fleet."""
-        named = {*gateways}
-        self.reports = {name: report for name, report in self.reports.items() if name in named}
+            known = [cores.get(request_class, 0.0) for cores in fresh]
+            total[request_class] = sum(known) + len(unknown) * max(known, default=0.0)
+        return FleetDemand(total, unknown)
--- /dev/null
+++ b/corkgauge/maintenance/grants.py
@@ -0,0 +1,123 @@
+"""Which waiting units may begin: the plan and the gateways' reports, turned into a snapshot for the schedule."""
+
+from collections.abc import Mapping
+from dataclasses import replace
+
+from corkgauge.maintenance.capacity import (
+    NEVER_TICKS,
+    CapacitySnapshot,
+    DisruptionLimits,
+    EngineCondition,
+    EngineFact,
+    GatewayStatus,
+    WaitingUnit,
+)
+from corkgauge.maintenance.leadership import Leadership
+from corkgauge.maintenance.plan import TAKEN_STATES, Plan, Unit, UnitKind, UnitState
+from corkgauge.maintenance.schedule import GrantDecision, select_grants
+
+EJECTION_REPORTERS = 2  # gateways that outweigh our own view of an engine
+REPORT_AGE_TICKS = 50_000  # tenths of a millisecond, from which a report of an ejection is too old
+
+
+class GrantPlanner:
+    """Builds the facts of a moment, and grants what fits within the limits."""
+
+    def __init__(self, leadership: Leadership, limits: DisruptionLimits) -> None:
+        self.leadership = leadership
+        self.host = leadership.host
+        self.limits = limits
+
+    def grantable(self, plan: Plan) -> list[str]:
+        """Names of the units to be granted now; why the others wait goes to the leadership's objections."""
+        waiting = [
+            self._waiting_unit(unit, plan, place)
+            for place, unit in enumerate(plan.units_in(UnitState.ASKED))
+        ]
+        if not waiting:
+            return []
+        snapshot = self.snapshot(plan)
+        if self._must_wait_for_returns(snapshot, plan):
+            why = "load has grown, what is out comes back first"
+            decision = GrantDecision(objections={unit.name: why for unit in waiting})
+        else:
+            decision = select_grants(snapshot, waiting, self.host.name)
+        self.leadership.objections.update(decision.objections)
+        return decision.granted
+
+    def _must_wait_for_returns(self, snapshot: CapacitySnapshot, plan: Plan) -> bool:
+        """More load than what is left takes well: nothing new goes until something has come back."""
+        if not snapshot.find_overload(snapshot.unavailable_engines()):
+            return False
+        return bool(plan.units_in(UnitState.OUT, UnitState.RETURNING))
+
+    def snapshot(self, plan: Plan) -> CapacitySnapshot:
+        """The facts of this moment: engines, demand, gateways, and what the plan has taken."""
+        gateways = self.host.gateways()
+        # One that ended in order has no load; its clients are with the others.
+        running = [name for name, status in gateways.items() if not status.has_left]
+        cores, unknown = self.leadership.demand.estimate(self.host.now, running)
+        # One that is not heard counts as the busiest that is; where nobody is heard, nothing can be said.
+        is_all_unknown = len(unknown) >= len(running)
+        taken = plan.units_in(*TAKEN_STATES)
+        engines = {tag: self._as_reported(fact) for tag, fact in self.host.engines().items()}
+        return CapacitySnapshot(
+            limits=self.limits,
+            engines=engines,
+            request_classes=self.host.request_classes(cores),
+            taken_engines=_members(taken, UnitKind.ENGINE),
+            gateways={name: status.zone for name, status in gateways.items()},
+            unavailable_gateways=_not_alive(gateways) | _members(taken, UnitKind.GATEWAY),
+            voters=self.host.voters(),
+            gateways_of_unknown_load=unknown if is_all_unknown else [],
+        )
+
+    def _as_reported(self, fact: EngineFact) -> EngineFact:
+        """Two gateways that have ejected an engine outweigh our own view of it."""
+        if fact.condition != EngineCondition.HEALTHY:
+            return fact
+        now_ticks = self.host.now
+        reporters = sum(
+            fact.tag in report.ejected and now_ticks < report.at_ticks + REPORT_AGE_TICKS
+            for report in self.leadership.reports.values()
+        )
+        if reporters < EJECTION_REPORTERS:
+            return fact
+        return replace(fact, condition=EngineCondition.IMPAIRED)
+
+    def _waiting_unit(self, unit: Unit, plan: Plan, place: int) -> WaitingUnit:
+        request = plan.requests.get(unit.request_id)
+        return WaitingUnit(
+            unit.name,
+            tuple(unit.members),
+            lasting_ticks=1 if request is None else request.lasting_ticks,
+            due_ticks=NEVER_TICKS if request is None else request.due_ticks,
+            passed=_times_passed(unit, plan),
+            place=place,
+            is_gateway=unit.kind == UnitKind.GATEWAY,
+        )
+
+
+def _times_passed(unit: Unit, plan: Plan) -> int:
+    """How many units that were asked later have been granted before this one."""
+    asked_serial = next(
+        (
+            entry.serial
+            for entry in plan.history
+            if entry.unit == unit.name and entry.state == UnitState.ASKED
+        ),
+        0,
+    )
+    since_asked = [entry for entry in plan.history if entry.serial > asked_serial]
+    asked_later = {entry.unit for entry in since_asked if entry.state == UnitState.ASKED}
+    return sum(
+        entry.state == UnitState.GRANTED and entry.unit in asked_later for entry in since_asked
+    )
+
+
+def _members(units: list[Unit], kind: UnitKind) -> set[str]:
+    return {name for unit in units if unit.kind == kind for name in unit.members}
+
+
+def _not_alive(gateways: Mapping[str, GatewayStatus]) -> set[str]:
+    return {name for name, status in gateways.items() if not status.is_alive}
--- /dev/null
+++ b/corkgauge/maintenance/leadership.py
@@ -0,0 +1,119 @@
+"""What the leader of maintenance knows while it holds the lease, and the clock that it counts by.
+
+All parts of the planner share one `Leadership`. Begun anew with each lease: what an earlier leader was told does not
+count for its successor.
+"""
+
+from collections import Counter
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any, Protocol
+
+from corkgauge.maintenance.capacity import EngineFact, GatewayStatus, RequestClassDemand
+from corkgauge.maintenance.demand import Demand
+from corkgauge.maintenance.messages import Report
+from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
+from corkgauge.maintenance.quiescence import GatewayReport, Stamp
+
+
+class Host(Protocol):
+    """What a planner may do. `now` is tenths of a millisecond since boot."""
+
+    @property
+    def now(self) -> int: ...
+
+    name: str
+
+    def may_act(self, fence: int) -> bool: ...
+    def gateways(self) -> Mapping[str, GatewayStatus]: ...
+    def voters(self) -> Sequence[str]: ...
+    def engines(self) -> Mapping[str, EngineFact]: ...
+    def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]: ...
+    def machines(self) -> Mapping[str, Sequence[str]]: ...
+    def idle_since(self, tags: Sequence[str]) -> int: ...
+    def send_orders(self, name: str, body: list[Any]) -> None: ...
+    def request_report(self, name: str) -> None: ...
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def hand_over_lease(self, reason: str) -> None: ...
+    def log(self, line: str) -> None: ...
+
+
+class Leadership:
+    """Reports, demand, objections and stamps of one span of leading."""
+
+    def __init__(self, host: Host, proposer: PlanProposer) -> None:
+        self.host = host
+        self.proposer = proposer
+        self.counts = Counter[str]()  # for operators; not begun anew
+        self.is_forgotten = False  # no majority of replicas remembers the plan
+        self.demand = Demand()
+        self.reports: dict[str, GatewayReport] = {}
+        self.objections: dict[str, str] = {}  # by unit: why it does not go on
+        self.stamps: dict[str, dict[int, Stamp]] = {}  # by unit and state: when it was agreed, here
+        self.since_ticks = 0
+        self.clock_base_ticks = 0  # the host's clock, at maintenance time `time_base_ticks`
+        self.time_base_ticks = 0
+
+    def begin(self) -> None:
+        """The lease has just been gained: nothing is known yet."""
+        self.is_forgotten = False
+        self.demand = Demand()
+        self.reports = {}
+        self.objections = {}
+        self.stamps = {}
+        self.since_ticks = self.host.now
+        self.clock_base_ticks = self.since_ticks
+        self.time_base_ticks = 0
+
+    def on_plan_led(self) -> None:
+        """A majority has the first step: what went before is agreed, and maintenance time goes on from it."""
+        plan = self.proposer.plan
+        self.clock_base_ticks = self.host.now
+        self.time_base_ticks = plan.time_ticks
+        self.is_forgotten = False
+        # All gateways confirm anew: what they told the earlier leader is not known here.
+        for unit in plan.units.values():
+            self.stamps[unit.name] = {unit.state: self.proposer.stamp}
+
+    def forget_unit(self, name: str) -> None:
+        """The unit is back."""
+        self.stamps.pop(name, None)
+        self.objections.pop(name, None)
+
+    def maintenance_time(self) -> int:
+        """Tenths of a millisecond in which somebody has led; never less than the agreed plan has."""
+        elapsed_ticks = self.host.now - self.clock_base_ticks
+        return max(self.time_base_ticks + elapsed_ticks, self.proposer.plan.time_ticks)
+
+    def has_plan(self) -> bool:
+        """Whether the plan is taken over."""
+        return self.proposer.state == ProposerState.LEADING and self.proposer.led
+
+    def may_act(self) -> bool:
+        """Whether the lease is held at this very moment."""
+        return self.host.may_act(self.proposer.fence)
+
+    def record_report(self, name: str, incarnation: int, report: Report) -> GatewayReport | None:
+        """Take a gateway's report; None for one that is older than what is known."""
+        known = self.reports.get(name)
+        if known is None or known.incarnation != incarnation:
+            # A later process answers for itself: what the earlier one confirmed does not count.
+            known = GatewayReport(incarnation)
+            self.reports[name] = known
+        if report.serial <= known.serial:
+            return None
+        stamp = report.fence, report.number
+        closed = frozenset(report.closed)
+        if known.stamp == stamp:
+            # Under the same orders what is closed stays so; one report may name only some of it.
+            closed |= known.closed
+        known.serial = report.serial
+        known.at_ticks = self.host.now
+        known.is_blank = report.is_blank
+        known.closed = closed
+        known.closed_count = report.closed_count
+        known.stamp = stamp
+        known.holds_no_lease = report.holds_no_lease
+        known.ejected = frozenset(report.ejected)
+        known.loads = dict(report.loads)
+        self.demand.record(name, self.host.now, report.loads)
+        return known
--- /dev/null
+++ b/corkgauge/maintenance/orders.py
@@ -0,0 +1,31 @@
+"""Orders to gateways: the unit states that each has to heed, parted into datagrams."""
+
+from collections.abc import Mapping
+from typing import Any
+
+from corkgauge.maintenance.quiescence import Stamp
+
+MAX_PART_BYTES = 800  # of names and states in one datagram
+ENTRY_OVERHEAD_BYTES = 3  # of msgpack, a name and its state
+
+
+def encode_orders(states: Mapping[str, int], stamp: Stamp, echo: int) -> list[list[Any]]:
+    """The bodies that carry all states: [fence, number, echo, part, parts, states].
+
+    `echo` is the serial number of the gateway's last report: its grant counts from that.
+
+    >>> [len(body[5]) for body in encode_orders({f"engine-{n:03}": 2 for n in range(100)}, (7, 1), 3)]
+    [61, 39]
+    >>> encode_orders({}, (7, 1), 3)
+    [[7, 1, 3, 0, 1, {}]]
+    """
+    parts: list[dict[str, int]] = [{}]
+    part_bytes = 0
+    for tag, state in sorted(states.items()):
+        entry_bytes = len(tag.encode()) + ENTRY_OVERHEAD_BYTES
+        part_bytes += entry_bytes
+        if part_bytes > MAX_PART_BYTES:
+            parts.append({})
+            part_bytes = entry_bytes
+        parts[-1][tag] = state
+    return [[*stamp, echo, number, len(parts), part] for number, part in enumerate(parts)]
--- a/corkgauge/maintenance/plan.py
+++ b/corkgauge/maintenance/plan.py
@@ -1,300 +1,350 @@
-"""The plan: what was asked, where each unit stands, and what has happened, as a majority of keepers holds it.
+"""The maintenance plan: what was requested, where each unit stands, and what has happened.
 
-Owns the agreed facts and the one way in which they change: a list of small changes, which everybody who applies them
-in the same order ends up with the same plan. Free of I/O and of clocks. Must never look at anything but the plan and
-the change; whoever proposes a change has looked at the rest.
+A majority of plan replicas holds it. It changes by a list of small changes alone; all who apply the same changes in the
+same order end up with the same plan. Free of I/O and of clocks; looks at nothing but the plan and the change, whoever
+proposes a change has looked at the rest.
 
-A *unit* is what goes out together: one engine, the engines that share a machine, or one gateway. Its steps:
+A *unit* is what goes out together: one engine, the engines that share a machine, or one gateway. Its states:
 
     asked > granted > draining > out > returning > back      each once
                                  out > late > returning      it did not come back within its time
-            granted, draining > returning                    its ask was cancelled before the work began
+            granted, draining > returning                    its request was cancelled before the work began
 
-Time in a plan is *works time*, tenths of a millisecond in which somebody has held the duty: it only grows, whatever
-the clocks of machines are set to, and stands still while nobody plans.
+Time in a plan is *maintenance time*, tenths of a millisecond in which somebody has held the lease: it only grows,
+whatever the clocks of machines are set to, and stands still while nobody leads.
 """
 
 from collections import deque
-from collections.abc import Iterable, Sequence
-from typing import Any
+from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass, field
+from enum import IntEnum, StrEnum
+from typing import Any, NamedTuple
 
 import msgpack
 
-ASKED, GRANTED, DRAINING, OUT, LATE, RETURNING, BACK = range(7)
-STATES = "asked", "granted", "draining", "out", "late", "returning", "back"
-AWAY = DRAINING, OUT, LATE  # no gateway sends there
-TAKEN = GRANTED, DRAINING, OUT, LATE, RETURNING  # counts in the limits
-NEXT = {
-    ASKED: (GRANTED, BACK),
-    GRANTED: (DRAINING, RETURNING),
-    DRAINING: (OUT, RETURNING),
-    OUT: (RETURNING, LATE),
-    LATE: (RETURNING,),
-    RETURNING: (BACK,),
+
+class UnitState(IntEnum):
+    """Where a unit stands; the numbers are those of the wire and of stored plans."""
+
+    ASKED = 0
+    GRANTED = 1
+    DRAINING = 2
+    OUT = 3
+    LATE = 4
+    RETURNING = 5
+    BACK = 6
+
+
+class UnitKind(StrEnum):
+    """What a unit consists of; the words are those of the wire and of stored plans."""
+
+    ENGINE = "engine"
+    GATEWAY = "gateway"
+
+
+STATE_WORDS = "asked", "granted", "draining", "out", "late", "returning", "back"  # by UnitState
+TAKEN_STATES = (  # those that count in the limits
+    UnitState.GRANTED,
+    UnitState.DRAINING,
+    UnitState.OUT,
+    UnitState.LATE,
+    UnitState.RETURNING,
+)
+NEXT_STATES: dict[int, tuple[UnitState, ...]] = {
+    UnitState.ASKED: (UnitState.GRANTED, UnitState.BACK),
+    UnitState.GRANTED: (UnitState.DRAINING, UnitState.RETURNING),
+    UnitState.DRAINING: (UnitState.OUT, UnitState.RETURNING),
+    UnitState.OUT: (UnitState.RETURNING, UnitState.LATE),
+    UnitState.LATE: (UnitState.RETURNING,),
+    UnitState.RETURNING: (UnitState.BACK,),
 }
-ENGINE, GATEWAY = "engine", "gateway"
-HISTORY = 300  # entries that operators, and the next holder, can look back at
-MOST_ASKS, MOST_UNITS = 200, 2_000
-MOST_WORD = 120  # characters of an owner or a reason
+MAX_HISTORY_ENTRIES = 300  # that operators, and the next leader, can look back at
+MAX_REQUESTS = 200
+MAX_UNITS = 2_000
+MAX_TEXT_CHARACTERS = 120  # of an owner or a reason
 
 
-class InvalidRequestError(ValueError):
+class InvalidChangeError(ValueError):
     """A change that does not fit the plan: why, in one line."""
 
 
-class Ask:
-    """What an operator asked. `due` is works time by which it should be over, `lasting` what one unit's work takes;
-    `count` how many units it has; `over` that no unit of it is left."""
-
-    __slots__ = (
-        "id",
-        "kind",
-        "names",
-        "owner",
-        "reason",
-        "due",
-        "lasting",
-        "count",
-        "cancelled",
-        "at",
-    )
-
-    def __init__(self, said: Sequence[Any]) -> None:
-        (
+@dataclass(slots=True)
+class MaintenanceRequest:
+    """What an operator requested.
+
+    `due_ticks` is the maintenance time by which it should be over, `lasting_ticks` what one unit's work takes, `count`
+    how many units it has, `at_ticks` when it was taken. `cancelled` names who cancelled it; empty: nobody.
+    """
+
+    id: str
+    kind: str
+    names: list[str]
+    owner: str
+    reason: str
+    due_ticks: int
+    lasting_ticks: int
+    count: int
+    cancelled: str
+    at_ticks: int
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> "MaintenanceRequest":
+        """Decode the list that a change or a stored plan holds. Raises ValueError for another number of fields."""
+        id_, kind, names, owner, reason, due, lasting, count, cancelled, at = fields
+        return cls(id_, kind, [*names], owner, reason, due, lasting, count, cancelled, at)
+
+    def to_wire(self) -> list[Any]:
+        """The list that a change or a stored plan holds."""
+        return [
             self.id,
             self.kind,
-            names,
+            self.names,
             self.owner,
             self.reason,
-            self.due,
-            self.lasting,
+            self.due_ticks,
+            self.lasting_ticks,
             self.count,
             self.cancelled,
-            self.at,
-        ) = said
-        self.names = [*names]
-
-    def told(self) -> list[Any]:
-        return [getattr(self, name) for name in Ask.__slots__]
+            self.at_ticks,
+        ]
 
 
+@dataclass(slots=True)
 class Unit:
-    """One unit of an ask. `members` are engines' ids, or one gateway's name; `since` is works time."""
+    """One unit of a request. `members` are engines' references, or one gateway's name.
 
-    __slots__ = ("name", "ask", "sort", "members", "state", "since", "why", "began", "overruled")
+    `state` is a UnitState, or the number that a later version stored. `since_ticks` is the maintenance time at which it
+    came into that state, `began_ticks` at which it went out (0: not yet). `overruled` are gateways that an operator
+    said need not be waited for.
+    """
 
-    def __init__(self, said: Sequence[Any]) -> None:
-        (
+    name: str
+    request_id: str
+    kind: str
+    members: list[str]
+    state: int
+    since_ticks: int
+    why: str = ""
+    began_ticks: int = 0
+    overruled: list[str] = field(default_factory=list)
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> "Unit":
+        """Decode the list that a stored plan holds. Raises ValueError for another number of fields."""
+        name, request_id, kind, members, state, since, why, began, overruled = fields
+        return cls(name, request_id, kind, [*members], state, since, why, began, [*overruled])
+
+    def to_wire(self) -> list[Any]:
+        """The list that a stored plan holds."""
+        return [
             self.name,
-            self.ask,
-            self.sort,
-            members,
+            self.request_id,
+            self.kind,
+            self.members,
             self.state,
-            self.since,
+            self.since_ticks,
             self.why,
-            self.began,
-            overruled,
-        ) = said
-        self.members, self.overruled = [*members], [*overruled]
+            self.began_ticks,
+            self.overruled,
+        ]
+
+
+class HistoryEntry(NamedTuple):
+    """One step of a unit, or one overruling, at a maintenance time."""
 
-    def told(self) -> list[Any]:
-        return [getattr(self, name) for name in Unit.__slots__]
+    serial: int
+    at_ticks: int
+    unit: str
+    state: int
+    request_id: str
+    why: str
+
+    @classmethod
+    def from_wire(cls, fields: Sequence[Any]) -> "HistoryEntry":
+        """Decode the list that a stored plan holds. Raises ValueError for another number of fields."""
+        serial, at_ticks, unit, state, request_id, why = fields
+        return cls(serial, at_ticks, unit, state, request_id, why)
 
 
 class Plan:
-    """
+    """Requests, units and history, with the changes that apply to them.
+
     >>> plan = Plan()
     >>> plan.apply([["known", "first start, told by ada"], ["ask", ["a1", "engine", ["e1"], "ada", "disk", 900, 60, 1,
     ...                                                               "", 0]], ["unit", "e1", "a1", "engine", ["e1"]]])
-    >>> plan.apply([["time", 50], ["state", "e1", GRANTED, "fits"]])
-    >>> plan.units["e1"].since, [entry[2:4] for entry in plan.history]
+    >>> plan.apply([["time", 50], ["state", "e1", 1, "fits"]])
+    >>> plan.units["e1"].since_ticks, [[entry.unit, entry.state.value] for entry in plan.history]
     (50, [['e1', 0], ['e1', 1]])
-    >>> plan.apply([["state", "e1", OUT, ""]])
+    >>> plan.apply([["state", "e1", 3, ""]])
     Traceback (most recent call last):
-    corkgauge.maintenance.plan.InvalidRequestError: e1 is granted, and cannot be out next
+    corkgauge.maintenance.plan.InvalidChangeError: e1 is granted, and cannot be out next
     >>> Plan.unpacked(plan.packed()).packed() == plan.packed()
     True
     """
 
     def __init__(self) -> None:
-        self.time = 0
-        self.known = (
-            ""  # by whose word it is known what is out; empty: nobody's, and nothing is granted
-        )
+        self.time_ticks = 0
+        self.known = ""  # by whose word it is known what is out; empty: nothing is granted
         self.held = ""  # who holds all grants back; empty: nobody
-        self.asks: dict[str, Ask] = {}
+        self.requests: dict[str, MaintenanceRequest] = {}
         self.units: dict[str, Unit] = {}
-        self.history: deque[list[Any]] = deque(
-            maxlen=HISTORY
-        )  # [serial, time, unit, state, ask, why]
-        self.serial = 0
+        self.history: deque[HistoryEntry] = deque(maxlen=MAX_HISTORY_ENTRIES)
+        self.serial = 0  # of the last entry of the history
 
     def apply(self, changes: Iterable[Sequence[Any]]) -> None:
-        """All of them, in order. Raises Senseless at the first that does not fit; those before it hold then, so
-        whoever proposes tries them on a copy first."""
-        for sort, *what in changes:
-            method = _CHANGES.get(sort)
+        """Apply all changes, in order.
+
+        Raises InvalidChangeError at the first that does not fit; those before it hold then, so whoever proposes changes
+        tries them on a copy first.
+        """
+        for word, *arguments in changes:
+            method = _CHANGES.get(word)
             if method is None:
-                raise InvalidRequestError(f"no change {sort!r}")
-            method(self, *what)
+                raise InvalidChangeError(f"no change {word!r}")
+            method(self, *arguments)
 
-    def tried(self, changes: Iterable[Sequence[Any]]) -> "Plan":
-        """A copy with the changes."""
+    def with_changes(self, changes: Iterable[Sequence[Any]]) -> "Plan":
+        """A copy with the changes. Raises InvalidChangeError where they do not fit."""
         plan = Plan.unpacked(self.packed())
         plan.apply(changes)
         return plan
 
-    # What a change does.
+    # One method a change; the arguments are those of the wire.
 
-    def _time(self, at: int) -> None:
-        self.time = max(
-            self.time, at
-        )  # Danger: a holder that counts from less must not turn it back.
+    def _advance_time(self, at_ticks: int) -> None:
+        # A leader that counts from an older plan must not turn the time back.
+        self.time_ticks = max(self.time_ticks, at_ticks)
 
-    def _known(self, by: str) -> None:
-        self.known = by[:MOST_WORD]
+    def _set_known(self, by: str) -> None:
+        self.known = by[:MAX_TEXT_CHARACTERS]
 
-    def _hold(self, by: str) -> None:
-        self.held = by[:MOST_WORD]
+    def _set_held(self, by: str) -> None:
+        self.held = by[:MAX_TEXT_CHARACTERS]
 
-    def _ask(self, said: Sequence[Any]) -> None:
-        ask = Ask(said)
-        if len(self.asks) >= MOST_ASKS and ask.id not in self.asks:
-            raise InvalidRequestError(f"{MOST_ASKS} asks are open")
-        self.asks.setdefault(ask.id, ask)
+    def _add_request(self, fields: Sequence[Any]) -> None:
+        request = MaintenanceRequest.from_wire(fields)
+        if len(self.requests) >= MAX_REQUESTS and request.id not in self.requests:
+            raise InvalidChangeError(f"{MAX_REQUESTS} asks are open")
+        self.requests.setdefault(request.id, request)
 
-    def _unit(self, name: str, ask: str, sort: str, members: Sequence[str]) -> None:
-        if ask not in self.asks or name in self.units or len(self.units) >= MOST_UNITS:
-            raise InvalidRequestError(f"no room for unit {name} of {ask}")
-        self.units[name] = Unit([name, ask, sort, members, ASKED, self.time, "", 0, []])
-        self._noted(self.units[name])
+    def _add_unit(self, name: str, request_id: str, kind: str, members: Sequence[str]) -> None:
+        is_full = len(self.units) >= MAX_UNITS
+        if request_id not in self.requests or name in self.units or is_full:
+            raise InvalidChangeError(f"no room for unit {name} of {request_id}")
+        unit = Unit(name, request_id, kind, [*members], UnitState.ASKED, self.time_ticks)
+        self.units[name] = unit
+        self._record(unit)
 
-    def _state(self, name: str, state: int, why: str) -> None:
+    def _move_unit(self, name: str, state: int, why: str) -> None:
         unit = self.units.get(name)
-        if unit is None or state not in NEXT.get(unit.state, ()):
-            raise InvalidRequestError(
-                f"{name} is {STATES[unit.state] if unit else 'no unit'}, and cannot be "
-                f"{STATES[state]} next"
+        if unit is None or state not in NEXT_STATES.get(unit.state, ()):
+            current = STATE_WORDS[unit.state] if unit else "no unit"
+            raise InvalidChangeError(
+                f"{name} is {current}, and cannot be {STATE_WORDS[state]} next"
             )
-        unit.state, unit.since, unit.why = state, self.time, why[:MOST_WORD]
-        if state == OUT:
-            unit.began = self.time
-        self._noted(unit)
-        if state == BACK:
+        unit.state = UnitState(state)
+        unit.since_ticks = self.time_ticks
+        unit.why = why[:MAX_TEXT_CHARACTERS]
+        if state == UnitState.OUT:
+            unit.began_ticks = self.time_ticks
+        self._record(unit)
+        if state == UnitState.BACK:
             del self.units[name]
-            if not any(each.ask == unit.ask for each in self.units.values()):
-                self.asks.pop(unit.ask, None)
-
-    def _fewer(self, ask: str, count: int) -> None:
-        """Not all that it named is there any more."""
-        if ask in self.asks:
-            self.asks[ask].count = count
-            if not any(each.ask == ask for each in self.units.values()):
-                del self.asks[ask]
-
-    def _cancel(self, ask: str, by: str) -> None:
-        if ask not in self.asks:
-            raise InvalidRequestError(f"no ask {ask!r}")
-        self.asks[ask].cancelled = by[:MOST_WORD]
-
-    def _overrule(self, name: str, gateway: str, by: str) -> None:
+            if not self._has_units(unit.request_id):
+                self.requests.pop(unit.request_id, None)
+
+    def _shrink_request(self, request_id: str, count: int) -> None:
+        """Not all units that the request named are there any more."""
+        if request_id in self.requests:
+            self.requests[request_id].count = count
+            if not self._has_units(request_id):
+                del self.requests[request_id]
+
+    def _cancel_request(self, request_id: str, by: str) -> None:
+        if request_id not in self.requests:
+            raise InvalidChangeError(f"no ask {request_id!r}")
+        self.requests[request_id].cancelled = by[:MAX_TEXT_CHARACTERS]
+
+    def _overrule_gateway(self, name: str, gateway: str, by: str) -> None:
         unit = self.units.get(name)
-        if unit is None or unit.state != DRAINING:
-            raise InvalidRequestError(f"{name} is not draining")
+        if unit is None or unit.state != UnitState.DRAINING:
+            raise InvalidChangeError(f"{name} is not draining")
         unit.overruled = sorted({*unit.overruled, gateway})
-        self._noted(unit, f"{gateway} overruled by {by}")
+        self._record(unit, f"{gateway} overruled by {by}")
 
-    def _noted(self, unit: Unit, why: str = "") -> None:
+    def _has_units(self, request_id: str) -> bool:
+        return any(unit.request_id == request_id for unit in self.units.values())
+
+    def _record(self, unit: Unit, why: str = "") -> None:
         self.serial += 1
-        self.history.append(
-            [self.serial, self.time, unit.name, unit.state, unit.ask, why or unit.why]
+        entry = HistoryEntry(
+            self.serial,
+            self.time_ticks,
+            unit.name,
+            unit.state,
+            unit.request_id,
+            why or unit.why,
         )
+        self.history.append(entry)
 
     # The whole.
 
     def packed(self) -> bytes:
-        return msgpack.packb(
-            [
-                self.time,
-                self.known,
-                self.held,
-                [each.told() for each in self.asks.values()],
-                [each.told() for each in self.units.values()],
-                [*self.history],
-                self.serial,
-            ]
-        )
+        """The plan as it is stored and sent, msgpack: the same plan gives the same bytes everywhere."""
+        fields = [
+            self.time_ticks,
+            self.known,
+            self.held,
+            [request.to_wire() for request in self.requests.values()],
+            [unit.to_wire() for unit in self.units.values()],
+            [*self.history],
+            self.serial,
+        ]
+        return msgpack.packb(fields)
 
     @staticmethod
     def unpacked(data: bytes) -> "Plan":
-        """ValueError where it makes no sense."""
+        """Decode a stored or received plan. Raises InvalidChangeError where it makes no sense."""
         plan = Plan()
         try:
-            plan.time, plan.known, plan.held, asks, units, history, plan.serial = msgpack.unpackb(
-                data
-            )
-            plan.asks = {ask[0]: Ask(ask) for ask in asks}
-            plan.units = {unit[0]: Unit(unit) for unit in units}
-            plan.history.extend(history)
+            time_ticks, known, held, requests, units, history, serial = msgpack.unpackb(data)
+            plan.time_ticks = time_ticks
+            plan.known = known
+            plan.held = held
+            plan.requests = {fields[0]: MaintenanceRequest.from_wire(fields) for fields in requests}
+            plan.units = {fields[0]: Unit.from_wire(fields) for fields in units}
+            plan.history.extend(HistoryEntry.from_wire(fields) for fields in history)
+            plan.serial = serial
         except (ValueError, TypeError, IndexError, msgpack.UnpackException) as problem:
-            raise InvalidRequestError(
+            raise InvalidChangeError(
                 f"a plan that makes no sense ({type(problem).__name__})"
             ) from None
         return plan
 
     # What follows from it.
 
-    def of(self, *states: int) -> list[Unit]:
-        return [each for each in self.units.values() if each.state in states]
+    def units_in(self, *states: UnitState) -> list[Unit]:
+        """The units in any of these states, in the order in which they were requested."""
+        return [unit for unit in self.units.values() if unit.state in states]
 
-    def levels(self) -> dict[str, int]:
-        """What each gateway has to heed, by engine's id or gateway's name: its unit's state, from granted to late."""
+    def ordered_states(self) -> dict[str, int]:
+        """What each gateway has to heed: the unit's state, by engine's reference or gateway's name."""
         return {
             member: unit.state
             for unit in self.units.values()
-            if GRANTED <= unit.state <= LATE
+            if UnitState.GRANTED <= unit.state <= UnitState.LATE
             for member in unit.members
         }
 
 
-_CHANGES = {
-    "time": Plan._time,
-    "known": Plan._known,
-    "hold": Plan._hold,
-    "ask": Plan._ask,
-    "unit": Plan._unit,
-    "state": Plan._state,
-    "fewer": Plan._fewer,
-    "cancel": Plan._cancel,
-    "overrule": Plan._overrule,
+_CHANGES: dict[str, Callable[..., None]] = {
+    "time": Plan._advance_time,
+    "known": Plan._set_known,
+    "hold": Plan._set_held,
+    "ask": Plan._add_request,
+    "unit": Plan._add_unit,
+    "state": Plan._move_unit,
+    "fewer": Plan._shrink_request,
+    "cancel": Plan._cancel_request,
+    "overrule": Plan._overrule_gateway,
 }
-
-
-def wrong_history(entries: Iterable[Sequence[Any]], most: int = 0) -> list[str]:
-    """What is wrong with a history: a step twice, one left out, or more away at once than `most` (0: any number).
-
-    >>> wrong_history([[1, 0, "e1", ASKED, "a", ""], [2, 5, "e1", GRANTED, "a", ""], [3, 6, "e1", GRANTED, "a", ""]])
-    ['entry 3: e1 of a is granted after granted']
-    >>> wrong_history([[n, 0, e, s, "a", ""] for n, (e, s) in enumerate(
-    ...     [(e, s) for s in (ASKED, GRANTED, DRAINING) for e in ("e1", "e2")], 1)], 1)
-    ['entry 4: 2 taken at once, 1 allowed']
-    """
-    found, last, serial = [], dict[tuple[str, str], int](), 0
-    taken: set[tuple[str, str]] = set()
-    for number, time, unit, state, ask, why in entries:
-        key = unit, ask
-        if number <= serial:
-            found.append(f"entry {number}: after entry {serial}")
-        serial = number
-        if why.endswith("overruled") or " overruled by " in why:
-            continue
-        if key in last and state not in NEXT.get(last[key], ()):
-            found.append(
-                f"entry {number}: {unit} of {ask} is {STATES[state]} after {STATES[last[key]]}"
-            )
-        last[key] = state
-        before = len(taken)
-        (taken.add if state in TAKEN else taken.discard)(key)
-        if most and len(taken) > max(most, before):
-            found.append(f"entry {number}: {len(taken)} taken at once, {most} allowed")
-    return found
--- a/corkgauge/maintenance/quiescence.py
+++ b/corkgauge/maintenance/quiescence.py
@@ -1,83 +1,115 @@
-"""Who may still be sending to a machine: what proves that a gateway does not.
+"""The quiescence proof: what shows that a gateway sends nothing to a machine any more.
 
-Owns the rule, in one function. Free of I/O. Must never take silence alone for proof.
+One rule, free of I/O. Silence alone is no proof.
 
     what is known                                   what it proves
-    its own word, under the order to drain          nothing of its is open there, and nothing new goes
+    its own report, under the order to drain        nothing of its is open there, and nothing new goes
     its process has ended, and it is out for work   it sends no more, and is not started before that is over
-    a later start of it was heard                   the earlier process sends no more; the new one answers
+    a later incarnation of it was heard             the earlier process sends no more; the new one answers
                                                       for itself
     it knew of the work, its last grant to send     it sends nothing new since its grant ran out, and what
-      there ran out, and its longest expiry passed    was out has ended
-    the same, and the engine reports nothing in     the same, without waiting for the expiry
+      there ran out, and its longest deadline passed  was in flight has ended
+    the same, and the engine reports nothing in     the same, without waiting for the deadline
       flight after the grant ran out
     an operator overruled, by name                  nothing; it is his word, and it is logged
     it was not heard                                nothing
 """
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
+Stamp = tuple[int, int]
+
 
 @dataclass(slots=True)
-class Heard:
+class GatewayReport:
     """What is known of one gateway, at the planner. Times are tenths of a millisecond since the planner's boot."""
 
-    start: int = 0  # of its process
-    stamp: tuple[int, int] = (0, 0)  # of the last orders that it told it holds
+    incarnation: int = 0  # of its process
+    stamp: Stamp = (0, 0)  # of the last orders that it said it holds
     closed: frozenset[str] = frozenset()  # where nothing of its is open, under those orders
-    at: int = -1  # when it was last heard: the last word that its grant may count from
-    many: int = 0  # how many engines it holds closed; `closed` may not name them all yet
-    blank: bool = True  # it has forgotten what it was told
-    serial: int = 0  # of its last word
-    free: bool = False  # it holds no duty, and stands for none
-    unwell: frozenset[str] = frozenset()  # engines that do badly by it
-    loads: dict[str, float] = field(default_factory=dict)
-
-
-def standing(
-    heard: Heard | None,
-    ended: bool,
-    members: list[str],
-    ordered: tuple[int, int],
-    known: tuple[int, int],
-    since: int,
-    now: int,
-    grant: int,
-    expiry: int,
-    idle_since: int,
+    at_ticks: int = -1  # of the last report: the latest moment that its grant may count from
+    closed_count: int = 0  # how many engines it holds closed; `closed` may not name them all yet
+    is_blank: bool = True  # it has forgotten what it was told
+    serial: int = 0  # of its last report
+    holds_no_lease: bool = False  # and is no candidate for one
+    ejected: frozenset[str] = frozenset()  # engines that it has ejected
+    loads: Mapping[str, float] = field(default_factory=dict)  # cores by request class
+
+
+@dataclass(frozen=True, slots=True)
+class DrainingEngines:
+    """Engines that are being drained together.
+
+    `drained_under` and `announced_under` are the stamps of the orders to drain and of those that announced it.
+    `idle_since_ticks` is when the engines last reported nothing in flight; -1: never.
+    """
+
+    members: Sequence[str]
+    drained_under: Stamp
+    announced_under: Stamp
+    idle_since_ticks: int = -1
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderClock:
+    """Time as the leader counts it, in tenths of a millisecond.
+
+    `leading_since_ticks` is when it began to hold the lease: a grant of an earlier leader's is no younger. `grant_ticks`
+    and `longest_deadline_ticks` are the span of a grant and the longest time to deadline, both with clock drift.
+    """
+
+    now_ticks: int
+    leading_since_ticks: int
+    grant_ticks: int
+    longest_deadline_ticks: int
+
+
+def find_doubt(
+    report: GatewayReport | None, has_ended: bool, engines: DrainingEngines, clock: LeaderClock
 ) -> str:
     """Why a gateway may still be sending to these engines; empty: it is proven that it is not.
 
-    `ended`: its process has ended, for work on its machine. `ordered` and `known` are the stamps of
-    the orders to drain and of those that announced it. `since` is when we began to hold the duty: a grant of an
-    earlier holder's is no younger. `grant` and `expiry` are its span of a grant, with drift, and the longest expiry.
-    `idle_since` is when the engines last reported nothing in flight; -1: never.
+    `has_ended`: its process has ended, for work on its machine.
 
-    >>> word = Heard(5, (7, 4), frozenset({"e1"}), 100, 1, False)
-    >>> standing(word, False, ["e1"], (7, 4), (7, 3), 0, 130, 50, 300, -1)
+    >>> report = GatewayReport(5, (7, 4), frozenset({"e1"}), 100, 1, False)
+    >>> find_doubt(report, False, DrainingEngines(["e1"], (7, 4), (7, 3)), LeaderClock(130, 0, 50, 300))
     ''
-    >>> standing(word, False, ["e2"], (7, 4), (7, 3), 0, 130, 50, 300, -1)
+    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 4), (7, 3)), LeaderClock(130, 0, 50, 300))
     'has not confirmed; its grant runs for 20 more'
-    >>> standing(word, False, ["e2"], (7, 5), (7, 3), 0, 200, 50, 300, -1)
+    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 5), (7, 3)), LeaderClock(200, 0, 50, 300))
     'not heard; what it sent may run for 250 more'
-    >>> standing(word, False, ["e2"], (7, 5), (7, 3), 0, 200, 50, 300, 160)
+    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 5), (7, 3), 160), LeaderClock(200, 0, 50, 300))
     ''
-    >>> standing(word, False, ["e2"], (7, 5), (7, 5), 0, 9000, 50, 300, -1)
+    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 5), (7, 5)), LeaderClock(9000, 0, 50, 300))
     'not heard, and does not know of the work'
-    >>> standing(None, True, ["e2"], (7, 5), (7, 5), 0, 9000, 50, 300, -1)
+    >>> find_doubt(None, True, DrainingEngines(["e2"], (7, 5), (7, 5)), LeaderClock(9000, 0, 50, 300))
     ''
     """
-    if ended:
+    if has_ended:
         return ""
-    if heard is None or heard.at < 0:
+    if report is None or report.at_ticks < 0:
         return "never heard"
-    if heard.stamp >= ordered and not heard.blank and all(tag in heard.closed for tag in members):
+    if _has_confirmed(report, engines):
         return ""
-    if heard.blank or heard.stamp < known:
+    if report.is_blank or report.stamp < engines.announced_under:
         return "not heard, and does not know of the work"
-    over = max(heard.at, since) + grant  # by then it sends nothing new there
-    if now < over:
-        return f"has not confirmed; its grant runs for {over - now} more"
-    if idle_since > over or now >= over + expiry:
+    last_grant_ticks = max(report.at_ticks, clock.leading_since_ticks)
+    grant_end_ticks = (
+        last_grant_ticks + clock.grant_ticks
+    )  # from then on it sends nothing new there
+    now_ticks = clock.now_ticks
+    if now_ticks < grant_end_ticks:
+        return f"has not confirmed; its grant runs for {grant_end_ticks - now_ticks} more"
+    all_ended_ticks = grant_end_ticks + clock.longest_deadline_ticks
+    if engines.idle_since_ticks > grant_end_ticks or now_ticks >= all_ended_ticks:
         return ""
-    return f"not heard; what it sent may run for {over + expiry - now} more"
+    return f"not heard; what it sent may run for {all_ended_ticks - now_ticks} more"
+
+
+def _has_confirmed(report: GatewayReport, engines: DrainingEngines) -> bool:
+    return (
+        report.stamp >= engines.drained_under
+        and not report.is_blank
+        and all(tag in report.closed for tag in engines.members)
+    )
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -1,76 +1,65 @@
-"""The works of one program: letters, timers, the file, what operators ask, and what the host is told.
+"""The maintenance service of one gateway: datagrams, timers, the file, HTTP, and what the host is notified of.
 
-Owns the way between the machines of this package (keeper, scribe, planner, party) and the fellows, the duty, the disk
-and the host. Must never decide: it carries. Must never let what a fellow or an operator sends raise out of it.
+Carries between the state machines of this package (plan replica, plan proposer, planner, participant) and the
+membership service, the lease service, the disk and the host; decides nothing. What another gateway or an operator
+sends is checked by the machines, and raises ValueError, TypeError and the like to whoever called.
 """
 
-import json
-from collections import deque
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import replace
 from typing import Any
 
-import msgpack
-
-from corkgauge.accounting.counter_names import TAKEN as TAKEN_TERM
 from corkgauge.config.operator_file import Works
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.leases.durable_record import DurableRecord
-from corkgauge.maintenance.chunk_transfer import Fetch, piece_of
+from corkgauge.maintenance import messages
+from corkgauge.maintenance.capacity import (
+    DisruptionLimits,
+    EngineFact,
+    GatewayStatus,
+    RequestClassDemand,
+)
+from corkgauge.maintenance.commands import CommandExecutor, PendingCommands
+from corkgauge.maintenance.fleet_view import FleetView, format_address
 from corkgauge.maintenance.participant import Participant
-from corkgauge.maintenance.plan import NEXT, STATES, Plan
-from corkgauge.maintenance.plan_proposer import FETCHING, IDLE, LEADING, PlanProposer
-from corkgauge.maintenance.plan_proposer import STATES as SCRIBE_STATES
-from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
+from corkgauge.maintenance.plan_copy import PlanCopier, PlanCopy
+from corkgauge.maintenance.plan_messages import REPLICA_ANSWERS, Chunk, FetchChunks, MessageKind
+from corkgauge.maintenance.plan_messages import decode as decode_plan_message
+from corkgauge.maintenance.plan_proposer import STATE_WORDS as PROPOSER_STATE_WORDS
+from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
+from corkgauge.maintenance.plan_replica import PlanReplica
 from corkgauge.maintenance.planner import Planner
-from corkgauge.maintenance.schedule import DEAD, PASSING, WELL, Bounds, EngineFact, OfferingFact
-from corkgauge.membership.member_list import ALIVE, LEFT, SUSPECTED
+from corkgauge.maintenance.status import ServiceStatus, status_report
 from corkgauge.net.host import SocketHost
-from corkgauge.policy.records import AttemptOutcome, EngineState, Repeatability
+from corkgauge.policy.records import Cordon
 
-DUTY = "works"
-LOADS = 5  # seconds over which demand is counted
-MOST_UNWELL = 24  # engines named in one word
-WISH_AGAIN, WISH_TIME = 2_500, 30 * SECOND  # an operator's wish is told again; given up
-MOST_WISHES, MOST_WISH = 64, 1_000
-COPY_PAUSE = 1_000
-MISSED = 600 * SECOND  # that an engine which the list names no more counts as dead
+LEASE = "works"  # the lease's name, as voters and the operator file know it
+HTTP_PATH = b"/works"
+SAMPLE_TICKS = SECOND  # between two samples of the demand
 
 
 class MaintenanceService:
-    """`society` are the fellows, `office` the duties."""
+    """Built once a process, on top of the membership service and the lease service (`office`)."""
 
     def __init__(
         self,
         socket_host: SocketHost,
         platform_config: PlatformConfig,
-        said: Works,
+        config: Works,
         membership: Any,
         office: Any,
     ) -> None:
-        self.socket_host, self.event_loop, self.name, self.said = (
-            socket_host,
-            socket_host.event_loop,
-            platform_config.name,
-            said,
-        )
-        self.member_list, self.office = membership.member_list, office
-        self.doubts: dict[
-            str, int
-        ] = {}  # by engine: until when something that we sent may still run
-        self.idle: dict[str, int] = {}  # by engine: when it last reported nothing in flight
-        self.listed: dict[str, EngineFact] = {}  # as they were when last looked at
-        self.missed: dict[str, tuple[EngineFact, int]] = {}  # listed no more, since when
-        self.counted: deque[tuple[int, dict[str, int]]] = deque(maxlen=LOADS + 1)
-        self.wishes: dict[str, dict[str, Any]] = {}  # of operators here, by their keys
-        self.pending: list[tuple[int, str, str, str]] = []  # changes to go, who asked, key, answer
-        self.copy: tuple[tuple[int, int], Plan, dict[str, str]] = (0, 0), Plan(), {}
-        self.fetch: Fetch | None = None
-        self.party: Participant | None = None  # it looks at us as it begins
-        drift = 1 + 2 * office.span.drift
-        expiry = max(each.time_to_deadline for each in socket_host.settings.request_classes)
+        self.socket_host = socket_host
+        self.event_loop = socket_host.event_loop
+        self.name = platform_config.name
+        self.config = config
+        self.member_list = membership.member_list
+        self.office = office
+        self.fleet = FleetView(socket_host, self.member_list, self.name)
+        self.copier = PlanCopier(self)
+        self.pending_commands = PendingCommands(self)
+        self.participant: Participant | None = None  # it calls back while it is built
         self.safe = DurableRecord(
             self.event_loop,
             socket_host.log,
@@ -79,539 +68,337 @@
             "works: what was kept is torn, blank at first",
             "works: nothing is written, nothing is confirmed until a restart",
         )
-        kept = self.safe.kept or [None, None]
-        self.keeper = PlanReplica(self, kept[0], 0 if office.said.folder else office.span.silent)
-        self.scribe = PlanProposer(self)
-        self.planner = Planner(
+        replica_record, participant_record = self.safe.kept or (None, None)
+        silent_ticks = 0 if office.said.folder else office.span.silent
+        self.plan_replica = PlanReplica(self, replica_record, silent_ticks)
+        self.plan_proposer = PlanProposer(self)
+        self.planner = self._build_planner()
+        self.command_executor = CommandExecutor(self, self.planner, self.plan_proposer)
+        self._register()
+        self.participant = Participant(self, self.name, config.grant, participant_record)
+        self.refresh_cordons()  # what was remembered holds from the first request on
+        self._sample_demand()
+
+    def _build_planner(self) -> Planner:
+        settings = self.socket_host.settings
+        drift_factor = 1 + 2 * self.office.span.drift
+        longest_deadline = max(each.time_to_deadline for each in settings.request_classes)
+        return Planner(
             self,
-            self.scribe,
-            Bounds(*said.bounds),
-            said.each,
-            int(said.grant * drift) + 1,
-            int(expiry * drift) + socket_host.settings.gateway.settle,
-            socket_host.settings.gateway.cold_span,
+            self.plan_proposer,
+            DisruptionLimits(*self.config.bounds),
+            self.config.each,
+            int(self.config.grant * drift_factor) + 1,
+            int(longest_deadline * drift_factor) + settings.gateway.settle,
+            settings.gateway.cold_span,
         )
-        socket_host.works = self
-        for subject, method in (
-            ("plan", self._letter),
-            ("works", self._told),
-            ("copy", self._copied),
-        ):
-            self.member_list.calls[subject] = method
-        socket_host.routes[b"GET", b"/works"] = self.told
-        socket_host.routes[b"POST", b"/works"] = self.asked
-        office.stands(DUTY, self)
-        self.party = Participant(self, self.name, said.grant, kept[1])
-        self.refresh()  # what it remembers holds from the first submission on
-        self._count()
-
-    def reload(self, said: Works) -> None:
-        self.said = said
-        self.planner.bounds, self.planner.each = Bounds(*said.bounds), said.each
-        if said.grant != self.party.grant:
+
+    def _register(self) -> None:
+        """Be called for datagrams, HTTP requests, the lease and the host's notifications."""
+        self.socket_host.works = self
+        self.member_list.calls["plan"] = self.on_plan_message
+        self.member_list.calls["works"] = self.on_message
+        self.member_list.calls["copy"] = self.on_copy_message
+        self.socket_host.routes[b"GET", HTTP_PATH] = self.report_status
+        self.socket_host.routes[b"POST", HTTP_PATH] = self.pending_commands.handle_http
+        self.office.stands(LEASE, self)
+
+    def reload(self, config: Works) -> None:
+        """Take a new configuration; the span of a grant alone stays until a restart, as gateways rely on it."""
+        self.config = config
+        self.planner.set_limits(DisruptionLimits(*config.bounds), config.each)
+        if config.grant != self.participant.grant_ticks:
             self.socket_host.log("operator file: works grant changed, in force after a restart")
 
     def end(self) -> None:
+        """Close the file; the host is attached to nothing any more."""
         self.safe.close()
         self.socket_host.works = None
 
     def waiting(self) -> bool:
-        """Is nobody let in yet?"""
-        planner = self._holder()
-        return self.party.waits(
-            self.said.patience, self.member_list.met, planner if planner != self.name else ""
-        )
+        """Whether it is too early after the start to accept clients."""
+        leader = self.leader_name()
+        other_leader = "" if leader == self.name else leader
+        return self.participant.must_wait(self.config.patience, self.member_list.met, other_leader)
 
-    # The duty.
+    # The lease.
 
     def gained(self) -> None:
-        self.planner.gained(self.office.holders[DUTY].fence)
+        """The lease service: this gateway leads maintenance from now on."""
+        self.planner.on_lease_gained(self.office.holders[LEASE].fence)
 
     def lost(self) -> None:
-        self.pending.clear()
-        self.planner.lost()
+        """The lease service: this gateway leads no more."""
+        self.command_executor.clear()
+        self.planner.on_lease_lost()
 
-    def may(self, fence: int) -> bool:
-        holder = self.office.holders[DUTY]
+    def may_act(self, fence: int) -> bool:
+        """Whether the lease is held under this fence, now."""
+        holder = self.office.holders[LEASE]
         return holder.may() and holder.fence == fence
 
-    def hand_on(self, why: str) -> None:
-        self.office._give_up(DUTY, why)
+    def leader_name(self) -> str:
+        """Who is known to hold the lease; empty: nobody."""
+        holder = self.office.holders[LEASE]
+        return self.name if holder.may() else holder.other
+
+    def hand_over_lease(self, reason: str) -> None:
+        """Give the lease up, so that another gateway takes it."""
+        self.office._give_up(LEASE, reason)
 
-    def outbid(self, fence: int) -> None:
-        self.office.holders[DUTY].outbid(fence)
+    def on_preempted(self, fence: int) -> None:
+        """Somebody has promised to heed a higher fence than ours."""
+        self.office.holders[LEASE].outbid(fence)
 
-    # What the machines may do.
+    # What the machines need: clock, timers, log, file, datagrams.
 
     @property
     def now(self) -> int:
+        """Tenths of a millisecond since boot."""
         return boot_time()
 
+    @property
+    def loop_time(self) -> int:
+        """Tenths of a millisecond on the event loop's clock."""
+        return self.event_loop.now
+
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks, one at least."""
         self.event_loop.call_later(max(int(delay), 1), method, *what)
 
     def log(self, line: str) -> None:
+        """Write one line to the program's log."""
         self.socket_host.log(line)
 
+    def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
+        """Write, then call `then`. Replica and participant share a file: each write holds both as they are now."""
+        participant_record = None if self.participant.is_blank else self.participant.record()
+        self.safe.keep([self.plan_replica.record(), participant_record], then, *what)
+
     def send(self, name: str, body: list[Any]) -> None:
+        """Send a message about the plan, to a replica or a proposer."""
         if name == self.name:
-            self.event_loop.call_later(1, self._letter, name, body)
+            self.event_loop.call_later(1, self.on_plan_message, name, body)
         else:
             self.member_list.call(name, "plan", body)
 
-    def keep(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Both records are one file: what is safe of one is safe of the other."""
-        self.safe.keep(
-            [self.keeper.record(), None if self.party.blank else self.party.record()], then, *what
-        )
+    def send_copy(self, name: str, body: list[Any]) -> None:
+        """Send a message about a copy of the plan."""
+        self.member_list.call(name, "copy", body)
+
+    def _send(self, name: str, body: list[Any]) -> None:
+        if name == self.name:
+            self.event_loop.call_later(1, self.on_message, name, body)
+        else:
+            self.member_list.call(name, "works", body)
 
     def voters(self) -> Sequence[str]:
+        """The gateways that have a plan replica."""
         return self.office.roll.names
 
-    def led(self) -> None:
-        self.planner.led()
+    # What the plan proposer notifies of.
 
-    def agreed(self, changes: Sequence[Any]) -> None:
-        self.planner.agreed(changes)
-        done = [each for each in self.pending if each[0] <= self.scribe.settled]
-        self.pending = [each for each in self.pending if each[0] > self.scribe.settled]
-        for _, sender, key, answer in done:
-            self._answer(sender, key, answer, "")
+    def on_plan_led(self) -> None:
+        """The plan is taken over."""
+        self.planner.on_plan_led()
 
-    def forgot(self) -> None:
-        self.planner.forgot()
+    def on_changes_agreed(self, changes: Sequence[Any]) -> None:
+        """A majority of replicas has these changes."""
+        self.planner.on_changes_agreed(changes)
+        self.command_executor.on_changes_agreed()
 
-    # What the planner may know and do.
+    def on_plan_forgotten(self) -> None:
+        """No majority of replicas remembers the plan."""
+        self.planner.on_plan_forgotten()
 
-    def gateways(self) -> Mapping[str, tuple[str, bool, bool]]:
-        members = {
-            each.name: (each.zone, each.state in (ALIVE, SUSPECTED), each.state == LEFT)
-            for each in self.member_list.members.values()
-        }
-        return {**members, self.name: (self.member_list.zone, True, False)}
+    # What the planner needs.
+
+    def gateways(self) -> Mapping[str, GatewayStatus]:
+        """Every gateway of the fleet by name."""
+        return self.fleet.gateways()
 
     def engines(self) -> Mapping[str, EngineFact]:
-        settings, gateway, now, found = (
-            self.socket_host.settings,
-            self.socket_host.gateway,
-            self.event_loop.now,
-            {},
-        )
-        marks = {
-            each.key_scope
-            for each in settings.request_classes
-            if each.repeatability == Repeatability.KEYED
-        }
-        for tag, engine_pool in self.socket_host.engine_pools.items():
-            engine = engine_pool.engine
-            well = engine.state == EngineState.READY
-            passing = well and (gateway._cold(engine) or engine.stats.ejected_until > now)
-            zone = str(settings.zones[engine.zone])
-            found[tag] = EngineFact(
-                tag,
-                zone,
-                str(settings.kinds[engine.kind]),
-                str(engine.cell) if "cell" in marks else zone if "zone" in marks else None,
-                engine.cores,
-                PASSING if passing else WELL if well else DEAD,
-            )
-        # Danger: an engine that died is soon listed no more, and its cores would count for nothing that is missing.
-        self.missed = {
-            tag: (fact, since)
-            for tag, (fact, since) in self.missed.items()
-            if tag not in found and boot_time() < since + MISSED
-        }
-        for tag in [tag for tag in self.listed if tag not in found]:
-            fact = self.listed[tag]
-            self.missed[tag] = replace(fact, state=DEAD), boot_time()
-        self.listed = {**found}
-        return {**{tag: fact for tag, (fact, _) in self.missed.items()}, **found}
+        """Every engine by its host reference."""
+        return self.fleet.engines()
 
-    def request_classes(self, cores: Mapping[str, float]) -> Sequence[OfferingFact]:
-        settings = self.socket_host.settings
-        return [
-            OfferingFact(
-                each.name,
-                frozenset(str(settings.zones[n]) for n in each.zones),
-                frozenset(str(settings.kinds[n]) for n in each.engine_kinds),
-                cores.get(each.name, 0.0),
-            )
-            for each in settings.request_classes
-        ]
+    def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
+        """The request classes, with the cores that each needs."""
+        return self.fleet.request_classes(cores)
 
     def machines(self) -> Mapping[str, Sequence[str]]:
-        return dict(self.said.machines)
+        """Engines by the machine that they share, as the operator file has them."""
+        return dict(self.config.machines)
 
     def idle_since(self, tags: Sequence[str]) -> int:
-        return min((self.idle.get(tag, -1) for tag in tags), default=-1)
+        """When the last of these engines reported nothing in flight, ticks since boot; -1: some never did."""
+        return self.fleet.idle_since(tags)
 
-    def order(self, name: str, body: list[Any]) -> None:
-        self._say(name, ["orders", *body])
+    def send_orders(self, name: str, body: list[Any]) -> None:
+        """Send one part of the orders to a gateway."""
+        self._send(name, [messages.ORDERS, *body])
 
-    def ask(self, name: str) -> None:
-        self._say(name, ["tell", self.scribe.fence])
+    def request_report(self, name: str) -> None:
+        """Ask a gateway to report at once."""
+        self._send(name, [messages.REPORT_REQUEST, self.plan_proposer.fence])
 
-    def _say(self, name: str, body: list[Any]) -> None:
-        if name == self.name:
-            self.event_loop.call_later(1, self._told, name, body)
-        else:
-            self.member_list.call(name, "works", body)
+    # What the participant needs.
 
-    # What the party may do.
-
-    def refresh(self) -> None:
+    def refresh_cordons(self) -> None:
+        """Tell the gateway module which engines take nothing new, and the lease service whether we do."""
         for engine_pool in [*self.socket_host.engine_pools.values()]:
-            how = self.how(engine_pool.engine.host_reference, engine_pool.address)
-            if engine_pool.engine.cordon != how:
-                self.socket_host.gateway.on_engine_cordon(engine_pool.engine, how)
-        self.office.set_aside(self.how(self.name) > 0)
+            engine = engine_pool.engine
+            cordon = self.cordon_for(engine.host_reference, engine_pool.address)
+            if engine.cordon != cordon:
+                self.socket_host.gateway.on_engine_cordon(engine, cordon)
+        self.office.set_aside(self.cordon_for(self.name) > 0)
 
-    def quiet(self, tag: str) -> bool:
-        """Is nothing of ours open there, in doubt there, or bound to it by its label?"""
+    def is_quiet(self, tag: str) -> bool:
+        """Nothing of this gateway's is open at the engine; for this gateway's own name: it holds no lease."""
         if tag == self.name:
             return self.office.free
-        engine_pool = self.socket_host.engine_pools.get(tag)
-        if self.event_loop.now < self.doubts.get(tag, 0):
-            return False
-        if engine_pool is None:
-            return True
-        engine = engine_pool.engine
-        if (
-            engine_pool.waiting
-            or engine.stats.in_flight
-            or any(link.open for link in engine_pool.links)
-        ):
-            return False
-        # Danger: a submission that may have run there, or in its group, may be tried again only there.
-        return not any(
-            request.request_class.repeatability == Repeatability.KEYED
-            and any(
-                each.engine is engine for each in (*request.earlier_attempts, *request.attempts)
-            )
-            for request in self.socket_host.names.values()
-        )
+        return self.fleet.is_engine_quiet(tag)
+
+    def address_of(self, tag: str) -> str:
+        """The engine's `host:port` as the list last told it; empty for one that is not listed."""
+        return self.fleet.address_of(tag)
+
+    def on_engines_closed(self) -> None:
+        """Report at once that engines are closed here: a step of the plan may wait for it."""
+        leader = self.office.holders[LEASE].other
+        if leader:
+            self._send_report(leader)
+
+    # What the host notifies of and asks.
+
+    def cordon_for(self, tag: str, address: tuple[str, int] = ("", 0)) -> Cordon:
+        """The cordon of an engine that the list names, perhaps anew."""
+        if self.participant is None:
+            return Cordon.NONE
+        return self.participant.cordon_of(tag, format_address(address))
+
+    def on_attempt_finished(self, tag: str, outcome: int) -> None:
+        """An attempt at the engine has ended."""
+        self.fleet.record_attempt_end(tag, outcome)
+
+    # Datagrams.
+
+    def on_plan_message(self, sender: str, body: Any) -> None:
+        """Pass a message about the plan to the replica or the proposer here."""
+        kind, fence = body[:2]
+        proposer = self.plan_proposer
+        is_leading = proposer.state == ProposerState.LEADING and fence == proposer.fence
+        if kind == MessageKind.CHUNK and proposer.is_fetching_from(sender):
+            proposer.on_chunk_datagram(sender, body)
+        elif kind in REPLICA_ANSWERS or (kind == MessageKind.FETCH and is_leading):
+            proposer.on_datagram(sender, body)
+        else:
+            self.plan_replica.on_datagram(sender, body)
+
+    def on_message(self, sender: str, body: Any) -> None:
+        """Decode a maintenance message and apply it."""
+        message = messages.decode(body)
+        match message:
+            case messages.Orders():
+                self._on_orders(sender, message)
+            case messages.ReportRequest():
+                self.participant.was_asked = True
+                self._send_report(sender)
+            case messages.Report():
+                self._on_report(sender, message)
+            case messages.Preempted():
+                self.on_preempted(message.fence)
+            case messages.Command():
+                self.command_executor.on_command(sender, message.key, message.text)
+            case messages.Answer():
+                self.pending_commands.on_answer(message.key, message.answer, message.error)
+
+    def _on_orders(self, sender: str, orders: messages.Orders) -> None:
+        is_heeded = self.participant.on_orders(orders)
+        if is_heeded:
+            self._send_report(sender)
+        else:
+            self._send(sender, [messages.PREEMPTED, self.participant.stamp[0]])
 
-    def address(self, tag: str) -> str:
-        engine_pool = self.socket_host.engine_pools.get(tag)
-        return "" if engine_pool is None else _place(engine_pool)
-
-    def confirmed(self) -> None:
-        holder = self.office.holders[DUTY].other
-        if holder:
-            self._word(holder)
-
-    # What the host tells and asks.
-
-    def how(self, tag: str, where: tuple[str, int] = ("", 0)) -> int:
-        """Of an engine that the list names, perhaps anew."""
-        return self.party.how(tag, "%s:%d" % where) if self.party is not None else 0
-
-    def over(self, name: str, outcome: int) -> None:
-        """A hand-off there has ended; one that ended in doubt may still run for a while."""
-        if outcome in (
-            AttemptOutcome.TIMED_OUT,
-            AttemptOutcome.CONNECTION_RESET,
-            AttemptOutcome.CANCELLED,
-        ):
-            self.doubts[name] = self.event_loop.now + self.socket_host.gateway.settle
-            if len(self.doubts) > 4 * len(self.socket_host.engine_pools) + 64:
-                self.doubts = {
-                    each: until
-                    for each, until in self.doubts.items()
-                    if until > self.event_loop.now
-                }
-        engine_pool = self.socket_host.engine_pools.get(name)
-        if engine_pool is not None and engine_pool.engine.stats.reported_load == 0:
-            self.idle[name] = boot_time()
-
-    # Letters.
-
-    def _letter(self, sender: str, body: Any) -> None:
-        """Of the plan: to our keeper, or to our scribe."""
-        sort, fence = body[:2]
-        leading = self.scribe.state == LEADING and fence == self.scribe.fence
-        fetching = (
-            self.scribe.state == FETCHING
-            and self.scribe.fetch is not None
-            and (sender == self.scribe.fetch.whom)
+    def _on_report(self, sender: str, report: messages.Report) -> None:
+        if self.plan_proposer.state == ProposerState.IDLE:
+            return
+        datagram_codec = self.member_list.letters
+        if sender == self.name:
+            incarnation = datagram_codec.start
+        else:
+            incarnation = datagram_codec.pens[sender].start
+        self.planner.on_report(sender, incarnation, report)
+
+    def _send_report(self, to: str) -> None:
+        loads = self.fleet.demand_cores()
+        ejected = self.fleet.ejected_engines()
+        body = messages.encode_report(
+            self.participant.report_fields(), loads, ejected, self.office.free
         )
-        if sort == PIECE and fetching:
-            self.scribe.piece(sender, body)
-        elif sort in _TO_SCRIBE or (sort == WANT and leading):
-            self.scribe.heard(sender, body)
+        self._send(to, body)
+
+    def forward_command(self, leader: str, key: str, text: str) -> None:
+        """Send an operator's command to the leader."""
+        self._send(leader, [messages.COMMAND, key, text])
+
+    def send_answer(self, to: str, key: str, answer: str, error: str) -> None:
+        """Answer a command that a gateway forwarded."""
+        self._send(to, [messages.ANSWER, key, answer, error])
+
+    def on_copy_message(self, sender: str, body: Any) -> None:
+        """Answer a fetch of the plan's copy, or take a chunk of one."""
+        proposer = self.plan_proposer
+        match decode_plan_message(body):
+            case Chunk() as chunk:
+                self.copier.on_chunk(sender, chunk)
+            case FetchChunks() as fetch if self._has_plan() and self.may_act(proposer.fence):
+                self.copier.send_chunks(sender, self._own_plan(), fetch.indexes)
+
+    def _has_plan(self) -> bool:
+        proposer = self.plan_proposer
+        return proposer.state == ProposerState.LEADING and proposer.led
+
+    # Timers.
+
+    def _sample_demand(self) -> None:
+        self.fleet.sample_demand()
+        self.fleet.engines()  # an engine that leaves the list is noticed even where nobody plans
+        self.event_loop.call_later(SAMPLE_TICKS, self._sample_demand)
+
+    # What operators see.
+
+    def _own_plan(self) -> PlanCopy:
+        proposer = self.plan_proposer
+        return PlanCopy(proposer.stamp, proposer.plan, self.planner.objections)
+
+    def report_status(self, body: bytes = b"") -> dict[str, Any]:
+        """The plan as the leader has agreed it; elsewhere a copy is shown, and a newer one fetched.
+
+        `fresh` tells whether the plan shown is the one that the orders here are of.
+        """
+        leader = self.leader_name()
+        is_leader = leader == self.name
+        if is_leader and self.plan_proposer.state == ProposerState.LEADING:
+            shown = self._own_plan()
         else:
-            self.keeper.heard(sender, body)
-
-    def _told(self, sender: str, body: Any) -> None:
-        """Orders, words, wishes and their answers."""
-        what, *rest = body
-        if what == "orders":
-            fence, number, echo, part, parts, levels = rest
-            if self.party.ordered(fence, number, echo, part, parts, levels):
-                self._word(sender)
-            else:
-                self._say(sender, ["no", self.party.stamp[0]])
-        elif what == "tell":
-            self.party.asked = True
-            self._word(sender)
-        elif what == "word":
-            serial, fence, number, blank, closed, many, loads, unwell, free = rest
-            if self.scribe.state != IDLE:
-                letters = self.member_list.letters
-                start = letters.start if sender == self.name else letters.pens[sender].start
-                self.planner.told(
-                    sender,
-                    start,
-                    serial,
-                    fence,
-                    number,
-                    blank,
-                    closed,
-                    many,
-                    {name: cores / 100 for name, cores in loads.items()},
-                    unwell,
-                    free,
-                )
-        elif what == "no":
-            self.outbid(int(rest[0]))
-        elif what == "wish":
-            self._wished(sender, *rest)
-        elif what == "answer":
-            key, answer, wrong = rest
-            if key in self.wishes:
-                self.wishes[key].update(answer=answer, wrong=wrong)
-
-    def _word(self, to: str) -> None:
-        gateway, now = self.socket_host.gateway, self.event_loop.now
-        unwell = [
-            each.host_reference for each in gateway.engines if each.stats.ejected_until > now
-        ][:MOST_UNWELL]
-        loads = {name: int(100 * cores) + 1 for name, cores in self._loads().items()}
-        self._say(to, ["word", *self.party.word(), loads, unwell, self.office.free])
-
-    # Measured load.
-
-    def _count(self) -> None:
-        rows = self.socket_host.ledger.request_classes
-        self.counted.append(
-            (self.event_loop.now, {name: row.terms[TAKEN_TERM] for name, row in rows.items()})
+            shown = self.copier.copy
+            if leader and not is_leader:
+                self.copier.fetch_from(leader)
+        has_newest = shown.stamp >= self.participant.stamp and shown.stamp != (0, 0)
+        status = ServiceStatus(
+            self.name,
+            leader,
+            PROPOSER_STATE_WORDS[self.plan_proposer.state],
+            is_leader or (bool(leader) and has_newest),
+            self.planner.is_forgotten,
+            self._counters(),
         )
-        self.engines()
-        self.event_loop.call_later(SECOND, self._count)
-
-    def _loads(self) -> dict[str, float]:
-        """Cores that what is asked here needs, by offering: what comes, times its usual work."""
-        (begun, before), (now, after) = self.counted[0], self.counted[-1]
-        if now <= begun:
-            return {}
-        return {
-            name: (after[name] - before.get(name, 0))
-            * self.socket_host.request_classes[name].typical_work
-            / (now - begun)
-            for name in after
-            if name in self.socket_host.request_classes and after[name] > before.get(name, 0)
-        }
-
-    # What operators ask.
-
-    def asked(self, body: bytes) -> dict[str, Any]:
-        """`{"do": ..., "key", ...}`: told to whoever holds the duty, until it answers. The same key again gives what
-        has come of it."""
-        said = json.loads(body)
-        if len(body) > MOST_WISH:
-            raise ValueError(f"{MOST_WISH} octets at most, ask in two")
-        key = str(said.get("key", ""))[:64]
-        if not key or said.get("do") not in _WISHES:
-            raise ValueError(f"expected a key, and one of {', '.join(_WISHES)}")
-        wish = self.wishes.get(key)
-        if wish is None:
-            if len(self.wishes) >= MOST_WISHES:
-                self.wishes = {
-                    each: one
-                    for each, one in self.wishes.items()
-                    if one["wrong"] is None and self.event_loop.now < one["until"]
-                }
-            if len(self.wishes) >= MOST_WISHES:
-                raise ValueError(f"{MOST_WISHES} wishes wait, try again")
-            wish = self.wishes[key] = {
-                "said": said,
-                "answer": None,
-                "wrong": None,
-                "until": self.event_loop.now + WISH_TIME,
-            }
-            self._wish(key)
-        return {"answer": wish["answer"], "wrong": wish["wrong"], "holder": self._holder()}
-
-    def _holder(self) -> str:
-        holder = self.office.holders[DUTY]
-        return self.name if holder.may() else holder.other
+        return status_report(status, shown, self.participant)
 
-    def _wish(self, key: str) -> None:
-        wish = self.wishes.get(key)
-        if wish is None or wish["wrong"] is not None:
-            return
-        if self.event_loop.now >= wish["until"]:
-            wish.update(
-                wrong="nobody plans now, or its answer did not come; the same id may be asked again"
-            )
-            return
-        holder = self._holder()
-        if holder:
-            self._say(holder, ["wish", key, json.dumps(wish["said"])])
-        self.event_loop.call_later(WISH_AGAIN, self._wish, key)
-
-    def _wished(self, sender: str, key: str, text: str) -> None:
-        """At the holder: done, and answered once it is agreed."""
-        if not self.may(self.scribe.fence):
-            return
-        if any(each[1:3] == (sender, key) for each in self.pending):
-            return
-        said, planner = json.loads(text), self.planner
-        by = str(said.get("owner", ""))
-        try:
-            if not by:
-                raise ValueError("expected an owner")
-            do = said["do"]
-            if do == "ask":
-                answer = planner.ask(
-                    str(said["id"]),
-                    said["kind"],
-                    said["names"],
-                    by,
-                    str(said.get("reason", "")),
-                    int(said.get("within", 0)),
-                    int(said["lasting"]),
-                )
-            elif do == "cancel":
-                answer = planner.cancel(str(said["id"]), by)
-            elif do == "done":
-                answer = planner.done(said["names"], by)
-            elif do == "hold":
-                answer = planner.hold(by if said.get("on", True) else "")
-            elif do == "overrule":
-                answer = planner.overrule(str(said["unit"]), str(said["gateway"]), by)
-            else:
-                answer = planner.tell_known(said["out"], by)
-        except ValueError as problem:
-            if "try again" in str(problem):
-                return  # it is told again
-            return self._answer(sender, key, "", str(problem))
-        except (KeyError, TypeError) as problem:
-            return self._answer(
-                sender, key, "", f"makes no sense ({type(problem).__name__} {problem})"
-            )
-        if self.scribe.settled >= self.scribe.proposed:
-            return self._answer(sender, key, answer, "")
-        self.pending.append((self.scribe.proposed, sender, key, answer))
-
-    def _answer(self, to: str, key: str, answer: str, wrong: str) -> None:
-        self._say(to, ["answer", key, answer, wrong[:400]])
-
-    def told(self, asked: bytes = b"") -> dict[str, Any]:
-        """The plan as its holder has agreed it; spans are seconds of works time. Elsewhere a copy is fetched, and
-        `fresh` tells whether it is the one that our orders are of."""
-        holder = self._holder()
-        if holder == self.name and self.scribe.state == LEADING:
-            stamp, plan, against = self.scribe.stamp, self.scribe.plan, self.planner.against
-        else:
-            stamp, plan, against = self.copy
-            if holder and holder != self.name and (self.fetch is None or self.fetch.over):
-                self.fetch = Fetch(_Copying(self), WANT, holder, 0, COPY_PAUSE, self._has_copy)
+    def _counters(self) -> dict[str, int]:
+        replica_counts = self.plan_replica.counts.items()
         return {
-            "name": self.name,
-            "holder": holder,
-            "state": SCRIBE_STATES[self.scribe.state],
-            "stamp": [*stamp],
-            "fresh": holder == self.name
-            or (bool(holder) and stamp >= self.party.stamp and stamp != (0, 0)),
-            "forgotten": self.planner.forgotten,
-            "time": plan.time / SECOND,
-            "known": plan.known,
-            "held": plan.held,
-            "asks": [
-                {
-                    "id": each.id,
-                    "kind": each.kind,
-                    "names": each.names,
-                    "owner": each.owner,
-                    "reason": each.reason,
-                    "count": each.count,
-                    "cancelled": each.cancelled,
-                    "lasting": each.lasting / SECOND,
-                }
-                for each in plan.asks.values()
-            ],
-            "units": [
-                {
-                    "unit": each.name,
-                    "ask": each.ask,
-                    "sort": each.sort,
-                    "members": each.members,
-                    "state": STATES[each.state],
-                    "for": (plan.time - each.since) / SECOND,
-                    "why": each.why,
-                    "against": against.get(each.name, ""),
-                    "next": [STATES[n] for n in NEXT.get(each.state, ())],
-                }
-                for each in plan.units.values()
-            ],
-            "history": [[*entry] for entry in plan.history],
-            "here": {
-                "stamp": [*self.party.stamp],
-                "blank": self.party.blank,
-                "closed": sorted(self.party.closed),
-                "levels": {tag: STATES[state] for tag, (state, _) in self.party.levels.items()},
-            },
-            "counters": {
-                **{f"keeper {why}": count for why, count in self.keeper.counts.items()},
-                **self.planner.counts,
-                "orders refused": self.party.refused,
-            },
+            **{f"keeper {name}": count for name, count in replica_counts},
+            **self.planner.counts,
+            "orders refused": self.participant.preempted_orders,
         }
-
-    # Copies of the plan, for show at gateways that do not plan.
-
-    def _copied(self, sender: str, body: Any) -> None:
-        sort = body[0]
-        if sort == WANT:
-            if self.scribe.state == LEADING and self.scribe.led and self.may(self.scribe.fence):
-                stamp = self.scribe.stamp
-                data = msgpack.packb([self.scribe.plan.packed(), self.planner.against])
-                for index in body[3][:16]:
-                    count, piece = piece_of(data, index)
-                    if 0 <= index < count:
-                        self.member_list.call(
-                            sender, "copy", [PIECE, 0, *stamp, index, count, piece]
-                        )
-        elif sort == PIECE and self.fetch is not None:
-            self.fetch.heard(sender, (body[2], body[3]), body[4], body[5], body[6])
-
-    def _has_copy(self, stamp: tuple[int, int], data: bytes) -> None:
-        packed, against = msgpack.unpackb(data)
-        if stamp >= self.copy[0]:
-            self.copy = stamp, Plan.unpacked(packed), against
-
-
-class _Copying:
-    """A fetch of a copy: its letters go under a subject of their own, and not for ever."""
-
-    def __init__(self, yard: MaintenanceService) -> None:
-        self.yard, self.left = yard, 40
-
-    def send(self, name: str, body: list[Any]) -> None:
-        self.left -= 1
-        if self.left < 0 and self.yard.fetch is not None:
-            self.yard.fetch.end()
-        else:
-            self.yard.member_list.call(name, "copy", body)
-
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.yard.event_loop.call_later(delay, method, *what)
-
-
-_TO_SCRIBE = (1, 3, 4)  # PROMISED, TAKEN, LOW
-_WISHES = "ask", "cancel", "done", "hold", "overrule", "known"
-
-
-def _place(engine_pool: Any) -> str:
-    return "%s:%d" % engine_pool.address
--- /dev/null
+++ b/corkgauge/maintenance/status.py
@@ -0,0 +1,87 @@
+"""The answer to `GET /works`: the plan and this gateway's part in it, as JSON for operators.
+
+The keys are those of the first version; operators' programs read them. Spans are seconds of maintenance time.
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from corkgauge.eventloop.loop import SECOND
+from corkgauge.maintenance.participant import Participant
+from corkgauge.maintenance.plan import NEXT_STATES, STATE_WORDS, MaintenanceRequest, Plan, Unit
+from corkgauge.maintenance.plan_copy import PlanCopy
+
+
+@dataclass(frozen=True, slots=True)
+class ServiceStatus:
+    """What the service knows of itself: `state` is its plan proposer's, in the words of the JSON."""
+
+    name: str
+    leader: str
+    state: str
+    is_fresh: bool
+    is_forgotten: bool
+    counters: Mapping[str, int]
+
+
+def status_report(
+    service: ServiceStatus, shown: PlanCopy, participant: Participant
+) -> dict[str, Any]:
+    """Everything that `corkgauge maintenance show` prints."""
+    plan = shown.plan
+    return {
+        "name": service.name,
+        "holder": service.leader,
+        "state": service.state,
+        "stamp": [*shown.stamp],
+        "fresh": service.is_fresh,
+        "forgotten": service.is_forgotten,
+        "time": plan.time_ticks / SECOND,
+        "known": plan.known,
+        "held": plan.held,
+        "asks": [_request_row(request) for request in plan.requests.values()],
+        "units": [
+            _unit_row(unit, plan, shown.objections.get(unit.name, ""))
+            for unit in plan.units.values()
+        ],
+        "history": [[*entry] for entry in plan.history],
+        "here": _participant_part(participant),
+        "counters": dict(service.counters),
+    }
+
+
+def _request_row(request: MaintenanceRequest) -> dict[str, Any]:
+    return {
+        "id": request.id,
+        "kind": request.kind,
+        "names": request.names,
+        "owner": request.owner,
+        "reason": request.reason,
+        "count": request.count,
+        "cancelled": request.cancelled,
+        "lasting": request.lasting_ticks / SECOND,
+    }
+
+
+def _unit_row(unit: Unit, plan: Plan, objection: str) -> dict[str, Any]:
+    return {
+        "unit": unit.name,
+        "ask": unit.request_id,
+        "sort": unit.kind,
+        "members": unit.members,
+        "state": STATE_WORDS[unit.state],
+        "for": (plan.time_ticks - unit.since_ticks) / SECOND,
+        "why": unit.why,
+        "against": objection,
+        "next": [STATE_WORDS[state] for state in NEXT_STATES.get(unit.state, ())],
+    }
+
+
+def _participant_part(participant: Participant) -> dict[str, Any]:
+    return {
+        "stamp": [*participant.stamp],
+        "blank": participant.is_blank,
+        "closed": sorted(participant.closed),
+        "levels": {tag: STATE_WORDS[level.state] for tag, level in participant.levels.items()},
+    }
--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -1,4 +1,4 @@
-"""The plan of works between simulated processes: the real keepers and scribes on the real leases, with letters lost,
+"""The plan of works between simulated processes: the real replicas and proposers on the real leases, with letters lost,
 late and out of order, processes that stop, restart and forget; judged by what is agreed.
 
 Owns the simulated holders' wishes and the judge's one history. Must never look into a machine to decide what happens.
@@ -7,20 +7,25 @@
 from typing import Any
 
 from corkgauge.leases.candidate import LeaseCandidate
-from corkgauge.maintenance.plan import ASKED, BACK, DRAINING, GRANTED, OUT, RETURNING, TAKEN, Plan
-from corkgauge.maintenance.plan_proposer import FETCHING, LEADING, PlanProposer
-from corkgauge.maintenance.plan_replica import PIECE, WANT, PlanReplica
+from corkgauge.maintenance.plan import TAKEN_STATES, Plan, UnitState
+from corkgauge.maintenance.plan_messages import REPLICA_ANSWERS, MessageKind
+from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
+from corkgauge.maintenance.plan_replica import PlanReplica
 from corkgauge.model.leases import DRIFT, LEASE, MARGIN, Day, Node, World, drawn
 
 MOST = 2  # units that may be taken at once
 UNITS = 5
 TURN = LEASE // 10
-STEPS = {GRANTED: DRAINING, DRAINING: OUT, OUT: RETURNING, RETURNING: BACK}
-TO_SCRIBE = 1, 3, 4
+STEPS = {
+    UnitState.GRANTED: UnitState.DRAINING,
+    UnitState.DRAINING: UnitState.OUT,
+    UnitState.OUT: UnitState.RETURNING,
+    UnitState.RETURNING: UnitState.BACK,
+}
 
 
 class Carrier:
-    """What a node's keeper and scribe may do. Of an earlier start, nothing counts."""
+    """What a node's replica and proposer may do. Of an earlier start, nothing counts."""
 
     def __init__(self, node: "PlanNode") -> None:
         self.node, self.start = node, node.start
@@ -36,7 +41,7 @@
     def call_later(self, delay: int, method: Any, *what: Any) -> None:
         self.node.call_later(delay, method, *what)
 
-    def keep(self, record: Any, then: Any, *what: Any) -> None:
+    def write_record(self, record: Any, then: Any, *what: Any) -> None:
         node = self.node
         if not node.world.day.disk:
             return then(*what)
@@ -46,7 +51,7 @@
             node.written - node.world.time, node.safe_plan, node.start, record, then, what
         )
 
-    def may(self, fence: int) -> bool:
+    def may_act(self, fence: int) -> bool:
         return (
             self.node.holder.may() or "may" in self.node.world.day.off
         ) and self.node.holder.fence == fence
@@ -54,17 +59,17 @@
     def voters(self) -> tuple[str, ...]:
         return self.node.world.roll.names
 
-    def led(self) -> None:
+    def on_plan_led(self) -> None:
         self.node.world.agreed(self.node)
 
-    def agreed(self, changes: Any) -> None:
+    def on_changes_agreed(self, changes: Any) -> None:
         self.node.world.agreed(self.node)
 
-    def forgot(self) -> None:
+    def on_plan_forgotten(self) -> None:
         """An operator comes, some time later, and tells what is out: he was there."""
         self.node.call_later(LEASE // 2, self.node.told)
 
-    def outbid(self, fence: int) -> None:
+    def on_preempted(self, fence: int) -> None:
         self.node.holder.outbid(fence)
 
     def log(self, line: str) -> None:
@@ -79,12 +84,12 @@
         world, carrier = self.world, Carrier(self)
         off = world.day.off
         silent = 0 if "silence" in off or world.time == 0 else int(LEASE * (1 + DRIFT)) + MARGIN
-        self.keeper = PlanReplica(carrier, self.kept_plan if world.day.disk else None, silent)
-        self.scribe = PlanProposer(carrier)
+        self.replica = PlanReplica(carrier, self.kept_plan if world.day.disk else None, silent)
+        self.proposer = PlanProposer(carrier)
         if "agreement" in off:
-            self.scribe._majority = lambda: 1
+            self.proposer._majority = lambda: 1
         if "orders" in off:
-            self.keeper.defended = False
+            self.replica.checks_fence = False
         super().begin()
         self.call_later(1 + world.chance.below(TURN), self.turn)
 
@@ -95,46 +100,52 @@
 
     def gained(self, holder: LeaseCandidate) -> None:
         super().gained(holder)
-        self.scribe.gained(holder.fence)
+        self.proposer.on_lease_gained(holder.fence)
 
     def lost(self, holder: LeaseCandidate, why: str) -> None:
-        self.scribe.lost()
+        self.proposer.on_lease_lost()
 
     def told(self) -> None:
-        self.scribe.begin_anew(Plan.unpacked(self.world.truth))
+        self.proposer.begin_anew(Plan.unpacked(self.world.truth))
 
     def heard(self, sender: Node, start: int, known_as: int, body: list[Any]) -> None:
         if body[0] != "plan":
             return super().heard(sender, start, known_as, body)
         if known_as != self.start:
             return
-        body, scribe = body[1], self.scribe
-        if body[0] == PIECE and scribe.state == FETCHING and sender.name == scribe.fetch.whom:
-            scribe.piece(sender.name, body)
-        elif body[0] in TO_SCRIBE or (
-            body[0] == WANT and scribe.state == LEADING and body[1] == scribe.fence
+        body, proposer = body[1], self.proposer
+        if body[0] == MessageKind.CHUNK and proposer.is_fetching_from(sender.name):
+            proposer.on_chunk_datagram(sender.name, body)
+        elif body[0] in REPLICA_ANSWERS or (
+            body[0] == MessageKind.FETCH
+            and proposer.state == ProposerState.LEADING
+            and body[1] == proposer.fence
         ):
-            scribe.heard(sender.name, body)
+            proposer.on_datagram(sender.name, body)
         else:
-            self.keeper.heard(sender.name, body)
+            self.replica.on_datagram(sender.name, body)
 
     def turn(self) -> None:
         """Whoever leads moves some unit on, as far as the limit lets it."""
         self.call_later(TURN, self.turn)
-        scribe, chance = self.scribe, self.world.chance
-        if scribe.state != LEADING or not scribe.led or not scribe.host.may(scribe.fence):
+        proposer, chance = self.proposer, self.world.chance
+        if (
+            proposer.state != ProposerState.LEADING
+            or not proposer.led
+            or not proposer.host.may_act(proposer.fence)
+        ):
             return
-        plan, name = scribe.coming(), f"u{chance.below(UNITS)}"
+        plan, name = proposer.plan_with_pending(), f"u{chance.below(UNITS)}"
         unit = plan.units.get(name)
         if unit is None:
-            scribe.propose(
+            proposer.propose(
                 ["ask", [name, "engine", [name], "ada", "", 0, 1, 1, "", 0]],
                 ["unit", name, name, "engine", [name]],
             )
-        elif unit.state != ASKED:
-            scribe.propose(["state", name, STEPS[unit.state], ""])
-        elif len(plan.of(*TAKEN)) < MOST:
-            scribe.propose(["state", name, GRANTED, ""])
+        elif unit.state != UnitState.ASKED:
+            proposer.propose(["state", name, STEPS[unit.state], ""])
+        elif len(plan.units_in(*TAKEN_STATES)) < MOST:
+            proposer.propose(["state", name, UnitState.GRANTED, ""])
 
 
 class PlanWorld(World):
@@ -157,8 +168,8 @@
             super()._judge()
 
     def agreed(self, node: PlanNode) -> None:
-        scribe = node.scribe
-        plan, stamp = scribe.plan, scribe.stamp
+        proposer = node.proposer
+        plan, stamp = proposer.plan, proposer.stamp
         self.steps += 1
         self.taken_over += stamp[1] == 1
         history = [*plan.history]
@@ -170,8 +181,10 @@
             self.found.append(
                 f"{self.time}: {node.name} agreed {stamp} without what was agreed at {self.stamp}"
             )
-        if len(plan.of(*TAKEN)) > MOST:
-            self.found.append(f"{self.time}: {len(plan.of(*TAKEN))} taken at once by {node.name}")
+        if len(plan.units_in(*TAKEN_STATES)) > MOST:
+            self.found.append(
+                f"{self.time}: {len(plan.units_in(*TAKEN_STATES))} taken at once by {node.name}"
+            )
         self.stamp, self.history, self.truth = stamp, history, plan.packed()
 
     @staticmethod
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -8,17 +8,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from corkgauge.maintenance.schedule import (
-    DEAD,
-    PASSING,
-    WELL,
-    Bounds,
+from corkgauge.maintenance.capacity import (
+    CapacitySnapshot,
+    DisruptionLimits,
+    EngineCondition,
     EngineFact,
-    Ground,
-    OfferingFact,
-    Wanted,
-    next_out,
+    RequestClassDemand,
+    WaitingUnit,
 )
+from corkgauge.maintenance.schedule import select_grants
 from corkgauge.testkit.seeded_random import SeededRandom
 
 STEP = 10  # seconds
@@ -44,8 +42,10 @@
     warm_at: int = 0
     done: bool = False
 
-    def state(self, now: int) -> int:
-        return DEAD if now < self.failed_until else PASSING if now < self.warm_at else WELL
+    def condition(self, now: int) -> EngineCondition:
+        if now < self.failed_until:
+            return EngineCondition.DEAD
+        return EngineCondition.IMPAIRED if now < self.warm_at else EngineCondition.HEALTHY
 
     def gives(self, now: int) -> float:
         if now < max(self.away_until, self.failed_until):
@@ -68,7 +68,7 @@
         ]
         self.cores = sum(each.cores for each in self.machines)
         self.peak, self.low = peak, low
-        self.bounds = Bounds(max(engines // 8, 2), 0.25, 0.5, 0.5, 0.9)
+        self.limits = DisruptionLimits(max(engines // 8, 2), 0.25, 0.5, 0.5, 0.9)
         self.earned = self.possible = self.worst = 0.0
         self.worst_by: dict[str, float] = {}
         self.jitter = 1.0
@@ -119,24 +119,30 @@
             ]
         if self.policy in ("fixed", "counted"):
             room = max(
-                (len(self.machines) // 16 if self.policy == "fixed" else self.bounds.most)
+                (len(self.machines) // 16 if self.policy == "fixed" else self.limits.max_engines)
                 - len(away),
                 0,
             )
             return waiting[:room]
         engines = {
-            each.tag: EngineFact(each.tag, each.zone, each.kind, None, each.cores, each.state(now))
+            each.tag: EngineFact(
+                each.tag, each.zone, each.kind, None, each.cores, each.condition(now)
+            )
             for each in self.machines
         }
         request_classes = [
-            OfferingFact(name, frozenset(), frozenset(kinds), cores)
+            RequestClassDemand(name, frozenset(), frozenset(kinds), cores)
             for (name, _, _, kinds), cores in zip(OFFERINGS, demand)
         ]
-        ground = Ground(self.bounds, engines, request_classes, {each.tag for each in away})
-        if ground.crowded(ground.out()):
+        snapshot = CapacitySnapshot(
+            self.limits, engines, request_classes, {each.tag for each in away}
+        )
+        if snapshot.find_overload(snapshot.unavailable_engines()):
             return []
-        wanted = [Wanted(each.tag, (each.tag,), LASTING, place=n) for n, each in enumerate(waiting)]
-        granted = {*next_out(ground, wanted)[0]}
+        waiting_units = [
+            WaitingUnit(each.tag, (each.tag,), LASTING, place=n) for n, each in enumerate(waiting)
+        ]
+        granted = {*select_grants(snapshot, waiting_units).granted}
         return [each for each in waiting if each.tag in granted]
 
     def _account(self, demand: list[float]) -> None:
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -466,7 +466,7 @@
         if in_flight_attempt.effect:
             self.recall.over(in_flight_attempt.effect, outcome)
         if self.works is not None:
-            self.works.over(in_flight_attempt.engine_row.name, outcome)
+            self.works.on_attempt_finished(in_flight_attempt.engine_row.name, outcome)
         self.gateway.on_attempt_finished(
             attempt,
             outcome,
@@ -566,7 +566,7 @@
                 engine = Engine(tag, tag.encode(), zone, kind, cell, name=tag)
                 if self.works is not None:
                     # Danger: a machine that is out for work may be listed anew; it is the same machine.
-                    engine.cordon = self.works.how(tag, where)
+                    engine.cordon = self.works.cordon_for(tag, where)
                 engine_pool = self.engine_pools[tag] = EnginePool(self, engine, self.named)
                 self.named += 1
             engine = engine_pool.engine
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -162,15 +162,15 @@
 
         PlanProposer._majority = lambda self: 1
     elif off == "confirmation":
-        from corkgauge.maintenance.planner import Planner
+        from corkgauge.maintenance.unit_progress import UnitProgress
 
-        Planner.confirming = False
+        UnitProgress.confirmations_required = False
     elif off == "orders":
         # Neither gateways nor keepers look at the fence.
         from corkgauge.maintenance.participant import Participant
         from corkgauge.maintenance.plan_replica import PlanReplica
 
-        PlanReplica.defended = Participant.defended = False
+        PlanReplica.checks_fence = Participant.checks_fence = False
     elif off in ("silence", "margin"):
         made = Span.__init__
 
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -32,10 +32,10 @@
 from corkgauge.leases.candidate import HOLDING
 from corkgauge.leases.service import LeaseService
 from corkgauge.leases.voter_configuration import VoterConfiguration
-from corkgauge.maintenance import plan_replica as keeper
-from corkgauge.maintenance.chunk_transfer import piece_of
-from corkgauge.maintenance.plan import DRAINING, GRANTED, Plan
-from corkgauge.maintenance.plan_proposer import FORGOTTEN
+from corkgauge.maintenance.chunk_transfer import chunk_of
+from corkgauge.maintenance.plan import Plan, UnitState
+from corkgauge.maintenance.plan_messages import MessageKind
+from corkgauge.maintenance.plan_proposer import ProposerState
 from corkgauge.maintenance.service import MaintenanceService
 from corkgauge.membership import datagrams as letters
 from corkgauge.membership.member_list import ALIVE
@@ -68,9 +68,9 @@
     ["unit", "e1", "a1", "engine", ["e1"]],
     ["unit", "e2", "a1", "engine", ["e2"]],
     ["time", 5_000],
-    ["state", "e1", GRANTED, "fits"],
+    ["state", "e1", UnitState.GRANTED, "fits"],
     ["time", 9_000],
-    ["state", "e1", DRAINING, "known to all"],
+    ["state", "e1", UnitState.DRAINING, "known to all"],
     ["overrule", "e1", "n3", "ada"],
     ["fewer", "a1", 2],
     ["cancel", "a1", "bob"],
@@ -156,7 +156,7 @@
             self.membership,
             self.office,
         )
-        self.yard.keeper.deaf_until = 0
+        self.yard.plan_replica.silent_until = 0
         self.exchange = PeerHealthService(
             self.socket_host, self.post, Shared(2_500, 8_000), self.membership
         )
@@ -192,12 +192,12 @@
     def lead_plan(self) -> None:
         """Hold the maintenance lease with a plan that a majority has."""
         self.hold("works")
-        scribe = self.yard.scribe
-        scribe.gained(FENCE)
-        scribe.state = FORGOTTEN
-        scribe.begin_anew(maintenance_plan())
+        proposer = self.yard.plan_proposer
+        proposer.on_lease_gained(FENCE)
+        proposer.state = ProposerState.FORGOTTEN
+        proposer.begin_anew(maintenance_plan())
         for name in "n2", "n3":
-            scribe.heard(name, [keeper.TAKEN, FENCE, FENCE, 1])
+            proposer.on_datagram(name, [MessageKind.ACCEPTED, FENCE, FENCE, 1])
 
     def last(self, sort: int, subject: str = "", tag: int | str | None = None) -> bytes:
         """The last datagram sent of this sort and subject."""
@@ -361,88 +361,88 @@
 def send_plan_promise(here: Instance) -> bytes:
     here.hold("works")
     here.yard.gained()
-    return here.last(letters.CALL, "plan", keeper.PROMISE)
+    return here.last(letters.CALL, "plan", MessageKind.PREPARE)
 
 
 def send_plan_promised(here: Instance) -> bytes:
-    here.yard._letter("n2", [keeper.PROMISE, FENCE])
-    return here.last(letters.CALL, "plan", keeper.PROMISED)
+    here.yard.on_plan_message("n2", [MessageKind.PREPARE, FENCE])
+    return here.last(letters.CALL, "plan", MessageKind.PROMISE)
 
 
 def send_plan_step(here: Instance) -> bytes:
     here.lead_plan()
-    here.yard.scribe.propose(["hold", ""], ["time", 10_000])
-    return here.last(letters.CALL, "plan", keeper.STEP)
+    here.yard.plan_proposer.propose(["hold", ""], ["time", 10_000])
+    return here.last(letters.CALL, "plan", MessageKind.ACCEPT)
 
 
 def send_plan_taken(here: Instance) -> bytes:
-    here.yard.keeper.blank = False
-    here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, PLAN_CHANGES])
-    return here.last(letters.CALL, "plan", keeper.TAKEN)
+    here.yard.plan_replica.is_blank = False
+    here.yard.on_plan_message("n2", [MessageKind.ACCEPT, FENCE, 0, 0, 1, PLAN_CHANGES])
+    return here.last(letters.CALL, "plan", MessageKind.ACCEPTED)
 
 
 def send_plan_low(here: Instance) -> bytes:
-    here.yard.keeper.promised = FENCE + 1
-    here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, []])
-    return here.last(letters.CALL, "plan", keeper.LOW)
+    here.yard.plan_replica.promised_fence = FENCE + 1
+    here.yard.on_plan_message("n2", [MessageKind.ACCEPT, FENCE, 0, 0, 1, []])
+    return here.last(letters.CALL, "plan", MessageKind.PREEMPTED)
 
 
 def send_plan_want(here: Instance) -> bytes:
-    here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, []])
-    return here.last(letters.CALL, "plan", keeper.WANT)
+    here.yard.on_plan_message("n2", [MessageKind.ACCEPT, FENCE, 0, 0, 1, []])
+    return here.last(letters.CALL, "plan", MessageKind.FETCH)
 
 
 def send_plan_piece(here: Instance) -> bytes:
-    here.yard.keeper.blank, here.yard.keeper.plan = False, maintenance_plan()
-    here.yard._letter("n2", [keeper.WANT, FENCE, [], [0]])
-    return here.last(letters.CALL, "plan", keeper.PIECE)
+    here.yard.plan_replica.is_blank, here.yard.plan_replica.plan = False, maintenance_plan()
+    here.yard.on_plan_message("n2", [MessageKind.FETCH, FENCE, [], [0]])
+    return here.last(letters.CALL, "plan", MessageKind.CHUNK)
 
 
 def send_works_orders(here: Instance) -> bytes:
     here.lead_plan()
-    here.yard.planner.orders()
+    here.yard.planner.send_all_orders()
     return here.last(letters.CALL, "works", "orders")
 
 
 def send_works_tell(here: Instance) -> bytes:
     here.lead_plan()
-    here.yard.planner.ask_all()
+    here.yard.planner.request_all_reports()
     return here.last(letters.CALL, "works", "tell")
 
 
 def send_works_word(here: Instance) -> bytes:
-    here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING}])
+    here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING}])
     return here.last(letters.CALL, "works", "word")
 
 
 def send_works_no(here: Instance) -> bytes:
-    here.yard._told("n3", ["orders", FENCE + 1, 1, 0, 0, 1, {}])
-    here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {}])
+    here.yard.on_message("n3", ["orders", FENCE + 1, 1, 0, 0, 1, {}])
+    here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {}])
     return here.last(letters.CALL, "works", "no")
 
 
 def send_works_wish(here: Instance) -> bytes:
     here.office.holders["works"].other = "n2"
-    here.yard.asked(b'{"do": "hold", "key": "k1", "owner": "ada"}')
+    here.yard.pending_commands.handle_http(b'{"do": "hold", "key": "k1", "owner": "ada"}')
     return here.last(letters.CALL, "works", "wish")
 
 
 def send_works_answer(here: Instance) -> bytes:
     here.lead_plan()
-    here.yard._told("n2", ["wish", "k1", '{"do": "hold"}'])
+    here.yard.on_message("n2", ["wish", "k1", '{"do": "hold"}'])
     return here.last(letters.CALL, "works", "answer")
 
 
 def send_copy_want(here: Instance) -> bytes:
     here.office.holders["works"].other = "n2"
-    here.yard.told()
-    return here.last(letters.CALL, "copy", keeper.WANT)
+    here.yard.report_status()
+    return here.last(letters.CALL, "copy", MessageKind.FETCH)
 
 
 def send_copy_piece(here: Instance) -> bytes:
     here.lead_plan()
-    here.yard._copied("n2", [keeper.WANT, 0, [], [0]])
-    return here.last(letters.CALL, "copy", keeper.PIECE)
+    here.yard.on_copy_message("n2", [MessageKind.FETCH, 0, [], [0]])
+    return here.last(letters.CALL, "copy", MessageKind.CHUNK)
 
 
 def send_findings(here: Instance) -> bytes:
@@ -592,9 +592,9 @@
     """The file of a plan replica that took a plan, and of a participant under its orders."""
 
     def take(here: Instance) -> None:
-        here.yard.keeper.blank = False
-        here.yard._letter("n2", [keeper.STEP, FENCE, 0, 0, 1, PLAN_CHANGES])
-        here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING, "e2": GRANTED}])
+        here.yard.plan_replica.is_blank = False
+        here.yard.on_plan_message("n2", [MessageKind.ACCEPT, FENCE, 0, 0, 1, PLAN_CHANGES])
+        here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING, "e2": UnitState.GRANTED}])
 
     return stored_by_helper("n1.works", take)
 
@@ -625,8 +625,8 @@
     plan = maintenance_plan()
     plan.apply([["unit", f"engine-{n:03}", "a1", "engine", [f"engine-{n:03}"]] for n in range(30)])
     packed = plan.packed()
-    count = piece_of(packed, 0)[0]
-    return [piece_of(packed, index)[1].hex() for index in range(count)]
+    count = chunk_of(packed, 0)[0]
+    return [chunk_of(packed, index)[1].hex() for index in range(count)]
 
 
 def small_ledger() -> RequestLedger:
@@ -729,13 +729,13 @@
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "n1.works").write_bytes(octets)
         with instance(votes_folder=folder) as here:
-            replica, participant = here.yard.keeper, here.yard.party
+            replica, participant = here.yard.plan_replica, here.yard.participant
             return [
-                replica.blank,
-                replica.promised,
+                replica.is_blank,
+                replica.promised_fence,
                 list(replica.stamp),
                 plan_values(replica.plan),
-                participant.blank,
+                participant.is_blank,
                 list(participant.stamp),
                 {name: list(level) for name, level in participant.levels.items()},
                 sorted(participant.closed),
@@ -750,30 +750,30 @@
             each.names,
             each.owner,
             each.reason,
-            each.due,
-            each.lasting,
+            each.due_ticks,
+            each.lasting_ticks,
             each.count,
             each.cancelled,
-            each.at,
+            each.at_ticks,
         ]
-        for each in plan.asks.values()
+        for each in plan.requests.values()
     ]
     units = [
         [
             each.name,
-            each.ask,
-            each.sort,
+            each.request_id,
+            each.kind,
             each.members,
             each.state,
-            each.since,
+            each.since_ticks,
             each.why,
-            each.began,
+            each.began_ticks,
             each.overruled,
         ]
         for each in plan.units.values()
     ]
     history = [list(each) for each in plan.history]
-    return [plan.time, plan.known, plan.held, requests, units, history, plan.serial]
+    return [plan.time_ticks, plan.known, plan.held, requests, units, history, plan.serial]
 
 
 def plan_read(octets: bytes) -> Any:
@@ -937,7 +937,7 @@
     here.hold("books")
     here.office.clerks["books"].gained()
     here.office.clerks["books"].sum(FENCE)
-    here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING}])
+    here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING}])
     rows = [[name, 6, 1, 100, "e1", 0, SILENT, 250, 6] for name in PEER_INCARNATIONS]
     here.exchange.heard("n2", [1, 5, 1, 20, rows])
     here.exchange.period()
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -7,42 +7,22 @@
 from hypothesis import strategies as st
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.maintenance.chunk_transfer import SIZE, Fetch, piece_of
-from corkgauge.maintenance.participant import Participant
-from corkgauge.maintenance.plan import (
-    ASKED,
-    BACK,
-    DRAINING,
-    GRANTED,
-    LATE,
-    NEXT,
-    OUT,
-    RETURNING,
-    InvalidRequestError,
-    Plan,
-)
-from corkgauge.maintenance.plan_proposer import FORGOTTEN, IDLE, LEADING, PlanProposer
-from corkgauge.maintenance.plan_replica import (
-    LOW,
-    PIECE,
-    PROMISE,
-    PROMISED,
-    STEP,
-    TAKEN,
-    WANT,
-    PlanReplica,
-)
-from corkgauge.maintenance.schedule import (
-    DEAD,
-    PASSING,
-    WELL,
-    Bounds,
+from corkgauge.maintenance.capacity import (
+    CapacitySnapshot,
+    DisruptionLimits,
+    EngineCondition,
     EngineFact,
-    Ground,
-    OfferingFact,
-    Wanted,
-    next_out,
+    RequestClassDemand,
+    WaitingUnit,
 )
+from corkgauge.maintenance.chunk_transfer import CHUNK_BYTES, ChunkFetch, chunk_of
+from corkgauge.maintenance.messages import Orders
+from corkgauge.maintenance.participant import Participant
+from corkgauge.maintenance.plan import NEXT_STATES, InvalidChangeError, Plan, UnitState
+from corkgauge.maintenance.plan_messages import Chunk, MessageKind
+from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
+from corkgauge.maintenance.plan_replica import PlanReplica
+from corkgauge.maintenance.schedule import select_grants
 from corkgauge.model.plan_consensus import PlanWorld, plan_day
 
 ASK = ["ask", ["a", "engine", ["e1"], "ada", "", 9, 5, 1, "", 0]]
@@ -63,7 +43,7 @@
         self.serial += 1
         self.timers.append((self.now + max(int(delay), 1), self.serial, method, what))
 
-    def keep(self, record, then, *what):
+    def write_record(self, record, then, *what):
         self.records.append((record, then, what))
 
     def safe(self):
@@ -80,7 +60,7 @@
             due[2](*due[3])
         self.now = until
 
-    def may(self, fence):
+    def may_act(self, fence):
         return self.holds
 
     def voters(self):
@@ -89,16 +69,16 @@
     def log(self, line):
         self.events.append(line)
 
-    def led(self):
+    def on_plan_led(self):
         self.events.append("led")
 
-    def agreed(self, changes):
+    def on_changes_agreed(self, changes):
         self.events.append(("agreed", changes))
 
-    def forgot(self):
+    def on_plan_forgotten(self):
         self.events.append("forgot")
 
-    def outbid(self, fence):
+    def on_preempted(self, fence):
         self.events.append(("outbid", fence))
 
 
@@ -116,23 +96,25 @@
                 ["ask", [name, "engine", [name], "ada", "", 9, 5, 1, "", 0]],
                 ["unit", name, name, "engine", [name]],
             ]
-            states[name] = ASKED
+            states[name] = UnitState.ASKED
         else:
             changes = [["time", at], ["state", name, state, ""]]
-        fits = changes[0][0] == "ask" or state in NEXT.get(states[name], ())
+        fits = changes[0][0] == "ask" or state in NEXT_STATES.get(states[name], ())
         try:
-            tried = plan.tried(changes)
+            tried = plan.with_changes(changes)
             assert fits
             plan.apply(changes)
-            states[name] = plan.units[name].state if name in plan.units else BACK
+            states[name] = plan.units[name].state if name in plan.units else UnitState.BACK
             assert tried.packed() == plan.packed()
             copy = Plan.unpacked(copy.packed())
             copy.apply(changes)
-        except InvalidRequestError:
+        except InvalidChangeError:
             assert not fits
-        assert copy.packed() == plan.packed() and plan.time >= copy.time
-    assert {*plan.levels()} == {
-        name for name, unit in plan.units.items() if GRANTED <= unit.state <= LATE
+        assert copy.packed() == plan.packed() and plan.time_ticks >= copy.time_ticks
+    assert {*plan.ordered_states()} == {
+        name
+        for name, unit in plan.units.items()
+        if UnitState.GRANTED <= unit.state <= UnitState.LATE
     }
 
 
@@ -142,25 +124,29 @@
         [
             ASK,
             UNIT,
-            ["state", "e1", GRANTED, ""],
-            ["state", "e1", DRAINING, ""],
+            ["state", "e1", UnitState.GRANTED, ""],
+            ["state", "e1", UnitState.DRAINING, ""],
             ["overrule", "e1", "n3", "ada"],
-            ["state", "e1", OUT, ""],
+            ["state", "e1", UnitState.OUT, ""],
             ["cancel", "a", "bob"],
         ]
     )
     assert (
-        plan.units["e1"].state == OUT
-        and plan.asks["a"].cancelled == "bob"
+        plan.units["e1"].state == UnitState.OUT
+        and plan.requests["a"].cancelled == "bob"
         and plan.units["e1"].overruled == ["n3"]
     )
     plan.apply(
-        [["state", "e1", LATE, ""], ["state", "e1", RETURNING, ""], ["state", "e1", BACK, ""]]
+        [
+            ["state", "e1", UnitState.LATE, ""],
+            ["state", "e1", UnitState.RETURNING, ""],
+            ["state", "e1", UnitState.BACK, ""],
+        ]
     )
-    assert not plan.units and not plan.asks
-    with pytest.raises(InvalidRequestError):
+    assert not plan.units and not plan.requests
+    with pytest.raises(InvalidChangeError):
         plan.apply([["cancel", "a", "bob"]])
-    with pytest.raises(InvalidRequestError):
+    with pytest.raises(InvalidChangeError):
         Plan.unpacked(b"\x93abc")
 
 
@@ -174,66 +160,68 @@
 
 def test_a_keeper_says_nothing_that_is_not_written_and_heeds_no_lower_fence():
     desk, one = keeper([5, [5, 1], Plan().packed()])
-    one.heard("h", [PROMISE, 7])
+    one.on_datagram("h", [MessageKind.PREPARE, 7])
     assert desk.sent == []
     kept = desk.safe()
-    assert desk.sent.pop() == ("h", [PROMISED, 7, 5, 1, False]) and kept[0] == 7
-    one.heard("old", [STEP, 5, 5, 1, 2, [ASK]])
-    assert desk.sent.pop() == ("old", [LOW, 5, 7]) and one.stamp == (5, 1)
-    one.heard("h", [STEP, 7, 5, 1, 1, [ASK, UNIT]])
+    assert desk.sent.pop() == ("h", [MessageKind.PROMISE, 7, 5, 1, False]) and kept[0] == 7
+    one.on_datagram("old", [MessageKind.ACCEPT, 5, 5, 1, 2, [ASK]])
+    assert desk.sent.pop() == ("old", [MessageKind.PREEMPTED, 5, 7]) and one.stamp == (5, 1)
+    one.on_datagram("h", [MessageKind.ACCEPT, 7, 5, 1, 1, [ASK, UNIT]])
     assert desk.sent == [] and one.stamp == (7, 1)
     kept = desk.safe()
-    assert desk.sent.pop() == ("h", [TAKEN, 7, 7, 1])
+    assert desk.sent.pop() == ("h", [MessageKind.ACCEPTED, 7, 7, 1])
     again = PlanReplica(Desk(), kept, 500)  # started anew from what was written
-    assert (again.promised, again.stamp, again.blank) == (
+    assert (again.promised_fence, again.stamp, again.is_blank) == (
         7,
         (7, 1),
         False,
     ) and "e1" in again.plan.units
-    one.heard("h", [STEP, 7, 5, 1, 1, [ASK, UNIT]])  # the same once more
+    one.on_datagram("h", [MessageKind.ACCEPT, 7, 5, 1, 1, [ASK, UNIT]])  # the same once more
     desk.safe()
-    assert desk.sent.pop() == ("h", [TAKEN, 7, 7, 1]) and one.plan.serial == 1
+    assert desk.sent.pop() == ("h", [MessageKind.ACCEPTED, 7, 7, 1]) and one.plan.serial == 1
 
 
 def test_a_keeper_that_missed_a_step_fetches_the_whole_and_counts_only_then():
     desk, one = keeper([5, [5, 1], Plan().packed()])
-    one.heard("h", [STEP, 7, 7, 3, 4, [["time", 9]]])
-    assert desk.sent.pop()[1][0] == WANT and one.stamp == (5, 1)
+    one.on_datagram("h", [MessageKind.ACCEPT, 7, 7, 3, 4, [["time", 9]]])
+    assert desk.sent.pop()[1][0] == MessageKind.FETCH and one.stamp == (5, 1)
     whole = Plan()
     whole.apply([ASK, UNIT, ["time", 9]])
-    one.heard("h", [PIECE, 7, 6, 9, 0, 1, whole.packed()])  # of an earlier time in office, late
+    one.on_datagram(
+        "h", [MessageKind.CHUNK, 7, 6, 9, 0, 1, whole.packed()]
+    )  # of an earlier time in office, late
     assert one.stamp == (5, 1)
-    one.heard("h", [PIECE, 7, 7, 4, 0, 1, whole.packed()])
+    one.on_datagram("h", [MessageKind.CHUNK, 7, 7, 4, 0, 1, whole.packed()])
     desk.safe()
-    assert one.stamp == (7, 4) and desk.sent.pop() == ("h", [TAKEN, 7, 7, 4])
+    assert one.stamp == (7, 4) and desk.sent.pop() == ("h", [MessageKind.ACCEPTED, 7, 7, 4])
 
 
 def test_a_blank_keeper_is_deaf_at_first_then_says_that_it_is_blank():
     desk, one = keeper(None, 500)
-    for body in ([PROMISE, 7], [STEP, 7, 0, 0, 1, []]):
-        one.heard("h", body)
+    for body in ([MessageKind.PREPARE, 7], [MessageKind.ACCEPT, 7, 0, 0, 1, []]):
+        one.on_datagram("h", body)
     assert desk.sent == []
     desk.now += 500
-    one.heard("h", [PROMISE, 7])
-    assert desk.sent.pop() == ("h", [PROMISED, 7, 0, 0, True])
-    one.heard("h", [WANT, 8, [], [0]])
+    one.on_datagram("h", [MessageKind.PREPARE, 7])
+    assert desk.sent.pop() == ("h", [MessageKind.PROMISE, 7, 0, 0, True])
+    one.on_datagram("h", [MessageKind.FETCH, 8, [], [0]])
     assert desk.sent == []  # it has nothing that anybody should begin from
 
 
 def test_pieces_of_two_states_are_never_put_together():
     desk, got = Desk(), []
-    fetch = Fetch(desk, WANT, "k", 7, 100, lambda stamp, data: got.append((stamp, data)), (5, 0))
-    old, new = b"a" * (2 * SIZE + 1), b"b" * (SIZE + 5)
-    fetch.heard("k", (4, 9), 0, *piece_of(b"x", 0))  # below what was promised
-    fetch.heard("k", (5, 1), 0, *piece_of(old, 0))
-    fetch.heard("other", (5, 1), 1, *piece_of(old, 1))
-    fetch.heard("k", (5, 2), 1, *piece_of(new, 1))
-    fetch.heard("k", (5, 1), 2, *piece_of(old, 2))  # late
+    fetch = ChunkFetch(desk, "k", 7, 100, lambda stamp, data: got.append((stamp, data)), (5, 0))
+    old, new = b"a" * (2 * CHUNK_BYTES + 1), b"b" * (CHUNK_BYTES + 5)
+    fetch.on_chunk("k", Chunk(7, (4, 9), 0, *chunk_of(b"x", 0)))  # below what was promised
+    fetch.on_chunk("k", Chunk(7, (5, 1), 0, *chunk_of(old, 0)))
+    fetch.on_chunk("other", Chunk(7, (5, 1), 1, *chunk_of(old, 1)))
+    fetch.on_chunk("k", Chunk(7, (5, 2), 1, *chunk_of(new, 1)))
+    fetch.on_chunk("k", Chunk(7, (5, 1), 2, *chunk_of(old, 2)))  # late
     assert not got
     before = len(desk.sent)
     desk.pass_time(150)
     assert len(desk.sent) > before and desk.sent[-1][1][2:] == [[5, 2], [0]]
-    fetch.heard("k", (5, 2), 0, *piece_of(new, 0))
+    fetch.on_chunk("k", Chunk(7, (5, 2), 0, *chunk_of(new, 0)))
     assert got == [((5, 2), new)]
 
 
@@ -243,69 +231,73 @@
 def leading(desk=None):
     desk = desk or Desk()
     scribe = PlanProposer(desk)
-    scribe.gained(9)
+    scribe.on_lease_gained(9)
     for name in "k1", "k2":
-        scribe.heard(name, [PROMISED, 9, 5, 1, False])
-    scribe.piece("k2", [PIECE, 5, 5, 1, 0, 1, Plan().packed()])
+        scribe.on_datagram(name, [MessageKind.PROMISE, 9, 5, 1, False])
+    scribe.on_chunk_datagram("k2", [MessageKind.CHUNK, 5, 5, 1, 0, 1, Plan().packed()])
     for name in "k1", "k3":
-        scribe.heard(name, [TAKEN, 9, 9, 1])
+        scribe.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
     return desk, scribe
 
 
 def test_a_scribe_takes_over_from_the_latest_of_a_majority():
     desk, scribe = Desk(), None
     scribe = PlanProposer(desk)
-    scribe.gained(9)
-    scribe.heard("k1", [PROMISED, 9, 5, 1, False])
-    scribe.heard("stranger", [PROMISED, 9, 8, 1, False])
-    assert scribe.state != LEADING
-    scribe.heard("k3", [PROMISED, 9, 5, 2, False])
-    assert desk.sent[-1][0] == "k3" and desk.sent[-1][1][0] == WANT  # the later of the two
-    scribe.piece(
-        "k3", [PIECE, 5, 5, 1, 0, 1, Plan().packed()]
+    scribe.on_lease_gained(9)
+    scribe.on_datagram("k1", [MessageKind.PROMISE, 9, 5, 1, False])
+    scribe.on_datagram("stranger", [MessageKind.PROMISE, 9, 8, 1, False])
+    assert scribe.state != ProposerState.LEADING
+    scribe.on_datagram("k3", [MessageKind.PROMISE, 9, 5, 2, False])
+    assert (
+        desk.sent[-1][0] == "k3" and desk.sent[-1][1][0] == MessageKind.FETCH
+    )  # the later of the two
+    scribe.on_chunk_datagram(
+        "k3", [MessageKind.CHUNK, 5, 5, 1, 0, 1, Plan().packed()]
     )  # but what it held before does not count
-    assert scribe.state != LEADING
-    scribe.piece("k3", [PIECE, 5, 5, 2, 0, 1, Plan().packed()])
-    assert scribe.state == LEADING and "led" not in desk.events
-    scribe.heard("k3", [TAKEN, 9, 9, 1])
-    scribe.heard("k3", [TAKEN, 9, 9, 1])
+    assert scribe.state != ProposerState.LEADING
+    scribe.on_chunk_datagram("k3", [MessageKind.CHUNK, 5, 5, 2, 0, 1, Plan().packed()])
+    assert scribe.state == ProposerState.LEADING and "led" not in desk.events
+    scribe.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
+    scribe.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
     assert "led" not in desk.events  # one keeper twice is no majority
-    scribe.heard("k2", [TAKEN, 9, 9, 1])
+    scribe.on_datagram("k2", [MessageKind.ACCEPTED, 9, 9, 1])
     assert "led" in desk.events
 
 
 def test_a_step_counts_with_a_majority_and_only_while_the_duty_is_held():
     desk, scribe = leading()
-    assert scribe.propose(ASK, UNIT) and not scribe.propose(["state", "e1", OUT, ""])
+    assert scribe.propose(ASK, UNIT) and not scribe.propose(["state", "e1", UnitState.OUT, ""])
     desk.holds = False
     for name in "k1", "k2", "k3":
-        scribe.heard(name, [TAKEN, 9, 9, 2])
+        scribe.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 2])
     assert "e1" not in scribe.plan.units
     desk.holds = True
-    scribe.heard("k1", [TAKEN, 9, 9, 2])
+    scribe.on_datagram("k1", [MessageKind.ACCEPTED, 9, 9, 2])
     assert "e1" in scribe.plan.units and scribe.settled == scribe.proposed
-    scribe.heard("k1", [LOW, 9, 12])
+    scribe.on_datagram("k1", [MessageKind.PREEMPTED, 9, 12])
     assert desk.events[-1] == ("outbid", 12)
-    scribe.lost()
-    assert scribe.state == IDLE and not scribe.propose(["time", 5])
+    scribe.on_lease_lost()
+    assert scribe.state == ProposerState.IDLE and not scribe.propose(["time", 5])
 
 
 def test_a_majority_that_forgot_is_never_taken_for_an_empty_plan():
     desk = Desk()
     scribe = PlanProposer(desk)
-    scribe.gained(9)
-    scribe.heard("k1", [PROMISED, 9, 5, 1, False])
-    scribe.heard("k2", [PROMISED, 9, 0, 0, True])
-    assert scribe.state != FORGOTTEN  # the third may remember
-    scribe.heard("k3", [PROMISED, 9, 0, 0, True])
+    scribe.on_lease_gained(9)
+    scribe.on_datagram("k1", [MessageKind.PROMISE, 9, 5, 1, False])
+    scribe.on_datagram("k2", [MessageKind.PROMISE, 9, 0, 0, True])
+    assert scribe.state != ProposerState.FORGOTTEN  # the third may remember
+    scribe.on_datagram("k3", [MessageKind.PROMISE, 9, 0, 0, True])
     assert (
-        scribe.state == FORGOTTEN and desk.events == ["forgot"] and not scribe.propose(["time", 5])
+        scribe.state == ProposerState.FORGOTTEN
+        and desk.events == ["forgot"]
+        and not scribe.propose(["time", 5])
     )
     told = Plan()
     told.apply([["known", "told by ada"]])
     scribe.begin_anew(told)
     for name in "k2", "k3":
-        scribe.heard(name, [TAKEN, 9, 9, 1])
+        scribe.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
     assert scribe.plan.known == "told by ada" and "led" in desk.events
 
 
@@ -327,14 +319,23 @@
 
 def ground(bounds=None, request_classes=(), engines=None, **more):
     engines = engines or [
-        (f"e{n}", "ab"[n % 2], ("c8", "c12")[n // 2 % 2], 10.0, WELL) for n in range(8)
+        (f"e{n}", "ab"[n % 2], ("c8", "c12")[n // 2 % 2], 10.0, EngineCondition.HEALTHY)
+        for n in range(8)
     ]
     facts = {
         tag: EngineFact(tag, zone, kind, None, cores, state)
         for tag, zone, kind, cores, state in engines
     }
-    return Ground(
-        Bounds(**{"most": 8, "share": 1.0, "zone": 1.0, "kind": 1.0, **(bounds or {})}),
+    return CapacitySnapshot(
+        DisruptionLimits(
+            **{
+                "max_engines": 8,
+                "max_cores_share": 1.0,
+                "max_zone_share": 1.0,
+                "max_kind_share": 1.0,
+                **(bounds or {}),
+            }
+        ),
         facts,
         request_classes,
         **more,
@@ -342,30 +343,54 @@
 
 
 def unit(*tags, **more):
-    return Wanted(tags[0], tags, more.pop("lasting", 60), **more)
+    return WaitingUnit(tags[0], tags, more.pop("lasting_ticks", 60), **more)
 
 
-REPORT = OfferingFact("report", frozenset(), frozenset({"c12"}), 0.0)
+REPORT = RequestClassDemand("report", frozenset(), frozenset({"c12"}), 0.0)
 
 
 @pytest.mark.parametrize(
     "place, asked, why",
     [
-        (ground({"most": 2}, away={"e0", "e1"}), unit("e2"), "3 would be out, 2 at once"),
-        (ground({"most": 2}, away={"e0"}), unit("e2", "e3"), "3 would be out, 2 at once"),
-        (ground({"share": 0.25}, away={"e0", "e1"}), unit("e2"), "all: 30 of 80 cores"),
-        (ground({"zone": 0.5}, away={"e0", "e2"}), unit("e4"), "hall a: 30 of 40"),
-        (ground({"zone": 0.5}, away={"e0", "e2"}), unit("e1"), ""),
-        (ground({"kind": 0.5}, away={"e0", "e1"}), unit("e4"), "kind c8: 30 of 40"),
-        (ground({"share": 0.01}), unit("e4"), ""),  # a part below one engine is one engine
         (
-            ground({"least": 2}, [REPORT], away={"e2", "e3"}),
+            ground({"max_engines": 2}, taken_engines={"e0", "e1"}),
+            unit("e2"),
+            "3 would be out, 2 at once",
+        ),
+        (
+            ground({"max_engines": 2}, taken_engines={"e0"}),
+            unit("e2", "e3"),
+            "3 would be out, 2 at once",
+        ),
+        (
+            ground({"max_cores_share": 0.25}, taken_engines={"e0", "e1"}),
+            unit("e2"),
+            "all: 30 of 80 cores",
+        ),
+        (
+            ground({"max_zone_share": 0.5}, taken_engines={"e0", "e2"}),
+            unit("e4"),
+            "hall a: 30 of 40",
+        ),
+        (ground({"max_zone_share": 0.5}, taken_engines={"e0", "e2"}), unit("e1"), ""),
+        (
+            ground({"max_kind_share": 0.5}, taken_engines={"e0", "e1"}),
+            unit("e4"),
+            "kind c8: 30 of 40",
+        ),
+        (
+            ground({"max_cores_share": 0.01}),
+            unit("e4"),
+            "",
+        ),  # a part below one engine is one engine
+        (
+            ground({"min_engines_per_class": 2}, [REPORT], taken_engines={"e2", "e3"}),
             unit("e6"),
             "offering report: 1 engines left",
         ),
-        (ground({"least": 2}, [REPORT], away={"e2"}), unit("e6"), ""),
+        (ground({"min_engines_per_class": 2}, [REPORT], taken_engines={"e2"}), unit("e6"), ""),
         (
-            ground({}, [replace(REPORT, cores=30.0)], away={"e2"}),
+            ground({}, [replace(REPORT, cores=30.0)], taken_engines={"e2"}),
             unit("e6"),
             "report: 30.0 cores needed, 0.7 of 20 left",
         ),
@@ -374,18 +399,22 @@
                 {},
                 [
                     replace(REPORT, cores=8.0),
-                    OfferingFact("lookup", frozenset(), frozenset(), 40.0),
+                    RequestClassDemand("lookup", frozenset(), frozenset(), 40.0),
                 ],
-                away={"e0"},
+                taken_engines={"e0"},
             ),
             unit("e1"),
             "lookup report: 48.0 cores needed",
         ),
-        (ground({}, unknown=["n1", "n2"]), unit("e1"), "load of n1 n2 not known"),
+        (ground({}, gateways_of_unknown_load=["n1", "n2"]), unit("e1"), "load of n1 n2 not known"),
         (ground(), unit("e99"), "e99 is not in the list"),
         (
             ground(
-                {"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, WELL)]
+                {"max_engines": 1},
+                engines=[
+                    ("e0", "a", "c8", 8.0, EngineCondition.DEAD),
+                    ("e1", "a", "c8", 8.0, EngineCondition.HEALTHY),
+                ],
             ),
             unit("e1"),
             "2 would be out",
@@ -393,49 +422,57 @@
         # what is dead may be seen to, whatever else is out; what rests may be back in a moment
         (
             ground(
-                {"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, DEAD)]
+                {"max_engines": 1},
+                engines=[
+                    ("e0", "a", "c8", 8.0, EngineCondition.DEAD),
+                    ("e1", "a", "c8", 8.0, EngineCondition.DEAD),
+                ],
             ),
             unit("e1"),
             "",
         ),
         (
             ground(
-                {"most": 1}, engines=[("e0", "a", "c8", 8.0, DEAD), ("e1", "a", "c8", 8.0, PASSING)]
+                {"max_engines": 1},
+                engines=[
+                    ("e0", "a", "c8", 8.0, EngineCondition.DEAD),
+                    ("e1", "a", "c8", 8.0, EngineCondition.IMPAIRED),
+                ],
             ),
             unit("e1"),
             "2 would be out",
         ),
         (
-            ground(gateways={"n1": "a", "n2": "a"}, gateways_away={"n1"}),
-            unit("n2", gateway=True),
+            ground(gateways={"n1": "a", "n2": "a"}, unavailable_gateways={"n1"}),
+            unit("n2", is_gateway=True),
             "1 of hall a at once",
         ),
         (
             ground(
-                {"gateways": 2},
+                {"max_gateways_per_zone": 2},
                 gateways={"n1": "a", "n2": "a", "n3": "b"},
-                gateways_away={"n1"},
+                unavailable_gateways={"n1"},
                 voters=["n1", "n2", "n3"],
             ),
-            unit("n2", gateway=True),
+            unit("n2", is_gateway=True),
             "1 of 3 voters would be left",
         ),
-        (ground(gateways={"n1": "a", "n2": "b"}), unit("n9", gateway=True), "no gateway n9"),
+        (ground(gateways={"n1": "a", "n2": "b"}), unit("n9", is_gateway=True), "no gateway n9"),
     ],
 )
 def test_limits(place, asked, why):
-    said = place.objection(asked)
+    said = place.find_objection(asked)
     assert said.startswith(why) if why else said == ""
 
 
 def test_a_group_in_which_marks_are_remembered_keeps_one():
     def grouped(*tags):
-        place = ground(away={"e0"})
+        place = ground(taken_engines={"e0"})
         place.engines = {
             tag: replace(each, group="x" if tag in tags else "y")
             for tag, each in place.engines.items()
         }
-        return place.objection(unit("e1"))
+        return place.find_objection(unit("e1"))
 
     assert "none would be left where its marks are known" in grouped("e0", "e1")
     assert grouped("e1") == ""  # alone in its group: its gateways say when no mark is open there
@@ -460,13 +497,13 @@
 def test_demand_fits_just_where_a_flow_carries_it(engines, request_classes):
     """Every unit of demand on some engine that may take it: augmenting paths, core by core."""
     place = ground(
-        {"room": 1.0},
+        {"usable_share": 1.0},
         [
-            OfferingFact(f"o{n}", frozenset(zones), frozenset(kinds), float(cores))
+            RequestClassDemand(f"o{n}", frozenset(zones), frozenset(kinds), float(cores))
             for n, (zones, kinds, cores) in enumerate(request_classes)
         ],
         [
-            (f"e{n}", zone, kind, float(cores), WELL)
+            (f"e{n}", zone, kind, float(cores), EngineCondition.HEALTHY)
             for n, (zone, kind, cores) in enumerate(engines)
         ],
     )
@@ -487,24 +524,26 @@
     fits = all(
         place_one(n, set()) for n, (*_, cores) in enumerate(request_classes) for _ in range(cores)
     )
-    assert (place.crowded(set()) == "") == fits
+    assert (place.find_overload(set()) == "") == fits
 
 
 def test_what_is_due_goes_first_what_was_passed_often_is_passed_no_more_and_the_planner_goes_last():
     waiting = [
-        unit("e0", lasting=90),
-        unit("e1", lasting=30),
-        unit("e2", due=100, lasting=50),
-        unit("n1", gateway=True),
-        unit("n2", gateway=True),
+        unit("e0", lasting_ticks=90),
+        unit("e1", lasting_ticks=30),
+        unit("e2", due_ticks=100, lasting_ticks=50),
+        unit("n1", is_gateway=True),
+        unit("n2", is_gateway=True),
     ]
-    place = ground({"most": 2}, gateways={"n1": "a", "n2": "b"})
-    granted, against = next_out(place, waiting, "n1")
+    place = ground({"max_engines": 2}, gateways={"n1": "a", "n2": "b"})
+    decision = select_grants(place, waiting, "n1")
+    granted, against = decision.granted, decision.objections
     assert granted == ["e2", "e1", "n2"] and "planner itself goes last" in against["n1"]
     large = unit("e0", "e1", "e2", "e3", passed=8)
-    granted, against = next_out(ground({"most": 4}, away={"e7"}), [unit("e4"), large])
+    decision = select_grants(ground({"max_engines": 4}, taken_engines={"e7"}), [unit("e4"), large])
+    granted, against = decision.granted, decision.objections
     assert granted == [] and against["e4"].startswith("behind e0")
-    assert next_out(place, waiting, "n1") == next_out(place, [*reversed(waiting)], "n1")
+    assert select_grants(place, waiting, "n1") == select_grants(place, [*reversed(waiting)], "n1")
 
 
 # A gateway's part.
@@ -515,19 +554,19 @@
         super().__init__()
         self.open, self.places, self.seen, self.party = set(), {"e1": "h:1", "e2": "h:2"}, [], None
 
-    def refresh(self):
+    def refresh_cordons(self):
         if self.party is not None:
             self.seen.append(
-                {tag: self.party.how(tag, where) for tag, where in self.places.items()}
+                {tag: self.party.cordon_of(tag, where) for tag, where in self.places.items()}
             )
 
-    def quiet(self, tag):
+    def is_quiet(self, tag):
         return tag not in self.open
 
-    def address(self, tag):
+    def address_of(self, tag):
         return self.places.get(tag, "")
 
-    def confirmed(self):
+    def on_engines_closed(self):
         self.events.append("confirmed")
 
 
@@ -540,93 +579,101 @@
 def test_an_engine_is_closed_once_nothing_is_open_there_written_and_only_then_confirmed():
     desk, one = party()
     desk.open = {"e1"}
-    assert one.word()[3:] == [True, [], 0]
-    assert one.ordered(7, 1, 0, 0, 1, {"e1": DRAINING, "e2": DRAINING})
+    assert one.report_fields()[3:] == [True, [], 0]
+    assert one.on_orders(
+        Orders(7, 1, 0, 0, 1, {"e1": UnitState.DRAINING, "e2": UnitState.DRAINING})
+    )
     desk.safe()
     desk.pass_time(300)
-    assert one.how("e1") == 1 and one.how("e2") == 2 and one.word()[4:] == [[], 0]
+    assert (
+        one.cordon_of("e1") == 1 and one.cordon_of("e2") == 2 and one.report_fields()[4:] == [[], 0]
+    )
     desk.safe()
-    assert one.word()[1:] == [7, 1, False, ["e2"], 1]
+    assert one.report_fields()[1:] == [7, 1, False, ["e2"], 1]
     desk.open = set()
     desk.pass_time(300)
     kept = desk.safe()
-    assert sorted(one.word()[4]) == ["e1", "e2"]
+    assert sorted(one.report_fields()[4]) == ["e1", "e2"]
     _, again = party(kept)  # over a restart: before anything is heard
-    assert again.how("e1") == 2 and not again.blank and again.word()[1:3] == [7, 1]
-    one.ordered(7, 2, 0, 0, 1, {"e2": DRAINING})
-    assert one.how("e1") == 0 and desk.seen[-1] == {"e1": 0, "e2": 2}
+    assert (
+        again.cordon_of("e1") == 2 and not again.is_blank and again.report_fields()[1:3] == [7, 1]
+    )
+    one.on_orders(Orders(7, 2, 0, 0, 1, {"e2": UnitState.DRAINING}))
+    assert one.cordon_of("e1") == 0 and desk.seen[-1] == {"e1": 0, "e2": 2}
 
 
 def test_orders_of_an_earlier_holder_or_half_told_change_nothing():
     desk, one = party()
-    one.ordered(7, 2, 0, 0, 1, {"e1": OUT})
-    assert not one.ordered(6, 9, 0, 0, 1, {}) and one.ordered(7, 1, 0, 0, 1, {})
-    one.ordered(8, 1, 0, 1, 2, {"e2": OUT})
-    assert one.how("e1") == 1 and one.how("e2") == 0
-    one.ordered(8, 1, 0, 0, 2, {"e1": OUT})
-    assert one.how("e2") == 1
+    one.on_orders(Orders(7, 2, 0, 0, 1, {"e1": UnitState.OUT}))
+    assert not one.on_orders(Orders(6, 9, 0, 0, 1, {})) and one.on_orders(Orders(7, 1, 0, 0, 1, {}))
+    one.on_orders(Orders(8, 1, 0, 1, 2, {"e2": UnitState.OUT}))
+    assert one.cordon_of("e1") == 1 and one.cordon_of("e2") == 0
+    one.on_orders(Orders(8, 1, 0, 0, 2, {"e1": UnitState.OUT}))
+    assert one.cordon_of("e2") == 1
     with pytest.raises(ValueError):
-        one.ordered(9, 1, 0, 5, 2, {})
+        one.on_orders(Orders(9, 1, 0, 5, 2, {}))
 
 
 def test_where_work_was_announced_a_gateway_sends_only_while_its_grant_runs_from_before_it_asked():
     desk, one = party()
-    serial = one.word()[0]
+    serial = one.report_fields()[0]
     asked = desk.now
     desk.pass_time(3_000)  # the answer takes its time
-    one.ordered(7, 1, serial, 0, 1, {"e1": GRANTED})
-    assert one.how("e1") == 0
+    one.on_orders(Orders(7, 1, serial, 0, 1, {"e1": UnitState.GRANTED}))
+    assert one.cordon_of("e1") == 0
     desk.pass_time(asked + SECOND - desk.now - 1)
-    assert one.how("e1") == 0
+    assert one.cordon_of("e1") == 0
     desk.pass_time(1)
-    assert one.how("e1") == 1 and desk.seen[-1]["e1"] == 1  # it was told to the module
-    one.ordered(7, 1, serial, 0, 1, {"e1": GRANTED})  # the same answer again, late: nothing new
-    assert one.how("e1") == 1
-    one.ordered(7, 1, one.word()[0], 0, 1, {"e1": GRANTED})
-    assert one.how("e1") == 0 and desk.seen[-1]["e1"] == 0
+    assert one.cordon_of("e1") == 1 and desk.seen[-1]["e1"] == 1  # it was told to the module
+    one.on_orders(
+        Orders(7, 1, serial, 0, 1, {"e1": UnitState.GRANTED})
+    )  # the same answer again, late: nothing new
+    assert one.cordon_of("e1") == 1
+    one.on_orders(Orders(7, 1, one.report_fields()[0], 0, 1, {"e1": UnitState.GRANTED}))
+    assert one.cordon_of("e1") == 0 and desk.seen[-1]["e1"] == 0
 
 
 def test_an_engine_named_anew_at_the_same_address_is_the_same_machine():
     desk, one = party()
-    one.ordered(7, 1, 0, 0, 1, {"e1": OUT})
+    one.on_orders(Orders(7, 1, 0, 0, 1, {"e1": UnitState.OUT}))
     del desk.places["e1"]
-    assert one.how("e1b", "h:1") == 1 and one.how("e1b", "h:9") == 0
+    assert one.cordon_of("e1b", "h:1") == 1 and one.cordon_of("e1b", "h:9") == 0
     desk.pass_time(300)
-    assert one.how("e1b", "h:1") == 2
+    assert one.cordon_of("e1b", "h:1") == 2
 
 
 def test_at_its_start_a_gateway_waits_until_it_is_told_and_serves_where_nobody_tells():
     span, (desk, one) = 5_000, party()
-    assert one.waits(span, False, "")
+    assert one.must_wait(span, False, "")
     desk.pass_time(span)
-    assert not one.waits(span, False, "")  # nobody is there
+    assert not one.must_wait(span, False, "")  # nobody is there
     desk, one = party()
     desk.pass_time(4_000)  # a slow start: whoever was reached just now has had no time to tell
-    assert one.waits(span, True, "")
+    assert one.must_wait(span, True, "")
     desk.pass_time(span - 1)
-    assert one.waits(span, True, "")
+    assert one.must_wait(span, True, "")
     desk.pass_time(1)
-    assert not one.waits(span, True, "")  # nobody plans
-    assert one.waits(span, True, "n2")  # n2 does, and is slow
-    one.asked = True
-    assert not one.waits(span, True, "n2")  # it knows no more than we
-    one.asked = False
+    assert not one.must_wait(span, True, "")  # nobody plans
+    assert one.must_wait(span, True, "n2")  # n2 does, and is slow
+    one.was_asked = True
+    assert not one.must_wait(span, True, "n2")  # it knows no more than we
+    one.was_asked = False
     desk.pass_time(5 * span - 9_001)
-    assert one.waits(span, True, "n2")
+    assert one.must_wait(span, True, "n2")
     desk.pass_time(1)
-    assert not one.waits(span, True, "n2")  # whatever is, we serve
+    assert not one.must_wait(span, True, "n2")  # whatever is, we serve
     desk, one = party()
-    one.ordered(7, 1, 0, 0, 1, {"e1": OUT})
-    assert not one.waits(span, True, "n2")
+    one.on_orders(Orders(7, 1, 0, 0, 1, {"e1": UnitState.OUT}))
+    assert not one.must_wait(span, True, "n2")
 
 
 def test_a_word_names_in_turn_what_does_not_fit():
     desk, one = party()
-    tags = {f"engine-with-a-long-name-{n:03}": OUT for n in range(60)}
-    one.ordered(7, 1, 0, 0, 1, tags)
+    tags = {f"engine-with-a-long-name-{n:03}": UnitState.OUT for n in range(60)}
+    one.on_orders(Orders(7, 1, 0, 0, 1, tags))
     desk.pass_time(300)
     desk.safe()
-    told = [one.word() for _ in range(4)]
+    told = [one.report_fields() for _ in range(4)]
     assert all(word[5] == 60 for word in told) and {tag for word in told for tag in word[4]} == {
         *tags
     }
