--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -679,10 +679,10 @@
     ),
     "planner.units": Worked(
         PLANNER,
-        "engines and workload managers in one plan, against `MOST_UNITS`",
+        "engines and workload managers in one plan, against `MAX_UNITS`",
         "units",
         lambda ask, n: n.engines + n.gateways,
-        plan.MOST_UNITS,
+        plan.MAX_UNITS,
         "day",
         "none; `corkgauge/maintenance/plan.py` refuses more",
     ),
--- a/corkgauge/maintenance/capacity.py
+++ b/corkgauge/maintenance/capacity.py
@@ -1,9 +1,11 @@
 """Which engines and gateways may be out of service at once: the limits, and the check against them.
 
-Free of I/O and of clocks: the same facts give the same answer at every gateway. What is not known counts as loaded.
+Free of I/O and of clocks: the same facts give the same answer at every gateway. What is not known
+counts as loaded.
 
-Request classes that may use different engines compete for them, so for every set of classes its demand has to fit on
-the engines that any of the set may use; that is what Hall's marriage condition (1935) asks of such an assignment.
+Request classes that may use different engines compete for them, so for every set of classes its
+demand has to fit on the engines that any of the set may use; that is what Hall's marriage condition
+(1935) asks of such an assignment.
 """
 
 from collections import defaultdict
@@ -22,7 +24,10 @@
 
 
 class EngineCondition(IntEnum):
-    """How an engine counts. IMPAIRED passes by itself: ejected, warming up, or not seen healthy yet."""
+    """How an engine counts.
+
+    IMPAIRED passes by itself: ejected, warming up, or not seen healthy yet.
+    """
 
     HEALTHY = 0
     IMPAIRED = 1
@@ -71,8 +76,9 @@
 class WaitingUnit:
     """A unit that waits to go out.
 
-    `due_ticks` is maintenance time, `lasting_ticks` the span of its work (both tenths of a millisecond); `passed` is
-    how many units asked later went before it, `place` its turn among all that were asked.
+    `due_ticks` is maintenance time, `lasting_ticks` the span of its work (both tenths of a
+    millisecond); `passed` is how many units asked later went before it, `place` its turn among all
+    that were asked.
     """
 
     name: str
@@ -88,8 +94,9 @@
 class DisruptionLimits:
     """The operators' limits, in the order of the operator file's tuple.
 
-    Engines at once; the parts of all cores, of a zone's and of a kind's that may be out; the part of the cores left
-    that demand may fill; engines left for each request class; gateways of one zone at once.
+    Engines at once; the parts of all cores, of a zone's and of a kind's that may be out; the part
+    of the cores left that demand may fill; engines left for each request class; gateways of one
+    zone at once.
     """
 
     max_engines: int = 4
@@ -122,9 +129,9 @@
 class CapacitySnapshot:
     """All facts of one moment, and the checks on them.
 
-    `taken_engines` are those that the plan has taken, `gateways` the zone of each gateway, `unavailable_gateways`
-    those taken or not alive, `voters` those whose majority has to stay. `gateways_of_unknown_load` names gateways only
-    where the load of none is known.
+    `taken_engines` are those that the plan has taken, `gateways` the zone of each gateway,
+    `unavailable_gateways` those taken or not alive, `voters` those whose majority has to stay.
+    `gateways_of_unknown_load` names gateways only where the load of none is known.
     """
 
     limits: DisruptionLimits
@@ -137,7 +144,7 @@
     gateways_of_unknown_load: Sequence[str] = ()
 
     def unavailable_engines(self) -> set[str]:
-        """What counts as out: taken by the plan, dead, or impaired for the moment."""
+        """Return what counts as out: taken by the plan, dead, or impaired for the moment."""
         return self.taken_engines | {
             tag
             for tag, engine in self.engines.items()
@@ -156,7 +163,8 @@
                 return f"{tag} is not in the list"
         before = self.unavailable_engines()
         after = before | {*unit.members}
-        # A dead engine gives nothing that its maintenance could take; held back by the limits it would stay dead.
+        # A dead engine gives nothing that its maintenance could take; held back by the limits it
+        # would stay dead.
         if after == before and self._are_all_dead(unit.members):
             return ""
         objection = self._limit_objection(after) or self._remainder_objection(after, before)
@@ -205,12 +213,13 @@
                 cores.out += engine.cores
                 cores.engines_out += 1
         for name, cores in sorted(by_set.items(), key=lambda item: item[0]):
-            # A share of less than one engine allows one: else no engine of a small set could ever be worked on.
+            # A share of less than one engine allows one: else no engine of a small set could ever
+            # be worked on.
             allowed = limit.max_share * cores.whole + ROUNDING_CORES
             if cores.out > allowed and cores.engines_out > 1:
                 return (
-                    f"{limit.label}{name or 'all'}: {cores.out:g} of {cores.whole:g} cores would be out, "
-                    f"{limit.max_share:g} of them at most"
+                    f"{limit.label}{name or 'all'}: {cores.out:g} of {cores.whole:g} cores "
+                    f"would be out, {limit.max_share:g} of them at most"
                 )
         return ""
 
@@ -232,8 +241,8 @@
             if engine.group is not None:
                 groups.setdefault(engine.group, []).append(tag)
         for name, tags in sorted(groups.items()):
-            # What may have run in a group may be tried again only there, so one engine of it has to stay. One alone
-            # in its group may go once no key is open there: its gateways say so.
+            # What may have run in a group may be tried again only there, so one engine of it has to
+            # stay. One alone in its group may go once no key is open there: its gateways say so.
             goes_out_whole = all(tag in out for tag in tags)
             was_out_whole = all(tag in before for tag in tags)
             if len(tags) > 1 and goes_out_whole and not was_out_whole:
@@ -277,7 +286,7 @@
         return cores
 
     def _class_groups(self) -> list[list[RequestClassDemand]]:
-        """Request classes with demand, those that may use the same engines together, ordered by name."""
+        """Group request classes that need cores by the engines they may use; ordered by name."""
         groups: dict[tuple[frozenset[str], frozenset[str]], list[RequestClassDemand]] = {}
         for request_class in self.request_classes:
             if request_class.cores > 0:
@@ -287,7 +296,7 @@
 
 
 def _index_sets(count: int) -> Iterable[tuple[int, ...]]:
-    """The sets of `count` groups that are checked: all, or the small ones and the whole.
+    """Yield the sets of `count` groups that are checked: all, or the small ones and the whole.
 
     >>> [*_index_sets(2)]
     [(0,), (1,), (0, 1)]
--- a/corkgauge/maintenance/chunk_transfer.py
+++ b/corkgauge/maintenance/chunk_transfer.py
@@ -1,7 +1,7 @@
 """Fetches a plan that is too large for one datagram, a few chunks at a time.
 
-Chunks of two states are never put together: each names the stamp of its state, and another stamp begins anew. Free of
-I/O.
+Chunks of two states are never put together: each names the stamp of its state, and another stamp
+begins anew. Free of I/O.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -18,8 +18,11 @@
 class Host(Protocol):
     """What a fetch may do."""
 
-    def send(self, name: str, body: list[Any]) -> None: ...
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def send(self, name: str, body: list[Any]) -> None:
+        """Send a message about the plan."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks."""
 
 
 def chunk_of(packed: bytes, index: int) -> tuple[int, bytes]:
@@ -33,7 +36,7 @@
 
 
 def chunks_of(packed: bytes, indexes: Sequence[int], fence: int, stamp: Stamp) -> Iterable[Chunk]:
-    """The chunks that a fetch asks for, as far as there are such."""
+    """Yield the chunks that a fetch asks for, as far as there are such."""
     for index in indexes[:MAX_CHUNKS_ANSWERED]:
         count, data = chunk_of(packed, index)
         if 0 <= index < count:
@@ -41,10 +44,11 @@
 
 
 class ChunkFetch:
-    """Asks `source` for its plan, datagram by datagram, until all is here; then calls `on_complete(stamp, bytes)`.
+    """Asks `source` for its plan, then calls `on_complete(stamp, bytes)`.
 
-    Chunks of another stamp than the one begun with start over with that: the source has gone on. Nothing of a stamp
-    below `least` counts. What does not come is asked for again after `retry_ticks`.
+    Chunks of another stamp than the one begun with start over with that: the source has gone on.
+    Nothing of a stamp below `least` counts. What does not come is asked for again after
+    `retry_ticks`.
     """
 
     def __init__(
@@ -86,8 +90,8 @@
             self._request_missing()
 
     def _is_wanted(self, sender: str, chunk: Chunk) -> bool:
-        # A chunk that was asked for in an earlier span of leading comes late, and is of a state that has been changed
-        # since by agreement: it is below `least`.
+        # A chunk that was asked for in an earlier span of leading comes late, and is of a state
+        # that has been changed since by agreement: it is below `least`.
         if self.is_over or sender != self.source or chunk.stamp < self.least:
             return False
         if not 0 <= chunk.index < chunk.count <= MAX_CHUNKS:
--- a/corkgauge/maintenance/commands.py
+++ b/corkgauge/maintenance/commands.py
@@ -1,7 +1,7 @@
-"""Operators' commands: kept where they were asked until the leader answers, and carried out by the leader.
+"""Operators' commands: kept where they were asked, and carried out by the leader.
 
-Every command has a key chosen by the operator's program; the same key asked again gives what has come of it. Free of
-I/O: the service sends, keeps time and answers over HTTP.
+Every command has a key chosen by the operator's program; the same key asked again gives what has
+come of it. Free of I/O: the service sends, keeps time and answers over HTTP.
 """
 
 import json
@@ -26,12 +26,23 @@
     """What the commands need of the service. `loop_time` is tenths of a millisecond."""
 
     @property
-    def loop_time(self) -> int: ...
-    def leader_name(self) -> str: ...
-    def may_act(self, fence: int) -> bool: ...
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
-    def forward_command(self, leader: str, key: str, text: str) -> None: ...
-    def send_answer(self, to: str, key: str, answer: str, error: str) -> None: ...
+    def loop_time(self) -> int:
+        """Return the event loop's time, tenths of a millisecond."""
+
+    def leader_name(self) -> str:
+        """Name who is known to hold the lease; empty: nobody."""
+
+    def may_act(self, fence: int) -> bool:
+        """Whether the lease is held under this fence, now."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks."""
+
+    def forward_command(self, leader: str, key: str, text: str) -> None:
+        """Send an operator's command to the leader."""
+
+    def send_answer(self, to: str, key: str, answer: str, error: str) -> None:
+        """Answer a command that a gateway forwarded."""
 
 
 @dataclass(slots=True)
@@ -97,7 +108,7 @@
         return pending
 
     def _forward(self, key: str) -> None:
-        """Send the command to the leader, again and again until it answers or the command expires."""
+        """Send the command to the leader until it answers or the command expires."""
         pending = self.by_key.get(key)
         if pending is None or pending.error is not None:
             return
@@ -133,7 +144,10 @@
         self.unconfirmed.clear()
 
     def on_command(self, sender: str, key: str, text: str) -> None:
-        """Carry out a command that a gateway forwards. Raises ValueError for text that is no JSON."""
+        """Carry out a command that a gateway forwards.
+
+        Raises ValueError for text that is no JSON.
+        """
         if not self.host.may_act(self.proposer.fence):
             return
         if any((each.sender, each.key) == (sender, key) for each in self.unconfirmed):
--- a/corkgauge/maintenance/demand.py
+++ b/corkgauge/maintenance/demand.py
@@ -1,6 +1,7 @@
 """What the fleet has to do now, in cores by request class, as each gateway reports it.
 
-Free of I/O. A gateway that is silent is not taken for an idle one: what is not known counts as loaded.
+Free of I/O. A gateway that is silent is not taken for an idle one: what is not known counts as
+loaded.
 """
 
 from collections.abc import Iterable, Mapping
@@ -33,7 +34,7 @@
     >>> demand.record("n1", 0, {"lookup": 3.0})
     >>> tuple(demand.estimate(10, ["n1"]))
     ({'lookup': 3.0}, [])
-    >>> tuple(demand.estimate(10, ["n1", "n2"]))    # as much as the busiest that is known, and not known
+    >>> tuple(demand.estimate(10, ["n1", "n2"]))  # n2 counts as the busiest that is known
     ({'lookup': 6.0}, ['n2'])
     >>> demand.record("n1", 20, {"lookup": 1.0})
     >>> round(demand.estimate(20, ["n1"]).cores["lookup"], 2)
@@ -53,7 +54,7 @@
         self.reports[gateway] = LoadReport(now_ticks, with_peaks)
 
     def estimate(self, now_ticks: int, gateways: Iterable[str]) -> FleetDemand:
-        """The demand on all these gateways; each of unknown load counts as the busiest that is known."""
+        """Sum the demand on these gateways; one of unknown load counts as the busiest known."""
         fresh: list[Mapping[str, float]] = []
         unknown: list[str] = []
         for name in gateways:
--- a/corkgauge/maintenance/fleet_view.py
+++ b/corkgauge/maintenance/fleet_view.py
@@ -1,7 +1,7 @@
-"""What one gateway knows of the fleet: engines, gateways, request classes, and the load that arrives here.
+"""What one gateway knows of the fleet: engines, gateways, request classes, and its load.
 
-Reads the host's engine pools and the member list; decides nothing. Times of the event loop and times since boot are
-both tenths of a millisecond; they are never mixed.
+Reads the host's engine pools and the member list; decides nothing. Times of the event loop and
+times since boot are both tenths of a millisecond; they are never mixed.
 """
 
 from collections import deque
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnlistedEngine:
-    """An engine that the endpoint list no longer names, and when it was missed first, since boot."""
+    """An engine that the endpoint list no longer names, and when that was noticed."""
 
     fact: EngineFact
     since_ticks: int
@@ -111,7 +111,8 @@
         return EngineCondition.HEALTHY
 
     def _remember_unlisted(self, found: dict[str, EngineFact]) -> None:
-        # A dead engine soon leaves the list; forgotten at once, its cores would not count as missing.
+        # A dead engine soon leaves the list; forgotten at once, its cores would not count as
+        # missing.
         now = boot_time()
         self.unlisted = {
             tag: missing
@@ -134,14 +135,17 @@
         return ejected[:MAX_EJECTED_REPORTED]
 
     def address_of(self, tag: str) -> str:
-        """The engine's `host:port` as the list last told it; empty for one that is not listed."""
+        """Return the engine's `host:port` as listed last; empty for one that is not listed."""
         engine_pool = self.socket_host.engine_pools.get(tag)
         return "" if engine_pool is None else format_address(engine_pool.address)
 
     # What of ours may still run on an engine.
 
     def record_attempt_end(self, tag: str, outcome: int) -> None:
-        """Note an attempt that ended; one that ended uncertainly may run on for the settling time."""
+        """Note an attempt that ended.
+
+        One that ended uncertainly may run on at the engine for the settling time.
+        """
         if outcome in UNCERTAIN_OUTCOMES:
             now = self.event_loop.now
             self.uncertain_until[tag] = now + self.socket_host.gateway.settle
@@ -154,11 +158,11 @@
             self.idle_at[tag] = boot_time()
 
     def idle_since(self, tags: Sequence[str]) -> int:
-        """When the last of these engines reported nothing in flight, ticks since boot; -1: some never did."""
+        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
         return min((self.idle_at.get(tag, -1) for tag in tags), default=-1)
 
     def is_engine_quiet(self, tag: str) -> bool:
-        """Nothing of this gateway's is open at the engine, in doubt there, or bound to it by its key."""
+        """Whether nothing of ours is open or uncertain at the engine, or bound to it by key."""
         if self.event_loop.now < self.uncertain_until.get(tag, 0):
             return False
         engine_pool = self.socket_host.engine_pools.get(tag)
@@ -174,7 +178,10 @@
     # Demand.
 
     def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
-        """The request classes with the cores that each needs now; one that `cores` does not name needs none."""
+        """Return the request classes with the cores that each needs now.
+
+        One that `cores` does not name needs none.
+        """
         settings = self.socket_host.settings
         return [
             RequestClassDemand(
--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -1,4 +1,4 @@
-"""Which waiting units may begin: the plan and the gateways' reports, turned into a snapshot for the schedule."""
+"""Which waiting units may begin, by the plan and the gateways' reports."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -29,7 +29,10 @@
         self.limits = limits
 
     def grantable(self, plan: Plan) -> list[str]:
-        """Names of the units to be granted now; why the others wait goes to the leadership's objections."""
+        """Name the units to be granted now.
+
+        Why the others wait goes to the leadership's objections.
+        """
         waiting = [
             self._waiting_unit(unit, plan, place)
             for place, unit in enumerate(plan.units_in(UnitState.ASKED))
@@ -46,18 +49,22 @@
         return decision.granted
 
     def _must_wait_for_returns(self, snapshot: CapacitySnapshot, plan: Plan) -> bool:
-        """More load than what is left takes well: nothing new goes until something has come back."""
+        """Whether nothing may go out until something has come back.
+
+        So it is while there is more load than the engines left take well.
+        """
         if not snapshot.find_overload(snapshot.unavailable_engines()):
             return False
         return bool(plan.units_in(UnitState.OUT, UnitState.RETURNING))
 
     def snapshot(self, plan: Plan) -> CapacitySnapshot:
-        """The facts of this moment: engines, demand, gateways, and what the plan has taken."""
+        """Gather the facts of this moment: engines, demand, gateways, what the plan has taken."""
         gateways = self.host.gateways()
         # One that ended in order has no load; its clients are with the others.
         running = [name for name, status in gateways.items() if not status.has_left]
         cores, unknown = self.leadership.demand.estimate(self.host.now, running)
-        # One that is not heard counts as the busiest that is; where nobody is heard, nothing can be said.
+        # One that is not heard counts as the busiest that is; where nobody is heard, nothing can be
+        # said.
         is_all_unknown = len(unknown) >= len(running)
         taken = plan.units_in(*TAKEN_STATES)
         engines = {tag: self._as_reported(fact) for tag, fact in self.host.engines().items()}
--- a/corkgauge/maintenance/leadership.py
+++ b/corkgauge/maintenance/leadership.py
@@ -1,7 +1,7 @@
 """What the leader of maintenance knows while it holds the lease, and the clock that it counts by.
 
-All parts of the planner share one `Leadership`. Begun anew with each lease: what an earlier leader was told does not
-count for its successor.
+All parts of the planner share one `Leadership`. Begun anew with each lease: what an earlier leader
+was told does not count for its successor.
 """
 
 from collections import Counter
@@ -19,22 +19,46 @@
     """What a planner may do. `now` is tenths of a millisecond since boot."""
 
     @property
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """Return the tenths of a millisecond since boot."""
 
     name: str
 
-    def may_act(self, fence: int) -> bool: ...
-    def gateways(self) -> Mapping[str, GatewayStatus]: ...
-    def voters(self) -> Sequence[str]: ...
-    def engines(self) -> Mapping[str, EngineFact]: ...
-    def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]: ...
-    def machines(self) -> Mapping[str, Sequence[str]]: ...
-    def idle_since(self, tags: Sequence[str]) -> int: ...
-    def send_orders(self, name: str, body: list[Any]) -> None: ...
-    def request_report(self, name: str) -> None: ...
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
-    def hand_over_lease(self, reason: str) -> None: ...
-    def log(self, line: str) -> None: ...
+    def may_act(self, fence: int) -> bool:
+        """Whether the lease is held under this fence, now."""
+
+    def gateways(self) -> Mapping[str, GatewayStatus]:
+        """Return every gateway of the fleet by name."""
+
+    def voters(self) -> Sequence[str]:
+        """Name the gateways that have a plan replica."""
+
+    def engines(self) -> Mapping[str, EngineFact]:
+        """Return every engine by its host reference."""
+
+    def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
+        """Return the request classes, with the cores that each needs."""
+
+    def machines(self) -> Mapping[str, Sequence[str]]:
+        """Return engines by the machine that they share."""
+
+    def idle_since(self, tags: Sequence[str]) -> int:
+        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
+
+    def send_orders(self, name: str, body: list[Any]) -> None:
+        """Send one part of the orders to a gateway."""
+
+    def request_report(self, name: str) -> None:
+        """Ask a gateway to report at once."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks."""
+
+    def hand_over_lease(self, reason: str) -> None:
+        """Give the lease up, so that another gateway takes it."""
+
+    def log(self, line: str) -> None:
+        """Write one line to the program's log."""
 
 
 class Leadership:
@@ -54,7 +78,7 @@
         self.time_base_ticks = 0
 
     def begin(self) -> None:
-        """The lease has just been gained: nothing is known yet."""
+        """Forget what was known: the lease has just been gained."""
         self.is_forgotten = False
         self.demand = Demand()
         self.reports = {}
@@ -65,7 +89,10 @@
         self.time_base_ticks = 0
 
     def on_plan_led(self) -> None:
-        """A majority has the first step: what went before is agreed, and maintenance time goes on from it."""
+        """Go on from the plan taken over: a majority has our first step.
+
+        Maintenance time continues from that of the plan.
+        """
         plan = self.proposer.plan
         self.clock_base_ticks = self.host.now
         self.time_base_ticks = plan.time_ticks
@@ -75,12 +102,15 @@
             self.stamps[unit.name] = {unit.state: self.proposer.stamp}
 
     def forget_unit(self, name: str) -> None:
-        """The unit is back."""
+        """Forget a unit that is back."""
         self.stamps.pop(name, None)
         self.objections.pop(name, None)
 
     def maintenance_time(self) -> int:
-        """Tenths of a millisecond in which somebody has led; never less than the agreed plan has."""
+        """Return the tenths of a millisecond in which somebody has led.
+
+        Never less than the agreed plan has.
+        """
         elapsed_ticks = self.host.now - self.clock_base_ticks
         return max(self.time_base_ticks + elapsed_ticks, self.proposer.plan.time_ticks)
 
--- a/corkgauge/maintenance/messages.py
+++ b/corkgauge/maintenance/messages.py
@@ -1,10 +1,10 @@
 """Datagrams of the subject `works`: typed records, and the lists they are on the wire.
 
-A body is a msgpack list whose first element is the kind of message. The words of the wire are those of the first
-version, as a fleet is upgraded one instance at a time.
+A body is a msgpack list whose first element is the kind of message. The words of the wire are those
+of the first version, as a fleet is upgraded one instance at a time.
 """
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
@@ -23,8 +23,8 @@
 class Orders:
     """One part of the leader's orders: the unit state of each engine or gateway that is named.
 
-    `fence` and `number` are the stamp of the plan, `echo` the serial number of the report that is answered (0: none),
-    `part` counts from 0 to `parts` - 1.
+    `fence` and `number` are the stamp of the plan, `echo` the serial number of the report that is
+    answered (0: none), `part` counts from 0 to `parts` - 1.
     """
 
     fence: int
@@ -46,9 +46,10 @@
 class Report:
     """What a gateway answers for.
 
-    `fence` and `number` are the stamp of the orders it holds on disk, `closed` some of the engines where nothing of
-    its is open, `closed_count` how many those are in all. `loads` are cores by request class, `ejected` engines that
-    it has ejected; `holds_no_lease` is True where it holds no lease and is no candidate.
+    `fence` and `number` are the stamp of the orders it holds on disk, `closed` some of the engines
+    where nothing of its is open, `closed_count` how many those are in all. `loads` are cores by
+    request class, `ejected` engines that it has ejected; `holds_no_lease` is True where it holds no
+    lease and is no candidate.
     """
 
     serial: int
@@ -95,7 +96,9 @@
     ejected: Sequence[str],
     holds_no_lease: bool,
 ) -> list[Any]:
-    """The body of a report. Loads are rounded up to the next hundredth of a core, so that none counts as idle.
+    """Encode the body of a report.
+
+    Loads go up to the next hundredth of a core, so that no load counts as none.
 
     >>> encode_report([1, 7, 4, False, ["e1"], 1], {"lookup": 2.5}, [], True)
     ['word', 1, 7, 4, False, ['e1'], 1, {'lookup': 251}, [], True]
@@ -105,7 +108,7 @@
 
 
 def decode(body: Any) -> Message | None:
-    """The message in a datagram's body; None for a kind that this version does not know.
+    """Decode a datagram's body; None for a kind that this version does not know.
 
     Raises TypeError or ValueError where the body is no list, or has not the fields of its kind.
     """
@@ -148,7 +151,7 @@
     return Answer(key, answer, error)
 
 
-_DECODERS = {
+_DECODERS: dict[str, Callable[[list[Any]], Message]] = {
     ORDERS: _orders,
     REPORT_REQUEST: _report_request,
     REPORT: _report,
--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -1,7 +1,7 @@
 """What operators ask of the leader: each command checked against the plan, and proposed as changes.
 
-Every method gives the line that is told to the operator, or raises ValueError with the reason. A reason that contains
-`try again` is not told: the operator's gateway asks again by itself.
+Every method gives the line that is told to the operator, or raises ValueError with the reason. A
+reason that contains `try again` is not told: the operator's gateway asks again by itself.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -41,7 +41,8 @@
 class OperatorRequests:
     """Carries out operators' commands at the leader.
 
-    `declare_out(tags, by)` begins a new plan after the loss of everything, with these engines and gateways out.
+    `declare_out(tags, by)` begins a new plan after the loss of everything, with these engines and
+    gateways out.
     """
 
     def __init__(
@@ -66,7 +67,9 @@
         within_ticks: int,
         lasting_ticks: int,
     ) -> str:
-        """Request maintenance of what `names` says, each unit for `lasting_ticks`, all of it within `within_ticks`.
+        """Request maintenance of what is named.
+
+        Each unit takes `lasting_ticks`; all should be over within `within_ticks`.
 
         `within_ticks` 0 means any time. The same id again changes nothing.
         """
@@ -100,7 +103,7 @@
         return "asked"
 
     def _new_units(self, kind: str, names: Sequence[str], plan: Plan) -> list[PlannedUnit]:
-        """The units that the names come to and that are not in the plan yet."""
+        """Find the units that the names come to and that are not in the plan yet."""
         zones = {tag: fact.zone for tag, fact in self.host.engines().items()}
         found = units_for_request(kind, names, zones, self.host.machines(), self.host.gateways())
         units = [unit for unit in found if unit.name not in plan.units]
@@ -143,12 +146,13 @@
             elif unit.state in (UnitState.GRANTED, UnitState.DRAINING):
                 changes.append(["state", unit.name, UnitState.RETURNING, f"cancelled by {by}"])
         self._propose(changes)
-        # On a machine that was told to be out somebody may be at work; only its owner's `done` ends that.
+        # On a machine that was told to be out somebody may be at work; only its owner's `done` ends
+        # that.
         out = sorted(unit.name for unit in units if unit.state in (UnitState.OUT, UnitState.LATE))
         return f"cancelled, but for what is out: {' '.join(out)}" if out else "cancelled"
 
     def done(self, names: Sequence[str], by: str) -> str:
-        """The work on these units, or on all of a request that are out, is over."""
+        """Let units return whose work is over, named themselves or by their request."""
         plan = self._plan()
         units = [
             unit
@@ -177,7 +181,7 @@
         return "overruled"
 
     def tell_known(self, out: Sequence[str], by: str) -> str:
-        """After the loss of everything, or before the first use: take an operator's word on what is out."""
+        """Take an operator's word on what is out, after the loss of everything or at first."""
         if not self.leadership.is_forgotten:
             if self._plan().known == f"told by {by}":
                 return "taken"
@@ -186,7 +190,7 @@
         raise ValueError("being agreed, try again")
 
     def _plan(self) -> Plan:
-        """The plan as it will be with all that is proposed."""
+        """Return the plan as it will be with all that is proposed."""
         if self.leadership.has_plan():
             return self.proposer.plan_with_pending()
         if self.leadership.is_forgotten:
@@ -206,7 +210,7 @@
     machines: Mapping[str, Sequence[str]],
     gateways: Iterable[str],
 ) -> list[PlannedUnit]:
-    """The units that a request comes to. Engines of one machine go together.
+    """Find the units that a request comes to; engines of one machine go together.
 
     `zones` has the zone of each engine that is listed. Raises ValueError, naming what there is not.
 
@@ -231,7 +235,7 @@
             continue
         for tag in sorted(_engines_named(kind, name, zones, machines)):
             machine = machine_of.get(tag)
-            members = (tag,)
+            members: tuple[str, ...] = (tag,)
             if machine:
                 members = tuple(
                     sorted(each for each in machines[machine] if each in zones or each == tag)
--- a/corkgauge/maintenance/orders.py
+++ b/corkgauge/maintenance/orders.py
@@ -10,11 +10,12 @@
 
 
 def encode_orders(states: Mapping[str, int], stamp: Stamp, echo: int) -> list[list[Any]]:
-    """The bodies that carry all states: [fence, number, echo, part, parts, states].
+    """Encode the bodies that carry all states: [fence, number, echo, part, parts, states].
 
     `echo` is the serial number of the gateway's last report: its grant counts from that.
 
-    >>> [len(body[5]) for body in encode_orders({f"engine-{n:03}": 2 for n in range(100)}, (7, 1), 3)]
+    >>> states = {f"engine-{n:03}": 2 for n in range(100)}
+    >>> [len(body[5]) for body in encode_orders(states, (7, 1), 3)]
     [61, 39]
     >>> encode_orders({}, (7, 1), 3)
     [[7, 1, 3, 0, 1, {}]]
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -1,13 +1,13 @@
 """A gateway's part in maintenance: the orders that it heeds, and what it may answer for.
 
-Orders name each engine with the state of its unit. `granted` (announced): this gateway sends there only while its
-grant runs, which counts from when it wrote the report that the leader answers; so a gateway that is cut off afterwards
-is known to stop. From `draining` on: nothing new; once nothing of its is open there the engine is closed, written to
-disk, and confirmed.
-
-Free of I/O: its host cordons engines, says whether anything is open there, sends and writes. Nothing is confirmed that
-might be forgotten, and no orders are taken that are older than those in force. Where nothing was announced nothing of
-this holds up serving.
+Orders name each engine with the state of its unit. `granted` (announced): this gateway sends there
+only while its grant runs, which counts from when it wrote the report that the leader answers; so a
+gateway that is cut off afterwards is known to stop. From `draining` on: nothing new; once nothing
+of its is open there the engine is closed, written to disk, and confirmed.
+
+Free of I/O: its host cordons engines, says whether anything is open there, sends and writes.
+Nothing is confirmed that might be forgotten, and no orders are taken that are older than those in
+force. Where nothing was announced nothing of this holds up serving.
 """
 
 from collections.abc import Callable, Mapping
@@ -30,7 +30,7 @@
 
 
 class OrderedState(NamedTuple):
-    """The state of an engine's unit, as ordered, and the address under which the list last named the engine."""
+    """The state of an engine's unit, as ordered, and the engine's address as listed last."""
 
     state: int
     address: str
@@ -49,21 +49,36 @@
     """What a participant may do. `now` is tenths of a millisecond since boot."""
 
     @property
-    def now(self) -> int: ...
-    def refresh_cordons(self) -> None: ...  # each engine, and this gateway, as `cordon_of` says
-    def is_quiet(self, tag: str) -> bool: ...  # nothing of this gateway's is open there
-    def address_of(self, tag: str) -> str: ...  # as the list last told it; empty: not in the list
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
-    def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None: ...
-    def on_engines_closed(self) -> None: ...  # a report is worth sending
-    def log(self, line: str) -> None: ...
+    def now(self) -> int:
+        """Return the tenths of a millisecond since boot."""
+
+    def refresh_cordons(self) -> None:
+        """Cordon each engine, and this gateway, as `cordon_of` says."""
+
+    def is_quiet(self, tag: str) -> bool:
+        """Whether nothing of this gateway's is open there."""
+
+    def address_of(self, tag: str) -> str:
+        """Return the engine's `host:port` as listed last; empty: not in the list."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks."""
+
+    def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
+        """Call `then` once the record is safe on disk."""
+
+    def on_engines_closed(self) -> None:
+        """Report to the leader: engines are closed here."""
+
+    def log(self, line: str) -> None:
+        """Write one line to the program's log."""
 
 
 class Participant:
     """Heeds orders, and closes engines.
 
-    `grant_ticks` is the span of a grant. `stored` is what the disk gave, [stamp, levels, closed], or None: then the
-    participant is blank.
+    `grant_ticks` is the span of a grant. `stored` is what the disk gave, [stamp, levels, closed],
+    or None: then the participant is blank.
     """
 
     checks_fence = True  # False shows, in tests, what the look at the fence is for
@@ -113,12 +128,14 @@
     def must_wait(self, patience_ticks: int, has_met: bool, other_leader: str) -> bool:
         """Whether it is too early to accept clients.
 
-        `has_met` is whether a member was reached, `other_leader` who is known to hold the lease, or empty.
+        `has_met` is whether a member was reached, `other_leader` who is known to hold the lease, or
+        empty.
 
-        A gateway that has forgotten over a restart, or remembers what was true before it, would send to a machine that
-        is out. So it waits for orders: for a moment after its start and after it has reached a member, as either may be
-        slow, and for a leader that is known; but it serves all the same where nobody is there or nobody knows, and
-        after MAX_PATIENCE_SPANS such moments whatever is.
+        A gateway that has forgotten over a restart, or remembers what was true before it, would
+        send to a machine that is out. So it waits for orders: for a moment after its start and
+        after it has reached a member, as either may be slow, and for a leader that is known; but it
+        serves all the same where nobody is there or nobody knows, and after MAX_PATIENCE_SPANS such
+        moments whatever is.
         """
         now = self.host.now
         if self.has_orders or now >= self.started_at + MAX_PATIENCE_SPANS * patience_ticks:
@@ -183,7 +200,10 @@
         self._write()
 
     def _extend_grant(self, until: int) -> None:
-        """Counted from before the grant was asked for: whatever time the datagrams took is lost, not gained."""
+        """Extend the grant, counted from before it was asked for.
+
+        Whatever time the datagrams took is lost, not gained.
+        """
         if until <= self.granted_until:
             return
         had_lapsed = self.host.now >= self.granted_until
@@ -193,7 +213,10 @@
             self.host.refresh_cordons()
 
     def _on_grant_end(self, until: int) -> None:
-        """Stop sending where work was announced: cut off from the leader, we could not hear that it begins."""
+        """Stop sending where work was announced.
+
+        Cut off from the leader, we could not hear that the work begins.
+        """
         if until == self.granted_until and self.levels:
             self.host.refresh_cordons()
 
@@ -211,9 +234,10 @@
         return UnitState.ASKED if level is None else level.state
 
     def cordon_of(self, tag: str, address: str = "") -> Cordon:
-        """What may be sent to the engine, or to this gateway, now.
+        """Say what may be sent to the engine, or to this gateway, now.
 
-        An engine that the list names anew, at the address where maintenance is on, is the same machine.
+        An engine that the list names anew, at the address where maintenance is on, is the same
+        machine.
         """
         if tag not in self.levels:
             tag = self.tag_by_address.get(address, tag)
@@ -250,12 +274,13 @@
     def _write(self) -> None:
         """Write before anything is confirmed.
 
-        A gateway that confirmed, and forgets it over a restart, would send to a machine that is open on a bench.
+        A gateway that confirmed, and forgets it over a restart, would send to a machine that is
+        open on a bench.
         """
         self.host.write_record(self.record(), self._on_written, self.stamp, frozenset(self.closed))
 
     def record(self) -> list[Any]:
-        """What is stored: [stamp, levels, closed]."""
+        """Return what is stored: [stamp, levels, closed]."""
         levels = {tag: [*level] for tag, level in self.levels.items()}
         return [[*self.stamp], levels, sorted(self.closed)]
 
@@ -267,9 +292,10 @@
     # Reports to the leader.
 
     def report_fields(self) -> list[Any]:
-        """What this gateway answers for: [serial, fence, number, blank, closed, how many are closed].
+        """Begin a report: [serial, fence, number, blank, closed, how many are closed].
 
-        Its grant counts from now. Closed engines that do not fit one datagram go with the next reports, in turn.
+        Its grant counts from now. Closed engines that do not fit one datagram go with the next
+        reports, in turn.
         """
         self.report_serial += 1
         self.written_at[self.report_serial] = self.host.now
--- a/corkgauge/maintenance/plan.py
+++ b/corkgauge/maintenance/plan.py
@@ -1,17 +1,18 @@
 """The maintenance plan: what was requested, where each unit stands, and what has happened.
 
-A majority of plan replicas holds it. It changes by a list of small changes alone; all who apply the same changes in the
-same order end up with the same plan. Free of I/O and of clocks; looks at nothing but the plan and the change, whoever
-proposes a change has looked at the rest.
+A majority of plan replicas holds it. It changes by a list of small changes alone; all who apply the
+same changes in the same order end up with the same plan. Free of I/O and of clocks; looks at
+nothing but the plan and the change, whoever proposes a change has looked at the rest.
 
-A *unit* is what goes out together: one engine, the engines that share a machine, or one gateway. Its states:
+A *unit* is what goes out together: one engine, the engines that share a machine, or one gateway.
+Its states:
 
     asked > granted > draining > out > returning > back      each once
                                  out > late > returning      it did not come back within its time
-            granted, draining > returning                    its request was cancelled before the work began
+            granted, draining > returning                    cancelled before the work began
 
-Time in a plan is *maintenance time*, tenths of a millisecond in which somebody has held the lease: it only grows,
-whatever the clocks of machines are set to, and stands still while nobody leads.
+Time in a plan is *maintenance time*, tenths of a millisecond in which somebody has held the lease:
+it only grows, whatever the clocks of machines are set to, and stands still while nobody leads.
 """
 
 from collections import deque
@@ -20,7 +21,7 @@
 from enum import IntEnum, StrEnum
 from typing import Any, NamedTuple
 
-import msgpack
+import msgpack  # type: ignore[import-untyped]
 
 
 class UnitState(IntEnum):
@@ -72,8 +73,9 @@
 class MaintenanceRequest:
     """What an operator requested.
 
-    `due_ticks` is the maintenance time by which it should be over, `lasting_ticks` what one unit's work takes, `count`
-    how many units it has, `at_ticks` when it was taken. `cancelled` names who cancelled it; empty: nobody.
+    `due_ticks` is the maintenance time by which it should be over, `lasting_ticks` what one unit's
+    work takes, `count` how many units it has, `at_ticks` when it was taken. `cancelled` names who
+    cancelled it; empty: nobody.
     """
 
     id: str
@@ -89,12 +91,15 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> "MaintenanceRequest":
-        """Decode the list that a change or a stored plan holds. Raises ValueError for another number of fields."""
+        """Decode the list that a change or a stored plan holds.
+
+        Raises ValueError for another number of fields.
+        """
         id_, kind, names, owner, reason, due, lasting, count, cancelled, at = fields
         return cls(id_, kind, [*names], owner, reason, due, lasting, count, cancelled, at)
 
     def to_wire(self) -> list[Any]:
-        """The list that a change or a stored plan holds."""
+        """Encode the list that a change or a stored plan holds."""
         return [
             self.id,
             self.kind,
@@ -113,9 +118,9 @@
 class Unit:
     """One unit of a request. `members` are engines' references, or one gateway's name.
 
-    `state` is a UnitState, or the number that a later version stored. `since_ticks` is the maintenance time at which it
-    came into that state, `began_ticks` at which it went out (0: not yet). `overruled` are gateways that an operator
-    said need not be waited for.
+    `state` is a UnitState, or the number that a later version stored. `since_ticks` is the
+    maintenance time at which it came into that state, `began_ticks` at which it went out (0: not
+    yet). `overruled` are gateways that an operator said need not be waited for.
     """
 
     name: str
@@ -130,12 +135,15 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> "Unit":
-        """Decode the list that a stored plan holds. Raises ValueError for another number of fields."""
+        """Decode the list that a stored plan holds.
+
+        Raises ValueError for another number of fields.
+        """
         name, request_id, kind, members, state, since, why, began, overruled = fields
         return cls(name, request_id, kind, [*members], state, since, why, began, [*overruled])
 
     def to_wire(self) -> list[Any]:
-        """The list that a stored plan holds."""
+        """Encode the list that a stored plan holds."""
         return [
             self.name,
             self.request_id,
@@ -161,7 +169,10 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> "HistoryEntry":
-        """Decode the list that a stored plan holds. Raises ValueError for another number of fields."""
+        """Decode the list that a stored plan holds.
+
+        Raises ValueError for another number of fields.
+        """
         serial, at_ticks, unit, state, request_id, why = fields
         return cls(serial, at_ticks, unit, state, request_id, why)
 
@@ -170,8 +181,9 @@
     """Requests, units and history, with the changes that apply to them.
 
     >>> plan = Plan()
-    >>> plan.apply([["known", "first start, told by ada"], ["ask", ["a1", "engine", ["e1"], "ada", "disk", 900, 60, 1,
-    ...                                                               "", 0]], ["unit", "e1", "a1", "engine", ["e1"]]])
+    >>> request = ["a1", "engine", ["e1"], "ada", "disk", 900, 60, 1, "", 0]
+    >>> unit = ["unit", "e1", "a1", "engine", ["e1"]]
+    >>> plan.apply([["known", "first start, told by ada"], ["ask", request], unit])
     >>> plan.apply([["time", 50], ["state", "e1", 1, "fits"]])
     >>> plan.units["e1"].since_ticks, [[entry.unit, entry.state.value] for entry in plan.history]
     (50, [['e1', 0], ['e1', 1]])
@@ -194,8 +206,8 @@
     def apply(self, changes: Iterable[Sequence[Any]]) -> None:
         """Apply all changes, in order.
 
-        Raises InvalidChangeError at the first that does not fit; those before it hold then, so whoever proposes changes
-        tries them on a copy first.
+        Raises InvalidChangeError at the first that does not fit; those before it hold then, so
+        whoever proposes changes tries them on a copy first.
         """
         for word, *arguments in changes:
             method = _CHANGES.get(word)
@@ -204,7 +216,7 @@
             method(self, *arguments)
 
     def with_changes(self, changes: Iterable[Sequence[Any]]) -> "Plan":
-        """A copy with the changes. Raises InvalidChangeError where they do not fit."""
+        """Copy the plan, with the changes. Raises InvalidChangeError where they do not fit."""
         plan = Plan.unpacked(self.packed())
         plan.apply(changes)
         return plan
@@ -290,7 +302,10 @@
     # The whole.
 
     def packed(self) -> bytes:
-        """The plan as it is stored and sent, msgpack: the same plan gives the same bytes everywhere."""
+        """Encode the plan as it is stored and sent, msgpack.
+
+        The same plan gives the same bytes everywhere.
+        """
         fields = [
             self.time_ticks,
             self.known,
@@ -300,7 +315,8 @@
             [*self.history],
             self.serial,
         ]
-        return msgpack.packb(fields)
+        packed: bytes = msgpack.packb(fields)
+        return packed
 
     @staticmethod
     def unpacked(data: bytes) -> "Plan":
@@ -324,11 +340,14 @@
     # What follows from it.
 
     def units_in(self, *states: UnitState) -> list[Unit]:
-        """The units in any of these states, in the order in which they were requested."""
+        """List the units in any of these states, in the order in which they were requested."""
         return [unit for unit in self.units.values() if unit.state in states]
 
     def ordered_states(self) -> dict[str, int]:
-        """What each gateway has to heed: the unit's state, by engine's reference or gateway's name."""
+        """Return what each gateway has to heed.
+
+        The unit's state, by engine's reference or gateway's name.
+        """
         return {
             member: unit.state
             for unit in self.units.values()
--- a/corkgauge/maintenance/plan_copy.py
+++ b/corkgauge/maintenance/plan_copy.py
@@ -1,13 +1,14 @@
-"""The plan as shown at gateways that do not lead: a copy fetched from the leader, with why each unit waits.
+"""The plan as shown at gateways that do not lead: a copy fetched from the leader.
 
-The copy travels as chunks under a datagram subject of its own, so that it never meets the replicas' messages.
+The copy travels as chunks under a datagram subject of its own, so that it never meets the replicas'
+messages.
 """
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-import msgpack
+import msgpack  # type: ignore[import-untyped]
 
 from corkgauge.maintenance.chunk_transfer import ChunkFetch, chunks_of
 from corkgauge.maintenance.plan import Plan
@@ -20,8 +21,11 @@
 class Host(Protocol):
     """What copying the plan needs of the service."""
 
-    def send_copy(self, name: str, body: list[Any]) -> None: ...
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
+    def send_copy(self, name: str, body: list[Any]) -> None:
+        """Send a message about a copy of the plan."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/corkgauge/maintenance/plan_history.py
+++ b/corkgauge/maintenance/plan_history.py
@@ -7,9 +7,12 @@
 
 
 def wrong_history(entries: Iterable[Sequence[Any]], max_taken: int = 0) -> list[str]:
-    """What is wrong: a step twice, one left out, or more units taken at once than `max_taken` (0: any number).
+    """List what is wrong: a step twice, one left out, or too many units taken at once.
 
-    >>> wrong_history([[1, 0, "e1", 0, "a", ""], [2, 5, "e1", 1, "a", ""], [3, 6, "e1", 1, "a", ""]])
+    `max_taken` is how many may be taken at once (0: any number).
+
+    >>> rows = [[1, 0, "e1", 0, "a", ""], [2, 5, "e1", 1, "a", ""], [3, 6, "e1", 1, "a", ""]]
+    >>> wrong_history(rows)
     ['entry 3: e1 of a is granted after granted']
     >>> wrong_history([[n, 0, e, s, "a", ""] for n, (e, s) in enumerate(
     ...     [(e, s) for s in (0, 1, 2) for e in ("e1", "e2")], 1)], 1)
--- a/corkgauge/maintenance/plan_messages.py
+++ b/corkgauge/maintenance/plan_messages.py
@@ -1,6 +1,7 @@
-"""Datagrams between plan replicas and plan proposers: typed records, and the lists they are on the wire.
+"""Datagrams between plan replicas and proposers: typed records, and their lists on the wire.
 
-A body is a msgpack list that begins with the kind and the fence. Fields that a later version appends are ignored.
+A body is a msgpack list that begins with the kind and the fence. Fields that a later version
+appends are ignored.
 """
 
 from collections.abc import Sequence
@@ -14,7 +15,8 @@
 class MessageKind(IntEnum):
     """Kinds of messages; the numbers are those of the wire.
 
-    From a proposer to replicas: PREPARE, ACCEPT. To a proposer: PROMISE, ACCEPTED, PREEMPTED. Either way: FETCH, CHUNK.
+    From a proposer to replicas: PREPARE, ACCEPT. To a proposer: PROMISE, ACCEPTED, PREEMPTED.
+    Either way: FETCH, CHUNK.
     """
 
     PREPARE = 0
@@ -36,7 +38,7 @@
     fence: int
 
     def encode(self) -> list[Any]:
-        """The body of the datagram."""
+        """Return the body of the datagram."""
         return [MessageKind.PREPARE.value, self.fence]
 
 
@@ -49,7 +51,7 @@
     is_blank: bool
 
     def encode(self) -> list[Any]:
-        """The body of the datagram."""
+        """Return the body of the datagram."""
         return [MessageKind.PROMISE.value, self.fence, *self.stamp, self.is_blank]
 
 
@@ -63,7 +65,7 @@
     changes: Sequence[Any]
 
     def encode(self) -> list[Any]:
-        """The body of the datagram."""
+        """Return the body of the datagram."""
         return [MessageKind.ACCEPT.value, self.fence, *self.before, self.number, self.changes]
 
 
@@ -75,7 +77,7 @@
     stamp: Stamp
 
     def encode(self) -> list[Any]:
-        """The body of the datagram."""
+        """Return the body of the datagram."""
         return [MessageKind.ACCEPTED.value, self.fence, *self.stamp]
 
 
@@ -87,7 +89,7 @@
     promised: int
 
     def encode(self) -> list[Any]:
-        """The body of the datagram."""
+        """Return the body of the datagram."""
         return [MessageKind.PREEMPTED.value, self.fence, self.promised]
 
 
@@ -100,7 +102,7 @@
     indexes: Sequence[int]
 
     def encode(self) -> list[Any]:
-        """The body of the datagram."""
+        """Return the body of the datagram."""
         return [MessageKind.FETCH.value, self.fence, [*(self.stamp or ())], self.indexes]
 
 
@@ -115,7 +117,7 @@
     data: bytes
 
     def encode(self) -> list[Any]:
-        """The body of the datagram."""
+        """Return the body of the datagram."""
         kind = MessageKind.CHUNK.value
         return [kind, self.fence, *self.stamp, self.index, self.count, self.data]
 
@@ -131,7 +133,10 @@
 
 
 def decode(body: Sequence[Any]) -> Message:
-    """The message in a datagram's body. Raises IndexError, TypeError or ValueError where fields are missing."""
+    """Decode a datagram's body.
+
+    Raises IndexError, TypeError or ValueError where fields are missing.
+    """
     kind, fence = body[:2]
     match kind:
         case MessageKind.PREPARE:
--- a/corkgauge/maintenance/plan_proposer.py
+++ b/corkgauge/maintenance/plan_proposer.py
@@ -1,11 +1,11 @@
 """The plan proposer: takes the plan over from a majority of replicas, and changes it step by step.
 
-Nothing counts before a majority of replicas has it *and* the lease is still held at that very moment; and no plan is
-begun from less than a majority of replicas that remember. Free of I/O.
+Nothing counts before a majority of replicas has it *and* the lease is still held at that very
+moment; and no plan is begun from less than a majority of replicas that remember. Free of I/O.
 
-Why the look at the lease as a step is counted: a replica without a disk that came back has forgotten what it promised
-to a later leader. While we hold the lease there is no later leader, so nothing was forgotten that speaks against the
-step.
+Why the look at the lease as a step is counted: a replica without a disk that came back has
+forgotten what it promised to a later leader. While we hold the lease there is no later leader, so
+nothing was forgotten that speaks against the step.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,7 +13,7 @@
 from enum import IntEnum
 from typing import Any, Protocol
 
-import msgpack
+import msgpack  # type: ignore[import-untyped]
 
 from corkgauge.maintenance.chunk_transfer import ChunkFetch, chunks_of
 from corkgauge.maintenance.plan import InvalidChangeError, Plan
@@ -39,7 +39,7 @@
 
 
 class ProposerState(IntEnum):
-    """How far the proposer has come; `STATE_WORDS` are the words operators read."""
+    """How far the proposer has come, which operators read in the words of STATE_WORDS."""
 
     IDLE = 0
     TAKING_OVER = 1
@@ -52,17 +52,34 @@
 
 
 class Host(Protocol):
-    """What a proposer may do. `may_act(fence)`: is the lease held under it, now?"""
+    """What a proposer may do."""
 
-    def may_act(self, fence: int) -> bool: ...
-    def voters(self) -> Sequence[str]: ...
-    def send(self, name: str, body: list[Any]) -> None: ...
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
-    def on_plan_led(self) -> None: ...
-    def on_changes_agreed(self, changes: Sequence[Change]) -> None: ...
-    def on_plan_forgotten(self) -> None: ...
-    def on_preempted(self, fence: int) -> None: ...
-    def log(self, line: str) -> None: ...
+    def may_act(self, fence: int) -> bool:
+        """Whether the lease is held under this fence, now."""
+
+    def voters(self) -> Sequence[str]:
+        """Name the gateways that have a plan replica."""
+
+    def send(self, name: str, body: list[Any]) -> None:
+        """Send a message about the plan."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks."""
+
+    def on_plan_led(self) -> None:
+        """Take note: the plan is taken over."""
+
+    def on_changes_agreed(self, changes: Sequence[Change]) -> None:
+        """Take note: a majority of replicas has these changes."""
+
+    def on_plan_forgotten(self) -> None:
+        """Take note: no majority of replicas remembers the plan."""
+
+    def on_preempted(self, fence: int) -> None:
+        """Give way to a higher fence."""
+
+    def log(self, line: str) -> None:
+        """Write one line to the program's log."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -154,7 +171,7 @@
         return True
 
     def plan_with_pending(self) -> Plan:
-        """The plan with all that is under way or waits: what further decisions must count with."""
+        """Return the plan with all that is under way or waits: what decisions must count with."""
         plan = self.plan if self.step is None else self.step.plan
         if not self.pending:
             return plan
@@ -165,14 +182,17 @@
         return bool(self.pending) or self.step is not None
 
     def begin_anew(self, plan: Plan) -> None:
-        """After the loss of everything: this plan, by somebody's word, is the first of this fence."""
+        """Begin with this plan, by somebody's word, after the loss of everything."""
         if self.state == ProposerState.FORGOTTEN and self.host.may_act(self.fence):
             self._lead_with(plan, (self.fence, 0))
 
     # What replicas send.
 
     def on_datagram(self, sender: str, body: Sequence[Any]) -> None:
-        """Apply a replica's message. Answers to another fence, or from one that is no voter, are ignored."""
+        """Apply a replica's message.
+
+        Answers to another fence, or from one that is no voter, are ignored.
+        """
         message = decode(body)
         if isinstance(message, FetchChunks):
             self._on_fetch(sender, message)
@@ -191,8 +211,9 @@
     def on_chunk_datagram(self, sender: str, body: Sequence[Any]) -> None:
         """Take a chunk of a replica's plan, as we asked for it."""
         message = decode(body)
-        is_fetching = self.state == ProposerState.FETCHING and self.fetch is not None
-        if is_fetching and isinstance(message, Chunk):
+        if self.state != ProposerState.FETCHING or self.fetch is None:
+            return
+        if isinstance(message, Chunk):
             self.fetch.on_chunk(sender, message)
 
     def is_fetching_from(self, sender: str) -> bool:
@@ -240,7 +261,7 @@
         self._call_later(self._on_fetch_timeout, MAX_FETCH_TICKS)
 
     def _on_fetch_timeout(self) -> None:
-        """The replica that we fetch from has gone: ask all again."""
+        """Ask all replicas again: the one that we fetch from has gone."""
         if self.state == ProposerState.FETCHING and self.fetch is not None:
             self.fetch.end()
             self.state = ProposerState.TAKING_OVER
@@ -252,7 +273,10 @@
             self._lead_with(Plan.unpacked(packed), stamp)
 
     def _lead_with(self, plan: Plan, before: Stamp) -> None:
-        """Begin our fence with an empty step: once a majority has it, all before it is agreed too."""
+        """Begin our fence with an empty step.
+
+        Once a majority has it, all before it is agreed too.
+        """
         self.state = ProposerState.LEADING
         self.plan = plan
         self.packed = None
@@ -282,7 +306,8 @@
             return
         accept = Accept(self.fence, step.before, self.stamp[1] + 1, step.changes)
         for name in self.host.voters():
-            # Looked at before each datagram, not once a round: the process may have stood still between two.
+            # Looked at before each datagram, not once a round: the process may have stood still
+            # between two.
             if name not in step.accepted_by and self.host.may_act(self.fence):
                 self.host.send(name, accept.encode())
         self._call_later(self._send_step)
@@ -308,7 +333,10 @@
         self._begin_step()
 
     def _on_fetch(self, sender: str, fetch: FetchChunks) -> None:
-        """Answer a replica that missed something, with what is under way too: it counts as accepting that step."""
+        """Answer a replica that missed something, with what is under way too.
+
+        It counts as accepting that step.
+        """
         is_leading = self.state == ProposerState.LEADING and fetch.fence == self.fence
         if not is_leading or not self.host.may_act(fetch.fence):
             return
--- a/corkgauge/maintenance/plan_rebuild.py
+++ b/corkgauge/maintenance/plan_rebuild.py
@@ -21,9 +21,13 @@
         self.host = leadership.host
 
     def rebuild_from_reports(self) -> None:
-        """Once every gateway has reported and remembers, begin with what any of them holds closed as out."""
+        """Begin a plan once every gateway has reported and remembers.
+
+        Out is then what any of them holds closed.
+        """
         names = self.host.gateways()
-        # A gateway that has forgotten, or was not heard, may be the only one that confirmed that an engine is out.
+        # A gateway that has forgotten, or was not heard, may be the only one that confirmed that an
+        # engine is out.
         if not all(self._has_told_all(name) for name in names):
             return
         reports = self.leadership.reports
--- a/corkgauge/maintenance/plan_replica.py
+++ b/corkgauge/maintenance/plan_replica.py
@@ -1,11 +1,12 @@
 """A plan replica: one voter's copy of the plan, and the highest fence that it has promised to heed.
 
-This is Paxos (Lamport, 1998) with the fence of the lease as its ballot and the whole plan as its value, which moves in
-small steps; what a replica misses it fetches whole, as snapshots do in Viewstamped Replication (Liskov and Cowling,
-2012). A replica without a disk comes back *blank*. It says so, and counts for nothing until a leader has told it the
-plan again; and it listens to none for as long as an earlier leader's lease may run, since what it promised is forgotten
-too (Michael, Ports, Sharma and Szekeres, 2017, on what goes wrong else). Free of I/O: its host sends, writes to disk
-and keeps time.
+This is Paxos (Lamport, 1998) with the fence of the lease as its ballot and the whole plan as its
+value, which moves in small steps; what a replica misses it fetches whole, as snapshots do in
+Viewstamped Replication (Liskov and Cowling, 2012). A replica without a disk comes back *blank*. It
+says so, and counts for nothing until a leader has told it the plan again; and it listens to none
+for as long as an earlier leader's lease may run, since what it promised is forgotten too (Michael,
+Ports, Sharma and Szekeres, 2017, on what goes wrong else). Free of I/O: its host sends, writes to
+disk and keeps time.
 """
 
 from collections import Counter
@@ -34,18 +35,27 @@
     """What a replica may do. `now` is tenths of a millisecond since boot."""
 
     @property
-    def now(self) -> int: ...
-    def send(self, name: str, body: list[Any]) -> None: ...
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None: ...
-    def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None: ...
-    def log(self, line: str) -> None: ...
+    def now(self) -> int:
+        """Return the tenths of a millisecond since boot."""
+
+    def send(self, name: str, body: list[Any]) -> None:
+        """Send a message about the plan."""
+
+    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call the method after `delay` ticks."""
+
+    def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
+        """Call `then` once the record is safe on disk."""
+
+    def log(self, line: str) -> None:
+        """Write one line to the program's log."""
 
 
 class PlanReplica:
     """Takes steps of the leader with the highest fence.
 
-    `stored` is what the disk gave, [promised fence, stamp, packed plan], or None: then the replica is blank, and listens
-    to nobody for `silent_ticks`.
+    `stored` is what the disk gave, [promised fence, stamp, packed plan], or None: then the replica
+    is blank, and listens to nobody for `silent_ticks`.
     """
 
     checks_fence = True  # False shows, in tests, what the look at the fence is for
@@ -66,13 +76,17 @@
             self.plan = Plan.unpacked(packed)
 
     def on_datagram(self, sender: str, body: Sequence[Any]) -> None:
-        """Apply a leader's message, or a chunk that was asked for. What makes no sense raises, and changes nothing."""
+        """Apply a leader's message, or a chunk that was asked for.
+
+        What makes no sense raises, and changes nothing.
+        """
         message = decode(body)
         if isinstance(message, FetchChunks):
             self._on_fetch(sender, message)
             return
         if message.fence < self.promised_fence and self.checks_fence:
-            # A leader that stood still would go on with a plan that its successor has changed since.
+            # A leader that stood still would go on with a plan that its successor has changed
+            # since.
             self.counts["low"] += 1
             self.host.send(sender, Preempted(message.fence, self.promised_fence).encode())
             return
@@ -123,7 +137,8 @@
         try:
             self.plan.apply(accept.changes)
         except InvalidChangeError as problem:
-            # The plan here is another than the leader's: never seen; the whole of it puts that right.
+            # The plan here is another than the leader's: never seen; the whole of it puts that
+            # right.
             self.host.log(f"works: a step that does not fit, {problem}")
             self._fetch_from(sender, fence)
             return
@@ -149,7 +164,8 @@
         fence = self.fetch.fence
         leader = self.fetch.source
         self.fetch = None
-        # A plan of an earlier fence, as the leader had it before it began its own, is none of this fence's.
+        # A plan of an earlier fence, as the leader had it before it began its own, is none of this
+        # fence's.
         is_of_other_fence = stamp[0] != fence or fence < self.promised_fence
         if is_of_other_fence or (not self.is_blank and stamp <= self.stamp):
             return
@@ -178,7 +194,7 @@
             self.host.write_record(self.record(), then, *what)
 
     def record(self) -> list[Any] | None:
-        """What is stored: [promised fence, stamp, packed plan]; None while blank."""
+        """Return what is stored: [promised fence, stamp, packed plan]; None while blank."""
         if self.is_blank:
             return None
         return [self.promised_fence, [*self.stamp], self._packed_plan()]
--- a/corkgauge/maintenance/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -1,7 +1,7 @@
-"""The planner: what the leader of maintenance does next, from the agreed plan and what gateways report.
+"""The planner: what the leader does next, from the agreed plan and the gateways' reports.
 
-Free of I/O: clock, datagrams and facts are its host's. Acts on agreed changes alone, and looks whether the lease is
-held immediately before each order that it sends.
+Free of I/O: clock, datagrams and facts are its host's. Acts on agreed changes alone, and looks
+whether the lease is held immediately before each order that it sends.
 """
 
 from collections import Counter
@@ -28,8 +28,9 @@
 class Planner:
     """Leads maintenance while the lease is held.
 
-    `turn_ticks` is the time between two turns. `grant_ticks` and `longest_deadline_ticks` are the span of a grant and
-    the longest time to deadline, lengthened by the drift of clocks; `warm_up_ticks` how long an engine counts as cold.
+    `turn_ticks` is the time between two turns. `grant_ticks` and `longest_deadline_ticks` are the
+    span of a grant and the longest time to deadline, lengthened by the drift of clocks;
+    `warm_up_ticks` how long an engine counts as cold.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
         self.proposer.on_lease_lost()
 
     def on_plan_led(self) -> None:
-        """A majority has our first step: what went before is agreed."""
+        """Order what the plan taken over says: a majority has our first step."""
         self.leadership.on_plan_led()
         plan = self.proposer.plan
         taken_count = len(plan.units_in(*TAKEN_STATES))
@@ -122,8 +123,8 @@
         """So many replicas have forgotten that nothing can be known from them."""
         self.leadership.is_forgotten = True
         self.host.log(
-            "works: the plan is forgotten, nothing is granted until all gateways, or an operator, have told "
-            "what is out"
+            "works: the plan is forgotten, nothing is granted until all gateways, or an operator, "
+            "have told what is out"
         )
 
     # Reports and orders.
--- a/corkgauge/maintenance/quiescence.py
+++ b/corkgauge/maintenance/quiescence.py
@@ -2,17 +2,21 @@
 
 One rule, free of I/O. Silence alone is no proof.
 
-    what is known                                   what it proves
-    its own report, under the order to drain        nothing of its is open there, and nothing new goes
-    its process has ended, and it is out for work   it sends no more, and is not started before that is over
-    a later incarnation of it was heard             the earlier process sends no more; the new one answers
-                                                      for itself
-    it knew of the work, its last grant to send     it sends nothing new since its grant ran out, and what
-      there ran out, and its longest deadline passed  was in flight has ended
-    the same, and the engine reports nothing in     the same, without waiting for the deadline
-      flight after the grant ran out
-    an operator overruled, by name                  nothing; it is his word, and it is logged
-    it was not heard                                nothing
+    what is known                           what it proves
+    its own report, under the order         nothing of its is open there, and nothing new goes
+      to drain
+    its process has ended, and it is out    it sends no more, and is not started before that is over
+      for maintenance
+    a later incarnation of it was heard     the earlier process sends no more; the new one answers
+                                              for itself
+    it knew of the work, its last grant to  it sends nothing new since its grant ran out, and what
+      send there ran out, and its longest     was in flight has ended
+      deadline passed
+    the same, and the engine reports        the same, without waiting for the deadline
+      nothing in flight after the grant
+      ran out
+    an operator overruled, by name          nothing; it is his word, and it is logged
+    it was not heard                        nothing
 """
 
 from collections.abc import Mapping, Sequence
@@ -23,7 +27,10 @@
 
 @dataclass(slots=True)
 class GatewayReport:
-    """What is known of one gateway, at the planner. Times are tenths of a millisecond since the planner's boot."""
+    """What is known of one gateway, at the planner.
+
+    Times are tenths of a millisecond since the planner's boot.
+    """
 
     incarnation: int = 0  # of its process
     stamp: Stamp = (0, 0)  # of the last orders that it said it holds
@@ -41,8 +48,8 @@
 class DrainingEngines:
     """Engines that are being drained together.
 
-    `drained_under` and `announced_under` are the stamps of the orders to drain and of those that announced it.
-    `idle_since_ticks` is when the engines last reported nothing in flight; -1: never.
+    `drained_under` and `announced_under` are the stamps of the orders to drain and of those that
+    announced it. `idle_since_ticks` is when the engines last reported nothing in flight; -1: never.
     """
 
     members: Sequence[str]
@@ -55,8 +62,9 @@
 class LeaderClock:
     """Time as the leader counts it, in tenths of a millisecond.
 
-    `leading_since_ticks` is when it began to hold the lease: a grant of an earlier leader's is no younger. `grant_ticks`
-    and `longest_deadline_ticks` are the span of a grant and the longest time to deadline, both with clock drift.
+    `leading_since_ticks` is when it began to hold the lease: a grant of an earlier leader's is no
+    younger. `grant_ticks` and `longest_deadline_ticks` are the span of a grant and the longest time
+    to deadline, both with clock drift.
     """
 
     now_ticks: int
@@ -73,17 +81,20 @@
     `has_ended`: its process has ended, for work on its machine.
 
     >>> report = GatewayReport(5, (7, 4), frozenset({"e1"}), 100, 1, False)
-    >>> find_doubt(report, False, DrainingEngines(["e1"], (7, 4), (7, 3)), LeaderClock(130, 0, 50, 300))
+    >>> def doubt(report, tag, drained, announced, now, has_ended=False, idle_since=-1):
+    ...     engines = DrainingEngines([tag], drained, announced, idle_since)
+    ...     return find_doubt(report, has_ended, engines, LeaderClock(now, 0, 50, 300))
+    >>> doubt(report, "e1", (7, 4), (7, 3), 130)
     ''
-    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 4), (7, 3)), LeaderClock(130, 0, 50, 300))
+    >>> doubt(report, "e2", (7, 4), (7, 3), 130)
     'has not confirmed; its grant runs for 20 more'
-    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 5), (7, 3)), LeaderClock(200, 0, 50, 300))
+    >>> doubt(report, "e2", (7, 5), (7, 3), 200)
     'not heard; what it sent may run for 250 more'
-    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 5), (7, 3), 160), LeaderClock(200, 0, 50, 300))
+    >>> doubt(report, "e2", (7, 5), (7, 3), 200, idle_since=160)
     ''
-    >>> find_doubt(report, False, DrainingEngines(["e2"], (7, 5), (7, 5)), LeaderClock(9000, 0, 50, 300))
+    >>> doubt(report, "e2", (7, 5), (7, 5), 9000)
     'not heard, and does not know of the work'
-    >>> find_doubt(None, True, DrainingEngines(["e2"], (7, 5), (7, 5)), LeaderClock(9000, 0, 50, 300))
+    >>> doubt(None, "e2", (7, 5), (7, 5), 9000, has_ended=True)
     ''
     """
     if has_ended:
--- a/corkgauge/maintenance/schedule.py
+++ b/corkgauge/maintenance/schedule.py
@@ -1,8 +1,8 @@
 """The order in which units go out, and which of them fit within the limits now.
 
-What is due first goes first; then what gives back most capacity soonest (cores a second of work, the largest first:
-Smith, 1956); a unit that many later ones have passed is passed no more. Free of I/O, of clocks and of chance: the same
-facts give the same answer at every gateway.
+What is due first goes first; then what gives back most capacity soonest (cores a second of work,
+the largest first: Smith, 1956); a unit that many later ones have passed is passed no more. Free of
+I/O, of clocks and of chance: the same facts give the same answer at every gateway.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class GrantDecision:
-    """Units that may go out now, all at once, in their order; and by unit what stands against each other one."""
+    """Units that may go out now, in their order; and by unit what stands against the others."""
 
     granted: list[str] = field(default_factory=list)
     objections: dict[str, str] = field(default_factory=dict)
@@ -25,7 +25,7 @@
 def grant_order(
     waiting: Iterable[WaitingUnit], cores: Mapping[str, float], leader: str = ""
 ) -> list[WaitingUnit]:
-    """The order in which waiting units are looked at; the gateway that leads comes after all others.
+    """Order the waiting units; the gateway that leads comes after all others.
 
     >>> units = [WaitingUnit("a", ("a",), 60), WaitingUnit("b", ("b",), 30)]
     >>> units.append(WaitingUnit("c", ("c",), 90, due_ticks=100))
@@ -98,7 +98,8 @@
     def _engine_turn(self, unit: WaitingUnit) -> str:
         """Take the engines of the unit, or say why not."""
         self.units_checked += 1
-        # Checking each of a thousand units over a thousand engines would hold up the event loop for seconds.
+        # Checking each of a thousand units over a thousand engines would hold up the event loop for
+        # seconds.
         if self.units_checked > MAX_UNITS_CHECKED:
             return f"{MAX_UNITS_CHECKED} before it wait"
         if self.blocked_behind:
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -1,8 +1,9 @@
-"""The maintenance service of one gateway: datagrams, timers, the file, HTTP, and what the host is notified of.
+"""The maintenance service of one gateway: datagrams, timers, the file, HTTP, the host.
 
-Carries between the state machines of this package (plan replica, plan proposer, planner, participant) and the
-membership service, the lease service, the disk and the host; decides nothing. What another gateway or an operator
-sends is checked by the machines, and raises ValueError, TypeError and the like to whoever called.
+Carries between the state machines of this package (plan replica, plan proposer, planner,
+participant) and the membership service, the lease service, the disk and the host; decides nothing.
+What another gateway or an operator sends is checked by the machines, and raises ValueError,
+TypeError and the like to whoever called.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -59,7 +60,7 @@
         self.fleet = FleetView(socket_host, self.member_list, self.name)
         self.copier = PlanCopier(self)
         self.pending_commands = PendingCommands(self)
-        self.participant: Participant | None = None  # it calls back while it is built
+        self.is_built = False  # the participant calls back while it is built
         self.safe = DurableRecord(
             self.event_loop,
             socket_host.log,
@@ -76,6 +77,7 @@
         self.command_executor = CommandExecutor(self, self.planner, self.plan_proposer)
         self._register()
         self.participant = Participant(self, self.name, config.grant, participant_record)
+        self.is_built = True
         self.refresh_cordons()  # what was remembered holds from the first request on
         self._sample_demand()
 
@@ -104,7 +106,10 @@
         self.office.stands(LEASE, self)
 
     def reload(self, config: Works) -> None:
-        """Take a new configuration; the span of a grant alone stays until a restart, as gateways rely on it."""
+        """Take a new configuration.
+
+        The span of a grant stays until a restart: the grants under way count with it.
+        """
         self.config = config
         self.planner.set_limits(DisruptionLimits(*config.bounds), config.each)
         if config.grant != self.participant.grant_ticks:
@@ -124,21 +129,22 @@
     # The lease.
 
     def gained(self) -> None:
-        """The lease service: this gateway leads maintenance from now on."""
+        """Begin to lead: the lease service calls it when the lease is gained."""
         self.planner.on_lease_gained(self.office.holders[LEASE].fence)
 
     def lost(self) -> None:
-        """The lease service: this gateway leads no more."""
+        """Stop leading: the lease service calls it when the lease is lost."""
         self.command_executor.clear()
         self.planner.on_lease_lost()
 
     def may_act(self, fence: int) -> bool:
         """Whether the lease is held under this fence, now."""
         holder = self.office.holders[LEASE]
-        return holder.may() and holder.fence == fence
+        is_held: bool = holder.may() and holder.fence == fence
+        return is_held
 
     def leader_name(self) -> str:
-        """Who is known to hold the lease; empty: nobody."""
+        """Name who is known to hold the lease; empty: nobody."""
         holder = self.office.holders[LEASE]
         return self.name if holder.may() else holder.other
 
@@ -147,7 +153,7 @@
         self.office._give_up(LEASE, reason)
 
     def on_preempted(self, fence: int) -> None:
-        """Somebody has promised to heed a higher fence than ours."""
+        """Give way: somebody has promised to heed a higher fence than ours."""
         self.office.holders[LEASE].outbid(fence)
 
     # What the machines need: clock, timers, log, file, datagrams.
@@ -171,7 +177,10 @@
         self.socket_host.log(line)
 
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Write, then call `then`. Replica and participant share a file: each write holds both as they are now."""
+        """Write, then call `then`.
+
+        Replica and participant share a file: each write holds both as they are now.
+        """
         participant_record = None if self.participant.is_blank else self.participant.record()
         self.safe.keep([self.plan_replica.record(), participant_record], then, *what)
 
@@ -193,44 +202,45 @@
             self.member_list.call(name, "works", body)
 
     def voters(self) -> Sequence[str]:
-        """The gateways that have a plan replica."""
-        return self.office.roll.names
+        """Name the gateways that have a plan replica."""
+        names: Sequence[str] = self.office.roll.names
+        return names
 
     # What the plan proposer notifies of.
 
     def on_plan_led(self) -> None:
-        """The plan is taken over."""
+        """Pass on that the plan is taken over."""
         self.planner.on_plan_led()
 
     def on_changes_agreed(self, changes: Sequence[Any]) -> None:
-        """A majority of replicas has these changes."""
+        """Pass on that a majority of replicas has these changes."""
         self.planner.on_changes_agreed(changes)
         self.command_executor.on_changes_agreed()
 
     def on_plan_forgotten(self) -> None:
-        """No majority of replicas remembers the plan."""
+        """Pass on that no majority of replicas remembers the plan."""
         self.planner.on_plan_forgotten()
 
     # What the planner needs.
 
     def gateways(self) -> Mapping[str, GatewayStatus]:
-        """Every gateway of the fleet by name."""
+        """Return every gateway of the fleet by name."""
         return self.fleet.gateways()
 
     def engines(self) -> Mapping[str, EngineFact]:
-        """Every engine by its host reference."""
+        """Return every engine by its host reference."""
         return self.fleet.engines()
 
     def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
-        """The request classes, with the cores that each needs."""
+        """Return the request classes, with the cores that each needs."""
         return self.fleet.request_classes(cores)
 
     def machines(self) -> Mapping[str, Sequence[str]]:
-        """Engines by the machine that they share, as the operator file has them."""
+        """Return engines by the machine that they share, as the operator file has them."""
         return dict(self.config.machines)
 
     def idle_since(self, tags: Sequence[str]) -> int:
-        """When the last of these engines reported nothing in flight, ticks since boot; -1: some never did."""
+        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
         return self.fleet.idle_since(tags)
 
     def send_orders(self, name: str, body: list[Any]) -> None:
@@ -244,7 +254,7 @@
     # What the participant needs.
 
     def refresh_cordons(self) -> None:
-        """Tell the gateway module which engines take nothing new, and the lease service whether we do."""
+        """Tell the policy which engines take nothing new, and the lease service whether we do."""
         for engine_pool in [*self.socket_host.engine_pools.values()]:
             engine = engine_pool.engine
             cordon = self.cordon_for(engine.host_reference, engine_pool.address)
@@ -253,13 +263,14 @@
         self.office.set_aside(self.cordon_for(self.name) > 0)
 
     def is_quiet(self, tag: str) -> bool:
-        """Nothing of this gateway's is open at the engine; for this gateway's own name: it holds no lease."""
+        """Whether nothing of ours is open at the engine; for our own name: no lease is held."""
         if tag == self.name:
-            return self.office.free
+            holds_no_lease: bool = self.office.free
+            return holds_no_lease
         return self.fleet.is_engine_quiet(tag)
 
     def address_of(self, tag: str) -> str:
-        """The engine's `host:port` as the list last told it; empty for one that is not listed."""
+        """Return the engine's `host:port` as listed last; empty for one that is not listed."""
         return self.fleet.address_of(tag)
 
     def on_engines_closed(self) -> None:
@@ -271,13 +282,13 @@
     # What the host notifies of and asks.
 
     def cordon_for(self, tag: str, address: tuple[str, int] = ("", 0)) -> Cordon:
-        """The cordon of an engine that the list names, perhaps anew."""
-        if self.participant is None:
+        """Return the cordon of an engine that the list names, perhaps anew."""
+        if not self.is_built:
             return Cordon.NONE
         return self.participant.cordon_of(tag, format_address(address))
 
     def on_attempt_finished(self, tag: str, outcome: int) -> None:
-        """An attempt at the engine has ended."""
+        """Note that an attempt at the engine has ended."""
         self.fleet.record_attempt_end(tag, outcome)
 
     # Datagrams.
@@ -372,7 +383,7 @@
         return PlanCopy(proposer.stamp, proposer.plan, self.planner.objections)
 
     def report_status(self, body: bytes = b"") -> dict[str, Any]:
-        """The plan as the leader has agreed it; elsewhere a copy is shown, and a newer one fetched.
+        """Show the plan as the leader has agreed it; elsewhere a copy, and fetch a newer one.
 
         `fresh` tells whether the plan shown is the one that the orders here are of.
         """
--- a/corkgauge/maintenance/status.py
+++ b/corkgauge/maintenance/status.py
@@ -1,6 +1,7 @@
 """The answer to `GET /works`: the plan and this gateway's part in it, as JSON for operators.
 
-The keys are those of the first version; operators' programs read them. Spans are seconds of maintenance time.
+The keys are those of the first version; operators' programs read them. Spans are seconds of
+maintenance time.
 """
 
 from collections.abc import Mapping
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceStatus:
-    """What the service knows of itself: `state` is its plan proposer's, in the words of the JSON."""
+    """What the service knows of itself; `state` is its proposer's, in words."""
 
     name: str
     leader: str
@@ -28,7 +29,7 @@
 def status_report(
     service: ServiceStatus, shown: PlanCopy, participant: Participant
 ) -> dict[str, Any]:
-    """Everything that `corkgauge maintenance show` prints."""
+    """Build what `corkgauge maintenance show` prints."""
     plan = shown.plan
     return {
         "name": service.name,
--- a/corkgauge/maintenance/unit_progress.py
+++ b/corkgauge/maintenance/unit_progress.py
@@ -1,6 +1,7 @@
 """The next step of each unit of the plan, or the reason why it has to wait.
 
-Work begins only once it is proven that no gateway sends there any more; where the proof is missing, the unit waits.
+Work begins only once it is proven that no gateway sends there any more; where the proof is missing,
+the unit waits.
 """
 
 from typing import NamedTuple
@@ -27,8 +28,9 @@
 class UnitProgress:
     """Decides each unit's next step.
 
-    `grant_ticks` and `longest_deadline_ticks` are the span of a grant and the longest time to deadline, lengthened by
-    the drift of clocks; `warm_up_ticks` is how long an engine counts as warming up.
+    `grant_ticks` and `longest_deadline_ticks` are the span of a grant and the longest time to
+    deadline, lengthened by the drift of clocks; `warm_up_ticks` is how long an engine counts as
+    warming up.
     """
 
     confirmations_required = True  # False shows, in tests, what the quiescence proof is for
@@ -48,7 +50,10 @@
         self.next_late_log: dict[str, int] = {}  # by unit, ticks since boot
 
     def next_step(self, unit: Unit, plan: Plan) -> Step | None:
-        """The unit's next step; None where it waits, then the reason stands in the leadership's objections."""
+        """Decide the unit's next step; None where it waits.
+
+        Then the reason stands in the leadership's objections.
+        """
         match unit.state:
             case UnitState.GRANTED:
                 outcome = self._after_granted(unit)
@@ -104,7 +109,10 @@
         return why
 
     def _log_late(self, unit: Unit, why: str) -> None:
-        """Log the unit now and then: a machine that nobody thinks of keeps its place in the limits, and blocks others."""
+        """Log the unit now and then.
+
+        A machine that nobody thinks of keeps its place in the limits, and blocks others.
+        """
         now_ticks = self.host.now
         if now_ticks >= self.next_late_log.get(unit.name, 0):
             self.next_late_log[unit.name] = now_ticks + LATE_LOG_TICKS
@@ -143,8 +151,8 @@
         clock = LeaderClock(
             self.host.now, leadership.since_ticks, self.grant_ticks, self.longest_deadline_ticks
         )
-        # One that left in order may be started again by anybody, with orders of before, and not be heard yet. Only of
-        # one that is out for maintenance itself it is known that it stays down.
+        # One that left in order may be started again by anybody, with orders of before, and not be
+        # heard yet. Only of one that is out for maintenance itself it is known that it stays down.
         kept_down = {
             each.members[0]
             for each in leadership.proposer.plan.units_in(UnitState.OUT, UnitState.LATE)
@@ -159,7 +167,7 @@
         return found
 
     def _gateway_doubts(self, unit: Unit) -> dict[str, str]:
-        """A gateway goes out once it holds no lease, or has ended."""
+        """Say why a gateway may not go out yet: it holds a lease and has not ended."""
         name = unit.members[0]
         status = self.host.gateways().get(name)
         if name in unit.overruled or status is None or status.has_left:
@@ -194,7 +202,8 @@
             fact = engines.get(tag)
             if fact is None or fact.condition == EngineCondition.DEAD:
                 return f"{tag} is not in the list, or not serving"
-            # Cold engines give little: they count as out, so that the next unit waits until they are warm.
+            # Cold engines give little: they count as out, so that the next unit waits until they
+            # are warm.
             is_impaired = fact.condition != EngineCondition.HEALTHY
             if unit.began_ticks and is_impaired and now_ticks < warm_at_ticks:
                 return f"{tag} is cold"
