--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -13,7 +13,8 @@
     WaitingUnit,
 )
 from corkgauge.maintenance.leadership import Leadership
-from corkgauge.maintenance.plan import TAKEN_STATES, Plan, Unit, UnitKind, UnitState
+from corkgauge.maintenance.plan import Plan
+from corkgauge.maintenance.plan_records import TAKEN_STATES, Unit, UnitKind, UnitState
 from corkgauge.maintenance.schedule import GrantDecision, select_grants
 
 EJECTION_REPORTERS = 2  # gateways that outweigh our own view of an engine
--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -16,14 +16,8 @@
 )
 from corkgauge.maintenance.grants import GrantPlanner
 from corkgauge.maintenance.leadership import Leadership
-from corkgauge.maintenance.plan import (
-    MAX_TEXT_CHARACTERS,
-    MAX_UNITS,
-    MaintenanceRequest,
-    Plan,
-    UnitKind,
-    UnitState,
-)
+from corkgauge.maintenance.plan import MAX_TEXT_CHARACTERS, MAX_UNITS, Plan
+from corkgauge.maintenance.plan_records import MaintenanceRequest, UnitKind, UnitState
 
 MAX_NAMES_BYTES = 500  # of the names in one request, so that it fits a datagram
 MAX_ID_CHARACTERS = 40
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from corkgauge.maintenance.messages import Orders
-from corkgauge.maintenance.plan import UnitState
+from corkgauge.maintenance.plan_records import UnitState
 from corkgauge.policy.records import Cordon
 
 MAX_REPORTS_REMEMBERED = (
--- a/corkgauge/maintenance/plan_history.py
+++ b/corkgauge/maintenance/plan_history.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any
 
-from corkgauge.maintenance.plan import NEXT_STATES, STATE_WORDS, TAKEN_STATES, HistoryEntry
+from corkgauge.maintenance.plan_records import NEXT_STATES, STATE_WORDS, TAKEN_STATES, HistoryEntry
 
 
 def wrong_history(entries: Iterable[Sequence[Any]], max_taken: int = 0) -> list[str]:
--- a/corkgauge/maintenance/plan_rebuild.py
+++ b/corkgauge/maintenance/plan_rebuild.py
@@ -7,7 +7,8 @@
 
 from corkgauge.maintenance.capacity import NEVER_TICKS
 from corkgauge.maintenance.leadership import Leadership
-from corkgauge.maintenance.plan import MaintenanceRequest, Plan, UnitKind, UnitState
+from corkgauge.maintenance.plan import Plan
+from corkgauge.maintenance.plan_records import MaintenanceRequest, UnitKind, UnitState
 
 RECOVERED_REQUEST = "recovered"  # the id of the request that units found out belong to
 MAX_NAMES_STORED = 40  # of that request
--- a/corkgauge/maintenance/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -14,9 +14,9 @@
 from corkgauge.maintenance.messages import Report
 from corkgauge.maintenance.operator_requests import OperatorRequests
 from corkgauge.maintenance.orders import encode_orders
-from corkgauge.maintenance.plan import STATE_WORDS, TAKEN_STATES, UnitState
 from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
 from corkgauge.maintenance.plan_rebuild import PlanRebuilder
+from corkgauge.maintenance.plan_records import STATE_WORDS, TAKEN_STATES, UnitState
 from corkgauge.maintenance.unit_progress import UnitProgress
 
 MIN_TIME_STEP_TICKS = (
--- a/corkgauge/maintenance/status.py
+++ b/corkgauge/maintenance/status.py
@@ -10,8 +10,9 @@
 
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.maintenance.participant import Participant
-from corkgauge.maintenance.plan import NEXT_STATES, STATE_WORDS, MaintenanceRequest, Plan, Unit
+from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_copy import PlanCopy
+from corkgauge.maintenance.plan_records import NEXT_STATES, STATE_WORDS, MaintenanceRequest, Unit
 
 
 @dataclass(frozen=True, slots=True)
--- a/corkgauge/maintenance/unit_progress.py
+++ b/corkgauge/maintenance/unit_progress.py
@@ -8,7 +8,8 @@
 
 from corkgauge.maintenance.capacity import NEVER_TICKS, EngineCondition
 from corkgauge.maintenance.leadership import Leadership
-from corkgauge.maintenance.plan import Plan, Unit, UnitKind, UnitState
+from corkgauge.maintenance.plan import Plan
+from corkgauge.maintenance.plan_records import Unit, UnitKind, UnitState
 from corkgauge.maintenance.quiescence import DrainingEngines, LeaderClock, find_doubt
 
 ANNOUNCEMENT_TICKS = 20_000  # that gateways have to hear of a step, before it goes on without them
--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -7,9 +7,10 @@
 from typing import Any
 
 from corkgauge.leases.candidate import LeaseCandidate
-from corkgauge.maintenance.plan import TAKEN_STATES, Plan, UnitState
+from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_messages import REPLICA_ANSWERS, MessageKind
 from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
+from corkgauge.maintenance.plan_records import TAKEN_STATES, UnitState
 from corkgauge.maintenance.plan_replica import PlanReplica
 from corkgauge.model.leases import DRIFT, LEASE, MARGIN, Day, Node, World, drawn
 
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -33,7 +33,8 @@
 from corkgauge.leases.service import LeaseService
 from corkgauge.leases.voter_configuration import VoterConfiguration
 from corkgauge.maintenance.chunk_transfer import chunk_of
-from corkgauge.maintenance.plan import Plan, UnitState
+from corkgauge.maintenance.plan import Plan
+from corkgauge.maintenance.plan_records import UnitState
 from corkgauge.maintenance.plan_messages import MessageKind
 from corkgauge.maintenance.plan_proposer import ProposerState
 from corkgauge.maintenance.service import MaintenanceService
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -18,9 +18,10 @@
 from corkgauge.maintenance.chunk_transfer import CHUNK_BYTES, ChunkFetch, chunk_of
 from corkgauge.maintenance.messages import Orders
 from corkgauge.maintenance.participant import Participant
-from corkgauge.maintenance.plan import NEXT_STATES, InvalidChangeError, Plan, UnitState
+from corkgauge.maintenance.plan import InvalidChangeError, Plan
 from corkgauge.maintenance.plan_messages import Chunk, MessageKind
 from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
+from corkgauge.maintenance.plan_records import NEXT_STATES, UnitState
 from corkgauge.maintenance.plan_replica import PlanReplica
 from corkgauge.maintenance.schedule import select_grants
 from corkgauge.model.plan_consensus import PlanWorld, plan_day
