--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -27,6 +27,7 @@
     def __init__(self, leadership: Leadership, limits: DisruptionLimits) -> None:
         self.leadership = leadership
         self.host = leadership.host
+        self.fleet = leadership.fleet
         self.limits = limits
 
     def grantable(self, plan: Plan) -> list[str]:
@@ -60,7 +61,7 @@
 
     def snapshot(self, plan: Plan) -> CapacitySnapshot:
         """Gather the facts of this moment: engines, demand, gateways, what the plan has taken."""
-        gateways = self.host.gateways()
+        gateways = self.fleet.gateways()
         # One that ended in order has no load; its clients are with the others.
         running = [name for name, status in gateways.items() if not status.has_left]
         cores, unknown = self.leadership.demand.estimate(self.host.now, running)
@@ -68,11 +69,11 @@
         # said.
         is_all_unknown = len(unknown) >= len(running)
         taken = plan.units_in(*TAKEN_STATES)
-        engines = {tag: self._as_reported(fact) for tag, fact in self.host.engines().items()}
+        engines = {tag: self._as_reported(fact) for tag, fact in self.fleet.engines().items()}
         return CapacitySnapshot(
             limits=self.limits,
             engines=engines,
-            request_classes=self.host.request_classes(cores),
+            request_classes=self.fleet.request_classes(cores),
             taken_engines=_members(taken, UnitKind.ENGINE),
             gateways={name: status.zone for name, status in gateways.items()},
             unavailable_gateways=_not_alive(gateways) | _members(taken, UnitKind.GATEWAY),
--- a/corkgauge/maintenance/leadership.py
+++ b/corkgauge/maintenance/leadership.py
@@ -27,24 +27,12 @@
     def may_act(self, fence: int) -> bool:
         """Whether the lease is held under this fence, now."""
 
-    def gateways(self) -> Mapping[str, GatewayStatus]:
-        """Return every gateway of the fleet by name."""
-
     def voters(self) -> Sequence[str]:
         """Name the gateways that have a plan replica."""
 
-    def engines(self) -> Mapping[str, EngineFact]:
-        """Return every engine by its host reference."""
-
-    def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
-        """Return the request classes, with the cores that each needs."""
-
     def machines(self) -> Mapping[str, Sequence[str]]:
         """Return engines by the machine that they share."""
 
-    def idle_since(self, tags: Sequence[str]) -> int:
-        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
-
     def send_orders(self, name: str, body: list[Any]) -> None:
         """Send one part of the orders to a gateway."""
 
@@ -61,11 +49,28 @@
         """Write one line to the program's log."""
 
 
+class Fleet(Protocol):
+    """What a planner knows of the fleet, as `FleetView` has it."""
+
+    def gateways(self) -> Mapping[str, GatewayStatus]:
+        """Return every gateway of the fleet by name."""
+
+    def engines(self) -> Mapping[str, EngineFact]:
+        """Return every engine by its host reference."""
+
+    def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
+        """Return the request classes, with the cores that each needs."""
+
+    def idle_since(self, tags: Sequence[str]) -> int:
+        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
+
+
 class Leadership:
     """Reports, demand, objections and stamps of one span of leading."""
 
-    def __init__(self, host: Host, proposer: PlanProposer) -> None:
+    def __init__(self, host: Host, fleet: Fleet, proposer: PlanProposer) -> None:
         self.host = host
+        self.fleet = fleet
         self.proposer = proposer
         self.counts = Counter[str]()  # for operators; not begun anew
         self.is_forgotten = False  # no majority of replicas remembers the plan
--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -47,6 +47,7 @@
     ) -> None:
         self.leadership = leadership
         self.host = leadership.host
+        self.fleet = leadership.fleet
         self.proposer = leadership.proposer
         self.grants = grants
         self.declare_out = declare_out
@@ -98,8 +99,8 @@
 
     def _new_units(self, kind: str, names: Sequence[str], plan: Plan) -> list[PlannedUnit]:
         """Find the units that the names come to and that are not in the plan yet."""
-        zones = {tag: fact.zone for tag, fact in self.host.engines().items()}
-        found = units_for_request(kind, names, zones, self.host.machines(), self.host.gateways())
+        zones = {tag: fact.zone for tag, fact in self.fleet.engines().items()}
+        found = units_for_request(kind, names, zones, self.host.machines(), self.fleet.gateways())
         units = [unit for unit in found if unit.name not in plan.units]
         if not units:
             other = next(iter(plan.units.values())).request_id if plan.units else ""
@@ -114,10 +115,10 @@
             self.grants.limits,
             {
                 tag: replace(fact, condition=EngineCondition.HEALTHY)
-                for tag, fact in self.host.engines().items()
+                for tag, fact in self.fleet.engines().items()
             },
-            self.host.request_classes({}),
-            gateways={name: status.zone for name, status in self.host.gateways().items()},
+            self.fleet.request_classes({}),
+            gateways={name: status.zone for name, status in self.fleet.gateways().items()},
             voters=self.host.voters(),
         )
         for unit in units:
--- a/corkgauge/maintenance/plan_rebuild.py
+++ b/corkgauge/maintenance/plan_rebuild.py
@@ -19,14 +19,14 @@
 
     def __init__(self, leadership: Leadership) -> None:
         self.leadership = leadership
-        self.host = leadership.host
+        self.fleet = leadership.fleet
 
     def rebuild_from_reports(self) -> None:
         """Begin a plan once every gateway has reported and remembers.
 
         Out is then what any of them holds closed.
         """
-        names = self.host.gateways()
+        names = self.fleet.gateways()
         # A gateway that has forgotten, or was not heard, may be the only one that confirmed that an
         # engine is out.
         if not all(self._has_told_all(name) for name in names):
@@ -62,7 +62,7 @@
                 at_ticks=now_ticks,
             )
             plan.apply([["ask", request.to_wire()]])
-        gateways = self.host.gateways()
+        gateways = self.fleet.gateways()
         for tag in tags:
             kind = UnitKind.GATEWAY if tag in gateways else UnitKind.ENGINE
             plan.apply([["unit", tag, RECOVERED_REQUEST, kind.value, [tag]]])
--- a/corkgauge/maintenance/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -10,7 +10,7 @@
 
 from corkgauge.maintenance.capacity import DisruptionLimits
 from corkgauge.maintenance.grants import GrantPlanner
-from corkgauge.maintenance.leadership import Host, Leadership
+from corkgauge.maintenance.leadership import Fleet, Host, Leadership
 from corkgauge.maintenance.messages import Report
 from corkgauge.maintenance.operator_requests import OperatorRequests
 from corkgauge.maintenance.orders import encode_orders
@@ -36,6 +36,7 @@
     def __init__(
         self,
         host: Host,
+        fleet: Fleet,
         proposer: PlanProposer,
         limits: DisruptionLimits,
         turn_ticks: int,
@@ -44,9 +45,10 @@
         warm_up_ticks: int,
     ) -> None:
         self.host = host
+        self.fleet = fleet
         self.proposer = proposer
         self.turn_ticks = turn_ticks
-        self.leadership = Leadership(host, proposer)
+        self.leadership = Leadership(host, fleet, proposer)
         self.grants = GrantPlanner(self.leadership, limits)
         self.progress = UnitProgress(
             self.leadership, grant_ticks, longest_deadline_ticks, warm_up_ticks
@@ -150,7 +152,7 @@
     def send_all_orders(self) -> None:
         """Send what is agreed to each gateway; it is also what renews their grants."""
         if self.leadership.has_plan():
-            for name in self.host.gateways():
+            for name in self.fleet.gateways():
                 self._send_orders(name)
 
     def _send_orders(self, name: str) -> None:
@@ -166,7 +168,7 @@
 
     def request_all_reports(self) -> None:
         """Ask each gateway to report what it holds."""
-        for name in self.host.gateways():
+        for name in self.fleet.gateways():
             if self.leadership.may_act():
                 self.host.request_report(name)
 
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -15,23 +15,15 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.leases.durable_record import DurableRecord
 from corkgauge.maintenance import messages
-from corkgauge.maintenance.capacity import (
-    DisruptionLimits,
-    EngineFact,
-    GatewayStatus,
-    RequestClassDemand,
-)
+from corkgauge.maintenance.capacity import DisruptionLimits
 from corkgauge.maintenance.commands import CommandExecutor, PendingCommands
 from corkgauge.maintenance.fleet_view import FleetView, format_address
 from corkgauge.maintenance.participant import Participant
-from corkgauge.maintenance.plan_copy import PlanCopier, PlanCopy
-from corkgauge.maintenance.plan_messages import REPLICA_ANSWERS, Chunk, FetchChunks, MessageKind
-from corkgauge.maintenance.plan_messages import decode as decode_plan_message
-from corkgauge.maintenance.plan_proposer import STATE_WORDS as PROPOSER_STATE_WORDS
+from corkgauge.maintenance.plan_display import PlanDisplay
+from corkgauge.maintenance.plan_messages import REPLICA_ANSWERS, MessageKind
 from corkgauge.maintenance.plan_proposer import PlanProposer, ProposerState
 from corkgauge.maintenance.plan_replica import PlanReplica
 from corkgauge.maintenance.planner import Planner
-from corkgauge.maintenance.status import ServiceStatus, status_report
 from corkgauge.net.host import SocketHost
 from corkgauge.policy.records import Cordon
 
@@ -58,7 +50,6 @@
         self.member_list = membership.member_list
         self.office = office
         self.fleet = FleetView(socket_host, self.member_list, self.name)
-        self.copier = PlanCopier(self)
         self.pending_commands = PendingCommands(self)
         self.is_built = False  # the participant calls back while it is built
         self.safe = DurableRecord(
@@ -74,6 +65,9 @@
         self.plan_replica = PlanReplica(self, replica_record, silent_ticks)
         self.plan_proposer = PlanProposer(self)
         self.planner = self._build_planner()
+        self.plan_display = PlanDisplay(
+            self, self.plan_proposer, self.planner, self.plan_replica.counts
+        )
         self.command_executor = CommandExecutor(self, self.planner, self.plan_proposer)
         self._register()
         self.participant = Participant(self, self.name, config.grant, participant_record)
@@ -87,6 +81,7 @@
         longest_deadline = max(each.time_to_deadline for each in settings.request_classes)
         return Planner(
             self,
+            self.fleet,
             self.plan_proposer,
             DisruptionLimits(*self.config.bounds),
             self.config.each,
@@ -100,7 +95,7 @@
         self.socket_host.works = self
         self.member_list.calls["plan"] = self.on_plan_message
         self.member_list.calls["works"] = self.on_message
-        self.member_list.calls["copy"] = self.on_copy_message
+        self.member_list.calls["copy"] = self.plan_display.on_datagram
         self.socket_host.routes[b"GET", HTTP_PATH] = self.report_status
         self.socket_host.routes[b"POST", HTTP_PATH] = self.pending_commands.handle_http
         self.office.stands(LEASE, self)
@@ -223,26 +218,10 @@
 
     # What the planner needs.
 
-    def gateways(self) -> Mapping[str, GatewayStatus]:
-        """Return every gateway of the fleet by name."""
-        return self.fleet.gateways()
-
-    def engines(self) -> Mapping[str, EngineFact]:
-        """Return every engine by its host reference."""
-        return self.fleet.engines()
-
-    def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
-        """Return the request classes, with the cores that each needs."""
-        return self.fleet.request_classes(cores)
-
     def machines(self) -> Mapping[str, Sequence[str]]:
         """Return engines by the machine that they share, as the operator file has them."""
         return dict(self.config.machines)
 
-    def idle_since(self, tags: Sequence[str]) -> int:
-        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
-        return self.fleet.idle_since(tags)
-
     def send_orders(self, name: str, body: list[Any]) -> None:
         """Send one part of the orders to a gateway."""
         self._send(name, [messages.ORDERS, *body])
@@ -356,19 +335,6 @@
         """Answer a command that a gateway forwarded."""
         self._send(to, [messages.ANSWER, key, answer, error])
 
-    def on_copy_message(self, sender: str, body: Any) -> None:
-        """Answer a fetch of the plan's copy, or take a chunk of one."""
-        proposer = self.plan_proposer
-        match decode_plan_message(body):
-            case Chunk() as chunk:
-                self.copier.on_chunk(sender, chunk)
-            case FetchChunks() as fetch if self._has_plan() and self.may_act(proposer.fence):
-                self.copier.send_chunks(sender, self._own_plan(), fetch.indexes)
-
-    def _has_plan(self) -> bool:
-        proposer = self.plan_proposer
-        return proposer.state == ProposerState.LEADING and proposer.led
-
     # Timers.
 
     def _sample_demand(self) -> None:
@@ -378,38 +344,6 @@
 
     # What operators see.
 
-    def _own_plan(self) -> PlanCopy:
-        proposer = self.plan_proposer
-        return PlanCopy(proposer.stamp, proposer.plan, self.planner.objections)
-
     def report_status(self, body: bytes = b"") -> dict[str, Any]:
-        """Show the plan as the leader has agreed it; elsewhere a copy, and fetch a newer one.
-
-        `fresh` tells whether the plan shown is the one that the orders here are of.
-        """
-        leader = self.leader_name()
-        is_leader = leader == self.name
-        if is_leader and self.plan_proposer.state == ProposerState.LEADING:
-            shown = self._own_plan()
-        else:
-            shown = self.copier.copy
-            if leader and not is_leader:
-                self.copier.fetch_from(leader)
-        has_newest = shown.stamp >= self.participant.stamp and shown.stamp != (0, 0)
-        status = ServiceStatus(
-            self.name,
-            leader,
-            PROPOSER_STATE_WORDS[self.plan_proposer.state],
-            is_leader or (bool(leader) and has_newest),
-            self.planner.is_forgotten,
-            self._counters(),
-        )
-        return status_report(status, shown, self.participant)
-
-    def _counters(self) -> dict[str, int]:
-        replica_counts = self.plan_replica.counts.items()
-        return {
-            **{f"keeper {name}": count for name, count in replica_counts},
-            **self.planner.counts,
-            "orders refused": self.participant.preempted_orders,
-        }
+        """Answer `GET /works`."""
+        return self.plan_display.report(self.participant)
--- a/corkgauge/maintenance/unit_progress.py
+++ b/corkgauge/maintenance/unit_progress.py
@@ -45,6 +45,7 @@
     ) -> None:
         self.leadership = leadership
         self.host = leadership.host
+        self.fleet = leadership.fleet
         self.grant_ticks = grant_ticks
         self.longest_deadline_ticks = longest_deadline_ticks
         self.warm_up_ticks = warm_up_ticks
@@ -130,7 +131,7 @@
         reports = leadership.reports
         return [
             name
-            for name, status in self.host.gateways().items()
+            for name, status in self.fleet.gateways().items()
             if status.is_alive and (name not in reports or reports[name].stamp < stamp)
         ]
 
@@ -147,7 +148,7 @@
             unit.members,
             drained_under,
             stamps.get(UnitState.GRANTED, drained_under),
-            self.host.idle_since(unit.members),
+            self.fleet.idle_since(unit.members),
         )
         clock = LeaderClock(
             self.host.now, leadership.since_ticks, self.grant_ticks, self.longest_deadline_ticks
@@ -160,7 +161,7 @@
             if each.kind == UnitKind.GATEWAY
         }
         found = {}
-        for name, status in self.host.gateways().items():
+        for name, status in self.fleet.gateways().items():
             has_ended = status.has_left and name in kept_down
             doubt = find_doubt(leadership.reports.get(name), has_ended, engines, clock)
             if doubt and name not in unit.overruled and self.confirmations_required:
@@ -170,7 +171,7 @@
     def _gateway_doubts(self, unit: Unit) -> dict[str, str]:
         """Say why a gateway may not go out yet: it holds a lease and has not ended."""
         name = unit.members[0]
-        status = self.host.gateways().get(name)
+        status = self.fleet.gateways().get(name)
         if name in unit.overruled or status is None or status.has_left:
             return {}
         leadership = self.leadership
@@ -185,7 +186,7 @@
 
     def _why_not_back(self, unit: Unit, now_ticks: int) -> str:
         if unit.kind == UnitKind.GATEWAY:
-            status = self.host.gateways().get(unit.members[0])
+            status = self.fleet.gateways().get(unit.members[0])
             is_alive = status is not None and status.is_alive
             return "" if is_alive else "not alive yet"
         why = self._why_engines_not_back(unit, now_ticks)
@@ -197,7 +198,7 @@
         return ""
 
     def _why_engines_not_back(self, unit: Unit, now_ticks: int) -> str:
-        engines = self.host.engines()
+        engines = self.fleet.engines()
         warm_at_ticks = unit.since_ticks + max(self.warm_up_ticks, 1)
         for tag in unit.members:
             fact = engines.get(tag)
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -442,7 +442,7 @@
 
 def send_copy_piece(here: Instance) -> bytes:
     here.lead_plan()
-    here.yard.on_copy_message("n2", [MessageKind.FETCH, 0, [], [0]])
+    here.yard.plan_display.on_datagram("n2", [MessageKind.FETCH, 0, [], [0]])
     return here.last(letters.CALL, "copy", MessageKind.CHUNK)
 
 
