--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -1,7 +1,7 @@
-"""The plan of works between simulated processes: the real replicas and proposers on the real leases, with letters lost,
-late and out of order, processes that stop, restart and forget; judged by what is agreed.
+"""The maintenance plan between simulated processes: the real replicas and proposers on the real leases.
 
-Owns the simulated holders' wishes and the judge's one history. Must never look into a machine to decide what happens.
+Datagrams are lost, late and out of order; processes stop, restart and forget. Judged by what is agreed. Decides by the
+seed alone what leaders propose, never by a look into a machine.
 """
 
 from typing import Any
@@ -14,10 +14,10 @@
 from corkgauge.maintenance.plan_replica import PlanReplica
 from corkgauge.model.leases import DRIFT, LEASE, MARGIN, Day, Node, World, drawn
 
-MOST = 2  # units that may be taken at once
+MAX_TAKEN = 2  # units that may be taken at once
 UNITS = 5
-TURN = LEASE // 10
-STEPS = {
+TURN_TICKS = LEASE // 10
+NEXT_STEP = {
     UnitState.GRANTED: UnitState.DRAINING,
     UnitState.DRAINING: UnitState.OUT,
     UnitState.OUT: UnitState.RETURNING,
@@ -26,7 +26,7 @@
 
 
 class Carrier:
-    """What a node's replica and proposer may do. Of an earlier start, nothing counts."""
+    """What a node's replica and proposer may do. Nothing counts that an earlier incarnation began."""
 
     def __init__(self, node: "PlanNode") -> None:
         self.node, self.start = node, node.start
@@ -68,7 +68,7 @@
 
     def on_plan_forgotten(self) -> None:
         """An operator comes, some time later, and tells what is out: he was there."""
-        self.node.call_later(LEASE // 2, self.node.told)
+        self.node.call_later(LEASE // 2, self.node.declare_plan)
 
     def on_preempted(self, fence: int) -> None:
         self.node.holder.outbid(fence)
@@ -92,7 +92,7 @@
         if "orders" in off:
             self.replica.checks_fence = False
         super().begin()
-        self.call_later(1 + world.chance.below(TURN), self.turn)
+        self.call_later(1 + world.chance.below(TURN_TICKS), self.turn)
 
     def safe_plan(self, start: int, record: Any, then: Any, what: tuple) -> None:
         if start == self.start:
@@ -106,7 +106,7 @@
     def lost(self, holder: LeaseCandidate, why: str) -> None:
         self.proposer.on_lease_lost()
 
-    def told(self) -> None:
+    def declare_plan(self) -> None:
         self.proposer.begin_anew(Plan.unpacked(self.world.truth))
 
     def heard(self, sender: Node, start: int, known_as: int, body: list[Any]) -> None:
@@ -128,7 +128,7 @@
 
     def turn(self) -> None:
         """Whoever leads moves some unit on, as far as the limit lets it."""
-        self.call_later(TURN, self.turn)
+        self.call_later(TURN_TICKS, self.turn)
         proposer, chance = self.proposer, self.world.chance
         if (
             proposer.state != ProposerState.LEADING
@@ -144,14 +144,14 @@
                 ["unit", name, name, "engine", [name]],
             )
         elif unit.state != UnitState.ASKED:
-            proposer.propose(["state", name, STEPS[unit.state], ""])
-        elif len(plan.units_in(*TAKEN_STATES)) < MOST:
+            proposer.propose(["state", name, NEXT_STEP[unit.state], ""])
+        elif len(plan.units_in(*TAKEN_STATES)) < MAX_TAKEN:
             proposer.propose(["state", name, UnitState.GRANTED, ""])
 
 
 class PlanWorld(World):
-    """`found` has what the judge objects to: two histories, or more taken at once than the limit; `late` counts
-    holders that heard of their own step after they had been replaced."""
+    """`found` has what the checker objects to: two histories, or more taken at once than the limit; `late` counts
+    leaders that heard of their own step after they had been replaced."""
 
     def __init__(self, day: Day) -> None:
         first = Plan()
@@ -182,7 +182,7 @@
             self.found.append(
                 f"{self.time}: {node.name} agreed {stamp} without what was agreed at {self.stamp}"
             )
-        if len(plan.units_in(*TAKEN_STATES)) > MOST:
+        if len(plan.units_in(*TAKEN_STATES)) > MAX_TAKEN:
             self.found.append(
                 f"{self.time}: {len(plan.units_in(*TAKEN_STATES))} taken at once by {node.name}"
             )
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -19,14 +19,17 @@
 from corkgauge.maintenance.schedule import select_grants
 from corkgauge.testkit.seeded_random import SeededRandom
 
-STEP = 10  # seconds
-LASTING, COLD = 600, 20  # of one engine's work; cold, it gives COLD_SHARE of its cores
-COLD_SHARE = 0.33
-FAILS = 3e-6  # a second, of each engine by itself; back after MENDED seconds
-MENDED = 1_200
+STEP_SECONDS = 10  # seconds
+LASTING_SECONDS, WARM_UP_SECONDS = (
+    600,
+    20,
+)  # of one engine's work; cold, it gives WARM_UP_SHARE of its cores
+WARM_UP_SHARE = 0.33
+FAILURES_PER_SECOND = 3e-6  # a second, of each engine by itself; back after REPAIR_SECONDS seconds
+REPAIR_SECONDS = 1_200
 POLICIES = "works", "alone", "fixed", "counted"
-# Offerings: earnings a core-second, part of all demand, kinds that may serve it.
-OFFERINGS = ("lookup", 3.0, 0.45, ()), ("report", 2.0, 0.3, ("c12",)), ("load", 1.0, 0.25, ())
+# Request classes: priority weight a core-second, part of all demand, kinds that may serve it.
+REQUEST_CLASSES = ("lookup", 3.0, 0.45, ()), ("report", 2.0, 0.3, ("c12",)), ("load", 1.0, 0.25, ())
 
 
 @dataclass(slots=True)
@@ -47,14 +50,14 @@
             return EngineCondition.DEAD
         return EngineCondition.IMPAIRED if now < self.warm_at else EngineCondition.HEALTHY
 
-    def gives(self, now: int) -> float:
+    def usable_cores(self, now: int) -> float:
         if now < max(self.away_until, self.failed_until):
             return 0.0
-        return self.cores * (COLD_SHARE if now < self.warm_at else 1.0)
+        return self.cores * (WARM_UP_SHARE if now < self.warm_at else 1.0)
 
 
 class Night:
-    """`policy` is one of POLICIES: the order with its limits; as many operators as halls, each by himself, an engine
+    """`policy` is one of POLICIES: the order with its limits; as many operators as zones, each by himself, an engine
     after the other; a fixed number in a fixed order, whatever the load; all that the limits by count allow. `peak` is
     the largest demand, as a part of all cores."""
 
@@ -77,7 +80,7 @@
     def run(self, most: int = 40 * 3600) -> dict[str, Any]:
         while any(not each.done for each in self.machines) and self.now < most:
             self._one()
-            self.now += STEP
+            self.now += STEP_SECONDS
         over = self.now
         return {
             "policy": self.policy,
@@ -88,24 +91,27 @@
         }
 
     def demand(self) -> list[float]:
-        """Cores by offering now: half a day up and down, bursts by chance."""
+        """Cores by request class now: half a day up and down, bursts by chance."""
         part = (self.now + self.phase) % 21_600 / 21_600
         level = self.low + (self.peak - self.low) * (1 - abs(2 * part - 1))
         if self.chance.within(0.002):
             self.jitter = 1.25  # a burst, which fades
         self.jitter = 1 + (self.jitter - 1) * 0.97
-        return [share * level * self.jitter * self.cores for _, _, share, _ in OFFERINGS]
+        return [share * level * self.jitter * self.cores for _, _, share, _ in REQUEST_CLASSES]
 
     def _one(self) -> None:
         now = self.now
         for each in self.machines:
-            if self.chance.within(FAILS * STEP) and now >= each.away_until:
-                each.failed_until, each.warm_at = now + MENDED, now + MENDED + COLD
+            if self.chance.within(FAILURES_PER_SECOND * STEP_SECONDS) and now >= each.away_until:
+                each.failed_until, each.warm_at = (
+                    now + REPAIR_SECONDS,
+                    now + REPAIR_SECONDS + WARM_UP_SECONDS,
+                )
             if 0 <= each.away_until <= now and not each.done:
-                each.done, each.warm_at = True, now + COLD
+                each.done, each.warm_at = True, now + WARM_UP_SECONDS
         demand = self.demand()
         for each in self._chosen(demand):
-            each.away_until = now + int(LASTING * (0.7 + 0.6 * self.chance.part()))
+            each.away_until = now + int(LASTING_SECONDS * (0.7 + 0.6 * self.chance.part()))
         self._account(demand)
 
     def _chosen(self, demand: list[float]) -> list[Machine]:
@@ -132,7 +138,7 @@
         }
         request_classes = [
             RequestClassDemand(name, frozenset(), frozenset(kinds), cores)
-            for (name, _, _, kinds), cores in zip(OFFERINGS, demand)
+            for (name, _, _, kinds), cores in zip(REQUEST_CLASSES, demand)
         ]
         snapshot = CapacitySnapshot(
             self.limits, engines, request_classes, {each.tag for each in away}
@@ -140,29 +146,33 @@
         if snapshot.find_overload(snapshot.unavailable_engines()):
             return []
         waiting_units = [
-            WaitingUnit(each.tag, (each.tag,), LASTING, place=n) for n, each in enumerate(waiting)
+            WaitingUnit(each.tag, (each.tag,), LASTING_SECONDS, place=n)
+            for n, each in enumerate(waiting)
         ]
         granted = {*select_grants(snapshot, waiting_units).granted}
         return [each for each in waiting if each.tag in granted]
 
     def _account(self, demand: list[float]) -> None:
-        """What can be carried now: the offerings that few engines may serve first, among those the dearest."""
+        """What can be carried now: the request classes that few engines may serve first, among those the dearest."""
         left: dict[str, float] = {}
         for each in self.machines:
-            left[each.kind] = left.get(each.kind, 0.0) + each.gives(self.now)
+            left[each.kind] = left.get(each.kind, 0.0) + each.usable_cores(self.now)
         carried, possible, lost = 0.0, 0.0, 0.0
-        order = sorted(range(len(OFFERINGS)), key=lambda n: (not OFFERINGS[n][3], -OFFERINGS[n][1]))
+        order = sorted(
+            range(len(REQUEST_CLASSES)),
+            key=lambda n: (not REQUEST_CLASSES[n][3], -REQUEST_CLASSES[n][1]),
+        )
         for n in order:
-            name, worth, _, kinds = OFFERINGS[n]
+            name, weight, _, kinds = REQUEST_CLASSES[n]
             wanted, rest = demand[n], demand[n]
             for kind in kinds or left:
                 takes = min(rest, left[kind])
                 left[kind] -= takes
                 rest -= takes
-            carried += worth * (wanted - rest)
-            possible += worth * wanted
+            carried += weight * (wanted - rest)
+            possible += weight * wanted
             self.worst_by[name] = max(self.worst_by.get(name, 0.0), rest / wanted)
-            lost += worth * rest
-        self.earned += carried * STEP
-        self.possible += possible * STEP
+            lost += weight * rest
+        self.earned += carried * STEP_SECONDS
+        self.possible += possible * STEP_SECONDS
         self.worst = max(self.worst, lost / possible)
--- a/corkgauge/testkit/checkers/maintenance.py
+++ b/corkgauge/testkit/checkers/maintenance.py
@@ -1,7 +1,7 @@
-"""An outside judge of works: what was worked on, when, what reached machines meanwhile, and whether that may be.
+"""The maintenance checker: what was worked on, when, what reached machines meanwhile, and whether that may be.
 
-Owns the record of the crew's work and the verdict. Free of I/O. Must never ask a gateway what it holds: the crew's own
-book, the engines' books and the limits are all it knows.
+Stands outside and is free of I/O: never asks a gateway what it holds. The crew's own records, the engines' records and
+the limits are all it knows.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,8 +21,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What was agreed with the operators: engines at once, parts of all cores, of a hall's, of a kind's, and the kinds
-    of which so many engines must be left for an offering."""
+    """What was agreed with the operators: engines at once, parts of all cores, of a zone's, of a kind's, and the kinds
+    of which so many engines must be left for a request class."""
 
     most: int
     share: float = 1.0
@@ -38,7 +38,7 @@
     limits: Limits,
     slack: int = 0,
 ) -> list[str]:
-    """All that must never be. `runs` are hand-offs as they came: (when, engine, which); `engines` (hall, kind, cores).
+    """All that must never be. `runs` are attempts as they came: (when, engine, which); `engines` (zone, kind, cores).
 
     >>> engines = {"e1": ("a", "c8", 8.0), "e2": ("a", "c8", 8.0), "e3": ("b", "c8", 8.0)}
     >>> works = [Work("e1", "x", ("e1",), 10, 50), Work("e2", "y", ("e2",), 30, 60)]
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -1,4 +1,4 @@
-"""Works without processes: the plan, keepers and scribes, order and limits, a gateway's part, simulated days."""
+"""Maintenance without processes: plan, replicas, proposers, order and limits, participants, simulated days."""
 
 from dataclasses import replace
 
@@ -151,16 +151,16 @@
         Plan.unpacked(b"\x93abc")
 
 
-# Keepers.
+# Plan replicas.
 
 
-def keeper(kept=None, silent=500):
+def replica(kept=None, silent=500):
     desk = Desk()
     return desk, PlanReplica(desk, kept, silent)
 
 
 def test_a_keeper_says_nothing_that_is_not_written_and_heeds_no_lower_fence():
-    desk, one = keeper([5, [5, 1], Plan().packed()])
+    desk, one = replica([5, [5, 1], Plan().packed()])
     one.on_datagram("h", [MessageKind.PREPARE, 7])
     assert desk.sent == []
     kept = desk.safe()
@@ -183,7 +183,7 @@
 
 
 def test_a_keeper_that_missed_a_step_fetches_the_whole_and_counts_only_then():
-    desk, one = keeper([5, [5, 1], Plan().packed()])
+    desk, one = replica([5, [5, 1], Plan().packed()])
     one.on_datagram("h", [MessageKind.ACCEPT, 7, 7, 3, 4, [["time", 9]]])
     assert desk.sent.pop()[1][0] == MessageKind.FETCH and one.stamp == (5, 1)
     whole = Plan()
@@ -198,7 +198,7 @@
 
 
 def test_a_blank_keeper_is_deaf_at_first_then_says_that_it_is_blank():
-    desk, one = keeper(None, 500)
+    desk, one = replica(None, 500)
     for body in ([MessageKind.PREPARE, 7], [MessageKind.ACCEPT, 7, 0, 0, 1, []]):
         one.on_datagram("h", body)
     assert desk.sent == []
@@ -226,80 +226,80 @@
     assert got == [((5, 2), new)]
 
 
-# The holder's side.
+# Plan proposers.
 
 
 def leading(desk=None):
     desk = desk or Desk()
-    scribe = PlanProposer(desk)
-    scribe.on_lease_gained(9)
+    proposer = PlanProposer(desk)
+    proposer.on_lease_gained(9)
     for name in "k1", "k2":
-        scribe.on_datagram(name, [MessageKind.PROMISE, 9, 5, 1, False])
-    scribe.on_chunk_datagram("k2", [MessageKind.CHUNK, 5, 5, 1, 0, 1, Plan().packed()])
+        proposer.on_datagram(name, [MessageKind.PROMISE, 9, 5, 1, False])
+    proposer.on_chunk_datagram("k2", [MessageKind.CHUNK, 5, 5, 1, 0, 1, Plan().packed()])
     for name in "k1", "k3":
-        scribe.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
-    return desk, scribe
+        proposer.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
+    return desk, proposer
 
 
 def test_a_scribe_takes_over_from_the_latest_of_a_majority():
-    desk, scribe = Desk(), None
-    scribe = PlanProposer(desk)
-    scribe.on_lease_gained(9)
-    scribe.on_datagram("k1", [MessageKind.PROMISE, 9, 5, 1, False])
-    scribe.on_datagram("stranger", [MessageKind.PROMISE, 9, 8, 1, False])
-    assert scribe.state != ProposerState.LEADING
-    scribe.on_datagram("k3", [MessageKind.PROMISE, 9, 5, 2, False])
+    desk, proposer = Desk(), None
+    proposer = PlanProposer(desk)
+    proposer.on_lease_gained(9)
+    proposer.on_datagram("k1", [MessageKind.PROMISE, 9, 5, 1, False])
+    proposer.on_datagram("stranger", [MessageKind.PROMISE, 9, 8, 1, False])
+    assert proposer.state != ProposerState.LEADING
+    proposer.on_datagram("k3", [MessageKind.PROMISE, 9, 5, 2, False])
     assert (
         desk.sent[-1][0] == "k3" and desk.sent[-1][1][0] == MessageKind.FETCH
     )  # the later of the two
-    scribe.on_chunk_datagram(
+    proposer.on_chunk_datagram(
         "k3", [MessageKind.CHUNK, 5, 5, 1, 0, 1, Plan().packed()]
     )  # but what it held before does not count
-    assert scribe.state != ProposerState.LEADING
-    scribe.on_chunk_datagram("k3", [MessageKind.CHUNK, 5, 5, 2, 0, 1, Plan().packed()])
-    assert scribe.state == ProposerState.LEADING and "led" not in desk.events
-    scribe.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
-    scribe.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
+    assert proposer.state != ProposerState.LEADING
+    proposer.on_chunk_datagram("k3", [MessageKind.CHUNK, 5, 5, 2, 0, 1, Plan().packed()])
+    assert proposer.state == ProposerState.LEADING and "led" not in desk.events
+    proposer.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
+    proposer.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
     assert "led" not in desk.events  # one keeper twice is no majority
-    scribe.on_datagram("k2", [MessageKind.ACCEPTED, 9, 9, 1])
+    proposer.on_datagram("k2", [MessageKind.ACCEPTED, 9, 9, 1])
     assert "led" in desk.events
 
 
 def test_a_step_counts_with_a_majority_and_only_while_the_duty_is_held():
-    desk, scribe = leading()
-    assert scribe.propose(ASK, UNIT) and not scribe.propose(["state", "e1", UnitState.OUT, ""])
+    desk, proposer = leading()
+    assert proposer.propose(ASK, UNIT) and not proposer.propose(["state", "e1", UnitState.OUT, ""])
     desk.holds = False
     for name in "k1", "k2", "k3":
-        scribe.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 2])
-    assert "e1" not in scribe.plan.units
+        proposer.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 2])
+    assert "e1" not in proposer.plan.units
     desk.holds = True
-    scribe.on_datagram("k1", [MessageKind.ACCEPTED, 9, 9, 2])
-    assert "e1" in scribe.plan.units and scribe.settled == scribe.proposed
-    scribe.on_datagram("k1", [MessageKind.PREEMPTED, 9, 12])
+    proposer.on_datagram("k1", [MessageKind.ACCEPTED, 9, 9, 2])
+    assert "e1" in proposer.plan.units and proposer.settled == proposer.proposed
+    proposer.on_datagram("k1", [MessageKind.PREEMPTED, 9, 12])
     assert desk.events[-1] == ("outbid", 12)
-    scribe.on_lease_lost()
-    assert scribe.state == ProposerState.IDLE and not scribe.propose(["time", 5])
+    proposer.on_lease_lost()
+    assert proposer.state == ProposerState.IDLE and not proposer.propose(["time", 5])
 
 
 def test_a_majority_that_forgot_is_never_taken_for_an_empty_plan():
     desk = Desk()
-    scribe = PlanProposer(desk)
-    scribe.on_lease_gained(9)
-    scribe.on_datagram("k1", [MessageKind.PROMISE, 9, 5, 1, False])
-    scribe.on_datagram("k2", [MessageKind.PROMISE, 9, 0, 0, True])
-    assert scribe.state != ProposerState.FORGOTTEN  # the third may remember
-    scribe.on_datagram("k3", [MessageKind.PROMISE, 9, 0, 0, True])
+    proposer = PlanProposer(desk)
+    proposer.on_lease_gained(9)
+    proposer.on_datagram("k1", [MessageKind.PROMISE, 9, 5, 1, False])
+    proposer.on_datagram("k2", [MessageKind.PROMISE, 9, 0, 0, True])
+    assert proposer.state != ProposerState.FORGOTTEN  # the third may remember
+    proposer.on_datagram("k3", [MessageKind.PROMISE, 9, 0, 0, True])
     assert (
-        scribe.state == ProposerState.FORGOTTEN
+        proposer.state == ProposerState.FORGOTTEN
         and desk.events == ["forgot"]
-        and not scribe.propose(["time", 5])
+        and not proposer.propose(["time", 5])
     )
     told = Plan()
     told.apply([["known", "told by ada"]])
-    scribe.begin_anew(told)
+    proposer.begin_anew(told)
     for name in "k2", "k3":
-        scribe.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
-    assert scribe.plan.known == "told by ada" and "led" in desk.events
+        proposer.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
+    assert proposer.plan.known == "told by ada" and "led" in desk.events
 
 
 def test_simulated_days_keep_one_history_and_each_defence_left_out_is_found():
@@ -547,18 +547,23 @@
     assert select_grants(place, waiting, "n1") == select_grants(place, [*reversed(waiting)], "n1")
 
 
-# A gateway's part.
+# Participants.
 
 
 class Premises(Desk):
     def __init__(self):
         super().__init__()
-        self.open, self.places, self.seen, self.party = set(), {"e1": "h:1", "e2": "h:2"}, [], None
+        self.open, self.places, self.seen, self.participant = (
+            set(),
+            {"e1": "h:1", "e2": "h:2"},
+            [],
+            None,
+        )
 
     def refresh_cordons(self):
-        if self.party is not None:
+        if self.participant is not None:
             self.seen.append(
-                {tag: self.party.cordon_of(tag, where) for tag, where in self.places.items()}
+                {tag: self.participant.cordon_of(tag, where) for tag, where in self.places.items()}
             )
 
     def is_quiet(self, tag):
@@ -571,14 +576,14 @@
         self.events.append("confirmed")
 
 
-def party(kept=None):
+def participant(kept=None):
     desk = Premises()
-    desk.party = Participant(desk, "n1", SECOND, kept)
-    return desk, desk.party
+    desk.participant = Participant(desk, "n1", SECOND, kept)
+    return desk, desk.participant
 
 
 def test_an_engine_is_closed_once_nothing_is_open_there_written_and_only_then_confirmed():
-    desk, one = party()
+    desk, one = participant()
     desk.open = {"e1"}
     assert one.report_fields()[3:] == [True, [], 0]
     assert one.on_orders(
@@ -595,7 +600,7 @@
     desk.pass_time(300)
     kept = desk.safe()
     assert sorted(one.report_fields()[4]) == ["e1", "e2"]
-    _, again = party(kept)  # over a restart: before anything is heard
+    _, again = participant(kept)  # over a restart: before anything is heard
     assert (
         again.cordon_of("e1") == 2 and not again.is_blank and again.report_fields()[1:3] == [7, 1]
     )
@@ -604,7 +609,7 @@
 
 
 def test_orders_of_an_earlier_holder_or_half_told_change_nothing():
-    desk, one = party()
+    desk, one = participant()
     one.on_orders(Orders(7, 2, 0, 0, 1, {"e1": UnitState.OUT}))
     assert not one.on_orders(Orders(6, 9, 0, 0, 1, {})) and one.on_orders(Orders(7, 1, 0, 0, 1, {}))
     one.on_orders(Orders(8, 1, 0, 1, 2, {"e2": UnitState.OUT}))
@@ -616,7 +621,7 @@
 
 
 def test_where_work_was_announced_a_gateway_sends_only_while_its_grant_runs_from_before_it_asked():
-    desk, one = party()
+    desk, one = participant()
     serial = one.report_fields()[0]
     asked = desk.now
     desk.pass_time(3_000)  # the answer takes its time
@@ -635,7 +640,7 @@
 
 
 def test_an_engine_named_anew_at_the_same_address_is_the_same_machine():
-    desk, one = party()
+    desk, one = participant()
     one.on_orders(Orders(7, 1, 0, 0, 1, {"e1": UnitState.OUT}))
     del desk.places["e1"]
     assert one.cordon_of("e1b", "h:1") == 1 and one.cordon_of("e1b", "h:9") == 0
@@ -644,11 +649,11 @@
 
 
 def test_at_its_start_a_gateway_waits_until_it_is_told_and_serves_where_nobody_tells():
-    span, (desk, one) = 5_000, party()
+    span, (desk, one) = 5_000, participant()
     assert one.must_wait(span, False, "")
     desk.pass_time(span)
     assert not one.must_wait(span, False, "")  # nobody is there
-    desk, one = party()
+    desk, one = participant()
     desk.pass_time(4_000)  # a slow start: whoever was reached just now has had no time to tell
     assert one.must_wait(span, True, "")
     desk.pass_time(span - 1)
@@ -663,13 +668,13 @@
     assert one.must_wait(span, True, "n2")
     desk.pass_time(1)
     assert not one.must_wait(span, True, "n2")  # whatever is, we serve
-    desk, one = party()
+    desk, one = participant()
     one.on_orders(Orders(7, 1, 0, 0, 1, {"e1": UnitState.OUT}))
     assert not one.must_wait(span, True, "n2")
 
 
 def test_a_word_names_in_turn_what_does_not_fit():
-    desk, one = party()
+    desk, one = participant()
     tags = {f"engine-with-a-long-name-{n:03}": UnitState.OUT for n in range(60)}
     one.on_orders(Orders(7, 1, 0, 0, 1, tags))
     desk.pass_time(300)
