--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -43,7 +43,12 @@
     """Engines over zones and kinds, four query classes that need a third of them; limits that let a tenth go."""
     facts = {
         f"e{n:05}": EngineFact(
-            f"e{n:05}", f"z{n % ZONES}", f"k{n % KINDS}", f"z{n % ZONES}", 8.0, EngineCondition.HEALTHY
+            f"e{n:05}",
+            f"z{n % ZONES}",
+            f"k{n % KINDS}",
+            f"z{n % ZONES}",
+            8.0,
+            EngineCondition.HEALTHY,
         )
         for n in range(engines)
     }
@@ -53,7 +58,11 @@
         )
         for n in range(4)
     ]
-    return CapacitySnapshot(DisruptionLimits(max_engines=max(engines // 10, 1), usable_share=0.9), facts, request_classes)
+    return CapacitySnapshot(
+        DisruptionLimits(max_engines=max(engines // 10, 1), usable_share=0.9),
+        facts,
+        request_classes,
+    )
 
 
 def order_ms(engines: int) -> float:
@@ -63,7 +72,9 @@
         WaitingUnit(f"e{n:05}", (f"e{n:05}",), 600_000, place=n)
         for n in range(min(engines // 2, 2 * MAX_UNITS_CHECKED))
     ]
-    assert select_grants(ground, waiting).granted  # some are let go: not an objection at the first look
+    assert select_grants(
+        ground, waiting
+    ).granted  # some are let go: not an objection at the first look
     return spent(lambda: select_grants(ground, waiting))
 
 
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -532,7 +532,9 @@
             return CapacitySnapshot(DisruptionLimits(2, 0.5, 1.0, 1.0), engines, (), away)
 
         def cost(ends):
-            late = sum(max(ends[unit.name] - unit.due_ticks, 0) for unit in units if unit.due_ticks < 2**62)
+            late = sum(
+                max(ends[unit.name] - unit.due_ticks, 0) for unit in units if unit.due_ticks < 2**62
+            )
             return (
                 late,
                 max(ends.values()),
--- a/corkgauge/maintenance/commands.py
+++ b/corkgauge/maintenance/commands.py
@@ -211,8 +211,8 @@
 
 
 def _hold(planner: Planner, command: dict[str, Any], owner: str) -> str:
-    is_held = command.get("on", True)
-    return planner.requests.hold(owner if is_held else "")
+    held_by = owner if command.get("on", True) else ""
+    return planner.requests.hold(held_by)
 
 
 def _overrule(planner: Planner, command: dict[str, Any], owner: str) -> str:
--- a/corkgauge/maintenance/fleet_view.py
+++ b/corkgauge/maintenance/fleet_view.py
@@ -103,7 +103,8 @@
         return EngineFact(tag, zone, kind, group, engine.cores, self._condition(engine))
 
     def _condition(self, engine: Any) -> EngineCondition:
-        now, gateway = self.event_loop.now, self.socket_host.gateway
+        now = self.event_loop.now
+        gateway = self.socket_host.gateway
         if engine.state != EngineState.READY:
             return EngineCondition.DEAD
         if gateway._cold(engine) or engine.stats.ejected_until > now:
@@ -128,7 +129,8 @@
 
     def ejected_engines(self) -> list[str]:
         """Host references of engines that outlier detection has ejected here, the first few."""
-        gateway, now = self.socket_host.gateway, self.event_loop.now
+        gateway = self.socket_host.gateway
+        now = self.event_loop.now
         ejected = [
             each.host_reference for each in gateway.engines if each.stats.ejected_until > now
         ]
--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -67,7 +67,7 @@
         cores, unknown = self.leadership.demand.estimate(self.host.now, running)
         # One that is not heard counts as the busiest that is; where nobody is heard, nothing can be
         # said.
-        is_all_unknown = len(unknown) >= len(running)
+        unknown_gateways = unknown if len(unknown) >= len(running) else []
         taken = plan.units_in(*TAKEN_STATES)
         engines = {tag: self._as_reported(fact) for tag, fact in self.fleet.engines().items()}
         return CapacitySnapshot(
@@ -78,7 +78,7 @@
             gateways={name: status.zone for name, status in gateways.items()},
             unavailable_gateways=_not_alive(gateways) | _members(taken, UnitKind.GATEWAY),
             voters=self.host.voters(),
-            gateways_of_unknown_load=unknown if is_all_unknown else [],
+            gateways_of_unknown_load=unknown_gateways,
         )
 
     def _as_reported(self, fact: EngineFact) -> EngineFact:
@@ -96,11 +96,13 @@
 
     def _waiting_unit(self, unit: Unit, plan: Plan, place: int) -> WaitingUnit:
         request = plan.requests.get(unit.request_id)
+        lasting_ticks = 1 if request is None else request.lasting_ticks
+        due_ticks = NEVER_TICKS if request is None else request.due_ticks
         return WaitingUnit(
             unit.name,
             tuple(unit.members),
-            lasting_ticks=1 if request is None else request.lasting_ticks,
-            due_ticks=NEVER_TICKS if request is None else request.due_ticks,
+            lasting_ticks=lasting_ticks,
+            due_ticks=due_ticks,
             passed=_times_passed(unit, plan),
             place=place,
             is_gateway=unit.kind == UnitKind.GATEWAY,
--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -75,27 +75,33 @@
             raise ValueError("expected an owner, names, and how long the work lasts")
         units = self._new_units(kind, names, plan)
         self._refuse_impossible(units, lasting_ticks)
-        now_ticks = self.leadership.maintenance_time()
         if sum(len(name.encode()) + 2 for name in names) > MAX_NAMES_BYTES:
             raise ValueError("too many names at once, ask in two")
+        now_ticks = self.leadership.maintenance_time()
+        due_ticks = now_ticks + within_ticks if within_ticks else NEVER_TICKS
         request = MaintenanceRequest(
             id=id_,
             kind=kind,
             names=[*names],
             owner=owner[:MAX_TEXT_CHARACTERS],
             reason=reason[:MAX_TEXT_CHARACTERS],
-            due_ticks=now_ticks + within_ticks if within_ticks else NEVER_TICKS,
+            due_ticks=due_ticks,
             lasting_ticks=lasting_ticks,
             count=len(units),
             cancelled="",
             at_ticks=now_ticks,
         )
-        changes: list[list[Any]] = [["time", now_ticks], ["ask", request.to_wire()]]
-        changes += (["unit", unit.name, id_, unit.kind.value, [*unit.members]] for unit in units)
+        self._propose_request(request, units)
+        return "asked"
+
+    def _propose_request(self, request: MaintenanceRequest, units: Iterable[PlannedUnit]) -> None:
+        changes: list[list[Any]] = [["time", request.at_ticks], ["ask", request.to_wire()]]
+        changes += (
+            ["unit", unit.name, request.id, unit.kind.value, [*unit.members]] for unit in units
+        )
         if not self.proposer.propose(*changes):
             raise ValueError("too much is asked at once, try again")
         self.leadership.counts["asks"] += 1
-        return "asked"
 
     def _new_units(self, kind: str, names: Sequence[str], plan: Plan) -> list[PlannedUnit]:
         """Find the units that the names come to and that are not in the plan yet."""
@@ -229,17 +235,21 @@
             found[name] = PlannedUnit(name, UnitKind.GATEWAY, (name,))
             continue
         for tag in sorted(_engines_named(kind, name, zones, machines)):
-            machine = machine_of.get(tag)
-            members: tuple[str, ...] = (tag,)
-            if machine:
-                members = tuple(
-                    sorted(each for each in machines[machine] if each in zones or each == tag)
-                )
-            unit_name = machine or tag
-            found[unit_name] = PlannedUnit(unit_name, UnitKind.ENGINE, members)
+            unit = _engine_unit(tag, machine_of.get(tag), zones, machines)
+            found[unit.name] = unit
     return [*found.values()]
 
 
+def _engine_unit(
+    tag: str, machine: str | None, zones: Mapping[str, str], machines: Mapping[str, Sequence[str]]
+) -> PlannedUnit:
+    """Return the unit of an engine: its whole machine, as far as its engines are listed."""
+    if not machine:
+        return PlannedUnit(tag, UnitKind.ENGINE, (tag,))
+    members = sorted(each for each in machines[machine] if each in zones or each == tag)
+    return PlannedUnit(machine, UnitKind.ENGINE, tuple(members))
+
+
 def _engines_named(
     kind: str, name: str, zones: Mapping[str, str], machines: Mapping[str, Sequence[str]]
 ) -> list[str]:
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -169,7 +169,8 @@
 
     def _gather(self, stamp: Stamp, orders: Orders) -> None:
         """Keep the part; with the last one the orders are taken whole."""
-        part, parts = orders.part, orders.parts
+        part = orders.part
+        parts = orders.parts
         are_numbers = type(part) is int and type(parts) is int
         if not are_numbers or not 0 <= part < parts <= MAX_PARTS:
             raise ValueError("orders that make no sense")
--- a/corkgauge/maintenance/plan_history.py
+++ b/corkgauge/maintenance/plan_history.py
@@ -45,5 +45,6 @@
 def _wrong_step(entry: HistoryEntry, last_state: int) -> list[str]:
     if entry.state in NEXT_STATES.get(last_state, ()):
         return []
-    state, before = STATE_WORDS[entry.state], STATE_WORDS[last_state]
+    state = STATE_WORDS[entry.state]
+    before = STATE_WORDS[last_state]
     return [f"entry {entry.serial}: {entry.unit} of {entry.request_id} is {state} after {before}"]
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -52,14 +52,7 @@
         self.fleet = FleetView(socket_host, self.member_list, self.name)
         self.pending_commands = PendingCommands(self)
         self.is_built = False  # the participant calls back while it is built
-        self.safe = DurableRecord(
-            self.event_loop,
-            socket_host.log,
-            office.said.folder,
-            f"{self.name}.works",
-            "works: what was kept is torn, blank at first",
-            "works: nothing is written, nothing is confirmed until a restart",
-        )
+        self.safe = self._open_record()
         replica_record, participant_record = self.safe.kept or (None, None)
         silent_ticks = 0 if office.said.folder else office.span.silent
         self.plan_replica = PlanReplica(self, replica_record, silent_ticks)
@@ -75,6 +68,16 @@
         self.refresh_cordons()  # what was remembered holds from the first request on
         self._sample_demand()
 
+    def _open_record(self) -> DurableRecord:
+        return DurableRecord(
+            self.event_loop,
+            self.socket_host.log,
+            self.office.said.folder,
+            f"{self.name}.works",
+            "works: what was kept is torn, blank at first",
+            "works: nothing is written, nothing is confirmed until a restart",
+        )
+
     def _build_planner(self) -> Planner:
         settings = self.socket_host.settings
         drift_factor = 1 + 2 * self.office.span.drift
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -595,7 +595,9 @@
     def take(here: Instance) -> None:
         here.yard.plan_replica.is_blank = False
         here.yard.on_plan_message("n2", [MessageKind.ACCEPT, FENCE, 0, 0, 1, PLAN_CHANGES])
-        here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING, "e2": UnitState.GRANTED}])
+        here.yard.on_message(
+            "n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING, "e2": UnitState.GRANTED}]
+        )
 
     return stored_by_helper("n1.works", take)
 
