--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -126,7 +126,7 @@
         engine = Engine(name, name.encode(), entry.zone, entry.kind, entry.cell, name=name)
         if self.host.works is not None:
             # A machine that is out for maintenance may be listed anew; it is the same machine.
-            engine.cordon = self.host.works.how(name, entry.address)
+            engine.cordon = self.host.works.cordon_for(name, entry.address)
         engine_pool = EnginePool(self.host, engine, self.listed_count)
         self.host.engine_pools[name] = engine_pool
         self.listed_count += 1
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -424,7 +424,7 @@
         if in_flight_attempt.effect:
             self.recovery.on_attempt_finished(in_flight_attempt.effect, outcome)
         if self.works is not None:
-            self.works.over(in_flight_attempt.engine_row.name, outcome)
+            self.works.on_attempt_finished(in_flight_attempt.engine_row.name, outcome)
         self.gateway.on_attempt_finished(
             attempt,
             outcome,
--- a/tests/test_import_directions.py
+++ b/tests/test_import_directions.py
@@ -39,9 +39,6 @@
     # `safe_file_name`, which makes a file name of a gateway's name, is shared by the two that keep files.
     # It goes once that function stands below both.
     ("recovery/service.py", "accounting"): 1,
-    # The maintenance service names the host's concrete class, for an annotation alone.
-    # It goes once a `Protocol` in `maintenance` says what the service needs of its host.
-    ("maintenance/service.py", "net"): 1,
 }
 
 
