--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -1,8 +1,10 @@
-"""Flow export: bytes as the RFCs have them, timeouts, what is held, whom to tell, and real collectors."""
+"""Flow export: bytes of the RFCs, timeouts, pending records, failover, and real collectors."""
 
+import contextlib
 import ssl
 from collections import Counter
-from datetime import datetime, timedelta, timezone
+from datetime import UTC, datetime, timedelta
+from itertools import pairwise
 from pathlib import Path
 from random import Random
 from types import SimpleNamespace
@@ -44,6 +46,11 @@
     return bytes(map(int, text.split(".")))
 
 
+def taker_of(queue):
+    """What a session asks for its next record."""
+    return lambda: queue.pop(0) if queue else None
+
+
 # Bytes.
 
 FLOW = Template(
@@ -92,14 +99,19 @@
     assert data[16:] == bytes.fromhex(
         GOLDEN_TEMPLATE + GOLDEN_OPTIONS + GOLDEN_DATA + GOLDEN_OPTIONS_DATA
     )
-    heard = Decoder().decode(data)
-    assert (heard.sequence, heard.domain, heard.export_time_seconds, len(heard.records)) == (
+    decoded = Decoder().decode(data)
+    assert (
+        decoded.sequence,
+        decoded.domain,
+        decoded.export_time_seconds,
+        len(decoded.records),
+    ) == (
         7,
         9,
         1000,
         3,
     )
-    assert heard.records[1]["octetDeltaCount"] == 388934 and heard.options[1]["lineCardId"] == 2
+    assert decoded.records[1]["octetDeltaCount"] == 388934 and decoded.options[1]["lineCardId"] == 2
     assert FLOW.definition(True) == bytes.fromhex(GOLDEN_TEMPLATE)[4:]
     assert LINE.definition(True)[:6] == bytes.fromhex("0102 0004 0008")  # octets, not counts
 
@@ -156,12 +168,12 @@
 )
 
 
-def octets(heard):
+def octets(decoded):
     return sum(
         record["octetDeltaCount"]
         + record.get("reverseOctetDeltaCount", 0)
         + record.get("postOctetDeltaCount", 0)
-        for each in heard
+        for each in decoded
         for record in each.records
     )
 
@@ -175,22 +187,22 @@
 def test_whatever_is_encoded_is_decoded_within_the_limit(kind, several, limit):
     session, decoder, queue = Session(Layout(kind, "n1"), 77, limit, 0), Decoder(), [*several]
     statistics = Counter()
-    messages, told = session.introduction(5_000, statistics), []
+    messages, exported = session.introduction(5_000, statistics), []
     while queue:
-        data, some, left = session.data_message(6_000, lambda: queue.pop(0) if queue else None)
+        data, some, left = session.data_message(6_000, taker_of(queue))
         assert some and data
         queue[:0] = [left] if left else []
         messages.append(data)
-        told += some
-    heard = [decoder.decode(data) for data in messages]
-    assert told == several and all(len(data) <= limit for data in messages)
-    assert octets(heard) == sum(each.octets for each in several)
-    assert not any(each.missed or each.unknown for each in heard) and all(
-        each.domain == 77 for each in heard
+        exported += some
+    decoded = [decoder.decode(data) for data in messages]
+    assert exported == several and all(len(data) <= limit for data in messages)
+    assert octets(decoded) == sum(each.octets for each in several)
+    assert not any(each.missed or each.unknown for each in decoded) and all(
+        each.domain == 77 for each in decoded
     )
     if kind == LayoutKind.OWN:
-        assert sorted(record["engineId"] for each in heard for record in each.records) == sorted(
-            each.engine.encode()[:64].decode(errors="replace") for each in told
+        assert sorted(record["engineId"] for each in decoded for record in each.records) == sorted(
+            each.engine.encode()[:64].decode(errors="replace") for each in exported
         )
     if (
         kind != LayoutKind.OWN
@@ -202,9 +214,9 @@
         names = ("octetDeltaCount",) if kind == LayoutKind.STANDARD else ("IN_BYTES", "OUT_BYTES")
         statistics_records = kind == LayoutKind.STANDARD  # it takes options for flows
         assert len(theirs) == sum(
-            len(each.records) + statistics_records * len(each.options) for each in heard
+            len(each.records) + statistics_records * len(each.options) for each in decoded
         )
-        assert sum(flow.get(each, 0) for flow in theirs for each in names) == octets(heard)
+        assert sum(flow.get(each, 0) for flow in theirs for each in names) == octets(decoded)
 
 
 def test_both_decoders_agree_on_every_field():
@@ -214,7 +226,7 @@
         queue = [delta(1), delta(2, family=6, side=FlowDirection.INGRESS), delta(3, forward=2**35)]
         messages = [
             *session.introduction(5_000, Counter()),
-            session.data_message(6_000, lambda: queue.pop(0) if queue else None)[0],
+            session.data_message(6_000, taker_of(queue))[0],
         ]
         mine = [record for data in messages for record in ours.decode(data).records]
         theirs = [
@@ -224,7 +236,7 @@
             if "observationDomainId" not in flow.data
         ]
         assert len(mine) == len(theirs) >= 3
-        for ours_, other in zip(mine, theirs):
+        for ours_, other in zip(mine, theirs, strict=True):
             assert sorted(
                 str(value) for key, value in ours_.items() if "Address" not in key
             ) == sorted(
@@ -239,7 +251,7 @@
     queue = [delta(n, family=(4, 6)[n % 2]) for n in range(9)]
     return [
         *session.introduction(5_000, Counter()),
-        session.data_message(6_000, lambda: queue.pop(0) if queue else None)[0],
+        session.data_message(6_000, taker_of(queue))[0],
     ]
 
 
@@ -272,10 +284,8 @@
         b"\0\x09",
         b"\0\x0a" + (len(data) + 16).to_bytes(2, "big") + bytes(12),
     ):
-        try:
+        with contextlib.suppress(MalformedMessageError):
             Decoder().decode(head + data)
-        except MalformedMessageError:
-            pass
 
 
 @pytest.mark.parametrize(
@@ -303,9 +313,7 @@
     session, decoder = Session(Layout(LayoutKind.OWN, "n1"), 7, 1400, 0), Decoder()
     queue = [delta(n) for n in range(60)]
     introduction = session.introduction(0, Counter())
-    first, (lost, gone, _), third = (
-        session.data_message(0, lambda: queue.pop(0) if queue else None) for _ in range(3)
-    )
+    first, (_, gone, _), third = (session.data_message(0, taker_of(queue)) for _ in range(3))
     for data in (*introduction, first[0]):
         assert decoder.decode(data).missed == 0
     assert decoder.decode(third[0]).missed == len(gone) > 0
@@ -370,15 +378,15 @@
 
 
 def metered(active=60, idle=15):
-    told = []
-    return Meter(told.append, active * SECOND, idle * SECOND, 0), told
+    reported = []
+    return Meter(reported.append, active * SECOND, idle * SECOND, 0), reported
 
 
 ENDS = Endpoints(4, ip("127.0.0.1"), 4000, ip("127.0.0.2"), 9090)
 
 
 def test_a_connection_open_all_night_is_seen_each_minute():
-    meter, told = metered()
+    meter, reported = metered()
     link = Wire()
     flow = meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
     for now in range(0, 600 * SECOND, SECOND // 2):
@@ -388,17 +396,17 @@
         meter.advance(now)
     meter.end_flow(flow, FlowEndReason.ENDED, 600 * SECOND)
     meter.end_flow(flow, FlowEndReason.ENDED, 600 * SECOND)
-    assert [each.end_reason for each in told] == [
-        *[FlowEndReason.ACTIVE] * (len(told) - 1),
+    assert [each.end_reason for each in reported] == [
+        *[FlowEndReason.ACTIVE] * (len(reported) - 1),
         FlowEndReason.ENDED,
-    ] and 9 <= len(told) <= 12
+    ] and 9 <= len(reported) <= 12
     assert (
-        sum(each.forward_octets for each in told) == link.sent
-        and sum(each.reverse_octets for each in told) == link.got
+        sum(each.forward_octets for each in reported) == link.sent
+        and sum(each.reverse_octets for each in reported) == link.got
     )
     assert (
-        all(one.end_ms == other.start_ms for one, other in zip(told, told[1:]))
-        and len({d.flow_id for d in told}) == 1
+        all(one.end_ms == other.start_ms for one, other in pairwise(reported))
+        and len({d.flow_id for d in reported}) == 1
     )
     assert (
         meter.measured_octets == link.got + link.sent and not meter.flows and not len(meter.wheel)
@@ -406,7 +414,7 @@
 
 
 def test_a_quiet_connection_ends_its_flow_and_begins_another():
-    meter, told = metered()
+    meter, reported = metered()
     link = Wire()
     meter.start_flow(link, FlowDirection.INGRESS, ENDS, "", "", 0)
     link.got = 7
@@ -414,35 +422,35 @@
         meter.advance(now)
         if now == 50 * SECOND:
             link.sent = 3
-    assert [(each.end_reason, each.forward_octets, each.reverse_octets) for each in told] == [
+    assert [(each.end_reason, each.forward_octets, each.reverse_octets) for each in reported] == [
         (FlowEndReason.IDLE, 7, 0),
         (FlowEndReason.IDLE, 0, 3),
     ]
-    assert told[0].flow_id != told[1].flow_id and meter.unreported_octets() == 0
+    assert reported[0].flow_id != reported[1].flow_id and meter.unreported_octets() == 0
 
 
 def test_ten_thousand_due_at_once_are_looked_at_in_parts():
-    meter, told = metered()
+    meter, reported = metered()
     links = [Wire() for _ in range(10_000)]
     for link in links:
         meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
         link.got = 1
     calls = 0
     for now in range(60 * SECOND, 63 * SECOND, 500):
-        before = len(told)
+        before = len(reported)
         meter.advance(now)
-        assert len(told) - before <= 500
-        calls += len(told) > before
-    assert len(told) == 10_000 and calls >= 20
+        assert len(reported) - before <= 500
+        calls += len(reported) > before
+    assert len(reported) == 10_000 and calls >= 20
 
 
-# What is held.
+# Pending records.
 
 
 @settings(max_examples=100, deadline=None)
 @given(strategies.lists(strategies.tuples(deltas, strategies.integers(0, 3)), max_size=150))
 def test_nothing_of_the_totals_is_lost_within_the_bound(steps):
-    held, told, under_way = PendingRecords(20 * DELTA_MEMORY_BYTES), 0, []
+    held, exported_octets, under_way = PendingRecords(20 * DELTA_MEMORY_BYTES), 0, []
     for each, what in steps:
         each.flow_id %= 40
         held.add(each)
@@ -451,7 +459,7 @@
         elif what == 1 and under_way:
             held.put_back([under_way.pop()])
         elif what == 2 and under_way:
-            told += under_way.pop().octets
+            exported_octets += under_way.pop().octets
         assert len(held) <= held.max_records
         recount = sum(
             d.octets
@@ -461,7 +469,10 @@
         assert held.octets == recount
         assert (
             held.measured_octets
-            == told + held.octets + sum(d.octets for d in under_way) + held.dropped_octets
+            == exported_octets
+            + held.octets
+            + sum(d.octets for d in under_way)
+            + held.dropped_octets
         )
 
 
@@ -493,11 +504,11 @@
     )
 
 
-# Whom to tell.
+# Export buffer.
 
 
-class Desk:
-    """A export_buffer on a fake clock, with collectors that take everything while they are well."""
+class BufferHarness:
+    """An export buffer on a fake clock; its collectors take everything while they are well."""
 
     def __init__(self, *datagrams, memory=10**6, seed=1):
         self.now, self.logged, self.sent, self.opened, self.closed = 0, [], [], [], []
@@ -558,167 +569,168 @@
         decoder, total = Decoder(), 0
         for _, to, data in self.sent:
             if to is peer:
-                heard = decoder.decode(data)
-                assert not heard.unknown
-                total += octets([heard])
+                decoded = decoder.decode(data)
+                assert not decoded.unknown
+                total += octets([decoded])
         return total
 
 
 @pytest.mark.parametrize("datagrams", [True, False])
 def test_a_collector_that_is_down_for_minutes_gets_all_of_it_later(datagrams):
-    desk = Desk(datagrams)
-    desk.well[desk.peers[0]] = False
+    harness = BufferHarness(datagrams)
+    harness.well[harness.peers[0]] = False
     for n in range(1800):
-        desk.export_buffer.add(delta(n % 50, reason=FlowEndReason.ACTIVE))
-        desk.run(SECOND // 10, SECOND // 10)
+        harness.export_buffer.add(delta(n % 50, reason=FlowEndReason.ACTIVE))
+        harness.run(SECOND // 10, SECOND // 10)
     assert (
-        desk.export_buffer.totals.exported_octets == 0
-        and len(desk.held) == 50
-        and desk.held.dropped_octets == 0
+        harness.export_buffer.totals.exported_octets == 0
+        and len(harness.held) == 50
+        and harness.held.dropped_octets == 0
     )
-    tries = [when for when, _ in desk.closed]
+    tries = [when for when, _ in harness.closed]
     assert (
         3 <= len(tries) <= 12 and tries[-1] - tries[-2] > 20 * SECOND
     )  # further and further apart
-    assert sum("not reached" in line for line in desk.logged) == 1
-    desk.well[desk.peers[0]] = True
-    desk.run(90 * SECOND)
+    assert sum("not reached" in line for line in harness.logged) == 1
+    harness.well[harness.peers[0]] = True
+    harness.run(90 * SECOND)
     assert (
-        desk.export_buffer.totals.exported_octets == 1800 * 150 == desk.held.measured_octets
-        and not len(desk.held)
+        harness.export_buffer.totals.exported_octets == 1800 * 150 == harness.held.measured_octets
+        and not len(harness.held)
     )
 
 
 def test_fallback_to_the_next_and_return_to_the_first():
-    desk = Desk(True, False)
-    first, second = desk.peers
-    desk.run(SECOND)
-    assert desk.export_buffer.active is first
-    desk.well[first] = False
+    harness = BufferHarness(True, False)
+    first, second = harness.peers
+    harness.run(SECOND)
+    assert harness.export_buffer.active is first
+    harness.well[first] = False
     for n in range(100):
-        desk.export_buffer.add(delta(n))
-        desk.run(SECOND // 2)
+        harness.export_buffer.add(delta(n))
+        harness.run(SECOND // 2)
     assert (
-        desk.export_buffer.active is second
+        harness.export_buffer.active is second
         and second.state == CollectorState.UP
-        and desk.decoded(second) > 90 * 150
+        and harness.decoded(second) > 90 * 150
     )
-    desk.well[first] = True
-    desk.run(80 * SECOND)
-    assert desk.export_buffer.active is first and second.state == CollectorState.DOWN
-    assert any("takes over" in line for line in desk.logged)
-    assert desk.export_buffer.totals.exported_octets == desk.held.measured_octets
-    total = desk.decoded(first) + desk.decoded(second)
-    # a refused datagram is told again, and so told
-    assert total == desk.held.measured_octets + desk.export_buffer.totals.repeated_octets
+    harness.well[first] = True
+    harness.run(80 * SECOND)
+    assert harness.export_buffer.active is first and second.state == CollectorState.DOWN
+    assert any("takes over" in line for line in harness.logged)
+    assert harness.export_buffer.totals.exported_octets == harness.held.measured_octets
+    total = harness.decoded(first) + harness.decoded(second)
+    # a refused datagram is sent again, and so counted
+    assert total == harness.held.measured_octets + harness.export_buffer.totals.repeated_octets
 
 
 def test_a_stream_that_breaks_never_sends_a_torn_message_again():
-    desk = Desk(False)
-    desk.run(SECOND)
+    harness = BufferHarness(False)
+    harness.run(SECOND)
     for n in range(100):
-        desk.export_buffer.add(delta(n))
-    desk.run(1000, writes=False)
-    peer = desk.peers[0]
-    sent = [data for _, _, data in desk.sent]
+        harness.export_buffer.add(delta(n))
+    harness.run(1000, writes=False)
+    peer = harness.peers[0]
+    sent = [data for _, _, data in harness.sent]
     ends = [sum(map(len, sent[: n + 1])) for n in range(len(sent))]
-    desk.export_buffer.on_written(
-        peer, ends[-3] + 10, desk.now
+    harness.export_buffer.on_written(
+        peer, ends[-3] + 10, harness.now
     )  # the last but one is torn, the last has not begun
-    told, unwritten = desk.export_buffer.totals.exported_octets, peer.in_flight_octets
+    exported_octets, unwritten = harness.export_buffer.totals.exported_octets, peer.in_flight_octets
     assert unwritten > 0
-    desk.export_buffer.on_lost(peer, "reset", desk.now, unacknowledged_bytes=11)
+    harness.export_buffer.on_lost(peer, "reset", harness.now, unacknowledged_bytes=11)
     assert (
-        0 < desk.export_buffer.totals.uncertain_octets < told
+        0 < harness.export_buffer.totals.uncertain_octets < exported_octets
     )  # one whole message was in the system's hands
-    # the torn one and the last are told in another session, as new
-    assert desk.held.octets == unwritten
-    desk.run(30 * SECOND)
-    assert desk.export_buffer.totals.exported_octets == desk.held.measured_octets == 100 * 150
+    # the torn one and the last go into another session, as new records
+    assert harness.held.octets == unwritten
+    harness.run(30 * SECOND)
+    assert harness.export_buffer.totals.exported_octets == harness.held.measured_octets == 100 * 150
     for _ in range(3):
-        desk.export_buffer.add(delta(500))
-    desk.run(SECOND)
-    desk.export_buffer.on_lost(peer, "reset", desk.now, unacknowledged_bytes=10**6)
+        harness.export_buffer.add(delta(500))
+    harness.run(SECOND)
+    harness.export_buffer.on_lost(peer, "reset", harness.now, unacknowledged_bytes=10**6)
     assert (
-        desk.export_buffer.totals.uncertain_octets >= 3 * 150
-    )  # in the system's hands: nobody knows, so it is told
+        harness.export_buffer.totals.uncertain_octets >= 3 * 150
+    )  # in the system's hands: nobody knows, so it is exported
 
 
 def test_what_a_stream_still_holds_when_it_is_left_counts_as_repeated():
-    desk = Desk(False)
-    desk.run(SECOND)
-    desk.export_buffer.add(delta(1))
-    desk.run(1000, writes=False)
-    desk.export_buffer.reconfigure(desk.peers, desk.export_buffer.layout, desk.now)
+    harness = BufferHarness(False)
+    harness.run(SECOND)
+    harness.export_buffer.add(delta(1))
+    harness.run(1000, writes=False)
+    harness.export_buffer.reconfigure(harness.peers, harness.export_buffer.layout, harness.now)
     assert (
-        desk.export_buffer.totals.repeated_octets == 150 == desk.held.octets
-        and desk.export_buffer.unaccounted_octets() == 0
+        harness.export_buffer.totals.repeated_octets == 150 == harness.held.octets
+        and harness.export_buffer.unaccounted_octets() == 0
     )
 
 
 def test_a_stream_that_takes_nothing_is_left_and_a_full_one_keeps_its_place():
-    desk = Desk(False)
-    desk.run(SECOND)
-    peer = desk.peers[0]
-    desk.full.add(peer)
-    desk.export_buffer.add(delta(1))
-    desk.run(SECOND)
-    assert desk.held.octets == 150 and desk.export_buffer.totals.exported_octets == 0
-    desk.run(40 * SECOND)  # statistics came due meanwhile, and found no room either
-    desk.full.clear()
-    desk.run(40 * SECOND)
-    assert desk.export_buffer.totals.exported_octets == 150 and desk.decoded(peer) == 150
+    harness = BufferHarness(False)
+    harness.run(SECOND)
+    peer = harness.peers[0]
+    harness.full.add(peer)
+    harness.export_buffer.add(delta(1))
+    harness.run(SECOND)
+    assert harness.held.octets == 150 and harness.export_buffer.totals.exported_octets == 0
+    harness.run(40 * SECOND)  # statistics came due meanwhile, and found no room either
+    harness.full.clear()
+    harness.run(40 * SECOND)
+    assert harness.export_buffer.totals.exported_octets == 150 and harness.decoded(peer) == 150
     decoder = Decoder()
     assert not any(
-        decoder.decode(data).missed for _, _, data in desk.sent
+        decoder.decode(data).missed for _, _, data in harness.sent
     )  # numbers of what never went
-    desk.export_buffer.add(delta(2))
-    desk.run(8 * SECOND, writes=False)
-    assert "collector c0 lost: it takes nothing" in desk.logged
+    harness.export_buffer.add(delta(2))
+    harness.run(8 * SECOND, writes=False)
+    assert "collector c0 lost: it takes nothing" in harness.logged
 
 
 def test_templates_again_on_udp_by_time_and_by_count():
-    desk = Desk(True)
-    desk.peers[0].refresh_ticks, desk.peers[0].refresh_messages = 20 * SECOND, 10
+    harness = BufferHarness(True)
+    harness.peers[0].refresh_ticks, harness.peers[0].refresh_messages = 20 * SECOND, 10
     for n in range(80):
-        desk.export_buffer.add(delta(n))
-        desk.run(SECOND)
-    starts = [when for when, _, data in desk.sent if Decoder().decode(data).templates]
-    assert len(starts) >= 8 and max(b - a for a, b in zip(starts, starts[1:])) <= 21 * SECOND
+        harness.export_buffer.add(delta(n))
+        harness.run(SECOND)
+    starts = [when for when, _, data in harness.sent if Decoder().decode(data).templates]
+    assert len(starts) >= 8 and max(b - a for a, b in pairwise(starts)) <= 21 * SECOND
 
 
 @pytest.mark.parametrize("datagrams", [True, False])
 def test_statistics_go_each_half_minute_and_templates_of_a_stream_once(datagrams):
-    desk = Desk(datagrams)
-    desk.run(130 * SECOND)
+    harness = BufferHarness(datagrams)
+    harness.run(130 * SECOND)
     decoder = Decoder()
-    heard = [decoder.decode(data) for _, _, data in desk.sent]
-    assert [each.templates > 0 for each in heard] == [True, *[False] * (len(heard) - 1)] and len(
-        heard
-    ) == 5
+    decoded = [decoder.decode(data) for _, _, data in harness.sent]
+    assert [each.templates > 0 for each in decoded] == [
+        True,
+        *[False] * (len(decoded) - 1),
+    ] and len(decoded) == 5
     assert all(
         option["observationDomainId"] == 7
-        for each in heard
+        for each in decoded
         for option in each.options
         if "observationDomainId" in option
-    ) and not any(each.missed for each in heard)
+    ) and not any(each.missed for each in decoded)
 
 
 def test_gateways_come_back_at_different_moments():
     moments = set()
     for seed in range(20):
-        desk = Desk(True, seed=seed)
-        desk.well[desk.peers[0]] = False
-        desk.run(5 * SECOND, 100)
-        moments.add(desk.peers[0].retry_at)
+        harness = BufferHarness(True, seed=seed)
+        harness.well[harness.peers[0]] = False
+        harness.run(5 * SECOND, 100)
+        moments.add(harness.peers[0].retry_at)
     assert len(moments) > 10
 
 
 # Real collectors, on loopback; the clock alone is a fake.
 
 
-class Site:
-    """A house with an exporter, and collectors beside it."""
+class ExportSite:
+    """A host with an exporter, and collectors beside it."""
 
     def __init__(
         self,
@@ -740,25 +752,25 @@
             memory,
             active,
         )
-        self.heard, self.bytes = [[] for _ in transports], [[] for _ in transports]
+        self.messages, self.bytes = [[] for _ in transports], [[] for _ in transports]
         self.collectors = [
             EmulatedCollector(
                 self.premises.event_loop, each, self.taker(n), context=(contexts or {}).get(n)
             )
             for n, each in enumerate(transports)
         ]
-        self.exporter = Exporter(self.premises.socket_host, "n1", 7, self.said())
+        self.exporter = Exporter(self.premises.socket_host, "n1", 7, self.flow_settings())
         self.client = self.engine = None
         self.tag, self.stream = "e1", 0
 
     def taker(self, n):
-        def take(heard, data):
-            self.heard[n].append(heard)
+        def take(decoded, data):
+            self.messages[n].append(decoded)
             self.bytes[n].append(data)
 
         return take
 
-    def said(self, collectors=None):
+    def flow_settings(self, collectors=None):
         rows = ""
         for each in collectors or self.collectors:
             rows += (
@@ -772,7 +784,7 @@
         return read_operator(str(self.path)).flows
 
     def serve(self, count):
-        """Submissions, one after the other, each with its answer, on connections of their own."""
+        """Requests, one after the other, each with its answer, on connections of their own."""
         self.hang_up()
         self.client, self.engine = self.premises.client(), self.premises.engine(self.tag)
         for _ in range(count):
@@ -800,8 +812,8 @@
             each.line() for each in socket_host.findings.held.values()
         ]
 
-    def told(self, n=0):
-        return octets(self.heard[n])
+    def exported_octets(self, n=0):
+        return octets(self.messages[n])
 
     def carried(self):
         socket_host = self.premises.socket_host
@@ -812,20 +824,22 @@
 
 @pytest.mark.parametrize("layout", KINDS)
 def test_every_record_reaches_a_collector_and_adds_up(tmp_path, layout):
-    site = Site(tmp_path, layout=layout)
+    site = ExportSite(tmp_path, layout=layout)
     for _ in range(5):
         site.serve(3)
         site.go_on(1)
     site.hang_up()
     site.go_on(4)
-    assert site.told() == site.carried() > 1000 and site.collectors[0].wrong == []
+    assert site.exported_octets() == site.carried() > 1000 and site.collectors[0].wrong == []
     site.balanced()
     export_buffer = site.exporter.buffers["first"]
     assert (
-        export_buffer.totals.exported_octets == export_buffer.pending.measured_octets == site.told()
+        export_buffer.totals.exported_octets
+        == export_buffer.pending.measured_octets
+        == site.exported_octets()
         and export_buffer.totals.repeated_octets == export_buffer.totals.uncertain_octets == 0
     )
-    assert not any(each.missed for each in site.heard[0])
+    assert not any(each.missed for each in site.messages[0])
     if layout != LayoutKind.OWN:
         templates, total = {"netflow": {}, "ipfix": {}}, 0
         for data in site.bytes[0]:
@@ -838,7 +852,7 @@
     else:
         engines = [
             record
-            for each in site.heard[0]
+            for each in site.messages[0]
             for record in each.records
             if record["flowDirection"] == FlowDirection.EGRESS
         ]
@@ -847,7 +861,7 @@
         } == {("e1", "east", "n1")}
         assert {
             option["informationElementName"]
-            for each in site.heard[0]
+            for each in site.messages[0]
             for option in each.options
             if "informationElementName" in option
         } >= {"engineId", "hallName"}
@@ -855,7 +869,7 @@
 
 @pytest.mark.parametrize("transport", ["udp", "tcp"])
 def test_a_collector_that_goes_and_comes_back(tmp_path, transport):
-    site = Site(tmp_path, (transport,))
+    site = ExportSite(tmp_path, (transport,))
     site.go_on(2)
     site.serve(4)
     site.go_on(3)
@@ -874,12 +888,12 @@
         and export_buffer.pending.dropped_octets == 0
     )
     lost_or_twice = export_buffer.totals.uncertain_octets + export_buffer.totals.repeated_octets
-    assert abs(site.told() - site.carried()) <= lost_or_twice < site.carried() / 5
+    assert abs(site.exported_octets() - site.carried()) <= lost_or_twice < site.carried() / 5
     site.balanced()
 
 
 def test_a_collector_that_accepts_and_never_reads(tmp_path):
-    site = Site(tmp_path, ("tcp", "udp"))
+    site = ExportSite(tmp_path, ("tcp", "udp"))
     site.collectors[0].deaf = True
     site.premises.socket_host.settings.idle_time = 10**9
     for _ in range(400):
@@ -895,13 +909,13 @@
     assert any("it takes nothing" in line for line in site.premises.logged)
     assert (
         export_buffer.active is export_buffer.peers[1]
-        and site.told(1) > 0
+        and site.exported_octets(1) > 0
         and len(export_buffer.pending) <= export_buffer.pending.max_records
     )
 
 
 def test_a_collector_that_resets_at_every_template(tmp_path):
-    site = Site(tmp_path, ("tcp",))
+    site = ExportSite(tmp_path, ("tcp",))
     site.collectors[0].resets_templates = True
     site.serve(3)
     site.go_on(20)
@@ -915,11 +929,11 @@
         == export_buffer.pending.measured_octets
         == site.carried()
     )
-    assert abs(site.told() - site.carried()) <= export_buffer.totals.uncertain_octets
+    assert abs(site.exported_octets() - site.carried()) <= export_buffer.totals.uncertain_octets
 
 
 def test_an_engine_replaced_at_its_address_and_the_end_of_the_program(tmp_path):
-    site = Site(tmp_path)
+    site = ExportSite(tmp_path)
     site.go_on(1)
     site.serve(2)
     site.premises.socket_host.event(
@@ -932,50 +946,50 @@
     site.premises.turn(20)
     names = Counter(
         record["engineId"]
-        for each in site.heard[0]
+        for each in site.messages[0]
         for record in each.records
         if record["flowDirection"] == FlowDirection.EGRESS
     )
-    assert set(names) == {"e1", "e9"} and site.told() == site.carried()
+    assert set(names) == {"e1", "e9"} and site.exported_octets() == site.carried()
 
 
 def test_sighup_changes_collectors_without_losing_what_is_held(tmp_path):
-    site = Site(tmp_path, ("udp", "tcp"))
+    site = ExportSite(tmp_path, ("udp", "tcp"))
     site.collectors[0].close()
     old, new = site.collectors
-    site.exporter.reload(site.said([old]))
+    site.exporter.reload(site.flow_settings([old]))
     site.serve(5)
     site.go_on(5)
     assert site.exporter.buffers["first"].totals.exported_octets == 0
-    site.exporter.reload(site.said([new]))
+    site.exporter.reload(site.flow_settings([new]))
     site.go_on(5)
-    assert site.told(1) == site.carried()
+    assert site.exported_octets(1) == site.carried()
     site.layout = "standard"
-    site.exporter.reload(site.said([new]))
+    site.exporter.reload(site.flow_settings([new]))
     site.serve(2)
     site.go_on(5)
     site.balanced()
     assert (
-        site.told(1) == site.carried()
+        site.exported_octets(1) == site.carried()
         and site.exporter.buffers["first"].totals.uncertain_octets == 0
     )
 
 
 def test_all_collectors_are_told_each_for_itself(tmp_path):
-    site = Site(tmp_path, ("udp", "tcp"), mode="all")
+    site = ExportSite(tmp_path, ("udp", "tcp"), mode="all")
     site.collectors[1].close()
     site.go_on(1)
     site.serve(4)
     site.go_on(5)
-    assert site.told(0) == site.carried() and site.told(1) == 0
+    assert site.exported_octets(0) == site.carried() and site.exported_octets(1) == 0
     site.collectors[1].open()
     site.go_on(40)
-    assert site.told(1) == site.carried()
+    assert site.exported_octets(1) == site.carried()
     site.balanced()
 
 
 def test_a_clock_that_is_set_back_by_an_hour(tmp_path):
-    site = Site(tmp_path)
+    site = ExportSite(tmp_path)
     site.go_on(2)
     site.serve(3)
     site.go_on(2)
@@ -983,9 +997,9 @@
     site.serve(3)
     site.premises.time += 3600 * SECOND
     site.go_on(3)
-    times = [each.export_time_seconds for each in site.heard[0]]
-    records = [record for each in site.heard[0] for record in each.records]
-    assert times == sorted(times) and site.told() == site.carried()
+    times = [each.export_time_seconds for each in site.messages[0]]
+    records = [record for each in site.messages[0] for record in each.records]
+    assert times == sorted(times) and site.exported_octets() == site.carried()
     assert all(each["flowStartMilliseconds"] <= each["flowEndMilliseconds"] for each in records)
     site.balanced()
 
@@ -1014,7 +1028,7 @@
 
 
 def test_an_octet_that_no_record_tells_is_found(tmp_path):
-    site = Site(tmp_path)
+    site = ExportSite(tmp_path)
     site.serve(1)
     site.exporter.meter.measured_octets -= 1
     site.premises.socket_host.auditor.pass_whole()
@@ -1027,7 +1041,7 @@
 def certificate(folder, label, common, issuer=None, days=30, key_mode=0o600, since=-2):
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common)])
-    now = datetime.now(timezone.utc)
+    now = datetime.now(UTC)
     built = (
         x509.CertificateBuilder()
         .subject_name(subject)
@@ -1067,7 +1081,7 @@
     own = certificate(tmp_path, "server", "collector.test", ca, **said)
     mine = certificate(tmp_path, "client", "n1", ca)
     files = f' certificate="{mine[2]}" key="{mine[3]}"' if ours else ""
-    return Site(
+    return ExportSite(
         tmp_path,
         ("tls",),
         tls=f'<tls ca="{ca[2]}" name="{expected}"{files}/>',
@@ -1080,13 +1094,13 @@
     site.go_on(2)
     site.serve(3)
     site.go_on(3)
-    assert site.told() == site.carried() and site.collectors[0].wrong == []
+    assert site.exported_octets() == site.carried() and site.collectors[0].wrong == []
     renewed = certificate(tmp_path, "client", "n1 renewed", ca)  # the same files, while it sends
     assert renewed[3].endswith("client.key")
-    site.exporter.reload(site.said())
+    site.exporter.reload(site.flow_settings())
     site.serve(3)
     site.go_on(10)
-    assert site.told() == site.carried() and site.collectors[0].sessions == 2
+    assert site.exported_octets() == site.carried() and site.collectors[0].sessions == 2
     site.balanced()
 
 
@@ -1104,7 +1118,7 @@
     site, _ = sealed(tmp_path, **said)
     site.serve(3)
     site.go_on(8)
-    assert site.told() == 0 and re.search(why, " ".join(site.premises.logged))
+    assert site.exported_octets() == 0 and re.search(why, " ".join(site.premises.logged))
     site.balanced()
 
 
@@ -1113,7 +1127,7 @@
     mine = certificate(tmp_path, "client", "n1", ca, key_mode=0o644)
     with pytest.raises(TlsConfigurationError, match="its owner alone may read, found 644"):
         client_context(ca[2], mine[2], mine[3])
-    with pytest.raises(TlsConfigurationError, match="nothing.crt"):
+    with pytest.raises(TlsConfigurationError, match=r"nothing\.crt"):
         client_context(str(tmp_path / "nothing.crt"), "", "")
 
 
@@ -1138,13 +1152,13 @@
             "65507",
         ),
         (
-            '<flows><collector address="1.2.3.4:1" transport="tls"><tls ca="/c" name="n" key="/k"/></collector>'
-            "</flows>",
+            '<flows><collector address="1.2.3.4:1" transport="tls">'
+            '<tls ca="/c" name="n" key="/k"/></collector></flows>',
             "certificate and key together",
         ),
         (
-            '<flows><collector address="1.2.3.4:1" transport="udp"/><collector address="1.2.3.4:1" transport="tcp"/>'
-            "</flows>",
+            '<flows><collector address="1.2.3.4:1" transport="udp"/>'
+            '<collector address="1.2.3.4:1" transport="tcp"/></flows>',
             "different addresses",
         ),
     ],
