--- a/corkgauge/flow_export/codec.py
+++ b/corkgauge/flow_export/codec.py
@@ -32,6 +32,10 @@
 MAX_NAME_BYTES = 64
 NARROW_COUNTER_LIMIT = 2**32  # octets that a counter of reduced size cannot hold (RFC 7011, 6.2)
 UINT32_MODULUS = 2**32  # sequence numbers, times and uptimes wrap around
+# By address family. Plain ints, since an enum member costs a lookup that each record would pay.
+AGGREGATE_TEMPLATE = int(TemplateId.AGGREGATE)
+NARROW_FLOW_TEMPLATES = {4: int(TemplateId.FLOW_IPV4), 6: int(TemplateId.FLOW_IPV6)}
+WIDE_FLOW_TEMPLATES = {4: int(TemplateId.FLOW_IPV4_WIDE), 6: int(TemplateId.FLOW_IPV6_WIDE)}
 
 
 class DataRecord(NamedTuple):
@@ -47,6 +51,7 @@
     def __init__(self, kind: str, gateway: str) -> None:
         self.kind = LayoutKind(kind)
         self.is_v9 = self.kind == LayoutKind.NETFLOW9
+        self.is_biflow = self.kind == LayoutKind.OWN
         self.gateway = _encode_name(gateway)
         self.templates = {template.number: template for template in templates_of(self.kind)}
 
@@ -54,7 +59,7 @@
         """Encode a delta; `started_ms` is when NetFlow v9's uptime began, on the system's clock."""
         if self.is_v9:
             return [self._v9_record(delta, started_ms)]
-        if self.kind == LayoutKind.OWN:
+        if self.is_biflow:
             return [self._biflow(delta)]
         records = [self._forward_record(delta)]
         if delta.reverse_octets:
@@ -67,10 +72,9 @@
         counters = start_uptime, end_uptime, delta.forward_octets, delta.reverse_octets
         if not delta.family:
             flow_count = min(delta.flow_count, UINT32_MODULUS - 1)
-            return self._encode(TemplateId.AGGREGATE, (delta.direction, *counters, flow_count))
-        number = TemplateId.FLOW_IPV4 if delta.family == 4 else TemplateId.FLOW_IPV6
+            return self._encode(AGGREGATE_TEMPLATE, (delta.direction, *counters, flow_count))
         return self._encode(
-            number,
+            NARROW_FLOW_TEMPLATES[delta.family],
             (
                 delta.source,
                 delta.destination,
@@ -88,7 +92,7 @@
         counters = delta.start_ms, delta.end_ms, delta.forward_octets, delta.reverse_octets
         if not delta.family:
             values = (delta.direction, *counters, delta.flow_count)
-            return self._encode(TemplateId.AGGREGATE, values, names)
+            return self._encode(AGGREGATE_TEMPLATE, values, names)
         return self._encode(
             _flow_template_id(delta.family, max(delta.forward_octets, delta.reverse_octets)),
             (
@@ -108,7 +112,7 @@
         counters = delta.start_ms, delta.end_ms, delta.forward_octets
         if not delta.family:
             values = (delta.direction, *counters, delta.flow_count)
-            return self._encode(TemplateId.AGGREGATE, values)
+            return self._encode(AGGREGATE_TEMPLATE, values)
         return self._encode(
             _flow_template_id(delta.family, delta.forward_octets),
             (
@@ -131,7 +135,7 @@
         direction = 1 - delta.direction
         counters = delta.start_ms, delta.end_ms, delta.reverse_octets
         if not delta.family:
-            return self._encode(TemplateId.AGGREGATE, (direction, *counters, 0))
+            return self._encode(AGGREGATE_TEMPLATE, (direction, *counters, 0))
         return self._encode(
             _flow_template_id(delta.family, delta.reverse_octets),
             (
@@ -187,10 +191,9 @@
 
 def _flow_template_id(family: int, largest_octets: int) -> int:
     """The template of a flow's family whose counters hold this many octets."""
-    is_wide = largest_octets >= NARROW_COUNTER_LIMIT
-    if family == 4:
-        return TemplateId.FLOW_IPV4_WIDE if is_wide else TemplateId.FLOW_IPV4
-    return TemplateId.FLOW_IPV6_WIDE if is_wide else TemplateId.FLOW_IPV6
+    if largest_octets >= NARROW_COUNTER_LIMIT:
+        return WIDE_FLOW_TEMPLATES[family]
+    return NARROW_FLOW_TEMPLATES[family]
 
 
 class Message:
--- a/corkgauge/flow_export/collector_peer.py
+++ b/corkgauge/flow_export/collector_peer.py
@@ -96,6 +96,10 @@
         assert self.session is not None, f"collector {self.name} has no session"
         return self.session
 
+    def is_retry_due(self, now: int) -> bool:
+        """Whether it is down, and has been left alone for long enough."""
+        return self.state is CollectorState.DOWN and now >= self.retry_at
+
     def is_stalled(self, now: int) -> bool:
         """Whether a stream has had bytes to take for too long, and took none."""
         if self.is_datagram or self.sent_bytes <= self.written_bytes:
--- a/corkgauge/flow_export/export_buffer.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -202,11 +202,7 @@
     # Which collector.
 
     def _check_peer(self, peer: CollectorPeer, now: int) -> None:
-        if (
-            peer.state is CollectorState.DOWN
-            and now >= peer.retry_at
-            and is_wanted(peer, self.peers)
-        ):
+        if peer.is_retry_due(now) and is_wanted(peer, self.peers):
             peer.state = CollectorState.OPENING
             peer.state_since = now
             self.transports.open(peer)
