--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -4,15 +4,17 @@
 
 import click
 
-from corkgauge.accounting.snapshot import Cut, differences, shrunk
-from corkgauge.commands import FOUND, Faulted
+from corkgauge.accounting.snapshot import Snapshot
+from corkgauge.accounting.snapshot_checks import find_decreases, find_imbalances
+from corkgauge.commands import FOUND, InputError
+from corkgauge.commands.shared_options import json_option
 
 MOST_SAID = 20
 
 
 def wrong_with(lines: list[str], name: str) -> tuple[int, int, list[str]]:
     """How many cuts, of how many epochs, and what is wrong with them, each with its line."""
-    last: dict[str, Cut] = {}
+    last: dict[str, Snapshot] = {}
     found, epochs, count = [], set[str](), 0
     for number, line in enumerate(lines, 1):
         if not line.strip():
@@ -23,12 +25,12 @@
                 found += [f"{name}:{number}: {cut['name']}: {each}" for each in works_wrong(cut)]
                 count += 1
                 continue
-            said = differences(cut)
+            said = find_imbalances(cut)
             gateway, epoch = cut["gateway"], cut["epoch"]["id"]
             if gateway in last:
-                said += shrunk(last[gateway], cut)
+                said += find_decreases(last[gateway], cut)
         except (ValueError, KeyError, TypeError, AttributeError) as problem:
-            raise Faulted(
+            raise InputError(
                 f"{name}:{number}: not a cut ({type(problem).__name__} {problem})"
             ) from None
         last[gateway] = cut
@@ -47,17 +49,17 @@
 
 @click.command("audit")
 @click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON, for programs.")
+@json_option()
 def command(files: tuple[str, ...], as_json: bool) -> None:
-    """Recorded cuts: does each balance, and does no count shrink within its epoch?
+    """Check recorded snapshots: each balances, and no counter shrinks within its epoch.
 
-    FILES hold a cut as JSON on each line, as `corkgauge figures --record` writes them; or what `corkgauge works show
-    --json` wrote: has each unit gone each step once?
+    FILES hold a snapshot as JSON on each line, as `corkgauge accounts --record` writes them; or
+    what `corkgauge maintenance show --json` wrote: then each unit must have gone each step once.
 
     \b
-    corkgauge figures /run/corkgauge/n1.sock --watch 1 --record day.jsonl
+    corkgauge accounts /run/corkgauge/n1.sock --watch 1 --record day.jsonl
     corkgauge audit day.jsonl
-    Ends with 1 if one does not balance or a count shrank.
+    Ends with 1 if one does not balance or a counter shrank.
     """
     cuts, epochs, found = 0, 0, []
     for name in files:
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -5,7 +5,7 @@
 
 import click
 
-from corkgauge.commands import Faulted
+from corkgauge.commands import InputError
 from corkgauge.config import platform as configuration
 
 
@@ -32,14 +32,15 @@
     EDGE_CONFIG=config.json corkgauge serve --operator deploy/operator.xml
     Ends with 0 after SIGTERM, with 2 where it cannot start.
     """
-    # Danger: a change of the configuration that is told while the program loads would end it. It is read after that.
+    # Danger: a change of the configuration that is told while the program loads would end it. It is
+    # read after that.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from corkgauge.daemon import process as daemon
 
-    woken = daemon.heed()
+    woken = daemon.catch_signals()
     try:
         raise SystemExit(
             daemon.serve(configuration.read(os.environ), woken, operator_file, log_form)
         )
     except configuration.ConfigurationError as problem:
-        raise Faulted(str(problem)) from None
+        raise InputError(str(problem)) from None
--- a/corkgauge/flow_export/configured_collectors.py
+++ b/corkgauge/flow_export/configured_collectors.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from corkgauge.config.operator_file import Collector, Flows
+from corkgauge.config.operator_file import CollectorConfig, FlowExportConfig
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.flow_export.collector_peer import CollectorPeer
 from corkgauge.flow_export.tls import TlsConfigurationError, TlsTarget, client_context
@@ -11,11 +11,11 @@
 class ConfiguredCollector(NamedTuple):
     """A collector as the operator file has it, with its TLS context read."""
 
-    settings: Collector
+    settings: CollectorConfig
     tls: TlsTarget | None
 
 
-def read_collectors(settings: Flows) -> list[ConfiguredCollector]:
+def read_collectors(settings: FlowExportConfig) -> list[ConfiguredCollector]:
     """Read the TLS files of all collectors.
 
     Raises:
@@ -27,20 +27,22 @@
         raise ConfigurationError(f"flows: {problem}") from None
 
 
-def _tls_target_of(collector: Collector) -> TlsTarget | None:
+def _tls_target_of(collector: CollectorConfig) -> TlsTarget | None:
     tls = collector.tls
     if not tls:
         return None
-    return TlsTarget(client_context(tls.ca, tls.certificate, tls.key), tls.name)
+    return TlsTarget(
+        client_context(tls.ca_file, tls.certificate_file, tls.key_file), tls.server_name
+    )
 
 
-def peer_of(collector: Collector) -> CollectorPeer:
+def peer_of(collector: CollectorConfig) -> CollectorPeer:
     """Make the state of a collector, which is down at first."""
     host, port = collector.address
     return CollectorPeer(
         name=f"{host}:{port}",
         is_datagram=collector.transport == "udp",
-        limit=collector.payload,
-        refresh_ticks=collector.refresh,
-        refresh_messages=collector.refresh_after,
+        limit=collector.max_message_bytes,
+        refresh_ticks=collector.template_refresh_ticks,
+        refresh_messages=collector.template_refresh_messages,
     )
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple, Protocol
 from zlib import crc32
 
-from corkgauge.config.operator_file import Flows
+from corkgauge.config.operator_file import FlowExportConfig
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.flow_export.codec import Layout
 from corkgauge.flow_export.collector_peer import CollectorPeer
@@ -70,7 +70,9 @@
     of its own.
     """
 
-    def __init__(self, socket_host: ExportHost, gateway: str, seed: int, settings: Flows) -> None:
+    def __init__(
+        self, socket_host: ExportHost, gateway: str, seed: int, settings: FlowExportConfig
+    ) -> None:
         self.socket_host = socket_host
         self.event_loop = socket_host.event_loop
         self.gateway = gateway
@@ -78,7 +80,12 @@
         self.settings = settings
         self.started_at = self.event_loop.now
         self.domain = crc32(gateway.encode())  # the same after each restart
-        self.meter = Meter(self._on_delta, settings.active, settings.idle, self.started_at)
+        self.meter = Meter(
+            self._on_delta,
+            settings.active_timeout_ticks,
+            settings.idle_timeout_ticks,
+            self.started_at,
+        )
         self.flows: dict[HostConnection, Flow] = {}
 
         # Collectors.
@@ -88,7 +95,7 @@
 
         self._configure(settings, read_collectors(settings))
         socket_host.flows = self
-        socket_host.auditor.others.append(self.differences)
+        socket_host.auditor.equations.append(self.differences)
         self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_tick)
 
     # What the host notifies of.
@@ -121,16 +128,16 @@
             buffer.on_tick(now)
         self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_tick)
 
-    def reload(self, settings: Flows) -> None:
+    def reload(self, settings: FlowExportConfig) -> None:
         """Go on with other collectors, or another layout; what is pending stays so.
 
         Raises:
             ConfigurationError: a TLS file is faulty; nothing is changed.
         """
         collectors = read_collectors(settings)
-        self.meter.active_ticks = settings.active
-        self.meter.idle_ticks = settings.idle
-        if settings.memory != self.settings.memory:
+        self.meter.active_ticks = settings.active_timeout_ticks
+        self.meter.idle_ticks = settings.idle_timeout_ticks
+        if settings.memory_bytes != self.settings.memory_bytes:
             self.socket_host.log("operator file: flows memory changed, in force after a restart")
         self._configure(settings, collectors)
         self.settings = settings
@@ -159,7 +166,7 @@
 
     # Collectors.
 
-    def _configure(self, settings: Flows, collectors: list[ConfiguredCollector]) -> None:
+    def _configure(self, settings: FlowExportConfig, collectors: list[ConfiguredCollector]) -> None:
         """Let buffers that are named still go on with their queue; the others drop theirs."""
         layout = Layout(settings.layout, self.gateway)
         peers = [peer_of(collector.settings) for collector in collectors]
@@ -169,7 +176,7 @@
             groups = {peer.name: [peer] for peer in peers}
         previous = self.buffers
         self.buffers = {}
-        memory_bytes = settings.memory // len(groups)
+        memory_bytes = settings.memory_bytes // len(groups)
         for name, group in groups.items():
             buffer = previous.pop(name, None)
             if buffer is None:
@@ -248,7 +255,7 @@
 
     def _carried_octets(self) -> int:
         """Octets of all connections, by the ledger (ended) and the live records (open)."""
-        ended = sum(row.got + row.sent for row in self.socket_host.ledger.sides)
+        ended = sum(row.received_bytes + row.sent_bytes for row in self.socket_host.ledger.sides)
         live = sum(got + sent for got, sent, _ in self.socket_host.records.live_bytes())
         return int(ended + live)
 
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -42,7 +42,7 @@
         self.engine = engine
         self.address = ("", 0)
         self.number = number  # in the order in which the list named them
-        self.row = socket_host.ledger.engine(engine.name)  # its row in the ledger
+        self.row = socket_host.ledger.engine_row(engine.name)  # its row in the ledger
         self.links: list[EngineConnection] = []
         # A list: a deque takes 760 bytes, also where nothing is ever sent.
         self.waiting: list[InFlightAttempt] = []
@@ -132,7 +132,7 @@
             return False
         if not all(each.open for each in self.links):
             return False
-        has_large_part = self.socket_host.gateway.slots * self.engine.cores >= 1.0
+        has_large_part = self.socket_host.gateway.limit.threads_per_core * self.engine.cores >= 1.0
         return has_large_part or any(len(each.open) > 1 for each in self.links)
 
     def _dial_more(self) -> None:
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -1,51 +1,44 @@
 """The gateway's host on sockets.
 
-Owns the open submissions, the hand-offs under way with their pages, the lists of engines and of clients, and
-the ids of all of them. Must never decide: it tells the gateway what happened and does what that says. Must
-never call the gateway from within one of the gateway's own calls.
+Owns the open requests, the attempts in flight, the engine pools, and the bounds on memory and
+descriptors. It decides nothing: it notifies the gateway of what happened and does what that says.
+It never calls the gateway from within one of the gateway's own calls.
 """
 
-import json
 from collections import deque
 from collections.abc import Callable
 from typing import Any
 
 from corkgauge.accounting.auditor import LedgerAuditor
-from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of, sort_of
+from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of_end, sort_of_attempt
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.config.platform import ConfigurationError, PlatformConfig, address
+from corkgauge.config.platform import ConfigurationError, PlatformConfig
 from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget
+from corkgauge.net.amounts import parse_amount, parse_load
 from corkgauge.net.client_connection import ClientRequest
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.edge_counters import EdgeCounters
+from corkgauge.net.endpoint_list import EndpointList
 from corkgauge.net.engine_connection import ENDS, EngineConnection
 from corkgauge.net.engine_pool import EnginePool
-from corkgauge.net.engine_protocol import MAX_PAGE_BYTES, is_valid_page
 from corkgauge.net.in_flight import InFlightAttempt, outcome_of
 from corkgauge.net.live_records import LiveRecords
+from corkgauge.net.results import MAX_RESULT_BYTES, ResultPager
 from corkgauge.policy.records import (
     Attempt,
     AttemptOutcome,
-    Engine,
     EngineState,
     Repeatability,
     Request,
 )
 
-MOST_RESULT = 48_000  # bytes of one result
-MOST_PAGES = 64
-PAGE_TIME = 2_500  # that an engine may take over the next page of a result
-UNTOLD = 3  # times that an engine should have told of a hand-off, until that counts as lost
-LEAST_ROOM = 4 * 2**20
-AUDIT_EACH, AUDIT_PAUSE = SECOND, 20  # between two passes over the books; between two slices of one
-STATES = {
-    "SERVING": EngineState.READY,
-    "DRAINING": EngineState.DRAINING,
-    "DELETED": EngineState.GONE,
-}
+MISSED_REPORTS = 3  # reports on an attempt that an engine may omit, until it counts as lost
+MIN_HELD_BYTES = 4 * 2**20
+AUDIT_TICKS = SECOND  # between two passes over the ledger
+AUDIT_SLICE_TICKS = 20  # between two slices of a pass
 NOTES = {"advance": 1, "disk": 2, "stall": 3}
 
 
@@ -55,11 +48,11 @@
     now = lag = 0
 
     def call_later(self, *_: Any) -> None:
-        pass
+        """Nothing is ever called back."""
 
 
 def stated_of(platform_config: PlatformConfig, host: Any) -> Settings:
-    """What a configuration states, or the fault in it."""
+    """Return what a configuration states; raises `ConfigurationError` where it makes no sense."""
     try:
         return Settings(platform_config.settings, host, platform_config.seed, platform_config.name)
     except (ValueError, TypeError, AttributeError, KeyError) as problem:
@@ -67,7 +60,10 @@
 
 
 class SocketHost:
-    """The host protocol on sockets."""
+    """The host protocol on sockets.
+
+    `held` is the memory in bytes that the program holds at its start.
+    """
 
     def __init__(
         self,
@@ -76,67 +72,72 @@
         log: Callable[[str], None],
         held: int = 0,
     ) -> None:
-        self.event_loop, self.log, self.counters = event_loop, log, EdgeCounters()
-        # Danger: with little memory the program itself holds most of it. Half of what it had left at its
-        # start may be held for others: the clients' rings, the engines', and so on. The rest is for records.
-        room = max(platform_config.memory - held, LEAST_ROOM) // 2
-        self.rings, self.lines, self.results, self.statements = (
-            MemoryBudget(room // 4) for _ in range(4)
-        )
-        # A half is the clients' at most, a third goes to engines, and the rest stays free for the feed and what is new.
-        self.links_most, self.dials = platform_config.sockets // 3, 0  # dials under way
-        self.names: dict[str, Request] = {}  # of what is open
+        self.event_loop = event_loop
+        self.log = log
+        self.counters = EdgeCounters()
+        # With little memory the program itself holds most of it. Half of what it had left at its
+        # start may be held for others, in four equal parts. The rest is for records.
+        part_bytes = max(platform_config.memory_bytes - held, MIN_HELD_BYTES) // 2 // 4
+        self.rings = MemoryBudget(part_bytes)  # of client connections
+        self.lines = MemoryBudget(part_bytes)  # of connections to engines and to discovery
+        self.results = MemoryBudget(part_bytes)
+        self.statements = MemoryBudget(part_bytes)
+        # A half is the clients' at most, a third goes to engines, and the rest stays free for
+        # discovery and what is new.
+        self.links_most = platform_config.max_sockets // 3
+        self.dials = 0  # under way
+        self.names: dict[str, Request] = {}  # open requests
         self.engine_pools: dict[str, EnginePool] = {}
-        # So that no request, timer or change of the list costs what the whole list does: links that are up; stations
-        # that drain or are gone; those where something waits for a link; those that lack a link ahead.
-        self.links: dict[EngineConnection, None] = {}
-        self.closing, self.awaited, self.short = (
-            dict[EnginePool, None](),
-            dict[EnginePool, None](),
-            dict[EnginePool, None](),
-        )
-        self.named = 0  # stations, so far
+        # Kept so that no request, timer or change of the list costs what the whole list does.
+        self.links: dict[EngineConnection, None] = {}  # that are up
+        self.closing: dict[EnginePool, None] = {}  # engines that drain or are gone
+        self.awaited: dict[EnginePool, None] = {}  # where something waits for a connection
+        self.short: dict[EnginePool, None] = {}  # that lack a connection ahead of need
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
-        self.page_line: deque[InFlightAttempt] = deque()
+        self.pager = ResultPager(self)
         self.ended: deque[Request] = deque()
         self.settings = stated_of(platform_config, self)
-        if platform_config.settings.get("myNumber") is None and self.settings.gateway.gateways > 1:
-            log(
-                f"myNumber is not told: {self.settings.gateway.number}, from the name; sets of engines are less even"
-            )
+        if (
+            platform_config.settings.get("myNumber") is None
+            and self.settings.gateway.options.gateway_count > 1
+        ):
+            number = self.settings.gateway.options.gateway_number
+            log(f"myNumber is not told: {number}, from the name; sets of engines are less even")
         self.gateway = self.settings.gateway
         self.most_memory = max(self.settings.sizes, default=1e6)
-        self.patience = UNTOLD * self.settings.tells
+        self.patience = MISSED_REPORTS * self.settings.tells
         self.request_classes = {each.name: each for each in self.settings.request_classes}
-        self.findings = Discrepancies(lambda: event_loop.now, log)
+        self.discrepancies = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
             self.request_classes, lambda: event_loop.now, self.settings.budget, self.miscounted
         )
         self.rows = {
             each: self.ledger.request_classes[each.name] for each in self.settings.request_classes
         }
-        self.answering: dict[
-            ClientRequest, None
-        ] = {}  # have their end, and their answer has not left whole
-        self.recall: Any = None  # what outlives a restart, likewise
-        self.flows: Any = None  # what every connection carries, told to collectors, likewise
-        self.works: Any = None  # which engines are set aside for work, likewise
-        # What the figures' door answers for other subsystems, by method and path.
+        # Requests that have their end, and whose answer has not left whole.
+        self.answering: dict[ClientRequest, None] = {}
+        # Subsystems, where an operator file switches them on.
+        self.recovery: Any = None  # recovery
+        self.flows: Any = None  # flow export
+        self.works: Any = None  # maintenance
+        self.latency_sketches: Any = None  # of accounting
+        # What the accounting listener answers for other subsystems, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
-        self.waits: Any = None  # sketches of what took how long, where an operator file wants them
-        self.called: dict[
-            Attempt, InFlightAttempt
-        ] = {}  # called off, and the gateway has yet to hear of it
+        # Attempts that were cancelled, of which the gateway has yet to be notified.
+        self.called: dict[Attempt, InFlightAttempt] = {}
         self.records = LiveRecords(self)
-        self.auditor = LedgerAuditor(self.ledger, self.records, self.findings)
+        self.auditor = LedgerAuditor(self.ledger, self.records, self.discrepancies)
         self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
-        self.last_event = platform_config.known
-        for event in platform_config.events:
-            if wrong := self.listed(event):
+        self.endpoint_list = EndpointList(self, platform_config.known_event_number)
+        for event in platform_config.known_events:
+            if wrong := self.endpoint_list.apply(event):
                 self.log(f"known: {wrong}")
 
     def close(self, engine_pool: "EnginePool") -> None:
-        """Forget an engine that is gone, once nothing is left of it; its id may by then be another's."""
+        """Forget an engine that is gone, once nothing is left of it.
+
+        Its id may be another's by then.
+        """
         tag = engine_pool.engine.host_reference
         if (
             engine_pool.engine.state == EngineState.GONE
@@ -146,62 +147,74 @@
             del self.engine_pools[tag]
             for kept in self.closing, self.awaited, self.short:
                 kept.pop(engine_pool, None)
-            self.ledger.engine_gone(engine_pool.row)
-            if self.waits is not None:
-                self.waits.engine_gone(tag, DEPARTED_ROW)
+            self.ledger.record_engine_removed(engine_pool.row)
+            if self.latency_sketches is not None:
+                self.latency_sketches.merge_engine(tag, DEPARTED_ROW)
 
     def links_each(self) -> int:
-        """What each engine of the working set may have, and each that closes.
+        """Return the connections that each engine of the subset may have, and each that closes.
 
-        Danger: with fewer links than hand-offs fill, an engine that is well would count as unreached. So the links are
-        shared by those that use them, not by all that a long list names."""
+        With fewer connections than attempts fill, an engine that is well would count as
+        unreachable. So connections are shared by those that use them, not by all that a long list
+        names.
+        """
         return max(2, self.links_most // max(len(self.gateway.engines) + len(self.closing), 1))
 
     def descriptor_left(self, needed: bool) -> bool:
-        """May there be another link? Danger: two to each of many engines would take what the feed and the clients need.
-        Where one is needed, the link that has been idle longest gives way."""
+        """Tell whether there may be another connection to an engine.
+
+        Two to each of many engines would take what discovery and the clients need. Where one is
+        needed, the connection that has been idle longest gives way.
+        """
         if len(self.links) + self.dials < self.links_most:
             return True
-        if needed and (idle := [link for link in self.links if not (link.open or link.link.why)]):
+        idle = [link for link in self.links if not (link.open or link.link.why)] if needed else []
+        if idle:
             self.counters["links gave way"] += 1
-            min(
+            longest_idle = min(
                 idle,
                 key=lambda each: (
                     each.engine_pool.engine.in_subset,
                     each.link.wrote,
                     each.engine_pool.number,
                 ),
-            ).link.end("room for others")
+            )
+            longest_idle.link.end("room for others")
         return False
 
     def make_room(self) -> bool:
-        """Let go of what holds a descriptor for nothing; was there any?"""
+        """Close what holds a descriptor for nothing; whether there was any."""
         return False
 
-    # What the gateway may do.
+    # The host protocol; `policy.host.Host` says what each method is for.
 
     @property
     def now(self) -> int:
+        """Ticks of the event loop's clock."""
         return self.event_loop.now
 
     @property
     def lag(self) -> int:
+        """Ticks that events have to wait at present."""
         return self.event_loop.lag
 
     def send_attempt(self, attempt: Attempt, allow: int) -> None:
+        """Let an attempt wait for a connection, for `allow` ticks until its answer at most."""
         engine_pool = self.engine_pools[attempt.engine.host_reference]
         in_flight_attempt = self.in_flight_attempts[attempt] = InFlightAttempt(
             attempt, self.now + allow, engine_pool
         )
         others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
-        self.ledger.handed_off(in_flight_attempt, sort_of(attempt.number, others))
+        self.ledger.record_attempt_sent(in_flight_attempt, sort_of_attempt(attempt.number, others))
         request_class = attempt.request.request_class
-        if self.recall is not None and (
+        if self.recovery is not None and (
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
         ):
-            in_flight_attempt.effect = self.recall.sending(attempt, in_flight_attempt.order.label)
-        if self.waits is not None and not attempt.number:
-            self.waits.handed_off(
+            in_flight_attempt.effect = self.recovery.on_attempt_sending(
+                attempt, in_flight_attempt.order.label
+            )
+        if self.latency_sketches is not None and not attempt.number:
+            self.latency_sketches.record_first_attempt(
                 attempt.request.request_class.name, self.now - attempt.request.accepted_at
             )
         self.event_loop.call_later(allow, self.too_late, in_flight_attempt)
@@ -210,21 +223,26 @@
             self.event_loop.call_later(self.settings.dial_time, self.waited, in_flight_attempt)
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
+        """Set memory and priority; engines are told of a priority that changes in flight."""
         order = request.host_reference
         if priority != order.priority and self.settings.priorities:
             for attempt in request.attempts:
                 in_flight_attempt = self.in_flight_attempts.get(attempt)
                 if in_flight_attempt and in_flight_attempt.link and not in_flight_attempt.answered:
                     in_flight_attempt.link.say("renice", order.name, str(priority))
-        order.memory, order.priority = memory, priority
+        order.memory = memory
+        order.priority = priority
 
     def reject(self, request: Request, retry_after: int) -> None:
+        """Answer that the request was not run; the frames have no field for `retry_after`."""
         self.final(request, REFUSED, [])
 
     def fail(self, request: Request) -> None:
+        """Answer that the request failed."""
         self.final(request, FAILED, [])
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt; the gateway is notified of its outcome in a later turn."""
         in_flight_attempt = self.in_flight_attempts.get(attempt)
         if in_flight_attempt is None:
             return
@@ -234,20 +252,20 @@
             in_flight_attempt.link.say("abort", in_flight_attempt.order.name)
             in_flight_attempt.link.forget(in_flight_attempt)
         self.called[attempt] = self.in_flight_attempts.pop(attempt)
-        self.event_loop.call_later(
-            0,
-            self.over,
-            in_flight_attempt,
-            AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED,
-        )
+        outcome = AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED
+        self.event_loop.call_later(0, self.over, in_flight_attempt, outcome)
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+        """Call back once `delay` ticks have passed, never at once."""
         self.event_loop.call_later(delay, method, *what)
 
     def barred(self, in_flight_attempt: InFlightAttempt) -> str:
-        """The one last look directly before an attempt's first byte: why it must not begin, if so. Danger: between its
-        decision and its writing there may be a dial, or a long turn; its client may have gone or taken it back, its
-        engine be told to drain or have started anew, its time or its window for repeats be over."""
+        """Check an attempt directly before its first byte; why it must not begin, or an empty string.
+
+        Between its decision and its writing there may be a dial, or a long turn: its client may
+        have gone or cancelled, its engine drain or have restarted, its time or the time for repeats
+        be over.
+        """
         self.event_loop.tick()
         if not in_flight_attempt.attempt.request.is_finished:
             in_flight_attempt.order.client_connection.there()
@@ -261,29 +279,36 @@
     # Clients.
 
     def final(self, request: Request, code: int, body: list[bytes], reason: int = -1) -> None:
+        """Give a request its one final answer; a reason below 0 is found from the code."""
         order = request.host_reference
-        if order.client_connection.open.pop(order.stream, None) is not None:
-            self.statements.give(order.size)
-            self.names.pop(order.name, None)
-            self.ended.append(request)
-            if reason < 0:
-                reason = reason_of(code, request, self.now, self.gateway.margin)
-            order.reason = reason
-            if self.waits is not None:
-                self.waits.answered(request.request_class.name, self.now - request.accepted_at)
-            self.answering[order] = None
-            order.client_connection.answer(
-                order.stream, code, body, request.accepted_at + request.time_to_deadline, order
+        if order.client_connection.open.pop(order.stream, None) is None:
+            return
+        self.statements.give(order.size)
+        self.names.pop(order.name, None)
+        self.ended.append(request)
+        if reason < 0:
+            reason = reason_of_end(
+                code, request, self.now, self.gateway.options.deadline_margin_ticks
+            )
+        order.reason = reason
+        if self.latency_sketches is not None:
+            self.latency_sketches.record_answered(
+                request.request_class.name, self.now - request.accepted_at
             )
+        self.answering[order] = None
+        deadline = request.accepted_at + request.time_to_deadline
+        order.client_connection.answer(order.stream, code, body, deadline, order)
 
     def answer_over(self, order: ClientRequest) -> None:
-        """The last byte of its answer has left, or never will."""
+        """Close its record: the last byte of its answer has left, or never will."""
         self.answering.pop(order, None)
-        self.ledger.closed(order, order.reason)
+        self.ledger.record_closed(order, order.reason)
 
     def forget(self) -> None:
-        """Danger: a full collection of garbage stops all for over 100 ms. So there is none: what points to
-        each other is taken apart by hand, here, where no call of the gateway's is under way."""
+        """Take apart by hand what points to each other, where no call of the gateway's is under way.
+
+        A full collection of garbage would stop everything for over 100 ms, so there is none.
+        """
         while self.ended:
             request = self.ended.popleft()
             if not any(attempt.is_in_flight for attempt in request.attempts):
@@ -292,9 +317,9 @@
                 request.host_reference.statement = b""
 
     def left(self, request: Request | None, reason: int) -> None:
-        """Its client waits no longer."""
+        """End a request whose client waits no longer."""
         if request is not None:
-            self.ledger.closed(request.host_reference, reason)
+            self.ledger.record_closed(request.host_reference, reason)
             self.statements.give(request.host_reference.size)
             self.names.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.fresh:
@@ -308,76 +333,38 @@
                         self.failed(in_flight_attempt, "withdrawn")
             self.ended.append(request)
 
-    # Figures.
+    # Accounting.
 
     def audit(self) -> None:
-        """The next slice of a pass; a new pass each second."""
-        self.event_loop.call_later(AUDIT_EACH if self.auditor.step() else AUDIT_PAUSE, self.audit)
+        """Check the next slice of the ledger; a new pass begins each second."""
+        is_whole = self.auditor.step()
+        pause = AUDIT_TICKS if is_whole else AUDIT_SLICE_TICKS
+        self.event_loop.call_later(pause, self.audit)
 
     def miscounted(self, kind: str, row: Any, serial: int) -> None:
-        """A count that was wrong as it was entered."""
-        self.findings.count(
+        """Record a count that was wrong as it was entered."""
+        self.discrepancies.record_mistake(
             kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
         )
 
-    # Hand-offs.
+    # Attempts.
 
     def answered(
         self, in_flight_attempt: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
     ) -> str:
-        """An engine's answer; what is wrong with it."""
+        """Take an engine's answer; what is wrong with it, or an empty string."""
         attempt = in_flight_attempt.attempt
         in_flight_attempt.told = self.now
         if word == "TELL":
-            sort, value = NOTES.get(fields.get("n", ""), 0), amount(fields.get("amount", "0"))
-            self.gateway.on_attempt_progress(attempt, sort, float(value or 0))
+            kind = NOTES.get(fields.get("n", ""), 0)
+            value = parse_amount(fields.get("amount", "0"))
+            self.gateway.on_attempt_progress(attempt, kind, float(value or 0))
             return ""
-        in_flight_attempt.load = inflight_of(fields.get("l", ""), in_flight_attempt.load)
+        in_flight_attempt.load = parse_load(fields.get("l", ""), in_flight_attempt.load)
         if word == "DONE":
-            pages, spent, need = (
-                amount(fields.get(name, "0")) for name in ("chunks", "spent", "wanted")
-            )
-            if (
-                not pages
-                or pages != int(pages)
-                or pages > MOST_PAGES
-                or spent is None
-                or need is None
-            ):
-                return f"a result of {fields.get('chunks')!r} pages"
-            if in_flight_attempt.answered:
-                return (
-                    ""
-                    if [body, int(pages)]
-                    == [in_flight_attempt.pages[0], len(in_flight_attempt.pages)]
-                    else "two results"
-                )
-            # Danger: the request ran, but what came is spoilt: nothing of it may pass for an answer.
-            if not is_valid_page(body):
-                return "a page that is spoilt"
-            in_flight_attempt.answered = True
-            in_flight_attempt.link.page()
-            in_flight_attempt.spent, in_flight_attempt.need = int(spent * 10), need
-            in_flight_attempt.pages = [body, *[None] * (int(pages) - 1)]
-            if attempt.request.is_finished or len(in_flight_attempt.pages) == 1:
-                return self.whole(in_flight_attempt)
-            self.page_line.append(in_flight_attempt)
-            self.ask_pages()
-            return ""
+            return self.pager.on_first_page(in_flight_attempt, fields, body)
         if word == "MORE":
-            at = fields.get("at", "")
-            n = int(at) if at.isdecimal() and len(at) < 4 else 0
-            if (
-                not in_flight_attempt.answered
-                or not 0 < n < len(in_flight_attempt.pages)
-                or not is_valid_page(body)
-                or (in_flight_attempt.pages[n] not in (None, body))
-            ):
-                return f"a page {at[:8]!r} out of turn or spoilt"
-            if in_flight_attempt.pages[n] is None:
-                in_flight_attempt.link.page()
-            in_flight_attempt.pages[n] = body
-            return "" if None in in_flight_attempt.pages else self.whole(in_flight_attempt)
+            return self.pager.on_further_page(in_flight_attempt, fields, body)
         outcome = ENDS.get(word)
         if outcome is None or (in_flight_attempt.answered and word != "BROKE"):
             return f"an answer {word[:8]!r}"
@@ -385,58 +372,29 @@
         self.done(in_flight_attempt, outcome)
         return ""
 
-    def ask_pages(self) -> None:
-        """All pages of a result at once, as far as memory for results lets them come."""
-        while self.page_line:
-            in_flight_attempt = self.page_line[0]
-            if in_flight_attempt.attempt in self.in_flight_attempts:
-                size = MAX_PAGE_BYTES * len(in_flight_attempt.pages)
-                if not self.results.take(size):
-                    return
-                in_flight_attempt.asked = size
-                for n in range(1, len(in_flight_attempt.pages)):
-                    in_flight_attempt.link.say("more", in_flight_attempt.order.name, str(n))
-                self.event_loop.call_later(
-                    PAGE_TIME, self.pages_late, in_flight_attempt, 1, self.now
-                )
-            self.page_line.popleft()
-
     def untold(self, in_flight_attempt: InFlightAttempt, link: EngineConnection) -> None:
-        """Danger: an answer that never comes holds its submission, its slot and a line until the expiry. An
-        engine tells regularly of all that runs; what it tells no more of, while its link is lively, is over.
+        """Give up an attempt that its engine reports on no more; called again by timer.
+
+        An answer that never comes would hold its request, its slot and its ordering key until the
+        deadline. An engine reports regularly on all that runs; what it omits, while its connection
+        is lively, is over.
         """
-        if (
-            in_flight_attempt.attempt in self.in_flight_attempts
-            and in_flight_attempt.link is link
-            and not in_flight_attempt.answered
-        ):
-            since = self.now - max(in_flight_attempt.told, link.lively)
-            if since < self.patience or link.spoke < self.now - SECOND // 2:
-                return self.event_loop.call_later(
-                    max(self.patience - since, SECOND // 10), self.untold, in_flight_attempt, link
-                )
-            self.counters["untold"] += 1
-            link.let_go(in_flight_attempt)
-            self.failed(in_flight_attempt, "broken")
-
-    def pages_late(self, in_flight_attempt: InFlightAttempt, had: int, since: int) -> None:
-        """Danger: a page that never comes would hold its submission until the expiry. What else is open on
-        that link may be well, so only this hand-off is given up, and only where its engine spoke since."""
-        if in_flight_attempt.attempt in self.in_flight_attempts:
-            have = len(in_flight_attempt.pages) - in_flight_attempt.pages.count(None)
-            if have > had or in_flight_attempt.link.spoke < since + PAGE_TIME // 2:
-                since = self.now if have > had else since
-                return self.event_loop.call_later(
-                    PAGE_TIME, self.pages_late, in_flight_attempt, have, since
-                )
-            self.counters["pages late"] += 1
-            in_flight_attempt.link.let_go(in_flight_attempt)
-            self.failed(in_flight_attempt, "broken")
+        is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
+        if not is_in_flight or in_flight_attempt.link is not link or in_flight_attempt.answered:
+            return
+        since = self.now - max(in_flight_attempt.told, link.lively)
+        if since < self.patience or link.spoke < self.now - SECOND // 2:
+            pause = max(self.patience - since, SECOND // 10)
+            self.event_loop.call_later(pause, self.untold, in_flight_attempt, link)
+            return
+        self.counters["untold"] += 1
+        link.let_go(in_flight_attempt)
+        self.failed(in_flight_attempt, "broken")
 
     def whole(self, in_flight_attempt: InFlightAttempt) -> str:
-        """All pages are here, or nobody wants them."""
+        """Answer with a result that is whole, or drop one that nobody wants."""
         request = in_flight_attempt.attempt.request
-        if sum(len(each or b"") for each in in_flight_attempt.pages) > MOST_RESULT:
+        if sum(len(each or b"") for each in in_flight_attempt.pages) > MAX_RESULT_BYTES:
             return "a result that is too long"
         in_flight_attempt.link.let_go(in_flight_attempt)
         if not request.is_finished:
@@ -445,10 +403,12 @@
         return ""
 
     def done(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        """End an attempt that is in flight."""
         self.in_flight_attempts.pop(in_flight_attempt.attempt, None)
         self.over(in_flight_attempt, outcome)
 
     def over(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        """Notify everybody of an attempt's end, the gateway last."""
         attempt = in_flight_attempt.attempt
         if in_flight_attempt.asked:
             self.results.give(in_flight_attempt.asked)
@@ -456,11 +416,13 @@
         in_flight_attempt.pages = []
         bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
         self.called.pop(attempt, None)
-        if self.waits is not None and outcome == AttemptOutcome.SUCCEEDED:
-            self.waits.honoured(in_flight_attempt.engine_row.name, self.now - attempt.sent_at)
+        if self.latency_sketches is not None and outcome == AttemptOutcome.SUCCEEDED:
+            self.latency_sketches.record_succeeded(
+                in_flight_attempt.engine_row.name, self.now - attempt.sent_at
+            )
         self.ledger.on_attempt_finished(in_flight_attempt, outcome)
         if in_flight_attempt.effect:
-            self.recall.over(in_flight_attempt.effect, outcome)
+            self.recovery.on_attempt_finished(in_flight_attempt.effect, outcome)
         if self.works is not None:
             self.works.over(in_flight_attempt.engine_row.name, outcome)
         self.gateway.on_attempt_finished(
@@ -475,23 +437,24 @@
         if attempt.request.is_finished:
             self.ended.append(attempt.request)
         self.forget()
-        self.ask_pages()
+        self.pager.ask_pages()
 
     def failed(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
-        """The attempt ends for its connection's sake."""
+        """End an attempt for its connection's sake: "unreached", "broken", "late", "withdrawn"."""
         if in_flight_attempt.attempt in self.in_flight_attempts:
             self.done(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
 
     def waited(self, in_flight_attempt: InFlightAttempt) -> None:
-        """No connection, or no room on one, in the time that settings give for it."""
-        if in_flight_attempt.attempt in self.in_flight_attempts and in_flight_attempt.link is None:
-            in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
-            self.failed(
-                in_flight_attempt,
-                "withdrawn" if in_flight_attempt.engine_pool.wanting else "unreached",
-            )
+        """End an attempt without a connection, or room on one, in the time that settings give."""
+        is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
+        if not is_in_flight or in_flight_attempt.link is not None:
+            return
+        engine_pool = in_flight_attempt.engine_pool
+        engine_pool.waiting.remove(in_flight_attempt)
+        self.failed(in_flight_attempt, "withdrawn" if engine_pool.wanting else "unreached")
 
     def too_late(self, in_flight_attempt: InFlightAttempt) -> None:
+        """End an attempt whose time is over."""
         if in_flight_attempt.attempt not in self.in_flight_attempts:
             return
         if in_flight_attempt.link is None:
@@ -502,130 +465,11 @@
 
     # The list of engines.
 
-    def event(self, number: str, data: str) -> str:
-        """An event of the feed; what is wrong with it."""
-        try:
-            said = json.loads(data)
-            count = int(said["n"])
-        except (ValueError, TypeError, KeyError, RecursionError, OverflowError):
-            return "an event that makes no sense"
-        members = said.get("members")
-        if count <= self.last_event:
-            return ""  # told before
-        if count > self.last_event + 1 and not (isinstance(members, dict) and members.get("full")):
-            return f"event {count} after {self.last_event}"
-        wrong = self.listed(said) if members is not None else ""  # other news is none of ours
-        if not wrong:
-            self.last_event = count
-            self.counters["events"] += 1
-        return wrong
-
-    def listed(self, said: Any) -> str:
-        """Engines as told: checked in full before anything of it holds."""
-        try:
-            members, entries = said["members"], []
-            for each in members["servers"]:
-                entries.append(
-                    (
-                        str(each["id"]),
-                        address(each["addr"], "addr"),
-                        STATES[each["state"]],
-                        self.settings.zones.index(each["zone"]),
-                        self.settings.kinds.index(each["kind"]),
-                        int(each.get("cell", 0)),
-                        int(each.get("started_ms", 0)),
-                    )
-                )
-        except (
-            ConfigurationError,
-            ValueError,
-            TypeError,
-            KeyError,
-            AttributeError,
-            OverflowError,
-        ) as problem:
-            return f"an event that makes no sense ({type(problem).__name__} {problem})"
-        changed: dict[EnginePool, None] = {}
-        if members.get("full"):
-            named = {entry[0] for entry in entries}
-            for engine_pool in self.engine_pools.values():
-                if (
-                    engine_pool.engine.host_reference not in named
-                    and engine_pool.engine.state != EngineState.GONE
-                ):
-                    self.gateway.on_engine_update(
-                        engine_pool.engine, EngineState.GONE, engine_pool.engine.incarnation
-                    )
-        for tag, where, state, zone, kind, cell, started in entries:
-            engine_pool = self.engine_pools.get(tag)
-            if engine_pool is None:
-                engine = Engine(tag, tag.encode(), zone, kind, cell, name=tag)
-                if self.works is not None:
-                    # Danger: a machine that is out for work may be listed anew; it is the same machine.
-                    engine.cordon = self.works.how(tag, where)
-                engine_pool = self.engine_pools[tag] = EnginePool(self, engine, self.named)
-                self.named += 1
-            engine = engine_pool.engine
-            renewed = started > engine_pool.started
-            if started != engine_pool.started:
-                engine_pool.started, moment = started, self.moment(started)
-            else:
-                moment = engine.incarnation
-            self.settings.place(engine, zone, kind, cell)
-            self.gateway.on_engine_update(engine, state, moment)
-            engine_pool.on_listed(where, renewed)
-            changed[engine_pool] = None
-        self.gateway.on_engine_list_complete()
-        # A change may let these go on: what it names, what waits for a link, what lacks one ahead. For all others
-        # a fill does nothing, as nothing that it looks at has changed since their last.
-        told = (
-            self.engine_pools.values()
-            if members.get("full")
-            else {**changed, **self.awaited, **self.short}
-        )
-        told = sorted(told, key=lambda each: each.number)
-        for engine_pool in told:
-            if engine_pool.engine.state == EngineState.READY:
-                self.closing.pop(engine_pool, None)
-            else:
-                self.closing[engine_pool] = None
-                self.short.pop(engine_pool, None)
-        for engine_pool in told:
-            if engine_pool.engine.state == EngineState.READY:
-                engine_pool.fill()
-            else:
-                engine_pool.withdraw()
-                self.close(engine_pool)
-        return ""
-
-    def moment(self, started: int) -> int:
-        """When an engine started, by our clock, from the date in ms. Danger: where a date was set, ours may be the
-        wrong one, and an engine that counts as warm too early falls. So the later moment counts, but none to come."""
-        ahead = self.event_loop.ahead()
-        return min(started * 10 + max(ahead, 0), self.now) if ahead and started else started * 10
-
-
-def amount(text: str) -> float | None:
-    """A number that makes sense, or None.
-
-    >>> amount("820.0"), amount("-3"), amount("nan"), amount("x"), amount("1e99")
-    (820.0, None, None, None, None)
-    """
-    try:
-        value = float(text)
-    except ValueError:
-        return None
-    return value if 0 <= value < 1e12 else None
-
+    @property
+    def last_event(self) -> int:
+        """The number of the last event of discovery that was applied."""
+        return self.endpoint_list.last_event
 
-def inflight_of(report: str, otherwise: float) -> float:
-    """
-    >>> inflight_of("inflight:7;util:0.61", -1.0), inflight_of("", 3.0), inflight_of("inflight:x", -1.0)
-    (7.0, 3.0, -1.0)
-    """
-    for pair in report.split(";"):
-        name, _, value = pair.partition(":")
-        if name == "inflight":
-            found = amount(value)
-            return otherwise if found is None else float(found)
-    return otherwise
+    def event(self, number: str, data: str) -> str:
+        """Apply an event of discovery; what is wrong with it, or an empty string."""
+        return self.endpoint_list.on_event(data)
--- a/corkgauge/peer_health/permit_exchange.py
+++ b/corkgauge/peer_health/permit_exchange.py
@@ -29,14 +29,14 @@
         self.event_loop = socket_host.event_loop
         self.membership = membership
         self.member_list = membership.member_list
-        self.transfers = PermitTransfer(socket_host.gateway.fall_span)
+        self.transfers = PermitTransfer(socket_host.gateway.slow_start.window_ticks)
         self.unplaced_per_second = 0.0
         self._unplaced_before = 0
         self.member_list.calls[PERMIT_SUBJECT] = self.on_permit
 
     def start(self) -> None:
         """Begin to offer permits, where the gateway has a slow-start rule."""
-        if self.socket_host.gateway.cold_span:
+        if self.socket_host.gateway.slow_start.warm_up_ticks:
             self.event_loop.call_later(OFFER_INTERVAL_TICKS, self.offer_unused)
 
     def measure_demand(self, period_ticks: int) -> None:
@@ -53,14 +53,14 @@
         gateway = self.socket_host.gateway
         if self._needs_own_permits():
             return
-        warming = [engine for engine in gateway.engines if gateway._cold(engine)]
+        warming = [engine for engine in gateway.engines if gateway.slow_start.is_warming_up(engine)]
         for engine in warming[:MAX_ENGINES_OFFERED]:
             self._offer(engine, self.event_loop.now)
 
     def _needs_own_permits(self) -> bool:
         gateway = self.socket_host.gateway
         return bool(
-            gateway.price
+            gateway.price.current
             or self.unplaced_per_second
             or any(queue.waiting for queue in gateway.queues.values())
         )
@@ -71,7 +71,7 @@
         work = max((each.typical_work for each in request_classes), default=0.0)
         window_ticks = self.transfers.window_ticks
         remaining_ticks = window_ticks - (now - engine.incarnation) % window_ticks
-        if not work or not gateway._cold_room(engine, work):
+        if not work or not gateway.slow_start.has_budget(engine, work):
             return
         random_draw = self.membership.chance(2**32)
         grant = self.transfers.give(
@@ -110,5 +110,5 @@
         # A permit for an earlier incarnation would be one too many for this one.
         if engine.incarnation == permit.engine_incarnation and 0 < permit.work < MAX_WORK:
             gateway = self.socket_host.gateway
-            spent_at = now + (usable_until - now_since_boot) - gateway.fall_span
+            spent_at = now + (usable_until - now_since_boot) - gateway.slow_start.window_ticks
             gateway.on_permit_moved(engine, -float(permit.work), spent_at)
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -10,7 +10,7 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from corkgauge.config.operator_file import Shared
+from corkgauge.config.operator_file import PeerHealthConfig
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.clock import boot_time
 from corkgauge.eventloop.loop import SECOND
@@ -37,6 +37,7 @@
 from corkgauge.peer_health.retry_throttle import RetryThrottle
 from corkgauge.peer_health.status_view import status_report
 from corkgauge.peer_health.trials import suspicion_level
+from corkgauge.policy.outlier_detection import is_trusted
 from corkgauge.policy.records import EngineState
 
 NOTABLE_SLOWNESS = 2.0  # times the usual one: from there on it is worth a report
@@ -64,7 +65,11 @@
     """
 
     def __init__(
-        self, socket_host: Any, platform_config: PlatformConfig, options: Shared, membership: Any
+        self,
+        socket_host: Any,
+        platform_config: PlatformConfig,
+        options: PeerHealthConfig,
+        membership: Any,
     ) -> None:
         self.socket_host = socket_host
         self.event_loop = socket_host.event_loop
@@ -73,7 +78,7 @@
         self.membership = membership
         self.member_list = membership.member_list
 
-        self.reports = HealthReports(self.name, self.member_list.letters.start)
+        self.reports = HealthReports(self.name, self.member_list.codec.incarnation)
         self.retry_throttle = RetryThrottle(self.name)
         self.permits = PermitExchange(socket_host, membership)
         self.assessments: dict[str, Assessment] = {}
@@ -90,7 +95,7 @@
         self.event_loop.call_later(options.each, self.run_period)
         self.permits.start()
 
-    def reload(self, options: Shared) -> None:
+    def reload(self, options: PeerHealthConfig) -> None:
         """Use the operator file's new values from the next period on."""
         self.options = options
 
@@ -139,7 +144,7 @@
 
     def _record_own_observations(self, now: int) -> None:
         """Report on each engine of which this gateway knows something fresh and worth telling."""
-        notable_percent = NOTABLE_SLOWNESS * 100 * self.socket_host.gateway._usual_slowness()
+        notable_percent = NOTABLE_SLOWNESS * 100 * self.socket_host.gateway.slowness.usual()
         for engine_pool in self.socket_host.engine_pools.values():
             engine = engine_pool.engine
             observation = self._observe(engine, now)
@@ -164,10 +169,7 @@
         fault = Fault.NONE
         if stats.ejected_until > now:
             fault = last_fault(stats.fault_history)
-        elif (
-            stats.last_heard_at < now - OWN_OBSERVATION_TICKS
-            or not self.socket_host.gateway._trusted(stats)
-        ):
+        elif stats.last_heard_at < now - OWN_OBSERVATION_TICKS or not is_trusted(stats):
             return None
         sample_count = len(stats.slowness_samples)
         slowness_percent = 0
@@ -176,10 +178,9 @@
         return Observation(fault, slowness_percent, sample_count)
 
     def _update_retry_throttle(self, now: int) -> None:
-        gateway = self.socket_host.gateway
-        floor, allowed_ratio, _ = gateway.extra
-        gateway.strict = self.retry_throttle.update(
-            now, len(gateway.honoured), len(gateway.extras), floor, allowed_ratio
+        budget = self.socket_host.gateway.retry_budget
+        budget.throttle = self.retry_throttle.update(
+            now, len(budget.success_times), len(budget.retry_times), budget.floor, budget.share
         )
 
     # Datagrams out.
@@ -190,8 +191,8 @@
         self.permits.transfers.record_update_written(boot_time(), self.status_serial)
         update = StatusUpdate(
             self.status_serial,
-            len(gateway.honoured),
-            len(gateway.extras),
+            len(gateway.retry_budget.success_times),
+            len(gateway.retry_budget.retry_times),
             int(self.permits.unplaced_per_second * UNPLACED_SCALE),
             self.reports.next_gossip(now, member_count, DATAGRAM_ROOM_BYTES),
         )
@@ -220,7 +221,7 @@
         self.permits.transfers.record_demand(
             sender,
             boot_time(),
-            self.member_list.letters.pens[sender].start,
+            self.member_list.codec.peers[sender].incarnation,
             int(update.serial),
             update.unplaced_tenths / UNPLACED_SCALE,
         )
@@ -279,7 +280,10 @@
         if engine_pool is not None:
             gateway = self.socket_host.gateway
             level = suspicion_level(
-                assessment.is_suspected, gateway.number, gateway.gateways, self.period_count
+                assessment.is_suspected,
+                gateway.options.gateway_number,
+                gateway.options.gateway_count,
+                self.period_count,
             )
             gateway.on_peer_health(engine_pool.engine, assessment.slowness, level.value)
 
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -15,12 +15,17 @@
 from typing import Any
 
 from corkgauge.accounting.ledger import RequestLedger
-from corkgauge.config.operator_file import Duties, Fellows, Shared, Works
+from corkgauge.config.operator_file import (
+    LeaseConfig,
+    MaintenanceConfig,
+    MembershipConfig,
+    PeerHealthConfig,
+)
 from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.leases.service import LeaseService
 from corkgauge.maintenance.service import MaintenanceService
-from corkgauge.membership.member_list import ALIVE, STATES, SUSPECTED, UNKNOWN, Member
+from corkgauge.membership.member_list import ALIVE, SUSPECTED, UNKNOWN, Member, MemberState
 from corkgauge.membership.service import MembershipService
 from corkgauge.peer_health.service import PeerHealthService
 from corkgauge.testkit.fleet.day import settings
@@ -168,24 +173,24 @@
 class HollowMembership(MembershipService):
     """The society of service, on a socket that was bound before; who became what is noted."""
 
-    def _bind(self, said: Fellows) -> None:
+    def _bind(self, said: MembershipConfig) -> None:
         self.sock = self.socket_host.wire
         self.became = Counter[str]()
         self.short = len(said.members) - 1  # members that it does not hold alive
         self.settled = 0  # when that came to be none
 
-    def changed(self, member: Member, before: int) -> None:
-        self.became[f"{STATES[before]} {STATES[member.state]}"] += 1
+    def on_member_changed(self, member: Member, before: MemberState) -> None:
+        self.became[f"{before.label} {member.state.label}"] += 1
         self.short += (before == ALIVE) - (member.state == ALIVE)
         if not self.short:
             self.settled = self.event_loop.now
-        super().changed(member, before)
+        super().on_member_changed(member, before)
 
 
 class SetAside(LeaseService):
     """On a machine set aside: it votes, and stands for nothing."""
 
-    def _wanted(self, duty: str) -> bool:
+    def is_wanted(self, lease: str) -> bool:
         return False
 
 
@@ -223,15 +228,15 @@
         )
         socket_host = HollowHost(self.beat, wire, platform_config, lines or (lambda line: None))
         self.membership = HollowMembership(
-            socket_host, platform_config, Fellows((KEY,), members, None, SECOND // 2)
+            socket_host, platform_config, MembershipConfig((KEY,), members, None, SECOND // 2)
         )
         member_list = self.membership.member_list
-        self._counted(member_list.letters)
+        self._counted(member_list.codec)
         self.office: LeaseService | None = None
         self.yard: MaintenanceService | None = None
         self.exchange: PeerHealthService | None = None
         if "duties" in elements:  # spans as an operator file that names none has them
-            said = Duties(
+            said = LeaseConfig(
                 1,
                 voters,
                 (("books", "books", 5 * SECOND),),
@@ -248,21 +253,23 @@
             self.yard = MaintenanceService(
                 socket_host,
                 platform_config,
-                Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
+                MaintenanceConfig(
+                    (4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND
+                ),
                 self.membership,
                 self.office,
             )
         if "shared" in elements:
             self.exchange = PeerHealthService(
-                socket_host, platform_config, Shared(SECOND // 4, 8_000), self.membership
+                socket_host, platform_config, PeerHealthConfig(SECOND // 4, 8_000), self.membership
             )
         if name in voters and self.office is not None:
-            for holder in self.office.holders.values():
-                holder.stand(False)
+            for holder in self.office.candidates.values():
+                holder.set_wanted(False)
 
-    def _counted(self, letters: Any) -> None:
+    def _counted(self, codec: Any) -> None:
         """By sort, and by subject where another subsystem sends."""
-        write, opened = letters.write, letters.open
+        write, opened = codec.encode, codec.decode
 
         def written(to: str, sort: int, body: Any, known_as: int = 0) -> bytes:
             data = write(to, sort, body, known_as)
@@ -278,7 +285,7 @@
                 self.kinds_in[body[0] if SORTS[sort] == "call" else SORTS[sort]] += 1
             return found
 
-        letters.write, letters.open = written, read
+        codec.encode, codec.decode = written, read
 
     def end(self) -> None:
         """In order, as a restart of the program does: duties are handed over, a few are told."""
@@ -299,9 +306,9 @@
         member_list = self.membership.member_list
         for name, start in starts.items():
             if name != self.name:
-                member_list.letters.on_peer_health(name, start)
-        member_list.met = True
-        member_list.rumours.words.clear()
+                member_list.codec.learn_incarnation(name, start)
+        member_list.local.has_joined = True
+        member_list.gossip.updates.clear()
 
     # What a coordinator may ask.
 
@@ -322,7 +329,7 @@
         return (
             []
             if self.office is None
-            else [each.duty for each in self.office.holders.values() if each.may()]
+            else [each.lease for each in self.office.candidates.values() if each.may_act()]
         )
 
     def counters(self) -> dict[str, Any]:
@@ -333,7 +340,7 @@
             "in": wire.got,
             "octets_in": wire.octets_in,
             "held_back": wire.held_back,
-            "words": len(member_list.rumours.words),
+            "words": len(member_list.gossip.updates),
             "spent": self.beat.spent,
             "unknown": self.unknown(),
             "duties": self.duties(),
@@ -341,17 +348,17 @@
             "octets_by": dict(self.octets_by),
             "kinds_in": dict(self.kinds_in),
             "became": dict(self.membership.became),
-            "refused": dict(member_list.letters.counts),
-            "health": member_list.health,
+            "refused": dict(member_list.codec.counts),
+            "health": member_list.local.health,
             "late": member_list.counts["late ourselves"],
             "unsent": self.membership.unsent,
-            "overloaded": self.office is not None and self.office.overloaded,
+            "overloaded": self.office is not None and self.office.is_overloaded,
             "changes": [] if self.office is None else self.office.changes[-20:],
             "books": self._books(),
         }
 
     def _books(self) -> list[dict[str, Any]]:
-        clerk = self.office.clerks.get("books") if self.office is not None else None
+        clerk = self.office.collectors.get("books") if self.office is not None else None
         return (
             []
             if clerk is None
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -20,16 +20,23 @@
 
 import msgpack
 
-from corkgauge.accounting import checkpoint_file as shelf
+from corkgauge.accounting import checkpoint_file
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.accounting.service import AccountingService
-from corkgauge.accounting.snapshot import cut_of, plain
+from corkgauge.accounting.snapshot import as_plain, take_snapshot
 from corkgauge.config import operator_file as operator
-from corkgauge.config.operator_file import Duties, Fellows, Figures, Recall, Shared, Works
+from corkgauge.config.operator_file import (
+    AccountingConfig,
+    LeaseConfig,
+    MaintenanceConfig,
+    MembershipConfig,
+    PeerHealthConfig,
+    RecoveryConfig,
+)
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.leases import voter
-from corkgauge.leases.candidate import HOLDING
+from corkgauge.leases.candidate import CandidateState
+from corkgauge.leases.messages import MessageKind
 from corkgauge.leases.service import LeaseService
 from corkgauge.leases.voter_configuration import VoterConfiguration
 from corkgauge.maintenance import plan_replica as keeper
@@ -37,17 +44,17 @@
 from corkgauge.maintenance.plan import DRAINING, GRANTED, Plan
 from corkgauge.maintenance.plan_proposer import FORGOTTEN
 from corkgauge.maintenance.service import MaintenanceService
-from corkgauge.membership import datagrams as letters
+from corkgauge.membership import datagrams, sealing
+from corkgauge.membership.datagrams import DatagramKind as letters
 from corkgauge.membership.member_list import ALIVE
 from corkgauge.membership.service import MembershipService
 from corkgauge.peer_health.aggregation import Assessment
 from corkgauge.peer_health.health_report import Fault
 from corkgauge.peer_health.service import PeerHealthService
 from corkgauge.recovery import attempt_log as effects
-from corkgauge.recovery import learned_state as learned
+from corkgauge.recovery import attempt_records, learned_state, snapshot
 from corkgauge.recovery import log_writer as writer
 from corkgauge.recovery import service as keeping
-from corkgauge.recovery import snapshot
 from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, request_frame
 
 FOLDER = Path(__file__).parent / "fixtures" / "landed"
@@ -100,7 +107,7 @@
 class RecordingSociety(MembershipService):
     """The membership service of an instance whose datagrams are recorded instead of sent."""
 
-    def _bind(self, said: Fellows) -> None:
+    def _bind(self, said: MembershipConfig) -> None:
         self.sent: list[Datagram] = []
         self.sock, self.other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
@@ -134,7 +141,7 @@
         }
         self.post = PlatformConfig(said, "")
         self.membership = RecordingSociety(
-            self.socket_host, self.post, Fellows((SECRET,), ROSTER, None, SECOND // 2)
+            self.socket_host, self.post, MembershipConfig((SECRET,), ROSTER, None, SECOND // 2)
         )
         self.member_list = self.membership.member_list
         if met:
@@ -143,7 +150,7 @@
         self.office = LeaseService(
             self.socket_host,
             self.post,
-            Duties(
+            LeaseConfig(
                 1, ("n1", "n2", "n3"), duties, 5 * SECOND, 5 * SECOND, 2_500, 0.01, votes_folder
             ),
             self.membership,
@@ -152,13 +159,13 @@
         self.yard = MaintenanceService(
             self.socket_host,
             self.post,
-            Works((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
+            MaintenanceConfig((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
             self.membership,
             self.office,
         )
         self.yard.keeper.deaf_until = 0
         self.exchange = PeerHealthService(
-            self.socket_host, self.post, Shared(2_500, 8_000), self.membership
+            self.socket_host, self.post, PeerHealthConfig(2_500, 8_000), self.membership
         )
         self.exchange.byte_budget = 8_000
         self.membership.sent.clear()
@@ -166,28 +173,28 @@
     def _meet(self) -> None:
         for name, incarnation in PEER_INCARNATIONS.items():
             if name != self.name:
-                self.member_list.letters.on_peer_health(name, incarnation)
+                self.member_list.codec.learn_incarnation(name, incarnation)
                 assert self.member_list.members[name].state == ALIVE
-        self.member_list.met = True
+        self.member_list.local.has_joined = True
 
     def receive(self, sort: int, body: Any) -> None:
         """Take a datagram of n2's."""
-        pens = letters.DatagramCodec(
+        pens = datagrams.DatagramCodec(
             "n2",
             PEER_INCARNATIONS["n2"],
-            [letters.Key(SECRET)],
+            [sealing.Key(SECRET)],
             lambda name, start: None,
             lambda start: None,
         )
-        pens.named(["n1"])
-        known_as = self.member_list.letters.start
-        self.member_list.came(pens.write("n1", sort, body, known_as))
+        pens.set_peers(["n1"])
+        known_as = self.member_list.codec.incarnation
+        self.member_list.handle_datagram(pens.encode("n1", sort, body, known_as))
 
     def hold(self, duty: str) -> None:
         """Let this instance hold a lease, under the fixed fencing token."""
-        holder = self.office.holders[duty]
-        holder.state, holder.fence, holder.ballot = HOLDING, FENCE, FENCE
-        holder.until = self.office.now + 4 * SECOND
+        holder = self.office.candidates[duty]
+        holder.state, holder.fencing_token, holder.ballot = CandidateState.HOLDING, FENCE, FENCE
+        holder.held_until = self.office.now + 4 * SECOND
 
     def lead_plan(self) -> None:
         """Hold the maintenance lease with a plan that a majority has."""
@@ -202,7 +209,7 @@
     def last(self, sort: int, subject: str = "", tag: int | str | None = None) -> bytes:
         """The last datagram sent of this sort and subject."""
         for datagram in reversed(self.membership.sent):
-            said = msgpack.unpackb(datagram.octets[2 : -letters.SEAL], strict_map_key=False)
+            said = msgpack.unpackb(datagram.octets[2 : -sealing.SEAL_BYTES], strict_map_key=False)
             if said[0] != sort:
                 continue
             if sort != letters.CALL:
@@ -213,7 +220,7 @@
         raise AssertionError(f"no datagram {sort} {subject} {tag} was sent")
 
     def close(self) -> None:
-        self.office.safe.close()
+        self.office.durable_record.close()
         self.yard.safe.close()
         self.membership.close()
 
@@ -246,121 +253,125 @@
 
 def send_back(here: Instance) -> bytes:
     here.receive(letters.HELLO, None)
-    return here.last(letters.BACK)
+    return here.last(letters.HELLO_REPLY)
 
 
 def send_ask_all(here: Instance) -> bytes:
-    here.receive(letters.BACK, None)
-    return here.last(letters.ASK_ALL)
+    here.receive(letters.HELLO_REPLY, None)
+    return here.last(letters.STATE_REQUEST)
 
 
 def send_ask(here: Instance) -> bytes:
-    here.member_list.tick()
-    return here.last(letters.ASK)
+    here.member_list.on_period()
+    return here.last(letters.PROBE)
 
 
 def send_answer(here: Instance) -> bytes:
-    here.receive(letters.ASK, [5, []])
-    return here.last(letters.ANSWER)
+    here.receive(letters.PROBE, [5, []])
+    return here.last(letters.ACK)
 
 
 def send_ask_for(here: Instance) -> bytes:
-    here.member_list.tick()
-    here.member_list.unanswered(here.member_list.serial)
-    return here.last(letters.ASK_FOR)
+    here.member_list.on_period()
+    here.member_list.failure_detector.on_probe_timeout(
+        here.member_list.failure_detector.last_sequence_number
+    )
+    return here.last(letters.INDIRECT_PROBE)
 
 
 def send_deaf(here: Instance) -> bytes:
-    here.receive(letters.ASK_FOR, [9, "n3", []])
-    here.member_list.given_up(here.member_list.serial)
-    return here.last(letters.DEAF)
+    here.receive(letters.INDIRECT_PROBE, [9, "n3", []])
+    here.member_list.failure_detector.on_probe_expired(
+        here.member_list.failure_detector.last_sequence_number
+    )
+    return here.last(letters.NACK)
 
 
 def send_tell(here: Instance) -> bytes:
-    here.receive(letters.ASK_ALL, [[["n3", 1, PEER_INCARNATIONS["n3"], 2, "n2"]]])
-    return here.last(letters.TELL)
+    here.receive(letters.STATE_REQUEST, [[["n3", 1, PEER_INCARNATIONS["n3"], 2, "n2"]]])
+    return here.last(letters.GOSSIP)
 
 
 def send_lease_probe(here: Instance) -> bytes:
-    here.office.holders["books"]._probe()
-    return here.last(letters.CALL, "duty", voter.PROBE)
+    here.office.candidates["books"]._probe()
+    return here.last(letters.CALL, "duty", MessageKind.PROBE)
 
 
 def send_lease_prepare(here: Instance) -> bytes:
-    here.office.holders["books"]._prepare()
-    return here.last(letters.CALL, "duty", voter.PREPARE)
+    here.office.candidates["books"]._prepare()
+    return here.last(letters.CALL, "duty", MessageKind.PREPARE)
 
 
 def send_lease_grant(here: Instance) -> bytes:
-    here.office.holders["books"]._prepare()
-    here.office.holders["books"]._ask()
-    return here.last(letters.CALL, "duty", voter.GRANT)
+    here.office.candidates["books"]._prepare()
+    here.office.candidates["books"]._begin_requesting()
+    return here.last(letters.CALL, "duty", MessageKind.GRANT_REQUEST)
 
 
 def send_lease_release(here: Instance) -> bytes:
     here.hold("books")
-    here.office.holders["books"].give_up("told")
-    return here.last(letters.CALL, "duty", voter.RELEASE)
+    here.office.candidates["books"].release("told")
+    return here.last(letters.CALL, "duty", MessageKind.RELEASE)
 
 
 def send_lease_vacant(here: Instance) -> bytes:
     here.hold("books")
-    here.office.holders["books"].give_up("told")
-    return here.last(letters.CALL, "duty", voter.VACANT)
+    here.office.candidates["books"].release("told")
+    return here.last(letters.CALL, "duty", MessageKind.VACANT)
 
 
 def lease_question(here: Instance, sort: int) -> list[Any]:
-    return [sort, "books", 1, here.office.roll.mark, 3, 500]
+    return [sort, "books", 1, here.office.configuration.fingerprint, 3, 500]
 
 
 def send_lease_would(here: Instance) -> bytes:
-    here.office.came("n2", lease_question(here, voter.PROBE))
-    return here.last(letters.CALL, "duty", voter.WOULD)
+    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.PROBE))
+    return here.last(letters.CALL, "duty", MessageKind.PROBE_REPLY)
 
 
 def send_lease_promised(here: Instance) -> bytes:
-    here.office.came("n2", lease_question(here, voter.PREPARE))
-    return here.last(letters.CALL, "duty", voter.PROMISED)
+    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.PREPARE))
+    return here.last(letters.CALL, "duty", MessageKind.PREPARE_REPLY)
 
 
 def send_lease_granted(here: Instance) -> bytes:
-    here.office.came("n2", lease_question(here, voter.GRANT))
-    return here.last(letters.CALL, "duty", voter.GRANTED)
+    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.GRANT_REQUEST))
+    return here.last(letters.CALL, "duty", MessageKind.GRANT_REPLY)
 
 
 def send_books_ask(here: Instance) -> bytes:
     here.hold("books")
-    here.office.clerks["books"].gained()
+    here.office.collectors["books"].on_lease_gained()
     return here.last(letters.CALL, "books", "ask")
 
 
 def send_books_entry(here: Instance) -> bytes:
     here.hold("books")
-    here.office.clerks["books"].gained()
-    here.office.clerks["books"].sum(FENCE)
+    here.office.collectors["books"].on_lease_gained()
+    here.office.collectors["books"].finish_round(FENCE)
     return here.last(letters.CALL, "books", "entry")
 
 
 def send_books_account(here: Instance) -> bytes:
-    here.office.books_came("n2", ["ask", "books", FENCE, 1])
+    here.office.on_accounts_datagram("n2", ["ask", "books", FENCE, 1])
     return here.last(letters.CALL, "books", "account")
 
 
 def send_books_no(here: Instance) -> bytes:
-    here.office.books_came("n3", ["ask", "books", FENCE + 1, 1])
-    here.office.books_came("n2", ["ask", "books", FENCE, 1])
+    here.office.on_accounts_datagram("n3", ["ask", "books", FENCE + 1, 1])
+    here.office.on_accounts_datagram("n2", ["ask", "books", FENCE, 1])
     return here.last(letters.CALL, "books", "no")
 
 
 def send_yield(here: Instance) -> bytes:
-    here.office.holders["nightly"].other = "n2"
-    here.office.asked(b'{"do": "yield", "duty": "nightly"}')
+    here.office.candidates["nightly"].known_holder = "n2"
+    here.office.operator_commands.handle_request(b'{"do": "yield", "duty": "nightly"}')
     return here.last(letters.CALL, "yield")
 
 
 def send_plan_promise(here: Instance) -> bytes:
     here.hold("works")
-    here.yard.gained()
+    here.yard.on_lease_gained()
     return here.last(letters.CALL, "plan", keeper.PROMISE)
 
 
@@ -422,7 +433,7 @@
 
 
 def send_works_wish(here: Instance) -> bytes:
-    here.office.holders["works"].other = "n2"
+    here.office.candidates["works"].known_holder = "n2"
     here.yard.asked(b'{"do": "hold", "key": "k1", "owner": "ada"}')
     return here.last(letters.CALL, "works", "wish")
 
@@ -434,7 +445,7 @@
 
 
 def send_copy_want(here: Instance) -> bytes:
-    here.office.holders["works"].other = "n2"
+    here.office.candidates["works"].known_holder = "n2"
     here.yard.told()
     return here.last(letters.CALL, "copy", keeper.WANT)
 
@@ -528,14 +539,14 @@
 
 def opened(octets: bytes) -> Opened:
     """What the instance that a datagram is for takes out of it; its handlers take it too."""
-    receiver, known_as = msgpack.unpackb(octets[2 : -letters.SEAL], strict_map_key=False)[3:5]
+    receiver, known_as = msgpack.unpackb(octets[2 : -sealing.SEAL_BYTES], strict_map_key=False)[3:5]
     with instance(receiver) as there:
         # A sender that does not know this incarnation yet writes 0, and only HELLO may.
-        there.member_list.letters.start = known_as or PEER_INCARNATIONS[receiver]
-        taken = there.member_list.letters.open(octets, NOW)
-        assert taken is not None, dict(there.member_list.letters.counts)
-        there.member_list.letters.pens["n1"].window = letters.Window()
-        there.member_list.came(octets)
+        there.member_list.codec.incarnation = known_as or PEER_INCARNATIONS[receiver]
+        taken = there.member_list.codec.decode(octets, NOW)
+        assert taken is not None, dict(there.member_list.codec.counts)
+        there.member_list.codec.peers["n1"].replay_window = sealing.ReplayWindow()
+        there.member_list.handle_datagram(octets)
         return Opened(*taken, there.member_list.counts["no sense"])
 
 
@@ -547,17 +558,22 @@
     with instance() as here:
         gateway = here.socket_host.gateway
         take_request(here)
-        gateway.price = 0.25
+        gateway.price.current = 0.25
         gateway.engines[0].stats.slowness_samples.extend([1.25, 1.5, 2.0])
         moment = {"gateway": "n1", "mark": 11, "at": NOW, "boot": "boot-1", "since_boot": 5_000}
-        return snapshot.packed({**moment, **learned.gathered(gateway)})
+        return snapshot.encode(
+            {
+                **moment,
+                **learned_state.encode_learned_state(learned_state.copy_learned_state(gateway)),
+            }
+        )
 
 
 def recovery_snapshot_of_service(folder: str) -> bytes:
     """The snapshot that a recovery service leaves at its end."""
     with instance() as here:
         service = keeping.RecoveryService(
-            here.socket_host, "n1", 11, Recall(folder, SECOND, "process", 3)
+            here.socket_host, "n1", 11, RecoveryConfig(folder, SECOND, "process", 3)
         )
         service.end()
         os.close(service.lock)
@@ -566,15 +582,23 @@
 
 def attempt_log() -> bytes:
     """A segment of the log of attempts that may have run, as its writer leaves it."""
-    first = effects.LoggedAttempt(1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND)
-    second = effects.LoggedAttempt(2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND)
-    third = effects.LoggedAttempt(3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND)
+    first = attempt_records.LoggedAttempt(
+        1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND
+    )
+    second = attempt_records.LoggedAttempt(
+        2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND
+    )
+    third = attempt_records.LoggedAttempt(
+        3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND
+    )
     with tempfile.TemporaryDirectory() as folder:
-        files = writer.Files(folder, "n1", False, 3)
+        files = writer.RecoveryFiles(folder, "n1", False, 3)
         for effect in first, second, third:
-            files.effects(effects.sent(effect))
-        files.effects(effects.over(1, True) + effects.over(2, False))
-        files.disk.close(files.file)
+            files.append_records(attempt_records.encode_sent(effect))
+        files.append_records(
+            attempt_records.encode_finished(1, True) + attempt_records.encode_finished(2, False)
+        )
+        files.disk.close(files.segment)
         return Path(folder, "n1.effects.00000001").read_bytes()
 
 
@@ -582,10 +606,10 @@
     """The file of a voter that promised one lease and granted another."""
 
     def vote(here: Instance) -> None:
-        mark = here.office.roll.mark
-        here.office.came("n2", [voter.PREPARE, "books", 1, mark, 3, 500])
-        here.office.came("n2", [voter.GRANT, "books", 1, mark, 4, 500])
-        here.office.came("n3", [voter.PREPARE, "works", 1, mark, 3, 600])
+        mark = here.office.configuration.fingerprint
+        here.office.on_lease_datagram("n2", [MessageKind.PREPARE, "books", 1, mark, 3, 500])
+        here.office.on_lease_datagram("n2", [MessageKind.GRANT_REQUEST, "books", 1, mark, 4, 500])
+        here.office.on_lease_datagram("n3", [MessageKind.PREPARE, "works", 1, mark, 3, 600])
 
     return stored_by_helper("n1.votes", vote)
 
@@ -606,7 +630,7 @@
     with tempfile.TemporaryDirectory() as folder, instance(votes_folder=folder) as here:
         act(here)
         give_up_at = time.monotonic() + 10
-        while here.office.safe.waiting or here.yard.safe.waiting:
+        while here.office.durable_record.waiting or here.yard.safe.waiting:
             assert time.monotonic() < give_up_at, "the helper has not answered"
             here.premises.event_loop.turn(5)
         return Path(folder, name).read_bytes()
@@ -640,14 +664,14 @@
     ledger = RequestLedger(["quick"], lambda: NOW)
     entry, attempt = Entry(), Entry()
     entry.row = ledger.request_classes["quick"]
-    attempt.order, attempt.engine_row = entry, ledger.engine("e1")
-    ledger.taken(entry)
-    ledger.handed_off(attempt, 0)
+    attempt.order, attempt.engine_row = entry, ledger.engine_row("e1")
+    ledger.record_accepted(entry)
+    ledger.record_attempt_sent(attempt, 0)
     ledger.on_attempt_finished(attempt, 0)
-    ledger.closed(entry, 0)
-    ledger.turned_away(ledger.request_classes["quick"])
-    ledger.connection_up(0)
-    ledger.connection_over(0, 100, 200, 3)
+    ledger.record_closed(entry, 0)
+    ledger.record_rejected(ledger.request_classes["quick"])
+    ledger.record_connection_opened(0)
+    ledger.record_connection_closed(0, 100, 200, 3)
     return ledger
 
 
@@ -655,9 +679,11 @@
     """A checkpoint file that one run wrote and the next one took over, with both slots in use."""
     with tempfile.TemporaryDirectory() as folder:
         for epoch in "first", "second":
-            kept = shelf.CheckpointFile(folder, "n1", lambda line: None)
+            kept = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
             for at in NOW, NOW + 5:
-                kept.put(cut_of(small_ledger(), at, "n1", {"id": epoch, "started": NOW - 100}))
+                kept.write(
+                    take_snapshot(small_ledger(), at, "n1", {"id": epoch, "started": NOW - 100})
+                )
             kept.close()
         return Path(folder, "n1.figures").read_bytes()
 
@@ -669,7 +695,10 @@
         VoterConfiguration(2, ["n3", "n1", "n2", "n4"], 50_000),
         VoterConfiguration(9, ["n1"]),
     ]
-    return [[each.version, each.lease, list(each.names), each.majority, each.mark] for each in made]
+    return [
+        [each.version, each.lease_ticks, list(each.names), each.majority, each.fingerprint]
+        for each in made
+    ]
 
 
 FILES: dict[str, Callable[[], bytes]] = {
@@ -686,28 +715,28 @@
 
 
 def snapshot_read(octets: bytes) -> Any:
-    return snapshot.read(octets, "n1", 11)
+    return snapshot.decode(octets, "n1", 11)
 
 
 def attempt_log_read(octets: bytes) -> Any:
     """Attempts with open ones told apart, and what is wrong at the log's end."""
     known, wrong = effects.AttemptLog(), ""
-    for body, _, wrong in effects.records(octets):  # noqa: B007 (the last one counts)
+    for body, _, wrong in attempt_records.read_records(octets):  # noqa: B007 (the last one counts)
         if body is not None:
-            assert known.take(body)
+            assert known.apply(body)
     return [
         [
             [
                 each.serial,
-                each.label,
+                each.idempotency_key,
                 each.request_class,
-                each.key,
+                each.order_key,
                 each.engine,
                 each.zone,
                 each.cell,
-                each.sent,
-                each.until,
-                each.open,
+                each.sent_at,
+                each.deduplicated_until,
+                each.is_in_doubt,
             ]
             for each in known.by_serial.values()
         ],
@@ -721,7 +750,7 @@
         Path(folder, "n1.votes").write_bytes(octets)
         with instance(votes_folder=folder) as here:
             return {
-                name: [vote.promised, vote.ballot, *vote.holder]
+                name: [vote.promised_ballot, vote.granted_ballot, *vote.holder]
                 for name, vote in here.office.voter.votes.items()
             }
 
@@ -791,10 +820,10 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "n1.figures")
         path.write_bytes(octets)
-        body = shelf.read_file(str(path))
-        taken_over = shelf.CheckpointFile(folder, "n1", lambda line: None)
+        body = checkpoint_file.read_checkpoint_file(str(path))
+        taken_over = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
         taken_over.close()
-        return [plain(body["cut"]), body["earlier"], taken_over.earlier]
+        return [as_plain(body["cut"]), body["earlier"], taken_over.earlier_epochs]
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
@@ -832,47 +861,65 @@
         copy.write_text(copy.read_text().replace(SECRETS_FOLDER + "/roster", str(roster)))
         said = operator.read(str(copy))
     sections = [
-        figures_values(said.figures),
-        flows_values(said.flows),
-        recall_values(said.recall),
-        fellows_values(said.fellows),
-        duties_values(said.duties),
-        works_values(said.works),
-        shared_values(said.shared),
+        figures_values(said.accounting),
+        flows_values(said.flow_export),
+        recall_values(said.recovery),
+        fellows_values(said.membership),
+        duties_values(said.leases),
+        works_values(said.maintenance),
+        shared_values(said.peer_health),
     ]
     return json.loads(json.dumps(sections, default=bytes.hex))
 
 
-def figures_values(said: Figures | None) -> list[Any] | None:
+def figures_values(said: AccountingConfig | None) -> list[Any] | None:
     return said and [said.listen, said.readers, said.keep, said.keep_each, said.error]
 
 
-def flows_values(said: operator.Flows | None) -> list[Any] | None:
+def flows_values(said: operator.FlowExportConfig | None) -> list[Any] | None:
     if said is None:
         return None
     collectors = [
         [
             each.address,
             each.transport,
-            each.payload,
-            each.refresh,
-            each.refresh_after,
-            each.tls and [each.tls.ca, each.tls.name, each.tls.certificate, each.tls.key],
+            each.max_message_bytes,
+            each.template_refresh_ticks,
+            each.template_refresh_messages,
+            each.tls
+            and [
+                each.tls.ca_file,
+                each.tls.server_name,
+                each.tls.certificate_file,
+                each.tls.key_file,
+            ],
         ]
         for each in said.collectors
     ]
-    return [said.layout, said.mode, said.active, said.idle, said.memory, collectors]
+    return [
+        said.layout,
+        said.mode,
+        said.active_timeout_ticks,
+        said.idle_timeout_ticks,
+        said.memory_bytes,
+        collectors,
+    ]
 
 
-def recall_values(said: Recall | None) -> list[Any] | None:
-    return said and [said.folder, said.each, said.durability, said.kept]
+def recall_values(said: RecoveryConfig | None) -> list[Any] | None:
+    return said and [
+        said.folder,
+        said.snapshot_interval_ticks,
+        said.durability,
+        said.snapshots_kept,
+    ]
 
 
-def fellows_values(said: Fellows | None) -> list[Any] | None:
+def fellows_values(said: MembershipConfig | None) -> list[Any] | None:
     return said and [said.keys, said.members, said.listen, said.period]
 
 
-def duties_values(said: Duties | None) -> list[Any] | None:
+def duties_values(said: LeaseConfig | None) -> list[Any] | None:
     return said and [
         said.version,
         said.voters,
@@ -885,11 +932,11 @@
     ]
 
 
-def works_values(said: Works | None) -> list[Any] | None:
+def works_values(said: MaintenanceConfig | None) -> list[Any] | None:
     return said and [said.bounds, said.machines, said.each, said.grant, said.patience]
 
 
-def shared_values(said: Shared | None) -> list[Any] | None:
+def shared_values(said: PeerHealthConfig | None) -> list[Any] | None:
     return said and [said.each, said.octets]
 
 
@@ -918,14 +965,14 @@
     """Status, content type and shape of an answer, asked over a socket."""
     with tempfile.TemporaryDirectory() as folder, instance() as here:
         where = os.path.join(folder, "figures.sock")
-        bureau = AccountingService(
-            here.socket_host, "n1", 7, Figures(where, 4, folder, SECOND, 0.02)
+        service = AccountingService(
+            here.socket_host, "n1", 7, AccountingConfig(where, 4, folder, SECOND, 0.02)
         )
         give_state(here)
         try:
             head, body = asked(here, where, *QUESTIONS[name])
         finally:
-            bureau.end()
+            service.end()
     lines = head.decode().split("\r\n")
     kind = next(each for each in lines if each.lower().startswith("content-type"))
     return [int(lines[0].split()[1]), kind.partition(": ")[2], shape(kind, body)]
@@ -935,18 +982,20 @@
     """Give every nested part of an answer a row."""
     here.lead_plan()
     here.hold("nightly")
-    here.office.gained(here.office.holders["nightly"])
+    here.office.on_lease_gained(here.office.candidates["nightly"])
     here.hold("books")
-    here.office.clerks["books"].gained()
-    here.office.clerks["books"].sum(FENCE)
+    here.office.collectors["books"].on_lease_gained()
+    here.office.collectors["books"].finish_round(FENCE)
     here.yard._told("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": DRAINING}])
     rows = [[name, 6, 1, 100, "e1", 0, Fault.SILENT.value, 250, 6] for name in PEER_INCARNATIONS]
     here.exchange.on_status_update("n2", [1, 5, 1, 20, rows])
     here.exchange.run_period()
     here.exchange.assessments["e1"] = Assessment(2.5, True, "n2 n3")
-    here.socket_host.findings.see("taken", "quick", 1, "one more", [(NOW, "entered", 1)])
+    here.socket_host.discrepancies.record_difference(
+        "taken", "quick", 1, "one more", [(NOW, "entered", 1)]
+    )
     take_request(here)
-    here.socket_host.ledger.connection_up(0)
+    here.socket_host.ledger.record_connection_opened(0)
 
 
 def take_request(here: Instance) -> None:
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -17,10 +17,10 @@
 from hypothesis import given, settings, strategies
 from netflow import parse_packet
 
-from corkgauge.accounting.snapshot import cut_of
+from corkgauge.accounting.snapshot import take_snapshot
 from corkgauge.config.operator_file import read as read_operator
 from corkgauge.config.platform import ConfigurationError
-from corkgauge.daemon.process import Beside
+from corkgauge.daemon.subsystems import Subsystems
 from corkgauge.flow_export.codec import Layout, Message
 from corkgauge.flow_export.collector_peer import CollectorPeer, CollectorState
 from corkgauge.flow_export.counter_deltas import Delta
@@ -781,7 +781,7 @@
             f'<operator version="1"><flows layout="{self.layout}" mode="{self.mode}" idle="1" '
             f'active="{self.active}" memory="{self.memory}">{rows}</flows></operator>'
         )
-        return read_operator(str(self.path)).flows
+        return read_operator(str(self.path)).flow_export
 
     def serve(self, count):
         """Requests, one after the other, each with its answer, on connections of their own."""
@@ -807,9 +807,9 @@
 
     def balanced(self):
         socket_host = self.premises.socket_host
-        socket_host.auditor.pass_whole()
-        assert not socket_host.findings.held, [
-            each.line() for each in socket_host.findings.held.values()
+        socket_host.auditor.run_whole_pass()
+        assert not socket_host.discrepancies.by_place, [
+            each.log_line() for each in socket_host.discrepancies.by_place.values()
         ]
 
     def exported_octets(self, n=0):
@@ -817,7 +817,7 @@
 
     def carried(self):
         socket_host = self.premises.socket_host
-        cut = cut_of(socket_host.ledger, socket_host.now, "n1", {"id": "x"})
+        cut = take_snapshot(socket_host.ledger, socket_host.now, "n1", {"id": "x"})
         live = sum(got + sent for got, sent, _ in socket_host.records.live_bytes())
         return live + sum(row["received"] + row["sent"] for row in cut["connections"].values())
 
@@ -1016,23 +1016,25 @@
         )
 
     write("one")
-    beside = Beside(premises.socket_host, SimpleNamespace(name="n1", seed=7, mark=1), str(path))
+    beside = Subsystems(
+        premises.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path)
+    )
     write("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
     beside.reload()
     assert "operator file not taken: flows:" in premises.logged[-1]
     assert (
-        beside.running["figures"].door.where == f"{tmp_path}/one"
+        beside.running["accounting"].http_listener.address == f"{tmp_path}/one"
         and not (tmp_path / "two").exists()
     )
-    assert beside.running["flows"].settings.collectors[0].transport == "udp"
+    assert beside.running["flow_export"].settings.collectors[0].transport == "udp"
 
 
 def test_an_octet_that_no_record_tells_is_found(tmp_path):
     site = ExportSite(tmp_path)
     site.serve(1)
     site.exporter.meter.measured_octets -= 1
-    site.premises.socket_host.auditor.pass_whole()
-    assert ("books differ", "flows measured") in site.premises.socket_host.findings.held
+    site.premises.socket_host.auditor.run_whole_pass()
+    assert ("books differ", "flows measured") in site.premises.socket_host.discrepancies.by_place
 
 
 # TLS.
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 import pytest
 
 from corkgauge.config import platform as configuration
-from corkgauge.daemon.process import Source
+from corkgauge.daemon.configuration_reload import ConfigurationReloader
 from corkgauge.eventloop.connection import dial
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
@@ -403,7 +403,9 @@
             "settings": STATED_ON_SOCKETS,
         }
         monkeypatch.setattr("corkgauge.net.discovery.dial", self.dial)
-        self.source = Source(premises.socket_host, configuration.PlatformConfig(self.said, ""))
+        self.source = ConfigurationReloader(
+            premises.socket_host, configuration.PlatformConfig(self.said, "")
+        )
         premises.turn()
 
     def dial(self, event_loop, where, span):
@@ -935,7 +937,7 @@
     (tmp_path / "rich").mkdir()
     (tmp_path / "rich" / "__init__.py").write_text("raise ModuleNotFoundError('gone', name='rich')")
     said = subprocess.run(
-        [sys.executable, "-m", "corkgauge", "try", "--seconds", "1"],
+        [sys.executable, "-m", "corkgauge", "demo", "--seconds", "1"],
         capture_output=True,
         text=True,
         env={**os.environ, "PYTHONPATH": str(tmp_path)},
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from corkgauge.config.operator_file import Duties
+from corkgauge.config.operator_file import LeaseConfig
 from corkgauge.leases import service as offices
-from corkgauge.leases.candidate import HOLDING
+from corkgauge.leases.candidate import CandidateState
 from corkgauge.leases.service import LeaseService
 from corkgauge.membership.member_list import ALIVE
 from corkgauge.testkit.seeded_random import SeededRandom
@@ -20,10 +20,10 @@
 class Owner:
     """Of the duty, at one office; nothing is done under it but to hold it."""
 
-    def gained(self):
+    def on_lease_gained(self):
         pass
 
-    def lost(self):
+    def on_lease_lost(self):
         pass
 
 
@@ -39,7 +39,9 @@
         self.member_list = SimpleNamespace(
             calls={},
             zone=zone,
-            letters=SimpleNamespace(start=1, pens={n: SimpleNamespace(start=1) for n in NAMES}),
+            codec=SimpleNamespace(
+                incarnation=1, peers={n: SimpleNamespace(incarnation=1) for n in NAMES}
+            ),
             members={
                 n: SimpleNamespace(name=n, zone=f"hall-{n}", state=ALIVE)
                 for n in NAMES
@@ -48,7 +50,7 @@
             call=self.call,
         )
         socket_host = SimpleNamespace(event_loop=self.event_loop, log=self.lines.append, routes={})
-        said = Duties(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
+        said = LeaseConfig(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
         self.office = LeaseService(
             socket_host,
             SimpleNamespace(name=name),
@@ -56,8 +58,8 @@
             SimpleNamespace(member_list=self.member_list, chance=rack.chance.below),
         )
         self.office.voter.silent_until = 0
-        self.office.safe.keep = self.keep
-        self.office.stands("works", Owner())
+        self.office.durable_record.write = self.keep
+        self.office.add_candidate("works", Owner())
 
     def call_later(self, delay, method, *what):
         self.rack.call_later(max(delay, 1), self, method, *what)
@@ -88,7 +90,7 @@
             then(*what)
 
     def holds(self):
-        return self.office.holders["works"].state == HOLDING
+        return self.office.candidates["works"].state is CandidateState.HOLDING
 
 
 class Rack:
@@ -140,12 +142,12 @@
     rack.until(3 * SECOND)
     assert [each.holds() for each in rack.members.values()].count(True) == 1
     rack.overload(NAMES)
-    assert all(each.office.overloaded for each in rack.members.values())
+    assert all(each.office.is_overloaded for each in rack.members.values())
     vacant, held = rack.until(
         rack.now + 9 * SECOND
     )  # they call themselves overloaded for ten seconds
     assert vacant < 2 * LEASE and held
-    assert all(each.office.overloaded for each in rack.members.values())
+    assert all(each.office.is_overloaded for each in rack.members.values())
 
 
 @pytest.mark.parametrize("many", [1, 2])
@@ -161,7 +163,7 @@
     vacant, held = rack.until(rack.now + 7 * SECOND)
     assert vacant == 0 and len(held) == 1 and not held & {*names}
     rack.until(rack.now + 10 * SECOND)
-    assert not any(each.office.overloaded for each in rack.members.values())
+    assert not any(each.office.is_overloaded for each in rack.members.values())
 
 
 @pytest.mark.parametrize("part", [0.5, 1.3, 2.0])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,8 +23,8 @@
 from corkgauge.model import dissemination
 from corkgauge.net import discovery_protocol as feed_wire
 from corkgauge.net.host import UnstartedHost, stated_of
-from corkgauge.policy.gateway import MOMENT, PERIOD
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState
+from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, FEEDBACK_INTERVAL_TICKS
 from tests.harness import QUICK, GatewayHarness
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -281,13 +281,13 @@
 def test_gossip_reaches_all_and_none_hears_what_no_datagram_brought():
     assert 0 < dissemination.spread(60, 400, 2, 0.3, 1)[0] < 20
     lost = dissemination.Dissemination(60, 400, 2, loss=1.0)
-    assert lost.run(3 * SECOND) == -1 and sum(member.had >= 0 for member in lost.members) == 1
+    assert lost.run(3 * SECOND) == -1 and sum(member.is_complete for member in lost.members) == 1
 
 
 def test_a_whole_in_pieces_comes_together_from_several():
-    model = dissemination.Dissemination(40, 20 * dissemination.ROOM, 2, loss=0.4, seed=3)
+    model = dissemination.Dissemination(40, 20 * dissemination.CHUNK_BYTES, 2, loss=0.4, seed=3)
     assert model.run(30 * SECOND) > 0
-    assert all(member.pieces == set(range(20)) for member in model.members)
+    assert all(member.chunks == set(range(20)) for member in model.members)
 
 
 def test_a_quick_run_of_the_settings_keeps_nothing(monkeypatch):
@@ -305,7 +305,7 @@
     assert (
         len(settings.request_classes),
         len(settings.tenants),
-        len(post.events[0]["members"]["servers"]),
+        len(post.known_events[0]["members"]["servers"]),
     ) == (20, 50, 30)
 
 
@@ -445,8 +445,8 @@
     yard = GatewayHarness(
         [dict(QUICK, name=f"o{n}", priority_weight=1.0 + n) for n in range(2)],
         engines=0,
-        gateways=GATEWAYS,
-        number=17,
+        gateway_count=GATEWAYS,
+        gateway_number=17,
     )
     yard.out = []
     yard.engines = [
@@ -481,7 +481,7 @@
 def of_a_moment(engines):
     """Reads a statement where each comes after a moment, when figures that stand for one are renewed."""
     yard, statements = worked(engines), 20
-    return counted(lambda: play(yard, statements, MOMENT + STATEMENT)) / statements
+    return counted(lambda: play(yard, statements, ESTIMATE_VALIDITY_TICKS + STATEMENT)) / statements
 
 
 def of_a_period(engines):
@@ -490,7 +490,7 @@
 
     def period():
         yard.gateway.on_feedback_interval()
-        yard.pass_time(PERIOD - 1)
+        yard.pass_time(FEEDBACK_INTERVAL_TICKS - 1)
 
     return counted(period)
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -262,7 +262,7 @@
         total = 0
         yards = []
         for number in range(40):
-            yard = GatewayHarness(engines=1, gateways=40, number=number)
+            yard = GatewayHarness(engines=1, gateway_count=40, gateway_number=number)
             for _ in range(8):
                 yard.over(yard.take().attempts[0], took=2000)
             yard.pass_time(2 * SECOND)
@@ -270,7 +270,9 @@
             yards.append(yard)
         if passing:  # whoever is in turn passes it on to one that is not
             work = yards[0].request_classes[0].typical_work
-            able = [yard for yard in yards if yard.gateway._cold_room(yard.engines[0], work)]
+            able = [
+                yard for yard in yards if yard.gateway.slow_start.has_budget(yard.engines[0], work)
+            ]
             others = [yard for yard in yards if yard not in able]
             for giver, receiver in zip(able, others):
                 giver.gateway.on_permit_moved(giver.engines[0], work, giver.now)
@@ -290,7 +292,7 @@
         attempt.engine for n in range(6) for attempt in yard.take(table_group=float(n)).attempts
     ]
     assert taken.count(engine) == 1 and len(taken) > 3
-    assert yard.gateway._slow(engine.stats, 1.0) == 6.0
+    assert yard.gateway.slowness.of_engine(engine.stats, 1.0) == 6.0
     other = GatewayHarness(engines=2)
     other.gateway.on_peer_health(other.engines[0], 0.0, 2)
     taken = [
@@ -300,7 +302,7 @@
 
 
 def test_retry_budget_only_shrinks_by_the_throttle():
-    yard = GatewayHarness(engines=3, extra_floor=4.0, extra_share=0.0, extra_span=SECOND)
-    assert yard.gateway._extra_left()
-    yard.gateway.strict = 0.2
-    assert not yard.gateway._extra_left()
+    yard = GatewayHarness(engines=3, retry_floor=4.0, retry_share=0.0, retry_window_ticks=SECOND)
+    assert yard.gateway.retry_budget.has_left()
+    yard.gateway.retry_budget.throttle = 0.2
+    assert not yard.gateway.retry_budget.has_left()
