--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -38,7 +38,7 @@
 class FlowReport(Protocol):
     """What the service needs of flow export."""
 
-    def told(self) -> dict[str, Any]:
+    def status_report(self) -> dict[str, Any]:
         """Return the state of flow export, as a snapshot has it."""
 
 
@@ -120,7 +120,7 @@
         if host.latency_sketches is not None:
             snapshot["waits"] = host.latency_sketches.fields()
         if host.flows is not None:
-            snapshot["flows"] = host.flows.told()
+            snapshot["flows"] = host.flows.status_report()
         if self.checkpoint_file is not None:
             snapshot["earlier"] = self.checkpoint_file.earlier_epochs
         return snapshot
--- /dev/null
+++ b/corkgauge/flow_export/configured_collectors.py
@@ -0,0 +1,48 @@
+"""The collectors of the operator file, with their TLS files read."""
+
+from typing import NamedTuple
+
+from corkgauge.config.operator_file import CollectorConfig, FlowExportConfig
+from corkgauge.config.platform import ConfigurationError
+from corkgauge.flow_export.collector_peer import CollectorPeer
+from corkgauge.flow_export.tls import TlsConfigurationError, TlsTarget, client_context
+
+
+class ConfiguredCollector(NamedTuple):
+    """A collector as the operator file has it, with its TLS context read."""
+
+    settings: CollectorConfig
+    tls: TlsTarget | None
+
+
+def read_collectors(settings: FlowExportConfig) -> list[ConfiguredCollector]:
+    """Read the TLS files of all collectors.
+
+    Raises:
+        ConfigurationError: a file cannot be read, or others may read a key.
+    """
+    try:
+        return [ConfiguredCollector(each, _tls_target_of(each)) for each in settings.collectors]
+    except TlsConfigurationError as problem:
+        raise ConfigurationError(f"flows: {problem}") from None
+
+
+def _tls_target_of(collector: CollectorConfig) -> TlsTarget | None:
+    tls = collector.tls
+    if not tls:
+        return None
+    return TlsTarget(
+        client_context(tls.ca_file, tls.certificate_file, tls.key_file), tls.server_name
+    )
+
+
+def peer_of(collector: CollectorConfig) -> CollectorPeer:
+    """Make the state of a collector, which is down at first."""
+    host, port = collector.address
+    return CollectorPeer(
+        name=f"{host}:{port}",
+        is_datagram=collector.transport == "udp",
+        limit=collector.max_message_bytes,
+        refresh_ticks=collector.template_refresh_ticks,
+        refresh_messages=collector.template_refresh_messages,
+    )
