--- a/fuzz/decoder.py
+++ b/fuzz/decoder.py
@@ -14,7 +14,11 @@
 SEEDS = Path(__file__).parent / "seeds"
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from corkgauge.flow_export.decoder import Decoder, MalformedMessageError, MessageStream  # noqa: E402
+from corkgauge.flow_export.decoder import (  # noqa: E402
+    Decoder,
+    MalformedMessageError,
+    MessageStream,
+)
 
 EDGES = 0, 1, 2, 3, 4, 9, 10, 16, 127, 128, 255
 
