--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,8 +1,9 @@
 """The tests that are known to fail: read from KNOWN-RED.txt, checked, and named for the run that passes over them.
 
-Prints the arguments that make pytest pass over just these, one a line; tells of them on standard error. Ends with 1
-where the list is not what it may be: more than three lines, a line without test, cause and issue, a test that is not
-there, or one that passes by now. Must never pass over anything that is not named in full.
+Prints the arguments that make pytest pass over just these, one a line; tells of them on standard
+error. Ends with 1 where the list is not what it may be: more than three lines, a line without test,
+cause and issue, a test that is not there, or one that passes by now. Must never pass over anything
+that is not named in full.
 """
 
 import subprocess
--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -1,8 +1,8 @@
 """Parts of several workload managers that grow with the engines, each by itself in this process: an order of
 maintenance, findings.
 
-Owns the worlds that they are played on. Uses processor time alone. Must never call a figure of one part that of a
-fleet.
+Owns the worlds that they are played on. Uses processor time alone. Must never call a figure of one
+part that of a fleet.
 """
 
 import gc
--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -1,7 +1,7 @@
 """The maintenance plan between simulated processes: the real replicas and proposers on the real leases.
 
-Datagrams are lost, late and out of order; processes stop, restart and forget. Judged by what is agreed. Decides by the
-seed alone what leaders propose, never by a look into a machine.
+Datagrams are lost, late and out of order; processes stop, restart and forget. Judged by what is
+agreed. Decides by the seed alone what leaders propose, never by a look into a machine.
 """
 
 from typing import Any
@@ -175,7 +175,8 @@
         self.taken_over += stamp[1] == 1
         history = [*plan.history]
         if stamp < self.stamp and self._within(history, self.history):
-            # One that was replaced hears late that its step went through; its successor began from that.
+            # One that was replaced hears late that its step went through; its successor began from
+            # that.
             self.late += 1
             return
         if not self._within(self.history, history):
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -1,8 +1,9 @@
 """A fleet taken through work, simulated at sizes that sockets do not reach: the real order within limits, against what
 operators do without it.
 
-Owns a fluid day: demand that goes up and down, engines that are away, cold or fail by chance, and what is not carried.
-Must never decide what goes out where the order does. Its figures say how orders compare, not what a fleet earns.
+Owns a fluid day: demand that goes up and down, engines that are away, cold or fail by chance, and
+what is not carried. Must never decide what goes out where the order does. Its figures say how
+orders compare, not what a fleet earns.
 """
 
 from dataclasses import dataclass
@@ -58,8 +59,8 @@
 
 class Night:
     """`policy` is one of POLICIES: the order with its limits; as many operators as zones, each by himself, an engine
-    after the other; a fixed number in a fixed order, whatever the load; all that the limits by count allow. `peak` is
-    the largest demand, as a part of all cores."""
+    after the other; a fixed number in a fixed order, whatever the load; all that the limits by
+    count allow. `peak` is the largest demand, as a part of all cores."""
 
     def __init__(
         self, seed: int, engines: int, policy: str, peak: float = 0.97, low: float = 0.55
--- a/corkgauge/model/subsets.py
+++ b/corkgauge/model/subsets.py
@@ -1,9 +1,10 @@
 """Working sets of engines (subsetting): the options weighed in docs/subsetting.md, each a pure function.
 
-Owns how each option picks, for one gateway, its engines out of a list. Must never do I/O, keep state between calls, or
-be imported by a program that serves: `tournament` is written from the note, not from the module, so that a test can
-hold one against the other. Engines are named by integers below 2^64, gateways are numbered from 0. A list may hold any
-names in any order; the options that go by position sort it first, as all gateways have to agree on it.
+Owns how each option picks, for one gateway, its engines out of a list. Must never do I/O, keep
+state between calls, or be imported by a program that serves: `tournament` is written from the note,
+not from the module, so that a test can hold one against the other. Engines are named by integers
+below 2^64, gateways are numbered from 0. A list may hold any names in any order; the options that
+go by position sort it first, as all gateways have to agree on it.
 """
 
 import random
@@ -32,8 +33,8 @@
 def mixed(first: int, second: int, third: int = 0) -> int:
     """64 bits from three numbers: multiply, shift, xor, as in splitmix64 (Steele, Lea, Flood 2014).
 
-    Danger: a hash that is linear over GF(2), as any CRC of joined fields, gives the same pattern of winners to all
-    engines up to a shift: sets fall into shards. The products here are not linear.
+    Danger: a hash that is linear over GF(2), as any CRC of joined fields, gives the same pattern of
+    winners to all engines up to a shift: sets fall into shards. The products here are not linear.
 
     >>> len({mixed(a, b, c) & 0xffffffff for a in range(9) for b in range(9) for c in range(9)})
     729
@@ -63,8 +64,8 @@
 
 def rounds(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
     """Deterministic subsetting by rounds: Site Reliability Engineering (Beyer, Jones, Petoff, Murphy 2016), chapter 20.
-    Each round of gateways shuffles the list by the round's seed and deals it out in parts of `size`; what is left over
-    of a round's list goes to nobody in that round."""
+    Each round of gateways shuffles the list by the round's seed and deals it out in parts of
+    `size`; what is left over of a round's list goes to nobody in that round."""
     turn, part = divmod(gateway, max(len(engines) // size, 1))
     return sorted(dealt(turn, engines)[part * size : (part + 1) * size])
 
@@ -78,9 +79,9 @@
 
 def aperture(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
     """Deterministic aperture: gateways and engines evenly on one ring by position (Finagle; Oanta and Anderson 2019).
-    A gateway owns the arc from its own place, as wide as the least whole number of gateway arcs that holds `size`
-    engines; an engine that an arc covers in part belongs to the set too (the published weights by overlap are in
-    `overlap`)."""
+    A gateway owns the arc from its own place, as wide as the least whole number of gateway arcs
+    that holds `size` engines; an engine that an arc covers in part belongs to the set too (the
+    published weights by overlap are in `overlap`)."""
     return sorted(overlap(gateway, gateways, engines, size))
 
 
@@ -101,8 +102,8 @@
 
 def level(gateway: int, engine: int) -> int:
     """How many blocks in a row, of 2, 4, 8 ... gateways by number, this gateway wins for this engine. The winner of a
-    block is, by a hash of engine, level and block, the winner of its left half or of its right; so it is enough to ask
-    in each block whether the gateway's own half wins. 64 at most.
+    block is, by a hash of engine, level and block, the winner of its left half or of its right; so
+    it is enough to ask in each block whether the gateway's own half wins. 64 at most.
 
     >>> [sum(level(gateway, 5) >= least for gateway in range(64)) for least in (0, 1, 2, 3, 6)]
     [64, 32, 16, 8, 1]
@@ -115,8 +116,9 @@
 
 def rank(gateway: int, engine: int) -> float:
     """Of this engine for this gateway, above 0 and below 1, alike whoever works it out; asks neither for the number of
-    gateways nor for the list. A threshold p between 2^-(m+1) and 2^-m takes the one winner of each block of 2^(m+1)
-    gateways, and of those who lose just there an even part, by multiples of the golden section over blocks.
+    gateways nor for the list. A threshold p between 2^-(m+1) and 2^-m takes the one winner of each
+    block of 2^(m+1) gateways, and of those who lose just there an even part, by multiples of the
+    golden section over blocks.
 
     >>> [sum(rank(gateway, 7) < 0.125 for gateway in range(first, first + 64)) for first in (0, 64, 640)]
     [8, 8, 8]
@@ -140,7 +142,8 @@
 
 def busy(asked: float, was: float = 1.0) -> float:
     """How many times as large a gateway's set is for its own traffic: `asked` is its work over its equal part of the
-    capacity. Danger: a set that follows each swing of traffic is never warm; so it moves by large steps only.
+    capacity. Danger: a set that follows each swing of traffic is never warm; so it moves by large
+    steps only.
 
     >>> [busy(asked) for asked in (0.5, 1.5, 2.0, 3.0, 9.0)], busy(2.4, 2.0)
     ([1.0, 1.0, 1.0, 2.0, 4.0], 2.0)
--- a/corkgauge/testkit/checkers/maintenance.py
+++ b/corkgauge/testkit/checkers/maintenance.py
@@ -1,7 +1,7 @@
 """The maintenance checker: what was worked on, when, what reached machines meanwhile, and whether that may be.
 
-Stands outside and is free of I/O: never asks a gateway what it holds. The crew's own records, the engines' records and
-the limits are all it knows.
+Stands outside and is free of I/O: never asks a gateway what it holds. The crew's own records, the
+engines' records and the limits are all it knows.
 """
 
 from collections.abc import Iterable, Mapping
--- a/corkgauge/testkit/checkers/rules.py
+++ b/corkgauge/testkit/checkers/rules.py
@@ -1,7 +1,7 @@
 """The seven rules, checked from what the stand-ins saw themselves.
 
-Owns the comparison of the clients', engines' and feed's books. Free of I/O. Must never ask the gateway what
-it did, nor its log. A rule broken is a line that names what broke it.
+Owns the comparison of the clients', engines' and feed's books. Free of I/O. Must never ask the
+gateway what it did, nor its log. A rule broken is a line that names what broke it.
 """
 
 from collections import defaultdict
@@ -96,7 +96,8 @@
             found.append(f"effect: {trace} of {several[0].request_class} ran {len(ran)} times")
         if sort == "token" and several[-1].came > several[0].came + REMEMBERED:
             found.append(f"effect: {trace} was sent again after its label was forgotten")
-    # Engines of one group drop a repeat by its label; what ran in two ran twice, whoever asked again.
+    # Engines of one group drop a repeat by its label; what ran in two ran twice, whoever asked
+    # again.
     by_label = defaultdict[str, list[Run]](list)
     for run in runs:
         if run.label and run.ran:
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -1,11 +1,12 @@
 """The program with one defence left out, or with a clock that runs fast or slow: for showing that the judge
 objects.
 
-`python -m corkgauge.testkit.faults.disabled_safeguards OFF RATE serve ...`: OFF is any of check, silence, margin, busy, and of works
-agreement, confirmation, orders, of the working set cold, groups, beyond, few, joined by commas, or none; RATE how fast
-the clock since boot runs. `midact` leaves nothing out: the process stops itself once, between its look at the clock and
-the act. Nor does `slowdisk`: what is kept takes a tenth of a second to be safe. Must never be used for anything but
-that.
+`python -m corkgauge.testkit.faults.disabled_safeguards OFF RATE serve ...`: OFF is any of check,
+silence, margin, busy, and of works agreement, confirmation, orders, of the working set cold,
+groups, beyond, few, joined by commas, or none; RATE how fast the clock since boot runs. `midact`
+leaves nothing out: the process stops itself once, between its look at the clock and the act. Nor
+does `slowdisk`: what is kept takes a tenth of a second to be safe. Must never be used for anything
+but that.
 """
 
 import os
@@ -31,7 +32,8 @@
     from corkgauge.leases.voter_configuration import LeaseTiming
 
     if off == "check":
-        # Neither before an act nor at a timer: what was granted once is believed in until a voter says no.
+        # Neither before an act nor at a timer: what was granted once is believed in until a voter
+        # says no.
         LeaseCandidate.may_act = lambda self: self.state == CandidateState.HOLDING
         LeaseCandidate._lapse = lambda self: self._set_timer(
             self.timing.renewal_ticks, self._request_grant
@@ -68,7 +70,8 @@
 
         store.__file__ = slow_store.__file__
     elif off == "midorder":
-        # Nothing is left out: the process stops itself once, between its look at the clock and an order's writing.
+        # Nothing is left out: the process stops itself once, between its look at the clock and an
+        # order's writing.
         from corkgauge.membership.member_list import MemberList
 
         call, orders = MemberList.call, [0]
@@ -115,7 +118,8 @@
 
         exchange.assess = believed
     elif off == "leases":
-        # A turn that was passed on is not spent here, and one that came is used whenever it is wanted.
+        # A turn that was passed on is not spent here, and one that came is used whenever it is
+        # wanted.
         from corkgauge.peer_health.permit_transfer import PermitTransfer
         from corkgauge.policy.gateway import Gateway
 
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -142,7 +142,8 @@
         for engine in self.engines:
             self.gateway.on_engine_update(engine, EngineState.READY, 0)
         self.gateway.on_engine_list_complete()
-        # As a gateway that has served for long: each of its figures has its samples, each tenant's queue is there.
+        # As a gateway that has served for long: each of its figures has its samples, each tenant's
+        # queue is there.
         self.gateway.restore_learned_state(
             LearnedState(
                 price=0.0,
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -1,8 +1,9 @@
 """Hollow workload managers: what several of them are to each other, without what serves.
 
-Owns one member's sealed datagrams on a loopback socket, its timers and its counters. The objects are those of service
-(Society, Office, Yard, Exchange); the house beside them has no clients, no queues and no links to engines. Must never
-decide anything for them, never stretch a span of theirs, and never send to any address but loopback ones.
+Owns one member's sealed datagrams on a loopback socket, its timers and its counters. The objects
+are those of service (Society, Office, Yard, Exchange); the house beside them has no clients, no
+queues and no links to engines. Must never decide anything for them, never stretch a span of theirs,
+and never send to any address but loopback ones.
 """
 
 import json
@@ -39,7 +40,8 @@
 
 class Wire:
     """A member's bound socket, with a count of what passes and a filter on whom it reaches. It outlives the member, so
-    that a restart finds the same port; `noted` keeps when each datagram came, tenths of a millisecond of the date."""
+    that a restart finds the same port; `noted` keeps when each datagram came, tenths of a
+    millisecond of the date."""
 
     def __init__(self) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/corkgauge/testkit/fleet/maintenance_crew.py
+++ b/corkgauge/testkit/fleet/maintenance_crew.py
@@ -1,8 +1,8 @@
 """An operators' crew on loopback: it asks for machines at gateways' doors, works on what it is told is out, and says
 when that is done.
 
-Owns what was asked and the book of work. Must never touch a machine before a door has told that it is out; while it
-works the engine's stand-in stays up, so that whatever reaches it is seen.
+Owns what was asked and the book of work. Must never touch a machine before a door has told that it
+is out; while it works the engine's stand-in stays up, so that whatever reaches it is seen.
 """
 
 from collections.abc import Callable
@@ -84,7 +84,8 @@
     ) -> None:
         if self.stopped or key in self.answers:
             return
-        # The same wish at another door has another key there; asks have ids, and the rest may come twice.
+        # The same wish at another door has another key there; asks have ids, and the rest may come
+        # twice.
         door = at or (door if door and tries % 8 else self._door())
         ask(
             self.event_loop,
--- a/corkgauge/testkit/fleet/processes.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -1,7 +1,8 @@
 """Several processes of the program on loopback, what stands around them, and faults between them by a script.
 
-Owns the cast of a drill: gateways in processes of their own, a relay each way between two fellows, engines,
-feed, clients, the judge. Must never send to any address but loopback ones, and ends only what it started.
+Owns the cast of a drill: gateways in processes of their own, a relay each way between two fellows,
+engines, feed, clients, the judge. Must never send to any address but loopback ones, and ends only
+what it started.
 
 A script's line is `at SECOND [for SECONDS]: SORT WHOM ...`; WHOM are gateways, or `all`:
 
@@ -198,9 +199,9 @@
 
 def in_memory(place: str = MEMORY, room: int = ROOM) -> str | None:
     """Danger: a gateway says nothing that is not safe on disk, and a disk that others keep busy takes seconds for it
-    (15 s were seen): a scene's verdict would be the disk's. Processes are killed here, never the machine, so memory
-    keeps what a disk would; what the program does with a slow one is forced by `slowdisk` (undefended.py). None: where
-    files usually go."""
+    (15 s were seen): a scene's verdict would be the disk's. Processes are killed here, never the
+    machine, so memory keeps what a disk would; what the program does with a slow one is forced by
+    `slowdisk` (undefended.py). None: where files usually go."""
     try:
         free = os.statvfs(place)
     except OSError:
@@ -305,7 +306,8 @@
             for m, other in enumerate(names)
             if one != other
         }
-        # Danger: what arrives late at the judge would count as done late; so no fault is on its ways.
+        # Danger: what arrives late at the judge would count as done late; so no fault is on its
+        # ways.
         self.to_judge = {
             name: Way(self.event_loop, ("127.0.0.1", 1), SeededRandom(1)) for name in names
         }
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -1,7 +1,8 @@
 """The real program with one of its entry points damaged, for tests only; the product has no such command.
 
 python tests/corrupted_files.py DAMAGE serve ...      the program, damaged once after a second
-python tests/corrupted_files.py play DAMAGE           a short day with it; prints what was found, as JSON
+python tests/corrupted_files.py play DAMAGE           a short day with it; prints what was found, as
+JSON
 """
 
 import json
--- a/tests/test_import_directions.py
+++ b/tests/test_import_directions.py
@@ -36,8 +36,8 @@
 # Names imported against the order for now: by importing module and package, how many, and why. The
 # numbers are exact: one more fails, and so does one that has gone and is still listed.
 EXCEPTIONS = {
-    # `safe_file_name`, which makes a file name of a gateway's name, is shared by the two that keep files.
-    # It goes once that function stands below both.
+    # `safe_file_name`, which makes a file name of a gateway's name, is shared by the two that keep
+    # files. It goes once that function stands below both.
     ("recovery/service.py", "accounting"): 1,
 }
 
--- a/tests/test_parent.py
+++ b/tests/test_parent.py
@@ -7,8 +7,8 @@
 import sys
 import time
 
-# A rig as the scenes' tests have it: a pool's worker, in it a fleet whose gateways keep votes on disk; one of them
-# stands still, one shares its processor with a burner.
+# A rig as the scenes' tests have it: a pool's worker, in it a fleet whose gateways keep votes on
+# disk; one of them stands still, one shares its processor with a burner.
 RIG = """
 import os, signal, sys, time
 from concurrent.futures import ProcessPoolExecutor
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,7 @@
 """The capacity page against the kept rows; the frame that measures them; and what a decision may touch at size.
 
-The counts stand for time: a loop over all engines reads something of each, so reads are counted, and no clock is asked.
+The counts stand for time: a loop over all engines reads something of each, so reads are counted,
+and no clock is asked.
 """
 
 import json
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -293,8 +293,9 @@
 
 def worst_window_of_an_engine_in_slow_start(told, grown=1.0):
     """120 gateways with work without end, of which half know half of the list only; `told` is how many they are told
-    there are, over how many there are; `grown` spoils their part. Requests of mean work in the worst window that a
-    engine in slow start got, over what the rule allows: N and twice the root of N + 2."""
+    there are, over how many there are; `grown` spoils their part. Requests of mean work in the
+    worst window that a engine in slow start got, over what the rule allows: N and twice the root of
+    N + 2."""
     gateways, span, work = 120, SECOND, 2000.0
     engines, harnesses, sent = fleet_engines(300), [], []
     for number in range(gateways):
--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -1,5 +1,6 @@
 """Several processes, each with a working set out of a longer list: three hundred engines, gateways that are few of the
-sixty told. What engines saw is judged by the rules; a defence that is left out is seen to be missed."""
+sixty told. What engines saw is judged by the rules; a defence that is left out is seen to be
+missed."""
 
 import os
 from collections import defaultdict
@@ -195,7 +196,8 @@
 
 @pytest.fixture(scope="module")
 def scenes():
-    # Danger: three hundred engines on one hub and its gateways take two cores; with less, answers are late by the rig.
+    # Danger: three hundred engines on one hub and its gateways take two cores; with less, answers
+    # are late by the rig.
     with ProcessPoolExecutor(
         max(1, min(4, len(os.sched_getaffinity(0)) // 2)), initializer=tied(os.getpid())
     ) as pool:
--- a/tests/test_subset_options.py
+++ b/tests/test_subset_options.py
@@ -115,7 +115,8 @@
 def test_sets_do_not_fall_into_shards(monkeypatch):
     engines = names(256)  # 32 in a set; by chance alone two have 4 in common
     assert common(engines) <= 16
-    # A hash that is linear over GF(2): who wins in one block is who wins in another, or the other way round for all.
+    # A hash that is linear over GF(2): who wins in one block is who wins in another, or the other
+    # way round for all.
     monkeypatch.setattr(subsets, "mixed", lambda a, b, c=0: crc32(pack("<QQQ", a, b, c)) << 32)
     assert common(engines) > 16
 
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -306,7 +306,8 @@
     for seed in range(60):
         world = PlanWorld(plan_day(seed))
         assert world.run() == [], seed
-    # Found so at first: a piece asked for in an earlier time in office told a holder of a state that was changed since.
+    # Found so at first: a piece asked for in an earlier time in office told a holder of a state
+    # that was changed since.
     assert PlanWorld(plan_day(1368, ("busy",))).run() == []
     assert any(PlanWorld(plan_day(seed, ("agreement",))).run() for seed in range(20))
     # With leases spoilt the fence alone keeps one history, where votes are on disks.
--- a/tests/test_works_fleet.py
+++ b/tests/test_works_fleet.py
@@ -285,7 +285,8 @@
 
 def loaded():
     """Half of the fleet asked at once under load; then the load grows while some are out, which stay so until the
-    planner says that it has: more is asked, and each asks for more work, which costs the rig nothing."""
+    planner says that it has: more is asked, and each asks for more work, which costs the rig
+    nothing."""
     site = Site(engines=12, lasting=60.0, works={"most": 6, "share": 0.5, "room": 0.03}, rate=150.0)
     site.fleet.until(6)
     site.crew.ask("hall", "hall-a")
@@ -439,7 +440,8 @@
 
 def test_two_asks_for_each_others_last_engine_on_both_sides_of_a_cut(scenes):
     during, units, (found, _) = scenes["halves"].result()
-    # Nobody can prove that the other side sends nothing; once the cut is over they go one after the other.
+    # Nobody can prove that the other side sends nothing; once the cut is over they go one after the
+    # other.
     assert found == [] and during == [] and sorted(units) == ["e1", "e3"]
 
 
