--- a/corkgauge/commands/members.py
+++ b/corkgauge/commands/members.py
@@ -1,6 +1,7 @@
 """`corkgauge members`."""
 
 import json
+from typing import Any
 
 import click
 
@@ -46,19 +47,21 @@
                 f"{each['name']}: health {each['health']} (0 is well), letters taken {taken}, "
                 f"not taken {refused or 0}"
             )
-    states = {fellow["state"] for each in said for fellow in each["fellows"].values()}
+    states = {member["state"] for each in said for member in each["fellows"].values()}
     raise SystemExit(FOUND if states - {"alive"} else 0)
 
 
-def seen(by: dict, name: str) -> str:
-    """>>> seen({"name": "n1", "fellows": {"n2": {"state": "gone", "for": 12.3}}}, "n2")
+def seen(by: dict[str, Any], name: str) -> str:
+    """Return how one gateway sees another.
+
+    >>> seen({"name": "n1", "fellows": {"n2": {"state": "gone", "for": 12.3}}}, "n2")
     'gone 12 s'
     >>> seen({"name": "n1", "fellows": {}}, "n1"), seen({"name": "n1", "fellows": {}}, "n3")
     ('itself', '-')
     """
     if by["name"] == name:
         return "itself"
-    fellow = by["fellows"].get(name)
-    if fellow is None:
+    member = by["fellows"].get(name)
+    if member is None:
         return "-"
-    return fellow["state"] if fellow["for"] is None else f"{fellow['state']} {fellow['for']:.0f} s"
+    return member["state"] if member["for"] is None else f"{member['state']} {member['for']:.0f} s"
