--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -2,8 +2,8 @@
 
 Prints the arguments that make pytest pass over just these, one a line; tells of them on standard
 error. Ends with 1 where the list is not what it may be: more than three lines, a line without test,
-cause and issue, a test that is not there, or one that passes by now, unless its cause begins with
-"flaky:". Must never pass over anything that is not named in full.
+cause and issue, a test that is not there, or one that passes by now. Must never pass over anything
+that is not named in full.
 """
 
 import subprocess
@@ -11,8 +11,7 @@
 from pathlib import Path
 
 MOST = 3
-PASSED, FAILED = 0, 1  # pytest's exit codes where a test ran
-FLAKY = "flaky:"  # how the cause of a test begins that fails in some runs only
+FAILED = 1  # pytest's exit code where a test ran and failed
 
 
 def main(root: Path) -> int:
@@ -35,12 +34,11 @@
             stderr=subprocess.STDOUT,
             text=True,
         )
-        if ran.returncode == 0 and not cause.startswith(FLAKY):
+        if ran.returncode == 0:
             return wrong(f"{test} passes by now; take its line out")
-        if ran.returncode not in (PASSED, FAILED):
+        if ran.returncode != FAILED:
             return wrong(f"{test} cannot be run (pytest ends with {ran.returncode})")
-        result = "passed this time" if ran.returncode == PASSED else "failed"
-        print(f"known red: {test}: {cause} ({issue}); {result}", file=sys.stderr)
+        print(f"known red: {test}: {cause} ({issue})", file=sys.stderr)
         print(f"--deselect={test}")
     return 0
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,12 +19,6 @@
         "known red: test_some.py::test_red: not mended (33)",
     ),
     (GREEN, 1, "", "passes by now"),
-    (
-        "test_some.py::test_green | flaky: now and then | 33",
-        0,
-        "--deselect=test_some.py::test_green\n",
-        "flaky: now and then (33); passed this time",
-    ),
     ("test_some.py::test_gone | x | 33", 1, "", "cannot be run"),
     ("test_none.py::test_red | x | 33", 1, "", "cannot be run"),
     ("test_some.py | x | 33", 1, "", "expected"),
