--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -30,6 +30,10 @@
     ]
 
 
+LAST_TO_ANSWER = 20  # seconds: the longest ejection of what failed for four, and a few periods
+QUIET = 4 * SECOND  # ticks without anything outside the set, until it counts as settled
+
+
 def killed(fleet):
     """Some engines of a gateway's set are gone for four seconds, and come back."""
     fleet.until(4)
@@ -51,6 +55,11 @@
         lambda: not any(line.startswith("n1") and "set as before" in line for line in fleet.logs()),
     )
     fleet.until(6)  # from there on a tenth a period
+    # The line comes once less than a sixth of the set is distrusted; each engine that still is keeps
+    # the set wider until it has answered once, after an ejection of some seconds.
+    fleet.until(
+        LAST_TO_ANSWER, lambda: not fleet.reached_by("n1", fleet.event_loop.now - QUIET) <= held
+    )
     settled = fleet.event_loop.now
     fleet.until(2)
     return {
