--- a/corkgauge/commands/leases.py
+++ b/corkgauge/commands/leases.py
@@ -184,7 +184,7 @@
                 return FOUND
             until = self.now() + ASK_EACH
             while self.running.state != CommandState.OVER and self.now() < until:
-                self.running.on_time(self.now())
+                self.running.check_deadlines(self.now())
                 if self.child is not None and self.child.poll() is not None:
                     self.running.on_exited()
                 elif self.running.state in (CommandState.RUNNING, CommandState.ENDING):
--- a/corkgauge/leases/accounts_messages.py
+++ b/corkgauge/leases/accounts_messages.py
@@ -99,20 +99,20 @@
     @property
     def fencing_token(self) -> int:
         """The token of a question or a sum; the highest one seen, of a refusal."""
-        return self._integer(0)
+        return self._decode_integer(0)
 
     @property
     def round_number(self) -> int:
         """The round of a question."""
-        return self._integer(1)
+        return self._decode_integer(1)
 
     @property
     def entry(self) -> dict[str, Any]:
         """The entry of a sum."""
         try:
             return dict(self.fields[1])
-        except (IndexError, TypeError, ValueError) as problem:
-            raise ProtocolError("expected an entry of the history") from problem
+        except (IndexError, TypeError, ValueError) as error:
+            raise ProtocolError("expected an entry of the history") from error
 
     @property
     def reply(self) -> AccountReply:
@@ -121,8 +121,8 @@
             raise ProtocolError("expected a round and an account")
         return AccountReply(self.lease, *self.fields)
 
-    def _integer(self, index: int) -> int:
+    def _decode_integer(self, index: int) -> int:
         try:
             return int(self.fields[index])
-        except (IndexError, TypeError, ValueError) as problem:
-            raise ProtocolError("expected a number") from problem
+        except (IndexError, TypeError, ValueError) as error:
+            raise ProtocolError("expected a number") from error
--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -37,8 +37,8 @@
 from corkgauge.leases.voter_configuration import (
     LeaseTiming,
     VoterConfiguration,
-    ballot_of,
-    round_of,
+    get_ballot_round,
+    make_ballot,
 )
 
 
@@ -92,7 +92,7 @@
             PrepareReply: LeaseCandidate._on_prepare_reply,
             GrantReply: LeaseCandidate._on_grant_reply,
         }
-        self._watch(self._turn_ticks())
+        self._schedule_probe(self._rank_delay_ticks())
 
     # What others ask.
 
@@ -104,7 +104,7 @@
         """Stand for the lease from now on, or no more. What is held stays held."""
         self.is_wanted = is_wanted
         if is_wanted and self.state is CandidateState.WATCHING:
-            self._watch(self._turn_ticks())
+            self._schedule_probe(self._rank_delay_ticks())
 
     def release(self, reason: str, pause_ticks: int = 0) -> None:
         """End it now: nothing is done under it any more, and voters and the next candidates know.
@@ -116,7 +116,7 @@
         if previous in (CandidateState.REQUESTING, CandidateState.HOLDING):
             self._broadcast(Release, self.ballot)
             self.host.on_lease_released(self)
-        self._watch(max(pause_ticks, self.timing.lease_ticks))
+        self._schedule_probe(max(pause_ticks, self.timing.lease_ticks))
 
     def on_preempted(self, fencing_token: int) -> None:
         """Give way to a higher fencing token, which whoever guards an act has seen.
@@ -127,7 +127,7 @@
         self.highest_ballot = max(self.highest_ballot, fencing_token)
         if self.state is CandidateState.HOLDING and fencing_token > self.fencing_token:
             self.release("outbid", 1)
-            self._watch(1)
+            self._schedule_probe(1)
 
     def reconfigure(self, configuration: VoterConfiguration, timing: LeaseTiming) -> None:
         """Take another voter configuration, or another lease.
@@ -172,18 +172,18 @@
         if self.is_wanted and self.state in (CandidateState.WATCHING, CandidateState.PROBING):
             self.state = CandidateState.WATCHING
             self.known_holder = ""
-            self._set_timer(self._turn_ticks(), self._begin_after_vacancy)
+            self._set_timer(self._rank_delay_ticks(), self._begin_after_vacancy)
 
     def _on_probe_reply(self, sender: str, reply: ProbeReply) -> None:
         if self.state is not CandidateState.PROBING or reply.serial != self.serial:
             return
         self._count_reply(sender, reply)
         if not self.tally.has_majority(self.configuration):
-            self._check_lost()
+            self._schedule_retry_if_rejected()
         elif self.is_wanted:
             self._prepare()
         else:  # it was probed for what operators are shown alone
-            self._watch(self.timing.lease_ticks)
+            self._schedule_probe(self.timing.lease_ticks)
 
     def _on_prepare_reply(self, sender: str, reply: PrepareReply) -> None:
         if self.state is not CandidateState.PREPARING or reply.serial != self.serial:
@@ -192,7 +192,7 @@
         if self.tally.has_majority(self.configuration):
             self._begin_requesting()
         else:
-            self._check_lost()
+            self._schedule_retry_if_rejected()
 
     def _on_grant_reply(self, sender: str, reply: GrantReply) -> None:
         is_expected = self.state in (CandidateState.REQUESTING, CandidateState.HOLDING)
@@ -202,7 +202,7 @@
             self._count_grant(sender, reply.serial)
         elif self.state is CandidateState.REQUESTING:
             self.tally.record(sender, is_accepted=False)
-            if self.tally.is_lost(self.configuration):
+            if self.tally.is_majority_impossible(self.configuration):
                 self.state = CandidateState.WATCHING
                 self._back_off()
 
@@ -226,13 +226,13 @@
 
     # Rounds.
 
-    def _turn_ticks(self) -> int:
+    def _rank_delay_ticks(self) -> int:
         """Return how long those that rank before us have, to try first."""
         return 1 + self.host.rank_of(self.lease) * self.timing.stagger_ticks
 
-    def _check_lost(self) -> None:
+    def _schedule_retry_if_rejected(self) -> None:
         """If refused, try when so many are free that they may be a majority, in our turn."""
-        if not self.tally.is_lost(self.configuration):
+        if not self.tally.is_majority_impossible(self.configuration):
             return
         wait_ticks = self.tally.earliest_retry_ticks(self.configuration, self.timing.reply_ticks)
         self.state = CandidateState.WATCHING
@@ -241,13 +241,13 @@
         else:
             self.pacing.record_failure()
         rank_ticks = self.host.rank_of(self.lease) * self.timing.stagger_ticks
-        self._watch(wait_ticks + rank_ticks + self._jitter_ticks())
+        self._schedule_probe(wait_ticks + rank_ticks + self._jitter_ticks())
 
     def _jitter_ticks(self) -> int:
         limit = self.pacing.jitter_limit_ticks(self.timing.stagger_ticks)
         return 1 + self.host.random_below(limit)
 
-    def _watch(self, delay: int) -> None:
+    def _schedule_probe(self, delay: int) -> None:
         self.state = CandidateState.WATCHING
         self._set_timer(delay, self._probe)
 
@@ -270,13 +270,13 @@
         if self.is_wanted:
             self._prepare()
         else:
-            self._watch(self.timing.lease_ticks)
+            self._schedule_probe(self.timing.lease_ticks)
 
     def _prepare(self) -> None:
         # A ballot below one that a voter has promised is lost time. The date is a floor: all may
         # have forgotten, and where clocks are right it keeps fencing tokens growing.
-        next_round = max(round_of(self.highest_ballot) + 1, self.host.date)
-        self.ballot = ballot_of(next_round, self.name)
+        next_round = max(get_ballot_round(self.highest_ballot) + 1, self.host.date)
+        self.ballot = make_ballot(next_round, self.name)
         self._begin_round(CandidateState.PREPARING, Prepare, self.ballot)
 
     def _begin_round(
@@ -285,17 +285,17 @@
         self.state = state
         self.tally = Tally()
         self._broadcast(request_type, ballot)
-        reply_ticks = self.timing.reply_ticks * self.pacing.patience
+        reply_ticks = self.timing.reply_ticks * self.pacing.timeout_multiplier
         self._set_timer(reply_ticks, self._on_round_unanswered)
 
     def _on_round_unanswered(self) -> None:
-        self._back_off(waited=self.pacing.patience - 1)
+        self._back_off(waited=self.pacing.timeout_multiplier - 1)
 
     def _back_off(self, waited: int = 0) -> None:
-        """Wait for the next round; `waited` are reply times that a longer patience took already."""
+        """Wait for the next round; `waited`: reply times already spent."""
         self.pacing.record_failure()
         pause_ticks = self.timing.reply_ticks * self.pacing.backoff(waited)
-        self._watch(pause_ticks + self._jitter_ticks())
+        self._schedule_probe(pause_ticks + self._jitter_ticks())
 
     def _begin_requesting(self) -> None:
         self.state = CandidateState.REQUESTING
@@ -303,14 +303,14 @@
         # A late reply to a request of an earlier time as holder speaks of a grant that was given
         # back: it finds no request that it answers.
         self.grants = GrantTimes()
-        self.tally.begin_anew()
+        self.tally.clear_acceptances()
         self._request_grant()
 
     def _request_grant(self) -> None:
         """Ask for the grant, or for more of it."""
         now = self.host.now
         if self.state is CandidateState.HOLDING and now >= self.held_until:
-            self._lapse()
+            self._expire_lease()
             return
         promises_end = self.requesting_since + self.timing.hold_ticks // 2
         if self.state is CandidateState.REQUESTING and now >= promises_end:
@@ -340,9 +340,9 @@
         self._schedule_renewal()
         self.host.on_lease_gained(self)
 
-    def _lapse(self) -> None:
+    def _expire_lease(self) -> None:
         self._end_holding("lapsed")
-        self._watch(1 + self._jitter_ticks())
+        self._schedule_probe(1 + self._jitter_ticks())
 
     def _end_holding(self, reason: str) -> None:
         previous = self.state
--- a/corkgauge/leases/candidate_ranking.py
+++ b/corkgauge/leases/candidate_ranking.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
 
-VACANCY_NOTICES = 2  # to the next in order
+VACANCY_NOTICE_COUNT = 2  # to the next in order
 
 
 class CandidateRanking:
@@ -34,7 +34,7 @@
         """Return the instances that are told first of a lease that is given back."""
         others = [each for each in self._present() if each[0] != self.service.name]
         names = placement.preferred_order(lease, others, self._known_holders())
-        return names[:VACANCY_NOTICES]
+        return names[:VACANCY_NOTICE_COUNT]
 
     def _present(self) -> list[tuple[str, str]]:
         """Name and zone of the instances that are there, ourselves last."""
--- a/corkgauge/leases/command_loans.py
+++ b/corkgauge/leases/command_loans.py
@@ -26,7 +26,7 @@
     def __init__(self, service: "LeaseService") -> None:
         self.service = service
         self.loans: dict[str, Loan] = {}
-        self.last_asked: dict[str, int] = {}  # tenths of a millisecond since boot
+        self.last_requested_at: dict[str, int] = {}  # tenths of a millisecond since boot
         self.release_reasons: dict[str, str] = {}  # of leases to be given up once returned
 
     def is_lent(self, lease: str) -> bool:
@@ -35,7 +35,7 @@
 
     def has_demand(self, lease: str) -> bool:
         """Return whether a command has asked for the lease a short time ago."""
-        return lease in self.last_asked
+        return lease in self.last_requested_at
 
     def command_of(self, lease: str) -> str:
         """Return the command that runs under a lease, or nothing."""
@@ -52,7 +52,7 @@
         if lease in service.collectors or lease in service.owners:
             raise ValueError(f"{lease!r} is the gateways' own")
         loan = self.loans.get(lease)
-        self.last_asked[lease] = service.now
+        self.last_requested_at[lease] = service.now
         if not candidate.is_wanted and service.is_wanted(lease):
             candidate.set_wanted(True)
         is_ending = lease in self.release_reasons
@@ -74,10 +74,10 @@
         """Take a lease back from a command that has ended."""
         lease = candidate.lease
         if self.command_of(lease) == command:
-            self.last_asked.pop(lease, None)
+            self.last_requested_at.pop(lease, None)
             candidate.set_wanted(False)
             self.release_reasons.setdefault(lease, "its command has ended")
-            self._return(lease)
+            self._on_loan_ended(lease)
         return {"held": False}
 
     def release_when_returned(self, lease: str, reason: str) -> None:
@@ -93,14 +93,14 @@
         """Take back loans that are over, and stand for no lease that no command asks for."""
         for lease, loan in [*self.loans.items()]:
             if now >= loan.until:  # its command was killed, or does not ask any more
-                self._return(lease)
-        for lease, asked_at in [*self.last_asked.items()]:
+                self._on_loan_ended(lease)
+        for lease, asked_at in [*self.last_requested_at.items()]:
             if now > asked_at + self.service.timing.lease_ticks and not self.is_lent(lease):
-                del self.last_asked[lease]
+                del self.last_requested_at[lease]
                 self.service.candidates[lease].set_wanted(False)
                 self.service.hand_over(lease, "no command asks")
 
-    def _return(self, lease: str) -> None:
+    def _on_loan_ended(self, lease: str) -> None:
         """Note that no command runs under the lease any more."""
         self.loans.pop(lease, None)
         if lease in self.release_reasons:
--- a/corkgauge/leases/durable_record.py
+++ b/corkgauge/leases/durable_record.py
@@ -23,15 +23,15 @@
 class Waiter(NamedTuple):
     """What is called once a record is safe."""
 
-    then: Callable[..., None]
+    callback: Callable[..., None]
     arguments: tuple[Any, ...]
 
 
 class DurableRecord:
     """The file `name` in `folder`; no folder: nothing is kept, and what waits is called at once.
 
-    `torn` and `unwritten` are the lines of the log that say so. Raises ConfigurationError where the
-    folder cannot be used.
+    `corrupted_message` and `write_failed_message` are the log lines. Raises ConfigurationError
+    where the folder cannot be used.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         log: Callable[[str], None],
         folder: str,
         name: str,
-        torn: str,
-        unwritten: str,
+        corrupted_message: str,
+        write_failed_message: str,
     ) -> None:
         self.event_loop = event_loop
         self.log = log
         self.folder = folder
-        self.unwritten = unwritten
+        self.write_failed_message = write_failed_message
         self.helper: subprocess.Popen[bytes] | None = None
         self.stored: Any = None  # what the file held; None: nothing, or it was torn
         # The last record: its number, its packed body, when it was sent.
@@ -57,23 +57,23 @@
         self.unsent = b""  # of the frame that the helper's pipe did not take yet
         self.next_frame: bytes | None = None  # the last frame that waits for that
         if folder:
-            self._open(os.path.join(folder, name), torn)
+            self._open(os.path.join(folder, name), corrupted_message)
 
-    def _open(self, path: str, torn: str) -> None:
+    def _open(self, path: str, corrupted_message: str) -> None:
         try:
             os.makedirs(self.folder, exist_ok=True)
             with open(path, "rb") as file:
                 data = file.read(record_writer.MAX_RECORD_BYTES)
         except FileNotFoundError:
             data = b""
-        except OSError as problem:
-            raise ConfigurationError(f"duties: {self.folder}: {problem.strerror}") from None
+        except OSError as error:
+            raise ConfigurationError(f"duties: {self.folder}: {error.strerror}") from None
         body = record_writer.unpack_record(data)
         self._start_helper(path)
         if body is not None:
             self.stored = msgpack.unpackb(body)
         elif data:
-            self.log(torn)
+            self.log(corrupted_message)
 
     def _start_helper(self, path: str) -> None:
         helper = subprocess.Popen(
@@ -82,29 +82,29 @@
             stdout=subprocess.PIPE,
         )
         self.helper = helper
-        os.set_blocking(_input_of(helper), False)
-        os.set_blocking(_output_of(helper), False)
+        os.set_blocking(_input_descriptor(helper), False)
+        os.set_blocking(_output_descriptor(helper), False)
         self.event_loop.spawn(self._read_answers, helper)
 
-    def write(self, record: Any, then: Callable[..., None], *arguments: Any) -> None:
+    def write(self, record: Any, callback: Callable[..., None], *arguments: Any) -> None:
         """Call `then` once the record is safe on disk.
 
         A promise that a power cut takes back is none, so it is written before it is said. The
         helper waits for the disk, and what it does not answer is never said.
         """
-        waiter = Waiter(then, arguments)
+        waiter = Waiter(callback, arguments)
         if self.helper is None:
             if not self.folder:
-                then(*arguments)
+                callback(*arguments)
             return
         body = msgpack.packb(record)
-        if body == self.last_body and self._join_last(waiter):
+        if body == self.last_body and self._join_last_record(waiter):
             return
         self.last_number += 1
         self.last_body = body
         self.last_sent_at = self.event_loop.now
         self.waiting[self.last_number] = [waiter]
-        frame = record_writer.FRAME.pack(self.last_number, len(body)) + body
+        frame = record_writer.FRAME_HEADER.pack(self.last_number, len(body)) + body
         if self.unsent:
             # Half a frame would spoil all later ones. The last one that waits holds what those
             # before it did.
@@ -112,14 +112,14 @@
         else:
             self._send(frame)
 
-    def _join_last(self, waiter: Waiter) -> bool:
+    def _join_last_record(self, waiter: Waiter) -> bool:
         """Wait for the last record, which is the same; False: it must be written again.
 
         Whoever is not answered yet asks again, and would make a slow disk slower by the same
         record. One that failed is never answered, so it is written again after a while.
         """
         if self.last_number not in self.waiting:
-            waiter.then(*waiter.arguments)
+            waiter.callback(*waiter.arguments)
             return True
         if self.event_loop.now < self.last_sent_at + REWRITE_TICKS:
             self.waiting[self.last_number].append(waiter)
@@ -131,7 +131,7 @@
         if helper is None:
             return
         try:
-            self.unsent = frame[os.write(_input_of(helper), frame) :]
+            self.unsent = frame[os.write(_input_descriptor(helper), frame) :]
         except BlockingIOError:
             self.unsent = frame
         except OSError:
@@ -142,9 +142,9 @@
     def _send_rest(self, helper: subprocess.Popen[bytes]) -> None:
         """Send what the helper's pipe did not take: its disk is slow, or the record large."""
         while self.helper is helper and self.unsent:
-            self.event_loop.wait(_input_of(helper), WRITE)
+            self.event_loop.wait(_input_descriptor(helper), WRITE)
             try:
-                self.unsent = self.unsent[os.write(_input_of(helper), self.unsent) :]
+                self.unsent = self.unsent[os.write(_input_descriptor(helper), self.unsent) :]
             except BlockingIOError:
                 continue
             except (OSError, ValueError):
@@ -158,7 +158,7 @@
         self.unsent = b""
         self.next_frame = None
         if self.helper is not None:
-            self.log(self.unwritten)
+            self.log(self.write_failed_message)
             self.helper.kill()
             self.helper = None
 
@@ -172,8 +172,8 @@
 
     def _read_answers(self, helper: subprocess.Popen[bytes]) -> None:
         """Read the numbers of records that are safe, until the helper ends."""
-        rest = b""
-        descriptor = _output_of(helper)
+        remainder = b""
+        descriptor = _output_descriptor(helper)
         while self.helper is helper:
             self.event_loop.wait(descriptor, READ)
             try:
@@ -184,10 +184,10 @@
                 data = b""
             if not data:
                 break
-            rest += data
-            while len(rest) >= record_writer.NUMBER.size:
-                (number,) = record_writer.NUMBER.unpack_from(rest)
-                rest = rest[record_writer.NUMBER.size :]
+            remainder += data
+            while len(remainder) >= record_writer.FRAME_NUMBER.size:
+                (number,) = record_writer.FRAME_NUMBER.unpack_from(remainder)
+                remainder = remainder[record_writer.FRAME_NUMBER.size :]
                 self._on_record_safe(number)
 
     def _on_record_safe(self, number: int) -> None:
@@ -195,17 +195,17 @@
         for older in [each for each in self.waiting if each < number]:
             del self.waiting[older]
         for waiter in self.waiting.pop(number, ()):
-            waiter.then(*waiter.arguments)
+            waiter.callback(*waiter.arguments)
 
 
-def _input_of(helper: subprocess.Popen[bytes]) -> int:
+def _input_descriptor(helper: subprocess.Popen[bytes]) -> int:
     """Return the descriptor of the helper's input. Raises ValueError once it is closed."""
     if helper.stdin is None:
         raise ValueError("the helper has no input")
     return helper.stdin.fileno()
 
 
-def _output_of(helper: subprocess.Popen[bytes]) -> int:
+def _output_descriptor(helper: subprocess.Popen[bytes]) -> int:
     """Return the descriptor of the helper's answers. Raises ValueError once it is closed."""
     if helper.stdout is None:
         raise ValueError("the helper has no output")
--- a/corkgauge/leases/fleet_accounts.py
+++ b/corkgauge/leases/fleet_accounts.py
@@ -88,12 +88,12 @@
         self.closed: dict[str, Account] = {}  # by instance, the sum of older epochs
         self.answered_round: dict[str, int] = {}  # by instance: in which round it last answered
         self.round = 0
-        self.shrunk: list[str] = []  # in this round: lines on counts that were higher before
+        self.decreased_counts: list[str] = []  # in this round
 
     def begin_round(self) -> None:
         """Begin another round of asking."""
         self.round += 1
-        self.shrunk = []
+        self.decreased_counts = []
 
     def record_account(self, instance: str, account: Any) -> None:
         """Take an instance's answer. A malformed one raises ValueError, and changes nothing."""
@@ -101,7 +101,7 @@
         epochs = self.accounts.setdefault(instance, {})
         before = epochs.get(account["epoch"])
         if before is not None:
-            self.shrunk += [
+            self.decreased_counts += [
                 f"{instance}: {key} was {before[key]}, is {account[key]}"
                 for key in GROWING_COUNTS
                 if account[key] < before[key]
@@ -133,7 +133,7 @@
             for account in [*epochs.values()][:-1]
         )
         missing = sorted(name for name in members if self.answered_round.get(name) != self.round)
-        discrepancies = self._find_discrepancies() + self.shrunk
+        discrepancies = self._find_discrepancies() + self.decreased_counts
         return {
             "fence": fencing_token,
             "number": number,
--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -23,7 +23,7 @@
     from corkgauge.leases.service import LeaseService
 
 MAX_SHOWN_ENTRIES = 20  # that operators are shown
-MAX_LOG_LINE = 300  # characters
+MAX_LOG_LINE_CHARS = 300  # characters
 
 
 class FleetAccountsCollector:
@@ -72,7 +72,7 @@
         if entry["wrong"]:
             # Logged, as what one instance counts right may still not add up for all.
             line = f"fleet out of balance: {'; '.join(entry['wrong'])}"
-            service.log(line[:MAX_LOG_LINE])
+            service.log(line[:MAX_LOG_LINE_CHARS])
         for name in alive:
             if not self._may_act(fencing_token):
                 return
--- a/corkgauge/leases/interfaces.py
+++ b/corkgauge/leases/interfaces.py
@@ -19,7 +19,9 @@
     def send(self, name: str, body: list[Any]) -> None:
         """Send a datagram to a candidate."""
 
-    def persist(self, record: dict[str, Any], then: Callable[..., None], *arguments: Any) -> None:
+    def persist(
+        self, record: dict[str, Any], callback: Callable[..., None], *arguments: Any
+    ) -> None:
         """Call `then` once the record is safe on disk, and never before."""
 
     def log(self, line: str) -> None:
--- a/corkgauge/leases/leased_command.py
+++ b/corkgauge/leases/leased_command.py
@@ -17,7 +17,7 @@
     OVER = "over"
 
 
-class Host(Protocol):
+class CommandHost(Protocol):
     """What may be done with the command."""
 
     def begin(self, fencing_token: int) -> None:
@@ -37,7 +37,7 @@
     between SIGKILL and its death.
     """
 
-    def __init__(self, host: Host, grace_seconds: float, margin_seconds: float) -> None:
+    def __init__(self, host: CommandHost, grace_seconds: float, margin_seconds: float) -> None:
         self.host = host
         self.grace_seconds = grace_seconds
         self.margin_seconds = margin_seconds
@@ -66,7 +66,7 @@
             else:
                 self.held_until = max(self.held_until, asked_at + left_seconds)
 
-    def on_time(self, now: float) -> None:
+    def check_deadlines(self, now: float) -> None:
         """Act on the time that goes by, answer or none."""
         if self.state is CommandState.RUNNING and now >= self._terminate_at():
             self._terminate("the time is nearly over")
--- a/corkgauge/leases/messages.py
+++ b/corkgauge/leases/messages.py
@@ -214,12 +214,12 @@
     >>> decode_address([7, "books", 1, 99, 0]).is_for_candidate
     True
     """
-    return Address(*_fields(body, ADDRESS_FIELDS))
+    return Address(*_decode_fields(body, ADDRESS_FIELDS))
 
 
 def decode_request_envelope(body: Any) -> Envelope:
     """Decode the envelope of a request to a voter."""
-    envelope = Envelope(*_fields(body, REQUEST_FIELDS)[:NOTICE_FIELDS])
+    envelope = Envelope(*_decode_fields(body, REQUEST_FIELDS)[:NOTICE_FIELDS])
     if not isinstance(envelope.version, (int, float)):
         raise ProtocolError("expected a number as the version of a voter configuration")
     return envelope
@@ -227,7 +227,7 @@
 
 def decode_reply_envelope(body: Any) -> Envelope:
     """Decode the envelope of a reply, or of a vacancy notice, to a candidate."""
-    return Envelope(*_fields(body, NOTICE_FIELDS))
+    return Envelope(*_decode_fields(body, NOTICE_FIELDS))
 
 
 def decode_request(body: Any) -> CandidateRequest:
@@ -239,7 +239,7 @@
     Traceback (most recent call last):
     corkgauge.leases.messages.ProtocolError: expected a lease and a ballot below 2**60
     """
-    kind, lease, version, fingerprint, serial, ballot = _fields(body, REQUEST_FIELDS)
+    kind, lease, version, fingerprint, serial, ballot = _decode_fields(body, REQUEST_FIELDS)
     if not (isinstance(lease, str) and type(ballot) is int and 0 <= ballot < BALLOT_LIMIT):
         raise ProtocolError("expected a lease and a ballot below 2**60")
     if not isinstance(kind, (int, float)) or kind not in REQUESTS:
@@ -253,7 +253,7 @@
     >>> decode_reply([1, "books", 1, 99, 5, True, 700, 0, ""]).promised_ballot
     700
     """
-    fields = _fields(body, REPLY_FIELDS)
+    fields = _decode_fields(body, REPLY_FIELDS)
     kind, lease, version, fingerprint, serial, accepted, promised, blocked, holder = fields
     if not (type(promised) is int and 0 <= promised < BALLOT_LIMIT):
         raise ProtocolError("expected a promised ballot below 2**60")
@@ -266,7 +266,7 @@
     )
 
 
-def _fields(body: Any, count: int) -> list[Any]:
+def _decode_fields(body: Any, count: int) -> list[Any]:
     """Return the first elements of a body; later versions may append more."""
     if not isinstance(body, list) or len(body) < count:
         raise ProtocolError(f"expected a list of at least {count} elements")
--- a/corkgauge/leases/operator_commands.py
+++ b/corkgauge/leases/operator_commands.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
 
-MAX_COMMAND_NAME = 100  # characters of a command's name that are kept
+MAX_COMMAND_NAME_CHARS = 100  # characters of a command's name that are kept
 
 
 class OperatorCommands:
@@ -76,7 +76,7 @@
         request = json.loads(body)
         lease = request["duty"]
         action = request["do"]
-        command = str(request.get("by", ""))[:MAX_COMMAND_NAME]
+        command = str(request.get("by", ""))[:MAX_COMMAND_NAME_CHARS]
         candidate = self.service.candidates.get(lease)
         if candidate is None:
             raise ValueError(f"no duty {lease!r} here")
--- a/corkgauge/leases/placement.py
+++ b/corkgauge/leases/placement.py
@@ -10,8 +10,8 @@
 from zlib import crc32
 
 MAX_RANK = 6  # later ones try together, with chance between them
-SAMPLES = 8  # last checks of our own load that count
-LATE_SAMPLES = 2  # of these late: overloaded
+LOAD_SAMPLE_COUNT = 8  # last checks of our own load that count
+LATE_SAMPLE_COUNT = 2  # of these late: overloaded
 RECOVERY_TICKS = 100_000  # tenths of a millisecond without a late check, before it stands again
 
 
@@ -59,15 +59,15 @@
     False
     """
 
-    def __init__(self, late_ticks: int) -> None:
-        self.late_ticks = late_ticks  # tenths of a millisecond, from which a check counts as late
-        self.samples: deque[bool] = deque(maxlen=SAMPLES)
+    def __init__(self, late_threshold_ticks: int) -> None:
+        self.late_threshold_ticks = late_threshold_ticks  # a check this late counts
+        self.samples: deque[bool] = deque(maxlen=LOAD_SAMPLE_COUNT)
         self.overloaded_until = -1
 
     def record_check(self, now: int, late_by: int) -> bool:
         """Return whether we are overloaded, after a timer that was `late_by` late."""
-        is_late = late_by >= self.late_ticks
+        is_late = late_by >= self.late_threshold_ticks
         self.samples.append(is_late)
-        if is_late and sum(self.samples) >= LATE_SAMPLES:
+        if is_late and sum(self.samples) >= LATE_SAMPLE_COUNT:
             self.overloaded_until = now + RECOVERY_TICKS
         return now < self.overloaded_until
--- a/corkgauge/leases/reconfiguration.py
+++ b/corkgauge/leases/reconfiguration.py
@@ -14,7 +14,7 @@
     from corkgauge.leases.service import LeaseService
 
 
-def read_terms(settings: LeaseConfig) -> tuple[VoterConfiguration, LeaseTiming]:
+def read_lease_settings(settings: LeaseConfig) -> tuple[VoterConfiguration, LeaseTiming]:
     """Return the voter configuration and the times that an operator file states.
 
     Raises ConfigurationError where they make no sense.
@@ -24,8 +24,8 @@
             VoterConfiguration(settings.version, settings.voters, settings.lease),
             LeaseTiming(settings.lease, settings.drift, settings.margin, settings.longest),
         )
-    except UnsafeChangeError as problem:
-        raise ConfigurationError(f"duties: {problem}") from None
+    except UnsafeChangeError as error:
+        raise ConfigurationError(f"duties: {error}") from None
 
 
 def reload_settings(service: "LeaseService", settings: LeaseConfig) -> None:
@@ -33,7 +33,7 @@
 
     Raises ConfigurationError, and changes nothing, where that is not safe.
     """
-    configuration, timing = read_terms(settings)
+    configuration, timing = read_lease_settings(settings)
     _check_change(service, configuration)
     if settings.folder != service.settings.folder:
         service.log("operator file: duties folder changed, in force after a restart")
@@ -46,8 +46,8 @@
     service.voter.reconfigure(configuration, timing)
     for name in service.owners:
         service.candidates[name].reconfigure(configuration, timing)
-    _remove_unnamed_leases(service)
-    _apply_named_leases(service)
+    _remove_unconfigured_leases(service)
+    _apply_configured_leases(service)
 
 
 def _check_change(service: "LeaseService", configuration: VoterConfiguration) -> None:
@@ -55,11 +55,11 @@
     own_report = {service.name: (current.version, current.fingerprint)}
     try:
         current.check_change_to(configuration, service.reported_configurations | own_report)
-    except UnsafeChangeError as problem:
-        raise ConfigurationError(f"duties: {problem}") from None
+    except UnsafeChangeError as error:
+        raise ConfigurationError(f"duties: {error}") from None
 
 
-def _remove_unnamed_leases(service: "LeaseService") -> None:
+def _remove_unconfigured_leases(service: "LeaseService") -> None:
     """Give up the leases that are named no more; those of other subsystems are never named."""
     named = {name for name, *_ in service.settings.duties}
     for name in [*service.candidates]:
@@ -69,10 +69,10 @@
             service.collectors.pop(name, None)
 
 
-def _apply_named_leases(service: "LeaseService") -> None:
+def _apply_configured_leases(service: "LeaseService") -> None:
     for name, kind, period_ticks in service.settings.duties:
         if name not in service.candidates:
-            service.add_named_lease(name, kind, period_ticks)
+            service.add_configured_lease(name, kind, period_ticks)
         else:
             service.candidates[name].reconfigure(service.configuration, service.timing)
         if name in service.collectors:
--- a/corkgauge/leases/record_writer.py
+++ b/corkgauge/leases/record_writer.py
@@ -17,15 +17,15 @@
 from typing import NamedTuple
 
 MAGIC = b"CKGVOTE1"
-HEAD = struct.Struct("<8sII")  # magic, length, CRC-32 of the body
-FRAME = struct.Struct("<II")  # number, length
-NUMBER = struct.Struct("<I")
+FILE_HEADER = struct.Struct("<8sII")  # magic, length, CRC-32 of the body
+FRAME_HEADER = struct.Struct("<II")  # number, length
+FRAME_NUMBER = struct.Struct("<I")
 MAX_RECORD_BYTES = 2**20
 
 
 def pack_record(body: bytes) -> bytes:
     """Return the file's bytes."""
-    return HEAD.pack(MAGIC, len(body), zlib.crc32(body)) + body
+    return FILE_HEADER.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def unpack_record(data: bytes) -> bytes | None:
@@ -34,10 +34,10 @@
     >>> unpack_record(pack_record(b"x")), unpack_record(pack_record(b"x")[:-1]), unpack_record(b"")
     (b'x', None, None)
     """
-    if len(data) < HEAD.size:
+    if len(data) < FILE_HEADER.size:
         return None
-    magic, length, checksum = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
+    magic, length, checksum = FILE_HEADER.unpack_from(data)
+    body = data[FILE_HEADER.size :]
     is_whole = magic == MAGIC and len(body) == length and zlib.crc32(body) == checksum
     return body if is_whole else None
 
@@ -66,28 +66,28 @@
 
     numbers: list[int]
     last_body: bytes
-    rest: bytes  # of the input, behind them
+    remainder: bytes  # of the input, behind them
     is_too_large: bool = False  # the next one announces more than a record may have
 
 
-def take_frames(data: bytes) -> Frames:
+def split_frames(data: bytes) -> Frames:
     r"""Part the input into its whole frames and what is left.
 
-    >>> take_frames(FRAME.pack(1, 1) + b"x" + FRAME.pack(2, 2) + b"y")[:3]
+    >>> split_frames(FRAME_HEADER.pack(1, 1) + b"x" + FRAME_HEADER.pack(2, 2) + b"y")[:3]
     ([1], b'x', b'\x02\x00\x00\x00\x02\x00\x00\x00y')
     """
     numbers: list[int] = []
     body = b""
     position = 0
-    while len(data) >= position + FRAME.size:
-        number, length = FRAME.unpack_from(data, position)
-        end = position + FRAME.size + length
+    while len(data) >= position + FRAME_HEADER.size:
+        number, length = FRAME_HEADER.unpack_from(data, position)
+        end = position + FRAME_HEADER.size + length
         if length > MAX_RECORD_BYTES:
             return Frames(numbers, body, data[position:], is_too_large=True)
         if len(data) < end:
             break
         numbers.append(number)
-        body = data[position + FRAME.size : end]
+        body = data[position + FRAME_HEADER.size : end]
         position = end
     return Frames(numbers, body, data[position:])
 
@@ -95,12 +95,12 @@
 def main() -> int:
     """Write records until the input ends, or a frame is too large to be one of ours."""
     path = sys.argv[1]
-    rest = b""
-    while data := os.read(0, FRAME.size + MAX_RECORD_BYTES):
-        frames = take_frames(rest + data)
+    remainder = b""
+    while data := os.read(0, FRAME_HEADER.size + MAX_RECORD_BYTES):
+        frames = split_frames(remainder + data)
         if frames.is_too_large:
             return 0
-        rest = frames.rest
+        remainder = frames.remainder
         if not frames.numbers:
             continue
         try:
@@ -110,7 +110,7 @@
         except OSError:
             continue  # no answer: the voter says nothing, which is safe
         try:
-            os.write(1, b"".join(NUMBER.pack(number) for number in frames.numbers))
+            os.write(1, b"".join(FRAME_NUMBER.pack(number) for number in frames.numbers))
         except OSError:
             return 0
     return 0
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -32,7 +32,7 @@
 
 ACCOUNTS_KIND = "books"  # of a lease in the operator file: the fleet accounts
 MAX_CHANGES = 50  # of leases that operators can look back at
-PAUSE_LEASES = 2  # that this instance does not stand for a lease after it handed it over
+RELEASE_PAUSE_LEASES = 2  # that this instance does not stand for a lease after it handed it over
 
 
 class LeaseService:
@@ -54,7 +54,7 @@
         self.settings = settings
         self.membership = membership
         self.member_list = membership.member_list
-        self.configuration, self.timing = reconfiguration.read_terms(settings)
+        self.configuration, self.timing = reconfiguration.read_lease_settings(settings)
         # By instance: version and fingerprint of its voter configuration, as last heard.
         self.reported_configurations: dict[str, tuple[int, int]] = {}
         self.durable_record = DurableRecord(
@@ -81,7 +81,7 @@
         self.operator_commands = OperatorCommands(self)
         self.load_monitor = LoadMonitor(self)
         for name, kind, period_ticks in settings.duties:
-            self.add_named_lease(name, kind, period_ticks)
+            self.add_configured_lease(name, kind, period_ticks)
         self._subscribe()
         self.load_monitor.check(boot_time())
 
@@ -95,7 +95,7 @@
 
     # Leases.
 
-    def add_named_lease(self, name: str, kind: str, period_ticks: int) -> None:
+    def add_configured_lease(self, name: str, kind: str, period_ticks: int) -> None:
         """Add a lease of the operator file; `period_ticks` is between two rounds of accounts.
 
         An instance that holds a lease for commands while no command waits here would keep it from
@@ -157,7 +157,7 @@
 
     def release(self, lease: str, reason: str) -> None:
         """Give a lease up now, and leave it to others for a while."""
-        self.candidates[lease].release(reason, PAUSE_LEASES * self.timing.lease_ticks)
+        self.candidates[lease].release(reason, RELEASE_PAUSE_LEASES * self.timing.lease_ticks)
 
     # The process's life.
 
@@ -215,9 +215,11 @@
         """Write a line to the log."""
         self.socket_host.log(line)
 
-    def persist(self, record: dict[str, Any], then: Callable[..., None], *arguments: Any) -> None:
+    def persist(
+        self, record: dict[str, Any], callback: Callable[..., None], *arguments: Any
+    ) -> None:
         """Call `then` once the votes are safe on disk."""
-        self.durable_record.write(record, then, *arguments)
+        self.durable_record.write(record, callback, *arguments)
 
     def rank_of(self, lease: str) -> int:
         """Return how many others should try first."""
--- a/corkgauge/leases/tally.py
+++ b/corkgauge/leases/tally.py
@@ -11,10 +11,10 @@
     >>> tally, configuration = Tally(), VoterConfiguration(1, "abc")
     >>> tally.record("a", is_accepted=False, blocked_ticks=400)
     >>> tally.record("b", is_accepted=True)
-    >>> tally.has_majority(configuration), tally.is_lost(configuration)
+    >>> tally.has_majority(configuration), tally.is_majority_impossible(configuration)
     (False, False)
     >>> tally.record("c", is_accepted=False, blocked_ticks=100)
-    >>> tally.is_lost(configuration), tally.earliest_retry_ticks(configuration, 50)
+    >>> tally.is_majority_impossible(configuration), tally.earliest_retry_ticks(configuration, 50)
     (True, 100)
     """
 
@@ -31,7 +31,7 @@
         if blocked_ticks is not None:
             self.blocked_ticks[voter] = blocked_ticks
 
-    def begin_anew(self) -> None:
+    def clear_acceptances(self) -> None:
         """Forget who accepted. How long each voter is bound stays known."""
         self.accepted = {}
 
@@ -39,7 +39,7 @@
         """Return whether enough voters have accepted."""
         return sum(self.accepted.values()) >= configuration.majority
 
-    def is_lost(self, configuration: VoterConfiguration) -> bool:
+    def is_majority_impossible(self, configuration: VoterConfiguration) -> bool:
         """Return whether so many have refused that no majority is left."""
         refusals = len(self.accepted) - sum(self.accepted.values())
         return refusals > len(configuration.names) - configuration.majority
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -39,7 +39,7 @@
     incarnation: int
 
 
-NOBODY = Holder("", 0)
+NO_HOLDER = Holder("", 0)
 
 
 class Vote:
@@ -54,7 +54,7 @@
         self,
         promised_ballot: int = 0,
         granted_ballot: int = 0,
-        holder: Holder = NOBODY,
+        holder: Holder = NO_HOLDER,
         granted_until: int = 0,
     ) -> None:
         self.promised_ballot = promised_ballot
@@ -129,16 +129,16 @@
     def on_datagram(self, sender: str, incarnation: int, body: Any) -> None:
         """Answer a candidate. A malformed body raises ProtocolError, and changes no vote."""
         envelope = messages.decode_request_envelope(body)
-        self._note_version(sender, envelope)
-        if not self._is_answered(envelope):
+        self._record_newer_version(sender, envelope)
+        if not self._can_answer(envelope):
             return
         request = messages.decode_request(body)
-        vote = self._vote_of(request.lease)
+        vote = self._get_or_create_vote(request.lease)
         if vote is not None:
             handler = self._handlers[type(request)]
             handler(self, Holder(sender, incarnation), vote, request)
 
-    def _note_version(self, sender: str, envelope: Envelope) -> None:
+    def _record_newer_version(self, sender: str, envelope: Envelope) -> None:
         if envelope.version > self.configuration.version and not self.newer_version:
             # An instance that came up with an old file would lend its vote to a configuration long
             # replaced: it votes no more until it is reloaded.
@@ -148,7 +148,7 @@
                 f"{envelope.version} of {sender}"
             )
 
-    def _is_answered(self, envelope: Envelope) -> bool:
+    def _can_answer(self, envelope: Envelope) -> bool:
         configuration = self.configuration
         if self.name not in configuration.names:
             return False
@@ -161,7 +161,7 @@
             return False
         return True
 
-    def _vote_of(self, lease: str) -> Vote | None:
+    def _get_or_create_vote(self, lease: str) -> Vote | None:
         vote = self.votes.get(lease)
         if vote is None:
             # Lease names without end would fill the memory.
@@ -234,9 +234,9 @@
         # Not written by itself: the successor's promise would wait behind it, and holds it. A voter
         # that forgets it over a restart counts as granted what was given back, for a lease.
 
-    def _persist(self, then: Callable[..., None], *arguments: Any) -> None:
+    def _persist(self, callback: Callable[..., None], *arguments: Any) -> None:
         record = {lease: vote.encode() for lease, vote in self.votes.items()}
-        self.host.persist(record, then, *arguments)
+        self.host.persist(record, callback, *arguments)
 
     def _reply(
         self,
--- a/corkgauge/leases/voter_configuration.py
+++ b/corkgauge/leases/voter_configuration.py
@@ -88,8 +88,8 @@
         removed = {*self.names} - {*new.names}
         if len(added) + len(removed) > 1:
             raise UnsafeChangeError(
-                f"voters: version {new.version} adds {_listed(added)} and removes "
-                f"{_listed(removed)}: one of both at a time"
+                f"voters: version {new.version} adds {_format_names(added)} and removes "
+                f"{_format_names(removed)}: one of both at a time"
             )
         current = self.version, self.fingerprint
         confirming = sorted(name for name in self.names if reported.get(name) == current)
@@ -100,7 +100,7 @@
             )
 
 
-def _listed(names: Iterable[str]) -> str:
+def _format_names(names: Iterable[str]) -> str:
     return ", ".join(sorted(names)) or "none"
 
 
@@ -143,17 +143,17 @@
         self.stagger_ticks = min(MAX_STAGGER_TICKS, max(lease_ticks // 40, MIN_STAGGER_TICKS))
 
 
-def ballot_of(round_number: int, name: str) -> int:
+def make_ballot(round_number: int, name: str) -> int:
     """Return a number that only one instance proposes.
 
     Rounds grow, the rest tells names apart.
 
-    >>> ballot_of(5, "n1") >> 8, ballot_of(6, "n1") > ballot_of(5, "n2")
+    >>> make_ballot(5, "n1") >> 8, make_ballot(6, "n1") > make_ballot(5, "n2")
     (5, True)
     """
     return round_number << NAME_BITS | crc32(name.encode()) & 255
 
 
-def round_of(ballot: int) -> int:
+def get_ballot_round(ballot: int) -> int:
     """Return the round that a ballot belongs to."""
     return ballot >> NAME_BITS
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -35,7 +35,7 @@
         # Neither before an act nor at a timer: what was granted once is believed in until a voter
         # says no.
         LeaseCandidate.may_act = lambda self: self.state == CandidateState.HOLDING
-        LeaseCandidate._lapse = lambda self: self._set_timer(
+        LeaseCandidate._expire_lease = lambda self: self._set_timer(
             self.timing.renewal_ticks, self._request_grant
         )
     elif off == "busy":
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -444,7 +444,7 @@
         (15.8, CommandState.ENDING),
         (15.91, CommandState.OVER),
     ):
-        running.on_time(now)
+        running.check_deadlines(now)
         assert running.state == state, now
     assert child.done == [7, "term", "kill"]
 
@@ -457,7 +457,7 @@
     running.on_answer(*answer)
     assert running.state == CommandState.ENDING and child.done == [7, "term"]
     running.on_exited()
-    running.on_time(99.0)
+    running.check_deadlines(99.0)
     assert child.done == [7, "term"]
 
 
@@ -475,10 +475,10 @@
 
 def test_the_helper_answers_what_is_safe_and_only_that(tmp_path):
     path = str(tmp_path / "votes")
-    frames = b"".join(record_writer.FRAME.pack(n, 4) + b"vot%d" % n for n in (1, 2))
+    frames = b"".join(record_writer.FRAME_HEADER.pack(n, 4) + b"vot%d" % n for n in (1, 2))
     done = subprocess.run(
         [sys.executable, record_writer.__file__, path],
-        input=frames + record_writer.FRAME.pack(3, 9) + b"part",
+        input=frames + record_writer.FRAME_HEADER.pack(3, 9) + b"part",
         capture_output=True,
     )
     assert (
@@ -506,7 +506,7 @@
 
 def test_what_comes_while_the_disk_is_busy_is_written_once_and_all_of_it_answered(tmp_path):
     path = str(tmp_path / "votes")
-    frames = b"".join(record_writer.FRAME.pack(n, 4) + b"vo%02d" % n for n in range(1, 41))
+    frames = b"".join(record_writer.FRAME_HEADER.pack(n, 4) + b"vo%02d" % n for n in range(1, 41))
     done = subprocess.run([sys.executable, "-c", COUNTED, path], input=frames, capture_output=True)
     assert (
         done.stdout == b"".join(n.to_bytes(4, "little") for n in range(1, 41))
--- a/tests/test_lease_messages.py
+++ b/tests/test_lease_messages.py
@@ -124,16 +124,16 @@
     tally.record("a", is_accepted=True)
     assert not tally.has_majority(THREE_VOTERS)
     tally.record("b", is_accepted=True)
-    assert tally.has_majority(THREE_VOTERS) and not tally.is_lost(THREE_VOTERS)
+    assert tally.has_majority(THREE_VOTERS) and not tally.is_majority_impossible(THREE_VOTERS)
 
 
 def test_the_last_answer_of_a_voter_counts():
     tally = Tally()
     for voter in "ab":
         tally.record(voter, is_accepted=False, blocked_ticks=10)
-    assert tally.is_lost(THREE_VOTERS)
+    assert tally.is_majority_impossible(THREE_VOTERS)
     tally.record("a", is_accepted=True, blocked_ticks=0)
-    assert not tally.is_lost(THREE_VOTERS)
+    assert not tally.is_majority_impossible(THREE_VOTERS)
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,9 @@
     tally.record("a", is_accepted=False, blocked_ticks=10)
     other = tally.copy()
     other.record("b", is_accepted=False, blocked_ticks=20)
-    assert other.is_lost(THREE_VOTERS) and not tally.is_lost(THREE_VOTERS)
+    assert other.is_majority_impossible(THREE_VOTERS) and not tally.is_majority_impossible(
+        THREE_VOTERS
+    )
 
 
 def test_a_lease_is_held_since_a_majority_s_last_granted_requests():
@@ -190,12 +192,12 @@
     pacing = RoundPacing()
     waits = []
     for _ in range(6):
-        waits.append((pacing.patience, pacing.jitter_limit_ticks(10)))
+        waits.append((pacing.timeout_multiplier, pacing.jitter_limit_ticks(10)))
         pacing.record_failure()
     assert waits == [(1, 10), (2, 20), (3, 30), (3, 40), (3, 50), (3, 60)]
     assert pacing.backoff(waited=0) == 4
     pacing.record_success()
-    assert pacing.patience == 1
+    assert pacing.timeout_multiplier == 1
 
 
 @pytest.mark.parametrize(
