--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -1,15 +1,16 @@
-"""A candidate for one lease, and its holder once it has it.
-
-Owns whether this instance may act under the lease, under which fencing token and until when. Free
-of I/O: clocks, chance and datagrams are its host's. Must never say yes to `may_act` past the time
-that a majority granted, counted from before each grant was requested; the answer is valid for the
-very next act alone.
-
-Three rounds to a lease: probe (would you? changes nothing: the pre-vote), prepare (a ballot above
-all others), grant request; then requests again, several times a lease. Each voter's last grant
-counts from when that request was written, and the lease is held while a majority's last grants all
-run: one lost datagram costs nothing. A candidate that is notified that the lease was just given
-back begins with prepare.
+"""A candidate for one lease, which acts as the lease holder after acquiring the lease.
+
+Owns whether this instance may act under the lease, under which fencing token, and until when. Free
+of I/O: the host provides clocks, random numbers and datagrams. `may_act` must never return True
+after the time that a majority of voters granted, counted from before each grant request was sent. A
+True result is valid only for the act that immediately follows the call.
+
+Acquiring a lease takes three rounds. The probe round (a pre-vote) asks voters whether they would
+promise, and changes no vote. The prepare round asks voters to promise a ballot above all known
+ballots. The grant round asks voters for the lease, and the holder repeats the grant request several
+times per lease to renew. A voter's latest grant is valid from the time the matching request was
+sent, and the lease is held while the latest grants of a majority are valid. A single lost datagram
+therefore does not lose the lease. A candidate that receives a vacancy notice skips the probe round.
 """
 
 from collections.abc import Callable
@@ -43,7 +44,7 @@
 
 
 class CandidateState(Enum):
-    """Where a candidate is on its way; the values are what operators are shown."""
+    """The phase of a candidate; operators see the values."""
 
     WATCHING = "watching"
     PROBING = "probing"
@@ -53,7 +54,7 @@
 
 
 class LeaseCandidate:
-    """One instance's way to one lease. `is_wanted` says whether it stands for it."""
+    """One instance's candidate for one lease; competes for the lease while `is_wanted` is True."""
 
     def __init__(
         self,
@@ -71,22 +72,22 @@
         self.timing = timing
         self.state = CandidateState.WATCHING
         self.is_wanted = is_wanted
-        # Of what is held; times are tenths of a millisecond since boot.
+        # The held lease. Times are ticks (tenths of a millisecond) since boot.
         self.fencing_token = 0
         self.held_until = 0
         self.held_since = 0
-        # Of the round that runs, and those before it.
-        self.highest_ballot = 0  # that was seen, as a ballot or a fencing token
+        # The current and earlier rounds.
+        self.highest_ballot = 0  # highest ballot or fencing token seen so far
         self.serial = 0
         self.ballot = 0
         self.requesting_since = 0
         self.pacing = RoundPacing()
         self.tally = Tally()
         self.grants = GrantTimes()
-        self.timer = 0  # the number of the one timer that counts
-        # For operators, and for placement.
-        self.known_holder = ""  # as voters report
-        self.last_reason = "started"  # of the last change
+        self.timer = 0  # number of the active timer; earlier timers are ignored
+        # For operators and for lease placement.
+        self.known_holder = ""  # as reported by voters
+        self.last_reason = "started"  # reason of the last change
         self._reply_handlers: dict[type[VoterReply], Callable[..., None]] = {
             ProbeReply: LeaseCandidate._on_probe_reply,
             PrepareReply: LeaseCandidate._on_prepare_reply,
@@ -94,22 +95,23 @@
         }
         self._schedule_probe(self._rank_delay_ticks())
 
-    # What others ask.
+    # Public interface.
 
     def may_act(self) -> bool:
-        """Return whether the act that follows at once may be done: ask before each."""
+        """Return whether the lease permits an act right now; call this before every act."""
         return self.state is CandidateState.HOLDING and self.host.now < self.held_until
 
     def set_wanted(self, is_wanted: bool) -> None:
-        """Stand for the lease from now on, or no more. What is held stays held."""
+        """Start or stop competing for the lease; a held lease stays held."""
         self.is_wanted = is_wanted
         if is_wanted and self.state is CandidateState.WATCHING:
             self._schedule_probe(self._rank_delay_ticks())
 
     def release(self, reason: str, pause_ticks: int = 0) -> None:
-        """End it now: nothing is done under it any more, and voters and the next candidates know.
+        """End the lease immediately and notify the voters and the next candidates.
 
-        For `pause_ticks`, and at least a lease, this instance does not stand for it.
+        No act is permitted after this call. This instance then does not compete for the lease for
+        `pause_ticks`, and for at least one lease duration.
         """
         previous = self.state
         self._end_holding(reason)
@@ -119,10 +121,11 @@
         self._schedule_probe(max(pause_ticks, self.timing.lease_ticks))
 
     def on_preempted(self, fencing_token: int) -> None:
-        """Give way to a higher fencing token, which whoever guards an act has seen.
+        """Release the lease after a fencing guard has seen a higher fencing token.
 
-        After all voters forgot, clocks set back may give a token below one that was used: every
-        act under it would be refused, so the next token must be above the one seen.
+        If all voters lost their votes and the system clock was set back, a new token may be lower
+        than a token already used. Guards would refuse every act under the new token, so the next
+        token must be higher than the token that the guard has seen.
         """
         self.highest_ballot = max(self.highest_ballot, fencing_token)
         if self.state is CandidateState.HOLDING and fencing_token > self.fencing_token:
@@ -130,10 +133,10 @@
             self._schedule_probe(1)
 
     def reconfigure(self, configuration: VoterConfiguration, timing: LeaseTiming) -> None:
-        """Take another voter configuration, or another lease.
+        """Apply another voter configuration or another lease duration.
 
-        What is held stays held as long as it was granted for; what was granted under another
-        configuration does not count towards this one.
+        A held lease stays held for as long as it was granted. Grants under the previous
+        configuration do not count towards a majority of the new configuration.
         """
         if configuration != self.configuration:
             self.grants.forget_grants()
@@ -143,10 +146,10 @@
     # Datagrams.
 
     def on_datagram(self, sender: str, body: Any) -> None:
-        """Apply one voter's reply, or a holder's notice that the lease is vacant.
+        """Apply a voter's reply, or a holder's notice that the lease is vacant.
 
-        Replies under another voter configuration or of an earlier round are ignored. A malformed
-        body raises ProtocolError, and changes nothing.
+        Ignores replies under another voter configuration and replies to earlier rounds. Raises
+        ProtocolError for a malformed body, and changes nothing in that case.
         """
         envelope = messages.decode_reply_envelope(body)
         if envelope.kind == MessageKind.VACANT:
@@ -166,9 +169,10 @@
         return sender in configuration.names and is_current
 
     def _on_lease_vacant(self) -> None:
-        # Replies on their way report the grant that was just given back, and would make us wait
-        # for its end: a round that only probes is over. Nor is another probe needed first: a voter
-        # that still grants the lease to somebody refuses a ballot, and changes nothing.
+        # Replies in transit still report the released grant, and would make this candidate wait for
+        # that grant to expire, so a running probe round is abandoned. A second probe round is
+        # unnecessary: a voter that still grants the lease to another instance rejects the ballot
+        # and changes no vote.
         if self.is_wanted and self.state in (CandidateState.WATCHING, CandidateState.PROBING):
             self.state = CandidateState.WATCHING
             self.known_holder = ""
@@ -182,7 +186,7 @@
             self._schedule_retry_if_rejected()
         elif self.is_wanted:
             self._prepare()
-        else:  # it was probed for what operators are shown alone
+        else:  # this probe only refreshed the holder shown to operators
             self._schedule_probe(self.timing.lease_ticks)
 
     def _on_prepare_reply(self, sender: str, reply: PrepareReply) -> None:
@@ -227,11 +231,15 @@
     # Rounds.
 
     def _rank_delay_ticks(self) -> int:
-        """Return how long those that rank before us have, to try first."""
+        """Return the delay that lets higher-ranked candidates try first."""
         return 1 + self.host.rank_of(self.lease) * self.timing.stagger_ticks
 
     def _schedule_retry_if_rejected(self) -> None:
-        """If refused, try when so many are free that they may be a majority, in our turn."""
+        """Schedule a new round if this round can no longer reach a majority.
+
+        The retry starts when enough voters may be free to form a majority, plus the rank delay
+        and a random delay.
+        """
         if not self.tally.is_majority_impossible(self.configuration):
             return
         wait_ticks = self.tally.earliest_retry_ticks(self.configuration, self.timing.reply_ticks)
@@ -252,12 +260,12 @@
         self._set_timer(delay, self._probe)
 
     def _set_timer(self, delay: int, method: Callable[[], None]) -> None:
-        """Start the one timer that counts; those set before are void."""
+        """Start a timer that replaces any earlier timer."""
         self.timer += 1
         self.host.call_later(max(int(delay), 1), self.on_timer, self.timer, method)
 
     def on_timer(self, timer: int, method: Callable[[], None]) -> None:
-        """Call what a timer was set for, unless another was set since."""
+        """Run a timer's method, unless a later timer has replaced this timer."""
         if timer == self.timer:
             method()
 
@@ -266,15 +274,16 @@
         self._begin_round(CandidateState.PROBING, Probe, 0)
 
     def _begin_after_vacancy(self) -> None:
-        """Begin a round for a lease that was given back a moment ago."""
+        """Begin a round after a vacancy notice."""
         if self.is_wanted:
             self._prepare()
         else:
             self._schedule_probe(self.timing.lease_ticks)
 
     def _prepare(self) -> None:
-        # A ballot below one that a voter has promised is lost time. The date is a floor: all may
-        # have forgotten, and where clocks are right it keeps fencing tokens growing.
+        # A voter rejects a ballot below its promise, which wastes a round. The system date is a
+        # lower bound for the round number: if all voters have lost their votes, fencing tokens
+        # still grow as long as the clocks are right.
         next_round = max(get_ballot_round(self.highest_ballot) + 1, self.host.date)
         self.ballot = make_ballot(next_round, self.name)
         self._begin_round(CandidateState.PREPARING, Prepare, self.ballot)
@@ -292,7 +301,10 @@
         self._back_off(waited=self.pacing.timeout_multiplier - 1)
 
     def _back_off(self, waited: int = 0) -> None:
-        """Wait for the next round; `waited`: reply times already spent."""
+        """Wait before the next round.
+
+        `waited` is the number of reply times that a longer round timeout has already used up.
+        """
         self.pacing.record_failure()
         pause_ticks = self.timing.reply_ticks * self.pacing.backoff(waited)
         self._schedule_probe(pause_ticks + self._jitter_ticks())
@@ -300,24 +312,26 @@
     def _begin_requesting(self) -> None:
         self.state = CandidateState.REQUESTING
         self.requesting_since = self.host.now
-        # A late reply to a request of an earlier time as holder speaks of a grant that was given
-        # back: it finds no request that it answers.
+        # A late reply from an earlier holding period refers to a released grant. With the old
+        # requests forgotten, such a reply matches no request.
         self.grants = GrantTimes()
         self.tally.clear_acceptances()
         self._request_grant()
 
     def _request_grant(self) -> None:
-        """Ask for the grant, or for more of it."""
+        """Send a grant request to all voters, to acquire or renew the lease."""
         now = self.host.now
         if self.state is CandidateState.HOLDING and now >= self.held_until:
             self._expire_lease()
             return
         promises_end = self.requesting_since + self.timing.hold_ticks // 2
         if self.state is CandidateState.REQUESTING and now >= promises_end:
-            # Voters remember promises for a lease after their start; older ones prove nothing.
+            # A voter that restarted is silent for one lease duration, so promises are reliable for
+            # that long only; an older promise may have been lost in a restart.
             self._back_off()
             return
-        self.grants.record_request(self.serial + 1, self.host.now)  # before it is written
+        # Record the time before the request is sent: voters count from a later time.
+        self.grants.record_request(self.serial + 1, self.host.now)
         self._broadcast(GrantRequest, self.ballot)
         self.grants.forget_oldest_requests()
         if self.state is CandidateState.HOLDING:
@@ -355,7 +369,7 @@
         self.held_until = 0
 
     def _broadcast(self, request_type: type[CandidateRequest], ballot: int) -> None:
-        """Send a request to all voters, under the next serial."""
+        """Send a request with the next serial to all voters."""
         self.serial += 1
         configuration = self.configuration
         request = request_type(
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -1,8 +1,9 @@
-"""Leases of one process: its vote, the leases it stands for and holds, and who acts under each.
+"""Runs the leases of one process: the voter, the candidates, and the owners of each lease.
 
-Owns the I/O: datagrams, timers, the helper that writes votes, and the HTTP routes of operators.
-Must never decide who holds what: voter and candidates do. Must never do an act under a lease
-without a look at `may_act` immediately before it.
+Owns the I/O: datagrams, timers, the helper process that writes votes to disk, and the HTTP routes
+for operators. The voter and the candidates decide who holds a lease; this module must never decide
+that. It must never perform an act under a lease without calling `may_act` immediately before the
+act.
 """
 
 from collections.abc import Callable
@@ -30,15 +31,16 @@
 from corkgauge.leases.operator_commands import OperatorCommands
 from corkgauge.leases.voter import Voter
 
-ACCOUNTS_KIND = "books"  # of a lease in the operator file: the fleet accounts
-MAX_CHANGES = 50  # of leases that operators can look back at
-RELEASE_PAUSE_LEASES = 2  # that this instance does not stand for a lease after it handed it over
+ACCOUNTS_KIND = "books"  # the operator file's kind for leases on fleet accounts
+MAX_CHANGES = 50  # lease changes kept for operators
+# Lease durations for which an instance does not compete for a lease that it handed over.
+RELEASE_PAUSE_LEASES = 2
 
 
 class LeaseService:
-    """The leases of one instance. `membership` is the membership service that carries datagrams.
+    """Manages the leases of one instance; `membership` is the membership service for datagrams.
 
-    Raises ConfigurationError where the lease's times or the voters make no sense.
+    Raises ConfigurationError if the lease times or the list of voters are invalid.
     """
 
     def __init__(
@@ -55,21 +57,22 @@
         self.membership = membership
         self.member_list = membership.member_list
         self.configuration, self.timing = reconfiguration.read_lease_settings(settings)
-        # By instance: version and fingerprint of its voter configuration, as last heard.
+        # Last reported version and fingerprint of the voter configuration, by instance.
         self.reported_configurations: dict[str, tuple[int, int]] = {}
         self.durable_record = DurableRecord(
             self.event_loop,
             socket_host.log,
             settings.folder,
             f"{self.name}.votes",
-            "duties: kept votes are torn, silent at first",
-            "duties: votes are not written, no vote until a restart",
+            "duties: kept votes are torn, no vote until the longest lease has passed",
+            "duties: votes are not written, no vote until a restart; check the disk, then restart",
         )
         self.fencing_guard = FencingGuard()
         self.voter = Voter(
             self, self.name, self.configuration, self.timing, self.durable_record.stored
         )
-        # By lease: its candidate, and whoever acts under it; commands are known to `command_loans`.
+        # Candidates, collectors and owners by lease name. `command_loans` tracks the commands that
+        # run under a lease.
         self.candidates: dict[str, LeaseCandidate] = {}
         self.collectors: dict[str, FleetAccountsCollector] = {}
         self.owners: dict[str, LeaseOwner] = {}
@@ -96,10 +99,11 @@
     # Leases.
 
     def add_configured_lease(self, name: str, kind: str, period_ticks: int) -> None:
-        """Add a lease of the operator file; `period_ticks` is between two rounds of accounts.
+        """Add a lease of the operator file; `period_ticks` separates two rounds of fleet accounts.
 
-        An instance that holds a lease for commands while no command waits here would keep it from
-        those where one does: it stands for such a lease only while a command asks.
+        An instance that held a command lease without a waiting command would block commands on
+        other instances. The instance therefore competes for such a lease only while a command
+        requests the lease.
         """
         is_accounts = kind == ACCOUNTS_KIND
         self.candidates[name] = LeaseCandidate(
@@ -109,32 +113,35 @@
             self.collectors[name] = FleetAccountsCollector(self, name, period_ticks)
 
     def add_candidate(self, lease: str, owner: LeaseOwner) -> None:
-        """Stand for a lease of another subsystem, which is notified when it is gained or lost."""
+        """Compete for another subsystem's lease and notify `owner` of each gain and loss."""
         self.owners[lease] = owner
         self.candidates[lease] = LeaseCandidate(
             self, lease, self.name, self.configuration, self.timing, self.is_wanted(lease)
         )
 
     def is_wanted(self, lease: str) -> bool:
-        """Return whether this instance stands for the lease at the moment."""
+        """Return whether this instance should currently compete for the lease."""
         if self.is_leaving or self.is_cordoned:
             return False
         has_owner = lease in self.collectors or lease in self.owners
         return has_owner or self.command_loans.has_demand(lease)
 
     def set_cordoned(self, is_cordoned: bool) -> None:
-        """Take this instance out: it gives up its leases, and stands for none until it is back."""
+        """Cordon or uncordon this instance.
+
+        A cordoned instance hands over its leases and competes for none.
+        """
         if is_cordoned == self.is_cordoned:
             return
         self.is_cordoned = is_cordoned
         for name, candidate in self.candidates.items():
             candidate.set_wanted(self.is_wanted(name))
             if is_cordoned:
-                self.hand_over(name, "set aside for work")
+                self.hand_over(name, "cordoned for maintenance")
 
     @property
     def is_idle(self) -> bool:
-        """Whether it holds nothing, and stands for nothing."""
+        """Whether this instance neither holds a lease nor competes for one."""
         return not any(
             candidate.state is CandidateState.HOLDING or candidate.is_wanted
             for candidate in self.candidates.values()
@@ -142,11 +149,11 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether our loop is late, again and again."""
+        """Whether the event loop of this instance has been late repeatedly."""
         return self.load_monitor.is_overloaded
 
     def hand_over(self, lease: str, reason: str) -> None:
-        """Give a lease up if it is held: at once, or as soon as no command runs under it."""
+        """Release a held lease at once, or after the command under the lease has ended."""
         candidate = self.candidates[lease]
         if candidate.state is not CandidateState.HOLDING:
             return
@@ -156,58 +163,64 @@
             self.release(lease, reason)
 
     def release(self, lease: str, reason: str) -> None:
-        """Give a lease up now, and leave it to others for a while."""
+        """Release a lease now, and pause so that other instances can acquire the lease."""
         self.candidates[lease].release(reason, RELEASE_PAUSE_LEASES * self.timing.lease_ticks)
 
-    # The process's life.
+    # Process lifecycle.
 
     def reload(self, settings: LeaseConfig) -> None:
-        """Take another voter configuration, or other leases.
+        """Apply a changed voter configuration, changed lease times, or a changed set of leases.
 
-        Raises ConfigurationError, and changes nothing, where that is not safe.
+        Raises ConfigurationError, and changes nothing, if the change is unsafe.
         """
         reconfiguration.reload_settings(self, settings)
 
     def leave(self) -> None:
-        """Begin a planned end: leases are handed over, one lent to a command once that ends."""
+        """Begin a planned shutdown by handing over all leases.
+
+        A lease lent to a command is handed over once that command has ended.
+        """
         self.is_leaving = True
         for name, candidate in self.candidates.items():
             candidate.set_wanted(False)
             self.hand_over(name, "leaving")
 
     def end(self) -> None:
-        """Give back what no command runs under, and end the helper."""
+        """Release all leases under which no command runs, and stop the helper process."""
         for name, candidate in self.candidates.items():
             is_held = candidate.state is CandidateState.HOLDING
             if is_held and not self.command_loans.is_lent(name):
                 candidate.release("ended")
         self.durable_record.close()
 
-    # What voter and candidates need of their host.
+    # Implementation of VoterHost and CandidateHost.
 
     @property
     def now(self) -> int:
-        """Tenths of a millisecond since boot, read anew each time."""
+        """Ticks (tenths of a millisecond) since boot, read from the clock on each access."""
         return boot_time()
 
     @property
     def date(self) -> int:
-        """The system's time in milliseconds."""
+        """The system time in milliseconds."""
         return self.event_loop.date() // 10
 
     def send(self, name: str, body: list[Any]) -> None:
-        """Send a datagram on leases; one to ourselves arrives in the loop's next turn."""
+        """Send a lease datagram.
+
+        A datagram to this instance is delivered in the next turn of the event loop.
+        """
         if name == self.name:
             self.event_loop.call_later(0, self.on_lease_datagram, name, body)
         else:
             self.member_list.call(name, LEASE_SUBJECT, body)
 
     def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
-        """Call a method after so many tenths of a millisecond."""
+        """Call a method after `delay` ticks (tenths of a millisecond)."""
         self.event_loop.call_later(delay, method, *arguments)
 
     def random_below(self, limit: int) -> int:
-        """Return a number from 0 to `limit` - 1; 0 for limits below 1."""
+        """Return a random number from 0 to `limit` - 1, or 0 for limits below 1."""
         number: int = self.membership.chance(max(limit, 1))
         return number
 
@@ -218,15 +231,15 @@
     def persist(
         self, record: dict[str, Any], callback: Callable[..., None], *arguments: Any
     ) -> None:
-        """Call `then` once the votes are safe on disk."""
+        """Call `callback` once the votes are durable on disk."""
         self.durable_record.write(record, callback, *arguments)
 
     def rank_of(self, lease: str) -> int:
-        """Return how many others should try first."""
+        """Return how many other candidates should try to acquire the lease first."""
         return self.ranking.rank_of(lease)
 
     def on_lease_gained(self, candidate: LeaseCandidate) -> None:
-        """Notify whoever acts under the lease."""
+        """Notify the collector or owner, and hand the lease over if leaving or cordoned."""
         lease = candidate.lease
         self.socket_host.log(f"duty {lease} held under fence {candidate.fencing_token}")
         self._record_change(candidate, "held", candidate.last_reason)
@@ -236,10 +249,10 @@
         if self.is_leaving:
             self.hand_over(lease, "leaving")
         elif self.is_cordoned:
-            self.hand_over(lease, "set aside for work")
+            self.hand_over(lease, "cordoned for maintenance")
 
     def on_lease_lost(self, candidate: LeaseCandidate, reason: str) -> None:
-        """Notify whoever acted under the lease."""
+        """Notify the owner of the lease and drop the lease's loan."""
         lease = candidate.lease
         token = candidate.fencing_token
         self.socket_host.log(f"duty {lease} given up under fence {token}: {reason}")
@@ -249,7 +262,7 @@
             self.owners[lease].on_lease_lost()
 
     def on_lease_released(self, candidate: LeaseCandidate) -> None:
-        """Notify the next candidates of a lease given back, so that nobody waits for its end."""
+        """Notify the next candidates of a released lease, so that they do not wait for expiry."""
         configuration = self.configuration
         notice = LeaseVacant(
             candidate.lease, configuration.version, configuration.fingerprint
@@ -260,7 +273,7 @@
     # Datagrams.
 
     def on_lease_datagram(self, sender: str, body: Any) -> None:
-        """Hand a datagram to the voter, or to the candidate of its lease."""
+        """Pass a datagram to the voter, or to the candidate for the datagram's lease."""
         address = messages.decode_address(body)
         self.reported_configurations[sender] = address.version, address.fingerprint
         if not address.is_for_candidate:
@@ -275,7 +288,10 @@
             candidate.on_datagram(sender, body)
 
     def on_accounts_datagram(self, sender: str, body: Any) -> None:
-        """Hand a datagram on fleet accounts to its collector; a refusal preempts the candidate."""
+        """Pass a fleet accounts datagram to its collector.
+
+        A refused fencing token preempts the candidate.
+        """
         datagram = AccountsDatagram.decode(body)
         collector = self.collectors.get(datagram.lease)
         if datagram.kind == AccountsKind.REFUSED and datagram.lease in self.candidates:
@@ -284,7 +300,7 @@
             collector.on_datagram(sender, datagram)
 
     def on_yield_datagram(self, sender: str, body: Any) -> None:
-        """Give a lease up that an operator asked another instance for."""
+        """Hand over a lease that an operator asked another instance to release."""
         if body in self.candidates:
             self.hand_over(body, f"told at {sender}")
 
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -1,12 +1,12 @@
-"""The voter: what one instance has promised and granted, for each lease.
+"""A voter: the promises and grants of one instance, for each lease.
 
-Owns promises and grants. Free of I/O: clock, datagrams and disk are its host's. Must never grant a
-lease while a grant of its own to another still runs, never promise less than before, and never
-answer while it may have forgotten what it said.
+Owns promises and grants. Free of I/O: the host provides the clock, datagrams and the disk. A voter
+must never grant a lease while its grant to another candidate is valid, must never lower a promise,
+and must never reply while it may have lost its votes.
 
-Leases by voters without disks: PaxosLease (Trencseni, Gazso, Reinhardt, 2012), after Gray and
-Cheriton (1989). Here a voter refuses whatever is not its live holder's, so that no ballot, however
-high, disturbs a holder.
+Leases from voters without disks follow PaxosLease (Trencseni, Gazso, Reinhardt, 2012), after Gray
+and Cheriton (1989). Unlike there, a voter rejects every request that is not from the current holder
+while the grant is valid, so that no ballot, however high, disturbs a holder.
 """
 
 from collections import Counter
@@ -29,11 +29,11 @@
 )
 from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 
-MAX_LEASES = 64  # that a voter remembers
+MAX_LEASES = 64  # leases that a voter keeps votes for
 
 
 class Holder(NamedTuple):
-    """Whom a lease is granted: a restarted instance is another one."""
+    """The instance that a lease is granted to; a restarted instance is a different holder."""
 
     name: str
     incarnation: int
@@ -43,9 +43,10 @@
 
 
 class Vote:
-    """Of one lease: the highest ballot promised, the last one granted, to whom and until when.
+    """The vote for one lease: highest promised ballot, last granted ballot, holder and expiry.
 
-    `granted_ballot` is 0 where nothing is granted; times are tenths of a millisecond since boot.
+    `granted_ballot` is 0 if nothing is granted. Times are ticks (tenths of a millisecond) since
+    boot.
     """
 
     __slots__ = ("granted_ballot", "granted_since", "granted_until", "holder", "promised_ballot")
@@ -64,15 +65,16 @@
         self.granted_since = 0
 
     def encode(self) -> list[Any]:
-        """As it is stored: promised ballot, granted ballot, holder's name and incarnation."""
+        """Return the stored form: promised ballot, granted ballot, holder name, incarnation."""
         return [self.promised_ballot, self.granted_ballot, *self.holder]
 
 
 class Voter:
-    """One instance's votes.
+    """The votes of one instance.
 
-    `stored` is what was read from its folder, or None where it has none, or nothing: then it is
-    silent for a longest lease, as it cannot know what it granted just before it ended.
+    `stored` holds the votes read from disk, or is None if there is no folder or nothing was stored.
+    In that case the voter cannot know what it granted just before it ended, and stays silent for
+    the longest lease that was ever granted.
     """
 
     def __init__(
@@ -89,14 +91,14 @@
         self.timing = timing
         self.votes: dict[str, Vote] = {}
         self.counts = Counter[str]()
-        self.newer_version = 0  # a later version of the configuration that was heard of
+        self.newer_version = 0  # newer configuration version sent by a candidate; 0: none
         now = host.now
         self.silent_until = now
         if stored is None:
             self.silent_until = now + timing.silence_ticks
         for lease, (promised, granted, holder, incarnation) in (stored or {}).items():
-            # When it was granted is not stored: counted as granted now, it is never given to
-            # another too soon.
+            # The grant time is not stored. Counting the lease as granted now prevents an early
+            # grant to another candidate.
             until = now + timing.silence_ticks if granted else 0
             self.votes[lease] = Vote(promised, granted, Holder(holder, incarnation), until)
         self._handlers: dict[type[CandidateRequest], Callable[..., None]] = {
@@ -107,10 +109,11 @@
         }
 
     def reconfigure(self, configuration: VoterConfiguration, timing: LeaseTiming) -> None:
-        """Take another voter configuration, or another lease. What was granted stays granted."""
+        """Apply another voter configuration or another lease duration; grants stay valid."""
         if configuration != self.configuration:
-            # A holder under the configuration before the last may still live on a grant of a voter
-            # that has gone on: silence until that grant is over.
+            # A holder under the configuration before the previous one may still rely on a grant by
+            # a voter that has since moved to a newer configuration. Stay silent until such a grant
+            # has expired.
             self.silent_until = self.host.now + max(timing.silence_ticks, self.timing.silence_ticks)
         self.configuration = configuration
         self.timing = timing
@@ -119,7 +122,7 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it answers candidates at the moment."""
+        """Whether the voter currently replies to candidates."""
         return (
             self.name in self.configuration.names
             and not self.newer_version
@@ -127,7 +130,10 @@
         )
 
     def on_datagram(self, sender: str, incarnation: int, body: Any) -> None:
-        """Answer a candidate. A malformed body raises ProtocolError, and changes no vote."""
+        """Handle a candidate's request.
+
+        Raises ProtocolError for a malformed body, and changes no vote in that case.
+        """
         envelope = messages.decode_request_envelope(body)
         self._record_newer_version(sender, envelope)
         if not self._can_answer(envelope):
@@ -140,12 +146,12 @@
 
     def _record_newer_version(self, sender: str, envelope: Envelope) -> None:
         if envelope.version > self.configuration.version and not self.newer_version:
-            # An instance that came up with an old file would lend its vote to a configuration long
-            # replaced: it votes no more until it is reloaded.
+            # An instance that started with an outdated operator file would vote for a replaced
+            # voter configuration. It does not vote until its operator file is reloaded.
             self.newer_version = envelope.version
             self.host.log(
-                f"duties: no vote, list {self.configuration.version} is older than list "
-                f"{envelope.version} of {sender}"
+                f"duties: no vote, voter list version {self.configuration.version} is older than "
+                f"version {envelope.version} of {sender}; update and reload the operator file"
             )
 
     def _can_answer(self, envelope: Envelope) -> bool:
@@ -164,7 +170,7 @@
     def _get_or_create_vote(self, lease: str) -> Vote | None:
         vote = self.votes.get(lease)
         if vote is None:
-            # Lease names without end would fill the memory.
+            # Bound the memory used if candidates send arbitrarily many lease names.
             if len(self.votes) >= MAX_LEASES:
                 self.counts["too many duties"] += 1
                 return None
@@ -172,13 +178,16 @@
         return vote
 
     def _blocked_ticks(self, vote: Vote, candidate: Holder) -> int:
-        """Return how long a grant to another still runs; 0: not at all."""
+        """Return the remaining ticks of a grant to another candidate, or 0 if there is none."""
         if vote.granted_ballot and vote.holder != candidate:
             return max(vote.granted_until - self.host.now, 0)
         return 0
 
     def _on_probe(self, candidate: Holder, vote: Vote, request: Probe) -> None:
-        """Answer, and change nothing: what comes back from a partition asks this first."""
+        """Reply without changing the vote.
+
+        A candidate that returns from a partition probes first, so that it disturbs no holder.
+        """
         is_free = not self._blocked_ticks(vote, candidate)
         self._reply(ProbeReply, candidate, vote, request, is_free)
 
@@ -206,33 +215,36 @@
     def _grant(
         self, candidate: Holder, vote: Vote, request: GrantRequest, is_persisted: bool
     ) -> None:
-        """Grant the lease from now on, and answer once the grant is on disk.
+        """Grant the lease from now on, and reply once the grant is on disk.
 
-        Counted from after all that had to be written: the holder counts from before it asked.
+        The grant period starts after the disk write. The holder counts from before its request, so
+        the holder's period always ends first.
         """
         if vote.granted_ballot != request.ballot or vote.holder != candidate:
-            return  # released, or another's, while it was written
+            return  # released, or granted to another holder, during the disk write
         vote.granted_until = self.host.now + self.timing.grant_ticks
         if is_persisted:
-            # A renewal needs no disk either: what is read back counts as granted at the start.
+            # A renewal needs no disk write: a vote read back after a restart counts as granted at
+            # the time of the restart.
             self._reply(GrantReply, candidate, vote, request, True)
         else:
             self._persist(self._grant, candidate, vote, request, True)
 
     def _on_release(self, candidate: Holder, vote: Vote, request: Release) -> None:
-        """Free the lease, if it is the sender's under this ballot.
+        """Free the lease if the sender holds the lease under this ballot.
 
-        What the sender was granted later, under another ballot, is none of this.
+        A later grant to the sender, under another ballot, stays valid.
         """
         if (vote.granted_ballot, vote.holder) != (request.ballot, candidate):
             return
-        # A grant request that arrives after this would bind the lease to nobody: its ballot is
-        # refused now.
+        # A delayed grant request that arrives after the release would grant the lease to a holder
+        # that no longer uses it. Raising the promise makes the voter reject that request's ballot.
         vote.promised_ballot = max(vote.promised_ballot, request.ballot + 1)
         vote.granted_ballot = 0
         vote.granted_until = 0
-        # Not written by itself: the successor's promise would wait behind it, and holds it. A voter
-        # that forgets it over a restart counts as granted what was given back, for a lease.
+        # A release is not written to disk separately: the successor's promise would wait for that
+        # write, and the record of the promise includes the release. A voter that loses the release
+        # in a restart counts the released lease as granted for one more lease duration.
 
     def _persist(self, callback: Callable[..., None], *arguments: Any) -> None:
         record = {lease: vote.encode() for lease, vote in self.votes.items()}
