--- a/corkgauge/leases/durable_record.py
+++ b/corkgauge/leases/durable_record.py
@@ -1,7 +1,8 @@
-"""A record that is on disk before anything is said of it: our end of the helper process.
+"""Stores a record on disk before callbacks act on the record, through a helper process.
 
-Owns the helper process (`record_writer.py`) and what waits for it. Must never call what waits
-before the record, or a later one that holds more, is safe on the disk; and never hold up the loop.
+Owns the helper process (`record_writer.py`) and the callbacks that wait for a record. A callback
+must never run before its record, or a later record that includes its content, is durable on disk.
+The event loop must never block.
 """
 
 import os
@@ -16,22 +17,24 @@
 from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 from corkgauge.leases import record_writer
 
-REWRITE_TICKS = SECOND  # until a record that is not safe yet is written again, if asked for
-READ_BYTES = 4096  # of the helper's answers at a time
+# Rewrite an unconfirmed record after this time, if `write` is called again.
+REWRITE_TICKS = SECOND
+READ_BYTES = 4096  # read size for the helper's answers
 
 
 class Waiter(NamedTuple):
-    """What is called once a record is safe."""
+    """A callback that waits for a record to become durable."""
 
     callback: Callable[..., None]
     arguments: tuple[Any, ...]
 
 
 class DurableRecord:
-    """The file `name` in `folder`; no folder: nothing is kept, and what waits is called at once.
+    """Stores a record in the file `name` in `folder`.
 
-    `corrupted_message` and `write_failed_message` are the log lines. Raises ConfigurationError
-    where the folder cannot be used.
+    With an empty `folder` nothing is stored, and callbacks run immediately. `corrupted_message` and
+    `write_failed_message` are the log lines for a corrupted file and for a failed helper. Raises
+    ConfigurationError if the folder cannot be used.
     """
 
     def __init__(
@@ -48,14 +51,15 @@
         self.folder = folder
         self.write_failed_message = write_failed_message
         self.helper: subprocess.Popen[bytes] | None = None
-        self.stored: Any = None  # what the file held; None: nothing, or it was torn
-        # The last record: its number, its packed body, when it was sent.
+        self.stored: Any = None  # the file's content; None if there is no file or it is corrupted
+        # The last record: number, packed body, and time of sending.
         self.last_number = 0
         self.last_body = b""
         self.last_sent_at = 0
-        self.waiting: dict[int, list[Waiter]] = {}  # by number of records that are not safe yet
-        self.unsent = b""  # of the frame that the helper's pipe did not take yet
-        self.next_frame: bytes | None = None  # the last frame that waits for that
+        # Waiters of records that are not durable yet, by record number.
+        self.waiting: dict[int, list[Waiter]] = {}
+        self.unsent = b""  # rest of a frame that the helper's pipe has not accepted yet
+        self.next_frame: bytes | None = None  # latest frame to send after `unsent`
         if folder:
             self._open(os.path.join(folder, name), corrupted_message)
 
@@ -87,10 +91,11 @@
         self.event_loop.spawn(self._read_answers, helper)
 
     def write(self, record: Any, callback: Callable[..., None], *arguments: Any) -> None:
-        """Call `then` once the record is safe on disk.
+        """Call `callback` once the record is durable on disk.
 
-        A promise that a power cut takes back is none, so it is written before it is said. The
-        helper waits for the disk, and what it does not answer is never said.
+        A promise must survive a power cut, so the record is written before the callback may send
+        any reply. The helper process waits for the disk, and the callback of a record that the
+        helper never confirms never runs.
         """
         waiter = Waiter(callback, arguments)
         if self.helper is None:
@@ -106,17 +111,19 @@
         self.waiting[self.last_number] = [waiter]
         frame = record_writer.FRAME_HEADER.pack(self.last_number, len(body)) + body
         if self.unsent:
-            # Half a frame would spoil all later ones. The last one that waits holds what those
-            # before it did.
+            # An incomplete frame would corrupt all later frames, so the new frame waits. It
+            # replaces an earlier waiting frame, because each record includes the content of the
+            # records before it.
             self.next_frame = frame
         else:
             self._send(frame)
 
     def _join_last_record(self, waiter: Waiter) -> bool:
-        """Wait for the last record, which is the same; False: it must be written again.
+        """Wait for the last record, which is identical; return False if it must be rewritten.
 
-        Whoever is not answered yet asks again, and would make a slow disk slower by the same
-        record. One that failed is never answered, so it is written again after a while.
+        Senders repeat requests that have no reply yet, and rewriting the same record for each
+        repetition would make a slow disk slower. The helper never confirms a record whose write
+        failed, so that record is written again after `REWRITE_TICKS`.
         """
         if self.last_number not in self.waiting:
             waiter.callback(*waiter.arguments)
@@ -140,7 +147,10 @@
             self.event_loop.spawn(self._send_rest, self.helper)
 
     def _send_rest(self, helper: subprocess.Popen[bytes]) -> None:
-        """Send what the helper's pipe did not take: its disk is slow, or the record large."""
+        """Send the rest of a frame that the helper's pipe did not accept.
+
+        The pipe is full if the disk is slow or the record is large.
+        """
         while self.helper is helper and self.unsent:
             self.event_loop.wait(_input_descriptor(helper), WRITE)
             try:
@@ -163,7 +173,7 @@
             self.helper = None
 
     def close(self) -> None:
-        """Close the helper's pipes: it writes what it has, and ends."""
+        """Close the pipes to the helper, which writes all received records and exits."""
         helper = self.helper
         self.helper = None
         if helper is not None and helper.stdin is not None and helper.stdout is not None:
@@ -171,7 +181,7 @@
             helper.stdout.close()
 
     def _read_answers(self, helper: subprocess.Popen[bytes]) -> None:
-        """Read the numbers of records that are safe, until the helper ends."""
+        """Read the numbers of durable records until the helper exits."""
         remainder = b""
         descriptor = _output_descriptor(helper)
         while self.helper is helper:
@@ -191,7 +201,8 @@
                 self._on_record_safe(number)
 
     def _on_record_safe(self, number: int) -> None:
-        # One that failed is never answered; a later one that is safe holds more than it did.
+        # The helper never confirms a failed record. A later durable record includes its content,
+        # but waiters of the failed record are dropped: their requests are repeated.
         for older in [each for each in self.waiting if each < number]:
             del self.waiting[older]
         for waiter in self.waiting.pop(number, ()):
@@ -199,14 +210,14 @@
 
 
 def _input_descriptor(helper: subprocess.Popen[bytes]) -> int:
-    """Return the descriptor of the helper's input. Raises ValueError once it is closed."""
+    """Return the descriptor of the helper's input; raises ValueError if there is no pipe."""
     if helper.stdin is None:
-        raise ValueError("the helper has no input")
+        raise ValueError("helper process has no input pipe")
     return helper.stdin.fileno()
 
 
 def _output_descriptor(helper: subprocess.Popen[bytes]) -> int:
-    """Return the descriptor of the helper's answers. Raises ValueError once it is closed."""
+    """Return the descriptor of the helper's output; raises ValueError if there is no pipe."""
     if helper.stdout is None:
-        raise ValueError("the helper has no output")
+        raise ValueError("helper process has no output pipe")
     return helper.stdout.fileno()
--- a/corkgauge/leases/messages.py
+++ b/corkgauge/leases/messages.py
@@ -1,12 +1,14 @@
-"""The datagram bodies of leases: typed messages on one side, the lists of the wire on the other.
+"""Encodes and decodes lease datagram bodies, between typed messages and lists.
 
-A request of a candidate is `[kind, lease, version, fingerprint, serial, ballot]`. A voter's reply
-is `[kind, lease, version, fingerprint, serial, accepted, promised ballot, blocked for, holder]`,
-with the time in tenths of a millisecond. A vacancy notice is `[kind, lease, version, fingerprint,
-0]`. Instances of several versions talk to each other, so numbers and places never change.
+A candidate's request is `[kind, lease, version, fingerprint, serial, ballot]`. A voter's reply is
+`[kind, lease, version, fingerprint, serial, accepted, promised ballot, blocked ticks, holder]`,
+where a tick is a tenth of a millisecond. A vacancy notice is `[kind, lease, version, fingerprint,
+0]`. Instances of several versions exchange these messages, so the numbers of kinds and the
+positions of fields never change.
 
-Decoding has two steps, as a receiver ignores what was sent under another voter configuration
-whatever else is in it: first the envelope, then the message. Both raise ProtocolError.
+Decoding has two steps, because a receiver must ignore any message under another voter
+configuration, whatever the other fields contain. The first step decodes the envelope, the second
+the message. Both steps raise ProtocolError.
 """
 
 from dataclasses import dataclass
@@ -15,10 +17,10 @@
 
 from corkgauge.leases.voter_configuration import BALLOT_LIMIT
 
-# Subjects, by which the membership service hands datagrams over.
+# Subjects by which the membership service dispatches datagrams.
 LEASE_SUBJECT = "duty"
 ACCOUNTS_SUBJECT = "books"
-YIELD_SUBJECT = "yield"  # the body is the lease that an operator asked another instance for
+YIELD_SUBJECT = "yield"  # the body is the name of a lease that an operator asked to release
 
 REQUEST_FIELDS = 6
 REPLY_FIELDS = 9
@@ -27,11 +29,11 @@
 
 
 class ProtocolError(ValueError):
-    """A datagram body that is none of these messages; one line says what was expected."""
+    """A malformed datagram body; the one-line message says what was expected."""
 
 
 class MessageKind(IntEnum):
-    """The first element of a body."""
+    """The kind of a message, which is the first element of a body."""
 
     PROBE = 0
     PROBE_REPLY = 1
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """What every body begins with: its kind, its lease, its sender's voter configuration."""
+    """The first fields of every body: kind, lease, and the sender's voter configuration."""
 
     kind: Any
     lease: Any
@@ -62,15 +64,15 @@
 
     @property
     def is_for_candidate(self) -> bool:
-        """Whether it is for the candidate of its lease. All others are for the voter."""
+        """Whether the datagram is for a candidate; all others are for the voter."""
         return self.kind in FOR_CANDIDATES
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Enough of a message to tell whether it counts.
+    """The fields that decide whether a message is current or ignored.
 
-    `serial` is the sender's own, and echoed in replies.
+    The sender of a request chooses `serial`, and replies repeat the request's serial.
     """
 
     kind: Any
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateRequest:
-    """What candidates send to voters; `serial` grows with each round of datagrams."""
+    """A request from a candidate to a voter; `serial` increases with each broadcast."""
 
     KIND: ClassVar[MessageKind]
 
@@ -93,7 +95,7 @@
     ballot: int
 
     def encode(self) -> list[Any]:
-        """Return the list that goes on the wire."""
+        """Return the list to send."""
         return [
             int(self.KIND),
             self.lease,
@@ -105,28 +107,28 @@
 
 
 class Probe(CandidateRequest):
-    """Asks whether the voter would promise; changes nothing there."""
+    """Asks whether the voter would make a promise, without changing the vote."""
 
     __slots__ = ()
     KIND = MessageKind.PROBE
 
 
 class Prepare(CandidateRequest):
-    """Asks for a promise to accept no ballot below this one."""
+    """Asks for a promise to accept no ballot below this ballot."""
 
     __slots__ = ()
     KIND = MessageKind.PREPARE
 
 
 class GrantRequest(CandidateRequest):
-    """Asks for the lease under this ballot, or for its renewal."""
+    """Asks for the lease under this ballot, or for a renewal."""
 
     __slots__ = ()
     KIND = MessageKind.GRANT_REQUEST
 
 
 class Release(CandidateRequest):
-    """Gives back the lease held under this ballot."""
+    """Releases the lease held under this ballot."""
 
     __slots__ = ()
     KIND = MessageKind.RELEASE
@@ -134,10 +136,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterReply:
-    """What a voter answers.
+    """A voter's reply to a candidate.
 
-    `blocked_ticks` is how long a grant to another still runs, in tenths of a millisecond; `holder`
-    names whom it has granted the lease, or is empty.
+    `blocked_ticks` is how long a grant to another candidate stays valid, in ticks (tenths of a
+    millisecond). `holder` names the current holder of this voter's grant, or is empty.
     """
 
     KIND: ClassVar[MessageKind]
@@ -152,7 +154,7 @@
     holder: str
 
     def encode(self) -> list[Any]:
-        """Return the list that goes on the wire."""
+        """Return the list to send."""
         return [
             int(self.KIND),
             self.lease,
@@ -167,21 +169,21 @@
 
 
 class ProbeReply(VoterReply):
-    """Whether the voter would promise."""
+    """Tells whether the voter would make the promise."""
 
     __slots__ = ()
     KIND = MessageKind.PROBE_REPLY
 
 
 class PrepareReply(VoterReply):
-    """Whether the voter has promised."""
+    """Tells whether the voter has made the promise."""
 
     __slots__ = ()
     KIND = MessageKind.PREPARE_REPLY
 
 
 class GrantReply(VoterReply):
-    """Whether the voter has granted the lease."""
+    """Tells whether the voter has granted the lease."""
 
     __slots__ = ()
     KIND = MessageKind.GRANT_REPLY
@@ -189,14 +191,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseVacant:
-    """A holder's notice to the next candidates: the lease was just given back."""
+    """A holder's notice to the next candidates that the holder has released the lease."""
 
     lease: str
     version: int
     fingerprint: int
 
     def encode(self) -> list[Any]:
-        """Return the list that goes on the wire."""
+        """Return the list to send."""
         return [int(MessageKind.VACANT), self.lease, self.version, self.fingerprint, 0]
 
 
@@ -209,7 +211,7 @@
 
 
 def decode_address(body: Any) -> Address:
-    """Decode whom a body is for, and under which voter configuration it was sent.
+    """Decode the recipient and the sender's voter configuration from a body.
 
     >>> decode_address([7, "books", 1, 99, 0]).is_for_candidate
     True
@@ -218,37 +220,37 @@
 
 
 def decode_request_envelope(body: Any) -> Envelope:
-    """Decode the envelope of a request to a voter."""
+    """Decode the envelope of a candidate's request."""
     envelope = Envelope(*_decode_fields(body, REQUEST_FIELDS)[:NOTICE_FIELDS])
     if not isinstance(envelope.version, (int, float)):
-        raise ProtocolError("expected a number as the version of a voter configuration")
+        raise ProtocolError("expected a number as the voter configuration version")
     return envelope
 
 
 def decode_reply_envelope(body: Any) -> Envelope:
-    """Decode the envelope of a reply, or of a vacancy notice, to a candidate."""
+    """Decode the envelope of a voter's reply or of a vacancy notice."""
     return Envelope(*_decode_fields(body, NOTICE_FIELDS))
 
 
 def decode_request(body: Any) -> CandidateRequest:
-    """Decode the request of a candidate.
+    """Decode a candidate's request.
 
     >>> decode_request([2, "books", 1, 99, 5, 700])
     Prepare(lease='books', version=1, fingerprint=99, serial=5, ballot=700)
     >>> decode_request([2, "books", 1, 99, 5, -1])
     Traceback (most recent call last):
-    corkgauge.leases.messages.ProtocolError: expected a lease and a ballot below 2**60
+    corkgauge.leases.messages.ProtocolError: expected a lease name and a ballot from 0 to 2**60 - 1
     """
     kind, lease, version, fingerprint, serial, ballot = _decode_fields(body, REQUEST_FIELDS)
     if not (isinstance(lease, str) and type(ballot) is int and 0 <= ballot < BALLOT_LIMIT):
-        raise ProtocolError("expected a lease and a ballot below 2**60")
+        raise ProtocolError("expected a lease name and a ballot from 0 to 2**60 - 1")
     if not isinstance(kind, (int, float)) or kind not in REQUESTS:
-        raise ProtocolError("expected a request's kind")
+        raise ProtocolError("expected the kind of a candidate's request")
     return REQUESTS[int(kind)](lease, version, fingerprint, serial, ballot)
 
 
 def decode_reply(body: Any) -> VoterReply:
-    """Decode the reply of a voter.
+    """Decode a voter's reply.
 
     >>> decode_reply([1, "books", 1, 99, 5, True, 700, 0, ""]).promised_ballot
     700
@@ -256,18 +258,18 @@
     fields = _decode_fields(body, REPLY_FIELDS)
     kind, lease, version, fingerprint, serial, accepted, promised, blocked, holder = fields
     if not (type(promised) is int and 0 <= promised < BALLOT_LIMIT):
-        raise ProtocolError("expected a promised ballot below 2**60")
+        raise ProtocolError("expected a promised ballot from 0 to 2**60 - 1")
     if not (type(blocked) is int and blocked >= 0):
-        raise ProtocolError("expected a time of 0 or more that the voter is bound for")
+        raise ProtocolError("expected blocked ticks as an integer of 0 or more")
     if not isinstance(kind, (int, float)) or kind not in REPLIES:
-        raise ProtocolError("expected a reply's kind")
+        raise ProtocolError("expected the kind of a voter's reply")
     return REPLIES[int(kind)](
         lease, version, fingerprint, serial, bool(accepted), promised, blocked, holder
     )
 
 
 def _decode_fields(body: Any, count: int) -> list[Any]:
-    """Return the first elements of a body; later versions may append more."""
+    """Return the first `count` elements of a body; later versions may append elements."""
     if not isinstance(body, list) or len(body) < count:
         raise ProtocolError(f"expected a list of at least {count} elements")
     return body[:count]
--- a/corkgauge/leases/record_writer.py
+++ b/corkgauge/leases/record_writer.py
@@ -1,13 +1,13 @@
-"""A record as a file, written whole or not at all, and the helper process that waits for the disk.
+"""Writes a record to a file atomically, in a helper process that waits for the disk.
 
-Owns the file's form and the helper `python record_writer.py PATH`. The instance writes a frame to
-its input, and the helper answers with the frame's number once it is safe; only then does the voter
-answer anybody. Each frame holds all that those before it did, so of those that came while the disk
-was busy the last alone is written, and all are answered (group commit). The helper ends with its
-parent: the pipe's end is its own.
+Owns the file format and the helper process `python record_writer.py PATH`. The instance writes a
+frame to the helper's input, and the helper answers with the frame's number once the record is
+durable; only then does the voter reply. Each frame includes the content of all earlier frames, so
+after a busy disk the helper writes only the last frame received and confirms all of them (group
+commit). The helper exits when its parent exits, because the pipe to its input is then closed.
 
-A file is the magic, the body's length and its CRC-32, and the body; a frame is its number, the
-body's length, and the body. Numbers are 32 bits, little-endian.
+A file consists of the magic, the length and CRC-32 of the body, and the body. A frame consists of
+its number, the length of the body, and the body. Numbers are 32-bit little-endian integers.
 """
 
 import os
@@ -24,12 +24,12 @@
 
 
 def pack_record(body: bytes) -> bytes:
-    """Return the file's bytes."""
+    """Return the content of a file with this body."""
     return FILE_HEADER.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def unpack_record(data: bytes) -> bytes | None:
-    """Return the body, or None: torn, foreign, empty.
+    """Return the body, or None for an incomplete, foreign or empty file.
 
     >>> unpack_record(pack_record(b"x")), unpack_record(pack_record(b"x")[:-1]), unpack_record(b"")
     (b'x', None, None)
@@ -43,7 +43,10 @@
 
 
 def write_file(path: str, data: bytes) -> None:
-    """Write aside, sync, rename, sync the folder. OSError where the disk does not take it."""
+    """Write a file atomically: write a temporary file, sync, rename, and sync the folder.
+
+    Raises OSError if the disk rejects the write.
+    """
     temporary_path = f"{path}.new"
     descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o640)
     try:
@@ -62,16 +65,16 @@
 
 
 class Frames(NamedTuple):
-    """The whole frames at the front of the input."""
+    """The complete frames at the start of the input."""
 
     numbers: list[int]
     last_body: bytes
-    remainder: bytes  # of the input, behind them
-    is_too_large: bool = False  # the next one announces more than a record may have
+    remainder: bytes  # input after the complete frames
+    is_too_large: bool = False  # the next frame's length exceeds MAX_RECORD_BYTES
 
 
 def split_frames(data: bytes) -> Frames:
-    r"""Part the input into its whole frames and what is left.
+    r"""Split the input into complete frames and the remainder.
 
     >>> split_frames(FRAME_HEADER.pack(1, 1) + b"x" + FRAME_HEADER.pack(2, 2) + b"y")[:3]
     ([1], b'x', b'\x02\x00\x00\x00\x02\x00\x00\x00y')
@@ -93,7 +96,7 @@
 
 
 def main() -> int:
-    """Write records until the input ends, or a frame is too large to be one of ours."""
+    """Write records until the input ends or a frame is too large to be valid."""
     path = sys.argv[1]
     remainder = b""
     while data := os.read(0, FRAME_HEADER.size + MAX_RECORD_BYTES):
@@ -104,11 +107,11 @@
         if not frames.numbers:
             continue
         try:
-            # The last one alone: a slow disk that writes each in turn falls ever further behind
-            # those who ask again.
+            # Write only the last record: a slow disk that wrote every record would fall further and
+            # further behind the repeated requests.
             write_file(path, pack_record(frames.last_body))
         except OSError:
-            continue  # no answer: the voter says nothing, which is safe
+            continue  # no confirmation: the voter does not reply, which is safe
         try:
             os.write(1, b"".join(FRAME_NUMBER.pack(number) for number in frames.numbers))
         except OSError:
--- a/corkgauge/leases/voter_configuration.py
+++ b/corkgauge/leases/voter_configuration.py
@@ -1,37 +1,38 @@
-"""The voter configuration: who votes, which change is safe; and the times that follow from a lease.
+"""Voter configurations, the check of configuration changes, and the lease timing.
 
-Owns the numbers that leases are worked out with. Free of I/O. Must never let two configurations
-count whose majorities need not meet.
+Owns the numbers that leases are calculated from. Free of I/O. Two configurations whose majorities
+may be disjoint must never be in force at the same time.
 
-Why a change adds or removes one voter only: majorities of two configurations that differ by one
-always share a voter, and that voter remembers what it granted. Why a change waits until most voters
-of the configuration in force report it, and why a voter is silent for a longest lease after it:
-else two changes in a row may leave two voters in the configuration before the last, enough for a
-holder, while two others are in the new one, enough for another.
+A change adds or removes only one voter, because majorities of two configurations that differ by one
+voter always share a voter, and that voter remembers its grants. A change waits until a majority of
+the current voters report the current configuration, and a voter is silent for the longest lease
+after a change. Without these two rules, two changes in quick succession could leave two voters in
+the configuration before the previous one, enough to grant a lease, while two other voters already
+use the newest one, enough to grant the same lease to another holder.
 """
 
 from collections.abc import Iterable, Mapping
 from zlib import crc32
 
 MIN_VOTERS = 1
-MAX_VOTERS = 7  # 3, 5 or 7 are of use
-BALLOT_LIMIT = 2**60  # ballots are below this
-RENEWALS_PER_LEASE = 8  # some may be lost
+MAX_VOTERS = 7  # 3, 5 or 7 are useful
+BALLOT_LIMIT = 2**60  # exclusive upper limit of ballots
+RENEWALS_PER_LEASE = 8  # allows for lost renewals
 MIN_STAGGER_TICKS = 10
 MAX_STAGGER_TICKS = 600
-TICKS_PER_SECOND = 10_000  # all times are tenths of a millisecond
-NAME_BITS = 8  # of a ballot, below its round
+TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
+NAME_BITS = 8  # low bits of a ballot, below the round
 
 
 class UnsafeChangeError(ValueError):
-    """One line: why a voter configuration is not taken."""
+    """An unsafe or invalid voter configuration; the one-line message gives the reason."""
 
 
 class VoterConfiguration:
-    """One version of the list of voters, with the lease that they grant.
+    """One version of the list of voters, with the duration of the leases that they grant.
 
-    `lease_ticks` is tenths of a millisecond. Raises UnsafeChangeError for too few or too many
-    voters.
+    `lease_ticks` is in ticks (tenths of a millisecond). Raises UnsafeChangeError for too few or too
+    many voters.
 
     >>> three, four = VoterConfiguration(1, "cab"), VoterConfiguration(2, "abcd")
     >>> three.names, three.majority, four.majority
@@ -47,8 +48,9 @@
                 f"expected {MIN_VOTERS} to {MAX_VOTERS} voters, found {len(self.names)}"
             )
         self.majority = len(self.names) // 2 + 1
-        # The lease is part of it: a voter that grants a shorter one than a holder counts on would
-        # let two hold the lease at once.
+        # The fingerprint includes the lease duration. A voter with a shorter lease duration than
+        # the holder assumes could grant the lease to a second holder while the first one still
+        # holds it.
         self.fingerprint = crc32(f"{version} {lease_ticks} {' '.join(self.names)}".encode())
 
     def __eq__(self, other: object) -> bool:
@@ -63,25 +65,25 @@
     def check_change_to(
         self, new: "VoterConfiguration", reported: Mapping[str, tuple[int, int]]
     ) -> None:
-        """Check that an instance that runs under this configuration may take the new one.
+        """Check that an instance may change from this configuration to `new`.
 
-        `reported` holds version and fingerprint that voters, this instance among them, last sent.
-        Raises UnsafeChangeError if it may not.
+        `reported` holds the version and fingerprint that each voter, including this instance, last
+        sent. Raises UnsafeChangeError if the change is unsafe.
 
         >>> one, two = VoterConfiguration(1, "abc"), VoterConfiguration(2, "abcd")
         >>> one.check_change_to(two, {"a": (1, one.fingerprint), "b": (1, one.fingerprint)})
         >>> one.check_change_to(VoterConfiguration(2, "abd"), {})
         Traceback (most recent call last):
-        corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 adds d and removes c: one of both at a time
+        corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 adds d and removes c; add or remove one voter at a time
         >>> two.check_change_to(VoterConfiguration(3, "abd"), {"b": (2, two.fingerprint), "d": (2, two.fingerprint), "c": (1, one.fingerprint)})
         Traceback (most recent call last):
-        corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 is told by b, d, and 3 of 4 have to, before version 3
+        corkgauge.leases.voter_configuration.UnsafeChangeError: voters: version 2 is reported by b, d; 3 of 4 voters must report it before version 3 is applied
         """  # noqa: E501
         if new == self:
             return
         if new.version != self.version + 1:
             raise UnsafeChangeError(
-                f"voters: expected version {self.version + 1}, as {self.version} is in force, "
+                f"voters: expected version {self.version + 1}, because {self.version} is in force, "
                 f"found {new.version}"
             )
         added = {*new.names} - {*self.names}
@@ -89,14 +91,15 @@
         if len(added) + len(removed) > 1:
             raise UnsafeChangeError(
                 f"voters: version {new.version} adds {_format_names(added)} and removes "
-                f"{_format_names(removed)}: one of both at a time"
+                f"{_format_names(removed)}; add or remove one voter at a time"
             )
         current = self.version, self.fingerprint
         confirming = sorted(name for name in self.names if reported.get(name) == current)
         if len(confirming) < self.majority:
             raise UnsafeChangeError(
-                f"voters: version {self.version} is told by {', '.join(confirming) or 'nobody'}, "
-                f"and {self.majority} of {len(self.names)} have to, before version {new.version}"
+                f"voters: version {self.version} is reported by "
+                f"{', '.join(confirming) or 'nobody'}; {self.majority} of {len(self.names)} voters "
+                f"must report it before version {new.version} is applied"
             )
 
 
@@ -105,13 +108,15 @@
 
 
 class LeaseTiming:
-    """What follows from a lease, its bound on drift and its margin, in tenths of a millisecond.
+    """Times derived from the lease duration, the clock drift bound and the margin, in ticks.
 
-    Clocks count from the machine's boot. Assumed: no such clock gains or loses more than `drift` of
-    the true time. A voter keeps a grant for `grant_ticks`, so in true time for no less than the
-    lease; a holder believes in it for `hold_ticks`, so in true time for no more than the lease,
-    less a margin for what lies between a look at the clock and the act's arrival. Raises
-    UnsafeChangeError where less than half of the lease is left.
+    A tick is a tenth of a millisecond, and clocks count ticks from the boot of the machine. The
+    assumption is that no clock gains or loses more than the fraction `drift` of true time. A voter
+    keeps a grant for `grant_ticks` on its own clock, which is at least the lease duration in true
+    time. A holder uses the lease for `hold_ticks` on its own clock, which is at most the lease
+    duration in true time, less a margin. The margin covers the time from the clock reading in
+    `may_act` until the act arrives. Raises UnsafeChangeError if less than half of the lease
+    would be usable.
 
     >>> timing = LeaseTiming(30_000, 0.01, 1_000)
     >>> timing.grant_ticks, timing.hold_ticks, timing.renewal_ticks, timing.reply_ticks
@@ -126,27 +131,28 @@
         self.margin_ticks = margin_ticks
         is_fraction_left = lease_ticks * drift % 1 > 0
         self.grant_ticks = int(lease_ticks * (1 + drift)) + is_fraction_left
-        # Voters that may have forgotten are silent for as long as the longest lease that was ever
-        # granted.
+        # Voters that may have lost their votes are silent for the longest lease ever granted.
         self.silence_ticks = int(max(longest_lease_ticks, lease_ticks) * (1 + drift)) + 1
         self.hold_ticks = int(lease_ticks * (1 - drift)) - margin_ticks
         if self.hold_ticks < lease_ticks // 2:
             lease_seconds = lease_ticks / TICKS_PER_SECOND
             usable_seconds = max(self.hold_ticks, 0) / TICKS_PER_SECOND
             raise UnsafeChangeError(
-                f"a lease of {lease_seconds:g} s leaves {usable_seconds:g} s of use"
+                f"a lease of {lease_seconds:g} s leaves {usable_seconds:g} s usable, expected at "
+                "least half; lower the margin or drift, or use a longer lease"
             )
         self.renewal_ticks = max(lease_ticks // RENEWALS_PER_LEASE, 1)
-        # What voters have for a reply, until they are asked again.
+        # Voters have this long to reply before the candidate sends another request.
         self.reply_ticks = max(lease_ticks // RENEWALS_PER_LEASE, 1)
-        # Between the first attempts of two candidates, as they rank.
+        # Delay between the first attempts of two candidates with successive ranks.
         self.stagger_ticks = min(MAX_STAGGER_TICKS, max(lease_ticks // 40, MIN_STAGGER_TICKS))
 
 
 def make_ballot(round_number: int, name: str) -> int:
-    """Return a number that only one instance proposes.
+    """Return the ballot that an instance proposes in a round.
 
-    Rounds grow, the rest tells names apart.
+    Later rounds give higher ballots. The low bits are a hash of the name, which distinguishes
+    instances in the same round.
 
     >>> make_ballot(5, "n1") >> 8, make_ballot(6, "n1") > make_ballot(5, "n2")
     (5, True)
@@ -155,5 +161,5 @@
 
 
 def get_ballot_round(ballot: int) -> int:
-    """Return the round that a ballot belongs to."""
+    """Return the round of a ballot."""
     return ballot >> NAME_BITS
