--- a/corkgauge/leases/__init__.py
+++ b/corkgauge/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases: what one instance does at a time, granted by a majority of voters."""
+"""Leases: exclusive duties in the fleet, each granted to one instance by a majority of voters."""
--- a/corkgauge/leases/candidate_ranking.py
+++ b/corkgauge/leases/candidate_ranking.py
@@ -1,4 +1,4 @@
-"""Who should try for a lease first, as one instance sees the fleet."""
+"""Ranks the candidates for a lease, from one instance's view of the fleet."""
 
 from typing import TYPE_CHECKING
 
@@ -8,21 +8,21 @@
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
 
-VACANCY_NOTICE_COUNT = 2  # to the next in order
+VACANCY_NOTICE_COUNT = 2  # candidates notified of a vacancy, in order of preference
 
 
 class CandidateRanking:
-    """The order of candidates, by who is there and who is known to hold what."""
+    """Ranks candidates by the instances that are alive and by the known lease holders."""
 
     def __init__(self, service: "LeaseService") -> None:
         self.service = service
 
     def rank_of(self, lease: str) -> int:
-        """Return how many others should try first.
+        """Return how many other candidates should try to acquire the lease first.
 
-        Where all are overloaded at once, as on a machine that stood still for a moment, nobody
-        would hold the lease for as long as each stays away: an overloaded instance tries last, and
-        still tries.
+        An overloaded instance ranks last but still competes. If all instances are overloaded at
+        once, for example after the machine was paused for a moment, and each stopped competing,
+        nobody would hold the lease until they recovered.
         """
         service = self.service
         rank = placement.rank_of(lease, service.name, self._present(), self._known_holders())
@@ -31,13 +31,13 @@
         return rank
 
     def successors(self, lease: str) -> list[str]:
-        """Return the instances that are told first of a lease that is given back."""
+        """Return the instances to notify first when this instance releases the lease."""
         others = [each for each in self._present() if each[0] != self.service.name]
         names = placement.preferred_order(lease, others, self._known_holders())
         return names[:VACANCY_NOTICE_COUNT]
 
     def _present(self) -> list[tuple[str, str]]:
-        """Name and zone of the instances that are there, ourselves last."""
+        """Return name and zone of the instances that are alive or suspected, this instance last."""
         member_list = self.service.member_list
         present = [
             (member.name, member.zone)
--- a/corkgauge/leases/command_loans.py
+++ b/corkgauge/leases/command_loans.py
@@ -1,7 +1,8 @@
-"""Leases lent to commands: which command runs under which lease, and until when.
+"""Lends leases to commands, and tracks which command runs under which lease until when.
 
-Owns the loans, and when commands last asked. A command's time is bounded by what its lease was
-granted for, so a loan is never taken back: the lease is given up once the command has ended.
+Owns the loans and the times of the commands' last requests. A command never runs beyond the time
+for which its lease was granted, so a loan is never revoked: the instance releases the lease after
+the command has ended.
 """
 
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -14,7 +15,7 @@
 
 
 class Loan(NamedTuple):
-    """A command under a lease, and until when, in tenths of a millisecond since boot."""
+    """A command under a lease; `until` is in ticks (tenths of a millisecond) since boot."""
 
     command: str
     until: int
@@ -26,26 +27,27 @@
     def __init__(self, service: "LeaseService") -> None:
         self.service = service
         self.loans: dict[str, Loan] = {}
-        self.last_requested_at: dict[str, int] = {}  # tenths of a millisecond since boot
-        self.release_reasons: dict[str, str] = {}  # of leases to be given up once returned
+        self.last_requested_at: dict[str, int] = {}  # by lease, in ticks since boot
+        # Reasons to release leases after their commands have ended, by lease.
+        self.release_reasons: dict[str, str] = {}
 
     def is_lent(self, lease: str) -> bool:
         """Return whether a command runs under the lease."""
         return lease in self.loans
 
     def has_demand(self, lease: str) -> bool:
-        """Return whether a command has asked for the lease a short time ago."""
+        """Return whether a command has recently requested the lease."""
         return lease in self.last_requested_at
 
     def command_of(self, lease: str) -> str:
-        """Return the command that runs under a lease, or nothing."""
+        """Return the command that runs under the lease, or an empty string."""
         loan = self.loans.get(lease)
         return loan.command if loan is not None else ""
 
     def lend(self, candidate: LeaseCandidate, command: str) -> dict[str, Any]:
-        """Answer a command that asks for a lease, or for more of it; times are seconds.
+        """Handle a command's request for a lease or for more time; times in the reply are seconds.
 
-        Raises ValueError for a lease of the instances' own.
+        Raises ValueError for a lease that is reserved for the gateways.
         """
         service = self.service
         lease = candidate.lease
@@ -71,37 +73,37 @@
         }
 
     def finish(self, candidate: LeaseCandidate, command: str) -> dict[str, Any]:
-        """Take a lease back from a command that has ended."""
+        """End the loan of a command that has ended."""
         lease = candidate.lease
         if self.command_of(lease) == command:
             self.last_requested_at.pop(lease, None)
             candidate.set_wanted(False)
-            self.release_reasons.setdefault(lease, "its command has ended")
+            self.release_reasons.setdefault(lease, "command has ended")
             self._on_loan_ended(lease)
         return {"held": False}
 
     def release_when_returned(self, lease: str, reason: str) -> None:
-        """Give a lease up once its command has ended; it is refused more time when it asks next."""
+        """Release a lease after its command has ended; the command's next request is refused."""
         self.release_reasons[lease] = reason
 
     def forget(self, lease: str) -> None:
-        """Drop the loan of a lease that is held no more."""
+        """Drop the loan of a lease that is no longer held."""
         self.loans.pop(lease, None)
         self.release_reasons.pop(lease, None)
 
     def expire(self, now: int) -> None:
-        """Take back loans that are over, and stand for no lease that no command asks for."""
+        """End expired loans, and stop competing for leases that no command requests."""
         for lease, loan in [*self.loans.items()]:
-            if now >= loan.until:  # its command was killed, or does not ask any more
+            if now >= loan.until:  # the command was killed or stopped requesting the lease
                 self._on_loan_ended(lease)
         for lease, asked_at in [*self.last_requested_at.items()]:
             if now > asked_at + self.service.timing.lease_ticks and not self.is_lent(lease):
                 del self.last_requested_at[lease]
                 self.service.candidates[lease].set_wanted(False)
-                self.service.hand_over(lease, "no command asks")
+                self.service.hand_over(lease, "no command requests the lease")
 
     def _on_loan_ended(self, lease: str) -> None:
-        """Note that no command runs under the lease any more."""
+        """End the loan, and release the lease if a release was requested."""
         self.loans.pop(lease, None)
         if lease in self.release_reasons:
             self.service.release(lease, self.release_reasons.pop(lease))
--- a/corkgauge/leases/fleet_accounts.py
+++ b/corkgauge/leases/fleet_accounts.py
@@ -1,13 +1,13 @@
-"""The fleet accounts: the counters of all instances, summed, and whether the sums balance.
+"""Sums the counters of all instances into the fleet accounts, and finds discrepancies.
 
-Owns the last account of each instance and incarnation, and the history of sums. Free of I/O. Must
-never take an instance that did not answer for one that has nothing, and never add to the history
-under a lower fencing token than it holds.
+Owns the latest account of each instance and incarnation, and the history of sums. Free of I/O. A
+missing reply must never count as an account of zeros, and the history must never accept an entry
+under a lower fencing token than its last entry.
 
-An account is `{"epoch", "taken", "served", "refused", "failed", "open", "handed", "engines",
-"out", "ended"}`, all counts of one epoch, that is one incarnation, of one instance: `handed` as its
-request classes count attempts, `engines`, `ended` and `out` as its engines do. Accounts go over the
-wire, and sums to operators, under these keys.
+An account is `{"epoch", "taken", "served", "refused", "failed", "open", "handed", "engines", "out",
+"ended"}`, with the counts of one epoch of one instance, where an epoch is one incarnation. `handed`
+is counted by the instance's request classes; `engines`, `ended` and `out` are counted by its
+engines. These keys are used on the wire and in the sums shown to operators.
 """
 
 from collections import deque
@@ -18,11 +18,11 @@
 ATTEMPT_COUNTS = "handed", "engines", "ended", "out"
 ALL_COUNTS = *REQUEST_COUNTS, *ATTEMPT_COUNTS
 GROWING_COUNTS = "taken", "served", "refused", "failed", "handed", "engines", "ended"
-COUNT_LIMIT = 2**53  # counts are below this: whole numbers in every JSON reader
-MAX_ENTRIES = 500  # of the history
-MAX_EPOCHS = 16  # of one instance that are kept apart; older ones are summed
-MAX_SHOWN_MISSING = 8  # names of instances that did not answer, in an entry
-MAX_SHOWN_DISCREPANCIES = 4  # lines, in an entry
+COUNT_LIMIT = 2**53  # exclusive limit: every JSON reader represents smaller integers exactly
+MAX_ENTRIES = 500  # entries kept in the history
+MAX_EPOCHS = 16  # epochs kept separately per instance; older epochs are summed
+MAX_SHOWN_MISSING = 8  # instances without a reply that an entry names
+MAX_SHOWN_DISCREPANCIES = 4  # discrepancies that an entry lists
 
 Account = dict[str, Any]
 
@@ -30,10 +30,10 @@
 def build_account(
     epoch: str, request_classes: Iterable[Mapping[str, Any]], engines: Iterable[Sequence[Any]]
 ) -> Account:
-    """Build an instance's own account.
+    """Build the account of this instance.
 
-    Rows by request class are as a snapshot of the ledger has them, rows by engine are (attempts by
-    kind, attempts by outcome, attempts in flight, ...).
+    Rows by request class have the form of a ledger snapshot. Rows by engine are (attempts by kind,
+    attempts by outcome, attempts in flight, ...).
 
     >>> rows = [{"taken": 3, "served": 1, "refused": 1, "failed": 0, "open": 1, "firsts": 2,
     ...          "further": 0, "copies": 0}]
@@ -54,7 +54,7 @@
 
 
 def find_discrepancies(account: Mapping[str, Any]) -> list[str]:
-    """Return the equations that do not hold in an account, or in a sum of some.
+    """Return the equations that are violated in an account or in a sum of accounts.
 
     >>> find_discrepancies({"taken": 3, "served": 1, "refused": 0, "failed": 0, "open": 1,
     ...        "handed": 2, "engines": 3, "ended": 3, "out": 0})
@@ -76,27 +76,27 @@
 
 
 def sum_accounts(accounts: Sequence[Mapping[str, Any]]) -> Account:
-    """Add up the counts of some accounts."""
+    """Return the sums of the counts of several accounts."""
     return {key: sum(account[key] for account in accounts) for key in ALL_COUNTS}
 
 
 class FleetAccounts:
-    """The lease holder's side: what each instance last answered."""
+    """The accounts that the lease holder has collected from the instances."""
 
     def __init__(self) -> None:
-        self.accounts: dict[str, dict[str, Account]] = {}  # by instance, by epoch
-        self.closed: dict[str, Account] = {}  # by instance, the sum of older epochs
-        self.answered_round: dict[str, int] = {}  # by instance: in which round it last answered
+        self.accounts: dict[str, dict[str, Account]] = {}  # by instance and epoch
+        self.closed: dict[str, Account] = {}  # sum of older epochs, by instance
+        self.answered_round: dict[str, int] = {}  # round of the last reply, by instance
         self.round = 0
-        self.decreased_counts: list[str] = []  # in this round
+        self.decreased_counts: list[str] = []  # log lines on counts that decreased in this round
 
     def begin_round(self) -> None:
-        """Begin another round of asking."""
+        """Begin another round of requests."""
         self.round += 1
         self.decreased_counts = []
 
     def record_account(self, instance: str, account: Any) -> None:
-        """Take an instance's answer. A malformed one raises ValueError, and changes nothing."""
+        """Record an instance's account; raises ValueError, and changes nothing, if malformed."""
         _check_account(account)
         epochs = self.accounts.setdefault(instance, {})
         before = epochs.get(account["epoch"])
@@ -120,10 +120,10 @@
     def build_entry(
         self, fencing_token: int, number: int, at: int, members: Sequence[str]
     ) -> dict[str, Any]:
-        """Return the sum over all instances and epochs, as it goes into the history.
+        """Return the history entry with the sum over all instances and epochs.
 
-        `at` is milliseconds of the system's date. What an instance that did not answer reported
-        before stays in the sum; an epoch that is over keeps what was open as cut off.
+        `at` is the system time in milliseconds. The sum includes earlier accounts of instances
+        without a reply in this round. Requests that were open when an epoch ended count as cut off.
         """
         accounts = [account for epochs in self.accounts.values() for account in epochs.values()]
         accounts += self.closed.values()
@@ -156,13 +156,13 @@
 
 
 def _check_account(account: Any) -> None:
-    """Raise ValueError for what is no account."""
+    """Raise ValueError for a malformed account."""
     if (
         not isinstance(account, dict)
         or not isinstance(account.get("epoch"), str)
         or not all(_is_count(account.get(key)) for key in ALL_COUNTS)
     ):
-        raise ValueError("an account that makes no sense")
+        raise ValueError("expected an account with an epoch and a non-negative count for each key")
 
 
 def _is_count(value: Any) -> bool:
@@ -170,7 +170,7 @@
 
 
 class AccountsHistory:
-    """One history, at every instance: entries in the order of fencing token and number.
+    """The history of one instance, with entries in the order of fencing token and number.
 
     >>> history = AccountsHistory()
     >>> places = (5, 1), (5, 2), (4, 3), (5, 2), (7, 1)
@@ -185,9 +185,10 @@
         self.refused = 0
 
     def append(self, entry: dict[str, Any]) -> bool:
-        """Add an entry, unless it is out of order.
+        """Add an entry unless it is out of order.
 
-        One of a holder that was long replaced would otherwise stand after its successor's.
+        Without this check, a late entry of a replaced holder would follow the entries of its
+        successor.
         """
         place = entry["fence"], entry["number"]
         if self.entries and place <= (self.entries[-1]["fence"], self.entries[-1]["number"]):
--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -1,8 +1,8 @@
-"""The fleet accounts at one instance: asks all others while the lease is held, answers its holder.
+"""Collects the fleet accounts while this instance holds the lease, and replies to other holders.
 
-Owns the rounds of asking and this instance's copy of the history. Must never ask, sum or tell
-without a look at the candidate's `may_act` immediately before, and never answer under a lower
-fencing token than it has seen.
+Owns the rounds of requests and this instance's copy of the history. The collector must call the
+candidate's `may_act` immediately before every request, sum or notice. It must never reply to a
+holder under a lower fencing token than the highest one seen.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -22,12 +22,12 @@
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
 
-MAX_SHOWN_ENTRIES = 20  # that operators are shown
-MAX_LOG_LINE_CHARS = 300  # characters
+MAX_SHOWN_ENTRIES = 20  # history entries shown to operators
+MAX_LOG_LINE_CHARS = 300
 
 
 class FleetAccountsCollector:
-    """One lease on fleet accounts; `period_ticks` is tenths of a millisecond between two rounds."""
+    """The collector of one fleet accounts lease; `period_ticks` separates two rounds."""
 
     def __init__(self, service: "LeaseService", lease: str, period_ticks: int) -> None:
         self.service = service
@@ -35,24 +35,24 @@
         self.period_ticks = period_ticks
         self.accounts = FleetAccounts()
         self.history = AccountsHistory()
-        self.round_number = 0  # under the present fencing token
+        self.round_number = 0  # round under the current fencing token
         self.fencing_token = 0
         self.epoch = str(service.member_list.codec.incarnation)
 
     def on_lease_gained(self) -> None:
-        """Begin rounds, under this fencing token alone."""
+        """Begin rounds under the new fencing token only."""
         self.round_number = 0
         self.fencing_token = self.service.candidates[self.lease].fencing_token
         self.begin_round(self.fencing_token)
 
     def begin_round(self, fencing_token: int) -> None:
-        """Ask all that are alive."""
+        """Request the accounts of all instances that are alive."""
         if not self._may_act(fencing_token):
             return
         self.accounts.begin_round()
         self.round_number += 1
         for member in self.service.member_list.alive():
-            if not self._may_act(fencing_token):  # before each act, not once a round
+            if not self._may_act(fencing_token):  # check before each act, not once per round
                 return
             self._send(member.name, AskAccount(self.lease, fencing_token, self.round_number))
         self.accounts.record_account(self.service.name, self.build_own_account())
@@ -61,7 +61,7 @@
         event_loop.call_later(self.period_ticks, self.begin_round, fencing_token)
 
     def finish_round(self, fencing_token: int) -> None:
-        """Put the sum of what was answered into the history, here and at all others."""
+        """Add the sum of the collected accounts to the history, here and at all other instances."""
         service = self.service
         if not self._may_act(fencing_token):
             return
@@ -70,7 +70,8 @@
         entry = self.accounts.build_entry(fencing_token, self.round_number, now_ms, alive)
         self.history.append(entry)
         if entry["wrong"]:
-            # Logged, as what one instance counts right may still not add up for all.
+            # Log the discrepancies: accounts that balance at each instance may still not balance
+            # across the fleet.
             line = f"fleet out of balance: {'; '.join(entry['wrong'])}"
             service.log(line[:MAX_LOG_LINE_CHARS])
         for name in alive:
@@ -79,9 +80,9 @@
             self._send(name, EntryNotice(self.lease, fencing_token, entry))
 
     def on_datagram(self, sender: str, datagram: AccountsDatagram) -> None:
-        """Take a holder's question or sum, or an instance's answer.
+        """Handle a holder's request or entry, or an instance's reply.
 
-        Raises ProtocolError, ValueError or KeyError for a malformed one.
+        Raises ProtocolError, ValueError or KeyError for a malformed datagram.
         """
         if datagram.kind == AccountsKind.ACCOUNT:
             self._on_account(sender, datagram.reply)
@@ -101,7 +102,7 @@
             self.accounts.record_account(sender, reply.account)
 
     def build_own_account(self) -> dict[str, Any]:
-        """Return the account of this instance at the moment."""
+        """Return the current account of this instance."""
         socket_host = self.service.socket_host
         snapshot = take_snapshot(
             socket_host.ledger, socket_host.event_loop.now, self.service.name, {"id": self.epoch}
@@ -111,7 +112,7 @@
         )
 
     def report_status(self) -> dict[str, Any]:
-        """Return the last entries of the history, for operators."""
+        """Return the latest history entries, for operators."""
         entries = [*self.history.entries][-MAX_SHOWN_ENTRIES:]
         return {"entries": entries, "refused": self.history.refused}
 
--- a/corkgauge/leases/grant_times.py
+++ b/corkgauge/leases/grant_times.py
@@ -1,13 +1,14 @@
-"""When the grant requests were written that voters have granted: how long a lease is held."""
+"""Tracks when granted requests were sent, which determines how long a lease is held."""
 
-MAX_SENT_REQUESTS = 64  # whose time of writing is remembered
+MAX_SENT_REQUESTS = 64  # requests whose send time is kept
 
 
 class GrantTimes:
-    """A candidate's grant requests, and what each voter has granted; times as the caller has them.
+    """The send times of a candidate's grant requests, and the latest request granted by each voter.
 
-    A lease is held from when a majority's last granted requests were all written, as voters count
-    from later: whatever the replies take is lost, and never held too long.
+    Times are in the caller's unit. A lease is held from the time by which a majority's latest
+    granted requests were all sent. Voters count a grant from a later time, so a slow reply shortens
+    the holding period and never extends it beyond the grant.
 
     >>> grants = GrantTimes()
     >>> grants.record_request(1, 100)
@@ -24,38 +25,38 @@
     """
 
     def __init__(self) -> None:
-        self.sent_at: dict[int, int] = {}  # by serial of a request
-        self.granted_at: dict[str, int] = {}  # by voter: when its last granted request was written
+        self.sent_at: dict[int, int] = {}  # send time by serial of the request
+        self.granted_at: dict[str, int] = {}  # send time of the latest granted request, by voter
 
     def record_request(self, serial: int, now: int) -> None:
-        """Remember a request that is about to be written."""
+        """Record the send time of a request, before the request is sent."""
         self.sent_at[serial] = now
 
     def forget_oldest_requests(self) -> None:
-        """Keep the last requests only: replies to older ones count for nothing."""
+        """Keep only the latest requests; replies to older requests are ignored."""
         while len(self.sent_at) > MAX_SENT_REQUESTS:
             del self.sent_at[next(iter(self.sent_at))]
 
     def is_request_known(self, serial: int) -> bool:
-        """Return whether a reply under this serial counts."""
+        """Return whether a reply with this serial counts."""
         return serial in self.sent_at
 
     def record_grant(self, voter: str, serial: int) -> None:
-        """Count a voter's grant; replies may come out of order."""
+        """Record a voter's grant; replies may arrive out of order."""
         self.granted_at[voter] = max(self.sent_at[serial], self.granted_at.get(voter, 0))
 
     def majority_since(self, majority: int) -> int | None:
-        """Return since when a majority's last grants all run, or None if there is no majority."""
+        """Return the time since which a majority's grants count, or None without a majority."""
         if len(self.granted_at) < majority:
             return None
         return sorted(self.granted_at.values(), reverse=True)[majority - 1]
 
     def forget_grants(self) -> None:
-        """Forget what voters granted, but not what was requested."""
+        """Forget all grants, but keep the send times of requests."""
         self.granted_at.clear()
 
     def copy(self) -> "GrantTimes":
-        """Return another one with the same requests and grants."""
+        """Return an independent copy with the same requests and grants."""
         other = GrantTimes()
         other.sent_at = {**self.sent_at}
         other.granted_at = {**self.granted_at}
--- a/corkgauge/leases/interfaces.py
+++ b/corkgauge/leases/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of this package need of whoever runs them."""
+"""Interfaces that the lease package requires of its callers."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
@@ -10,11 +10,11 @@
 
 
 class VoterHost(Protocol):
-    """What a voter needs of its host."""
+    """Services that a voter requires of its host."""
 
     @property
     def now(self) -> int:
-        """Tenths of a millisecond since boot, read anew each time."""
+        """Ticks (tenths of a millisecond) since boot, read from the clock on each access."""
 
     def send(self, name: str, body: list[Any]) -> None:
         """Send a datagram to a candidate."""
@@ -22,47 +22,47 @@
     def persist(
         self, record: dict[str, Any], callback: Callable[..., None], *arguments: Any
     ) -> None:
-        """Call `then` once the record is safe on disk, and never before."""
+        """Call `callback` once the record is durable on disk, and never before."""
 
     def log(self, line: str) -> None:
         """Write a line to the log."""
 
 
 class CandidateHost(Protocol):
-    """What a candidate needs of its host."""
+    """Services that a candidate requires of its host."""
 
     @property
     def now(self) -> int:
-        """Tenths of a millisecond since boot, read anew each time."""
+        """Ticks (tenths of a millisecond) since boot, read from the clock on each access."""
 
     @property
     def date(self) -> int:
-        """The system's time in milliseconds, whose steps cost no safety."""
+        """The system time in milliseconds; steps of this clock do not affect safety."""
 
     def send(self, name: str, body: list[Any]) -> None:
         """Send a datagram to a voter."""
 
     def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
-        """Call a method after so many tenths of a millisecond."""
+        """Call a method after `delay` ticks (tenths of a millisecond)."""
 
     def random_below(self, limit: int) -> int:
-        """Return a number from 0 to `limit` - 1."""
+        """Return a random number from 0 to `limit` - 1."""
 
     def rank_of(self, lease: str) -> int:
-        """Return how many others should try first."""
+        """Return how many other candidates should try to acquire the lease first."""
 
     def on_lease_gained(self, candidate: "LeaseCandidate") -> None:
-        """Notify the host that the lease is held from now on."""
+        """Notify the host that the candidate has acquired the lease."""
 
     def on_lease_lost(self, candidate: "LeaseCandidate", reason: str) -> None:
-        """Notify the host that the lease is held no more."""
+        """Notify the host that the candidate no longer holds the lease."""
 
     def on_lease_released(self, candidate: "LeaseCandidate") -> None:
-        """Notify the host that the lease was given back: the next candidates should know."""
+        """Notify the host of a release, so that the host can notify the next candidates."""
 
 
 class SocketHost(Protocol):
-    """What leases need of the process that they run in."""
+    """Services that leases require of the process that runs them."""
 
     event_loop: EventLoop
     ledger: Any
@@ -76,7 +76,7 @@
     """A subsystem that acts under a lease."""
 
     def on_lease_gained(self) -> None:
-        """Notify the owner that the lease is held from now on."""
+        """Notify the owner that this instance has acquired the lease."""
 
     def on_lease_lost(self) -> None:
-        """Notify the owner that the lease is held no more."""
+        """Notify the owner that this instance no longer holds the lease."""
--- a/corkgauge/leases/leased_command.py
+++ b/corkgauge/leases/leased_command.py
@@ -1,7 +1,7 @@
-"""A command that runs under a lease: when it is begun, and when it must be over.
+"""Decides when a command under a lease starts, and when it must be terminated or killed.
 
-Owns that decision. Free of I/O: the clock is handed in, what to do is its host's. Must never let
-the command run past the time that the instance granted, counted from before it was asked.
+Free of I/O: the caller passes the time, and the host acts on the process. The command must never
+run past the time that the instance granted, counted from before the request to the instance.
 """
 
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class CommandState(Enum):
-    """Where the command is in its life."""
+    """The phase of the command."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -18,23 +18,23 @@
 
 
 class CommandHost(Protocol):
-    """What may be done with the command."""
+    """Actions on the process of the command."""
 
     def begin(self, fencing_token: int) -> None:
-        """Start it, under this fencing token."""
+        """Start the process under this fencing token."""
 
     def terminate(self) -> None:
-        """Send it SIGTERM."""
+        """Send SIGTERM to the process."""
 
     def kill(self) -> None:
-        """Send it SIGKILL."""
+        """Send SIGKILL to the process."""
 
 
 class LeasedCommand:
-    """One command. All times are seconds since boot, or seconds.
+    """One command under a lease; times are seconds, and points in time are seconds since boot.
 
-    `grace_seconds` is what the command has between SIGTERM and SIGKILL, `margin_seconds` what lies
-    between SIGKILL and its death.
+    `grace_seconds` is the time between SIGTERM and SIGKILL. `margin_seconds` is the time between
+    SIGKILL and the end of the process.
     """
 
     def __init__(self, host: CommandHost, grace_seconds: float, margin_seconds: float) -> None:
@@ -49,11 +49,12 @@
     def on_answer(
         self, asked_at: float, is_held: bool, fencing_token: int, left_seconds: float
     ) -> None:
-        """Take the instance's answer: the lease is held for so long from `asked_at` on."""
+        """Handle the instance's reply, which grants `left_seconds` counted from `asked_at`."""
         if not is_held:
             self._terminate("no longer held")
         elif self.state is CommandState.WAITING:
-            # What is begun with less than its grace left would have to be killed at once.
+            # A command that starts with less than its grace period left would have to be ended at
+            # once.
             if left_seconds > 2 * (self.grace_seconds + self.margin_seconds):
                 self.state = CommandState.RUNNING
                 self.fencing_token = fencing_token
@@ -61,13 +62,13 @@
                 self.host.begin(fencing_token)
         elif self.state is CommandState.RUNNING:
             if fencing_token != self.fencing_token:
-                # Lost and had again in between: another may have run meanwhile.
+                # The lease was lost and acquired again, so another command may have run in between.
                 self._terminate("held anew")
             else:
                 self.held_until = max(self.held_until, asked_at + left_seconds)
 
     def check_deadlines(self, now: float) -> None:
-        """Act on the time that goes by, answer or none."""
+        """Terminate or kill the command if its time is over, with or without a reply."""
         if self.state is CommandState.RUNNING and now >= self._terminate_at():
             self._terminate("the time is nearly over")
         if self.state is CommandState.ENDING and now >= self._kill_at():
@@ -75,7 +76,7 @@
             self.host.kill()
 
     def seconds_to_next_check(self, now: float) -> float:
-        """Return the seconds until time alone may change something."""
+        """Return the seconds until the next deadline."""
         if self.state is CommandState.RUNNING:
             return max(self._terminate_at() - now, 0.0)
         if self.state is CommandState.ENDING:
@@ -83,13 +84,13 @@
         return 1.0
 
     def request_end(self, now: float) -> None:
-        """End it for an operator: it has its grace, and no longer."""
+        """Terminate the command at an operator's request, with no more than the grace period."""
         if self.state is CommandState.RUNNING:
             self.held_until = min(self.held_until, now + self.grace_seconds + self.margin_seconds)
             self._terminate("told to end")
 
     def on_exited(self) -> None:
-        """Note that the command has ended by itself, or as it was told."""
+        """Record that the process has exited."""
         self.state = CommandState.OVER
 
     def _terminate_at(self) -> float:
--- a/corkgauge/leases/load_monitor.py
+++ b/corkgauge/leases/load_monitor.py
@@ -1,7 +1,7 @@
-"""The timer that looks at our own load, several times a lease, and at what commands were lent.
+"""Checks the load of this instance several times per lease, and expires loans to commands.
 
-An instance whose loop is late loses its leases by the clock, in the middle of what it does: it
-gives them up by itself, and stands last for as long as it is overloaded.
+An instance whose event loop is late would lose its leases by expiry in the middle of its work. It
+hands them over instead, and ranks last while it is overloaded.
 """
 
 from typing import TYPE_CHECKING
@@ -13,11 +13,11 @@
     from corkgauge.leases.service import LeaseService
 
 CHECKS_PER_LEASE = 10
-MIN_LATE_TICKS = SECOND // 10  # a check is late from here on, however short the lease
+MIN_LATE_TICKS = SECOND // 10  # a shorter delay is never late, however short the lease
 
 
 class LoadMonitor:
-    """Whether one instance is overloaded; hands its leases over when it becomes so."""
+    """Detects overload of this instance, and hands its leases over when overload begins."""
 
     def __init__(self, service: "LeaseService") -> None:
         self.service = service
@@ -25,9 +25,9 @@
         self.sampler = LoadSampler(max(service.timing.renewal_ticks, MIN_LATE_TICKS))
 
     def check(self, due_at: int) -> None:
-        """Look at the load, take back loans that are over, and set the next check.
+        """Sample the load, expire loans to commands, and schedule the next check.
 
-        `due_at` is when this one was due, in tenths of a millisecond since boot.
+        `due_at` is the time that this check was due, in ticks (tenths of a millisecond) since boot.
         """
         service = self.service
         now = service.now
@@ -45,5 +45,5 @@
         service.log(f"duties: {state}")
         for name, candidate in service.candidates.items():
             candidate.set_wanted(service.is_wanted(name))
-            if self.is_overloaded:  # once: whoever takes it next may be no better off
+            if self.is_overloaded:  # only once, because the next holder may be just as overloaded
                 service.hand_over(name, "overloaded")
--- a/corkgauge/leases/operator_commands.py
+++ b/corkgauge/leases/operator_commands.py
@@ -1,7 +1,7 @@
-"""What operators and commands ask of the leases over HTTP, at `/duties`.
+"""Handles HTTP requests of operators and commands on leases, at `/duties`.
 
-Owns the form of questions and answers; names of keys are those that operators and old versions of
-the command line read.
+Owns the form of requests and replies. Operators and old versions of the command line read these
+keys, so the names of the keys never change.
 """
 
 import json
@@ -14,17 +14,17 @@
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
 
-MAX_COMMAND_NAME_CHARS = 100  # characters of a command's name that are kept
+MAX_COMMAND_NAME_CHARS = 100  # longer names are truncated
 
 
 class OperatorCommands:
-    """The HTTP handlers of one instance's leases."""
+    """The HTTP handlers for one instance's leases."""
 
     def __init__(self, service: "LeaseService") -> None:
         self.service = service
 
     def report_status(self, _body: bytes = b"") -> dict[str, Any]:
-        """Answer GET: times are seconds, moments milliseconds of the system's date."""
+        """Handle GET; durations are seconds, points in time are system time in milliseconds."""
         service = self.service
         now = service.now
         return {
@@ -68,10 +68,10 @@
         }
 
     def handle_request(self, body: bytes) -> dict[str, Any]:
-        """Answer POST.
+        """Handle POST.
 
         Requests are `{"do": "hold", "duty", "by"}`, `{"do": "done", "duty", "by"}` and
-        `{"do": "yield", "duty"}`. Raises ValueError and KeyError for any other.
+        `{"do": "yield", "duty"}`. Raises ValueError or KeyError for any other request.
         """
         request = json.loads(body)
         lease = request["duty"]
@@ -89,7 +89,7 @@
         raise ValueError("expected hold, done or yield")
 
     def _yield_lease(self, candidate: LeaseCandidate) -> dict[str, Any]:
-        """Give a lease up, or ask its holder to."""
+        """Hand a lease over, or ask its holder to do so."""
         service = self.service
         lease = candidate.lease
         holder = candidate.known_holder
--- a/corkgauge/leases/placement.py
+++ b/corkgauge/leases/placement.py
@@ -1,27 +1,28 @@
-"""Where leases should be held: spread over zones, and away from instances that are overloaded.
+"""Decides where leases should be held: spread over zones and away from overloaded instances.
 
-Owns an order among candidates that all work out alike from what they know, and an instance's
-judgement of its own load. Free of I/O. Must never take a lease from a holder that keeps it: this is
-a hint on who tries first.
+Owns the order of candidates, which all instances calculate alike from the same information, and an
+instance's assessment of its own load. Free of I/O. The order only suggests which candidate tries
+first; it must never take a lease from a holder that keeps the lease.
 """
 
 from collections import deque
 from collections.abc import Mapping, Sequence
 from zlib import crc32
 
-MAX_RANK = 6  # later ones try together, with chance between them
-LOAD_SAMPLE_COUNT = 8  # last checks of our own load that count
-LATE_SAMPLE_COUNT = 2  # of these late: overloaded
-RECOVERY_TICKS = 100_000  # tenths of a millisecond without a late check, before it stands again
+MAX_RANK = 6  # candidates from this rank on try together, separated by random delays
+LOAD_SAMPLE_COUNT = 8  # latest load checks that count
+LATE_SAMPLE_COUNT = 2  # late checks among them that mean overload
+RECOVERY_TICKS = 100_000  # time without a late check until the overload ends
 
 
 def preferred_order(
     lease: str, members: Sequence[tuple[str, str]], holders: Mapping[str, str]
 ) -> list[str]:
-    """Return names of the candidates, the first to try first.
+    """Return the names of the candidates, in the order in which they should try.
 
-    `members` are name and zone of those alive, `holders` says who holds which lease. Zones that
-    hold fewer other leases come first, then instances that hold fewer, then by hash.
+    `members` holds name and zone of the alive instances, and `holders` the known holder of each
+    lease. Candidates are ordered by the number of other leases held in their zone, then by the
+    number of other leases they hold, then by a hash.
 
     >>> members = [("n1", "a"), ("n2", "a"), ("n3", "b")]
     >>> preferred_order("books", members, {"works": "n1"})[0]
@@ -43,13 +44,13 @@
 def rank_of(
     lease: str, name: str, members: Sequence[tuple[str, str]], holders: Mapping[str, str]
 ) -> int:
-    """Return how many should try before this one, at most MAX_RANK."""
+    """Return how many candidates should try before this one, at most MAX_RANK."""
     names = preferred_order(lease, members, holders)
     return min(names.index(name), MAX_RANK) if name in names else MAX_RANK
 
 
 class LoadSampler:
-    """An instance's judgement of itself: whether its loop is late again and again.
+    """Detects overload of an instance from repeated late checks of its event loop.
 
     >>> load = LoadSampler(100)
     >>> checks = (0, 0), (500, 130), (1000, 0), (1500, 150), (2000, 0)
@@ -60,12 +61,12 @@
     """
 
     def __init__(self, late_threshold_ticks: int) -> None:
-        self.late_threshold_ticks = late_threshold_ticks  # a check this late counts
+        self.late_threshold_ticks = late_threshold_ticks  # a check this late counts as late
         self.samples: deque[bool] = deque(maxlen=LOAD_SAMPLE_COUNT)
         self.overloaded_until = -1
 
     def record_check(self, now: int, late_by: int) -> bool:
-        """Return whether we are overloaded, after a timer that was `late_by` late."""
+        """Record a check that was `late_by` ticks late, and return whether overload exists."""
         is_late = late_by >= self.late_threshold_ticks
         self.samples.append(is_late)
         if is_late and sum(self.samples) >= LATE_SAMPLE_COUNT:
--- a/corkgauge/leases/reconfiguration.py
+++ b/corkgauge/leases/reconfiguration.py
@@ -1,4 +1,4 @@
-"""A reload of the leases' part of the operator file: checked whole, then applied."""
+"""Validates and applies changed lease settings of the operator file."""
 
 from typing import TYPE_CHECKING
 
@@ -15,9 +15,9 @@
 
 
 def read_lease_settings(settings: LeaseConfig) -> tuple[VoterConfiguration, LeaseTiming]:
-    """Return the voter configuration and the times that an operator file states.
+    """Return the voter configuration and the lease timing of an operator file.
 
-    Raises ConfigurationError where they make no sense.
+    Raises ConfigurationError if they are invalid.
     """
     try:
         return (
@@ -29,9 +29,9 @@
 
 
 def reload_settings(service: "LeaseService", settings: LeaseConfig) -> None:
-    """Take another voter configuration, other times, or other leases.
+    """Apply a changed voter configuration, changed lease times, or a changed set of leases.
 
-    Raises ConfigurationError, and changes nothing, where that is not safe.
+    Raises ConfigurationError, and changes nothing, if the change is unsafe.
     """
     configuration, timing = read_lease_settings(settings)
     _check_change(service, configuration)
@@ -60,11 +60,14 @@
 
 
 def _remove_unconfigured_leases(service: "LeaseService") -> None:
-    """Give up the leases that are named no more; those of other subsystems are never named."""
+    """Release the leases that were removed from the operator file.
+
+    Leases of other subsystems are never named in the operator file, and stay.
+    """
     named = {name for name, *_ in service.settings.duties}
     for name in [*service.candidates]:
         if name not in named and name not in service.owners:
-            service.candidates[name].release("no longer named")
+            service.candidates[name].release("removed from the operator file")
             service.candidates.pop(name).set_wanted(False)
             service.collectors.pop(name, None)
 
--- a/corkgauge/leases/tally.py
+++ b/corkgauge/leases/tally.py
@@ -1,12 +1,13 @@
-"""The voters' answers in one round of a candidate."""
+"""Counts the voters' replies in one round of a candidate."""
 
 from corkgauge.leases.voter_configuration import VoterConfiguration
 
 
 class Tally:
-    """Who accepted, who refused, and how long each is still bound by a grant to another.
+    """Records which voters accepted or rejected, and how long each is blocked by another grant.
 
-    The voter configuration is handed in each time, as it may change within a round.
+    Callers pass the voter configuration to each method, because the configuration may change during
+    a round.
 
     >>> tally, configuration = Tally(), VoterConfiguration(1, "abc")
     >>> tally.record("a", is_accepted=False, blocked_ticks=400)
@@ -23,31 +24,32 @@
         self.blocked_ticks: dict[str, int] = {}
 
     def record(self, voter: str, is_accepted: bool, blocked_ticks: int | None = None) -> None:
-        """Count a voter's answer; its last one counts.
+        """Record a voter's reply, which replaces the voter's earlier reply.
 
-        `blocked_ticks` is in tenths of a millisecond; None: as it was last reported.
+        `blocked_ticks` is in ticks (tenths of a millisecond); None keeps the voter's last reported
+        value.
         """
         self.accepted[voter] = is_accepted
         if blocked_ticks is not None:
             self.blocked_ticks[voter] = blocked_ticks
 
     def clear_acceptances(self) -> None:
-        """Forget who accepted. How long each voter is bound stays known."""
+        """Forget which voters accepted, but keep how long each voter is blocked."""
         self.accepted = {}
 
     def has_majority(self, configuration: VoterConfiguration) -> bool:
-        """Return whether enough voters have accepted."""
+        """Return whether a majority of the voters has accepted."""
         return sum(self.accepted.values()) >= configuration.majority
 
     def is_majority_impossible(self, configuration: VoterConfiguration) -> bool:
-        """Return whether so many have refused that no majority is left."""
+        """Return whether so many voters have rejected that no majority can be reached."""
         refusals = len(self.accepted) - sum(self.accepted.values())
         return refusals > len(configuration.names) - configuration.majority
 
     def earliest_retry_ticks(self, configuration: VoterConfiguration, unanswered_ticks: int) -> int:
-        """Return how long until so many voters are free that they may be a majority.
+        """Return the ticks until enough voters may be free to form a majority.
 
-        Voters that have not answered are counted after all others, as bound for
+        Voters without a reply are ordered after all others and count as blocked for
         `unanswered_ticks`.
         """
         waits = [
@@ -59,7 +61,7 @@
         return waits[configuration.majority - 1]
 
     def copy(self) -> "Tally":
-        """Return another tally with the same answers."""
+        """Return an independent copy with the same replies."""
         other = Tally()
         other.accepted = {**self.accepted}
         other.blocked_ticks = {**self.blocked_ticks}
