--- a/tests/test_lease_messages.py
+++ b/tests/test_lease_messages.py
@@ -1,4 +1,4 @@
-"""Messages of leases, the tally of a round, the times of grants, and the pacing of rounds."""
+"""Lease and fleet accounts messages, tallies, grant times and round pacing."""
 
 import msgpack
 import pytest
@@ -39,7 +39,7 @@
     [(Probe, 0), (Prepare, 2), (GrantRequest, 4), (Release, 6)],
     ids=["probe", "prepare", "grant-request", "release"],
 )
-def test_a_request_is_the_list_of_the_wire_and_back(request_type, kind):
+def test_request_encodes_to_wire_list_and_decodes_back(request_type, kind):
     request = request_type("books", 3, 99, 5, 700)
     assert request.encode() == [kind, "books", 3, 99, 5, 700]
     assert decode_request(request.encode()) == request
@@ -51,22 +51,22 @@
     [(ProbeReply, 1), (PrepareReply, 3), (GrantReply, 5)],
     ids=["probe-reply", "prepare-reply", "grant-reply"],
 )
-def test_a_reply_is_the_list_of_the_wire_and_back(reply_type, kind):
+def test_reply_encodes_to_wire_list_and_decodes_back(reply_type, kind):
     reply = reply_type("books", 3, 99, 5, True, 700, 40, "n2")
     assert reply.encode() == [kind, "books", 3, 99, 5, True, 700, 40, "n2"]
     assert decode_reply(msgpack.unpackb(msgpack.packb(reply.encode()))) == reply
 
 
-def test_a_vacancy_notice_is_the_list_of_the_wire():
+def test_vacancy_notice_encodes_to_wire_list():
     assert LeaseVacant("books", 3, 99).encode() == [7, "books", 3, 99, 0]
 
 
 @pytest.mark.parametrize("kind", range(8))
-def test_replies_and_notices_are_for_candidates_and_requests_for_voters(kind):
+def test_replies_and_notices_are_for_candidates_and_requests_are_for_voters(kind):
     assert decode_address([kind, "books", 1, 99]).is_for_candidate is (kind in (1, 3, 5, 7))
 
 
-def test_what_a_later_version_appends_is_ignored():
+def test_fields_appended_by_later_versions_are_ignored():
     assert decode_request([0, "books", 1, 99, 5, 0, "more"]) == Probe("books", 1, 99, 5, 0)
     assert decode_reply_envelope([7, "books", 1, 99, 0, "more"]).serial == 0
 
@@ -88,7 +88,7 @@
         [[], "books", 1, 99, 5, 700],
     ],
 )
-def test_a_malformed_request_raises(body):
+def test_malformed_request_raises_protocol_error(body):
     with pytest.raises(ProtocolError):
         decode_request(body)
 
@@ -107,18 +107,18 @@
         [{}, "books", 1, 99, 5, True, 700, 0, ""],
     ],
 )
-def test_a_malformed_reply_raises(body):
+def test_malformed_reply_raises_protocol_error(body):
     with pytest.raises(ProtocolError):
         decode_reply(body)
 
 
 @pytest.mark.parametrize("version", [None, "1", [1]])
-def test_a_request_under_no_version_raises(version):
+def test_request_without_numeric_version_raises_protocol_error(version):
     with pytest.raises(ProtocolError):
         decode_request_envelope([0, "books", version, 99, 5, 0])
 
 
-def test_a_tally_has_a_majority_once_enough_have_accepted():
+def test_tally_has_majority_after_enough_acceptances():
     tally = Tally()
     assert not tally.has_majority(THREE_VOTERS)
     tally.record("a", is_accepted=True)
@@ -127,7 +127,7 @@
     assert tally.has_majority(THREE_VOTERS) and not tally.is_majority_impossible(THREE_VOTERS)
 
 
-def test_the_last_answer_of_a_voter_counts():
+def test_tally_counts_last_reply_of_each_voter():
     tally = Tally()
     for voter in "ab":
         tally.record(voter, is_accepted=False, blocked_ticks=10)
@@ -146,24 +146,24 @@
     ],
     ids=["all-bound", "one-free", "one-silent", "nobody-answered"],
 )
-def test_the_earliest_retry_is_when_a_majority_may_be_free(answers, expected):
+def test_earliest_retry_is_when_majority_may_be_free(answers, expected):
     tally = Tally()
     for voter, blocked_ticks in answers.items():
         tally.record(voter, is_accepted=not blocked_ticks, blocked_ticks=blocked_ticks)
     assert tally.earliest_retry_ticks(THREE_VOTERS, unanswered_ticks=50) == expected
 
 
-def test_a_copied_tally_is_one_of_its_own():
+def test_copied_tally_is_independent():
     tally = Tally()
     tally.record("a", is_accepted=False, blocked_ticks=10)
-    other = tally.copy()
-    other.record("b", is_accepted=False, blocked_ticks=20)
-    assert other.is_majority_impossible(THREE_VOTERS) and not tally.is_majority_impossible(
+    tally_copy = tally.copy()
+    tally_copy.record("b", is_accepted=False, blocked_ticks=20)
+    assert tally_copy.is_majority_impossible(THREE_VOTERS) and not tally.is_majority_impossible(
         THREE_VOTERS
     )
 
 
-def test_a_lease_is_held_since_a_majority_s_last_granted_requests():
+def test_majority_since_uses_last_granted_request_of_each_voter():
     grants = GrantTimes()
     for serial, now in (1, 100), (2, 150), (3, 200):
         grants.record_request(serial, now)
@@ -173,13 +173,13 @@
     assert grants.majority_since(2) == 100
     grants.record_grant("c", 2)
     assert grants.majority_since(2) == 150
-    grants.record_grant("a", 1)  # late, and out of order
+    grants.record_grant("a", 1)  # a late reply, out of order
     assert grants.majority_since(2) == 150
     grants.forget_grants()
     assert grants.majority_since(1) is None and grants.is_request_known(1)
 
 
-def test_requests_that_are_remembered_are_bounded():
+def test_number_of_remembered_requests_is_bounded():
     grants = GrantTimes()
     for serial in range(MAX_SENT_REQUESTS + 10):
         grants.record_request(serial, serial)
@@ -188,7 +188,7 @@
     assert not grants.is_request_known(9) and grants.is_request_known(10)
 
 
-def test_patience_and_pauses_grow_up_to_a_bound_and_begin_anew():
+def test_timeouts_and_pauses_grow_to_a_bound_and_reset_on_success():
     pacing = RoundPacing()
     waits = []
     for _ in range(6):
@@ -210,12 +210,12 @@
     ],
     ids=["ask", "account", "entry", "refused"],
 )
-def test_a_message_on_accounts_is_the_list_of_the_wire(message, body):
+def test_accounts_message_encodes_to_wire_list(message, body):
     assert message.encode() == body
     assert type(message.encode()[0]) is str
 
 
-def test_a_datagram_on_accounts_is_decoded_where_it_is_needed():
+def test_accounts_datagram_decodes_fields_on_access():
     assert AccountsDatagram.decode(["ask", "books", 700, 3]).round_number == 3
     assert AccountsDatagram.decode(["entry", "books", 700, {"number": 3}]).entry == {"number": 3}
     reply = AccountsDatagram.decode(["account", "books", 3, {}]).reply
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "part"),
+    ("body", "field"),
     [
         (["ask", "books"], "fencing_token"),
         (["ask", "books", "x"], "fencing_token"),
@@ -236,13 +236,13 @@
         (["account", "books", 3, {}, "more"], "reply"),
     ],
 )
-def test_a_malformed_part_of_a_datagram_on_accounts_raises(body, part):
+def test_malformed_field_of_accounts_datagram_raises_protocol_error(body, field):
     datagram = AccountsDatagram.decode(body)
     with pytest.raises(ProtocolError):
-        getattr(datagram, part)
+        getattr(datagram, field)
 
 
 @pytest.mark.parametrize("body", [None, {}, "ask", ["ask"]])
-def test_a_datagram_on_accounts_without_kind_and_lease_raises(body):
+def test_accounts_datagram_without_kind_and_lease_raises_protocol_error(body):
     with pytest.raises(ProtocolError):
         AccountsDatagram.decode(body)
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -1,4 +1,4 @@
-"""Three offices of duties on a clock of the test's own: loops that are late, disks that are slow."""
+"""Three lease services on a simulated clock, with late event loops and slow disks."""
 
 from heapq import heappop, heappush
 from types import SimpleNamespace
@@ -6,7 +6,7 @@
 import pytest
 
 from corkgauge.config.operator_file import LeaseConfig
-from corkgauge.leases import service as offices
+from corkgauge.leases import service
 from corkgauge.leases.candidate import CandidateState
 from corkgauge.leases.service import LeaseService
 from corkgauge.membership.member_list import ALIVE
@@ -18,7 +18,7 @@
 
 
 class Owner:
-    """Of the duty, at one office; nothing is done under it but to hold it."""
+    """An owner that holds the lease without acting under the lease."""
 
     def on_lease_gained(self):
         pass
@@ -27,14 +27,23 @@
         pass
 
 
-class Member:
-    """An office with all that it stands on: `late` is when its loop goes on, `disk` how long a write takes."""
+class Instance:
+    """A lease service with simulated surroundings.
 
-    def __init__(self, rack, name, zone, disk):
-        self.rack, self.name, self.disk, self.late, self.lines = rack, name, disk, 0, []
+    `paused_until` is when its event loop resumes, `disk_write_ticks` how long a disk write takes.
+    """
+
+    def __init__(self, fleet, name, zone, disk_write_ticks):
+        self.fleet, self.name, self.disk_write_ticks, self.paused_until, self.lines = (
+            fleet,
+            name,
+            disk_write_ticks,
+            0,
+            [],
+        )
         self.waiting, self.writing = [], []
         self.event_loop = SimpleNamespace(
-            now=0, call_later=self.call_later, date=lambda: 10 * rack.now
+            now=0, call_later=self.call_later, date=lambda: 10 * fleet.now
         )
         self.member_list = SimpleNamespace(
             calls={},
@@ -50,126 +59,134 @@
             call=self.call,
         )
         socket_host = SimpleNamespace(event_loop=self.event_loop, log=self.lines.append, routes={})
-        said = LeaseConfig(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
-        self.office = LeaseService(
+        settings = LeaseConfig(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
+        self.lease_service = LeaseService(
             socket_host,
             SimpleNamespace(name=name),
-            said,
-            SimpleNamespace(member_list=self.member_list, chance=rack.chance.below),
+            settings,
+            SimpleNamespace(member_list=self.member_list, chance=fleet.chance.below),
         )
-        self.office.voter.silent_until = 0
-        self.office.durable_record.write = self.keep
-        self.office.add_candidate("works", Owner())
+        self.lease_service.voter.silent_until = 0
+        self.lease_service.durable_record.write = self.persist
+        self.lease_service.add_candidate("works", Owner())
 
-    def call_later(self, delay, method, *what):
-        self.rack.call_later(max(delay, 1), self, method, *what)
+    def call_later(self, delay, method, *arguments):
+        self.fleet.call_later(max(delay, 1), self, method, *arguments)
 
     def call(self, name, subject, body):
-        self.rack.call_later(
-            5, self.rack.members[name], self.rack.hears, name, subject, self.name, body
+        self.fleet.call_later(
+            5, self.fleet.instances[name], self.fleet.deliver, name, subject, self.name, body
         )
         return True
 
-    def keep(self, record, then, *what):
-        """One write after the other; what came meanwhile is written together, as the helper has it."""
-        if not self.disk:
-            return then(*what)
-        self.waiting.append((then, what))
+    def persist(self, record, callback, *arguments):
+        """Write one record at a time, and all records queued meanwhile together."""
+        if not self.disk_write_ticks:
+            return callback(*arguments)
+        self.waiting.append((callback, arguments))
         if len(self.waiting) == 1 and not self.writing:
-            self.write()
+            self.start_write()
 
-    def write(self):
+    def start_write(self):
         self.writing, self.waiting = self.waiting, []
         if self.writing:
-            self.rack.call_later(self.disk, self, self.written)
+            self.fleet.call_later(self.disk_write_ticks, self, self.on_write_finished)
 
-    def written(self):
-        safe = self.writing
-        self.write()
-        for then, what in safe:
-            then(*what)
+    def on_write_finished(self):
+        durable = self.writing
+        self.start_write()
+        for callback, arguments in durable:
+            callback(*arguments)
 
-    def holds(self):
-        return self.office.candidates["works"].state is CandidateState.HOLDING
+    def is_holding(self):
+        return self.lease_service.candidates["works"].state is CandidateState.HOLDING
 
 
-class Rack:
-    def __init__(self, monkeypatch, disk=0):
+class SimulatedFleet:
+    def __init__(self, monkeypatch, disk_write_ticks=0):
         self.now, self.serial, self.events, self.chance = SECOND, 0, [], SeededRandom(7)
-        monkeypatch.setattr(offices, "boot_time", lambda: self.now)
-        self.members = {}
+        monkeypatch.setattr(service, "boot_time", lambda: self.now)
+        self.instances = {}
         for name in NAMES:
-            self.members[name] = Member(self, name, f"hall-{name}", disk)
+            self.instances[name] = Instance(self, name, f"hall-{name}", disk_write_ticks)
 
-    def call_later(self, delay, member, method, *what):
+    def call_later(self, delay, instance, method, *arguments):
         self.serial += 1
-        heappush(self.events, (self.now + int(delay), self.serial, member, method, what))
-
-    def hears(self, name, subject, sender, body):
-        self.members[name].member_list.calls[subject](sender, body)
-
-    def until(self, when):
-        """Go on to this moment: the longest time without a holder, and who held it."""
-        vacant, since, held = 0, None, set()
-        while self.events and self.events[0][0] <= when:
-            at, _, member, method, what = heappop(self.events)
-            if member.late > at:  # its loop stands still: what was due comes when it goes on
+        heappush(self.events, (self.now + int(delay), self.serial, instance, method, arguments))
+
+    def deliver(self, name, subject, sender, body):
+        self.instances[name].member_list.calls[subject](sender, body)
+
+    def run_until(self, until):
+        """Run until `until`; return the longest time without a holder, and all holders."""
+        longest_vacancy, vacant_since, holders = 0, None, set()
+        while self.events and self.events[0][0] <= until:
+            due_at, _, instance, method, arguments = heappop(self.events)
+            # Events of a paused event loop run when the loop resumes.
+            if instance.paused_until > due_at:
                 self.serial += 1
-                heappush(self.events, (member.late, self.serial, member, method, what))
+                heappush(
+                    self.events, (instance.paused_until, self.serial, instance, method, arguments)
+                )
                 continue
-            self.now = member.event_loop.now = max(self.now, at)
-            method(*what)
-            holding = [each.name for each in self.members.values() if each.holds()]
-            held.update(holding)
-            since = None if holding else self.now if since is None else since
-            vacant = max(vacant, self.now - since) if since is not None else vacant
-        self.now = when
-        return vacant, held
-
-    def stall(self, names, span):
+            self.now = instance.event_loop.now = max(self.now, due_at)
+            method(*arguments)
+            holding = [each.name for each in self.instances.values() if each.is_holding()]
+            holders.update(holding)
+            vacant_since = None if holding else self.now if vacant_since is None else vacant_since
+            longest_vacancy = (
+                max(longest_vacancy, self.now - vacant_since)
+                if vacant_since is not None
+                else longest_vacancy
+            )
+        self.now = until
+        return longest_vacancy, holders
+
+    def pause(self, names, ticks):
         for name in names:
-            self.members[name].late = self.now + span
+            self.instances[name].paused_until = self.now + ticks
 
     def overload(self, names):
-        """Their loops stand still for a quarter of a second, twice: two late looks, and less than a lease."""
+        """Pause event loops twice for 250 ms: two late load checks, each shorter than a lease."""
         for _ in range(2):
-            self.stall(names, 2_500)
-            self.until(self.now + 4_000)
-
-
-def test_where_all_are_overloaded_at_once_the_duty_is_held_all_the_same(monkeypatch):
-    rack = Rack(monkeypatch)
-    rack.until(3 * SECOND)
-    assert [each.holds() for each in rack.members.values()].count(True) == 1
-    rack.overload(NAMES)
-    assert all(each.office.is_overloaded for each in rack.members.values())
-    vacant, held = rack.until(
-        rack.now + 9 * SECOND
-    )  # they call themselves overloaded for ten seconds
-    assert vacant < 2 * LEASE and held
-    assert all(each.office.is_overloaded for each in rack.members.values())
-
-
-@pytest.mark.parametrize("many", [1, 2])
-def test_a_duty_goes_to_one_that_is_not_overloaded(monkeypatch, many):
-    rack = Rack(monkeypatch)
-    rack.until(3 * SECOND)
-    holder = next(name for name, each in rack.members.items() if each.holds())
-    names = [holder, *(name for name in NAMES if name != holder)][:many]
-    rack.overload(names)
-    assert any("overloaded, standing last" in line for line in rack.members[holder].lines)
-    assert any("given up" in line and "overloaded" in line for line in rack.members[holder].lines)
-    rack.until(rack.now + LEASE)
-    vacant, held = rack.until(rack.now + 7 * SECOND)
-    assert vacant == 0 and len(held) == 1 and not held & {*names}
-    rack.until(rack.now + 10 * SECOND)
-    assert not any(each.office.is_overloaded for each in rack.members.values())
-
-
-@pytest.mark.parametrize("part", [0.5, 1.3, 2.0])
-def test_disks_that_take_longer_than_a_round_waits_still_give_a_holder(monkeypatch, part):
-    """Parts of the span that voters have for an answer in the first round, an eighth of a lease."""
-    rack = Rack(monkeypatch, disk=int(part * LEASE / 8))
-    vacant, held = rack.until(rack.now + 5 * SECOND)
-    assert len(held) == 1 and vacant < 4 * LEASE
-    assert rack.until(rack.now + 5 * SECOND) == (0, held)
+            self.pause(names, 2_500)
+            self.run_until(self.now + 4_000)
+
+
+def test_lease_is_held_although_all_instances_are_overloaded(monkeypatch):
+    fleet = SimulatedFleet(monkeypatch)
+    fleet.run_until(3 * SECOND)
+    assert [each.is_holding() for each in fleet.instances.values()].count(True) == 1
+    fleet.overload(NAMES)
+    assert all(each.lease_service.is_overloaded for each in fleet.instances.values())
+    # An instance stays overloaded for ten seconds.
+    longest_vacancy, holders = fleet.run_until(fleet.now + 9 * SECOND)
+    assert longest_vacancy < 2 * LEASE and holders
+    assert all(each.lease_service.is_overloaded for each in fleet.instances.values())
+
+
+@pytest.mark.parametrize("overloaded_count", [1, 2])
+def test_lease_moves_to_instance_that_is_not_overloaded(monkeypatch, overloaded_count):
+    fleet = SimulatedFleet(monkeypatch)
+    fleet.run_until(3 * SECOND)
+    holder = next(name for name, each in fleet.instances.items() if each.is_holding())
+    names = [holder, *(name for name in NAMES if name != holder)][:overloaded_count]
+    fleet.overload(names)
+    assert any("overloaded, standing last" in line for line in fleet.instances[holder].lines)
+    assert any(
+        "given up" in line and "overloaded" in line for line in fleet.instances[holder].lines
+    )
+    fleet.run_until(fleet.now + LEASE)
+    longest_vacancy, holders = fleet.run_until(fleet.now + 7 * SECOND)
+    assert longest_vacancy == 0 and len(holders) == 1 and not holders & {*names}
+    fleet.run_until(fleet.now + 10 * SECOND)
+    assert not any(each.lease_service.is_overloaded for each in fleet.instances.values())
+
+
+@pytest.mark.parametrize("fraction", [0.5, 1.3, 2.0])
+def test_lease_is_acquired_with_slow_disks(monkeypatch, fraction):
+    """A disk write takes `fraction` of the first round timeout, which is an eighth of a lease."""
+    fleet = SimulatedFleet(monkeypatch, disk_write_ticks=int(fraction * LEASE / 8))
+    longest_vacancy, holders = fleet.run_until(fleet.now + 5 * SECOND)
+    assert len(holders) == 1 and longest_vacancy < 4 * LEASE
+    assert fleet.run_until(fleet.now + 5 * SECOND) == (0, holders)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Duties: votes and grants, lists of voters, every order of events, days with drifting clocks; defences left out."""
+"""Lease voters, candidates, commands, durable records, fleet accounts and simulated fleets."""
 
 import os
 import signal
@@ -26,10 +26,10 @@
 
 
 class RecordingHost:
-    """A voter's or candidate's host, which records what it is asked for."""
+    """A host of a voter or candidate that records all calls."""
 
     def __init__(self):
-        self.now, self.date, self.sent, self.timers, self.unwritten, self.events = (
+        self.now, self.date, self.sent, self.timers, self.pending_writes, self.events = (
             1000,
             5,
             [],
@@ -42,16 +42,16 @@
     def send(self, name, body):
         self.sent.append((name, body))
 
-    def persist(self, record, then, *what):
+    def persist(self, record, callback, *arguments):
         if self.slow_disk:
-            self.unwritten.append((record, then, what))
+            self.pending_writes.append((record, callback, arguments))
         else:
-            then(*what)
+            callback(*arguments)
 
-    def call_later(self, delay, method, *what):
-        self.timers.append((self.now + delay, method, what))
+    def call_later(self, delay, method, *arguments):
+        self.timers.append((self.now + delay, method, arguments))
 
-    def random_below(self, below):
+    def random_below(self, limit):
         return 0
 
     def rank_of(self, lease):
@@ -60,109 +60,114 @@
     def log(self, line):
         self.events.append(line)
 
-    def on_lease_gained(self, holder):
+    def on_lease_gained(self, candidate):
         self.events.append("gained")
 
-    def on_lease_lost(self, holder, why):
-        self.events.append(f"lost: {why}")
+    def on_lease_lost(self, candidate, reason):
+        self.events.append(f"lost: {reason}")
 
-    def on_lease_released(self, holder):
+    def on_lease_released(self, candidate):
         self.events.append("vacant")
 
-    def ask(self, voter, kind, sender="a", incarnation=1, ballot=0, configuration=CONFIGURATION):
-        """One request to a voter: yes, no, or None for silence."""
+    def send_request(
+        self, voter, kind, sender="a", incarnation=1, ballot=0, configuration=CONFIGURATION
+    ):
+        """Send a request to the voter; return whether it was accepted, or None without a reply."""
         before = len(self.sent)
         body = [kind, "d", configuration.version, configuration.fingerprint, 1, ballot]
         voter.on_datagram(sender, incarnation, body)
         return self.sent[-1][1][5] if len(self.sent) > before else None
 
 
-def make_voter(kept=(), **more):
+def make_voter(stored=(), **options):
     host = RecordingHost()
     return host, Voter(
-        host, "b", CONFIGURATION, TIMING, dict(kept) if kept is not None else None, **more
+        host, "b", CONFIGURATION, TIMING, dict(stored) if stored is not None else None, **options
     )
 
 
-def test_a_grant_is_kept_from_others_until_it_is_over_and_no_number_disturbs_it():
+def test_voter_rejects_other_candidates_until_its_grant_expires():
     host, voter = make_voter()
-    assert host.ask(voter, MessageKind.PROBE) and host.ask(voter, MessageKind.PREPARE, ballot=7)
-    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7)
+    assert host.send_request(voter, MessageKind.PROBE) and host.send_request(
+        voter, MessageKind.PREPARE, ballot=7
+    )
+    assert host.send_request(voter, MessageKind.GRANT_REQUEST, ballot=7)
     for kind in MessageKind.PROBE, MessageKind.PREPARE, MessageKind.GRANT_REQUEST:
-        assert host.ask(voter, kind, sender="c", ballot=2**59) is False
-    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7)  # its holder renews it
+        assert host.send_request(voter, kind, sender="c", ballot=2**59) is False
+    assert host.send_request(voter, MessageKind.GRANT_REQUEST, ballot=7)  # renewal by the holder
     host.now += TIMING.grant_ticks - 1
-    assert host.ask(voter, MessageKind.PROBE, sender="c") is False
+    assert host.send_request(voter, MessageKind.PROBE, sender="c") is False
     host.now += 1
-    assert host.ask(voter, MessageKind.PROBE, sender="c") and host.ask(
+    assert host.send_request(voter, MessageKind.PROBE, sender="c") and host.send_request(
         voter, MessageKind.PREPARE, sender="c", ballot=8
     )
-    assert (
-        host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7) is False
-    )  # what was promised is above it
+    # The ballot is below the promised ballot.
+    assert host.send_request(voter, MessageKind.GRANT_REQUEST, ballot=7) is False
 
 
-def test_a_holder_that_started_anew_is_another():
+def test_voter_treats_restarted_holder_as_another_holder():
     host, voter = make_voter()
-    assert host.ask(voter, MessageKind.PREPARE, ballot=7) and host.ask(
+    assert host.send_request(voter, MessageKind.PREPARE, ballot=7) and host.send_request(
         voter, MessageKind.GRANT_REQUEST, ballot=7
     )
-    assert host.ask(voter, MessageKind.PREPARE, incarnation=2, ballot=9) is False
+    assert host.send_request(voter, MessageKind.PREPARE, incarnation=2, ballot=9) is False
 
 
-def test_a_duty_that_is_given_back_is_free_at_once_and_a_late_grant_binds_nobody():
+def test_released_lease_is_free_at_once_and_late_grant_request_is_rejected():
     host, voter = make_voter()
-    assert host.ask(voter, MessageKind.PREPARE, ballot=7) and host.ask(
+    assert host.send_request(voter, MessageKind.PREPARE, ballot=7) and host.send_request(
         voter, MessageKind.GRANT_REQUEST, ballot=7
     )
-    assert host.ask(voter, MessageKind.RELEASE, sender="c", ballot=7) is None
-    assert host.ask(voter, MessageKind.PROBE, sender="c") is False  # not its to give back
-    host.ask(voter, MessageKind.RELEASE, ballot=7)
-    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7) is False and host.ask(
-        voter, MessageKind.PROBE, sender="c"
-    )
+    assert host.send_request(voter, MessageKind.RELEASE, sender="c", ballot=7) is None
+    # Only the holder can release the lease.
+    assert host.send_request(voter, MessageKind.PROBE, sender="c") is False
+    host.send_request(voter, MessageKind.RELEASE, ballot=7)
+    assert host.send_request(
+        voter, MessageKind.GRANT_REQUEST, ballot=7
+    ) is False and host.send_request(voter, MessageKind.PROBE, sender="c")
 
 
-def test_a_voter_that_may_have_forgotten_is_silent_for_a_longest_lease():
-    host, voter = make_voter(kept=None)
-    assert host.ask(voter, MessageKind.PROBE) is None and not voter.is_voting
+def test_voter_without_stored_votes_is_silent_for_longest_lease():
+    host, voter = make_voter(stored=None)
+    assert host.send_request(voter, MessageKind.PROBE) is None and not voter.is_voting
     host.now += TIMING.silence_ticks
-    assert host.ask(voter, MessageKind.PROBE) and voter.is_voting
+    assert host.send_request(voter, MessageKind.PROBE) and voter.is_voting
 
 
-def test_a_voter_with_a_folder_says_nothing_before_it_is_written_and_needs_no_silence():
+def test_voter_with_stored_votes_replies_only_after_persisting_and_votes_at_once_after_restart():
     host, voter = make_voter()
     host.slow_disk = True
-    assert host.ask(voter, MessageKind.PREPARE, ballot=7) is None
-    record, then, what = host.unwritten.pop()
-    then(*what)
+    assert host.send_request(voter, MessageKind.PREPARE, ballot=7) is None
+    _record, callback, arguments = host.pending_writes.pop()
+    callback(*arguments)
     assert host.sent[-1][1][5] is True
     host.slow_disk = False
-    assert host.ask(voter, MessageKind.GRANT_REQUEST, ballot=7)
+    assert host.send_request(voter, MessageKind.GRANT_REQUEST, ballot=7)
     record = {"d": voter.votes["d"].encode()}
-    again, voter = make_voter(kept=record)
-    assert again.ask(voter, MessageKind.PROBE, sender="c") is False and again.ask(
-        voter, MessageKind.GRANT_REQUEST, ballot=7
-    )
-    assert again.ask(voter, MessageKind.PREPARE, sender="c", ballot=6) is False
+    restarted_host, voter = make_voter(stored=record)
+    assert restarted_host.send_request(
+        voter, MessageKind.PROBE, sender="c"
+    ) is False and restarted_host.send_request(voter, MessageKind.GRANT_REQUEST, ballot=7)
+    assert restarted_host.send_request(voter, MessageKind.PREPARE, sender="c", ballot=6) is False
 
 
-def test_another_list_gets_no_vote_and_an_older_one_gives_none():
+def test_voter_ignores_other_configurations_and_stops_voting_when_its_own_is_outdated():
     host, voter = make_voter()
     newer = VoterConfiguration(2, ["a", "b"], SECOND)
     assert (
-        host.ask(voter, MessageKind.PROBE, configuration=VoterConfiguration(1, ["a", "b"], SECOND))
+        host.send_request(
+            voter, MessageKind.PROBE, configuration=VoterConfiguration(1, ["a", "b"], SECOND)
+        )
         is None
     )
-    assert host.ask(voter, MessageKind.PROBE) is True
-    assert host.ask(voter, MessageKind.PROBE, configuration=newer) is None and host.events
-    assert (
-        host.ask(voter, MessageKind.PROBE) is None
-    )  # it has an old file, and lends its vote to nobody
+    assert host.send_request(voter, MessageKind.PROBE) is True
+    assert host.send_request(voter, MessageKind.PROBE, configuration=newer) is None and host.events
+    # The voter's own configuration is outdated, so it votes for no candidate.
+    assert host.send_request(voter, MessageKind.PROBE) is None
     voter.reconfigure(newer, TIMING)
-    assert host.ask(voter, MessageKind.PROBE, configuration=newer) is None
+    assert host.send_request(voter, MessageKind.PROBE, configuration=newer) is None
     host.now += TIMING.silence_ticks
-    assert host.ask(voter, MessageKind.PROBE, configuration=newer) is True
+    assert host.send_request(voter, MessageKind.PROBE, configuration=newer) is True
 
 
 @pytest.mark.parametrize(
@@ -176,59 +181,59 @@
         [99, "d", 1, CONFIGURATION.fingerprint, 1, 7],
     ],
 )
-def test_a_letter_that_makes_no_sense_changes_no_vote(body):
+def test_malformed_request_changes_no_vote(body):
     host, voter = make_voter()
     with pytest.raises((ValueError, TypeError, KeyError)):
         voter.on_datagram("a", 1, body)
     assert all(vote.encode() == [0, 0, "", 0] for vote in voter.votes.values()) and not host.sent
 
 
-def test_names_of_duties_without_end_do_not_fill_a_voter():
-    host, voter = make_voter()
+def test_voter_bounds_number_of_leases():
+    _host, voter = make_voter()
     for n in range(300):
         voter.on_datagram("a", 1, [MessageKind.PROBE, f"d{n}", 1, CONFIGURATION.fingerprint, 1, 0])
     assert len(voter.votes) == 64 and voter.counts["too many duties"] == 236
 
 
-def test_steps_between_lists():
-    one = VoterConfiguration(1, "abc", 5)
-    there = {name: (1, one.fingerprint) for name in "abc"}
+def test_configuration_change_is_accepted_only_if_safe():
+    current = VoterConfiguration(1, "abc", 5)
+    reported_by_all = {name: (1, current.fingerprint) for name in "abc"}
     for new in (
         VoterConfiguration(2, "abcd", 5),
         VoterConfiguration(2, "ab", 5),
         VoterConfiguration(2, "abc", 9),
         VoterConfiguration(1, "abc", 5),
     ):
-        one.check_change_to(new, there)
-    for new, told in (
-        (VoterConfiguration(3, "abcd", 5), there),
-        (VoterConfiguration(2, "abd", 5), there),
-        (VoterConfiguration(1, "abcd", 5), there),
-        (VoterConfiguration(2, "abcd", 5), {"a": (1, one.fingerprint), "b": (0, 7)}),
+        current.check_change_to(new, reported_by_all)
+    for new, reported in (
+        (VoterConfiguration(3, "abcd", 5), reported_by_all),
+        (VoterConfiguration(2, "abd", 5), reported_by_all),
+        (VoterConfiguration(1, "abcd", 5), reported_by_all),
+        (VoterConfiguration(2, "abcd", 5), {"a": (1, current.fingerprint), "b": (0, 7)}),
     ):
         with pytest.raises(UnsafeChangeError):
-            one.check_change_to(new, told)
+            current.check_change_to(new, reported)
 
 
-def test_majorities_of_lists_one_step_apart_always_meet():
+def test_majorities_of_configurations_differing_by_one_voter_intersect():
     from itertools import combinations
 
-    for many in range(1, 7):
-        small, large = range(many), range(many + 1)
-        for one in combinations(small, many // 2 + 1):
-            for other in combinations(large, (many + 1) // 2 + 1):
-                assert {*one} & {*other}
+    for voter_count in range(1, 7):
+        smaller, larger = range(voter_count), range(voter_count + 1)
+        for majority in combinations(smaller, voter_count // 2 + 1):
+            for other_majority in combinations(larger, (voter_count + 1) // 2 + 1):
+                assert {*majority} & {*other_majority}
 
 
-class Candidate:
-    """A candidate against voters that answer as the test says."""
+class CandidateHarness:
+    """A candidate whose voters reply as the test specifies."""
 
     def __init__(self):
         self.host = RecordingHost()
-        self.holder = LeaseCandidate(self.host, "d", "a", CONFIGURATION, TIMING)
+        self.candidate = LeaseCandidate(self.host, "d", "a", CONFIGURATION, TIMING)
 
-    def pass_time(self, span):
-        until = self.host.now + span
+    def advance(self, ticks):
+        until = self.host.now + ticks
         while due := min(
             (each for each in self.host.timers if each[0] <= until),
             key=lambda each: each[0],
@@ -239,28 +244,39 @@
             due[1](*due[2])
         self.host.now = until
 
-    def answer(self, *voters, yes=True, left=0):
-        """The last request to each of these is answered."""
+    def reply(self, *voters, is_accepted=True, blocked_ticks=0):
+        """Reply to the last request sent to each of these voters."""
         for voter in voters:
             body = next(body for name, body in reversed(self.host.sent) if name == voter)
-            self.holder.on_datagram(
-                voter, [body[0] + 1, "d", 1, CONFIGURATION.fingerprint, body[4], yes, 0, left, ""]
+            self.candidate.on_datagram(
+                voter,
+                [
+                    body[0] + 1,
+                    "d",
+                    1,
+                    CONFIGURATION.fingerprint,
+                    body[4],
+                    is_accepted,
+                    0,
+                    blocked_ticks,
+                    "",
+                ],
             )
 
-    def hold(self):
-        self.pass_time(10)
+    def acquire(self):
+        self.advance(10)
         for _ in range(3):
-            self.answer("a", "b")
-        assert self.holder.state == CandidateState.HOLDING
+            self.reply("a", "b")
+        assert self.candidate.state == CandidateState.HOLDING
         return self
 
 
-def test_a_duty_given_back_while_it_is_asked_for_is_asked_for_again_and_answers_of_before_count_for_nothing():
-    candidate = Candidate()
-    candidate.pass_time(10)
-    holder, host = candidate.holder, candidate.host
-    assert holder.state == CandidateState.PROBING
-    late = [
+def test_vacancy_notice_replaces_probe_round_and_late_probe_replies_are_ignored():
+    harness = CandidateHarness()
+    harness.advance(10)
+    candidate, host = harness.candidate, harness.host
+    assert candidate.state == CandidateState.PROBING
+    late_replies = [
         [
             MessageKind.PROBE_REPLY,
             "d",
@@ -274,226 +290,240 @@
         ]
         for _ in "ab"
     ]
-    holder.on_datagram("c", [MessageKind.VACANT, "d", 1, CONFIGURATION.fingerprint, 0])
-    for voter, body in zip("ab", late):
-        holder.on_datagram(voter, body)
-    candidate.pass_time(10)
-    for _ in range(2):  # a ballot, a grant: nobody has to be asked first
-        candidate.answer("a", "b")
-    assert holder.state == CandidateState.HOLDING
+    candidate.on_datagram("c", [MessageKind.VACANT, "d", 1, CONFIGURATION.fingerprint, 0])
+    for voter, body in zip("ab", late_replies):
+        candidate.on_datagram(voter, body)
+    harness.advance(10)
+    for _ in range(2):  # prepare and grant rounds; the probe round is skipped
+        harness.reply("a", "b")
+    assert candidate.state == CandidateState.HOLDING
 
 
-def test_after_a_round_that_nobody_answered_in_time_the_next_is_waited_for_longer_up_to_a_bound():
-    candidate, waited = Candidate(), []
+def test_round_timeout_grows_to_a_bound_after_unanswered_rounds():
+    harness, timeouts = CandidateHarness(), []
     for _ in range(5):
-        while candidate.holder.state != CandidateState.PROBING:
-            candidate.pass_time(1)
-        begun = candidate.host.now
-        while candidate.holder.state == CandidateState.PROBING:
-            candidate.pass_time(1)
-        waited.append(candidate.host.now - begun)
-    assert waited == [TIMING.reply_ticks, 2 * TIMING.reply_ticks, *[3 * TIMING.reply_ticks] * 3]
-    # A promise is used while its voter would still be silent, had it forgotten it.
-    assert waited[-1] + TIMING.hold_ticks // 2 < TIMING.silence_ticks
-
-
-def test_a_duty_is_held_from_before_it_was_asked_for_and_not_a_moment_longer():
-    one = Candidate()
-    one.pass_time(10)
-    one.answer("a", "b")
-    one.answer("b", "c")
-    asked = one.host.now
-    one.pass_time(300)  # the answers take their time, and that is lost
-    one.answer("a", "c")
-    assert one.holder.may_act() and one.holder.held_until <= asked + 300 + TIMING.hold_ticks
-    one.host.now = one.holder.held_until - 1
-    assert one.holder.may_act()
-    one.host.now = one.holder.held_until
+        while harness.candidate.state != CandidateState.PROBING:
+            harness.advance(1)
+        started_at = harness.host.now
+        while harness.candidate.state == CandidateState.PROBING:
+            harness.advance(1)
+        timeouts.append(harness.host.now - started_at)
+    assert timeouts == [TIMING.reply_ticks, 2 * TIMING.reply_ticks, *[3 * TIMING.reply_ticks] * 3]
+    # A promise is used only while a restarted voter, which has lost the promise, would be silent.
+    assert timeouts[-1] + TIMING.hold_ticks // 2 < TIMING.silence_ticks
+
+
+def test_holding_period_counts_from_before_the_grant_request():
+    harness = CandidateHarness()
+    harness.advance(10)
+    harness.reply("a", "b")
+    harness.reply("b", "c")
+    requested_at = harness.host.now
+    harness.advance(300)  # slow replies shorten the holding period
+    harness.reply("a", "c")
     assert (
-        not one.holder.may_act() and one.holder.state == CandidateState.HOLDING
-    )  # whatever its timers say
-
-
-def test_grants_of_a_minority_hold_nothing_and_old_ones_run_out_voter_by_voter():
-    one = Candidate().hold()
-    until = one.holder.held_until
-    one.pass_time(2 * TIMING.renewal_ticks)
-    one.answer("a")
-    assert one.holder.held_until == until
-    one.answer("c")
-    assert one.holder.held_until > until
-    one.pass_time(SECOND)
-    assert not one.holder.may_act() and "lost: lapsed" in one.host.events
-
-
-def test_a_late_answer_of_an_earlier_time_in_office_counts_for_nothing():
-    one = Candidate().hold()
-    one.pass_time(TIMING.renewal_ticks)
-    late = [body for name, body in one.host.sent if name == "b"][-1]
-    one.holder.release("told")
-    one.pass_time(SECOND)
+        harness.candidate.may_act()
+        and harness.candidate.held_until <= requested_at + 300 + TIMING.hold_ticks
+    )
+    harness.host.now = harness.candidate.held_until - 1
+    assert harness.candidate.may_act()
+    harness.host.now = harness.candidate.held_until
+    # `may_act` reads the clock, even if the expiry timer has not run yet.
+    assert not harness.candidate.may_act() and harness.candidate.state == CandidateState.HOLDING
+
+
+def test_only_renewals_by_a_majority_extend_lease():
+    harness = CandidateHarness().acquire()
+    until = harness.candidate.held_until
+    harness.advance(2 * TIMING.renewal_ticks)
+    harness.reply("a")
+    assert harness.candidate.held_until == until
+    harness.reply("c")
+    assert harness.candidate.held_until > until
+    harness.advance(SECOND)
+    assert not harness.candidate.may_act() and "lost: lapsed" in harness.host.events
+
+
+def test_late_grant_reply_of_earlier_holding_period_is_ignored():
+    harness = CandidateHarness().acquire()
+    harness.advance(TIMING.renewal_ticks)
+    late_request = [body for name, body in harness.host.sent if name == "b"][-1]
+    harness.candidate.release("told")
+    harness.advance(SECOND)
     for _ in range(2):
-        one.answer("a", "b")
-    one.holder.on_datagram(
-        "b", [late[0] + 1, "d", 1, CONFIGURATION.fingerprint, late[4], True, 0, 0, ""]
+        harness.reply("a", "b")
+    harness.candidate.on_datagram(
+        "b",
+        [late_request[0] + 1, "d", 1, CONFIGURATION.fingerprint, late_request[4], True, 0, 0, ""],
     )
-    one.holder.on_datagram(
-        "a", [late[0] + 1, "d", 1, CONFIGURATION.fingerprint, late[4], True, 0, 0, ""]
+    harness.candidate.on_datagram(
+        "a",
+        [late_request[0] + 1, "d", 1, CONFIGURATION.fingerprint, late_request[4], True, 0, 0, ""],
     )
-    assert not one.holder.may_act()
+    assert not harness.candidate.may_act()
 
 
-def test_a_candidate_comes_back_when_a_majority_is_free_again():
-    one = Candidate()
-    one.pass_time(10)
-    one.answer("a", "b", yes=False, left=4000)
-    before = len(one.host.sent)
-    one.pass_time(3990)
-    assert len(one.host.sent) == before
-    one.pass_time(100)
-    assert len(one.host.sent) > before
+def test_rejected_candidate_retries_when_majority_is_free():
+    harness = CandidateHarness()
+    harness.advance(10)
+    harness.reply("a", "b", is_accepted=False, blocked_ticks=4000)
+    sent_before = len(harness.host.sent)
+    harness.advance(3990)
+    assert len(harness.host.sent) == sent_before
+    harness.advance(100)
+    assert len(harness.host.sent) > sent_before
 
 
-def test_a_planned_end_is_told_to_voters_and_to_the_next():
-    one = Candidate().hold()
-    one.holder.release("told")
-    assert [body[0] for _, body in one.host.sent[-3:]] == [
+def test_release_notifies_voters_and_next_candidates():
+    harness = CandidateHarness().acquire()
+    harness.candidate.release("told")
+    assert [body[0] for _, body in harness.host.sent[-3:]] == [
         MessageKind.RELEASE
-    ] * 3 and not one.holder.may_act()
-    assert one.host.events[-2:] == ["lost: told", "vacant"]
+    ] * 3 and not harness.candidate.may_act()
+    assert harness.host.events[-2:] == ["lost: told", "vacant"]
 
 
-def test_an_outbid_holder_gives_up_and_comes_back_above():
-    one = Candidate().hold()
-    one.holder.on_preempted(one.holder.fencing_token + 10**6)
-    assert not one.holder.may_act()
-    high = one.holder.highest_ballot
-    one.pass_time(200)
+def test_preempted_holder_releases_and_reacquires_with_higher_token():
+    harness = CandidateHarness().acquire()
+    harness.candidate.on_preempted(harness.candidate.fencing_token + 10**6)
+    assert not harness.candidate.may_act()
+    highest_ballot = harness.candidate.highest_ballot
+    harness.advance(200)
     for _ in range(3):
-        one.answer("a", "b")
-    assert one.holder.may_act() and one.holder.fencing_token > high
+        harness.reply("a", "b")
+    assert harness.candidate.may_act() and harness.candidate.fencing_token > highest_ballot
 
 
-def test_every_order_of_events_near_the_start_and_around_a_holder():
-    near, held = explore(9), explore(5, held=True)
-    assert not near.found and not held.found and held.held > 100
-    assert near.states > 700 and held.states > 500
+def test_model_checker_finds_no_violation_near_start_and_around_holder():
+    near_start, around_holder = explore(9), explore(5, held=True)
+    assert not near_start.found and not around_holder.found and around_holder.held > 100
+    assert near_start.states > 700 and around_holder.states > 500
 
 
-def test_days_with_drifting_clocks_never_have_two_at_once():
-    held = 0
+def test_simulations_with_drifting_clocks_have_one_holder_at_a_time():
+    handover_count = 0
     for seed in range(60):
         world = World(drawn(seed, (3, 5)[seed % 2], disk=seed % 3 == 0))
         assert world.run() == [], drawn(seed, (3, 5)[seed % 2], disk=seed % 3 == 0)
-        held += len(world.handovers)
-    assert held > 100
+        handover_count += len(world.handovers)
+    assert handover_count > 100
 
 
-SORTS = {"silence": ("restart", "cut", "cut"), "drift": ("cut", "deaf")}
+FAULT_KINDS = {"silence": ("restart", "cut", "cut"), "drift": ("cut", "deaf")}
 
 
 @pytest.mark.parametrize("off", ["silence", "drift", "check", "fence", "busy"])
-def test_the_judge_objects_where_a_defence_is_left_out(off):
+def test_simulation_detects_each_disabled_safeguard(off):
     for seed in range(400):
         day = drawn(
             seed,
             3,
             off=(off,),
             drift=0.1 if off == "drift" else 0.01,
-            sorts=SORTS.get(off, FAULTS),
+            sorts=FAULT_KINDS.get(off, FAULTS),
             many=8,
         )
         if World(day).run():
-            short = shortest(day)
-            assert World(short).run() and len(short.faults) <= len(day.faults)
+            minimized_day = shortest(day)
+            assert World(minimized_day).run() and len(minimized_day.faults) <= len(day.faults)
             return
     raise AssertionError(f"nothing was found without {off}")
 
 
-def test_the_same_day_is_the_same_day():
-    one, other = World(drawn(7, 5)), World(drawn(7, 5))
-    assert (one.run(), one.handovers, one.acts) == (other.run(), other.handovers, other.acts)
-    assert one.day.length == 12 * LEASE
+def test_simulation_is_deterministic():
+    first, second = World(drawn(7, 5)), World(drawn(7, 5))
+    assert (first.run(), first.handovers, first.acts) == (
+        second.run(),
+        second.handovers,
+        second.acts,
+    )
+    assert first.day.length == 12 * LEASE
+
 
+class RecordingProcess:
+    """A command's process that records the actions on it."""
 
-class Child:
     def __init__(self):
-        self.done = []
+        self.actions = []
 
-    def begin(self, fence):
-        self.done.append(fence)
+    def begin(self, fencing_token):
+        self.actions.append(fencing_token)
 
     def terminate(self):
-        self.done.append("term")
+        self.actions.append("term")
 
     def kill(self):
-        self.done.append("kill")
+        self.actions.append("kill")
 
 
-def test_a_command_is_dead_before_its_duty_is_over():
-    child = Child()
-    running = LeasedCommand(child, grace_seconds=1.0, margin_seconds=0.1)
-    running.on_answer(10.0, True, 7, 1.5)
-    assert running.state == CommandState.WAITING  # too little left to begin
-    running.on_answer(10.0, True, 7, 5.0)
-    assert running.state == CommandState.RUNNING and child.done == [7]
-    running.on_answer(11.0, True, 7, 5.0)
+def test_command_is_killed_before_lease_expires():
+    process = RecordingProcess()
+    command = LeasedCommand(process, grace_seconds=1.0, margin_seconds=0.1)
+    command.on_answer(10.0, True, 7, 1.5)
+    assert command.state == CommandState.WAITING  # too little time left to start
+    command.on_answer(10.0, True, 7, 5.0)
+    assert command.state == CommandState.RUNNING and process.actions == [7]
+    command.on_answer(11.0, True, 7, 5.0)
     for now, state in (
         (14.8, CommandState.RUNNING),
         (14.91, CommandState.ENDING),
         (15.8, CommandState.ENDING),
         (15.91, CommandState.OVER),
     ):
-        running.check_deadlines(now)
-        assert running.state == state, now
-    assert child.done == [7, "term", "kill"]
+        command.check_deadlines(now)
+        assert command.state == state, now
+    assert process.actions == [7, "term", "kill"]
 
 
 @pytest.mark.parametrize("answer", [(11.0, False, 0, 0.0), (11.0, True, 8, 5.0)])
-def test_a_command_is_ended_when_its_duty_is_gone_or_had_anew(answer):
-    child = Child()
-    running = LeasedCommand(child, 1.0, 0.1)
-    running.on_answer(10.0, True, 7, 5.0)
-    running.on_answer(*answer)
-    assert running.state == CommandState.ENDING and child.done == [7, "term"]
-    running.on_exited()
-    running.check_deadlines(99.0)
-    assert child.done == [7, "term"]
-
-
-@pytest.mark.parametrize("cut", range(0, 40, 4))
-def test_kept_votes_are_whole_or_nothing(cut):
+def test_command_is_terminated_when_lease_is_lost_or_reacquired(answer):
+    process = RecordingProcess()
+    command = LeasedCommand(process, 1.0, 0.1)
+    command.on_answer(10.0, True, 7, 5.0)
+    command.on_answer(*answer)
+    assert command.state == CommandState.ENDING and process.actions == [7, "term"]
+    command.on_exited()
+    command.check_deadlines(99.0)
+    assert process.actions == [7, "term"]
+
+
+@pytest.mark.parametrize("length", range(0, 40, 4))
+def test_truncated_or_altered_record_is_rejected(length):
     data = record_writer.pack_record(b"votes of a voter")
     assert record_writer.unpack_record(data) == b"votes of a voter"
-    if cut < len(data):
-        assert record_writer.unpack_record(data[:cut]) is None
+    if length < len(data):
+        assert record_writer.unpack_record(data[:length]) is None
         assert (
-            record_writer.unpack_record(data[:cut] + bytes([data[cut] ^ 1]) + data[cut + 1 :])
+            record_writer.unpack_record(
+                data[:length] + bytes([data[length] ^ 1]) + data[length + 1 :]
+            )
             is None
         )
 
 
-def test_the_helper_answers_what_is_safe_and_only_that(tmp_path):
+def test_record_writer_confirms_only_durable_records(tmp_path):
     path = str(tmp_path / "votes")
-    frames = b"".join(record_writer.FRAME_HEADER.pack(n, 4) + b"vot%d" % n for n in (1, 2))
-    done = subprocess.run(
+    frames = b"".join(
+        record_writer.FRAME_HEADER.pack(number, 4) + b"vot%d" % number for number in (1, 2)
+    )
+    result = subprocess.run(
         [sys.executable, record_writer.__file__, path],
         input=frames + record_writer.FRAME_HEADER.pack(3, 9) + b"part",
         capture_output=True,
     )
     assert (
-        done.stdout == b"\1\0\0\0\2\0\0\0"
+        result.stdout == b"\1\0\0\0\2\0\0\0"
         and record_writer.unpack_record(open(path, "rb").read()) == b"vot2"
     )
-    gone = subprocess.run(
+    failed_result = subprocess.run(
         [sys.executable, record_writer.__file__, str(tmp_path / "no" / "votes")],
         input=frames,
         capture_output=True,
     )
-    assert gone.stdout == b"" and not os.path.exists(tmp_path / "no")
+    assert failed_result.stdout == b"" and not os.path.exists(tmp_path / "no")
 
 
-COUNTED = """
+COUNTING_RECORD_WRITER = """
 import sys
 from corkgauge.leases import record_writer
 real, sizes = record_writer.write_file, []
@@ -504,46 +534,57 @@
 """
 
 
-def test_what_comes_while_the_disk_is_busy_is_written_once_and_all_of_it_answered(tmp_path):
+def test_record_writer_writes_queued_frames_once_and_confirms_all(tmp_path):
     path = str(tmp_path / "votes")
-    frames = b"".join(record_writer.FRAME_HEADER.pack(n, 4) + b"vo%02d" % n for n in range(1, 41))
-    done = subprocess.run([sys.executable, "-c", COUNTED, path], input=frames, capture_output=True)
+    frames = b"".join(
+        record_writer.FRAME_HEADER.pack(number, 4) + b"vo%02d" % number for number in range(1, 41)
+    )
+    result = subprocess.run(
+        [sys.executable, "-c", COUNTING_RECORD_WRITER, path], input=frames, capture_output=True
+    )
+    assert (
+        result.stdout == b"".join(number.to_bytes(4, "little") for number in range(1, 41))
+        and result.returncode == 0
+    )
     assert (
-        done.stdout == b"".join(n.to_bytes(4, "little") for n in range(1, 41))
-        and done.returncode == 0
+        record_writer.unpack_record(open(path, "rb").read()) == b"vo40" and int(result.stderr) <= 2
     )
-    assert record_writer.unpack_record(open(path, "rb").read()) == b"vo40" and int(done.stderr) <= 2
 
 
-def test_the_same_record_is_written_once_for_all_who_wait_for_it_and_again_where_no_answer_came(
+def test_identical_record_is_written_once_and_rewritten_without_confirmation(
     tmp_path,
 ):
-    event_loop, said = EventLoop(), []
+    event_loop, completed = EventLoop(), []
     durable_record = DurableRecord(
-        event_loop, said.append, str(tmp_path), "votes", "torn", "unwritten"
+        event_loop, completed.append, str(tmp_path), "votes", "torn", "unwritten"
     )
 
-    def settled(many):
+    def wait_for_callbacks(count):
         until = event_loop.now + 10 * SECOND
-        while len(said) < many and event_loop.now < until:
+        while len(completed) < count and event_loop.now < until:
             event_loop.turn(20)
-        return said
+        return completed
 
     try:
-        for n in range(5):
-            durable_record.write({"d": 1}, said.append, n)
-        assert durable_record.last_number == 1 and said == [] and settled(5) == [0, 1, 2, 3, 4]
-        durable_record.write({"d": 1}, said.append, 5)
-        assert said[5:] == [5] and durable_record.last_number == 1  # it is safe already
+        for number in range(5):
+            durable_record.write({"d": 1}, completed.append, number)
+        assert (
+            durable_record.last_number == 1
+            and completed == []
+            and wait_for_callbacks(5) == [0, 1, 2, 3, 4]
+        )
+        durable_record.write({"d": 1}, completed.append, 5)
+        # The record is already durable, so the callback runs without another write.
+        assert completed[5:] == [5] and durable_record.last_number == 1
         durable_record.helper.send_signal(signal.SIGSTOP)
-        durable_record.write({"d": 2}, said.append, 6)
-        durable_record.write({"d": 2}, said.append, 7)
+        durable_record.write({"d": 2}, completed.append, 6)
+        durable_record.write({"d": 2}, completed.append, 7)
         assert durable_record.last_number == 2
         event_loop.now += SECOND
-        durable_record.write({"d": 2}, said.append, 8)
-        assert durable_record.last_number == 3 and said[6:] == []
+        durable_record.write({"d": 2}, completed.append, 8)
+        assert durable_record.last_number == 3 and completed[6:] == []
         durable_record.helper.send_signal(signal.SIGCONT)
-        assert settled(9)[6:] == [6, 7, 8]
+        assert wait_for_callbacks(9)[6:] == [6, 7, 8]
         assert record_writer.unpack_record((tmp_path / "votes").read_bytes()) == msgpack.packb(
             {"d": 2}
         )
@@ -567,41 +608,44 @@
     }
 
 
-def test_the_fleets_books_add_up_over_epochs_and_say_what_does_not():
-    books = FleetAccounts()
-    books.begin_round()
-    books.record_account("n1", account("x", 5, 4, 5, open_=1))
-    books.record_account("n2", account("y", 7, 7, 7))
-    entry = books.build_entry(9, 1, 0, ["n2", "n3"])
+def test_fleet_accounts_sum_epochs_and_list_discrepancies():
+    fleet_accounts = FleetAccounts()
+    fleet_accounts.begin_round()
+    fleet_accounts.record_account("n1", account("x", 5, 4, 5, open_=1))
+    fleet_accounts.record_account("n2", account("y", 7, 7, 7))
+    entry = fleet_accounts.build_entry(9, 1, 0, ["n2", "n3"])
     assert (entry["taken"], entry["missing"], entry["wrong"], entry["cut_off"]) == (
         12,
         ["n3"],
         [],
         0,
     )
-    books.begin_round()
-    books.record_account("n1", account("z", 1, 1, 1))  # it started anew: what was open was cut off
-    books.record_account("n2", account("y", 6, 6, 6))
-    entry = books.build_entry(9, 2, 0, ["n2"])
+    fleet_accounts.begin_round()
+    # The restart of n1 cut off its open request.
+    fleet_accounts.record_account("n1", account("z", 1, 1, 1))
+    fleet_accounts.record_account("n2", account("y", 6, 6, 6))
+    entry = fleet_accounts.build_entry(9, 2, 0, ["n2"])
     assert (
         entry["taken"] == 12 and entry["cut_off"] == 1 and "n2: taken was 7, is 6" in entry["wrong"]
     )
-    books.record_account("n2", account("y", 9, 8, 9, engines=8))
-    assert any("engines were handed" in line for line in books.build_entry(9, 3, 0, [])["wrong"])
+    fleet_accounts.record_account("n2", account("y", 9, 8, 9, engines=8))
+    assert any(
+        "engines were handed" in line for line in fleet_accounts.build_entry(9, 3, 0, [])["wrong"]
+    )
     with pytest.raises(ValueError):
-        books.record_account("n3", {"epoch": "q", "taken": -1})
+        fleet_accounts.record_account("n3", {"epoch": "q", "taken": -1})
     for n in range(40):
-        books.record_account("n4", account(f"e{n}", 1, 1, 1))
+        fleet_accounts.record_account("n4", account(f"e{n}", 1, 1, 1))
     assert (
-        books.build_entry(9, 4, 0, [])["taken"] == 5 + 1 + 9 + 40
+        fleet_accounts.build_entry(9, 4, 0, [])["taken"] == 5 + 1 + 9 + 40
         and find_discrepancies(account("q", 1, 0, 0)) != []
     )
 
 
-def test_candidates_agree_on_an_order_and_an_overloaded_one_says_so():
+def test_preferred_order_spreads_leases_over_zones():
     members = [(f"n{n}", f"hall-{n % 3}") for n in range(9)]
-    held = {}
-    for duty in "abc":
-        held[duty] = placement.preferred_order(duty, members, held)[0]
-    assert len({dict(members)[name] for name in held.values()}) == 3
+    holders = {}
+    for lease in "abc":
+        holders[lease] = placement.preferred_order(lease, members, holders)[0]
+    assert len({dict(members)[name] for name in holders.values()}) == 3
     assert placement.rank_of("a", "nobody", members, {}) == placement.MAX_RANK
