--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -113,9 +113,9 @@
         No act is permitted after this call. This instance then does not compete for the lease for
         `pause_ticks`, and for at least one lease duration.
         """
-        previous = self.state
+        previous_state = self.state
         self._end_holding(reason)
-        if previous in (CandidateState.REQUESTING, CandidateState.HOLDING):
+        if previous_state in (CandidateState.REQUESTING, CandidateState.HOLDING):
             self._broadcast(Release, self.ballot)
             self.host.on_lease_released(self)
         self._schedule_probe(max(pause_ticks, self.timing.lease_ticks))
@@ -220,12 +220,12 @@
         majority_since = self.grants.majority_since(self.configuration.majority)
         if majority_since is None:
             return
-        until = majority_since + self.timing.hold_ticks
+        held_until = majority_since + self.timing.hold_ticks
         if self.state is CandidateState.HOLDING:
-            self.held_until = max(self.held_until, until)
+            self.held_until = max(self.held_until, held_until)
         else:
-            self.held_until = until
-            if self.host.now < until:
+            self.held_until = held_until
+            if self.host.now < held_until:
                 self._begin_holding()
 
     # Rounds.
@@ -249,9 +249,9 @@
         else:
             self.pacing.record_failure()
         rank_ticks = self.host.rank_of(self.lease) * self.timing.stagger_ticks
-        self._schedule_probe(wait_ticks + rank_ticks + self._jitter_ticks())
+        self._schedule_probe(wait_ticks + rank_ticks + self._choose_jitter_ticks())
 
-    def _jitter_ticks(self) -> int:
+    def _choose_jitter_ticks(self) -> int:
         limit = self.pacing.jitter_limit_ticks(self.timing.stagger_ticks)
         return 1 + self.host.random_below(limit)
 
@@ -307,7 +307,7 @@
         """
         self.pacing.record_failure()
         pause_ticks = self.timing.reply_ticks * self.pacing.backoff(waited)
-        self._schedule_probe(pause_ticks + self._jitter_ticks())
+        self._schedule_probe(pause_ticks + self._choose_jitter_ticks())
 
     def _begin_requesting(self) -> None:
         self.state = CandidateState.REQUESTING
@@ -324,8 +324,8 @@
         if self.state is CandidateState.HOLDING and now >= self.held_until:
             self._expire_lease()
             return
-        promises_end = self.requesting_since + self.timing.hold_ticks // 2
-        if self.state is CandidateState.REQUESTING and now >= promises_end:
+        promise_deadline = self.requesting_since + self.timing.hold_ticks // 2
+        if self.state is CandidateState.REQUESTING and now >= promise_deadline:
             # A voter that restarted is silent for one lease duration, so promises are reliable for
             # that long only; an older promise may have been lost in a restart.
             self._back_off()
@@ -356,12 +356,12 @@
 
     def _expire_lease(self) -> None:
         self._end_holding("lapsed")
-        self._schedule_probe(1 + self._jitter_ticks())
+        self._schedule_probe(1 + self._choose_jitter_ticks())
 
     def _end_holding(self, reason: str) -> None:
-        previous = self.state
+        previous_state = self.state
         self.state = CandidateState.WATCHING
-        if previous is CandidateState.HOLDING:
+        if previous_state is CandidateState.HOLDING:
             self.last_reason = reason
             self.known_holder = ""
             self.host.on_lease_lost(self, reason)
--- a/corkgauge/leases/candidate_ranking.py
+++ b/corkgauge/leases/candidate_ranking.py
@@ -25,18 +25,20 @@
         nobody would hold the lease until they recovered.
         """
         service = self.service
-        rank = placement.rank_of(lease, service.name, self._present(), self._known_holders())
+        rank = placement.rank_of(
+            lease, service.name, self._list_present_members(), self._get_known_holders()
+        )
         if service.is_overloaded:
             rank += service.timing.lease_ticks // (2 * service.timing.stagger_ticks)
         return rank
 
-    def successors(self, lease: str) -> list[str]:
+    def list_successors(self, lease: str) -> list[str]:
         """Return the instances to notify first when this instance releases the lease."""
-        others = [each for each in self._present() if each[0] != self.service.name]
-        names = placement.preferred_order(lease, others, self._known_holders())
+        others = [each for each in self._list_present_members() if each[0] != self.service.name]
+        names = placement.preferred_order(lease, others, self._get_known_holders())
         return names[:VACANCY_NOTICE_COUNT]
 
-    def _present(self) -> list[tuple[str, str]]:
+    def _list_present_members(self) -> list[tuple[str, str]]:
         """Return name and zone of the instances that are alive or suspected, this instance last."""
         member_list = self.service.member_list
         present = [
@@ -46,7 +48,7 @@
         ]
         return [*present, (self.service.name, member_list.zone)]
 
-    def _known_holders(self) -> dict[str, str]:
+    def _get_known_holders(self) -> dict[str, str]:
         return {
             name: candidate.known_holder
             for name, candidate in self.service.candidates.items()
--- a/corkgauge/leases/command_loans.py
+++ b/corkgauge/leases/command_loans.py
@@ -39,7 +39,7 @@
         """Return whether a command has recently requested the lease."""
         return lease in self.last_requested_at
 
-    def command_of(self, lease: str) -> str:
+    def get_command(self, lease: str) -> str:
         """Return the command that runs under the lease, or an empty string."""
         loan = self.loans.get(lease)
         return loan.command if loan is not None else ""
@@ -63,7 +63,7 @@
             return {
                 "held": False,
                 "holder": candidate.known_holder,
-                "in_use": self.command_of(lease),
+                "in_use": self.get_command(lease),
             }
         self.loans[lease] = Loan(command, candidate.held_until)
         return {
@@ -75,7 +75,7 @@
     def finish(self, candidate: LeaseCandidate, command: str) -> dict[str, Any]:
         """End the loan of a command that has ended."""
         lease = candidate.lease
-        if self.command_of(lease) == command:
+        if self.get_command(lease) == command:
             self.last_requested_at.pop(lease, None)
             candidate.set_wanted(False)
             self.release_reasons.setdefault(lease, "command has ended")
--- a/corkgauge/leases/messages.py
+++ b/corkgauge/leases/messages.py
@@ -256,15 +256,32 @@
     700
     """
     fields = _decode_fields(body, REPLY_FIELDS)
-    kind, lease, version, fingerprint, serial, accepted, promised, blocked, holder = fields
-    if not (type(promised) is int and 0 <= promised < BALLOT_LIMIT):
+    (
+        kind,
+        lease,
+        version,
+        fingerprint,
+        serial,
+        is_accepted,
+        promised_ballot,
+        blocked_ticks,
+        holder,
+    ) = fields
+    if not (type(promised_ballot) is int and 0 <= promised_ballot < BALLOT_LIMIT):
         raise ProtocolError("expected a promised ballot from 0 to 2**60 - 1")
-    if not (type(blocked) is int and blocked >= 0):
+    if not (type(blocked_ticks) is int and blocked_ticks >= 0):
         raise ProtocolError("expected blocked ticks as an integer of 0 or more")
     if not isinstance(kind, (int, float)) or kind not in REPLIES:
         raise ProtocolError("expected the kind of a voter's reply")
     return REPLIES[int(kind)](
-        lease, version, fingerprint, serial, bool(accepted), promised, blocked, holder
+        lease,
+        version,
+        fingerprint,
+        serial,
+        bool(is_accepted),
+        promised_ballot,
+        blocked_ticks,
+        holder,
     )
 
 
--- a/corkgauge/leases/operator_commands.py
+++ b/corkgauge/leases/operator_commands.py
@@ -64,7 +64,7 @@
             "for": held_seconds,
             "why": candidate.last_reason,
             "wanted": candidate.is_wanted,
-            "lent": self.service.command_loans.command_of(candidate.lease),
+            "lent": self.service.command_loans.get_command(candidate.lease),
         }
 
     def handle_request(self, body: bytes) -> dict[str, Any]:
@@ -95,7 +95,7 @@
         holder = candidate.known_holder
         if candidate.state is CandidateState.HOLDING:
             service.hand_over(lease, "told")
-            return {"told": service.name, "waits_for": service.command_loans.command_of(lease)}
+            return {"told": service.name, "waits_for": service.command_loans.get_command(lease)}
         is_held_elsewhere = holder and holder != service.name
         if is_held_elsewhere and service.member_list.call(holder, YIELD_SUBJECT, lease):
             return {"told": holder, "waits_for": ""}
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -267,7 +267,7 @@
         notice = LeaseVacant(
             candidate.lease, configuration.version, configuration.fingerprint
         ).encode()
-        for name in self.ranking.successors(candidate.lease):
+        for name in self.ranking.list_successors(candidate.lease):
             self.send(name, notice)
 
     # Datagrams.
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -96,11 +96,13 @@
         self.silent_until = now
         if stored is None:
             self.silent_until = now + timing.silence_ticks
-        for lease, (promised, granted, holder, incarnation) in (stored or {}).items():
+        for lease, (promised_ballot, granted_ballot, holder, incarnation) in (stored or {}).items():
             # The grant time is not stored. Counting the lease as granted now prevents an early
             # grant to another candidate.
-            until = now + timing.silence_ticks if granted else 0
-            self.votes[lease] = Vote(promised, granted, Holder(holder, incarnation), until)
+            granted_until = now + timing.silence_ticks if granted_ballot else 0
+            self.votes[lease] = Vote(
+                promised_ballot, granted_ballot, Holder(holder, incarnation), granted_until
+            )
         self._handlers: dict[type[CandidateRequest], Callable[..., None]] = {
             Probe: Voter._on_probe,
             Prepare: Voter._on_prepare,
