--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -86,9 +86,9 @@
         self.load_monitor.check(boot_time())
 
     def _subscribe(self) -> None:
-        self.member_list.calls[LEASE_SUBJECT] = self.on_lease_datagram
-        self.member_list.calls[ACCOUNTS_SUBJECT] = self.on_accounts_datagram
-        self.member_list.calls[YIELD_SUBJECT] = self.on_yield_datagram
+        self.member_list.call_handlers[LEASE_SUBJECT] = self.on_lease_datagram
+        self.member_list.call_handlers[ACCOUNTS_SUBJECT] = self.on_accounts_datagram
+        self.member_list.call_handlers[YIELD_SUBJECT] = self.on_yield_datagram
         routes = self.socket_host.routes
         routes[b"GET", b"/duties"] = self.operator_commands.report_status
         routes[b"POST", b"/duties"] = self.operator_commands.handle_request
@@ -208,7 +208,7 @@
 
     def random_below(self, limit: int) -> int:
         """Return a number from 0 to `limit` - 1; 0 for limits below 1."""
-        number: int = self.membership.chance(max(limit, 1))
+        number: int = self.membership.random_below(max(limit, 1))
         return number
 
     def log(self, line: str) -> None:
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -96,9 +96,9 @@
     def _register(self) -> None:
         """Be called for datagrams, HTTP requests, the lease and the host's notifications."""
         self.socket_host.works = self
-        self.member_list.calls["plan"] = self.on_plan_message
-        self.member_list.calls["works"] = self.on_message
-        self.member_list.calls["copy"] = self.plan_display.on_datagram
+        self.member_list.call_handlers["plan"] = self.on_plan_message
+        self.member_list.call_handlers["works"] = self.on_message
+        self.member_list.call_handlers["copy"] = self.plan_display.on_datagram
         self.socket_host.routes[b"GET", HTTP_PATH] = self.report_status
         self.socket_host.routes[b"POST", HTTP_PATH] = self.pending_commands.handle_http
         self.office.add_candidate(LEASE, self)
--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -19,9 +19,9 @@
 
 from corkgauge.membership.sealing import SEAL_BYTES, Key, ReplayWindow
 
-MARK = 0xC9
+MAGIC_BYTE = 0xC9
 MAX_DATAGRAM_BYTES = 1_400  # below the usual MTU: none is ever fragmented on its way
-MAX_INCARNATION = 2**62  # not believed from here on: the next one would not fit
+INCARNATION_LIMIT = 2**62  # not believed from here on: the next one would not fit
 DATAGRAMS_PER_SECOND = 400.0  # of one peer that are opened
 BURST_DATAGRAMS = 800.0  # of one peer that are opened at once
 TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
@@ -29,7 +29,7 @@
 
 # Why a datagram was not taken, as operators read it among the counters.
 TO_EARLIER_INCARNATION = "to an earlier start"
-OF_EARLIER_INCARNATION = "of an earlier start"
+FROM_EARLIER_INCARNATION = "of an earlier start"
 
 
 class DatagramKind(IntEnum):
@@ -53,7 +53,14 @@
 class PeerSession:
     """What one instance keeps for its datagrams with one other."""
 
-    __slots__ = ("allowance", "filled_at", "incarnation", "name", "replay_window", "sent_counter")
+    __slots__ = (
+        "allowance",
+        "allowance_updated_at",
+        "incarnation",
+        "name",
+        "replay_window",
+        "sent_counter",
+    )
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -61,7 +68,7 @@
         self.sent_counter = 0
         self.replay_window = ReplayWindow()
         self.allowance = BURST_DATAGRAMS  # datagrams that may still be opened
-        self.filled_at = 0  # ticks
+        self.allowance_updated_at = 0  # ticks
 
     def restart(self, incarnation: int) -> None:
         """Begin anew with a later incarnation of the peer, whose counters begin anew too."""
@@ -138,12 +145,12 @@
             body,
         )
         packed: bytes = msgpack.packb([*envelope])
-        data = bytes((MARK, key.number)) + packed
+        data = bytes((MAGIC_BYTE, key.number)) + packed
         if len(data) + SEAL_BYTES > MAX_DATAGRAM_BYTES:
             raise ValueError(f"{len(data)} octets for one datagram")
         return data + key.seal(data)
 
-    def knows_incarnation(self, name: str) -> bool:
+    def has_incarnation(self, name: str) -> bool:
         """Return whether anything but HELLO and HELLO_REPLY may be written to this peer."""
         return self.peers[name].incarnation > 0
 
@@ -156,7 +163,7 @@
         rejection = self._rejection(envelope, now_ticks)
         if rejection:
             self.counts[rejection] += 1
-            if rejection in (TO_EARLIER_INCARNATION, OF_EARLIER_INCARNATION):
+            if rejection in (TO_EARLIER_INCARNATION, FROM_EARLIER_INCARNATION):
                 # It does not know us, or our present incarnation: treated as a HELLO, it is told by
                 # the reply.
                 return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
@@ -166,7 +173,7 @@
             return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
         peer = self.peers[envelope.sender]
         if envelope.incarnation > peer.incarnation:
-            self._adopt_incarnation(peer, envelope.incarnation)
+            self._set_incarnation(peer, envelope.incarnation)
         if not peer.replay_window.accept(envelope.counter):
             self.counts["replay"] += 1
             return None
@@ -177,9 +184,9 @@
         """Take a third member's word on a peer's incarnation, until the peer says more."""
         peer = self.peers.get(name)
         if peer is not None and incarnation > peer.incarnation:
-            self._adopt_incarnation(peer, incarnation)
+            self._set_incarnation(peer, incarnation)
 
-    def _adopt_incarnation(self, peer: PeerSession, incarnation: int) -> None:
+    def _set_incarnation(self, peer: PeerSession, incarnation: int) -> None:
         peer.restart(incarnation)
         self._on_incarnation(peer.name, incarnation)
 
@@ -204,15 +211,15 @@
             # are empty: a replay would be taken.
             return TO_EARLIER_INCARNATION
         if envelope.incarnation < peer.incarnation:
-            return OF_EARLIER_INCARNATION
+            return FROM_EARLIER_INCARNATION
         return ""
 
     def _spend_allowance(self, peer: PeerSession, now_ticks: int) -> bool:
         """Return whether one more of this peer's datagrams may be opened (a token bucket)."""
         # Without it a member that floods takes the time of all that is served.
-        earned = (now_ticks - peer.filled_at) * DATAGRAMS_PER_SECOND / TICKS_PER_SECOND
+        earned = (now_ticks - peer.allowance_updated_at) * DATAGRAMS_PER_SECOND / TICKS_PER_SECOND
         peer.allowance = min(BURST_DATAGRAMS, peer.allowance + earned)
-        peer.filled_at = now_ticks
+        peer.allowance_updated_at = now_ticks
         if peer.allowance < 1:
             return False
         peer.allowance -= 1
@@ -220,10 +227,10 @@
 
     def _unseal(self, data: bytes) -> Envelope | str:
         """Return the fields of a datagram, or why nobody should look at it."""
-        if len(data) < 2 + SEAL_BYTES or len(data) > MAX_DATAGRAM_BYTES or data[0] != MARK:
+        if len(data) < 2 + SEAL_BYTES or len(data) > MAX_DATAGRAM_BYTES or data[0] != MAGIC_BYTE:
             return "not a letter"
         key = next((each for each in self.keys if each.number == data[1]), None)
-        if key is None or not key.verifies(data[:-SEAL_BYTES], data[-SEAL_BYTES:]):
+        if key is None or not key.is_valid_seal(data[:-SEAL_BYTES], data[-SEAL_BYTES:]):
             return "seal"
         try:
             fields = msgpack.unpackb(data[2:-SEAL_BYTES], strict_map_key=True)
@@ -232,12 +239,12 @@
         if not isinstance(fields, list) or len(fields) != ENVELOPE_FIELDS:
             return "unreadable"
         envelope = Envelope(*fields)
-        if not _has_right_types(envelope):
+        if not _has_valid_types(envelope):
             return "unreadable"
         return envelope
 
 
-def _has_right_types(envelope: Envelope) -> bool:
+def _has_valid_types(envelope: Envelope) -> bool:
     numbers = (
         envelope.kind,
         envelope.incarnation,
@@ -245,6 +252,6 @@
         envelope.counter,
     )
     names = (envelope.sender, envelope.receiver)
-    return all(type(each) is int and 0 <= each < MAX_INCARNATION for each in numbers) and all(
+    return all(type(each) is int and 0 <= each < INCARNATION_LIMIT for each in numbers) and all(
         isinstance(each, str) for each in names
     )
--- a/corkgauge/membership/failure_detector.py
+++ b/corkgauge/membership/failure_detector.py
@@ -15,9 +15,9 @@
 from corkgauge.membership.messages import ALIVE, UNKNOWN, Ack, IndirectProbe, Nack, Probe
 from corkgauge.membership.status_tracker import StatusTracker
 
-INDIRECT_PROBES = 3  # members that are asked to probe one that does not answer
+INDIRECT_PROBE_COUNT = 3  # members that are asked to probe one that does not answer
 PROBE_TIMEOUT_PERIODS = 0.3  # until others are asked to probe
-INDIRECT_PROBE_MARGIN = 0.8  # of what is left of the period then: the Nack is to arrive within it
+INDIRECT_PROBE_FRACTION = 0.8  # of what is left of the period then; the Nack arrives in it
 MAX_LATENESS_PERIODS = 0.25  # of our own timer, above which our view counts for nothing
 
 
@@ -58,12 +58,12 @@
         self._counts = counts
         self._period_ticks = period_ticks
 
-    def probe_next(self, interval_ticks: int) -> None:
+    def probe_next_member(self, interval_ticks: int) -> None:
         """Probe the next member of the round; it is to answer within the interval."""
-        member = self._table.next_to_probe()
+        member = self._table.next_probe_target()
         if member is None:
             return
-        if not self._codec.knows_incarnation(member.name):
+        if not self._codec.has_incarnation(member.name):
             self._sender.send_hello(member.name)
             return
         sequence_number = self._send_probe(
@@ -80,10 +80,10 @@
     def handle_indirect_probe(self, requester: str, request: IndirectProbe) -> None:
         """Probe the target for the requester, if it may be written to."""
         member = self._table.members.get(request.target)
-        if member is None or not self._codec.knows_incarnation(request.target):
+        if member is None or not self._codec.has_incarnation(request.target):
             return
         left_of_period = self._period_ticks * (1 - PROBE_TIMEOUT_PERIODS)
-        interval_ticks = int(left_of_period * INDIRECT_PROBE_MARGIN)
+        interval_ticks = int(left_of_period * INDIRECT_PROBE_FRACTION)
         sequence_number = self._send_probe(
             ProbeInFlight(
                 member,
@@ -117,7 +117,7 @@
         if probe is None:
             return
         request = IndirectProbe(sequence_number, probe.member.name)
-        for helper in self._table.draw_alive(INDIRECT_PROBES, excluded=probe.member):
+        for helper in self._table.sample_alive_members(INDIRECT_PROBE_COUNT, excluded=probe.member):
             probe.helpers += 1
             self._sender.send(helper.name, request)
 
--- a/corkgauge/membership/member_list.py
+++ b/corkgauge/membership/member_list.py
@@ -14,16 +14,16 @@
 from typing import Any
 
 from corkgauge.membership.datagrams import DatagramCodec, DatagramKind
-from corkgauge.membership.failure_detector import INDIRECT_PROBES, FailureDetector
+from corkgauge.membership.failure_detector import INDIRECT_PROBE_COUNT, FailureDetector
 from corkgauge.membership.gossip import GossipQueue
 from corkgauge.membership.member_table import MemberTable
 from corkgauge.membership.members import Host, LocalMember, Member
 from corkgauge.membership.message_sender import MessageSender
 from corkgauge.membership.messages import (
     ALIVE,
+    DECODING_ERRORS,
     GONE,
     LEFT,
-    MALFORMED,
     SUSPECTED,
     UNKNOWN,
     Ack,
@@ -55,10 +55,10 @@
     "MemberState",
 ]
 
-HELLOS_PER_PERIOD = 6  # members that a newcomer greets, until one answers
+HELLO_COUNT_PER_PERIOD = 6  # members that a newcomer greets, until one answers
 # While members are unknown, the whole state is asked for in one of so many periods.
-STATE_REQUEST_ODDS = 4
-LEAVE_NOTICES = 2 * INDIRECT_PROBES  # members that are told when this one leaves
+PERIODS_PER_STATE_REQUEST = 4
+LEAVE_NOTICE_COUNT = 2 * INDIRECT_PROBE_COUNT  # members that are told when this one leaves
 
 
 class MemberList:
@@ -79,13 +79,14 @@
     ) -> None:
         self.name = name
         self.counts = Counter[str]()
-        self.calls: dict[str, Callable[[str, Any], None]] = {}  # handlers of Calls, by subject
+        # Handlers of Calls, by subject.
+        self.call_handlers: dict[str, Callable[[str, Any], None]] = {}
         self.local = LocalMember(name)
         self.gossip: GossipQueue[StatusUpdate] = GossipQueue()
         self.codec = DatagramCodec(
             name, incarnation, keys, self._on_incarnation, self._on_superseded
         )
-        self.table = MemberTable(name, self.codec, host.chance)
+        self.table = MemberTable(name, self.codec, host.random_below)
         self.sender = MessageSender(
             host, self.local, self.codec, self.table, self.gossip, self.counts
         )
@@ -137,7 +138,7 @@
     def leave(self) -> None:
         """End in order: a few are told at once, and all by them."""
         self.local.has_left = True
-        for member in self.table.draw_alive(LEAVE_NOTICES):
+        for member in self.table.sample_alive_members(LEAVE_NOTICE_COUNT):
             self.sender.send(member.name, Gossip())
 
     def call(self, name: str, subject: str, body: Any) -> bool:
@@ -148,7 +149,7 @@
         """
         if name not in self.members:
             return False
-        if not self.codec.knows_incarnation(name):
+        if not self.codec.has_incarnation(name):
             self.sender.send_hello(name)
             return False
         self.sender.send_call(name, Call(subject, body))
@@ -171,13 +172,13 @@
         if opened.kind == DatagramKind.HELLO:
             self.sender.send_hello_reply(opened.sender, opened.body)
             return
-        member.last_heard = self._host.now
+        member.last_datagram_at = self._host.now
         if opened.kind == DatagramKind.HELLO_REPLY:
             self._on_hello_reply(member)
             return
         try:
             self._handle_body(member, opened.kind, opened.body)
-        except MALFORMED:
+        except DECODING_ERRORS:
             # A member of another version, or one gone wild, holds the key too: it must not end the
             # reading.
             self.counts["no sense"] += 1
@@ -190,13 +191,13 @@
         interval_ticks = self._period_ticks * (1 + self.local.health)
         self._host.call_later(interval_ticks, self.on_period)
         if not self.local.has_joined:
-            for member in self.table.draw_any(HELLOS_PER_PERIOD):
+            for member in self.table.sample_members(HELLO_COUNT_PER_PERIOD):
                 self.sender.send_hello(member.name)
             return
-        if self.table.unknown_count and not self._host.chance(STATE_REQUEST_ODDS):
-            for member in self.table.draw_alive(1):
+        if self.table.unknown_count and not self._host.random_below(PERIODS_PER_STATE_REQUEST):
+            for member in self.table.sample_alive_members(1):
                 self.state_sync.request_state(member.name)
-        self.failure_detector.probe_next(interval_ticks)
+        self.failure_detector.probe_next_member(interval_ticks)
 
     def _on_hello_reply(self, member: Member) -> None:
         if not self.local.has_joined:  # the first that answers tells us of all others
@@ -206,7 +207,7 @@
     def _handle_body(self, member: Member, kind: int, body: Any) -> None:
         message = decode_message(kind, body)
         if isinstance(message, Call):
-            handler = self.calls.get(message.subject)
+            handler = self.call_handlers.get(message.subject)
             if handler is not None:
                 handler(member.name, message.body)
             return
--- a/corkgauge/membership/member_table.py
+++ b/corkgauge/membership/member_table.py
@@ -10,20 +10,20 @@
 from corkgauge.membership.members import Member
 from corkgauge.membership.messages import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberState
 
-GONE_PROBE_ODDS = 4  # one in so many turns of a member that is gone is used to probe it
+ROUNDS_PER_GONE_PROBE = 4  # one in so many turns of a member that is gone is used to probe it
 
 
 class MemberTable:
-    """The others by name. `draw_below(n)` gives a number from 0 to below n."""
+    """The others by name. `random_below(n)` gives a number from 0 to below n."""
 
     def __init__(
-        self, local_name: str, codec: DatagramCodec, draw_below: Callable[[int], int]
+        self, local_name: str, codec: DatagramCodec, random_below: Callable[[int], int]
     ) -> None:
         self.members: dict[str, Member] = {}
         self.unknown_count = 0  # members whose incarnation nobody has told yet
         self._local_name = local_name
         self._codec = codec
-        self._draw_below = draw_below
+        self._random_below = random_below
         self._round: list[str] = []  # those still to be probed in this round, the next one last
 
     def set_members(self, members: Sequence[tuple[str, str]]) -> None:
@@ -53,42 +53,42 @@
         member = self.members.get(name)
         return GONE if member is None else member.state
 
-    def next_to_probe(self) -> Member | None:
+    def next_probe_target(self) -> Member | None:
         """Return each member once a round, in an order by chance, those that are gone more seldom.
 
         None where there is no other member.
         """
         member = None
-        for _ in range(2 * GONE_PROBE_ODDS):
+        for _ in range(2 * ROUNDS_PER_GONE_PROBE):
             if not self._round:
                 self._round = self._shuffled([*self.members])
                 if not self._round:
                     return None
             member = self.members[self._round.pop()]
             has_ended = member.state in (GONE, LEFT)
-            if not has_ended or not self._draw_below(GONE_PROBE_ODDS):
+            if not has_ended or not self._random_below(ROUNDS_PER_GONE_PROBE):
                 return member
         return member
 
-    def draw_alive(self, count: int, excluded: Member | None = None) -> list[Member]:
+    def sample_alive_members(self, count: int, excluded: Member | None = None) -> list[Member]:
         """Return up to so many that are alive and may be written to, by chance."""
         names = [
             member.name
             for member in self.members.values()
             if member is not excluded
             and member.state == ALIVE
-            and self._codec.knows_incarnation(member.name)
+            and self._codec.has_incarnation(member.name)
         ]
-        return self._draw(names, count)
+        return self._sample(names, count)
 
-    def draw_any(self, count: int) -> list[Member]:
+    def sample_members(self, count: int) -> list[Member]:
         """Return up to so many, by chance, in whatever state."""
-        return self._draw([*self.members], count)
+        return self._sample([*self.members], count)
 
-    def _draw(self, names: list[str], count: int) -> list[Member]:
+    def _sample(self, names: list[str], count: int) -> list[Member]:
         drawn: list[Member] = []
         while names and len(drawn) < count:
-            index = self._draw_below(len(names))
+            index = self._random_below(len(names))
             drawn.append(self.members[names[index]])
             names[index] = names[-1]
             names.pop()
@@ -96,6 +96,6 @@
 
     def _shuffled(self, names: list[str]) -> list[str]:
         for index in range(len(names) - 1, 0, -1):
-            other = self._draw_below(index + 1)
+            other = self._random_below(index + 1)
             names[index], names[other] = names[other], names[index]
         return names
--- a/corkgauge/membership/members.py
+++ b/corkgauge/membership/members.py
@@ -18,14 +18,14 @@
     __slots__ = (
         "accusers",
         "incarnation",
-        "last_heard",
+        "last_datagram_at",
         "name",
         "reason",
         "refutations",
         "state",
         "state_sent_at",
         "state_since",
-        "suspicion_serial",
+        "suspicion_timer_serial",
         "zone",
     )
 
@@ -38,8 +38,8 @@
         self.state_since = 0  # ticks
         self.reason = ""  # of the last change of state
         self.accusers: set[str] = set()
-        self.suspicion_serial = 0  # of the suspicion timer that counts
-        self.last_heard = 0  # ticks, of its last datagram
+        self.suspicion_timer_serial = 0  # of the suspicion timer that counts
+        self.last_datagram_at = 0  # ticks, of its last datagram
         self.state_sent_at = -STATE_SYNC_INTERVAL_TICKS  # ticks, when it was sent the whole state
 
     def status_update(self) -> StatusUpdate:
@@ -82,7 +82,7 @@
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call the method after the delay."""
 
-    def chance(self, below: int) -> int:
+    def random_below(self, below: int) -> int:
         """Draw a number from 0 to below it."""
 
     def log(self, line: str) -> None:
--- a/corkgauge/membership/message_sender.py
+++ b/corkgauge/membership/message_sender.py
@@ -22,8 +22,8 @@
 )
 
 # Of gossiped updates in a datagram, beside the message and up to two updates before them.
-GOSSIP_ROOM_BYTES = 780
-TOLD_OF_ITSELF = (SUSPECTED, GONE, LEFT)
+MAX_GOSSIP_BYTES = 780
+REFUTABLE_STATES = (SUSPECTED, GONE, LEFT)
 
 
 class MessageSender:
@@ -62,14 +62,14 @@
         """Send a message with the updates that are due, the one on the receiver first."""
         updates: list[StatusUpdate] = []
         member = self._table.members[name]
-        if member.state in TOLD_OF_ITSELF:
+        if member.state in REFUTABLE_STATES:
             # Unless it hears what is held of it, it cannot refute that.
             updates.append(member.status_update())
         if self._local.has_left:
             updates.append(self._local.status_update(self._codec.incarnation))
         member_count = len(self._table.members) + 1
         updates += self._gossip.take(
-            member_count, GOSSIP_ROOM_BYTES, StatusUpdate.size_bytes, receiver=name
+            member_count, MAX_GOSSIP_BYTES, StatusUpdate.size_bytes, receiver=name
         )
         self._send_with(name, message, updates)
 
--- a/corkgauge/membership/messages.py
+++ b/corkgauge/membership/messages.py
@@ -151,7 +151,7 @@
 Message = GossipingMessage | Call
 
 # What a malformed body raises where it is taken apart.
-MALFORMED = (TypeError, ValueError, IndexError, KeyError, AttributeError)
+DECODING_ERRORS = (TypeError, ValueError, IndexError, KeyError, AttributeError)
 
 
 def _decode_call(body: Any) -> Call:
@@ -179,7 +179,7 @@
         return Gossip()
     try:
         return decoder(body)
-    except MALFORMED as problem:
+    except DECODING_ERRORS as problem:
         raise MalformedMessageError(f"datagram of kind {kind}: {problem}") from problem
 
 
@@ -191,7 +191,7 @@
     try:
         for fields in body[-1]:
             yield _decode_update(fields)
-    except MALFORMED as problem:
+    except DECODING_ERRORS as problem:
         raise MalformedMessageError(f"status updates: {problem}") from problem
 
 
@@ -200,14 +200,14 @@
     return [*message.fields(), [update.encode() for update in updates]]
 
 
-_SENT_STATES: dict[int, MemberState] = {
+_WIRE_STATES: dict[int, MemberState] = {
     int(state): state for state in MemberState if state != UNKNOWN
 }
 
 
 def _decode_update(fields: Sequence[Any]) -> StatusUpdate:
     name, state_number, incarnation, refutations, accuser = fields
-    state = _SENT_STATES.get(state_number)
+    state = _WIRE_STATES.get(state_number)
     if state is None or not (incarnation > 0 and refutations >= 0):
         raise MalformedMessageError(f"expected an update on a member, found {fields!r}")
     return StatusUpdate(name, state, incarnation, refutations, accuser)
--- a/corkgauge/membership/sealing.py
+++ b/corkgauge/membership/sealing.py
@@ -27,7 +27,7 @@
         authenticator.update(data)
         return authenticator.finalize()[:SEAL_BYTES]
 
-    def verifies(self, data: bytes, seal: bytes) -> bool:
+    def is_valid_seal(self, data: bytes, seal: bytes) -> bool:
         """Return whether the seal is this key's for the data."""
         # A comparison that stops at the first difference tells a stranger how far it was right.
         return constant_time.bytes_eq(self.seal(data), seal)
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -19,7 +19,7 @@
 from corkgauge.membership.member_list import Member, MemberList, MemberState
 from corkgauge.membership.sealing import Key
 
-DATAGRAMS_IN_A_ROW = 32  # that are read before others have their turn
+MAX_DATAGRAMS_PER_WAKEUP = 32  # that are read before others have their turn
 INCARNATION_SHIFT_BITS = 12  # below the milliseconds: drawn, so that two starts at once differ
 TICKS_PER_MILLISECOND = 10
 
@@ -50,7 +50,7 @@
         self.name = platform_config.name
         self.config = config
         self.seed = platform_config.seed
-        self.draws = 0
+        self.draw_count = 0
         self.unsent = 0  # datagrams that the socket did not take
         self.addresses: dict[str, Address] = {}
         self.sock: Any = None  # a UDP socket, or a hollow node's; None once the service has ended
@@ -108,10 +108,10 @@
         """Call the method after so many ticks."""
         self.event_loop.call_later(delay, method, *what)
 
-    def chance(self, below: int) -> int:
+    def random_below(self, below: int) -> int:
         """Draw a number from 0 to below it; the seed repeats a run."""
-        self.draws += 1
-        return crc32(pack("<QQ", self.seed, self.draws)) * below >> 32
+        self.draw_count += 1
+        return crc32(pack("<QQ", self.seed, self.draw_count)) * below >> 32
 
     def log(self, line: str) -> None:
         """Write a line of log."""
@@ -147,7 +147,7 @@
             "hall": member.zone,
             "why": member.reason,
             "for": self._seconds_since(member.state_since),
-            "heard": self._seconds_since(member.last_heard),
+            "heard": self._seconds_since(member.last_datagram_at),
             "start": member.incarnation,
             "turn": member.refutations,
         }
@@ -185,7 +185,7 @@
         """Read until the service ends, a few at a time."""
         while self.sock is sock:
             self.event_loop.wait(sock.fileno(), READ)
-            for _ in range(DATAGRAMS_IN_A_ROW):
+            for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
                 if self.sock is not sock:
                     return
                 try:
--- a/corkgauge/membership/state_sync.py
+++ b/corkgauge/membership/state_sync.py
@@ -41,7 +41,7 @@
         member.state_sent_at = self._host.now
         chunk: list[StatusUpdate] = []
         size_bytes = 0
-        for update in self._whole_state():
+        for update in self._full_state():
             chunk.append(update)
             size_bytes += update.size_bytes()
             if size_bytes > STATE_CHUNK_BYTES:
@@ -51,7 +51,7 @@
         if chunk:
             self._sender.send_updates(member.name, chunk)
 
-    def _whole_state(self) -> list[StatusUpdate]:
+    def _full_state(self) -> list[StatusUpdate]:
         others = (
             member.status_update() for member in self._table.members.values() if member.incarnation
         )
--- a/corkgauge/membership/status_tracker.py
+++ b/corkgauge/membership/status_tracker.py
@@ -47,7 +47,7 @@
         self._codec.learn_incarnation(update.name, update.incarnation)  # may take it up as alive
         if _is_same_suspicion(member, update):
             self._confirm_suspicion(member, update.accuser)
-        elif _overrides(update, member):
+        elif _is_newer(update, member):
             member.incarnation = update.incarnation
             member.refutations = update.refutations
             if update.state == SUSPECTED:
@@ -66,11 +66,11 @@
                 member.name, member.state, member.incarnation, member.refutations, accuser
             )
             self._gossip.add(member.name, update)
-        self._start_suspicion_timer(member)
+        self._restart_suspicion_timer(member)
 
     def on_suspicion_timeout(self, member: Member, serial: int) -> None:
         """Hold a member gone that is suspected still, unless a later timer is under way."""
-        if member.state == SUSPECTED and member.suspicion_serial == serial:
+        if member.state == SUSPECTED and member.suspicion_timer_serial == serial:
             self._set_state(member, GONE, f"suspected by {len(member.accusers)}")
 
     def on_incarnation(self, name: str, incarnation: int) -> None:
@@ -114,15 +114,15 @@
         if is_new and len(member.accusers) <= EXPECTED_CONFIRMATIONS:
             self.suspect(member, accuser, "confirmed")
 
-    def _start_suspicion_timer(self, member: Member) -> None:
+    def _restart_suspicion_timer(self, member: Member) -> None:
         """Start the timer anew: each accuser shortens what is left."""
-        member.suspicion_serial += 1
+        member.suspicion_timer_serial += 1
         timeout = suspicion_timeout_ticks(
             len(member.accusers) - 1, len(self._table.members) + 1, self._period_ticks
         )
         remaining = member.state_since + timeout - self._host.now
         self._host.call_later(
-            max(remaining, 1), self.on_suspicion_timeout, member, member.suspicion_serial
+            max(remaining, 1), self.on_suspicion_timeout, member, member.suspicion_timer_serial
         )
 
     def _set_state(
@@ -149,7 +149,7 @@
     )
 
 
-def _overrides(update: StatusUpdate, member: Member) -> bool:
+def _is_newer(update: StatusUpdate, member: Member) -> bool:
     """Return whether the update is newer, by incarnation, refutations, then state.
 
     The rule is that of SWIM, section 4.2. GONE and LEFT are equal: whichever was heard first stays.
--- a/corkgauge/model/membership.py
+++ b/corkgauge/model/membership.py
@@ -64,7 +64,7 @@
         """Call the method after so many ticks, if this node still runs."""
         self.network.call_later(delay, self, method, *what)
 
-    def chance(self, below: int) -> int:
+    def random_below(self, below: int) -> int:
         """Draw a number from 0 to below it."""
         return self.network.random.below(below)
 
--- a/corkgauge/peer_health/aggregation.py
+++ b/corkgauge/peer_health/aggregation.py
@@ -58,7 +58,7 @@
 
     fault_weight: float = 0.0
     healthy_weight: float = 0.0
-    accusers: list[str] = field(default_factory=list)
+    fault_reporters: list[str] = field(default_factory=list)
     samples: list[SlownessSample] = field(default_factory=list)
     sample_zones: set[str] = field(default_factory=set)
 
@@ -66,7 +66,7 @@
         """Count one report, of a reporter in this zone."""
         if report.fault != Fault.NONE:
             self.fault_weight += weight
-            self.accusers.append(report.reporter)
+            self.fault_reporters.append(report.reporter)
         else:
             self.healthy_weight += weight
         if report.slowness_percent and report.sample_count:
@@ -120,22 +120,28 @@
             tally.add(report, weight, zone)
     own_observation_ends = own_observation_at + OWN_OBSERVATION_TICKS
     has_own_observation = own_observation_at >= 0 and now < own_observation_ends
-    is_suspected = not has_own_observation and _has_grounds(tally, zones, has_several_zones)
+    is_suspected = not has_own_observation and _is_suspicion_justified(
+        tally, zones, has_several_zones
+    )
     slowness = 0.0
     if len(tally.samples) >= MIN_REPORTERS and (
         len(tally.sample_zones) > 1 or not has_several_zones
     ):
         slowness = _weighted_median(tally.samples)
-    reporters = " ".join(sorted(tally.accusers)[:MAX_NAMED_REPORTERS]) if is_suspected else ""
+    reporters = (
+        " ".join(sorted(tally.fault_reporters)[:MAX_NAMED_REPORTERS]) if is_suspected else ""
+    )
     return Assessment(slowness, is_suspected, reporters)
 
 
-def _has_grounds(tally: Tally, zones: Mapping[str, str], has_several_zones: bool) -> bool:
+def _is_suspicion_justified(
+    tally: Tally, zones: Mapping[str, str], has_several_zones: bool
+) -> bool:
     """Whether the reports of a fault are enough, and outweigh the others."""
     if has_several_zones:
-        has_quorum = len({zones[name] for name in tally.accusers}) > 1
+        has_quorum = len({zones[name] for name in tally.fault_reporters}) > 1
     else:
-        has_quorum = len(tally.accusers) >= MIN_REPORTERS
+        has_quorum = len(tally.fault_reporters) >= MIN_REPORTERS
     return (
         has_quorum
         and tally.fault_weight >= MIN_SUSPICION_WEIGHT
--- a/corkgauge/peer_health/messages.py
+++ b/corkgauge/peer_health/messages.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from corkgauge.peer_health.health_report import Row
-from corkgauge.peer_health.reports import ReporterMark
+from corkgauge.peer_health.reports import DigestEntry
 
 STATUS_SUBJECT = "findings"
 RECONCILIATION_SUBJECT = "repair"
@@ -35,7 +35,7 @@
     """One step of comparing reports: question (stage 0), answer (1), what that lacked (2)."""
 
     stage: int
-    digest: Any  # by reporter: a ReporterMark; unchecked where it came from the wire
+    digest: Any  # by reporter: a DigestEntry; unchecked where it came from the wire
     rows: list[Row]
 
 
@@ -61,9 +61,7 @@
     return StatusUpdate(serial, succeeded, retries, unplaced_tenths, rows)
 
 
-def encode_reconciliation(
-    stage: int, digest: dict[str, ReporterMark], rows: list[Row]
-) -> list[Any]:
+def encode_reconciliation(stage: int, digest: dict[str, DigestEntry], rows: list[Row]) -> list[Any]:
     """Make the body of a reconciliation step."""
     return [stage, {name: [*mark] for name, mark in digest.items()}, rows]
 
--- a/corkgauge/peer_health/permit_exchange.py
+++ b/corkgauge/peer_health/permit_exchange.py
@@ -16,8 +16,8 @@
 from corkgauge.peer_health.permit_transfer import PermitTransfer
 
 MAX_ENGINES_OFFERED = 40  # warming engines that are looked at, each time
-OFFER_INTERVAL_TICKS = 1_000
-UNSENT_REASON = 3  # place among a ledger row's reasons: the request found no engine
+PERMIT_OFFER_INTERVAL_TICKS = 1_000
+UNSENT_REASON_INDEX = 3  # place among a ledger row's reasons: the request found no engine
 MAX_WORK = 1e9  # of a received permit: a wild figure would open the slow-start limit
 
 
@@ -32,24 +32,24 @@
         self.transfers = PermitTransfer(socket_host.gateway.slow_start.window_ticks)
         self.unplaced_per_second = 0.0
         self._unplaced_before = 0
-        self.member_list.calls[PERMIT_SUBJECT] = self.on_permit
+        self.member_list.call_handlers[PERMIT_SUBJECT] = self.on_permit
 
     def start(self) -> None:
         """Begin to offer permits, where the gateway has a slow-start rule."""
         if self.socket_host.gateway.slow_start.warm_up_ticks:
-            self.event_loop.call_later(OFFER_INTERVAL_TICKS, self.offer_unused)
+            self.event_loop.call_later(PERMIT_OFFER_INTERVAL_TICKS, self.offer_unused)
 
     def measure_demand(self, period_ticks: int) -> None:
         """Set `unplaced_per_second` from the requests of the last period that found no engine."""
         rows = self.socket_host.ledger.request_classes.values()
-        unplaced = sum(row.reasons[UNSENT_REASON] for row in rows)
+        unplaced = sum(row.reasons[UNSENT_REASON_INDEX] for row in rows)
         per_second = (unplaced - self._unplaced_before) * SECOND / max(period_ticks, 1)
         self.unplaced_per_second = max(per_second, 0.0)
         self._unplaced_before = unplaced
 
     def offer_unused(self) -> None:
         """Send the permits that we hold and do not need to members that do."""
-        self.event_loop.call_later(OFFER_INTERVAL_TICKS, self.offer_unused)
+        self.event_loop.call_later(PERMIT_OFFER_INTERVAL_TICKS, self.offer_unused)
         gateway = self.socket_host.gateway
         if self._needs_own_permits():
             return
@@ -73,8 +73,8 @@
         remaining_ticks = window_ticks - (now - engine.incarnation) % window_ticks
         if not work or not gateway.slow_start.has_budget(engine, work):
             return
-        random_draw = self.membership.chance(2**32)
-        grant = self.transfers.give(
+        random_draw = self.membership.random_below(2**32)
+        grant = self.transfers.grant_permit(
             boot_time(), engine.host_reference, remaining_ticks, random_draw
         )
         if grant is None:
@@ -98,7 +98,7 @@
         engine_pool = self.socket_host.engine_pools.get(permit.engine)
         now = self.event_loop.now
         now_since_boot = boot_time()
-        usable_until = self.transfers.accept(
+        usable_until = self.transfers.accept_permit(
             now_since_boot,
             int(permit.serial),
             int(permit.known_ticks),
--- a/corkgauge/peer_health/permit_transfer.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -57,9 +57,9 @@
 
     >>> permits = PermitTransfer(10_000)
     >>> permits.record_demand("n2", 100, 1, 7, 3.0)
-    >>> permits.give(5_000, "e1", 4_000, 0)     # over a third of the window is over
+    >>> permits.grant_permit(5_000, "e1", 4_000, 0)     # over a third of the window is over
     PermitGrant(member='n2', serial=7, known_ticks=4900, remaining_ticks=4000)
-    >>> permits.give(5_100, "e1", 3_900, 0) is None    # given away already, in this window
+    >>> permits.grant_permit(5_100, "e1", 3_900, 0) is None    # given away already, in this window
     True
     """
 
@@ -67,8 +67,8 @@
         self.window_ticks = window_ticks
         self.demand_by_member: dict[str, PermitDemand] = {}
         # By engine: the end of the window whose permit was given, in units of WINDOW_END_TICKS.
-        self.given_window_end: dict[str, int] = {}
-        self.update_written_at: dict[int, int] = {}  # by serial of a status update of ours
+        self.granted_window_end: dict[str, int] = {}
+        self.update_sent_at: dict[int, int] = {}  # by serial of a status update of ours
         self.counts = Counter[str]()  # names are shown to operators
 
     def record_demand(
@@ -78,7 +78,7 @@
         unplaced = min(max(unplaced_per_second, 0.0), MAX_DEMAND)
         self.demand_by_member[member] = PermitDemand(now, incarnation, serial, unplaced)
 
-    def give(
+    def grant_permit(
         self, now: int, engine: str, remaining_ticks: int, random_draw: int
     ) -> PermitGrant | None:
         """Choose who gets our permit at an engine; None where it is kept.
@@ -86,7 +86,7 @@
         `random_draw` is below 2 ** 32. The caller has to spend the permit here before it writes.
         """
         window_end = (now + remaining_ticks) // WINDOW_END_TICKS
-        if not self._may_give(engine, remaining_ticks, window_end):
+        if not self._can_grant(engine, remaining_ticks, window_end):
             return None
         candidates = [
             (member, demand)
@@ -100,33 +100,33 @@
             if ticket < 0:
                 # The next permit goes to another, until this member's next update.
                 demand.unplaced_per_second = max(demand.unplaced_per_second - 1, 0.0)
-                self.given_window_end[engine] = window_end
+                self.granted_window_end[engine] = window_end
                 self.counts["turns passed on"] += 1
                 known_ticks = now - demand.reported_at
                 return PermitGrant(member, demand.serial, known_ticks, remaining_ticks)
         return None
 
-    def _may_give(self, engine: str, remaining_ticks: int, window_end: int) -> bool:
+    def _can_grant(self, engine: str, remaining_ticks: int, window_end: int) -> bool:
         """Whether it is time to give, and this window's permit was not given yet."""
         earliest = (1 - RESERVED_FRACTION) * self.window_ticks
         if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= earliest:
             return False
-        distance = abs(self.given_window_end.get(engine, NEVER) - window_end)
+        distance = abs(self.granted_window_end.get(engine, NEVER) - window_end)
         return distance * WINDOW_END_TICKS >= self.window_ticks // 2
 
-    def record_update_written(self, now: int, serial: int) -> None:
+    def record_update_sent(self, now: int, serial: int) -> None:
         """Keep when a status update of ours was written: now."""
-        self.update_written_at[serial] = now
-        while len(self.update_written_at) > MAX_REMEMBERED_UPDATES:
-            del self.update_written_at[next(iter(self.update_written_at))]
+        self.update_sent_at[serial] = now
+        while len(self.update_sent_at) > MAX_REMEMBERED_UPDATES:
+            del self.update_sent_at[next(iter(self.update_sent_at))]
 
-    def accept(self, now: int, serial: int, known_ticks: int, remaining_ticks: int) -> int:
+    def accept_permit(self, now: int, serial: int, known_ticks: int, remaining_ticks: int) -> int:
         """Until when a permit that came may be used; 0: not at all.
 
         An update may be answered by one permit for each engine. A datagram that comes twice is
         stopped before, by the window of serials that the membership service keeps.
         """
-        written_at = self.update_written_at.get(serial)
+        written_at = self.update_sent_at.get(serial)
         if written_at is None or known_ticks < 0 or not 0 < remaining_ticks <= self.window_ticks:
             self.counts["turns of no telling"] += 1
             return 0
@@ -142,5 +142,5 @@
         self.demand_by_member = {
             name: demand for name, demand in self.demand_by_member.items() if name in members
         }
-        if len(self.given_window_end) > MAX_REMEMBERED_TRANSFERS:
-            self.given_window_end.clear()
+        if len(self.granted_window_end) > MAX_REMEMBERED_TRANSFERS:
+            self.granted_window_end.clear()
--- a/corkgauge/peer_health/reports.py
+++ b/corkgauge/peer_health/reports.py
@@ -35,7 +35,7 @@
 DIGEST_ENTRY_BYTES = 22  # of a digest's entry beside the name, on the high side
 
 
-class ReporterMark(NamedTuple):
+class DigestEntry(NamedTuple):
     """What is held of one reporter, in a digest: its latest version and a checksum of all of it."""
 
     incarnation: int
@@ -83,7 +83,7 @@
         It adds something where it differs from the last report, or keeps that from expiring.
         """
         before = self.by_engine.get(engine, {}).get(self.name)
-        if before is not None and not self._adds_to(
+        if before is not None and not self._is_worth_reporting(
             before, now, engine_incarnation, fault, slowness_percent
         ):
             return False
@@ -103,7 +103,7 @@
         return True
 
     @staticmethod
-    def _adds_to(
+    def _is_worth_reporting(
         before: HealthReport, now: int, engine_incarnation: int, fault: Fault, slowness_percent: int
     ) -> bool:
         if (before.engine_incarnation, before.fault) != (engine_incarnation, fault):
@@ -183,16 +183,16 @@
                 del self.pending_gossip[key]
         return rows
 
-    def digest(self, room_bytes: int, rotation: int) -> dict[str, ReporterMark]:
+    def digest(self, room_bytes: int, rotation: int) -> dict[str, DigestEntry]:
         """Make the marks of as many reporters as fit, beginning with the `rotation`th."""
         names = sorted(self.by_reporter)
-        marks: dict[str, ReporterMark] = {}
+        marks: dict[str, DigestEntry] = {}
         for n in range(len(names)):
             name = names[(rotation + n) % len(names)]
             room_bytes -= len(name) + DIGEST_ENTRY_BYTES
             if room_bytes < 0:
                 break
-            marks[name] = self._mark(name)
+            marks[name] = self._digest_entry(name)
         return marks
 
     def missing_rows(
@@ -227,7 +227,7 @@
                 if not include_unlisted:
                     continue
                 known_version = (0, 0)
-            elif [*known] == [*self._mark(reporter)]:
+            elif [*known] == [*self._digest_entry(reporter)]:
                 continue
             else:
                 known_version = (known[0], known[1])
@@ -242,14 +242,14 @@
             yield from in_order[first:]
             yield from in_order[:first]
 
-    def _mark(self, reporter: str) -> ReporterMark:
+    def _digest_entry(self, reporter: str) -> DigestEntry:
         held = self.by_reporter[reporter].values()
         checksum = 0
         for report in held:
             identity = f"{report.engine} {report.reporter_incarnation} {report.serial}"
             checksum ^= crc32(identity.encode())
         incarnation, serial = max(report.version for report in held)
-        return ReporterMark(incarnation, serial, checksum)
+        return DigestEntry(incarnation, serial, checksum)
 
     def _store(self, report: HealthReport) -> None:
         self.by_engine.setdefault(report.engine, {})[report.reporter] = report
--- a/corkgauge/peer_health/retry_throttle.py
+++ b/corkgauge/peer_health/retry_throttle.py
@@ -16,8 +16,8 @@
 USAGE_LIFETIME_TICKS = 40_000  # an update this old counts for nothing
 NORMAL_SPENT_FRACTION = 0.25  # of the fleet's retry budget: below it nothing is throttled
 MIN_BUDGET_FRACTION = 0.1  # some retries must go on, to find out when the trouble is over
-RECOVERY_STEP = 0.05  # of the budget, regained an update
-MIN_GATEWAYS = 3  # that must be known, ourselves among them, before anything is throttled
+RECOVERY_STEP_FRACTION = 0.05  # of the budget, regained an update
+MIN_GATEWAY_COUNT = 3  # that must be known, ourselves among them, before anything is throttled
 
 
 class RetryUsage(NamedTuple):
@@ -67,8 +67,8 @@
         usages = [RetryUsage(now, succeeded, retries), *self.usage_by_member.values()]
         budget = sum(floor + allowed_ratio * usage.succeeded for usage in usages)
         spent_fraction = sum(usage.retries for usage in usages) / budget if budget > 0 else 0.0
-        regained = self.budget_fraction + RECOVERY_STEP
-        if len(usages) < MIN_GATEWAYS or spent_fraction <= NORMAL_SPENT_FRACTION:
+        regained = self.budget_fraction + RECOVERY_STEP_FRACTION
+        if len(usages) < MIN_GATEWAY_COUNT or spent_fraction <= NORMAL_SPENT_FRACTION:
             self.budget_fraction = min(1.0, regained)
         else:
             # The more of its budget the fleet spends, the less each may; and no jump upwards,
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -33,7 +33,7 @@
     encode_status,
 )
 from corkgauge.peer_health.permit_exchange import PermitExchange
-from corkgauge.peer_health.reports import HealthReports, ReporterMark
+from corkgauge.peer_health.reports import DigestEntry, HealthReports
 from corkgauge.peer_health.retry_throttle import RetryThrottle
 from corkgauge.peer_health.status_view import status_report
 from corkgauge.peer_health.trials import suspicion_level
@@ -41,12 +41,12 @@
 from corkgauge.policy.records import EngineState
 
 NOTABLE_SLOWNESS = 2.0  # times the usual one: from there on it is worth a report
-MIN_SLOWNESS_SAMPLES = 3  # of our own, for a report to tell a slowness
+MIN_SLOWNESS_SAMPLE_COUNT = 3  # of our own, for a report to tell a slowness
 DATAGRAM_ROOM_BYTES = 1_000  # for reports, or for a digest, in one datagram
 DIGEST_BYTES_PER_ROW = 90  # that a reconciliation's digest leaves for each row beside it
 GOSSIP_FANOUT = 2  # members that get a status update, each period
 RECONCILIATION_PERIODS = 6  # between two comparisons with a member
-LAST_STAGE = 2  # of a reconciliation: it is not answered
+LAST_RECONCILIATION_STAGE = 2  # of a reconciliation: it is not answered
 
 
 class Observation(NamedTuple):
@@ -89,8 +89,8 @@
         self.sent_bytes = 0
         self.byte_budget = 0  # that may still be sent; refilled each period
 
-        self.member_list.calls[STATUS_SUBJECT] = self.on_status_update
-        self.member_list.calls[RECONCILIATION_SUBJECT] = self.on_reconciliation
+        self.member_list.call_handlers[STATUS_SUBJECT] = self.on_status_update
+        self.member_list.call_handlers[RECONCILIATION_SUBJECT] = self.on_reconciliation
         socket_host.routes[b"GET", b"/shared"] = self.report_status
         self.event_loop.call_later(options.each, self.run_period)
         self.permits.start()
@@ -139,7 +139,7 @@
         remaining = [*members]
         chosen: list[Any] = []
         while remaining and len(chosen) < count:
-            chosen.append(remaining.pop(self.membership.chance(len(remaining))))
+            chosen.append(remaining.pop(self.membership.random_below(len(remaining))))
         return chosen
 
     def _record_own_observations(self, now: int) -> None:
@@ -173,7 +173,7 @@
             return None
         sample_count = len(stats.slowness_samples)
         slowness_percent = 0
-        if sample_count >= MIN_SLOWNESS_SAMPLES:
+        if sample_count >= MIN_SLOWNESS_SAMPLE_COUNT:
             slowness_percent = int(100 * median(stats.slowness_samples))
         return Observation(fault, slowness_percent, sample_count)
 
@@ -188,7 +188,7 @@
     def _send_status_update(self, member: str, now: int, member_count: int) -> None:
         gateway = self.socket_host.gateway
         self.status_serial += 1
-        self.permits.transfers.record_update_written(boot_time(), self.status_serial)
+        self.permits.transfers.record_update_sent(boot_time(), self.status_serial)
         update = StatusUpdate(
             self.status_serial,
             len(gateway.retry_budget.success_times),
@@ -199,7 +199,7 @@
         self._send(member, STATUS_SUBJECT, encode_status(update), len(update.rows))
 
     def _send_reconciliation(
-        self, member: str, stage: int, digest: dict[str, ReporterMark], rows: list[Any]
+        self, member: str, stage: int, digest: dict[str, DigestEntry], rows: list[Any]
     ) -> None:
         body = encode_reconciliation(stage, digest, rows)
         self._send(member, RECONCILIATION_SUBJECT, body, len(rows))
@@ -231,13 +231,13 @@
         message = decode_reconciliation(body)
         now = self.event_loop.now
         self._merge(now, message.rows)
-        if not (message.stage < LAST_STAGE and self.byte_budget > 0):
+        if not (message.stage < LAST_RECONCILIATION_STAGE and self.byte_budget > 0):
             return
         rotation = self.period_count
         missing = self.reports.missing_rows(
             now, message.digest, DATAGRAM_ROOM_BYTES, True, rotation
         )
-        digest: dict[str, ReporterMark] = {}
+        digest: dict[str, DigestEntry] = {}
         if message.stage == 0:
             room_bytes = DATAGRAM_ROOM_BYTES - DIGEST_BYTES_PER_ROW * len(missing)
             digest = self.reports.digest(room_bytes, rotation)
--- a/corkgauge/peer_health/trials.py
+++ b/corkgauge/peer_health/trials.py
@@ -6,8 +6,9 @@
 
 from enum import IntEnum
 
-MAX_TRIAL_GATEWAYS = 8  # that try a suspected engine in one period
-TURN_STEP = 0.618  # of the fleet, between two periods (golden section): turns spread evenly over it
+MAX_TRIAL_GATEWAY_COUNT = 8  # that try a suspected engine in one period
+# Of the fleet, between two periods (golden section): turns spread evenly over it.
+TURN_STEP_FRACTION = 0.618
 
 
 class SuspicionLevel(IntEnum):
@@ -31,10 +32,10 @@
     if not is_suspected:
         return SuspicionLevel.NONE
     count = max(gateway_count, 1)
-    if count <= MAX_TRIAL_GATEWAYS:
+    if count <= MAX_TRIAL_GATEWAY_COUNT:
         return SuspicionLevel.ONE_AT_A_TIME
-    step = max(1, int(count * TURN_STEP))
+    step = max(1, int(count * TURN_STEP_FRACTION))
     turn = (gateway_number + period_count * step) % count
-    if turn < MAX_TRIAL_GATEWAYS:
+    if turn < MAX_TRIAL_GATEWAY_COUNT:
         return SuspicionLevel.ONE_AT_A_TIME
     return SuspicionLevel.NO_ATTEMPTS
--- a/corkgauge/testkit/checkers/leases.py
+++ b/corkgauge/testkit/checkers/leases.py
@@ -70,8 +70,8 @@
             [(each, "") for each in (*self.addresses, name)],
             period,
         )
-        self.member_list.calls["books"] = self.on_accounts_datagram
-        self.member_list.calls["works"] = self.on_maintenance_datagram
+        self.member_list.call_handlers["books"] = self.on_accounts_datagram
+        self.member_list.call_handlers["works"] = self.on_maintenance_datagram
         self.reports = 0  # sent to whoever plans maintenance
         event_loop.spawn(self._read)
 
@@ -126,7 +126,7 @@
         """Call a method after so many tenths of a millisecond."""
         self.event_loop.call_later(delay, method, *what)
 
-    def chance(self, below: int) -> int:
+    def random_below(self, below: int) -> int:
         """Return a number from 0 to `below` - 1."""
         return self.random.below(below)
 
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -127,7 +127,7 @@
         Gateway.on_permit_moved = lambda self, engine, work, when: work > 0 or [
             passed(self, engine, work, when + 20 * self.slow_start.window_ticks)
         ]
-        PermitTransfer.accept = lambda self, now, serial, known_for, left: now + left
+        PermitTransfer.accept_permit = lambda self, now, serial, known_for, left: now + left
     elif off == "cold":
         # An engine that has just started is sent what any other is.
         from corkgauge.policy.slow_start import SlowStart
--- a/tests/test_fellows.py
+++ b/tests/test_fellows.py
@@ -187,7 +187,7 @@
     def call_later(self, delay, method, *arguments):
         self.network.call_later(delay, self, method, arguments)
 
-    def chance(self, below):
+    def random_below(self, below):
         return self.network.random.below(below)
 
     def log(self, line):
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -37,7 +37,7 @@
             now=0, call_later=self.call_later, date=lambda: 10 * rack.now
         )
         self.member_list = SimpleNamespace(
-            calls={},
+            call_handlers={},
             zone=zone,
             codec=SimpleNamespace(
                 incarnation=1, peers={n: SimpleNamespace(incarnation=1) for n in NAMES}
@@ -55,7 +55,7 @@
             socket_host,
             SimpleNamespace(name=name),
             said,
-            SimpleNamespace(member_list=self.member_list, chance=rack.chance.below),
+            SimpleNamespace(member_list=self.member_list, random_below=rack.chance.below),
         )
         self.office.voter.silent_until = 0
         self.office.durable_record.write = self.keep
@@ -106,7 +106,7 @@
         heappush(self.events, (self.now + int(delay), self.serial, member, method, what))
 
     def hears(self, name, subject, sender, body):
-        self.members[name].member_list.calls[subject](sender, body)
+        self.members[name].member_list.call_handlers[subject](sender, body)
 
     def until(self, when):
         """Go on to this moment: the longest time without a holder, and who held it."""
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -244,17 +244,20 @@
 
 def test_permit_is_given_once_to_a_member_in_need_and_ends_with_its_window_however_late():
     giver, receiver = PermitTransfer(SECOND), PermitTransfer(SECOND)
-    receiver.record_update_written(1_000, 4)  # its clock is another one
+    receiver.record_update_sent(1_000, 4)  # its clock is another one
     giver.record_demand("n2", 50_000, 1, 4, 1.0)
     # At first it is kept for what may come here.
-    assert giver.give(51_000, "e1", 9_500, 0) is None
-    to, serial, known_ticks, remaining_ticks = giver.give(52_000, "e1", 5_000, 0)
+    assert giver.grant_permit(51_000, "e1", 9_500, 0) is None
+    to, serial, known_ticks, remaining_ticks = giver.grant_permit(52_000, "e1", 5_000, 0)
     assert (to, serial, known_ticks, remaining_ticks) == ("n2", 4, 2_000, 5_000)
-    assert giver.give(52_100, "e1", 4_900, 0) is None and giver.give(52_100, "e2", 4_900, 0) is None
+    assert (
+        giver.grant_permit(52_100, "e1", 4_900, 0) is None
+        and giver.grant_permit(52_100, "e2", 4_900, 0) is None
+    )
     # The update was written at 1,000: no later than the window.
-    assert receiver.accept(3_500, serial, known_ticks, remaining_ticks) == 8_000
-    assert receiver.accept(8_000, serial, known_ticks, remaining_ticks) == 0
-    assert receiver.accept(3_500, 99, known_ticks, remaining_ticks) == 0
+    assert receiver.accept_permit(3_500, serial, known_ticks, remaining_ticks) == 8_000
+    assert receiver.accept_permit(8_000, serial, known_ticks, remaining_ticks) == 0
+    assert receiver.accept_permit(3_500, 99, known_ticks, remaining_ticks) == 0
 
 
 def test_given_permits_keep_the_sum_of_what_a_warming_engine_is_sent():
