--- a/corkgauge/membership/__init__.py
+++ b/corkgauge/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which other instances there are and which are alive: SWIM with Lifeguard."""
+"""Membership and failure detection of gateways: SWIM with the Lifeguard extensions."""
--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -1,13 +1,14 @@
-"""Seals and opens datagrams: authenticated, bound to incarnations, each taken once.
+"""Encodes and decodes authenticated datagrams with replay protection.
 
-Owns keys, counters, the windows against replay and the rate allowance of each peer. Fed with bytes;
-knows no socket and no clock. Nothing of a datagram may count before its seal, its receiver and its
-counter have been checked.
+Owns the keys and, for each peer, the send counter, the replay window and the rate limit. Takes and
+returns bytes; performs no I/O and reads no clock. No field of a datagram takes effect before the
+seal, the receiver and the counter have been verified.
 
-A datagram is a mark (1 octet), the number of the key (1), a msgpack list, and the seal (16: HMAC-
-SHA256, truncated as RFC 2104 section 5 allows). The list: kind, sender, its incarnation, receiver,
-the receiver's incarnation as the sender knows it, counter, body. An incarnation is a number that is
-new with each start of a program.
+A datagram consists of a magic byte (1 octet), the key number (1 octet), a msgpack list and the seal
+(16 octets: HMAC-SHA256, truncated as RFC 2104 section 5 allows). The list holds the kind, the
+sender, the sender's incarnation, the receiver, the receiver's incarnation as known to the sender,
+the counter and the body. An incarnation is a number that each process start generates anew, so
+datagrams addressed to or sent by an earlier process are detected.
 """
 
 from collections import Counter
@@ -20,23 +21,25 @@
 from corkgauge.membership.sealing import SEAL_BYTES, Key, ReplayWindow
 
 MAGIC_BYTE = 0xC9
-MAX_DATAGRAM_BYTES = 1_400  # below the usual MTU: none is ever fragmented on its way
-INCARNATION_LIMIT = 2**62  # not believed from here on: the next one would not fit
-DATAGRAMS_PER_SECOND = 400.0  # of one peer that are opened
-BURST_DATAGRAMS = 800.0  # of one peer that are opened at once
+MAX_DATAGRAM_BYTES = 1_400  # below the usual MTU, so that no datagram is fragmented
+# Envelope integers at or above this limit are rejected: the local incarnation may be raised to one
+# more than a received incarnation, and has to fit into a msgpack integer.
+INCARNATION_LIMIT = 2**62
+DATAGRAMS_PER_SECOND = 400.0  # sustained rate limit of one peer
+BURST_DATAGRAMS = 800.0  # burst size of the rate limit of one peer
 TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
 ENVELOPE_FIELDS = 7
 
-# Why a datagram was not taken, as operators read it among the counters.
+# Rejection reasons; they are part of the counter names that operators read.
 TO_EARLIER_INCARNATION = "to an earlier start"
 FROM_EARLIER_INCARNATION = "of an earlier start"
 
 
 class DatagramKind(IntEnum):
-    """The kinds by their numbers on the wire.
+    """Datagram kinds; the values are part of the wire format.
 
-    HELLO asks who is there; HELLO_REPLY answers it, and proves by the asker's incarnation that it
-    is no replay.
+    HELLO requests the receiver's incarnation. HELLO_REPLY answers a HELLO and repeats the
+    incarnation of the HELLO's sender, which proves that the reply is not a replay.
     """
 
     HELLO = 0
@@ -51,7 +54,7 @@
 
 
 class PeerSession:
-    """What one instance keeps for its datagrams with one other."""
+    """State of the datagram exchange with one peer."""
 
     __slots__ = (
         "allowance",
@@ -64,20 +67,20 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.incarnation = 0  # 0: not known yet
+        self.incarnation = 0  # 0 while unknown
         self.sent_counter = 0
         self.replay_window = ReplayWindow()
-        self.allowance = BURST_DATAGRAMS  # datagrams that may still be opened
+        self.allowance = BURST_DATAGRAMS  # remaining tokens, in datagrams
         self.allowance_updated_at = 0  # ticks
 
     def restart(self, incarnation: int) -> None:
-        """Begin anew with a later incarnation of the peer, whose counters begin anew too."""
+        """Reset the replay window for a later incarnation, whose counters start at 1 again."""
         self.incarnation = incarnation
         self.replay_window = ReplayWindow()
 
 
 class Envelope(NamedTuple):
-    """The fields of a datagram whose seal was right, in their order on the wire."""
+    """Fields of a datagram with a valid seal, in wire order."""
 
     kind: int
     sender: str
@@ -89,7 +92,10 @@
 
 
 class OpenedDatagram(NamedTuple):
-    """What the caller is to act on; of a HELLO the body is the sender's incarnation."""
+    """Sender, kind and body of an accepted datagram.
+
+    The body of a HELLO is the sender's incarnation.
+    """
 
     sender: str
     kind: int
@@ -97,11 +103,11 @@
 
 
 class DatagramCodec:
-    """One instance's side of all its exchanges.
+    """Encodes and decodes the datagrams of the local member `name`.
 
-    `on_incarnation(name, incarnation)` is called when a peer's incarnation becomes known or
-    changes, `on_superseded(incarnation)` when a peer knows our name under a later incarnation than
-    ours.
+    Calls `on_incarnation(name, incarnation)` when a peer's incarnation becomes known or changes,
+    and `on_superseded(incarnation)` when a peer knows the local member under a later incarnation
+    than the local one.
     """
 
     def __init__(
@@ -114,14 +120,14 @@
     ) -> None:
         self.name = name
         self.incarnation = incarnation
-        self.keys = [*keys]  # the first seals, any opens
+        self.keys = [*keys]  # the first key seals, any key verifies
         self.peers: dict[str, PeerSession] = {}
-        self.counts = Counter[str]()  # by "taken", or why it was not
+        self.counts = Counter[str]()  # datagrams by "taken" or by rejection reason
         self._on_incarnation = on_incarnation
         self._on_superseded = on_superseded
 
     def set_peers(self, names: Sequence[str]) -> None:
-        """Say who the others are; what is known of those that stay is kept."""
+        """Replace the set of peers, and keep the sessions of peers that remain in the set."""
         self.peers = {
             name: self.peers.get(name) or PeerSession(name) for name in names if name != self.name
         }
@@ -129,8 +135,15 @@
     def encode(self, receiver: str, kind: int, body: Any, answered_incarnation: int = 0) -> bytes:
         """Return a sealed datagram.
 
-        `answered_incarnation` is what a HELLO_REPLY repeats of the HELLO that it answers.
-        Raises KeyError for a receiver that is no peer, ValueError if it is over MAX_DATAGRAM_BYTES.
+        Args:
+            receiver: Name of the peer.
+            kind: A `DatagramKind`.
+            body: Value that msgpack can encode.
+            answered_incarnation: For a HELLO_REPLY, the sender's incarnation in the answered HELLO.
+
+        Raises:
+            KeyError: The receiver is not a peer.
+            ValueError: The datagram would be longer than MAX_DATAGRAM_BYTES.
         """
         peer = self.peers[receiver]
         key = self.keys[0]
@@ -147,15 +160,18 @@
         packed: bytes = msgpack.packb([*envelope])
         data = bytes((MAGIC_BYTE, key.number)) + packed
         if len(data) + SEAL_BYTES > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"{len(data)} octets for one datagram")
+            raise ValueError(f"datagram too large: {len(data)} octets before the seal")
         return data + key.seal(data)
 
     def has_incarnation(self, name: str) -> bool:
-        """Return whether anything but HELLO and HELLO_REPLY may be written to this peer."""
+        """Return whether the peer's incarnation is known.
+
+        Until then only HELLO and HELLO_REPLY may be sent to the peer.
+        """
         return self.peers[name].incarnation > 0
 
     def decode(self, data: bytes, now_ticks: int) -> OpenedDatagram | None:
-        """Return what to act on; None for what must not be taken, which is counted."""
+        """Return the datagram if it is accepted; otherwise count the rejection and return None."""
         envelope = self._unseal(data)
         if isinstance(envelope, str):
             self.counts[envelope] += 1
@@ -164,12 +180,13 @@
         if rejection:
             self.counts[rejection] += 1
             if rejection in (TO_EARLIER_INCARNATION, FROM_EARLIER_INCARNATION):
-                # It does not know us, or our present incarnation: treated as a HELLO, it is told by
-                # the reply.
+                # The sender does not know the current local incarnation, or uses an incarnation
+                # below its last one. Handled as a HELLO, the datagram is answered with a
+                # HELLO_REPLY, whose envelope carries both current incarnations.
                 return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
             return None
         if envelope.kind == DatagramKind.HELLO:
-            # A replayed one changes nothing, and is answered.
+            # A replayed HELLO changes no state; answering it again is harmless.
             return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
         peer = self.peers[envelope.sender]
         if envelope.incarnation > peer.incarnation:
@@ -181,7 +198,10 @@
         return OpenedDatagram(envelope.sender, envelope.kind, envelope.body)
 
     def learn_incarnation(self, name: str, incarnation: int) -> None:
-        """Take a third member's word on a peer's incarnation, until the peer says more."""
+        """Record a peer's incarnation as reported by a third member, if it is a later one.
+
+        A later incarnation in the peer's own datagrams replaces the reported one.
+        """
         peer = self.peers.get(name)
         if peer is not None and incarnation > peer.incarnation:
             self._set_incarnation(peer, incarnation)
@@ -191,7 +211,7 @@
         self._on_incarnation(peer.name, incarnation)
 
     def _rejection(self, envelope: Envelope, now_ticks: int) -> str:
-        """Return why a datagram with a right seal must not be taken; empty if it may be."""
+        """Return the rejection reason of a datagram with a valid seal; empty if it is accepted."""
         peer = self.peers.get(envelope.sender)
         if peer is None:
             return "stranger"
@@ -200,23 +220,25 @@
         if not self._spend_allowance(peer, now_ticks):
             return "flood"
         if envelope.receiver_incarnation > self.incarnation:
-            # After a clock that was set back our incarnation is below the one they knew: unless it
-            # is raised, they take all of ours for old for ever.
+            # Incarnations are derived from the clock, so a clock that was set back gives the local
+            # member one below the incarnation that its peers know. Unless the local incarnation is
+            # raised, peers reject all its datagrams as outdated for ever.
             self._on_superseded(envelope.receiver_incarnation)
             return "to a later start"
         if envelope.kind == DatagramKind.HELLO:
             return ""
         if envelope.receiver_incarnation != self.incarnation:
-            # What was written to an earlier incarnation of ours may be hours old, and our windows
-            # are empty: a replay would be taken.
+            # A datagram to an earlier local incarnation may be hours old. The replay windows are
+            # empty after a restart, so a replayed datagram would be accepted here.
             return TO_EARLIER_INCARNATION
         if envelope.incarnation < peer.incarnation:
             return FROM_EARLIER_INCARNATION
         return ""
 
     def _spend_allowance(self, peer: PeerSession, now_ticks: int) -> bool:
-        """Return whether one more of this peer's datagrams may be opened (a token bucket)."""
-        # Without it a member that floods takes the time of all that is served.
+        """Take one token of the peer's token bucket; return False if the bucket is empty."""
+        # Without the limit, a member that floods datagrams uses the processor time that requests
+        # need.
         earned = (now_ticks - peer.allowance_updated_at) * DATAGRAMS_PER_SECOND / TICKS_PER_SECOND
         peer.allowance = min(BURST_DATAGRAMS, peer.allowance + earned)
         peer.allowance_updated_at = now_ticks
@@ -226,7 +248,7 @@
         return True
 
     def _unseal(self, data: bytes) -> Envelope | str:
-        """Return the fields of a datagram, or why nobody should look at it."""
+        """Verify the seal and return the envelope, or the rejection reason."""
         if len(data) < 2 + SEAL_BYTES or len(data) > MAX_DATAGRAM_BYTES or data[0] != MAGIC_BYTE:
             return "not a letter"
         key = next((each for each in self.keys if each.number == data[1]), None)
--- a/corkgauge/membership/failure_detector.py
+++ b/corkgauge/membership/failure_detector.py
@@ -1,8 +1,9 @@
-"""Finds out who has failed: probes a member a period, itself and through others.
+"""Detects failed members by direct and indirect probes, one probed member per period.
 
-Owns the probes under way. SWIM (Das, Gupta, Motivala, 2002), with local health and negative
-acknowledgements of Lifeguard (Dadgar, Phillips, Currey, 2017). Nobody may be accused while this
-member was late itself. Times are ticks of a tenth of a millisecond.
+Owns the probes in flight. Implements SWIM (Das, Gupta, Motivala, 2002) with the local health and
+the negative acknowledgements of Lifeguard (Dadgar, Phillips, Currey, 2017). A probe result is
+discarded if the local timer was late, so that a stalled local member suspects nobody. Times are
+ticks of a tenth of a millisecond.
 """
 
 from collections import Counter
@@ -15,26 +16,28 @@
 from corkgauge.membership.messages import ALIVE, UNKNOWN, Ack, IndirectProbe, Nack, Probe
 from corkgauge.membership.status_tracker import StatusTracker
 
-INDIRECT_PROBE_COUNT = 3  # members that are asked to probe one that does not answer
-PROBE_TIMEOUT_PERIODS = 0.3  # until others are asked to probe
-INDIRECT_PROBE_FRACTION = 0.8  # of what is left of the period then; the Nack arrives in it
-MAX_LATENESS_PERIODS = 0.25  # of our own timer, above which our view counts for nothing
+INDIRECT_PROBE_COUNT = 3  # members that are requested to probe an unresponsive member
+PROBE_TIMEOUT_PERIODS = 0.3  # time without an Ack before indirect probes are requested
+# Timeout of an indirect probe, as a fraction of the period's remainder after PROBE_TIMEOUT_PERIODS.
+# The rest of that remainder lets the Nack reach the requester before its probe expires.
+INDIRECT_PROBE_FRACTION = 0.8
+MAX_LATENESS_PERIODS = 0.25  # lateness of the local timer above which a probe is discarded
 
 
 @dataclass(slots=True)
 class ProbeInFlight:
-    """A probe of our own, or one for a requester, under the requester's sequence number."""
+    """A probe for the local member, or an indirect probe for a requester."""
 
     member: Member
     expires_at: int  # ticks
-    requester: str = ""  # empty for one of our own
+    requester: str = ""  # empty for a probe of the local member
     requester_sequence_number: int = 0
-    helpers: int = 0  # members that were asked to probe it
-    nacks: int = 0
+    helpers: int = 0  # members that an IndirectProbe was sent to
+    nacks: int = 0  # Nacks received from helpers
 
 
 class FailureDetector:
-    """Probes, their answers and what follows where none comes."""
+    """Sends probes, handles their answers and suspects members that do not answer."""
 
     def __init__(
         self,
@@ -59,7 +62,11 @@
         self._period_ticks = period_ticks
 
     def probe_next_member(self, interval_ticks: int) -> None:
-        """Probe the next member of the round; it is to answer within the interval."""
+        """Probe the next member of the round.
+
+        The member is suspected unless an Ack arrives within the interval. A member whose
+        incarnation is unknown gets a HELLO instead.
+        """
         member = self._table.next_probe_target()
         if member is None:
             return
@@ -74,16 +81,16 @@
         self._host.call_later(interval_ticks, self.on_probe_expired, sequence_number)
 
     def handle_probe(self, sender: str, probe: Probe) -> None:
-        """Acknowledge a probe of ours."""
+        """Answer a probe of the local member with an Ack."""
         self._sender.send(sender, Ack(probe.sequence_number))
 
     def handle_indirect_probe(self, requester: str, request: IndirectProbe) -> None:
-        """Probe the target for the requester, if it may be written to."""
+        """Probe the target for the requester, if the target's incarnation is known."""
         member = self._table.members.get(request.target)
         if member is None or not self._codec.has_incarnation(request.target):
             return
-        left_of_period = self._period_ticks * (1 - PROBE_TIMEOUT_PERIODS)
-        interval_ticks = int(left_of_period * INDIRECT_PROBE_FRACTION)
+        remaining_period_ticks = self._period_ticks * (1 - PROBE_TIMEOUT_PERIODS)
+        interval_ticks = int(remaining_period_ticks * INDIRECT_PROBE_FRACTION)
         sequence_number = self._send_probe(
             ProbeInFlight(
                 member,
@@ -95,7 +102,7 @@
         self._host.call_later(interval_ticks, self.on_probe_expired, sequence_number)
 
     def handle_ack(self, ack: Ack) -> None:
-        """End a probe that was answered, and pass the answer on to its requester."""
+        """Complete a probe, and forward the Ack of an indirect probe to its requester."""
         probe = self._probes.pop(ack.sequence_number, None)
         if probe is None:
             return
@@ -105,14 +112,15 @@
             self._sender.send(probe.requester, Ack(probe.requester_sequence_number))
 
     def handle_nack(self, nack: Nack) -> None:
-        """Count a helper that reaches us, though the probed member does not answer it either."""
+        """Count a helper that answered, although the probed member did not answer the helper."""
         probe = self._probes.get(nack.sequence_number)
         if probe is not None:
             probe.nacks += 1
 
     def on_probe_timeout(self, sequence_number: int) -> None:
-        """Have others probe a member that has not answered."""
-        # One bad link is not a failed member: without them it would be suspected.
+        """Request indirect probes of a member that has not answered."""
+        # Without indirect probes, a single bad link to a healthy member would make the local member
+        # suspect it.
         probe = self._probes.get(sequence_number)
         if probe is None:
             return
@@ -122,7 +130,7 @@
             self._sender.send(helper.name, request)
 
     def on_probe_expired(self, sequence_number: int) -> None:
-        """End a probe without an answer: suspect the member, or tell the requester."""
+        """End an unanswered probe: suspect the member, or send a Nack to the requester."""
         probe = self._probes.pop(sequence_number, None)
         if probe is None or probe.member.name not in self._table.members:
             return
@@ -132,15 +140,16 @@
             return
         max_lateness_ticks = int(MAX_LATENESS_PERIODS * self._period_ticks)
         if self._host.now > probe.expires_at + max_lateness_ticks:
-            # We stood still ourselves and have not read what came meanwhile: we would accuse
-            # everyone.
+            # The local process stalled, and Acks that arrived meanwhile may be unread. Without this
+            # check, a stalled member would suspect every member that it probes.
             self._counts["late ourselves"] += 1
             self._local.adjust_health(1)
             return
-        if probe.nacks < probe.helpers:  # helpers were silent too, so the fault may be ours
+        # A helper sent neither Ack nor Nack, so the fault may be on the local side.
+        if probe.nacks < probe.helpers:
             self._local.adjust_health(1)
         if probe.member.state in (ALIVE, UNKNOWN):
-            self._status.suspect(probe.member, self._local.name, "asked in vain")
+            self._status.suspect(probe.member, self._local.name, "no answer to a probe")
 
     def _send_probe(self, probe: ProbeInFlight) -> int:
         self.last_sequence_number += 1
--- a/corkgauge/membership/gossip.py
+++ b/corkgauge/membership/gossip.py
@@ -1,8 +1,8 @@
-"""Queues what is gossiped: the latest update on each member, each sent a bounded number of times.
+"""Queues the updates to gossip: the latest on each member, each sent a bounded number of times.
 
-Owns which updates are still sent, and how often each was. Free of I/O. Holds at most one update on
-a member, and lets every update die out, so that what a datagram carries stays bounded (SWIM,
-section 4.1: infection-style dissemination).
+Owns the queued updates and their transmission counts. Performs no I/O. The queue holds at most one
+update per member and drops an update after its last transmission, so that the gossip in a datagram
+stays bounded (SWIM, section 4.1: infection-style dissemination).
 """
 
 from collections.abc import Callable, Container
@@ -10,14 +10,15 @@
 from math import ceil, log2
 from typing import Generic, NamedTuple, TypeVar
 
-TRANSMIT_MULTIPLIER = 3  # times the logarithm of the number of members: how often an update is sent
-MAX_CANDIDATES = 64  # updates considered for one datagram; more never fit into it
+# An update is sent this many times the base-2 logarithm of the number of members, rounded up.
+TRANSMIT_MULTIPLIER = 3
+MAX_CANDIDATES = 64  # updates considered for one datagram; a datagram never holds more
 
 Update = TypeVar("Update")
 
 
 class QueuedUpdate(NamedTuple, Generic[Update]):
-    """An update, how often it was sent, and its place in the order of arrival."""
+    """An update with its number of transmissions and its arrival number."""
 
     transmissions: int
     serial: int
@@ -25,7 +26,7 @@
 
 
 class GossipQueue(Generic[Update]):
-    """Updates by member name, the least sent first.
+    """Queue of updates by member name; updates with the fewest transmissions are sent first.
 
     >>> queue = GossipQueue()
     >>> queue.add("a", ("a", 1))
@@ -44,13 +45,13 @@
         self._next_serial = 0
 
     def add(self, name: str, update: Update) -> None:
-        """Queue the latest update on a member; it takes the place of an earlier one."""
+        """Queue an update on a member; it replaces an earlier update on that member."""
         self.updates.pop(name, None)
         self.updates[name] = QueuedUpdate(0, self._next_serial, update)
         self._next_serial += 1
 
     def retain(self, names: Container[str]) -> None:
-        """Drop the updates on all but these members."""
+        """Drop the updates on all members that are not in `names`."""
         self.updates = {name: queued for name, queued in self.updates.items() if name in names}
 
     def take(
@@ -60,11 +61,15 @@
         size_bytes: Callable[[Update], int],
         receiver: str = "",
     ) -> list[Update]:
-        """Return the least sent updates that fit, the receiver's first; each counts as sent."""
+        """Return updates for one datagram and count a transmission of each.
+
+        The update on the receiver comes first, then the updates with the fewest transmissions, as
+        many as fit into `room_bytes`.
+        """
         limit = TRANSMIT_MULTIPLIER * ceil(log2(member_count + 1))
         taken = []
-        # Unless the update on the receiver goes first, a member may never hear that it is
-        # suspected.
+        # The update on the receiver goes first, because a member that never receives the suspicion
+        # against itself cannot refute it.
         candidates = nsmallest(
             MAX_CANDIDATES,
             self.updates.items(),
--- a/corkgauge/membership/member_list.py
+++ b/corkgauge/membership/member_list.py
@@ -1,12 +1,13 @@
-"""The member list: which members there are and which of them are alive, as one of them sees it.
+"""Maintains one member's view of the membership: the members and their states.
 
-Dispatches datagrams, timers and commands to the parts that decide. Free of I/O: clock, chance and
-the way out are its host's. What it costs may not grow with the number of members, and nothing may
-rely on its view for safety: views are hints.
+Dispatches datagrams, timers and commands to the components that decide. Performs no I/O: the host
+provides the clock, random numbers and datagram delivery. The load of a member must not grow with
+the number of members. No other component may rely on the view for safety, because views of
+different members may disagree.
 
-One member is probed a period, with gossip riding along: SWIM (Das, Gupta, Motivala, 2002). Local
-health, suspicion timeouts that shrink as others confirm, and telling the accused first: Lifeguard
-(Dadgar, Phillips, Currey, 2017).
+Probes one member per period and piggybacks gossip on the messages: SWIM (Das, Gupta, Motivala,
+2002). Local health, suspicion timeouts that shrink with each confirmation, and sending a suspicion
+to the suspected member first: Lifeguard (Dadgar, Phillips, Currey, 2017).
 """
 
 from collections import Counter
@@ -55,17 +56,17 @@
     "MemberState",
 ]
 
-HELLO_COUNT_PER_PERIOD = 6  # members that a newcomer greets, until one answers
-# While members are unknown, the whole state is asked for in one of so many periods.
+HELLO_COUNT_PER_PERIOD = 6  # members that get a HELLO per period, until one answers
+# While members are unknown, the full state is requested in one of this many periods on average.
 PERIODS_PER_STATE_REQUEST = 4
-LEAVE_NOTICE_COUNT = 2 * INDIRECT_PROBE_COUNT  # members that are told when this one leaves
+LEAVE_NOTICE_COUNT = 2 * INDIRECT_PROBE_COUNT  # members that the leaving member notifies
 
 
 class MemberList:
-    """One member's view of all.
+    """The view that the local member `name` has of all members.
 
-    `members` are (name, zone) of all, this one among them; `period_ticks` is in tenths of a
-    millisecond.
+    `members` holds (name, zone) of every member, the local one included. `period_ticks` is the
+    probe period in ticks of a tenth of a millisecond.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
     ) -> None:
         self.name = name
         self.counts = Counter[str]()
-        # Handlers of Calls, by subject.
+        # By subject; a handler takes the sender and the body of a Call.
         self.call_handlers: dict[str, Callable[[str, Any], None]] = {}
         self.local = LocalMember(name)
         self.gossip: GossipQueue[StatusUpdate] = GossipQueue()
@@ -111,41 +112,51 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """The others, by name."""
+        """The other members, by name."""
         return self.table.members
 
     @property
     def zone(self) -> str:
-        """The zone of this member."""
+        """The zone of the local member."""
         return self.local.zone
 
     @property
     def has_joined(self) -> bool:
-        """Whether another member has answered since the start."""
+        """Whether another member has answered since the process started."""
         return self.local.has_joined
 
     def set_members(self, members: Sequence[tuple[str, str]]) -> None:
-        """Take (name, zone) of all, this one among them; those that stay are kept as they are."""
+        """Replace the set of members by (name, zone) of every member, the local one included.
+
+        The records of members that remain in the set are kept.
+        """
         self.local.zone = dict(members).get(self.name, "")
         self.table.set_members(members)
         self.codec.set_peers([*self.members])
         self.gossip.retain({*self.members, self.name})
 
     def set_keys(self, keys: Sequence[Key]) -> None:
-        """Take other keys: the first seals, any opens."""
+        """Replace the keys: the first key seals, any key verifies."""
         self.codec.keys = [*keys]
 
     def leave(self) -> None:
-        """End in order: a few are told at once, and all by them."""
+        """Mark the local member as left and notify a few members.
+
+        Gossip spreads the change to all other members.
+        """
         self.local.has_left = True
         for member in self.table.sample_alive_members(LEAVE_NOTICE_COUNT):
             self.sender.send(member.name, Gossip())
 
     def call(self, name: str, subject: str, body: Any) -> bool:
-        """Send a message of another subsystem.
+        """Send a message of another subsystem to a member.
+
+        Returns:
+            False if there is no such member, or if the member's incarnation is unknown. In the
+            latter case the member gets a HELLO instead.
 
-        Returns False where the member's incarnation is unknown yet (it is greeted), or there is no
-        such member. Raises ValueError if the message is too large for a datagram.
+        Raises:
+            ValueError: The message is too large for a datagram.
         """
         if name not in self.members:
             return False
@@ -156,15 +167,15 @@
         return True
 
     def alive(self) -> list[Member]:
-        """Return the others that are alive or only suspected, by name."""
+        """Return the other members that are alive or suspected, sorted by name."""
         return self.table.alive()
 
     def state_of(self, name: str) -> MemberState:
-        """Return the state of a member; this one is alive, one that is no member is gone."""
+        """Return a member's state: ALIVE for the local member, GONE for an unknown name."""
         return self.table.state_of(name)
 
     def handle_datagram(self, data: bytes) -> None:
-        """Take a datagram, from whoever."""
+        """Decode a received datagram and dispatch its message and its status updates."""
         opened = self.codec.decode(data, self._host.now)
         if opened is None:
             return
@@ -179,15 +190,16 @@
         try:
             self._handle_body(member, opened.kind, opened.body)
         except DECODING_ERRORS:
-            # A member of another version, or one gone wild, holds the key too: it must not end the
-            # reading.
+            # A member of another version, or a malfunctioning one, also holds the key. Its
+            # malformed message must not end the reading of datagrams.
             self.counts["no sense"] += 1
 
     def on_period(self) -> None:
-        """Once a period: greet some until one answers, then probe the next member."""
+        """Send HELLOs until a member has answered; after that, probe the next member."""
         if self.local.has_left:
             return
-        # Intervals that stay short on a slow machine would accuse all.
+        # Scaled by local health: on a slow machine, unscaled intervals expire before answers are
+        # read, and every probed member would be suspected.
         interval_ticks = self._period_ticks * (1 + self.local.health)
         self._host.call_later(interval_ticks, self.on_period)
         if not self.local.has_joined:
@@ -200,7 +212,7 @@
         self.failure_detector.probe_next_member(interval_ticks)
 
     def _on_hello_reply(self, member: Member) -> None:
-        if not self.local.has_joined:  # the first that answers tells us of all others
+        if not self.local.has_joined:  # the first member to answer provides the full state
             self.local.has_joined = True
             self.state_sync.request_state(member.name)
 
--- a/corkgauge/membership/member_table.py
+++ b/corkgauge/membership/member_table.py
@@ -1,7 +1,7 @@
-"""The table of the other members, and the draws from it: whom to probe next, whom to ask for help.
+"""Keeps the records of the other members and selects members to probe or to send messages to.
 
-Owns the records and the order of the present round of probes. All draws are the host's, so that a
-seed repeats a run.
+Owns the records and the order of the current probe round. All random numbers are the host's, so
+that a run can be repeated with the same seed.
 """
 
 from collections.abc import Callable, Sequence
@@ -10,24 +10,28 @@
 from corkgauge.membership.members import Member
 from corkgauge.membership.messages import ALIVE, GONE, LEFT, SUSPECTED, UNKNOWN, MemberState
 
-ROUNDS_PER_GONE_PROBE = 4  # one in so many turns of a member that is gone is used to probe it
+# A member that is gone or has left is probed in one of this many rounds on average.
+ROUNDS_PER_GONE_PROBE = 4
 
 
 class MemberTable:
-    """The others by name. `random_below(n)` gives a number from 0 to below n."""
+    """The other members by name. `random_below(n)` returns a number from 0 to n - 1."""
 
     def __init__(
         self, local_name: str, codec: DatagramCodec, random_below: Callable[[int], int]
     ) -> None:
         self.members: dict[str, Member] = {}
-        self.unknown_count = 0  # members whose incarnation nobody has told yet
+        self.unknown_count = 0  # members in the state UNKNOWN
         self._local_name = local_name
         self._codec = codec
         self._random_below = random_below
-        self._round: list[str] = []  # those still to be probed in this round, the next one last
+        self._round: list[str] = []  # not yet probed in this round, the next one last
 
     def set_members(self, members: Sequence[tuple[str, str]]) -> None:
-        """Take (name, zone) of all; what is known of those that stay is kept."""
+        """Replace the set of members by (name, zone) of every member.
+
+        The records of members that remain in the set are kept.
+        """
         previous = self.members
         self.members = {}
         for name, zone in members:
@@ -39,7 +43,7 @@
         self._round = [name for name in self._round if name in self.members]
 
     def alive(self) -> list[Member]:
-        """Return those that are alive or only suspected, by name."""
+        """Return the members that are alive or suspected, sorted by name."""
         living = (ALIVE, SUSPECTED)
         return sorted(
             (member for member in self.members.values() if member.state in living),
@@ -47,16 +51,17 @@
         )
 
     def state_of(self, name: str) -> MemberState:
-        """Return the state of a member; this one is alive, one that is no member is gone."""
+        """Return a member's state: ALIVE for the local member, GONE for an unknown name."""
         if name == self._local_name:
             return ALIVE
         member = self.members.get(name)
         return GONE if member is None else member.state
 
     def next_probe_target(self) -> Member | None:
-        """Return each member once a round, in an order by chance, those that are gone more seldom.
+        """Return the next member to probe, or None if there is no other member.
 
-        None where there is no other member.
+        Each round visits every member once, in random order. Members that are gone or have left are
+        skipped in most rounds.
         """
         member = None
         for _ in range(2 * ROUNDS_PER_GONE_PROBE):
@@ -71,7 +76,7 @@
         return member
 
     def sample_alive_members(self, count: int, excluded: Member | None = None) -> list[Member]:
-        """Return up to so many that are alive and may be written to, by chance."""
+        """Return up to `count` random members that are alive and whose incarnation is known."""
         names = [
             member.name
             for member in self.members.values()
@@ -82,7 +87,7 @@
         return self._sample(names, count)
 
     def sample_members(self, count: int) -> list[Member]:
-        """Return up to so many, by chance, in whatever state."""
+        """Return up to `count` random members in any state."""
         return self._sample([*self.members], count)
 
     def _sample(self, names: list[str], count: int) -> list[Member]:
--- a/corkgauge/membership/members.py
+++ b/corkgauge/membership/members.py
@@ -1,4 +1,4 @@
-"""The records of members: what is held of each other one, and what of this one.
+"""Records of the other members and of the local member, and the interface of their host.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -8,12 +8,13 @@
 
 from corkgauge.membership.messages import ALIVE, LEFT, UNKNOWN, MemberState, StatusUpdate
 
-MAX_LOCAL_HEALTH = 8  # 0 is well; intervals grow by one of themselves for each (Lifeguard's LHM)
-STATE_SYNC_INTERVAL_TICKS = 30_000  # between two whole states sent to one member
+# Lifeguard's local health multiplier: 0 is healthy, and an interval is scaled by 1 + local health.
+MAX_LOCAL_HEALTH = 8
+STATE_SYNC_INTERVAL_TICKS = 30_000  # minimum time between two full states sent to one member
 
 
 class Member:
-    """One of the others, as this member sees it."""
+    """Another member in the view of the local member."""
 
     __slots__ = (
         "accusers",
@@ -34,59 +35,60 @@
         self.zone = zone
         self.state = UNKNOWN
         self.incarnation = 0
-        self.refutations = 0  # suspicions that it has refuted in this incarnation
+        self.refutations = 0  # suspicions that the member has refuted in this incarnation
         self.state_since = 0  # ticks
-        self.reason = ""  # of the last change of state
-        self.accusers: set[str] = set()
-        self.suspicion_timer_serial = 0  # of the suspicion timer that counts
-        self.last_datagram_at = 0  # ticks, of its last datagram
-        self.state_sent_at = -STATE_SYNC_INTERVAL_TICKS  # ticks, when it was sent the whole state
+        self.reason = ""  # of the last state change, shown to operators
+        self.accusers: set[str] = set()  # members that suspect this member
+        self.suspicion_timer_serial = 0  # of the latest suspicion timer; earlier ones are void
+        self.last_datagram_at = 0  # ticks, when its last datagram was received
+        self.state_sent_at = -STATE_SYNC_INTERVAL_TICKS  # ticks, last full state sent
 
     def status_update(self) -> StatusUpdate:
-        """Return what this member is to pass on of it."""
+        """Return the status update that gossip spreads on the member."""
         accuser = min(self.accusers, default="")
         return StatusUpdate(self.name, self.state, self.incarnation, self.refutations, accuser)
 
 
 class LocalMember:
-    """The member itself: its zone, its local health, whether it has joined or left."""
+    """The local member: zone, local health, refutations, and whether it has joined or left."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.zone = ""
         self.refutations = 0
-        self.health = 0  # 0 to MAX_LOCAL_HEALTH: how much its own lateness is to blame
+        # 0 to MAX_LOCAL_HEALTH: 0 is healthy, higher values mean that the local member is slow.
+        self.health = 0
         self.has_joined = False  # another member has answered
         self.has_left = False
 
     def adjust_health(self, step: int) -> None:
-        """Add the step, within 0 and MAX_LOCAL_HEALTH."""
+        """Add `step` to the local health, limited to 0 to MAX_LOCAL_HEALTH."""
         self.health = min(max(self.health + step, 0), MAX_LOCAL_HEALTH)
 
     def status_update(self, incarnation: int) -> StatusUpdate:
-        """Return what this member says of itself."""
+        """Return the status update that the local member sends about itself."""
         state = LEFT if self.has_left else ALIVE
         return StatusUpdate(self.name, state, incarnation, self.refutations)
 
 
 class Host(Protocol):
-    """What a member list needs of the process it runs in. Times are ticks."""
+    """The process that runs a member list. Times are ticks."""
 
     @property
     def now(self) -> int:
-        """The time."""
+        """The current time."""
 
     def send_datagram(self, name: str, data: bytes) -> None:
-        """Send to a member by its name; the datagram may be lost."""
+        """Send a datagram to the member `name`; the datagram may be lost."""
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """Call the method after the delay."""
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method with these arguments after the delay."""
 
     def random_below(self, below: int) -> int:
-        """Draw a number from 0 to below it."""
+        """Return a random number from 0 to `below` - 1."""
 
     def log(self, line: str) -> None:
-        """Write a line of log."""
+        """Write a log line."""
 
     def on_member_changed(self, member: Member, before: MemberState) -> None:
-        """Take note that a member's state is no longer what it was before."""
+        """Handle a change of a member's state from `before`."""
--- a/corkgauge/membership/message_sender.py
+++ b/corkgauge/membership/message_sender.py
@@ -1,6 +1,6 @@
-"""Sends messages to members, with the status updates that ride along.
+"""Sends messages to members and piggybacks status updates on them.
 
-Owns which updates go into a datagram, and in which order. Knows no socket: the host sends.
+Owns the choice and the order of the updates in a datagram. The host sends the datagrams.
 """
 
 from collections import Counter
@@ -21,13 +21,15 @@
     encode_body,
 )
 
-# Of gossiped updates in a datagram, beside the message and up to two updates before them.
+# Gossiped updates in a datagram. The rest of the datagram holds the message and up to two updates
+# that precede the gossip: the one on the receiver and the one on a leaving local member.
 MAX_GOSSIP_BYTES = 780
+# States recorded for a receiver that the receiver is sent, so that it can refute them.
 REFUTABLE_STATES = (SUSPECTED, GONE, LEFT)
 
 
 class MessageSender:
-    """The way out of one member list; counts what is sent under "sent"."""
+    """Sends the messages of one member list, and counts each datagram as "sent"."""
 
     def __init__(
         self,
@@ -46,24 +48,35 @@
         self._counts = counts
 
     def send_hello(self, name: str) -> None:
-        """Ask for a member's incarnation, without which nothing else may be written to it."""
+        """Request a member's incarnation.
+
+        Until the incarnation is known, only HELLO and HELLO_REPLY may be sent to the member.
+        """
         self._send_datagram(name, self._codec.encode(name, DatagramKind.HELLO, None))
 
     def send_hello_reply(self, name: str, answered_incarnation: int) -> None:
-        """Answer a HELLO; the repeated incarnation proves to its sender that this is no replay."""
+        """Answer a HELLO.
+
+        The repeated incarnation proves to the HELLO's sender that the reply is not a replay.
+        """
         kind = DatagramKind.HELLO_REPLY
         self._send_datagram(name, self._codec.encode(name, kind, None, answered_incarnation))
 
     def send_call(self, name: str, call: Call) -> None:
-        """Send another subsystem's message. Raises ValueError if it is too large for a datagram."""
+        """Send a message of another subsystem.
+
+        Raises:
+            ValueError: The message is too large for a datagram.
+        """
         self._send_datagram(name, self._codec.encode(name, call.kind, call.fields()))
 
     def send(self, name: str, message: GossipingMessage) -> None:
-        """Send a message with the updates that are due, the one on the receiver first."""
+        """Send a message with status updates: first on the receiver, then gossip."""
         updates: list[StatusUpdate] = []
         member = self._table.members[name]
         if member.state in REFUTABLE_STATES:
-            # Unless it hears what is held of it, it cannot refute that.
+            # A member that never receives the state that others have recorded for it cannot refute
+            # that state.
             updates.append(member.status_update())
         if self._local.has_left:
             updates.append(self._local.status_update(self._codec.incarnation))
@@ -74,7 +87,7 @@
         self._send_with(name, message, updates)
 
     def send_updates(self, name: str, updates: Sequence[StatusUpdate]) -> None:
-        """Send these updates and no others."""
+        """Send only these updates, without gossip."""
         self._send_with(name, Gossip(), updates)
 
     def _send_with(
--- a/corkgauge/membership/messages.py
+++ b/corkgauge/membership/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between members, and their codec to the lists that datagrams carry.
+"""Typed messages between members, and the codec of their datagram bodies.
 
-Every message but a Call has status updates beside it: its body is the message's own fields, then
-the list of updates. An update is [name, state, incarnation, refutations, accuser].
+The body of every message except a Call is a list of the message's fields, followed by the list of
+piggybacked status updates. An update is [name, state, incarnation, refutations, accuser].
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -11,29 +11,29 @@
 
 from corkgauge.membership.datagrams import DatagramKind
 
-UPDATE_OVERHEAD_BYTES = 24  # of an encoded update beside its two names, on the high side
+UPDATE_OVERHEAD_BYTES = 24  # upper estimate of an encoded update without its two names
 
 
 class MalformedMessageError(ValueError):
-    """A body that is not what its kind of datagram carries."""
+    """The body of a datagram does not fit its kind."""
 
 
 class MemberState(IntEnum):
-    """What is held of a member; the numbers travel, and the higher one overrides."""
+    """State of a member; the values are part of the wire format, and a higher value overrides."""
 
     ALIVE = 0
     SUSPECTED = 1
-    GONE = 2  # SWIM's "confirmed": it failed
-    LEFT = 3  # it ended in order
-    UNKNOWN = 4  # its incarnation has not been told yet; never sent
+    GONE = 2  # failed; "confirmed" in SWIM
+    LEFT = 3  # shut down in an orderly way
+    UNKNOWN = 4  # its incarnation is not known yet; never sent
 
     @property
     def label(self) -> str:
-        """The state as operators read it."""
+        """The state as shown to operators."""
         return self.name.lower()
 
 
-# Looked up once: by way of the class each of them costs more than the comparison.
+# Module-level aliases: an attribute lookup on the enum class costs more than the comparison.
 ALIVE = MemberState.ALIVE
 SUSPECTED = MemberState.SUSPECTED
 GONE = MemberState.GONE
@@ -42,10 +42,10 @@
 
 
 class StatusUpdate(NamedTuple):
-    """What one member says of another, or of itself.
+    """The state of a member `name`, as reported by another member or by `name` itself.
 
-    `refutations` counts how often the member has refuted a suspicion in this incarnation; `accuser`
-    is one that suspects it, or empty.
+    `refutations` is the number of suspicions that the member has refuted in this incarnation.
+    `accuser` is a member that suspects it, or empty.
     """
 
     name: str
@@ -55,88 +55,88 @@
     accuser: str = ""
 
     def encode(self) -> list[Any]:
-        """Return the update as a list for the wire."""
+        """Return the update as a list in wire order."""
         return [self.name, int(self.state), self.incarnation, self.refutations, self.accuser]
 
     def size_bytes(self) -> int:
-        """Return the encoded size, on the high side."""
+        """Return an upper estimate of the encoded size."""
         return UPDATE_OVERHEAD_BYTES + len(self.name) + len(self.accuser)
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A question whether the receiver is alive."""
+    """Asks the receiver for an Ack (SWIM's ping)."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.PROBE
     sequence_number: int
 
     def fields(self) -> list[Any]:
-        """Return what stands in the body before the updates."""
+        """Return the fields that precede the updates in the body."""
         return [self.sequence_number]
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """The answer to a Probe, or to an IndirectProbe whose target answered."""
+    """Answers a Probe, or an IndirectProbe whose target answered."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.ACK
     sequence_number: int
 
     def fields(self) -> list[Any]:
-        """Return what stands in the body before the updates."""
+        """Return the fields that precede the updates in the body."""
         return [self.sequence_number]
 
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """A request to probe the target, and answer under this number (SWIM's ping-req)."""
+    """Requests a probe of the target (SWIM's ping-req); the answer has this sequence number."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.INDIRECT_PROBE
     sequence_number: int
     target: str
 
     def fields(self) -> list[Any]:
-        """Return what stands in the body before the updates."""
+        """Return the fields that precede the updates in the body."""
         return [self.sequence_number, self.target]
 
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    """The target of an IndirectProbe has not answered, but the helper has (Lifeguard)."""
+    """Answers an IndirectProbe whose target did not answer (Lifeguard's negative ack)."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.NACK
     sequence_number: int
 
     def fields(self) -> list[Any]:
-        """Return what stands in the body before the updates."""
+        """Return the fields that precede the updates in the body."""
         return [self.sequence_number]
 
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """A request for all that the receiver holds of every member."""
+    """Requests the full state: the receiver's status update on every member."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.STATE_REQUEST
 
     def fields(self) -> list[Any]:
-        """Return what stands in the body before the updates."""
+        """Return the fields that precede the updates in the body."""
         return []
 
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """The updates beside it alone: a part of the whole state, or a leaver's word."""
+    """Carries status updates only: a part of the full state, or the notice of a leaving member."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.GOSSIP
 
     def fields(self) -> list[Any]:
-        """Return what stands in the body before the updates."""
+        """Return the fields that precede the updates in the body."""
         return []
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A message of another subsystem, by its subject; no updates beside it."""
+    """Carries a message of another subsystem, named by the subject, without status updates."""
 
     kind: ClassVar[DatagramKind] = DatagramKind.CALL
     subject: str
@@ -150,7 +150,7 @@
 GossipingMessage = Probe | Ack | IndirectProbe | Nack | StateRequest | Gossip
 Message = GossipingMessage | Call
 
-# What a malformed body raises where it is taken apart.
+# Exceptions that decoding a malformed body may raise.
 DECODING_ERRORS = (TypeError, ValueError, IndexError, KeyError, AttributeError)
 
 
@@ -170,12 +170,15 @@
 
 
 def decode_message(kind: int, body: Any) -> Message:
-    """Return the message of a datagram's body.
+    """Decode the message of a datagram's body, without its updates.
 
-    One of an unknown kind is taken for its updates alone. Raises MalformedMessageError.
+    A body of an unknown kind is decoded as Gossip, so that its updates still apply.
+
+    Raises:
+        MalformedMessageError: The body does not fit the kind.
     """
     decoder = _DECODERS.get(kind)
-    if decoder is None:  # GOSSIP, or a kind of a later version, which carries updates too
+    if decoder is None:  # GOSSIP, or a kind of a later version, which also carries updates
         return Gossip()
     try:
         return decoder(body)
@@ -184,9 +187,10 @@
 
 
 def decode_updates(body: Any) -> Iterator[StatusUpdate]:
-    """Yield the updates of a body one by one, so that those before a malformed one still count.
+    """Yield the updates of a body one by one, so that those before a malformed one still apply.
 
-    Raises MalformedMessageError.
+    Raises:
+        MalformedMessageError: The list of updates, or the next update, is malformed.
     """
     try:
         for fields in body[-1]:
@@ -196,7 +200,7 @@
 
 
 def encode_body(message: GossipingMessage, updates: Sequence[StatusUpdate]) -> list[Any]:
-    """Return the body of a datagram."""
+    """Return the body of a datagram: the message's fields, then the updates."""
     return [*message.fields(), [update.encode() for update in updates]]
 
 
@@ -209,5 +213,7 @@
     name, state_number, incarnation, refutations, accuser = fields
     state = _WIRE_STATES.get(state_number)
     if state is None or not (incarnation > 0 and refutations >= 0):
-        raise MalformedMessageError(f"expected an update on a member, found {fields!r}")
+        raise MalformedMessageError(
+            f"expected a valid state, incarnation and refutation count, found {fields!r}"
+        )
     return StatusUpdate(name, state, incarnation, refutations, accuser)
--- a/corkgauge/membership/sealing.py
+++ b/corkgauge/membership/sealing.py
@@ -1,21 +1,24 @@
-"""Keys that seal datagrams, and windows that tell a replayed one."""
+"""Keys that authenticate datagrams, and windows that detect replayed datagrams."""
 
 from cryptography.hazmat.primitives import constant_time, hashes, hmac
 
 SEAL_BYTES = 16
 MIN_KEY_BYTES = 32
-REPLAY_WINDOW = 256  # counters below the highest that are told apart
+REPLAY_WINDOW = 256  # counters, up to the highest one, whose arrival is tracked
 
 
 class Key:
-    """A shared secret of at least MIN_KEY_BYTES; its public number tells it from another one.
+    """A shared secret of at least MIN_KEY_BYTES, with a public key number.
 
-    Raises ValueError for a shorter secret.
+    The key number, a hash octet of the secret, selects the key that verifies a datagram.
+
+    Raises:
+        ValueError: The secret is shorter than MIN_KEY_BYTES.
     """
 
     def __init__(self, secret: bytes) -> None:
         if len(secret) < MIN_KEY_BYTES:
-            raise ValueError(f"expected {MIN_KEY_BYTES} octets or more, found {len(secret)}")
+            raise ValueError(f"key: expected {MIN_KEY_BYTES} octets or more, found {len(secret)}")
         self._unused_hmac = hmac.HMAC(secret, hashes.SHA256())
         digest = hashes.Hash(hashes.SHA256())
         digest.update(b"corkgauge key" + secret)
@@ -28,13 +31,16 @@
         return authenticator.finalize()[:SEAL_BYTES]
 
     def is_valid_seal(self, data: bytes, seal: bytes) -> bool:
-        """Return whether the seal is this key's for the data."""
-        # A comparison that stops at the first difference tells a stranger how far it was right.
+        """Return whether the seal was made with this key for the data."""
+        # Constant time: a comparison that stops at the first difference reveals by its duration how
+        # many octets of a forged seal are correct.
         return constant_time.bytes_eq(self.seal(data), seal)
 
 
 class ReplayWindow:
-    """Which counters of one sender have arrived (RFC 4303, section 3.4.3, with a wider mask).
+    """Anti-replay window over the counters of one sender.
+
+    The algorithm is that of RFC 4303, section 3.4.3, with a wider mask.
 
     >>> window = ReplayWindow()
     >>> [window.accept(each) for each in (5, 3, 5, 3, 4, 300, 44, 45, 300)]
@@ -48,7 +54,7 @@
         self.mask = 0
 
     def accept(self, counter: int) -> bool:
-        """Return whether the counter is new; from now on it is not."""
+        """Record the counter; return False if it was recorded before or is below the window."""
         if counter > self.highest:
             shift = min(counter - self.highest, REPLAY_WINDOW)
             self.mask = (self.mask << shift | 1) & (1 << REPLAY_WINDOW) - 1
@@ -56,7 +62,7 @@
             return True
         age = self.highest - counter
         bit = 1 << age
-        # What is older than the window cannot be told from a replay.
+        # A counter below the window cannot be distinguished from a replay.
         if age >= REPLAY_WINDOW or self.mask & bit:
             return False
         self.mask |= bit
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -1,8 +1,8 @@
-"""The membership service of one process: the datagram socket, the timers and the status report.
+"""Runs a member list on a UDP socket and the event loop, and reports its status.
 
-Owns the socket and the addresses. Decides nothing about who is alive, and never holds up the event
-loop: what arrives is read a few datagrams at a time, and what the socket does not take is lost, as
-any datagram may be.
+Owns the socket and the members' addresses. Makes no decision on member states, and never blocks the
+event loop: datagrams are read a few at a time, and a datagram that the socket refuses is dropped,
+because any datagram may be lost.
 """
 
 import errno
@@ -19,27 +19,29 @@
 from corkgauge.membership.member_list import Member, MemberList, MemberState
 from corkgauge.membership.sealing import Key
 
-MAX_DATAGRAMS_PER_WAKEUP = 32  # that are read before others have their turn
-INCARNATION_SHIFT_BITS = 12  # below the milliseconds: drawn, so that two starts at once differ
+MAX_DATAGRAMS_PER_WAKEUP = 32  # read before other tasks of the event loop run
+# Random bits below the milliseconds of an incarnation, so that simultaneous starts differ.
+INCARNATION_SHIFT_BITS = 12
 TICKS_PER_MILLISECOND = 10
 
 Address = tuple[str, int]
 
 
 class ServingHost(Protocol):
-    """What the service needs of the process's host."""
+    """The host of the process, as far as the service uses it."""
 
     event_loop: EventLoop
     routes: dict[tuple[bytes, bytes], Callable[..., Any]]  # by HTTP method and path
 
     def log(self, line: str) -> None:
-        """Write a line of log."""
+        """Write a log line."""
 
 
 class MembershipService:
-    """The host of a MemberList on sockets.
+    """Hosts a MemberList on a UDP socket.
 
-    Raises ConfigurationError where our name is not among the members, or our address is taken.
+    Raises:
+        ConfigurationError: The local name is not among the members, or its address is in use.
     """
 
     def __init__(
@@ -51,9 +53,9 @@
         self.config = config
         self.seed = platform_config.seed
         self.draw_count = 0
-        self.unsent = 0  # datagrams that the socket did not take
+        self.unsent = 0  # datagrams that the socket refused
         self.addresses: dict[str, Address] = {}
-        self.sock: Any = None  # a UDP socket, or a hollow node's; None once the service has ended
+        self.sock: Any = None  # a UDP socket or a test double; None after `end`
         self._bind(config)
         self._set_addresses(config)
         self.member_list = MemberList(
@@ -68,11 +70,12 @@
         self.event_loop.spawn(self._read_datagrams, self.sock)
 
     def reload(self, config: MembershipConfig) -> None:
-        """Take other members, keys or addresses.
+        """Apply changed members, keys and addresses.
 
-        Raises ConfigurationError, and changes nothing, where our name is not among the members.
+        Raises:
+            ConfigurationError: The local name is not among the members; nothing is changed.
         """
-        self._own_address(config)
+        self._local_address(config)
         if (config.listen, config.period) != (self.config.listen, self.config.period):
             self.socket_host.log(
                 "operator file: fellows listen or period changed, in force after a restart"
@@ -92,39 +95,39 @@
 
     @property
     def now(self) -> int:
-        """The event loop's time in ticks of a tenth of a millisecond."""
+        """The event loop's current time in ticks of a tenth of a millisecond."""
         return self.event_loop.now
 
     def send_datagram(self, name: str, data: bytes) -> None:
-        """Send to a member; what the socket does not take is counted and lost."""
+        """Send a datagram to a member; count and drop it if the socket refuses it."""
         try:
             self.sock.sendto(data, self.addresses[name])
         except OSError as problem:
-            # ECONNREFUSED answers an earlier datagram, whose member did not listen.
+            # ECONNREFUSED reports an earlier datagram to a member that was not listening.
             if problem.errno != errno.ECONNREFUSED:
                 self.unsent += 1
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """Call the method after so many ticks."""
-        self.event_loop.call_later(delay, method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method with these arguments after `delay` ticks."""
+        self.event_loop.call_later(delay, method, *arguments)
 
     def random_below(self, below: int) -> int:
-        """Draw a number from 0 to below it; the seed repeats a run."""
+        """Return a random number from 0 to `below` - 1; the same seed repeats the sequence."""
         self.draw_count += 1
         return crc32(pack("<QQ", self.seed, self.draw_count)) * below >> 32
 
     def log(self, line: str) -> None:
-        """Write a line of log."""
+        """Write a log line."""
         self.socket_host.log(line)
 
     def on_member_changed(self, member: Member, before: MemberState) -> None:
-        """Log a change of a member's state."""
+        """Log a change of a member's state from `before`."""
         self.socket_host.log(
             f"fellow {member.name} {member.state.label}, was {before.label}: {member.reason}"
         )
 
     def status_report(self, request: bytes = b"") -> dict[str, Any]:
-        """Return our view of each member and the counters, for operators. Times are seconds."""
+        """Return the local view of each member and the counters for operators, in seconds."""
         member_list = self.member_list
         by_name = sorted(member_list.members.values(), key=lambda member: member.name)
         datagram_counts = member_list.codec.counts.items()
@@ -155,34 +158,36 @@
     def _seconds_since(self, ticks: int) -> float | None:
         return (self.event_loop.now - ticks) / SECOND if ticks else None
 
-    def _own_address(self, config: MembershipConfig) -> Address:
+    def _local_address(self, config: MembershipConfig) -> Address:
         addresses = {name: address for name, address, _ in config.members}
         address = addresses.get(self.name)
         if address is None:
-            raise ConfigurationError(f"fellows: expected {self.name!r}, our own name, among them")
+            raise ConfigurationError(
+                f"fellows: expected an entry for {self.name!r}, the local name, found none"
+            )
         return address
 
     def _bind(self, config: MembershipConfig) -> None:
-        address = config.listen or self._own_address(config)
+        address = config.listen or self._local_address(config)
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.sock = socket.socket(family, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         try:
-            # Two programs under one name would each answer for the other: the second gets no
-            # address.
+            # A second process under the same name fails here, because the address is in use.
+            # Otherwise each of the two processes would answer probes for the other.
             self.sock.bind(address)
         except OSError as problem:
             self.sock.close()
             raise ConfigurationError(
-                f"fellows: {address[0]}:{address[1]}: {problem.strerror}"
+                f"fellows: cannot bind {address[0]}:{address[1]}: {problem.strerror}"
             ) from None
 
     def _set_addresses(self, config: MembershipConfig) -> None:
-        self._own_address(config)
+        self._local_address(config)
         self.addresses = {name: address for name, address, _ in config.members}
 
     def _read_datagrams(self, sock: Any) -> None:
-        """Read until the service ends, a few at a time."""
+        """Read datagrams until the service ends, a few per wakeup."""
         while self.sock is sock:
             self.event_loop.wait(sock.fileno(), READ)
             for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
@@ -193,13 +198,13 @@
                 except BlockingIOError:
                     break
                 except OSError:
-                    continue  # the refusal of a datagram of ours: its member does not listen
+                    continue  # reports an earlier sent datagram to a member that was not listening
                 self._handle_datagram(data)
 
     def _handle_datagram(self, data: bytes) -> None:
         try:
             self.member_list.handle_datagram(data)
-        except Exception:  # one datagram must not end the reading of all others
+        except Exception:  # a failing datagram must not end the reading of later ones
             self.event_loop.troubled()
 
 
@@ -208,7 +213,7 @@
 
 
 def _new_incarnation(seed: int, now_ticks: int) -> int:
-    """Return a number above that of any earlier start, unless the clock was set back."""
+    """Return an incarnation above that of any earlier start, unless the clock was set back."""
     milliseconds = now_ticks // TICKS_PER_MILLISECOND
     drawn = crc32(pack("<QQ", seed, now_ticks)) % (1 << INCARNATION_SHIFT_BITS)
     return (milliseconds << INCARNATION_SHIFT_BITS) | drawn
--- a/corkgauge/membership/state_sync.py
+++ b/corkgauge/membership/state_sync.py
@@ -1,6 +1,6 @@
-"""Sends and requests the whole state (memberlist's push/pull state sync).
+"""Requests and sends the full state (memberlist's push/pull state sync).
 
-Owns how often one member is sent the whole state, and how it is parted into datagrams.
+Owns the rate limit of full states per member and their division into datagrams.
 """
 
 from corkgauge.membership.datagrams import DatagramCodec
@@ -9,11 +9,11 @@
 from corkgauge.membership.message_sender import MessageSender
 from corkgauge.membership.messages import StateRequest, StatusUpdate
 
-STATE_CHUNK_BYTES = 840  # of updates in a datagram, which is sent once it has more
+STATE_CHUNK_BYTES = 840  # a datagram is sent as soon as its updates exceed this size
 
 
 class StateSync:
-    """Requests the whole state, and answers such requests."""
+    """Requests the full state from members, and answers their requests."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         self._sender = sender
 
     def request_state(self, name: str) -> None:
-        """Ask a member for all that it holds."""
+        """Request the full state from a member."""
         self._sender.send(name, StateRequest())
 
     def handle_state_request(self, member: Member) -> None:
-        """Send the member all that is held, in as many datagrams as that takes."""
-        # One that asks again and again would be work without end.
+        """Send the full state to a member, in as many datagrams as needed."""
+        # Rate limit: a member that repeats its request would otherwise cause unbounded work.
         if self._host.now < member.state_sent_at + STATE_SYNC_INTERVAL_TICKS:
             return
         member.state_sent_at = self._host.now
--- a/corkgauge/membership/status_tracker.py
+++ b/corkgauge/membership/status_tracker.py
@@ -1,7 +1,7 @@
-"""Applies what is said of members, by others or by the own failure detector.
+"""Applies status updates from other members and from the local failure detector.
 
-Owns the rule which of two updates counts, the suspicion timers and the refutation of what is said
-of this member.
+Owns the precedence of updates, the suspicion timers and the refutation of updates that report the
+local member as not alive.
 """
 
 from collections import Counter
@@ -16,7 +16,7 @@
 
 
 class StatusTracker:
-    """The one place that changes a member's state; each change is gossiped and told to the host."""
+    """Changes the states of members; gossips each change and reports it to the host."""
 
     def __init__(
         self,
@@ -37,26 +37,27 @@
         self._period_ticks = period_ticks
 
     def apply_update(self, sender: str, update: StatusUpdate) -> None:
-        """Take an update if it is newer than what is held, or confirms a suspicion."""
+        """Apply an update that is newer than the member's record or confirms its suspicion."""
         if update.name == self._local.name:
             self._apply_to_local(update)
             return
         member = self._table.members.get(update.name)
         if member is None:
             return
-        self._codec.learn_incarnation(update.name, update.incarnation)  # may take it up as alive
+        # A new incarnation changes the member's state to ALIVE, by way of `on_incarnation`.
+        self._codec.learn_incarnation(update.name, update.incarnation)
         if _is_same_suspicion(member, update):
             self._confirm_suspicion(member, update.accuser)
         elif _is_newer(update, member):
             member.incarnation = update.incarnation
             member.refutations = update.refutations
             if update.state == SUSPECTED:
-                self.suspect(member, update.accuser, f"told by {sender}")
+                self.suspect(member, update.accuser, f"reported by {sender}")
             else:
-                self._set_state(member, update.state, f"told by {sender}")
+                self._set_state(member, update.state, f"reported by {sender}")
 
     def suspect(self, member: Member, accuser: str, reason: str) -> None:
-        """Suspect a member, or add an accuser; it is gone unless it refutes that in time."""
+        """Suspect a member, or add an accuser; unless refuted in time, the member is gone."""
         if member.state != SUSPECTED:
             member.state_since = self._host.now
             self._set_state(member, SUSPECTED, reason, {accuser})
@@ -69,12 +70,14 @@
         self._restart_suspicion_timer(member)
 
     def on_suspicion_timeout(self, member: Member, serial: int) -> None:
-        """Hold a member gone that is suspected still, unless a later timer is under way."""
+        """Mark a member as gone if it is still suspected and no later timer was started."""
         if member.state == SUSPECTED and member.suspicion_timer_serial == serial:
-            self._set_state(member, GONE, f"suspected by {len(member.accusers)}")
+            self._set_state(
+                member, GONE, f"suspicion not refuted, accusers: {len(member.accusers)}"
+            )
 
     def on_incarnation(self, name: str, incarnation: int) -> None:
-        """Take a member for alive whose present incarnation has become known."""
+        """Mark a member as alive when a later incarnation of it becomes known."""
         member = self._table.members[name]
         if incarnation > member.incarnation:
             member.incarnation = incarnation
@@ -82,9 +85,10 @@
             self._set_state(member, ALIVE, "started")
 
     def on_superseded(self, incarnation: int) -> None:
-        """Raise our incarnation above one that others know our name under.
+        """Raise the local incarnation above the one that other members know.
 
-        A clock was set back over a restart, or another process runs under our name.
+        The cause is a clock that was set back across a restart, or another process that runs under
+        the local name.
         """
         self._counts["outgrown"] += 1
         self._codec.incarnation = incarnation + 1
@@ -95,18 +99,19 @@
         if update.incarnation > self._codec.incarnation:
             self.on_superseded(update.incarnation)
             return
-        is_ours = update.incarnation == self._codec.incarnation
-        if is_ours and update.state != ALIVE and not self._local.has_left:
+        is_current_incarnation = update.incarnation == self._codec.incarnation
+        if is_current_incarnation and update.state != ALIVE and not self._local.has_left:
             self._refute(update)
 
     def _refute(self, update: StatusUpdate) -> None:
-        """Say that we are alive; an accusation that is not refuted makes us gone for all."""
+        """Gossip that the local member is alive; otherwise all members mark it as gone."""
         if update.refutations >= self._local.refutations:
             self._local.refutations = update.refutations + 1
             self._counts["accused"] += 1
             self._local.adjust_health(1)
-        # Gossiped again even if it is refuted already: while we were not heard, our update died
-        # out, and whoever still accuses us never had it.
+        # Gossiped again even if this suspicion was refuted before: while the local member's
+        # datagrams were lost, the refutation used up its transmissions, and the accuser never
+        # received it.
         self._gossip.add(self._local.name, self._local.status_update(self._codec.incarnation))
 
     def _confirm_suspicion(self, member: Member, accuser: str) -> None:
@@ -115,7 +120,7 @@
             self.suspect(member, accuser, "confirmed")
 
     def _restart_suspicion_timer(self, member: Member) -> None:
-        """Start the timer anew: each accuser shortens what is left."""
+        """Restart the suspicion timer; each further accuser shortens the remaining time."""
         member.suspicion_timer_serial += 1
         timeout = suspicion_timeout_ticks(
             len(member.accusers) - 1, len(self._table.members) + 1, self._period_ticks
@@ -128,17 +133,17 @@
     def _set_state(
         self, member: Member, state: MemberState, reason: str, accusers: Iterable[str] = ()
     ) -> None:
-        before = member.state
+        previous_state = member.state
         member.state = state
         member.state_since = self._host.now
         member.reason = reason
         member.accusers = {*accusers}
-        if before == UNKNOWN:
+        if previous_state == UNKNOWN:
             self._table.unknown_count -= 1
         self._gossip.add(member.name, member.status_update())
-        if before != state:
+        if previous_state != state:
             self._counts[f"became {state.label}"] += 1
-            self._host.on_member_changed(member, before)
+            self._host.on_member_changed(member, previous_state)
 
 
 def _is_same_suspicion(member: Member, update: StatusUpdate) -> bool:
@@ -150,12 +155,13 @@
 
 
 def _is_newer(update: StatusUpdate, member: Member) -> bool:
-    """Return whether the update is newer, by incarnation, refutations, then state.
+    """Return whether the update is newer, by incarnation, then refutations, then state.
 
-    The rule is that of SWIM, section 4.2. GONE and LEFT are equal: whichever was heard first stays.
+    The rule is that of SWIM, section 4.2. GONE and LEFT have equal precedence: the one that was
+    received first stays.
     """
-    said = (update.incarnation, update.refutations, min(update.state, GONE))
+    update_order = (update.incarnation, update.refutations, min(update.state, GONE))
     if member.state == UNKNOWN:
-        return said > (0, 0, ALIVE)
-    held = (member.incarnation, member.refutations, min(member.state, GONE))
-    return said > held
+        return update_order > (0, 0, ALIVE)
+    member_order = (member.incarnation, member.refutations, min(member.state, GONE))
+    return update_order > member_order
--- a/corkgauge/membership/suspicion.py
+++ b/corkgauge/membership/suspicion.py
@@ -1,20 +1,20 @@
-"""How long a member stays suspected before it is gone (Lifeguard's suspicion timeouts)."""
+"""Computes the time until a suspected member is marked as gone (Lifeguard's timeouts)."""
 
 from math import log, log10
 
-EXPECTED_CONFIRMATIONS = 3  # accusers beside the first, with whom the timeout is shortest
-MIN_TIMEOUT_PERIODS = 4  # the shortest timeout, times the logarithm of the number of members
-MAX_TIMEOUT_FACTOR = 4  # the longest timeout over the shortest
+EXPECTED_CONFIRMATIONS = 3  # further accusers after which the timeout is shortest
+MIN_TIMEOUT_PERIODS = 4  # shortest timeout, multiplied by log10 of the number of members
+MAX_TIMEOUT_FACTOR = 4  # longest timeout divided by the shortest
 
 
 def suspicion_timeout_ticks(confirmations: int, member_count: int, period_ticks: int) -> int:
-    """Return the ticks from the first suspicion until the member is gone.
+    """Return the ticks from the first suspicion until the member is marked as gone.
 
-    The more others confirm it, the fewer.
+    Each confirmation by another member shortens the timeout.
 
     >>> [suspicion_timeout_ticks(confirmations, 10, 5_000) for confirmations in range(5)]
     [80000, 50000, 32451, 20000, 20000]
-    >>> suspicion_timeout_ticks(0, 2, 5_000)  # nobody is left who could confirm it
+    >>> suspicion_timeout_ticks(0, 2, 5_000)  # no third member could confirm it
     20000
     """
     shortest = MIN_TIMEOUT_PERIODS * max(1.0, log10(member_count)) * period_ticks
