--- a/corkgauge/peer_health/aggregation.py
+++ b/corkgauge/peer_health/aggregation.py
@@ -1,16 +1,18 @@
-"""What the reports of other gateways on one engine come to: suspected or not, and how slow.
-
-Free of I/O. Reports never command: what this gateway observed itself goes first, one reporter alone
-counts for nothing, and a suspected engine is still tried.
-
-The rule: the weight of a report falls with its age, from 1 to 0 at the end of its lifetime, and is
-halved where the reporter sits in another zone. A report on another incarnation of the engine counts
-for nothing. An engine is *suspected* where reporters of at least two zones found a fault (at least
-three reporters where the fleet has one zone only), their weights add up to that of one fresh report
-from our zone, and they outweigh those that found it well. So a liar, or a majority of liars in one
-zone, makes no suspicion; and a suspicion lets one attempt at a time go there, until the first good
-answer of our own ends it. The slowness estimate is the weighted median of at least three reporters,
-of two zones where there are two. Times are ticks, tenths of a millisecond.
+"""Aggregates the peer health reports on one engine into a suspicion and a slowness estimate.
+
+Performs no I/O. Reports are hints: a recent observation of the local gateway takes precedence, a
+single reporter has no effect, and a suspected engine still gets attempts.
+
+The weight of a report falls linearly with its age, from 1 to 0 at the end of its lifetime, and is
+halved if the reporter is in another zone. A report on another incarnation of the engine is ignored.
+An engine is *suspected* if reporters from at least two zones reported a fault (at least three
+reporters if the fleet has only one zone), if the weights of their reports add up to at least that
+of one fresh report from the local zone, and if they exceed the weights of the reports without a
+fault. A single gateway with false reports, or a majority of such gateways in one zone, therefore
+cannot make an engine suspected. A suspicion limits the engine to one attempt at a time, and ends
+with the first good answer to the local gateway. The slowness estimate is the weighted median of at
+least three reporters, from at least two zones if the fleet has several. Times are ticks, tenths of
+a millisecond.
 """
 
 from collections.abc import Iterable, Mapping
@@ -19,21 +21,22 @@
 
 from corkgauge.peer_health.health_report import REPORT_LIFETIME_TICKS, Fault, HealthReport
 
-OTHER_ZONE_WEIGHT = 0.5  # of a report from another zone, against one from ours
-MIN_SUSPICION_WEIGHT = 1.0  # of all reports of a fault together
-MIN_REPORTERS = 3  # for a suspicion where the fleet has one zone; and for a slowness estimate
-OWN_OBSERVATION_TICKS = 20_000  # a sign of our own this young overrides any suspicion
-MAX_SLOWNESS = 50.0  # what a reporter may say: wild figures are taken as these
+OTHER_ZONE_WEIGHT = 0.5  # factor on the weight of a report from another zone
+MIN_SUSPICION_WEIGHT = 1.0  # sum of the weights of all reports of a fault
+MIN_REPORTERS = 3  # for a suspicion in a fleet with one zone, and for a slowness estimate
+OWN_OBSERVATION_TICKS = 20_000  # a more recent sign from the engine overrides any suspicion
+# Multiples of the usual response time; a reported slowness outside this range is clamped to it.
+MAX_SLOWNESS = 50.0
 MIN_SLOWNESS = 0.5
-MAX_NAMED_REPORTERS = 6  # that an assessment names
+MAX_NAMED_REPORTERS = 6  # reporters named in an assessment
 
 
 @dataclass(frozen=True, slots=True)
 class Assessment:
-    """What the reports on one engine come to.
+    """The result of aggregating the reports on one engine.
 
-    `slowness` is a multiple of the usual response time, 0 where no estimate can be made.
-    `reporters` are names of those that found a fault, parted by spaces, empty where the engine is
+    `slowness` is a multiple of the usual response time, 0 without an estimate. `reporters` holds
+    the names of gateways that reported a fault, separated by spaces; it is empty if the engine is
     not suspected.
     """
 
@@ -46,7 +49,7 @@
 
 
 class SlownessSample(NamedTuple):
-    """A reporter's word on slowness, with its weight."""
+    """The slowness that one reporter measured, with the weight of the report."""
 
     slowness: float
     weight: float
@@ -54,7 +57,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Sums over the reports that count."""
+    """Sums over the reports with a positive weight."""
 
     fault_weight: float = 0.0
     healthy_weight: float = 0.0
@@ -63,7 +66,7 @@
     sample_zones: set[str] = field(default_factory=set)
 
     def add(self, report: HealthReport, weight: float, zone: str) -> None:
-        """Count one report, of a reporter in this zone."""
+        """Add a report with this weight; `zone` is the reporter's."""
         if report.fault != Fault.NONE:
             self.fault_weight += weight
             self.fault_reporters.append(report.reporter)
@@ -83,24 +86,29 @@
     zones: Mapping[str, str],
     own_observation_at: int,
 ) -> Assessment:
-    """Weigh the reports on one engine by the rule above.
+    """Aggregate the reports on one engine by the rule in the module's docstring.
 
-    `zones` is by gateway, ours among them; `engine_incarnation` is the engine's start as this
-    gateway was told it; `own_observation_at` is when the engine last gave a sign to us, below 0
-    for never.
+    Args:
+        reports: Reports on the engine, in any order.
+        now: Current time.
+        engine_incarnation: The engine's incarnation as known to the local gateway.
+        own_name: Name of the local gateway.
+        zones: Zone by gateway, the local gateway included.
+        own_observation_at: When the engine last gave a sign to the local gateway; below 0 for
+            never.
 
     >>> def report(reporter, fault, slowness=0):
     ...     return HealthReport(reporter, 1, 1, 0, "e1", 7, fault, slowness, 3)
     >>> zones = {"me": "a", "n2": "a", "n3": "a", "n4": "b"}
     >>> one_zone = [report("n2", Fault.SILENT), report("n3", Fault.SILENT)]
-    >>> assess(one_zone, 0, 7, "me", zones, -1).is_suspected     # one zone may be lying
+    >>> assess(one_zone, 0, 7, "me", zones, -1).is_suspected     # false reports of one zone
     False
     >>> two_zones = [report("n2", Fault.SILENT), report("n4", Fault.SILENT)]
     >>> assess(two_zones, 0, 7, "me", zones, -1).is_suspected
     True
-    >>> assess(two_zones, 0, 7, "me", zones, 0).is_suspected      # we know better
+    >>> assess(two_zones, 0, 7, "me", zones, 0).is_suspected      # overridden locally
     False
-    >>> assess(two_zones, 0, 8, "me", zones, -1).is_suspected     # it has restarted since
+    >>> assess(two_zones, 0, 8, "me", zones, -1).is_suspected     # on an earlier start
     False
     >>> slow = [report("n2", Fault.NONE, 300), report("n3", Fault.NONE, 200)]
     >>> assess([*slow, report("n4", Fault.NONE, 9900)], 0, 7, "me", zones, -1).slowness
@@ -109,8 +117,8 @@
     has_several_zones = len({*zones.values()}) > 1
     tally = Tally()
     for report in reports:
-        is_of_a_member = report.reporter != own_name and report.reporter in zones
-        if not is_of_a_member or report.engine_incarnation != engine_incarnation:
+        is_from_peer = report.reporter != own_name and report.reporter in zones
+        if not is_from_peer or report.engine_incarnation != engine_incarnation:
             continue
         zone = zones[report.reporter]
         weight = max(1 - (now - report.found_at) / REPORT_LIFETIME_TICKS, 0.0)
@@ -137,7 +145,7 @@
 def _is_suspicion_justified(
     tally: Tally, zones: Mapping[str, str], has_several_zones: bool
 ) -> bool:
-    """Whether the reports of a fault are enough, and outweigh the others."""
+    """Return whether the reports of a fault suffice and outweigh those without a fault."""
     if has_several_zones:
         has_quorum = len({zones[name] for name in tally.fault_reporters}) > 1
     else:
@@ -150,15 +158,15 @@
 
 
 def _weighted_median(samples: list[SlownessSample]) -> float:
-    """Find the least slowness that half of the weight does not exceed.
+    """Return the least slowness at which the cumulated weight reaches half of the total.
 
     >>> _weighted_median([SlownessSample(*each) for each in ((1.0, 1.0), (9.0, 0.2), (2.0, 1.0))])
     2.0
     """
     half = sum(sample.weight for sample in samples) / 2
-    weight_so_far = 0.0
+    cumulated_weight = 0.0
     for sample in sorted(samples):
-        weight_so_far += sample.weight
-        if weight_so_far >= half:
+        cumulated_weight += sample.weight
+        if cumulated_weight >= half:
             return sample.slowness
     return 0.0
--- a/corkgauge/peer_health/health_report.py
+++ b/corkgauge/peer_health/health_report.py
@@ -1,7 +1,7 @@
-"""One gateway's report on one engine, and its row in a datagram.
+"""Defines the health report of one gateway on one engine, and its row in a datagram.
 
-The row is part of the wire between gateways of different versions: the order and the meaning of its
-nine elements are fixed here and nowhere else. Times are ticks, tenths of a millisecond.
+The row is part of the wire format between gateways of different versions. This module alone defines
+the order and the meaning of its nine elements. Times are ticks, tenths of a millisecond.
 """
 
 from collections.abc import Sequence
@@ -9,14 +9,14 @@
 from enum import IntEnum
 from typing import Any
 
-REPORT_LIFETIME_TICKS = 100_000  # at this age a report has no weight left, and is dropped
-MAX_ENGINE_CHARS = 64  # longest engine reference that is taken from another gateway
-WIRE_INTEGER_LIMIT = 2**62  # no number of a row may be this large
-ROW_OVERHEAD_BYTES = 40  # of a row beside its two names, on the high side
+REPORT_LIFETIME_TICKS = 100_000  # age at which the weight is 0 and a report is dropped
+MAX_ENGINE_CHARS = 64  # longest engine reference accepted from another gateway
+WIRE_INTEGER_LIMIT = 2**62  # numbers of a row have to be below this limit
+ROW_OVERHEAD_BYTES = 40  # upper estimate of a row without its two names
 
 
 class Fault(IntEnum):
-    """What a reporter found wrong with an engine; the values are the ones on the wire."""
+    """Fault of an engine as reported; the values are part of the wire format."""
 
     NONE = 0
     ERROR = 1
@@ -26,7 +26,7 @@
 
 
 FAULT_BY_CODE = tuple(Fault)
-# By the name that an engine's fault history has for it.
+# By the fault's name in the fault history of an engine.
 FAULT_BY_NAME = {
     "error": Fault.ERROR,
     "reset": Fault.RESET,
@@ -35,19 +35,20 @@
 }
 
 # [reporter, reporter incarnation, serial, age in ticks, engine, engine incarnation, fault,
-#  slowness in percent of the usual, samples]
+#  slowness in percent of the usual response time, sample count]
 Row = list[Any]
 ROW_LENGTH = 9
-ROW_ENGINE = 4  # place of the engine reference in a row
+ROW_ENGINE = 4  # index of the engine reference in a row
 
 
 @dataclass(slots=True)
 class HealthReport:
-    """The last report of one reporter on one engine.
+    """The latest report of one reporter on one engine.
 
-    `found_at` is in ticks of this gateway's clock; `slowness_percent` is the median response time
-    in percent of what is usual, 0 where there are too few samples. All stay as they were made, but
-    for `found_at`, which may be corrected downwards, and `times_sent`, which counts our gossip.
+    `found_at` is when the reporter made the observation, by the local clock. `slowness_percent` is
+    the median response time in percent of the usual one, 0 if there are too few samples. Only two
+    fields change: `found_at` may be corrected to an earlier time, and `times_sent` counts how often
+    the local gateway gossiped the report.
     """
 
     reporter: str
@@ -63,20 +64,20 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """What orders the reports of one reporter: its incarnation, then its serial."""
+        """Sort key among the reports of one reporter: incarnation, then serial."""
         return self.reporter_incarnation, self.serial
 
     def is_expired(self, now: int) -> bool:
-        """Whether the report is too old to count at `now`, in ticks."""
+        """Return whether the report has reached the end of its lifetime at `now`."""
         return now >= self.found_at + REPORT_LIFETIME_TICKS
 
     def row_bytes(self) -> int:
-        """Bytes that the row takes in a datagram, on the high side."""
+        """Return an upper estimate of the row's size in a datagram."""
         return ROW_OVERHEAD_BYTES + len(self.reporter) + len(self.engine)
 
 
 def encode_row(report: HealthReport, now: int) -> Row:
-    """Make the row of a report; its time is sent as an age, as clocks of gateways differ."""
+    """Return the row of a report; time is sent as an age, as clocks of gateways differ."""
     return [
         report.reporter,
         report.reporter_incarnation,
@@ -91,7 +92,7 @@
 
 
 def decode_row(row: Sequence[Any], now: int) -> HealthReport | None:
-    """Read a row that came at `now`, in ticks; None for one that breaks the format.
+    """Decode a row received at `now`; return None if the row is malformed.
 
     >>> decode_row(["n1", 1, 1, 0, "e1", 0, 9, 0, 0], 5) is None, decode_row([], 5) is None
     (True, True)
@@ -102,7 +103,8 @@
     numbers = incarnation, serial, age, engine_incarnation, slowness, samples
     if not isinstance(reporter, str) or not _is_engine_reference(engine):
         return None
-    # A bool is an int too, and would come back as another row than was sent: hence no isinstance.
+    # `type` instead of `isinstance`: a bool is an int too, and would be encoded as a different row
+    # when the report is gossiped on.
     if type(fault) is not int or not Fault.NONE <= fault <= Fault.SILENT:
         return None
     if not all(type(number) is int and 0 <= number < WIRE_INTEGER_LIMIT for number in numbers):
@@ -121,7 +123,7 @@
 
 
 def last_fault(fault_history: Sequence[str]) -> Fault:
-    """Find the latest fault in a history; answers without one are empty strings there.
+    """Return the latest fault in a history, where an empty string is an answer without a fault.
 
     >>> last_fault(["reset", "error", ""]).name, last_fault([""]).name
     ('ERROR', 'NONE')
--- a/corkgauge/peer_health/messages.py
+++ b/corkgauge/peer_health/messages.py
@@ -1,9 +1,10 @@
-"""Codec of the three datagram bodies of peer health: status, reconciliation, permit.
+"""Encodes and decodes the three datagram bodies of peer health: status, reconciliation, permit.
 
-Bodies are lists of fixed length, as instances of other versions send them; the subjects are part of
-the wire too. Decoding parts a body and raises ValueError or TypeError where its length is wrong.
-What the elements hold is checked where they are used: the membership service counts a body that
-raises there as malformed and goes on, and what stood before the bad element has been applied then.
+Bodies are lists of fixed length and, like the subjects, part of the wire format between versions.
+Decoding raises ValueError or TypeError if a body has the wrong length, but does not check its
+elements. An element is checked where it is used: an exception there makes the membership service
+count the body as malformed and continue, and the elements before the malformed one have been
+applied.
 """
 
 from typing import Any, NamedTuple
@@ -15,32 +16,36 @@
 RECONCILIATION_SUBJECT = "repair"
 PERMIT_SUBJECT = "turn"
 
-UNPLACED_SCALE = 10  # requests a second that found no place travel in tenths
+UNPLACED_SCALE = 10  # unplaced requests per second are sent in tenths
 
-BODY_BYTES = 60  # of a body without its rows, on the high side
-ROW_BYTES = 70  # of one row
+BODY_BYTES = 60  # upper estimate of a body without its rows
+ROW_BYTES = 70  # upper estimate of one row
 
 
 class StatusUpdate(NamedTuple):
-    """What a gateway tells a few others each period."""
+    """Retry usage, permit demand and reports, sent to a few members each period."""
 
     serial: int
     succeeded: int
     retries: int
-    unplaced_tenths: int  # requests that found no place, in tenths a second
+    unplaced_tenths: int  # requests that found no engine, in tenths per second
     rows: list[Row]
 
 
 class Reconciliation(NamedTuple):
-    """One step of comparing reports: question (stage 0), answer (1), what that lacked (2)."""
+    """One step of a digest exchange.
+
+    Stage 0 sends a digest. Stage 1 answers with the rows missing from that digest and with the
+    receiver's own digest. Stage 2 sends the rows missing from the digest of stage 1.
+    """
 
     stage: int
-    digest: Any  # by reporter: a DigestEntry; unchecked where it came from the wire
+    digest: Any  # DigestEntry by reporter; unchecked if received
     rows: list[Row]
 
 
 class PermitMessage(NamedTuple):
-    """A slow-start permit for `work` at one incarnation of an engine."""
+    """A slow-start permit for `work` at one incarnation of an engine; times are ticks."""
 
     engine: str
     engine_incarnation: int
@@ -51,38 +56,38 @@
 
 
 def encode_status(update: StatusUpdate) -> list[Any]:
-    """Make the body of a status update."""
+    """Encode the body of a status update."""
     return [*update]
 
 
 def decode_status(body: Any) -> StatusUpdate:
-    """Part the body of a status update."""
+    """Decode the body of a status update."""
     serial, succeeded, retries, unplaced_tenths, rows = body
     return StatusUpdate(serial, succeeded, retries, unplaced_tenths, rows)
 
 
 def encode_reconciliation(stage: int, digest: dict[str, DigestEntry], rows: list[Row]) -> list[Any]:
-    """Make the body of a reconciliation step."""
-    return [stage, {name: [*mark] for name, mark in digest.items()}, rows]
+    """Encode the body of a reconciliation step."""
+    return [stage, {name: [*entry] for name, entry in digest.items()}, rows]
 
 
 def decode_reconciliation(body: Any) -> Reconciliation:
-    """Part the body of a reconciliation step."""
+    """Decode the body of a reconciliation step."""
     stage, digest, rows = body
     return Reconciliation(stage, digest, rows)
 
 
 def encode_permit(permit: PermitMessage) -> list[Any]:
-    """Make the body that carries a permit."""
+    """Encode the body of a permit message."""
     return [*permit]
 
 
 def decode_permit(body: Any) -> PermitMessage:
-    """Part the body that carries a permit."""
+    """Decode the body of a permit message."""
     engine, engine_incarnation, serial, known_ticks, remaining_ticks, work = body
     return PermitMessage(engine, engine_incarnation, serial, known_ticks, remaining_ticks, work)
 
 
 def body_bytes(row_count: int) -> int:
-    """Bytes that a body with so many rows takes, on the high side."""
+    """Return an upper estimate of the size of a body with `row_count` rows."""
     return BODY_BYTES + ROW_BYTES * row_count
--- a/corkgauge/peer_health/permit_exchange.py
+++ b/corkgauge/peer_health/permit_exchange.py
@@ -1,6 +1,6 @@
-"""Permits between gateways: demand measured here, unused permits offered, received ones applied.
+"""Exchanges slow-start permits: measures demand, offers unused permits, applies received ones.
 
-The I/O around `PermitTransfer`: its timer, its datagrams, and what the gateway is told.
+Performs the I/O for `PermitTransfer`: the timer, the datagrams and the calls to the gateway.
 """
 
 from typing import Any
@@ -15,14 +15,14 @@
 )
 from corkgauge.peer_health.permit_transfer import PermitTransfer
 
-MAX_ENGINES_OFFERED = 40  # warming engines that are looked at, each time
+MAX_ENGINES_OFFERED = 40  # engines in slow start that one offer considers
 PERMIT_OFFER_INTERVAL_TICKS = 1_000
-UNSENT_REASON_INDEX = 3  # place among a ledger row's reasons: the request found no engine
-MAX_WORK = 1e9  # of a received permit: a wild figure would open the slow-start limit
+UNSENT_REASON_INDEX = 3  # in the reasons of a ledger row: the request found no engine
+MAX_WORK = 1e9  # of a received permit; a larger value would void the slow-start limit
 
 
 class PermitExchange:
-    """Offers the slow-start permits of one gateway and takes those of others."""
+    """Offers unused slow-start permits of the local gateway and applies received permits."""
 
     def __init__(self, socket_host: Any, membership: Any) -> None:
         self.socket_host = socket_host
@@ -35,12 +35,12 @@
         self.member_list.call_handlers[PERMIT_SUBJECT] = self.on_permit
 
     def start(self) -> None:
-        """Begin to offer permits, where the gateway has a slow-start rule."""
+        """Start the offer timer if slow start is configured."""
         if self.socket_host.gateway.slow_start.warm_up_ticks:
             self.event_loop.call_later(PERMIT_OFFER_INTERVAL_TICKS, self.offer_unused)
 
     def measure_demand(self, period_ticks: int) -> None:
-        """Set `unplaced_per_second` from the requests of the last period that found no engine."""
+        """Set `unplaced_per_second` from the last period's requests that found no engine."""
         rows = self.socket_host.ledger.request_classes.values()
         unplaced = sum(row.reasons[UNSENT_REASON_INDEX] for row in rows)
         per_second = (unplaced - self._unplaced_before) * SECOND / max(period_ticks, 1)
@@ -48,7 +48,7 @@
         self._unplaced_before = unplaced
 
     def offer_unused(self) -> None:
-        """Send the permits that we hold and do not need to members that do."""
+        """Send permits that the local gateway does not need to members that need them."""
         self.event_loop.call_later(PERMIT_OFFER_INTERVAL_TICKS, self.offer_unused)
         gateway = self.socket_host.gateway
         if self._needs_own_permits():
@@ -79,8 +79,8 @@
         )
         if grant is None:
             return
-        # Spent here before it is written: if we were to end in between, a permit would be lost,
-        # while the other order would let it be used twice.
+        # Spend the permit before sending it: a process that ends in between loses the permit, while
+        # the reverse order would allow two gateways to use it.
         gateway.on_permit_moved(engine, work, now)
         permit = PermitMessage(
             engine.host_reference,
@@ -93,7 +93,7 @@
         self.member_list.call(grant.member, PERMIT_SUBJECT, encode_permit(permit))
 
     def on_permit(self, sender: str, body: Any) -> None:
-        """Add a received permit to the slow-start budget, for what is left of its window."""
+        """Add a received permit to the slow-start budget for the remainder of its window."""
         permit = decode_permit(body)
         engine_pool = self.socket_host.engine_pools.get(permit.engine)
         now = self.event_loop.now
@@ -107,7 +107,7 @@
         if not usable_until or engine_pool is None:
             return
         engine = engine_pool.engine
-        # A permit for an earlier incarnation would be one too many for this one.
+        # A permit for an earlier incarnation would exceed the budget of the current one.
         if engine.incarnation == permit.engine_incarnation and 0 < permit.work < MAX_WORK:
             gateway = self.socket_host.gateway
             spent_at = now + (usable_until - now_since_boot) - gateway.slow_start.window_ticks
--- a/corkgauge/peer_health/reports.py
+++ b/corkgauge/peer_health/reports.py
@@ -1,15 +1,15 @@
-"""Latest health report of each gateway on each engine, merged in any order, spread by gossip.
-
-Free of I/O: the owner brings the clock and the datagrams. Three bounds hold. Passing a report on
-never makes it younger; of a reporter there is one report an engine, and a limited number in all;
-every report expires.
-
-A map from (reporter, engine) to the latest report, where latest is the greater (incarnation,
-serial) of the reporter itself: a last-writer-wins map (Shapiro, Preguica, Baquero and Zawirski,
-2011), so merging is commutative, associative and idempotent. Reports spread as rumours (Demers et
-al., 1987): each is sent a number of times that grows with the logarithm of the members, and a
-comparison of digests (anti-entropy) repairs what gossip missed. Ages are spans, not dates, so a
-clock that is a day ahead changes nothing. Times are ticks, tenths of a millisecond.
+"""Stores the latest health report of each gateway on each engine, and spreads reports by gossip.
+
+Performs no I/O: the caller provides the time and exchanges the datagrams. Three invariants hold:
+forwarding a report never makes it younger; a reporter has at most one report per engine, and a
+limited number in total; every report expires.
+
+The store is a last-writer-wins map (Shapiro, Preguica, Baquero and Zawirski, 2011) from (reporter,
+engine) to the report with the greatest (incarnation, serial) of that reporter, so merging is
+commutative, associative and idempotent. Reports spread by rumor mongering (Demers et al., 1987):
+each is sent a number of times that grows with the logarithm of the number of members. Comparing
+digests (anti-entropy) repairs gaps that gossip leaves. Reports carry ages instead of dates, so a
+clock that is a day ahead has no effect. Times are ticks, tenths of a millisecond.
 """
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -26,17 +26,18 @@
     encode_row,
 )
 
-# Between two of our reports on an engine that differ in its slowness alone.
+# Minimum time between two local reports on an engine that differ only in the slowness.
 MIN_REPORT_INTERVAL_TICKS = 20_000
-GOSSIP_FACTOR = 2  # a report is sent this often, times the logarithm of the number of members
-# Held of one reporter: a flood of reports from one must not push out those of the others.
+# A report is gossiped this many times the base-2 logarithm of the number of members, rounded up.
+GOSSIP_FACTOR = 2
+# Limits one reporter, so that a flood of its reports does not displace those of other reporters.
 MAX_REPORTS_PER_REPORTER = 2_000
-MAX_GOSSIP_CANDIDATES = 64  # reports looked at for one datagram
-DIGEST_ENTRY_BYTES = 22  # of a digest's entry beside the name, on the high side
+MAX_GOSSIP_CANDIDATES = 64  # reports considered for one datagram
+DIGEST_ENTRY_BYTES = 22  # upper estimate of a digest entry without the name
 
 
 class DigestEntry(NamedTuple):
-    """What is held of one reporter, in a digest: its latest version and a checksum of all of it."""
+    """One reporter in a digest: the latest version, and a checksum over all its reports."""
 
     incarnation: int
     serial: int
@@ -44,13 +45,13 @@
 
 
 class HealthReports:
-    """The reports that the gateway `name` holds in its present `incarnation`, its own among them.
+    """The reports stored by the gateway `name` in its current `incarnation`, including its own.
 
     >>> one, other = HealthReports("n1", 1), HealthReports("n2", 1)
     >>> one.record_own(0, "e1", 5, Fault.SILENT, 0, 0)
     True
     >>> rows = one.next_gossip(100, 3, 900)
-    >>> other.merge(150, rows), other.merge(150, rows)      # the same again changes nothing
+    >>> other.merge(150, rows), other.merge(150, rows)      # idempotent
     (1, 0)
     >>> [(each.reporter, int(each.fault), 150 - each.found_at) for each in other.reports_on("e1")]
     [('n1', 4, 100)]
@@ -62,12 +63,12 @@
         self.serial = 0
         self.by_engine: dict[str, dict[str, HealthReport]] = {}
         self.by_reporter: dict[str, dict[str, HealthReport]] = {}
-        # By (reporter, engine): still to be sent on, in the order in which they came.
+        # By (reporter, engine): reports to gossip, in the order of arrival.
         self.pending_gossip: dict[tuple[str, str], HealthReport] = {}
         self.rejected_count = 0
 
     def __len__(self) -> int:
-        return sum(len(held) for held in self.by_reporter.values())
+        return sum(len(stored) for stored in self.by_reporter.values())
 
     def record_own(
         self,
@@ -78,9 +79,9 @@
         slowness_percent: int,
         sample_count: int,
     ) -> bool:
-        """Take an observation of our own as a report; False where it would add nothing.
+        """Record a local observation as a report; return False if the report is not needed.
 
-        It adds something where it differs from the last report, or keeps that from expiring.
+        A report is needed if it differs from the previous one or keeps it from expiring.
         """
         before = self.by_engine.get(engine, {}).get(self.name)
         if before is not None and not self._is_worth_reporting(
@@ -108,17 +109,18 @@
     ) -> bool:
         if (before.engine_incarnation, before.fault) != (engine_incarnation, fault):
             return True
-        # A slowness that wavers would be reported without end: it has to move by half, and a
-        # report without news waits until half of the lifetime has passed.
+        # A fluctuating slowness would cause a report in every period. So a new slowness is reported
+        # only if it changed by more than half, and an unchanged report is repeated only after half
+        # of its lifetime.
         change = abs(before.slowness_percent - slowness_percent)
-        has_moved = change > max(before.slowness_percent, 100) // 2
-        pause = MIN_REPORT_INTERVAL_TICKS if has_moved else REPORT_LIFETIME_TICKS // 2
-        return now >= before.found_at + pause
+        has_changed = change > max(before.slowness_percent, 100) // 2
+        interval_ticks = MIN_REPORT_INTERVAL_TICKS if has_changed else REPORT_LIFETIME_TICKS // 2
+        return now >= before.found_at + interval_ticks
 
     def merge(self, now: int, rows: Iterable[Sequence[Any]]) -> int:
-        """Take the rows of another gateway's datagram; the number of reports that were new.
+        """Merge the rows of a received datagram; return the number of new reports.
 
-        Malformed rows, and those beyond a reporter's limit, are passed over and counted in
+        Malformed rows and rows beyond a reporter's limit are skipped and counted in
         `rejected_count`.
         """
         return sum(self._merge_row(now, row) for row in rows)
@@ -129,43 +131,44 @@
             self.rejected_count += 1
             return False
         if report.reporter == self.name:
-            return False  # nobody else may speak for us
+            return False  # no other gateway may report in the local gateway's name
         before = self.by_engine.get(report.engine, {}).get(report.reporter)
         if before is not None and before.version >= report.version:
             if before.version == report.version:
-                # The older of two copies is right, whichever came first: transit only adds age.
+                # Of two copies, the one with the greater age is more accurate: ages omit the time
+                # in transit, so a copy can only appear too young.
                 before.found_at = min(before.found_at, report.found_at)
             return False
         if report.is_expired(now):
             return False
-        held_of_reporter = self.by_reporter.get(report.reporter, ())
-        if before is None and len(held_of_reporter) >= MAX_REPORTS_PER_REPORTER:
+        reports_of_reporter = self.by_reporter.get(report.reporter, ())
+        if before is None and len(reports_of_reporter) >= MAX_REPORTS_PER_REPORTER:
             self.rejected_count += 1
             return False
         self._store(report)
         return True
 
     def reports_on(self, engine: str) -> Iterable[HealthReport]:
-        """Every report held on an engine, our own among them."""
+        """Return all stored reports on an engine, including the local one."""
         return self.by_engine.get(engine, {}).values()
 
     def is_disputed(self, engine: str, slowness_limit_percent: float) -> bool:
-        """Whether any report held says that the engine has a fault or is slower than the limit."""
+        """Return whether a stored report has a fault or a slowness above the limit."""
         return any(
             report.fault != Fault.NONE or report.slowness_percent > slowness_limit_percent
             for report in self.reports_on(engine)
         )
 
     def drop_expired(self, now: int, members: Iterable[str]) -> None:
-        """Drop reports that are too old, and those of gateways that are no members any more."""
+        """Drop expired reports and the reports of former members."""
         known_reporters = {*members, self.name}
-        for reporter, held in [*self.by_reporter.items()]:
-            for report in [*held.values()]:
+        for reporter, stored in [*self.by_reporter.items()]:
+            for report in [*stored.values()]:
                 if report.is_expired(now) or reporter not in known_reporters:
                     self._drop(report)
 
     def next_gossip(self, now: int, member_count: int, room_bytes: int) -> list[Row]:
-        """Choose the next rows to send, within so many bytes: first what was sent least often."""
+        """Return rows to gossip, at most `room_bytes`, least often sent reports first."""
         send_limit = GOSSIP_FACTOR * ceil(log2(max(member_count, 2) + 1))
         by_times_sent = sorted(self.pending_gossip.items(), key=lambda item: item[1].times_sent)
         rows: list[Row] = []
@@ -184,16 +187,16 @@
         return rows
 
     def digest(self, room_bytes: int, rotation: int) -> dict[str, DigestEntry]:
-        """Make the marks of as many reporters as fit, beginning with the `rotation`th."""
+        """Return the digest entries of as many reporters as fit, from the `rotation`th on."""
         names = sorted(self.by_reporter)
-        marks: dict[str, DigestEntry] = {}
+        entries: dict[str, DigestEntry] = {}
         for n in range(len(names)):
             name = names[(rotation + n) % len(names)]
             room_bytes -= len(name) + DIGEST_ENTRY_BYTES
             if room_bytes < 0:
                 break
-            marks[name] = self._digest_entry(name)
-        return marks
+            entries[name] = self._digest_entry(name)
+        return entries
 
     def missing_rows(
         self,
@@ -203,10 +206,18 @@
         include_unlisted: bool,
         rotation: int,
     ) -> list[Row]:
-        """Choose the rows that the sender of this digest lacks, within so many bytes.
-
-        `include_unlisted` adds reporters that the digest does not name. A digest as it comes from
-        the wire is unchecked: one that breaks the format raises TypeError or IndexError.
+        """Return rows that the sender of the digest lacks, at most `room_bytes`.
+
+        Args:
+            now: Current time.
+            digest: The received digest, not validated.
+            room_bytes: Maximum size of the rows.
+            include_unlisted: Whether to add reporters that the digest does not list.
+            rotation: Where to start among a reporter's reports if all of them are sent.
+
+        Raises:
+            TypeError: The digest is malformed.
+            IndexError: The digest is malformed.
         """
         rows: list[Row] = []
         for report in self._missing_reports(digest, include_unlisted, rotation):
@@ -221,7 +232,7 @@
     def _missing_reports(
         self, digest: Mapping[str, Sequence[int]], include_unlisted: bool, rotation: int
     ) -> Iterator[HealthReport]:
-        for reporter, held in sorted(self.by_reporter.items()):
+        for reporter, stored in sorted(self.by_reporter.items()):
             known = digest.get(reporter)
             if known is None:
                 if not include_unlisted:
@@ -231,30 +242,31 @@
                 continue
             else:
                 known_version = (known[0], known[1])
-            in_order = sorted(held.values(), key=lambda report: report.version)
+            in_order = sorted(stored.values(), key=lambda report: report.version)
             later = [report for report in in_order if report.version > known_version]
             if later:
                 yield from later
                 continue
-            # Of two serials the earlier may be the lost one. So where the checksums differ and
-            # nothing is later, all that is held is sent in time, from the `rotation`th on.
+            # Gossip may have lost an earlier report while a later one arrived. So if the checksums
+            # differ and no report is later, all reports of the reporter are candidates, starting
+            # with the `rotation`th; the rotation covers all of them over several exchanges.
             first = rotation % len(in_order)
             yield from in_order[first:]
             yield from in_order[:first]
 
     def _digest_entry(self, reporter: str) -> DigestEntry:
-        held = self.by_reporter[reporter].values()
+        stored = self.by_reporter[reporter].values()
         checksum = 0
-        for report in held:
+        for report in stored:
             identity = f"{report.engine} {report.reporter_incarnation} {report.serial}"
             checksum ^= crc32(identity.encode())
-        incarnation, serial = max(report.version for report in held)
+        incarnation, serial = max(report.version for report in stored)
         return DigestEntry(incarnation, serial, checksum)
 
     def _store(self, report: HealthReport) -> None:
         self.by_engine.setdefault(report.engine, {})[report.reporter] = report
         self.by_reporter.setdefault(report.reporter, {})[report.engine] = report
-        # Taken out first, so that it goes to the end of the order.
+        # Removed first, so that the report moves to the end of the insertion order.
         self.pending_gossip.pop((report.reporter, report.engine), None)
         self.pending_gossip[report.reporter, report.engine] = report
 
@@ -265,7 +277,7 @@
 
 
 def _drop_entry(index: dict[str, dict[str, HealthReport]], outer: str, inner: str) -> None:
-    """Drop an entry, and with the last one its inner dictionary, which would stay for ever."""
+    """Drop an entry, and its inner dictionary once empty; an empty one would leak memory."""
     index[outer].pop(inner, None)
     if not index[outer]:
         del index[outer]
--- a/corkgauge/peer_health/retry_throttle.py
+++ b/corkgauge/peer_health/retry_throttle.py
@@ -1,27 +1,27 @@
-"""Fleet-wide retry throttling: retries of all gateways fall together, and come back by steps.
+"""Throttles retries fleet-wide: all gateways reduce retries together and restore them in steps.
 
-Free of I/O. Throttling never allows more than a gateway's own retry budget: it is a fraction of
-that, 1 at most.
+Performs no I/O. The throttle is a fraction of a gateway's retry budget, 1 at most, so it never
+allows more retries than the budget.
 
-Why: a fault of an engine or a zone meets every gateway alike. Each then keeps to its own retry
-budget, while the sum of their retries, on what is left, keeps the fleet from recovering (failures
-that sustain themselves: Bronson, Aghayev, Charapko and Zhu, 2021). Each gateway works out the same
-fraction from the same sums, as far as updates reached it; a gateway that hears of no other keeps
-its whole budget. Times are ticks, tenths of a millisecond.
+A fault of an engine or a zone affects all gateways at once. Each gateway then stays within its own
+retry budget, but the sum of the retries on the remaining capacity can keep the fleet from
+recovering (metastable failures: Bronson, Aghayev, Charapko and Zhu, 2021). All gateways compute the
+same fraction from the same sums, as far as they received the same updates. A gateway that receives
+no updates keeps its whole budget. Times are ticks, tenths of a millisecond.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-USAGE_LIFETIME_TICKS = 40_000  # an update this old counts for nothing
-NORMAL_SPENT_FRACTION = 0.25  # of the fleet's retry budget: below it nothing is throttled
-MIN_BUDGET_FRACTION = 0.1  # some retries must go on, to find out when the trouble is over
-RECOVERY_STEP_FRACTION = 0.05  # of the budget, regained an update
-MIN_GATEWAY_COUNT = 3  # that must be known, ourselves among them, before anything is throttled
+USAGE_LIFETIME_TICKS = 40_000  # age at which an update is ignored
+NORMAL_SPENT_FRACTION = 0.25  # of the fleet's retry budget; nothing is throttled up to it
+MIN_BUDGET_FRACTION = 0.1  # some retries continue, to detect the end of the fault
+RECOVERY_STEP_FRACTION = 0.05  # of the budget, regained at each update
+MIN_GATEWAY_COUNT = 3  # known gateways, the local one included, needed for throttling
 
 
 class RetryUsage(NamedTuple):
-    """What a gateway counted over the span of its retry budget; `reported_at` by our clock."""
+    """Counts of a gateway over its retry budget's window; `reported_at` is local time."""
 
     reported_at: int
     succeeded: int
@@ -29,12 +29,12 @@
 
 
 class RetryThrottle:
-    """The fraction of its retry budget that the gateway `name` may use.
+    """Computes the fraction of its retry budget that the gateway `name` may use.
 
     >>> throttle = RetryThrottle("n1")
     >>> throttle.record_usage("n2", 0, 10, 10), throttle.record_usage("n3", 0, 10, 9)
     (None, None)
-    >>> round(throttle.update(0, 10, 11, 0.0, 1.0), 2)     # all of what is allowed is spent
+    >>> round(throttle.update(0, 10, 11, 0.0, 1.0), 2)     # the budget is fully spent
     0.25
     >>> throttle.record_usage("n2", 100, 40, 0), throttle.record_usage("n3", 100, 40, 0)
     (None, None)
@@ -48,16 +48,17 @@
         self.usage_by_member: dict[str, RetryUsage] = {}
 
     def record_usage(self, gateway: str, now: int, succeeded: int, retries: int) -> None:
-        """Keep what another gateway reports of its own succeeded requests and retries."""
+        """Record the succeeded requests and retries that another gateway reported."""
         if gateway != self.name:
             self.usage_by_member[gateway] = RetryUsage(now, max(succeeded, 0), max(retries, 0))
 
     def update(
         self, now: int, succeeded: int, retries: int, floor: float, allowed_ratio: float
     ) -> float:
-        """Work out `budget_fraction` anew, from our own counts and those of others, and return it.
+        """Recompute `budget_fraction` from the local and the reported counts, and return it.
 
-        A gateway's retry budget is `floor` retries and `allowed_ratio` for each succeeded request.
+        A gateway's retry budget is `floor` retries plus `allowed_ratio` retries for each succeeded
+        request.
         """
         self.usage_by_member = {
             name: usage
@@ -71,14 +72,14 @@
         if len(usages) < MIN_GATEWAY_COUNT or spent_fraction <= NORMAL_SPENT_FRACTION:
             self.budget_fraction = min(1.0, regained)
         else:
-            # The more of its budget the fleet spends, the less each may; and no jump upwards,
-            # which would bring all retries back at once.
+            # The more of its budget the fleet spends, the smaller the fraction. An increase is
+            # limited to one step, because a jump would bring back all retries at once.
             throttled = NORMAL_SPENT_FRACTION / spent_fraction
             self.budget_fraction = max(MIN_BUDGET_FRACTION, min(regained, throttled))
         return self.budget_fraction
 
     def retain_members(self, members: Iterable[str]) -> None:
-        """Drop what is known of gateways that are no members any more."""
+        """Drop the usage of former members."""
         known = {*members}
         self.usage_by_member = {
             name: usage for name, usage in self.usage_by_member.items() if name in known
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -1,9 +1,9 @@
-"""Peer health in one process: timers, datagrams, what the gateway is told, what operators see.
+"""Runs peer health in one process: timers, datagrams, calls to the gateway, the status report.
 
-Owns the way between this package's state machines, the membership service and the host. It decides
-nothing itself, and tells the gateway only a slowness, a suspicion and a fraction of its own retry
-budget. Datagrams a period do not grow with the number of members. Times are ticks, tenths of a
-millisecond.
+Connects the state machines of this package with the membership service and the host, and makes no
+decisions. Passes to the gateway only a slowness, a suspicion level and a fraction of its retry
+budget. The number of datagrams per period does not grow with the number of members. Times are
+ticks, tenths of a millisecond.
 """
 
 from collections.abc import Mapping
@@ -40,17 +40,17 @@
 from corkgauge.policy.outlier_detection import is_trusted
 from corkgauge.policy.records import EngineState
 
-NOTABLE_SLOWNESS = 2.0  # times the usual one: from there on it is worth a report
-MIN_SLOWNESS_SAMPLE_COUNT = 3  # of our own, for a report to tell a slowness
-DATAGRAM_ROOM_BYTES = 1_000  # for reports, or for a digest, in one datagram
-DIGEST_BYTES_PER_ROW = 90  # that a reconciliation's digest leaves for each row beside it
-GOSSIP_FANOUT = 2  # members that get a status update, each period
-RECONCILIATION_PERIODS = 6  # between two comparisons with a member
-LAST_RECONCILIATION_STAGE = 2  # of a reconciliation: it is not answered
+NOTABLE_SLOWNESS = 2.0  # multiple of the usual slowness above which an engine is reported
+MIN_SLOWNESS_SAMPLE_COUNT = 3  # local samples needed to report a slowness
+DATAGRAM_ROOM_BYTES = 1_000  # for reports or a digest in one datagram
+DIGEST_BYTES_PER_ROW = 90  # by which each row reduces the room for the digest beside it
+GOSSIP_FANOUT = 2  # members that get a status update per period
+RECONCILIATION_PERIODS = 6  # between two reconciliations that the local gateway starts
+LAST_RECONCILIATION_STAGE = 2  # not answered
 
 
 class Observation(NamedTuple):
-    """What this gateway found out about an engine itself; slowness is in percent of the usual."""
+    """A local observation of an engine; slowness is in percent of the usual response time."""
 
     fault: Fault
     slowness_percent: int
@@ -58,10 +58,10 @@
 
 
 class PeerHealthService:
-    """Exchanges reports with a few members each period, and tells the gateway what they come to.
+    """Exchanges reports with a few members each period and passes the assessments to the gateway.
 
-    `socket_host` has `event_loop`, `log`, `gateway`, `engine_pools`, `ledger`, `settings` and
-    `routes`; `membership` has the member list, which carries the datagrams.
+    `socket_host` provides `event_loop`, `log`, `gateway`, `engine_pools`, `ledger`, `settings` and
+    `routes`. `membership` provides the member list, which sends the datagrams.
     """
 
     def __init__(
@@ -82,12 +82,12 @@
         self.retry_throttle = RetryThrottle(self.name)
         self.permits = PermitExchange(socket_host, membership)
         self.assessments: dict[str, Assessment] = {}
-        self.updated_engines: set[str] = set()  # on which reports came since the last assessment
+        self.updated_engines: set[str] = set()  # with new reports since the last assessment
 
         self.status_serial = 0
         self.period_count = 0
         self.sent_bytes = 0
-        self.byte_budget = 0  # that may still be sent; refilled each period
+        self.byte_budget = 0  # remaining budget for sending; refilled each period
 
         self.member_list.call_handlers[STATUS_SUBJECT] = self.on_status_update
         self.member_list.call_handlers[RECONCILIATION_SUBJECT] = self.on_reconciliation
@@ -96,16 +96,16 @@
         self.permits.start()
 
     def reload(self, options: PeerHealthConfig) -> None:
-        """Use the operator file's new values from the next period on."""
+        """Apply changed options from the next period on."""
         self.options = options
 
     def end(self) -> None:
-        """Nothing to do: what is held expires with the process."""
+        """Do nothing: no state outlives the process."""
 
     # Periods.
 
     def run_period(self) -> None:
-        """Record what we observed, send some of what we know to a few members, assess all of it."""
+        """Record local observations, send reports to a few members, and update the assessments."""
         options = self.options
         now = self.event_loop.now
         self.event_loop.call_later(options.each, self.run_period)
@@ -115,7 +115,8 @@
         self.permits.measure_demand(options.each)
         members = self.member_list.alive()
         self._retain_members(now)
-        # What there is to send in a bad second would fill every link: hence a budget a second.
+        # A burst of faults produces more reports than the links can carry, so the bytes sent per
+        # second are limited.
         refill = options.octets * options.each // SECOND
         self.byte_budget = min(self.byte_budget + refill, 2 * options.octets)
         for member in self._sample_members(members, GOSSIP_FANOUT):
@@ -135,7 +136,7 @@
         self.permits.transfers.retain_members(members)
 
     def _sample_members(self, members: list[Any], count: int) -> list[Any]:
-        """Up to `count` different members, by chance."""
+        """Return up to `count` different random members."""
         remaining = [*members]
         chosen: list[Any] = []
         while remaining and len(chosen) < count:
@@ -143,15 +144,16 @@
         return chosen
 
     def _record_own_observations(self, now: int) -> None:
-        """Report on each engine of which this gateway knows something fresh and worth telling."""
+        """Record a report on each engine with a recent and notable local observation."""
         notable_percent = NOTABLE_SLOWNESS * 100 * self.socket_host.gateway.slowness.usual()
         for engine_pool in self.socket_host.engine_pools.values():
             engine = engine_pool.engine
             observation = self._observe(engine, now)
             if observation is None:
                 continue
-            # Hundreds of gateways telling of hundreds of engines that they are as usual would leave
-            # no room for what is not. So that is told only where a report says otherwise.
+            # Reports that an engine is as usual, from hundreds of gateways on hundreds of engines,
+            # would leave no room for reports of faults. So such a report is made only if another
+            # report on the engine disagrees.
             if (
                 observation.fault != Fault.NONE
                 or observation.slowness_percent > notable_percent
@@ -162,7 +164,7 @@
                 )
 
     def _observe(self, engine: Any, now: int) -> Observation | None:
-        """Sum up what this gateway knows of an engine; None where nothing of it is fresh."""
+        """Return the local observation of an engine, or None if there is no recent one."""
         stats = engine.stats
         if engine.state != EngineState.READY or stats is None:
             return None
@@ -183,7 +185,7 @@
             now, len(budget.success_times), len(budget.retry_times), budget.floor, budget.share
         )
 
-    # Datagrams out.
+    # Sending datagrams.
 
     def _send_status_update(self, member: str, now: int, member_count: int) -> None:
         gateway = self.socket_host.gateway
@@ -210,10 +212,10 @@
         self.sent_bytes += size
         self.member_list.call(member, subject, body)
 
-    # Datagrams in.
+    # Handling datagrams.
 
     def on_status_update(self, sender: str, body: Any) -> None:
-        """Take a member's reports, its use of retries and its demand for permits."""
+        """Merge a member's reports; record its retry usage and its demand for permits."""
         update = decode_status(body)
         now = self.event_loop.now
         self._merge(now, update.rows)
@@ -227,7 +229,10 @@
         )
 
     def on_reconciliation(self, sender: str, body: Any) -> None:
-        """Take what a member sends, send what its digest lacks, and our digest where it began."""
+        """Merge received rows, and answer with the rows that the sender's digest lacks.
+
+        The answer to stage 0 also contains the local digest.
+        """
         message = decode_reconciliation(body)
         now = self.event_loop.now
         self._merge(now, message.rows)
@@ -251,10 +256,10 @@
         if self.reports.merge(now, rows):
             self.updated_engines.update(engines)
 
-    # What the gateway is told.
+    # Updating the gateway.
 
     def _update_assessments(self, now: int) -> None:
-        """Assess each engine on which reports came, or which had an assessment."""
+        """Assess each engine that has new reports or has an assessment."""
         zones = {member.name: member.zone for member in self.member_list.members.values()}
         zones[self.name] = self.member_list.zone
         for engine in dict.fromkeys([*self.assessments, *sorted(self.updated_engines)]):
@@ -268,14 +273,14 @@
             reports = self.reports.reports_on(engine)
             last_heard_at = engine_pool.engine.stats.last_heard_at
             assessment = assess(reports, now, engine_pool.started, self.name, zones, last_heard_at)
-        before = self.assessments.get(engine, NO_ASSESSMENT)
+        previous = self.assessments.get(engine, NO_ASSESSMENT)
         if assessment == NO_ASSESSMENT:
             self.assessments.pop(engine, None)
         else:
             self.assessments[engine] = assessment
-        if assessment.is_suspected and not before.is_suspected:
+        if assessment.is_suspected and not previous.is_suspected:
             self.socket_host.log(f"shared: {engine} doubted, {assessment.reporters}")
-        elif before.is_suspected and not assessment.is_suspected:
+        elif previous.is_suspected and not assessment.is_suspected:
             self.socket_host.log(f"shared: {engine} doubted no more")
         if engine_pool is not None:
             gateway = self.socket_host.gateway
@@ -287,8 +292,8 @@
             )
             gateway.on_peer_health(engine_pool.engine, assessment.slowness, level.value)
 
-    # What operators see.
+    # Status report for operators.
 
-    def report_status(self, asked: bytes = b"") -> dict[str, Any]:
-        """Answer `GET /shared`; the request's body is not looked at."""
+    def report_status(self, request: bytes = b"") -> dict[str, Any]:
+        """Answer `GET /shared`; the request is ignored."""
         return status_report(self, self.event_loop.now)
--- a/corkgauge/peer_health/status_view.py
+++ b/corkgauge/peer_health/status_view.py
@@ -1,4 +1,4 @@
-"""The JSON answer of `/shared`: what other gateways reported, and what it changed here."""
+"""Builds the JSON answer of `/shared`: received reports and their effects on this gateway."""
 
 import os
 from collections.abc import Iterable
@@ -11,8 +11,8 @@
 from corkgauge.peer_health.reports import HealthReports
 from corkgauge.peer_health.retry_throttle import RetryThrottle
 
-MAX_REPORTS_SHOWN = 40  # of one engine
-# The words of the answer are known to operators' programs, and stay as they are.
+MAX_REPORTS_SHOWN = 40  # per engine
+# Keys and labels of the answer are an interface to operators' programs and must not change.
 FAULT_LABELS = {
     Fault.NONE: "well",
     Fault.ERROR: "error",
@@ -23,7 +23,7 @@
 
 
 class PeerHealthState(Protocol):
-    """What the answer is made of."""
+    """The state that the answer shows."""
 
     name: str
     reports: HealthReports
@@ -34,7 +34,7 @@
 
 
 def status_report(state: PeerHealthState, now: int) -> dict[str, Any]:
-    """Make the answer, ready for JSON; spans are seconds, `now` is ticks."""
+    """Return the answer for JSON encoding; its durations are seconds, `now` is ticks."""
     return {
         "name": state.name,
         "strict": round(state.retry_throttle.budget_fraction, 3),
--- a/corkgauge/peer_health/trials.py
+++ b/corkgauge/peer_health/trials.py
@@ -1,30 +1,32 @@
-"""Which gateways try an engine that many suspect, and when.
+"""Selects the gateways that may try a suspected engine in a period.
 
-Free of I/O. With every gateway trying at once, an engine that comes back would be met by all.
-So a few try it in each period, by turns that follow from the number of the gateway alone.
+Performs no I/O. If every gateway tried a suspected engine at the same time, all of them would load
+it as soon as it recovers. So only a few try it in each period, in turns that depend only on the
+gateway number and the period.
 """
 
 from enum import IntEnum
 
-MAX_TRIAL_GATEWAY_COUNT = 8  # that try a suspected engine in one period
-# Of the fleet, between two periods (golden section): turns spread evenly over it.
+MAX_TRIAL_GATEWAY_COUNT = 8  # gateways that try a suspected engine in one period
+# Of the fleet, from one period to the next (golden section): spreads the turns evenly over it.
 TURN_STEP_FRACTION = 0.618
 
 
 class SuspicionLevel(IntEnum):
-    """What a suspicion asks of the gateway; the values are those of `Gateway.on_peer_health`."""
+    """Limits on attempts at an engine; the values are those of `Gateway.on_peer_health`."""
 
     NONE = 0
-    ONE_AT_A_TIME = 1  # a trial: one attempt at a time
-    NO_ATTEMPTS = 2  # others try the engine in this period
+    ONE_AT_A_TIME = 1  # a trial of a suspected engine
+    NO_ATTEMPTS = 2  # other gateways try the engine in this period
 
 
 def suspicion_level(
     is_suspected: bool, gateway_number: int, gateway_count: int, period_count: int
 ) -> SuspicionLevel:
-    """How far a gateway has to keep from an engine in this period.
+    """Return the limit on a gateway's attempts at an engine in this period.
 
-    `gateway_number` is from 0, below `gateway_count`, the stated size of the fleet.
+    `gateway_number` is from 0 to `gateway_count` - 1; `gateway_count` is the configured size of the
+    fleet.
 
     >>> [suspicion_level(True, number, 16, 0).value for number in (0, 3, 4, 15)]
     [1, 1, 1, 2]
