--- a/tests/test_fellows.py
+++ b/tests/test_membership.py
@@ -34,7 +34,7 @@
     return one, two
 
 
-def test_a_datagram_is_taken_once_and_only_by_its_receiver():
+def test_a_datagram_is_accepted_once_and_only_by_its_receiver():
     one, two = pair()
     data = one.encode("n2", DatagramKind.CALL, ["x", 1])
     assert two.decode(data, 0) == ("n1", DatagramKind.CALL, ["x", 1])
@@ -62,13 +62,13 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\xc9", b"\xc9" * 40, bytes(MAX_DATAGRAM_BYTES + 1), b"\0" * 100]
 )
-def test_what_is_no_datagram_costs_one_count(data):
+def test_an_invalid_datagram_is_rejected_and_counted_once(data):
     one, _ = pair()
     assert one.decode(data, 0) is None
     assert one.counts["not a letter"] + one.counts["seal"] == 1
 
 
-def test_an_unknown_key_opens_nothing_and_two_keys_hold_during_a_rotation():
+def test_unknown_keys_are_rejected_and_two_keys_verify_during_a_rotation():
     one, two = pair()
     one.keys = [Key(OTHER)]
     assert two.decode(one.encode("n2", DatagramKind.CALL, 1), 0) is None and two.counts["seal"] == 1
@@ -81,7 +81,7 @@
         Key(b"short")
 
 
-def test_datagrams_to_an_earlier_incarnation_are_not_taken():
+def test_datagrams_to_an_earlier_incarnation_are_rejected():
     one, _ = pair()
     old = [one.encode("n2", DatagramKind.CALL, n) for n in range(5)]
     again = DatagramCodec("n2", 900, [Key(SECRET)], lambda *_: None, lambda incarnation: None)
@@ -105,7 +105,7 @@
     ) is None and superseded == [100]
 
 
-def test_a_member_that_floods_is_held_to_its_allowance():
+def test_a_flooding_member_is_rate_limited():
     one, two = pair()
     taken = sum(
         two.decode(one.encode("n2", DatagramKind.CALL, n), 1) is not None for n in range(3000)
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("member_count", [2, 3, 12])
-def test_all_members_come_to_know_all(member_count):
+def test_all_members_learn_that_all_others_are_alive(member_count):
     network = Network(member_count)
     network.run(10 + member_count)
     for name in network.names:
@@ -228,7 +228,7 @@
     )
 
 
-def test_one_bad_link_is_not_a_failed_member():
+def test_a_single_bad_link_makes_no_member_gone():
     network = Network(6, is_blocked=lambda sender, receiver: {sender, receiver} == {"n0", "n1"})
     network.run(60)
     assert {*network.states_of("n0").values()} <= {ALIVE, UNKNOWN} and {
@@ -240,7 +240,7 @@
     assert not any(state == GONE for node in network.nodes.values() for _, _, state in node.changes)
 
 
-def test_a_member_that_stood_still_suspects_nobody_when_it_goes_on():
+def test_a_stalled_member_suspects_nobody_after_it_resumes():
     network = Network(8)
     network.run(10)
     network.stopped_until["n2"] = network.now + 30 * SECOND
@@ -255,7 +255,7 @@
         assert not [change for change in node.changes[count:] if change[1] != "n2"]
 
 
-def test_a_partition_heals():
+def test_all_members_are_alive_again_after_a_partition_heals():
     network = Network(8)
     network.run(10)
     network.is_blocked = lambda sender, receiver: (int(sender[1:]) < 4) != (int(receiver[1:]) < 4)
@@ -278,7 +278,7 @@
     assert {*network.states_of("n4").values()} == {ALIVE}
 
 
-def test_a_third_of_all_datagrams_lost_makes_nobody_gone():
+def test_losing_a_third_of_all_datagrams_makes_no_member_gone():
     network = Network(10)
     network.run(10)
     network.is_blocked = lambda *_: network.random.within(0.3)
@@ -289,7 +289,7 @@
     assert not wrong
 
 
-def test_a_planned_leave_is_known_at_once():
+def test_a_planned_leave_is_known_to_all_members_within_seconds():
     network = Network(5)
     network.run(10)
     network.nodes["n1"].member_list.leave()
@@ -297,7 +297,7 @@
     assert {*network.states_of("n1").values()} == {LEFT}
 
 
-def test_what_a_member_sends_does_not_grow_with_the_number_of_members():
+def test_the_send_rate_of_a_member_does_not_grow_with_the_number_of_members():
     rates = []
     for member_count in (4, 24):
         network = Network(member_count)
@@ -308,7 +308,7 @@
     assert rates[1] < 1.3 * rates[0]
 
 
-def test_a_malformed_message_changes_nothing():
+def test_malformed_messages_are_counted_and_change_no_state():
     network = Network(3)
     network.run(5)
     one, two = network.nodes["n0"].member_list, network.nodes["n1"].member_list
@@ -324,7 +324,7 @@
     assert two.counts["no sense"] == 6 and two.state_of("n2") == ALIVE
 
 
-def test_members_may_change_in_service_and_what_is_known_of_those_that_stay_is_kept():
+def test_replacing_the_member_set_keeps_the_records_of_remaining_members():
     network = Network(4)
     network.run(8)
     member_list = network.nodes["n0"].member_list
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -36,23 +36,23 @@
 
 
 @pytest.mark.parametrize(("message", "fields"), GOSSIPING_MESSAGES)
-def test_what_was_encoded_is_decoded(message, fields):
+def test_decoding_reverses_encoding(message, fields):
     body = encode_body(message, [UPDATE])
 
     assert decode_message(message.kind, body) == message
     assert [*decode_updates(body)] == [UPDATE]
 
 
-def test_a_call_is_subject_and_content():
+def test_a_call_body_is_subject_and_content():
     assert decode_message(DatagramKind.CALL, ["duty", [1]]) == Call("duty", [1])
 
 
-def test_an_unknown_kind_is_taken_for_its_updates():
+def test_an_unknown_kind_is_decoded_as_gossip():
     assert decode_message(99, [1, 2, []]) == Gossip()
 
 
 @pytest.mark.parametrize("body", [None, [], ["x", []], {}], ids=repr)
-def test_a_malformed_probe_is_refused(body):
+def test_a_malformed_probe_is_rejected(body):
     with pytest.raises(MalformedMessageError):
         decode_message(DatagramKind.PROBE, body)
 
@@ -60,15 +60,15 @@
 @pytest.mark.parametrize(
     "update",
     [
-        pytest.param(["n2", 0, 1, 0], id="a-field-short"),
-        pytest.param(["n2", 4, 1, 0, ""], id="a-state-that-is-never-sent"),
-        pytest.param(["n2", -1, 1, 0, ""], id="no-state"),
-        pytest.param(["n2", 0, 0, 0, ""], id="no-incarnation"),
-        pytest.param(["n2", 0, 1, -1, ""], id="refutations-below-zero"),
-        pytest.param(["n2", "0", 1, 0, ""], id="a-state-in-words"),
+        pytest.param(["n2", 0, 1, 0], id="missing-field"),
+        pytest.param(["n2", 4, 1, 0, ""], id="state-never-sent"),
+        pytest.param(["n2", -1, 1, 0, ""], id="unknown-state"),
+        pytest.param(["n2", 0, 0, 0, ""], id="incarnation-zero"),
+        pytest.param(["n2", 0, 1, -1, ""], id="negative-refutations"),
+        pytest.param(["n2", "0", 1, 0, ""], id="state-as-text"),
     ],
 )
-def test_updates_before_a_malformed_one_count(update):
+def test_updates_before_a_malformed_one_are_decoded(update):
     updates = decode_updates([[UPDATE.encode(), update]])
 
     assert next(updates) == UPDATE
--- a/tests/test_shared.py
+++ b/tests/test_peer_health.py
@@ -85,7 +85,7 @@
     assert [each[:4] for each in held(one)] == [each[:4] for each in held(other)]
 
 
-def test_gossip_of_a_report_ends_and_its_age_only_grows():
+def test_gossip_of_a_report_ends_and_its_age_never_shrinks():
     names = [f"n{n}" for n in range(8)]
     reports_by_name = {name: HealthReports(name, 1) for name in names}
     reports_by_name["n0"].record_own(0, "e1", 7, Fault.SILENT, 0, 0)
@@ -124,7 +124,7 @@
     )
 
 
-def test_malformed_rows_floods_and_reports_in_our_name_change_nothing():
+def test_malformed_rows_floods_and_reports_in_the_local_name_are_rejected():
     reports = HealthReports("me", 1)
     passed_over = [
         row(reporter="me"),
@@ -220,7 +220,7 @@
     )
 
 
-def test_retry_throttle_cuts_all_alike_and_recovers_by_steps():
+def test_retry_throttle_limits_all_gateways_alike_and_recovers_in_steps():
     throttles = {f"n{n}": RetryThrottle(f"n{n}") for n in range(5)}
     for now in range(0, 10 * SECOND, 2_000):
         is_bad = now < 4 * SECOND
@@ -242,7 +242,7 @@
     assert alone.update(0, 100, 50, 0.0, 0.2) == 1.0  # nothing is known of others
 
 
-def test_permit_is_given_once_to_a_member_in_need_and_ends_with_its_window_however_late():
+def test_permit_is_granted_once_to_a_member_with_demand_and_expires_with_its_window():
     giver, receiver = PermitTransfer(SECOND), PermitTransfer(SECOND)
     receiver.record_update_sent(1_000, 4)  # its clock is another one
     giver.record_demand("n2", 50_000, 1, 4, 1.0)
@@ -260,7 +260,7 @@
     assert receiver.accept_permit(3_500, 99, known_ticks, remaining_ticks) == 0
 
 
-def test_given_permits_keep_the_sum_of_what_a_warming_engine_is_sent():
+def test_transferred_permits_do_not_change_the_attempts_at_a_warming_engine():
     def sent(passing):
         total = 0
         yards = []
@@ -287,7 +287,7 @@
     assert sent(True) == sent(False) > 0
 
 
-def test_suspected_engine_gets_one_attempt_at_a_time_and_reported_slowness_serves_without_samples():
+def test_suspected_engine_gets_one_attempt_at_a_time_and_reported_slowness_replaces_samples():
     yard = GatewayHarness(engines=2)
     engine = yard.engines[0]
     yard.gateway.on_peer_health(engine, 6.0, 1)
@@ -304,7 +304,7 @@
     assert taken and other.engines[0] not in taken
 
 
-def test_retry_budget_only_shrinks_by_the_throttle():
+def test_retry_throttle_only_reduces_the_retry_budget():
     yard = GatewayHarness(engines=3, retry_floor=4.0, retry_share=0.0, retry_window_ticks=SECOND)
     assert yard.gateway.retry_budget.has_left()
     yard.gateway.retry_budget.throttle = 0.2
