--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: seals, replays, incarnations; views that agree, refute and heal; local health."""
+"""Tests of membership: seals, replays, incarnations, failure detection, refutation, healing."""
 
 import heapq
 
@@ -15,11 +15,11 @@
 from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
-SECRET, OTHER = b"a" * 32, b"b" * 32
+SECRET, OTHER_SECRET = b"a" * 32, b"b" * 32
 
 
-def pair():
-    """Two codecs that know each other's incarnation."""
+def codec_pair():
+    """Return two codecs that know each other's incarnation."""
     one = DatagramCodec("n1", 100, [Key(SECRET)], lambda *_: None, lambda incarnation: None)
     two = DatagramCodec("n2", 200, [Key(SECRET)], lambda *_: None, lambda incarnation: None)
     one.set_peers(["n2"])
@@ -35,7 +35,7 @@
 
 
 def test_a_datagram_is_accepted_once_and_only_by_its_receiver():
-    one, two = pair()
+    one, two = codec_pair()
     data = one.encode("n2", DatagramKind.CALL, ["x", 1])
     assert two.decode(data, 0) == ("n1", DatagramKind.CALL, ["x", 1])
     assert two.decode(data, 0) is None and two.counts["replay"] == 1
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("change", range(0, 60, 3))
 def test_a_datagram_with_one_octet_changed_is_rejected(change):
-    one, two = pair()
+    one, two = codec_pair()
     data = bytearray(one.encode("n2", DatagramKind.CALL, ["some", "words"]))
     data[change % len(data)] ^= 0x41
     assert two.decode(bytes(data), 0) is None and two.counts["taken"] == 1
@@ -63,59 +63,62 @@
     "data", [b"", b"\xc9", b"\xc9" * 40, bytes(MAX_DATAGRAM_BYTES + 1), b"\0" * 100]
 )
 def test_an_invalid_datagram_is_rejected_and_counted_once(data):
-    one, _ = pair()
+    one, _ = codec_pair()
     assert one.decode(data, 0) is None
     assert one.counts["not a letter"] + one.counts["seal"] == 1
 
 
 def test_unknown_keys_are_rejected_and_two_keys_verify_during_a_rotation():
-    one, two = pair()
-    one.keys = [Key(OTHER)]
+    one, two = codec_pair()
+    one.keys = [Key(OTHER_SECRET)]
     assert two.decode(one.encode("n2", DatagramKind.CALL, 1), 0) is None and two.counts["seal"] == 1
-    two.keys = [Key(SECRET), Key(OTHER)]
+    two.keys = [Key(SECRET), Key(OTHER_SECRET)]
     assert two.decode(one.encode("n2", DatagramKind.CALL, 2), 0) == ("n1", DatagramKind.CALL, 2)
     assert (
         one.decode(two.encode("n1", DatagramKind.CALL, 3), 0) is None
-    )  # it knows the new one alone
+    )  # `one` has only the new key
     with pytest.raises(ValueError):
         Key(b"short")
 
 
 def test_datagrams_to_an_earlier_incarnation_are_rejected():
-    one, _ = pair()
+    one, _ = codec_pair()
     old = [one.encode("n2", DatagramKind.CALL, n) for n in range(5)]
-    again = DatagramCodec("n2", 900, [Key(SECRET)], lambda *_: None, lambda incarnation: None)
-    again.set_peers(["n1"])
-    assert [again.decode(data, 0) for data in old] == [
+    restarted = DatagramCodec("n2", 900, [Key(SECRET)], lambda *_: None, lambda incarnation: None)
+    restarted.set_peers(["n1"])
+    assert [restarted.decode(data, 0) for data in old] == [
         ("n1", DatagramKind.HELLO, 100)
-    ] * 5  # sent our incarnation, and no more
-    assert again.counts["to an earlier start"] == 5 and again.counts["taken"] == 0
+    ] * 5  # each is handled as a HELLO, and its body is ignored
+    assert restarted.counts["to an earlier start"] == 5 and restarted.counts["taken"] == 0
 
 
 def test_an_incarnation_below_the_last_one_is_superseded():
     superseded = []
-    _, two = pair()
-    again = DatagramCodec(
+    _, two = codec_pair()
+    restarted = DatagramCodec(
         "n1", 50, [Key(SECRET)], lambda *_: None, superseded.append
-    )  # its clock was set back
-    again.set_peers(["n2"])
-    _, _, incarnation = two.decode(again.encode("n2", DatagramKind.HELLO, None), 0)
-    assert again.decode(
+    )  # the clock was set back
+    restarted.set_peers(["n2"])
+    _, _, incarnation = two.decode(restarted.encode("n2", DatagramKind.HELLO, None), 0)
+    assert restarted.decode(
         two.encode("n1", DatagramKind.HELLO_REPLY, None, incarnation), 0
     ) is None and superseded == [100]
 
 
 def test_a_flooding_member_is_rate_limited():
-    one, two = pair()
-    taken = sum(
+    one, two = codec_pair()
+    accepted_count = sum(
         two.decode(one.encode("n2", DatagramKind.CALL, n), 1) is not None for n in range(3000)
     )
-    assert taken <= BURST_DATAGRAMS and two.counts["flood"] >= 3000 - BURST_DATAGRAMS
+    assert accepted_count <= BURST_DATAGRAMS and two.counts["flood"] >= 3000 - BURST_DATAGRAMS
     assert two.decode(one.encode("n2", DatagramKind.CALL, 0), 2 * SECOND) is not None
 
 
 class Network:
-    """Member lists on one clock; `is_blocked(sender, receiver)` says whose datagrams are lost."""
+    """Runs member lists on one simulated clock.
+
+    Datagrams for which `is_blocked(sender, receiver)` is true are lost.
+    """
 
     def __init__(self, member_count, period_ticks=5_000, is_blocked=lambda *_: False, seed=1):
         self.now = 0
@@ -157,7 +160,7 @@
         heapq.heappush(self._events, (due, self._serial, node, method, arguments))
 
     def states_of(self, member):
-        """By name of each other member: in which state it holds this one."""
+        """Return, by name of each other member, the state that it has recorded for `member`."""
         return {
             name: node.member_list.state_of(member)
             for name, node in self.nodes.items()
@@ -166,7 +169,7 @@
 
 
 class Node:
-    """The host of one member list; it notes each change of a member's state."""
+    """Hosts one member list and records each change of a member's state."""
 
     def __init__(self, network, name):
         self.network = network
@@ -208,10 +211,10 @@
 def test_a_failed_member_is_suspected_then_gone_and_alive_with_its_next_incarnation():
     network = Network(6)
     network.run(10)
-    dead = network.nodes["n3"]
-    network.nodes["n3"] = Node(network, "n3")  # nobody behind the address
+    failed_node = network.nodes["n3"]
+    network.nodes["n3"] = Node(network, "n3")  # the address has no receiver
     network.nodes["n3"].member_list = type(
-        "Nobody", (), {"handle_datagram": staticmethod(lambda data: None)}
+        "NoReceiver", (), {"handle_datagram": staticmethod(lambda data: None)}
     )
     network.run(25)
     others = [node for name, node in network.nodes.items() if name != "n3"]
@@ -224,7 +227,7 @@
     network.run(10)
     assert (
         all(node.member_list.state_of("n3") == ALIVE for node in others)
-        and dead is not network.nodes["n3"]
+        and failed_node is not network.nodes["n3"]
     )
 
 
@@ -245,8 +248,8 @@
     network.run(10)
     network.stopped_until["n2"] = network.now + 30 * SECOND
     network.run(29)
-    seen = network.states_of("n2")
-    assert all(state in (SUSPECTED, GONE) for state in seen.values())
+    states = network.states_of("n2")
+    assert all(state in (SUSPECTED, GONE) for state in states.values())
     before = [len(node.changes) for node in network.nodes.values()]
     network.run(15)
     assert {*network.states_of("n2").values()} == {ALIVE}
@@ -283,10 +286,10 @@
     network.run(10)
     network.is_blocked = lambda *_: network.random.within(0.3)
     network.run(120)
-    wrong = [
+    gone_changes = [
         change for node in network.nodes.values() for change in node.changes if change[2] == GONE
     ]
-    assert not wrong
+    assert not gone_changes
 
 
 def test_a_planned_leave_is_known_to_all_members_within_seconds():
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages between members: each kind to the lists of the wire and back, malformed ones refused."""
+"""Tests of the codec of messages between members, with malformed bodies."""
 
 import pytest
 
--- a/tests/test_peer_health.py
+++ b/tests/test_peer_health.py
@@ -1,4 +1,4 @@
-"""Peer health without processes: merging reports, suspicion, retry throttling, permit transfer."""
+"""Tests of peer health: merging reports, suspicion, retry throttling, permit transfer."""
 
 from itertools import permutations
 
@@ -54,7 +54,7 @@
     ]
 
 
-def held(reports):
+def stored_reports(reports):
     return sorted(
         (
             report.reporter,
@@ -71,7 +71,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(ROWS, st.randoms(use_true_random=False))
-def test_reports_merge_in_any_order_any_number_of_times(drawn, chance):
+def test_reports_merge_in_any_order_any_number_of_times(drawn, random):
     rows = [
         row(reporter, incarnation, serial, age, engine, fault=(incarnation + serial) % 5)
         for reporter, incarnation, serial, age, engine in drawn
@@ -79,10 +79,12 @@
     one, other = HealthReports("me", 1), HealthReports("me", 1)
     one.merge(1000, rows)
     shuffled = rows * 2
-    chance.shuffle(shuffled)
+    random.shuffle(shuffled)
     for each in shuffled:
         other.merge(1000, [each])
-    assert [each[:4] for each in held(one)] == [each[:4] for each in held(other)]
+    assert [each[:4] for each in stored_reports(one)] == [
+        each[:4] for each in stored_reports(other)
+    ]
 
 
 def test_gossip_of_a_report_ends_and_its_age_never_shrinks():
@@ -99,14 +101,14 @@
             for distance in (1, 3):
                 receiver = names[(n + distance + period) % 8]
                 reports_by_name[receiver].merge(now + 100, rows)
-    # The 100 ticks of each hop may be lost from its age, never gained.
+    # An age may omit the 100 ticks of each hop, so `found_at` may be late, but never early.
     assert all(
         [report.found_at for report in reports.reports_on("e1")][0] <= 700
         for reports in reports_by_name.values()
     )
     assert sent_rows < 8 * 2 * 4 + 1
     for reports in reports_by_name.values():
-        assert reports.next_gossip(now, 8, 900) == []  # it does not circle
+        assert reports.next_gossip(now, 8, 900) == []  # the gossip has ended
         reports.drop_expired(REPORT_LIFETIME_TICKS + 800, names)
         assert len(reports) == 0
 
@@ -116,17 +118,18 @@
     for n in range(3):
         one.record_own(n, f"e{n}", 7, Fault.SILENT, 0, 0)
     latest = one.by_engine["e2"]["n1"]
-    other.merge(10, [encode_row(latest, 10)])  # the others were lost on the way
+    other.merge(10, [encode_row(latest, 10)])  # the others were lost in transit
     for rotation in range(6):
         other.merge(20, one.missing_rows(20, other.digest(900, 0), 120, True, rotation))
     assert (
-        held(one) == held(other) and one.missing_rows(20, other.digest(900, 0), 900, True, 0) == []
+        stored_reports(one) == stored_reports(other)
+        and one.missing_rows(20, other.digest(900, 0), 900, True, 0) == []
     )
 
 
 def test_malformed_rows_floods_and_reports_in_the_local_name_are_rejected():
     reports = HealthReports("me", 1)
-    passed_over = [
+    rejected_rows = [
         row(reporter="me"),
         row(age=-1),
         row(fault=9),
@@ -138,7 +141,7 @@
         row(slowness=2**63),
         row(age=REPORT_LIFETIME_TICKS),
     ]
-    assert reports.merge(0, passed_over) == 0 and len(reports) == 0
+    assert reports.merge(0, rejected_rows) == 0 and len(reports) == 0
     reports.merge(0, [row(engine=f"e{n}", serial=n + 1) for n in range(5_000)])
     assert len(reports) == 2_000 and reports.merge(0, [row(reporter="n3")]) == 1
 
@@ -158,14 +161,14 @@
             0,
             -1,
             False,
-        ),  # a majority of one zone may be lying
+        ),  # one zone: its majority may report falsely
         ([report("a2"), report("b1")], 0, -1, True),
         (
             [report("a2"), report("b1")],
             OWN_OBSERVATION_TICKS - 1,
             0,
             False,
-        ),  # our own sign is younger
+        ),  # a recent local observation overrides
         ([report("a2"), report("b1")], 0, -1 - OWN_OBSERVATION_TICKS, True),
         ([report("b1"), report("b2")], 0, -1, False),
         (
@@ -173,19 +176,19 @@
             0,
             -1,
             False,
-        ),  # more found it well
+        ),  # outweighed by reports without a fault
         (
             [report("a2"), report("b1")],
             REPORT_LIFETIME_TICKS // 2,
             -1,
             False,
-        ),  # half as old counts half
+        ),  # at half of the lifetime, weights are halved
         (
             [report("a2"), report("b1", engine_incarnation=6)],
             0,
             -1,
             False,
-        ),  # of the engine before its restart
+        ),  # on an earlier incarnation of the engine
         ([report("a2"), report("stranger")], 0, -1, False),
     ],
 )
@@ -239,63 +242,65 @@
             assert fractions == {0.25}
     assert all(throttle.budget_fraction == 1.0 for throttle in throttles.values())
     alone = RetryThrottle("n1")
-    assert alone.update(0, 100, 50, 0.0, 0.2) == 1.0  # nothing is known of others
+    assert alone.update(0, 100, 50, 0.0, 0.2) == 1.0  # no other gateway has reported
 
 
 def test_permit_is_granted_once_to_a_member_with_demand_and_expires_with_its_window():
-    giver, receiver = PermitTransfer(SECOND), PermitTransfer(SECOND)
-    receiver.record_update_sent(1_000, 4)  # its clock is another one
-    giver.record_demand("n2", 50_000, 1, 4, 1.0)
-    # At first it is kept for what may come here.
-    assert giver.grant_permit(51_000, "e1", 9_500, 0) is None
-    to, serial, known_ticks, remaining_ticks = giver.grant_permit(52_000, "e1", 5_000, 0)
+    granter, receiver = PermitTransfer(SECOND), PermitTransfer(SECOND)
+    receiver.record_update_sent(1_000, 4)  # the receiver has a different clock
+    granter.record_demand("n2", 50_000, 1, 4, 1.0)
+    # At the start of a window the permit is reserved for local requests.
+    assert granter.grant_permit(51_000, "e1", 9_500, 0) is None
+    to, serial, known_ticks, remaining_ticks = granter.grant_permit(52_000, "e1", 5_000, 0)
     assert (to, serial, known_ticks, remaining_ticks) == ("n2", 4, 2_000, 5_000)
     assert (
-        giver.grant_permit(52_100, "e1", 4_900, 0) is None
-        and giver.grant_permit(52_100, "e2", 4_900, 0) is None
+        granter.grant_permit(52_100, "e1", 4_900, 0) is None
+        and granter.grant_permit(52_100, "e2", 4_900, 0) is None
     )
-    # The update was written at 1,000: no later than the window.
+    # The receiver sent the update at 1,000; 2,000 and 5,000 ticks later the window ends.
     assert receiver.accept_permit(3_500, serial, known_ticks, remaining_ticks) == 8_000
     assert receiver.accept_permit(8_000, serial, known_ticks, remaining_ticks) == 0
     assert receiver.accept_permit(3_500, 99, known_ticks, remaining_ticks) == 0
 
 
 def test_transferred_permits_do_not_change_the_attempts_at_a_warming_engine():
-    def sent(passing):
+    def attempts_sent(with_transfers):
         total = 0
-        yards = []
+        harnesses = []
         for number in range(40):
-            yard = GatewayHarness(engines=1, gateway_count=40, gateway_number=number)
+            harness = GatewayHarness(engines=1, gateway_count=40, gateway_number=number)
             for _ in range(8):
-                yard.over(yard.take().attempts[0], took=2000)
-            yard.pass_time(2 * SECOND)
-            yard.tell(yard.engines[0], started=yard.now - 100)
-            yards.append(yard)
-        if passing:  # whoever is in turn passes it on to one that is not
-            work = yards[0].request_classes[0].typical_work
-            able = [
-                yard for yard in yards if yard.gateway.slow_start.has_budget(yard.engines[0], work)
+                harness.over(harness.take().attempts[0], took=2000)
+            harness.pass_time(2 * SECOND)
+            harness.tell(harness.engines[0], started=harness.now - 100)
+            harnesses.append(harness)
+        if with_transfers:  # gateways with a permit transfer it to gateways without one
+            work = harnesses[0].request_classes[0].typical_work
+            with_permit = [
+                harness
+                for harness in harnesses
+                if harness.gateway.slow_start.has_budget(harness.engines[0], work)
             ]
-            others = [yard for yard in yards if yard not in able]
-            for giver, receiver in zip(able, others):
-                giver.gateway.on_permit_moved(giver.engines[0], work, giver.now)
+            without_permit = [harness for harness in harnesses if harness not in with_permit]
+            for granter, receiver in zip(with_permit, without_permit):
+                granter.gateway.on_permit_moved(granter.engines[0], work, granter.now)
                 receiver.gateway.on_permit_moved(receiver.engines[0], -work, receiver.now)
-        for yard in yards:
-            total += sum(len(yard.take().attempts) for _ in range(3))
+        for harness in harnesses:
+            total += sum(len(harness.take().attempts) for _ in range(3))
         return total
 
-    assert sent(True) == sent(False) > 0
+    assert attempts_sent(True) == attempts_sent(False) > 0
 
 
 def test_suspected_engine_gets_one_attempt_at_a_time_and_reported_slowness_replaces_samples():
-    yard = GatewayHarness(engines=2)
-    engine = yard.engines[0]
-    yard.gateway.on_peer_health(engine, 6.0, 1)
+    harness = GatewayHarness(engines=2)
+    engine = harness.engines[0]
+    harness.gateway.on_peer_health(engine, 6.0, 1)
     taken = [
-        attempt.engine for n in range(6) for attempt in yard.take(table_group=float(n)).attempts
+        attempt.engine for n in range(6) for attempt in harness.take(table_group=float(n)).attempts
     ]
     assert taken.count(engine) == 1 and len(taken) > 3
-    assert yard.gateway.slowness.of_engine(engine.stats, 1.0) == 6.0
+    assert harness.gateway.slowness.of_engine(engine.stats, 1.0) == 6.0
     other = GatewayHarness(engines=2)
     other.gateway.on_peer_health(other.engines[0], 0.0, 2)
     taken = [
@@ -305,7 +310,7 @@
 
 
 def test_retry_throttle_only_reduces_the_retry_budget():
-    yard = GatewayHarness(engines=3, retry_floor=4.0, retry_share=0.0, retry_window_ticks=SECOND)
-    assert yard.gateway.retry_budget.has_left()
-    yard.gateway.retry_budget.throttle = 0.2
-    assert not yard.gateway.retry_budget.has_left()
+    harness = GatewayHarness(engines=3, retry_floor=4.0, retry_share=0.0, retry_window_ticks=SECOND)
+    assert harness.gateway.retry_budget.has_left()
+    harness.gateway.retry_budget.throttle = 0.2
+    assert not harness.gateway.retry_budget.has_left()
