--- a/corkgauge/peer_health/messages.py
+++ b/corkgauge/peer_health/messages.py
@@ -19,7 +19,7 @@
 UNPLACED_SCALE = 10  # unplaced requests per second are sent in tenths
 
 BODY_BYTES = 60  # upper estimate of a body without its rows
-ROW_BYTES = 70  # upper estimate of one row
+ROW_BYTES = 70  # assumed size of one row
 
 
 class StatusUpdate(NamedTuple):
