--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -46,7 +46,7 @@
             now=0, call_later=self.call_later, date=lambda: 10 * fleet.now
         )
         self.member_list = SimpleNamespace(
-            calls={},
+            call_handlers={},
             zone=zone,
             codec=SimpleNamespace(
                 incarnation=1, peers={n: SimpleNamespace(incarnation=1) for n in NAMES}
@@ -64,7 +64,7 @@
             socket_host,
             SimpleNamespace(name=name),
             settings,
-            SimpleNamespace(member_list=self.member_list, chance=fleet.chance.below),
+            SimpleNamespace(member_list=self.member_list, random_below=fleet.chance.below),
         )
         self.lease_service.voter.silent_until = 0
         self.lease_service.durable_record.write = self.persist
@@ -115,7 +115,7 @@
         heappush(self.events, (self.now + int(delay), self.serial, instance, method, arguments))
 
     def deliver(self, name, subject, sender, body):
-        self.instances[name].member_list.calls[subject](sender, body)
+        self.instances[name].member_list.call_handlers[subject](sender, body)
 
     def run_until(self, until):
         """Run until `until`; return the longest time without a holder, and all holders."""
