--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -303,7 +303,8 @@
         CONTROL,
         "configuration by restart: serves nobody new, while what is open may take its time",
         "s",
-        lambda ask, n: ask("settings.restart.unready", n.engines) + frames.MOST_EXPIRY / SECOND,
+        lambda ask, n: ask("settings.restart.unready", n.engines)
+        + frames.MAX_SHUTDOWN_WAIT_TICKS / SECOND,
         SIZE["change_s"],
         "day",
         RESTART,
--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -423,9 +423,9 @@
             front.turn(8)
 
         size = held(lambda: grow)
-        if len(front.socket_host.names) != count:
+        if len(front.socket_host.open_requests) != count:
             raise RuntimeError(
-                f"{len(front.socket_host.names)} open of {count}; counters {dict(front.socket_host.counters)}, "
+                f"{len(front.socket_host.open_requests)} open of {count}; counters {dict(front.socket_host.counters)}, "
                 f"open {[len(each.open) for each in front.socket_host.client_connections]}, "
                 f"unread {[len(each.link.machine.inward) for each in front.socket_host.client_connections]}"
             )
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -25,7 +25,7 @@
 from corkgauge.eventloop.ring_buffer import MemoryBudget
 from corkgauge.model.dissemination import spread
 from corkgauge.net.discovery_protocol import DiscoveryProtocol
-from corkgauge.net.host import UnstartedHost, stated_of
+from corkgauge.net.host import UnstartedHost, build_settings
 from corkgauge.testkit.fleet.day import KINDS, settings
 from corkgauge.testkit.fleet.parent_process import tied
 
@@ -108,7 +108,7 @@
     def __init__(self) -> None:
         self.took = 0
 
-    def event(self, number: str, data: str) -> str:
+    def on_event(self, number: str, data: str) -> str:
         self.took += 1
         return ""
 
@@ -336,7 +336,7 @@
     said = json.dumps(configuration(**how))
     begun = time.process_time()
     for _ in range(20):
-        stated_of(PlatformConfig(json.loads(said), ""), UnstartedHost())
+        build_settings(PlatformConfig(json.loads(said), ""), UnstartedHost())
     return 1000 * (time.process_time() - begun) / 20
 
 
--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -284,4 +284,4 @@
 
 
 def _row_of_attempt(attempt: AttemptEntry) -> RequestClassRow:
-    return attempt.order.row
+    return attempt.client_request.row
--- a/corkgauge/accounting/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -159,7 +159,7 @@
 
     def record_attempt_sent(self, attempt: AttemptEntry, sort: int) -> None:
         """Count an attempt that is sent; `sort` is an `AttemptSort`."""
-        row = attempt.order.row
+        row = attempt.client_request.row
         engine = attempt.engine_row
         if attempt.serial:
             self.on_mistake(DiscrepancyKind.ATTEMPT_ENTERED_TWICE, engine, abs(attempt.serial))
@@ -182,7 +182,7 @@
 
     def on_attempt_finished(self, attempt: AttemptEntry, outcome: int) -> None:
         """Count the outcome of an attempt, an `AttemptOutcome`."""
-        row = attempt.order.row
+        row = attempt.client_request.row
         engine = attempt.engine_row
         serial = attempt.serial
         if serial <= 0:
--- a/corkgauge/accounting/ledger_rows.py
+++ b/corkgauge/accounting/ledger_rows.py
@@ -100,7 +100,7 @@
     """What the ledger needs of an attempt; `serial` is as that of a request."""
 
     @property
-    def order(self) -> RequestEntry:
+    def client_request(self) -> RequestEntry:
         """The request that the attempt is of."""
 
     engine_row: EngineRow
--- a/corkgauge/daemon/configuration_reload.py
+++ b/corkgauge/daemon/configuration_reload.py
@@ -6,7 +6,7 @@
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
 from corkgauge.daemon.subsystems import Subsystems
 from corkgauge.net.discovery import DiscoveryWatch
-from corkgauge.net.host import SocketHost, UnstartedHost, stated_of
+from corkgauge.net.host import SocketHost, UnstartedHost, build_settings
 
 
 class ConfigurationReloader:
@@ -31,7 +31,7 @@
         """
         try:
             new = platform.read(environment)
-            stated_of(new, UnstartedHost())
+            build_settings(new, UnstartedHost())
         except ConfigurationError as problem:
             self.socket_host.log(f"configuration not taken: {problem}")
             return
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -94,7 +94,7 @@
         )
         self.subsystems: Subsystems | None = None
         self.acceptor = self._listen()
-        self.front_end.door = self.acceptor
+        self.front_end.acceptor = self.acceptor
         if operator_file:
             self.subsystems = Subsystems(self.front_end, platform_config, operator_file)
         self.reloader = ConfigurationReloader(self.front_end, platform_config, self.subsystems)
@@ -142,8 +142,8 @@
 
     def _begin_end(self) -> None:
         # Leaving twice would move the time by which the last answer must have gone.
-        if self.front_end.end != NEVER:
+        if self.front_end.shutdown_deadline != NEVER:
             return
-        self.event_loop.call_later(0, self.front_end.leave)
+        self.event_loop.call_later(0, self.front_end.start_shutdown)
         if self.subsystems is not None:
             self.event_loop.call_later(0, self.subsystems.leave)
--- a/corkgauge/maintenance/fleet_view.py
+++ b/corkgauge/maintenance/fleet_view.py
@@ -175,7 +175,9 @@
             return False
         if any(connection.open for connection in engine_pool.links):
             return False
-        return not any(_is_keyed_to(request, engine) for request in self.socket_host.names.values())
+        return not any(
+            _is_keyed_to(request, engine) for request in self.socket_host.open_requests.values()
+        )
 
     # Demand.
 
--- a/corkgauge/maintenance/serving_host.py
+++ b/corkgauge/maintenance/serving_host.py
@@ -23,7 +23,7 @@
         """Connection pools by the engine's reference."""
 
     @property
-    def names(self) -> Mapping[str, Request]:
+    def open_requests(self) -> Mapping[str, Request]:
         """Open requests by name."""
 
     @property
--- a/corkgauge/net/acceptor.py
+++ b/corkgauge/net/acceptor.py
@@ -72,7 +72,7 @@
                 self.event_loop.sleep(FULL_PAUSE_TICKS)
             return False
         try:
-            self.socket_host.accepted(sock)
+            self.socket_host.add_client(sock)
         except Exception:  # One bad connection would end the task that accepts all others.
             self.event_loop.troubled()
             sock.close()
@@ -94,7 +94,7 @@
             except OSError:
                 break
             found += 1
-            self.socket_host.accepted(sock)
+            self.socket_host.add_client(sock)
         descriptor = self.sock.fileno()
         self.sock.close()
         self.event_loop.wake(descriptor)
--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -70,7 +70,7 @@
     def __init__(self, socket_host: Any, sock: Any) -> None:
         self.socket_host = socket_host
         self.open: dict[int, Request | None] = {}
-        self.waiting = deque[
+        self.waiting_answers = deque[
             tuple[int, int, list[bytes], int, ClientRequest | None]
         ]()  # without room, until when
         self.unwritten = deque[
@@ -79,12 +79,17 @@
         self.faults, self.answered, self.gave_up = 0, 0, 0
         self.fresh: list[Request] = []  # the gateway has not been told yet
         self.link = StreamConnection(
-            socket_host.event_loop, sock, ClientProtocol(self, socket_host.rings), self, STUCK, True
+            socket_host.event_loop,
+            sock,
+            ClientProtocol(self, socket_host.client_ring_memory),
+            self,
+            STUCK,
+            True,
         )
 
     def requested(self, stream: int, fields: dict[str, str], body: bytes) -> str:
         if (
-            len(self.waiting) > 2 * MOST_OPEN
+            len(self.waiting_answers) > 2 * MOST_OPEN
         ):  # Danger: answers for one that does not read fill the memory
             return "answers are not read"
         return self.socket_host.requested(self, stream, fields, body)
@@ -111,7 +116,7 @@
 
     def ready_asked(self, stream: int) -> str:
         self.socket_host.counters["asked ready"] += 1
-        code = 1 if self.socket_host.end == NEVER else 2
+        code = 1 if self.socket_host.shutdown_deadline == NEVER else 2
         sent = self.link.send(frame_head(client_wire.READY, stream, code, 0))
         return "" if sent else "answers are not read"
 
@@ -142,7 +147,11 @@
         if not self.fresh:
             return None
         now, link = self.socket_host.now, self.link
-        if now < self.fresh[0].accepted_at + patience and not link.why and unread(link.sock):
+        if (
+            now < self.fresh[0].accepted_at + patience
+            and not link.why
+            and unread_byte_count(link.sock)
+        ):
             return self.socket_host.event_loop.call_later(BURST // 10, self.admit)
         while self.fresh:
             request = self.fresh[0]
@@ -174,11 +183,13 @@
         link = self.link
         if (
             self.open
-            or self.waiting
+            or self.waiting_answers
             or self.socket_host.now < max(link.heard, link.wrote) + SETTLED
         ):
             return False
-        return link.parting or not (link.why or len(link.machine.outward) or unread(link.sock))
+        return link.parting or not (
+            link.why or len(link.machine.outward) or unread_byte_count(link.sock)
+        )
 
     def half_told(self) -> bool:
         """Part of a frame has come, and the rest may be on its way."""
@@ -202,13 +213,13 @@
         self.answered += 1
         if self.link.why:
             self._gone(order)
-        elif self.waiting or not self._put(stream, code, body, order):
+        elif self.waiting_answers or not self._put(stream, code, body, order):
             # Danger: clients that do not read would fill the memory with results; they get a short
             # answer.
-            if not socket_host.results.take(sum(map(len, body))):
+            if not socket_host.result_memory.take(sum(map(len, body))):
                 socket_host.counters["results dropped"] += 1
                 code, body = self._not_read(order)
-            self.waiting.append((stream, code, body, until, order))
+            self.waiting_answers.append((stream, code, body, until, order))
 
     def _put(self, stream: int, code: int, body: list[bytes], order: ClientRequest | None) -> bool:
         if not self.link.send(frame_head(ANSWER, stream, code, sum(map(len, body))), *body):
@@ -231,8 +242,8 @@
     def drained(self) -> None:
         """Room again. Danger: what waited past its expiry must not leave as served."""
         self._written()
-        while self.waiting:
-            stream, code, body, until, order = self.waiting[0]
+        while self.waiting_answers:
+            stream, code, body, until, order = self.waiting_answers[0]
             if self.socket_host.now >= until:
                 code, body = self._not_read(order)
             if not self._put(stream, code, body, order):
@@ -244,7 +255,7 @@
             self.socket_host.answer_over(self.unwritten.popleft()[1])
 
     def _drop(self) -> None:
-        self.socket_host.results.give(sum(map(len, self.waiting.popleft()[2])))
+        self.socket_host.result_memory.give(sum(map(len, self.waiting_answers.popleft()[2])))
 
     def ended(self, why: str) -> None:
         self.socket_host.client_connections.pop(self, None)
@@ -254,12 +265,12 @@
         self._written()
         while self.unwritten:
             self._gone(self.unwritten.popleft()[1], EndReason.ANSWER_CUT_OFF)
-        while self.waiting:
-            self._gone(self.waiting[0][4])
+        while self.waiting_answers:
+            self._gone(self.waiting_answers[0][4])
             self._drop()
         self.depart()
 
 
-def unread(sock: Any) -> int:
+def unread_byte_count(sock: Any) -> int:
     """Bytes that have come and were not read."""
     return int.from_bytes(ioctl(sock.fileno(), FIONREAD, b"\0" * 4), sys.byteorder)
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -49,7 +49,7 @@
     def _watch_connection(self, sock: Any) -> str:
         """Read events until the connection ends; why it did."""
         event_loop = self.socket_host.event_loop
-        protocol = discovery_protocol.DiscoveryProtocol(self, self.socket_host.lines)
+        protocol = discovery_protocol.DiscoveryProtocol(self, self.socket_host.server_ring_memory)
         link = self.link = StreamConnection(event_loop, sock, protocol, self)
         host = f"{self.address[0]}:{self.address[1]}"
         link.send(discovery_protocol.request(host, self.socket_host.last_event))
@@ -76,13 +76,13 @@
         if self.link is not None:
             self.link.end("left for another")
 
-    def event(self, number: str, data: str) -> str:
+    def on_event(self, number: str, data: str) -> str:
         """Pass one event on to the host; what is wrong with it, or an empty string."""
         self.backoff = 0
         if self.is_lost:
             self.is_lost = False
             self.socket_host.log(f"feed back at {self.socket_host.last_event}")
-        wrong: str = self.socket_host.event(number, data)
+        wrong: str = self.socket_host.on_discovery_event(number, data)
         return wrong
 
     def check_alive(
--- a/corkgauge/net/discovery_protocol.py
+++ b/corkgauge/net/discovery_protocol.py
@@ -21,7 +21,7 @@
 class EventOwner(Protocol):
     """Who the events are for."""
 
-    def event(self, number: str, data: str) -> str:
+    def on_event(self, number: str, data: str) -> str:
         """Take one event; what is wrong with it, or an empty string."""
 
 
@@ -145,4 +145,4 @@
         data = self._event_data
         self._event_number = ""
         self._event_data = []
-        return self.owner.event(number, "\n".join(data)) if data else ""
+        return self.owner.on_event(number, "\n".join(data)) if data else ""
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -111,10 +111,10 @@
         if engine_pool is None:
             engine_pool = self._add_engine(entry)
         engine = engine_pool.engine
-        is_renewed = entry.started_ms > engine_pool.started
+        is_renewed = entry.started_ms > engine_pool.started_ms
         incarnation = engine.incarnation
-        if entry.started_ms != engine_pool.started:
-            engine_pool.started = entry.started_ms
+        if entry.started_ms != engine_pool.started_ms:
+            engine_pool.started_ms = entry.started_ms
             incarnation = self.started_at(entry.started_ms)
         self.host.settings.place(engine, entry.zone, entry.kind, entry.cell)
         self.host.gateway.on_engine_update(engine, entry.state, incarnation)
@@ -140,17 +140,17 @@
         has changed since their last.
         """
         host = self.host
-        concerned = {**changed, **host.awaited, **host.short}
+        concerned = {**changed, **host.pools_with_waiting, **host.pools_lacking_spare}
         engine_pools = sorted(
             host.engine_pools.values() if is_whole else concerned,
             key=lambda engine_pool: engine_pool.number,
         )
         for engine_pool in engine_pools:
             if engine_pool.engine.state == EngineState.READY:
-                host.closing.pop(engine_pool, None)
+                host.closing_pools.pop(engine_pool, None)
             else:
-                host.closing[engine_pool] = None
-                host.short.pop(engine_pool, None)
+                host.closing_pools[engine_pool] = None
+                host.pools_lacking_spare.pop(engine_pool, None)
         for engine_pool in engine_pools:
             if engine_pool.engine.state == EngineState.READY:
                 engine_pool.fill()
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -53,7 +53,7 @@
         self.link = StreamConnection(
             self.socket_host.event_loop,
             sock,
-            EngineProtocol(self, self.socket_host.lines),
+            EngineProtocol(self, self.socket_host.server_ring_memory),
             self,
             MID_ANSWER,
         )
@@ -85,7 +85,7 @@
         """
         socket_host = self.socket_host
         settings = socket_host.settings
-        order = in_flight_attempt.order
+        order = in_flight_attempt.client_request
         request = in_flight_attempt.attempt.request
         fields = [
             f"sort={request.request_class.name}",
@@ -147,7 +147,9 @@
 
         It would work on past the time that it was given, and hold the result until it hears.
         """
-        self.say("done" if in_flight_attempt.answered else "abort", in_flight_attempt.order.name)
+        self.say(
+            "done" if in_flight_attempt.answered else "abort", in_flight_attempt.client_request.name
+        )
         self.forget(in_flight_attempt)
 
     def forget(self, in_flight_attempt: InFlightAttempt) -> None:
@@ -155,8 +157,8 @@
 
         What still comes under it, a copy or a late answer, would pass for a later attempt's.
         """
-        if self.open.pop(in_flight_attempt.order.name, None) is not None:
-            self.past[in_flight_attempt.order.name] = None
+        if self.open.pop(in_flight_attempt.client_request.name, None) is not None:
+            self.past[in_flight_attempt.client_request.name] = None
             if len(self.past) > PAST:
                 del self.past[next(iter(self.past))]
         if self.retired and not self.open:
@@ -166,7 +168,7 @@
         """All that was put has left: there is room for more."""
         self.engine_pool.fill()
 
-    def watch(self) -> None:
+    def check_idle(self) -> None:
         """Ask a quiet connection for a sign of life, and end one that gives none.
 
         The engine closes what is idle, and an attempt would meet that: so none is ever idle. One to
@@ -192,7 +194,7 @@
             self.alive += 1
             self.asked = now
             self.say("alive", f"alive-{self.alive}")
-        self.socket_host.event_loop.call_later(min(self.idle // 2, SIGN // 2), self.watch)
+        self.socket_host.event_loop.call_later(min(self.idle // 2, SIGN // 2), self.check_idle)
 
     @property
     def idle(self) -> int:
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -28,11 +28,11 @@
         "era",
         "filling",
         "links",
+        "next_spare_dial_at",
         "number",
         "row",
         "socket_host",
-        "spare_from",
-        "started",
+        "started_ms",
         "waiting",
         "wanting",
     )
@@ -47,8 +47,8 @@
         # A list: a deque takes 760 bytes, also where nothing is ever sent.
         self.waiting: list[InFlightAttempt] = []
         self.dialling = False
-        self.spare_from = 0  # when a connection ahead of need may be dialled again
-        self.started = 0  # the engine, in ms, as the list reports it
+        self.next_spare_dial_at = 0  # when a connection ahead of need may be dialled again
+        self.started_ms = 0  # the engine, in ms, as the list reports it
         # Counts its processes and addresses; what a dial of an earlier one brings is for nothing.
         self.era = 0
         self.filling = False  # a fill is under way
@@ -61,7 +61,7 @@
         It is written at the end of this turn, when the gateway has made all its calls.
         """
         self.waiting.append(in_flight_attempt)
-        self.socket_host.awaited[self] = None
+        self.socket_host.pools_with_waiting[self] = None
         if not self.due:
             self.due = True
             self.socket_host.event_loop.unsent.append(self.fill)
@@ -81,14 +81,14 @@
         finally:
             self.filling = False
         if not self.waiting:
-            self.socket_host.awaited.pop(self, None)
+            self.socket_host.pools_with_waiting.pop(self, None)
         if self.engine.state == EngineState.READY:
             self._dial_more()
 
     def _write(self) -> None:
         while self.waiting:
             in_flight_attempt = self.waiting[0]
-            link = self._link_for(in_flight_attempt.order)
+            link = self._link_for(in_flight_attempt.client_request)
             if link is None:
                 return
             if why := self.socket_host.barred(in_flight_attempt):
@@ -98,7 +98,7 @@
             elif (
                 self.waiting
                 and self.waiting[0] is in_flight_attempt
-                and link.room_for(in_flight_attempt.order)
+                and link.room_for(in_flight_attempt.client_request)
             ):
                 if not link.take(in_flight_attempt):
                     return
@@ -136,19 +136,21 @@
         return has_large_part or any(len(each.open) > 1 for each in self.links)
 
     def _dial_more(self) -> None:
-        most = self.socket_host.links_each()
+        most = self.socket_host.max_links_per_engine()
         ahead = self._lacks_spare()
         if ahead:
-            self.socket_host.short[self] = None  # looked at again with the next change of the list
+            self.socket_host.pools_lacking_spare[self] = (
+                None  # looked at again with the next change of the list
+            )
         else:
-            self.socket_host.short.pop(self, None)
-        spare = ahead and self.socket_host.now >= self.spare_from
+            self.socket_host.pools_lacking_spare.pop(self, None)
+        spare = ahead and self.socket_host.now >= self.next_spare_dial_at
         if not (self.waiting or spare) or self.dialling or len(self.links) >= most:
             return
-        if self.socket_host.descriptor_left(bool(self.waiting)):
+        if self.socket_host.has_descriptor_left(bool(self.waiting)):
             self.dialling = True
-            self.socket_host.short.pop(self, None)
-            self.socket_host.dials += 1
+            self.socket_host.pools_lacking_spare.pop(self, None)
+            self.socket_host.dials_in_progress += 1
             self.socket_host.event_loop.spawn(self.dial, self.address)
         elif self.waiting:
             self._want()
@@ -156,7 +158,7 @@
     def _want(self) -> None:
         """Wait for descriptors: those that we lack are no fault of the engine's."""
         self.wanting = True
-        self.spare_from = self.socket_host.now + SECOND
+        self.next_spare_dial_at = self.socket_host.now + SECOND
         self.socket_host.counters["no descriptor"] += 1
         self.socket_host.event_loop.call_later(SECOND // 100, self.fill)
 
@@ -165,7 +167,7 @@
         era = self.era
         sock, why = dial(self.socket_host.event_loop, where, self.socket_host.settings.dial_time)
         self.dialling = False
-        self.socket_host.dials -= 1
+        self.socket_host.dials_in_progress -= 1
         self.socket_host.counters["dialled"] += 1
         if why in WANTING:
             self.socket_host.make_room()
@@ -175,7 +177,7 @@
         if sock is None:
             self.socket_host.counters["unreached"] += 1
             # Without a pause there would be dials without end where none is accepted.
-            self.spare_from = self.socket_host.now + SECOND
+            self.next_spare_dial_at = self.socket_host.now + SECOND
             if era == self.era:
                 self._fail_waiting("unreached")
         # A dial that began before its engine moved, or was started anew, says nothing of the one
@@ -186,7 +188,7 @@
             link = EngineConnection(self, sock)
             self.links.append(link)
             self.socket_host.event_loop.spawn(link.link.run)
-            link.watch()
+            link.check_idle()
         self.fill()
 
     def on_listed(self, where: tuple[str, int], renewed: bool) -> None:
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -51,7 +51,7 @@
         """Nothing is ever called back."""
 
 
-def stated_of(platform_config: PlatformConfig, host: Any) -> Settings:
+def build_settings(platform_config: PlatformConfig, host: Any) -> Settings:
     """Return what a configuration states; raises `ConfigurationError` where it makes no sense."""
     try:
         return Settings(platform_config.settings, host, platform_config.seed, platform_config.name)
@@ -78,25 +78,31 @@
         # With little memory the program itself holds most of it. Half of what it had left at its
         # start may be held for others, in four equal parts. The rest is for records.
         part_bytes = max(platform_config.memory_bytes - held, MIN_HELD_BYTES) // 2 // 4
-        self.rings = MemoryBudget(part_bytes)  # of client connections
-        self.lines = MemoryBudget(part_bytes)  # of connections to engines and to discovery
-        self.results = MemoryBudget(part_bytes)
-        self.statements = MemoryBudget(part_bytes)
+        self.client_ring_memory = MemoryBudget(part_bytes)  # of client connections
+        self.server_ring_memory = MemoryBudget(
+            part_bytes
+        )  # of connections to engines and to discovery
+        self.result_memory = MemoryBudget(part_bytes)
+        self.statement_memory = MemoryBudget(part_bytes)
         # A half is the clients' at most, a third goes to engines, and the rest stays free for
         # discovery and what is new.
-        self.links_most = platform_config.max_sockets // 3
-        self.dials = 0  # under way
-        self.names: dict[str, Request] = {}  # open requests
+        self.max_engine_links = platform_config.max_sockets // 3
+        self.dials_in_progress = 0  # under way
+        self.open_requests: dict[str, Request] = {}  # open requests
         self.engine_pools: dict[str, EnginePool] = {}
         # Kept so that no request, timer or change of the list costs what the whole list does.
         self.links: dict[EngineConnection, None] = {}  # that are up
-        self.closing: dict[EnginePool, None] = {}  # engines that drain or are gone
-        self.awaited: dict[EnginePool, None] = {}  # where something waits for a connection
-        self.short: dict[EnginePool, None] = {}  # that lack a connection ahead of need
+        self.closing_pools: dict[EnginePool, None] = {}  # engines that drain or are gone
+        self.pools_with_waiting: dict[
+            EnginePool, None
+        ] = {}  # where something waits for a connection
+        self.pools_lacking_spare: dict[
+            EnginePool, None
+        ] = {}  # that lack a connection ahead of need
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
         self.pager = ResultPager(self)
         self.ended: deque[Request] = deque()
-        self.settings = stated_of(platform_config, self)
+        self.settings = build_settings(platform_config, self)
         if (
             platform_config.settings.get("myNumber") is None
             and self.settings.gateway.options.gateway_count > 1
@@ -145,28 +151,30 @@
             and self.engine_pools.get(tag) is engine_pool
         ):
             del self.engine_pools[tag]
-            for kept in self.closing, self.awaited, self.short:
+            for kept in self.closing_pools, self.pools_with_waiting, self.pools_lacking_spare:
                 kept.pop(engine_pool, None)
             self.ledger.record_engine_removed(engine_pool.row)
             if self.latency_sketches is not None:
                 self.latency_sketches.merge_engine(tag, DEPARTED_ROW)
 
-    def links_each(self) -> int:
+    def max_links_per_engine(self) -> int:
         """Return the connections that each engine of the subset may have, and each that closes.
 
         With fewer connections than attempts fill, an engine that is well would count as
         unreachable. So connections are shared by those that use them, not by all that a long list
         names.
         """
-        return max(2, self.links_most // max(len(self.gateway.engines) + len(self.closing), 1))
+        return max(
+            2, self.max_engine_links // max(len(self.gateway.engines) + len(self.closing_pools), 1)
+        )
 
-    def descriptor_left(self, needed: bool) -> bool:
+    def has_descriptor_left(self, needed: bool) -> bool:
         """Tell whether there may be another connection to an engine.
 
         Two to each of many engines would take what discovery and the clients need. Where one is
         needed, the connection that has been idle longest gives way.
         """
-        if len(self.links) + self.dials < self.links_most:
+        if len(self.links) + self.dials_in_progress < self.max_engine_links:
             return True
         idle = [link for link in self.links if not (link.open or link.link.why)] if needed else []
         if idle:
@@ -211,7 +219,7 @@
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
         ):
             in_flight_attempt.effect = self.recovery.on_attempt_sending(
-                attempt, in_flight_attempt.order.label
+                attempt, in_flight_attempt.client_request.label
             )
         if self.latency_sketches is not None and not attempt.number:
             self.latency_sketches.record_first_attempt(
@@ -249,7 +257,7 @@
         if in_flight_attempt.link is None:
             in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
         else:
-            in_flight_attempt.link.say("abort", in_flight_attempt.order.name)
+            in_flight_attempt.link.say("abort", in_flight_attempt.client_request.name)
             in_flight_attempt.link.forget(in_flight_attempt)
         self.called[attempt] = self.in_flight_attempts.pop(attempt)
         outcome = AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED
@@ -268,7 +276,7 @@
         """
         self.event_loop.tick()
         if not in_flight_attempt.attempt.request.is_finished:
-            in_flight_attempt.order.client_connection.there()
+            in_flight_attempt.client_request.client_connection.there()
         if (
             in_flight_attempt.attempt not in self.in_flight_attempts
             or self.now >= in_flight_attempt.until
@@ -283,8 +291,8 @@
         order = request.host_reference
         if order.client_connection.open.pop(order.stream, None) is None:
             return
-        self.statements.give(order.size)
-        self.names.pop(order.name, None)
+        self.statement_memory.give(order.size)
+        self.open_requests.pop(order.name, None)
         self.ended.append(request)
         if reason < 0:
             reason = reason_of_end(
@@ -320,8 +328,8 @@
         """End a request whose client waits no longer."""
         if request is not None:
             self.ledger.record_closed(request.host_reference, reason)
-            self.statements.give(request.host_reference.size)
-            self.names.pop(request.host_reference.name, None)
+            self.statement_memory.give(request.host_reference.size)
+            self.open_requests.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.fresh:
                 request.is_finished = True  # the gateway never hears of it
             else:
@@ -411,7 +419,7 @@
         """Notify everybody of an attempt's end, the gateway last."""
         attempt = in_flight_attempt.attempt
         if in_flight_attempt.asked:
-            self.results.give(in_flight_attempt.asked)
+            self.result_memory.give(in_flight_attempt.asked)
             in_flight_attempt.asked = 0
         in_flight_attempt.pages = []
         bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
@@ -470,6 +478,6 @@
         """The number of the last event of discovery that was applied."""
         return self.endpoint_list.last_event
 
-    def event(self, number: str, data: str) -> str:
+    def on_discovery_event(self, number: str, data: str) -> str:
         """Apply an event of discovery; what is wrong with it, or an empty string."""
         return self.endpoint_list.on_event(data)
--- a/corkgauge/net/in_flight.py
+++ b/corkgauge/net/in_flight.py
@@ -52,6 +52,7 @@
         "asked",
         "attempt",
         "begin",
+        "client_request",
         "effect",
         "end",
         "engine_pool",
@@ -59,7 +60,6 @@
         "link",
         "load",
         "need",
-        "order",
         "pages",
         "serial",
         "spent",
@@ -69,7 +69,7 @@
 
     def __init__(self, attempt: Attempt, until: int, engine_pool: EnginePool) -> None:
         self.attempt = attempt
-        self.order: Any = attempt.request.host_reference  # the client's request
+        self.client_request: Any = attempt.request.host_reference  # the client's request
         self.until = until  # ticks; when its time is over
         self.engine_pool = engine_pool
         self.link: EngineConnection | None = None
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -14,7 +14,7 @@
         self.socket_host = socket_host
 
     def open_entries(self) -> list[Any]:
-        return [request.host_reference for request in self.socket_host.names.values()]
+        return [request.host_reference for request in self.socket_host.open_requests.values()]
 
     def answering_entries(self) -> list[Any]:
         return [*self.socket_host.answering]
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -18,7 +18,7 @@
     MOST_OPEN,
     ClientConnection,
     ClientRequest,
-    unread,
+    unread_byte_count,
 )
 from corkgauge.net.client_protocol import REFUSED
 from corkgauge.net.host import SocketHost
@@ -28,13 +28,13 @@
     RequestFields,
     UnusableField,
 )
-from corkgauge.net.table_group import tables_of
+from corkgauge.net.table_group import group_number
 from corkgauge.policy.records import Request
 
 ROOM = 16  # connections that give way at once
 # After the signal to end: the longest expiry counts for so much at most; the rest is the page's 0.7
 # s, less what it takes to write the last answers. Until then submissions still come.
-MOST_EXPIRY, TO_WRITE, STILL_COMING = 3 * SECOND, 4_000, 9_000
+MAX_SHUTDOWN_WAIT_TICKS, TO_WRITE, STILL_COMING = 3 * SECOND, 4_000, 9_000
 # Clients write submissions of one key so far apart, and so long after one that came on a new
 # connection.
 APART, APART_NEW, ARRIVAL = 600, 2_500, 100
@@ -52,17 +52,17 @@
     ) -> None:
         super().__init__(event_loop, platform_config, log, held)
         self.field_reader = RequestFieldReader(
-            self.request_classes, self.tenants, self.most_memory, self.names
+            self.request_classes, self.tenants, self.most_memory, self.open_requests
         )
-        self.end = NEVER  # when the last answer goes, once the program is told to end
-        self.door: Any = None  # where clients come in, in a program that serves
-        self.last_call = NEVER  # when the clients were shown the end
+        self.shutdown_deadline = NEVER  # when the last answer goes, once the program is told to end
+        self.acceptor: Any = None  # where clients come in, in a program that serves
+        self.farewell_started_at = NEVER  # when the clients were shown the end
         self.client_connections: dict[ClientConnection, None] = {}
         self.most_callers = platform_config.max_sockets // 2  # a third is the usual ones'
         self.keys: dict[
             int, tuple[int, int, bool]
         ] = {}  # when one came, kept back how long, on a new link
-        self.unadmitted: dict[
+        self.unsubmitted_by_order_key: dict[
             int, deque[Request]
         ] = {}  # by key: read, in this order, and not told yet
 
@@ -92,55 +92,57 @@
                 self.counters["gave way"] += 1
         return bool(quiet)
 
-    def accepted(self, sock: Any) -> None:
+    def add_client(self, sock: Any) -> None:
         client_connection = ClientConnection(self, sock)
         self.client_connections[client_connection] = None
         self.ledger.record_connection_opened(Side.CLIENT)
         if self.flows is not None:
             self.flows.up(client_connection.link, Side.CLIENT)
         self.event_loop.spawn(client_connection.link.run)
-        if self.end != NEVER:
+        if self.shutdown_deadline != NEVER:
             client_connection.link.send(client_wire.leaving())
 
-    def leave(self) -> None:
+    def start_shutdown(self) -> None:
         """The program is to end: no new submissions are asked for, and all that is open ends in time."""
-        if self.end != NEVER:
+        if self.shutdown_deadline != NEVER:
             return
         longest = max(
             request_class.time_to_deadline for request_class in self.settings.request_classes
         )
-        self.end = self.now + min(longest, MOST_EXPIRY) + TO_WRITE
+        self.shutdown_deadline = self.now + min(longest, MAX_SHUTDOWN_WAIT_TICKS) + TO_WRITE
         requests = [
             request
             for client_connection in self.client_connections
             for request in client_connection.open.values()
         ]
-        self.log(f"leaving by {self.end}, {len(requests)} open")
+        self.log(f"leaving by {self.shutdown_deadline}, {len(requests)} open")
         for client_connection in [*self.client_connections]:
             client_connection.link.send(client_wire.leaving())
         for request in requests:
-            self.event_loop.call_later(self.end - self.now, self.gateway.on_deadline_near, request)
-        self.event_loop.call_later(STILL_COMING, self.gone)
+            self.event_loop.call_later(
+                self.shutdown_deadline - self.now, self.gateway.on_deadline_near, request
+            )
+        self.event_loop.call_later(STILL_COMING, self.continue_shutdown)
 
-    def gone(self) -> None:
+    def continue_shutdown(self) -> None:
         """End as soon as nothing is owed and all is written, or when it must be."""
-        must, step = self.now >= self.end + TO_WRITE // 4, 100
-        if self.last_call != NEVER:
-            if not self.client_connections or self.now >= self.last_call + CROSSING:
+        must, step = self.now >= self.shutdown_deadline + TO_WRITE // 4, 100
+        if self.farewell_started_at != NEVER:
+            if not self.client_connections or self.now >= self.farewell_started_at + CROSSING:
                 self.event_loop.stopped = True
                 return
             step = 20
         # Danger: what has come and lies unread is taken all the same, be it at the door.
         elif must or not any(self.owed(each) for each in self.client_connections):
-            if self.door is None or not self.door.shut() or must:
+            if self.acceptor is None or not self.acceptor.shut() or must:
                 # Danger: a process that ends over unread bytes resets its connections, and takes
                 # the last answers along. So each client is shown the end, and what had crossed it
                 # is read and dropped for a moment.
-                self.last_call = self.now
+                self.farewell_started_at = self.now
                 for each in [*self.client_connections]:
                     if not (each.link.give_way("the program ends") or must or each.link.why):
-                        self.last_call = NEVER  # something came just now
-        self.event_loop.call_later(step, self.gone)
+                        self.farewell_started_at = NEVER  # something came just now
+        self.event_loop.call_later(step, self.continue_shutdown)
 
     def owed(self, client_connection: ClientConnection) -> bool:
         """Is anything still due to this client, or on its way from it?"""
@@ -150,9 +152,9 @@
             and not link.parting
             and bool(
                 client_connection.open
-                or client_connection.waiting
+                or client_connection.waiting_answers
                 or len(link.machine.outward)
-                or unread(link.sock)
+                or unread_byte_count(link.sock)
                 or client_connection.half_told()
             )
         )
@@ -174,7 +176,7 @@
             order,
             said.request_class,
             said.tenant,
-            tables_of(body),
+            group_number(body),
             self.now,
             self._time_left(said, stream),
             int(said.work_ms * TICKS_PER_MS),
@@ -187,8 +189,8 @@
     def _has_room_for(self, client_connection: ClientConnection, order: ClientRequest) -> bool:
         return (
             len(client_connection.open) < MOST_OPEN
-            and len(self.names) < self.settings.open_cap
-            and self.statements.take(order.size)
+            and len(self.open_requests) < self.settings.open_cap
+            and self.statement_memory.take(order.size)
         )
 
     def _turn_away(self, client_connection: ClientConnection, order: ClientRequest) -> str:
@@ -204,7 +206,9 @@
 
         With a full processor the request has waited unread, and its client counts that.
         """
-        time_left = min(int(said.time_to_deadline_ms * TICKS_PER_MS), self.end - self.now)
+        time_left = min(
+            int(said.time_to_deadline_ms * TICKS_PER_MS), self.shutdown_deadline - self.now
+        )
         return max(time_left - self.held_back(said.order_key, stream == 1) - self.lag, 1)
 
     def _open(self, client_connection: ClientConnection, request: Request) -> None:
@@ -212,10 +216,10 @@
         order = request.host_reference
         if self.recovery is not None and order.label:
             self.recovery.restrict_retry(request, order.label)
-        client_connection.open[order.stream] = self.names[order.name] = request
+        client_connection.open[order.stream] = self.open_requests[order.name] = request
         self.ledger.record_accepted(order)
         if request.request_class.ordered and request.order_key:
-            self.unadmitted.setdefault(request.order_key, deque()).append(request)
+            self.unsubmitted_by_order_key.setdefault(request.order_key, deque()).append(request)
         client_connection.fresh.append(request)
         if len(client_connection.fresh) == 1:
             self.event_loop.unsent.append(client_connection.admit)
@@ -224,7 +228,7 @@
         """Those of its key that were read before, on other connections, are told first. Danger: one that waits for what
         lies behind it on its connection would be overtaken by a later one of its key on another.
         """
-        line = self.unadmitted.get(request.order_key)
+        line = self.unsubmitted_by_order_key.get(request.order_key)
         while line and request in line:
             first = line[0]
             if first is not request:
@@ -232,7 +236,7 @@
             if line and line[0] is first:
                 line.popleft()
         if line is not None and not line:
-            self.unadmitted.pop(request.order_key, None)
+            self.unsubmitted_by_order_key.pop(request.order_key, None)
 
     def held_back(self, key: int, new: bool) -> int:
         """How long a client may have kept back a submission after its stamp, to keep those of a key apart.
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -78,11 +78,11 @@
             in_flight = self.unasked[0]
             if in_flight.attempt in self.host.in_flight_attempts:
                 size = MAX_PAGE_BYTES * len(in_flight.pages)
-                if not self.host.results.take(size):
+                if not self.host.result_memory.take(size):
                     return
                 in_flight.asked = size
                 for number in range(1, len(in_flight.pages)):
-                    in_flight.link.say("more", in_flight.order.name, str(number))
+                    in_flight.link.say("more", in_flight.client_request.name, str(number))
                 self.host.event_loop.call_later(
                     PAGE_TICKS, self.on_pages_late, in_flight, 1, self.host.now
                 )
--- a/corkgauge/net/table_group.py
+++ b/corkgauge/net/table_group.py
@@ -27,10 +27,10 @@
 ANYWHERE = re.compile(rb"(?i) (?<! [\w$.\x80-\xff] ) " + NAME, re.X)
 
 
-def tables_of(statement: bytes) -> float:
+def group_number(statement: bytes) -> float:
     """Return the number behind the underscore in a schema's name; 0.0 when there is none.
 
-    >>> tables_of(b"SELECT 'x from sales_3.a' FROM sales_17.orders"), tables_of(b"select 1")
+    >>> group_number(b"SELECT 'x from sales_3.a' FROM sales_17.orders"), group_number(b"select 1")
     (17.0, 0.0)
     """
     found = TABLE.search(statement)
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -158,7 +158,7 @@
                 or self.reports.is_disputed(engine.host_reference, notable_percent)
             ):
                 self.reports.record_own(
-                    now, engine.host_reference, engine_pool.started, *observation
+                    now, engine.host_reference, engine_pool.started_ms, *observation
                 )
 
     def _observe(self, engine: Any, now: int) -> Observation | None:
@@ -267,7 +267,9 @@
         if engine_pool is not None:
             reports = self.reports.reports_on(engine)
             last_heard_at = engine_pool.engine.stats.last_heard_at
-            assessment = assess(reports, now, engine_pool.started, self.name, zones, last_heard_at)
+            assessment = assess(
+                reports, now, engine_pool.started_ms, self.name, zones, last_heard_at
+            )
         before = self.assessments.get(engine, NO_ASSESSMENT)
         if assessment == NO_ASSESSMENT:
             self.assessments.pop(engine, None)
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -95,7 +95,7 @@
                 self.reports.record_own(
                     now,
                     engine_pool.engine.host_reference,
-                    engine_pool.started,
+                    engine_pool.started_ms,
                     Fault.SILENT,
                     10_000,
                     8,
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -393,7 +393,7 @@
     def told(self, data: str) -> None:
         """An event of the feed, as it is read."""
         self.number += 1
-        if wrong := self.socket_host.event(str(self.number), data):
+        if wrong := self.socket_host.on_discovery_event(str(self.number), data):
             raise ValueError(wrong)
 
     def changed(self, engine: int) -> str:
@@ -402,7 +402,7 @@
 
     def client(self) -> socket.socket:
         mine, its = socket.socketpair()
-        self.socket_host.accepted(its)
+        self.socket_host.add_client(its)
         mine.setblocking(False)
         self.others.append(mine)
         return mine
@@ -414,7 +414,7 @@
         link = EngineConnection(engine_pool, its)
         engine_pool.links.append(link)
         self.event_loop.spawn(link.link.run)
-        link.watch()
+        link.check_idle()
         mine.setblocking(False)
         self.others.append(mine)
 
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -157,7 +157,7 @@
     ) -> None:
         self.event_loop, self.wire, self.log, self.routes = beat, wire, log, {}
         self.engine_pools: dict[str, Any] = {}
-        self.names: dict[str, Any] = {}
+        self.open_requests: dict[str, Any] = {}
         self.works: Any = None
         self.settings = Settings(platform_config.settings, self, platform_config.seed)
         self.gateway = self.settings.gateway
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -59,10 +59,10 @@
     rows = [*ledger.request_classes.values()]
     if what == "name lost":
         request = max(
-            socket_host.names.values(),
+            socket_host.open_requests.values(),
             key=lambda request: request.accepted_at + request.time_to_deadline,
         )
-        del socket_host.names[request.host_reference.name]
+        del socket_host.open_requests[request.host_reference.name]
         return request.request_class.name
     if what == "errand lost":
         in_flight_attempt = socket_host.in_flight_attempts.pop(
@@ -140,7 +140,7 @@
     audit, begun = PlatformFrontEnd.audit, time.time()
 
     def hurt(self):
-        ready = self.in_flight_attempts and self.names and time.time() > begun + AFTER
+        ready = self.in_flight_attempts and self.open_requests and time.time() > begun + AFTER
         if ready:
             PlatformFrontEnd.audit = audit
             print(
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -218,7 +218,7 @@
 
     def client(self):
         mine, its = socket.socketpair()
-        self.socket_host.accepted(its)
+        self.socket_host.add_client(its)
         self.turn()
         mine.setblocking(False)
         return mine
@@ -229,7 +229,7 @@
         link = EngineConnection(engine_pool, its)
         engine_pool.links.append(link)
         self.event_loop.spawn(link.link.run)
-        link.watch()
+        link.check_idle()
         engine_pool.fill()
         self.turn()
         mine.setblocking(False)
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -667,7 +667,7 @@
     ledger = RequestLedger(["quick"], lambda: NOW)
     entry, attempt = Entry(), Entry()
     entry.row = ledger.request_classes["quick"]
-    attempt.order, attempt.engine_row = entry, ledger.engine_row("e1")
+    attempt.client_request, attempt.engine_row = entry, ledger.engine_row("e1")
     ledger.record_accepted(entry)
     ledger.record_attempt_sent(attempt, 0)
     ledger.on_attempt_finished(attempt, 0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -54,7 +54,7 @@
 
     def client(self):
         mine, its = pair()
-        self.socket_host.accepted(its)
+        self.socket_host.add_client(its)
         self.turn()
         mine.setblocking(False)
         client_connection = [*self.socket_host.client_connections][-1]
@@ -66,7 +66,7 @@
         link = EngineConnection(engine_pool, its)
         engine_pool.links.append(link)
         self.event_loop.spawn(link.link.run)
-        link.watch()
+        link.check_idle()
         if turn:
             self.turn()
             engine_pool.fill()
@@ -210,8 +210,8 @@
     client, client_connection = premises.client()
     engine, _ = premises.engine()
     premises.ask_and_settle(client, request_frame(), client_connection)
-    premises.socket_host.rings.most = (
-        premises.socket_host.rings.held
+    premises.socket_host.client_ring_memory.most = (
+        premises.socket_host.client_ring_memory.held
     )  # no memory: what comes now pauses the input
     client.sendall((200_000).to_bytes(4, "little") + b"\2" + b"x" * 9_000)
     settled(client_connection.link.sock)
@@ -246,7 +246,7 @@
     def __init__(self, premises, monkeypatch):
         self.asked, self.let, self.ends = [], [], []
         EnginePool.dial = REAL_DIAL
-        premises.socket_host.dials = 0
+        premises.socket_host.dials_in_progress = 0
         for engine_pool in premises.socket_host.engine_pools.values():
             engine_pool.dialling = False
         monkeypatch.setattr("corkgauge.net.engine_pool.dial", self.dial)
@@ -270,7 +270,7 @@
     dials, (client, client_connection) = Dials(premises, monkeypatch), premises.client()
     premises.ask_and_settle(client, request_frame(), client_connection)
     assert dials.asked == [("127.0.0.9", 1)]
-    assert not premises.socket_host.event(
+    assert not premises.socket_host.on_discovery_event(
         "2", json.dumps(listing(2, {"addr": "127.0.0.9:2"}, full=False))
     )
     dials.let += ["ECONNREFUSED", ""]
@@ -291,7 +291,7 @@
         premises.socket_host.in_flight_attempts.values(),
     )
     assert len(dials.asked) == 1
-    assert not premises.socket_host.event(
+    assert not premises.socket_host.on_discovery_event(
         "2", json.dumps(listing(2, {"started_ms": 100_000}, full=False))
     )
     dials.let.append("" if up else "ECONNREFUSED")
@@ -326,19 +326,19 @@
     """Danger: two to each of many engines are more than the share of the descriptors that is theirs."""
     engines = [{"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(60)]
     premises = Loopback([listing(1, *engines)], sockets=96)
-    premises.socket_host.dials = 0
+    premises.socket_host.dials_in_progress = 0
     socket_host, kept = premises.socket_host, []
     for n in range(40):
         for engine_pool in socket_host.engine_pools.values():
             engine_pool.dialling = True  # but for what is joined by hand here nobody dials
-        if not socket_host.descriptor_left(True):
+        if not socket_host.has_descriptor_left(True):
             break
         kept.append(premises.engine(f"e{n}"))
     assert (
         sum(len(engine_pool.links) for engine_pool in socket_host.engine_pools.values()) <= 96 // 3
     )
     premises.turn()  # the one that was idle longest has given way
-    assert socket_host.counters["links gave way"] == 1 and socket_host.descriptor_left(True)
+    assert socket_host.counters["links gave way"] == 1 and socket_host.has_descriptor_left(True)
 
 
 def test_bytes_that_come_before_an_idle_connection_is_closed_keep_it():
@@ -379,12 +379,12 @@
 
 def ending(premises):
     """A program that is told to end, with a door of its own; the clock is let run to its last look."""
-    door = premises.socket_host.door = Acceptor(
+    door = premises.socket_host.acceptor = Acceptor(
         premises.event_loop, premises.socket_host, ("127.0.0.1", 0)
     )
     premises.event_loop.spawn(door.run)
     premises.turn()
-    premises.socket_host.leave()
+    premises.socket_host.start_shutdown()
     premises.turn()
     return door
 
@@ -431,7 +431,7 @@
     premises.ask_and_settle(client, READY_ASKED, client_connection)
     ending(premises)
     premises.pass_time(9_200, 100)
-    assert premises.socket_host.last_call < 2**60 and not premises.event_loop.stopped
+    assert premises.socket_host.farewell_started_at < 2**60 and not premises.event_loop.stopped
     client.sendall(request_frame())  # crosses the end
     settled(client_connection.link.sock)
     premises.pass_time(1_000, 50)
@@ -448,10 +448,10 @@
     premises = Loopback()
     client, client_connection = premises.client()
     ending(premises)
-    end = premises.socket_host.end
+    end = premises.socket_host.shutdown_deadline
     premises.pass_time(500)
-    premises.socket_host.leave()
-    assert premises.socket_host.end == end
+    premises.socket_host.start_shutdown()
+    assert premises.socket_host.shutdown_deadline == end
     assert premises.heard_soon(client, 0).count(bytes.fromhex("050000004000000000")) == 1
 
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -36,7 +36,7 @@
     def __init__(self, row, engine_row=None, order=None):
         self.row = row
         self.engine_row = engine_row
-        self.order = order
+        self.client_request = order
         self.serial = 0
 
 
@@ -307,7 +307,7 @@
     )
     client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
     premises.ask(client, request_frame(1))
-    request = premises.socket_host.names[T1]
+    request = premises.socket_host.open_requests[T1]
     premises.socket_host.gateway.hedging.rescue(request.attempts[0])
     premises.socket_host.gateway.admission.fill_slots()
     premises.turn()
@@ -334,7 +334,7 @@
             premises.engine_says(engine, name(stream), "MORE", f"at={n}", row * 3)
     cut = balanced(premises)
     assert (
-        cut["offerings"]["quick"]["open"] > 0 and not premises.socket_host.names
+        cut["offerings"]["quick"]["open"] > 0 and not premises.socket_host.open_requests
     )  # answered, and not whole yet
     if hangs_up:
         client.close()
@@ -371,12 +371,12 @@
     client = premises.client()
     premises.engine()
     premises.ask(client, request_frame(1) + request_frame(2) + request_frame(3))
-    premises.socket_host.event("2", json.dumps(listing(2, {"state": "DELETED"})))
+    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"state": "DELETED"})))
     premises.turn()
-    premises.socket_host.event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
+    premises.socket_host.on_discovery_event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
     premises.turn()
     balanced(premises)
-    premises.socket_host.leave()
+    premises.socket_host.start_shutdown()
     premises.pass_time(4 * SECOND)
     row = balanced(premises)["offerings"]["quick"]
     assert (
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -936,7 +936,7 @@
     site = ExportSite(tmp_path)
     site.go_on(1)
     site.serve(2)
-    site.premises.socket_host.event(
+    site.premises.socket_host.on_discovery_event(
         "2", __import__("json").dumps(listing(2, {"state": "DELETED"}, {"id": "e9"}, full=False))
     )
     site.tag = "e9"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
 from corkgauge.net.client_protocol import ClientProtocol
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import EngineProtocol, command
-from corkgauge.net.table_group import tables_of
+from corkgauge.net.table_group import group_number
 from corkgauge.policy.records import AttemptOutcome, EngineState
 from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
 
@@ -168,7 +168,7 @@
     ],
 )
 def test_the_group_of_tables_of_a_statement(statement, group):
-    assert tables_of(statement) == group
+    assert group_number(statement) == group
 
 
 def test_a_ring_keeps_order_within_its_bounds():
@@ -238,7 +238,9 @@
     assert premises.heard(engine) == command("done", T1)
     assert (
         not premises.logged
-        and premises.socket_host.results.held == premises.socket_host.statements.held == 0
+        and premises.socket_host.result_memory.held
+        == premises.socket_host.statement_memory.held
+        == 0
     )
 
 
@@ -356,10 +358,11 @@
     assert (
         bad.recv(9) == b""
         and len(premises.socket_host.client_connections) == 1
-        and not premises.socket_host.names
+        and not premises.socket_host.open_requests
     )
     assert (
-        served(premises, good, engine, 1, trace=name(500)) and not premises.socket_host.rings.held
+        served(premises, good, engine, 1, trace=name(500))
+        and not premises.socket_host.client_ring_memory.held
     )
 
 
@@ -388,7 +391,7 @@
     premises = HostHarness()
     for _ in range(50):
         premises.ask(premises.client(), (262_144).to_bytes(4, "little") + b"\2")
-    assert premises.socket_host.rings.held == 0
+    assert premises.socket_host.client_ring_memory.held == 0
 
 
 class Feeds:
@@ -559,7 +562,7 @@
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request_frame(1) + request_frame(2))
     assert premises.heard(engine).count(b"fetch") == 2
-    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
     other = premises.engine("e2")
     premises.ask(engine, said)
     premises.pass_time(later)
@@ -580,14 +583,14 @@
         )
         premises.engine_says(other, T1, "DONE", "chunks=1", ROW)
         assert premises.answers(client) == [(4, 1, b"\1", ROW.encode())]
-    assert premises.socket_host.results.held == 0
+    assert premises.socket_host.result_memory.held == 0
 
 
 def test_a_page_that_does_not_come_sends_its_submission_elsewhere_and_leaves_the_link_to_the_others():
     premises = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request_frame(1) + request_frame(2))
-    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
     other = premises.engine("e2")
     premises.ask(engine, TWO.replace(b"chunks=2", b"chunks=3"))
     premises.pass_time(2_000)
@@ -612,7 +615,7 @@
     )
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request_frame(1) + request_frame(2))
-    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
     other = premises.engine("e2")
     premises.pass_time(9_500)
     premises.engine_says(engine, name(2), "TELL", "-", "")
@@ -640,7 +643,7 @@
     client = premises.client()
     premises.ask(client, request_frame())
     (in_flight_attempt,) = premises.socket_host.in_flight_attempts.values()
-    assert not premises.socket_host.event(
+    assert not premises.socket_host.on_discovery_event(
         "2", json.dumps(listing(2, {"state": "DRAINING"}, full=False))
     )
     assert (
@@ -682,8 +685,10 @@
     premises = HostHarness()
     engine, old = premises.engine(), premises.socket_host.engine_pools["e1"]
     premises.ask(premises.client(), request_frame())
-    premises.socket_host.event("2", json.dumps(listing(2)))
-    premises.socket_host.event("3", json.dumps(listing(3, {"started_ms": 5}, full=False)))
+    premises.socket_host.on_discovery_event("2", json.dumps(listing(2)))
+    premises.socket_host.on_discovery_event(
+        "3", json.dumps(listing(3, {"started_ms": 5}, full=False))
+    )
     new = premises.socket_host.engine_pools["e1"]
     engine.close()
     premises.turn()
@@ -713,7 +718,7 @@
 def test_a_new_engine_at_an_old_address_gets_links_of_its_own():
     premises = HostHarness()
     engine = premises.engine()
-    premises.socket_host.event("2", json.dumps(listing(2, {"id": "e2"})))
+    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"})))
     premises.turn()
     assert engine.recv(10) == b""  # the old one is closed
     assert (
@@ -766,7 +771,7 @@
     premises = HostHarness()
     client, engine = premises.client(), premises.engine()
     served(premises, client, engine, patience="5000")
-    premises.socket_host.leave()
+    premises.socket_host.start_shutdown()
     assert premises.answers(client)[0][:2] == (64, 0)
     premises.pass_time(SECOND // 2)
     late = premises.client()
@@ -790,12 +795,12 @@
     premises = HostHarness()
     client = premises.client()
     premises.ask(client, bytes.fromhex("05000000100a000000"))
-    premises.socket_host.leave()
+    premises.socket_host.start_shutdown()
     premises.turn()
-    premises.socket_host.end = premises.socket_host.now + 5_000
+    premises.socket_host.shutdown_deadline = premises.socket_host.now + 5_000
     premises.answers(client)
     client.sendall(request_frame())
-    premises.socket_host.gone()
+    premises.socket_host.continue_shutdown()
     assert not premises.event_loop.stopped
     premises.pass_time(SECOND)
     assert [answer[1:3] for answer in premises.answers(client)] == [
@@ -825,7 +830,7 @@
             says = ("DONE", "chunks=1", ROW) if n % 2 else ("BROKE", "-", "")
             premises.engine_says(engine, name(n), *says)
         event = listing(n + 1, {"id": f"e{n}", "state": "DELETED"}, {"id": f"e{n + 1}"}, full=False)
-        assert not premises.socket_host.event("", json.dumps(event))
+        assert not premises.socket_host.on_discovery_event("", json.dumps(event))
         client.close()
         engine.close()
         premises.pass_time(100, 100)
@@ -835,7 +840,11 @@
     gc.enable()
     socket_host = premises.socket_host
     assert (
-        not (socket_host.client_connections or socket_host.names or socket_host.in_flight_attempts)
+        not (
+            socket_host.client_connections
+            or socket_host.open_requests
+            or socket_host.in_flight_attempts
+        )
         and len(socket_host.engine_pools) == 1
     )
     assert held[2] - held[1] < 200
@@ -843,18 +852,20 @@
 
 def test_clients_that_do_not_read_cannot_fill_the_memory():
     premises = HostHarness()
-    premises.socket_host.results.most = 300_000
+    premises.socket_host.result_memory.most = 300_000
     client, engine = premises.client(), premises.engine()
     client_connection = next(iter(premises.socket_host.client_connections))
     client_connection.link.machine.outward.most = 5_000
     for n in range(1, 20):
         premises.ask(client, request_frame(n, patience="4000"))
         premises.engine_says(engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n")
-    waiting = sum(len(piece) for entry in client_connection.waiting for piece in entry[2])
-    assert 0 < waiting <= 300_000 and premises.socket_host.results.held == waiting
+    waiting = sum(len(piece) for entry in client_connection.waiting_answers for piece in entry[2])
+    assert 0 < waiting <= 300_000 and premises.socket_host.result_memory.held == waiting
     client.close()
     premises.turn()
-    assert premises.socket_host.results.held == 0 and not premises.socket_host.client_connections
+    assert (
+        premises.socket_host.result_memory.held == 0 and not premises.socket_host.client_connections
+    )
 
 
 def test_a_silent_link_is_asked_for_a_sign_before_the_engine_would_close_it():
@@ -880,12 +891,14 @@
 )
 def test_a_feed_event_that_makes_no_sense_changes_nothing(event):
     premises = HostHarness()
-    assert premises.socket_host.event("2", event)
+    assert premises.socket_host.on_discovery_event("2", event)
     assert (
         premises.socket_host.last_event == 1
         and premises.socket_host.engine_pools["e1"].engine.state == EngineState.READY
     )
-    assert not premises.socket_host.event("1", json.dumps(listing(1)))  # told before: left out
+    assert not premises.socket_host.on_discovery_event(
+        "1", json.dumps(listing(1))
+    )  # told before: left out
 
 
 @pytest.mark.parametrize(
@@ -994,7 +1007,7 @@
     premises = HostHarness()
     engine, one, other = premises.engine(), premises.client(), premises.client()
     busy = []
-    monkeypatch.setattr(clients, "unread", lambda sock: sock in busy)
+    monkeypatch.setattr(clients, "unread_byte_count", lambda sock: sock in busy)
     busy += [
         client_connection.link.sock for client_connection in premises.socket_host.client_connections
     ][:1]  # more lies there, all the time
@@ -1003,7 +1016,7 @@
     premises.ask(other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
     said = premises.heard(engine)
     assert name(1).encode() in said and name(2).encode() not in said  # it waits for its turn
-    assert not premises.socket_host.unadmitted
+    assert not premises.socket_host.unsubmitted_by_order_key
     premises.pass_time(SECOND // 10)
     assert premises.heard(engine).count(b"fetch") == 0
 
@@ -1013,7 +1026,9 @@
 ):
     premises = HostHarness()
     engine, client = premises.engine(), premises.client()
-    monkeypatch.setattr(clients, "unread", lambda sock: 1)  # more lies there, all the time
+    monkeypatch.setattr(
+        clients, "unread_byte_count", lambda sock: 1
+    )  # more lies there, all the time
     premises.ask(client, request_frame(1, patience="40"))
     premises.ask(client, bytes.fromhex("050000000801000000"))
     assert [answer[1:3] for answer in premises.answers(client)] == [(1, b"\2")]
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -375,7 +375,7 @@
             after.client(), request_frame(1, route="load", nonce=NONCE, entity="6", body=body)
         )
         assert b"fetch" not in after.heard(sockets[other])
-        request = next(iter(after.socket_host.names.values()), None)
+        request = next(iter(after.socket_host.open_requests.values()), None)
         assert request is None or [each.engine.name for each in request.earlier_attempts] == [first]
         again.end()
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,7 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.model import dissemination
 from corkgauge.net import discovery_protocol as feed_wire
-from corkgauge.net.host import UnstartedHost, stated_of
+from corkgauge.net.host import UnstartedHost, build_settings
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState
 from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, FEEDBACK_INTERVAL_TICKS
 from tests.harness import QUICK, GatewayHarness
@@ -302,7 +302,7 @@
 
 def test_the_configuration_that_is_measured_is_one_that_serving_takes():
     post = PlatformConfig(scale_settings.configuration(30, 20, 50), "")
-    settings = stated_of(post, UnstartedHost())
+    settings = build_settings(post, UnstartedHost())
     assert (
         len(settings.request_classes),
         len(settings.tenants),
--- a/tests/test_scale_alone.py
+++ b/tests/test_scale_alone.py
@@ -42,7 +42,9 @@
         for n in range(200):
             front.ask(clients[n % 10], 1 + n // 10)
         front.turn(8)
-        assert len(front.socket_host.names) == len(front.socket_host.in_flight_attempts) == 200
+        assert (
+            len(front.socket_host.open_requests) == len(front.socket_host.in_flight_attempts) == 200
+        )
         front.told(front.changed(3))
         assert front.socket_host.engine_pools["db3"].engine.incarnation > 0
     finally:
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -48,7 +48,7 @@
         self.premises = HostHarness([listing(1, {}, {"id": "e2"})])
         EnginePool.dial = REAL_DIAL
         self.kept, engines.dial = engines.dial, self.dial
-        self.premises.socket_host.dials = 0
+        self.premises.socket_host.dials_in_progress = 0
         for engine_pool in self.premises.socket_host.engine_pools.values():
             engine_pool.dialling = False
         self.event, self.traces, self.refuse = 1, 0, False
@@ -63,7 +63,7 @@
                 assert ask.answers == 1 or ask.left, f"{ask.answers} answers to {ask.trace}"
             assert (
                 not self.premises.socket_host.in_flight_attempts
-                and not self.premises.socket_host.names
+                and not self.premises.socket_host.open_requests
             )
             assert not [line for line in self.premises.logged if "Traceback" in line], (
                 self.premises.logged
@@ -180,7 +180,7 @@
     def tells(self, tag, state, started):
         self.event += 1
         said = listing(self.event, {"id": tag, "state": state, "started_ms": started}, full=False)
-        assert not self.premises.socket_host.event("", json.dumps(said))
+        assert not self.premises.socket_host.on_discovery_event("", json.dumps(said))
 
     @rule(refuse=st.booleans())
     def dials_fail(self, refuse):
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -22,7 +22,7 @@
 
 def changed(premises, *servers, full=False):
     number = premises.socket_host.last_event + 1
-    assert not premises.socket_host.event(
+    assert not premises.socket_host.on_discovery_event(
         str(number), json.dumps(listing(number, *servers, full=full))
     )
 
@@ -90,7 +90,7 @@
     def begin(premises):
         monkeypatch.setattr(EnginePool, "dial", dial)  # the rig puts its own there
         for engine_pool in premises.socket_host.engine_pools.values():
-            engine_pool.dialling, engine_pool.socket_host.dials = False, 0
+            engine_pool.dialling, engine_pool.socket_host.dials_in_progress = False, 0
         found.clear()
         return found
 
@@ -160,7 +160,9 @@
     premises = HostHarness([listing(1, {}, *many(1, 2))], instances=3)
     engine_pool = premises.socket_host.engine_pools["e1"]
     found = dialled(premises)
-    engine_pool.spare_from = premises.event_loop.now + SECOND  # as after a dial that was refused
+    engine_pool.next_spare_dial_at = (
+        premises.event_loop.now + SECOND
+    )  # as after a dial that was refused
     engine_pool.fill()
     changed(premises, *many(1, 3))
     premises.turn()
@@ -184,7 +186,7 @@
         )
         EnginePool.dial = REAL_DIAL
         self.socket_host = self.premises.socket_host
-        self.socket_host.dials = 0
+        self.socket_host.dials_in_progress = 0
         for engine_pool in self.socket_host.engine_pools.values():
             engine_pool.dialling = False
             engine_pool.fill()
@@ -276,7 +278,10 @@
     ends = [premises.engine(f"e{n}") for n in range(1, 21)]
     client = premises.client()
     walked(premises)
-    assert premises.socket_host.descriptor_left(True) and premises.socket_host.links_each() >= 2
+    assert (
+        premises.socket_host.has_descriptor_left(True)
+        and premises.socket_host.max_links_per_engine() >= 2
+    )
     for n in range(1, 9):
         premises.ask(client, request_frame(n))
     assert Walked.walks == 0 and len(premises.socket_host.links) == len(ends)
@@ -296,12 +301,12 @@
 def test_links_are_shared_by_the_working_set_and_what_closes_not_by_the_list():
     premises = HostHarness([listing(1, *many(60))], sockets=96, instances=200)
     socket_host = premises.socket_host
-    assert socket_host.links_each() == 2  # as ever where all engines are in the set
+    assert socket_host.max_links_per_engine() == 2  # as ever where all engines are in the set
     held(premises, "e1", "e2", "e3", "e4")
-    assert socket_host.links_each() == 96 // 3 // 4
+    assert socket_host.max_links_per_engine() == 96 // 3 // 4
     socket_host.engine_pools["e9"].engine.state = EngineState.DRAINING
-    socket_host.closing[socket_host.engine_pools["e9"]] = None
-    assert socket_host.links_each() == 96 // 3 // 5
+    socket_host.closing_pools[socket_host.engine_pools["e9"]] = None
+    assert socket_host.max_links_per_engine() == 96 // 3 // 5
 
 
 @pytest.mark.parametrize("count", [2, 7, 30])
@@ -311,10 +316,10 @@
     kept = premises.engine("e1")
     for state in "DRAINING", "DELETED", "SERVING", "DRAINING":
         changed(premises, {"id": "e1", "addr": "127.0.0.9:1", "state": state})
-        assert socket_host.links_each() == max(2, 100 // len(socket_host.engine_pools))
+        assert socket_host.max_links_per_engine() == max(2, 100 // len(socket_host.engine_pools))
     changed(premises, *many(count - 1, 2), full=True)
-    assert socket_host.links_each() == max(2, 100 // len(socket_host.engine_pools))
-    assert kept.fileno() >= 0 and {each.engine.state for each in socket_host.closing} <= {
+    assert socket_host.max_links_per_engine() == max(2, 100 // len(socket_host.engine_pools))
+    assert kept.fileno() >= 0 and {each.engine.state for each in socket_host.closing_pools} <= {
         EngineState.DRAINING,
         EngineState.GONE,
     }
@@ -322,17 +327,17 @@
 
 def test_where_descriptors_run_out_a_link_outside_the_set_gives_way_first():
     premises = HostHarness([listing(1, *many(9))], sockets=32, instances=200)
-    premises.socket_host.links_most, ends = 3, []
+    premises.socket_host.max_engine_links, ends = 3, []
     for tag in "e1", "e2", "e3":
         ends.append(premises.engine(tag))
         premises.pass_time(100)
         premises.socket_host.engine_pools[tag].links[0].link.wrote = premises.event_loop.now
     held(premises, "e1", "e2", "e4")
-    assert not premises.socket_host.descriptor_left(True)
+    assert not premises.socket_host.has_descriptor_left(True)
     premises.turn()
     assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e1", "e2"]
     ends.append(premises.engine("e4"))
-    assert not premises.socket_host.descriptor_left(True)
+    assert not premises.socket_host.has_descriptor_left(True)
     premises.turn()  # all in the set: the one that has been idle longest, as ever
     assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e2", "e4"]
 
@@ -381,7 +386,7 @@
     for engine_pool in premises.socket_host.engine_pools.values():
         engine_pool.fill()
     premises.turn()
-    assert found == ["e1", "e3"] and len(premises.socket_host.short) <= 2
+    assert found == ["e1", "e3"] and len(premises.socket_host.pools_lacking_spare) <= 2
 
 
 def test_an_engine_outside_the_set_is_dialled_for_what_waits_and_for_nothing_more(dialled):
