--- a/corkgauge/net/acceptor.py
+++ b/corkgauge/net/acceptor.py
@@ -58,7 +58,7 @@
     def _wait_for_room(self) -> None:
         """Wait while all connections that clients may have are taken."""
         host = self.socket_host
-        while self.is_open and len(host.client_connections) >= host.most_callers:
+        while self.is_open and len(host.client_connections) >= host.max_client_connections:
             made = host.make_room()
             self.event_loop.sleep(ROOM_MADE_PAUSE_TICKS if made else FULL_PAUSE_TICKS)
 
--- a/corkgauge/net/client_protocol.py
+++ b/corkgauge/net/client_protocol.py
@@ -34,16 +34,16 @@
 class FrameOwner(Protocol):
     """Who the frames are for. Each method says what is wrong with the connection, if anything."""
 
-    def requested(self, stream: int, fields: dict[str, str], body: bytes) -> str:
+    def on_request_frame(self, stream: int, fields: dict[str, str], body: bytes) -> str:
         """Take a request."""
 
-    def withdrawn(self, stream: int) -> str:
+    def on_cancel_frame(self, stream: int) -> str:
         """Cancel the request of a stream."""
 
-    def ready_asked(self, stream: int) -> str:
+    def on_ready_check(self, stream: int) -> str:
         """Answer a readiness check."""
 
-    def unreadable(self, stream: int, wrong: str) -> str:
+    def on_unusable_frame(self, stream: int, wrong: str) -> str:
         """Take note of a frame that makes no sense; stream 0: it belongs to none."""
 
 
@@ -87,23 +87,23 @@
             if stream <= self.last_stream:
                 return f"stream {stream} is not new"
             self.last_stream = stream
-            fields, body, wrong = fields_of(payload)
+            fields, body, wrong = read_payload(payload)
             if wrong:
-                return self.owner.unreadable(stream, wrong)
-            return self.owner.requested(stream, fields, body)
+                return self.owner.on_unusable_frame(stream, wrong)
+            return self.owner.on_request_frame(stream, fields, body)
         if kind == WITHDRAWN:
-            return self.owner.withdrawn(stream)
+            return self.owner.on_cancel_frame(stream)
         if kind == READY_ASKED:
-            return self.owner.ready_asked(stream)
-        return self.owner.unreadable(0, f"a frame of type {kind}")
+            return self.owner.on_ready_check(stream)
+        return self.owner.on_unusable_frame(0, f"a frame of type {kind}")
 
 
-def fields_of(payload: bytes) -> tuple[dict[str, str], bytes, str]:
+def read_payload(payload: bytes) -> tuple[dict[str, str], bytes, str]:
     r"""Return fields and body, or what is wrong with them.
 
-    >>> fields_of(b"\1\5route\3\0abcselect 1")
+    >>> read_payload(b"\1\5route\3\0abcselect 1")
     ({'route': 'abc'}, b'select 1', '')
-    >>> fields_of(b"\2\5route\3\0abc")[2], fields_of(b"\1\1\xff\0\0")[2], fields_of(b"")[2]
+    >>> read_payload(b"\2\5route\3\0abc")[2], read_payload(b"\1\1\xff\0\0")[2], read_payload(b"")[2]
     ('a field cut short', 'a field that is not text', 'no count of fields')
     """
     if not payload:
@@ -138,6 +138,6 @@
     return HEADER.pack(7 + body, kind, stream) + bytes((code, 0))
 
 
-def leaving() -> bytes:
+def leaving_frame() -> bytes:
     """Return the frame that says that this gateway takes no new requests."""
     return HEADER.pack(5, LEAVING, 0)
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -84,7 +84,7 @@
         for entry in entries:
             changed[self._update_engine(entry)] = None
         self.host.gateway.on_engine_list_complete()
-        self._settle(changed, is_whole)
+        self._update_pools(changed, is_whole)
         return ""
 
     def _read_entry(self, server: Any) -> EndpointEntry:
@@ -115,10 +115,10 @@
         incarnation = engine.incarnation
         if entry.started_ms != engine_pool.started_ms:
             engine_pool.started_ms = entry.started_ms
-            incarnation = self.started_at(entry.started_ms)
+            incarnation = self.start_ticks(entry.started_ms)
         self.host.settings.place(engine, entry.zone, entry.kind, entry.cell)
         self.host.gateway.on_engine_update(engine, entry.state, incarnation)
-        engine_pool.on_listed(entry.address, is_renewed)
+        engine_pool.update_address(entry.address, is_renewed)
         return engine_pool
 
     def _add_engine(self, entry: EndpointEntry) -> EnginePool:
@@ -132,7 +132,7 @@
         self.listed_count += 1
         return engine_pool
 
-    def _settle(self, changed: dict[EnginePool, None], is_whole: bool) -> None:
+    def _update_pools(self, changed: dict[EnginePool, None], is_whole: bool) -> None:
         """Let pools fill or withdraw that a change may concern.
 
         These are the ones that it names, those where something waits for a connection, and those
@@ -156,9 +156,9 @@
                 engine_pool.fill()
             else:
                 engine_pool.withdraw()
-                host.close(engine_pool)
+                host.remove_gone_engine(engine_pool)
 
-    def started_at(self, started_ms: int) -> int:
+    def start_ticks(self, started_ms: int) -> int:
         """Return when an engine started, in ticks of our clock, from the date in ms.
 
         Where a date was set, ours may be the wrong one, and an engine that counts as warm too early
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -20,18 +20,24 @@
 if TYPE_CHECKING:
     from corkgauge.net.engine_pool import EnginePool
 
-MID_ANSWER = 3_000  # ticks that an engine may take over one answer, once it has begun
-SIGN = 5_000  # ticks that a link with attempts out may be quiet until it is asked for a sign
-NO_SIGN = 5_000  # ticks that the sign may take
-LIVELY = SIGN + 4_000  # longest between two answers of a link that is asked for signs when quiet
-PAST = 500  # ids of attempts that a link has done with, remembered against copies
-NAME = re.compile(r"[0-9a-f]{16}").fullmatch
-ENDS = {
+ANSWER_TIMEOUT_TICKS = 3_000  # ticks that an engine may take over one answer, once it has begun
+KEEPALIVE_AFTER_TICKS = (
+    5_000  # ticks that a link with attempts out may be quiet until it is asked for a sign
+)
+KEEPALIVE_TIMEOUT_TICKS = 5_000  # ticks that the sign may take
+MAX_ANSWER_GAP_TICKS = (
+    KEEPALIVE_AFTER_TICKS + 4_000
+)  # longest between two answers of a link that is asked for signs when quiet
+MAX_FINISHED_NAME_COUNT = (
+    500  # ids of attempts that a link has done with, remembered against copies
+)
+REQUEST_NAME = re.compile(r"[0-9a-f]{16}").fullmatch
+OUTCOME_BY_ANSWER = {
     "WAIT": AttemptOutcome.ENGINE_FULL,
     "BROKE": AttemptOutcome.ERROR,
     "PAST": AttemptOutcome.ABANDONED,
 }
-WORDS = {"DONE", "MORE", "TELL", "FIT", *ENDS}
+ANSWER_WORDS = {"DONE", "MORE", "TELL", "FIT", *OUTCOME_BY_ANSWER}
 
 
 class EngineConnection:
@@ -41,43 +47,45 @@
         self.engine_pool = engine_pool
         self.socket_host = engine_pool.socket_host
         self.open: dict[str, InFlightAttempt] = {}
-        self.past: dict[str, None] = {}  # done with; an answer or a copy of one may still come
-        self.retired = False  # takes nothing new, and ends with the last that is open
+        self.finished_names: dict[
+            str, None
+        ] = {}  # done with; an answer or a copy of one may still come
+        self.is_retired = False  # takes nothing new, and ends with the last that is open
         self.pages = 0
         self.socket_host.links[self] = None
         self.socket_host.ledger.record_connection_opened(Side.ENGINE)
-        self.alive = 0  # signs of life asked for
-        self.asked = NEVER  # when, while none has come
-        self.spoke = self.socket_host.now  # its last answer
-        self.lively = self.socket_host.now  # since when none was long in coming
+        self.keepalive_count = 0  # signs of life asked for
+        self.keepalive_sent_at = NEVER  # when, while none has come
+        self.last_answer_at = self.socket_host.now  # its last answer
+        self.responsive_since = self.socket_host.now  # since when none was long in coming
         self.link = StreamConnection(
             self.socket_host.event_loop,
             sock,
             EngineProtocol(self, self.socket_host.server_ring_memory),
             self,
-            MID_ANSWER,
+            ANSWER_TIMEOUT_TICKS,
         )
         if self.socket_host.flows is not None:
             engine = engine_pool.engine
             zone = str(self.socket_host.settings.zones[engine.zone])
             self.socket_host.flows.up(self.link, Side.ENGINE, engine.name, zone)
 
-    def room_for(self, order: ClientRequest) -> bool:
+    def has_room_for(self, client_request: ClientRequest) -> bool:
         """Tell whether an attempt of this request may go here.
 
         Both attempts of a request carry its id. On one connection a late answer to the one would
         pass for an answer to the other.
         """
         return not (
-            self.retired
+            self.is_retired
             or self.link.why
             or self.link.blocked
             or len(self.open) >= self.socket_host.settings.streams
-            or order.name in self.open
-            or order.name in self.past
+            or client_request.name in self.open
+            or client_request.name in self.finished_names
         )
 
-    def take(self, in_flight_attempt: InFlightAttempt) -> bool:
+    def send_attempt(self, in_flight_attempt: InFlightAttempt) -> bool:
         """Write an attempt at once; False, with nothing written, where there is no room.
 
         One that is put and not written would begin when its engine reads again, whoever has gone by
@@ -85,83 +93,93 @@
         """
         socket_host = self.socket_host
         settings = socket_host.settings
-        order = in_flight_attempt.client_request
+        client_request = in_flight_attempt.client_request
         request = in_flight_attempt.attempt.request
         fields = [
             f"sort={request.request_class.name}",
-            f"patience={max((in_flight_attempt.until - socket_host.now) // 10, 1)}",
+            f"patience={max((in_flight_attempt.deadline - socket_host.now) // 10, 1)}",
         ]
-        if order.label:
-            fields.append(f"op={order.label}")
-        if settings.grants and order.memory >= 1:
-            fields.append(f"reserve={int(order.memory)}")
+        if client_request.idempotency_key:
+            fields.append(f"op={client_request.idempotency_key}")
+        if settings.grants and client_request.memory_mb >= 1:
+            fields.append(f"reserve={int(client_request.memory_mb)}")
         if settings.priorities:
-            fields.append(f"level={order.priority}")
-        said = command("fetch", order.name, ",".join(fields), order.statement)
-        if not self.link.send_now(said):
+            fields.append(f"level={client_request.priority}")
+        fetch_command = command(
+            "fetch", client_request.name, ",".join(fields), client_request.statement
+        )
+        if not self.link.send_now(fetch_command):
             return False
         in_flight_attempt.link = self
-        in_flight_attempt.begin = self.link.put - len(said)
-        in_flight_attempt.end = self.link.put
-        self.open[order.name] = in_flight_attempt
+        in_flight_attempt.command_begin = self.link.put - len(fetch_command)
+        in_flight_attempt.command_end = self.link.put
+        self.open[client_request.name] = in_flight_attempt
         socket_host.counters["handed off"] += 1
-        in_flight_attempt.told = socket_host.now
-        if socket_host.patience:
+        in_flight_attempt.last_report_at = socket_host.now
+        if socket_host.report_timeout_ticks:
             socket_host.event_loop.call_later(
-                socket_host.patience, socket_host.untold, in_flight_attempt, self
+                socket_host.report_timeout_ticks,
+                socket_host.check_attempt_reports,
+                in_flight_attempt,
+                self,
             )
         return True
 
-    def page(self) -> None:
+    def count_page(self) -> None:
         """Count a page of a result, which has come for the first time."""
         self.pages += 1
         self.engine_pool.row.pages += 1
 
-    def say(self, *parts: str) -> None:
+    def send_command(self, *parts: str) -> None:
         """Send a command; the connection ends where there is no room for it."""
         if not self.link.send(command(*parts)):
             self.link.end("no room for a command")
 
-    def answered(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
+    def on_answer(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
         """Take an answer of the engine; what is wrong with it, or an empty string."""
         in_flight_attempt = self.open.get(name)
         now = self.socket_host.now
-        self.asked = NEVER
+        self.keepalive_sent_at = NEVER
         # An engine that stood still goes on where it was; what was due meanwhile is not lost.
-        if now > self.spoke + LIVELY:
-            self.lively = now
-        self.spoke = now
-        if word not in WORDS:
+        if now > self.last_answer_at + MAX_ANSWER_GAP_TICKS:
+            self.responsive_since = now
+        self.last_answer_at = now
+        if word not in ANSWER_WORDS:
             return f"an answer {word[:8]!r}"
         self.socket_host.counters["answers " + word] += 1
         if in_flight_attempt is None:
             # A copy, a late answer or one to an id of nobody's is no fault of what else is open
             # here: it is dropped, and the connection lives on.
             self.socket_host.counters["answers dropped"] += word != "FIT"
-            return "" if word == "FIT" or NAME(name) else "an answer to an id that makes no sense"
-        wrong: str = self.socket_host.answered(in_flight_attempt, word, fields, body)
+            return (
+                ""
+                if word == "FIT" or REQUEST_NAME(name)
+                else "an answer to an id that makes no sense"
+            )
+        wrong: str = self.socket_host.on_engine_answer(in_flight_attempt, word, fields, body)
         return wrong
 
-    def let_go(self, in_flight_attempt: InFlightAttempt) -> None:
+    def release_attempt(self, in_flight_attempt: InFlightAttempt) -> None:
         """Tell the engine that nothing more is wanted of an attempt.
 
         It would work on past the time that it was given, and hold the result until it hears.
         """
-        self.say(
-            "done" if in_flight_attempt.answered else "abort", in_flight_attempt.client_request.name
+        self.send_command(
+            "done" if in_flight_attempt.is_answered else "abort",
+            in_flight_attempt.client_request.name,
         )
-        self.forget(in_flight_attempt)
+        self.forget_attempt(in_flight_attempt)
 
-    def forget(self, in_flight_attempt: InFlightAttempt) -> None:
+    def forget_attempt(self, in_flight_attempt: InFlightAttempt) -> None:
         """Drop an attempt, but remember its id.
 
         What still comes under it, a copy or a late answer, would pass for a later attempt's.
         """
         if self.open.pop(in_flight_attempt.client_request.name, None) is not None:
-            self.past[in_flight_attempt.client_request.name] = None
-            if len(self.past) > PAST:
-                del self.past[next(iter(self.past))]
-        if self.retired and not self.open:
+            self.finished_names[in_flight_attempt.client_request.name] = None
+            if len(self.finished_names) > MAX_FINISHED_NAME_COUNT:
+                del self.finished_names[next(iter(self.finished_names))]
+        if self.is_retired and not self.open:
             self.link.end("no longer needed")
 
     def drained(self) -> None:
@@ -181,23 +199,27 @@
         # that is in flight there would wait for its deadline.
         now = self.socket_host.now
         quiet = now - self.link.heard
-        if now >= self.asked + NO_SIGN:
+        if now >= self.keepalive_sent_at + KEEPALIVE_TIMEOUT_TICKS:
             self.link.end("no sign")
             return
-        is_asked = self.asked != NEVER
+        is_asked = self.keepalive_sent_at != NEVER
         is_needed = self.open or self.engine_pool.engine.in_subset
-        if quiet > self.idle and not is_needed and not is_asked:
+        if quiet > self.max_idle_ticks and not is_needed and not is_asked:
             self.link.end("idle, and outside the working set")
             return
-        patience = min(SIGN, self.idle) if self.open else self.idle
-        if quiet > patience and not is_asked:
-            self.alive += 1
-            self.asked = now
-            self.say("alive", f"alive-{self.alive}")
-        self.socket_host.event_loop.call_later(min(self.idle // 2, SIGN // 2), self.check_idle)
+        quiet_limit = (
+            min(KEEPALIVE_AFTER_TICKS, self.max_idle_ticks) if self.open else self.max_idle_ticks
+        )
+        if quiet > quiet_limit and not is_asked:
+            self.keepalive_count += 1
+            self.keepalive_sent_at = now
+            self.send_command("alive", f"alive-{self.keepalive_count}")
+        self.socket_host.event_loop.call_later(
+            min(self.max_idle_ticks // 2, KEEPALIVE_AFTER_TICKS // 2), self.check_idle
+        )
 
     @property
-    def idle(self) -> int:
+    def max_idle_ticks(self) -> int:
         """Ticks of quiet after which it is asked for a sign; a third of what engines allow."""
         idle_ticks: int = self.socket_host.settings.idle_time // 3
         return idle_ticks
@@ -218,6 +240,6 @@
                 f"link {engine_pool.engine.host_reference} ended: {why}; {len(in_flight_attempts)} out"
             )
         for in_flight_attempt in in_flight_attempts:
-            self.socket_host.failed(in_flight_attempt, "broken")
-        self.socket_host.close(engine_pool)
+            self.socket_host.fail_attempt(in_flight_attempt, "broken")
+        self.socket_host.remove_gone_engine(engine_pool)
         engine_pool.fill()
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -13,8 +13,8 @@
 from corkgauge.net.in_flight import InFlightAttempt
 from corkgauge.policy.records import Engine, EngineState
 
-SPREAD = 6  # connections to an engine at most, while that keeps attempts apart
-WANTING = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}  # of ours, not the engine's
+MAX_SPREAD_CONNECTION_COUNT = 6  # connections to an engine at most, while that keeps attempts apart
+OWN_SHORTAGE_ERRORS = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}  # of ours, not the engine's
 
 
 class EnginePool:
@@ -22,11 +22,12 @@
 
     __slots__ = (
         "address",
+        "address_generation",
         "dialling",
-        "due",
         "engine",
-        "era",
-        "filling",
+        "is_fill_due",
+        "is_filling",
+        "lacks_descriptor",
         "links",
         "next_spare_dial_at",
         "number",
@@ -34,7 +35,6 @@
         "socket_host",
         "started_ms",
         "waiting",
-        "wanting",
     )
 
     def __init__(self, socket_host: Any, engine: Engine, number: int = 0) -> None:
@@ -50,20 +50,20 @@
         self.next_spare_dial_at = 0  # when a connection ahead of need may be dialled again
         self.started_ms = 0  # the engine, in ms, as the list reports it
         # Counts its processes and addresses; what a dial of an earlier one brings is for nothing.
-        self.era = 0
-        self.filling = False  # a fill is under way
-        self.due = False  # one is due at the end of this turn
-        self.wanting = False  # the last dial failed for want of descriptors of our own
+        self.address_generation = 0
+        self.is_filling = False  # a fill is under way
+        self.is_fill_due = False  # one is due at the end of this turn
+        self.lacks_descriptor = False  # the last dial failed for want of descriptors of our own
 
-    def line_up(self, in_flight_attempt: InFlightAttempt) -> None:
+    def enqueue(self, in_flight_attempt: InFlightAttempt) -> None:
         """Let an attempt wait for a connection.
 
         It is written at the end of this turn, when the gateway has made all its calls.
         """
         self.waiting.append(in_flight_attempt)
         self.socket_host.pools_with_waiting[self] = None
-        if not self.due:
-            self.due = True
+        if not self.is_fill_due:
+            self.is_fill_due = True
             self.socket_host.event_loop.unsent.append(self.fill)
 
     def fill(self) -> None:
@@ -72,49 +72,50 @@
         Never called from within the gateway's own calls, as the last look at a client may notify
         the gateway that it has gone.
         """
-        self.due = False
-        if self.engine.state != EngineState.READY or self.filling:
+        self.is_fill_due = False
+        if self.engine.state != EngineState.READY or self.is_filling:
             return
-        self.filling = True
+        self.is_filling = True
         try:
-            self._write()
+            self._write_waiting()
         finally:
-            self.filling = False
+            self.is_filling = False
         if not self.waiting:
             self.socket_host.pools_with_waiting.pop(self, None)
         if self.engine.state == EngineState.READY:
             self._dial_more()
 
-    def _write(self) -> None:
+    def _write_waiting(self) -> None:
         while self.waiting:
             in_flight_attempt = self.waiting[0]
             link = self._link_for(in_flight_attempt.client_request)
             if link is None:
                 return
-            if why := self.socket_host.barred(in_flight_attempt):
+            if why := self.socket_host.reason_not_to_start(in_flight_attempt):
                 if self.waiting and self.waiting[0] is in_flight_attempt:
                     del self.waiting[0]
-                    self.socket_host.failed(in_flight_attempt, why)
+                    self.socket_host.fail_attempt(in_flight_attempt, why)
             elif (
                 self.waiting
                 and self.waiting[0] is in_flight_attempt
-                and link.room_for(in_flight_attempt.client_request)
+                and link.has_room_for(in_flight_attempt.client_request)
             ):
-                if not link.take(in_flight_attempt):
+                if not link.send_attempt(in_flight_attempt):
                     return
                 del self.waiting[0]
 
-    def _link_for(self, order: ClientRequest) -> EngineConnection | None:
+    def _link_for(self, client_request: ClientRequest) -> EngineConnection | None:
         """Return the emptiest connection with room, whose engine has not closed it.
 
         What spoils one answer takes all with it that is open on its connection, so attempts keep
         apart. Of what is written to a connection whose end has come by now nobody knows whether it
         ran.
         """
-        able = sorted(
-            (each for each in self.links if each.room_for(order)), key=lambda each: len(each.open)
+        usable_links = sorted(
+            (each for each in self.links if each.has_room_for(client_request)),
+            key=lambda each: len(each.open),
         )
-        for link in able:
+        for link in usable_links:
             if not self.socket_host.event_loop.look(link.link.fd)[0] & (GONE | BROKEN):
                 return link
         return None
@@ -128,7 +129,11 @@
         share. An engine outside the subset is used by exception, and has connections for what waits
         alone.
         """
-        if len(self.links) >= SPREAD or not self.engine.in_subset or self.dialling:
+        if (
+            len(self.links) >= MAX_SPREAD_CONNECTION_COUNT
+            or not self.engine.in_subset
+            or self.dialling
+        ):
             return False
         if not all(each.open for each in self.links):
             return False
@@ -136,16 +141,16 @@
         return has_large_part or any(len(each.open) > 1 for each in self.links)
 
     def _dial_more(self) -> None:
-        most = self.socket_host.max_links_per_engine()
-        ahead = self._lacks_spare()
-        if ahead:
+        max_links = self.socket_host.max_links_per_engine()
+        lacks_spare = self._lacks_spare()
+        if lacks_spare:
             self.socket_host.pools_lacking_spare[self] = (
                 None  # looked at again with the next change of the list
             )
         else:
             self.socket_host.pools_lacking_spare.pop(self, None)
-        spare = ahead and self.socket_host.now >= self.next_spare_dial_at
-        if not (self.waiting or spare) or self.dialling or len(self.links) >= most:
+        may_dial_spare = lacks_spare and self.socket_host.now >= self.next_spare_dial_at
+        if not (self.waiting or may_dial_spare) or self.dialling or len(self.links) >= max_links:
             return
         if self.socket_host.has_descriptor_left(bool(self.waiting)):
             self.dialling = True
@@ -153,36 +158,38 @@
             self.socket_host.dials_in_progress += 1
             self.socket_host.event_loop.spawn(self.dial, self.address)
         elif self.waiting:
-            self._want()
+            self._wait_for_descriptor()
 
-    def _want(self) -> None:
+    def _wait_for_descriptor(self) -> None:
         """Wait for descriptors: those that we lack are no fault of the engine's."""
-        self.wanting = True
+        self.lacks_descriptor = True
         self.next_spare_dial_at = self.socket_host.now + SECOND
         self.socket_host.counters["no descriptor"] += 1
         self.socket_host.event_loop.call_later(SECOND // 100, self.fill)
 
-    def dial(self, where: tuple[str, int]) -> None:
+    def dial(self, address: tuple[str, int]) -> None:
         """Dial the engine and take the connection up; the task of one dial."""
-        era = self.era
-        sock, why = dial(self.socket_host.event_loop, where, self.socket_host.settings.dial_time)
+        address_generation = self.address_generation
+        sock, why = dial(self.socket_host.event_loop, address, self.socket_host.settings.dial_time)
         self.dialling = False
         self.socket_host.dials_in_progress -= 1
         self.socket_host.counters["dialled"] += 1
-        if why in WANTING:
+        if why in OWN_SHORTAGE_ERRORS:
             self.socket_host.make_room()
-            self._want()
+            self._wait_for_descriptor()
             return
-        self.wanting = False
+        self.lacks_descriptor = False
         if sock is None:
             self.socket_host.counters["unreached"] += 1
             # Without a pause there would be dials without end where none is accepted.
             self.next_spare_dial_at = self.socket_host.now + SECOND
-            if era == self.era:
+            if address_generation == self.address_generation:
                 self._fail_waiting("unreached")
         # A dial that began before its engine moved, or was started anew, says nothing of the one
         # that attempts wait for now, whether it came up or not.
-        elif era != self.era or self.engine.state != EngineState.READY:
+        elif (
+            address_generation != self.address_generation or self.engine.state != EngineState.READY
+        ):
             sock.close()
         else:
             link = EngineConnection(self, sock)
@@ -191,17 +198,17 @@
             link.check_idle()
         self.fill()
 
-    def on_listed(self, where: tuple[str, int], renewed: bool) -> None:
+    def update_address(self, address: tuple[str, int], renewed: bool) -> None:
         """Take its address from the list; a connection to what it was before is for nothing new."""
-        if where != self.address or renewed:
-            self.address = where
-            self.era += 1
-            self.retire()
+        if address != self.address or renewed:
+            self.address = address
+            self.address_generation += 1
+            self.retire_links()
 
-    def retire(self) -> None:
+    def retire_links(self) -> None:
         """Let the connections that there are take nothing new."""
         for link in self.links:
-            link.retired = True
+            link.is_retired = True
             if not link.open:
                 link.link.end("no longer needed")
 
@@ -210,11 +217,11 @@
 
         An attempt that waits for room would begin after that, so it fails now.
         """
-        self.retire()
+        self.retire_links()
         self._fail_waiting("withdrawn")
 
     def _fail_waiting(self, why: str) -> None:
         waiting = self.waiting
         self.waiting = []
         for in_flight_attempt in waiting:
-            self.socket_host.failed(in_flight_attempt, why)
+            self.socket_host.fail_attempt(in_flight_attempt, why)
--- a/corkgauge/net/engine_protocol.py
+++ b/corkgauge/net/engine_protocol.py
@@ -27,7 +27,7 @@
 class AnswerOwner(Protocol):
     """Who the answers are for."""
 
-    def answered(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
+    def on_answer(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
         """Take an answer to the attempt of this name; what is wrong with it, or an empty string."""
 
 
@@ -75,7 +75,7 @@
         if fields is None:
             return "fields that make no sense"
         body = parts[3] if len(parts) > 3 else b""
-        return self.owner.answered(texts[0], texts[1], fields, body)
+        return self.owner.on_answer(texts[0], texts[1], fields, body)
 
 
 def read_number(data: bytes, at: int, mark: bytes) -> tuple[int, int, str]:
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -22,7 +22,7 @@
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.edge_counters import EdgeCounters
 from corkgauge.net.endpoint_list import EndpointList
-from corkgauge.net.engine_connection import ENDS, EngineConnection
+from corkgauge.net.engine_connection import OUTCOME_BY_ANSWER, EngineConnection
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.in_flight import InFlightAttempt, outcome_of
 from corkgauge.net.live_records import LiveRecords
@@ -35,11 +35,13 @@
     Request,
 )
 
-MISSED_REPORTS = 3  # reports on an attempt that an engine may omit, until it counts as lost
+MAX_MISSED_REPORT_COUNT = (
+    3  # reports on an attempt that an engine may omit, until it counts as lost
+)
 MIN_HELD_BYTES = 4 * 2**20
 AUDIT_TICKS = SECOND  # between two passes over the ledger
 AUDIT_SLICE_TICKS = 20  # between two slices of a pass
-NOTES = {"advance": 1, "disk": 2, "stall": 3}
+PROGRESS_KINDS = {"advance": 1, "disk": 2, "stall": 3}
 
 
 class UnstartedHost:
@@ -101,7 +103,7 @@
         ] = {}  # that lack a connection ahead of need
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
         self.pager = ResultPager(self)
-        self.ended: deque[Request] = deque()
+        self.finished_requests: deque[Request] = deque()
         self.settings = build_settings(platform_config, self)
         if (
             platform_config.settings.get("myNumber") is None
@@ -110,12 +112,15 @@
             number = self.settings.gateway.options.gateway_number
             log(f"myNumber is not told: {number}, from the name; sets of engines are less even")
         self.gateway = self.settings.gateway
-        self.most_memory = max(self.settings.sizes, default=1e6)
-        self.patience = MISSED_REPORTS * self.settings.tells
+        self.max_request_memory_mb = max(self.settings.sizes, default=1e6)
+        self.report_timeout_ticks = MAX_MISSED_REPORT_COUNT * self.settings.tells
         self.request_classes = {each.name: each for each in self.settings.request_classes}
         self.discrepancies = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
-            self.request_classes, lambda: event_loop.now, self.settings.budget, self.miscounted
+            self.request_classes,
+            lambda: event_loop.now,
+            self.settings.budget,
+            self.on_ledger_mistake,
         )
         self.rows = {
             each: self.ledger.request_classes[each.name] for each in self.settings.request_classes
@@ -130,7 +135,7 @@
         # What the accounting listener answers for other subsystems, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
         # Attempts that were cancelled, of which the gateway has yet to be notified.
-        self.called: dict[Attempt, InFlightAttempt] = {}
+        self.cancelled_attempts: dict[Attempt, InFlightAttempt] = {}
         self.records = LiveRecords(self)
         self.auditor = LedgerAuditor(self.ledger, self.records, self.discrepancies)
         self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
@@ -139,7 +144,7 @@
             if wrong := self.endpoint_list.apply(event):
                 self.log(f"known: {wrong}")
 
-    def close(self, engine_pool: "EnginePool") -> None:
+    def remove_gone_engine(self, engine_pool: "EnginePool") -> None:
         """Forget an engine that is gone, once nothing is left of it.
 
         Its id may be another's by then.
@@ -206,11 +211,11 @@
         """Ticks that events have to wait at present."""
         return self.event_loop.lag
 
-    def send_attempt(self, attempt: Attempt, allow: int) -> None:
+    def send_attempt(self, attempt: Attempt, timeout: int) -> None:
         """Let an attempt wait for a connection, for `allow` ticks until its answer at most."""
         engine_pool = self.engine_pools[attempt.engine.host_reference]
         in_flight_attempt = self.in_flight_attempts[attempt] = InFlightAttempt(
-            attempt, self.now + allow, engine_pool
+            attempt, self.now + timeout, engine_pool
         )
         others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
         self.ledger.record_attempt_sent(in_flight_attempt, sort_of_attempt(attempt.number, others))
@@ -218,36 +223,44 @@
         if self.recovery is not None and (
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
         ):
-            in_flight_attempt.effect = self.recovery.on_attempt_sending(
-                attempt, in_flight_attempt.client_request.label
+            in_flight_attempt.attempt_log_serial = self.recovery.on_attempt_sending(
+                attempt, in_flight_attempt.client_request.idempotency_key
             )
         if self.latency_sketches is not None and not attempt.number:
             self.latency_sketches.record_first_attempt(
                 attempt.request.request_class.name, self.now - attempt.request.accepted_at
             )
-        self.event_loop.call_later(allow, self.too_late, in_flight_attempt)
-        engine_pool.line_up(in_flight_attempt)
-        if self.settings.dial_time < allow:
-            self.event_loop.call_later(self.settings.dial_time, self.waited, in_flight_attempt)
+        self.event_loop.call_later(timeout, self.on_attempt_timeout, in_flight_attempt)
+        engine_pool.enqueue(in_flight_attempt)
+        if self.settings.dial_time < timeout:
+            self.event_loop.call_later(
+                self.settings.dial_time, self.on_connection_wait_timeout, in_flight_attempt
+            )
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
         """Set memory and priority; engines are told of a priority that changes in flight."""
-        order = request.host_reference
-        if priority != order.priority and self.settings.priorities:
+        client_request = request.host_reference
+        if priority != client_request.priority and self.settings.priorities:
             for attempt in request.attempts:
                 in_flight_attempt = self.in_flight_attempts.get(attempt)
-                if in_flight_attempt and in_flight_attempt.link and not in_flight_attempt.answered:
-                    in_flight_attempt.link.say("renice", order.name, str(priority))
-        order.memory = memory
-        order.priority = priority
+                if (
+                    in_flight_attempt
+                    and in_flight_attempt.link
+                    and not in_flight_attempt.is_answered
+                ):
+                    in_flight_attempt.link.send_command(
+                        "renice", client_request.name, str(priority)
+                    )
+        client_request.memory_mb = memory
+        client_request.priority = priority
 
     def reject(self, request: Request, retry_after: int) -> None:
         """Answer that the request was not run; the frames have no field for `retry_after`."""
-        self.final(request, REFUSED, [])
+        self.send_final_answer(request, REFUSED, [])
 
     def fail(self, request: Request) -> None:
         """Answer that the request failed."""
-        self.final(request, FAILED, [])
+        self.send_final_answer(request, FAILED, [])
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt; the gateway is notified of its outcome in a later turn."""
@@ -257,17 +270,17 @@
         if in_flight_attempt.link is None:
             in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
         else:
-            in_flight_attempt.link.say("abort", in_flight_attempt.client_request.name)
-            in_flight_attempt.link.forget(in_flight_attempt)
-        self.called[attempt] = self.in_flight_attempts.pop(attempt)
+            in_flight_attempt.link.send_command("abort", in_flight_attempt.client_request.name)
+            in_flight_attempt.link.forget_attempt(in_flight_attempt)
+        self.cancelled_attempts[attempt] = self.in_flight_attempts.pop(attempt)
         outcome = AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED
-        self.event_loop.call_later(0, self.over, in_flight_attempt, outcome)
+        self.event_loop.call_later(0, self.notify_attempt_finished, in_flight_attempt, outcome)
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call back once `delay` ticks have passed, never at once."""
         self.event_loop.call_later(delay, method, *what)
 
-    def barred(self, in_flight_attempt: InFlightAttempt) -> str:
+    def reason_not_to_start(self, in_flight_attempt: InFlightAttempt) -> str:
         """Check an attempt directly before its first byte; why it must not begin, or an empty string.
 
         Between its decision and its writing there may be a dial, or a long turn: its client may
@@ -276,61 +289,65 @@
         """
         self.event_loop.tick()
         if not in_flight_attempt.attempt.request.is_finished:
-            in_flight_attempt.client_request.client_connection.there()
+            in_flight_attempt.client_request.client_connection.is_client_connected()
         if (
             in_flight_attempt.attempt not in self.in_flight_attempts
-            or self.now >= in_flight_attempt.until
+            or self.now >= in_flight_attempt.deadline
         ):
             return "late"
         return "" if self.gateway.may_start_attempt(in_flight_attempt.attempt) else "withdrawn"
 
     # Clients.
 
-    def final(self, request: Request, code: int, body: list[bytes], reason: int = -1) -> None:
+    def send_final_answer(
+        self, request: Request, code: int, body: list[bytes], reason: int = -1
+    ) -> None:
         """Give a request its one final answer; a reason below 0 is found from the code."""
-        order = request.host_reference
-        if order.client_connection.open.pop(order.stream, None) is None:
+        client_request = request.host_reference
+        if client_request.client_connection.open.pop(client_request.stream, None) is None:
             return
-        self.statement_memory.give(order.size)
-        self.open_requests.pop(order.name, None)
-        self.ended.append(request)
+        self.statement_memory.give(client_request.budgeted_bytes)
+        self.open_requests.pop(client_request.name, None)
+        self.finished_requests.append(request)
         if reason < 0:
             reason = reason_of_end(
                 code, request, self.now, self.gateway.options.deadline_margin_ticks
             )
-        order.reason = reason
+        client_request.end_reason = reason
         if self.latency_sketches is not None:
             self.latency_sketches.record_answered(
                 request.request_class.name, self.now - request.accepted_at
             )
-        self.answering[order] = None
+        self.answering[client_request] = None
         deadline = request.accepted_at + request.time_to_deadline
-        order.client_connection.answer(order.stream, code, body, deadline, order)
+        client_request.client_connection.send_answer(
+            client_request.stream, code, body, deadline, client_request
+        )
 
-    def answer_over(self, order: ClientRequest) -> None:
+    def on_answer_finished(self, client_request: ClientRequest) -> None:
         """Close its record: the last byte of its answer has left, or never will."""
-        self.answering.pop(order, None)
-        self.ledger.record_closed(order, order.reason)
+        self.answering.pop(client_request, None)
+        self.ledger.record_closed(client_request, client_request.end_reason)
 
-    def forget(self) -> None:
+    def release_finished_requests(self) -> None:
         """Take apart by hand what points to each other, where no call of the gateway's is under way.
 
         A full collection of garbage would stop everything for over 100 ms, so there is none.
         """
-        while self.ended:
-            request = self.ended.popleft()
+        while self.finished_requests:
+            request = self.finished_requests.popleft()
             if not any(attempt.is_in_flight for attempt in request.attempts):
                 for attempt in request.attempts:
                     attempt.request = None
                 request.host_reference.statement = b""
 
-    def left(self, request: Request | None, reason: int) -> None:
+    def on_client_left(self, request: Request | None, reason: int) -> None:
         """End a request whose client waits no longer."""
         if request is not None:
             self.ledger.record_closed(request.host_reference, reason)
-            self.statement_memory.give(request.host_reference.size)
+            self.statement_memory.give(request.host_reference.budgeted_bytes)
             self.open_requests.pop(request.host_reference.name, None)
-            if request in request.host_reference.client_connection.fresh:
+            if request in request.host_reference.client_connection.unsubmitted:
                 request.is_finished = True  # the gateway never hears of it
             else:
                 self.gateway.on_client_left(request)
@@ -338,8 +355,8 @@
                     in_flight_attempt = self.in_flight_attempts.get(attempt)
                     if in_flight_attempt is not None and in_flight_attempt.link is None:
                         in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
-                        self.failed(in_flight_attempt, "withdrawn")
-            self.ended.append(request)
+                        self.fail_attempt(in_flight_attempt, "withdrawn")
+            self.finished_requests.append(request)
 
     # Accounting.
 
@@ -349,7 +366,7 @@
         pause = AUDIT_TICKS if is_whole else AUDIT_SLICE_TICKS
         self.event_loop.call_later(pause, self.audit)
 
-    def miscounted(self, kind: str, row: Any, serial: int) -> None:
+    def on_ledger_mistake(self, kind: str, row: Any, serial: int) -> None:
         """Record a count that was wrong as it was entered."""
         self.discrepancies.record_mistake(
             kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
@@ -357,30 +374,34 @@
 
     # Attempts.
 
-    def answered(
+    def on_engine_answer(
         self, in_flight_attempt: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
     ) -> str:
         """Take an engine's answer; what is wrong with it, or an empty string."""
         attempt = in_flight_attempt.attempt
-        in_flight_attempt.told = self.now
+        in_flight_attempt.last_report_at = self.now
         if word == "TELL":
-            kind = NOTES.get(fields.get("n", ""), 0)
+            kind = PROGRESS_KINDS.get(fields.get("n", ""), 0)
             value = parse_amount(fields.get("amount", "0"))
             self.gateway.on_attempt_progress(attempt, kind, float(value or 0))
             return ""
-        in_flight_attempt.load = parse_load(fields.get("l", ""), in_flight_attempt.load)
+        in_flight_attempt.reported_load = parse_load(
+            fields.get("l", ""), in_flight_attempt.reported_load
+        )
         if word == "DONE":
             return self.pager.on_first_page(in_flight_attempt, fields, body)
         if word == "MORE":
             return self.pager.on_further_page(in_flight_attempt, fields, body)
-        outcome = ENDS.get(word)
-        if outcome is None or (in_flight_attempt.answered and word != "BROKE"):
+        outcome = OUTCOME_BY_ANSWER.get(word)
+        if outcome is None or (in_flight_attempt.is_answered and word != "BROKE"):
             return f"an answer {word[:8]!r}"
-        in_flight_attempt.link.forget(in_flight_attempt)
-        self.done(in_flight_attempt, outcome)
+        in_flight_attempt.link.forget_attempt(in_flight_attempt)
+        self.finish_attempt(in_flight_attempt, outcome)
         return ""
 
-    def untold(self, in_flight_attempt: InFlightAttempt, link: EngineConnection) -> None:
+    def check_attempt_reports(
+        self, in_flight_attempt: InFlightAttempt, link: EngineConnection
+    ) -> None:
         """Give up an attempt that its engine reports on no more; called again by timer.
 
         An answer that never comes would hold its request, its slot and its ordering key until the
@@ -388,49 +409,49 @@
         is lively, is over.
         """
         is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
-        if not is_in_flight or in_flight_attempt.link is not link or in_flight_attempt.answered:
+        if not is_in_flight or in_flight_attempt.link is not link or in_flight_attempt.is_answered:
             return
-        since = self.now - max(in_flight_attempt.told, link.lively)
-        if since < self.patience or link.spoke < self.now - SECOND // 2:
-            pause = max(self.patience - since, SECOND // 10)
-            self.event_loop.call_later(pause, self.untold, in_flight_attempt, link)
+        since = self.now - max(in_flight_attempt.last_report_at, link.responsive_since)
+        if since < self.report_timeout_ticks or link.last_answer_at < self.now - SECOND // 2:
+            pause = max(self.report_timeout_ticks - since, SECOND // 10)
+            self.event_loop.call_later(pause, self.check_attempt_reports, in_flight_attempt, link)
             return
         self.counters["untold"] += 1
-        link.let_go(in_flight_attempt)
-        self.failed(in_flight_attempt, "broken")
+        link.release_attempt(in_flight_attempt)
+        self.fail_attempt(in_flight_attempt, "broken")
 
-    def whole(self, in_flight_attempt: InFlightAttempt) -> str:
+    def on_result_complete(self, in_flight_attempt: InFlightAttempt) -> str:
         """Answer with a result that is whole, or drop one that nobody wants."""
         request = in_flight_attempt.attempt.request
         if sum(len(each or b"") for each in in_flight_attempt.pages) > MAX_RESULT_BYTES:
             return "a result that is too long"
-        in_flight_attempt.link.let_go(in_flight_attempt)
+        in_flight_attempt.link.release_attempt(in_flight_attempt)
         if not request.is_finished:
-            self.final(request, SERVED, in_flight_attempt.pages)
-        self.done(in_flight_attempt, AttemptOutcome.SUCCEEDED)
+            self.send_final_answer(request, SERVED, in_flight_attempt.pages)
+        self.finish_attempt(in_flight_attempt, AttemptOutcome.SUCCEEDED)
         return ""
 
-    def done(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+    def finish_attempt(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
         """End an attempt that is in flight."""
         self.in_flight_attempts.pop(in_flight_attempt.attempt, None)
-        self.over(in_flight_attempt, outcome)
+        self.notify_attempt_finished(in_flight_attempt, outcome)
 
-    def over(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+    def notify_attempt_finished(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
         """Notify everybody of an attempt's end, the gateway last."""
         attempt = in_flight_attempt.attempt
-        if in_flight_attempt.asked:
-            self.result_memory.give(in_flight_attempt.asked)
-            in_flight_attempt.asked = 0
+        if in_flight_attempt.reserved_page_bytes:
+            self.result_memory.give(in_flight_attempt.reserved_page_bytes)
+            in_flight_attempt.reserved_page_bytes = 0
         in_flight_attempt.pages = []
-        bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
-        self.called.pop(attempt, None)
+        reports_resources = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
+        self.cancelled_attempts.pop(attempt, None)
         if self.latency_sketches is not None and outcome == AttemptOutcome.SUCCEEDED:
             self.latency_sketches.record_succeeded(
                 in_flight_attempt.engine_row.name, self.now - attempt.sent_at
             )
         self.ledger.on_attempt_finished(in_flight_attempt, outcome)
-        if in_flight_attempt.effect:
-            self.recovery.on_attempt_finished(in_flight_attempt.effect, outcome)
+        if in_flight_attempt.attempt_log_serial:
+            self.recovery.on_attempt_finished(in_flight_attempt.attempt_log_serial, outcome)
         if self.works is not None:
             self.works.on_attempt_finished(in_flight_attempt.engine_row.name, outcome)
         self.gateway.on_attempt_finished(
@@ -438,38 +459,40 @@
             outcome,
             self.now - attempt.sent_at,
             attempt.request.is_finished or outcome == AttemptOutcome.SUCCEEDED,
-            in_flight_attempt.spent if bills else 0,
-            in_flight_attempt.need if bills else 0.0,
-            in_flight_attempt.load,
+            in_flight_attempt.work_ticks if reports_resources else 0,
+            in_flight_attempt.memory_needed_mb if reports_resources else 0.0,
+            in_flight_attempt.reported_load,
         )
         if attempt.request.is_finished:
-            self.ended.append(attempt.request)
-        self.forget()
-        self.pager.ask_pages()
+            self.finished_requests.append(attempt.request)
+        self.release_finished_requests()
+        self.pager.request_pages()
 
-    def failed(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
+    def fail_attempt(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
         """End an attempt for its connection's sake: "unreached", "broken", "late", "withdrawn"."""
         if in_flight_attempt.attempt in self.in_flight_attempts:
-            self.done(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
+            self.finish_attempt(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
 
-    def waited(self, in_flight_attempt: InFlightAttempt) -> None:
+    def on_connection_wait_timeout(self, in_flight_attempt: InFlightAttempt) -> None:
         """End an attempt without a connection, or room on one, in the time that settings give."""
         is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
         if not is_in_flight or in_flight_attempt.link is not None:
             return
         engine_pool = in_flight_attempt.engine_pool
         engine_pool.waiting.remove(in_flight_attempt)
-        self.failed(in_flight_attempt, "withdrawn" if engine_pool.wanting else "unreached")
+        self.fail_attempt(
+            in_flight_attempt, "withdrawn" if engine_pool.lacks_descriptor else "unreached"
+        )
 
-    def too_late(self, in_flight_attempt: InFlightAttempt) -> None:
+    def on_attempt_timeout(self, in_flight_attempt: InFlightAttempt) -> None:
         """End an attempt whose time is over."""
         if in_flight_attempt.attempt not in self.in_flight_attempts:
             return
         if in_flight_attempt.link is None:
             in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
         else:
-            in_flight_attempt.link.let_go(in_flight_attempt)
-        self.failed(in_flight_attempt, "late")
+            in_flight_attempt.link.release_attempt(in_flight_attempt)
+        self.fail_attempt(in_flight_attempt, "late")
 
     # The list of engines.
 
--- a/corkgauge/net/in_flight.py
+++ b/corkgauge/net/in_flight.py
@@ -48,52 +48,52 @@
     """The host's record of an attempt: how far it has come, and the pages of its result."""
 
     __slots__ = (
-        "answered",
-        "asked",
         "attempt",
-        "begin",
+        "attempt_log_serial",
         "client_request",
-        "effect",
-        "end",
+        "command_begin",
+        "command_end",
+        "deadline",
         "engine_pool",
         "engine_row",
+        "is_answered",
+        "last_report_at",
         "link",
-        "load",
-        "need",
+        "memory_needed_mb",
         "pages",
+        "reported_load",
+        "reserved_page_bytes",
         "serial",
-        "spent",
-        "told",
-        "until",
+        "work_ticks",
     )
 
-    def __init__(self, attempt: Attempt, until: int, engine_pool: EnginePool) -> None:
+    def __init__(self, attempt: Attempt, deadline: int, engine_pool: EnginePool) -> None:
         self.attempt = attempt
         self.client_request: Any = attempt.request.host_reference  # the client's request
-        self.until = until  # ticks; when its time is over
+        self.deadline = deadline  # ticks; when its time is over
         self.engine_pool = engine_pool
         self.link: EngineConnection | None = None
         # Where its command begins and ends among the bytes put to the connection.
-        self.begin = 0
-        self.end = 0
+        self.command_begin = 0
+        self.command_end = 0
         # Its answer: pages by number, None while one has not come; how many were asked for.
-        self.answered = False
+        self.is_answered = False
         self.pages: list[bytes | None] = []
-        self.asked = 0
+        self.reserved_page_bytes = 0
         # What the engine reported: work in thread ticks, memory in MB, its load, when last.
-        self.spent = 0
-        self.need = 0.0
-        self.load = -1.0
-        self.told = 0
+        self.work_ticks = 0
+        self.memory_needed_mb = 0.0
+        self.reported_load = -1.0
+        self.last_report_at = 0
         # Its engine's row in the ledger; its serial there, below 0 once it is over.
         self.engine_row = engine_pool.row
         self.serial = 0
-        self.effect = 0  # its serial in the attempt log, where it has one
+        self.attempt_log_serial = 0  # its serial in the attempt log, where it has one
 
     def stage(self) -> Stage:
         """Return how far it has come."""
-        if self.answered:
+        if self.is_answered:
             return Stage.ANSWERED
-        if self.link is None or self.link.link.sent <= self.begin:
+        if self.link is None or self.link.link.sent <= self.command_begin:
             return Stage.NOT_BEGUN
-        return Stage.WRITTEN if self.link.link.sent >= self.end else Stage.PARTLY_WRITTEN
+        return Stage.WRITTEN if self.link.link.sent >= self.command_end else Stage.PARTLY_WRITTEN
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -20,13 +20,18 @@
         return [*self.socket_host.answering]
 
     def attempts_in_flight(self) -> list[Any]:
-        return [*self.socket_host.in_flight_attempts.values(), *self.socket_host.called.values()]
+        return [
+            *self.socket_host.in_flight_attempts.values(),
+            *self.socket_host.cancelled_attempts.values(),
+        ]
 
-    def attempt_mismatch(self, hand: Any) -> str:
-        socket_host, attempt = self.socket_host, hand.attempt
-        if attempt in socket_host.in_flight_attempts or attempt in socket_host.called:
+    def attempt_mismatch(self, in_flight_attempt: Any) -> str:
+        socket_host, attempt = self.socket_host, in_flight_attempt.attempt
+        if attempt in socket_host.in_flight_attempts or attempt in socket_host.cancelled_attempts:
             if not attempt.is_in_flight or attempt.outcome >= 0:
-                return f"the gateway holds hand-off {abs(hand.serial)} over, the host out"
+                return (
+                    f"the gateway holds hand-off {abs(in_flight_attempt.serial)} over, the host out"
+                )
         return ""
 
     def engines(self) -> list[Any]:
@@ -38,7 +43,8 @@
         lost = threads = 0
         for attempt in engine.stats.in_flight:
             lost += (
-                attempt not in socket_host.in_flight_attempts and attempt not in socket_host.called
+                attempt not in socket_host.in_flight_attempts
+                and attempt not in socket_host.cancelled_attempts
             )
             threads += attempt.request.request_class.threads if attempt.request else 0
         if lost:
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -14,8 +14,8 @@
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net import client_protocol as client_wire
 from corkgauge.net.client_connection import (
-    MOST_FAULTS,
-    MOST_OPEN,
+    MAX_FAULT_COUNT,
+    MAX_OPEN_REQUEST_COUNT,
     ClientConnection,
     ClientRequest,
     unread_byte_count,
@@ -31,13 +31,13 @@
 from corkgauge.net.table_group import group_number
 from corkgauge.policy.records import Request
 
-ROOM = 16  # connections that give way at once
+MAX_CLOSED_AT_ONCE_COUNT = 16  # connections that give way at once
 # After the signal to end: the longest expiry counts for so much at most; the rest is the page's 0.7
 # s, less what it takes to write the last answers. Until then submissions still come.
-MAX_SHUTDOWN_WAIT_TICKS, TO_WRITE, STILL_COMING = 3 * SECOND, 4_000, 9_000
+MAX_SHUTDOWN_WAIT_TICKS, FINAL_WRITE_TICKS, SHUTDOWN_ACCEPT_TICKS = 3 * SECOND, 4_000, 9_000
 # Clients write submissions of one key so far apart, and so long after one that came on a new
 # connection.
-APART, APART_NEW, ARRIVAL = 600, 2_500, 100
+KEY_SPACING_TICKS, NEW_CONNECTION_KEY_SPACING_TICKS, ARRIVAL_JITTER_TICKS = 600, 2_500, 100
 
 
 class PlatformFrontEnd(SocketHost):
@@ -52,14 +52,14 @@
     ) -> None:
         super().__init__(event_loop, platform_config, log, held)
         self.field_reader = RequestFieldReader(
-            self.request_classes, self.tenants, self.most_memory, self.open_requests
+            self.request_classes, self.tenants, self.max_request_memory_mb, self.open_requests
         )
         self.shutdown_deadline = NEVER  # when the last answer goes, once the program is told to end
         self.acceptor: Any = None  # where clients come in, in a program that serves
         self.farewell_started_at = NEVER  # when the clients were shown the end
         self.client_connections: dict[ClientConnection, None] = {}
-        self.most_callers = platform_config.max_sockets // 2  # a third is the usual ones'
-        self.keys: dict[
+        self.max_client_connections = platform_config.max_sockets // 2  # a third is the usual ones'
+        self.arrivals_by_order_key: dict[
             int, tuple[int, int, bool]
         ] = {}  # when one came, kept back how long, on a new link
         self.unsubmitted_by_order_key: dict[
@@ -75,7 +75,7 @@
             (
                 client_connection
                 for client_connection in self.client_connections
-                if client_connection.idle()
+                if client_connection.is_idle()
             ),
             key=lambda each: (
                 not each.link.parting,
@@ -84,7 +84,7 @@
                 each.link.heard,
             ),
         )
-        for client_connection in quiet[:ROOM]:
+        for client_connection in quiet[:MAX_CLOSED_AT_ONCE_COUNT]:
             if client_connection.link.parting:
                 if client_connection.link.farewell > CROSSING:  # else it ends by itself in a moment
                     client_connection.link.cut()
@@ -100,7 +100,7 @@
             self.flows.up(client_connection.link, Side.CLIENT)
         self.event_loop.spawn(client_connection.link.run)
         if self.shutdown_deadline != NEVER:
-            client_connection.link.send(client_wire.leaving())
+            client_connection.link.send(client_wire.leaving_frame())
 
     def start_shutdown(self) -> None:
         """The program is to end: no new submissions are asked for, and all that is open ends in time."""
@@ -109,7 +109,9 @@
         longest = max(
             request_class.time_to_deadline for request_class in self.settings.request_classes
         )
-        self.shutdown_deadline = self.now + min(longest, MAX_SHUTDOWN_WAIT_TICKS) + TO_WRITE
+        self.shutdown_deadline = (
+            self.now + min(longest, MAX_SHUTDOWN_WAIT_TICKS) + FINAL_WRITE_TICKS
+        )
         requests = [
             request
             for client_connection in self.client_connections
@@ -117,34 +119,34 @@
         ]
         self.log(f"leaving by {self.shutdown_deadline}, {len(requests)} open")
         for client_connection in [*self.client_connections]:
-            client_connection.link.send(client_wire.leaving())
+            client_connection.link.send(client_wire.leaving_frame())
         for request in requests:
             self.event_loop.call_later(
                 self.shutdown_deadline - self.now, self.gateway.on_deadline_near, request
             )
-        self.event_loop.call_later(STILL_COMING, self.continue_shutdown)
+        self.event_loop.call_later(SHUTDOWN_ACCEPT_TICKS, self.continue_shutdown)
 
     def continue_shutdown(self) -> None:
         """End as soon as nothing is owed and all is written, or when it must be."""
-        must, step = self.now >= self.shutdown_deadline + TO_WRITE // 4, 100
+        is_overdue, pause = self.now >= self.shutdown_deadline + FINAL_WRITE_TICKS // 4, 100
         if self.farewell_started_at != NEVER:
             if not self.client_connections or self.now >= self.farewell_started_at + CROSSING:
                 self.event_loop.stopped = True
                 return
-            step = 20
+            pause = 20
         # Danger: what has come and lies unread is taken all the same, be it at the door.
-        elif must or not any(self.owed(each) for each in self.client_connections):
-            if self.acceptor is None or not self.acceptor.shut() or must:
+        elif is_overdue or not any(self.has_pending_work(each) for each in self.client_connections):
+            if self.acceptor is None or not self.acceptor.shut() or is_overdue:
                 # Danger: a process that ends over unread bytes resets its connections, and takes
                 # the last answers along. So each client is shown the end, and what had crossed it
                 # is read and dropped for a moment.
                 self.farewell_started_at = self.now
                 for each in [*self.client_connections]:
-                    if not (each.link.give_way("the program ends") or must or each.link.why):
+                    if not (each.link.give_way("the program ends") or is_overdue or each.link.why):
                         self.farewell_started_at = NEVER  # something came just now
-        self.event_loop.call_later(step, self.continue_shutdown)
+        self.event_loop.call_later(pause, self.continue_shutdown)
 
-    def owed(self, client_connection: ClientConnection) -> bool:
+    def has_pending_work(self, client_connection: ClientConnection) -> bool:
         """Is anything still due to this client, or on its way from it?"""
         link = client_connection.link
         return (
@@ -155,102 +157,122 @@
                 or client_connection.waiting_answers
                 or len(link.machine.outward)
                 or unread_byte_count(link.sock)
-                or client_connection.half_told()
+                or client_connection.has_partial_frame()
             )
         )
 
-    def requested(
+    def on_request(
         self, client_connection: ClientConnection, stream: int, fields: dict[str, str], body: bytes
     ) -> str:
         """Take a request; what is wrong with the connection as a whole, or an empty string."""
-        self.forget()
-        said = self.field_reader.read(fields, body)
-        if isinstance(said, UnusableField):
-            return client_connection.unreadable(stream, f"{said.name}: unusable")
-        order = ClientRequest(
-            client_connection, stream, said.name, said.label, body, self.rows[said.request_class]
+        self.release_finished_requests()
+        request_fields = self.field_reader.read(fields, body)
+        if isinstance(request_fields, UnusableField):
+            return client_connection.on_unusable_frame(stream, f"{request_fields.name}: unusable")
+        client_request = ClientRequest(
+            client_connection,
+            stream,
+            request_fields.name,
+            request_fields.idempotency_key,
+            body,
+            self.rows[request_fields.request_class],
         )
-        if not self._has_room_for(client_connection, order):
-            return self._turn_away(client_connection, order)
+        if not self._has_room_for(client_connection, client_request):
+            return self._reject_for_lack_of_room(client_connection, client_request)
         request = Request(
-            order,
-            said.request_class,
-            said.tenant,
+            client_request,
+            request_fields.request_class,
+            request_fields.tenant,
             group_number(body),
             self.now,
-            self._time_left(said, stream),
-            int(said.work_ms * TICKS_PER_MS),
-            float(said.memory_mb),
-            said.order_key,
+            self._time_left(request_fields, stream),
+            int(request_fields.work_ms * TICKS_PER_MS),
+            float(request_fields.memory_mb),
+            request_fields.order_key,
         )
-        self._open(client_connection, request)
+        self._register_request(client_connection, request)
         return ""
 
-    def _has_room_for(self, client_connection: ClientConnection, order: ClientRequest) -> bool:
+    def _has_room_for(
+        self, client_connection: ClientConnection, client_request: ClientRequest
+    ) -> bool:
         return (
-            len(client_connection.open) < MOST_OPEN
+            len(client_connection.open) < MAX_OPEN_REQUEST_COUNT
             and len(self.open_requests) < self.settings.open_cap
-            and self.statement_memory.take(order.size)
+            and self.statement_memory.take(client_request.budgeted_bytes)
         )
 
-    def _turn_away(self, client_connection: ClientConnection, order: ClientRequest) -> str:
+    def _reject_for_lack_of_room(
+        self, client_connection: ClientConnection, client_request: ClientRequest
+    ) -> str:
         """Reject what there is no room for; too much of it on one connection ends that."""
         self.counters["overfull"] += 1
-        client_connection.faults += len(client_connection.open) >= MOST_OPEN
-        self.ledger.record_rejected(order.row)
-        client_connection.answer(order.stream, REFUSED, [])
-        return "" if client_connection.faults <= MOST_FAULTS else "too many open at once"
+        client_connection.fault_count += len(client_connection.open) >= MAX_OPEN_REQUEST_COUNT
+        self.ledger.record_rejected(client_request.row)
+        client_connection.send_answer(client_request.stream, REFUSED, [])
+        return "" if client_connection.fault_count <= MAX_FAULT_COUNT else "too many open at once"
 
-    def _time_left(self, said: RequestFields, stream: int) -> int:
+    def _time_left(self, request_fields: RequestFields, stream: int) -> int:
         """Return the ticks until the client gives up, by its own clock.
 
         With a full processor the request has waited unread, and its client counts that.
         """
         time_left = min(
-            int(said.time_to_deadline_ms * TICKS_PER_MS), self.shutdown_deadline - self.now
+            int(request_fields.time_to_deadline_ms * TICKS_PER_MS),
+            self.shutdown_deadline - self.now,
+        )
+        return max(
+            time_left
+            - self.estimate_client_delay(request_fields.order_key, stream == 1)
+            - self.lag,
+            1,
         )
-        return max(time_left - self.held_back(said.order_key, stream == 1) - self.lag, 1)
 
-    def _open(self, client_connection: ClientConnection, request: Request) -> None:
+    def _register_request(self, client_connection: ClientConnection, request: Request) -> None:
         """Enter a request where it is looked for, and tell the gateway at the end of this turn."""
-        order = request.host_reference
-        if self.recovery is not None and order.label:
-            self.recovery.restrict_retry(request, order.label)
-        client_connection.open[order.stream] = self.open_requests[order.name] = request
-        self.ledger.record_accepted(order)
+        client_request = request.host_reference
+        if self.recovery is not None and client_request.idempotency_key:
+            self.recovery.restrict_retry(request, client_request.idempotency_key)
+        client_connection.open[client_request.stream] = self.open_requests[client_request.name] = (
+            request
+        )
+        self.ledger.record_accepted(client_request)
         if request.request_class.ordered and request.order_key:
             self.unsubmitted_by_order_key.setdefault(request.order_key, deque()).append(request)
-        client_connection.fresh.append(request)
-        if len(client_connection.fresh) == 1:
-            self.event_loop.unsent.append(client_connection.admit)
+        client_connection.unsubmitted.append(request)
+        if len(client_connection.unsubmitted) == 1:
+            self.event_loop.unsent.append(client_connection.submit_requests)
 
-    def let_before(self, request: Request) -> None:
+    def submit_earlier_requests(self, request: Request) -> None:
         """Those of its key that were read before, on other connections, are told first. Danger: one that waits for what
         lies behind it on its connection would be overtaken by a later one of its key on another.
         """
-        line = self.unsubmitted_by_order_key.get(request.order_key)
-        while line and request in line:
-            first = line[0]
+        queue = self.unsubmitted_by_order_key.get(request.order_key)
+        while queue and request in queue:
+            first = queue[0]
             if first is not request:
-                first.host_reference.client_connection.admit(0)
-            if line and line[0] is first:
-                line.popleft()
-        if line is not None and not line:
+                first.host_reference.client_connection.submit_requests(0)
+            if queue and queue[0] is first:
+                queue.popleft()
+        if queue is not None and not queue:
             self.unsubmitted_by_order_key.pop(request.order_key, None)
 
-    def held_back(self, key: int, new: bool) -> int:
+    def estimate_client_delay(self, key: int, new: bool) -> int:
         """How long a client may have kept back a submission after its stamp, to keep those of a key apart.
 
         Danger: its patience counts from the stamp, so the last moment would come after its expiry.
         """
         if not key:
             return 0
-        came, held, was_new = self.keys.pop(key, (-SECOND, 0, False))
-        gap = self.now - came
-        held = held + APART if gap < APART + ARRIVAL else 0
-        if was_new and gap < APART_NEW + ARRIVAL:
-            held = max(held, APART_NEW)
-        self.keys[key] = self.now, held, new
-        while self.now - next(iter(self.keys.values()))[0] > APART_NEW + ARRIVAL:
-            del self.keys[next(iter(self.keys))]
+        arrived_at, held, was_new = self.arrivals_by_order_key.pop(key, (-SECOND, 0, False))
+        gap = self.now - arrived_at
+        held = held + KEY_SPACING_TICKS if gap < KEY_SPACING_TICKS + ARRIVAL_JITTER_TICKS else 0
+        if was_new and gap < NEW_CONNECTION_KEY_SPACING_TICKS + ARRIVAL_JITTER_TICKS:
+            held = max(held, NEW_CONNECTION_KEY_SPACING_TICKS)
+        self.arrivals_by_order_key[key] = self.now, held, new
+        while (
+            self.now - next(iter(self.arrivals_by_order_key.values()))[0]
+            > NEW_CONNECTION_KEY_SPACING_TICKS + ARRIVAL_JITTER_TICKS
+        ):
+            del self.arrivals_by_order_key[next(iter(self.arrivals_by_order_key))]
         return held
--- a/corkgauge/net/request_fields.py
+++ b/corkgauge/net/request_fields.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from corkgauge.net.amounts import parse_amount
-from corkgauge.net.engine_connection import NAME
+from corkgauge.net.engine_connection import REQUEST_NAME
 from corkgauge.policy.records import Repeatability, RequestClass
 
 MAX_WORK_MS = 3.6e6  # work that any request may claim
@@ -18,7 +18,7 @@
 # A client may name a time to its deadline of so many times its class's. A little more is no fault:
 # a good client's clock and ours differ, and it adds its own way to us.
 MAX_DEADLINE_RATIO = 2
-PLAIN = re.compile(r"[!-+\-.-<>-~]{1,128}").fullmatch
+PLAIN_TEXT = re.compile(r"[!-+\-.-<>-~]{1,128}").fullmatch
 ORDER_KEY = re.compile(r"[0-9a-fA-F]{1,16}").fullmatch
 BLANK = re.compile(rb"\s*+").fullmatch
 
@@ -34,7 +34,7 @@
     memory_mb: float
     name: str
     order_key: int
-    label: str  # its idempotency key; empty: none
+    idempotency_key: str  # its idempotency key; empty: none
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
         if tenant is None and self.tenants:
             return UnusableField("customer")
         time_to_deadline = parse_amount(fields.get("patience") or "0")
-        if not time_to_deadline or not _is_in_time(time_to_deadline, request_class):
+        if not time_to_deadline or not _is_deadline_allowed(time_to_deadline, request_class):
             return UnusableField("patience")
         work = parse_amount(fields.get("weight") or "0")
         # A figure that is named must be one.
@@ -99,7 +99,7 @@
             return "entity"
         name = fields.get("trace", "")
         # An id names one request: an answer under it would be another's.
-        if not NAME(name) or name in self.names_in_use:
+        if not REQUEST_NAME(name) or name in self.names_in_use:
             return "trace"
         nonce = fields.get("nonce", "")
         is_keyed = request_class.repeatability == Repeatability.KEYED
@@ -109,7 +109,7 @@
         return ""
 
 
-def _is_in_time(time_to_deadline_ms: float, request_class: RequestClass) -> bool:
+def _is_deadline_allowed(time_to_deadline_ms: float, request_class: RequestClass) -> bool:
     """Tell whether nobody would wait much longer than the class lets him."""
     ticks = time_to_deadline_ms * TICKS_PER_MS
     return ticks <= MAX_DEADLINE_RATIO * request_class.time_to_deadline
@@ -138,4 +138,4 @@
     >>> is_plain("x" * 129)
     False
     """
-    return PLAIN(text) is not None
+    return PLAIN_TEXT(text) is not None
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -29,7 +29,7 @@
 
     def __init__(self, host: SocketHost) -> None:
         self.host = host
-        self.unasked: deque[InFlightAttempt] = deque()
+        self.awaiting_memory: deque[InFlightAttempt] = deque()
 
     def on_first_page(
         self, in_flight: InFlightAttempt, fields: Mapping[str, str], body: bytes
@@ -40,21 +40,21 @@
         need = parse_amount(fields.get("wanted", "0"))
         if not pages or pages != int(pages) or pages > MAX_PAGES or spent is None or need is None:
             return f"a result of {fields.get('chunks')!r} pages"
-        if in_flight.answered:
+        if in_flight.is_answered:
             is_copy = body == in_flight.pages[0] and int(pages) == len(in_flight.pages)
             return "" if is_copy else "two results"
         # The request ran, but what came is spoilt: nothing of it may pass for an answer.
         if not is_valid_page(body):
             return "a page that is spoilt"
-        in_flight.answered = True
-        in_flight.link.page()
-        in_flight.spent = int(spent * TICKS_PER_MS)
-        in_flight.need = need
+        in_flight.is_answered = True
+        in_flight.link.count_page()
+        in_flight.work_ticks = int(spent * TICKS_PER_MS)
+        in_flight.memory_needed_mb = need
         in_flight.pages = [body, *[None] * (int(pages) - 1)]
         if in_flight.attempt.request.is_finished or len(in_flight.pages) == 1:
-            return self.host.whole(in_flight)
-        self.unasked.append(in_flight)
-        self.ask_pages()
+            return self.host.on_result_complete(in_flight)
+        self.awaiting_memory.append(in_flight)
+        self.request_pages()
         return ""
 
     def on_further_page(
@@ -64,31 +64,31 @@
         at = fields.get("at", "")
         is_number = at.isdecimal() and len(at) <= MAX_PAGE_NUMBER_DIGITS
         number = int(at) if is_number else 0
-        is_awaited = in_flight.answered and 0 < number < len(in_flight.pages)
+        is_awaited = in_flight.is_answered and 0 < number < len(in_flight.pages)
         if not is_awaited or not is_valid_page(body) or in_flight.pages[number] not in (None, body):
             return f"a page {at[:8]!r} out of turn or spoilt"
         if in_flight.pages[number] is None:
-            in_flight.link.page()
+            in_flight.link.count_page()
         in_flight.pages[number] = body
-        return "" if None in in_flight.pages else self.host.whole(in_flight)
+        return "" if None in in_flight.pages else self.host.on_result_complete(in_flight)
 
-    def ask_pages(self) -> None:
+    def request_pages(self) -> None:
         """Ask for all pages of a result at once, as far as memory for results lets them come."""
-        while self.unasked:
-            in_flight = self.unasked[0]
+        while self.awaiting_memory:
+            in_flight = self.awaiting_memory[0]
             if in_flight.attempt in self.host.in_flight_attempts:
                 size = MAX_PAGE_BYTES * len(in_flight.pages)
                 if not self.host.result_memory.take(size):
                     return
-                in_flight.asked = size
+                in_flight.reserved_page_bytes = size
                 for number in range(1, len(in_flight.pages)):
-                    in_flight.link.say("more", in_flight.client_request.name, str(number))
+                    in_flight.link.send_command("more", in_flight.client_request.name, str(number))
                 self.host.event_loop.call_later(
                     PAGE_TICKS, self.on_pages_late, in_flight, 1, self.host.now
                 )
-            self.unasked.popleft()
+            self.awaiting_memory.popleft()
 
-    def on_pages_late(self, in_flight: InFlightAttempt, had: int, since: int) -> None:
+    def on_pages_late(self, in_flight: InFlightAttempt, earlier_count: int, since: int) -> None:
         """Give a result up whose next page does not come.
 
         It would hold its request until the deadline. What else is open on that connection may be
@@ -97,12 +97,14 @@
         """
         if in_flight.attempt not in self.host.in_flight_attempts:
             return
-        have = len(in_flight.pages) - in_flight.pages.count(None)
-        if have > had or in_flight.link.spoke < since + PAGE_TICKS // 2:
-            if have > had:
+        page_count = len(in_flight.pages) - in_flight.pages.count(None)
+        if page_count > earlier_count or in_flight.link.last_answer_at < since + PAGE_TICKS // 2:
+            if page_count > earlier_count:
                 since = self.host.now
-            self.host.event_loop.call_later(PAGE_TICKS, self.on_pages_late, in_flight, have, since)
+            self.host.event_loop.call_later(
+                PAGE_TICKS, self.on_pages_late, in_flight, page_count, since
+            )
             return
         self.host.counters["pages late"] += 1
-        in_flight.link.let_go(in_flight)
-        self.host.failed(in_flight, "broken")
+        in_flight.link.release_attempt(in_flight)
+        self.host.fail_attempt(in_flight, "broken")
