--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -1,8 +1,8 @@
-"""The gateway's host on sockets.
+"""Implements the gateway's host protocol on sockets.
 
-Owns the open requests, the attempts in flight, the engine pools, and the bounds on memory and
-descriptors. It decides nothing: it notifies the gateway of what happened and does what that says.
-It never calls the gateway from within one of the gateway's own calls.
+Owns the open requests, the attempts in flight, the engine pools, and the limits on memory and
+descriptors. The host makes no policy decision: it notifies the gateway of events and carries out
+the gateway's calls. It never calls the gateway from within one of the gateway's own calls.
 """
 
 from collections import deque
@@ -35,26 +35,25 @@
     Request,
 )
 
-MAX_MISSED_REPORT_COUNT = (
-    3  # reports on an attempt that an engine may omit, until it counts as lost
-)
-MIN_HELD_BYTES = 4 * 2**20
-AUDIT_TICKS = SECOND  # between two passes over the ledger
-AUDIT_SLICE_TICKS = 20  # between two slices of a pass
+# Progress reports on an attempt that an engine may omit before the attempt counts as lost.
+MAX_MISSED_REPORT_COUNT = 3
+MIN_HELD_BYTES = 4 * 2**20  # for buffers and records together
+AUDIT_TICKS = SECOND  # pause between two passes over the ledger
+AUDIT_SLICE_TICKS = 20  # pause between two slices of a pass
 PROGRESS_KINDS = {"advance": 1, "disk": 2, "stall": 3}
 
 
 class UnstartedHost:
-    """Stands in for the host where settings are only checked."""
+    """Stands in for the host where a configuration is checked and not used."""
 
     now = lag = 0
 
     def call_later(self, *_: Any) -> None:
-        """Nothing is ever called back."""
+        """Ignore the request for a callback."""
 
 
 def build_settings(platform_config: PlatformConfig, host: Any) -> Settings:
-    """Return what a configuration states; raises `ConfigurationError` where it makes no sense."""
+    """Return a configuration's settings; raise `ConfigurationError` if a value is invalid."""
     try:
         return Settings(platform_config.settings, host, platform_config.seed, platform_config.name)
     except (ValueError, TypeError, AttributeError, KeyError) as problem:
@@ -62,9 +61,9 @@
 
 
 class SocketHost:
-    """The host protocol on sockets.
+    """Implements the host protocol on sockets.
 
-    `held` is the memory in bytes that the program holds at its start.
+    `used_bytes` is the memory that the process uses at its start.
     """
 
     def __init__(
@@ -72,35 +71,32 @@
         event_loop: EventLoop,
         platform_config: PlatformConfig,
         log: Callable[[str], None],
-        held: int = 0,
+        used_bytes: int = 0,
     ) -> None:
         self.event_loop = event_loop
         self.log = log
         self.counters = EdgeCounters()
-        # With little memory the program itself holds most of it. Half of what it had left at its
-        # start may be held for others, in four equal parts. The rest is for records.
-        part_bytes = max(platform_config.memory_bytes - held, MIN_HELD_BYTES) // 2 // 4
-        self.client_ring_memory = MemoryBudget(part_bytes)  # of client connections
-        self.server_ring_memory = MemoryBudget(
-            part_bytes
-        )  # of connections to engines and to discovery
+        # Half of the memory that the process leaves unused at its start is for buffers, in four
+        # equal parts; the rest is for records. With a small limit the process itself uses most of
+        # the memory, so the size at the start has to be subtracted first.
+        part_bytes = max(platform_config.memory_bytes - used_bytes, MIN_HELD_BYTES) // 2 // 4
+        self.client_ring_memory = MemoryBudget(part_bytes)  # ring buffers of client connections
+        # Ring buffers of connections to engines and to discovery.
+        self.server_ring_memory = MemoryBudget(part_bytes)
         self.result_memory = MemoryBudget(part_bytes)
         self.statement_memory = MemoryBudget(part_bytes)
-        # A half is the clients' at most, a third goes to engines, and the rest stays free for
-        # discovery and what is new.
+        # Clients get half of the descriptors at most and engines a third; the rest stays free for
+        # discovery and for new connections.
         self.max_engine_links = platform_config.max_sockets // 3
-        self.dials_in_progress = 0  # under way
-        self.open_requests: dict[str, Request] = {}  # open requests
-        self.engine_pools: dict[str, EnginePool] = {}
-        # Kept so that no request, timer or change of the list costs what the whole list does.
-        self.links: dict[EngineConnection, None] = {}  # that are up
-        self.closing_pools: dict[EnginePool, None] = {}  # engines that drain or are gone
-        self.pools_with_waiting: dict[
-            EnginePool, None
-        ] = {}  # where something waits for a connection
-        self.pools_lacking_spare: dict[
-            EnginePool, None
-        ] = {}  # that lack a connection ahead of need
+        self.dials_in_progress = 0  # connections to engines that are being opened
+        self.open_requests: dict[str, Request] = {}  # by name
+        self.engine_pools: dict[str, EnginePool] = {}  # by the engine's name
+        # The next four are subsets, kept so that no request, timer or change of the endpoint list
+        # has to walk all engines.
+        self.links: dict[EngineConnection, None] = {}  # open connections to engines
+        self.closing_pools: dict[EnginePool, None] = {}  # of engines that drain or are gone
+        self.pools_with_waiting: dict[EnginePool, None] = {}  # with attempts that wait for a link
+        self.pools_lacking_spare: dict[EnginePool, None] = {}  # that should dial ahead of need
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
         self.pager = ResultPager(self)
         self.finished_requests: deque[Request] = deque()
@@ -110,7 +106,11 @@
             and self.settings.gateway.options.gateway_count > 1
         ):
             number = self.settings.gateway.options.gateway_number
-            log(f"myNumber is not told: {number}, from the name; sets of engines are less even")
+            log(
+                f"settings: myNumber is missing; using gateway number {number}, derived from the "
+                "gateway's name, so engines are spread less evenly over the gateways' subsets; "
+                "set a different myNumber for each gateway"
+            )
         self.gateway = self.settings.gateway
         self.max_request_memory_mb = max(self.settings.sizes, default=1e6)
         self.report_timeout_ticks = MAX_MISSED_REPORT_COUNT * self.settings.tells
@@ -125,16 +125,16 @@
         self.rows = {
             each: self.ledger.request_classes[each.name] for each in self.settings.request_classes
         }
-        # Requests that have their end, and whose answer has not left whole.
+        # Finished requests whose answer is not completely written yet.
         self.answering: dict[ClientRequest, None] = {}
-        # Subsystems, where an operator file switches them on.
+        # Subsystems, None unless the operator file enables them.
         self.recovery: Any = None  # recovery
         self.flows: Any = None  # flow export
         self.works: Any = None  # maintenance
         self.latency_sketches: Any = None  # of accounting
-        # What the accounting listener answers for other subsystems, by method and path.
+        # HTTP handlers of other subsystems on the accounting listener, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
-        # Attempts that were cancelled, of which the gateway has yet to be notified.
+        # Cancelled attempts whose outcome the gateway has not been notified of yet.
         self.cancelled_attempts: dict[Attempt, InFlightAttempt] = {}
         self.records = LiveRecords(self)
         self.auditor = LedgerAuditor(self.ledger, self.records, self.discrepancies)
@@ -145,39 +145,40 @@
                 self.log(f"known: {wrong}")
 
     def remove_gone_engine(self, engine_pool: "EnginePool") -> None:
-        """Forget an engine that is gone, once nothing is left of it.
+        """Remove the pool of an engine that is gone, once all its connections are closed.
 
-        Its id may be another's by then.
+        Does nothing where another pool has been registered under the same engine id since.
         """
-        tag = engine_pool.engine.host_reference
+        engine_id = engine_pool.engine.host_reference
         if (
             engine_pool.engine.state == EngineState.GONE
             and not engine_pool.links
-            and self.engine_pools.get(tag) is engine_pool
+            and self.engine_pools.get(engine_id) is engine_pool
         ):
-            del self.engine_pools[tag]
-            for kept in self.closing_pools, self.pools_with_waiting, self.pools_lacking_spare:
-                kept.pop(engine_pool, None)
+            del self.engine_pools[engine_id]
+            for pools in self.closing_pools, self.pools_with_waiting, self.pools_lacking_spare:
+                pools.pop(engine_pool, None)
             self.ledger.record_engine_removed(engine_pool.row)
             if self.latency_sketches is not None:
-                self.latency_sketches.merge_engine(tag, DEPARTED_ROW)
+                self.latency_sketches.merge_engine(engine_id, DEPARTED_ROW)
 
     def max_links_per_engine(self) -> int:
-        """Return the connections that each engine of the subset may have, and each that closes.
+        """Return how many connections each engine of the subset, or closing engine, may have.
 
-        With fewer connections than attempts fill, an engine that is well would count as
-        unreachable. So connections are shared by those that use them, not by all that a long list
-        names.
+        The limit is divided among these engines only, not among all that a long endpoint list
+        names. With fewer connections than its attempts need, a healthy engine would count as
+        unreachable.
         """
         return max(
             2, self.max_engine_links // max(len(self.gateway.engines) + len(self.closing_pools), 1)
         )
 
     def has_descriptor_left(self, needed: bool) -> bool:
-        """Tell whether there may be another connection to an engine.
+        """Return whether another connection to an engine may be opened now.
 
-        Two to each of many engines would take what discovery and the clients need. Where one is
-        needed, the connection that has been idle longest gives way.
+        Two connections to each of many engines would use up the descriptors that discovery and the
+        clients need. At the limit, if a connection is `needed`, the one that has been idle longest
+        is closed, those of engines outside the subset first, so that a later call succeeds.
         """
         if len(self.links) + self.dials_in_progress < self.max_engine_links:
             return True
@@ -192,14 +193,17 @@
                     each.engine_pool.number,
                 ),
             )
-            longest_idle.link.end("room for others")
+            longest_idle.link.end("idle, closed to free a descriptor for another engine")
         return False
 
     def make_room(self) -> bool:
-        """Close what holds a descriptor for nothing; whether there was any."""
+        """Close idle client connections, as far as the front end supports it.
+
+        Returns whether there were any.
+        """
         return False
 
-    # The host protocol; `policy.host.Host` says what each method is for.
+    # The host protocol; `policy.host.Host` documents each method.
 
     @property
     def now(self) -> int:
@@ -208,17 +212,19 @@
 
     @property
     def lag(self) -> int:
-        """Ticks that events have to wait at present."""
+        """Ticks by which events are currently handled late."""
         return self.event_loop.lag
 
     def send_attempt(self, attempt: Attempt, timeout: int) -> None:
-        """Let an attempt wait for a connection, for `allow` ticks until its answer at most."""
+        """Queue an attempt for a connection; its answer is due within `timeout` ticks."""
         engine_pool = self.engine_pools[attempt.engine.host_reference]
         in_flight_attempt = self.in_flight_attempts[attempt] = InFlightAttempt(
             attempt, self.now + timeout, engine_pool
         )
-        others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
-        self.ledger.record_attempt_sent(in_flight_attempt, sort_of_attempt(attempt.number, others))
+        has_other_in_flight = any(each.is_in_flight for each in attempt.request.attempts[:-1])
+        self.ledger.record_attempt_sent(
+            in_flight_attempt, sort_of_attempt(attempt.number, has_other_in_flight)
+        )
         request_class = attempt.request.request_class
         if self.recovery is not None and (
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
@@ -238,7 +244,7 @@
             )
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
-        """Set memory and priority; engines are told of a priority that changes in flight."""
+        """Set memory and priority; a new priority is sent to engines that run an attempt."""
         client_request = request.host_reference
         if priority != client_request.priority and self.settings.priorities:
             for attempt in request.attempts:
@@ -255,7 +261,7 @@
         client_request.priority = priority
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Answer that the request was not run; the frames have no field for `retry_after`."""
+        """Answer that the request was not run; client frames have no field for `retry_after`."""
         self.send_final_answer(request, REFUSED, [])
 
     def fail(self, request: Request) -> None:
@@ -276,16 +282,17 @@
         outcome = AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED
         self.event_loop.call_later(0, self.notify_attempt_finished, in_flight_attempt, outcome)
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
         """Call back once `delay` ticks have passed, never at once."""
-        self.event_loop.call_later(delay, method, *what)
+        self.event_loop.call_later(delay, callback, *arguments)
 
     def reason_not_to_start(self, in_flight_attempt: InFlightAttempt) -> str:
-        """Check an attempt directly before its first byte; why it must not begin, or an empty string.
+        """Return why an attempt must not be sent now, or an empty string.
 
-        Between its decision and its writing there may be a dial, or a long turn: its client may
-        have gone or cancelled, its engine drain or have restarted, its time or the time for repeats
-        be over.
+        Called directly before the first byte is written. Between the gateway's decision and the
+        write there may be a dial or a long turn of the event loop. Meanwhile the client may have
+        disconnected or cancelled, the engine may have begun to drain or restarted, and the time
+        limit of the attempt or of retries may have passed.
         """
         self.event_loop.tick()
         if not in_flight_attempt.attempt.request.is_finished:
@@ -302,7 +309,10 @@
     def send_final_answer(
         self, request: Request, code: int, body: list[bytes], reason: int = -1
     ) -> None:
-        """Give a request its one final answer; a reason below 0 is found from the code."""
+        """Send a request's one final answer.
+
+        A negative `reason` means that the reason for the ledger is derived from `code`.
+        """
         client_request = request.host_reference
         if client_request.client_connection.open.pop(client_request.stream, None) is None:
             return
@@ -325,14 +335,15 @@
         )
 
     def on_answer_finished(self, client_request: ClientRequest) -> None:
-        """Close its record: the last byte of its answer has left, or never will."""
+        """Close the ledger record of a request whose answer has been written or dropped."""
         self.answering.pop(client_request, None)
         self.ledger.record_closed(client_request, client_request.end_reason)
 
     def release_finished_requests(self) -> None:
-        """Take apart by hand what points to each other, where no call of the gateway's is under way.
+        """Break the reference cycles of finished requests that have no attempt in flight.
 
-        A full collection of garbage would stop everything for over 100 ms, so there is none.
+        A full garbage collection would stop the process for over 100 ms, so none is run, and cycles
+        have to be broken here. Must be called outside the gateway's own calls.
         """
         while self.finished_requests:
             request = self.finished_requests.popleft()
@@ -342,16 +353,16 @@
                 request.host_reference.statement = b""
 
     def on_client_left(self, request: Request | None, reason: int) -> None:
-        """End a request whose client waits no longer."""
+        """End a request whose client has cancelled or disconnected."""
         if request is not None:
             self.ledger.record_closed(request.host_reference, reason)
             self.statement_memory.give(request.host_reference.budgeted_bytes)
             self.open_requests.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.unsubmitted:
-                request.is_finished = True  # the gateway never hears of it
+                request.is_finished = True  # it is never passed to the gateway
             else:
                 self.gateway.on_client_left(request)
-                for attempt in request.attempts:  # what waits for a link never begins
+                for attempt in request.attempts:  # those that wait for a link are never sent
                     in_flight_attempt = self.in_flight_attempts.get(attempt)
                     if in_flight_attempt is not None and in_flight_attempt.link is None:
                         in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
@@ -361,13 +372,13 @@
     # Accounting.
 
     def audit(self) -> None:
-        """Check the next slice of the ledger; a new pass begins each second."""
-        is_whole = self.auditor.step()
-        pause = AUDIT_TICKS if is_whole else AUDIT_SLICE_TICKS
+        """Check the next slice of the ledger; a new pass begins a second after the last one."""
+        is_pass_complete = self.auditor.step()
+        pause = AUDIT_TICKS if is_pass_complete else AUDIT_SLICE_TICKS
         self.event_loop.call_later(pause, self.audit)
 
     def on_ledger_mistake(self, kind: str, row: Any, serial: int) -> None:
-        """Record a count that was wrong as it was entered."""
+        """Record a discrepancy that the ledger noticed while recording an event."""
         self.discrepancies.record_mistake(
             kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
         )
@@ -377,7 +388,7 @@
     def on_engine_answer(
         self, in_flight_attempt: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
     ) -> str:
-        """Take an engine's answer; what is wrong with it, or an empty string."""
+        """Handle an engine's answer; return why the answer is invalid, or an empty string."""
         attempt = in_flight_attempt.attempt
         in_flight_attempt.last_report_at = self.now
         if word == "TELL":
@@ -394,7 +405,7 @@
             return self.pager.on_further_page(in_flight_attempt, fields, body)
         outcome = OUTCOME_BY_ANSWER.get(word)
         if outcome is None or (in_flight_attempt.is_answered and word != "BROKE"):
-            return f"an answer {word[:8]!r}"
+            return f"unexpected answer {word[:8]!r} to an attempt"
         in_flight_attempt.link.forget_attempt(in_flight_attempt)
         self.finish_attempt(in_flight_attempt, outcome)
         return ""
@@ -402,18 +413,21 @@
     def check_attempt_reports(
         self, in_flight_attempt: InFlightAttempt, link: EngineConnection
     ) -> None:
-        """Give up an attempt that its engine reports on no more; called again by timer.
+        """Fail an attempt that its engine no longer reports on; called again by timer.
 
-        An answer that never comes would hold its request, its slot and its ordering key until the
-        deadline. An engine reports regularly on all that runs; what it omits, while its connection
-        is lively, is over.
+        A lost answer would block the request, its slot and its order key until the deadline. An
+        engine reports regularly on everything that runs. An attempt that the reports omit, while
+        the engine still answers on the connection, has ended.
         """
         is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
         if not is_in_flight or in_flight_attempt.link is not link or in_flight_attempt.is_answered:
             return
-        since = self.now - max(in_flight_attempt.last_report_at, link.responsive_since)
-        if since < self.report_timeout_ticks or link.last_answer_at < self.now - SECOND // 2:
-            pause = max(self.report_timeout_ticks - since, SECOND // 10)
+        silence_ticks = self.now - max(in_flight_attempt.last_report_at, link.responsive_since)
+        if (
+            silence_ticks < self.report_timeout_ticks
+            or link.last_answer_at < self.now - SECOND // 2
+        ):
+            pause = max(self.report_timeout_ticks - silence_ticks, SECOND // 10)
             self.event_loop.call_later(pause, self.check_attempt_reports, in_flight_attempt, link)
             return
         self.counters["untold"] += 1
@@ -421,10 +435,13 @@
         self.fail_attempt(in_flight_attempt, "broken")
 
     def on_result_complete(self, in_flight_attempt: InFlightAttempt) -> str:
-        """Answer with a result that is whole, or drop one that nobody wants."""
+        """Send a complete result to the client, or drop the result of a finished request.
+
+        Returns why the result is invalid, or an empty string.
+        """
         request = in_flight_attempt.attempt.request
         if sum(len(each or b"") for each in in_flight_attempt.pages) > MAX_RESULT_BYTES:
-            return "a result that is too long"
+            return "result is longer than the limit of 48,000 bytes"
         in_flight_attempt.link.release_attempt(in_flight_attempt)
         if not request.is_finished:
             self.send_final_answer(request, SERVED, in_flight_attempt.pages)
@@ -432,12 +449,12 @@
         return ""
 
     def finish_attempt(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
-        """End an attempt that is in flight."""
+        """Remove an attempt from those in flight and report its outcome."""
         self.in_flight_attempts.pop(in_flight_attempt.attempt, None)
         self.notify_attempt_finished(in_flight_attempt, outcome)
 
     def notify_attempt_finished(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
-        """Notify everybody of an attempt's end, the gateway last."""
+        """Report an attempt's outcome to all subsystems, and to the gateway last."""
         attempt = in_flight_attempt.attempt
         if in_flight_attempt.reserved_page_bytes:
             self.result_memory.give(in_flight_attempt.reserved_page_bytes)
@@ -469,12 +486,12 @@
         self.pager.request_pages()
 
     def fail_attempt(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
-        """End an attempt for its connection's sake: "unreached", "broken", "late", "withdrawn"."""
+        """Fail an attempt; `why` is "unreached", "broken", "late" or "withdrawn"."""
         if in_flight_attempt.attempt in self.in_flight_attempts:
             self.finish_attempt(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
 
     def on_connection_wait_timeout(self, in_flight_attempt: InFlightAttempt) -> None:
-        """End an attempt without a connection, or room on one, in the time that settings give."""
+        """Fail an attempt that found no connection, or none with room, within the dial timeout."""
         is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
         if not is_in_flight or in_flight_attempt.link is not None:
             return
@@ -485,7 +502,7 @@
         )
 
     def on_attempt_timeout(self, in_flight_attempt: InFlightAttempt) -> None:
-        """End an attempt whose time is over."""
+        """Fail an attempt whose time limit has passed."""
         if in_flight_attempt.attempt not in self.in_flight_attempts:
             return
         if in_flight_attempt.link is None:
@@ -494,13 +511,13 @@
             in_flight_attempt.link.release_attempt(in_flight_attempt)
         self.fail_attempt(in_flight_attempt, "late")
 
-    # The list of engines.
+    # The endpoint list.
 
     @property
     def last_event(self) -> int:
-        """The number of the last event of discovery that was applied."""
+        """The number of the last discovery event that was applied."""
         return self.endpoint_list.last_event
 
     def on_discovery_event(self, number: str, data: str) -> str:
-        """Apply an event of discovery; what is wrong with it, or an empty string."""
+        """Apply a discovery event; return why the event is invalid, or an empty string."""
         return self.endpoint_list.on_event(data)
--- a/corkgauge/net/in_flight.py
+++ b/corkgauge/net/in_flight.py
@@ -1,4 +1,4 @@
-"""An attempt that is in flight at an engine: how far it has come, and the pages of its result."""
+"""Tracks an attempt in flight: its progress on the connection, and the pages of its result."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Stage(IntEnum):
-    """How far an attempt had come when it failed. Only the first is proof that it never ran."""
+    """Progress of an attempt when it failed. Only `NOT_BEGUN` proves that it never ran."""
 
     NOT_BEGUN = 0
     PARTLY_WRITTEN = 1
@@ -22,19 +22,21 @@
 
 
 def outcome_of(stage: Stage, why: str) -> AttemptOutcome:
-    """Return the outcome of an attempt that failed: "unreached", "broken", "late" or "withdrawn".
+    """Return the outcome of an attempt that failed at a stage, by the reason of the failure.
+
+    The reason `why` is "unreached", "broken", "late" or "withdrawn".
 
     >>> outcome_of(Stage.NOT_BEGUN, "unreached").name, outcome_of(Stage.NOT_BEGUN, "withdrawn").name
     ('UNREACHABLE', 'ABANDONED')
 
-    An attempt whose own time was too short is no fault of the engine's:
+    An attempt that ran out of time before it was sent is not the engine's fault:
 
     >>> outcome_of(Stage.NOT_BEGUN, "late").name
     'ABANDONED'
     >>> outcome_of(Stage.PARTLY_WRITTEN, "broken").name, outcome_of(Stage.WRITTEN, "late").name
     ('CONNECTION_RESET', 'TIMED_OUT')
 
-    One that was answered ran, and what it made is lost with the connection:
+    An attempt with a first page did run, and its result is lost with the connection:
 
     >>> outcome_of(Stage.ANSWERED, "broken").name
     'CONNECTION_RESET'
@@ -45,7 +47,7 @@
 
 
 class InFlightAttempt:
-    """The host's record of an attempt: how far it has come, and the pages of its result."""
+    """The host's record of an attempt: its progress, its result, and the engine's reports."""
 
     __slots__ = (
         "attempt",
@@ -69,29 +71,30 @@
 
     def __init__(self, attempt: Attempt, deadline: int, engine_pool: EnginePool) -> None:
         self.attempt = attempt
-        self.client_request: Any = attempt.request.host_reference  # the client's request
-        self.deadline = deadline  # ticks; when its time is over
+        self.client_request: Any = attempt.request.host_reference  # a `ClientRequest`
+        self.deadline = deadline  # tick at which the attempt times out
         self.engine_pool = engine_pool
         self.link: EngineConnection | None = None
-        # Where its command begins and ends among the bytes put to the connection.
+        # Bytes buffered on the connection before this attempt's command, and including it.
         self.command_begin = 0
         self.command_end = 0
-        # Its answer: pages by number, None while one has not come; how many were asked for.
+        # The result: its pages by number (None: not received), and the memory reserved for them.
         self.is_answered = False
         self.pages: list[bytes | None] = []
         self.reserved_page_bytes = 0
-        # What the engine reported: work in thread ticks, memory in MB, its load, when last.
+        # The engine's reports: work (thread ticks), memory needed, its load (attempts; below 0:
+        # none reported), and the tick of the last report.
         self.work_ticks = 0
         self.memory_needed_mb = 0.0
         self.reported_load = -1.0
         self.last_report_at = 0
-        # Its engine's row in the ledger; its serial there, below 0 once it is over.
+        # The engine's row in the ledger; the attempt's serial number there, negated at its end.
         self.engine_row = engine_pool.row
         self.serial = 0
-        self.attempt_log_serial = 0  # its serial in the attempt log, where it has one
+        self.attempt_log_serial = 0  # serial number in the attempt log; 0: not logged
 
     def stage(self) -> Stage:
-        """Return how far it has come."""
+        """Return how far the attempt has progressed."""
         if self.is_answered:
             return Stage.ANSWERED
         if self.link is None or self.link.link.sent <= self.command_begin:
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -1,7 +1,7 @@
-"""Results of attempts: the first page, the asking for more, and the whole.
+"""Collects results of attempts: takes the first page, requests the others, completes the result.
 
-Owns the line of results whose pages have yet to be asked for. Nothing that is spoilt passes for an
-answer.
+Owns the queue of results whose further pages are not requested yet. A result with an invalid page
+is never sent to a client.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 MAX_RESULT_BYTES = 48_000
 MAX_PAGES = 64
 MAX_PAGE_NUMBER_DIGITS = 3
-PAGE_TICKS = 2_500  # that an engine may take over the next page of a result
+PAGE_TICKS = 2_500  # time limit for the next page of a result
 TICKS_PER_MS = 10
 
 
 class ResultPager:
-    """Collects the pages of results, as far as memory for results lets them come."""
+    """Collects the pages of results, within the memory budget for results."""
 
     def __init__(self, host: SocketHost) -> None:
         self.host = host
@@ -34,18 +34,21 @@
     def on_first_page(
         self, in_flight: InFlightAttempt, fields: Mapping[str, str], body: bytes
     ) -> str:
-        """Take the first page of a result; what is wrong with it, or an empty string."""
+        """Handle the first page of a result; return why it is invalid, or an empty string."""
         pages = parse_amount(fields.get("chunks", "0"))
         spent = parse_amount(fields.get("spent", "0"))
         need = parse_amount(fields.get("wanted", "0"))
         if not pages or pages != int(pages) or pages > MAX_PAGES or spent is None or need is None:
-            return f"a result of {fields.get('chunks')!r} pages"
+            return (
+                f"result with chunks={fields.get('chunks')!r}: expected chunks from 1 to 64, and "
+                "numbers for spent and wanted"
+            )
         if in_flight.is_answered:
             is_copy = body == in_flight.pages[0] and int(pages) == len(in_flight.pages)
-            return "" if is_copy else "two results"
-        # The request ran, but what came is spoilt: nothing of it may pass for an answer.
+            return "" if is_copy else "second, different result of an attempt"
+        # The request ran, but its result is corrupted and must not reach the client.
         if not is_valid_page(body):
-            return "a page that is spoilt"
+            return "invalid first page of a result"
         in_flight.is_answered = True
         in_flight.link.count_page()
         in_flight.work_ticks = int(spent * TICKS_PER_MS)
@@ -60,20 +63,20 @@
     def on_further_page(
         self, in_flight: InFlightAttempt, fields: Mapping[str, str], body: bytes
     ) -> str:
-        """Take another page of a result; what is wrong with it, or an empty string."""
+        """Handle a further page of a result; return why it is invalid, or an empty string."""
         at = fields.get("at", "")
         is_number = at.isdecimal() and len(at) <= MAX_PAGE_NUMBER_DIGITS
         number = int(at) if is_number else 0
         is_awaited = in_flight.is_answered and 0 < number < len(in_flight.pages)
         if not is_awaited or not is_valid_page(body) or in_flight.pages[number] not in (None, body):
-            return f"a page {at[:8]!r} out of turn or spoilt"
+            return f"page {at[:8]!r} of a result is unexpected or invalid"
         if in_flight.pages[number] is None:
             in_flight.link.count_page()
         in_flight.pages[number] = body
         return "" if None in in_flight.pages else self.host.on_result_complete(in_flight)
 
     def request_pages(self) -> None:
-        """Ask for all pages of a result at once, as far as memory for results lets them come."""
+        """Request all further pages of queued results, as far as the memory budget allows."""
         while self.awaiting_memory:
             in_flight = self.awaiting_memory[0]
             if in_flight.attempt in self.host.in_flight_attempts:
@@ -89,11 +92,11 @@
             self.awaiting_memory.popleft()
 
     def on_pages_late(self, in_flight: InFlightAttempt, earlier_count: int, since: int) -> None:
-        """Give a result up whose next page does not come.
+        """Fail an attempt whose next page is overdue; called again by timer.
 
-        It would hold its request until the deadline. What else is open on that connection may be
-        well, so only this attempt is given up, and only where its engine has answered something
-        since.
+        A missing page would block the request until its deadline. Other attempts on the connection
+        may be fine, so only this attempt fails, and only if its engine has answered anything on the
+        connection during the second half of the time limit.
         """
         if in_flight.attempt not in self.host.in_flight_attempts:
             return
