--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -1,8 +1,8 @@
-"""One connection to an engine: the attempts that it carries, and the signs of life that it gives.
+"""Handles one connection to an engine: the attempts on it, and its keepalives.
 
-Owns the connection's life, how far each of its attempts has come, and what may still come under the
-id of one that is over. It decides nothing about where a request goes, and takes nothing that is
-spoilt, a copy or late for an answer.
+Owns the connection's lifetime, the attempts open on it, and the names of finished attempts that the
+engine may still answer. Does not decide where a request goes, and accepts no corrupted, repeated or
+late answer.
 """
 
 from __future__ import annotations
@@ -20,17 +20,12 @@
 if TYPE_CHECKING:
     from corkgauge.net.engine_pool import EnginePool
 
-ANSWER_TIMEOUT_TICKS = 3_000  # ticks that an engine may take over one answer, once it has begun
-KEEPALIVE_AFTER_TICKS = (
-    5_000  # ticks that a link with attempts out may be quiet until it is asked for a sign
-)
-KEEPALIVE_TIMEOUT_TICKS = 5_000  # ticks that the sign may take
-MAX_ANSWER_GAP_TICKS = (
-    KEEPALIVE_AFTER_TICKS + 4_000
-)  # longest between two answers of a link that is asked for signs when quiet
-MAX_FINISHED_NAME_COUNT = (
-    500  # ids of attempts that a link has done with, remembered against copies
-)
+ANSWER_TIMEOUT_TICKS = 3_000  # from the first byte of an answer to its last
+KEEPALIVE_AFTER_TICKS = 5_000  # without input on a connection with open attempts
+KEEPALIVE_TIMEOUT_TICKS = 5_000  # from a keepalive to any answer
+# Longest time between two answers while a quiet connection gets keepalives.
+MAX_ANSWER_GAP_TICKS = KEEPALIVE_AFTER_TICKS + 4_000
+MAX_FINISHED_NAME_COUNT = 500  # remembered on a connection to recognize repeated answers
 REQUEST_NAME = re.compile(r"[0-9a-f]{16}").fullmatch
 OUTCOME_BY_ANSWER = {
     "WAIT": AttemptOutcome.ENGINE_FULL,
@@ -41,23 +36,23 @@
 
 
 class EngineConnection:
-    """One connection to an engine."""
+    """Carries attempts to an engine on one connection, and handles the engine's answers."""
 
     def __init__(self, engine_pool: EnginePool, sock: Any) -> None:
         self.engine_pool = engine_pool
         self.socket_host = engine_pool.socket_host
-        self.open: dict[str, InFlightAttempt] = {}
-        self.finished_names: dict[
-            str, None
-        ] = {}  # done with; an answer or a copy of one may still come
-        self.is_retired = False  # takes nothing new, and ends with the last that is open
-        self.pages = 0
+        self.open: dict[str, InFlightAttempt] = {}  # by name of the request
+        # Names of finished attempts, which the engine may still answer, perhaps again.
+        self.finished_names: dict[str, None] = {}
+        self.is_retired = False  # takes no new attempt, and closes with the last open one
+        self.pages = 0  # received
         self.socket_host.links[self] = None
         self.socket_host.ledger.record_connection_opened(Side.ENGINE)
-        self.keepalive_count = 0  # signs of life asked for
-        self.keepalive_sent_at = NEVER  # when, while none has come
-        self.last_answer_at = self.socket_host.now  # its last answer
-        self.responsive_since = self.socket_host.now  # since when none was long in coming
+        self.keepalive_count = 0  # sent
+        self.keepalive_sent_at = NEVER  # tick of a keepalive that is not answered yet
+        self.last_answer_at = self.socket_host.now
+        # Start of the current period without a gap over MAX_ANSWER_GAP_TICKS between answers.
+        self.responsive_since = self.socket_host.now
         self.link = StreamConnection(
             self.socket_host.event_loop,
             sock,
@@ -71,10 +66,10 @@
             self.socket_host.flows.up(self.link, Side.ENGINE, engine.name, zone)
 
     def has_room_for(self, client_request: ClientRequest) -> bool:
-        """Tell whether an attempt of this request may go here.
+        """Return whether an attempt of this request may be sent on this connection.
 
-        Both attempts of a request carry its id. On one connection a late answer to the one would
-        pass for an answer to the other.
+        All attempts of a request carry the request's name. If two of them used one connection, a
+        late answer to the first would be taken for an answer to the second.
         """
         return not (
             self.is_retired
@@ -86,10 +81,10 @@
         )
 
     def send_attempt(self, in_flight_attempt: InFlightAttempt) -> bool:
-        """Write an attempt at once; False, with nothing written, where there is no room.
+        """Write an attempt at once; return False, with nothing sent, if the socket takes no byte.
 
-        One that is put and not written would begin when its engine reads again, whoever has gone by
-        then; so none is ever kept back here.
+        No attempt waits in the send buffer: it would start whenever the engine reads again, even if
+        its client had disconnected meanwhile.
         """
         socket_host = self.socket_host
         settings = socket_host.settings
@@ -126,43 +121,43 @@
         return True
 
     def count_page(self) -> None:
-        """Count a page of a result, which has come for the first time."""
+        """Count a page of a result that was received for the first time."""
         self.pages += 1
         self.engine_pool.row.pages += 1
 
     def send_command(self, *parts: str) -> None:
-        """Send a command; the connection ends where there is no room for it."""
+        """Send a command; close the connection if the send buffer has no room for it."""
         if not self.link.send(command(*parts)):
-            self.link.end("no room for a command")
+            self.link.end("send buffer has no room for a command")
 
     def on_answer(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
-        """Take an answer of the engine; what is wrong with it, or an empty string."""
+        """Handle an answer of the engine; return why it is invalid, or an empty string."""
         in_flight_attempt = self.open.get(name)
         now = self.socket_host.now
         self.keepalive_sent_at = NEVER
-        # An engine that stood still goes on where it was; what was due meanwhile is not lost.
+        # An engine that was paused continues where it stopped; reports that were due during the
+        # pause do not count as omitted.
         if now > self.last_answer_at + MAX_ANSWER_GAP_TICKS:
             self.responsive_since = now
         self.last_answer_at = now
         if word not in ANSWER_WORDS:
-            return f"an answer {word[:8]!r}"
+            return f"unknown answer {word[:8]!r}"
         self.socket_host.counters["answers " + word] += 1
         if in_flight_attempt is None:
-            # A copy, a late answer or one to an id of nobody's is no fault of what else is open
-            # here: it is dropped, and the connection lives on.
+            # A repeated or late answer, or one to an unknown name, says nothing about the other
+            # attempts on this connection: the answer is dropped, and the connection stays open.
             self.socket_host.counters["answers dropped"] += word != "FIT"
             return (
-                ""
-                if word == "FIT" or REQUEST_NAME(name)
-                else "an answer to an id that makes no sense"
+                "" if word == "FIT" or REQUEST_NAME(name) else "answer with an invalid request id"
             )
         wrong: str = self.socket_host.on_engine_answer(in_flight_attempt, word, fields, body)
         return wrong
 
     def release_attempt(self, in_flight_attempt: InFlightAttempt) -> None:
-        """Tell the engine that nothing more is wanted of an attempt.
+        """Tell the engine to stop an attempt and to drop the result.
 
-        It would work on past the time that it was given, and hold the result until it hears.
+        Without this command the engine would keep working beyond the attempt's time limit, and keep
+        the result.
         """
         self.send_command(
             "done" if in_flight_attempt.is_answered else "abort",
@@ -171,9 +166,10 @@
         self.forget_attempt(in_flight_attempt)
 
     def forget_attempt(self, in_flight_attempt: InFlightAttempt) -> None:
-        """Drop an attempt, but remember its id.
+        """Drop an attempt, but remember its name.
 
-        What still comes under it, a copy or a late answer, would pass for a later attempt's.
+        A repeated or late answer would otherwise be taken for an answer to a later attempt of the
+        same request.
         """
         if self.open.pop(in_flight_attempt.client_request.name, None) is not None:
             self.finished_names[in_flight_attempt.client_request.name] = None
@@ -183,34 +179,35 @@
             self.link.end("no longer needed")
 
     def drained(self) -> None:
-        """All that was put has left: there is room for more."""
+        """Send waiting attempts now that the send buffer is empty."""
         self.engine_pool.fill()
 
     def check_idle(self) -> None:
-        """Ask a quiet connection for a sign of life, and end one that gives none.
+        """Send a keepalive on a quiet connection, and close one that does not answer.
 
-        The engine closes what is idle, and an attempt would meet that: so none is ever idle. One to
-        an engine outside the subset ends before that, as in time all pairs of a large fleet would
-        be connected.
+        Engines close idle connections, and an attempt that is sent at that moment would be lost, so
+        keepalives prevent idle connections. An unused connection to an engine outside the subset is
+        closed instead: otherwise all gateways of a large fleet would in time be connected to all
+        engines. Called again by timer.
         """
         if self.link.why:
             return
-        # A machine that vanished or was cut off says nothing, and its connections stay open. All
-        # that is in flight there would wait for its deadline.
+        # The connections of a machine that crashed or lost its network stay open without input.
+        # Without this check all attempts in flight there would wait for their deadlines.
         now = self.socket_host.now
-        quiet = now - self.link.heard
+        quiet_ticks = now - self.link.heard
         if now >= self.keepalive_sent_at + KEEPALIVE_TIMEOUT_TICKS:
-            self.link.end("no sign")
+            self.link.end("keepalive not answered")
             return
-        is_asked = self.keepalive_sent_at != NEVER
+        awaits_keepalive = self.keepalive_sent_at != NEVER
         is_needed = self.open or self.engine_pool.engine.in_subset
-        if quiet > self.max_idle_ticks and not is_needed and not is_asked:
-            self.link.end("idle, and outside the working set")
+        if quiet_ticks > self.max_idle_ticks and not is_needed and not awaits_keepalive:
+            self.link.end("idle, and the engine is outside the subset")
             return
         quiet_limit = (
             min(KEEPALIVE_AFTER_TICKS, self.max_idle_ticks) if self.open else self.max_idle_ticks
         )
-        if quiet > quiet_limit and not is_asked:
+        if quiet_ticks > quiet_limit and not awaits_keepalive:
             self.keepalive_count += 1
             self.keepalive_sent_at = now
             self.send_command("alive", f"alive-{self.keepalive_count}")
@@ -220,12 +217,12 @@
 
     @property
     def max_idle_ticks(self) -> int:
-        """Ticks of quiet after which it is asked for a sign; a third of what engines allow."""
+        """Ticks without input after which a keepalive is sent; a third of the engines' limit."""
         idle_ticks: int = self.socket_host.settings.idle_time // 3
         return idle_ticks
 
     def ended(self, why: str) -> None:
-        """The connection has ended: all that was open on it failed."""
+        """Fail all attempts that were open on the connection, which has closed."""
         engine_pool = self.engine_pool
         engine_pool.links.remove(self)
         self.socket_host.links.pop(self, None)
@@ -237,7 +234,8 @@
         in_flight_attempts, self.open = [*self.open.values()], {}
         if in_flight_attempts:
             self.socket_host.log(
-                f"link {engine_pool.engine.host_reference} ended: {why}; {len(in_flight_attempts)} out"
+                f"link {engine_pool.engine.host_reference} ended: {why}; "
+                f"{len(in_flight_attempts)} out"
             )
         for in_flight_attempt in in_flight_attempts:
             self.socket_host.fail_attempt(in_flight_attempt, "broken")
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -1,7 +1,7 @@
-"""An engine, its address, its connections, and the attempts that wait for one.
+"""Manages one engine's address, its connections, and the attempts that wait for a connection.
 
-Owns which attempt goes on which connection and when there is another one. It decides nothing about
-where a request goes.
+Decides which connection carries an attempt and when another connection is opened. Does not decide
+which engine gets a request.
 """
 
 from typing import Any
@@ -13,12 +13,13 @@
 from corkgauge.net.in_flight import InFlightAttempt
 from corkgauge.policy.records import Engine, EngineState
 
-MAX_SPREAD_CONNECTION_COUNT = 6  # connections to an engine at most, while that keeps attempts apart
-OWN_SHORTAGE_ERRORS = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}  # of ours, not the engine's
+# Connections that are opened to one engine so that its attempts need not share a connection.
+MAX_SPREAD_CONNECTION_COUNT = 6
+OWN_SHORTAGE_ERRORS = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}  # our resources, not the engine's
 
 
 class EnginePool:
-    """An engine, its address, its connections, and the attempts that wait for one."""
+    """One engine's address, its connections, and the attempts that wait for a connection."""
 
     __slots__ = (
         "address",
@@ -41,24 +42,25 @@
         self.socket_host = socket_host
         self.engine = engine
         self.address = ("", 0)
-        self.number = number  # in the order in which the list named them
-        self.row = socket_host.ledger.engine_row(engine.name)  # its row in the ledger
+        self.number = number  # position in the order in which engines were first listed
+        self.row = socket_host.ledger.engine_row(engine.name)  # ledger row of the engine
         self.links: list[EngineConnection] = []
-        # A list: a deque takes 760 bytes, also where nothing is ever sent.
+        # A list, as a deque takes 760 bytes even for an engine that never gets an attempt.
         self.waiting: list[InFlightAttempt] = []
         self.dialling = False
-        self.next_spare_dial_at = 0  # when a connection ahead of need may be dialled again
-        self.started_ms = 0  # the engine, in ms, as the list reports it
-        # Counts its processes and addresses; what a dial of an earlier one brings is for nothing.
+        self.next_spare_dial_at = 0  # earliest tick of the next dial ahead of need
+        self.started_ms = 0  # start date of the engine's process, from the endpoint list
+        # Incremented with each new process or address of the engine; a dial that began under an
+        # earlier generation is discarded.
         self.address_generation = 0
-        self.is_filling = False  # a fill is under way
-        self.is_fill_due = False  # one is due at the end of this turn
-        self.lacks_descriptor = False  # the last dial failed for want of descriptors of our own
+        self.is_filling = False  # `fill` is running
+        self.is_fill_due = False  # `fill` is scheduled for the end of this turn
+        self.lacks_descriptor = False  # this process had no descriptor for the last dial
 
     def enqueue(self, in_flight_attempt: InFlightAttempt) -> None:
-        """Let an attempt wait for a connection.
+        """Queue an attempt for a connection.
 
-        It is written at the end of this turn, when the gateway has made all its calls.
+        The attempt is written at the end of this turn, outside the gateway's own calls.
         """
         self.waiting.append(in_flight_attempt)
         self.socket_host.pools_with_waiting[self] = None
@@ -67,10 +69,10 @@
             self.socket_host.event_loop.unsent.append(self.fill)
 
     def fill(self) -> None:
-        """Write what waits to connections that have room; dial where there are none.
+        """Write waiting attempts to connections with room, and dial where there is none.
 
-        Never called from within the gateway's own calls, as the last look at a client may notify
-        the gateway that it has gone.
+        Must not be called from within the gateway's own calls: the check whether a client is still
+        connected may notify the gateway of a disconnect.
         """
         self.is_fill_due = False
         if self.engine.state != EngineState.READY or self.is_filling:
@@ -105,11 +107,11 @@
                 del self.waiting[0]
 
     def _link_for(self, client_request: ClientRequest) -> EngineConnection | None:
-        """Return the emptiest connection with room, whose engine has not closed it.
+        """Return the connection with the fewest open attempts that has room and is not closed.
 
-        What spoils one answer takes all with it that is open on its connection, so attempts keep
-        apart. Of what is written to a connection whose end has come by now nobody knows whether it
-        ran.
+        A corrupted answer ends the connection and fails all attempts open on it, so attempts are
+        spread over connections. The socket is polled because nobody could tell whether an attempt
+        ran that was written to a connection after the engine closed it.
         """
         usable_links = sorted(
             (each for each in self.links if each.has_room_for(client_request)),
@@ -121,13 +123,13 @@
         return None
 
     def _lacks_spare(self) -> bool:
-        """Tell whether another connection is wanted ahead of need.
+        """Return whether another connection should be opened ahead of need.
 
-        Hundreds of gateways that dial each engine ahead, most of which they send nothing, cost the
-        engines more than their requests do. So where a gateway's part of an engine is below one
-        attempt, the first connection waits for one, and a further one until two attempts had to
-        share. An engine outside the subset is used by exception, and has connections for what waits
-        alone.
+        If hundreds of gateways dialled each engine ahead of need, most of them to send nothing, the
+        connections would cost the engines more than the requests. So where this gateway's share of
+        an engine is below one attempt, the first connection is opened for the first attempt, and a
+        further one only after two attempts had to share a connection. Engines outside the subset
+        are used by exception and get connections for waiting attempts only.
         """
         if (
             len(self.links) >= MAX_SPREAD_CONNECTION_COUNT
@@ -144,9 +146,8 @@
         max_links = self.socket_host.max_links_per_engine()
         lacks_spare = self._lacks_spare()
         if lacks_spare:
-            self.socket_host.pools_lacking_spare[self] = (
-                None  # looked at again with the next change of the list
-            )
+            # Checked again at the next change of the endpoint list.
+            self.socket_host.pools_lacking_spare[self] = None
         else:
             self.socket_host.pools_lacking_spare.pop(self, None)
         may_dial_spare = lacks_spare and self.socket_host.now >= self.next_spare_dial_at
@@ -161,14 +162,14 @@
             self._wait_for_descriptor()
 
     def _wait_for_descriptor(self) -> None:
-        """Wait for descriptors: those that we lack are no fault of the engine's."""
+        """Retry later: a lack of descriptors in this process is not the engine's fault."""
         self.lacks_descriptor = True
         self.next_spare_dial_at = self.socket_host.now + SECOND
         self.socket_host.counters["no descriptor"] += 1
         self.socket_host.event_loop.call_later(SECOND // 100, self.fill)
 
     def dial(self, address: tuple[str, int]) -> None:
-        """Dial the engine and take the connection up; the task of one dial."""
+        """Connect to the engine and add the connection to the pool; runs as a task."""
         address_generation = self.address_generation
         sock, why = dial(self.socket_host.event_loop, address, self.socket_host.settings.dial_time)
         self.dialling = False
@@ -181,12 +182,12 @@
         self.lacks_descriptor = False
         if sock is None:
             self.socket_host.counters["unreached"] += 1
-            # Without a pause there would be dials without end where none is accepted.
+            # Without this pause an engine that accepts no connection would be dialled in a loop.
             self.next_spare_dial_at = self.socket_host.now + SECOND
             if address_generation == self.address_generation:
                 self._fail_waiting("unreached")
-        # A dial that began before its engine moved, or was started anew, says nothing of the one
-        # that attempts wait for now, whether it came up or not.
+        # A dial that began before the engine changed its address or restarted says nothing about
+        # the current process, whether the dial succeeded or not.
         elif (
             address_generation != self.address_generation or self.engine.state != EngineState.READY
         ):
@@ -199,14 +200,17 @@
         self.fill()
 
     def update_address(self, address: tuple[str, int], renewed: bool) -> None:
-        """Take its address from the list; a connection to what it was before is for nothing new."""
+        """Set the address from the endpoint list.
+
+        Connections to an earlier address or process get no new attempts.
+        """
         if address != self.address or renewed:
             self.address = address
             self.address_generation += 1
             self.retire_links()
 
     def retire_links(self) -> None:
-        """Let the connections that there are take nothing new."""
+        """Send no new attempts on the current connections, and close the unused ones."""
         for link in self.links:
             link.is_retired = True
             if not link.open:
@@ -215,7 +219,7 @@
     def withdraw(self) -> None:
         """Send nothing more to an engine that drains or is gone.
 
-        An attempt that waits for room would begin after that, so it fails now.
+        Waiting attempts fail now, as they would start on an engine that is leaving.
         """
         self.retire_links()
         self._fail_waiting("withdrawn")
--- a/corkgauge/net/engine_protocol.py
+++ b/corkgauge/net/engine_protocol.py
@@ -1,7 +1,8 @@
-"""The protocol of engines: RESP, both ways, as a machine fed with bytes.
+"""Parses and writes the engine protocol: RESP arrays of bulk strings in both directions.
 
-Owns framing and field decoding of one engine connection. Knows no socket and no clock, never raises
-on bad bytes, and keeps nothing but a part of an answer.
+Owns the framing and the field decoding of one engine connection. Works on bytes alone, without a
+socket or a clock, never raises an exception on malformed input, and keeps no state but an
+incomplete answer.
 """
 
 import re
@@ -9,45 +10,45 @@
 
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
-MAX_ANSWER_BYTES = 16_384  # an answer, with a page of 6,000 bytes, in any framing
-MAX_COMMAND_BYTES = 262_144 + 4_096  # a command, with a statement as large as a client's frame
-MAX_NUMBER_BYTES = 12  # a count with its mark, before the end of its line
+MAX_ANSWER_BYTES = 16_384  # holds a page of 6,000 bytes in any framing
+MAX_COMMAND_BYTES = 262_144 + 4_096  # holds a statement as large as a client's frame
+MAX_NUMBER_BYTES = 12  # a count with its type mark, without the end of the line
 MAX_ARRAY_PARTS = 8
-MIN_ANSWER_PARTS = 2  # identifier and word
-MAX_ANSWER_PARTS = 4  # and fields, and a page
+MIN_ANSWER_PARTS = 2  # name and word
+MAX_ANSWER_PARTS = 4  # name, word, fields and page
 MAX_PAGE_BYTES = 6_000
 NO_FIELDS = "-"
 
-# Rows of three columns, each row ended; no sign below the space stands in them.
+# Complete rows of three columns without control characters.
 PAGE_ROWS = re.compile(
     rb"(?:[^\x00-\x1f\x7f]*+\t[^\x00-\x1f\x7f]*+\t[^\x00-\x1f\x7f]*+\n)*+"
 ).fullmatch
 
 
 class AnswerOwner(Protocol):
-    """Who the answers are for."""
+    """Receiver of the answers."""
 
     def on_answer(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
-        """Take an answer to the attempt of this name; what is wrong with it, or an empty string."""
+        """Handle an answer to the named request; return what is wrong, or an empty string."""
 
 
 class EngineProtocol:
-    """Reads answers and passes each on to its owner.
+    """Parses answers and passes each of them to its owner.
 
-    What does not parse is the end of the connection, with all that is open there. `whole` counts
-    the answers that have come whole.
+    A malformed answer ends the connection and fails all attempts open on it. `whole` counts the
+    complete answers.
     """
 
     def __init__(self, owner: AnswerOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
         self.whole = 0
-        # Clients that stall hold the memory that rings may grow by. Answers must come in all the
-        # same, so this ring starts at its largest size.
+        # Stalled clients may use up the memory by which ring buffers grow. Answers have to be read
+        # all the same, so this ring buffer is allocated at its full size.
         self.inward = RingBuffer(MAX_ANSWER_BYTES, memory_budget, MAX_ANSWER_BYTES)
         self.outward = RingBuffer(MAX_COMMAND_BYTES, memory_budget)
 
     def advance(self) -> str:
-        """Take what is whole; what is wrong, or an empty string."""
+        """Handle all complete answers; return what is wrong with the input, or an empty string."""
         ring = self.inward
         data = ring.peek(len(ring))
         at = 0
@@ -56,7 +57,7 @@
             if wrong:
                 return wrong
             if not end:
-                return "" if ring.free else "an answer that is too long"
+                return "" if ring.free else "answer exceeds the input buffer of 16,384 bytes"
             ring.drop(end - at)
             self.whole += 1
             at = end
@@ -66,27 +67,27 @@
 
     def _on_answer(self, parts: list[bytes]) -> str:
         if not MIN_ANSWER_PARTS <= len(parts) <= MAX_ANSWER_PARTS:
-            return f"an answer of {len(parts)} parts"
+            return f"answer of {len(parts)} parts, expected 2 to 4"
         try:
             texts = [part.decode() for part in parts[:3]]
         except UnicodeDecodeError:
-            return "an answer that is not text"
+            return "answer is not UTF-8 text"
         fields = parse_fields(texts[2] if len(texts) > 2 else NO_FIELDS)
         if fields is None:
-            return "fields that make no sense"
+            return "answer with malformed fields, expected name=value pairs without repetition"
         body = parts[3] if len(parts) > 3 else b""
         return self.owner.on_answer(texts[0], texts[1], fields, body)
 
 
 def read_number(data: bytes, at: int, mark: bytes) -> tuple[int, int, str]:
-    """Return the number after a mark, where its line ends (0: not yet whole), and what is wrong."""
+    """Return the number after a type mark, the end of its line (0: incomplete), and any error."""
     if data[at : at + 1] != mark:
         wrong = f"{data[at : at + 1]!r} instead of {mark!r}" if at < len(data) else ""
         return 0, 0, wrong
     end = data.find(b"\r\n", at, at + MAX_NUMBER_BYTES)
     if end < 0:
         is_too_long = len(data) - at >= MAX_NUMBER_BYTES
-        return 0, 0, "a number without an end" if is_too_long else ""
+        return 0, 0, "number without the end of its line" if is_too_long else ""
     digits = data[at + 1 : end]
     if not digits.isdigit() or int(digits) > MAX_ANSWER_BYTES:
         return 0, 0, f"a count of {digits!r}"
@@ -94,7 +95,7 @@
 
 
 def read_array(data: bytes, at: int) -> tuple[int, list[bytes], str]:
-    r"""Return the end of an array of bulk strings (0: not yet whole), its parts, what is wrong.
+    r"""Return the end of an array of bulk strings (0: incomplete), its parts, and any error.
 
     >>> read_array(b"*2\r\n$1\r\na\r\n$0\r\n\r\n", 0)
     (17, [b'a', b''], '')
@@ -108,7 +109,7 @@
         return 0, [], wrong
     parts: list[bytes] = []
     if count > MAX_ARRAY_PARTS:
-        return 0, [], f"an answer of {count} parts"
+        return 0, [], f"answer of {count} parts, expected no more than 8"
     for _ in range(count):
         size, at, wrong = read_number(data, at, b"$")
         if not at:
@@ -116,14 +117,14 @@
         if at + size + 2 > len(data):
             return 0, [], ""
         if data[at + size : at + size + 2] != b"\r\n":
-            return 0, [], "a string longer than it says"
+            return 0, [], "bulk string is longer than its length field"
         parts.append(data[at : at + size])
         at += size + 2
     return at, parts, ""
 
 
 def parse_fields(text: str) -> dict[str, str] | None:
-    """Return the fields of an answer; None where they make no sense.
+    """Return the fields of an answer; None where they are malformed or repeated.
 
     >>> parse_fields("at=3,l=inflight:7;util:0.61"), parse_fields("-")
     ({'at': '3', 'l': 'inflight:7;util:0.61'}, {})
@@ -139,7 +140,7 @@
 
 
 def is_valid_page(body: bytes) -> bool:
-    r"""Tell whether it is a page as engines write them: whole rows, legal text, not too long.
+    r"""Return whether this is a valid page: complete rows, UTF-8 text, not too long.
 
     >>> is_valid_page(b"a\tb\tc\n"), is_valid_page(b""), is_valid_page(b"a\tb\tc")
     (True, True, False)
