--- a/corkgauge/net/client_protocol.py
+++ b/corkgauge/net/client_protocol.py
@@ -1,7 +1,8 @@
-"""The protocol of clients: binary frames, both ways, as a machine fed with bytes.
+"""Parses and writes the client protocol: binary frames in both directions.
 
-Owns framing and field decoding of one client connection, and the order of its streams. Knows no
-socket and no clock, never raises on bad bytes, and decides nothing but what a frame says.
+Owns the framing and the field decoding of one client connection, and the order of its stream
+numbers. Works on bytes alone, without a socket or a clock, never raises an exception on malformed
+input, and decides nothing beyond what a frame means.
 """
 
 from struct import Struct
@@ -9,7 +10,7 @@
 
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
-MAX_FRAME_BYTES = 262_144  # in the length field, which counts all that follows it
+MAX_FRAME_BYTES = 262_144  # largest value of the length field, which counts the bytes after it
 LENGTH_BYTES = 4
 MIN_FRAME_BYTES = 5  # kind and stream
 HEADER = Struct("<IBI")  # length, kind, stream
@@ -32,10 +33,13 @@
 
 
 class FrameOwner(Protocol):
-    """Who the frames are for. Each method says what is wrong with the connection, if anything."""
+    """Receiver of the frames.
+
+    Each method returns why the connection must be closed, or an empty string.
+    """
 
     def on_request_frame(self, stream: int, fields: dict[str, str], body: bytes) -> str:
-        """Take a request."""
+        """Handle a request."""
 
     def on_cancel_frame(self, stream: int) -> str:
         """Cancel the request of a stream."""
@@ -44,13 +48,13 @@
         """Answer a readiness check."""
 
     def on_unusable_frame(self, stream: int, wrong: str) -> str:
-        """Take note of a frame that makes no sense; stream 0: it belongs to none."""
+        """Handle an unusable frame; stream 0 means that the frame belongs to no stream."""
 
 
 class ClientProtocol:
-    """Reads frames and passes each on to its owner.
+    """Parses frames and passes each of them to its owner.
 
-    `whole` counts the frames that have come whole.
+    `whole` counts the complete frames.
     """
 
     def __init__(self, owner: FrameOwner, memory_budget: MemoryBudget) -> None:
@@ -61,7 +65,7 @@
         self.outward = RingBuffer(MAX_FRAME_BYTES + LENGTH_BYTES, memory_budget)
 
     def advance(self) -> str:
-        """Take what is whole; what is wrong with the framing, or an empty string."""
+        """Handle all complete frames; return why the connection must close, or an empty string."""
         ring = self.inward
         while len(ring) >= LENGTH_BYTES:
             length = int.from_bytes(ring.peek(LENGTH_BYTES), "little")
@@ -69,8 +73,7 @@
                 return f"a frame of length {length}"
             size = length + LENGTH_BYTES
             if len(ring) < size:
-                # A length is only a claim: memory is held for what has come, not for what is
-                # announced.
+                # The announced length is not trusted: memory grows with the bytes received.
                 if not ring.free:
                     ring.reserve(min(size, 2 * len(ring)))
                 break
@@ -83,7 +86,7 @@
 
     def _on_frame(self, kind: int, stream: int, payload: bytes) -> str:
         if kind == REQUEST:
-            # With a number used twice nobody could say whose answer comes under it.
+            # If a stream number were used twice, its answers could not be told apart.
             if stream <= self.last_stream:
                 return f"stream {stream} is not new"
             self.last_stream = stream
@@ -99,7 +102,7 @@
 
 
 def read_payload(payload: bytes) -> tuple[dict[str, str], bytes, str]:
-    r"""Return fields and body, or what is wrong with them.
+    r"""Return the fields, the body, and what is wrong with them, if anything.
 
     >>> read_payload(b"\1\5route\3\0abcselect 1")
     ({'route': 'abc'}, b'select 1', '')
@@ -130,7 +133,7 @@
 
 
 def frame_head(kind: int, stream: int, code: int, body: int) -> bytes:
-    """Return all of an answer but its body, which has `body` bytes; no fields are needed.
+    """Return an answer frame without fields, up to its body of `body` bytes.
 
     >>> frame_head(ANSWER, 7, SERVED, 2).hex()
     '0900000004070000000100'
@@ -139,5 +142,5 @@
 
 
 def leaving_frame() -> bytes:
-    """Return the frame that says that this gateway takes no new requests."""
+    """Return the frame that tells a client that this gateway accepts no new requests."""
     return HEADER.pack(5, LEAVING, 0)
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -1,7 +1,7 @@
-"""The watch on endpoint discovery: kept connected, asked again from the last whole event.
+"""Watches endpoint discovery: stays connected, and resumes after the last complete event.
 
-Owns the connection to one address, until that is left for another. It reads no event itself: the
-host does.
+Owns the connection to one discovery address, until the address changes. The host applies the
+events.
 """
 
 from typing import Any
@@ -10,27 +10,30 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.net import discovery_protocol
 
-MIN_BACKOFF_TICKS = SECOND // 20  # between two dials of an address that does not come up
+MIN_BACKOFF_TICKS = (
+    SECOND // 20
+)  # between two dials of an address that refuses or drops the connection
 MAX_BACKOFF_TICKS = SECOND // 2
-MAX_SILENCE_TICKS = 15_000  # a comment comes each second
-# That a line may take, with all that is before the first; notified counts as heard 7 s later.
+MAX_SILENCE_TICKS = 15_000  # without a byte; the server sends a comment each second
+# Time limit for one line, and for the status and headers before the first line. A gateway counts as
+# notified of a change 7 s after the announcement, so the limit stays below that.
 MAX_LINE_TICKS = 30_000
-LOOK_TICKS = MAX_SILENCE_TICKS // 8  # between two looks whether it is still alive
+LOOK_TICKS = MAX_SILENCE_TICKS // 8  # between two checks of the connection
 
 
 class DiscoveryWatch:
-    """Keeps discovery at one address connected, until it is left for another."""
+    """Keeps a connection to discovery at one address, until `leave` is called."""
 
     def __init__(self, socket_host: Any, address: tuple[str, int]) -> None:
         self.socket_host = socket_host
         self.address = address
         self.link: StreamConnection | None = None
         self.backoff = 0  # ticks until the next dial
-        self.is_lost = False
-        self.is_left = False
+        self.is_lost = False  # the loss of the connection has been logged
+        self.is_left = False  # another address has replaced this one
 
     def run(self) -> None:
-        """The task of this watch; it ends with the loop, or once the address is left."""
+        """Connect, and reconnect until the loop stops or the address is left; runs as a task."""
         event_loop = self.socket_host.event_loop
         while not (event_loop.stopped or self.is_left):
             begun = event_loop.now
@@ -47,7 +50,7 @@
             self._back_off(event_loop.now - begun)
 
     def _watch_connection(self, sock: Any) -> str:
-        """Read events until the connection ends; why it did."""
+        """Read events until the connection closes; return the reason."""
         event_loop = self.socket_host.event_loop
         protocol = discovery_protocol.DiscoveryProtocol(self, self.socket_host.server_ring_memory)
         link = self.link = StreamConnection(event_loop, sock, protocol, self)
@@ -61,8 +64,9 @@
     def _back_off(self, lasted: int) -> None:
         """Wait before the next dial.
 
-        What discovery says holds soon after a break, heard or not: so the first dial is at once,
-        and only those after a connection that ended at once wait, each longer.
+        The fleet acts on announced changes soon, even if this gateway has not received them. So the
+        first dial follows at once. Only after connections that failed within a second do the next
+        dials wait, each time longer.
         """
         if lasted > SECOND:
             self.backoff = 0
@@ -71,13 +75,13 @@
         self.backoff = min(max(2 * self.backoff, MIN_BACKOFF_TICKS), MAX_BACKOFF_TICKS)
 
     def leave(self) -> None:
-        """End the watch: another address holds from now on."""
+        """End the watch, as another discovery address has been configured."""
         self.is_left = True
         if self.link is not None:
-            self.link.end("left for another")
+            self.link.end("replaced by another discovery address")
 
     def on_event(self, number: str, data: str) -> str:
-        """Pass one event on to the host; what is wrong with it, or an empty string."""
+        """Pass one event to the host; return why the event is invalid, or an empty string."""
         self.backoff = 0
         if self.is_lost:
             self.is_lost = False
@@ -88,11 +92,11 @@
     def check_alive(
         self, link: StreamConnection, known_lines: int = -1, line_since: int = 0
     ) -> None:
-        """End a connection that is silent or stuck in a line, and look again later.
+        """Close a connection that is silent or never completes a line; called again by timer.
 
-        A server that stops keeps its connection open. A comment comes each second; without any sign
-        for half a second more it is dead. One that drips, or never says how it answers, gives signs
-        and no line.
+        A server that hangs keeps its connection open. The server sends a comment each second, so
+        after another half second without a byte the server counts as dead. A server that sends
+        single bytes, or no complete status line, is never silent, so the lines are timed as well.
         """
         if link is not self.link or link.why:
             return
@@ -101,16 +105,16 @@
             known_lines = link.machine.whole
             line_since = now
         if now - link.heard > MAX_SILENCE_TICKS:
-            link.end("silent")
+            link.end("no byte received for 1.5 s")
         elif now - line_since > MAX_LINE_TICKS:
-            link.end("a line that does not end")
+            link.end("no complete line received for 3 s")
         else:
             self.socket_host.event_loop.call_later(
                 LOOK_TICKS, self.check_alive, link, known_lines, line_since
             )
 
     def drained(self) -> None:
-        """All that was sent has left; nothing more is to be sent."""
+        """Do nothing: after the request there is nothing more to send."""
 
     def ended(self, why: str) -> None:
-        """The connection has ended; `run` goes on from there."""
+        """Do nothing: `run` continues after the connection has closed."""
--- a/corkgauge/net/discovery_protocol.py
+++ b/corkgauge/net/discovery_protocol.py
@@ -1,7 +1,7 @@
-"""The protocol of endpoint discovery: HTTP with server-sent events, as a machine fed with bytes.
+"""Parses the protocol of endpoint discovery: server-sent events over HTTP.
 
-Owns the request and the reading of its reply: status, headers, chunks, events. Knows no socket and
-no clock, and never raises on bad bytes.
+Owns the request, and the parsing of the response: status, headers, chunks, events. Works on bytes
+alone, without a socket or a clock, and never raises an exception on malformed input.
 """
 
 from collections.abc import Callable
@@ -12,21 +12,22 @@
 MAX_UNREAD_BYTES = 262_144
 MAX_HEADER_LINE_BYTES = 16_384
 REQUEST_BYTES = 4096
-# A line, so an event with the whole list. One that is refused is asked for again without end, and
-# the gateway goes on with an old list; 1,800 engines with ids of 36 characters take 300,000.
+# One line, and so one event with the complete list. An event over the limit would be requested
+# again without end while the gateway keeps an outdated list; 1,800 engines with ids of 36
+# characters take 300,000 bytes.
 MAX_LINE_BYTES = 2**20
-NEED_MORE = "more"  # what a reader returns until more bytes have come
+NEED_MORE = "more"  # returned by a reader that needs more bytes
 
 
 class EventOwner(Protocol):
-    """Who the events are for."""
+    """Receiver of the events."""
 
     def on_event(self, number: str, data: str) -> str:
-        """Take one event; what is wrong with it, or an empty string."""
+        """Handle one event; return why the event is invalid, or an empty string."""
 
 
 def request(host: str, last_event: int) -> bytes:
-    """The request for all events after `last_event`."""
+    """Return the HTTP request for all events after `last_event`."""
     return (
         f"GET /v1/events HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
         f"Last-Event-ID: {last_event}\r\nCache-Control: no-cache\r\n\r\n"
@@ -34,9 +35,9 @@
 
 
 class DiscoveryProtocol:
-    """Reads the stream of events and passes each on to its owner.
+    """Parses the event stream and passes each event to its owner.
 
-    `whole` counts the lines of the stream that have come whole, comments among them.
+    `whole` counts the complete lines of the stream, including comments.
     """
 
     def __init__(self, owner: EventOwner, memory_budget: MemoryBudget) -> None:
@@ -44,7 +45,7 @@
         self.whole = 0
         self.inward = RingBuffer(MAX_UNREAD_BYTES, memory_budget)
         self.outward = RingBuffer(REQUEST_BYTES, memory_budget)
-        # What comes next: a line, which `_on_line` takes, or a stretch of the event stream.
+        # Reader of the next bytes: a line of HTTP, for `_on_line`, or a part of the event stream.
         self._read: Callable[[], str] = self._read_line
         self._on_line: Callable[[bytes], str] = self._on_status
         self._is_chunked = False
@@ -54,7 +55,7 @@
         self._event_data: list[str] = []
 
     def advance(self) -> str:
-        """Take what has come; what is wrong, or an empty string."""
+        """Handle all received bytes; return what is wrong with them, or an empty string."""
         while (wrong := self._read()) == "":
             pass
         return "" if wrong == NEED_MORE else wrong
@@ -65,14 +66,14 @@
         if end >= 0:
             return self._on_line(self.inward.take(end + 1).rstrip(b"\r\n"))
         if len(self.inward) >= MAX_HEADER_LINE_BYTES:
-            return "a line that is too long"
+            return "line of the HTTP response exceeds 16,384 bytes"
         self.inward.reserve(2 * len(self.inward))
         return NEED_MORE
 
     def _on_status(self, line: bytes) -> str:
         parts = line.split()
         if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or parts[1] != b"200":
-            return f"status {line[:40]!r}"
+            return f"expected HTTP status 200, found {line[:40]!r}"
         self._on_line = self._on_header
         return ""
 
@@ -87,13 +88,13 @@
 
     def _on_chunk_size(self, line: bytes) -> str:
         if not line:
-            return ""  # the end of the chunk before
+            return ""  # end of the previous chunk
         try:
             self._chunk_bytes_left = int(line.split(b";")[0], 16)
         except ValueError:
-            return f"a chunk of size {line[:20]!r}"
+            return f"expected a chunk size in hexadecimal, found {line[:20]!r}"
         if self._chunk_bytes_left <= 0:
-            return "the end of the stream"
+            return "server ended the event stream"
         self._read = self._read_chunk
         return ""
 
@@ -119,15 +120,15 @@
             try:
                 text = line.decode()
             except UnicodeDecodeError:
-                return "an event that is not text"
+                return "event is not UTF-8 text"
             if wrong := self._on_event_line(text):
                 return wrong
         if len(self._partial_line) > MAX_LINE_BYTES:
-            return "a line that is too long"
+            return "line of an event exceeds 1,048,576 bytes"
         return ""
 
     def _on_event_line(self, line: str) -> str:
-        self.whole += 1  # a comment counts as well
+        self.whole += 1  # comments included
         if not line:
             return self._finish_event()
         name, _, value = line.partition(":")
@@ -137,7 +138,7 @@
         elif name == "data":
             self._event_data.append(value)
             if sum(map(len, self._event_data)) > MAX_LINE_BYTES:
-                return "an event that is too long"
+                return "event exceeds 1,048,576 bytes"
         return ""
 
     def _finish_event(self) -> str:
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The list of engines: events of discovery, checked whole, and what they change.
+"""Applies discovery events to the engines and their connection pools.
 
-Owns the number of the last event. It decides nothing: the gateway is notified of each engine, and
-each pool is told to fill or to withdraw.
+Checks each event completely before applying any of it, and owns the number of the last event. Makes
+no policy decision: the gateway is notified of each engine, and each pool fills or withdraws.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One engine as an event names it."""
+    """One engine as listed in an event."""
 
     name: str
     address: tuple[str, int]
@@ -37,34 +37,37 @@
 
 
 class EndpointList:
-    """Applies discovery's events to the engines of a host."""
+    """Applies discovery events to the engines of a host."""
 
     def __init__(self, host: SocketHost, last_event: int) -> None:
         self.host = host
         self.last_event = last_event
-        self.listed_count = 0  # engines that were ever listed, so far
+        self.listed_count = 0  # engines ever listed
 
     def on_event(self, data: str) -> str:
-        """Apply one event, as JSON; what is wrong with it, or an empty string."""
+        """Apply one event, as JSON; return why the event is invalid, or an empty string."""
         try:
             event = json.loads(data)
             number = int(event["n"])
         except (ValueError, TypeError, KeyError, RecursionError, OverflowError):
-            return "an event that makes no sense"
+            return "invalid event: expected a JSON object with an integer n"
         members = event.get("members")
         if number <= self.last_event:
-            return ""  # applied before
+            return ""  # already applied
         is_whole = isinstance(members, dict) and members.get("full")
         if number > self.last_event + 1 and not is_whole:
-            return f"event {number} after {self.last_event}"
-        wrong = self.apply(event) if members is not None else ""  # other news is none of ours
+            return f"event {number} follows event {self.last_event}: events are missing"
+        wrong = self.apply(event) if members is not None else ""  # others are not about engines
         if not wrong:
             self.last_event = number
             self.host.counters["events"] += 1
         return wrong
 
     def apply(self, event: Any) -> str:
-        """Apply an event's engines, once all of it was checked; what is wrong, or an empty string."""
+        """Check an event completely, then apply its engines.
+
+        Returns why the event is invalid, or an empty string.
+        """
         try:
             members = event["members"]
             entries = [self._read_entry(server) for server in members["servers"]]
@@ -77,7 +80,7 @@
             AttributeError,
             OverflowError,
         ) as problem:
-            return f"an event that makes no sense ({type(problem).__name__} {problem})"
+            return f"invalid event ({type(problem).__name__} {problem})"
         if is_whole:
             self._remove_unlisted({entry.name for entry in entries})
         changed: dict[EnginePool, None] = {}
@@ -100,7 +103,7 @@
         )
 
     def _remove_unlisted(self, listed: set[str]) -> None:
-        """What a whole list leaves out is gone."""
+        """Mark all engines as gone that a complete list does not name."""
         for engine_pool in self.host.engine_pools.values():
             engine = engine_pool.engine
             if engine.host_reference not in listed and engine.state != EngineState.GONE:
@@ -125,7 +128,7 @@
         name = entry.name
         engine = Engine(name, name.encode(), entry.zone, entry.kind, entry.cell, name=name)
         if self.host.works is not None:
-            # A machine that is out for maintenance may be listed anew; it is the same machine.
+            # An engine that is listed again during the maintenance of its machine stays cordoned.
             engine.cordon = self.host.works.cordon_for(name, entry.address)
         engine_pool = EnginePool(self.host, engine, self.listed_count)
         self.host.engine_pools[name] = engine_pool
@@ -133,11 +136,11 @@
         return engine_pool
 
     def _update_pools(self, changed: dict[EnginePool, None], is_whole: bool) -> None:
-        """Let pools fill or withdraw that a change may concern.
+        """Let the pools fill or withdraw that a change of the list may affect.
 
-        These are the ones that it names, those where something waits for a connection, and those
-        that lack one ahead of need. For all others a fill does nothing, as nothing that it looks at
-        has changed since their last.
+        These are the changed ones, those where attempts wait for a connection, and those that
+        should dial ahead of need. For all other pools `fill` would do nothing, as none of its
+        conditions has changed since the last call.
         """
         host = self.host
         concerned = {**changed, **host.pools_with_waiting, **host.pools_lacking_spare}
@@ -159,13 +162,14 @@
                 host.remove_gone_engine(engine_pool)
 
     def start_ticks(self, started_ms: int) -> int:
-        """Return when an engine started, in ticks of our clock, from the date in ms.
+        """Return when an engine started, in ticks of the event loop, from a date in ms.
 
-        Where a date was set, ours may be the wrong one, and an engine that counts as warm too early
-        collapses. So the later moment counts, but none to come.
+        If the system's date was changed, this machine's date may be the wrong one. An engine that
+        is taken for warm too early is overloaded, so the later of the two possible times counts,
+        but never a time in the future.
         """
         started = started_ms * TICKS_PER_MS
-        ahead = self.host.event_loop.ahead()
-        if not ahead or not started_ms:
+        ahead_ticks = self.host.event_loop.ahead()
+        if not ahead_ticks or not started_ms:
             return started
-        return min(started + max(ahead, 0), self.host.now)
+        return min(started + max(ahead_ticks, 0), self.host.now)
