--- a/corkgauge/net/__init__.py
+++ b/corkgauge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real workload manager: the gateway's decisions on live sockets."""
+"""Network part of the gateway: client, engine and discovery connections on sockets."""
--- a/corkgauge/net/acceptor.py
+++ b/corkgauge/net/acceptor.py
@@ -1,7 +1,7 @@
-"""The listener for clients: who is accepted, and when it is shut.
+"""Accepts client connections, and closes the listening socket at shutdown.
 
-Owns the listening socket. It reads no byte of a client, and leaves no connection behind that the
-system had accepted before it was shut.
+Owns the listening socket. Reads no bytes from clients. At shutdown, takes over every connection
+that the operating system has already accepted.
 """
 
 import errno
@@ -12,7 +12,7 @@
 from corkgauge.eventloop.loop import READ, EventLoop
 
 BACKLOG = 4096
-MAX_ACCEPTS_IN_A_ROW = 64  # before other tasks have their turn
+MAX_ACCEPTS_IN_A_ROW = 64  # before other tasks run
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 BARRED_PAUSE_TICKS = 100
 FULL_PAUSE_TICKS = 50
@@ -20,7 +20,7 @@
 
 
 class Acceptor:
-    """Listens at one address; while `is_barred` is true, everybody waits."""
+    """Listens at one address; accepts no client until `is_barred` has returned False."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         address: tuple[str, int],
         is_barred: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Listen at `address`; raises OSError where it cannot be had."""
+        """Listen at `address`; raises OSError if the address cannot be bound."""
         self.event_loop = event_loop
         self.socket_host = socket_host
         self.is_barred = is_barred
@@ -45,7 +45,7 @@
         self.sock.setblocking(False)
 
     def run(self) -> None:
-        """The task that accepts clients."""
+        """Accept clients until the acceptor is shut; runs as a task."""
         while self.is_open and self.is_barred():
             self.event_loop.sleep(BARRED_PAUSE_TICKS)
         while self.is_open:
@@ -56,14 +56,14 @@
                     break
 
     def _wait_for_room(self) -> None:
-        """Wait while all connections that clients may have are taken."""
+        """Wait while the number of client connections is at its limit."""
         host = self.socket_host
         while self.is_open and len(host.client_connections) >= host.max_client_connections:
-            made = host.make_room()
-            self.event_loop.sleep(ROOM_MADE_PAUSE_TICKS if made else FULL_PAUSE_TICKS)
+            has_made_room = host.make_room()
+            self.event_loop.sleep(ROOM_MADE_PAUSE_TICKS if has_made_room else FULL_PAUSE_TICKS)
 
     def _accept_one(self) -> bool:
-        """Accept one client, if there is any and a descriptor for it."""
+        """Accept one client; return False if none waits or no descriptor is free."""
         try:
             sock, _ = self.sock.accept()
         except OSError as problem:
@@ -73,16 +73,16 @@
             return False
         try:
             self.socket_host.add_client(sock)
-        except Exception:  # One bad connection would end the task that accepts all others.
+        except Exception:  # One faulty connection must not end the task that accepts all others.
             self.event_loop.troubled()
             sock.close()
         return True
 
     def shut(self) -> int:
-        """Accept all that wait, then nobody any more; how many those were.
+        """Accept all waiting connections, then stop listening; return how many there were.
 
-        What a client wrote to a connection that the system has accepted counts as received, whether
-        or not the program had looked at it.
+        Requests on a connection that the operating system has accepted count as received, whether
+        or not this program has accepted the connection.
         """
         if not self.is_open:
             return 0
--- a/corkgauge/net/amounts.py
+++ b/corkgauge/net/amounts.py
@@ -1,10 +1,10 @@
-"""Figures that strangers tell, clients and engines alike: read, or passed over."""
+"""Parses numbers in the input of clients and engines, which is not trusted."""
 
 MAX_AMOUNT = 1e12
 
 
 def parse_amount(text: str) -> float | None:
-    """Return a number that makes sense, or None.
+    """Return a number from 0 to below `MAX_AMOUNT`; None if the text is no such number.
 
     >>> parse_amount("820.0"), parse_amount("-3"), parse_amount("nan"), parse_amount("x")
     (820.0, None, None, None)
@@ -19,7 +19,7 @@
 
 
 def parse_load(report: str, otherwise: float) -> float:
-    """Return the attempts that an engine's load report counts, or `otherwise`.
+    """Return the number of attempts in an engine's load report, or `otherwise` if there is none.
 
     >>> parse_load("inflight:7;util:0.61", -1.0), parse_load("", 3.0), parse_load("inflight:x", -1.0)
     (7.0, 3.0, -1.0)
--- a/corkgauge/net/edge_counters.py
+++ b/corkgauge/net/edge_counters.py
@@ -1,6 +1,6 @@
-"""Counters of what happens at the program's edges and is no part of its accounts.
+"""Counts network events that are not part of the ledger.
 
-Owns the counts and the line that logs them. To count is one addition.
+Owns the counts and the format of their log line. Counting an event is one addition.
 """
 
 from collections import Counter
@@ -8,7 +8,7 @@
 
 
 class EdgeCounters(Counter[str]):
-    """Counts by name.
+    """Event counts by name.
 
     >>> counts = EdgeCounters(taken=2)
     >>> counts["answered served"] += 1
@@ -19,6 +19,6 @@
     """
 
     def line(self, more: Mapping[str, int] | None = None) -> str:
-        """Return all counts in one line, with `more` that others count."""
+        """Return all counts, and `more` counts of other parts, as one line."""
         counts = {**self, **(more or {})}
         return " ".join(f"{name.replace(' ', '_')}={counts[name]}" for name in sorted(counts))
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -1,6 +1,6 @@
-"""The live records of the host on sockets, as the auditor asks for them.
+"""Gives the auditor access to the live records of the host on sockets.
 
-Owns nothing. Must never change a record, and never ask the ledger for what a record should tell.
+Owns no state. Must never change a record, and never derive a record's data from the ledger.
 """
 
 from collections.abc import Sequence
@@ -8,37 +8,47 @@
 
 
 class LiveRecords:
-    """What the auditor compares; see `AuditedRecords` for what each method returns."""
+    """Implements `AuditedRecords`, which documents each method, for the host on sockets."""
 
     def __init__(self, socket_host: Any) -> None:
         self.socket_host = socket_host
 
     def open_entries(self) -> list[Any]:
+        """Return a copy of the open requests."""
         return [request.host_reference for request in self.socket_host.open_requests.values()]
 
     def answering_entries(self) -> list[Any]:
+        """Return a copy of the finished requests whose answer is not completely written."""
         return [*self.socket_host.answering]
 
     def attempts_in_flight(self) -> list[Any]:
+        """Return a copy of the attempts in flight, including cancelled ones without an outcome."""
         return [
             *self.socket_host.in_flight_attempts.values(),
             *self.socket_host.cancelled_attempts.values(),
         ]
 
     def attempt_mismatch(self, in_flight_attempt: Any) -> str:
+        """Return how an attempt in flight differs from the gateway's record, or an empty string."""
         socket_host, attempt = self.socket_host, in_flight_attempt.attempt
         if attempt in socket_host.in_flight_attempts or attempt in socket_host.cancelled_attempts:
             if not attempt.is_in_flight or attempt.outcome >= 0:
                 return (
-                    f"the gateway holds hand-off {abs(in_flight_attempt.serial)} over, the host out"
+                    f"attempt {abs(in_flight_attempt.serial)} has finished for the gateway, and is "
+                    "in flight for the host"
                 )
         return ""
 
     def engines(self) -> list[Any]:
+        """Return a copy of the engine pools."""
         return [*self.socket_host.engine_pools.values()]
 
     def engine_mismatch(self, engine_pool: Any) -> tuple[str, str]:
-        """Danger: a slot that the gateway never gets back is lost for good, and nothing else shows it."""
+        """Return an engine's name, and what only the gateway counts as in flight there.
+
+        A slot that is never given back to the gateway is lost for good, and only this check shows
+        the loss.
+        """
         socket_host, engine = self.socket_host, engine_pool.engine
         lost = threads = 0
         for attempt in engine.stats.in_flight:
@@ -48,15 +58,17 @@
             )
             threads += attempt.request.request_class.threads if attempt.request else 0
         if lost:
-            return engine.name, f"the gateway holds {lost} hand-offs out that the host does not"
+            return engine.name, f"{lost} attempts in flight for the gateway, not for the host"
         if threads != engine.threads_in_flight:
-            return engine.name, f"{engine.threads_in_flight} threads counted, {threads} out"
+            return engine.name, f"{engine.threads_in_flight} threads counted, {threads} in flight"
         return engine.name, ""
 
     def engine_name(self, engine_pool: Any) -> str:
+        """Return an engine's name."""
         return engine_pool.engine.name
 
     def connections(self) -> Sequence[tuple[int, int]]:
+        """Return, by side, the number of open connections and the pages received on them."""
         links = [
             link
             for engine_pool in self.socket_host.engine_pools.values()
@@ -68,7 +80,7 @@
         )
 
     def live_bytes(self) -> Sequence[tuple[int, int, int]]:
-        """By side: bytes received and sent, and pages, of connections that are up."""
+        """Return, by side, the bytes received, bytes sent and pages of open connections."""
         sides = [[0, 0, 0], [0, 0, 0]]
         for client_connection in self.socket_host.client_connections:
             _add(sides[0], client_connection.link, 0)
@@ -78,7 +90,11 @@
         return [(got, sent, pages) for got, sent, pages in sides]
 
     def find_trace(self, serial: int) -> str:
-        """Danger: a submission that its table lost is still owed its answer, and its stream knows it."""
+        """Return the stream of the request with this serial number, or an empty string.
+
+        A request that is missing from the table of open requests still needs its answer, and can be
+        found through the stream.
+        """
         for client_connection in self.socket_host.client_connections:
             for stream, request in client_connection.open.items():
                 if request is not None and abs(request.host_reference.serial) == serial:
--- a/corkgauge/net/request_fields.py
+++ b/corkgauge/net/request_fields.py
@@ -1,8 +1,8 @@
-"""The fields of a client's request: read, checked, and turned into the program's own records.
+"""Parses and checks the fields of a client's request.
 
-All that a client says is a stranger's: nothing of it may raise, and the first field that cannot be
-used is named. An engine closes the connection on what it cannot use, with all that others have open
-there.
+Client input is not trusted: no value may raise an exception, and the first unusable field is
+reported by name. All fields are checked here because an engine closes the connection when it gets
+an unusable one, which also fails the other clients' requests on that connection.
 """
 
 import re
@@ -13,10 +13,11 @@
 from corkgauge.net.engine_connection import REQUEST_NAME
 from corkgauge.policy.records import Repeatability, RequestClass
 
-MAX_WORK_MS = 3.6e6  # work that any request may claim
+MAX_WORK_MS = 3.6e6  # largest work estimate of a request
 TICKS_PER_MS = 10
-# A client may name a time to its deadline of so many times its class's. A little more is no fault:
-# a good client's clock and ours differ, and it adds its own way to us.
+# Largest time to the deadline that a client may send, as a multiple of the request class's time.
+# Somewhat more than the class's time is valid: the client's clock differs from the gateway's, and
+# the client adds the network delay to the gateway.
 MAX_DEADLINE_RATIO = 2
 PLAIN_TEXT = re.compile(r"[!-+\-.-<>-~]{1,128}").fullmatch
 ORDER_KEY = re.compile(r"[0-9a-fA-F]{1,16}").fullmatch
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFields:
-    """What a request says, once every field of it can be used."""
+    """The fields of a request, all of them valid."""
 
     request_class: RequestClass
     tenant: int
@@ -34,18 +35,18 @@
     memory_mb: float
     name: str
     order_key: int
-    idempotency_key: str  # its idempotency key; empty: none
+    idempotency_key: str  # empty: none
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableField:
-    """The first field that cannot be used."""
+    """The name of the first unusable field."""
 
     name: str
 
 
 class RequestFieldReader:
-    """Reads the fields of requests against what the settings allow."""
+    """Parses the fields of requests and checks them against the settings."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         self.names_in_use = names_in_use
 
     def read(self, fields: Mapping[str, str], statement: bytes) -> RequestFields | UnusableField:
-        """Return the fields of a request, or the first that cannot be used."""
+        """Return the fields of a request, or the first unusable one."""
         request_class = self.request_classes.get(fields.get("route", ""))
         if request_class is None:
             return UnusableField("route")
@@ -71,7 +72,7 @@
         if not time_to_deadline or not _is_deadline_allowed(time_to_deadline, request_class):
             return UnusableField("patience")
         work = parse_amount(fields.get("weight") or "0")
-        # A figure that is named must be one.
+        # A weight that is given must be a positive number.
         if work is None or work > MAX_WORK_MS or (fields.get("weight") and not work):
             return UnusableField("weight")
         memory = parse_amount(fields.get("est_mb") or "0")
@@ -94,11 +95,11 @@
         )
 
     def _wrong_identity(self, fields: Mapping[str, str], request_class: RequestClass) -> str:
-        """Return the first of the identifying fields that cannot be used, or an empty string."""
+        """Return the name of the first unusable identifying field, or an empty string."""
         if not ORDER_KEY(fields.get("entity") or "0"):
             return "entity"
         name = fields.get("trace", "")
-        # An id names one request: an answer under it would be another's.
+        # With two open requests of one name, answers could reach the wrong request.
         if not REQUEST_NAME(name) or name in self.names_in_use:
             return "trace"
         nonce = fields.get("nonce", "")
@@ -110,13 +111,13 @@
 
 
 def _is_deadline_allowed(time_to_deadline_ms: float, request_class: RequestClass) -> bool:
-    """Tell whether nobody would wait much longer than the class lets him."""
+    """Return whether the time to the deadline is within the limit of the request class."""
     ticks = time_to_deadline_ms * TICKS_PER_MS
     return ticks <= MAX_DEADLINE_RATIO * request_class.time_to_deadline
 
 
 def is_sendable(statement: bytes) -> bool:
-    """Tell whether a statement may go on to an engine.
+    """Return whether a statement may be sent to an engine.
 
     >>> is_sendable(b"select 1"), is_sendable(b""), is_sendable(b" ")
     (True, False, False)
@@ -131,7 +132,7 @@
 
 
 def is_plain(text: str) -> bool:
-    """Tell whether a text may stand in a command's fields unchanged.
+    """Return whether a text may be part of a command's fields without escaping.
 
     >>> is_plain("9b1f03aa"), is_plain(""), is_plain("a,b"), is_plain("a=b"), is_plain("a b")
     (True, False, False, False, False)
--- a/corkgauge/net/table_group.py
+++ b/corkgauge/net/table_group.py
@@ -1,13 +1,13 @@
-"""The table group of a statement: the number in the name of the schema that it reads or writes.
+"""Finds a statement's table group: the number in the name of the schema of its tables.
 
-Never raises, whatever the statement. A statement can be as large as a frame, so all work that grows
-with its length is done by the regular expressions, none by a loop here.
+Never raises an exception, whatever the statement. A statement can be as large as a frame, so all
+work that grows with the length is done by regular expressions and none by Python loops.
 """
 
 import re
 
-# Strings, comments and quoted names that are no plain words cannot name a group, so they are
-# blanked out. One that is never closed runs on to the end.
+# Strings, comments, and quoted names that are not plain words cannot name a table group, so they
+# are replaced by spaces. An unclosed one extends to the end of the statement.
 NOISE = re.compile(
     rb"""
     '(?:[^']+|'')*+(?:'|\Z) | --[^\n]* | /\*.*?(?:\*/|\Z)
@@ -34,7 +34,7 @@
     (17.0, 0.0)
     """
     found = TABLE.search(statement)
-    # What comes before the match, a comment or a string, may hide it.
+    # The match may be inside a comment or a string that begins before it.
     if not found or MAY_HIDE.search(statement, 0, found.end()):
         plain = NOISE.sub(rb" \1", statement)
         found = TABLE.search(plain) or ANYWHERE.search(plain)
