--- a/corkgauge/net/client_protocol.py
+++ b/corkgauge/net/client_protocol.py
@@ -112,24 +112,24 @@
     if not payload:
         return {}, b"", "no count of fields"
     fields: dict[str, str] = {}
-    at = 1
+    position = 1
     for _ in range(payload[0]):
-        begin = at + 1
-        middle = begin + (payload[at] if at < len(payload) else 0)
-        if middle + 2 > len(payload):
+        name_begin = position + 1
+        name_end = name_begin + (payload[position] if position < len(payload) else 0)
+        if name_end + 2 > len(payload):
             return {}, b"", "a field cut short"
-        at = middle + 2 + VALUE.unpack_from(payload, middle)[0]
-        if at > len(payload):
+        position = name_end + 2 + VALUE.unpack_from(payload, name_end)[0]
+        if position > len(payload):
             return {}, b"", "a field cut short"
         try:
-            name = payload[begin:middle].decode()
-            value = payload[middle + 2 : at].decode()
+            name = payload[name_begin:name_end].decode()
+            value = payload[name_end + 2 : position].decode()
         except UnicodeDecodeError:
             return {}, b"", "a field that is not text"
         if name in fields:
             return {}, b"", "a field told twice"
         fields[name] = value
-    return fields, payload[at:], ""
+    return fields, payload[position:], ""
 
 
 def frame_head(kind: int, stream: int, code: int, body: int) -> bytes:
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -10,9 +10,8 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.net import discovery_protocol
 
-MIN_BACKOFF_TICKS = (
-    SECOND // 20
-)  # between two dials of an address that refuses or drops the connection
+# Pauses between two dials of an address that refuses or drops the connection.
+MIN_BACKOFF_TICKS = SECOND // 20
 MAX_BACKOFF_TICKS = SECOND // 2
 MAX_SILENCE_TICKS = 15_000  # without a byte; the server sends a comment each second
 # Time limit for one line, and for the status and headers before the first line. A gateway counts as
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -54,8 +54,8 @@
         members = event.get("members")
         if number <= self.last_event:
             return ""  # already applied
-        is_whole = isinstance(members, dict) and members.get("full")
-        if number > self.last_event + 1 and not is_whole:
+        is_full_list = isinstance(members, dict) and members.get("full")
+        if number > self.last_event + 1 and not is_full_list:
             return f"event {number} follows event {self.last_event}: events are missing"
         wrong = self.apply(event) if members is not None else ""  # others are not about engines
         if not wrong:
@@ -71,7 +71,7 @@
         try:
             members = event["members"]
             entries = [self._read_entry(server) for server in members["servers"]]
-            is_whole = bool(members.get("full"))
+            is_full_list = bool(members.get("full"))
         except (
             ConfigurationError,
             ValueError,
@@ -81,13 +81,13 @@
             OverflowError,
         ) as problem:
             return f"invalid event ({type(problem).__name__} {problem})"
-        if is_whole:
+        if is_full_list:
             self._remove_unlisted({entry.name for entry in entries})
         changed: dict[EnginePool, None] = {}
         for entry in entries:
             changed[self._update_engine(entry)] = None
         self.host.gateway.on_engine_list_complete()
-        self._update_pools(changed, is_whole)
+        self._update_pools(changed, is_full_list)
         return ""
 
     def _read_entry(self, server: Any) -> EndpointEntry:
@@ -135,7 +135,7 @@
         self.listed_count += 1
         return engine_pool
 
-    def _update_pools(self, changed: dict[EnginePool, None], is_whole: bool) -> None:
+    def _update_pools(self, changed: dict[EnginePool, None], is_full_list: bool) -> None:
         """Let the pools fill or withdraw that a change of the list may affect.
 
         These are the changed ones, those where attempts wait for a connection, and those that
@@ -145,7 +145,7 @@
         host = self.host
         concerned = {**changed, **host.pools_with_waiting, **host.pools_lacking_spare}
         engine_pools = sorted(
-            host.engine_pools.values() if is_whole else concerned,
+            host.engine_pools.values() if is_full_list else concerned,
             key=lambda engine_pool: engine_pool.number,
         )
         for engine_pool in engine_pools:
--- a/corkgauge/net/engine_protocol.py
+++ b/corkgauge/net/engine_protocol.py
@@ -51,16 +51,16 @@
         """Handle all complete answers; return what is wrong with the input, or an empty string."""
         ring = self.inward
         data = ring.peek(len(ring))
-        at = 0
-        while at < len(data):
-            end, parts, wrong = read_array(data, at)
+        position = 0
+        while position < len(data):
+            end, parts, wrong = read_array(data, position)
             if wrong:
                 return wrong
             if not end:
                 return "" if ring.free else "answer exceeds the input buffer of 16,384 bytes"
-            ring.drop(end - at)
+            ring.drop(end - position)
             self.whole += 1
-            at = end
+            position = end
             if wrong := self._on_answer(parts):
                 return wrong
         return ""
@@ -79,22 +79,24 @@
         return self.owner.on_answer(texts[0], texts[1], fields, body)
 
 
-def read_number(data: bytes, at: int, mark: bytes) -> tuple[int, int, str]:
+def read_number(data: bytes, position: int, mark: bytes) -> tuple[int, int, str]:
     """Return the number after a type mark, the end of its line (0: incomplete), and any error."""
-    if data[at : at + 1] != mark:
-        wrong = f"{data[at : at + 1]!r} instead of {mark!r}" if at < len(data) else ""
+    if data[position : position + 1] != mark:
+        wrong = (
+            f"{data[position : position + 1]!r} instead of {mark!r}" if position < len(data) else ""
+        )
         return 0, 0, wrong
-    end = data.find(b"\r\n", at, at + MAX_NUMBER_BYTES)
+    end = data.find(b"\r\n", position, position + MAX_NUMBER_BYTES)
     if end < 0:
-        is_too_long = len(data) - at >= MAX_NUMBER_BYTES
+        is_too_long = len(data) - position >= MAX_NUMBER_BYTES
         return 0, 0, "number without the end of its line" if is_too_long else ""
-    digits = data[at + 1 : end]
+    digits = data[position + 1 : end]
     if not digits.isdigit() or int(digits) > MAX_ANSWER_BYTES:
         return 0, 0, f"a count of {digits!r}"
     return int(digits), end + 2, ""
 
 
-def read_array(data: bytes, at: int) -> tuple[int, list[bytes], str]:
+def read_array(data: bytes, position: int) -> tuple[int, list[bytes], str]:
     r"""Return the end of an array of bulk strings (0: incomplete), its parts, and any error.
 
     >>> read_array(b"*2\r\n$1\r\na\r\n$0\r\n\r\n", 0)
@@ -104,23 +106,23 @@
     >>> read_array(b"*1\r\n$9999999\r\n", 0)[2]
     "a count of b'9999999'"
     """
-    count, at, wrong = read_number(data, at, b"*")
-    if not at:
+    count, position, wrong = read_number(data, position, b"*")
+    if not position:
         return 0, [], wrong
     parts: list[bytes] = []
     if count > MAX_ARRAY_PARTS:
         return 0, [], f"answer of {count} parts, expected no more than 8"
     for _ in range(count):
-        size, at, wrong = read_number(data, at, b"$")
-        if not at:
+        size, position, wrong = read_number(data, position, b"$")
+        if not position:
             return 0, [], wrong
-        if at + size + 2 > len(data):
+        if position + size + 2 > len(data):
             return 0, [], ""
-        if data[at + size : at + size + 2] != b"\r\n":
+        if data[position + size : position + size + 2] != b"\r\n":
             return 0, [], "bulk string is longer than its length field"
-        parts.append(data[at : at + size])
-        at += size + 2
-    return at, parts, ""
+        parts.append(data[position : position + size])
+        position += size + 2
+    return position, parts, ""
 
 
 def parse_fields(text: str) -> dict[str, str] | None:
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -60,9 +60,8 @@
         self.acceptor: Any = None  # set where the program listens for clients
         self.farewell_started_at = NEVER  # tick at which the client connections were shut down
         self.client_connections: dict[ClientConnection, None] = {}
-        self.max_client_connections = (
-            platform_config.max_sockets // 2
-        )  # the usual clients take a third
+        # The usual clients take a third of the sockets.
+        self.max_client_connections = platform_config.max_sockets // 2
         # Latest request of each order key: tick of arrival, assumed delay at the client in ticks,
         # whether the request was the first of its connection.
         self.arrivals_by_order_key: dict[int, tuple[int, int, bool]] = {}
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -64,12 +64,12 @@
         self, in_flight: InFlightAttempt, fields: Mapping[str, str], body: bytes
     ) -> str:
         """Handle a further page of a result; return why it is invalid, or an empty string."""
-        at = fields.get("at", "")
-        is_number = at.isdecimal() and len(at) <= MAX_PAGE_NUMBER_DIGITS
-        number = int(at) if is_number else 0
+        page_number_text = fields.get("at", "")
+        is_number = page_number_text.isdecimal() and len(page_number_text) <= MAX_PAGE_NUMBER_DIGITS
+        number = int(page_number_text) if is_number else 0
         is_awaited = in_flight.is_answered and 0 < number < len(in_flight.pages)
         if not is_awaited or not is_valid_page(body) or in_flight.pages[number] not in (None, body):
-            return f"page {at[:8]!r} of a result is unexpected or invalid"
+            return f"page {page_number_text[:8]!r} of a result is unexpected or invalid"
         if in_flight.pages[number] is None:
             in_flight.link.count_page()
         in_flight.pages[number] = body
--- a/corkgauge/net/table_group.py
+++ b/corkgauge/net/table_group.py
@@ -8,7 +8,7 @@
 
 # Strings, comments, and quoted names that are not plain words cannot name a table group, so they
 # are replaced by spaces. An unclosed one extends to the end of the statement.
-NOISE = re.compile(
+IGNORED_TEXT = re.compile(
     rb"""
     '(?:[^']+|'')*+(?:'|\Z) | --[^\n]* | /\*.*?(?:\*/|\Z)
   | ("[\w$]*"(?!") | `[\w$]*`)
@@ -16,15 +16,15 @@
 """,
     re.X | re.S,
 )
-NAME = rb"""(?: (?!staging\b) [A-Za-z_\x80-\xff] [\w$\x80-\xff]* _ | ["`] (?!staging\b) [\w$]* _ )
+SCHEMA = rb"""(?: (?!staging\b) [A-Za-z_\x80-\xff] [\w$\x80-\xff]* _ | ["`] (?!staging\b) [\w$]* _ )
             (\d{1,9}) ["`]? \s* \. \s* ["`]? [A-Za-z_\x80-\xff]"""
-TABLE = re.compile(
+TABLE_REFERENCE = re.compile(
     rb"(?i) \b (?: from|join|into|update|table|using|only|overwrite|copy|exists ) \b [\s(]* "
-    + NAME,
+    + SCHEMA,
     re.X,
 )
-MAY_HIDE = re.compile(rb"['\"`]|--|/\*")
-ANYWHERE = re.compile(rb"(?i) (?<! [\w$.\x80-\xff] ) " + NAME, re.X)
+MAY_HIDE_MATCH = re.compile(rb"['\"`]|--|/\*")
+SCHEMA_ANYWHERE = re.compile(rb"(?i) (?<! [\w$.\x80-\xff] ) " + SCHEMA, re.X)
 
 
 def group_number(statement: bytes) -> float:
@@ -33,9 +33,9 @@
     >>> group_number(b"SELECT 'x from sales_3.a' FROM sales_17.orders"), group_number(b"select 1")
     (17.0, 0.0)
     """
-    found = TABLE.search(statement)
+    found = TABLE_REFERENCE.search(statement)
     # The match may be inside a comment or a string that begins before it.
-    if not found or MAY_HIDE.search(statement, 0, found.end()):
-        plain = NOISE.sub(rb" \1", statement)
-        found = TABLE.search(plain) or ANYWHERE.search(plain)
+    if not found or MAY_HIDE_MATCH.search(statement, 0, found.end()):
+        plain = IGNORED_TEXT.sub(rb" \1", statement)
+        found = TABLE_REFERENCE.search(plain) or SCHEMA_ANYWHERE.search(plain)
     return float(found[1]) if found else 0.0
