--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -1,8 +1,8 @@
-"""The gateway's host on sockets.
+"""Implements the gateway's host protocol on sockets.
 
-Owns the open requests, the attempts in flight, the engine pools, and the bounds on memory and
-descriptors. It decides nothing: it notifies the gateway of what happened and does what that says.
-It never calls the gateway from within one of the gateway's own calls.
+Owns the open requests, the attempts in flight, the engine pools, and the limits on memory and
+descriptors. The host makes no policy decision: it notifies the gateway of events and carries out
+the gateway's calls. It never calls the gateway from within one of the gateway's own calls.
 """
 
 from collections import deque
@@ -22,7 +22,7 @@
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
 from corkgauge.net.edge_counters import EdgeCounters
 from corkgauge.net.endpoint_list import EndpointList
-from corkgauge.net.engine_connection import ENDS, EngineConnection
+from corkgauge.net.engine_connection import OUTCOME_BY_ANSWER, EngineConnection
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.in_flight import InFlightAttempt, outcome_of
 from corkgauge.net.live_records import LiveRecords
@@ -35,24 +35,25 @@
     Request,
 )
 
-MISSED_REPORTS = 3  # reports on an attempt that an engine may omit, until it counts as lost
-MIN_HELD_BYTES = 4 * 2**20
-AUDIT_TICKS = SECOND  # between two passes over the ledger
-AUDIT_SLICE_TICKS = 20  # between two slices of a pass
-NOTES = {"advance": 1, "disk": 2, "stall": 3}
+# Progress reports on an attempt that an engine may omit before the attempt counts as lost.
+MAX_MISSED_REPORT_COUNT = 3
+MIN_HELD_BYTES = 4 * 2**20  # for buffers and records together
+AUDIT_TICKS = SECOND  # pause between two passes over the ledger
+AUDIT_SLICE_TICKS = 20  # pause between two slices of a pass
+PROGRESS_KINDS = {"advance": 1, "disk": 2, "stall": 3}
 
 
 class UnstartedHost:
-    """Stands in for the host where settings are only checked."""
+    """Stands in for the host where a configuration is checked and not used."""
 
     now = lag = 0
 
     def call_later(self, *_: Any) -> None:
-        """Nothing is ever called back."""
+        """Ignore the request for a callback."""
 
 
-def stated_of(platform_config: PlatformConfig, host: Any) -> Settings:
-    """Return what a configuration states; raises `ConfigurationError` where it makes no sense."""
+def build_settings(platform_config: PlatformConfig, host: Any) -> Settings:
+    """Return a configuration's settings; raise `ConfigurationError` if a value is invalid."""
     try:
         return Settings(platform_config.settings, host, platform_config.seed, platform_config.name)
     except (ValueError, TypeError, AttributeError, KeyError) as problem:
@@ -60,9 +61,9 @@
 
 
 class SocketHost:
-    """The host protocol on sockets.
+    """Implements the host protocol on sockets.
 
-    `held` is the memory in bytes that the program holds at its start.
+    `used_bytes` is the memory that the process uses at its start.
     """
 
     def __init__(
@@ -70,61 +71,71 @@
         event_loop: EventLoop,
         platform_config: PlatformConfig,
         log: Callable[[str], None],
-        held: int = 0,
+        used_bytes: int = 0,
     ) -> None:
         self.event_loop = event_loop
         self.log = log
         self.counters = EdgeCounters()
-        # With little memory the program itself holds most of it. Half of what it had left at its
-        # start may be held for others, in four equal parts. The rest is for records.
-        part_bytes = max(platform_config.memory_bytes - held, MIN_HELD_BYTES) // 2 // 4
-        self.rings = MemoryBudget(part_bytes)  # of client connections
-        self.lines = MemoryBudget(part_bytes)  # of connections to engines and to discovery
-        self.results = MemoryBudget(part_bytes)
-        self.statements = MemoryBudget(part_bytes)
-        # A half is the clients' at most, a third goes to engines, and the rest stays free for
-        # discovery and what is new.
-        self.links_most = platform_config.max_sockets // 3
-        self.dials = 0  # under way
-        self.names: dict[str, Request] = {}  # open requests
-        self.engine_pools: dict[str, EnginePool] = {}
-        # Kept so that no request, timer or change of the list costs what the whole list does.
-        self.links: dict[EngineConnection, None] = {}  # that are up
-        self.closing: dict[EnginePool, None] = {}  # engines that drain or are gone
-        self.awaited: dict[EnginePool, None] = {}  # where something waits for a connection
-        self.short: dict[EnginePool, None] = {}  # that lack a connection ahead of need
+        # Half of the memory that the process leaves unused at its start is for buffers, in four
+        # equal parts; the rest is for records. With a small limit the process itself uses most of
+        # the memory, so the size at the start has to be subtracted first.
+        part_bytes = max(platform_config.memory_bytes - used_bytes, MIN_HELD_BYTES) // 2 // 4
+        self.client_ring_memory = MemoryBudget(part_bytes)  # ring buffers of client connections
+        # Ring buffers of connections to engines and to discovery.
+        self.server_ring_memory = MemoryBudget(part_bytes)
+        self.result_memory = MemoryBudget(part_bytes)
+        self.statement_memory = MemoryBudget(part_bytes)
+        # Clients get half of the descriptors at most and engines a third; the rest stays free for
+        # discovery and for new connections.
+        self.max_engine_links = platform_config.max_sockets // 3
+        self.dials_in_progress = 0  # connections to engines that are being opened
+        self.open_requests: dict[str, Request] = {}  # by name
+        self.engine_pools: dict[str, EnginePool] = {}  # by the engine's name
+        # The next four are subsets, kept so that no request, timer or change of the endpoint list
+        # has to walk all engines.
+        self.links: dict[EngineConnection, None] = {}  # open connections to engines
+        self.closing_pools: dict[EnginePool, None] = {}  # of engines that drain or are gone
+        self.pools_with_waiting: dict[EnginePool, None] = {}  # with attempts that wait for a link
+        self.pools_lacking_spare: dict[EnginePool, None] = {}  # that should dial ahead of need
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
         self.pager = ResultPager(self)
-        self.ended: deque[Request] = deque()
-        self.settings = stated_of(platform_config, self)
+        self.finished_requests: deque[Request] = deque()
+        self.settings = build_settings(platform_config, self)
         if (
             platform_config.settings.get("myNumber") is None
             and self.settings.gateway.options.gateway_count > 1
         ):
             number = self.settings.gateway.options.gateway_number
-            log(f"myNumber is not told: {number}, from the name; sets of engines are less even")
+            log(
+                f"settings: myNumber is missing; using gateway number {number}, derived from the "
+                "gateway's name, so engines are spread less evenly over the gateways' subsets; "
+                "set a different myNumber for each gateway"
+            )
         self.gateway = self.settings.gateway
-        self.most_memory = max(self.settings.sizes, default=1e6)
-        self.patience = MISSED_REPORTS * self.settings.tells
+        self.max_request_memory_mb = max(self.settings.sizes, default=1e6)
+        self.report_timeout_ticks = MAX_MISSED_REPORT_COUNT * self.settings.tells
         self.request_classes = {each.name: each for each in self.settings.request_classes}
         self.discrepancies = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
-            self.request_classes, lambda: event_loop.now, self.settings.budget, self.miscounted
+            self.request_classes,
+            lambda: event_loop.now,
+            self.settings.budget,
+            self.on_ledger_mistake,
         )
         self.rows = {
             each: self.ledger.request_classes[each.name] for each in self.settings.request_classes
         }
-        # Requests that have their end, and whose answer has not left whole.
+        # Finished requests whose answer is not completely written yet.
         self.answering: dict[ClientRequest, None] = {}
-        # Subsystems, where an operator file switches them on.
+        # Subsystems, None unless the operator file enables them.
         self.recovery: Any = None  # recovery
         self.flows: Any = None  # flow export
         self.works: Any = None  # maintenance
         self.latency_sketches: Any = None  # of accounting
-        # What the accounting listener answers for other subsystems, by method and path.
+        # HTTP handlers of other subsystems on the accounting listener, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
-        # Attempts that were cancelled, of which the gateway has yet to be notified.
-        self.called: dict[Attempt, InFlightAttempt] = {}
+        # Cancelled attempts whose outcome the gateway has not been notified of yet.
+        self.cancelled_attempts: dict[Attempt, InFlightAttempt] = {}
         self.records = LiveRecords(self)
         self.auditor = LedgerAuditor(self.ledger, self.records, self.discrepancies)
         self.tenants = {name: n for n, name in enumerate(self.settings.tenants)}
@@ -133,40 +144,43 @@
             if wrong := self.endpoint_list.apply(event):
                 self.log(f"known: {wrong}")
 
-    def close(self, engine_pool: "EnginePool") -> None:
-        """Forget an engine that is gone, once nothing is left of it.
+    def remove_gone_engine(self, engine_pool: "EnginePool") -> None:
+        """Remove the pool of an engine that is gone, once all its connections are closed.
 
-        Its id may be another's by then.
+        Does nothing where another pool has been registered under the same engine id since.
         """
-        tag = engine_pool.engine.host_reference
+        engine_id = engine_pool.engine.host_reference
         if (
             engine_pool.engine.state == EngineState.GONE
             and not engine_pool.links
-            and self.engine_pools.get(tag) is engine_pool
+            and self.engine_pools.get(engine_id) is engine_pool
         ):
-            del self.engine_pools[tag]
-            for kept in self.closing, self.awaited, self.short:
-                kept.pop(engine_pool, None)
+            del self.engine_pools[engine_id]
+            for pools in self.closing_pools, self.pools_with_waiting, self.pools_lacking_spare:
+                pools.pop(engine_pool, None)
             self.ledger.record_engine_removed(engine_pool.row)
             if self.latency_sketches is not None:
-                self.latency_sketches.merge_engine(tag, DEPARTED_ROW)
+                self.latency_sketches.merge_engine(engine_id, DEPARTED_ROW)
 
-    def links_each(self) -> int:
-        """Return the connections that each engine of the subset may have, and each that closes.
+    def max_links_per_engine(self) -> int:
+        """Return how many connections each engine of the subset, or closing engine, may have.
 
-        With fewer connections than attempts fill, an engine that is well would count as
-        unreachable. So connections are shared by those that use them, not by all that a long list
-        names.
+        The limit is divided among these engines only, not among all that a long endpoint list
+        names. With fewer connections than its attempts need, a healthy engine would count as
+        unreachable.
         """
-        return max(2, self.links_most // max(len(self.gateway.engines) + len(self.closing), 1))
+        return max(
+            2, self.max_engine_links // max(len(self.gateway.engines) + len(self.closing_pools), 1)
+        )
 
-    def descriptor_left(self, needed: bool) -> bool:
-        """Tell whether there may be another connection to an engine.
+    def has_descriptor_left(self, needed: bool) -> bool:
+        """Return whether another connection to an engine may be opened now.
 
-        Two to each of many engines would take what discovery and the clients need. Where one is
-        needed, the connection that has been idle longest gives way.
+        Two connections to each of many engines would use up the descriptors that discovery and the
+        clients need. At the limit, if a connection is `needed`, the one that has been idle longest
+        is closed, those of engines outside the subset first, so that a later call succeeds.
         """
-        if len(self.links) + self.dials < self.links_most:
+        if len(self.links) + self.dials_in_progress < self.max_engine_links:
             return True
         idle = [link for link in self.links if not (link.open or link.link.why)] if needed else []
         if idle:
@@ -179,14 +193,17 @@
                     each.engine_pool.number,
                 ),
             )
-            longest_idle.link.end("room for others")
+            longest_idle.link.end("idle, closed to free a descriptor for another engine")
         return False
 
     def make_room(self) -> bool:
-        """Close what holds a descriptor for nothing; whether there was any."""
+        """Close idle client connections, as far as the front end supports it.
+
+        Returns whether there were any.
+        """
         return False
 
-    # The host protocol; `policy.host.Host` says what each method is for.
+    # The host protocol; `policy.host.Host` documents each method.
 
     @property
     def now(self) -> int:
@@ -195,51 +212,61 @@
 
     @property
     def lag(self) -> int:
-        """Ticks that events have to wait at present."""
+        """Ticks by which events are currently handled late."""
         return self.event_loop.lag
 
-    def send_attempt(self, attempt: Attempt, allow: int) -> None:
-        """Let an attempt wait for a connection, for `allow` ticks until its answer at most."""
+    def send_attempt(self, attempt: Attempt, timeout: int) -> None:
+        """Queue an attempt for a connection; its answer is due within `timeout` ticks."""
         engine_pool = self.engine_pools[attempt.engine.host_reference]
         in_flight_attempt = self.in_flight_attempts[attempt] = InFlightAttempt(
-            attempt, self.now + allow, engine_pool
+            attempt, self.now + timeout, engine_pool
+        )
+        has_other_in_flight = any(each.is_in_flight for each in attempt.request.attempts[:-1])
+        self.ledger.record_attempt_sent(
+            in_flight_attempt, sort_of_attempt(attempt.number, has_other_in_flight)
         )
-        others = any(each.is_in_flight for each in attempt.request.attempts[:-1])
-        self.ledger.record_attempt_sent(in_flight_attempt, sort_of_attempt(attempt.number, others))
         request_class = attempt.request.request_class
         if self.recovery is not None and (
             request_class.repeatability == Repeatability.KEYED or request_class.ordered
         ):
-            in_flight_attempt.effect = self.recovery.on_attempt_sending(
-                attempt, in_flight_attempt.order.label
+            in_flight_attempt.attempt_log_serial = self.recovery.on_attempt_sending(
+                attempt, in_flight_attempt.client_request.idempotency_key
             )
         if self.latency_sketches is not None and not attempt.number:
             self.latency_sketches.record_first_attempt(
                 attempt.request.request_class.name, self.now - attempt.request.accepted_at
             )
-        self.event_loop.call_later(allow, self.too_late, in_flight_attempt)
-        engine_pool.line_up(in_flight_attempt)
-        if self.settings.dial_time < allow:
-            self.event_loop.call_later(self.settings.dial_time, self.waited, in_flight_attempt)
+        self.event_loop.call_later(timeout, self.on_attempt_timeout, in_flight_attempt)
+        engine_pool.enqueue(in_flight_attempt)
+        if self.settings.dial_time < timeout:
+            self.event_loop.call_later(
+                self.settings.dial_time, self.on_connection_wait_timeout, in_flight_attempt
+            )
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
-        """Set memory and priority; engines are told of a priority that changes in flight."""
-        order = request.host_reference
-        if priority != order.priority and self.settings.priorities:
+        """Set memory and priority; a new priority is sent to engines that run an attempt."""
+        client_request = request.host_reference
+        if priority != client_request.priority and self.settings.priorities:
             for attempt in request.attempts:
                 in_flight_attempt = self.in_flight_attempts.get(attempt)
-                if in_flight_attempt and in_flight_attempt.link and not in_flight_attempt.answered:
-                    in_flight_attempt.link.say("renice", order.name, str(priority))
-        order.memory = memory
-        order.priority = priority
+                if (
+                    in_flight_attempt
+                    and in_flight_attempt.link
+                    and not in_flight_attempt.is_answered
+                ):
+                    in_flight_attempt.link.send_command(
+                        "renice", client_request.name, str(priority)
+                    )
+        client_request.memory_mb = memory
+        client_request.priority = priority
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Answer that the request was not run; the frames have no field for `retry_after`."""
-        self.final(request, REFUSED, [])
+        """Answer that the request was not run; client frames have no field for `retry_after`."""
+        self.send_final_answer(request, REFUSED, [])
 
     def fail(self, request: Request) -> None:
         """Answer that the request failed."""
-        self.final(request, FAILED, [])
+        self.send_final_answer(request, FAILED, [])
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt; the gateway is notified of its outcome in a later turn."""
@@ -249,180 +276,199 @@
         if in_flight_attempt.link is None:
             in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
         else:
-            in_flight_attempt.link.say("abort", in_flight_attempt.order.name)
-            in_flight_attempt.link.forget(in_flight_attempt)
-        self.called[attempt] = self.in_flight_attempts.pop(attempt)
+            in_flight_attempt.link.send_command("abort", in_flight_attempt.client_request.name)
+            in_flight_attempt.link.forget_attempt(in_flight_attempt)
+        self.cancelled_attempts[attempt] = self.in_flight_attempts.pop(attempt)
         outcome = AttemptOutcome.CANCELLED if in_flight_attempt.link else AttemptOutcome.ABANDONED
-        self.event_loop.call_later(0, self.over, in_flight_attempt, outcome)
+        self.event_loop.call_later(0, self.notify_attempt_finished, in_flight_attempt, outcome)
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
         """Call back once `delay` ticks have passed, never at once."""
-        self.event_loop.call_later(delay, method, *what)
+        self.event_loop.call_later(delay, callback, *arguments)
 
-    def barred(self, in_flight_attempt: InFlightAttempt) -> str:
-        """Check an attempt directly before its first byte; why it must not begin, or an empty string.
+    def reason_not_to_start(self, in_flight_attempt: InFlightAttempt) -> str:
+        """Return why an attempt must not be sent now, or an empty string.
 
-        Between its decision and its writing there may be a dial, or a long turn: its client may
-        have gone or cancelled, its engine drain or have restarted, its time or the time for repeats
-        be over.
+        Called directly before the first byte is written. Between the gateway's decision and the
+        write there may be a dial or a long turn of the event loop. Meanwhile the client may have
+        disconnected or cancelled, the engine may have begun to drain or restarted, and the time
+        limit of the attempt or of retries may have passed.
         """
         self.event_loop.tick()
         if not in_flight_attempt.attempt.request.is_finished:
-            in_flight_attempt.order.client_connection.there()
+            in_flight_attempt.client_request.client_connection.is_client_connected()
         if (
             in_flight_attempt.attempt not in self.in_flight_attempts
-            or self.now >= in_flight_attempt.until
+            or self.now >= in_flight_attempt.deadline
         ):
             return "late"
         return "" if self.gateway.may_start_attempt(in_flight_attempt.attempt) else "withdrawn"
 
     # Clients.
 
-    def final(self, request: Request, code: int, body: list[bytes], reason: int = -1) -> None:
-        """Give a request its one final answer; a reason below 0 is found from the code."""
-        order = request.host_reference
-        if order.client_connection.open.pop(order.stream, None) is None:
+    def send_final_answer(
+        self, request: Request, code: int, body: list[bytes], reason: int = -1
+    ) -> None:
+        """Send a request's one final answer.
+
+        A negative `reason` means that the reason for the ledger is derived from `code`.
+        """
+        client_request = request.host_reference
+        if client_request.client_connection.open.pop(client_request.stream, None) is None:
             return
-        self.statements.give(order.size)
-        self.names.pop(order.name, None)
-        self.ended.append(request)
+        self.statement_memory.give(client_request.budgeted_bytes)
+        self.open_requests.pop(client_request.name, None)
+        self.finished_requests.append(request)
         if reason < 0:
             reason = reason_of_end(
                 code, request, self.now, self.gateway.options.deadline_margin_ticks
             )
-        order.reason = reason
+        client_request.end_reason = reason
         if self.latency_sketches is not None:
             self.latency_sketches.record_answered(
                 request.request_class.name, self.now - request.accepted_at
             )
-        self.answering[order] = None
+        self.answering[client_request] = None
         deadline = request.accepted_at + request.time_to_deadline
-        order.client_connection.answer(order.stream, code, body, deadline, order)
+        client_request.client_connection.send_answer(
+            client_request.stream, code, body, deadline, client_request
+        )
 
-    def answer_over(self, order: ClientRequest) -> None:
-        """Close its record: the last byte of its answer has left, or never will."""
-        self.answering.pop(order, None)
-        self.ledger.record_closed(order, order.reason)
+    def on_answer_finished(self, client_request: ClientRequest) -> None:
+        """Close the ledger record of a request whose answer has been written or dropped."""
+        self.answering.pop(client_request, None)
+        self.ledger.record_closed(client_request, client_request.end_reason)
 
-    def forget(self) -> None:
-        """Take apart by hand what points to each other, where no call of the gateway's is under way.
+    def release_finished_requests(self) -> None:
+        """Break the reference cycles of finished requests that have no attempt in flight.
 
-        A full collection of garbage would stop everything for over 100 ms, so there is none.
+        A full garbage collection would stop the process for over 100 ms, so none is run, and cycles
+        have to be broken here. Must be called outside the gateway's own calls.
         """
-        while self.ended:
-            request = self.ended.popleft()
+        while self.finished_requests:
+            request = self.finished_requests.popleft()
             if not any(attempt.is_in_flight for attempt in request.attempts):
                 for attempt in request.attempts:
                     attempt.request = None
                 request.host_reference.statement = b""
 
-    def left(self, request: Request | None, reason: int) -> None:
-        """End a request whose client waits no longer."""
+    def on_client_left(self, request: Request | None, reason: int) -> None:
+        """End a request whose client has cancelled or disconnected."""
         if request is not None:
             self.ledger.record_closed(request.host_reference, reason)
-            self.statements.give(request.host_reference.size)
-            self.names.pop(request.host_reference.name, None)
-            if request in request.host_reference.client_connection.fresh:
-                request.is_finished = True  # the gateway never hears of it
+            self.statement_memory.give(request.host_reference.budgeted_bytes)
+            self.open_requests.pop(request.host_reference.name, None)
+            if request in request.host_reference.client_connection.unsubmitted:
+                request.is_finished = True  # it is never passed to the gateway
             else:
                 self.gateway.on_client_left(request)
-                for attempt in request.attempts:  # what waits for a link never begins
+                for attempt in request.attempts:  # those that wait for a link are never sent
                     in_flight_attempt = self.in_flight_attempts.get(attempt)
                     if in_flight_attempt is not None and in_flight_attempt.link is None:
                         in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
-                        self.failed(in_flight_attempt, "withdrawn")
-            self.ended.append(request)
+                        self.fail_attempt(in_flight_attempt, "withdrawn")
+            self.finished_requests.append(request)
 
     # Accounting.
 
     def audit(self) -> None:
-        """Check the next slice of the ledger; a new pass begins each second."""
-        is_whole = self.auditor.step()
-        pause = AUDIT_TICKS if is_whole else AUDIT_SLICE_TICKS
+        """Check the next slice of the ledger; a new pass begins a second after the last one."""
+        is_pass_complete = self.auditor.step()
+        pause = AUDIT_TICKS if is_pass_complete else AUDIT_SLICE_TICKS
         self.event_loop.call_later(pause, self.audit)
 
-    def miscounted(self, kind: str, row: Any, serial: int) -> None:
-        """Record a count that was wrong as it was entered."""
+    def on_ledger_mistake(self, kind: str, row: Any, serial: int) -> None:
+        """Record a discrepancy that the ledger noticed while recording an event."""
         self.discrepancies.record_mistake(
             kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
         )
 
     # Attempts.
 
-    def answered(
+    def on_engine_answer(
         self, in_flight_attempt: InFlightAttempt, word: str, fields: dict[str, str], body: bytes
     ) -> str:
-        """Take an engine's answer; what is wrong with it, or an empty string."""
+        """Handle an engine's answer; return why the answer is invalid, or an empty string."""
         attempt = in_flight_attempt.attempt
-        in_flight_attempt.told = self.now
+        in_flight_attempt.last_report_at = self.now
         if word == "TELL":
-            kind = NOTES.get(fields.get("n", ""), 0)
+            kind = PROGRESS_KINDS.get(fields.get("n", ""), 0)
             value = parse_amount(fields.get("amount", "0"))
             self.gateway.on_attempt_progress(attempt, kind, float(value or 0))
             return ""
-        in_flight_attempt.load = parse_load(fields.get("l", ""), in_flight_attempt.load)
+        in_flight_attempt.reported_load = parse_load(
+            fields.get("l", ""), in_flight_attempt.reported_load
+        )
         if word == "DONE":
             return self.pager.on_first_page(in_flight_attempt, fields, body)
         if word == "MORE":
             return self.pager.on_further_page(in_flight_attempt, fields, body)
-        outcome = ENDS.get(word)
-        if outcome is None or (in_flight_attempt.answered and word != "BROKE"):
-            return f"an answer {word[:8]!r}"
-        in_flight_attempt.link.forget(in_flight_attempt)
-        self.done(in_flight_attempt, outcome)
+        outcome = OUTCOME_BY_ANSWER.get(word)
+        if outcome is None or (in_flight_attempt.is_answered and word != "BROKE"):
+            return f"unexpected answer {word[:8]!r} to an attempt"
+        in_flight_attempt.link.forget_attempt(in_flight_attempt)
+        self.finish_attempt(in_flight_attempt, outcome)
         return ""
 
-    def untold(self, in_flight_attempt: InFlightAttempt, link: EngineConnection) -> None:
-        """Give up an attempt that its engine reports on no more; called again by timer.
+    def check_attempt_reports(
+        self, in_flight_attempt: InFlightAttempt, link: EngineConnection
+    ) -> None:
+        """Fail an attempt that its engine no longer reports on; called again by timer.
 
-        An answer that never comes would hold its request, its slot and its ordering key until the
-        deadline. An engine reports regularly on all that runs; what it omits, while its connection
-        is lively, is over.
+        A lost answer would block the request, its slot and its order key until the deadline. An
+        engine reports regularly on everything that runs. An attempt that the reports omit, while
+        the engine still answers on the connection, has ended.
         """
         is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
-        if not is_in_flight or in_flight_attempt.link is not link or in_flight_attempt.answered:
+        if not is_in_flight or in_flight_attempt.link is not link or in_flight_attempt.is_answered:
             return
-        since = self.now - max(in_flight_attempt.told, link.lively)
-        if since < self.patience or link.spoke < self.now - SECOND // 2:
-            pause = max(self.patience - since, SECOND // 10)
-            self.event_loop.call_later(pause, self.untold, in_flight_attempt, link)
+        silence_ticks = self.now - max(in_flight_attempt.last_report_at, link.responsive_since)
+        if (
+            silence_ticks < self.report_timeout_ticks
+            or link.last_answer_at < self.now - SECOND // 2
+        ):
+            pause = max(self.report_timeout_ticks - silence_ticks, SECOND // 10)
+            self.event_loop.call_later(pause, self.check_attempt_reports, in_flight_attempt, link)
             return
         self.counters["untold"] += 1
-        link.let_go(in_flight_attempt)
-        self.failed(in_flight_attempt, "broken")
+        link.release_attempt(in_flight_attempt)
+        self.fail_attempt(in_flight_attempt, "broken")
+
+    def on_result_complete(self, in_flight_attempt: InFlightAttempt) -> str:
+        """Send a complete result to the client, or drop the result of a finished request.
 
-    def whole(self, in_flight_attempt: InFlightAttempt) -> str:
-        """Answer with a result that is whole, or drop one that nobody wants."""
+        Returns why the result is invalid, or an empty string.
+        """
         request = in_flight_attempt.attempt.request
         if sum(len(each or b"") for each in in_flight_attempt.pages) > MAX_RESULT_BYTES:
-            return "a result that is too long"
-        in_flight_attempt.link.let_go(in_flight_attempt)
+            return "result is longer than the limit of 48,000 bytes"
+        in_flight_attempt.link.release_attempt(in_flight_attempt)
         if not request.is_finished:
-            self.final(request, SERVED, in_flight_attempt.pages)
-        self.done(in_flight_attempt, AttemptOutcome.SUCCEEDED)
+            self.send_final_answer(request, SERVED, in_flight_attempt.pages)
+        self.finish_attempt(in_flight_attempt, AttemptOutcome.SUCCEEDED)
         return ""
 
-    def done(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
-        """End an attempt that is in flight."""
+    def finish_attempt(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        """Remove an attempt from those in flight and report its outcome."""
         self.in_flight_attempts.pop(in_flight_attempt.attempt, None)
-        self.over(in_flight_attempt, outcome)
+        self.notify_attempt_finished(in_flight_attempt, outcome)
 
-    def over(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
-        """Notify everybody of an attempt's end, the gateway last."""
+    def notify_attempt_finished(self, in_flight_attempt: InFlightAttempt, outcome: int) -> None:
+        """Report an attempt's outcome to all subsystems, and to the gateway last."""
         attempt = in_flight_attempt.attempt
-        if in_flight_attempt.asked:
-            self.results.give(in_flight_attempt.asked)
-            in_flight_attempt.asked = 0
+        if in_flight_attempt.reserved_page_bytes:
+            self.result_memory.give(in_flight_attempt.reserved_page_bytes)
+            in_flight_attempt.reserved_page_bytes = 0
         in_flight_attempt.pages = []
-        bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
-        self.called.pop(attempt, None)
+        reports_resources = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
+        self.cancelled_attempts.pop(attempt, None)
         if self.latency_sketches is not None and outcome == AttemptOutcome.SUCCEEDED:
             self.latency_sketches.record_succeeded(
                 in_flight_attempt.engine_row.name, self.now - attempt.sent_at
             )
         self.ledger.on_attempt_finished(in_flight_attempt, outcome)
-        if in_flight_attempt.effect:
-            self.recovery.on_attempt_finished(in_flight_attempt.effect, outcome)
+        if in_flight_attempt.attempt_log_serial:
+            self.recovery.on_attempt_finished(in_flight_attempt.attempt_log_serial, outcome)
         if self.works is not None:
             self.works.on_attempt_finished(in_flight_attempt.engine_row.name, outcome)
         self.gateway.on_attempt_finished(
@@ -430,46 +476,48 @@
             outcome,
             self.now - attempt.sent_at,
             attempt.request.is_finished or outcome == AttemptOutcome.SUCCEEDED,
-            in_flight_attempt.spent if bills else 0,
-            in_flight_attempt.need if bills else 0.0,
-            in_flight_attempt.load,
+            in_flight_attempt.work_ticks if reports_resources else 0,
+            in_flight_attempt.memory_needed_mb if reports_resources else 0.0,
+            in_flight_attempt.reported_load,
         )
         if attempt.request.is_finished:
-            self.ended.append(attempt.request)
-        self.forget()
-        self.pager.ask_pages()
+            self.finished_requests.append(attempt.request)
+        self.release_finished_requests()
+        self.pager.request_pages()
 
-    def failed(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
-        """End an attempt for its connection's sake: "unreached", "broken", "late", "withdrawn"."""
+    def fail_attempt(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
+        """Fail an attempt; `why` is "unreached", "broken", "late" or "withdrawn"."""
         if in_flight_attempt.attempt in self.in_flight_attempts:
-            self.done(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
+            self.finish_attempt(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
 
-    def waited(self, in_flight_attempt: InFlightAttempt) -> None:
-        """End an attempt without a connection, or room on one, in the time that settings give."""
+    def on_connection_wait_timeout(self, in_flight_attempt: InFlightAttempt) -> None:
+        """Fail an attempt that found no connection, or none with room, within the dial timeout."""
         is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
         if not is_in_flight or in_flight_attempt.link is not None:
             return
         engine_pool = in_flight_attempt.engine_pool
         engine_pool.waiting.remove(in_flight_attempt)
-        self.failed(in_flight_attempt, "withdrawn" if engine_pool.wanting else "unreached")
+        self.fail_attempt(
+            in_flight_attempt, "withdrawn" if engine_pool.lacks_descriptor else "unreached"
+        )
 
-    def too_late(self, in_flight_attempt: InFlightAttempt) -> None:
-        """End an attempt whose time is over."""
+    def on_attempt_timeout(self, in_flight_attempt: InFlightAttempt) -> None:
+        """Fail an attempt whose time limit has passed."""
         if in_flight_attempt.attempt not in self.in_flight_attempts:
             return
         if in_flight_attempt.link is None:
             in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
         else:
-            in_flight_attempt.link.let_go(in_flight_attempt)
-        self.failed(in_flight_attempt, "late")
+            in_flight_attempt.link.release_attempt(in_flight_attempt)
+        self.fail_attempt(in_flight_attempt, "late")
 
-    # The list of engines.
+    # The endpoint list.
 
     @property
     def last_event(self) -> int:
-        """The number of the last event of discovery that was applied."""
+        """The number of the last discovery event that was applied."""
         return self.endpoint_list.last_event
 
-    def event(self, number: str, data: str) -> str:
-        """Apply an event of discovery; what is wrong with it, or an empty string."""
+    def on_discovery_event(self, number: str, data: str) -> str:
+        """Apply a discovery event; return why the event is invalid, or an empty string."""
         return self.endpoint_list.on_event(data)
