--- a/benchmarks/decision_trace.py
+++ b/benchmarks/decision_trace.py
@@ -45,7 +45,7 @@
 # In a fixed order, as the world draws from it by index.
 OUTCOMES = (ERROR, SUCCEEDED, FULL, TIMED_OUT, UNREACHED, RESET, CANCELLED, ABANDONED)
 # A module and the name of one tuned constant in it: the test changes it and expects other hashes.
-TUNED_SAMPLE = (admission, "MAX_WAIT_PART")
+TUNED_SAMPLE = (admission, "MAX_QUEUE_WAIT_FRACTION")
 
 
 class HostAdapter:
@@ -163,7 +163,7 @@
             gateway.on_attempt_finished
         )  # attempt, outcome, took, finished, work, need, inflight
         self.progress = gateway.on_attempt_progress  # attempt, sort, value
-        self.may_begin = gateway.may_start_attempt
+        self.may_begin = gateway.can_start_attempt
         self.key_in_doubt = gateway.hold_order_key  # key, until
 
     def throttle_retries(self, part: float) -> None:
@@ -217,7 +217,7 @@
         engine.threads_in_flight,
         int(engine.in_subset),
         engine.subset_rank,
-        stats.last_heard_at,
+        stats.last_activity_at,
         stats.ejected_until,
         stats.refused_until,
         stats.limit_factor,
--- a/corkgauge/config/operator_element.py
+++ b/corkgauge/config/operator_element.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from corkgauge.errors import ConfigurationError
-from corkgauge.policy.units import SECOND
+from corkgauge.policy.units import TICKS_PER_SECOND
 
 MAX_FILE_BYTES = 2**20  # of the operator file, and of each file that it names
 
@@ -46,7 +46,7 @@
 
     def ticks(self, name: str, default: str) -> int:
         """Return an attribute, written in seconds, in ticks."""
-        return int(self.number(name, default) * SECOND)
+        return int(self.number(name, default) * TICKS_PER_SECOND)
 
     def words(self) -> tuple[str, ...]:
         """Return the words of the element's text."""
--- a/corkgauge/config/operator_instance.py
+++ b/corkgauge/config/operator_instance.py
@@ -8,7 +8,7 @@
     RecoveryConfig,
     TlsConfig,
 )
-from corkgauge.policy.units import SECOND
+from corkgauge.policy.units import TICKS_PER_SECOND
 
 MAX_DATAGRAM_BYTES = 65_507  # of a UDP payload on IPv4
 MAX_UNIX_PATH_BYTES = 107  # of a Unix socket's path, by the system's own limit
@@ -23,7 +23,7 @@
         return None
     listener, keep, latencies = (element.child(name) for name in ("listen", "keep", "waits"))
     readers, folder = MAX_READERS, ""
-    checkpoint_ticks = int(float(CHECKPOINT_SECONDS) * SECOND)
+    checkpoint_ticks = int(float(CHECKPOINT_SECONDS) * TICKS_PER_SECOND)
     relative_error = 0.0
     listen = _read_listen_address(listener)
     if listener is not None:
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -274,7 +274,7 @@
             or self.now >= in_flight_attempt.until
         ):
             return "late"
-        return "" if self.gateway.may_start_attempt(in_flight_attempt.attempt) else "withdrawn"
+        return "" if self.gateway.can_start_attempt(in_flight_attempt.attempt) else "withdrawn"
 
     # Clients.
 
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -169,7 +169,7 @@
         fault = Fault.NONE
         if stats.ejected_until > now:
             fault = last_fault(stats.fault_history)
-        elif stats.last_heard_at < now - OWN_OBSERVATION_TICKS or not is_trusted(stats):
+        elif stats.last_activity_at < now - OWN_OBSERVATION_TICKS or not is_trusted(stats):
             return None
         sample_count = len(stats.slowness_samples)
         slowness_percent = 0
@@ -266,8 +266,10 @@
         assessment = NO_ASSESSMENT
         if engine_pool is not None:
             reports = self.reports.reports_on(engine)
-            last_heard_at = engine_pool.engine.stats.last_heard_at
-            assessment = assess(reports, now, engine_pool.started, self.name, zones, last_heard_at)
+            last_activity_at = engine_pool.engine.stats.last_activity_at
+            assessment = assess(
+                reports, now, engine_pool.started, self.name, zones, last_activity_at
+            )
         before = self.assessments.get(engine, NO_ASSESSMENT)
         if assessment == NO_ASSESSMENT:
             self.assessments.pop(engine, None)
--- a/corkgauge/policy/admission_price.py
+++ b/corkgauge/policy/admission_price.py
@@ -6,10 +6,10 @@
 from corkgauge.policy.units import RECENT_SAMPLES
 from corkgauge.policy.work_estimates import WorkEstimates
 
-LIGHT_CLASS_STEP = 0.4  # least part of a step that a light class's outcome moves the price by
-HEAVY_CLASS_STEP = 2.0  # most
-INTERVAL_DECAY = 0.2  # part that an interval takes off
-UNIT_WORK = 1.0  # thread ticks; keeps the ratio of works finite
+MIN_CLASS_STEP_FACTOR = 0.4  # least part of a step that a light class's outcome moves the price by
+MAX_CLASS_STEP_FACTOR = 2.0  # most
+INTERVAL_DECAY_FRACTION = 0.2  # part that an interval takes off
+MIN_MEAN_WORK_TICKS = 1.0  # thread ticks; keeps the ratio of works finite
 
 
 class AdmissionPrice:
@@ -21,8 +21,8 @@
     def __init__(self, estimates: WorkEstimates) -> None:
         self._estimates = estimates
         self.current = 0.0  # 0: everything goes
-        self._least = 0.0
-        self._most = 0.0
+        self._min_price = 0.0
+        self._max_price = 0.0
 
     def is_too_high_for(self, request: Request) -> bool:
         """Whether the request's value does not pay for its work."""
@@ -32,18 +32,18 @@
         """Follow the classes in use, and let the price fall by an interval."""
         classes = [queue.request_class for queue in queues]
         values = [each.priority_weight / each.typical_work for each in classes] or [0.0]
-        self._least = min(values) / RECENT_SAMPLES
+        self._min_price = min(values) / RECENT_SAMPLES
         # Hundreds of late answers at once would raise the price out of reach for minutes; so it
         # stays where the class of the best value is still sent.
-        self._most = max(values)
+        self._max_price = max(values)
         # A price that holds all back meets no answer that could lower it: it falls by itself.
-        self.current *= 1 - INTERVAL_DECAY
+        self.current *= 1 - INTERVAL_DECAY_FRACTION
 
-    def move(self, request_class: RequestClass, step: float) -> None:
+    def adjust(self, request_class: RequestClass, step: float) -> None:
         """Lower the price by `step`, a part of it, or raise it by a negative one."""
         relative_work = request_class.typical_work / max(
-            self._estimates.mean_typical_work, UNIT_WORK
+            self._estimates.mean_typical_work, MIN_MEAN_WORK_TICKS
         )
-        weight = min(max(relative_work, LIGHT_CLASS_STEP), HEAVY_CLASS_STEP)
-        price = max(self.current, self._least) * (1 - step * weight)
-        self.current = min(price, self._most) if price > self._least else 0.0
+        weight = min(max(relative_work, MIN_CLASS_STEP_FACTOR), MAX_CLASS_STEP_FACTOR)
+        price = max(self.current, self._min_price) * (1 - step * weight)
+        self.current = min(price, self._max_price) if price > self._min_price else 0.0
--- a/corkgauge/policy/concurrency_limit.py
+++ b/corkgauge/policy/concurrency_limit.py
@@ -7,12 +7,12 @@
 from corkgauge.policy.units import FEEDBACK_INTERVAL_TICKS
 from corkgauge.policy.work_estimates import WorkEstimates
 
-THREADS_PER_CORE = 0.9  # of all gateways together, where the limit starts
+INITIAL_THREADS_PER_CORE = 0.9  # of all gateways together, where the limit starts
 LIGHT_CLASS_FACTOR = 2.0  # limit for classes of less work than the mean, over the others'
 MAX_THREADS_PER_CORE = 1.5  # of one gateway, while the engine is not under pressure
 MIN_LIMIT_FACTOR = 0.25  # of the limit, over where it starts
 MAX_LIMIT_FACTOR = 2.0
-PRESSURE_SLOWNESS = 2.0  # over the best slowness seen: the engine is under pressure
+PRESSURE_SLOWNESS_FACTOR = 2.0  # over the best slowness seen: the engine is under pressure
 REPORT_VALIDITY_TICKS = FEEDBACK_INTERVAL_TICKS  # of the load that an engine reports
 
 
@@ -34,7 +34,7 @@
         self._host = host
         self._estimates = estimates
         self._slowness = slowness
-        self.threads_per_core = THREADS_PER_CORE / options.gateway_count
+        self.threads_per_core = INITIAL_THREADS_PER_CORE / options.gateway_count
 
     def is_at_limit(
         self, engine: Engine, request_class: RequestClass, usual_slowness: float
@@ -52,10 +52,10 @@
             limit *= LIGHT_CLASS_FACTOR
         is_under_pressure = (
             stats.reported_load >= engine.cores
-            and now < stats.last_heard_at + REPORT_VALIDITY_TICKS
+            and now < stats.last_activity_at + REPORT_VALIDITY_TICKS
         ) or (
             self._slowness.of_engine(stats, usual_slowness)
-            > PRESSURE_SLOWNESS * self._slowness.best
+            > PRESSURE_SLOWNESS_FACTOR * self._slowness.best
         )
         if not is_under_pressure:
             # Without any limit, a whole queue would be sent at once between two bad samples.
@@ -63,6 +63,6 @@
         return 0 < engine.threads_in_flight > limit - threads or now < stats.refused_until
 
     @staticmethod
-    def move(stats: EngineStats, step: float) -> None:
+    def adjust(stats: EngineStats, step: float) -> None:
         """Raise the limit by `step`, a part of where it starts, or lower it by a negative one."""
         stats.limit_factor = clamp_limit_factor(stats.limit_factor + step)
--- a/corkgauge/policy/dispatch.py
+++ b/corkgauge/policy/dispatch.py
@@ -14,12 +14,12 @@
 from corkgauge.policy.work_estimates import WorkEstimates, memory_grant
 
 # Of the mean work: beyond each of these, a request's priority is one lower.
-PRIORITY_TIERS = (0.25, 1.0, 2.0)
+PRIORITY_TIER_WORK_FRACTIONS = (0.25, 1.0, 2.0)
 MAX_PRIORITY = 3  # of requests that have the gateway to themselves
 SHARED_PRIORITY = 2  # of all others
-WHOLE_SHARE = 0.999  # of an equal share, less what rounding takes
+FULL_EQUAL_SHARE_FRACTION = 0.999  # of an equal share, less what rounding takes
 MIN_TIMEOUT_TICKS = 1
-OVERDUE_OBJECTIVE_PART = 0.5  # of its objective, after which an attempt is looked at
+OVERDUE_OBJECTIVE_FRACTION = 0.5  # of its objective, after which an attempt is looked at
 OVERDUE_TIME_FACTOR = 2  # of its expected time, likewise
 
 
@@ -41,7 +41,7 @@
         on_answer_overdue: Callable[[Attempt], None],
     ) -> None:
         self._host = host
-        self._margin_ticks = options.deadline_margin_ticks
+        self._deadline_margin_ticks = options.deadline_margin_ticks
         self.can_cancel = options.can_cancel
         self._queues = queues
         self._estimates = estimates
@@ -61,22 +61,27 @@
         attempt = self._record_attempt(request, engine)
         time_left = request.accepted_at + request.time_to_deadline - now
         self._host.send_attempt(
-            attempt, max(MIN_TIMEOUT_TICKS, time_left - self._margin_ticks // 2)
+            attempt, max(MIN_TIMEOUT_TICKS, time_left - self._deadline_margin_ticks // 2)
         )
         patience = max(
-            OVERDUE_OBJECTIVE_PART * request.latency_objective,
+            OVERDUE_OBJECTIVE_FRACTION * request.latency_objective,
             OVERDUE_TIME_FACTOR * self._slowness.expected_time(request),
         )
         self._host.call_later(int(patience), self._on_answer_overdue, attempt)
 
     def _priority(self, request: Request) -> int:
         equal_share_part = request.queue.share * len(self._queues)
-        priority = MAX_PRIORITY if equal_share_part >= WHOLE_SHARE else SHARED_PRIORITY
+        priority = (
+            MAX_PRIORITY if equal_share_part >= FULL_EQUAL_SHARE_FRACTION else SHARED_PRIORITY
+        )
         # Heavy requests crowd light ones out on the engine's cores too; one in keyed order holds
         # its line, so it goes first whatever its weight.
         if not request.request_class.ordered:
             mean_work = self._estimates.mean_typical_work
-            priority -= sum(request.expected_work > part * mean_work > 0 for part in PRIORITY_TIERS)
+            priority -= sum(
+                request.expected_work > part * mean_work > 0
+                for part in PRIORITY_TIER_WORK_FRACTIONS
+            )
         return max(priority, 0)
 
     def _record_attempt(self, request: Request, engine: Engine) -> Attempt:
--- a/corkgauge/policy/engine_selection.py
+++ b/corkgauge/policy/engine_selection.py
@@ -14,19 +14,19 @@
 from corkgauge.policy.placement_rules import is_cordoned_for, is_key_known_at, is_open_to
 from corkgauge.policy.recent_work import RecentWork
 from corkgauge.policy.records import Attempt, Cordon, Engine, Repeatability, Request, RequestClass
-from corkgauge.policy.retries import attempts_that_may_have_run
+from corkgauge.policy.retries import possibly_executed_attempts
 from corkgauge.policy.slow_start import SlowStart
 from corkgauge.policy.subsetting import EngineSubset
 
 # Threads a core by which the next engine in order must be emptier, as the group's tables are not
 # cached there.
-DISTANCE_PENALTY = 0.25
-NEAREST_ENGINES = 3  # engines of the order looked at first
+DISTANCE_PENALTY_THREADS_PER_CORE = 0.25
+NEAREST_ENGINE_COUNT = 3  # engines of the order looked at first
 EVEN_SHARE_FACTOR = 1.25  # of an even share of the last work, before other engines are preferred
 KEYED = Repeatability.KEYED  # bound here, as reading an enum's member costs on the hot path
 
 
-class Pool(NamedTuple):
+class EngineFilter(NamedTuple):
     """Which engines are looked at."""
 
     healthy: bool  # only those that do well
@@ -35,10 +35,15 @@
 
 # Engines that fail, are silent or refuse come last. Never all are left out at once: when none does
 # well, the trouble is likely not theirs, and all are used.
-FALLBACK_ORDER = (Pool(True, True), Pool(True, False), Pool(False, True), Pool(False, False))
+FALLBACK_ORDER = (
+    EngineFilter(True, True),
+    EngineFilter(True, False),
+    EngineFilter(False, True),
+    EngineFilter(False, False),
+)
 
 
-class Search(NamedTuple):
+class SelectionContext(NamedTuple):
     """What is the same for each engine that is looked at for a request."""
 
     request: Request
@@ -50,7 +55,7 @@
     work_slack: float  # thread ticks above the even work
     affinity_count: int  # engines of the order that are equally near; 0: nearness is by position
     first_affinity: int  # position of this gateway's own among them
-    looks_at_all: bool
+    considers_all_engines: bool
 
 
 class EngineSelector:
@@ -90,7 +95,7 @@
         """The orders that are kept at present."""
         return len(self._order_by_group) + len(self._engines_by_key_scope)
 
-    def forget_orders(self) -> None:
+    def clear_cached_orders(self) -> None:
         """The engines have changed, or an interval is over."""
         self._order_by_group.clear()
         self._engines_by_key_scope.clear()
@@ -127,7 +132,7 @@
                 return engine
         return None
 
-    def _prepare(self, request: Request) -> Search:
+    def _prepare(self, request: Request) -> SelectionContext:
         usual_slowness = self._slowness.usual()
         work = request.request_class.typical_work
         order = self.order_for(request.table_group, request.request_class.subset_rank_limit)
@@ -144,9 +149,9 @@
         # Under a price the warm engines are overrun, while permits of ones warming up further on
         # would lapse: then all of the order is looked at.
         all_warm_at = self._subset.newest_incarnation + self._slow_start.warm_up_ticks
-        return Search(
+        return SelectionContext(
             request,
-            attempts_that_may_have_run(request),
+            possibly_executed_attempts(request),
             [attempt.engine for attempt in request.attempts],
             usual_slowness,
             order,
@@ -165,15 +170,17 @@
         own.
         """
         work = request.request_class.typical_work
-        group_work = self._recent_work.of_group(request.table_group) + work
+        group_work = self._recent_work.work_of_group(request.table_group) + work
         count = EVEN_SHARE_FACTOR * engine_count * group_work / (recent_work + work)
         return min(max(int(count), 1), engine_count)
 
-    def _select_in_order(self, search: Search, pool: Pool) -> tuple[bool, Engine | None]:
+    def _select_in_order(
+        self, search: SelectionContext, pool: EngineFilter
+    ) -> tuple[bool, Engine | None]:
         """Whether any engine of the pool may be used, and the least loaded that has room."""
         request, ran, tried, usual_slowness, order, even_work, work_slack, *_ = search
         request_class = request.request_class
-        enough = max(NEAREST_ENGINES, search.affinity_count)
+        enough = max(NEAREST_ENGINE_COUNT, search.affinity_count)
         eligible_count = 0
         near: list[tuple[float, int]] = []  # load and position
         spare: list[tuple[float, int]] = []
@@ -186,27 +193,31 @@
                 eligible_count += 1
                 if not self._limit.is_at_limit(engine, request_class, usual_slowness):
                     load = self._load(engine, request_class, usual_slowness)
-                    load += self._distance(search, engine, eligible_count)
+                    load += self._distance_penalty(search, engine, eligible_count)
                     # A gateway with one attempt at a time sees no load at an engine that all
                     # gateways share; so its last work is spread by cores, whatever is in flight.
                     is_over_share = engine.stats.recent_work > even_work * engine.cores + work_slack
                     preference = spare if is_over_share else near
                     preference.append((load, position))
-                if near and eligible_count >= enough and not search.looks_at_all:
+                if near and eligible_count >= enough and not search.considers_all_engines:
                     break
         if near or spare:
             return True, order[min(near or spare)[1]]
         return eligible_count > 0, None
 
-    def _distance(self, search: Search, engine: Engine, eligible_count: int) -> float:
+    def _distance_penalty(
+        self, search: SelectionContext, engine: Engine, eligible_count: int
+    ) -> float:
         """The penalty, in threads a core, for an engine further on in the order."""
         # The permit of an engine warming up is small and lapses, so it counts as the nearest.
         if self._slow_start.is_warming_up(engine):
             return 0.0
         count = search.affinity_count
         if eligible_count <= count:
-            return DISTANCE_PENALTY * ((eligible_count - 1 - search.first_affinity) % count)
-        return DISTANCE_PENALTY * eligible_count
+            return DISTANCE_PENALTY_THREADS_PER_CORE * (
+                (eligible_count - 1 - search.first_affinity) % count
+            )
+        return DISTANCE_PENALTY_THREADS_PER_CORE * eligible_count
 
     def select_outside_subset(self, request: Request, tried: Sequence[Engine]) -> Engine | None:
         """An engine that knows the idempotency key: all of these may lie outside the subset."""
@@ -214,13 +225,13 @@
         scope = request_class.key_scope
         if request_class.repeatability != KEYED or scope not in ("zone", "cell"):
             return None
-        ran = attempts_that_may_have_run(request)
+        ran = possibly_executed_attempts(request)
         if not ran or self._subset.is_whole:
             return None
         usual_slowness = self._slowness.usual()
         able = [
             engine
-            for engine in self._engines_that_know_key(scope, ran[-1].engine)
+            for engine in self._engines_in_key_scope(scope, ran[-1].engine)
             if engine not in tried and self._is_allowed(request, engine, ran)
         ]
         healthy = [engine for engine in able if self._outliers.is_healthy(engine)]
@@ -235,11 +246,11 @@
             default=None,
         )
 
-    def _engines_that_know_key(self, scope: str, engine: Engine) -> list[Engine]:
+    def _engines_in_key_scope(self, scope: str, engine: Engine) -> list[Engine]:
         key = scope, getattr(engine, scope)
         if key not in self._engines_by_key_scope:
             self._engines_by_key_scope[key] = [
-                each for each in self._subset.place_of if getattr(each, scope) == key[1]
+                each for each in self._subset.zone_and_kind_of if getattr(each, scope) == key[1]
             ]
         return self._engines_by_key_scope[key]
 
@@ -250,7 +261,7 @@
             is_open_to(request_class, engine.zone, engine.kind)
             and (not ran or is_key_known_at(request_class, engine, ran))
             and not (engine.cordon and is_cordoned_for(request, engine, ran))
-            and self._slow_start.may_use(engine, request_class.typical_work)
+            and self._slow_start.can_use(engine, request_class.typical_work)
         )
 
     def _load(self, engine: Engine, request_class: RequestClass, usual_slowness: float) -> float:
--- a/corkgauge/policy/engine_slowness.py
+++ b/corkgauge/policy/engine_slowness.py
@@ -7,7 +7,7 @@
 from corkgauge.policy.subsetting import EngineSubset
 from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, MIN_SAMPLES
 
-UNSEEN_SLOWNESS = 1.5  # before any answer
+DEFAULT_SLOWNESS = 1.5  # before any answer
 
 
 class EngineSlowness:
@@ -16,8 +16,8 @@
     def __init__(self, host: Host, subset: EngineSubset) -> None:
         self._host = host
         self._subset = subset
-        self.best = UNSEEN_SLOWNESS  # least median that any engine has shown
-        self._usual = UNSEEN_SLOWNESS
+        self.best = DEFAULT_SLOWNESS  # least median that any engine has shown
+        self._usual = DEFAULT_SLOWNESS
         self._usual_valid_until = -1
 
     def of_engine(self, stats: EngineStats, otherwise: float) -> float:
@@ -32,7 +32,7 @@
         usual = median(samples) if len(samples) >= MIN_SAMPLES else 0.0
         # An engine that stalls or slows down sends no bad samples: its silence must count as one.
         ages = [(now - each.sent_at) / each.expected_duration for each in stats.in_flight]
-        least = max(usual, UNSEEN_SLOWNESS)
+        least = max(usual, DEFAULT_SLOWNESS)
         seen = [*samples, *(age for age in ages if age > least)]
         stats.slowness_valid_until = now + ESTIMATE_VALIDITY_TICKS
         stats.slowness = median(seen) if len(seen) >= MIN_SAMPLES else 0.0
@@ -44,7 +44,7 @@
             each = (self.of_engine(engine.stats, 0.0) for engine in self._subset.engines)
             seen = [slowness for slowness in each if slowness]
             self._usual_valid_until = now + ESTIMATE_VALIDITY_TICKS
-            self._usual = median(seen) if seen else UNSEEN_SLOWNESS
+            self._usual = median(seen) if seen else DEFAULT_SLOWNESS
         return self._usual
 
     def record_sample(self, stats: EngineStats, slowness: float) -> None:
--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -50,14 +50,14 @@
         self.host = host
         self.options = options
         self.request_classes = request_classes
-        self._build_knowledge()
+        self._build_estimators()
         self._build_selection()
         self._build_dispatch()
         self._build_admission()
         self._build_hedging()
         host.call_later(FEEDBACK_INTERVAL_TICKS, self.on_feedback_interval)
 
-    def _build_knowledge(self) -> None:
+    def _build_estimators(self) -> None:
         """What is known of engines, requests and the past."""
         host, options = self.host, self.options
         self.queues = RequestQueues()
@@ -154,28 +154,28 @@
                 slow_start_usage=usage,
                 slowness_samples=deque(maxlen=RECENT_SAMPLES),
                 fault_history=deque(maxlen=RECENT_SAMPLES),
-                trouble_history=deque(maxlen=RECENT_SAMPLES),
+                failure_history=deque(maxlen=RECENT_SAMPLES),
             )
             engine.threads_in_flight = 0
         engine.state = state
         engine.incarnation = incarnation
-        self.subset.place(engine)
+        self.subset.update_engine(engine)
 
     def on_engine_list_complete(self) -> None:
         """All updates of one change of the list were told."""
-        self.subset.follow_list()
-        self.selector.forget_orders()
+        self.subset.apply_list_change()
+        self.selector.clear_cached_orders()
         self.admission.fill_slots()
 
     def on_subset_update_due(self) -> None:
         """The moment of the interval at which this gateway changes its subset."""
         self.subset.update(self.queues.requested_work_rate(), self.limit.threads_per_core)
-        self.selector.forget_orders()
+        self.selector.clear_cached_orders()
 
     def on_engine_cordon(self, engine: Engine, cordon: int) -> None:
         """Maintenance takes an engine out (`Cordon`), or gives it back."""
         engine.cordon = cordon
-        self.selector.forget_orders()
+        self.selector.clear_cached_orders()
         self.admission.fill_slots()
 
     def on_peer_health(self, engine: Engine, slowness: float, suspicion: int) -> None:
@@ -214,9 +214,9 @@
 
     # Attempts.
 
-    def may_start_attempt(self, attempt: Attempt) -> bool:
+    def can_start_attempt(self, attempt: Attempt) -> bool:
         """Whether all still holds, directly before the first byte, for which it may have waited."""
-        return self.retries.may_start(attempt)
+        return self.retries.can_start(attempt)
 
     def on_attempt_progress(self, attempt: Attempt, note_kind: int, value: float) -> None:
         """A note from the engine on an attempt that is in flight."""
@@ -238,12 +238,12 @@
     ) -> None:
         """An attempt has its outcome; the first answer has gone to the client by itself."""
         self.dispatcher.record_outcome(attempt, outcome)
-        self.learning.learn(attempt, took, work, memory, reported_load)
+        self.learning.learn_from_outcome(attempt, took, work, memory, reported_load)
         has_succeeded = outcome == AttemptOutcome.SUCCEEDED
         if not attempt.request.is_finished:
             self.admission.on_outcome(attempt, finished or has_succeeded, took)
         if has_succeeded:
-            self.hedging.rescue_overtaken(attempt)
+            self.hedging.retry_overtaken_attempts(attempt)
         self.order.advance(attempt.request.order_key)
         self.admission.fill_slots()
 
@@ -252,14 +252,14 @@
     def on_feedback_interval(self) -> None:
         """Feedback: shares move a bounded step towards equal weighted shortfall."""
         self.host.call_later(FEEDBACK_INTERVAL_TICKS, self.on_feedback_interval)
-        self.retry_budget.forget_old()  # what only a need trims would grow while there is none
-        self.selector.forget_orders()  # strangers name table groups without end
+        self.retry_budget.discard_expired()  # what only a need trims would grow while there is none
+        self.selector.clear_cached_orders()  # strangers name table groups without end
         queues = [*self.queues.values()]
         self.estimates.update(queues)
         self.price.update_bounds(queues)
         self.queues.count_arrivals()
         self.estimates.update_requested(queues)
-        if self.subset.wanted_part() < 1.0:
+        if self.subset.target_fraction() < 1.0:
             self._schedule_subset_update()
         moving = [queue for queue in queues if queue.shortfalls]
         record_interval(moving)
--- a/corkgauge/policy/hedging.py
+++ b/corkgauge/policy/hedging.py
@@ -11,13 +11,13 @@
 from corkgauge.policy.retries import RetryPolicy
 from corkgauge.policy.units import MIN_SAMPLES
 
-SUSPICION_BUDGET_PART = 0.5  # of the retry budget; the rest is for what is lost for sure
+OVERTAKEN_BUDGET_FRACTION = 0.5  # of the retry budget; the rest is for what is lost for sure
 MAX_ATTEMPTS_IN_FLIGHT = 2  # of one request
 MIN_OVERTAKEN_COUNT = MIN_SAMPLES  # answers to later attempts
 OVERDUE_FACTOR = 3.0  # of its usual time, for an attempt that was overtaken
 SILENCE_FACTOR = 3.0  # usual lifetimes of all in flight together, without a sign of life
-PROGRESS_FACTOR = 3  # of its usual time still to go, by its progress; large, as estimates err
-LEAST_RECHECK_TICKS = 1
+MAX_TIME_LEFT_FACTOR = 3  # of its usual time still to go, by its progress; large, as estimates err
+MIN_RECHECK_TICKS = 1
 
 
 class Hedging:
@@ -44,14 +44,14 @@
         self._outliers = outliers
         self._slowness = slowness
 
-    def rescue(self, attempt: Attempt, budget_part: float = 1.0) -> None:
+    def retry_elsewhere(self, attempt: Attempt, budget_fraction: float = 1.0) -> None:
         """Try an attempt that does badly elsewhere, if rules and part of the budget allow."""
         request = attempt.request
         if request.is_finished or attempt.is_cancelled or request.is_queued:
             return
-        if not self._retries.may_retry(request):
+        if not self._retries.can_retry(request):
             return
-        if not self._retries.budget.has_left(budget_part):
+        if not self._retries.budget.has_left(budget_fraction):
             return
         if self._dispatcher.can_cancel:
             self._dispatcher.cancel(attempt)
@@ -60,7 +60,7 @@
             if in_flight < MAX_ATTEMPTS_IN_FLIGHT:
                 self._admission.enqueue(request)
 
-    def rescue_overtaken(self, answered: Attempt) -> None:
+    def retry_overtaken_attempts(self, answered: Attempt) -> None:
         """Rescue attempts whose answers were lost or come late, though their engine is well.
 
         Later ones of no less work were answered first, and they are long overdue. Under pressure (a
@@ -79,21 +79,23 @@
                 age = self._host.now - attempt.sent_at
                 if age > OVERDUE_FACTOR * self._slowness.expected_time(attempt.request):
                     # On suspicion alone, hedges must leave budget for what is lost for sure.
-                    self.rescue(attempt, SUSPICION_BUDGET_PART)
+                    self.retry_elsewhere(attempt, OVERTAKEN_BUDGET_FRACTION)
 
-    def on_progress(self, attempt: Attempt, note_kind: int, part_done: float) -> None:
-        """A note from the engine on an attempt; rescue it if far more is left than usual."""
+    def on_progress(self, attempt: Attempt, note_kind: int, completed_fraction: float) -> None:
+        """A note from the engine on an attempt; retry it elsewhere if far too much is left."""
         request = attempt.request
-        self._outliers.record_sign_of_life(attempt.engine)
+        self._outliers.record_activity(attempt.engine)
         attempt.overtaken_count = 0
-        if note_kind != NoteKind.PROGRESS or part_done <= 0:
+        if note_kind != NoteKind.PROGRESS or completed_fraction <= 0:
             return
         if request.is_finished or not attempt.is_in_flight or not self._dispatcher.can_cancel:
             return
         # A bad plan, or a slow engine, would hold threads for many times the work.
-        time_left = (self._host.now - attempt.sent_at) * (1 - part_done) / part_done
-        if time_left > PROGRESS_FACTOR * self._slowness.expected_time(request):
-            self.rescue(attempt)
+        time_left = (
+            (self._host.now - attempt.sent_at) * (1 - completed_fraction) / completed_fraction
+        )
+        if time_left > MAX_TIME_LEFT_FACTOR * self._slowness.expected_time(request):
+            self.retry_elsewhere(attempt)
 
     def on_answer_overdue(self, attempt: Attempt) -> None:
         """Find engines that take work and answer nothing.
@@ -107,16 +109,16 @@
         # In this order: the host takes the request off an attempt that is over.
         if not attempt.is_in_flight or attempt.request.is_finished:
             return
-        if stats.last_heard_at >= attempt.sent_at:
+        if stats.last_activity_at >= attempt.sent_at:
             return
         lifetimes = sum(
-            (now - max(each.sent_at, stats.last_heard_at))
+            (now - max(each.sent_at, stats.last_activity_at))
             / max(each.expected_duration, each.typical_duration)
             for each in stats.in_flight
         )
         if lifetimes > SILENCE_FACTOR * usual_slowness:
             self._outliers.record_fault(attempt.engine, SILENT_FAULT)
-            self.rescue(attempt)
+            self.retry_elsewhere(attempt)
         else:
-            recheck_ticks = max((now - attempt.sent_at) // 2, LEAST_RECHECK_TICKS)
+            recheck_ticks = max((now - attempt.sent_at) // 2, MIN_RECHECK_TICKS)
             self._host.call_later(recheck_ticks, self.on_answer_overdue, attempt)
--- a/corkgauge/policy/ordering.py
+++ b/corkgauge/policy/ordering.py
@@ -7,7 +7,7 @@
 from corkgauge.policy.records import AttemptOutcome, Request
 
 # Outcomes after which an attempt may still run for a while.
-MAY_STILL_RUN = (
+POSSIBLY_RUNNING_OUTCOMES = (
     AttemptOutcome.TIMED_OUT,
     AttemptOutcome.CONNECTION_RESET,
     AttemptOutcome.CANCELLED,
@@ -21,16 +21,16 @@
         self._host = host
         self._settle_ticks = settle_ticks
         self._enqueue = enqueue
-        self.lines: dict[int, deque[Request]] = {}  # in the order accepted
+        self.requests_by_key: dict[int, deque[Request]] = {}  # in the order accepted
         self.held_until: dict[int, int] = {}
 
     def append(self, request: Request) -> None:
         """Put a request at the end of its key's line."""
-        self.lines.setdefault(request.order_key, deque()).append(request)
+        self.requests_by_key.setdefault(request.order_key, deque()).append(request)
 
-    def not_yet_sent(self, order_key: int) -> list[Request]:
+    def unsent_requests(self, order_key: int) -> list[Request]:
         """The requests of the line that still wait for their first attempt."""
-        line = self.lines.get(order_key, ())
+        line = self.requests_by_key.get(order_key, ())
         return [request for request in line if not (request.is_finished or request.attempts)]
 
     def hold(self, order_key: int, until: int) -> None:
@@ -40,25 +40,25 @@
 
     def advance(self, order_key: int) -> None:
         """Let the next of a key go, once all before it are over and their attempts ended."""
-        line = self.lines.get(order_key)
+        line = self.requests_by_key.get(order_key)
         now = self._host.now
         if line:
-            self._leave_finished(order_key, line)
+            self._remove_finished(order_key, line)
         if line and self.held_until.get(order_key, now) <= now:
             first = line[0]
             if not (first.is_finished or first.is_queued or first.attempts):
                 self._enqueue(first)
         elif line is not None and not line:
-            del self.lines[order_key]
+            del self.requests_by_key[order_key]
         if self.held_until.get(order_key, now + 1) <= now:
             del self.held_until[order_key]
 
-    def _leave_finished(self, order_key: int, line: deque[Request]) -> None:
+    def _remove_finished(self, order_key: int, line: deque[Request]) -> None:
         while line and line[0].is_finished:
             if any(attempt.is_in_flight for attempt in line[0].attempts):
                 return
             attempts = line.popleft().attempts
-            if any(attempt.outcome in MAY_STILL_RUN for attempt in attempts):
+            if any(attempt.outcome in POSSIBLY_RUNNING_OUTCOMES for attempt in attempts):
                 self.held_until[order_key] = self._host.now + self._settle_ticks
                 # Without a timer, a key that never comes again would stay here for ever.
                 self._host.call_later(self._settle_ticks, self.advance, order_key)
--- a/corkgauge/policy/outcome_learning.py
+++ b/corkgauge/policy/outcome_learning.py
@@ -7,20 +7,20 @@
 from corkgauge.policy.outlier_detection import (
     ERROR_FAULT,
     RESET_FAULT,
-    UNREACHED_FAULT,
+    UNREACHABLE_FAULT,
     OutlierDetector,
 )
 from corkgauge.policy.records import Attempt, AttemptOutcome, EngineStats, RequestClass
-from corkgauge.policy.units import SECOND
+from corkgauge.policy.units import TICKS_PER_SECOND
 from corkgauge.policy.work_estimates import WorkEstimates
 
-BAD_STEP = -0.1  # of limit and price, for an attempt that was refused, late or lost
-GOOD_STEP = 0.025  # for an answer in time
-REFUSAL_TICKS = SECOND  # for which an engine that was full is left alone
+OVERLOAD_STEP = -0.1  # of limit and price, for an attempt that was refused, late or lost
+ON_TIME_STEP = 0.025  # for an answer in time
+ENGINE_FULL_PAUSE_TICKS = TICKS_PER_SECOND  # for which an engine that was full is left alone
 MIN_DURATION_TICKS = 1
 FAULT_KINDS: dict[int, str] = {
     AttemptOutcome.ERROR: ERROR_FAULT,
-    AttemptOutcome.UNREACHABLE: UNREACHED_FAULT,
+    AttemptOutcome.UNREACHABLE: UNREACHABLE_FAULT,
     AttemptOutcome.CONNECTION_RESET: RESET_FAULT,
 }
 
@@ -45,7 +45,7 @@
         self._limit = limit
         self._price = price
 
-    def learn(
+    def learn_from_outcome(
         self, attempt: Attempt, took: int, work: int, memory: float, reported_load: float
     ) -> None:
         """An attempt has its outcome, after `took` ticks.
@@ -62,17 +62,17 @@
         if attempt.sent_at < engine.incarnation:
             return  # it speaks of the engine before its restart
         if outcome == AttemptOutcome.SUCCEEDED:
-            self._learn_success(attempt, took, work, memory)
+            self._learn_from_success(attempt, took, work, memory)
         elif outcome == AttemptOutcome.ENGINE_FULL:
-            self._outliers.record_sign_of_life(engine)
-            stats.refused_until = self._host.now + REFUSAL_TICKS
-            self.move_limits(stats, request_class, BAD_STEP)
+            self._outliers.record_activity(engine)
+            stats.refused_until = self._host.now + ENGINE_FULL_PAUSE_TICKS
+            self.adjust_limit_and_price(stats, request_class, OVERLOAD_STEP)
         elif outcome == AttemptOutcome.TIMED_OUT:
-            self.move_limits(stats, request_class, BAD_STEP)
+            self.adjust_limit_and_price(stats, request_class, OVERLOAD_STEP)
         elif outcome in FAULT_KINDS:
             self._outliers.record_fault(engine, FAULT_KINDS[outcome])
 
-    def _learn_success(self, attempt: Attempt, took: int, work: int, memory: float) -> None:
+    def _learn_from_success(self, attempt: Attempt, took: int, work: int, memory: float) -> None:
         request = attempt.request
         request_class = request.request_class
         stats = attempt.engine.stats
@@ -86,10 +86,12 @@
         objective = (
             request_class.latency_objective + request_class.objective_stretch * work_duration
         )
-        step = GOOD_STEP if took <= objective else BAD_STEP
-        self.move_limits(stats, request_class, step)
+        step = ON_TIME_STEP if took <= objective else OVERLOAD_STEP
+        self.adjust_limit_and_price(stats, request_class, step)
 
-    def move_limits(self, stats: EngineStats, request_class: RequestClass, step: float) -> None:
+    def adjust_limit_and_price(
+        self, stats: EngineStats, request_class: RequestClass, step: float
+    ) -> None:
         """Move the engine's concurrency limit up, and the price down, by `step`."""
-        self._limit.move(stats, step)
-        self._price.move(request_class, step)
+        self._limit.adjust(stats, step)
+        self._price.adjust(request_class, step)
--- a/corkgauge/policy/outlier_detection.py
+++ b/corkgauge/policy/outlier_detection.py
@@ -7,25 +7,27 @@
 
 from corkgauge.policy.host import Host
 from corkgauge.policy.records import Attempt, Engine, EngineStats
-from corkgauge.policy.units import SECOND
+from corkgauge.policy.units import TICKS_PER_SECOND
 
 if TYPE_CHECKING:  # the subset asks `is_trusted`
     from corkgauge.policy.subsetting import EngineSubset
 
-# What an engine may have done; the words stand in recovery files. GOOD_ANSWER is no fault.
-GOOD_ANSWER = ""
+# What an engine may have done; the words stand in recovery files. NO_FAULT is no fault.
+NO_FAULT = ""
 ERROR_FAULT = "error"
 RESET_FAULT = "reset"
-UNREACHED_FAULT = "unreached"
+UNREACHABLE_FAULT = "unreached"
 SILENT_FAULT = "silent"
 
-EJECTION_TICKS = SECOND  # of the first fault, doubled with each further one among the last few
+EJECTION_TICKS = (
+    TICKS_PER_SECOND  # of the first fault, doubled with each further one among the last few
+)
 MAX_DOUBLINGS = 4
-COMPARISON_WINDOW_TICKS = 10 * SECOND  # of faults that engines are compared by
+COMPARISON_WINDOW_TICKS = 10 * TICKS_PER_SECOND  # of faults that engines are compared by
 COMMON_FAULT_FACTOR = 2  # of the middle engine's faults, up to which a fault is everybody's
-COMMON_FAULT_SLACK = 2  # faults
-UNTRUSTED_ERRORS = 2  # among the last few answers
-ZONE_LOST_ENGINES = 2  # lost without any sign between, for which the zone is taken for lost
+COMMON_FAULT_SLACK_COUNT = 2  # faults
+UNTRUSTED_ERROR_COUNT = 2  # among the last few answers
+LOST_ZONE_ENGINE_COUNT = 2  # lost without any sign between, for which the zone is taken for lost
 
 
 def is_trusted(stats: EngineStats) -> bool:
@@ -34,7 +36,7 @@
     After a lost connection or silence one good answer is enough; errors may come between good ones.
     """
     history = stats.fault_history
-    return history.count(ERROR_FAULT) < UNTRUSTED_ERRORS and not (history and history[-1])
+    return history.count(ERROR_FAULT) < UNTRUSTED_ERROR_COUNT and not (history and history[-1])
 
 
 def count_faults(stats: EngineStats) -> int:
@@ -61,7 +63,11 @@
         # Each engine of a zone that is cut off would be found by losses of its own. Once several
         # are lost without a sign from any there, one attempt an ejection tells of the zone.
         lost = self._lost_by_zone.get(engine.zone)
-        if lost and len(lost) >= ZONE_LOST_ENGINES and now < max(lost.values()) + EJECTION_TICKS:
+        if (
+            lost
+            and len(lost) >= LOST_ZONE_ENGINE_COUNT
+            and now < max(lost.values()) + EJECTION_TICKS
+        ):
             return False
         if stats.peer_suspicion and (stats.peer_suspicion > 1 or stats.in_flight):
             return False
@@ -74,20 +80,20 @@
         """An attempt goes to a zone that may be lost: no other does for a while."""
         engine = attempt.engine
         lost = self._lost_by_zone.get(engine.zone)
-        if lost and len(lost) >= ZONE_LOST_ENGINES:
+        if lost and len(lost) >= LOST_ZONE_ENGINE_COUNT:
             lost[engine] = attempt.sent_at
 
-    def record_sign_of_life(self, engine: Engine) -> None:
+    def record_activity(self, engine: Engine) -> None:
         """The engine sent something of its own; its zone is not lost."""
-        engine.stats.last_heard_at = self._host.now
+        engine.stats.last_activity_at = self._host.now
         self._lost_by_zone.pop(engine.zone, None)
 
     def record_success(self, engine: Engine) -> None:
         """The engine answered well."""
         stats = engine.stats
         was_trusted = is_trusted(stats)
-        self.record_sign_of_life(engine)
-        stats.fault_history.append(GOOD_ANSWER)
+        self.record_activity(engine)
+        stats.fault_history.append(NO_FAULT)
         if not was_trusted and is_trusted(stats):
             self._host.log(f"back {engine.name} faults={count_faults(stats)}")
 
@@ -97,9 +103,9 @@
         now = self._host.now
         if kind != ERROR_FAULT:
             self._lost_by_zone.setdefault(engine.zone, {})[engine] = now
-        if (kind, now) not in stats.trouble_history:
-            stats.trouble_history.append((kind, now))
-        if kind in (ERROR_FAULT, RESET_FAULT) and self._is_common(stats, kind):
+        if (kind, now) not in stats.failure_history:
+            stats.failure_history.append((kind, now))
+        if kind in (ERROR_FAULT, RESET_FAULT) and self._is_common_fault(stats, kind):
             return
         stats.fault_history.append(kind)
         if now >= stats.ejected_until:
@@ -109,7 +115,7 @@
             self._host.call_later(ticks, self._on_ejection_over)
             self._host.log(f"rest {engine.name} {kind} faults={faults} for={ticks}")
 
-    def _is_common(self, stats: EngineStats, kind: str) -> bool:
+    def _is_common_fault(self, stats: EngineStats, kind: str) -> bool:
         """Whether most of the other engines had nearly as many faults of this kind lately.
 
         What befalls all alike, as spoilt answers, broken links or what clients send, is no engine's
@@ -117,15 +123,15 @@
         """
         since = self._host.now - COMPARISON_WINDOW_TICKS
         others = sorted(
-            count_troubles(engine.stats, kind, since)
+            count_failures(engine.stats, kind, since)
             for engine in self._subset.engines
             if engine.stats is not stats
         )
         if not others:
             return False
         middle = others[len(others) // 2]
-        own = count_troubles(stats, kind, since)
-        return bool(middle) and own <= COMMON_FAULT_FACTOR * middle + COMMON_FAULT_SLACK
+        own = count_failures(stats, kind, since)
+        return bool(middle) and own <= COMMON_FAULT_FACTOR * middle + COMMON_FAULT_SLACK_COUNT
 
     def restore_ejection(self, engine: Engine, ejected_until: int) -> None:
         """Take over an ejection of an earlier start of this gateway."""
@@ -134,6 +140,6 @@
             self._host.call_later(ejected_until - self._host.now, self._on_ejection_over)
 
 
-def count_troubles(stats: EngineStats, kind: str, since: int) -> int:
+def count_failures(stats: EngineStats, kind: str, since: int) -> int:
     """Troubles of one kind after `since`, also those that were not counted as faults."""
-    return sum(each == kind and when > since for each, when in stats.trouble_history)
+    return sum(each == kind and when > since for each, when in stats.failure_history)
--- a/corkgauge/policy/recent_work.py
+++ b/corkgauge/policy/recent_work.py
@@ -7,7 +7,7 @@
 from corkgauge.policy.subsetting import EngineSubset
 from corkgauge.policy.units import RECENT_SAMPLES
 
-LEAST_GROUP_WORK = 1  # thread ticks; what rounding leaves of a group is less
+MIN_GROUP_WORK_TICKS = 1  # thread ticks; what rounding leaves of a group is less
 
 
 class SentWork(NamedTuple):
@@ -26,7 +26,7 @@
         self._sent: deque[SentWork] = deque()
         self._work_by_group: dict[float, float] = {}
 
-    def of_group(self, table_group: float) -> float:
+    def work_of_group(self, table_group: float) -> float:
         """The work of a table group."""
         return self._work_by_group.get(table_group, 0.0)
 
@@ -34,13 +34,13 @@
         """Count an attempt; the oldest is forgotten."""
         engine.stats.recent_work += work
         self._sent.append(SentWork(engine.stats, work, table_group))
-        self._work_by_group[table_group] = self.of_group(table_group) + work
+        self._work_by_group[table_group] = self.work_of_group(table_group) + work
         if len(self._sent) > RECENT_SAMPLES * len(self._subset.engines):
-            self._forget_oldest()
+            self._remove_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _remove_oldest(self) -> None:
         oldest = self._sent.popleft()
         oldest.stats.recent_work -= oldest.work
         self._work_by_group[oldest.table_group] -= oldest.work
-        if self._work_by_group[oldest.table_group] < LEAST_GROUP_WORK:
+        if self._work_by_group[oldest.table_group] < MIN_GROUP_WORK_TICKS:
             del self._work_by_group[oldest.table_group]
--- a/corkgauge/policy/records.py
+++ b/corkgauge/policy/records.py
@@ -111,8 +111,8 @@
     slow_start_usage: deque[tuple[int, float]]  # (when, typical work sent), overload window
     slowness_samples: deque[float]  # time taken over the time of the work alone
     fault_history: deque[str]  # one for each outcome; empty: a good answer
-    trouble_history: deque[tuple[str, int]]  # (why, when), also of faults that are not its own
-    last_heard_at: int = -1  # when it last gave a sign of its own
+    failure_history: deque[tuple[str, int]]  # (why, when), also of faults that are not its own
+    last_activity_at: int = -1  # when it last gave a sign of its own
     ejected_until: int = -1
     refused_until: int = -1
     limit_factor: float = 1.0  # of its concurrency limit, over where it starts
--- a/corkgauge/policy/request_queues.py
+++ b/corkgauge/policy/request_queues.py
@@ -7,7 +7,7 @@
 from corkgauge.policy.records import Request, RequestClass, RequestQueue
 from corkgauge.policy.units import FEEDBACK_INTERVAL_TICKS, RECENT_SAMPLES
 
-MODEL_INTERVALS = 5  # intervals that the linear model of shares sees
+SHARE_HISTORY_COUNT = 5  # intervals that the linear model of shares sees
 
 
 class RequestQueues:
@@ -34,7 +34,7 @@
 
     def restore(self, tenant: int, request_class: RequestClass, share: float) -> None:
         """Make a queue with the share that it had."""
-        history = deque[tuple[float, float]](maxlen=MODEL_INTERVALS)
+        history = deque[tuple[float, float]](maxlen=SHARE_HISTORY_COUNT)
         queue = RequestQueue(request_class, history, share)
         self.by_tenant_and_class[tenant, request_class] = queue
 
--- a/corkgauge/policy/retries.py
+++ b/corkgauge/policy/retries.py
@@ -13,18 +13,18 @@
     Repeatability,
     Request,
 )
-from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, SECOND
+from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, TICKS_PER_SECOND
 
 # The budget where none is stated: one of our own against retry storms.
-OWN_RETRY_FLOOR = 10
-OWN_RETRY_SHARE = 0.5
-OWN_RETRY_WINDOW_TICKS = 5 * SECOND
-MAX_ERRORS = 2  # attempts of a request that engines failed
+DEFAULT_RETRY_FLOOR = 10
+DEFAULT_RETRY_SHARE = 0.5
+DEFAULT_RETRY_WINDOW_TICKS = 5 * TICKS_PER_SECOND
+MAX_ERROR_COUNT = 2  # attempts of a request that engines failed
 # An attempt that waited longer for its first byte counts in the budget from that byte on.
-SENT_AT_ONCE_TICKS = ESTIMATE_VALIDITY_TICKS
+IMMEDIATE_SEND_TICKS = ESTIMATE_VALIDITY_TICKS
 
 
-def attempts_that_may_have_run(request: Request) -> list[Attempt]:
+def possibly_executed_attempts(request: Request) -> list[Attempt]:
     """All but those that are proven never to have run."""
     return [
         *request.earlier_attempts,
@@ -32,12 +32,12 @@
     ]
 
 
-def may_be_rejected(request: Request) -> bool:
+def can_be_rejected(request: Request) -> bool:
     """Whether the client may be told to try again: it does no harm, or the request never ran."""
     request_class = request.request_class
     return (
         request_class.repeatability == Repeatability.IDEMPOTENT
-        or not attempts_that_may_have_run(request)
+        or not possibly_executed_attempts(request)
         or (request_class.repeatability == Repeatability.KEYED and request_class.key_scope == "all")
     )
 
@@ -47,9 +47,9 @@
 
     def __init__(self, host: Host, options: GatewayOptions) -> None:
         self._host = host
-        self.floor: float = OWN_RETRY_FLOOR
-        self.share = OWN_RETRY_SHARE  # retries for each success
-        self.window_ticks = OWN_RETRY_WINDOW_TICKS
+        self.floor: float = DEFAULT_RETRY_FLOOR
+        self.share = DEFAULT_RETRY_SHARE  # retries for each success
+        self.window_ticks = DEFAULT_RETRY_WINDOW_TICKS
         if options.retry_window_ticks:
             self.floor = options.retry_floor
             self.share = options.retry_share
@@ -60,11 +60,11 @@
 
     def has_left(self, part: float = 1.0) -> bool:
         """Whether one more retry is in `part` of the budget."""
-        self.forget_old()
+        self.discard_expired()
         allowed = self.floor + self.share * len(self.success_times)
         return len(self.retry_times) + 1 <= part * self.throttle * allowed
 
-    def forget_old(self) -> None:
+    def discard_expired(self) -> None:
         """Drop what has left the window."""
         window_start = self._host.now - self.window_ticks
         for times in (self.success_times, self.retry_times):
@@ -101,21 +101,21 @@
     def __init__(self, host: Host, options: GatewayOptions, budget: RetryBudget) -> None:
         self._host = host
         self._max_attempts = options.max_attempts
-        self._margin_ticks = options.deadline_margin_ticks
+        self._deadline_margin_ticks = options.deadline_margin_ticks
         self.budget = budget
 
-    def may_retry(self, request: Request) -> bool:
+    def can_retry(self, request: Request) -> bool:
         """Whether there may be another attempt, whatever the budget says."""
         if len(request.attempts) >= self._max_attempts:
             return False
-        ran = attempts_that_may_have_run(request)
+        ran = possibly_executed_attempts(request)
         # What two engines cannot use speaks against the request; more would spend others' budget.
         errors = sum(attempt.outcome == AttemptOutcome.ERROR for attempt in ran)
-        return errors < MAX_ERRORS and self.is_repeatable(request, ran)
+        return errors < MAX_ERROR_COUNT and self.is_repeatable(request, ran)
 
-    def may_attempt(self, request: Request) -> bool:
+    def can_attempt(self, request: Request) -> bool:
         """Whether there may be a first attempt, or a retry within rules and budget."""
-        return not request.attempts or (self.may_retry(request) and self.budget.has_left())
+        return not request.attempts or (self.can_retry(request) and self.budget.has_left())
 
     def is_repeatable(self, request: Request, ran: list[Attempt]) -> bool:
         """Whether an attempt does no harm after those in `ran`."""
@@ -125,9 +125,9 @@
         if request_class.repeatability != Repeatability.KEYED:
             return False
         key_expires_at = ran[0].sent_at + request_class.key_ttl
-        return self._host.now < key_expires_at - self._margin_ticks
+        return self._host.now < key_expires_at - self._deadline_margin_ticks
 
-    def may_start(self, attempt: Attempt) -> bool:
+    def can_start(self, attempt: Attempt) -> bool:
         """Whether all still holds, directly before the first byte, for which it may have waited."""
         request = attempt.request
         engine = attempt.engine
@@ -136,10 +136,10 @@
         # An engine that was started anew meanwhile is warming up, and was granted no part of this.
         if attempt not in engine.stats.in_flight:
             return False
-        ran = [each for each in attempts_that_may_have_run(request) if each is not attempt]
+        ran = [each for each in possibly_executed_attempts(request) if each is not attempt]
         if is_cordoned_for(request, engine, ran) or not self.is_repeatable(request, ran):
             return False
-        has_waited = attempt.sent_at + SENT_AT_ONCE_TICKS < self._host.now
+        has_waited = attempt.sent_at + IMMEDIATE_SEND_TICKS < self._host.now
         if attempt.number and has_waited and attempt.sent_at in self.budget.retry_times:
             return self.budget.renew(attempt.sent_at)
         return True
--- a/corkgauge/policy/share_controller.py
+++ b/corkgauge/policy/share_controller.py
@@ -5,16 +5,16 @@
 from typing import NamedTuple
 
 from corkgauge.policy.records import RequestQueue
-from corkgauge.policy.units import SECOND
+from corkgauge.policy.units import TICKS_PER_SECOND
 
 MAX_SHARE_STEP = 0.05  # most that a share moves in an interval
-MIN_SHARE = 0.1  # least share, of an equal one
+MIN_SHARE_FRACTION = 0.1  # least share, of an equal one
 SHORTFALL_QUANTILE = 0.99
 MIN_SHORTFALL = 1e-3  # keeps its inverse finite
 MIN_SLOPE = 1.0  # of the linear model; a flat or falling one would move shares without end
 MIN_SPREAD = 1e-9  # of the shares seen, below which no slope can be told
 LEVEL_BOUND = 1e4  # the level sought lies within plus and minus this
-BISECTIONS = 60  # more than a float's digits
+BISECTION_COUNT = 60  # more than a float's digits
 
 
 class ShareModel(NamedTuple):
@@ -50,7 +50,9 @@
     rise = sum((a - mean_share) * (p - mean_performance) for a, p in queue.share_history)
     slope = rise / spread if spread > MIN_SPREAD else 0.0
     # Value for the time that a slot is held: by value alone, heavy classes would take all slots.
-    weight = queue.request_class.priority_weight * SECOND / queue.request_class.typical_work
+    weight = (
+        queue.request_class.priority_weight * TICKS_PER_SECOND / queue.request_class.typical_work
+    )
     return ShareModel(queue, share, performance, max(slope, MIN_SLOPE), weight)
 
 
@@ -63,14 +65,14 @@
         return [model.share_at(level) for model in models]
 
     low, high = -LEVEL_BOUND, LEVEL_BOUND
-    for _ in range(BISECTIONS):
+    for _ in range(BISECTION_COUNT):
         middle = (low + high) / 2
         if sum(shares_at(middle)) > total:
             low = middle
         else:
             high = middle
     for model, share in zip(models, shares_at(high), strict=True):
-        model.queue.share = max(share, MIN_SHARE / len(queues))
+        model.queue.share = max(share, MIN_SHARE_FRACTION / len(queues))
     whole = sum(queue.share for queue in queues)
     for queue in queues:
         queue.share /= whole
--- a/corkgauge/policy/slow_start.py
+++ b/corkgauge/policy/slow_start.py
@@ -7,10 +7,10 @@
 from corkgauge.policy.records import Engine
 from corkgauge.policy.work_estimates import WorkEstimates
 
-BUDGET_SAFETY = 0.9  # of its part of the budget that a gateway uses
-OVERLOAD_MARGIN = 0.85  # of the work from which an engine is overloaded, that is the budget
+BUDGET_SAFETY_FRACTION = 0.9  # of its part of the budget that a gateway uses
+OVERLOAD_WORK_FRACTION = 0.85  # of the work from which an engine is overloaded, that is the budget
 GOLDEN_RATIO = 0.618034  # spreads the gateways' turns evenly
-TURN_PASSED_ON = 0.25  # part of a turn that passes on in a window
+TURN_ADVANCE_FRACTION = 0.25  # part of a turn that passes on in a window
 
 
 class SlowStart:
@@ -26,8 +26,8 @@
         self.warming_speed = options.slow_start_speed
         # A core's worth of work that this gateway may send in a window to an engine warming up.
         self.budget_per_core = (
-            BUDGET_SAFETY
-            * OVERLOAD_MARGIN
+            BUDGET_SAFETY_FRACTION
+            * OVERLOAD_WORK_FRACTION
             * options.overload_factor
             * options.slow_start_speed
             * options.overload_window_ticks
@@ -40,7 +40,7 @@
             self._host.now < engine.incarnation + self.warm_up_ticks
         )
 
-    def may_use(self, engine: Engine, work: float) -> bool:
+    def can_use(self, engine: Engine, work: float) -> bool:
         """Whether so much work may go to the engine now."""
         return not self.is_warming_up(engine) or self.has_budget(engine, work)
 
@@ -58,7 +58,7 @@
             work = usual
         # If all turns passed on at one moment, two sets of gateways would send within one window.
         age = now - engine.incarnation
-        passed_on = TURN_PASSED_ON * min(part / usual, 1) * age / self.window_ticks
+        passed_on = TURN_ADVANCE_FRACTION * min(part / usual, 1) * age / self.window_ticks
         start = self._gateway_number * GOLDEN_RATIO + crc32(engine.hash_key) / 2**32
         turn = (start + passed_on) % 1
         if is_one_at_a_time and spent > 0:
--- a/corkgauge/policy/work_estimates.py
+++ b/corkgauge/policy/work_estimates.py
@@ -8,7 +8,7 @@
 from corkgauge.policy.units import MIN_SAMPLES
 
 ANSWER_SAMPLES = 48  # kept for a request class
-UNSEEN_WORK_FACTOR = 2.0  # of the work that fits the objective, while little is known
+DEFAULT_WORK_FACTOR = 2.0  # of the work that fits the objective, while little is known
 MEMORY_QUANTILE = 0.85  # of true over estimated memory, that a grant covers
 
 
@@ -69,7 +69,7 @@
     works = [work for _, _, work in request_class.answer_samples]
     if len(works) >= MIN_SAMPLES:
         return fmean(works)
-    unseen = UNSEEN_WORK_FACTOR * request_class.latency_objective * request_class.threads
+    unseen = DEFAULT_WORK_FACTOR * request_class.latency_objective * request_class.threads
     return max([unseen, *works])
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -7,9 +7,9 @@
 import pytest
 
 from corkgauge.policy.concurrency_limit import MAX_THREADS_PER_CORE
-from corkgauge.policy.outcome_learning import BAD_STEP
+from corkgauge.policy.outcome_learning import OVERLOAD_STEP
 from corkgauge.policy.records import AttemptOutcome, Engine, NoteKind, Repeatability
-from corkgauge.policy.share_controller import MAX_SHARE_STEP, MIN_SHARE
+from corkgauge.policy.share_controller import MAX_SHARE_STEP, MIN_SHARE_FRACTION
 from tests.harness import QUICK, SECOND, GatewayHarness
 
 HEAVY = {**QUICK, "name": "heavy", "priority_weight": 6.0, "threads": 4}
@@ -93,7 +93,7 @@
         harness.over(request.attempts[0], took=4 * SECOND if n == bad else 2000)
     harness.pass_time(2 * SECOND)
     shares = [q.share for q in harness.gateway.queues.values()]
-    assert abs(sum(shares) - 1) < 1e-9 and min(shares) >= MIN_SHARE / 2 * 0.99
+    assert abs(sum(shares) - 1) < 1e-9 and min(shares) >= MIN_SHARE_FRACTION / 2 * 0.99
     assert 0.5 < shares[bad] <= 0.5 + MAX_SHARE_STEP + 1e-6
 
 
@@ -336,8 +336,8 @@
     harness.over(requests[0].attempts[0], took=2000)
     harness.pass_time(2 * SECOND)
     for n in range(late):
-        harness.gateway.learning.move_limits(
-            requests[0].attempts[0].engine.stats, requests[0].request_class, BAD_STEP
+        harness.gateway.learning.adjust_limit_and_price(
+            requests[0].attempts[0].engine.stats, requests[0].request_class, OVERLOAD_STEP
         )
     assert (
         0
@@ -437,7 +437,7 @@
     harness.pass_time(12 * SECOND)
     gateway = harness.gateway
     order, budget = gateway.order, gateway.retry_budget
-    kept = [order.lines, order.held_until, budget.success_times, budget.retry_times]
+    kept = [order.requests_by_key, order.held_until, budget.success_times, budget.retry_times]
     kept.append(gateway.selector.cached_order_count)
     assert not any(kept) and len(harness.wakes) < 5  # keys and table groups are always new
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -194,16 +194,16 @@
     request = harness.take()
     harness.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
     again = request.attempts[1]
-    assert harness.gateway.may_start_attempt(again)
+    assert harness.gateway.can_start_attempt(again)
     harness.now += 2 * SECOND
-    assert not harness.gateway.may_start_attempt(again)
+    assert not harness.gateway.can_start_attempt(again)
 
 
 @pytest.mark.parametrize("change", ["drain", "anew", "aside", "over"])
 def test_what_an_attempt_depends_on_may_have_changed_by_the_time_a_connection_is_up(change):
     harness = GatewayHarness(engines=1)
     request = harness.take()
-    assert harness.gateway.may_start_attempt(request.attempts[0])
+    assert harness.gateway.can_start_attempt(request.attempts[0])
     engine = harness.engines[0]
     if change == "drain":
         harness.tell(engine, state=EngineState.DRAINING)
@@ -213,7 +213,7 @@
         harness.gateway.on_engine_cordon(engine, 1)
     else:
         harness.gateway.on_client_left(request)
-    assert not harness.gateway.may_start_attempt(request.attempts[0])
+    assert not harness.gateway.can_start_attempt(request.attempts[0])
 
 
 def test_a_retry_counts_in_the_budget_from_when_it_begins():
@@ -223,9 +223,9 @@
         harness.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
     begun = harness.now
     harness.now += 1_000
-    assert harness.gateway.may_start_attempt(requests[0].attempts[1])
+    assert harness.gateway.can_start_attempt(requests[0].attempts[1])
     assert harness.gateway.retry_budget.retry_times == [begun, begun + 1_000]
     harness.gateway.retry_budget.throttle = (
         0.5  # a storm: the budget is one by now, and that is used
     )
-    assert not harness.gateway.may_start_attempt(requests[1].attempts[1])
+    assert not harness.gateway.can_start_attempt(requests[1].attempts[1])
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -10,7 +10,7 @@
 from corkgauge.config.settings import Settings
 from corkgauge.model import subsets
 from corkgauge.policy import subsetting
-from corkgauge.policy.concurrency_limit import THREADS_PER_CORE
+from corkgauge.policy.concurrency_limit import INITIAL_THREADS_PER_CORE
 from corkgauge.policy.outlier_detection import is_trusted
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Repeatability
 from tests.harness import QUICK, SECOND, STATED_ON_SOCKETS, GatewayHarness
@@ -92,7 +92,14 @@
 @settings(max_examples=5, deadline=None)
 @given(st.integers(300, 900), st.integers(600, 1800), st.integers(0, 10**6))
 def test_each_engine_is_in_nearly_as_many_subsets_as_any_other(gateways, many, salt):
-    part = max(subsetting.BASE_SIZE, 128**2 / many, subsetting.COVERAGE * many / gateways) / many
+    part = (
+        max(
+            subsetting.BASE_ENGINE_COUNT,
+            128**2 / many,
+            subsetting.SUBSETS_PER_ENGINE * many / gateways,
+        )
+        / many
+    )
     count = [0] * 40
     for number in range(gateways):
         for n in range(40):
@@ -145,7 +152,11 @@
     )
     for harness in harnesses:
         harness.tell(
-            next(each for each in harness.gateway.subset.place_of if each.host_reference == "new"),
+            next(
+                each
+                for each in harness.gateway.subset.zone_and_kind_of
+                if each.host_reference == "new"
+            ),
             state=EngineState.GONE,
         )
     assert [subset_of(harness) for harness in harnesses] == before
@@ -240,7 +251,7 @@
     sizes = {}
     for times in 0.5, 3.0, 30.0:
         harness = gateway_before(fleet_engines(1800))
-        work = 8 * 1800 * THREADS_PER_CORE / 870 * times  # cores' worth of its part
+        work = 8 * 1800 * INITIAL_THREADS_PER_CORE / 870 * times  # cores' worth of its part
         queue = harness.take().queue
         for _ in range(40):  # until the count of what is asked for has settled
             many = int(work * 2 * SECOND / queue.request_class.typical_work)
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -34,7 +34,7 @@
     premises.socket_host.gateway.subset.engines = [
         premises.socket_host.engine_pools[tag].engine for tag in tags
     ]
-    premises.socket_host.gateway.selector.forget_orders()
+    premises.socket_host.gateway.selector.clear_cached_orders()
 
 
 class Walked(dict):
