--- a/corkgauge/policy/__init__.py
+++ b/corkgauge/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision about engine, retry and rejection; free of I/O."""
+"""Decides which engine serves a request, and when to retry or reject it; performs no I/O."""
--- a/corkgauge/policy/admission.py
+++ b/corkgauge/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: requests wait in queues for a slot, are sent, or are given up in time."""
+"""Admission: queues requests for a slot, then sends, rejects or fails each before its deadline."""
 
 from collections.abc import Collection
 
@@ -17,16 +17,14 @@
 from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, RECENT_SAMPLES
 from corkgauge.policy.work_estimates import expected_work
 
-MAX_QUEUE_WAIT_FRACTION = (
-    0.06  # of a request's time to its deadline that it waits in its queue at most
-)
+MAX_QUEUE_WAIT_FRACTION = 0.06  # of a request's time to its deadline
 MAX_HOST_LAG_TICKS = 2 * ESTIMATE_VALIDITY_TICKS
-MAX_REQUESTS_TRIED_COUNT = RECENT_SAMPLES  # requests of a queue that are looked at for a slot
+MAX_REQUESTS_TRIED_COUNT = RECENT_SAMPLES  # requests of a queue that are tried for one slot
 MIN_OBJECTIVE_TICKS = 1
 
 
 class Admission:
-    """Every accepted request is answered once: by an engine, by a rejection or by a failure."""
+    """Ensures one answer for each accepted request: an engine's, a rejection or a failure."""
 
     def __init__(
         self,
@@ -55,7 +53,7 @@
         self._slowness = slowness
 
     def accept(self, request: Request) -> None:
-        """A client's request; from now on one final answer is owed."""
+        """Accept a client's request, which must then get exactly one final answer."""
         request_class = request.request_class
         request.queue = self._queues.queue_for(request.tenant, request_class)
         request.expected_work = expected_work(request)
@@ -63,9 +61,9 @@
             request_class.latency_objective
             + request_class.objective_stretch * request.expected_work / request_class.threads
         )
-        # A gateway whose own processor is full answers all late: it sheds what comes.
-        is_overrun = self._host.lag > MAX_HOST_LAG_TICKS
-        if request.time_to_deadline <= self._deadline_margin_ticks or is_overrun:
+        # When the gateway's processor is overloaded, every answer would be late: shed new requests.
+        is_overloaded = self._host.lag > MAX_HOST_LAG_TICKS
+        if request.time_to_deadline <= self._deadline_margin_ticks or is_overloaded:
             self.reject_or_fail(request)
             return
         time_left = request.time_to_deadline - self._deadline_margin_ticks
@@ -78,8 +76,8 @@
     def _append_to_key_order(self, request: Request) -> None:
         order_key = request.order_key
         self._order.append(request)
-        # In a line longer than its objective all would start too late. The heaviest are given up,
-        # so most are not.
+        # If the requests of a key together need longer than the latency objective, all of them
+        # would start too late. Giving up the heaviest ones saves the largest number of others.
         waiting = self._order.unsent_requests(order_key)
         while len(waiting) > 1:
             time_needed = sum(map(self._slowness.expected_time, waiting))
@@ -87,33 +85,33 @@
                 break
             self.reject_or_fail(max(waiting, key=lambda each: each.expected_work))
             waiting = self._order.unsent_requests(order_key)
-        patience = max(
+        max_wait_ticks = max(
             request.latency_objective - self._slowness.expected_time(request),
             request.time_to_deadline * MAX_QUEUE_WAIT_FRACTION,
         )
-        self._host.call_later(int(patience), self.on_queue_wait_over, request, 0)
+        self._host.call_later(int(max_wait_ticks), self.on_queue_wait_over, request, 0)
         self._order.advance(order_key)
 
     def enqueue(self, request: Request) -> None:
-        """Let the request wait for a slot, and send it at once if there is one."""
+        """Queue the request for a slot, and send it at once if a slot is free."""
         request_queues.insert(request)
         max_wait = int(request.time_to_deadline * MAX_QUEUE_WAIT_FRACTION)
         self._host.call_later(max_wait, self.on_queue_wait_over, request, len(request.attempts))
-        # Under overload, a walk of all queues for each that joins would take the whole processor.
+        # Under overload, visiting all queues for each new request would use the whole processor.
         self.fill_slots((request.queue,))
 
     def fill_slots(self, queues: Collection[RequestQueue] = ()) -> None:
-        """Fill free slots by lottery among the queues that can use one: these, or all."""
-        able = [queue for queue in queues or self._queues.values() if queue.waiting]
-        while able:
-            queue = self._lottery.draw(able)
+        """Fill free slots by lottery among the given queues, or among all if none is given."""
+        eligible_queues = [queue for queue in queues or self._queues.values() if queue.waiting]
+        while eligible_queues:
+            queue = self._lottery.draw(eligible_queues)
             if not self._send_lightest_request(queue) or not queue.waiting:
-                able.remove(queue)
+                eligible_queues.remove(queue)
 
     def _send_lightest_request(self, queue: RequestQueue) -> bool:
-        """Send one request of the queue; whether one was sent.
+        """Send one of the lightest requests of the queue; return whether one was sent.
 
-        Heavy requests take slots like light ones: where a queue waits, its lightest go first.
+        A heavy request occupies a slot just as a light one does, so the lightest go first.
         """
         for request in queue.waiting[:MAX_REQUESTS_TRIED_COUNT]:
             engine = self._choose_engine(request)
@@ -121,37 +119,37 @@
                 request_queues.remove(request)
                 self._dispatcher.send(request, engine)
                 return True
-            if not request.attempts:  # the others have no more choice than this one
+            if not request.attempts:  # no later request has a wider choice of engines
                 return False
         return False
 
     def _choose_engine(self, request: Request) -> Engine | None:
-        """Is it worth it, may it be attempted, is there an engine."""
+        """Select an engine if price and retry rules allow an attempt; None otherwise."""
         if self._price.is_too_high_for(request) or not self._retries.can_attempt(request):
             return None
         return self._selector.select(request)
 
     def on_deadline_near(self, request: Request) -> None:
-        """The answer must go now to be in time."""
+        """Reject or fail a request that has reached its deadline margin."""
         if not request.is_finished:
             self.reject_or_fail(request)
 
     def on_queue_wait_over(self, request: Request, attempt_count: int) -> None:
-        """A request has waited its part in vain, if no attempt was made since."""
+        """End the queue wait of a request, unless an attempt was sent since the wait began."""
         if request.is_finished or attempt_count != len(request.attempts):
             return
         if any(attempt.is_in_flight for attempt in request.attempts):
-            # A hedged attempt that found no place is forgotten: the first still runs.
+            # Drop a hedged attempt that found no slot; the first attempt still runs.
             request_queues.remove(request)
         else:
             self.reject_or_fail(request)
 
-    def on_outcome(self, attempt: Attempt, is_answered: bool, took: int) -> None:
-        """An attempt of a request that is not finished has its outcome: close, retry or give up."""
+    def on_outcome(self, attempt: Attempt, is_answered: bool, duration_ticks: int) -> None:
+        """Finish, retry, reject or fail an unfinished request after one attempt's outcome."""
         request = attempt.request
         if is_answered:
             self._retries.budget.record_success(request)
-            self.finish(request, took + attempt.sent_at - request.accepted_at)
+            self.finish(request, duration_ticks + attempt.sent_at - request.accepted_at)
         elif not request.is_queued and not any(each.is_in_flight for each in request.attempts):
             if self._retries.can_retry(request):
                 self.enqueue(request)
@@ -159,13 +157,13 @@
                 self.reject_or_fail(request)
 
     def on_client_left(self, request: Request) -> None:
-        """The client has gone; nothing more is owed."""
+        """Finish a request whose client has disconnected; no answer is sent."""
         if not request.is_finished:
             self.finish(request, request.time_to_deadline)
 
     def reject_or_fail(self, request: Request) -> None:
-        """Reject the request if that does no harm, else fail it: the answer goes at once."""
-        # Closing lets the next of its key go, so the answer comes first.
+        """Reject the request if the client can safely send it again; fail it otherwise."""
+        # Answer before finishing: finishing starts the next request of the order key.
         if can_be_rejected(request):
             self._host.reject(request, self._retry_after_ticks)
         else:
@@ -173,7 +171,7 @@
         self.finish(request, request.time_to_deadline)
 
     def finish(self, request: Request, latency: int) -> None:
-        """A request is over, however it ended; those given up count as shortfall too."""
+        """Finish a request and record its shortfall, also if it was rejected or failed."""
         request_queues.remove(request)
         request.is_finished = True
         objective = max(request.latency_objective, MIN_OBJECTIVE_TICKS)
--- a/corkgauge/policy/admission_price.py
+++ b/corkgauge/policy/admission_price.py
@@ -1,4 +1,4 @@
-"""The admission price: the value for its work that a request must bring to be sent."""
+"""The admission price: the value per unit of work that a request needs to be sent."""
 
 from collections.abc import Collection
 
@@ -6,41 +6,42 @@
 from corkgauge.policy.units import RECENT_SAMPLES
 from corkgauge.policy.work_estimates import WorkEstimates
 
-MIN_CLASS_STEP_FACTOR = 0.4  # least part of a step that a light class's outcome moves the price by
-MAX_CLASS_STEP_FACTOR = 2.0  # most
-INTERVAL_DECAY_FRACTION = 0.2  # part that an interval takes off
-MIN_MEAN_WORK_TICKS = 1.0  # thread ticks; keeps the ratio of works finite
+MIN_CLASS_STEP_FACTOR = 0.4  # smallest factor on a step, for outcomes of light classes
+MAX_CLASS_STEP_FACTOR = 2.0  # largest factor on a step, for outcomes of heavy classes
+INTERVAL_DECAY_FRACTION = 0.2  # decrease of the price in each feedback interval
+MIN_MEAN_WORK_TICKS = 1.0  # thread ticks; avoids division by zero
 
 
 class AdmissionPrice:
-    """Rises with late and refused answers, falls with those in time.
+    """Raises the price on late and refused answers and lowers it on answers in time.
 
-    Hundreds of gateways, each below its own limits, overrun the engines together; hence the price.
+    Hundreds of gateways, each below its concurrency limits, can overload the engines together. The
+    price makes each of them hold back the requests of the least value for their work.
     """
 
     def __init__(self, estimates: WorkEstimates) -> None:
         self._estimates = estimates
-        self.current = 0.0  # 0: everything goes
+        self.current = 0.0  # 0: every request may be sent
         self._min_price = 0.0
         self._max_price = 0.0
 
     def is_too_high_for(self, request: Request) -> bool:
-        """Whether the request's value does not pay for its work."""
+        """Whether the price of the expected work exceeds the value of the request."""
         return request.expected_work * self.current > request.request_class.priority_weight
 
     def update_bounds(self, queues: Collection[RequestQueue]) -> None:
-        """Follow the classes in use, and let the price fall by an interval."""
+        """Bound the price by the classes in use, and lower it by the decay of one interval."""
         classes = [queue.request_class for queue in queues]
         values = [each.priority_weight / each.typical_work for each in classes] or [0.0]
         self._min_price = min(values) / RECENT_SAMPLES
-        # Hundreds of late answers at once would raise the price out of reach for minutes; so it
-        # stays where the class of the best value is still sent.
+        # Hundreds of late answers at once would raise the price so far that no request is sent for
+        # minutes. The bound keeps the class of the best value for its work affordable.
         self._max_price = max(values)
-        # A price that holds all back meets no answer that could lower it: it falls by itself.
+        # A price that holds back all requests gets no answers that would lower it, so it decays.
         self.current *= 1 - INTERVAL_DECAY_FRACTION
 
     def adjust(self, request_class: RequestClass, step: float) -> None:
-        """Lower the price by `step`, a part of it, or raise it by a negative one."""
+        """Lower the price by the fraction `step`, or raise it if `step` is negative."""
         relative_work = request_class.typical_work / max(
             self._estimates.mean_typical_work, MIN_MEAN_WORK_TICKS
         )
--- a/corkgauge/policy/dispatch.py
+++ b/corkgauge/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends attempts, with their memory and priority, and cancels them."""
+"""Sends attempts with their memory grant and priority, and cancels attempts."""
 
 from collections.abc import Callable
 
@@ -13,18 +13,18 @@
 from corkgauge.policy.slow_start import SlowStart
 from corkgauge.policy.work_estimates import WorkEstimates, memory_grant
 
-# Of the mean work: beyond each of these, a request's priority is one lower.
+# Fractions of the mean work. A request's priority drops by one for each that its work exceeds.
 PRIORITY_TIER_WORK_FRACTIONS = (0.25, 1.0, 2.0)
-MAX_PRIORITY = 3  # of requests that have the gateway to themselves
-SHARED_PRIORITY = 2  # of all others
-FULL_EQUAL_SHARE_FRACTION = 0.999  # of an equal share, less what rounding takes
+MAX_PRIORITY = 3  # of requests whose queue has at least an equal share
+SHARED_PRIORITY = 2  # of requests of all other queues
+FULL_EQUAL_SHARE_FRACTION = 0.999  # of an equal share; below 1 to allow for rounding
 MIN_TIMEOUT_TICKS = 1
-OVERDUE_OBJECTIVE_FRACTION = 0.5  # of its objective, after which an attempt is looked at
-OVERDUE_TIME_FACTOR = 2  # of its expected time, likewise
+OVERDUE_OBJECTIVE_FRACTION = 0.5  # of the latency objective, after which an attempt is checked
+OVERDUE_TIME_FACTOR = 2  # times the expected time, after which an attempt is checked
 
 
 class Dispatcher:
-    """Sends and cancels attempts; what is in flight stands in the engines' stats."""
+    """Sends and cancels attempts; records those in flight in each engine's stats."""
 
     def __init__(
         self,
@@ -63,24 +63,24 @@
         self._host.send_attempt(
             attempt, max(MIN_TIMEOUT_TICKS, time_left - self._deadline_margin_ticks // 2)
         )
-        patience = max(
+        overdue_after_ticks = max(
             OVERDUE_OBJECTIVE_FRACTION * request.latency_objective,
             OVERDUE_TIME_FACTOR * self._slowness.expected_time(request),
         )
-        self._host.call_later(int(patience), self._on_answer_overdue, attempt)
+        self._host.call_later(int(overdue_after_ticks), self._on_answer_overdue, attempt)
 
     def _priority(self, request: Request) -> int:
-        equal_share_part = request.queue.share * len(self._queues)
+        equal_share_fraction = request.queue.share * len(self._queues)
         priority = (
-            MAX_PRIORITY if equal_share_part >= FULL_EQUAL_SHARE_FRACTION else SHARED_PRIORITY
+            MAX_PRIORITY if equal_share_fraction >= FULL_EQUAL_SHARE_FRACTION else SHARED_PRIORITY
         )
-        # Heavy requests crowd light ones out on the engine's cores too; one in keyed order holds
-        # its line, so it goes first whatever its weight.
+        # Heavy requests would crowd out light ones on the engine's cores too. An ordered request
+        # delays all later requests of its key, so its priority is not lowered for its work.
         if not request.request_class.ordered:
             mean_work = self._estimates.mean_typical_work
             priority -= sum(
-                request.expected_work > part * mean_work > 0
-                for part in PRIORITY_TIER_WORK_FRACTIONS
+                request.expected_work > fraction * mean_work > 0
+                for fraction in PRIORITY_TIER_WORK_FRACTIONS
             )
         return max(priority, 0)
 
@@ -105,17 +105,17 @@
 
     @staticmethod
     def record_outcome(attempt: Attempt, outcome: int) -> None:
-        """The attempt is no longer in flight."""
+        """Record the outcome of an attempt, which is no longer in flight."""
         engine = attempt.engine
         attempt.is_in_flight = False
         attempt.outcome = outcome
-        # It is not there if the engine was started anew meanwhile.
+        # The attempt is missing from the list if the engine has restarted since.
         if attempt in engine.stats.in_flight:
             engine.stats.in_flight.remove(attempt)
             engine.threads_in_flight -= attempt.request.request_class.threads
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt that is in flight, where engines take that."""
+        """Cancel an attempt that is in flight, if the engines support cancellation."""
         if self.can_cancel and attempt.is_in_flight and not attempt.is_cancelled:
             attempt.is_cancelled = True
             self._host.cancel_attempt(attempt)
--- a/corkgauge/policy/engine_selection.py
+++ b/corkgauge/policy/engine_selection.py
@@ -1,4 +1,4 @@
-"""Picks the engine of the next attempt."""
+"""Selects the engine of the next attempt."""
 
 from collections.abc import Sequence
 from struct import pack
@@ -18,23 +18,23 @@
 from corkgauge.policy.slow_start import SlowStart
 from corkgauge.policy.subsetting import EngineSubset
 
-# Threads a core by which the next engine in order must be emptier, as the group's tables are not
-# cached there.
+# An engine one position further in the order is preferred only if its load is lower by this, since
+# the table group's tables are not cached there.
 DISTANCE_PENALTY_THREADS_PER_CORE = 0.25
-NEAREST_ENGINE_COUNT = 3  # engines of the order looked at first
-EVEN_SHARE_FACTOR = 1.25  # of an even share of the last work, before other engines are preferred
-KEYED = Repeatability.KEYED  # bound here, as reading an enum's member costs on the hot path
+NEAREST_ENGINE_COUNT = 3  # engines that are considered first, in the hashed order
+EVEN_SHARE_FACTOR = 1.25  # of an even share of recent work; above it, other engines are preferred
+KEYED = Repeatability.KEYED  # a constant here, as enum access is slow on the hot path
 
 
 class EngineFilter(NamedTuple):
-    """Which engines are looked at."""
+    """Restricts the engines that are considered."""
 
-    healthy: bool  # only those that do well
-    untried: bool  # only those without an attempt of the request
+    healthy: bool  # consider only healthy engines
+    untried: bool  # consider only engines without an attempt of the request
 
 
-# Engines that fail, are silent or refuse come last. Never all are left out at once: when none does
-# well, the trouble is likely not theirs, and all are used.
+# Engines that fail, are silent or refuse requests are considered last. If no engine is healthy, the
+# cause is probably elsewhere, so all engines are used.
 FALLBACK_ORDER = (
     EngineFilter(True, True),
     EngineFilter(True, False),
@@ -44,25 +44,25 @@
 
 
 class SelectionContext(NamedTuple):
-    """What is the same for each engine that is looked at for a request."""
+    """Holds what is equal for all engines that are considered for one request."""
 
     request: Request
-    ran: list[Attempt]  # may have run
+    possibly_executed: list[Attempt]  # attempts that may have run
     tried: list[Engine]
     usual_slowness: float
     order: list[Engine]
-    even_work_per_core: float  # an engine with more of the last work is spare only
-    work_slack: float  # thread ticks above the even work
-    affinity_count: int  # engines of the order that are equally near; 0: nearness is by position
-    first_affinity: int  # position of this gateway's own among them
+    even_work_per_core: float  # an engine with more recent work is used only as a fallback
+    work_slack: float  # thread ticks of recent work allowed above the even work
+    affinity_count: int  # affinity engines at the start of the order; 0: distance is by position
+    first_affinity: int  # position of this gateway's first choice among them
     considers_all_engines: bool
 
 
 class EngineSelector:
-    """Picks the engine of the next attempt.
+    """Selects the engine of the next attempt.
 
-    Owns the hashed order of engines of each table group. Asks the health, capacity and slow-start
-    modules about one engine at a time; changes none of them.
+    Owns the hashed order of engines of each table group. Queries the health, capacity and
+    slow-start modules for one engine at a time, and changes none of them.
     """
 
     def __init__(
@@ -92,22 +92,23 @@
 
     @property
     def cached_order_count(self) -> int:
-        """The orders that are kept at present."""
+        """The number of cached orders."""
         return len(self._order_by_group) + len(self._engines_by_key_scope)
 
     def clear_cached_orders(self) -> None:
-        """The engines have changed, or an interval is over."""
+        """Clear the cached orders, after a change of the engines or at the end of an interval."""
         self._order_by_group.clear()
         self._engines_by_key_scope.clear()
 
     def order_for(self, table_group: float, rank_limit: float = 1.0) -> list[Engine]:
-        """The subset, in the order hashed from the table group: alike at every gateway."""
+        """The subset in the order hashed from the table group, the same at every gateway."""
         key = table_group, rank_limit
         order = self._order_by_group.get(key)
         if order is None:
             prefix = b"%d:" % int(table_group)
-            # What a narrow class needs is in many subsets, and would draw all others' work from
-            # each: so only engines up to the class's own rank.
+            # Engines that a class with few allowed engines needs are in many subsets, and would
+            # attract the work of all other classes from each. So each class uses only engines up
+            # to the rank limit of that class.
             order = sorted(
                 (
                     engine
@@ -120,14 +121,14 @@
         return order
 
     def select(self, request: Request) -> Engine | None:
-        """The engine to use, or None while every engine that the rules allow is at its limit."""
-        search = self._prepare(request)
-        for pool in FALLBACK_ORDER:
-            if pool is not FALLBACK_ORDER[0]:
-                outside = self.select_outside_subset(request, search.tried)
+        """The engine to use, or None while every allowed engine is at its limit."""
+        context = self._prepare(request)
+        for engine_filter in FALLBACK_ORDER:
+            if engine_filter is not FALLBACK_ORDER[0]:
+                outside = self.select_outside_subset(request, context.tried)
                 if outside:
                     return outside
-            is_any_eligible, engine = self._select_in_order(search, pool)
+            is_any_eligible, engine = self._select_in_order(context, engine_filter)
             if is_any_eligible:
                 return engine
         return None
@@ -144,10 +145,11 @@
         if self._limit.threads_per_core * most_cores < 1.0:
             work_slack = work
             affinity_count = self._affinity_count(request, len(order), recent_work)
-            place = crc32(pack("<Qd", self._gateway_number, request.table_group))
-            first_affinity = place * affinity_count >> 32
-        # Under a price the warm engines are overrun, while permits of ones warming up further on
-        # would lapse: then all of the order is looked at.
+            hashed_position = crc32(pack("<Qd", self._gateway_number, request.table_group))
+            first_affinity = hashed_position * affinity_count >> 32
+        # While there is an admission price, warm engines are overloaded, and unused permits of
+        # engines in slow start further on in the order would lapse. So the whole order is
+        # considered.
         all_warm_at = self._subset.newest_incarnation + self._slow_start.warm_up_ticks
         return SelectionContext(
             request,
@@ -163,11 +165,11 @@
         )
 
     def _affinity_count(self, request: Request, engine_count: int, recent_work: float) -> int:
-        """The affinity engines of the request's table group.
+        """The number of affinity engines of the request's table group.
 
-        Hundreds of gateways with a few requests each would all send a group's first to the same
-        engine. A group needs as many as its part of the work is engines; each gateway begins at its
-        own.
+        Hundreds of gateways with a few requests each would all send a table group's first request
+        to the same engine. The table group gets a fraction of the engines that matches its fraction
+        of the recent work, and each gateway starts at a different one of them.
         """
         work = request.request_class.typical_work
         group_work = self._recent_work.work_of_group(request.table_group) + work
@@ -175,69 +177,75 @@
         return min(max(int(count), 1), engine_count)
 
     def _select_in_order(
-        self, search: SelectionContext, pool: EngineFilter
+        self, context: SelectionContext, engine_filter: EngineFilter
     ) -> tuple[bool, Engine | None]:
-        """Whether any engine of the pool may be used, and the least loaded that has room."""
-        request, ran, tried, usual_slowness, order, even_work, work_slack, *_ = search
+        """Whether the filter leaves an allowed engine, and the least loaded one below its limit."""
+        request, possibly_executed, tried, usual_slowness, order, even_work, work_slack, *_ = (
+            context
+        )
         request_class = request.request_class
-        enough = max(NEAREST_ENGINE_COUNT, search.affinity_count)
+        required_count = max(NEAREST_ENGINE_COUNT, context.affinity_count)
         eligible_count = 0
-        near: list[tuple[float, int]] = []  # load and position
-        spare: list[tuple[float, int]] = []
+        preferred: list[tuple[float, int]] = []  # load and position
+        fallback: list[tuple[float, int]] = []
         for position, engine in enumerate(order):
             if (
-                (not pool.untried or engine not in tried)
-                and self._is_allowed(request, engine, ran)
-                and (not pool.healthy or self._outliers.is_healthy(engine))
+                (not engine_filter.untried or engine not in tried)
+                and self._is_allowed(request, engine, possibly_executed)
+                and (not engine_filter.healthy or self._outliers.is_healthy(engine))
             ):
                 eligible_count += 1
                 if not self._limit.is_at_limit(engine, request_class, usual_slowness):
                     load = self._load(engine, request_class, usual_slowness)
-                    load += self._distance_penalty(search, engine, eligible_count)
-                    # A gateway with one attempt at a time sees no load at an engine that all
-                    # gateways share; so its last work is spread by cores, whatever is in flight.
+                    load += self._distance_penalty(context, engine, eligible_count)
+                    # A gateway with one attempt at a time sees no load on an engine that all
+                    # gateways share. So its recent work is spread by cores, whatever is in flight.
                     is_over_share = engine.stats.recent_work > even_work * engine.cores + work_slack
-                    preference = spare if is_over_share else near
+                    preference = fallback if is_over_share else preferred
                     preference.append((load, position))
-                if near and eligible_count >= enough and not search.considers_all_engines:
+                if (
+                    preferred
+                    and eligible_count >= required_count
+                    and not context.considers_all_engines
+                ):
                     break
-        if near or spare:
-            return True, order[min(near or spare)[1]]
+        if preferred or fallback:
+            return True, order[min(preferred or fallback)[1]]
         return eligible_count > 0, None
 
     def _distance_penalty(
-        self, search: SelectionContext, engine: Engine, eligible_count: int
+        self, context: SelectionContext, engine: Engine, eligible_count: int
     ) -> float:
-        """The penalty, in threads a core, for an engine further on in the order."""
-        # The permit of an engine warming up is small and lapses, so it counts as the nearest.
+        """The penalty, in threads per core, for an engine further on in the order."""
+        # The permit of an engine in slow start is small and lapses if unused, so no penalty.
         if self._slow_start.is_warming_up(engine):
             return 0.0
-        count = search.affinity_count
+        count = context.affinity_count
         if eligible_count <= count:
             return DISTANCE_PENALTY_THREADS_PER_CORE * (
-                (eligible_count - 1 - search.first_affinity) % count
+                (eligible_count - 1 - context.first_affinity) % count
             )
         return DISTANCE_PENALTY_THREADS_PER_CORE * eligible_count
 
     def select_outside_subset(self, request: Request, tried: Sequence[Engine]) -> Engine | None:
-        """An engine that knows the idempotency key: all of these may lie outside the subset."""
+        """An engine that knows the idempotency key; all such engines may be outside the subset."""
         request_class = request.request_class
         scope = request_class.key_scope
         if request_class.repeatability != KEYED or scope not in ("zone", "cell"):
             return None
-        ran = possibly_executed_attempts(request)
-        if not ran or self._subset.is_whole:
+        possibly_executed = possibly_executed_attempts(request)
+        if not possibly_executed or self._subset.is_whole:
             return None
         usual_slowness = self._slowness.usual()
-        able = [
+        allowed = [
             engine
-            for engine in self._engines_in_key_scope(scope, ran[-1].engine)
-            if engine not in tried and self._is_allowed(request, engine, ran)
+            for engine in self._engines_in_key_scope(scope, possibly_executed[-1].engine)
+            if engine not in tried and self._is_allowed(request, engine, possibly_executed)
         ]
-        healthy = [engine for engine in able if self._outliers.is_healthy(engine)]
+        healthy = [engine for engine in allowed if self._outliers.is_healthy(engine)]
         with_room = [
             engine
-            for engine in healthy or able
+            for engine in healthy or allowed
             if not self._limit.is_at_limit(engine, request_class, usual_slowness)
         ]
         return min(
@@ -254,20 +262,22 @@
             ]
         return self._engines_by_key_scope[key]
 
-    def _is_allowed(self, request: Request, engine: Engine, ran: list[Attempt]) -> bool:
-        """The rules on where the request may go, and slow start's."""
+    def _is_allowed(
+        self, request: Request, engine: Engine, possibly_executed: list[Attempt]
+    ) -> bool:
+        """Whether the placement rules and slow start allow the request on this engine."""
         request_class = request.request_class
         return (
             is_open_to(request_class, engine.zone, engine.kind)
-            and (not ran or is_key_known_at(request_class, engine, ran))
-            and not (engine.cordon and is_cordoned_for(request, engine, ran))
+            and (not possibly_executed or is_key_known_at(request_class, engine, possibly_executed))
+            and not (engine.cordon and is_cordoned_for(request, engine, possibly_executed))
             and self._slow_start.can_use(engine, request_class.typical_work)
         )
 
     def _load(self, engine: Engine, request_class: RequestClass, usual_slowness: float) -> float:
-        """Threads a core of our own, were it sent there; a slower engine has fewer in effect."""
-        pace = self._slowness.of_engine(engine.stats, usual_slowness) / usual_slowness
+        """This gateway's threads per core with the attempt added, scaled up for a slower engine."""
+        slowdown = self._slowness.of_engine(engine.stats, usual_slowness) / usual_slowness
         if not self._price.current and self._slow_start.is_warming_up(engine):
-            pace = max(pace, 1 / self._slow_start.warming_speed)
+            slowdown = max(slowdown, 1 / self._slow_start.warming_speed)
         threads = engine.threads_in_flight + request_class.threads
-        return threads / engine.cores * max(1.0, pace)
+        return threads / engine.cores * max(1.0, slowdown)
--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -1,8 +1,9 @@
-"""The map of the decisions: one method for each thing that can happen.
+"""Entry point of the policy: one method for each event that a host reports.
 
-A host builds one `Gateway` and calls its methods; the gateway calls it back through the protocol in
-`host.py`. Times are ticks, whole tenths of a millisecond. The ordinary path is in docs/design.md.
-Each decision stands in a module of its own, which owns its state.
+A host builds one `Gateway` and calls its methods; the gateway calls the host back through the
+protocol in `host.py`. Times are ticks, whole tenths of a millisecond. docs/design.md describes the
+ordinary path of a request. Each decision is made in a separate module, which owns the state that
+the decision needs.
 """
 
 from collections import deque
@@ -42,7 +43,7 @@
 
 
 class Gateway:
-    """One workload manager's decisions."""
+    """Makes the decisions of one workload manager."""
 
     def __init__(
         self, host: Host, options: GatewayOptions, request_classes: list[RequestClass]
@@ -58,7 +59,7 @@
         host.call_later(FEEDBACK_INTERVAL_TICKS, self.on_feedback_interval)
 
     def _build_estimators(self) -> None:
-        """What is known of engines, requests and the past."""
+        """Build the modules that measure engines, requests and retries."""
         host, options = self.host, self.options
         self.queues = RequestQueues()
         self.estimates = WorkEstimates(self.request_classes)
@@ -73,7 +74,7 @@
         self.retries = RetryPolicy(host, options, self.retry_budget)
 
     def _build_selection(self) -> None:
-        """What chooses a queue, a request and an engine."""
+        """Build the modules that choose a queue, a request and an engine."""
         self.lottery = Lottery(self.options.seed)
         self.order = KeyedOrder(self.host, self.options.settle_ticks, self.on_order_turn)
         self.selector = EngineSelector(
@@ -89,7 +90,7 @@
         )
 
     def _build_dispatch(self) -> None:
-        """What sends attempts."""
+        """Build the module that sends attempts."""
         self.dispatcher = Dispatcher(
             self.host,
             self.options,
@@ -104,7 +105,7 @@
         )
 
     def _build_admission(self) -> None:
-        """What lets requests wait, and sends or gives up each."""
+        """Build the module that queues requests and sends, rejects or fails each."""
         self.admission = Admission(
             self.host,
             self.options,
@@ -119,7 +120,7 @@
         )
 
     def _build_hedging(self) -> None:
-        """What acts on attempts in flight and on their outcomes."""
+        """Build the modules that act on attempts in flight and on their outcomes."""
         self.hedging = Hedging(
             self.host,
             self.options,
@@ -141,17 +142,17 @@
 
     @property
     def engines(self) -> list[Engine]:
-        """The engines that this gateway uses: its subset."""
+        """The engines in the subset of this gateway."""
         return self.subset.engines
 
     # Engines.
 
     def on_engine_update(self, engine: Engine, state: int, incarnation: int) -> None:
-        """The list names an engine; a drain or departure holds from this moment."""
+        """Apply an update of one engine; draining or removal takes effect at once."""
         if engine.stats is None or incarnation > engine.incarnation:
-            usage = engine.stats.slow_start_usage if engine.stats else deque()
+            slow_start_usage = engine.stats.slow_start_usage if engine.stats else deque()
             engine.stats = EngineStats(
-                slow_start_usage=usage,
+                slow_start_usage=slow_start_usage,
                 slowness_samples=deque(maxlen=RECENT_SAMPLES),
                 fault_history=deque(maxlen=RECENT_SAMPLES),
                 failure_history=deque(maxlen=RECENT_SAMPLES),
@@ -162,86 +163,87 @@
         self.subset.update_engine(engine)
 
     def on_engine_list_complete(self) -> None:
-        """All updates of one change of the list were told."""
+        """Rebuild the subset once all updates of one endpoint list change have been applied."""
         self.subset.apply_list_change()
         self.selector.clear_cached_orders()
         self.admission.fill_slots()
 
     def on_subset_update_due(self) -> None:
-        """The moment of the interval at which this gateway changes its subset."""
+        """Resize the subset, once in each feedback interval."""
         self.subset.update(self.queues.requested_work_rate(), self.limit.threads_per_core)
         self.selector.clear_cached_orders()
 
     def on_engine_cordon(self, engine: Engine, cordon: int) -> None:
-        """Maintenance takes an engine out (`Cordon`), or gives it back."""
+        """Apply the cordon (`Cordon`) that maintenance sets on an engine or lifts."""
         engine.cordon = cordon
         self.selector.clear_cached_orders()
         self.admission.fill_slots()
 
     def on_peer_health(self, engine: Engine, slowness: float, suspicion: int) -> None:
-        """Other gateways' findings.
+        """Store what other gateways report of an engine.
 
-        Slowness 0: unknown. Suspicion 1: one attempt at a time tells; 2: none now.
+        Slowness 0 is unknown. Suspicion 1 allows one attempt at a time, as a trial; suspicion 2
+        allows none.
         """
         engine.stats.peer_slowness = slowness
         engine.stats.peer_suspicion = suspicion
 
     def on_permit_moved(self, engine: Engine, work: float, when: int) -> None:
-        """A slow-start permit was passed on (work above 0) or taken over (below)."""
+        """Record a slow-start permit given to a peer (work above 0) or received (below 0)."""
         self.slow_start.record_moved_permit(engine, work, when)
 
     # Requests.
 
     def on_request(self, request: Request) -> None:
-        """A client's request; from now on one final answer is owed."""
+        """Accept a client's request; the gateway answers each accepted request exactly once."""
         self.admission.accept(request)
 
     def on_client_left(self, request: Request) -> None:
-        """The client has gone."""
+        """Finish a request whose client has disconnected."""
         self.admission.on_client_left(request)
 
     def on_deadline_near(self, request: Request) -> None:
-        """The request's answer must go now to be in time."""
+        """Answer a request that would otherwise miss its deadline."""
         self.admission.on_deadline_near(request)
 
     def on_order_turn(self, request: Request) -> None:
-        """It is the request's turn in its keyed order."""
+        """Queue a request once the earlier requests of its order key are over."""
         self.admission.enqueue(request)
 
     def on_capacity_freed(self) -> None:
-        """An engine's ejection is over, or anything else that may give waiting requests a slot."""
+        """Fill free slots after an ejection ended or capacity was freed in another way."""
         self.admission.fill_slots()
 
     # Attempts.
 
     def can_start_attempt(self, attempt: Attempt) -> bool:
-        """Whether all still holds, directly before the first byte, for which it may have waited."""
+        """Whether the attempt is still allowed; called before its first byte, possibly delayed."""
         return self.retries.can_start(attempt)
 
     def on_attempt_progress(self, attempt: Attempt, note_kind: int, value: float) -> None:
-        """A note from the engine on an attempt that is in flight."""
+        """Handle an engine's note about an attempt in flight."""
         self.hedging.on_progress(attempt, note_kind, value)
 
     def on_answer_overdue(self, attempt: Attempt) -> None:
-        """An attempt is out for longer than usual."""
+        """Check an attempt that has been in flight for longer than usual."""
         self.hedging.on_answer_overdue(attempt)
 
     def on_attempt_finished(
         self,
         attempt: Attempt,
         outcome: int,
-        took: int,
-        finished: bool,
+        duration_ticks: int,
+        is_answered: bool,
         work: int,
         memory: float,
         reported_load: float,
     ) -> None:
-        """An attempt has its outcome; the first answer has gone to the client by itself."""
+        """Handle the outcome of an attempt; the host has already forwarded the first answer."""
         self.dispatcher.record_outcome(attempt, outcome)
-        self.learning.learn_from_outcome(attempt, took, work, memory, reported_load)
+        self.learning.learn_from_outcome(attempt, duration_ticks, work, memory, reported_load)
         has_succeeded = outcome == AttemptOutcome.SUCCEEDED
         if not attempt.request.is_finished:
-            self.admission.on_outcome(attempt, finished or has_succeeded, took)
+            self.admission.on_outcome(attempt, is_answered or has_succeeded, duration_ticks)
         if has_succeeded:
             self.hedging.retry_overtaken_attempts(attempt)
         self.order.advance(attempt.request.order_key)
@@ -250,10 +252,12 @@
     # Timers.
 
     def on_feedback_interval(self) -> None:
-        """Feedback: shares move a bounded step towards equal weighted shortfall."""
+        """Move the shares by a bounded step towards equal weighted shortfall."""
         self.host.call_later(FEEDBACK_INTERVAL_TICKS, self.on_feedback_interval)
-        self.retry_budget.discard_expired()  # what only a need trims would grow while there is none
-        self.selector.clear_cached_orders()  # strangers name table groups without end
+        # The budget is otherwise trimmed only when a retry is considered; it would grow until then.
+        self.retry_budget.discard_expired()
+        # Clients may name any number of table groups; the cache would grow without bound.
+        self.selector.clear_cached_orders()
         queues = [*self.queues.values()]
         self.estimates.update(queues)
         self.price.update_bounds(queues)
@@ -261,33 +265,33 @@
         self.estimates.update_requested(queues)
         if self.subset.target_fraction() < 1.0:
             self._schedule_subset_update()
-        moving = [queue for queue in queues if queue.shortfalls]
-        record_interval(moving)
-        equalise_shares(moving, queues)
+        active_queues = [queue for queue in queues if queue.shortfalls]
+        record_interval(active_queues)
+        equalise_shares(active_queues, queues)
 
     def _schedule_subset_update(self) -> None:
-        # Gateways that started at one moment would all change their subsets at one moment.
-        spread = crc32(pack("<qQ", self.options.gateway_number, self.host.now))
-        self.host.call_later(spread % FEEDBACK_INTERVAL_TICKS, self.on_subset_update_due)
+        # Without the spread_hash, gateways that started together would all resize together.
+        spread_hash = crc32(pack("<qQ", self.options.gateway_number, self.host.now))
+        self.host.call_later(spread_hash % FEEDBACK_INTERVAL_TICKS, self.on_subset_update_due)
 
     # Recovery after a restart.
 
     def restore_learned_state(self, learned: LearnedState) -> None:
-        """Before the first request. Slow start and draining rules know nothing of it."""
+        """Restore learned state, before the first request; slow start and draining ignore it."""
         self.price.current = learned.price
         self.slowness.best = learned.best_slowness
         self.retry_budget.restore([*learned.success_times], [*learned.retry_times])
-        for each in learned.engines:
-            stats = each.engine.stats
-            stats.slowness_samples.extend(each.slowness_samples)
-            stats.fault_history.extend(each.faults)
-            stats.limit_factor = clamp_limit_factor(each.limit_factor)
-            self.outliers.restore_ejection(each.engine, each.ejected_until)
+        for learned_engine in learned.engines:
+            stats = learned_engine.engine.stats
+            stats.slowness_samples.extend(learned_engine.slowness_samples)
+            stats.fault_history.extend(learned_engine.faults)
+            stats.limit_factor = clamp_limit_factor(learned_engine.limit_factor)
+            self.outliers.restore_ejection(learned_engine.engine, learned_engine.ejected_until)
         for request_class, samples in learned.request_classes:
             self.estimates.restore(request_class, samples)
         for tenant, request_class, share in learned.shares:
             self.queues.restore(tenant, request_class, share)
 
     def hold_order_key(self, order_key: int, until: int) -> None:
-        """An attempt of this key may still run, for an earlier start of this gateway."""
+        """Hold an order key whose attempt, sent before a restart, may still run."""
         self.order.hold(order_key, until)
--- a/corkgauge/policy/hedging.py
+++ b/corkgauge/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: an attempt that does badly is tried elsewhere, cancelled first or beside it."""
+"""Hedging: retries slow or silent attempts elsewhere, by cancelling or by a second attempt."""
 
 from corkgauge.policy.admission import Admission
 from corkgauge.policy.admission_price import AdmissionPrice
@@ -11,17 +11,17 @@
 from corkgauge.policy.retries import RetryPolicy
 from corkgauge.policy.units import MIN_SAMPLES
 
-OVERTAKEN_BUDGET_FRACTION = 0.5  # of the retry budget; the rest is for what is lost for sure
+OVERTAKEN_BUDGET_FRACTION = 0.5  # of the retry budget; leaves the rest to known losses
 MAX_ATTEMPTS_IN_FLIGHT = 2  # of one request
-MIN_OVERTAKEN_COUNT = MIN_SAMPLES  # answers to later attempts
-OVERDUE_FACTOR = 3.0  # of its usual time, for an attempt that was overtaken
-SILENCE_FACTOR = 3.0  # usual lifetimes of all in flight together, without a sign of life
-MAX_TIME_LEFT_FACTOR = 3  # of its usual time still to go, by its progress; large, as estimates err
+MIN_OVERTAKEN_COUNT = MIN_SAMPLES  # answers to later attempts of the same engine
+OVERDUE_FACTOR = 3.0  # times the expected time, for an overtaken attempt
+SILENCE_FACTOR = 3.0  # usual attempt durations without activity, summed over those in flight
+MAX_TIME_LEFT_FACTOR = 3  # times the expected time; large, as estimates are inaccurate
 MIN_RECHECK_TICKS = 1
 
 
 class Hedging:
-    """Decides which attempts do badly; owns nothing but asks."""
+    """Detects slow, overtaken and silent attempts; keeps no state."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._slowness = slowness
 
     def retry_elsewhere(self, attempt: Attempt, budget_fraction: float = 1.0) -> None:
-        """Try an attempt that does badly elsewhere, if rules and part of the budget allow."""
+        """Retry an attempt elsewhere if the rules and a fraction of the retry budget allow it."""
         request = attempt.request
         if request.is_finished or attempt.is_cancelled or request.is_queued:
             return
@@ -61,10 +61,11 @@
                 self._admission.enqueue(request)
 
     def retry_overtaken_attempts(self, answered: Attempt) -> None:
-        """Rescue attempts whose answers were lost or come late, though their engine is well.
+        """Retry overdue attempts of an engine that answered later ones first.
 
-        Later ones of no less work were answered first, and they are long overdue. Under pressure (a
-        price) hedges would crowd out others.
+        The engine is healthy, but the answers of these attempts are lost or late: later attempts of
+        no less work were answered, and these are long overdue. While there is an admission price,
+        overtaking is not counted, as hedged attempts would crowd out other requests.
         """
         overtaken = [
             attempt
@@ -76,13 +77,13 @@
             if not self._price.current:
                 attempt.overtaken_count += 1
             if attempt.overtaken_count >= MIN_OVERTAKEN_COUNT:
-                age = self._host.now - attempt.sent_at
-                if age > OVERDUE_FACTOR * self._slowness.expected_time(attempt.request):
-                    # On suspicion alone, hedges must leave budget for what is lost for sure.
+                age_ticks = self._host.now - attempt.sent_at
+                if age_ticks > OVERDUE_FACTOR * self._slowness.expected_time(attempt.request):
+                    # The loss is not certain, so leave budget for attempts known to be lost.
                     self.retry_elsewhere(attempt, OVERTAKEN_BUDGET_FRACTION)
 
     def on_progress(self, attempt: Attempt, note_kind: int, completed_fraction: float) -> None:
-        """A note from the engine on an attempt; retry it elsewhere if far too much is left."""
+        """Handle a note about an attempt; retry the attempt if far too much work is left."""
         request = attempt.request
         self._outliers.record_activity(attempt.engine)
         attempt.overtaken_count = 0
@@ -90,7 +91,7 @@
             return
         if request.is_finished or not attempt.is_in_flight or not self._dispatcher.can_cancel:
             return
-        # A bad plan, or a slow engine, would hold threads for many times the work.
+        # A bad query plan or a slow engine would occupy threads for many times the work.
         time_left = (
             (self._host.now - attempt.sent_at) * (1 - completed_fraction) / completed_fraction
         )
@@ -98,25 +99,25 @@
             self.retry_elsewhere(attempt)
 
     def on_answer_overdue(self, attempt: Attempt) -> None:
-        """Find engines that take work and answer nothing.
+        """Record a fault of an engine that accepts attempts but answers none.
 
-        Any sign clears an engine; one long or light request is no proof: all that is in flight
-        there must have lasted several times the usual since that sign.
+        Any activity clears the engine. One long or light request is no proof: all attempts in
+        flight there must together have lasted several times the usual since the last activity.
         """
         stats = attempt.engine.stats
         now = self._host.now
         usual_slowness = self._slowness.usual()
-        # In this order: the host takes the request off an attempt that is over.
+        # Check in this order: the host removes the request from an attempt that has ended.
         if not attempt.is_in_flight or attempt.request.is_finished:
             return
         if stats.last_activity_at >= attempt.sent_at:
             return
-        lifetimes = sum(
+        total_relative_age = sum(
             (now - max(each.sent_at, stats.last_activity_at))
             / max(each.expected_duration, each.typical_duration)
             for each in stats.in_flight
         )
-        if lifetimes > SILENCE_FACTOR * usual_slowness:
+        if total_relative_age > SILENCE_FACTOR * usual_slowness:
             self._outliers.record_fault(attempt.engine, SILENT_FAULT)
             self.retry_elsewhere(attempt)
         else:
--- a/corkgauge/policy/lottery.py
+++ b/corkgauge/policy/lottery.py
@@ -1,4 +1,4 @@
-"""The lottery that says which queue gets a free slot."""
+"""The lottery that decides which queue gets a free slot."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
@@ -10,15 +10,15 @@
 
 
 class Lottery:
-    """Draws among queues by their shares; owns the count of draws, so that a seed repeats a run."""
+    """Draws queues by their shares; counts the draws, so that equal seeds give equal runs."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
         self._draw_count = 0
 
     def draw(self, queues: Sequence[RequestQueue]) -> RequestQueue:
-        """One of the queues, each with the probability of its share among them."""
+        """Draw one of the queues, each with a probability in proportion to its share."""
         self._draw_count += 1
-        tops = [*accumulate(queue.share for queue in queues)]
-        ticket = crc32(pack("<QQ", self._seed, self._draw_count)) / 2**32 * tops[-1]
-        return queues[min(bisect_right(tops, ticket), len(queues) - 1)]
+        cumulative_shares = [*accumulate(queue.share for queue in queues)]
+        ticket = crc32(pack("<QQ", self._seed, self._draw_count)) / 2**32 * cumulative_shares[-1]
+        return queues[min(bisect_right(cumulative_shares, ticket), len(queues) - 1)]
--- a/corkgauge/policy/outlier_detection.py
+++ b/corkgauge/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: engines that do badly are ejected for a while, longer each time."""
+"""Outlier detection: ejects failing engines, for longer with each further recent fault."""
 
 from __future__ import annotations
 
@@ -9,43 +9,44 @@
 from corkgauge.policy.records import Attempt, Engine, EngineStats
 from corkgauge.policy.units import TICKS_PER_SECOND
 
-if TYPE_CHECKING:  # the subset asks `is_trusted`
+if TYPE_CHECKING:  # subsetting imports `is_trusted` from this module
     from corkgauge.policy.subsetting import EngineSubset
 
-# What an engine may have done; the words stand in recovery files. NO_FAULT is no fault.
+# Kinds of faults of an engine; recovery files contain these texts. NO_FAULT: a good answer.
 NO_FAULT = ""
 ERROR_FAULT = "error"
 RESET_FAULT = "reset"
 UNREACHABLE_FAULT = "unreached"
 SILENT_FAULT = "silent"
 
-EJECTION_TICKS = (
-    TICKS_PER_SECOND  # of the first fault, doubled with each further one among the last few
-)
+EJECTION_TICKS = TICKS_PER_SECOND  # after a first fault; doubled for each further recent fault
 MAX_DOUBLINGS = 4
-COMPARISON_WINDOW_TICKS = 10 * TICKS_PER_SECOND  # of faults that engines are compared by
-COMMON_FAULT_FACTOR = 2  # of the middle engine's faults, up to which a fault is everybody's
-COMMON_FAULT_SLACK_COUNT = 2  # faults
-UNTRUSTED_ERROR_COUNT = 2  # among the last few answers
-LOST_ZONE_ENGINE_COUNT = 2  # lost without any sign between, for which the zone is taken for lost
+COMPARISON_WINDOW_TICKS = (
+    10 * TICKS_PER_SECOND
+)  # for the comparison of failure counts between engines
+COMMON_FAULT_FACTOR = 2  # times the median engine's failures; up to this, a fault is common
+COMMON_FAULT_SLACK_COUNT = 2  # failures allowed above the factor
+UNTRUSTED_ERROR_COUNT = 2  # among recent answers, from which an engine is not trusted
+LOST_ZONE_ENGINE_COUNT = 2  # consecutive losses after which a zone is treated as lost
 
 
 def is_trusted(stats: EngineStats) -> bool:
-    """Whether the last answers speak for the engine.
+    """Whether the recent answers show that the engine works.
 
-    After a lost connection or silence one good answer is enough; errors may come between good ones.
+    One good answer is enough after a lost connection or silence. Errors may alternate with good
+    answers, so they are counted.
     """
     history = stats.fault_history
     return history.count(ERROR_FAULT) < UNTRUSTED_ERROR_COUNT and not (history and history[-1])
 
 
 def count_faults(stats: EngineStats) -> int:
-    """The faults among the last few answers."""
+    """The number of faults in the recent history."""
     return sum(map(bool, stats.fault_history))
 
 
 class OutlierDetector:
-    """Owns which engines of a zone were lost lately; faults and ejections stand in the stats."""
+    """Tracks recently lost engines by zone; faults and ejections are in the engines' stats."""
 
     def __init__(
         self, host: Host, subset: EngineSubset, on_ejection_over: Callable[[], None]
@@ -53,20 +54,25 @@
         self._host = host
         self._subset = subset
         self._on_ejection_over = on_ejection_over
-        # By zone: when engines were lost since any there gave a sign of life.
+        # By zone: when each engine was lost, since the last activity of any engine there.
         self._lost_by_zone: dict[int, dict[Engine, int]] = {}
 
     def is_healthy(self, engine: Engine) -> bool:
-        """Not ejected; after an ejection one attempt tells, whatever long ones are still out."""
+        """Whether attempts may go to the engine.
+
+        After an ejection one attempt is allowed as a trial, even while long attempts from before
+        the end of the ejection are still in flight.
+        """
         stats = engine.stats
         now = self._host.now
-        # Each engine of a zone that is cut off would be found by losses of its own. Once several
-        # are lost without a sign from any there, one attempt an ejection tells of the zone.
-        lost = self._lost_by_zone.get(engine.zone)
+        # In a zone that is cut off, finding each lost engine separately would cost failed attempts
+        # on every one. Once several are lost with no activity in the zone, only one attempt per
+        # ejection time goes to the zone.
+        lost_engines = self._lost_by_zone.get(engine.zone)
         if (
-            lost
-            and len(lost) >= LOST_ZONE_ENGINE_COUNT
-            and now < max(lost.values()) + EJECTION_TICKS
+            lost_engines
+            and len(lost_engines) >= LOST_ZONE_ENGINE_COUNT
+            and now < max(lost_engines.values()) + EJECTION_TICKS
         ):
             return False
         if stats.peer_suspicion and (stats.peer_suspicion > 1 or stats.in_flight):
@@ -77,19 +83,19 @@
         )
 
     def record_attempt(self, attempt: Attempt) -> None:
-        """An attempt goes to a zone that may be lost: no other does for a while."""
+        """Restart the pause of a zone that may be lost, so that no other attempt goes there."""
         engine = attempt.engine
-        lost = self._lost_by_zone.get(engine.zone)
-        if lost and len(lost) >= LOST_ZONE_ENGINE_COUNT:
-            lost[engine] = attempt.sent_at
+        lost_engines = self._lost_by_zone.get(engine.zone)
+        if lost_engines and len(lost_engines) >= LOST_ZONE_ENGINE_COUNT:
+            lost_engines[engine] = attempt.sent_at
 
     def record_activity(self, engine: Engine) -> None:
-        """The engine sent something of its own; its zone is not lost."""
+        """Record that the engine sent data; this also shows that the zone is reachable."""
         engine.stats.last_activity_at = self._host.now
         self._lost_by_zone.pop(engine.zone, None)
 
     def record_success(self, engine: Engine) -> None:
-        """The engine answered well."""
+        """Record a good answer of the engine."""
         stats = engine.stats
         was_trusted = is_trusted(stats)
         self.record_activity(engine)
@@ -98,7 +104,7 @@
             self._host.log(f"back {engine.name} faults={count_faults(stats)}")
 
     def record_fault(self, engine: Engine, kind: str) -> None:
-        """The engine did badly: it is ejected, twice as long each time among its last few."""
+        """Record a fault and eject the engine, twice as long for each further recent fault."""
         stats = engine.stats
         now = self._host.now
         if kind != ERROR_FAULT:
@@ -116,10 +122,10 @@
             self._host.log(f"rest {engine.name} {kind} faults={faults} for={ticks}")
 
     def _is_common_fault(self, stats: EngineStats, kind: str) -> bool:
-        """Whether most of the other engines had nearly as many faults of this kind lately.
+        """Whether most of the other engines recently had nearly as many failures of this kind.
 
-        What befalls all alike, as spoilt answers, broken links or what clients send, is no engine's
-        fault, and ejections would leave none.
+        Failures that affect all engines, such as corrupted answers, broken connections or bad
+        client requests, are not the fault of one engine. Ejections would leave no engine in use.
         """
         since = self._host.now - COMPARISON_WINDOW_TICKS
         others = sorted(
@@ -129,17 +135,20 @@
         )
         if not others:
             return False
-        middle = others[len(others) // 2]
-        own = count_failures(stats, kind, since)
-        return bool(middle) and own <= COMMON_FAULT_FACTOR * middle + COMMON_FAULT_SLACK_COUNT
+        median_count = others[len(others) // 2]
+        own_count = count_failures(stats, kind, since)
+        return (
+            bool(median_count)
+            and own_count <= COMMON_FAULT_FACTOR * median_count + COMMON_FAULT_SLACK_COUNT
+        )
 
     def restore_ejection(self, engine: Engine, ejected_until: int) -> None:
-        """Take over an ejection of an earlier start of this gateway."""
+        """Restore an ejection from before a restart of this gateway."""
         engine.stats.ejected_until = ejected_until
         if ejected_until > self._host.now:
             self._host.call_later(ejected_until - self._host.now, self._on_ejection_over)
 
 
 def count_failures(stats: EngineStats, kind: str, since: int) -> int:
-    """Troubles of one kind after `since`, also those that were not counted as faults."""
+    """The number of failures of one kind after `since`, also those not counted as faults."""
     return sum(each == kind and when > since for each, when in stats.failure_history)
--- a/corkgauge/policy/share_controller.py
+++ b/corkgauge/policy/share_controller.py
@@ -1,4 +1,4 @@
-"""Feedback on the lottery's shares: they move in bounded steps towards equal weighted shortfall."""
+"""Moves the lottery's shares in bounded steps towards an equal weighted shortfall of all queues."""
 
 from collections.abc import Sequence
 from statistics import fmean
@@ -7,33 +7,33 @@
 from corkgauge.policy.records import RequestQueue
 from corkgauge.policy.units import TICKS_PER_SECOND
 
-MAX_SHARE_STEP = 0.05  # most that a share moves in an interval
-MIN_SHARE_FRACTION = 0.1  # least share, of an equal one
+MAX_SHARE_STEP = 0.05  # largest change of a share in one feedback interval
+MIN_SHARE_FRACTION = 0.1  # smallest share, as a fraction of an equal share
 SHORTFALL_QUANTILE = 0.99
-MIN_SHORTFALL = 1e-3  # keeps its inverse finite
-MIN_SLOPE = 1.0  # of the linear model; a flat or falling one would move shares without end
-MIN_SPREAD = 1e-9  # of the shares seen, below which no slope can be told
-LEVEL_BOUND = 1e4  # the level sought lies within plus and minus this
-BISECTION_COUNT = 60  # more than a float's digits
+MIN_SHORTFALL = 1e-3  # avoids division by zero
+MIN_SLOPE = 1.0  # of the linear model; a flat or falling model would move shares without bound
+MIN_SPREAD = 1e-9  # of the recorded shares, below which no slope can be fitted
+LEVEL_BOUND = 1e4  # the bisection searches levels between minus and plus this bound
+BISECTION_COUNT = 60  # exceeds the precision of a float
 
 
 class ShareModel(NamedTuple):
-    """The linear model of one queue: inverse shortfall over share."""
+    """Linear model of one queue: inverse shortfall as a function of the share."""
 
     queue: RequestQueue
     share: float
     performance: float  # inverse of the shortfall
     slope: float
-    weight: float  # value for the time that a slot is held
+    weight: float  # value per second that a request of the class occupies a slot
 
     def share_at(self, level: float) -> float:
-        """The share that brings the queue to this level, within one step."""
+        """The share at which the queue reaches the level, limited to one step."""
         wanted = self.share + (1 - level / self.weight - self.performance) / self.slope
         return min(max(wanted, self.share - MAX_SHARE_STEP), self.share + MAX_SHARE_STEP)
 
 
 def record_interval(queues: Sequence[RequestQueue]) -> None:
-    """Turn the shortfalls of the interval into one sample of each queue's history."""
+    """Append the interval's shortfall quantile to each queue's history; clear the shortfalls."""
     for queue in queues:
         shortfalls = sorted(queue.shortfalls)
         queue.shortfalls = []
@@ -42,24 +42,28 @@
 
 
 def fit_model(queue: RequestQueue) -> ShareModel:
-    """Least squares over the last few intervals."""
+    """Fit the model of a queue by least squares over the last few intervals."""
     share, performance = queue.share_history[-1]
     mean_share = fmean(each for each, _ in queue.share_history)
     mean_performance = fmean(each for _, each in queue.share_history)
     spread = sum((a - mean_share) ** 2 for a, _ in queue.share_history)
-    rise = sum((a - mean_share) * (p - mean_performance) for a, p in queue.share_history)
-    slope = rise / spread if spread > MIN_SPREAD else 0.0
-    # Value for the time that a slot is held: by value alone, heavy classes would take all slots.
+    covariance = sum((a - mean_share) * (p - mean_performance) for a, p in queue.share_history)
+    slope = covariance / spread if spread > MIN_SPREAD else 0.0
+    # With a weight of the value alone, heavy classes would take all slots. So the weight is the
+    # value per second of slot time.
     weight = (
         queue.request_class.priority_weight * TICKS_PER_SECOND / queue.request_class.typical_work
     )
     return ShareModel(queue, share, performance, max(slope, MIN_SLOPE), weight)
 
 
-def equalise_shares(moving: Sequence[RequestQueue], queues: Sequence[RequestQueue]) -> None:
-    """Find the level of weighted shortfall that all of `moving` can meet, each within one step."""
-    models = [fit_model(queue) for queue in moving]
-    total = sum(queue.share for queue in moving)
+def equalise_shares(active_queues: Sequence[RequestQueue], queues: Sequence[RequestQueue]) -> None:
+    """Set the shares of the active queues to an equal weighted shortfall, within one step each.
+
+    Finds the level by bisection, then normalizes the shares of all queues to a sum of 1.
+    """
+    models = [fit_model(queue) for queue in active_queues]
+    active_share_sum = sum(queue.share for queue in active_queues)
 
     def shares_at(level: float) -> list[float]:
         return [model.share_at(level) for model in models]
@@ -67,12 +71,12 @@
     low, high = -LEVEL_BOUND, LEVEL_BOUND
     for _ in range(BISECTION_COUNT):
         middle = (low + high) / 2
-        if sum(shares_at(middle)) > total:
+        if sum(shares_at(middle)) > active_share_sum:
             low = middle
         else:
             high = middle
     for model, share in zip(models, shares_at(high), strict=True):
         model.queue.share = max(share, MIN_SHARE_FRACTION / len(queues))
-    whole = sum(queue.share for queue in queues)
+    share_sum = sum(queue.share for queue in queues)
     for queue in queues:
-        queue.share /= whole
+        queue.share /= share_sum
--- a/corkgauge/policy/slow_start.py
+++ b/corkgauge/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: engines that have just started are sent little, summed over all gateways."""
+"""Slow start: limits the work that all gateways together send to a newly started engine."""
 
 from zlib import crc32
 
@@ -7,24 +7,24 @@
 from corkgauge.policy.records import Engine
 from corkgauge.policy.work_estimates import WorkEstimates
 
-BUDGET_SAFETY_FRACTION = 0.9  # of its part of the budget that a gateway uses
-OVERLOAD_WORK_FRACTION = 0.85  # of the work from which an engine is overloaded, that is the budget
-GOLDEN_RATIO = 0.618034  # spreads the gateways' turns evenly
-TURN_ADVANCE_FRACTION = 0.25  # part of a turn that passes on in a window
+BUDGET_SAFETY_FRACTION = 0.9  # of the gateway's part of the budget that it uses
+OVERLOAD_WORK_FRACTION = 0.85  # of the work that overloads an engine; the budget of all gateways
+GOLDEN_RATIO = 0.618034  # its multiples modulo 1 spread the turns of gateways evenly
+TURN_ADVANCE_FRACTION = 0.25  # of a turn, by which turns advance in each window
 
 
 class SlowStart:
-    """Owns this gateway's part of the budget; what was sent stands in each engine's stats."""
+    """Holds this gateway's part of the budget; each engine's stats record the work sent."""
 
     def __init__(self, host: Host, options: GatewayOptions, estimates: WorkEstimates) -> None:
         self._host = host
         self._estimates = estimates
         self._gateway_number = options.gateway_number
-        self.started_at = host.now  # when this gateway began; settable, as a restart is tried
+        self.started_at = host.now  # start of this gateway; tests set it to simulate a restart
         self.warm_up_ticks = options.slow_start_ticks
         self.window_ticks = options.overload_window_ticks
         self.warming_speed = options.slow_start_speed
-        # A core's worth of work that this gateway may send in a window to an engine warming up.
+        # Thread ticks per core that this gateway may send in a window to an engine in slow start.
         self.budget_per_core = (
             BUDGET_SAFETY_FRACTION
             * OVERLOAD_WORK_FRACTION
@@ -35,39 +35,45 @@
         )
 
     def is_warming_up(self, engine: Engine) -> bool:
-        """Whether the engine has just started; one that does not say when never is."""
+        """Whether the engine is in slow start; False if its start time is unknown."""
         return bool(engine.incarnation) and (
             self._host.now < engine.incarnation + self.warm_up_ticks
         )
 
     def can_use(self, engine: Engine, work: float) -> bool:
-        """Whether so much work may go to the engine now."""
+        """Whether slow start allows sending this much work (thread ticks) to the engine now."""
         return not self.is_warming_up(engine) or self.has_budget(engine, work)
 
     def has_budget(self, engine: Engine, work: float) -> bool:
-        """Whether this gateway may send so much work (thread ticks) to an engine warming up now."""
+        """Whether the budget allows this much work (thread ticks) for an engine in slow start."""
         now = self._host.now
         window_start = now - self.window_ticks
-        part = self.budget_per_core * engine.cores
-        spent = sum(sent for when, sent in engine.stats.slow_start_usage if when > window_start)
-        usual = self._estimates.mean_requested_work or work
-        # With hundreds of gateways a part is below one request: those in turn by number send one,
-        # of whatever weight. Turns for each weight would add up to the budget once for each.
-        is_one_at_a_time = part < usual
+        gateway_budget = self.budget_per_core * engine.cores
+        spent_work = sum(
+            sent for when, sent in engine.stats.slow_start_usage if when > window_start
+        )
+        mean_work = self._estimates.mean_requested_work or work
+        # With hundreds of gateways, the part of one is below one request. Gateways then take turns
+        # by number and send one request of any weight. With separate turns for each weight, the
+        # fleet would spend the whole budget once per weight.
+        is_one_at_a_time = gateway_budget < mean_work
         if is_one_at_a_time:
-            work = usual
-        # If all turns passed on at one moment, two sets of gateways would send within one window.
+            work = mean_work
+        # Turns advance gradually. If all advanced at the same time, two sets of gateways would send
+        # within one window.
         age = now - engine.incarnation
-        passed_on = TURN_ADVANCE_FRACTION * min(part / usual, 1) * age / self.window_ticks
-        start = self._gateway_number * GOLDEN_RATIO + crc32(engine.hash_key) / 2**32
-        turn = (start + passed_on) % 1
-        if is_one_at_a_time and spent > 0:
+        advance = (
+            TURN_ADVANCE_FRACTION * min(gateway_budget / mean_work, 1) * age / self.window_ticks
+        )
+        first_turn = self._gateway_number * GOLDEN_RATIO + crc32(engine.hash_key) / 2**32
+        turn = (first_turn + advance) % 1
+        if is_one_at_a_time and spent_work > 0:
             return False
-        # A gateway that has restarted does not know what it sent before: it waits for a window.
-        return window_start >= self.started_at and work * turn <= part - spent
+        # A restarted gateway does not know what it sent before, so it waits for one window.
+        return window_start >= self.started_at and work * turn <= gateway_budget - spent_work
 
     def record_attempt(self, engine: Engine, work: float) -> None:
-        """Count work that is sent to the engine, and forget what has left the window."""
+        """Record work sent to the engine, and drop records that have left the window."""
         now = self._host.now
         usage = engine.stats.slow_start_usage
         usage.append((now, work))
@@ -76,5 +82,5 @@
 
     @staticmethod
     def record_moved_permit(engine: Engine, work: float, when: int) -> None:
-        """Count a permit passed on to another gateway (work above 0) or taken over (below)."""
+        """Record a permit given to another gateway (work above 0) or received (below 0)."""
         engine.stats.slow_start_usage.append((when, work))
