--- a/corkgauge/policy/concurrency_limit.py
+++ b/corkgauge/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many threads this gateway's attempts may hold at one engine."""
+"""Limits the threads that this gateway's attempts may use at one engine."""
 
 from corkgauge.policy.engine_slowness import EngineSlowness
 from corkgauge.policy.host import Host
@@ -7,22 +7,24 @@
 from corkgauge.policy.units import FEEDBACK_INTERVAL_TICKS
 from corkgauge.policy.work_estimates import WorkEstimates
 
-INITIAL_THREADS_PER_CORE = 0.9  # of all gateways together, where the limit starts
-LIGHT_CLASS_FACTOR = 2.0  # limit for classes of less work than the mean, over the others'
-MAX_THREADS_PER_CORE = 1.5  # of one gateway, while the engine is not under pressure
-MIN_LIMIT_FACTOR = 0.25  # of the limit, over where it starts
+INITIAL_THREADS_PER_CORE = 0.9  # initial limit of all gateways together
+LIGHT_CLASS_FACTOR = 2.0  # raises the limit for classes of less than the mean work
+MAX_THREADS_PER_CORE = 1.5  # limit of one gateway while the engine is not under pressure
+MIN_LIMIT_FACTOR = 0.25  # bounds of the limit, relative to the initial limit
 MAX_LIMIT_FACTOR = 2.0
-PRESSURE_SLOWNESS_FACTOR = 2.0  # over the best slowness seen: the engine is under pressure
-REPORT_VALIDITY_TICKS = FEEDBACK_INTERVAL_TICKS  # of the load that an engine reports
+PRESSURE_SLOWNESS_FACTOR = (
+    2.0  # times the best slowness seen; above it, an engine is under pressure
+)
+REPORT_VALIDITY_TICKS = FEEDBACK_INTERVAL_TICKS  # validity of a load reported by an engine
 
 
 def clamp_limit_factor(factor: float) -> float:
-    """The factor, within its bounds."""
+    """Clamp a limit factor to its bounds."""
     return min(MAX_LIMIT_FACTOR, max(MIN_LIMIT_FACTOR, factor))
 
 
 class ConcurrencyLimit:
-    """Decides whether an engine is at its limit, and moves the limit."""
+    """Decides whether an engine is at its concurrency limit, and adjusts the limit."""
 
     def __init__(
         self,
@@ -39,14 +41,17 @@
     def is_at_limit(
         self, engine: Engine, request_class: RequestClass, usual_slowness: float
     ) -> bool:
-        """Whether no attempt of the class may be added; an engine without any takes one always.
+        """Whether the limit forbids another attempt of the class.
 
-        The limit acts under pressure only: slowness well above the best, or a request a core told.
+        An engine without attempts of this gateway always accepts one, unless it has recently
+        refused one as full. The adjusted limit applies only under pressure: the engine reports at
+        least one attempt per core, or its slowness is well above the best.
         """
         stats: EngineStats = engine.stats
         now = self._host.now
         threads = request_class.threads
-        # With hundreds of gateways a part is less than one request, and the busy ones would starve.
+        # With hundreds of gateways, the part of one is less than one request, and busy gateways
+        # would be starved. So the limit covers at least one request.
         limit = stats.limit_factor * max(self.threads_per_core * engine.cores, threads)
         if request_class.typical_work < self._estimates.mean_typical_work:
             limit *= LIGHT_CLASS_FACTOR
@@ -58,11 +63,11 @@
             > PRESSURE_SLOWNESS_FACTOR * self._slowness.best
         )
         if not is_under_pressure:
-            # Without any limit, a whole queue would be sent at once between two bad samples.
+            # Without a limit, a whole queue could be sent at once between two slow answers.
             limit = max(limit, MAX_THREADS_PER_CORE * engine.cores)
         return 0 < engine.threads_in_flight > limit - threads or now < stats.refused_until
 
     @staticmethod
     def adjust(stats: EngineStats, step: float) -> None:
-        """Raise the limit by `step`, a part of where it starts, or lower it by a negative one."""
+        """Raise the limit by `step`, a fraction of the initial limit, or lower it if negative."""
         stats.limit_factor = clamp_limit_factor(stats.limit_factor + step)
--- a/corkgauge/policy/host.py
+++ b/corkgauge/policy/host.py
@@ -1,4 +1,4 @@
-"""The host protocol: what the policy asks of whoever carries requests and attempts."""
+"""The host protocol: what the policy calls to answer requests and to send attempts."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -7,31 +7,31 @@
 
 
 class Host(Protocol):
-    """What the gateway may do. It is handed over at start.
+    """Operations that the gateway calls; the host passes itself to the gateway at start.
 
-    A host must never call the gateway from within one of the gateway's own calls.
+    A host must not call the gateway while the gateway is calling the host.
     """
 
     now: int  # ticks
-    lag: int  # ticks that its events have to wait at present
+    lag: int  # ticks that the events of the host currently wait
 
     def send_attempt(self, attempt: Attempt, timeout: int) -> None:
-        """Send an attempt to its engine; it fails if it has no answer within `timeout` ticks."""
+        """Send an attempt to its engine; fail the attempt without an answer in `timeout` ticks."""
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
-        """Memory (MB, 0: the engine decides) and priority of the request's attempts from now on."""
+        """Set memory (MB; 0: the engine decides) and priority of the request's next attempts."""
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Answer that the request was not run; `retry_after` in ticks, 0: unspecified."""
+        """Answer that the request was rejected unrun; `retry_after` in ticks, 0: unspecified."""
 
     def fail(self, request: Request) -> None:
-        """Answer that the request failed and may have run."""
+        """Answer that the request failed and may have been executed."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt that is in flight; its outcome follows."""
+        """Cancel an attempt in flight; the host reports its outcome later."""
 
     def call_later(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
-        """Call back once `delay` ticks have passed, never at once."""
+        """Call `callback` after `delay` ticks, never before this method returns."""
 
     def log(self, line: str) -> None:
         """Write one line to the log."""
--- a/corkgauge/policy/learned_state.py
+++ b/corkgauge/policy/learned_state.py
@@ -1,4 +1,4 @@
-"""What a gateway has learned and takes over at its next start; gathered and decayed elsewhere."""
+"""State that a gateway restores after a restart; `corkgauge.recovery` saves and decays it."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,11 +6,11 @@
 
 from corkgauge.policy.records import Engine, RequestClass
 
-AnswerSample = tuple[float, float, float]  # as `work_estimates` keeps them
+AnswerSample = tuple[float, float, float]  # as recorded by `work_estimates`
 
 
 class LearnedEngine(NamedTuple):
-    """What was learned of one engine."""
+    """Learned state of one engine."""
 
     engine: Engine
     slowness_samples: Sequence[float]
@@ -20,14 +20,14 @@
 
 
 class LearnedClass(NamedTuple):
-    """What was learned of one request class."""
+    """Learned state of one request class."""
 
     request_class: RequestClass
     answer_samples: Sequence[AnswerSample]
 
 
 class LearnedShare(NamedTuple):
-    """The share of one queue."""
+    """Share of one queue."""
 
     tenant: int
     request_class: RequestClass
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """All of it. Slow start and draining rules know nothing of it."""
+    """All learned state of a gateway; slow start and the draining rules do not use it."""
 
-    price: float  # admission price
+    price: float  # the admission price
     best_slowness: float
     retry_times: Sequence[int]  # ticks, in the window of the retry budget
     success_times: Sequence[int]
--- a/corkgauge/policy/options.py
+++ b/corkgauge/policy/options.py
@@ -1,32 +1,32 @@
-"""What the platform and its operators state about one gateway."""
+"""Options of one gateway, as stated by the platform and its operators."""
 
 from dataclasses import dataclass
 
-ANSWER_TICKS = 10  # for an answer to leave the host
+ANSWER_TICKS = 10  # time for an answer to leave the host
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayOptions:
-    """The stated figures. Times are ticks (tenths of a millisecond)."""
+    """Options of one gateway. Times are in ticks (tenths of a millisecond)."""
 
-    seed: int  # of the lottery
-    gateway_number: int  # of this gateway among all
+    seed: int  # seed of the lottery
+    gateway_number: int  # number of this gateway among all
     gateway_count: int
-    host_period_ticks: int  # how late the host may act on a timer
-    can_cancel: bool  # engines take cancellations
-    can_hedge: bool  # a request may have two attempts in flight
+    host_period_ticks: int  # largest delay of the host's timers
+    can_cancel: bool  # engines support cancellation
+    can_hedge: bool  # one request may have two attempts in flight
     max_attempts: int
-    retry_after_ticks: int  # told with a rejection; 0: unspecified
-    slow_start_speed: float  # speed of an engine that is warming up, of its full one
-    slow_start_ticks: int  # how long an engine is warming up
-    overload_factor: float  # times its speed in the window, from which an engine is overloaded
+    retry_after_ticks: int  # sent with a rejection; 0: unspecified
+    slow_start_speed: float  # speed of an engine in slow start, as a fraction of its full speed
+    slow_start_ticks: int  # duration of slow start
+    overload_factor: float  # work in the window that overloads an engine, times its speed
     overload_window_ticks: int
-    retry_floor: float  # retries in the window that are always in the budget
-    retry_share: float  # retries for each success in the window
-    retry_window_ticks: int  # 0: no budget is stated
-    settle_ticks: int  # how long an attempt without a known end may still run
+    retry_floor: float  # retries per window that the budget always allows
+    retry_share: float  # further retries per success in the window
+    retry_window_ticks: int  # 0: no budget stated, use the default
+    settle_ticks: int  # time for which an attempt with unknown outcome may still run
 
     @property
     def deadline_margin_ticks(self) -> int:
-        """An answer that is given this long before the deadline is in time."""
+        """The time before the deadline at which an answer must be sent to arrive in time."""
         return 2 * self.host_period_ticks + ANSWER_TICKS
--- a/corkgauge/policy/ordering.py
+++ b/corkgauge/policy/ordering.py
@@ -1,4 +1,4 @@
-"""Keyed order: requests of one key are sent one after the other, as they were accepted."""
+"""Keyed order: sends the requests of one order key one at a time, in order of acceptance."""
 
 from collections import deque
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 from corkgauge.policy.host import Host
 from corkgauge.policy.records import AttemptOutcome, Request
 
-# Outcomes after which an attempt may still run for a while.
+# Outcomes after which an engine may still be executing the attempt for a while.
 POSSIBLY_RUNNING_OUTCOMES = (
     AttemptOutcome.TIMED_OUT,
     AttemptOutcome.CONNECTION_RESET,
@@ -15,50 +15,52 @@
 
 
 class KeyedOrder:
-    """Owns the line of each key, and until when an attempt of a key may still run."""
+    """Holds the waiting requests of each order key, and until when an attempt may still run."""
 
     def __init__(self, host: Host, settle_ticks: int, enqueue: Callable[[Request], None]) -> None:
         self._host = host
         self._settle_ticks = settle_ticks
         self._enqueue = enqueue
-        self.requests_by_key: dict[int, deque[Request]] = {}  # in the order accepted
+        self.requests_by_key: dict[int, deque[Request]] = {}  # in order of acceptance
         self.held_until: dict[int, int] = {}
 
     def append(self, request: Request) -> None:
-        """Put a request at the end of its key's line."""
+        """Append a request to the queue of its order key."""
         self.requests_by_key.setdefault(request.order_key, deque()).append(request)
 
     def unsent_requests(self, order_key: int) -> list[Request]:
-        """The requests of the line that still wait for their first attempt."""
-        line = self.requests_by_key.get(order_key, ())
-        return [request for request in line if not (request.is_finished or request.attempts)]
+        """The requests of the key that still wait for their first attempt."""
+        key_requests = self.requests_by_key.get(order_key, ())
+        return [
+            request for request in key_requests if not (request.is_finished or request.attempts)
+        ]
 
     def hold(self, order_key: int, until: int) -> None:
-        """An attempt of this key may still run, for an earlier start of this gateway."""
+        """Hold the key: an attempt from before a restart of this gateway may still run."""
         self.held_until[order_key] = max(until, self.held_until.get(order_key, until))
         self._host.call_later(until - self._host.now, self.advance, order_key)
 
     def advance(self, order_key: int) -> None:
-        """Let the next of a key go, once all before it are over and their attempts ended."""
-        line = self.requests_by_key.get(order_key)
+        """Enqueue the next request of a key once all earlier requests and their attempts ended."""
+        key_requests = self.requests_by_key.get(order_key)
         now = self._host.now
-        if line:
-            self._remove_finished(order_key, line)
-        if line and self.held_until.get(order_key, now) <= now:
-            first = line[0]
+        if key_requests:
+            self._remove_finished(order_key, key_requests)
+        if key_requests and self.held_until.get(order_key, now) <= now:
+            first = key_requests[0]
             if not (first.is_finished or first.is_queued or first.attempts):
                 self._enqueue(first)
-        elif line is not None and not line:
+        elif key_requests is not None and not key_requests:
             del self.requests_by_key[order_key]
         if self.held_until.get(order_key, now + 1) <= now:
             del self.held_until[order_key]
 
-    def _remove_finished(self, order_key: int, line: deque[Request]) -> None:
-        while line and line[0].is_finished:
-            if any(attempt.is_in_flight for attempt in line[0].attempts):
+    def _remove_finished(self, order_key: int, key_requests: deque[Request]) -> None:
+        while key_requests and key_requests[0].is_finished:
+            if any(attempt.is_in_flight for attempt in key_requests[0].attempts):
                 return
-            attempts = line.popleft().attempts
+            attempts = key_requests.popleft().attempts
             if any(attempt.outcome in POSSIBLY_RUNNING_OUTCOMES for attempt in attempts):
                 self.held_until[order_key] = self._host.now + self._settle_ticks
-                # Without a timer, a key that never comes again would stay here for ever.
+                # Without a timer, a key without further requests would stay in memory forever.
                 self._host.call_later(self._settle_ticks, self.advance, order_key)
--- a/corkgauge/policy/outcome_learning.py
+++ b/corkgauge/policy/outcome_learning.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt teaches: health, slowness, work, limit and price."""
+"""Updates health, slowness, work estimates, limit and price from the outcome of an attempt."""
 
 from corkgauge.policy.admission_price import AdmissionPrice
 from corkgauge.policy.concurrency_limit import ConcurrencyLimit
@@ -14,9 +14,9 @@
 from corkgauge.policy.units import TICKS_PER_SECOND
 from corkgauge.policy.work_estimates import WorkEstimates
 
-OVERLOAD_STEP = -0.1  # of limit and price, for an attempt that was refused, late or lost
-ON_TIME_STEP = 0.025  # for an answer in time
-ENGINE_FULL_PAUSE_TICKS = TICKS_PER_SECOND  # for which an engine that was full is left alone
+OVERLOAD_STEP = -0.1  # change of limit and price, for an attempt that was refused, late or lost
+ON_TIME_STEP = 0.025  # change for an answer in time
+ENGINE_FULL_PAUSE_TICKS = TICKS_PER_SECOND  # time without attempts to an engine that was full
 MIN_DURATION_TICKS = 1
 FAULT_KINDS: dict[int, str] = {
     AttemptOutcome.ERROR: ERROR_FAULT,
@@ -26,7 +26,7 @@
 
 
 class OutcomeLearning:
-    """Passes each outcome on to the modules that learn from it; owns nothing."""
+    """Passes each outcome to the modules that learn from outcomes; keeps no state."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
         self._price = price
 
     def learn_from_outcome(
-        self, attempt: Attempt, took: int, work: int, memory: float, reported_load: float
+        self, attempt: Attempt, duration_ticks: int, work: int, memory: float, reported_load: float
     ) -> None:
-        """An attempt has its outcome, after `took` ticks.
+        """Learn from the outcome of an attempt that lasted `duration_ticks`.
 
-        Its engine tells the work (thread ticks; 0: untold), the memory needed (MB; 0: untold) and
-        the attempts that it holds (below 0: untold).
+        The engine reports the work (thread ticks; 0: unreported), the memory needed (MB; 0:
+        unreported) and the number of attempts that run there (below 0: unreported).
         """
         engine = attempt.engine
         stats = engine.stats
@@ -60,9 +60,9 @@
         if reported_load >= 0:
             stats.reported_load = reported_load
         if attempt.sent_at < engine.incarnation:
-            return  # it speaks of the engine before its restart
+            return  # the outcome describes the engine before its restart
         if outcome == AttemptOutcome.SUCCEEDED:
-            self._learn_from_success(attempt, took, work, memory)
+            self._learn_from_success(attempt, duration_ticks, work, memory)
         elif outcome == AttemptOutcome.ENGINE_FULL:
             self._outliers.record_activity(engine)
             stats.refused_until = self._host.now + ENGINE_FULL_PAUSE_TICKS
@@ -72,7 +72,9 @@
         elif outcome in FAULT_KINDS:
             self._outliers.record_fault(engine, FAULT_KINDS[outcome])
 
-    def _learn_from_success(self, attempt: Attempt, took: int, work: int, memory: float) -> None:
+    def _learn_from_success(
+        self, attempt: Attempt, duration_ticks: int, work: int, memory: float
+    ) -> None:
         request = attempt.request
         request_class = request.request_class
         stats = attempt.engine.stats
@@ -81,17 +83,17 @@
             (work or request.expected_work) / request_class.threads, MIN_DURATION_TICKS
         )
         self._estimates.record_answer(request, work, memory)
-        self._slowness.record_sample(stats, max(took, MIN_DURATION_TICKS) / work_duration)
-        # An engine that answers all, but late, is as overrun as one that refuses or times out.
+        self._slowness.record_sample(stats, max(duration_ticks, MIN_DURATION_TICKS) / work_duration)
+        # An engine with late answers is as overloaded as one that refuses requests or times out.
         objective = (
             request_class.latency_objective + request_class.objective_stretch * work_duration
         )
-        step = ON_TIME_STEP if took <= objective else OVERLOAD_STEP
+        step = ON_TIME_STEP if duration_ticks <= objective else OVERLOAD_STEP
         self.adjust_limit_and_price(stats, request_class, step)
 
     def adjust_limit_and_price(
         self, stats: EngineStats, request_class: RequestClass, step: float
     ) -> None:
-        """Move the engine's concurrency limit up, and the price down, by `step`."""
+        """Raise the engine's concurrency limit and lower the admission price by `step`."""
         self._limit.adjust(stats, step)
         self._price.adjust(request_class, step)
--- a/corkgauge/policy/recent_work.py
+++ b/corkgauge/policy/recent_work.py
@@ -1,4 +1,4 @@
-"""How the work of the last attempts was spread over engines and table groups."""
+"""Tracks how the work of recent attempts is spread over engines and table groups."""
 
 from collections import deque
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 from corkgauge.policy.subsetting import EngineSubset
 from corkgauge.policy.units import RECENT_SAMPLES
 
-MIN_GROUP_WORK_TICKS = 1  # thread ticks; what rounding leaves of a group is less
+MIN_GROUP_WORK_TICKS = 1  # thread ticks; rounding errors of a group without work are smaller
 
 
 class SentWork(NamedTuple):
-    """One attempt of the last ones."""
+    """Work of one recent attempt."""
 
     stats: EngineStats
     work: float  # typical work of its class
@@ -19,7 +19,7 @@
 
 
 class RecentWork:
-    """Owns the last attempts, some for each engine of the subset."""
+    """Holds the most recent attempts, RECENT_SAMPLES for each engine of the subset."""
 
     def __init__(self, subset: EngineSubset) -> None:
         self._subset = subset
@@ -27,11 +27,11 @@
         self._work_by_group: dict[float, float] = {}
 
     def work_of_group(self, table_group: float) -> float:
-        """The work of a table group."""
+        """The recent work of a table group."""
         return self._work_by_group.get(table_group, 0.0)
 
     def record(self, engine: Engine, work: float, table_group: float) -> None:
-        """Count an attempt; the oldest is forgotten."""
+        """Record an attempt, and drop the oldest one if there are too many."""
         engine.stats.recent_work += work
         self._sent.append(SentWork(engine.stats, work, table_group))
         self._work_by_group[table_group] = self.work_of_group(table_group) + work
--- a/corkgauge/policy/records.py
+++ b/corkgauge/policy/records.py
@@ -1,7 +1,7 @@
-"""The records that the policy and its host share, and the enumerations in them.
+"""Records and enumerations shared by the policy and its host.
 
-Times are whole tenths of a millisecond ("ticks"). Records point to each other; identifiers stay
-with the host, which keeps what it needs to find its own objects in `host_reference`.
+Times are whole tenths of a millisecond ("ticks"). Records reference each other directly. The host
+manages identifiers, and stores in `host_reference` what it needs to find its objects.
 """
 
 from collections import deque
@@ -11,7 +11,7 @@
 
 
 class AttemptOutcome(IntEnum):
-    """How an attempt ended. The numbers are those of the simulator's wire."""
+    """How an attempt ended. The numbers are part of the simulator's wire protocol."""
 
     ERROR = 0
     SUCCEEDED = 1
@@ -20,7 +20,7 @@
     UNREACHABLE = 4
     CONNECTION_RESET = 5
     CANCELLED = 6
-    ABANDONED = 7  # before its first byte was sent
+    ABANDONED = 7  # withdrawn before its first byte was sent
 
 
 # Outcomes that prove that the attempt never ran.
@@ -32,7 +32,7 @@
 
 
 class EngineState(IntEnum):
-    """An engine's state in the endpoint list. The numbers are those of the simulator's wire."""
+    """State of an engine in the endpoint list, numbered as in the simulator's wire protocol."""
 
     GONE = 0
     READY = 1
@@ -40,10 +40,10 @@
 
 
 class Repeatability(IntEnum):
-    """What a repeated attempt of a request does."""
+    """The effect of repeating an attempt of a request."""
 
     IDEMPOTENT = 0
-    KEYED = 1  # it has an idempotency key, which engines remember for a while
+    KEYED = 1  # the request has an idempotency key, which engines remember for a time
     NON_IDEMPOTENT = 2
 
 
@@ -51,112 +51,114 @@
     """How far maintenance has taken an engine out of service."""
 
     NONE = 0
-    NO_NEW_WORK = 1  # only repeats whose idempotency key is known there
-    NOTHING = 2
+    NO_NEW_WORK = 1  # only retries whose idempotency key the engine may know
+    NOTHING = 2  # no attempts at all
 
 
 class NoteKind(IntEnum):
-    """Notes that engines send about an attempt; any note is a sign of life."""
+    """Notes that engines send about an attempt; any note shows that the engine is alive."""
 
     PROGRESS = 1  # the only kind that the policy acts on
 
 
 @dataclass(eq=False, slots=True)
 class RequestClass:
-    """A class of requests, with the latency objective of its customers."""
+    """A class of requests with a common latency objective."""
 
     name: str
-    latency_objective: int  # ticks, before the stretch
-    objective_stretch: float  # the objective grows by this times the work of one thread
+    latency_objective: int  # ticks, without the stretch
+    objective_stretch: float  # added to the objective for each tick of work of one thread
     time_to_deadline: int  # ticks
     priority_weight: float  # value of one answer in time
     repeatability: int = Repeatability.IDEMPOTENT
-    key_scope: str = "all"  # keyed: which engines know a key: all, zone, cell
-    key_ttl: int = 0  # keyed: how long they do, in ticks
+    key_scope: str = "all"  # keyed: the engines that know a key: all, zone, cell
+    key_ttl: int = 0  # keyed: time for which engines remember a key, in ticks
     ordered: bool = False
-    zones: tuple[int, ...] = ()  # the only ones it may use; none: any
+    zones: tuple[int, ...] = ()  # allowed zones; empty: any
     engine_kinds: tuple[int, ...] = ()
     threads: int = 1
-    # The gateway's last few answers: work and memory, each true over estimated; true work.
+    # Recent answers: true over estimated work, true over estimated memory, true work.
     answer_samples: deque[tuple[float, float, float]] = field(default_factory=deque)
-    typical_work: float = 0.0  # as they report it, in thread ticks
+    typical_work: float = 0.0  # mean work that answers report, in thread ticks
     subset_rank_limit: float = 1.0  # rank up to which engines of the subset serve this class
 
 
 @dataclass(eq=False, slots=True)
 class Engine:
-    """An engine as the endpoint list last described it, and this gateway's state of it."""
+    """An engine as last described by the endpoint list, with this gateway's state for it."""
 
     host_reference: Any
-    hash_key: bytes  # alike at all gateways; only for the hashed order
+    hash_key: bytes  # the same at all gateways; used only for hashing
     zone: int
     kind: int
     cell: int
     cores: float = 1.0
-    max_memory: float = 0.0  # MB that one attempt is granted at most; 0: grants are not heeded
+    max_memory: float = 0.0  # largest grant of one attempt in MB; 0: the engine ignores grants
     state: int = EngineState.GONE
-    incarnation: int = 0  # when its process started, in ticks; 0: unknown
-    threads_in_flight: int = 0  # threads of this gateway's attempts there
+    incarnation: int = 0  # start time of its process, in ticks; 0: unknown
+    threads_in_flight: int = 0  # threads of this gateway's attempts on the engine
     cordon: int = Cordon.NONE
-    in_subset: bool = False  # in this gateway's subset of engines
-    subset_rank: float = 0.0  # of this gateway among all, for this engine
-    stats: Any = None  # `EngineStats`, once the list has named it
-    name: str = ""  # for the log
+    in_subset: bool = False  # whether this gateway's subset contains the engine
+    subset_rank: float = 0.0  # rank of this gateway among all, for this engine
+    stats: Any = None  # `EngineStats`, after the first update of the engine
+    name: str = ""  # for log lines
 
 
 @dataclass(eq=False, slots=True)
 class EngineStats:
-    """What one gateway has recently measured of one engine."""
+    """Recent measurements of one engine by one gateway."""
 
-    slow_start_usage: deque[tuple[int, float]]  # (when, typical work sent), overload window
-    slowness_samples: deque[float]  # time taken over the time of the work alone
-    fault_history: deque[str]  # one for each outcome; empty: a good answer
-    failure_history: deque[tuple[str, int]]  # (why, when), also of faults that are not its own
-    last_activity_at: int = -1  # when it last gave a sign of its own
+    slow_start_usage: deque[tuple[int, float]]  # (when, typical work sent) in the overload window
+    slowness_samples: deque[float]  # duration over the duration of the work alone
+    fault_history: deque[str]  # one entry per outcome; empty text: a good answer
+    failure_history: deque[tuple[str, int]]  # (kind, when), also failures not counted as faults
+    last_activity_at: int = -1  # when the engine last sent data
     ejected_until: int = -1
     refused_until: int = -1
-    limit_factor: float = 1.0  # of its concurrency limit, over where it starts
-    reported_load: float = -1.0  # attempts that it last reported to hold
-    recent_work: float = 0.0  # typical work among the gateway's last attempts
-    slowness: float = 0.0  # estimate, valid until `slowness_valid_until`
+    limit_factor: float = 1.0  # concurrency limit, relative to the initial limit
+    reported_load: float = -1.0  # attempts running there, as last reported by the engine
+    recent_work: float = 0.0  # typical work in the gateway's recent attempts
+    slowness: float = 0.0  # cached estimate, valid until `slowness_valid_until`
     peer_slowness: float = 0.0  # as other gateways report it; 0: unknown
-    peer_suspicion: int = 0  # as other gateways report it: 1: one attempt at a time, 2: none
+    peer_suspicion: int = 0  # as other gateways report it; 1: one attempt at a time; 2: none
     slowness_valid_until: int = -1
     in_flight: list["Attempt"] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
 class RequestQueue:
-    """The requests of one tenant and class that wait for a slot."""
+    """The requests of one tenant and class that wait for a slot, and their share."""
 
     request_class: RequestClass
-    share_history: deque[tuple[float, float]]  # last intervals: share, inverse of the shortfall
+    share_history: deque[tuple[float, float]]  # recent intervals: (share, inverse shortfall)
     share: float = 0.0
-    recent_arrivals: float = 0.0  # ends of the last periods, decayed
-    shortfalls: list[float] = field(default_factory=list)  # latency over objective, this interval
+    recent_arrivals: float = 0.0  # requests finished in recent intervals, decayed
+    shortfalls: list[float] = field(
+        default_factory=list
+    )  # latency over objective, in this interval
     waiting: list["Request"] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """What a client asked for; the gateway owes it one final answer."""
+    """A client's request, which gets exactly one final answer."""
 
     host_reference: Any
     request_class: RequestClass
     tenant: int
     table_group: float
     accepted_at: int
-    time_to_deadline: int  # from its acceptance
-    estimated_work: int = 0  # in thread ticks; 0: none
-    estimated_memory: float = 0.0  # MB; 0: none
-    order_key: int = 0  # requests of one key are sent in order; 0: none
+    time_to_deadline: int  # ticks from acceptance
+    estimated_work: int = 0  # thread ticks; 0: no estimate
+    estimated_memory: float = 0.0  # MB; 0: no estimate
+    order_key: int = 0  # requests of one key are sent in order; 0: no key
     is_finished: bool = False
     is_queued: bool = False
     expected_work: float = 0.0
     latency_objective: float = 0.0
     queue: Any = None  # `RequestQueue`, once accepted
     attempts: list["Attempt"] = field(default_factory=list)
-    # Of the same idempotency key, that may have run for an earlier request.
+    # Attempts of earlier requests with the same idempotency key that may have run.
     earlier_attempts: list["Attempt"] = field(default_factory=list)
 
 
@@ -168,10 +170,10 @@
     engine: Engine
     number: int
     sent_at: int
-    expected_duration: float  # ticks of the work alone
+    expected_duration: float  # ticks of the expected work alone
     typical_duration: float  # ticks of the class's typical work alone
     is_in_flight: bool = True
     is_cancelled: bool = False
     outcome: int = -1
-    # Answers of its engine to later attempts, since it last reported on this one.
+    # Answers of the engine to later attempts since its last note about this one.
     overtaken_count: int = 0
--- a/corkgauge/policy/request_queues.py
+++ b/corkgauge/policy/request_queues.py
@@ -7,11 +7,11 @@
 from corkgauge.policy.records import Request, RequestClass, RequestQueue
 from corkgauge.policy.units import FEEDBACK_INTERVAL_TICKS, RECENT_SAMPLES
 
-SHARE_HISTORY_COUNT = 5  # intervals that the linear model of shares sees
+SHARE_HISTORY_COUNT = 5  # feedback intervals that the linear model of shares is fitted to
 
 
 class RequestQueues:
-    """Owns the queues, in the order in which their first requests came."""
+    """Holds the queues, in order of their first requests."""
 
     def __init__(self) -> None:
         self.by_tenant_and_class: dict[tuple[int, RequestClass], RequestQueue] = {}
@@ -24,7 +24,7 @@
         return self.by_tenant_and_class.values()
 
     def queue_for(self, tenant: int, request_class: RequestClass) -> RequestQueue:
-        """The queue of the tenant and class; with a new one, all shares become equal."""
+        """The queue of the tenant and class; creating one resets all shares to equal shares."""
         key = tenant, request_class
         if key not in self.by_tenant_and_class:
             self.restore(tenant, request_class, 0.0)
@@ -33,18 +33,18 @@
         return self.by_tenant_and_class[key]
 
     def restore(self, tenant: int, request_class: RequestClass, share: float) -> None:
-        """Make a queue with the share that it had."""
+        """Create a queue with the given share."""
         history = deque[tuple[float, float]](maxlen=SHARE_HISTORY_COUNT)
         queue = RequestQueue(request_class, history, share)
         self.by_tenant_and_class[tenant, request_class] = queue
 
     def count_arrivals(self) -> None:
-        """Take the ends of this interval into the decayed count of arrivals."""
+        """Add the requests finished in this interval to the decayed count of arrivals."""
         for queue in self.by_tenant_and_class.values():
             queue.recent_arrivals += len(queue.shortfalls) - queue.recent_arrivals / RECENT_SAMPLES
 
     def requested_work_rate(self) -> float:
-        """The work asked of this gateway lately, in threads."""
+        """The rate of work recently requested of this gateway, in threads."""
         work = sum(
             queue.recent_arrivals * queue.request_class.typical_work
             for queue in self.by_tenant_and_class.values()
@@ -53,13 +53,13 @@
 
 
 def insert(request: Request) -> None:
-    """Put a request in its queue, which is in order of expected work."""
+    """Insert a request into its queue, which is sorted by expected work."""
     request.is_queued = True
     insort(request.queue.waiting, request, key=lambda each: each.expected_work)
 
 
 def remove(request: Request) -> None:
-    """Take a request out of its queue, if it is there."""
+    """Remove a request from its queue, if the request is queued."""
     if request.is_queued:
         request.is_queued = False
         request.queue.waiting.remove(request)
--- a/corkgauge/policy/work_estimates.py
+++ b/corkgauge/policy/work_estimates.py
@@ -1,4 +1,4 @@
-"""How much work and memory requests need, learned from answers."""
+"""Estimates the work and memory of requests from earlier answers."""
 
 from collections import deque
 from collections.abc import Iterable, Sequence
@@ -7,36 +7,36 @@
 from corkgauge.policy.records import Engine, Request, RequestClass, RequestQueue
 from corkgauge.policy.units import MIN_SAMPLES
 
-ANSWER_SAMPLES = 48  # kept for a request class
-DEFAULT_WORK_FACTOR = 2.0  # of the work that fits the objective, while little is known
-MEMORY_QUANTILE = 0.85  # of true over estimated memory, that a grant covers
+ANSWER_SAMPLES = 48  # per request class
+DEFAULT_WORK_FACTOR = 2.0  # times the work that fits the objective, while there are few samples
+MEMORY_QUANTILE = 0.85  # of the ratio of true to estimated memory, which a grant covers
 
 
 class WorkEstimates:
-    """The mean work over all classes, as of the last feedback interval."""
+    """Holds the mean work over all classes, as of the last feedback interval."""
 
     def __init__(self, request_classes: Sequence[RequestClass]) -> None:
-        self.mean_typical_work = 0.0  # of one class as any other
-        self.mean_requested_work = 0.0  # of one request as any other
+        self.mean_typical_work = 0.0  # mean over classes, with equal weights
+        self.mean_requested_work = 0.0  # mean over requests, with equal weights
         for request_class in request_classes:
             # (true work over its estimate, true memory over its estimate, true work)
             request_class.answer_samples = deque(maxlen=ANSWER_SAMPLES)
             request_class.typical_work = typical_work(request_class)
 
     def update(self, queues: Iterable[RequestQueue]) -> None:
-        """Work the means out anew."""
+        """Recompute the mean typical work of the classes in use."""
         works = [queue.request_class.typical_work for queue in queues]
         self.mean_typical_work = fmean(works or [0.0])
 
     def update_requested(self, queues: Iterable[RequestQueue]) -> None:
-        """Work out the mean of what is asked for, after the arrivals were counted."""
+        """Recompute the mean work of requests; call after the arrivals have been counted."""
         counts = [queue.recent_arrivals for queue in queues]
         works = [queue.recent_arrivals * queue.request_class.typical_work for queue in queues]
         self.mean_requested_work = sum(works) / (sum(counts) or 1.0)
 
     @staticmethod
     def record_answer(request: Request, work: int, memory: float) -> None:
-        """Take what an answer told of its work (thread ticks) and memory (MB); 0: untold."""
+        """Record the work (thread ticks) and memory (MB) that an answer reports; 0: unreported."""
         request_class = request.request_class
         request_class.answer_samples.append(
             (
@@ -49,32 +49,32 @@
 
     @staticmethod
     def restore(request_class: RequestClass, samples: Iterable[tuple[float, float, float]]) -> None:
-        """Take the samples of an earlier start of this gateway."""
+        """Restore samples from before a restart of this gateway."""
         request_class.answer_samples.extend(samples)
         request_class.typical_work = typical_work(request_class)
 
 
 def expected_work(request: Request) -> float:
-    """The work of a request: its estimate, corrected by what answers of its class told."""
+    """The estimated work of a request, corrected by the answers of its class."""
     if not request.estimated_work:
         return request.request_class.typical_work
-    # There are none where answers do not tell their work.
+    # The list is empty if answers do not report their work.
     ratios = [ratio for ratio, _, _ in request.request_class.answer_samples if ratio]
     correction = median(ratios) if len(ratios) >= MIN_SAMPLES else 1.0
     return request.estimated_work * correction
 
 
 def typical_work(request_class: RequestClass) -> float:
-    """The mean work of a class, on the high side while little is known."""
+    """The mean work of a class; a high assumption while there are few samples."""
     works = [work for _, _, work in request_class.answer_samples]
     if len(works) >= MIN_SAMPLES:
         return fmean(works)
-    unseen = DEFAULT_WORK_FACTOR * request_class.latency_objective * request_class.threads
-    return max([unseen, *works])
+    default_work = DEFAULT_WORK_FACTOR * request_class.latency_objective * request_class.threads
+    return max([default_work, *works])
 
 
 def memory_grant(request: Request, engine: Engine) -> float:
-    """Memory (MB) as estimated, corrected by what answers told; 0 leaves it to the engine."""
+    """The estimated memory (MB), corrected by earlier answers; 0: the engine decides."""
     ratios = sorted(ratio for _, ratio, _ in request.request_class.answer_samples if ratio)
     if not request.estimated_memory or len(ratios) < MIN_SAMPLES:
         return 0.0
