--- a/corkgauge/policy/retries.py
+++ b/corkgauge/policy/retries.py
@@ -60,11 +60,11 @@
         ] = []  # acceptance times of answered requests in the window, sorted
         self.retry_times: list[int] = []  # send times of retries
 
-    def has_left(self, part: float = 1.0) -> bool:
-        """Whether one more retry fits into `part` of the budget."""
+    def has_left(self, fraction: float = 1.0) -> bool:
+        """Whether one more retry fits into `fraction` of the budget."""
         self.discard_expired()
         allowed = self.floor + self.share * len(self.success_times)
-        return len(self.retry_times) + 1 <= part * self.throttle * allowed
+        return len(self.retry_times) + 1 <= fraction * self.throttle * allowed
 
     def discard_expired(self) -> None:
         """Drop successes and retries that have left the window."""
