--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -270,7 +270,7 @@
         equalise_shares(active_queues, queues)
 
     def _schedule_subset_update(self) -> None:
-        # Without the spread_hash, gateways that started together would all resize together.
+        # Without this offset, gateways that started together would all resize together.
         spread_hash = crc32(pack("<qQ", self.options.gateway_number, self.host.now))
         self.host.call_later(spread_hash % FEEDBACK_INTERVAL_TICKS, self.on_subset_update_due)
 
--- a/corkgauge/policy/outlier_detection.py
+++ b/corkgauge/policy/outlier_detection.py
@@ -21,9 +21,7 @@
 
 EJECTION_TICKS = TICKS_PER_SECOND  # after a first fault; doubled for each further recent fault
 MAX_DOUBLINGS = 4
-COMPARISON_WINDOW_TICKS = (
-    10 * TICKS_PER_SECOND
-)  # for the comparison of failure counts between engines
+COMPARISON_WINDOW_TICKS = 10 * TICKS_PER_SECOND  # of failure counts that are compared
 COMMON_FAULT_FACTOR = 2  # times the median engine's failures; up to this, a fault is common
 COMMON_FAULT_SLACK_COUNT = 2  # failures allowed above the factor
 UNTRUSTED_ERROR_COUNT = 2  # among recent answers, from which an engine is not trusted
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -117,14 +117,14 @@
 def test_faulty_engine_is_ejected(outcomes, is_ejected):
     harness = GatewayHarness()
     request = harness.take()
-    home = request.attempts[0].engine
+    first_engine = request.attempts[0].engine
     for outcome in outcomes:
         harness.over(request.attempts[0], outcome)
     other = harness.take()
-    assert bool(harness.said("log")) == is_ejected and other.attempts[0].engine is not home
+    assert bool(harness.said("log")) == is_ejected and other.attempts[0].engine is not first_engine
     harness.over(other.attempts[0], took=2000)
     harness.pass_time(int(1.1 * SECOND))
-    assert any(harness.take().attempts[0].engine is home for _ in range(4))
+    assert any(harness.take().attempts[0].engine is first_engine for _ in range(4))
 
 
 def test_all_engines_are_used_when_all_are_faulty():
@@ -162,16 +162,16 @@
 
 def test_one_long_attempt_is_not_silence_and_does_not_block_a_trial():
     harness = GatewayHarness([QUICK, HEAVY_CLASS], engines=2)
-    long = harness.take(1, estimated_work=8 * SECOND, time_to_deadline=30 * SECOND)
-    engine, home = long.attempts[0].engine, long.table_group
+    long_request = harness.take(1, estimated_work=8 * SECOND, time_to_deadline=30 * SECOND)
+    engine, table_group = long_request.attempts[0].engine, long_request.table_group
     harness.pass_time(8 * SECOND)
     assert not any("silent" in line for line, _ in harness.said("log"))
-    for request in [harness.take(table_group=home) for _ in range(6)]:
+    for request in [harness.take(table_group=table_group) for _ in range(6)]:
         if request.attempts[0].engine is engine:
             harness.over(request.attempts[0], AttemptOutcome.ERROR)
     harness.pass_time(30 * SECOND // 2)
-    assert not long.is_finished and any(
-        harness.take(table_group=home).attempts[0].engine is engine for _ in range(9)
+    assert not long_request.is_finished and any(
+        harness.take(table_group=table_group).attempts[0].engine is engine for _ in range(9)
     )
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -352,7 +352,7 @@
         believed_fraction: configured number of gateways over the true number.
         budget_factor: factor that corrupts the budget of each gateway.
     """
-    gateways, span, work = 120, SECOND, 2000.0
+    gateways, window_ticks, work = 120, SECOND, 2000.0
     engines, harnesses, sent = make_engines(300), [], []
     for number in range(gateways):
         harness = make_harness(
@@ -361,7 +361,7 @@
             gateway_count=int(gateways * believed_fraction),
             slow_start_speed=0.3,
             overload_factor=2.0,
-            overload_window_ticks=span,
+            overload_window_ticks=window_ticks,
             slow_start_ticks=15 * SECOND,
         )
         harness.now += 20 * SECOND
@@ -377,8 +377,8 @@
             sent += [tick for each in request.attempts if each.engine.host_reference == "s200"]
             for each in request.attempts:
                 harness.over(each, took=500, work=int(work))
-    allowed = 2.0 * 0.3 * 8.0 * span / work
-    worst = max(sum(since <= when < since + span for when in sent) for since in sent)
+    allowed = 2.0 * 0.3 * 8.0 * window_ticks / work
+    worst = max(sum(start <= when < start + window_ticks for when in sent) for start in sent)
     return worst / (allowed + 2 * (allowed + 2) ** 0.5)
 
 
