--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -302,7 +302,7 @@
             or self.now >= in_flight_attempt.deadline
         ):
             return "late"
-        return "" if self.gateway.may_start_attempt(in_flight_attempt.attempt) else "withdrawn"
+        return "" if self.gateway.can_start_attempt(in_flight_attempt.attempt) else "withdrawn"
 
     # Clients.
 
--- a/corkgauge/policy/recent_work.py
+++ b/corkgauge/policy/recent_work.py
@@ -1,4 +1,4 @@
-"""How the work of the last attempts was spread over engines and table groups."""
+"""Tracks how the work of recent attempts is spread over engines and table groups."""
 
 from collections import deque
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 from corkgauge.policy.subsetting import EngineSubset
 from corkgauge.policy.units import RECENT_SAMPLES
 
-LEAST_GROUP_WORK = 1  # thread ticks; what rounding leaves of a group is less
+MIN_GROUP_WORK_TICKS = 1  # thread ticks; rounding errors of a group without work are smaller
 
 
 class SentWork(NamedTuple):
-    """One attempt of the last ones."""
+    """Work of one recent attempt."""
 
     stats: EngineStats
     work: float  # typical work of its class
@@ -19,28 +19,28 @@
 
 
 class RecentWork:
-    """Owns the last attempts, some for each engine of the subset."""
+    """Holds the most recent attempts, RECENT_SAMPLES for each engine of the subset."""
 
     def __init__(self, subset: EngineSubset) -> None:
         self._subset = subset
         self._sent: deque[SentWork] = deque()
         self._work_by_group: dict[float, float] = {}
 
-    def of_group(self, table_group: float) -> float:
-        """The work of a table group."""
+    def work_of_group(self, table_group: float) -> float:
+        """The recent work of a table group."""
         return self._work_by_group.get(table_group, 0.0)
 
     def record(self, engine: Engine, work: float, table_group: float) -> None:
-        """Count an attempt; the oldest is forgotten."""
+        """Record an attempt, and drop the oldest one if there are too many."""
         engine.stats.recent_work += work
         self._sent.append(SentWork(engine.stats, work, table_group))
-        self._work_by_group[table_group] = self.of_group(table_group) + work
+        self._work_by_group[table_group] = self.work_of_group(table_group) + work
         if len(self._sent) > RECENT_SAMPLES * len(self._subset.engines):
-            self._forget_oldest()
+            self._remove_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _remove_oldest(self) -> None:
         oldest = self._sent.popleft()
         oldest.stats.recent_work -= oldest.work
         self._work_by_group[oldest.table_group] -= oldest.work
-        if self._work_by_group[oldest.table_group] < LEAST_GROUP_WORK:
+        if self._work_by_group[oldest.table_group] < MIN_GROUP_WORK_TICKS:
             del self._work_by_group[oldest.table_group]
