--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -126,7 +126,7 @@
     data = f"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 1\ndata: {event}\n\n".encode()
     for at in range(0, len(data), READ):
         wire.inward.put(data[at : at + READ])
-        if wire.advance():
+        if wire.parse_input():
             return False
     return taker.took == 1
 
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -88,7 +88,7 @@
     def __init__(self, platform_config: PlatformConfig, operator_file: str) -> None:
         self.platform_config = platform_config
         self.event_loop = EventLoop()
-        self.event_loop.troubled = ExceptionLog(self.event_loop)
+        self.event_loop.on_exception = ExceptionLog(self.event_loop)
         self.front_end = PlatformFrontEnd(
             self.event_loop, platform_config, logger.info, resident_bytes()
         )
@@ -128,7 +128,9 @@
 
     def _counters(self) -> str:
         ledger_line = self.front_end.ledger.log_totals()
-        return f"counters {self.front_end.counters.line(ledger_line)} {self.event_loop.worst()}"
+        return (
+            f"counters {self.front_end.counters.line(ledger_line)} {self.event_loop.worst_delays()}"
+        )
 
     def _on_signal(self, number: int) -> None:
         """Log the counters (SIGUSR1), read the configuration again (SIGHUP), or end."""
--- a/corkgauge/eventloop/connection.py
+++ b/corkgauge/eventloop/connection.py
@@ -12,15 +12,15 @@
 from corkgauge.eventloop.loop import BROKEN, GONE, READ, WRITE, EventLoop
 from corkgauge.eventloop.ring_buffer import RingBuffer
 
-MAX_READS_IN_A_ROW = 2  # before other tasks have their turn
+MAX_CONSECUTIVE_READS = 2  # before other tasks have their turn
 MAX_READ_BYTES = 16_384  # of one read
 MEMORY_RETRY_TICKS = 500  # until a connection that found no room in memory asks again
-FAREWELL_TICKS = 10_000  # that a peer which is turned out has for reading why
-CROSSING = 500  # that what a peer had written before it saw our end may take; it is dropped
-MAX_READS_OF_A_LOOK = 8  # at a peer that writes without end
-DISCARD = bytearray(65_536)  # where what peers that are turned out still send goes, of all of them
+LINGER_TICKS = 10_000  # that a peer which is turned out has for reading why
+IN_TRANSIT_TICKS = 500  # for input that the peer wrote before it saw our end; it is dropped
+MAX_READS_PER_CHECK = 8  # at a peer that writes without end
+DISCARD_BUFFER = bytearray(65_536)  # input of all rejected peers is read into it
 NEVER = 2**62
-RETRY = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
+RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 
 
 class ProtocolMachine(Protocol):
@@ -28,9 +28,9 @@
 
     inward: RingBuffer
     outward: RingBuffer
-    whole: int  # complete frames so far
+    complete_frame_count: int  # complete frames so far
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Take the complete frames out of `inward`; why the peer must go, or an empty string."""
         ...
 
@@ -50,8 +50,8 @@
         sock: socket.socket,
         machine: ProtocolMachine,
         owner: Any,
-        stuck: int = 0,
-        greets: bool = False,
+        frame_timeout_ticks: int = 0,
+        peer_is_client: bool = False,
     ) -> None:
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
@@ -64,38 +64,38 @@
         self.owner = owner
 
         # State.
-        self.why = ""  # the reason of the end; empty while the connection is open
-        self.parting = False  # the peer is turned out, and has time for reading why
-        self.farewell = FAREWELL_TICKS
-        self.advancing = False  # the machine is at work, and calls the owner
-        self.blocked = False  # the socket takes no more
-        self.unsent = False  # a write is due at the end of this turn
+        self.close_reason = ""  # the reason of the end; empty while the connection is open
+        self.is_lingering = False  # the peer is turned out, and has time for reading why
+        self.linger_ticks = LINGER_TICKS
+        self.is_parsing = False  # the machine is at work, and calls the owner
+        self.is_write_blocked = False  # the socket takes no more
+        self.is_flush_scheduled = False  # a write is due at the end of this turn
 
         # Time limit of a frame.
-        self.stuck = stuck
-        self.greets = greets
-        self.since = event_loop.now
+        self.frame_timeout_ticks = frame_timeout_ticks
+        self.peer_is_client = peer_is_client
+        self.frame_timeout_since = event_loop.now
 
         # Bytes since it came up, and when the last of them were read and written.
-        self.put = 0
-        self.sent = 0
-        self.got = 0
-        self.heard = event_loop.now
-        self.wrote = event_loop.now
+        self.bytes_queued = 0
+        self.bytes_sent = 0
+        self.bytes_received = 0
+        self.last_read_at = event_loop.now
+        self.last_written_at = event_loop.now
 
     def run(self) -> None:
         """Be the task of this connection; it ends with it."""
         try:
-            while not self.why:
+            while not self.close_reason:
                 self._run_once()
-            if self.parting:
-                self._say_farewell()
+            if self.is_lingering:
+                self._linger()
         except Exception as problem:
-            self.why = f"{type(problem).__name__}: {problem}"
-            self.event_loop.troubled()
+            self.close_reason = f"{type(problem).__name__}: {problem}"
+            self.event_loop.on_exception()
         self.fd = -1
         self.sock.close()
-        self.owner.ended(self.why)
+        self.owner.on_closed(self.close_reason)
         self.machine.inward.close()
         self.machine.outward.close()
         # Nothing collects what points to each other: thousands of short connections would stay.
@@ -105,139 +105,144 @@
     def _run_once(self) -> None:
         """Wait for the next events of the socket and handle them."""
         ring = self.machine.inward
-        has_room = bool(ring.free)
+        has_room = bool(ring.free_bytes)
         until = None if has_room else self.event_loop.now + MEMORY_RETRY_TICKS
         if self._is_mid_frame():
-            until = min(until or NEVER, self.since + self.stuck)
+            until = min(until or NEVER, self.frame_timeout_since + self.frame_timeout_ticks)
         events = self.event_loop.wait(self.fd, self._event_mask(), until)
         if events & WRITE:
             self.flush()
-        if self.greets and events & GONE and not self.why:
+        if self.peer_is_client and events & GONE and not self.close_reason:
             # A client that has gone while its input is paused, or behind much that lies unread,
             # would not be seen to go. What it left unread is for nobody.
-            self.why = "closed"
-        if not has_room and not self.why:
-            self._advance()
-        if events & (READ | BROKEN) and not self.why:
+            self.close_reason = "closed"
+        if not has_room and not self.close_reason:
+            self._parse_input()
+        if events & (READ | BROKEN) and not self.close_reason:
             self._read(bool(events & BROKEN))
-        if not self.why and self._is_mid_frame() and self.event_loop.now >= self.since + self.stuck:
+        if (
+            not self.close_reason
+            and self._is_mid_frame()
+            and self.event_loop.now >= self.frame_timeout_since + self.frame_timeout_ticks
+        ):
             # Frames that never end, byte by byte or not at all, would hold memory and a descriptor.
-            self.part("a frame that does not end" if len(ring) else "nothing said")
+            self.reject("a frame that does not end" if len(ring) else "nothing said")
 
     def _is_mid_frame(self) -> bool:
         """Whether a frame that has a time limit has begun and is not complete."""
-        return bool(self.stuck) and (
-            len(self.machine.inward) > 0 or (self.greets and not self.machine.whole)
+        return bool(self.frame_timeout_ticks) and (
+            len(self.machine.inward) > 0
+            or (self.peer_is_client and not self.machine.complete_frame_count)
         )
 
-    def look(self) -> bool:
+    def is_peer_connected(self) -> bool:
         """Whether the peer is still there, by what the socket tells at this moment.
 
         What it has written by now is read first, as its owner may be about to act for it.
         Must not be called from within what this connection calls.
         """
-        for _ in range(MAX_READS_OF_A_LOOK):
-            if self.why or self.advancing:
+        for _ in range(MAX_READS_PER_CHECK):
+            if self.close_reason or self.is_parsing:
                 break
-            (events,) = self.event_loop.look(self.fd)
+            (events,) = self.event_loop.poll_now(self.fd)
             if events & (GONE | BROKEN):
-                self.end("closed")
-            elif events & READ and self.machine.inward.free:
+                self.close("closed")
+            elif events & READ and self.machine.inward.free_bytes:
                 self._read(False)
-                if self.why:  # its task is parked, and has to end it
+                if self.close_reason:  # its task is parked, and has to end it
                     self.event_loop.wake(self.fd)
             else:
                 break
-        return not self.why
+        return not self.close_reason
 
-    def _advance(self) -> None:
+    def _parse_input(self) -> None:
         """Let the machine take what came; a complete frame begins a new time limit."""
-        whole_before = self.machine.whole
-        self.advancing = True
+        count_before = self.machine.complete_frame_count
+        self.is_parsing = True
         try:
-            why = self.machine.advance()
+            why = self.machine.parse_input()
             if why:
-                self.part(why)
+                self.reject(why)
         finally:
-            self.advancing = False
-        if whole_before != self.machine.whole:
-            self.since = self.event_loop.now
+            self.is_parsing = False
+        if count_before != self.machine.complete_frame_count:
+            self.frame_timeout_since = self.event_loop.now
 
     def _event_mask(self) -> int:
         return (
-            (READ if self.machine.inward.free else 0)
-            | (WRITE if self.blocked else 0)
-            | (GONE if self.greets else 0)
+            (READ if self.machine.inward.free_bytes else 0)
+            | (WRITE if self.is_write_blocked else 0)
+            | (GONE if self.peer_is_client else 0)
         )
 
     def _read(self, broken: bool) -> None:
         """Read what is there, a few times at most, and hand it to the machine."""
         ring = self.machine.inward
-        for _ in range(MAX_READS_IN_A_ROW):
-            gap = ring.gap()[:MAX_READ_BYTES]
+        for _ in range(MAX_CONSECUTIVE_READS):
+            gap = ring.writable_view()[:MAX_READ_BYTES]
             if not len(gap):
                 if broken:  # nothing more can be read, and poll would come back at once for ever
-                    self.why = "broken"
+                    self.close_reason = "broken"
                 return
             try:
                 size = self.sock.recv_into(gap)
             except OSError as problem:
-                if problem.errno not in RETRY:
-                    self.why = problem.strerror or "error"
+                if problem.errno not in RETRYABLE_ERRNOS:
+                    self.close_reason = problem.strerror or "error"
                 return
             if not size:
-                self.why = "closed"
+                self.close_reason = "closed"
                 return
-            self.heard = self.event_loop.now
-            self.got += size
-            if not len(ring) and (self.machine.whole or not self.greets):
-                self.since = self.event_loop.now
-            ring.filled(size)
-            self._advance()
-            if self.why or size < len(gap):
+            self.last_read_at = self.event_loop.now
+            self.bytes_received += size
+            if not len(ring) and (self.machine.complete_frame_count or not self.peer_is_client):
+                self.frame_timeout_since = self.event_loop.now
+            ring.mark_written(size)
+            self._parse_input()
+            if self.close_reason or size < len(gap):
                 return
 
     def send(self, *pieces: bytes) -> bool:
         """Put all pieces, to be written soon; False, with nothing put, where there is no room."""
-        if not self._put(pieces):
+        if not self._queue(pieces):
             return False
         # Written with what else this turn puts, as each write is a costly call.
-        if not (self.unsent or self.blocked):
-            self.unsent = True
-            self.event_loop.unsent.append(self.flush)
+        if not (self.is_flush_scheduled or self.is_write_blocked):
+            self.is_flush_scheduled = True
+            self.event_loop.end_of_turn_callbacks.append(self.flush)
         return True
 
-    def _put(self, pieces: tuple[bytes, ...]) -> bool:
+    def _queue(self, pieces: tuple[bytes, ...]) -> bool:
         ring = self.machine.outward
         size = sum(map(len, pieces))
-        if self.why or not ring.reserve(len(ring) + size):
+        if self.close_reason or not ring.reserve(len(ring) + size):
             return False
         for piece in pieces:
             ring.put(piece)
-        self.put += size
+        self.bytes_queued += size
         return True
 
     def flush(self) -> None:
         """Write what the socket takes."""
         ring = self.machine.outward
-        self.unsent = False
-        self.blocked = False
-        if self.why:
+        self.is_flush_scheduled = False
+        self.is_write_blocked = False
+        if self.close_reason:
             return
         try:
             while len(ring):
-                size = self.sock.send(ring.stretch())
-                self.sent += size
-                self.wrote = self.event_loop.now
+                size = self.sock.send(ring.readable_view())
+                self.bytes_sent += size
+                self.last_written_at = self.event_loop.now
                 ring.drop(size)
         except OSError as problem:
-            if problem.errno not in RETRY:
-                self.end(problem.strerror or "error")
+            if problem.errno not in RETRYABLE_ERRNOS:
+                self.close(problem.strerror or "error")
                 return
-            self.blocked = True
-        self.event_loop.interest(self.fd, self._event_mask())
+            self.is_write_blocked = True
+        self.event_loop.set_event_mask(self.fd, self._event_mask())
         if not len(ring):
-            self.owner.drained()
+            self.owner.on_output_drained()
 
     def send_now(self, *pieces: bytes) -> bool:
         """Put all pieces and write them at once, behind what was put before.
@@ -246,80 +251,80 @@
         """
         if len(self.machine.outward):
             self.flush()
-        if self.blocked or not self._put(pieces):
+        if self.is_write_blocked or not self._queue(pieces):
             return False
         size = sum(map(len, pieces))
-        begin = self.put - size
+        begin = self.bytes_queued - size
         self.flush()
-        if self.sent > begin:
+        if self.bytes_sent > begin:
             return True
-        if not self.why:
-            self.machine.outward.cut(size)
-            self.put = begin
+        if not self.close_reason:
+            self.machine.outward.drop_last(size)
+            self.bytes_queued = begin
         return False
 
-    def end(self, why: str) -> None:
+    def close(self, why: str) -> None:
         """Close, for this reason; the first one given stays."""
-        self.why = self.why or why
+        self.close_reason = self.close_reason or why
         self.event_loop.wake(self.fd)
 
-    def part(self, why: str) -> None:
+    def reject(self, why: str) -> None:
         """Turn the peer out; one that greets is told why first."""
-        if self.greets and not self.why:
-            self.parting = True
-            self.owner.parting(why)
-        self.end(why)
+        if self.peer_is_client and not self.close_reason:
+            self.is_lingering = True
+            self.owner.on_rejected(why)
+        self.close(why)
 
-    def give_way(self, why: str) -> bool:
+    def close_if_input_read(self, why: str) -> bool:
         """Close of our own accord; False, and nothing done, where something came that is unread."""
-        (events,) = self.event_loop.look(self.fd)
-        if self.why or (events & READ and not events & GONE):
+        (events,) = self.event_loop.poll_now(self.fd)
+        if self.close_reason or (events & READ and not events & GONE):
             return False
-        self.parting = True
-        self.farewell = CROSSING
-        self.end(why)
+        self.is_lingering = True
+        self.linger_ticks = IN_TRANSIT_TICKS
+        self.close(why)
         # Until its task runs more could come; a client writes that only where it sees no end.
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
         return True
 
-    def cut(self) -> None:
+    def stop_lingering(self) -> None:
         """Give no more time for the farewell."""
-        self.parting = False
+        self.is_lingering = False
         self.event_loop.wake(self.fd)
 
-    def _say_farewell(self) -> None:
+    def _linger(self) -> None:
         """Show the peer the end, and drop what it still sends, for a while.
 
         A close with unread input is a reset, and takes what was written last with it.
         """
         ring = self.machine.outward
-        until = self.event_loop.now + self.farewell
+        until = self.event_loop.now + self.linger_ticks
         is_shut = False
-        while self.parting and self.event_loop.now < until:
+        while self.is_lingering and self.event_loop.now < until:
             try:
                 while len(ring):
-                    size = self.sock.send(ring.stretch())
-                    self.sent += size
+                    size = self.sock.send(ring.readable_view())
+                    self.bytes_sent += size
                     ring.drop(size)
                 if not is_shut:
                     self.sock.shutdown(socket.SHUT_WR)
                     is_shut = True
-                if not self.sock.recv_into(DISCARD):
+                if not self.sock.recv_into(DISCARD_BUFFER):
                     return
                 # A peer that sends without end would keep the loop: the others have their turn.
                 self.event_loop.sleep(1)
             except OSError as problem:
-                if problem.errno not in RETRY:
+                if problem.errno not in RETRYABLE_ERRNOS:
                     return
                 mask = READ | WRITE if len(ring) else READ
                 self.event_loop.wait(self.fd, mask, until)
 
 
 def dial(
-    event_loop: EventLoop, address: tuple[str, int], span: int
+    event_loop: EventLoop, address: tuple[str, int], timeout_ticks: int
 ) -> tuple[socket.socket | None, str]:
-    """Connect to an address within `span` ticks, from within a task.
+    """Connect to an address within `timeout_ticks`, from within a task.
 
     Returns the socket and an empty string, or None and the name of the error, as `ECONNREFUSED`.
     """
@@ -330,7 +335,7 @@
         sock.setblocking(False)
         code = sock.connect_ex(address)
         if code == errno.EINPROGRESS:
-            if not event_loop.wait(sock.fileno(), WRITE, event_loop.now + span):
+            if not event_loop.wait(sock.fileno(), WRITE, event_loop.now + timeout_ticks):
                 code = errno.ETIMEDOUT
             else:
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/corkgauge/flow_export/meter.py
+++ b/corkgauge/flow_export/meter.py
@@ -22,8 +22,8 @@
 class MeteredConnection(Protocol):
     """What is metered of a connection: octets received and sent since it came up."""
 
-    got: int
-    sent: int
+    bytes_received: int
+    bytes_sent: int
 
 
 class Flow:
@@ -68,7 +68,7 @@
     @property
     def octets(self) -> int:
         """Octets of both directions since the connection came up."""
-        return self.connection.got + self.connection.sent
+        return self.connection.bytes_received + self.connection.bytes_sent
 
     @property
     def unreported_octets(self) -> int:
@@ -154,8 +154,8 @@
 
     def _report(self, flow: Flow, reason: FlowEndReason, now: int) -> None:
         """Make the record of what came since the last one; none where nothing came."""
-        received = flow.connection.got - flow.reported_received
-        sent = flow.connection.sent - flow.reported_sent
+        received = flow.connection.bytes_received - flow.reported_received
+        sent = flow.connection.bytes_sent - flow.reported_sent
         start = flow.record_start
         flow.record_start = now
         flow.reported_received += received
--- a/corkgauge/flow_export/tls.py
+++ b/corkgauge/flow_export/tls.py
@@ -85,7 +85,7 @@
         self, owner: TlsOwner, context: ssl.SSLContext, server_name: str, budget: MemoryBudget
     ) -> None:
         self.owner = owner
-        self.whole = 0  # 1 once the handshake is done
+        self.complete_frame_count = 0  # 1 once the handshake is done
         self.is_handshake_done = False
         self.inward = RingBuffer(INWARD_BYTES, budget)
         self.outward = RingBuffer(OUTWARD_BYTES, budget)
@@ -93,7 +93,7 @@
         self.to_send = ssl.MemoryBIO()
         self.session = context.wrap_bio(self.received, self.to_send, server_hostname=server_name)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Take what came; why the connection must end, or an empty string."""
         if len(self.inward):
             self.received.write(self.inward.take(len(self.inward)))
@@ -101,8 +101,8 @@
         data = self.to_send.read()
         if data:
             self.owner.put_encrypted(data)
-        if not reason and self.is_handshake_done and not self.whole:
-            self.whole = 1
+        if not reason and self.is_handshake_done and not self.complete_frame_count:
+            self.complete_frame_count = 1
             self.owner.on_established()
         return reason
 
--- a/corkgauge/flow_export/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -122,11 +122,11 @@
     """A protocol machine for a peer that has nothing to say: what comes is dropped."""
 
     def __init__(self, budget: MemoryBudget) -> None:
-        self.whole = 0
+        self.complete_frame_count = 0
         self.inward = RingBuffer(DISCARD_BYTES, budget)
         self.outward = RingBuffer(OUTWARD_BYTES, budget)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Drop what came."""
         self.inward.drop(len(self.inward))
         return ""
@@ -174,7 +174,7 @@
         else:
             machine = TlsMachine(self, self.tls.context, self.tls.server_name, self.budget)
             self.link = StreamConnection(self.event_loop, sock, machine, self)
-            machine.advance()  # the client begins the handshake
+            machine.parse_input()  # the client begins the handshake
         self.link.run()
 
     def _on_lost(self, reason: str) -> None:
@@ -195,12 +195,12 @@
         assert self.link is not None, "a TLS session without its connection"
         self.link.send(data)
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         """Confirm all messages: all that was put is in the system's hands."""
         if not self.is_closed:
             self.export_buffer.on_written(self.peer, self.message_bytes, self.event_loop.now)
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """The connection is over."""
         self._on_lost(reason)
 
@@ -209,7 +209,7 @@
     def send(self, data: bytes) -> bool:
         """Take a whole message; False, with nothing of it taken, where there is no room."""
         link = self.link
-        if link is None or link.why:
+        if link is None or link.close_reason:
             return False
         is_taken = link.send(data) if self.tls is None else link.machine.write(data)
         if is_taken:
@@ -222,18 +222,18 @@
         What it holds may never arrive, if the connection breaks.
         """
         link = self.link
-        if link is None or link.why:
+        if link is None or link.close_reason:
             return
         if self.tls is None:
-            self.export_buffer.on_written(self.peer, link.sent, self.event_loop.now)
+            self.export_buffer.on_written(self.peer, link.bytes_sent, self.event_loop.now)
         with contextlib.suppress(OSError):
             answer = ioctl(link.fd, termios.TIOCOUTQ, b"\0" * 4)
             self.system_queue_bytes = struct.unpack("i", answer)[0]
-            self.sent_at_look_bytes = link.sent
+            self.sent_at_look_bytes = link.bytes_sent
 
     def flush(self) -> None:
         """Write what the socket takes now, as the program ends."""
-        if self.link is not None and not self.link.why:
+        if self.link is not None and not self.link.close_reason:
             self.link.flush()
             self.report_progress()
 
@@ -241,7 +241,7 @@
         """At the most: what the system held at the last look, and all that was written since."""
         if self.link is None:
             return 0
-        return self.system_queue_bytes + self.link.sent - self.sent_at_look_bytes
+        return self.system_queue_bytes + self.link.bytes_sent - self.sent_at_look_bytes
 
     def close(self) -> None:
         """Close once the ring is empty, or after a while: at once would cut off what it holds."""
@@ -253,7 +253,7 @@
             self.event_loop.call_later(1, self._leave, self.link, until)
 
     def _leave(self, link: StreamConnection, until: int) -> None:
-        if len(link.machine.outward) and not link.why and self.event_loop.now < until:
+        if len(link.machine.outward) and not link.close_reason and self.event_loop.now < until:
             self.event_loop.call_later(LEAVE_CHECK_TICKS, self._leave, link, until)
             return
-        link.end("left")
+        link.close("left")
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -10,7 +10,7 @@
 
 from corkgauge.config.operator_file import LeaseConfig
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.clock import ticks_since_boot
 from corkgauge.leases import messages, reconfiguration
 from corkgauge.leases.accounts_messages import AccountsDatagram, AccountsKind
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
@@ -83,7 +83,7 @@
         for name, kind, period_ticks in settings.duties:
             self.add_named_lease(name, kind, period_ticks)
         self._subscribe()
-        self.load_monitor.check(boot_time())
+        self.load_monitor.check(ticks_since_boot())
 
     def _subscribe(self) -> None:
         self.member_list.calls[LEASE_SUBJECT] = self.on_lease_datagram
@@ -188,7 +188,7 @@
     @property
     def now(self) -> int:
         """Tenths of a millisecond since boot, read anew each time."""
-        return boot_time()
+        return ticks_since_boot()
 
     @property
     def date(self) -> int:
--- a/corkgauge/maintenance/fleet_view.py
+++ b/corkgauge/maintenance/fleet_view.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from corkgauge.accounting.counter_names import Term
-from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.clock import ticks_since_boot
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.maintenance.capacity import (
     EngineCondition,
@@ -114,7 +114,7 @@
     def _remember_unlisted(self, found: dict[str, EngineFact]) -> None:
         # A dead engine soon leaves the list; forgotten at once, its cores would not count as
         # missing.
-        now = boot_time()
+        now = ticks_since_boot()
         self.unlisted = {
             tag: missing
             for tag, missing in self.unlisted.items()
@@ -157,7 +157,7 @@
                 }
         engine_pool = self.socket_host.engine_pools.get(tag)
         if engine_pool is not None and engine_pool.engine.stats.reported_load == 0:
-            self.idle_at[tag] = boot_time()
+            self.idle_at[tag] = ticks_since_boot()
 
     def idle_since(self, tags: Sequence[str]) -> int:
         """Return since when all these engines are idle, ticks since boot; -1: some never were."""
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -11,7 +11,7 @@
 
 from corkgauge.config.operator_file import MaintenanceConfig
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.clock import ticks_since_boot
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.leases.durable_record import DurableRecord
 from corkgauge.maintenance import messages
@@ -161,7 +161,7 @@
     @property
     def now(self) -> int:
         """Tenths of a millisecond since boot."""
-        return boot_time()
+        return ticks_since_boot()
 
     @property
     def loop_time(self) -> int:
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -200,7 +200,7 @@
         try:
             self.member_list.handle_datagram(data)
         except Exception:  # one datagram must not end the reading of all others
-            self.event_loop.troubled()
+            self.event_loop.on_exception()
 
 
 def _names_and_zones(config: MembershipConfig) -> list[tuple[str, str]]:
--- a/corkgauge/net/acceptor.py
+++ b/corkgauge/net/acceptor.py
@@ -74,7 +74,7 @@
         try:
             self.socket_host.accepted(sock)
         except Exception:  # One bad connection would end the task that accepts all others.
-            self.event_loop.troubled()
+            self.event_loop.on_exception()
             sock.close()
         return True
 
--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -124,7 +124,7 @@
         self.answer(stream, FAILED, [why.encode()])
         return "" if self.faults <= MOST_FAULTS else "too much that cannot be used"
 
-    def parting(self, why: str) -> None:
+    def on_rejected(self, why: str) -> None:
         """It is turned out. What it has open is given up, so it is answered now; then comes the reason."""
         self.socket_host.counters["turned out"] += 1
         for request in self.fresh:
@@ -142,7 +142,11 @@
         if not self.fresh:
             return None
         now, link = self.socket_host.now, self.link
-        if now < self.fresh[0].accepted_at + patience and not link.why and unread(link.sock):
+        if (
+            now < self.fresh[0].accepted_at + patience
+            and not link.close_reason
+            and unread(link.sock)
+        ):
             return self.socket_host.event_loop.call_later(BURST // 10, self.admit)
         while self.fresh:
             request = self.fresh[0]
@@ -158,7 +162,7 @@
 
     def there(self) -> bool:
         """Is the client there still, as of this moment? What it has taken back by now is over after this."""
-        if self.link.look():
+        if self.link.is_peer_connected():
             return True
         self.depart()
         return False
@@ -175,18 +179,20 @@
         if (
             self.open
             or self.waiting
-            or self.socket_host.now < max(link.heard, link.wrote) + SETTLED
+            or self.socket_host.now < max(link.last_read_at, link.last_written_at) + SETTLED
         ):
             return False
-        return link.parting or not (link.why or len(link.machine.outward) or unread(link.sock))
+        return link.is_lingering or not (
+            link.close_reason or len(link.machine.outward) or unread(link.sock)
+        )
 
     def half_told(self) -> bool:
         """Part of a frame has come, and the rest may be on its way."""
         link = self.link
         return (
-            not link.why
+            not link.close_reason
             and len(link.machine.inward) > 0
-            and self.socket_host.now < link.heard + SETTLED
+            and self.socket_host.now < link.last_read_at + SETTLED
         )
 
     def answer(
@@ -200,12 +206,12 @@
         """`order` is the one whose end this is, until the last byte of it has left."""
         socket_host = self.socket_host
         self.answered += 1
-        if self.link.why:
+        if self.link.close_reason:
             self._gone(order)
         elif self.waiting or not self._put(stream, code, body, order):
             # Danger: clients that do not read would fill the memory with results; they get a short
             # answer.
-            if not socket_host.results.take(sum(map(len, body))):
+            if not socket_host.results.reserve(sum(map(len, body))):
                 socket_host.counters["results dropped"] += 1
                 code, body = self._not_read(order)
             self.waiting.append((stream, code, body, until, order))
@@ -214,7 +220,7 @@
         if not self.link.send(frame_head(ANSWER, stream, code, sum(map(len, body))), *body):
             return False
         if order is not None:
-            self.unwritten.append((self.link.put, order))
+            self.unwritten.append((self.link.bytes_queued, order))
         return True
 
     def _not_read(self, order: ClientRequest | None) -> tuple[int, list[bytes]]:
@@ -228,7 +234,7 @@
             order.reason = reason
             self.socket_host.answer_over(order)
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         """Room again. Danger: what waited past its expiry must not leave as served."""
         self._written()
         while self.waiting:
@@ -240,15 +246,17 @@
             self._drop()
 
     def _written(self) -> None:
-        while self.unwritten and self.unwritten[0][0] <= self.link.sent:
+        while self.unwritten and self.unwritten[0][0] <= self.link.bytes_sent:
             self.socket_host.answer_over(self.unwritten.popleft()[1])
 
     def _drop(self) -> None:
-        self.socket_host.results.give(sum(map(len, self.waiting.popleft()[2])))
+        self.socket_host.results.release(sum(map(len, self.waiting.popleft()[2])))
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         self.socket_host.client_connections.pop(self, None)
-        self.socket_host.ledger.record_connection_closed(Side.CLIENT, self.link.got, self.link.sent)
+        self.socket_host.ledger.record_connection_closed(
+            Side.CLIENT, self.link.bytes_received, self.link.bytes_sent
+        )
         if self.socket_host.flows is not None:
             self.socket_host.flows.over(self.link)
         self._written()
--- a/corkgauge/net/client_protocol.py
+++ b/corkgauge/net/client_protocol.py
@@ -50,17 +50,17 @@
 class ClientProtocol:
     """Reads frames and passes each on to its owner.
 
-    `whole` counts the frames that have come whole.
+    `complete_frame_count` counts the frames that have come whole.
     """
 
     def __init__(self, owner: FrameOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
         self.last_stream = 0
-        self.whole = 0
+        self.complete_frame_count = 0
         self.inward = RingBuffer(MAX_FRAME_BYTES + LENGTH_BYTES, memory_budget)
         self.outward = RingBuffer(MAX_FRAME_BYTES + LENGTH_BYTES, memory_budget)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Take what is whole; what is wrong with the framing, or an empty string."""
         ring = self.inward
         while len(ring) >= LENGTH_BYTES:
@@ -71,12 +71,12 @@
             if len(ring) < size:
                 # A length is only a claim: memory is held for what has come, not for what is
                 # announced.
-                if not ring.free:
+                if not ring.free_bytes:
                     ring.reserve(min(size, 2 * len(ring)))
                 break
             kind, stream = STREAM.unpack(ring.peek(STREAM.size, LENGTH_BYTES))
             payload = ring.take(size)[HEADER.size :]
-            self.whole += 1
+            self.complete_frame_count += 1
             if wrong := self._on_frame(kind, stream, payload):
                 return wrong
         return ""
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -55,7 +55,7 @@
         link.send(discovery_protocol.request(host, self.socket_host.last_event))
         self.check_alive(link)
         link.run()
-        why: str = link.why
+        why: str = link.close_reason
         return why
 
     def _back_off(self, lasted: int) -> None:
@@ -74,7 +74,7 @@
         """End the watch: another address holds from now on."""
         self.is_left = True
         if self.link is not None:
-            self.link.end("left for another")
+            self.link.close("left for another")
 
     def event(self, number: str, data: str) -> str:
         """Pass one event on to the host; what is wrong with it, or an empty string."""
@@ -94,23 +94,23 @@
         for half a second more it is dead. One that drips, or never says how it answers, gives signs
         and no line.
         """
-        if link is not self.link or link.why:
+        if link is not self.link or link.close_reason:
             return
         now = self.socket_host.now
-        if link.machine.whole != known_lines:
-            known_lines = link.machine.whole
+        if link.machine.complete_frame_count != known_lines:
+            known_lines = link.machine.complete_frame_count
             line_since = now
-        if now - link.heard > MAX_SILENCE_TICKS:
-            link.end("silent")
+        if now - link.last_read_at > MAX_SILENCE_TICKS:
+            link.close("silent")
         elif now - line_since > MAX_LINE_TICKS:
-            link.end("a line that does not end")
+            link.close("a line that does not end")
         else:
             self.socket_host.event_loop.call_later(
                 LOOK_TICKS, self.check_alive, link, known_lines, line_since
             )
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         """All that was sent has left; nothing more is to be sent."""
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         """The connection has ended; `run` goes on from there."""
--- a/corkgauge/net/discovery_protocol.py
+++ b/corkgauge/net/discovery_protocol.py
@@ -36,12 +36,12 @@
 class DiscoveryProtocol:
     """Reads the stream of events and passes each on to its owner.
 
-    `whole` counts the lines of the stream that have come whole, comments among them.
+    `complete_frame_count` counts the lines of the stream that have come whole, comments among them.
     """
 
     def __init__(self, owner: EventOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
-        self.whole = 0
+        self.complete_frame_count = 0
         self.inward = RingBuffer(MAX_UNREAD_BYTES, memory_budget)
         self.outward = RingBuffer(REQUEST_BYTES, memory_budget)
         # What comes next: a line, which `_on_line` takes, or a stretch of the event stream.
@@ -53,7 +53,7 @@
         self._event_number = ""
         self._event_data: list[str] = []
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Take what has come; what is wrong, or an empty string."""
         while (wrong := self._read()) == "":
             pass
@@ -127,7 +127,7 @@
         return ""
 
     def _on_event_line(self, line: str) -> str:
-        self.whole += 1  # a comment counts as well
+        self.complete_frame_count += 1  # a comment counts as well
         if not line:
             return self._finish_event()
         name, _, value = line.partition(":")
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -165,7 +165,7 @@
         collapses. So the later moment counts, but none to come.
         """
         started = started_ms * TICKS_PER_MS
-        ahead = self.host.event_loop.ahead()
+        ahead = self.host.event_loop.clock_offset()
         if not ahead or not started_ms:
             return started
         return min(started + max(ahead, 0), self.host.now)
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -70,8 +70,8 @@
         """
         return not (
             self.retired
-            or self.link.why
-            or self.link.blocked
+            or self.link.close_reason
+            or self.link.is_write_blocked
             or len(self.open) >= self.socket_host.settings.streams
             or order.name in self.open
             or order.name in self.past
@@ -101,8 +101,8 @@
         if not self.link.send_now(said):
             return False
         in_flight_attempt.link = self
-        in_flight_attempt.begin = self.link.put - len(said)
-        in_flight_attempt.end = self.link.put
+        in_flight_attempt.begin = self.link.bytes_queued - len(said)
+        in_flight_attempt.end = self.link.bytes_queued
         self.open[order.name] = in_flight_attempt
         socket_host.counters["handed off"] += 1
         in_flight_attempt.told = socket_host.now
@@ -120,7 +120,7 @@
     def say(self, *parts: str) -> None:
         """Send a command; the connection ends where there is no room for it."""
         if not self.link.send(command(*parts)):
-            self.link.end("no room for a command")
+            self.link.close("no room for a command")
 
     def answered(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
         """Take an answer of the engine; what is wrong with it, or an empty string."""
@@ -160,9 +160,9 @@
             if len(self.past) > PAST:
                 del self.past[next(iter(self.past))]
         if self.retired and not self.open:
-            self.link.end("no longer needed")
+            self.link.close("no longer needed")
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         """All that was put has left: there is room for more."""
         self.engine_pool.fill()
 
@@ -173,19 +173,19 @@
         an engine outside the subset ends before that, as in time all pairs of a large fleet would
         be connected.
         """
-        if self.link.why:
+        if self.link.close_reason:
             return
         # A machine that vanished or was cut off says nothing, and its connections stay open. All
         # that is in flight there would wait for its deadline.
         now = self.socket_host.now
-        quiet = now - self.link.heard
+        quiet = now - self.link.last_read_at
         if now >= self.asked + NO_SIGN:
-            self.link.end("no sign")
+            self.link.close("no sign")
             return
         is_asked = self.asked != NEVER
         is_needed = self.open or self.engine_pool.engine.in_subset
         if quiet > self.idle and not is_needed and not is_asked:
-            self.link.end("idle, and outside the working set")
+            self.link.close("idle, and outside the working set")
             return
         patience = min(SIGN, self.idle) if self.open else self.idle
         if quiet > patience and not is_asked:
@@ -200,13 +200,13 @@
         idle_ticks: int = self.socket_host.settings.idle_time // 3
         return idle_ticks
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         """The connection has ended: all that was open on it failed."""
         engine_pool = self.engine_pool
         engine_pool.links.remove(self)
         self.socket_host.links.pop(self, None)
         self.socket_host.ledger.record_connection_closed(
-            Side.ENGINE, self.link.got, self.link.sent, self.pages
+            Side.ENGINE, self.link.bytes_received, self.link.bytes_sent, self.pages
         )
         if self.socket_host.flows is not None:
             self.socket_host.flows.over(self.link)
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -64,7 +64,7 @@
         self.socket_host.awaited[self] = None
         if not self.due:
             self.due = True
-            self.socket_host.event_loop.unsent.append(self.fill)
+            self.socket_host.event_loop.end_of_turn_callbacks.append(self.fill)
 
     def fill(self) -> None:
         """Write what waits to connections that have room; dial where there are none.
@@ -115,7 +115,7 @@
             (each for each in self.links if each.room_for(order)), key=lambda each: len(each.open)
         )
         for link in able:
-            if not self.socket_host.event_loop.look(link.link.fd)[0] & (GONE | BROKEN):
+            if not self.socket_host.event_loop.poll_now(link.link.fd)[0] & (GONE | BROKEN):
                 return link
         return None
 
@@ -201,7 +201,7 @@
         for link in self.links:
             link.retired = True
             if not link.open:
-                link.link.end("no longer needed")
+                link.link.close("no longer needed")
 
     def withdraw(self) -> None:
         """Send nothing more to an engine that drains or is gone.
--- a/corkgauge/net/engine_protocol.py
+++ b/corkgauge/net/engine_protocol.py
@@ -34,19 +34,19 @@
 class EngineProtocol:
     """Reads answers and passes each on to its owner.
 
-    What does not parse is the end of the connection, with all that is open there. `whole` counts
-    the answers that have come whole.
+    What does not parse is the end of the connection, with all that is open there.
+    `complete_frame_count` counts the answers that have come whole.
     """
 
     def __init__(self, owner: AnswerOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
-        self.whole = 0
+        self.complete_frame_count = 0
         # Clients that stall hold the memory that rings may grow by. Answers must come in all the
         # same, so this ring starts at its largest size.
         self.inward = RingBuffer(MAX_ANSWER_BYTES, memory_budget, MAX_ANSWER_BYTES)
         self.outward = RingBuffer(MAX_COMMAND_BYTES, memory_budget)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Take what is whole; what is wrong, or an empty string."""
         ring = self.inward
         data = ring.peek(len(ring))
@@ -56,9 +56,9 @@
             if wrong:
                 return wrong
             if not end:
-                return "" if ring.free else "an answer that is too long"
+                return "" if ring.free_bytes else "an answer that is too long"
             ring.drop(end - at)
-            self.whole += 1
+            self.complete_frame_count += 1
             at = end
             if wrong := self._on_answer(parts):
                 return wrong
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -168,18 +168,22 @@
         """
         if len(self.links) + self.dials < self.links_most:
             return True
-        idle = [link for link in self.links if not (link.open or link.link.why)] if needed else []
+        idle = (
+            [link for link in self.links if not (link.open or link.link.close_reason)]
+            if needed
+            else []
+        )
         if idle:
             self.counters["links gave way"] += 1
             longest_idle = min(
                 idle,
                 key=lambda each: (
                     each.engine_pool.engine.in_subset,
-                    each.link.wrote,
+                    each.link.last_written_at,
                     each.engine_pool.number,
                 ),
             )
-            longest_idle.link.end("room for others")
+            longest_idle.link.close("room for others")
         return False
 
     def make_room(self) -> bool:
@@ -266,7 +270,7 @@
         have gone or cancelled, its engine drain or have restarted, its time or the time for repeats
         be over.
         """
-        self.event_loop.tick()
+        self.event_loop.update_now()
         if not in_flight_attempt.attempt.request.is_finished:
             in_flight_attempt.order.client_connection.there()
         if (
@@ -283,7 +287,7 @@
         order = request.host_reference
         if order.client_connection.open.pop(order.stream, None) is None:
             return
-        self.statements.give(order.size)
+        self.statements.release(order.size)
         self.names.pop(order.name, None)
         self.ended.append(request)
         if reason < 0:
@@ -320,7 +324,7 @@
         """End a request whose client waits no longer."""
         if request is not None:
             self.ledger.record_closed(request.host_reference, reason)
-            self.statements.give(request.host_reference.size)
+            self.statements.release(request.host_reference.size)
             self.names.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.fresh:
                 request.is_finished = True  # the gateway never hears of it
@@ -411,7 +415,7 @@
         """Notify everybody of an attempt's end, the gateway last."""
         attempt = in_flight_attempt.attempt
         if in_flight_attempt.asked:
-            self.results.give(in_flight_attempt.asked)
+            self.results.release(in_flight_attempt.asked)
             in_flight_attempt.asked = 0
         in_flight_attempt.pages = []
         bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
--- a/corkgauge/net/in_flight.py
+++ b/corkgauge/net/in_flight.py
@@ -94,6 +94,6 @@
         """Return how far it has come."""
         if self.answered:
             return Stage.ANSWERED
-        if self.link is None or self.link.link.sent <= self.begin:
+        if self.link is None or self.link.link.bytes_sent <= self.begin:
             return Stage.NOT_BEGUN
-        return Stage.WRITTEN if self.link.link.sent >= self.end else Stage.PARTLY_WRITTEN
+        return Stage.WRITTEN if self.link.link.bytes_sent >= self.end else Stage.PARTLY_WRITTEN
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -81,6 +81,6 @@
 
 
 def _add(sums: list[int], link: Any, pages: int) -> None:
-    sums[0] += link.got
-    sums[1] += link.sent
+    sums[0] += link.bytes_received
+    sums[1] += link.bytes_sent
     sums[2] += pages
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -10,7 +10,7 @@
 
 from corkgauge.accounting.counter_names import Side
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.eventloop.connection import CROSSING, NEVER
+from corkgauge.eventloop.connection import IN_TRANSIT_TICKS, NEVER
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net import client_protocol as client_wire
 from corkgauge.net.client_connection import (
@@ -78,17 +78,18 @@
                 if client_connection.idle()
             ),
             key=lambda each: (
-                not each.link.parting,
+                not each.link.is_lingering,
                 len(each.link.machine.inward) > 0,
-                each.link.machine.whole > 0,
-                each.link.heard,
+                each.link.machine.complete_frame_count > 0,
+                each.link.last_read_at,
             ),
         )
         for client_connection in quiet[:ROOM]:
-            if client_connection.link.parting:
-                if client_connection.link.farewell > CROSSING:  # else it ends by itself in a moment
-                    client_connection.link.cut()
-            elif client_connection.link.give_way("room for others"):
+            if client_connection.link.is_lingering:
+                # A connection that lingers for less ends by itself in a moment.
+                if client_connection.link.linger_ticks > IN_TRANSIT_TICKS:
+                    client_connection.link.stop_lingering()
+            elif client_connection.link.close_if_input_read("room for others"):
                 self.counters["gave way"] += 1
         return bool(quiet)
 
@@ -126,7 +127,7 @@
         """End as soon as nothing is owed and all is written, or when it must be."""
         must, step = self.now >= self.end + TO_WRITE // 4, 100
         if self.last_call != NEVER:
-            if not self.client_connections or self.now >= self.last_call + CROSSING:
+            if not self.client_connections or self.now >= self.last_call + IN_TRANSIT_TICKS:
                 self.event_loop.stopped = True
                 return
             step = 20
@@ -138,7 +139,11 @@
                 # is read and dropped for a moment.
                 self.last_call = self.now
                 for each in [*self.client_connections]:
-                    if not (each.link.give_way("the program ends") or must or each.link.why):
+                    if not (
+                        each.link.close_if_input_read("the program ends")
+                        or must
+                        or each.link.close_reason
+                    ):
                         self.last_call = NEVER  # something came just now
         self.event_loop.call_later(step, self.gone)
 
@@ -147,7 +152,7 @@
         link = client_connection.link
         return (
             link.fd >= 0
-            and not link.parting
+            and not link.is_lingering
             and bool(
                 client_connection.open
                 or client_connection.waiting
@@ -188,7 +193,7 @@
         return (
             len(client_connection.open) < MOST_OPEN
             and len(self.names) < self.settings.open_cap
-            and self.statements.take(order.size)
+            and self.statements.reserve(order.size)
         )
 
     def _turn_away(self, client_connection: ClientConnection, order: ClientRequest) -> str:
@@ -218,7 +223,7 @@
             self.unadmitted.setdefault(request.order_key, deque()).append(request)
         client_connection.fresh.append(request)
         if len(client_connection.fresh) == 1:
-            self.event_loop.unsent.append(client_connection.admit)
+            self.event_loop.end_of_turn_callbacks.append(client_connection.admit)
 
     def let_before(self, request: Request) -> None:
         """Those of its key that were read before, on other connections, are told first. Danger: one that waits for what
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -78,7 +78,7 @@
             in_flight = self.unasked[0]
             if in_flight.attempt in self.host.in_flight_attempts:
                 size = MAX_PAGE_BYTES * len(in_flight.pages)
-                if not self.host.results.take(size):
+                if not self.host.results.reserve(size):
                     return
                 in_flight.asked = size
                 for number in range(1, len(in_flight.pages)):
--- a/corkgauge/peer_health/permit_exchange.py
+++ b/corkgauge/peer_health/permit_exchange.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.clock import ticks_since_boot
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.peer_health.messages import (
     PERMIT_SUBJECT,
@@ -75,7 +75,7 @@
             return
         random_draw = self.membership.chance(2**32)
         grant = self.transfers.give(
-            boot_time(), engine.host_reference, remaining_ticks, random_draw
+            ticks_since_boot(), engine.host_reference, remaining_ticks, random_draw
         )
         if grant is None:
             return
@@ -97,7 +97,7 @@
         permit = decode_permit(body)
         engine_pool = self.socket_host.engine_pools.get(permit.engine)
         now = self.event_loop.now
-        now_since_boot = boot_time()
+        now_since_boot = ticks_since_boot()
         usable_until = self.transfers.accept(
             now_since_boot,
             int(permit.serial),
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -12,7 +12,7 @@
 
 from corkgauge.config.operator_file import PeerHealthConfig
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.clock import ticks_since_boot
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.peer_health.aggregation import (
     NO_ASSESSMENT,
@@ -188,7 +188,7 @@
     def _send_status_update(self, member: str, now: int, member_count: int) -> None:
         gateway = self.socket_host.gateway
         self.status_serial += 1
-        self.permits.transfers.record_update_written(boot_time(), self.status_serial)
+        self.permits.transfers.record_update_written(ticks_since_boot(), self.status_serial)
         update = StatusUpdate(
             self.status_serial,
             len(gateway.retry_budget.success_times),
@@ -220,7 +220,7 @@
         self.retry_throttle.record_usage(sender, now, int(update.succeeded), int(update.retries))
         self.permits.transfers.record_demand(
             sender,
-            boot_time(),
+            ticks_since_boot(),
             self.member_list.codec.peers[sender].incarnation,
             int(update.serial),
             update.unplaced_tenths / UNPLACED_SCALE,
--- a/corkgauge/recovery/service.py
+++ b/corkgauge/recovery/service.py
@@ -9,7 +9,7 @@
 
 from corkgauge.accounting.checkpoint_file import safe_file_name
 from corkgauge.config.operator_records import RecoveryConfig
-from corkgauge.eventloop.clock import boot_of
+from corkgauge.eventloop.clock import read_boot
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.policy.records import NEVER_RAN, Attempt, AttemptOutcome, Engine, Request
 from corkgauge.recovery import snapshot
@@ -97,7 +97,7 @@
 
     def _restore(self) -> list[LoggedAttempt]:
         """Restore what is stored; return the attempts that were in doubt, settled here by now."""
-        boot_id, since_boot = boot_of()
+        boot_id, since_boot = read_boot()
         restart = Restart(
             socket_host=self.socket_host,
             config=self.config,
@@ -172,7 +172,7 @@
 
     def _header(self) -> dict[str, Any]:
         """Return the fields of a snapshot's body that say whose it is, and of when."""
-        boot_id, since_boot = boot_of()
+        boot_id, since_boot = read_boot()
         return {
             "gateway": self.gateway,
             "mark": self.settings_checksum,
--- a/corkgauge/testkit/emulators/clients.py
+++ b/corkgauge/testkit/emulators/clients.py
@@ -109,7 +109,7 @@
             if draw < want.share:
                 break
             draw -= want.share
-        if link is None or link.why or not self.is_ready or len(self.open) >= MOST_OPEN:
+        if link is None or link.close_reason or not self.is_ready or len(self.open) >= MOST_OPEN:
             return
         rested = [key for key, last in self.keys.items() if now > last + KEY_APART]
         if want.ordered and not rested:
@@ -136,7 +136,7 @@
             fields["entity"], self.keys[key] = key, now
         body = b"select * from mart_%d.facts" % self.chance.below(40)
         if link.send(request_frame(self.stream, fields, body)):
-            ask = Ask(fields["trace"], want, key, now, link.put, self.stream, label=label)
+            ask = Ask(fields["trace"], want, key, now, link.bytes_queued, self.stream, label=label)
             self.book.append(ask)
             self.open[self.stream] = ask
             if self.chance.within(self.gives_up):
@@ -153,7 +153,7 @@
         """Danger to be caused: it goes between an answer's first byte and its last, or before any."""
         for ask in self.open.values():
             ask.excused = ask.excused or "hung up"
-        link.end("hangs up")
+        link.close("hangs up")
 
     # What the machine hears.
 
@@ -171,13 +171,13 @@
     def leaving(self) -> None:
         self.is_ready = False
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         pass
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         """What was not written whole was never taken."""
         for ask in self.open.values():
-            if ask.end > self.link.sent:
+            if ask.end > self.link.bytes_sent:
                 ask.excused = ask.excused or "not written"
             elif self.retries and ask.label and not ask.excused:
                 self.again.append(ask)
@@ -186,7 +186,7 @@
     def stop(self) -> None:
         self.stopped = True
         if self.link is not None:
-            self.link.end("done")
+            self.link.close("done")
 
     def tally(self) -> dict[str, int]:
         """How its submissions ended: by code of the first answer, excused, unanswered."""
--- a/corkgauge/testkit/emulators/collector.py
+++ b/corkgauge/testkit/emulators/collector.py
@@ -118,10 +118,10 @@
             return str(problem)
         return ""
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         pass
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         self.collector.listener.left(self)
 
 
@@ -129,13 +129,13 @@
     """A stream as it comes; a deaf one never takes what its ring holds."""
 
     def __init__(self, owner: Guest, deaf: bool) -> None:
-        self.owner, self.whole, self.deaf = owner, 0, deaf
+        self.owner, self.complete_frame_count, self.deaf = owner, 0, deaf
         allowance = MemoryBudget(2**24)
         self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(4096, allowance)
         if deaf:
-            self.inward.put(bytes(self.inward.free))
+            self.inward.put(bytes(self.inward.free_bytes))
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         return "" if self.deaf else self.owner.came(self.inward.take(len(self.inward)))
 
 
@@ -143,13 +143,13 @@
     """A stream under TLS, from the server's side."""
 
     def __init__(self, owner: Guest, context: ssl.SSLContext) -> None:
-        self.owner, self.whole, self.shaken = owner, 0, False
+        self.owner, self.complete_frame_count, self.shaken = owner, 0, False
         allowance = MemoryBudget(2**24)
         self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(65_536, allowance)
         self.into, self.out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.session = context.wrap_bio(self.into, self.out, server_side=True)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         self.into.write(self.inward.take(len(self.inward)))
         why = ""
         try:
--- a/corkgauge/testkit/emulators/discovery.py
+++ b/corkgauge/testkit/emulators/discovery.py
@@ -32,10 +32,10 @@
                         b"id: %d\ndata: %s\n\n" % (self.last, json.dumps(event).encode())
                     )
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         pass
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         self.feed.listener.left(self)
 
 
--- a/corkgauge/testkit/emulators/engines.py
+++ b/corkgauge/testkit/emulators/engines.py
@@ -57,10 +57,10 @@
     def commanded(self, parts: list[str]) -> None:
         self.engine.commanded(self, parts)
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         pass
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         self.engine.listener.left(self)
         for run in self.runs.values():
             run.ended = self.engine.event_loop.now if run.ended < 0 else run.ended
@@ -183,7 +183,7 @@
         run.pages = 1 + self.chance.below(3)
         if self.struck("midway"):
             self.say(guest, run.trace, "DONE", self.bill(run, 3), self.page(run, 0))
-            return self.event_loop.call_later(20, guest.link.end, "broken off by the script")
+            return self.event_loop.call_later(20, guest.link.close, "broken off by the script")
         body = "\x00spoilt" if self.struck("garble") else self.page(run, 0)
         for _ in range(2 if self.struck("twice") else 1):
             self.say(guest, run.trace, "DONE", self.bill(run, run.pages), body)
--- a/corkgauge/testkit/emulators/listener.py
+++ b/corkgauge/testkit/emulators/listener.py
@@ -51,7 +51,7 @@
         for guest in [*self.guests]:
             if abort:
                 guest.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTED)
-            guest.link.end("dropped")
+            guest.link.close("dropped")
 
     def left(self, guest: Any) -> None:
         self.guests.pop(guest, None)
--- a/corkgauge/testkit/emulators/protocols.py
+++ b/corkgauge/testkit/emulators/protocols.py
@@ -28,11 +28,11 @@
     """Reads a gateway's commands and calls its owner: `commanded(parts)`."""
 
     def __init__(self, owner: Any) -> None:
-        self.owner, self.whole = owner, 0
+        self.owner, self.complete_frame_count = owner, 0
         allowance = MemoryBudget(PLENTY)
         self.inward, self.outward = RingBuffer(270_000, allowance), RingBuffer(1_000_000, allowance)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         ring = self.inward
         while len(ring):
             data = ring.peek(len(ring))
@@ -40,11 +40,11 @@
             if wrong:
                 return wrong
             if not end:
-                if not ring.free:
+                if not ring.free_bytes:
                     ring.reserve(2 * len(ring))
                 return ""
             ring.drop(end)
-            self.whole += 1
+            self.complete_frame_count += 1
             self.owner.commanded([part.decode(errors="replace") for part in parts])
         return ""
 
@@ -53,17 +53,17 @@
     """Reads a gateway's request for events and calls its owner: `asked(last event)`."""
 
     def __init__(self, owner: Any) -> None:
-        self.owner, self.whole = owner, 0
+        self.owner, self.complete_frame_count = owner, 0
         allowance = MemoryBudget(PLENTY)
         self.inward, self.outward = RingBuffer(16_384, allowance), RingBuffer(4_000_000, allowance)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         data = self.inward.peek(len(self.inward))
         end = data.find(b"\r\n\r\n")
         if end < 0:
-            return "" if self.inward.free else "a head that is too long"
+            return "" if self.inward.free_bytes else "a head that is too long"
         self.inward.drop(len(data))
-        self.whole += 1
+        self.complete_frame_count += 1
         last = 0
         for line in data[:end].split(b"\r\n")[1:]:
             name, _, value = line.partition(b":")
@@ -77,23 +77,23 @@
     """Reads a gateway's frames and calls `answered(stream, code, body)`, `ready(code)`, `leaving()`."""
 
     def __init__(self, owner: Any) -> None:
-        self.owner, self.whole = owner, 0
+        self.owner, self.complete_frame_count = owner, 0
         allowance = MemoryBudget(PLENTY)
         self.inward, self.outward = RingBuffer(300_000, allowance), RingBuffer(300_000, allowance)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         ring = self.inward
         while len(ring) >= 4:
             length = int.from_bytes(ring.peek(4), "little")
             if not 5 <= length <= 262_144:
                 return f"a frame of length {length}"
             if len(ring) < length + 4:
-                if not ring.free:
+                if not ring.free_bytes:
                     ring.reserve(min(length + 4, 2 * len(ring)))
                 return ""
             kind, stream = STREAM.unpack(ring.peek(5, 4))
             payload = ring.take(length + 4)[9:]
-            self.whole += 1
+            self.complete_frame_count += 1
             if kind == ANSWER and len(payload) >= 2:
                 self.owner.answered(stream, payload[0], payload[2:])
             elif kind == READY and payload:
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -22,8 +22,8 @@
     """Before anybody has taken the clock by its name."""
     from corkgauge.eventloop import clock as boot
 
-    true, begun = boot.boot_time, boot.boot_time()
-    boot.boot_time = lambda: begun + int((true() - begun) * rate)
+    true, begun = boot.ticks_since_boot, boot.ticks_since_boot()
+    boot.ticks_since_boot = lambda: begun + int((true() - begun) * rate)
 
 
 def without(off: str) -> None:
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -375,7 +375,7 @@
 
     def __init__(self, engines: int, cores: int = 8) -> None:
         self.time, self.others, self.names = 10**9, list[socket.socket](), 0
-        self.event_loop = EventLoop(clock=lambda: self.time, troubled=self.troubled)
+        self.event_loop = EventLoop(clock=lambda: self.time, on_exception=self.troubled)
         said = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
         self.socket_host = PlatformFrontEnd(
             self.event_loop, PlatformConfig(said, ""), lambda line: None
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -114,7 +114,7 @@
 
     def __init__(self, event_loop: EventLoop) -> None:
         self.event_loop, self.lost, self.spent, self.mark = event_loop, False, 0, 0
-        self.date, self.ahead = event_loop.date, event_loop.ahead
+        self.date, self.clock_offset = event_loop.date, event_loop.clock_offset
 
     @property
     def now(self) -> int:
@@ -146,7 +146,7 @@
         self.event_loop.wake(fd, events)
 
     def troubled(self) -> None:
-        self.event_loop.troubled()
+        self.event_loop.on_exception()
 
 
 class HollowHost:
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -33,7 +33,7 @@
         self.roster, self.voters, self.elements = "[]", (), ELEMENTS
         self.empty = 0.0  # MB, of this process before it held a member
         self.chance = SeededRandom(os.getpid())
-        event_loop.troubled = self.troubled
+        event_loop.on_exception = self.troubled
 
     def troubled(self) -> None:
         self.troubles += 1
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -131,7 +131,7 @@
             [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules
         )
         self.premises.time = NOW
-        self.premises.event_loop.tick()
+        self.premises.event_loop.update_now()
         self.socket_host = self.premises.socket_host
         said = {
             "name": name,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from corkgauge.eventloop.connection import CROSSING
+from corkgauge.eventloop.connection import IN_TRANSIT_TICKS
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.net import discovery as feeds
 from corkgauge.net.acceptor import Acceptor
@@ -44,7 +44,7 @@
     """Wait until the peer's machine has what was written or closed here; loopback needs no more than this."""
     end = time.monotonic() + 1
     while time.monotonic() < end:
-        if EventLoop().look(sock.fileno())[0]:
+        if EventLoop().poll_now(sock.fileno())[0]:
             return
     raise AssertionError("nothing came")
 
@@ -127,7 +127,7 @@
     premises.socket_host.engine_pools[
         "e1"
     ].fill()  # as a dial that comes up does it, before the poller is asked again
-    assert link.link.put == 0 and not premises.socket_host.in_flight_attempts
+    assert link.link.bytes_queued == 0 and not premises.socket_host.in_flight_attempts
     assert (
         premises.heard_soon(engine, 0) == b"" and premises.socket_host.counters["handed off"] == 0
     )
@@ -147,10 +147,10 @@
     settled(link.link.sock)
     goes(client)
     settled(client_connection.link.sock)
-    assert link.link.look()  # the answer is told, as its task would have told it
+    assert link.link.is_peer_connected()  # the answer is told, as its task would have told it
     for _ in range(3):
         premises.event_loop._run_due()  # what the turn left to do, with the client's end still unread by its task
-    assert other_link.link.put == 0 and premises.heard_soon(other, 0) == b""
+    assert other_link.link.bytes_queued == 0 and premises.heard_soon(other, 0) == b""
     assert not premises.socket_host.in_flight_attempts and not premises.logged
 
 
@@ -196,7 +196,7 @@
     assert (
         in_flight_attempt.link is None
         and len(link.link.machine.outward) == 0
-        and link.link.put == 0
+        and link.link.bytes_queued == 0
     )
     client.close()
     settled(client_connection.link.sock)
@@ -210,13 +210,13 @@
     client, client_connection = premises.client()
     engine, _ = premises.engine()
     premises.ask_and_settle(client, request_frame(), client_connection)
-    premises.socket_host.rings.most = (
-        premises.socket_host.rings.held
+    premises.socket_host.rings.limit_bytes = (
+        premises.socket_host.rings.reserved_bytes
     )  # no memory: what comes now pauses the input
     client.sendall((200_000).to_bytes(4, "little") + b"\2" + b"x" * 9_000)
     settled(client_connection.link.sock)
     premises.turn()
-    assert not client_connection.link.machine.inward.free and client_connection.open
+    assert not client_connection.link.machine.inward.free_bytes and client_connection.open
     client.close()
     time.sleep(0.01)
     premises.turn()
@@ -232,9 +232,9 @@
     settled(link.link.sock)
     client.sendall(request_frame(route="once"))
     settled(client_connection.link.sock)
-    client_connection.link.look()  # the request is read before the engine's end is
+    client_connection.link.is_peer_connected()  # the request is read before the engine's end is
     premises.event_loop._run_due()
-    assert link.link.put == 0
+    assert link.link.bytes_queued == 0
     premises.turn()
     second, _ = premises.engine()
     assert T1.encode() in premises.heard_soon(second, 60)
@@ -349,7 +349,7 @@
     premises.pass_time(700)
     client.sendall(request_frame())
     settled(client_connection.link.sock)
-    assert not client_connection.link.give_way("room for others")
+    assert not client_connection.link.close_if_input_read("room for others")
     premises.turn()
     assert (
         T1.encode() in premises.heard_soon(engine, 60)
@@ -363,10 +363,10 @@
     client, client_connection = premises.client()
     premises.ask_and_settle(client, READY_ASKED, client_connection)
     premises.pass_time(700)
-    assert client_connection.link.give_way("room for others")
+    assert client_connection.link.close_if_input_read("room for others")
     client.sendall(request_frame())  # it has not read our end
     settled(client_connection.link.sock)
-    premises.pass_time(CROSSING + 200)
+    premises.pass_time(IN_TRANSIT_TICKS + 200)
     assert (
         client_connection not in premises.socket_host.client_connections
         and premises.socket_host.counters["handed off"] == 0
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -374,7 +374,7 @@
 
 
 class Wire:
-    got = sent = 0
+    bytes_received = bytes_sent = 0
 
 
 def metered(active=60, idle=15):
@@ -390,8 +390,8 @@
     link = Wire()
     flow = meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
     for now in range(0, 600 * SECOND, SECOND // 2):
-        link.sent += 10
-        link.got += 1
+        link.bytes_sent += 10
+        link.bytes_received += 1
         meter.advance(now)
         meter.advance(now)
     meter.end_flow(flow, FlowEndReason.ENDED, 600 * SECOND)
@@ -401,15 +401,17 @@
         FlowEndReason.ENDED,
     ] and 9 <= len(reported) <= 12
     assert (
-        sum(each.forward_octets for each in reported) == link.sent
-        and sum(each.reverse_octets for each in reported) == link.got
+        sum(each.forward_octets for each in reported) == link.bytes_sent
+        and sum(each.reverse_octets for each in reported) == link.bytes_received
     )
     assert (
         all(one.end_ms == other.start_ms for one, other in pairwise(reported))
         and len({d.flow_id for d in reported}) == 1
     )
     assert (
-        meter.measured_octets == link.got + link.sent and not meter.flows and not len(meter.wheel)
+        meter.measured_octets == link.bytes_received + link.bytes_sent
+        and not meter.flows
+        and not len(meter.wheel)
     )
 
 
@@ -417,11 +419,11 @@
     meter, reported = metered()
     link = Wire()
     meter.start_flow(link, FlowDirection.INGRESS, ENDS, "", "", 0)
-    link.got = 7
+    link.bytes_received = 7
     for now in range(0, 100 * SECOND, SECOND):
         meter.advance(now)
         if now == 50 * SECOND:
-            link.sent = 3
+            link.bytes_sent = 3
     assert [(each.end_reason, each.forward_octets, each.reverse_octets) for each in reported] == [
         (FlowEndReason.IDLE, 7, 0),
         (FlowEndReason.IDLE, 0, 3),
@@ -434,7 +436,7 @@
     links = [Wire() for _ in range(10_000)]
     for link in links:
         meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
-        link.got = 1
+        link.bytes_received = 1
     calls = 0
     for now in range(60 * SECOND, 63 * SECOND, 500):
         before = len(reported)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -73,10 +73,10 @@
     wrong = ""
     for piece in pieces:
         while piece and not wrong:
-            size = min(len(piece), max(machine.inward.free, 1))
+            size = min(len(piece), max(machine.inward.free_bytes, 1))
             assert machine.inward.put(piece[:size])
             piece = piece[size:]
-            wrong = machine.advance()
+            wrong = machine.parse_input()
     return owner.told, wrong
 
 
@@ -178,25 +178,27 @@
         data = chance.randbytes(chance.randrange(300))
         if ring.put(data):
             model += data
-        if chance.random() < 0.02 and ring.free:
-            gap = ring.gap()
+        if chance.random() < 0.02 and ring.free_bytes:
+            gap = ring.writable_view()
             gap[:] = b"g" * len(gap)
-            ring.filled(len(gap))
+            ring.mark_written(len(gap))
             model += b"g" * len(gap)
         size = chance.randrange(500)
         assert (
-            bytes(ring.stretch()) == model[: len(ring.stretch())]
+            bytes(ring.readable_view()) == model[: len(ring.readable_view())]
             and ring.take(size) == model[:size]
         )
         model = model[size:]
-        assert len(ring) == len(model) and allowance.held <= 60_000
+        assert len(ring) == len(model) and allowance.reserved_bytes <= 60_000
     ring.close()
-    assert allowance.held == 0 and not len(RingBuffer(8, allowance, 8).gap()[8:])
+    assert allowance.reserved_bytes == 0 and not len(
+        RingBuffer(8, allowance, 8).writable_view()[8:]
+    )
 
 
 def test_timers_are_never_early_keep_order_and_outlive_what_raises():
     clock, heard, troubles = [1000], [], []
-    event_loop = EventLoop(clock=lambda: clock[0], troubled=lambda: troubles.append(1))
+    event_loop = EventLoop(clock=lambda: clock[0], on_exception=lambda: troubles.append(1))
     for delay in (30, 10, 20, 0):
         event_loop.call_later(delay, lambda d: heard.append((d, event_loop.now)), delay)
     event_loop.call_later(15, lambda: 1 / 0)
@@ -238,7 +240,9 @@
     assert premises.heard(engine) == command("done", T1)
     assert (
         not premises.logged
-        and premises.socket_host.results.held == premises.socket_host.statements.held == 0
+        and premises.socket_host.results.reserved_bytes
+        == premises.socket_host.statements.reserved_bytes
+        == 0
     )
 
 
@@ -359,7 +363,8 @@
         and not premises.socket_host.names
     )
     assert (
-        served(premises, good, engine, 1, trace=name(500)) and not premises.socket_host.rings.held
+        served(premises, good, engine, 1, trace=name(500))
+        and not premises.socket_host.rings.reserved_bytes
     )
 
 
@@ -388,7 +393,7 @@
     premises = HostHarness()
     for _ in range(50):
         premises.ask(premises.client(), (262_144).to_bytes(4, "little") + b"\2")
-    assert premises.socket_host.rings.held == 0
+    assert premises.socket_host.rings.reserved_bytes == 0
 
 
 class Feeds:
@@ -580,7 +585,7 @@
         )
         premises.engine_says(other, T1, "DONE", "chunks=1", ROW)
         assert premises.answers(client) == [(4, 1, b"\1", ROW.encode())]
-    assert premises.socket_host.results.held == 0
+    assert premises.socket_host.results.reserved_bytes == 0
 
 
 def test_a_page_that_does_not_come_sends_its_submission_elsewhere_and_leaves_the_link_to_the_others():
@@ -843,18 +848,21 @@
 
 def test_clients_that_do_not_read_cannot_fill_the_memory():
     premises = HostHarness()
-    premises.socket_host.results.most = 300_000
+    premises.socket_host.results.limit_bytes = 300_000
     client, engine = premises.client(), premises.engine()
     client_connection = next(iter(premises.socket_host.client_connections))
-    client_connection.link.machine.outward.most = 5_000
+    client_connection.link.machine.outward.max_bytes = 5_000
     for n in range(1, 20):
         premises.ask(client, request_frame(n, patience="4000"))
         premises.engine_says(engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n")
     waiting = sum(len(piece) for entry in client_connection.waiting for piece in entry[2])
-    assert 0 < waiting <= 300_000 and premises.socket_host.results.held == waiting
+    assert 0 < waiting <= 300_000 and premises.socket_host.results.reserved_bytes == waiting
     client.close()
     premises.turn()
-    assert premises.socket_host.results.held == 0 and not premises.socket_host.client_connections
+    assert (
+        premises.socket_host.results.reserved_bytes == 0
+        and not premises.socket_host.client_connections
+    )
 
 
 def test_a_silent_link_is_asked_for_a_sign_before_the_engine_would_close_it():
--- a/tests/test_office.py
+++ b/tests/test_office.py
@@ -96,7 +96,7 @@
 class Rack:
     def __init__(self, monkeypatch, disk=0):
         self.now, self.serial, self.events, self.chance = SECOND, 0, [], SeededRandom(7)
-        monkeypatch.setattr(offices, "boot_time", lambda: self.now)
+        monkeypatch.setattr(offices, "ticks_since_boot", lambda: self.now)
         self.members = {}
         for name in NAMES:
             self.members[name] = Member(self, name, f"hall-{name}", disk)
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -326,7 +326,9 @@
     for tag in "e1", "e2", "e3":
         ends.append(premises.engine(tag))
         premises.pass_time(100)
-        premises.socket_host.engine_pools[tag].links[0].link.wrote = premises.event_loop.now
+        premises.socket_host.engine_pools[tag].links[
+            0
+        ].link.last_written_at = premises.event_loop.now
     held(premises, "e1", "e2", "e4")
     assert not premises.socket_host.descriptor_left(True)
     premises.turn()
