--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -80,10 +80,10 @@
         now = host.event_loop.now
         mark = crc32(f"{seed} {now} {gateway}".encode())
         self.epoch = {"id": f"{now // 10:x}-{mark:08x}", "started": now}
-        if config.error:
+        if config.latency_relative_error:
             from corkgauge.accounting.latency_sketches import LatencySketches
 
-            host.latency_sketches = LatencySketches(config.error)
+            host.latency_sketches = LatencySketches(config.latency_relative_error)
         self.checkpoint_file = self._open_checkpoint_file(config)
         if self.checkpoint_file is not None:
             self._write_checkpoint(self.checkpoint_file)
@@ -103,9 +103,9 @@
                 self.http_listener.close()
             self.http_listener = listener
         settings = (
-            ("keep", before.keep, config.keep),
-            ("keep_each", before.keep_each, config.keep_each),
-            ("error", before.error, config.error),
+            ("keep", before.checkpoint_folder, config.checkpoint_folder),
+            ("keep_each", before.checkpoint_interval_ticks, config.checkpoint_interval_ticks),
+            ("error", before.latency_relative_error, config.latency_relative_error),
         )
         changed = [name for name, old, new in settings if old != new]
         if changed:
@@ -138,7 +138,7 @@
         """Put the counts where a kill leaves them, now and again each period."""
         checkpoint_file.write(self._take_counts())
         self.host.event_loop.call_later(
-            self.config.keep_each, self._write_checkpoint, checkpoint_file
+            self.config.checkpoint_interval_ticks, self._write_checkpoint, checkpoint_file
         )
 
     def _take_counts(self) -> Snapshot:
@@ -147,11 +147,11 @@
         return add_live_connections(counts, host.records.live_bytes())
 
     def _open_checkpoint_file(self, config: AccountingConfig) -> "CheckpointFile | None":
-        if not config.keep:
+        if not config.checkpoint_folder:
             return None
         from corkgauge.accounting.checkpoint_file import CheckpointFile
 
-        return CheckpointFile(config.keep, self.gateway, self.host.log)
+        return CheckpointFile(config.checkpoint_folder, self.gateway, self.host.log)
 
     def _open_listener(self, config: AccountingConfig) -> "HttpListener | None":
         if config.listen is None:
--- a/corkgauge/config/operator_records.py
+++ b/corkgauge/config/operator_records.py
@@ -10,13 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountingConfig:
-    """Element `figures`. `listen`: a path, an address and port, or None; `keep`: a folder or ""."""
+    """Element `figures`: metrics listener and checkpoints.
+
+    `listen` is a path, an address and port, or None; `checkpoint_folder` is "" for no checkpoints.
+    """
 
     listen: str | tuple[str, int] | None
     readers: int
-    keep: str
-    keep_each: int  # ticks between two checkpoints
-    error: float  # relative error of the latency sketches; 0: none are kept
+    checkpoint_folder: str
+    checkpoint_interval_ticks: int  # ticks between two checkpoints
+    latency_relative_error: float  # relative error of the latency sketches; 0: none are kept
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,15 +88,18 @@
     keys: tuple[bytes, ...]
     members: tuple[MemberAddress, ...]
     listen: tuple[str, int] | None
-    period: int  # ticks
+    period_ticks: int  # of the membership protocol
 
 
 class LeaseEntry(NamedTuple):
-    """Element `duty`: a lease that one instance holds at a time; `each` is in ticks."""
+    """Element `duty`: a lease that one instance holds at a time.
+
+    `accounts_period_ticks` is the time between two rounds of fleet accounts.
+    """
 
     name: str
     kind: str
-    each: int
+    accounts_period_ticks: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,11 +108,11 @@
 
     version: int
     voters: tuple[str, ...]
-    duties: tuple[LeaseEntry, ...]
-    lease: int
-    longest: int
-    margin: int
-    drift: float  # largest relative drift between two clocks
+    leases: tuple[LeaseEntry, ...]
+    lease_ticks: int
+    max_lease_ticks: int
+    margin_ticks: int
+    max_clock_drift: float  # largest relative drift between two clocks
     folder: str
 
 
@@ -135,17 +141,17 @@
 
     bounds: MaintenanceBounds
     machines: tuple[Machine, ...]
-    each: int
-    grant: int
-    patience: int
+    period_ticks: int
+    grant_ticks: int
+    startup_wait_ticks: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthConfig:
     """Element `shared`: health reports among instances."""
 
-    each: int  # ticks between two reports
-    octets: int  # bytes a second that reports may take
+    report_interval_ticks: int  # ticks between two reports
+    max_bytes_per_second: int  # bytes a second that reports may take
 
 
 @dataclass(frozen=True, slots=True)
--- a/corkgauge/leases/reconfiguration.py
+++ b/corkgauge/leases/reconfiguration.py
@@ -21,8 +21,13 @@
     """
     try:
         return (
-            VoterConfiguration(settings.version, settings.voters, settings.lease),
-            LeaseTiming(settings.lease, settings.drift, settings.margin, settings.longest),
+            VoterConfiguration(settings.version, settings.voters, settings.lease_ticks),
+            LeaseTiming(
+                settings.lease_ticks,
+                settings.max_clock_drift,
+                settings.margin_ticks,
+                settings.max_lease_ticks,
+            ),
         )
     except UnsafeChangeError as problem:
         raise ConfigurationError(f"duties: {problem}") from None
@@ -61,7 +66,7 @@
 
 def _remove_unnamed_leases(service: "LeaseService") -> None:
     """Give up the leases that are named no more; those of other subsystems are never named."""
-    named = {name for name, *_ in service.settings.duties}
+    named = {name for name, *_ in service.settings.leases}
     for name in [*service.candidates]:
         if name not in named and name not in service.owners:
             service.candidates[name].release("no longer named")
@@ -70,7 +75,7 @@
 
 
 def _apply_named_leases(service: "LeaseService") -> None:
-    for name, kind, period_ticks in service.settings.duties:
+    for name, kind, period_ticks in service.settings.leases:
         if name not in service.candidates:
             service.add_named_lease(name, kind, period_ticks)
         else:
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -80,7 +80,7 @@
         self.command_loans = CommandLoans(self)
         self.operator_commands = OperatorCommands(self)
         self.load_monitor = LoadMonitor(self)
-        for name, kind, period_ticks in settings.duties:
+        for name, kind, period_ticks in settings.leases:
             self.add_named_lease(name, kind, period_ticks)
         self._subscribe()
         self.load_monitor.check(ticks_since_boot())
--- a/corkgauge/maintenance/fleet_view.py
+++ b/corkgauge/maintenance/fleet_view.py
@@ -99,7 +99,7 @@
             group = str(engine.cell)
         elif "zone" in key_scopes:
             group = zone
-        kind = str(settings.kinds[engine.kind])
+        kind = str(settings.engine_kinds[engine.kind])
         return EngineFact(tag, zone, kind, group, engine.cores, self._condition(engine))
 
     def _condition(self, engine: Any) -> EngineCondition:
@@ -189,7 +189,7 @@
             RequestClassDemand(
                 request_class.name,
                 frozenset(str(settings.zones[n]) for n in request_class.zones),
-                frozenset(str(settings.kinds[n]) for n in request_class.engine_kinds),
+                frozenset(str(settings.engine_kinds[n]) for n in request_class.engine_kinds),
                 cores.get(request_class.name, 0.0),
             )
             for request_class in settings.request_classes
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -63,7 +63,7 @@
         )
         self.command_executor = CommandExecutor(self, self.planner, self.plan_proposer)
         self._register()
-        self.participant = Participant(self, self.name, config.grant, participant_record)
+        self.participant = Participant(self, self.name, config.grant_ticks, participant_record)
         self.is_built = True
         self.refresh_cordons()  # what was remembered holds from the first request on
         self._sample_demand()
@@ -87,8 +87,8 @@
             self.fleet,
             self.plan_proposer,
             DisruptionLimits(*self.config.bounds),
-            self.config.each,
-            int(self.config.grant * drift_factor) + 1,
+            self.config.period_ticks,
+            int(self.config.grant_ticks * drift_factor) + 1,
             int(longest_deadline * drift_factor) + settings.gateway.options.settle_ticks,
             settings.gateway.slow_start.warm_up_ticks,
         )
@@ -109,8 +109,8 @@
         The span of a grant stays until a restart: the grants under way count with it.
         """
         self.config = config
-        self.planner.set_limits(DisruptionLimits(*config.bounds), config.each)
-        if config.grant != self.participant.grant_ticks:
+        self.planner.set_limits(DisruptionLimits(*config.bounds), config.period_ticks)
+        if config.grant_ticks != self.participant.grant_ticks:
             self.socket_host.log("operator file: works grant changed, in force after a restart")
 
     def end(self) -> None:
@@ -123,7 +123,7 @@
         leader = self.leader_name()
         other_leader = "" if leader == self.name else leader
         return self.participant.must_wait(
-            self.config.patience, self.member_list.has_joined, other_leader
+            self.config.startup_wait_ticks, self.member_list.has_joined, other_leader
         )
 
     # The lease.
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -62,7 +62,7 @@
             _new_incarnation(self.seed, self.event_loop.now),
             [Key(secret) for secret in config.keys],
             _names_and_zones(config),
-            config.period,
+            config.period_ticks,
         )
         socket_host.routes[b"GET", b"/fellows"] = self.status_report
         self.event_loop.spawn(self._read_datagrams, self.sock)
@@ -73,7 +73,7 @@
         Raises ConfigurationError, and changes nothing, where our name is not among the members.
         """
         self._own_address(config)
-        if (config.listen, config.period) != (self.config.listen, self.config.period):
+        if (config.listen, config.period_ticks) != (self.config.listen, self.config.period_ticks):
             self.socket_host.log(
                 "operator file: fellows listen or period changed, in force after a restart"
             )
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -94,7 +94,7 @@
             parse_address(server["addr"], "addr"),
             STATES[server["state"]],
             settings.zones.index(server["zone"]),
-            settings.kinds.index(server["kind"]),
+            settings.engine_kinds.index(server["kind"]),
             int(server.get("cell", 0)),
             int(server.get("started_ms", 0)),
         )
@@ -116,7 +116,7 @@
         if entry.started_ms != engine_pool.started:
             engine_pool.started = entry.started_ms
             incarnation = self.started_at(entry.started_ms)
-        self.host.settings.place(engine, entry.zone, entry.kind, entry.cell)
+        self.host.settings.place_engine(engine, entry.zone, entry.kind, entry.cell)
         self.host.gateway.on_engine_update(engine, entry.state, incarnation)
         engine_pool.on_listed(entry.address, is_renewed)
         return engine_pool
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -72,7 +72,7 @@
             self.retired
             or self.link.close_reason
             or self.link.is_write_blocked
-            or len(self.open) >= self.socket_host.settings.streams
+            or len(self.open) >= self.socket_host.settings.max_streams_per_connection
             or order.name in self.open
             or order.name in self.past
         )
@@ -93,9 +93,9 @@
         ]
         if order.label:
             fields.append(f"op={order.label}")
-        if settings.grants and order.memory >= 1:
+        if settings.accepts_memory_grants and order.memory >= 1:
             fields.append(f"reserve={int(order.memory)}")
-        if settings.priorities:
+        if settings.accepts_priorities:
             fields.append(f"level={order.priority}")
         said = command("fetch", order.name, ",".join(fields), order.statement)
         if not self.link.send_now(said):
@@ -197,7 +197,7 @@
     @property
     def idle(self) -> int:
         """Ticks of quiet after which it is asked for a sign; a third of what engines allow."""
-        idle_ticks: int = self.socket_host.settings.idle_time // 3
+        idle_ticks: int = self.socket_host.settings.idle_timeout_ticks // 3
         return idle_ticks
 
     def on_closed(self, why: str) -> None:
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -163,7 +163,9 @@
     def dial(self, where: tuple[str, int]) -> None:
         """Dial the engine and take the connection up; the task of one dial."""
         era = self.era
-        sock, why = dial(self.socket_host.event_loop, where, self.socket_host.settings.dial_time)
+        sock, why = dial(
+            self.socket_host.event_loop, where, self.socket_host.settings.dial_timeout_ticks
+        )
         self.dialling = False
         self.socket_host.dials -= 1
         self.socket_host.counters["dialled"] += 1
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -104,12 +104,15 @@
             number = self.settings.gateway.options.gateway_number
             log(f"myNumber is not told: {number}, from the name; sets of engines are less even")
         self.gateway = self.settings.gateway
-        self.most_memory = max(self.settings.sizes, default=1e6)
-        self.patience = MISSED_REPORTS * self.settings.tells
+        self.most_memory = max(self.settings.memory_mb_by_kind, default=1e6)
+        self.patience = MISSED_REPORTS * self.settings.progress_interval_ticks
         self.request_classes = {each.name: each for each in self.settings.request_classes}
         self.discrepancies = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
-            self.request_classes, lambda: event_loop.now, self.settings.budget, self.miscounted
+            self.request_classes,
+            lambda: event_loop.now,
+            self.settings.retry_budget,
+            self.miscounted,
         )
         self.rows = {
             each: self.ledger.request_classes[each.name] for each in self.settings.request_classes
@@ -223,13 +226,15 @@
             )
         self.event_loop.call_later(allow, self.too_late, in_flight_attempt)
         engine_pool.line_up(in_flight_attempt)
-        if self.settings.dial_time < allow:
-            self.event_loop.call_later(self.settings.dial_time, self.waited, in_flight_attempt)
+        if self.settings.dial_timeout_ticks < allow:
+            self.event_loop.call_later(
+                self.settings.dial_timeout_ticks, self.waited, in_flight_attempt
+            )
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
         """Set memory and priority; engines are told of a priority that changes in flight."""
         order = request.host_reference
-        if priority != order.priority and self.settings.priorities:
+        if priority != order.priority and self.settings.accepts_priorities:
             for attempt in request.attempts:
                 in_flight_attempt = self.in_flight_attempts.get(attempt)
                 if in_flight_attempt and in_flight_attempt.link and not in_flight_attempt.answered:
@@ -418,7 +423,7 @@
             self.results.release(in_flight_attempt.asked)
             in_flight_attempt.asked = 0
         in_flight_attempt.pages = []
-        bills = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
+        bills = self.settings.reports_usage and outcome == AttemptOutcome.SUCCEEDED
         self.called.pop(attempt, None)
         if self.latency_sketches is not None and outcome == AttemptOutcome.SUCCEEDED:
             self.latency_sketches.record_succeeded(
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -192,7 +192,7 @@
     def _has_room_for(self, client_connection: ClientConnection, order: ClientRequest) -> bool:
         return (
             len(client_connection.open) < MOST_OPEN
-            and len(self.names) < self.settings.open_cap
+            and len(self.names) < self.settings.max_open_requests
             and self.statements.reserve(order.size)
         )
 
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -92,7 +92,7 @@
         self.member_list.calls[STATUS_SUBJECT] = self.on_status_update
         self.member_list.calls[RECONCILIATION_SUBJECT] = self.on_reconciliation
         socket_host.routes[b"GET", b"/shared"] = self.report_status
-        self.event_loop.call_later(options.each, self.run_period)
+        self.event_loop.call_later(options.report_interval_ticks, self.run_period)
         self.permits.start()
 
     def reload(self, options: PeerHealthConfig) -> None:
@@ -108,16 +108,16 @@
         """Record what we observed, send some of what we know to a few members, assess all of it."""
         options = self.options
         now = self.event_loop.now
-        self.event_loop.call_later(options.each, self.run_period)
+        self.event_loop.call_later(options.report_interval_ticks, self.run_period)
         self.period_count += 1
         self._record_own_observations(now)
         self._update_retry_throttle(now)
-        self.permits.measure_demand(options.each)
+        self.permits.measure_demand(options.report_interval_ticks)
         members = self.member_list.alive()
         self._retain_members(now)
         # What there is to send in a bad second would fill every link: hence a budget a second.
-        refill = options.octets * options.each // SECOND
-        self.byte_budget = min(self.byte_budget + refill, 2 * options.octets)
+        refill = options.max_bytes_per_second * options.report_interval_ticks // SECOND
+        self.byte_budget = min(self.byte_budget + refill, 2 * options.max_bytes_per_second)
         for member in self._sample_members(members, GOSSIP_FANOUT):
             if self.byte_budget > 0:
                 self._send_status_update(member.name, now, len(members))
--- a/corkgauge/simulator/host.py
+++ b/corkgauge/simulator/host.py
@@ -134,7 +134,7 @@
                 reference, reference, entry.zone, entry.kind, entry.cell, name=reference.hex()
             )
             self.engines[reference] = engine
-        self.settings.place(engine, entry.zone, entry.kind, entry.cell)
+        self.settings.place_engine(engine, entry.zone, entry.kind, entry.cell)
         incarnation = entry.started_microseconds // MICROSECONDS_PER_TICK
         self.gateway.on_engine_update(engine, entry.state, incarnation)
 
@@ -166,11 +166,11 @@
     def _on_verdict(self, message: AttemptVerdict) -> None:
         request = self.requests[message.request]
         work, memory = 0, 0.0
-        if self.settings.bills:
+        if self.settings.reports_usage:
             work = (message.statistics >> MEMORY_BITS) * TICKS_PER_WORK_UNIT
             memory = (message.statistics & MEMORY_MASK) * MEMORY_UNIT_MB
         # A report may be absent or shorter than the fields that the settings name.
-        report = dict(zip(self.settings.fields, message.load_report, strict=False))
+        report = dict(zip(self.settings.load_report_fields, message.load_report, strict=False))
         self.gateway.on_attempt_finished(
             request.attempts[message.attempt],
             message.outcome,
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -162,7 +162,9 @@
         self.settings = Settings(platform_config.settings, self, platform_config.seed)
         self.gateway = self.settings.gateway
         self.request_classes = {each.name: each for each in self.settings.request_classes}
-        self.ledger = RequestLedger(self.request_classes, lambda: beat.now, self.settings.budget)
+        self.ledger = RequestLedger(
+            self.request_classes, lambda: beat.now, self.settings.retry_budget
+        )
 
     @property
     def now(self) -> int:
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -188,9 +188,14 @@
         module: Module = settings.gateway
         for tag, (zone, kind, cell, started) in self.listing(name).items():
             engine = Engine(
-                tag, tag.encode(), HALLS.index(zone), settings.kinds.index(kind), cell, name=tag
+                tag,
+                tag.encode(),
+                HALLS.index(zone),
+                settings.engine_kinds.index(kind),
+                cell,
+                name=tag,
             )
-            settings.place(engine, engine.zone, engine.kind, cell)
+            settings.place_engine(engine, engine.zone, engine.kind, cell)
             module.on_engine_update(engine, EngineState.READY, started * 10)
         module.subset.failure_growth = wider
         module.on_engine_list_complete()
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -876,7 +876,13 @@
 
 
 def figures_values(said: AccountingConfig | None) -> list[Any] | None:
-    return said and [said.listen, said.readers, said.keep, said.keep_each, said.error]
+    return said and [
+        said.listen,
+        said.readers,
+        said.checkpoint_folder,
+        said.checkpoint_interval_ticks,
+        said.latency_relative_error,
+    ]
 
 
 def flows_values(said: operator.FlowExportConfig | None) -> list[Any] | None:
@@ -919,28 +925,34 @@
 
 
 def fellows_values(said: MembershipConfig | None) -> list[Any] | None:
-    return said and [said.keys, said.members, said.listen, said.period]
+    return said and [said.keys, said.members, said.listen, said.period_ticks]
 
 
 def duties_values(said: LeaseConfig | None) -> list[Any] | None:
     return said and [
         said.version,
         said.voters,
-        said.duties,
-        said.lease,
-        said.longest,
-        said.margin,
-        said.drift,
+        said.leases,
+        said.lease_ticks,
+        said.max_lease_ticks,
+        said.margin_ticks,
+        said.max_clock_drift,
         said.folder,
     ]
 
 
 def works_values(said: MaintenanceConfig | None) -> list[Any] | None:
-    return said and [said.bounds, said.machines, said.each, said.grant, said.patience]
+    return said and [
+        said.bounds,
+        said.machines,
+        said.period_ticks,
+        said.grant_ticks,
+        said.startup_wait_ticks,
+    ]
 
 
 def shared_values(said: PeerHealthConfig | None) -> list[Any] | None:
-    return said and [said.each, said.octets]
+    return said and [said.report_interval_ticks, said.max_bytes_per_second]
 
 
 # The HTTP listener.
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -714,7 +714,11 @@
     )
     said = read_operator(str(path)).accounting
     assert (said.listen, said.readers) == (("::1", 9), 4)
-    assert (said.keep, said.keep_each, said.error) == ("/x", 2500, 0.0)
+    assert (
+        said.checkpoint_folder,
+        said.checkpoint_interval_ticks,
+        said.latency_relative_error,
+    ) == ("/x", 2500, 0.0)
     path.write_text('<operator version="1"/>')
     assert read_operator(str(path)).accounting is None
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -897,7 +897,7 @@
 def test_a_collector_that_accepts_and_never_reads(tmp_path):
     site = ExportSite(tmp_path, ("tcp", "udp"))
     site.collectors[0].deaf = True
-    site.premises.socket_host.settings.idle_time = 10**9
+    site.premises.socket_host.settings.idle_timeout_ticks = 10**9
     for _ in range(400):
         for n in range(250):  # more than a socket's buffers take
             site.exporter.buffers["first"].add(delta(site.stream * 10**6 + n))
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -748,10 +748,10 @@
         1,
     ) and said.maintenance.machines == (("m3", ("e7", "e9")),)
     assert (
-        said.maintenance.each,
-        said.maintenance.grant,
-        said.peer_health.each,
-        said.peer_health.octets,
+        said.maintenance.period_ticks,
+        said.maintenance.grant_ticks,
+        said.peer_health.report_interval_ticks,
+        said.peer_health.max_bytes_per_second,
     ) == (
         5_000,
         50_000,
