--- a/corkgauge/config/__init__.py
+++ b/corkgauge/config/__init__.py
@@ -1,1 +1,1 @@
-"""Platform configuration, settings and operator file: read, checked and defaulted here."""
+"""Readers of the platform's configuration, its settings and the operator file."""
--- a/corkgauge/config/operator_element.py
+++ b/corkgauge/config/operator_element.py
@@ -1,4 +1,4 @@
-"""One XML element of the operator file, whose errors name its line."""
+"""Typed access to one XML element of the operator file."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 from corkgauge.errors import ConfigurationError
 from corkgauge.policy.units import SECOND
 
-MAX_FILE_BYTES = 2**20  # of the operator file, and of each file that it names
+MAX_FILE_BYTES = 2**20  # size limit of the operator file and of each file that it names
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorElement:
-    """An element that the schema has accepted; `xml` is lxml's own object."""
+    """An element that the schema has accepted; `xml` is the lxml element."""
 
     path: str
     xml: Any
@@ -24,12 +24,12 @@
         return None if found is None else OperatorElement(self.path, found)
 
     def children(self, name: str) -> Iterator["OperatorElement"]:
-        """Yield all children of this name, in the file's order."""
+        """Yield all children of this name, in the order of the file."""
         for found in self.xml.findall(name):
             yield OperatorElement(self.path, found)
 
     def has(self, name: str) -> bool:
-        """Tell whether the attribute is written."""
+        """Return whether the file sets the attribute."""
         return self.xml.get(name) is not None
 
     def text(self, name: str, default: str = "") -> str:
@@ -37,15 +37,15 @@
         return str(self.xml.get(name, default))
 
     def integer(self, name: str, default: str) -> int:
-        """Return an attribute as a whole number."""
+        """Return an attribute as an integer."""
         return int(self.xml.get(name, default))
 
     def number(self, name: str, default: str) -> float:
-        """Return an attribute as a number."""
+        """Return an attribute as a floating-point number."""
         return float(self.xml.get(name, default))
 
     def ticks(self, name: str, default: str) -> int:
-        """Return an attribute, written in seconds, in ticks."""
+        """Return an attribute in ticks; the file has it in seconds."""
         return int(self.number(name, default) * SECOND)
 
     def words(self) -> tuple[str, ...]:
@@ -53,27 +53,27 @@
         return tuple((self.xml.text or "").split())
 
     def address(self, text: str) -> tuple[str, int]:
-        """Parse ADDRESS:PORT; raise ConfigurationError where it is none."""
+        """Parse ADDRESS:PORT; raise ConfigurationError for any other text."""
         host, _, port = text.rpartition(":")
         try:
             host = str(ip_address(host.strip("[]")))
             if not 0 < int(port) < 65536:
                 raise ValueError
         except ValueError:
-            raise self.error(f"ADDRESS:PORT, found {text!r}") from None
+            raise self.error(f"ADDRESS:PORT with a port from 1 to 65535, found {text!r}") from None
         return host, int(port)
 
     def read_file(self, name: str) -> str:
-        """Return the text of a file that the element names, or raise ConfigurationError."""
+        """Return the text of a file that the element names; raise ConfigurationError on failure."""
         try:
             with open(name, encoding="utf-8") as file:
                 return file.read(MAX_FILE_BYTES)
         except (OSError, UnicodeDecodeError) as problem:
-            reason = getattr(problem, "strerror", "no text")
-            raise self.error(f"a readable {name}: {reason}") from None
+            reason = getattr(problem, "strerror", "not UTF-8 text")
+            raise self.error(f"a readable file {name}, found: {reason}") from None
 
     def error(self, expected: str) -> ConfigurationError:
-        """Return the error that names file, line and element."""
+        """Return an error that names file, line and element, and what was expected there."""
         return ConfigurationError(
             f"{self.path}:{self.xml.sourceline}: element '{self.xml.tag}': expected {expected}"
         )
--- a/corkgauge/config/operator_file.py
+++ b/corkgauge/config/operator_file.py
@@ -1,7 +1,7 @@
-"""Reads the operator file: checks it against the schema and hands each element to its reader.
+"""Reads the operator file: validates it by the schema and passes each element to its reader.
 
-Imported only where `--operator` names a file, so that a serving program without one loads no XML
-parser. Starts, opens and listens to nothing but that file and those it names.
+Imported only if `--operator` names a file, so that a program without one loads no XML parser. Opens
+only that file and the files that it names; starts no subsystem and opens no socket.
 """
 
 from importlib.resources import files
@@ -47,9 +47,11 @@
 
 
 def read(path: str) -> OperatorConfig:
-    """Return the file's configuration.
+    """Return the configuration in an operator file.
 
-    Raises ConfigurationError, whose message names file, line and element.
+    Raises:
+        ConfigurationError: The file is unreadable or faulty; the message names file, line and
+            element.
     """
     root = OperatorElement(path, _parse(path, _read_bytes(path)))
     return OperatorConfig(
@@ -71,21 +73,23 @@
     except OSError as problem:
         raise ConfigurationError(f"{path}: {problem.strerror}") from None
     if len(data) > MAX_FILE_BYTES:
-        raise ConfigurationError(f"{path}: expected {MAX_FILE_BYTES} bytes at most")
+        raise ConfigurationError(f"{path}: expected {MAX_FILE_BYTES} bytes at most, found more")
     return data
 
 
 def _parse(path: str, data: bytes) -> Any:
-    """Return the root element, valid by the schema."""
-    # Entities could name other files or expand without end: none is resolved, and a document type
-    # is refused.
+    """Return the root element of a document that the schema accepts."""
+    # Entities could read other files or expand without limit. They are therefore not resolved, and
+    # a document type declaration, which could define them, is an error.
     parser = etree.XMLParser(resolve_entities=False, no_network=True, huge_tree=False)
     try:
         tree = etree.fromstring(data, parser)
     except etree.XMLSyntaxError as problem:
         raise ConfigurationError(f"{path}:{problem.lineno or 1}: {problem.msg}") from None
     if tree.getroottree().docinfo.doctype:
-        raise ConfigurationError(f"{path}:1: expected no document type")
+        raise ConfigurationError(
+            f"{path}:1: expected no document type declaration (DOCTYPE), found one"
+        )
     schema = etree.XMLSchema(
         etree.fromstring(files("corkgauge.config").joinpath("operator.xsd").read_bytes())
     )
--- a/corkgauge/config/operator_instance.py
+++ b/corkgauge/config/operator_instance.py
@@ -1,4 +1,4 @@
-"""Elements of the operator file that concern one instance: `figures`, `flows`, `recall`."""
+"""Readers of the operator file's elements on one instance: `figures`, `flows`, `recall`."""
 
 from corkgauge.config.operator_element import OperatorElement
 from corkgauge.config.operator_records import (
@@ -10,29 +10,30 @@
 )
 from corkgauge.policy.units import SECOND
 
-MAX_DATAGRAM_BYTES = 65_507  # of a UDP payload on IPv4
-MAX_UNIX_PATH_BYTES = 107  # of a Unix socket's path, by the system's own limit
+MAX_DATAGRAM_BYTES = 65_507  # largest UDP payload on IPv4
+MAX_UNIX_PATH_BYTES = 107  # longest socket path that Linux accepts
+# Defaults, as text like the attributes that they stand in for.
 CHECKPOINT_SECONDS = "0.25"
-LATENCY_ERROR = "0.02"
-MAX_READERS = "4"
+LATENCY_ERROR_FRACTION = "0.02"
+MAX_READER_COUNT = "4"
 
 
 def read_accounting(element: OperatorElement | None) -> AccountingConfig | None:
-    """Return the accounting configuration of `figures`."""
+    """Return the accounting configuration of the element `figures`."""
     if element is None:
         return None
     listener, keep, latencies = (element.child(name) for name in ("listen", "keep", "waits"))
-    readers, folder = MAX_READERS, ""
+    readers, folder = MAX_READER_COUNT, ""
     checkpoint_ticks = int(float(CHECKPOINT_SECONDS) * SECOND)
     relative_error = 0.0
     listen = _read_listen_address(listener)
     if listener is not None:
-        readers = listener.text("readers", MAX_READERS)
+        readers = listener.text("readers", MAX_READER_COUNT)
     if keep is not None:
         folder = keep.text("folder")
         checkpoint_ticks = keep.ticks("each", CHECKPOINT_SECONDS)
     if latencies is not None:
-        relative_error = latencies.number("error", LATENCY_ERROR)
+        relative_error = latencies.number("error", LATENCY_ERROR_FRACTION)
     return AccountingConfig(listen, int(readers), folder, checkpoint_ticks, relative_error)
 
 
@@ -44,23 +45,23 @@
     if element.has("unix"):
         path = element.text("unix")
         if len(path.encode()) > MAX_UNIX_PATH_BYTES:
-            raise element.error(f"a path of {MAX_UNIX_PATH_BYTES} bytes at most")
+            raise element.error(f"a socket path of {MAX_UNIX_PATH_BYTES} bytes at most")
         return path
     host, _, port = element.text("address").rpartition(":")
     has_bad_octet = any(int(part) > 255 for part in host.split(".") if part.isdigit())
     if not 0 <= int(port) < 65536 or has_bad_octet:
-        raise element.error("an address on loopback with a port")
+        raise element.error("a loopback address and a port from 0 to 65535")
     return host.strip("[]"), int(port)
 
 
 def read_flow_export(element: OperatorElement | None) -> FlowExportConfig | None:
-    """Return the flow export configuration of `flows`."""
+    """Return the flow export configuration of the element `flows`."""
     if element is None:
         return None
     layout = element.text("layout", "own")
     collectors = tuple(_read_collector(each, layout) for each in element.children("collector"))
     if len({each.address for each in collectors}) < len(collectors):
-        raise element.error("collectors of different addresses")
+        raise element.error("collectors with different addresses, found an address twice")
     return FlowExportConfig(
         layout=layout,
         mode=element.text("mode", "failover"),
@@ -74,9 +75,9 @@
 def _read_collector(element: OperatorElement, layout: str) -> CollectorConfig:
     transport, tls = element.text("transport"), element.child("tls")
     if layout == "netflow9" and transport != "udp":
-        raise element.error("transport udp, the only one of netflow9")
+        raise element.error("transport udp, the only transport of layout netflow9")
     if (transport == "tls") != (tls is not None):
-        raise element.error("an element tls with transport tls, and with no other")
+        raise element.error("an element tls with transport tls, and none with another transport")
     address = element.address(element.text("address"))
     tls_config = None if tls is None else _read_tls(tls)
     default_bytes = "1400" if transport == "udp" else "16384"
@@ -95,14 +96,14 @@
 
 def _read_tls(element: OperatorElement) -> TlsConfig:
     if element.has("certificate") != element.has("key"):
-        raise element.error("certificate and key together")
+        raise element.error("both certificate and key, or neither")
     return TlsConfig(
         element.text("ca"), element.text("name"), element.text("certificate"), element.text("key")
     )
 
 
 def read_recovery(element: OperatorElement | None) -> RecoveryConfig | None:
-    """Return the recovery configuration of `recall`."""
+    """Return the recovery configuration of the element `recall`."""
     if element is None:
         return None
     return RecoveryConfig(
--- a/corkgauge/config/operator_records.py
+++ b/corkgauge/config/operator_records.py
@@ -1,7 +1,7 @@
-"""Typed records of the operator file: one for each element that an operator may write.
+"""Typed records of the operator file, one for each of its elements.
 
-Spans are in ticks (tenths of a millisecond) unless a field says otherwise. Records of members,
-leases and machines are named tuples, as they are compared and iterated with plain ones.
+A tick is a tenth of a millisecond. Records of members, leases and machines are named tuples because
+they are compared with plain tuples and unpacked like them.
 """
 
 from dataclasses import dataclass
@@ -18,13 +18,13 @@
     listen: str | tuple[str, int] | None
     readers: int
     checkpoint_folder: str
-    checkpoint_interval_ticks: int  # ticks between two checkpoints
-    latency_relative_error: float  # relative error of the latency sketches; 0: none are kept
+    checkpoint_interval_ticks: int
+    latency_relative_error: float  # of the latency sketches; 0: no sketches
 
 
 @dataclass(frozen=True, slots=True)
 class TlsConfig:
-    """Element `tls`: what a collector is verified by, its name, and our own certificate, if any."""
+    """Element `tls`: how a collector is verified, and the client certificate, if any."""
 
     ca_file: str
     server_name: str
@@ -34,33 +34,35 @@
 
 @dataclass(frozen=True, slots=True)
 class CollectorConfig:
-    """Element `collector`: where flow records go, over udp, tcp or tls."""
+    """Element `collector`: a receiver of flow records, over udp, tcp or tls."""
 
     address: tuple[str, int]
     transport: str
     max_message_bytes: int
-    template_refresh_ticks: int  # between two sendings of templates on UDP
-    template_refresh_messages: int  # between two sendings of templates on UDP
+    # On UDP, templates are sent again after this time or this number of messages.
+    template_refresh_ticks: int
+    template_refresh_messages: int
     tls: TlsConfig | None
 
 
 @dataclass(frozen=True, slots=True)
 class FlowExportConfig:
-    """Element `flows`: layout and timeouts of flow records, and their collectors."""
+    """Element `flows`: layout, timeouts and collectors of flow records."""
 
     layout: str
     mode: str
     active_timeout_ticks: int
     idle_timeout_ticks: int
-    memory_bytes: int  # for records that no collector has taken yet
+    memory_bytes: int  # limit of the records that no collector has accepted yet
     collectors: tuple[CollectorConfig, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryConfig:
-    """Element `recall`: what outlives a restart, and where it is stored.
+    """Element `recall`: snapshots and the attempt log, which a restart restores.
 
-    `durability` is what the log survives: "process" (a kill) or "machine" (loss of power).
+    `durability` is the failure that the attempt log survives: "process" (the process is killed) or
+    "machine" (the machine loses power).
     """
 
     folder: str
@@ -70,7 +72,7 @@
 
 
 class MemberAddress(NamedTuple):
-    """Element `fellow`: an instance, where it listens, and its zone ("" where none is named)."""
+    """Element `fellow`: an instance, the address it listens at, and its zone ("" if not given)."""
 
     name: str
     address: tuple[str, int]
@@ -79,20 +81,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
-    """Element `fellows`: all instances of the fleet, ourselves among them.
+    """Element `fellows`: all instances of the fleet, this one included.
 
-    `listen` is None where our own address among the members is meant. Each key has
-    MIN_KEY_BYTES or more.
+    If `listen` is None, this instance listens at its address among the members. Each key has
+    MIN_KEY_BYTES bytes or more.
     """
 
     keys: tuple[bytes, ...]
     members: tuple[MemberAddress, ...]
     listen: tuple[str, int] | None
-    period_ticks: int  # of the membership protocol
+    period_ticks: int  # protocol period of the membership probes
 
 
 class LeaseEntry(NamedTuple):
-    """Element `duty`: a lease that one instance holds at a time.
+    """Element `duty`: a lease that at most one instance holds at a time.
 
     `accounts_period_ticks` is the time between two rounds of fleet accounts.
     """
@@ -104,7 +106,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseConfig:
-    """Element `duties`: the voters, and the leases that they grant. Spans are in ticks."""
+    """Element `duties`: the voters and the leases that they grant.
+
+    `max_lease_ticks` is the longest lease that any gateway of the fleet may have been granted since
+    its voters started.
+    """
 
     version: int
     voters: tuple[str, ...]
@@ -112,24 +118,24 @@
     lease_ticks: int
     max_lease_ticks: int
     margin_ticks: int
-    max_clock_drift: float  # largest relative drift between two clocks
+    max_clock_drift: float  # largest relative difference between the rates of two clocks
     folder: str
 
 
 class MaintenanceBounds(NamedTuple):
-    """How much may be out for maintenance at once, in the order of the capacity check."""
+    """Limits of what may be out for maintenance at once, in the order of the capacity check."""
 
     engines: int
     cores_fraction: float  # of all cores
     zone_fraction: float  # of a zone's cores
     kind_fraction: float  # of an engine kind's cores
-    demand_fraction: float  # of what is left, that demand may use
-    engines_left: int  # for each request class, at least
-    gateways: int  # of a zone
+    demand_fraction: float  # of the remaining cores that the demand may use
+    engines_left: int  # fewest engines that remain for each request class
+    gateways: int  # of one zone
 
 
 class Machine(NamedTuple):
-    """Element `machine`: engines that go down together."""
+    """Element `machine`: engines that stop together because they share a machine."""
 
     name: str
     engines: tuple[str, ...]
@@ -137,7 +143,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceConfig:
-    """Element `works`: machines taken out for maintenance. Spans are in ticks."""
+    """Element `works`: maintenance of engines and machines.
+
+    `period_ticks` is the time between two announcements of the plan, `grant_ticks` how long a
+    gateway that receives none keeps sending to an engine whose maintenance was announced, and
+    `startup_wait_ticks` how long a gateway without a stored plan waits for one before it serves.
+    """
 
     bounds: MaintenanceBounds
     machines: tuple[Machine, ...]
@@ -148,15 +159,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthConfig:
-    """Element `shared`: health reports among instances."""
+    """Element `shared`: peer health reports between instances."""
 
-    report_interval_ticks: int  # ticks between two reports
-    max_bytes_per_second: int  # bytes a second that reports may take
+    report_interval_ticks: int
+    max_bytes_per_second: int  # limit of all reports that this instance sends
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """One operator file, whole. What has no element is None."""
+    """The content of one operator file; a subsystem without an element is None."""
 
     path: str
     accounting: AccountingConfig | None
--- a/corkgauge/config/platform.py
+++ b/corkgauge/config/platform.py
@@ -1,6 +1,6 @@
-"""Reads, checks and completes the platform's configuration: the JSON file that EDGE_CONFIG names.
+"""Reads and validates the platform's configuration, the JSON file that EDGE_CONFIG names.
 
-Starts, opens and listens to nothing but that file. Every error names the faulty key.
+Opens no other file and no socket. Every error message names the faulty key.
 """
 
 import json
@@ -13,11 +13,11 @@
 __all__ = ["ConfigurationError", "PlatformConfig", "parse_address", "read"]
 
 MIN_MEMORY_BYTES = 32 * 2**20
-MIN_SOCKETS = 32
-MAX_NUMBER = 1e15  # whole numbers below it are exact as floats
+MIN_SOCKET_COUNT = 32
+MAX_NUMBER = 1e15  # smaller integers are exact as floats
 
-# Attributes that a running program cannot change, and their keys in the file. The discovery
-# address takes effect at once; `seed` and `known` are read at a start only.
+# Attributes whose change needs a restart, with their keys in the file. A change of the discovery
+# address takes effect at once; `seed` and `known` are read only at the start.
 RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -28,10 +28,10 @@
 
 
 class PlatformConfig:
-    """Where this gateway stands: addresses, limits, first endpoint list, operators' settings.
+    """Addresses, limits, first endpoint list and operators' settings of one gateway.
 
-    `document` is the file's JSON object, `listen` an address that stands in for the file's unless
-    it is empty. Raises ConfigurationError.
+    `document` is the JSON object in the file. `listen` is an address that replaces the one in the
+    file unless it is empty. Raises ConfigurationError.
     """
 
     def __init__(self, document: dict[str, Any], listen: str) -> None:
@@ -46,7 +46,7 @@
             raise ConfigurationError(
                 f"limits.memory_mb: expected 32 or more, found {limits['memory_mb']!r}"
             )
-        if self.max_sockets < MIN_SOCKETS:
+        if self.max_sockets < MIN_SOCKET_COUNT:
             raise ConfigurationError(
                 f"limits.sockets: expected 32 or more, found {limits['sockets']!r}"
             )
@@ -57,7 +57,7 @@
         self.settings_checksum = crc32(json.dumps(self.settings, sort_keys=True).encode())
 
     def keys_needing_restart(self, new: "PlatformConfig") -> list[str]:
-        """Return the keys of a new configuration that take effect at the next start only."""
+        """Return the keys that differ in the new configuration and take effect after a restart."""
         return [
             key
             for attribute, key in RESTART_KEYS.items()
@@ -66,25 +66,28 @@
 
 
 def read(environment: Mapping[str, str]) -> PlatformConfig:
-    """Return the configuration that the environment names by EDGE_CONFIG and EDGE_LISTEN.
+    """Return the configuration in the file that EDGE_CONFIG names.
 
-    Raises ConfigurationError where it is missing, unreadable or faulty.
+    EDGE_LISTEN, if set, replaces the address to listen at. Raises ConfigurationError if the file is
+    missing, unreadable or faulty.
     """
     path = environment.get("EDGE_CONFIG")
     if not path:
-        raise ConfigurationError("EDGE_CONFIG: expected the path of the configuration, found none")
+        raise ConfigurationError("EDGE_CONFIG: expected the path of a JSON file, found no value")
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
     except (OSError, ValueError) as problem:
-        raise ConfigurationError(f"EDGE_CONFIG: cannot read {path}: {problem}") from None
+        raise ConfigurationError(
+            f"EDGE_CONFIG: expected a readable JSON file at {path}, found: {problem}"
+        ) from None
     if not isinstance(document, dict):
-        raise ConfigurationError(f"EDGE_CONFIG: expected an object in {path}")
+        raise ConfigurationError(f"EDGE_CONFIG: expected a JSON object in {path}")
     return PlatformConfig(document, environment.get("EDGE_LISTEN", ""))
 
 
 def parse_address(text: str, key: str) -> tuple[str, int]:
-    """Return host and port of ADDRESS:PORT; `key` is named in the error.
+    """Return host and port of ADDRESS:PORT; an error names the `key`.
 
     >>> parse_address("127.0.0.4:9090", "listen")
     ('127.0.0.4', 9090)
@@ -110,7 +113,7 @@
 def _text(document: dict[str, Any], key: str, default: str | None = None) -> str:
     value = document.get(key, default)
     if not isinstance(value, str) or not value:
-        raise ConfigurationError(f"{key}: expected a text, found {value!r}")
+        raise ConfigurationError(f"{key}: expected a string that is not empty, found {value!r}")
     return value
 
 
@@ -119,7 +122,7 @@
 ) -> dict[str, Any]:
     value = document.get(key, default)
     if not isinstance(value, dict):
-        raise ConfigurationError(f"{key}: expected an object, found {value!r}"[:200])
+        raise ConfigurationError(f"{key}: expected a JSON object, found {value!r}"[:200])
     return value
 
 
@@ -131,12 +134,12 @@
 
 
 def _number(
-    document: dict[str, Any], key: str, default: float, prefix: str, least: float = 1
+    document: dict[str, Any], key: str, default: float, prefix: str, minimum: float = 1
 ) -> Any:
     value: Any = document.get(key, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not is_number or not least <= value < MAX_NUMBER:
+    if not is_number or not minimum <= value < MAX_NUMBER:
         raise ConfigurationError(
-            f"{prefix}{key}: expected a number of {least} or more, found {value!r}"
+            f"{prefix}{key}: expected a number of {minimum} or more, found {value!r}"
         )
     return value
--- a/corkgauge/config/settings.py
+++ b/corkgauge/config/settings.py
@@ -1,6 +1,8 @@
-"""Stated settings to records: the one place where what operators state becomes our own figures.
+"""Converts the operators' settings document to the records and options that the gateway uses.
 
-The simulator's first message and the configuration of a real workload manager hold the same object.
+No other module reads the document. The simulator's first message and the `settings` object of the
+platform's configuration have the same form. Times in the document are microseconds, of which 100
+are a tick.
 """
 
 from typing import Any
@@ -19,39 +21,49 @@
 
 
 class Settings:
-    """What the door of a gateway derives from the settings; the raw ones are not kept."""
+    """Values that the host of a gateway derives from the settings document.
+
+    The document itself is not kept.
+    """
 
     def __init__(self, document: Any, host: Host, seed: int, name: str = "") -> None:
-        """Read the settings; `name` is the gateway's own.
+        """Read the settings document and create the gateway.
+
+        A document without `myNumber` gets a gateway number derived from the seed and the gateway's
+        `name`. With one common number all gateways would grant slow-start permits at the same time
+        and select the same subset of engines. The seed alone is not enough, as gateways may share
+        it.
 
-        Gateways that are told no number would all have their slow-start permits at once, and one
-        subset; also seeds may be alike. So names stand in for numbers.
+        Raises:
+            ValueError: A value is missing or not allowed; the message names its key.
         """
         if not isinstance(document, dict):
-            raise ValueError("settings: not an object")
+            raise ValueError("settings: expected a JSON object")
         rules, limits = document.get("rules", {}), document.get("limits", {})
         extra, report = document.get("extra", {}), document.get("report", {})
         self.load_report_fields = list(report.get("fields", []))
         self.cores_by_kind = dict(enumerate(map(float, extra.get("coresByKind", []))))
-        most = read_number(extra, "mostGrant", 1.0, 0) if extra.get("takesGrants") else 0.0
+        max_grant_factor = (
+            read_number(extra, "mostGrant", 1.0, 0) if extra.get("takesGrants") else 0.0
+        )
         self.memory_mb_by_kind = [float(size) for size in extra.get("sizeMb", [])]
         self.max_memory_mb_by_kind = {
-            kind: most * size for kind, size in enumerate(self.memory_mb_by_kind)
+            kind: max_grant_factor * size for kind, size in enumerate(self.memory_mb_by_kind)
         }
         self.reports_usage, self.accepts_memory_grants = (
             bool(extra.get("bills")),
             bool(extra.get("takesGrants")),
         )
         self.accepts_priorities = bool(extra.get("takesPriority"))
-        self.progress_interval_ticks = (
-            read_number(extra, "tellsEveryUs", 0) // 100
-        )  # of every attempt in flight; 0: not at all
+        # Between two progress reports of an attempt in flight; 0: engines send none.
+        self.progress_interval_ticks = read_number(extra, "tellsEveryUs", 0) // 100
         widths = extra.get("widthByClass", [])
         self.request_classes = [
-            read_request_class(p, n, widths) for n, p in enumerate(document.get("profiles", []))
+            read_request_class(profile, number, widths)
+            for number, profile in enumerate(document.get("profiles", []))
         ]
         if not self.request_classes:
-            raise ValueError("profiles: no class")
+            raise ValueError("profiles: expected one request class or more, found none")
         self.zones, self.engine_kinds = (
             list(document.get("azs", [])),
             list(document.get("kinds", [])),
@@ -61,29 +73,29 @@
         self.dial_timeout_ticks = read_number(limits, "dialTimeoutUs", 250_000, 1) // 100
         self.idle_timeout_ticks = read_number(limits, "connIdleUs", 30_000_000, 1) // 100
         self.max_open_requests = read_number(limits, "openCap", 20_000, 1)
-        span = read_number(rules, "budgetSpanUs", 0) // 100
-        # The retry budget, where one is stated: floor, share of what was taken, window.
+        window_ticks = read_number(rules, "budgetSpanUs", 0) // 100
+        # Floor, share of the accepted requests, and window in ticks; None without a retry budget.
         self.retry_budget = (
             (
                 read_number(rules, "extraFloor", 0.0),
                 read_number(rules, "extraPerRequest", 0.0),
-                span,
+                window_ticks,
             )
-            if span
+            if window_ticks
             else None
         )
         options = read_gateway_options(document, seed, name)
         self.gateway = Gateway(host, options, self.request_classes)
 
     def place_engine(self, engine: Engine, zone: int, kind: int, cell: int) -> None:
-        """Where an engine stands, and what one of its kind holds."""
+        """Set zone, kind and cell of an engine, and the capacity of its kind."""
         engine.zone, engine.kind, engine.cell = zone, kind, cell
         engine.cores = self.cores_by_kind.get(kind, 1.0)
         engine.max_memory = self.max_memory_mb_by_kind.get(kind, 0.0)
 
 
 def read_gateway_options(document: dict[str, Any], seed: int, name: str) -> GatewayOptions:
-    """Turn the settings that the decisions need into their options; `name` is the gateway's own."""
+    """Read the options of the gateway's decisions from the settings document."""
     rules, limits = document.get("rules", {}), document.get("limits", {})
     number_from_name = crc32(b"%d %s" % (seed, name.encode())) % 2**20
     return GatewayOptions(
@@ -108,27 +120,35 @@
     )
 
 
-def read_number(document: dict[str, Any], key: str, default: float, least: float = 0) -> Any:
-    """A number that makes sense, or an error that names its key.
+def read_number(document: dict[str, Any], key: str, default: float, minimum: float = 0) -> Any:
+    """Return the number of a key, or the default without one, in the type of the default.
+
+    Raises ValueError for a value that is not a number, below `minimum` or too large.
 
     >>> read_number({"a": 3}, "a", 0), read_number({}, "a", 7)
     (3, 7)
     >>> read_number({"a": -3}, "a", 0)
     Traceback (most recent call last):
-    ValueError: a: -3 makes no sense
+    ValueError: a: expected a number in the allowed range, found -3
     """
     value = document.get(key)
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < 1e15:
-        raise ValueError(f"{key}: {value!r} makes no sense")
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, (int, float))
+        or not minimum <= value < 1e15
+    ):
+        raise ValueError(f"{key}: expected a number in the allowed range, found {value!r}")
     return int(value) if isinstance(default, int) else float(value)
 
 
 def read_request_class(document: dict[str, Any], number: int, widths: list[Any]) -> RequestClass:
-    """One of the profiles, in the project's own words."""
+    """Read a request class from its profile; `number` is its position in the document."""
     if document.get("effect", "pure") not in REPEATABILITY_BY_EFFECT:
-        raise ValueError(f"effect: {document['effect']!r} makes no sense")
+        raise ValueError(
+            f"effect: expected pure, token or side_effect, found {document['effect']!r}"
+        )
     return RequestClass(
         str(document.get("name", number)),
         read_number(document, "objectiveUs", 0) // 100,
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -1158,7 +1158,7 @@
         (
             '<flows><collector address="1.2.3.4:1" transport="tls">'
             '<tls ca="/c" name="n" key="/k"/></collector></flows>',
-            "certificate and key together",
+            "both certificate and key, or neither",
         ),
         (
             '<flows><collector address="1.2.3.4:1" transport="udp"/>'
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -693,17 +693,17 @@
 @pytest.mark.parametrize(
     "said, wrong",
     [
-        ("<works/>", "an element duties beside it"),
-        (DUTIES + "<works/>", "an element fellows beside it"),
+        ("<works/>", "an element duties in the same file"),
+        (DUTIES + "<works/>", "an element fellows in the same file"),
         (FELLOWS + DUTIES + '<works most="0"/>', "most"),
         (FELLOWS + DUTIES + '<works share="1.5"/>', "share"),
         (
             FELLOWS + DUTIES + '<works grant="0.5" each="0.5"/>',
-            "a grant of two times `each` or more",
+            "grant to be at least twice as long as each",
         ),
         (
             FELLOWS + DUTIES + '<works><machine name="m">e1 e1</machine></works>',
-            "engines, each on one machine",
+            "one engine or more, each on one machine only",
         ),
         (
             FELLOWS
@@ -711,7 +711,7 @@
             + '<works><machine name="m">e1</machine><machine name="k">e1</machine></works>',
             "each on one",
         ),
-        ("<shared/>", "an element fellows beside it"),
+        ("<shared/>", "an element fellows in the same file"),
         (FELLOWS + '<shared octets="10"/>', "octets"),
     ],
 )
