--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -79,7 +79,7 @@
     if log_form == "json":
         sink = logging.as_json(write_line)
     logger.remove()
-    logger.add(sink, format=logging.PLAIN, level="INFO", backtrace=False, diagnose=False)
+    logger.add(sink, format=logging.PLAIN_FORMAT, level="INFO", backtrace=False, diagnose=False)
 
 
 class ServingProcess:
--- a/corkgauge/eventloop/__init__.py
+++ b/corkgauge/eventloop/__init__.py
@@ -1,1 +1,1 @@
-"""Event loop, connections, ring buffers, clocks and log forms, on which every host stands."""
+"""Event loop, stream connections, ring buffers, clocks and log formats of every host."""
--- a/corkgauge/eventloop/clock.py
+++ b/corkgauge/eventloop/clock.py
@@ -1,6 +1,7 @@
-"""The clock since boot, which no change of the date moves.
+"""Reads the time since boot, which no change of the system date affects.
 
-Only spans of it mean anything on another machine: an instant of it must not be sent as one.
+Other machines have other boot times. Only differences of this clock may be sent to them, never a
+time of it.
 """
 
 import time
@@ -10,12 +11,15 @@
 
 
 def ticks_since_boot() -> int:
-    """Read the ticks since this machine's boot; they go on while it or the program stands still."""
+    """Return the ticks since the boot of this machine.
+
+    The clock also advances while the machine is suspended or the process is stopped.
+    """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NANOSECONDS_PER_TICK
 
 
 def read_boot() -> tuple[str, int]:
-    """Read the id of this boot and the ticks since it; the id is empty where none can be read."""
+    """Return the id of this boot, or "" if it cannot be read, and the ticks since the boot."""
     try:
         with open(BOOT_ID_FILE, encoding="ascii") as file:
             boot_id = file.read().strip()
--- a/corkgauge/eventloop/connection.py
+++ b/corkgauge/eventloop/connection.py
@@ -1,7 +1,8 @@
-"""Stream connection: the driver between a socket, its two ring buffers and its protocol's machine.
+"""Stream connections: move bytes between a socket, two ring buffers and a protocol state machine.
 
-Does not look at what bytes mean, never blocks, and lets no exception out: whatever breaks here ends
-this connection, and its owner is notified once. Times are ticks, tenths of a millisecond.
+A connection does not interpret the bytes, never blocks the event loop, and raises no exception out
+of its task: any failure closes this connection, and its owner is notified once. All times are
+ticks, tenths of a millisecond.
 """
 
 import contextlib
@@ -12,36 +13,42 @@
 from corkgauge.eventloop.loop import BROKEN, GONE, READ, WRITE, EventLoop
 from corkgauge.eventloop.ring_buffer import RingBuffer
 
-MAX_CONSECUTIVE_READS = 2  # before other tasks have their turn
-MAX_READ_BYTES = 16_384  # of one read
-MEMORY_RETRY_TICKS = 500  # until a connection that found no room in memory asks again
-LINGER_TICKS = 10_000  # that a peer which is turned out has for reading why
-IN_TRANSIT_TICKS = 500  # for input that the peer wrote before it saw our end; it is dropped
-MAX_READS_PER_CHECK = 8  # at a peer that writes without end
-DISCARD_BUFFER = bytearray(65_536)  # input of all rejected peers is read into it
-NEVER = 2**62
+MAX_CONSECUTIVE_READS = 2  # reads of one task before other tasks run
+MAX_READ_BYTES = 16_384  # size limit of one read
+MEMORY_RETRY_TICKS = 500  # retry interval after a refused memory reservation
+LINGER_TICKS = 10_000  # time that a rejected peer has for reading the reason
+# How long input may still arrive that the peer wrote before it saw the close; it is discarded.
+IN_TRANSIT_TICKS = 500
+MAX_READS_PER_CHECK = 8  # bounds a check of a peer that writes without pause
+DISCARD_BUFFER = bytearray(65_536)  # shared by all closing connections for input to discard
+NEVER = 2**62  # a time in ticks that no clock reaches
 RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 
 
 class ProtocolMachine(Protocol):
-    """What a connection needs of its protocol's machine."""
+    """Interface of the state machine that parses the protocol of a connection."""
 
     inward: RingBuffer
     outward: RingBuffer
-    complete_frame_count: int  # complete frames so far
+    complete_frame_count: int  # frames parsed so far
 
     def parse_input(self) -> str:
-        """Take the complete frames out of `inward`; why the peer must go, or an empty string."""
+        """Parse the complete frames in `inward`.
+
+        Returns the reason for which the connection must be closed, or an empty string.
+        """
         ...
 
 
 class StreamConnection:
-    """One connected socket, until its end.
-
-    The owner's `drained()` is called when all that was put has left, `ended(why)` at the end. Where
-    a frame has a time limit (`stuck` ticks; 0: none), that begins with the frame's first byte; for
-    the first frame of a peer that `greets`, with the connection. A peer that `greets` is told why
-    it is turned out: the owner's `parting(why)` is called first.
+    """One connected socket.
+
+    The owner's `on_output_drained()` is called when all queued output has been written, and its
+    `on_closed(reason)` once, at the end. `frame_timeout_ticks` limits the time for receiving one
+    frame (0: no limit). The limit runs from the first byte of the frame; the limit of the first
+    frame from a client (`peer_is_client`) runs from the start of the connection. A client is
+    informed why it is rejected: the owner's `on_rejected(reason)` is called first and may send the
+    reason.
     """
 
     def __init__(
@@ -59,24 +66,24 @@
         self.event_loop = event_loop
         self.sock = sock
         self.fd = sock.fileno()
-        # The owner uses its own machine's further methods through here.
+        # Typed as Any because owners call further methods of their machines through it.
         self.machine: Any = machine
         self.owner = owner
 
-        # State.
-        self.close_reason = ""  # the reason of the end; empty while the connection is open
-        self.is_lingering = False  # the peer is turned out, and has time for reading why
+        # State of the connection.
+        self.close_reason = ""  # empty while the connection is open
+        self.is_lingering = False  # the peer still has time for reading the output
         self.linger_ticks = LINGER_TICKS
-        self.is_parsing = False  # the machine is at work, and calls the owner
-        self.is_write_blocked = False  # the socket takes no more
-        self.is_flush_scheduled = False  # a write is due at the end of this turn
+        self.is_parsing = False  # the machine is running and may call the owner
+        self.is_write_blocked = False  # the send buffer of the socket is full
+        self.is_flush_scheduled = False  # at the end of this turn of the event loop
 
-        # Time limit of a frame.
+        # Time limit for one frame.
         self.frame_timeout_ticks = frame_timeout_ticks
         self.peer_is_client = peer_is_client
         self.frame_timeout_since = event_loop.now
 
-        # Bytes since it came up, and when the last of them were read and written.
+        # Byte counts of the connection, and the times of its last read and write.
         self.bytes_queued = 0
         self.bytes_sent = 0
         self.bytes_received = 0
@@ -84,7 +91,7 @@
         self.last_written_at = event_loop.now
 
     def run(self) -> None:
-        """Be the task of this connection; it ends with it."""
+        """Serve the connection until it is closed; this is its task in the event loop."""
         try:
             while not self.close_reason:
                 self._run_once()
@@ -98,7 +105,7 @@
         self.owner.on_closed(self.close_reason)
         self.machine.inward.close()
         self.machine.outward.close()
-        # Nothing collects what points to each other: thousands of short connections would stay.
+        # Garbage collection is off: the reference cycles would keep thousands of short connections.
         self.owner = None
         self.machine.owner = None
 
@@ -106,15 +113,15 @@
         """Wait for the next events of the socket and handle them."""
         ring = self.machine.inward
         has_room = bool(ring.free_bytes)
-        until = None if has_room else self.event_loop.now + MEMORY_RETRY_TICKS
+        deadline = None if has_room else self.event_loop.now + MEMORY_RETRY_TICKS
         if self._is_mid_frame():
-            until = min(until or NEVER, self.frame_timeout_since + self.frame_timeout_ticks)
-        events = self.event_loop.wait(self.fd, self._event_mask(), until)
+            deadline = min(deadline or NEVER, self.frame_timeout_since + self.frame_timeout_ticks)
+        events = self.event_loop.wait(self.fd, self._event_mask(), deadline)
         if events & WRITE:
             self.flush()
         if self.peer_is_client and events & GONE and not self.close_reason:
-            # A client that has gone while its input is paused, or behind much that lies unread,
-            # would not be seen to go. What it left unread is for nobody.
+            # Reading would not detect that the client has closed while its input is paused, or
+            # while much input is unread. Nobody needs the unread input of a closed client.
             self.close_reason = "closed"
         if not has_room and not self.close_reason:
             self._parse_input()
@@ -125,21 +132,21 @@
             and self._is_mid_frame()
             and self.event_loop.now >= self.frame_timeout_since + self.frame_timeout_ticks
         ):
-            # Frames that never end, byte by byte or not at all, would hold memory and a descriptor.
+            # A frame that arrives byte by byte or never would hold memory and a file descriptor.
             self.reject("a frame that does not end" if len(ring) else "nothing said")
 
     def _is_mid_frame(self) -> bool:
-        """Whether a frame that has a time limit has begun and is not complete."""
+        """Return whether the time limit of an incomplete frame is running."""
         return bool(self.frame_timeout_ticks) and (
             len(self.machine.inward) > 0
             or (self.peer_is_client and not self.machine.complete_frame_count)
         )
 
     def is_peer_connected(self) -> bool:
-        """Whether the peer is still there, by what the socket tells at this moment.
+        """Return whether the peer is still connected, by the state of the socket now.
 
-        What it has written by now is read first, as its owner may be about to act for it.
-        Must not be called from within what this connection calls.
+        Pending input is read and parsed first, as it may change what the owner is about to do for
+        the peer. Must not be called from a callback of this connection.
         """
         for _ in range(MAX_READS_PER_CHECK):
             if self.close_reason or self.is_parsing:
@@ -149,20 +156,20 @@
                 self.close("closed")
             elif events & READ and self.machine.inward.free_bytes:
                 self._read(False)
-                if self.close_reason:  # its task is parked, and has to end it
+                if self.close_reason:  # the parked task has to run to close the socket
                     self.event_loop.wake(self.fd)
             else:
                 break
         return not self.close_reason
 
     def _parse_input(self) -> None:
-        """Let the machine take what came; a complete frame begins a new time limit."""
+        """Run the machine on the input; each complete frame restarts the time limit."""
         count_before = self.machine.complete_frame_count
         self.is_parsing = True
         try:
-            why = self.machine.parse_input()
-            if why:
-                self.reject(why)
+            reason = self.machine.parse_input()
+            if reason:
+                self.reject(reason)
         finally:
             self.is_parsing = False
         if count_before != self.machine.complete_frame_count:
@@ -175,17 +182,17 @@
             | (GONE if self.peer_is_client else 0)
         )
 
-    def _read(self, broken: bool) -> None:
-        """Read what is there, a few times at most, and hand it to the machine."""
+    def _read(self, is_broken: bool) -> None:
+        """Read the available input, in a few reads at most, and pass it to the machine."""
         ring = self.machine.inward
         for _ in range(MAX_CONSECUTIVE_READS):
-            gap = ring.writable_view()[:MAX_READ_BYTES]
-            if not len(gap):
-                if broken:  # nothing more can be read, and poll would come back at once for ever
+            free_space = ring.writable_view()[:MAX_READ_BYTES]
+            if not len(free_space):
+                if is_broken:  # no more input can be read, and poll would return at once forever
                     self.close_reason = "broken"
                 return
             try:
-                size = self.sock.recv_into(gap)
+                size = self.sock.recv_into(free_space)
             except OSError as problem:
                 if problem.errno not in RETRYABLE_ERRNOS:
                     self.close_reason = problem.strerror or "error"
@@ -199,14 +206,14 @@
                 self.frame_timeout_since = self.event_loop.now
             ring.mark_written(size)
             self._parse_input()
-            if self.close_reason or size < len(gap):
+            if self.close_reason or size < len(free_space):
                 return
 
     def send(self, *pieces: bytes) -> bool:
-        """Put all pieces, to be written soon; False, with nothing put, where there is no room."""
+        """Queue all pieces for writing; return False and queue nothing if there is no room."""
         if not self._queue(pieces):
             return False
-        # Written with what else this turn puts, as each write is a costly call.
+        # One write at the end of the turn covers all output queued in it: each call is expensive.
         if not (self.is_flush_scheduled or self.is_write_blocked):
             self.is_flush_scheduled = True
             self.event_loop.end_of_turn_callbacks.append(self.flush)
@@ -223,7 +230,7 @@
         return True
 
     def flush(self) -> None:
-        """Write what the socket takes."""
+        """Write as much of the queued output as the socket accepts."""
         ring = self.machine.outward
         self.is_flush_scheduled = False
         self.is_write_blocked = False
@@ -245,63 +252,67 @@
             self.owner.on_output_drained()
 
     def send_now(self, *pieces: bytes) -> bool:
-        """Put all pieces and write them at once, behind what was put before.
+        """Queue all pieces and write them at once, after the output queued before.
 
-        False where not one byte of them could leave; then none of them ever does.
+        Returns False if not one byte of them was written; none of them is ever written then.
         """
         if len(self.machine.outward):
             self.flush()
         if self.is_write_blocked or not self._queue(pieces):
             return False
         size = sum(map(len, pieces))
-        begin = self.bytes_queued - size
+        queued_before = self.bytes_queued - size
         self.flush()
-        if self.bytes_sent > begin:
+        if self.bytes_sent > queued_before:
             return True
         if not self.close_reason:
             self.machine.outward.drop_last(size)
-            self.bytes_queued = begin
+            self.bytes_queued = queued_before
         return False
 
-    def close(self, why: str) -> None:
-        """Close, for this reason; the first one given stays."""
-        self.close_reason = self.close_reason or why
+    def close(self, reason: str) -> None:
+        """Close the connection; the first given reason stays."""
+        self.close_reason = self.close_reason or reason
         self.event_loop.wake(self.fd)
 
-    def reject(self, why: str) -> None:
-        """Turn the peer out; one that greets is told why first."""
+    def reject(self, reason: str) -> None:
+        """Close the connection because of the peer; a client receives the reason first."""
         if self.peer_is_client and not self.close_reason:
             self.is_lingering = True
-            self.owner.on_rejected(why)
-        self.close(why)
+            self.owner.on_rejected(reason)
+        self.close(reason)
 
-    def close_if_input_read(self, why: str) -> bool:
-        """Close of our own accord; False, and nothing done, where something came that is unread."""
+    def close_if_input_read(self, reason: str) -> bool:
+        """Close the connection, unless input has arrived that is still unread.
+
+        Returns False, and does nothing, in that case and if the connection is closed already.
+        """
         (events,) = self.event_loop.poll_now(self.fd)
         if self.close_reason or (events & READ and not events & GONE):
             return False
         self.is_lingering = True
         self.linger_ticks = IN_TRANSIT_TICKS
-        self.close(why)
-        # Until its task runs more could come; a client writes that only where it sees no end.
+        self.close(reason)
+        # More input could arrive before the task runs; a client that sees the shutdown sends none.
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
         return True
 
     def stop_lingering(self) -> None:
-        """Give no more time for the farewell."""
+        """End the time that the peer has for reading the last output."""
         self.is_lingering = False
         self.event_loop.wake(self.fd)
 
     def _linger(self) -> None:
-        """Show the peer the end, and drop what it still sends, for a while.
+        """Shut down writing and discard further input until the peer closes or a time limit.
 
-        A close with unread input is a reset, and takes what was written last with it.
+        Closing a socket with unread input resets the connection, which would discard the last
+        output before the peer reads it.
         """
         ring = self.machine.outward
-        until = self.event_loop.now + self.linger_ticks
+        deadline = self.event_loop.now + self.linger_ticks
         is_shut = False
-        while self.is_lingering and self.event_loop.now < until:
+        while self.is_lingering and self.event_loop.now < deadline:
             try:
                 while len(ring):
                     size = self.sock.send(ring.readable_view())
@@ -312,25 +323,26 @@
                     is_shut = True
                 if not self.sock.recv_into(DISCARD_BUFFER):
                     return
-                # A peer that sends without end would keep the loop: the others have their turn.
+                # Other tasks run in between; a peer that sends without pause would block them.
                 self.event_loop.sleep(1)
             except OSError as problem:
                 if problem.errno not in RETRYABLE_ERRNOS:
                     return
                 mask = READ | WRITE if len(ring) else READ
-                self.event_loop.wait(self.fd, mask, until)
+                self.event_loop.wait(self.fd, mask, deadline)
 
 
 def dial(
     event_loop: EventLoop, address: tuple[str, int], timeout_ticks: int
 ) -> tuple[socket.socket | None, str]:
-    """Connect to an address within `timeout_ticks`, from within a task.
+    """Connect to an address within `timeout_ticks`; must be called from a task.
 
-    Returns the socket and an empty string, or None and the name of the error, as `ECONNREFUSED`.
+    Returns the socket and an empty string, or None and the name of the error, such as
+    `ECONNREFUSED`.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = None
-    try:  # the making of the socket too, which fails where no descriptor is left
+    try:  # covers the creation of the socket, which fails if no file descriptor is free
         sock = socket.socket(family, socket.SOCK_STREAM)
         sock.setblocking(False)
         code = sock.connect_ex(address)
--- a/corkgauge/eventloop/logging.py
+++ b/corkgauge/eventloop/logging.py
@@ -1,7 +1,7 @@
-"""The two forms of the log: plain lines, which on-call.md quotes, and a JSON object a line.
+"""Log formats: plain lines, which on-call.md quotes, and one JSON object per line.
 
-Holds the table of events: a stable name and the fields of each line that the program writes. A line
-that the table does not know is not lost: it goes as event `line`, with its text.
+`EVENTS` maps each line that the program writes to a stable event name and to the fields of the
+event. A line that no form matches is written as the event `line` with its text.
 """
 
 import json
@@ -9,20 +9,20 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-MAX_TRACE_CHARS = 2000  # of an exception's trace, its end
-PLAIN = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}"
+MAX_TRACE_CHARS = 2000  # the last ones of a traceback
+PLAIN_FORMAT = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}"
 
 NUMBER = re.compile(r"[-+]?\d{1,18}")
 
 
 class EventForm(NamedTuple):
-    """An event, and the form of its whole line; the groups of the form are the event's fields."""
+    """An event and the pattern of its whole line, whose named groups are the event's fields."""
 
     name: str
     form: re.Pattern[str]
 
 
-# The first form that fits counts.
+# The first matching form determines the event.
 EVENTS = [
     EventForm(name, re.compile(form))
     for name, form in (
@@ -114,7 +114,7 @@
 
 
 def event_of(line: str) -> tuple[str, dict[str, Any]]:
-    """Name the event that a line of the log tells of, and its fields; numbers as numbers.
+    """Return the event name and the fields of a log line; integers are converted to int.
 
     >>> event_of("rest e1 error faults=2 for=10000")
     ('rest', {'engine': 'e1', 'why': 'error', 'faults': 2, 'for': 10000})
@@ -142,7 +142,7 @@
 
 
 def as_json(write: Callable[[str], None]) -> Callable[[Any], None]:
-    """Make a loguru sink that writes each record as one JSON object a line."""
+    """Return a loguru sink that writes each record as a line with one JSON object."""
 
     def sink(message: Any) -> None:
         record = message.record
--- a/corkgauge/eventloop/ring_buffer.py
+++ b/corkgauge/eventloop/ring_buffer.py
@@ -1,16 +1,17 @@
-"""Ring buffer of one direction of a connection, within a memory budget that all share.
+"""Ring buffers for the bytes of connections, within a shared memory budget.
 
-Holds the bytes between a socket and the machine of its protocol, never more than the largest legal
-frame, and does not know what they mean. A connection whose ring buffer is full stops reading.
+A ring buffer holds the bytes of one direction between a socket and the protocol's state machine, at
+most one frame of the largest legal size, and does not interpret them. A connection whose input ring
+buffer is full stops reading.
 """
 
 INITIAL_BYTES = 4096
 
 
 class MemoryBudget:
-    """Bytes that many ring buffers may hold together, beyond what each begins with.
+    """Limit of the bytes that many ring buffers hold beyond their initial sizes.
 
-    Whoever is refused waits and asks again.
+    A caller whose reservation fails tries again later.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -18,19 +19,19 @@
         self.reserved_bytes = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve so many bytes; False, with nothing reserved, where they are not left."""
+        """Reserve `size` bytes; return False and reserve nothing if fewer are left."""
         if self.reserved_bytes + size > self.limit_bytes:
             return False
         self.reserved_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """Return so many reserved bytes."""
+        """Release `size` reserved bytes."""
         self.reserved_bytes -= size
 
 
 class RingBuffer:
-    """Bytes in order: begins small, grows up to `max_bytes` and the budget, shrinks when empty.
+    """A byte queue that grows up to `max_bytes` within the budget and shrinks when empty.
 
     >>> ring = RingBuffer(20_000, MemoryBudget(4_000))
     >>> ring.put(b"abc"), ring.peek(2), ring.take(2), len(ring), ring.put(b"x" * 9_000)
@@ -44,23 +45,23 @@
         self.budget = budget
         self.initial_bytes = min(initial_bytes, max_bytes)
         self.storage = bytearray(self.initial_bytes)
-        self.head = 0  # place of the first byte that is held
-        self.size = 0  # bytes that are held
+        self.head = 0  # index of the first stored byte
+        self.size = 0  # number of stored bytes
 
     def __len__(self) -> int:
         return self.size
 
     @property
     def free_bytes(self) -> int:
-        """Bytes that can be put without growing."""
+        """Number of bytes that can be appended without growing."""
         return len(self.storage) - self.size
 
     def reserve(self, total_bytes: int) -> bool:
-        """Make room for so many bytes in all; False while the limits do not let it."""
+        """Grow to `total_bytes` in all; return False if a limit does not allow it now."""
         capacity = len(self.storage)
         if total_bytes <= capacity:
             return True
-        # Doubled, so that bytes that trickle in are not copied again and again.
+        # Growing by doubling avoids a copy of all bytes for each small read.
         new_capacity = min(max(total_bytes, 2 * capacity), self.max_bytes)
         if total_bytes > self.max_bytes or not self.budget.reserve(new_capacity - capacity):
             return False
@@ -71,7 +72,7 @@
         return True
 
     def put(self, data: bytes) -> bool:
-        """Append all of it; False, with nothing appended, where there is no room."""
+        """Append all of the data; return False and append nothing if there is no room."""
         if not self.reserve(self.size + len(data)):
             return False
         tail = (self.head + self.size) % len(self.storage)
@@ -82,14 +83,14 @@
         return True
 
     def peek(self, size: int, skip: int = 0) -> bytes:
-        """Copy up to `size` bytes behind the first `skip`; all stay held."""
+        """Copy up to `size` bytes after the first `skip` without removing them."""
         size = min(size, self.size - skip)
         begin = (self.head + skip) % len(self.storage)
         after_wrap = max(0, begin + size - len(self.storage))
         return bytes(self.storage[begin : begin + size]) + bytes(self.storage[:after_wrap])
 
     def drop(self, size: int) -> None:
-        """Release the first `size` bytes; an empty ring buffer returns what it had grown by."""
+        """Remove the first `size` bytes; an empty ring buffer shrinks to its initial size."""
         self.head = (self.head + size) % len(self.storage)
         self.size -= size
         if not self.size:
@@ -99,33 +100,39 @@
                 self.storage = bytearray(self.initial_bytes)
 
     def drop_last(self, size: int) -> None:
-        """Take back so many bytes that were put last."""
+        """Remove the `size` bytes that were appended last."""
         self.size -= size
 
     def take(self, size: int) -> bytes:
-        """Copy up to `size` first bytes and release them."""
+        """Remove and return up to `size` bytes from the front."""
         data = self.peek(size)
         self.drop(len(data))
         return data
 
     def writable_view(self) -> memoryview:
-        """View the next free stretch, to be read into; report what was with `filled`."""
+        """Return the next contiguous free space, to read into.
+
+        The caller reports the bytes written there with `mark_written`.
+        """
         if not self.free_bytes:
             return memoryview(b"")
         tail = (self.head + self.size) % len(self.storage)
-        # Free bytes end at the head, where the held ones have wrapped around, or at the end.
+        # The free space ends at the head if the stored bytes wrap around, else at the end.
         end = max(self.head, tail) if tail < self.head else len(self.storage)
         return memoryview(self.storage)[tail:end]
 
     def mark_written(self, size: int) -> None:
-        """Count so many bytes of the gap as held."""
+        """Add `size` bytes that were written to the `writable_view` to the stored bytes."""
         self.size += size
 
     def readable_view(self) -> memoryview:
-        """View the first held stretch, to be written from; release what was with `drop`."""
+        """Return the first contiguous stored bytes, to write from.
+
+        The caller removes the bytes that it has written with `drop`.
+        """
         return memoryview(self.storage)[self.head : min(self.head + self.size, len(self.storage))]
 
     def close(self) -> None:
-        """Release everything; the ring buffer can't be used any more."""
+        """Release all memory; the ring buffer cannot be used afterwards."""
         self.drop(self.size)
         self.storage = bytearray()
