--- a/corkgauge/daemon/__init__.py
+++ b/corkgauge/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The serving process."""
+"""The serving process: start, signals, reload and subsystems."""
--- a/corkgauge/daemon/configuration_reload.py
+++ b/corkgauge/daemon/configuration_reload.py
@@ -1,4 +1,4 @@
-"""What SIGHUP does: read the platform's configuration and the operator file again."""
+"""Reloads the platform's configuration and the operator file at SIGHUP."""
 
 from collections.abc import Mapping
 
@@ -10,7 +10,7 @@
 
 
 class ConfigurationReloader:
-    """Owns the configuration in force, and the discovery watch: all that a reload moves."""
+    """Owns the active configuration and the discovery watch, which a reload may replace."""
 
     def __init__(
         self,
@@ -24,10 +24,11 @@
         self.discovery = self._watch()
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Read the configuration again.
+        """Read the configuration again and apply the changes that need no restart.
 
-        A faulty one changes nothing at all, and a good one disturbs nothing that is open: only the
-        discovery address moves, and what else has changed is logged as waiting for a restart.
+        A faulty configuration changes nothing. A valid one leaves open requests and connections
+        alone: only a new discovery address takes effect; other changed keys are logged as waiting
+        for a restart.
         """
         try:
             new = platform.read(environment)
--- a/corkgauge/daemon/exception_log.py
+++ b/corkgauge/daemon/exception_log.py
@@ -1,4 +1,4 @@
-"""Logs the exceptions that the event loop stopped, at a bounded rate."""
+"""Logs the exceptions that the event loop caught, at a limited rate."""
 
 from loguru import logger
 
@@ -8,22 +8,22 @@
 
 
 class ExceptionLog:
-    """Logs the exception being handled: one an interval with its trace, the others are counted.
+    """Logs one exception per interval with its traceback and counts the others.
 
-    Called by the event loop where an exception of a connection or a timer stops.
+    The event loop calls it in the handler of each exception that a task or a timer raised.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
         self._event_loop = event_loop
-        self._next_line_at = 0  # ticks
-        self._unlogged = 0
+        self._next_log_at = 0  # ticks
+        self._unlogged_count = 0
 
     def __call__(self) -> None:
         """Log or count the exception that is being handled."""
-        self._unlogged += 1
+        self._unlogged_count += 1
         now = self._event_loop.now
-        if now < self._next_line_at:
+        if now < self._next_log_at:
             return
-        logger.opt(exception=True).error(f"{self._unlogged} exceptions stopped, the last")
-        self._next_line_at = now + LOG_INTERVAL_TICKS
-        self._unlogged = 0
+        logger.opt(exception=True).error(f"{self._unlogged_count} exceptions stopped, the last")
+        self._next_log_at = now + LOG_INTERVAL_TICKS
+        self._unlogged_count = 0
--- a/corkgauge/daemon/memory.py
+++ b/corkgauge/daemon/memory.py
@@ -1,4 +1,4 @@
-"""Garbage collection of the serving process: only when memory is short, and not twice at once."""
+"""Garbage collection of the serving process, only when memory is short."""
 
 import gc
 import resource
@@ -7,7 +7,7 @@
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
 
-MAX_MEMORY_FRACTION = 0.75  # of the limit, before garbage is collected
+MAX_MEMORY_FRACTION = 0.75  # of the memory limit; above it, garbage is collected
 CHECK_INTERVAL_TICKS = SECOND
 PAUSE_AFTER_COLLECTION_TICKS = 30 * SECOND
 
@@ -20,10 +20,10 @@
 
 
 class GarbageCollection:
-    """Collects garbage by memory held instead of by objects allocated.
+    """Collects garbage by the resident memory instead of by the number of allocated objects.
 
-    A collection stops everything for some 100 ms, so it waits until memory is short, and another
-    one for half a minute more.
+    A collection stops the whole process for about 100 ms. It therefore runs only when memory is
+    short, and at most once in half a minute.
     """
 
     def __init__(self, event_loop: EventLoop, limit_bytes: int) -> None:
@@ -31,7 +31,7 @@
         self._limit_bytes = limit_bytes
 
     def start(self) -> None:
-        """Take over from the automatic collection; what lives by now is never looked at again."""
+        """Replace automatic collection; later collections skip the objects that exist now."""
         gc.collect()
         gc.freeze()
         gc.disable()
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -1,6 +1,6 @@
-"""The serving process: its start, what signals do, and its end.
+"""The serving process: start, reaction to signals, and shutdown.
 
-It touches no request itself.
+Requests are handled in other modules.
 """
 
 import os
@@ -27,21 +27,21 @@
 
 __all__ = ["catch_signals", "check", "serve"]
 
-STANDARD_ERROR = 2
-MAX_LINE_BYTES = 4096  # what one write to a pipe takes whole (PIPE_BUF)
+STANDARD_ERROR_FD = 2
+MAX_LINE_BYTES = 4096  # a pipe accepts a write up to this size as a whole (PIPE_BUF)
 
 
 def write_line(line: str) -> None:
-    """Write a line of the log, or lose it where its reader stalls and a write would block."""
+    """Write a line of the log; drop it if the reader has stalled and the write would block."""
     poll = select.poll()
-    poll.register(STANDARD_ERROR, select.POLLOUT)
+    poll.register(STANDARD_ERROR_FD, select.POLLOUT)
     if poll.poll(0):
         with suppress(OSError):
-            os.write(STANDARD_ERROR, line.encode()[:MAX_LINE_BYTES])
+            os.write(STANDARD_ERROR_FD, line.encode()[:MAX_LINE_BYTES])
 
 
 def check(platform_config: PlatformConfig, operator_file: str = "") -> int:
-    """Read everything that serving would read, print what it is, and start nothing."""
+    """Read all files that serving would read and print a summary, without serving."""
     if operator_file:
         from corkgauge.config import operator_file as operator
 
@@ -63,10 +63,12 @@
     operator_file: str = "",
     log_form: str = "plain",
 ) -> int:
-    """Serve until a signal at `signal_socket` ends it; return the exit status.
+    """Serve until a signal ends the process; return the exit status.
 
-    The socket is the one of `catch_signals`; `log_form` is "plain" or "json". Raises
-    ConfigurationError where it cannot start.
+    `signal_socket` is the socket that `catch_signals` returned; `log_form` is "plain" or "json".
+
+    Raises:
+        ConfigurationError: The process cannot start with this configuration.
     """
     _configure_log(log_form)
     process = ServingProcess(platform_config, operator_file)
@@ -83,7 +85,7 @@
 
 
 class ServingProcess:
-    """The parts of one serving program, in the order of their start."""
+    """Creates, runs and ends the parts of the serving process."""
 
     def __init__(self, platform_config: PlatformConfig, operator_file: str) -> None:
         self.platform_config = platform_config
@@ -102,16 +104,19 @@
     def _listen(self) -> Acceptor:
         host, port = self.platform_config.listen
         try:
-            return Acceptor(self.event_loop, self.front_end, (host, port), self._must_wait)
+            return Acceptor(self.event_loop, self.front_end, (host, port), self._must_hold_clients)
         except OSError as problem:
-            raise ConfigurationError(f"listen: {host}:{port}: {problem.strerror}") from None
+            raise ConfigurationError(
+                "listen: expected an address that this process can bind, "
+                f"found {host}:{port}: {problem.strerror}"
+            ) from None
 
-    def _must_wait(self) -> bool:
-        """Tell whether clients have to wait for a subsystem."""
-        return self.subsystems is not None and self.subsystems.must_wait()
+    def _must_hold_clients(self) -> bool:
+        """Return whether no client may be accepted yet because a subsystem is not ready."""
+        return self.subsystems is not None and self.subsystems.must_hold_clients()
 
     def run(self, signal_socket: socket.socket) -> None:
-        """Serve until the event loop is stopped, then end the subsystems."""
+        """Serve until the event loop stops, then end the subsystems."""
         self.event_loop.spawn(self.acceptor.run)
         self.event_loop.spawn(dispatch_signals, self.event_loop, signal_socket, self._on_signal)
         GarbageCollection(self.event_loop, self.platform_config.memory_bytes).start()
@@ -133,17 +138,17 @@
         )
 
     def _on_signal(self, number: int) -> None:
-        """Log the counters (SIGUSR1), read the configuration again (SIGHUP), or end."""
+        """Log the counters (SIGUSR1), reload the configuration (SIGHUP), or begin the shutdown."""
         if number == signal.SIGUSR1:
             logger.info(self._counters())
         elif number == signal.SIGHUP:
-            # As a timer: an exception of the reload would end the task that reads signals.
+            # Called by a timer: an exception of the reload would end the task that reads signals.
             self.event_loop.call_later(0, self.reloader.reload, os.environ)
         else:
-            self._begin_end()
+            self._begin_shutdown()
 
-    def _begin_end(self) -> None:
-        # Leaving twice would move the time by which the last answer must have gone.
+    def _begin_shutdown(self) -> None:
+        # A second shutdown would move the deadline for the last answer.
         if self.front_end.end != NEVER:
             return
         self.event_loop.call_later(0, self.front_end.leave)
--- a/corkgauge/daemon/subsystems.py
+++ b/corkgauge/daemon/subsystems.py
@@ -1,6 +1,6 @@
-"""The subsystems that an operator file switches on: one entry each; start, reload, end.
+"""Starts, reloads and ends the subsystems that the operator file enables.
 
-Without an operator file nothing of them is imported.
+Without an operator file no subsystem is imported.
 """
 
 from collections.abc import Callable
@@ -12,33 +12,33 @@
 
 
 class RunningSubsystem(Protocol):
-    """What every subsystem has once it is started.
+    """Interface of a started subsystem.
 
-    It may also have `leave()`, called at SIGTERM while open requests still end, and `waiting()`,
-    true while no client may be accepted yet.
+    Two further methods are optional: `leave()` is called when the shutdown begins, while open
+    requests are still answered, and `waiting()` returns True while no client may be accepted yet.
     """
 
     def reload(self, config: Any, /) -> None:
-        """Take a new configuration, or raise ConfigurationError and change nothing."""
+        """Apply a new configuration, or raise ConfigurationError and change nothing."""
 
     def end(self) -> None:
-        """Release what it holds; the event loop has stopped."""
+        """Release all resources, after the event loop has stopped."""
 
 
-RunningSubsystems = dict[str, Any]  # by the name of its configuration
-Start = Callable[[SocketHost, PlatformConfig, Any, RunningSubsystems], RunningSubsystem]
+RunningSubsystems = dict[str, Any]  # by the attribute of their configuration
+StartFunction = Callable[[SocketHost, PlatformConfig, Any, RunningSubsystems], RunningSubsystem]
 
 
 @dataclass(frozen=True, slots=True)
 class Subsystem:
-    """One entry: its configuration's attribute, its element of the operator file, what starts it.
+    """A subsystem's configuration attribute, element of the operator file, and start function.
 
-    `start` is given the subsystems that run already, as some stand on others.
+    `start` receives the subsystems that are running already, as some depend on others.
     """
 
     name: str
     element: str
-    start: Start
+    start: StartFunction
 
 
 def _start_accounting(
@@ -97,7 +97,7 @@
     return PeerHealthService(host, platform, config, running["membership"])
 
 
-# In the order of their start: each stands on earlier ones at most.
+# In the order of their start: each depends only on earlier ones.
 SUBSYSTEMS = (
     Subsystem("accounting", "figures", _start_accounting),
     Subsystem("recovery", "recall", _start_recovery),
@@ -113,7 +113,10 @@
     """All subsystems of one operator file."""
 
     def __init__(self, socket_host: SocketHost, platform_config: PlatformConfig, path: str) -> None:
-        """Read the file and start what it switches on; raise ConfigurationError if it is faulty."""
+        """Read the file and start the subsystems that it enables.
+
+        Raises ConfigurationError if the file is faulty.
+        """
         from corkgauge.config import operator_file
 
         self.socket_host = socket_host
@@ -128,7 +131,7 @@
                 )
 
     def reload(self) -> None:
-        """Read the file again and take it whole, or log what is wrong and change nothing."""
+        """Read the file again and apply all of it, or log the error and change nothing."""
         from corkgauge.config import operator_file
 
         try:
@@ -140,7 +143,7 @@
             self.config = config
 
     def _apply(self, config: Any) -> bool:
-        """Hand each running subsystem its new configuration; after an error, the old one again."""
+        """Pass the new configuration to each running subsystem; after an error, restore the old."""
         reloaded: list[str] = []
         for subsystem in SUBSYSTEMS:
             name = subsystem.name
@@ -155,7 +158,7 @@
             try:
                 running.reload(new)
             except ConfigurationError as problem:
-                # Half of a file in force would be neither the old nor the new configuration.
+                # A partly applied file would be neither the old nor the new configuration.
                 for earlier in reloaded:
                     self.running[earlier].reload(getattr(self.config, earlier))
                 self.socket_host.log(f"operator file not taken: {problem}")
@@ -163,19 +166,19 @@
             reloaded.append(name)
         return True
 
-    def must_wait(self) -> bool:
-        """Tell whether a subsystem still waits for something before clients may be accepted."""
+    def must_hold_clients(self) -> bool:
+        """Return whether a subsystem is not ready yet for clients to be accepted."""
         return any(
             running.waiting() for running in self.running.values() if hasattr(running, "waiting")
         )
 
     def leave(self) -> None:
-        """Announce the end of the program, which goes on while open requests are answered."""
+        """Notify the subsystems that the shutdown begins; open requests are still answered."""
         for running in self.running.values():
             if hasattr(running, "leave"):
                 running.leave()
 
     def end(self) -> None:
-        """End all in the reverse order: what stands on another ends before it."""
+        """End all subsystems in reverse order, so that each ends before those it depends on."""
         for running in reversed(self.running.values()):
             running.end()
--- a/corkgauge/errors.py
+++ b/corkgauge/errors.py
@@ -1,17 +1,17 @@
-"""The errors that the program raises on purpose: one small tree, named by what went wrong."""
+"""Base classes of the errors that the program raises on purpose."""
 
 
 class CorkgaugeError(Exception):
-    """Any error of this program; its message says what went wrong, where, and what was expected."""
+    """Base class; the message names the place, what was expected and what was found."""
 
 
 class ConfigurationError(CorkgaugeError):
-    """A configuration file or key is faulty. One line: where, what was expected, what was found."""
+    """A configuration file or key is faulty; the message is one line."""
 
 
 class CorruptedFileError(CorkgaugeError, ValueError):
-    """A file that the program wrote itself is torn, damaged, or another one's."""
+    """A file of the program is incomplete, damaged, or belongs to another program or instance."""
 
 
 class ProtocolError(CorkgaugeError, ValueError):
-    """A peer sent what its protocol does not allow."""
+    """A peer sent data that its protocol does not allow."""
--- a/corkgauge/simulator/__init__.py
+++ b/corkgauge/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The drill ground: the gateway's decisions on the simulator's wire."""
+"""Adapter that connects the gateway's decisions to an external simulator."""
--- a/corkgauge/simulator/__main__.py
+++ b/corkgauge/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: decodes frames of events, calls each instance's host, answers."""
+"""Simulator adapter: decodes frames of events, passes each to its instance, writes the actions."""
 
 import sys
 import traceback
@@ -19,7 +19,7 @@
 
 
 class SimulatorAdapter:
-    """All instances of this process; they share nothing but the numbered lists of engines."""
+    """All simulated instances; they share only the numbered lists of engines."""
 
     def __init__(self) -> None:
         self.hosts: dict[int, SimulatedHost] = {}
@@ -27,7 +27,7 @@
         self.actions: list[bytes] = []
 
     def handle_record(self, cursor: Cursor, clock: int) -> None:
-        """Decode the next event and hand it to its instance; `clock` in microseconds."""
+        """Decode the next event and pass it to its instance; `clock` is in microseconds."""
         code = read_event_code(cursor)
         if code == EventCode.CENSUS:
             number, entries = read_census(cursor)
@@ -48,26 +48,29 @@
         try:
             host.handle(message)
         except Exception as problem:
-            # A broken decision ends the day with its place in the report, not the process.
+            # An exception is reported to the simulator, which ends the simulated day; this process
+            # continues. The report names the line that failed.
             place = traceback.extract_tb(problem.__traceback__)[-1]
             line = f"{type(problem).__name__}: {problem} ({place.name}:{place.lineno})"
             self.actions.append(pack_fault(instance, line))
 
     def serve(self, source: BinaryIO, sink: BinaryIO) -> None:
-        """Answer frames until the input ends; raises `ProtocolError` for a malformed one."""
+        """Answer frames until the input ends; raise ProtocolError for a malformed frame."""
         while (frame := read_frame(source)) is not None:
             clock, count, number, cursor = frame
             for _ in range(count):
                 self.handle_record(cursor, clock)
-            if cursor.at != len(cursor.body):
-                left = len(cursor.body) - cursor.at
-                raise ProtocolError(f"{left} bytes left over after {count} records")
+            if cursor.offset != len(cursor.body):
+                left = len(cursor.body) - cursor.offset
+                raise ProtocolError(
+                    f"{left} bytes left after {count} records, expected the end of the frame"
+                )
             write_frame(sink, number, self.actions)
             self.actions.clear()
 
 
 def main() -> int:
-    """Serve the simulator on standard input and output; the exit code."""
+    """Serve the simulator on standard input and output; return the exit code."""
     try:
         SimulatorAdapter().serve(sys.stdin.buffer, sys.stdout.buffer)
     except (ProtocolError, BrokenPipeError) as problem:
--- a/corkgauge/simulator/host.py
+++ b/corkgauge/simulator/host.py
@@ -1,4 +1,4 @@
-"""The host of one simulated instance: messages become gateway calls, its calls become actions."""
+"""Host of one simulated instance: converts messages to gateway calls and its calls to actions."""
 
 import json
 from collections.abc import Callable
@@ -28,25 +28,26 @@
     pack_trace,
 )
 
-TICKS_PER_WORK_UNIT = 10  # work of a verdict's statistics is told in milliseconds
-MEMORY_UNIT_MB = 4.0  # memory of a verdict's statistics is told in so many MB
+# The statistics of a verdict hold work in milliseconds and memory in units of 4 MB.
+TICKS_PER_WORK_UNIT = 10
+MEMORY_UNIT_MB = 4.0
 MEMORY_BITS = 12
 MEMORY_MASK = (1 << MEMORY_BITS) - 1
 
 
 class Timer(NamedTuple):
-    """A call that the gateway asked for."""
+    """A callback that the gateway has scheduled."""
 
     callback: Callable[..., None]
     arguments: tuple[Any, ...]
 
 
 class SimulatedHost:
-    """Holds the identifiers of one instance and the host side of its gateway."""
+    """Implements the gateway's host protocol for one instance, and maps its identifiers."""
 
-    lag = 0  # simulated events never wait
+    lag = 0  # ticks; simulated events have no queueing delay
 
-    # Set by the first message, before which there is no other.
+    # Set by the first message of each instance, which is always `Born`.
     settings: Settings
     gateway: Gateway
 
@@ -68,7 +69,7 @@
     # The host protocol.
 
     def send_attempt(self, attempt: Attempt, timeout: int) -> None:
-        """Send an attempt, with `timeout` ticks for its answer."""
+        """Send an attempt, with a limit of `timeout` ticks for its answer."""
         request, engine = attempt.request.host_reference, attempt.engine.host_reference
         self.actions.append(pack_route(self.instance, request, engine, timeout))
 
@@ -77,11 +78,11 @@
         self.actions.append(pack_terms(self.instance, request.host_reference, memory, priority))
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Reject a request; `retry_after` in ticks."""
+        """Reject a request; `retry_after` is in ticks."""
         self.actions.append(pack_decline(self.instance, request.host_reference, retry_after))
 
     def fail(self, request: Request) -> None:
-        """Fail a request that may have run."""
+        """Fail a request that an engine may have run."""
         self.actions.append(pack_lose(self.instance, request.host_reference))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
@@ -91,7 +92,7 @@
         )
 
     def call_later(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
-        """Call back after `delay` ticks."""
+        """Schedule a callback after `delay` ticks."""
         self.last_timer += 1
         self.timers[self.last_timer] = Timer(callback, arguments)
         self.actions.append(pack_remind(self.instance, self.last_timer, delay))
@@ -103,7 +104,7 @@
     # Messages.
 
     def handle(self, message: Any) -> None:
-        """Apply one message to this instance."""
+        """Handle one message of the simulator to this instance."""
         HANDLERS[type(message)](self, message)
 
     def _on_born(self, message: Born) -> None:
@@ -121,7 +122,7 @@
         self.gateway.on_engine_list_complete()
 
     def _remove_unlisted(self, listed: set[bytes]) -> None:
-        """What a whole list leaves out is gone."""
+        """Remove each engine that is missing from a complete list."""
         for reference, engine in self.engines.items():
             if reference not in listed:
                 self.gateway.on_engine_update(engine, EngineState.GONE, engine.incarnation)
@@ -169,7 +170,7 @@
         if self.settings.reports_usage:
             work = (message.statistics >> MEMORY_BITS) * TICKS_PER_WORK_UNIT
             memory = (message.statistics & MEMORY_MASK) * MEMORY_UNIT_MB
-        # A report may be absent or shorter than the fields that the settings name.
+        # The report may be empty or shorter than the fields named in the settings.
         report = dict(zip(self.settings.load_report_fields, message.load_report, strict=False))
         self.gateway.on_attempt_finished(
             request.attempts[message.attempt],
@@ -197,7 +198,7 @@
             self._forget_if_over(timer.arguments[0])
 
     def _forget_if_over(self, request: Request) -> None:
-        """An identifier is kept while its request lives or one of its attempts is in flight."""
+        """Drop a finished request's identifier once none of its attempts is in flight."""
         in_flight = any(attempt.is_in_flight for attempt in request.attempts)
         if request.is_finished and not in_flight:
             self.requests.pop(request.host_reference, None)
--- a/corkgauge/simulator/messages.py
+++ b/corkgauge/simulator/messages.py
@@ -1,7 +1,7 @@
-"""The records of the simulator's wire: events decoded to typed messages, actions packed to bytes.
+"""Records of the simulator protocol: decodes events to messages, packs actions to bytes.
 
-Times on the wire are microseconds; a message says so where it keeps them. Actions take ticks
-of a tenth of a millisecond.
+Times on the wire are microseconds. Message fields that hold them have names that end in
+`_microseconds`. The functions that pack actions take ticks, tenths of a millisecond.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 MAX_U32 = (1 << 32) - 1
 MAX_LOG_LINE_BYTES = 200
 MAX_FAULT_BYTES = 500
-HAS_ESTIMATE = 1  # bit of a request's marks: its client estimated the work
+HAS_ESTIMATE = 1  # bit of a request's marks: the client has estimated the work
 
 
 class EventCode(IntEnum):
@@ -36,7 +36,7 @@
 
 
 class ActionCode(IntEnum):
-    """Codes of the records that this program answers with."""
+    """Codes of the records that this program sends."""
 
     DECLINE = 40
     REMIND = 60
@@ -49,10 +49,10 @@
 
 
 class ListForm(IntEnum):
-    """How an `update` changes the engine list; any other form is a whole list."""
+    """How an `UPDATE` record changes the engine list; any other form is a complete list."""
 
     CHANGES = 1
-    UNCHANGED = 4  # an answer without news
+    UNCHANGED = 4
 
 
 class EngineEntry(NamedTuple):
@@ -68,21 +68,21 @@
 
 
 class Born(NamedTuple):
-    """An instance starts."""
+    """An instance has started."""
 
     seed: int
     settings: bytes  # JSON
 
 
 class ListUpdate(NamedTuple):
-    """The engine list changes."""
+    """The engine list of an instance has changed."""
 
     form: int
     list_number: int
 
 
 class NewRequest(NamedTuple):
-    """A client's request."""
+    """A client has sent a request."""
 
     request: int
     table_group: float
@@ -103,12 +103,12 @@
     outcome: int
     took_microseconds: int
     is_final: bool
-    statistics: int  # work (20 bits, of a millisecond) and memory (12 bits, of 4 MB)
+    statistics: int  # work (20 bits, milliseconds) and memory (12 bits, units of 4 MB)
     load_report: tuple[float, ...]
 
 
 class AttemptNote(NamedTuple):
-    """An engine reports on an attempt that is in flight."""
+    """An engine has reported the progress of an attempt in flight."""
 
     request: int
     attempt: int
@@ -117,13 +117,13 @@
 
 
 class ClientLeft(NamedTuple):
-    """A client gave up."""
+    """A client has given up its request."""
 
     request: int
 
 
 class TimerDue(NamedTuple):
-    """A timer that was asked for is due."""
+    """A scheduled timer is due."""
 
     timer: int
 
@@ -153,22 +153,22 @@
 
 
 def read_event_code(cursor: Cursor) -> EventCode:
-    """The code of the next record; raises `ProtocolError` for one that the wire does not know."""
+    """Read the code of the next record; raise ProtocolError for an unknown code."""
     (code,) = cursor.take(_CODE)
     try:
         return EventCode(code)
     except ValueError:
-        raise ProtocolError(f"unknown record code {code}") from None
+        raise ProtocolError(f"expected a known record code, found {code}") from None
 
 
 def read_instance(cursor: Cursor) -> int:
-    """The instance that the record is for."""
+    """Read the number of the instance that the record is for."""
     instance: int = cursor.take(_INSTANCE)[0]
     return instance
 
 
 def read_census(cursor: Cursor) -> tuple[int, list[EngineEntry]]:
-    """A numbered list of engines, which later updates refer to."""
+    """Read a list of engines and its number, by which later updates refer to it."""
     (number,) = cursor.take(_COUNT16)
     (count,) = cursor.take(_COUNT32)
     entries = cursor.run(count * _ENTRY.size)
@@ -230,10 +230,10 @@
 
 
 def _skip_nothing(cursor: Cursor) -> None:
-    """A record without fields."""
+    """Read nothing: the record has no fields."""
 
 
-# How the fields of each record are read; None is the message of a record that asks for nothing.
+# Reader of each record's fields; it returns None for a record that needs no reaction.
 READERS: dict[EventCode, Callable[[Cursor], Any]] = {
     EventCode.BORN: _read_born,
     EventCode.UPDATE: _read_update,
@@ -254,42 +254,42 @@
 
 
 def pack_route(instance: int, request: int, engine: bytes, timeout: int) -> bytes:
-    """Send an attempt; `timeout` in ticks."""
+    """Pack the action that sends an attempt; `timeout` is in ticks."""
     return _ROUTE.pack(ActionCode.ROUTE, instance, request, engine, _wire_time(timeout))
 
 
 def pack_decline(instance: int, request: int, retry_after: int) -> bytes:
-    """Reject a request; `retry_after` in ticks."""
+    """Pack the action that rejects a request; `retry_after` is in ticks."""
     return _DECLINE.pack(ActionCode.DECLINE, instance, request, _wire_time(retry_after))
 
 
 def pack_lose(instance: int, request: int) -> bytes:
-    """Fail a request."""
+    """Pack the action that fails a request."""
     return _LOSE.pack(ActionCode.LOSE, instance, request)
 
 
 def pack_terms(instance: int, request: int, memory: float, priority: int) -> bytes:
-    """Memory (MB) and priority of a request's attempts."""
+    """Pack the action that sets memory (MB) and priority of a request's attempts."""
     return _ASSIGN_TERMS.pack(ActionCode.ASSIGN_TERMS, instance, request, memory, priority)
 
 
 def pack_stop_attempt(instance: int, request: int, attempt: int) -> bytes:
-    """Cancel an attempt."""
+    """Pack the action that cancels an attempt."""
     return _STOP_ATTEMPT.pack(ActionCode.STOP_ATTEMPT, instance, request, attempt)
 
 
 def pack_remind(instance: int, timer: int, delay: int) -> bytes:
-    """Ask for a timer; `delay` in ticks."""
+    """Pack the action that schedules a timer; `delay` is in ticks."""
     return _REMIND.pack(ActionCode.REMIND, instance, timer, _wire_time(max(delay, 0)))
 
 
 def pack_trace(instance: int, line: str) -> bytes:
-    """One line for the simulator's log, cut to its bound."""
+    """Pack one line for the simulator's log, truncated to MAX_LOG_LINE_BYTES."""
     text = line.encode()[:MAX_LOG_LINE_BYTES]
     return _TEXT.pack(ActionCode.TRACE, instance, len(text)) + text
 
 
 def pack_fault(instance: int, line: str) -> bytes:
-    """A fault of the instance, which ends the day, cut to its bound."""
+    """Pack a fault of the instance, truncated to MAX_FAULT_BYTES; it ends the simulated day."""
     text = line.encode()[:MAX_FAULT_BYTES]
     return _TEXT.pack(ActionCode.FAULT, instance, len(text)) + text
--- a/corkgauge/simulator/protocol.py
+++ b/corkgauge/simulator/protocol.py
@@ -1,4 +1,4 @@
-"""Framing of the simulator's wire: bytes in, fields out, and back."""
+"""Framing of the simulator protocol: reads frames of records and writes replies."""
 
 import struct
 from typing import Any, BinaryIO
@@ -8,34 +8,40 @@
 
 
 class ProtocolError(Exception):
-    """The peer broke the framing; nothing sensible can follow."""
+    """The input violates the framing; later bytes cannot be interpreted."""
 
 
 class Cursor:
-    """Reads fields one after the other from the records of a frame."""
+    """Reads fields sequentially from the records of a frame."""
 
     def __init__(self, body: bytes) -> None:
-        self.body, self.at = body, 0
+        self.body, self.offset = body, 0
 
-    def take(self, shape: struct.Struct) -> tuple[Any, ...]:
-        """The next fields of this shape."""
-        at = self.at
-        if at + shape.size > len(self.body):
-            raise ProtocolError(f"record cut short at byte {at} of {len(self.body)}")
-        self.at = at + shape.size
-        return shape.unpack_from(self.body, at)
+    def take(self, field_format: struct.Struct) -> tuple[Any, ...]:
+        """Return the next fields, in the given format."""
+        offset = self.offset
+        if offset + field_format.size > len(self.body):
+            raise ProtocolError(
+                f"record truncated at byte {offset} of a frame of {len(self.body)} bytes"
+            )
+        self.offset = offset + field_format.size
+        return field_format.unpack_from(self.body, offset)
 
     def run(self, size: int) -> bytes:
-        """The next bytes, so many."""
-        at = self.at
-        if at + size > len(self.body):
-            raise ProtocolError(f"{size} bytes announced at byte {at}, {len(self.body) - at} there")
-        self.at = at + size
-        return self.body[at : at + size]
+        """Return the next `size` bytes."""
+        offset = self.offset
+        if offset + size > len(self.body):
+            raise ProtocolError(
+                f"expected {size} bytes at byte {offset}, found {len(self.body) - offset}"
+            )
+        self.offset = offset + size
+        return self.body[offset : offset + size]
 
 
 def read_frame(source: BinaryIO) -> tuple[int, int, int, Cursor] | None:
-    r"""Clock, record count, number and records of the next frame; None at a clean end.
+    r"""Return clock, record count, number and records of the next frame, or None at the end.
+
+    The input may end only between two frames.
 
     >>> import io
     >>> clock, count, number, cursor = read_frame(io.BytesIO(bytes.fromhex(
@@ -55,7 +61,9 @@
         raise ProtocolError("input ended inside a frame's length")
     size = int.from_bytes(head, "little")
     if size < HEADER.size - 4:
-        raise ProtocolError(f"impossible frame length {size}")
+        raise ProtocolError(
+            f"expected at least the size of a frame header, found frame length {size}"
+        )
     body = source.read(size)
     if len(body) < size:
         raise ProtocolError(f"input ended inside a frame: {len(body)} of {size} bytes")
@@ -64,7 +72,7 @@
 
 
 def write_frame(sink: BinaryIO, number: int, records: list[bytes]) -> None:
-    """One reply, flushed.
+    """Write one reply and flush the output.
 
     >>> import io
     >>> out = io.BytesIO(); write_frame(out, 1, []); out.getvalue().hex()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -233,17 +233,21 @@
     [
         (b"", 0, ""),
         (b"\x10\0", 1, "inside a frame's length"),
-        (b"\x02\0\0\0", 1, "impossible frame length 2"),
+        (b"\x02\0\0\0", 1, "expected at least the size of a frame header, found frame length 2"),
         (
             bytes.fromhex("11000000" + "00" * 8 + "01000000" + "00000000" + "ff"),
             1,
-            "unknown record code 255",
+            "expected a known record code, found 255",
+        ),
+        (
+            bytes.fromhex("11000000" + "00" * 8 + "00000000" + "00000000" + "64"),
+            1,
+            "bytes left after 0 records",
         ),
-        (bytes.fromhex("11000000" + "00" * 8 + "00000000" + "00000000" + "64"), 1, "left over"),
         (
             bytes.fromhex("13000000" + "00" * 8 + "01000000" + "00000000" + "640100"),
             1,
-            "record cut short",
+            "record truncated at byte",
         ),
     ],
 )
@@ -263,7 +267,8 @@
     ground = SimulatorAdapter()
     boot = b'{"profiles":[{"deadlineUs":-5}]}'
     ground.handle_record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
-    assert ground.actions[0][0] == 70 and b"deadlineUs: -5" in ground.actions[0]
+    assert ground.actions[0][0] == 70
+    assert b"deadlineUs: expected a number in the allowed range, found -5" in ground.actions[0]
 
 
 def test_timeouts_lower_the_concurrency_limit_and_answers_in_time_raise_it():
