--- a/tests/harness.py
+++ b/tests/harness.py
@@ -197,7 +197,7 @@
         }
         self.time, self.logged = 10**9, []
         self.event_loop = EventLoop(
-            clock=lambda: self.time, troubled=lambda: self.logged.append(traceback.format_exc())
+            clock=lambda: self.time, on_exception=lambda: self.logged.append(traceback.format_exc())
         )
         EnginePool.dial = (
             lambda engine_pool, where: None
