--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -149,7 +149,7 @@
     settled(client_connection.link.sock)
     assert link.link.is_peer_connected()  # the answer is told, as its task would have told it
     for _ in range(3):
-        premises.event_loop._run_due()  # what the turn left to do, with the client's end still unread by its task
+        premises.event_loop._run_due_timers()  # what the turn left to do, with the client's end still unread by its task
     assert other_link.link.bytes_queued == 0 and premises.heard_soon(other, 0) == b""
     assert not premises.socket_host.in_flight_attempts and not premises.logged
 
@@ -233,7 +233,7 @@
     client.sendall(request_frame(route="once"))
     settled(client_connection.link.sock)
     client_connection.link.is_peer_connected()  # the request is read before the engine's end is
-    premises.event_loop._run_due()
+    premises.event_loop._run_due_timers()
     assert link.link.bytes_queued == 0
     premises.turn()
     second, _ = premises.engine()
