--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -52,7 +52,7 @@
     """A connection of the host."""
 
     sock: socket.socket
-    why: str  # the reason of its end
+    close_reason: str
 
 
 class BalanceCheck(NamedTuple):
@@ -114,7 +114,7 @@
         flow = self.flows.pop(connection, None)
         if flow is not None:
             reason = FlowEndReason.FORCED
-            if connection.why in ENDED_BY_ITSELF:
+            if connection.close_reason in ENDED_BY_ITSELF:
                 reason = FlowEndReason.ENDED
             self.meter.end_flow(flow, reason, self.event_loop.now)
 
