--- a/corkgauge/leases/reconfiguration.py
+++ b/corkgauge/leases/reconfiguration.py
@@ -21,8 +21,13 @@
     """
     try:
         return (
-            VoterConfiguration(settings.version, settings.voters, settings.lease),
-            LeaseTiming(settings.lease, settings.drift, settings.margin, settings.longest),
+            VoterConfiguration(settings.version, settings.voters, settings.lease_ticks),
+            LeaseTiming(
+                settings.lease_ticks,
+                settings.max_clock_drift,
+                settings.margin_ticks,
+                settings.max_lease_ticks,
+            ),
         )
     except UnsafeChangeError as error:
         raise ConfigurationError(f"duties: {error}") from None
@@ -64,7 +69,7 @@
 
     Leases of other subsystems are never named in the operator file, and stay.
     """
-    named = {name for name, *_ in service.settings.duties}
+    named = {name for name, *_ in service.settings.leases}
     for name in [*service.candidates]:
         if name not in named and name not in service.owners:
             service.candidates[name].release("removed from the operator file")
@@ -73,7 +78,7 @@
 
 
 def _apply_configured_leases(service: "LeaseService") -> None:
-    for name, kind, period_ticks in service.settings.duties:
+    for name, kind, period_ticks in service.settings.leases:
         if name not in service.candidates:
             service.add_configured_lease(name, kind, period_ticks)
         else:
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -11,7 +11,7 @@
 
 from corkgauge.config.operator_file import LeaseConfig
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.clock import ticks_since_boot
 from corkgauge.leases import messages, reconfiguration
 from corkgauge.leases.accounts_messages import AccountsDatagram, AccountsKind
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
@@ -83,10 +83,10 @@
         self.command_loans = CommandLoans(self)
         self.operator_commands = OperatorCommands(self)
         self.load_monitor = LoadMonitor(self)
-        for name, kind, period_ticks in settings.duties:
+        for name, kind, period_ticks in settings.leases:
             self.add_configured_lease(name, kind, period_ticks)
         self._subscribe()
-        self.load_monitor.check(boot_time())
+        self.load_monitor.check(ticks_since_boot())
 
     def _subscribe(self) -> None:
         self.member_list.call_handlers[LEASE_SUBJECT] = self.on_lease_datagram
@@ -198,7 +198,7 @@
     @property
     def now(self) -> int:
         """Ticks (tenths of a millisecond) since boot, read from the clock on each access."""
-        return boot_time()
+        return ticks_since_boot()
 
     @property
     def date(self) -> int:
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -64,7 +64,7 @@
             _new_incarnation(self.seed, self.event_loop.now),
             [Key(secret) for secret in config.keys],
             _names_and_zones(config),
-            config.period,
+            config.period_ticks,
         )
         socket_host.routes[b"GET", b"/fellows"] = self.status_report
         self.event_loop.spawn(self._read_datagrams, self.sock)
@@ -76,7 +76,7 @@
             ConfigurationError: The local name is not among the members; nothing is changed.
         """
         self._local_address(config)
-        if (config.listen, config.period) != (self.config.listen, self.config.period):
+        if (config.listen, config.period_ticks) != (self.config.listen, self.config.period_ticks):
             self.socket_host.log(
                 "operator file: fellows listen or period changed, in force after a restart"
             )
@@ -205,7 +205,7 @@
         try:
             self.member_list.handle_datagram(data)
         except Exception:  # a failing datagram must not end the reading of later ones
-            self.event_loop.troubled()
+            self.event_loop.on_exception()
 
 
 def _names_and_zones(config: MembershipConfig) -> list[tuple[str, str]]:
--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -145,7 +145,7 @@
         self.send_answer(stream, FAILED, [why.encode()])
         return "" if self.fault_count <= MAX_FAULT_COUNT else "too much that cannot be used"
 
-    def parting(self, why: str) -> None:
+    def on_rejected(self, why: str) -> None:
         """Answer all open requests, then send the reason for closing the connection."""
         self.socket_host.counters["turned out"] += 1
         for request in self.unsubmitted:
@@ -167,7 +167,7 @@
         now, link = self.socket_host.now, self.link
         if (
             now < self.unsubmitted[0].accepted_at + max_wait_ticks
-            and not link.why
+            and not link.close_reason
             and unread_byte_count(link.sock)
         ):
             return self.socket_host.event_loop.call_later(
@@ -191,7 +191,7 @@
 
         Cancellations that the client has sent so far are processed before the method returns.
         """
-        if self.link.look():
+        if self.link.is_peer_connected():
             return True
         self.on_client_gone()
         return False
@@ -215,20 +215,20 @@
         if (
             self.open
             or self.waiting_answers
-            or self.socket_host.now < max(link.heard, link.wrote) + MIN_QUIET_TICKS
+            or self.socket_host.now < max(link.last_read_at, link.last_written_at) + MIN_QUIET_TICKS
         ):
             return False
-        return link.parting or not (
-            link.why or len(link.machine.outward) or unread_byte_count(link.sock)
+        return link.is_lingering or not (
+            link.close_reason or len(link.machine.outward) or unread_byte_count(link.sock)
         )
 
     def has_partial_frame(self) -> bool:
         """Return whether part of a frame was received recently, so that the rest may follow."""
         link = self.link
         return (
-            not link.why
+            not link.close_reason
             and len(link.machine.inward) > 0
-            and self.socket_host.now < link.heard + MIN_QUIET_TICKS
+            and self.socket_host.now < link.last_read_at + MIN_QUIET_TICKS
         )
 
     def send_answer(
@@ -251,12 +251,12 @@
         """
         socket_host = self.socket_host
         self.answer_count += 1
-        if self.link.why:
+        if self.link.close_reason:
             self._close_unsent_answer(client_request)
         elif self.waiting_answers or not self._write_answer(stream, code, body, client_request):
             # Clients that do not read would fill the memory with queued results. Once the budget
             # for results is used up, a short failure is queued instead of the result.
-            if not socket_host.result_memory.take(sum(map(len, body))):
+            if not socket_host.result_memory.reserve(sum(map(len, body))):
                 socket_host.counters["results dropped"] += 1
                 code, body = self._mark_answer_not_read(client_request)
             self.waiting_answers.append((stream, code, body, expires_at, client_request))
@@ -267,7 +267,7 @@
         if not self.link.send(frame_head(ANSWER, stream, code, sum(map(len, body))), *body):
             return False
         if client_request is not None:
-            self.unwritten_answers.append((self.link.put, client_request))
+            self.unwritten_answers.append((self.link.bytes_queued, client_request))
         return True
 
     def _mark_answer_not_read(
@@ -285,7 +285,7 @@
             client_request.end_reason = reason
             self.socket_host.on_answer_finished(client_request)
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         """Send queued answers after the send buffer has become empty.
 
         A queued result whose request has expired is replaced by a failure, as a late result must
@@ -301,16 +301,18 @@
             self._drop_first_waiting()
 
     def _close_written_answers(self) -> None:
-        while self.unwritten_answers and self.unwritten_answers[0][0] <= self.link.sent:
+        while self.unwritten_answers and self.unwritten_answers[0][0] <= self.link.bytes_sent:
             self.socket_host.on_answer_finished(self.unwritten_answers.popleft()[1])
 
     def _drop_first_waiting(self) -> None:
-        self.socket_host.result_memory.give(sum(map(len, self.waiting_answers.popleft()[2])))
+        self.socket_host.result_memory.release(sum(map(len, self.waiting_answers.popleft()[2])))
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         """Release everything that belongs to a closed connection."""
         self.socket_host.client_connections.pop(self, None)
-        self.socket_host.ledger.record_connection_closed(Side.CLIENT, self.link.got, self.link.sent)
+        self.socket_host.ledger.record_connection_closed(
+            Side.CLIENT, self.link.bytes_received, self.link.bytes_sent
+        )
         if self.socket_host.flows is not None:
             self.socket_host.flows.over(self.link)
         self._close_written_answers()
--- a/corkgauge/net/client_protocol.py
+++ b/corkgauge/net/client_protocol.py
@@ -54,17 +54,17 @@
 class ClientProtocol:
     """Parses frames and passes each of them to its owner.
 
-    `whole` counts the complete frames.
+    `complete_frame_count` counts the complete frames.
     """
 
     def __init__(self, owner: FrameOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
         self.last_stream = 0
-        self.whole = 0
+        self.complete_frame_count = 0
         self.inward = RingBuffer(MAX_FRAME_BYTES + LENGTH_BYTES, memory_budget)
         self.outward = RingBuffer(MAX_FRAME_BYTES + LENGTH_BYTES, memory_budget)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Handle all complete frames; return why the connection must close, or an empty string."""
         ring = self.inward
         while len(ring) >= LENGTH_BYTES:
@@ -74,12 +74,12 @@
             size = length + LENGTH_BYTES
             if len(ring) < size:
                 # The announced length is not trusted: memory grows with the bytes received.
-                if not ring.free:
+                if not ring.free_bytes:
                     ring.reserve(min(size, 2 * len(ring)))
                 break
             kind, stream = STREAM.unpack(ring.peek(STREAM.size, LENGTH_BYTES))
             payload = ring.take(size)[HEADER.size :]
-            self.whole += 1
+            self.complete_frame_count += 1
             if wrong := self._on_frame(kind, stream, payload):
                 return wrong
         return ""
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -57,7 +57,7 @@
         link.send(discovery_protocol.request(host, self.socket_host.last_event))
         self.check_alive(link)
         link.run()
-        why: str = link.why
+        why: str = link.close_reason
         return why
 
     def _back_off(self, lasted: int) -> None:
@@ -77,7 +77,7 @@
         """End the watch, as another discovery address has been configured."""
         self.is_left = True
         if self.link is not None:
-            self.link.end("replaced by another discovery address")
+            self.link.close("replaced by another discovery address")
 
     def on_event(self, number: str, data: str) -> str:
         """Pass one event to the host; return why the event is invalid, or an empty string."""
@@ -97,23 +97,23 @@
         after another half second without a byte the server counts as dead. A server that sends
         single bytes, or no complete status line, is never silent, so the lines are timed as well.
         """
-        if link is not self.link or link.why:
+        if link is not self.link or link.close_reason:
             return
         now = self.socket_host.now
-        if link.machine.whole != known_lines:
-            known_lines = link.machine.whole
+        if link.machine.complete_frame_count != known_lines:
+            known_lines = link.machine.complete_frame_count
             line_since = now
-        if now - link.heard > MAX_SILENCE_TICKS:
-            link.end("no byte received for 1.5 s")
+        if now - link.last_read_at > MAX_SILENCE_TICKS:
+            link.close("no byte received for 1.5 s")
         elif now - line_since > MAX_LINE_TICKS:
-            link.end("no complete line received for 3 s")
+            link.close("no complete line received for 3 s")
         else:
             self.socket_host.event_loop.call_later(
                 LOOK_TICKS, self.check_alive, link, known_lines, line_since
             )
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         """Do nothing: after the request there is nothing more to send."""
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         """Do nothing: `run` continues after the connection has closed."""
--- a/corkgauge/net/discovery_protocol.py
+++ b/corkgauge/net/discovery_protocol.py
@@ -37,12 +37,12 @@
 class DiscoveryProtocol:
     """Parses the event stream and passes each event to its owner.
 
-    `whole` counts the complete lines of the stream, including comments.
+    `complete_frame_count` counts the complete lines of the stream, including comments.
     """
 
     def __init__(self, owner: EventOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
-        self.whole = 0
+        self.complete_frame_count = 0
         self.inward = RingBuffer(MAX_UNREAD_BYTES, memory_budget)
         self.outward = RingBuffer(REQUEST_BYTES, memory_budget)
         # Reader of the next bytes: a line of HTTP, for `_on_line`, or a part of the event stream.
@@ -54,7 +54,7 @@
         self._event_number = ""
         self._event_data: list[str] = []
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Handle all received bytes; return what is wrong with them, or an empty string."""
         while (wrong := self._read()) == "":
             pass
@@ -128,7 +128,7 @@
         return ""
 
     def _on_event_line(self, line: str) -> str:
-        self.whole += 1  # comments included
+        self.complete_frame_count += 1  # comments included
         if not line:
             return self._finish_event()
         name, _, value = line.partition(":")
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -97,7 +97,7 @@
             parse_address(server["addr"], "addr"),
             STATES[server["state"]],
             settings.zones.index(server["zone"]),
-            settings.kinds.index(server["kind"]),
+            settings.engine_kinds.index(server["kind"]),
             int(server.get("cell", 0)),
             int(server.get("started_ms", 0)),
         )
@@ -119,7 +119,7 @@
         if entry.started_ms != engine_pool.started_ms:
             engine_pool.started_ms = entry.started_ms
             incarnation = self.start_ticks(entry.started_ms)
-        self.host.settings.place(engine, entry.zone, entry.kind, entry.cell)
+        self.host.settings.place_engine(engine, entry.zone, entry.kind, entry.cell)
         self.host.gateway.on_engine_update(engine, entry.state, incarnation)
         engine_pool.update_address(entry.address, is_renewed)
         return engine_pool
@@ -169,7 +169,7 @@
         but never a time in the future.
         """
         started = started_ms * TICKS_PER_MS
-        ahead_ticks = self.host.event_loop.ahead()
+        ahead_ticks = self.host.event_loop.clock_offset()
         if not ahead_ticks or not started_ms:
             return started
         return min(started + max(ahead_ticks, 0), self.host.now)
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -73,9 +73,9 @@
         """
         return not (
             self.is_retired
-            or self.link.why
-            or self.link.blocked
-            or len(self.open) >= self.socket_host.settings.streams
+            or self.link.close_reason
+            or self.link.is_write_blocked
+            or len(self.open) >= self.socket_host.settings.max_streams_per_connection
             or client_request.name in self.open
             or client_request.name in self.finished_names
         )
@@ -96,9 +96,9 @@
         ]
         if client_request.idempotency_key:
             fields.append(f"op={client_request.idempotency_key}")
-        if settings.grants and client_request.memory_mb >= 1:
+        if settings.accepts_memory_grants and client_request.memory_mb >= 1:
             fields.append(f"reserve={int(client_request.memory_mb)}")
-        if settings.priorities:
+        if settings.accepts_priorities:
             fields.append(f"level={client_request.priority}")
         fetch_command = command(
             "fetch", client_request.name, ",".join(fields), client_request.statement
@@ -106,8 +106,8 @@
         if not self.link.send_now(fetch_command):
             return False
         in_flight_attempt.link = self
-        in_flight_attempt.command_begin = self.link.put - len(fetch_command)
-        in_flight_attempt.command_end = self.link.put
+        in_flight_attempt.command_begin = self.link.bytes_queued - len(fetch_command)
+        in_flight_attempt.command_end = self.link.bytes_queued
         self.open[client_request.name] = in_flight_attempt
         socket_host.counters["handed off"] += 1
         in_flight_attempt.last_report_at = socket_host.now
@@ -128,7 +128,7 @@
     def send_command(self, *parts: str) -> None:
         """Send a command; close the connection if the send buffer has no room for it."""
         if not self.link.send(command(*parts)):
-            self.link.end("send buffer has no room for a command")
+            self.link.close("send buffer has no room for a command")
 
     def on_answer(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
         """Handle an answer of the engine; return why it is invalid, or an empty string."""
@@ -176,9 +176,9 @@
             if len(self.finished_names) > MAX_FINISHED_NAME_COUNT:
                 del self.finished_names[next(iter(self.finished_names))]
         if self.is_retired and not self.open:
-            self.link.end("no longer needed")
+            self.link.close("no longer needed")
 
-    def drained(self) -> None:
+    def on_output_drained(self) -> None:
         """Send waiting attempts now that the send buffer is empty."""
         self.engine_pool.fill()
 
@@ -190,19 +190,19 @@
         closed instead: otherwise all gateways of a large fleet would in time be connected to all
         engines. Called again by timer.
         """
-        if self.link.why:
+        if self.link.close_reason:
             return
         # The connections of a machine that crashed or lost its network stay open without input.
         # Without this check all attempts in flight there would wait for their deadlines.
         now = self.socket_host.now
-        quiet_ticks = now - self.link.heard
+        quiet_ticks = now - self.link.last_read_at
         if now >= self.keepalive_sent_at + KEEPALIVE_TIMEOUT_TICKS:
-            self.link.end("keepalive not answered")
+            self.link.close("keepalive not answered")
             return
         awaits_keepalive = self.keepalive_sent_at != NEVER
         is_needed = self.open or self.engine_pool.engine.in_subset
         if quiet_ticks > self.max_idle_ticks and not is_needed and not awaits_keepalive:
-            self.link.end("idle, and the engine is outside the subset")
+            self.link.close("idle, and the engine is outside the subset")
             return
         quiet_limit = (
             min(KEEPALIVE_AFTER_TICKS, self.max_idle_ticks) if self.open else self.max_idle_ticks
@@ -218,16 +218,16 @@
     @property
     def max_idle_ticks(self) -> int:
         """Ticks without input after which a keepalive is sent; a third of the engines' limit."""
-        idle_ticks: int = self.socket_host.settings.idle_time // 3
+        idle_ticks: int = self.socket_host.settings.idle_timeout_ticks // 3
         return idle_ticks
 
-    def ended(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         """Fail all attempts that were open on the connection, which has closed."""
         engine_pool = self.engine_pool
         engine_pool.links.remove(self)
         self.socket_host.links.pop(self, None)
         self.socket_host.ledger.record_connection_closed(
-            Side.ENGINE, self.link.got, self.link.sent, self.pages
+            Side.ENGINE, self.link.bytes_received, self.link.bytes_sent, self.pages
         )
         if self.socket_host.flows is not None:
             self.socket_host.flows.over(self.link)
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -66,7 +66,7 @@
         self.socket_host.pools_with_waiting[self] = None
         if not self.is_fill_due:
             self.is_fill_due = True
-            self.socket_host.event_loop.unsent.append(self.fill)
+            self.socket_host.event_loop.end_of_turn_callbacks.append(self.fill)
 
     def fill(self) -> None:
         """Write waiting attempts to connections with room, and dial where there is none.
@@ -118,7 +118,7 @@
             key=lambda each: len(each.open),
         )
         for link in usable_links:
-            if not self.socket_host.event_loop.look(link.link.fd)[0] & (GONE | BROKEN):
+            if not self.socket_host.event_loop.poll_now(link.link.fd)[0] & (GONE | BROKEN):
                 return link
         return None
 
@@ -171,7 +171,9 @@
     def dial(self, address: tuple[str, int]) -> None:
         """Connect to the engine and add the connection to the pool; runs as a task."""
         address_generation = self.address_generation
-        sock, why = dial(self.socket_host.event_loop, address, self.socket_host.settings.dial_time)
+        sock, why = dial(
+            self.socket_host.event_loop, address, self.socket_host.settings.dial_timeout_ticks
+        )
         self.dialling = False
         self.socket_host.dials_in_progress -= 1
         self.socket_host.counters["dialled"] += 1
@@ -214,7 +216,7 @@
         for link in self.links:
             link.is_retired = True
             if not link.open:
-                link.link.end("no longer needed")
+                link.link.close("no longer needed")
 
     def withdraw(self) -> None:
         """Send nothing more to an engine that drains or is gone.
--- a/corkgauge/net/engine_protocol.py
+++ b/corkgauge/net/engine_protocol.py
@@ -35,19 +35,20 @@
 class EngineProtocol:
     """Parses answers and passes each of them to its owner.
 
-    A malformed answer ends the connection and fails all attempts open on it. `whole` counts the
+    A malformed answer ends the connection and fails all attempts open on it.
+    `complete_frame_count` counts the
     complete answers.
     """
 
     def __init__(self, owner: AnswerOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
-        self.whole = 0
+        self.complete_frame_count = 0
         # Stalled clients may use up the memory by which ring buffers grow. Answers have to be read
         # all the same, so this ring buffer is allocated at its full size.
         self.inward = RingBuffer(MAX_ANSWER_BYTES, memory_budget, MAX_ANSWER_BYTES)
         self.outward = RingBuffer(MAX_COMMAND_BYTES, memory_budget)
 
-    def advance(self) -> str:
+    def parse_input(self) -> str:
         """Handle all complete answers; return what is wrong with the input, or an empty string."""
         ring = self.inward
         data = ring.peek(len(ring))
@@ -57,9 +58,9 @@
             if wrong:
                 return wrong
             if not end:
-                return "" if ring.free else "answer exceeds the input buffer of 16,384 bytes"
+                return "" if ring.free_bytes else "answer exceeds the input buffer of 16,384 bytes"
             ring.drop(end - position)
-            self.whole += 1
+            self.complete_frame_count += 1
             position = end
             if wrong := self._on_answer(parts):
                 return wrong
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -112,14 +112,14 @@
                 "set a different myNumber for each gateway"
             )
         self.gateway = self.settings.gateway
-        self.max_request_memory_mb = max(self.settings.sizes, default=1e6)
-        self.report_timeout_ticks = MAX_MISSED_REPORT_COUNT * self.settings.tells
+        self.max_request_memory_mb = max(self.settings.memory_mb_by_kind, default=1e6)
+        self.report_timeout_ticks = MAX_MISSED_REPORT_COUNT * self.settings.progress_interval_ticks
         self.request_classes = {each.name: each for each in self.settings.request_classes}
         self.discrepancies = Discrepancies(lambda: event_loop.now, log)
         self.ledger = RequestLedger(
             self.request_classes,
             lambda: event_loop.now,
-            self.settings.budget,
+            self.settings.retry_budget,
             self.on_ledger_mistake,
         )
         self.rows = {
@@ -182,18 +182,22 @@
         """
         if len(self.links) + self.dials_in_progress < self.max_engine_links:
             return True
-        idle = [link for link in self.links if not (link.open or link.link.why)] if needed else []
+        idle = (
+            [link for link in self.links if not (link.open or link.link.close_reason)]
+            if needed
+            else []
+        )
         if idle:
             self.counters["links gave way"] += 1
             longest_idle = min(
                 idle,
                 key=lambda each: (
                     each.engine_pool.engine.in_subset,
-                    each.link.wrote,
+                    each.link.last_written_at,
                     each.engine_pool.number,
                 ),
             )
-            longest_idle.link.end("idle, closed to free a descriptor for another engine")
+            longest_idle.link.close("idle, closed to free a descriptor for another engine")
         return False
 
     def make_room(self) -> bool:
@@ -238,15 +242,15 @@
             )
         self.event_loop.call_later(timeout, self.on_attempt_timeout, in_flight_attempt)
         engine_pool.enqueue(in_flight_attempt)
-        if self.settings.dial_time < timeout:
+        if self.settings.dial_timeout_ticks < timeout:
             self.event_loop.call_later(
-                self.settings.dial_time, self.on_connection_wait_timeout, in_flight_attempt
+                self.settings.dial_timeout_ticks, self.on_connection_wait_timeout, in_flight_attempt
             )
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
         """Set memory and priority; a new priority is sent to engines that run an attempt."""
         client_request = request.host_reference
-        if priority != client_request.priority and self.settings.priorities:
+        if priority != client_request.priority and self.settings.accepts_priorities:
             for attempt in request.attempts:
                 in_flight_attempt = self.in_flight_attempts.get(attempt)
                 if (
@@ -294,7 +298,7 @@
         disconnected or cancelled, the engine may have begun to drain or restarted, and the time
         limit of the attempt or of retries may have passed.
         """
-        self.event_loop.tick()
+        self.event_loop.update_now()
         if not in_flight_attempt.attempt.request.is_finished:
             in_flight_attempt.client_request.client_connection.is_client_connected()
         if (
@@ -316,7 +320,7 @@
         client_request = request.host_reference
         if client_request.client_connection.open.pop(client_request.stream, None) is None:
             return
-        self.statement_memory.give(client_request.budgeted_bytes)
+        self.statement_memory.release(client_request.budgeted_bytes)
         self.open_requests.pop(client_request.name, None)
         self.finished_requests.append(request)
         if reason < 0:
@@ -356,7 +360,7 @@
         """End a request whose client has cancelled or disconnected."""
         if request is not None:
             self.ledger.record_closed(request.host_reference, reason)
-            self.statement_memory.give(request.host_reference.budgeted_bytes)
+            self.statement_memory.release(request.host_reference.budgeted_bytes)
             self.open_requests.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.unsubmitted:
                 request.is_finished = True  # it is never passed to the gateway
@@ -457,10 +461,10 @@
         """Report an attempt's outcome to all subsystems, and to the gateway last."""
         attempt = in_flight_attempt.attempt
         if in_flight_attempt.reserved_page_bytes:
-            self.result_memory.give(in_flight_attempt.reserved_page_bytes)
+            self.result_memory.release(in_flight_attempt.reserved_page_bytes)
             in_flight_attempt.reserved_page_bytes = 0
         in_flight_attempt.pages = []
-        reports_resources = self.settings.bills and outcome == AttemptOutcome.SUCCEEDED
+        reports_resources = self.settings.reports_usage and outcome == AttemptOutcome.SUCCEEDED
         self.cancelled_attempts.pop(attempt, None)
         if self.latency_sketches is not None and outcome == AttemptOutcome.SUCCEEDED:
             self.latency_sketches.record_succeeded(
--- a/corkgauge/net/in_flight.py
+++ b/corkgauge/net/in_flight.py
@@ -97,6 +97,8 @@
         """Return how far the attempt has progressed."""
         if self.is_answered:
             return Stage.ANSWERED
-        if self.link is None or self.link.link.sent <= self.command_begin:
+        if self.link is None or self.link.link.bytes_sent <= self.command_begin:
             return Stage.NOT_BEGUN
-        return Stage.WRITTEN if self.link.link.sent >= self.command_end else Stage.PARTLY_WRITTEN
+        return (
+            Stage.WRITTEN if self.link.link.bytes_sent >= self.command_end else Stage.PARTLY_WRITTEN
+        )
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -10,7 +10,7 @@
 
 from corkgauge.accounting.counter_names import Side
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.eventloop.connection import CROSSING, NEVER
+from corkgauge.eventloop.connection import IN_TRANSIT_TICKS, NEVER
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net import client_protocol as client_wire
 from corkgauge.net.client_connection import (
@@ -82,18 +82,18 @@
                 if client_connection.is_idle()
             ),
             key=lambda each: (
-                not each.link.parting,
+                not each.link.is_lingering,
                 len(each.link.machine.inward) > 0,
-                each.link.machine.whole > 0,
-                each.link.heard,
+                each.link.machine.complete_frame_count > 0,
+                each.link.last_read_at,
             ),
         )
         for client_connection in quiet[:MAX_CLOSED_AT_ONCE_COUNT]:
-            if client_connection.link.parting:
-                # A shorter farewell ends soon without this.
-                if client_connection.link.farewell > CROSSING:
-                    client_connection.link.cut()
-            elif client_connection.link.give_way("room for others"):
+            if client_connection.link.is_lingering:
+                # A connection that lingers for a shorter time ends soon without this.
+                if client_connection.link.linger_ticks > IN_TRANSIT_TICKS:
+                    client_connection.link.stop_lingering()
+            elif client_connection.link.close_if_input_read("room for others"):
                 self.counters["gave way"] += 1
         return bool(quiet)
 
@@ -139,7 +139,10 @@
         """
         is_overdue, pause = self.now >= self.shutdown_deadline + SHUTDOWN_GRACE_TICKS // 4, 100
         if self.farewell_started_at != NEVER:
-            if not self.client_connections or self.now >= self.farewell_started_at + CROSSING:
+            if (
+                not self.client_connections
+                or self.now >= self.farewell_started_at + IN_TRANSIT_TICKS
+            ):
                 self.event_loop.stopped = True
                 return
             pause = 20
@@ -152,7 +155,11 @@
                 # bytes that were already under way are read and dropped for a moment.
                 self.farewell_started_at = self.now
                 for each in [*self.client_connections]:
-                    if not (each.link.give_way("the program ends") or is_overdue or each.link.why):
+                    if not (
+                        each.link.close_if_input_read("the program ends")
+                        or is_overdue
+                        or each.link.close_reason
+                    ):
                         self.farewell_started_at = NEVER  # new input has arrived
         self.event_loop.call_later(pause, self.continue_shutdown)
 
@@ -161,7 +168,7 @@
         link = client_connection.link
         return (
             link.fd >= 0
-            and not link.parting
+            and not link.is_lingering
             and bool(
                 client_connection.open
                 or client_connection.waiting_answers
@@ -208,8 +215,8 @@
     ) -> bool:
         return (
             len(client_connection.open) < MAX_OPEN_REQUEST_COUNT
-            and len(self.open_requests) < self.settings.open_cap
-            and self.statement_memory.take(client_request.budgeted_bytes)
+            and len(self.open_requests) < self.settings.max_open_requests
+            and self.statement_memory.reserve(client_request.budgeted_bytes)
         )
 
     def _reject_for_lack_of_room(
@@ -254,7 +261,7 @@
             self.unsubmitted_by_order_key.setdefault(request.order_key, deque()).append(request)
         client_connection.unsubmitted.append(request)
         if len(client_connection.unsubmitted) == 1:
-            self.event_loop.unsent.append(client_connection.submit_requests)
+            self.event_loop.end_of_turn_callbacks.append(client_connection.submit_requests)
 
     def submit_earlier_requests(self, request: Request) -> None:
         """Pass on earlier requests of the same order key, which other connections hold back.
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -81,7 +81,7 @@
             in_flight = self.awaiting_memory[0]
             if in_flight.attempt in self.host.in_flight_attempts:
                 size = MAX_PAGE_BYTES * len(in_flight.pages)
-                if not self.host.result_memory.take(size):
+                if not self.host.result_memory.reserve(size):
                     return
                 in_flight.reserved_page_bytes = size
                 for number in range(1, len(in_flight.pages)):
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -12,7 +12,7 @@
 
 from corkgauge.config.operator_file import PeerHealthConfig
 from corkgauge.config.platform import PlatformConfig
-from corkgauge.eventloop.clock import boot_time
+from corkgauge.eventloop.clock import ticks_since_boot
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.peer_health.aggregation import (
     NO_ASSESSMENT,
@@ -92,7 +92,7 @@
         self.member_list.call_handlers[STATUS_SUBJECT] = self.on_status_update
         self.member_list.call_handlers[RECONCILIATION_SUBJECT] = self.on_reconciliation
         socket_host.routes[b"GET", b"/shared"] = self.report_status
-        self.event_loop.call_later(options.each, self.run_period)
+        self.event_loop.call_later(options.report_interval_ticks, self.run_period)
         self.permits.start()
 
     def reload(self, options: PeerHealthConfig) -> None:
@@ -108,17 +108,17 @@
         """Record local observations, send reports to a few members, and update the assessments."""
         options = self.options
         now = self.event_loop.now
-        self.event_loop.call_later(options.each, self.run_period)
+        self.event_loop.call_later(options.report_interval_ticks, self.run_period)
         self.period_count += 1
         self._record_own_observations(now)
         self._update_retry_throttle(now)
-        self.permits.measure_demand(options.each)
+        self.permits.measure_demand(options.report_interval_ticks)
         members = self.member_list.alive()
         self._retain_members(now)
         # A burst of faults produces more reports than the links can carry, so the bytes sent per
         # second are limited.
-        refill = options.octets * options.each // SECOND
-        self.byte_budget = min(self.byte_budget + refill, 2 * options.octets)
+        refill = options.max_bytes_per_second * options.report_interval_ticks // SECOND
+        self.byte_budget = min(self.byte_budget + refill, 2 * options.max_bytes_per_second)
         for member in self._sample_members(members, GOSSIP_FANOUT):
             if self.byte_budget > 0:
                 self._send_status_update(member.name, now, len(members))
@@ -190,7 +190,7 @@
     def _send_status_update(self, member: str, now: int, member_count: int) -> None:
         gateway = self.socket_host.gateway
         self.status_serial += 1
-        self.permits.transfers.record_update_sent(boot_time(), self.status_serial)
+        self.permits.transfers.record_update_sent(ticks_since_boot(), self.status_serial)
         update = StatusUpdate(
             self.status_serial,
             len(gateway.retry_budget.success_times),
@@ -222,7 +222,7 @@
         self.retry_throttle.record_usage(sender, now, int(update.succeeded), int(update.retries))
         self.permits.transfers.record_demand(
             sender,
-            boot_time(),
+            ticks_since_boot(),
             self.member_list.codec.peers[sender].incarnation,
             int(update.serial),
             update.unplaced_tenths / UNPLACED_SCALE,
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -105,7 +105,7 @@
 class SimulatedFleet:
     def __init__(self, monkeypatch, disk_write_ticks=0):
         self.now, self.serial, self.events, self.chance = SECOND, 0, [], SeededRandom(7)
-        monkeypatch.setattr(service, "boot_time", lambda: self.now)
+        monkeypatch.setattr(service, "ticks_since_boot", lambda: self.now)
         self.instances = {}
         for name in NAMES:
             self.instances[name] = Instance(self, name, f"hall-{name}", disk_write_ticks)
