--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -20,7 +20,7 @@
     RequestClassDemand,
     WaitingUnit,
 )
-from corkgauge.maintenance.schedule import MAX_UNITS_CHECKED, select_grants
+from corkgauge.maintenance.schedule import MAX_CHECKED_UNIT_COUNT, select_grants
 from corkgauge.peer_health.health_report import Fault
 from corkgauge.peer_health.reports import HealthReports
 
@@ -60,7 +60,7 @@
         for n in range(4)
     ]
     return CapacitySnapshot(
-        DisruptionLimits(max_engines=max(engines // 10, 1), usable_share=0.9),
+        DisruptionLimits(max_engines=max(engines // 10, 1), usable_fraction=0.9),
         facts,
         request_classes,
     )
@@ -70,8 +70,8 @@
     """One turn of the planner's choice, with as many units waiting as it looks at."""
     ground = ground_of(engines)
     waiting = [
-        WaitingUnit(f"e{n:05}", (f"e{n:05}",), 600_000, place=n)
-        for n in range(min(engines // 2, 2 * MAX_UNITS_CHECKED))
+        WaitingUnit(f"e{n:05}", (f"e{n:05}",), 600_000, queue_position=n)
+        for n in range(min(engines // 2, 2 * MAX_CHECKED_UNIT_COUNT))
     ]
     assert select_grants(
         ground, waiting
@@ -125,7 +125,7 @@
 
 
 def order_rows() -> list[dict[str, Any]]:
-    what = f"one choice of the planner, {2 * MAX_UNITS_CHECKED} units waiting"
+    what = f"one choice of the planner, {2 * MAX_CHECKED_UNIT_COUNT} units waiting"
     return [
         slope(
             "fleet.order.engines",
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -495,7 +495,7 @@
         while started:
             started = False
             for unit in waiting:
-                if not ground_of({tag for _, tags in out for tag in tags}).find_objection(
+                if not ground_of({tag for _, tags in out for tag in tags}).find_wait_reason(
                     unit, with_load=False
                 ):
                     out.append((now + lasting[unit.name], unit.members))
@@ -523,11 +523,11 @@
                 (f"e{n}",),
                 10 + chance.below(50),
                 due_ticks=(60 + chance.below(120)) if chance.within(0.4) else 2**62,
-                place=n,
+                queue_position=n,
             )
             for n in range(6)
         ]
-        lasting = {unit.name: unit.lasting_ticks for unit in units}
+        lasting = {unit.name: unit.duration_ticks for unit in units}
 
         def ground_of(away):
             return CapacitySnapshot(DisruptionLimits(2, 0.5, 1.0, 1.0), engines, (), away)
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -42,9 +42,9 @@
 
 def works_wrong(said: dict) -> list[str]:
     """What is wrong with a history of works: a step twice, or one left out."""
-    from corkgauge.maintenance.plan_history import wrong_history
+    from corkgauge.maintenance.plan_history import find_history_errors
 
-    return wrong_history(said["history"])
+    return find_history_errors(said["history"])
 
 
 @click.command("audit")
--- a/corkgauge/maintenance/capacity.py
+++ b/corkgauge/maintenance/capacity.py
@@ -20,7 +20,7 @@
 )
 MAX_SET_SIZE = 3  # of more groups, sets up to this size, and all together
 NEVER_TICKS = 2**62  # a due time that does not come
-ROUNDING_CORES = 1e-9  # by which a sum of cores may be off
+ROUNDING_TOLERANCE_CORES = 1e-9  # by which a sum of cores may be off
 
 
 class EngineCondition(IntEnum):
@@ -76,17 +76,17 @@
 class WaitingUnit:
     """A unit that waits to go out.
 
-    `due_ticks` is maintenance time, `lasting_ticks` the span of its work (both tenths of a
+    `due_ticks` is maintenance time, `duration_ticks` the span of its work (both tenths of a
     millisecond); `passed` is how many units asked later went before it, `place` its turn among all
     that were asked.
     """
 
     name: str
     members: tuple[str, ...]
-    lasting_ticks: int
+    duration_ticks: int
     due_ticks: int = NEVER_TICKS
-    passed: int = 0
-    place: int = 0
+    times_overtaken: int = 0
+    queue_position: int = 0
     is_gateway: bool = False
 
 
@@ -100,27 +100,27 @@
     """
 
     max_engines: int = 4
-    max_cores_share: float = 0.25
-    max_zone_share: float = 0.5
-    max_kind_share: float = 0.5
-    usable_share: float = 0.7
+    max_cores_fraction: float = 0.25
+    max_zone_fraction: float = 0.5
+    max_kind_fraction: float = 0.5
+    usable_fraction: float = 0.7
     min_engines_per_class: int = 1
     max_gateways_per_zone: int = 1
 
 
 class _CoresLimit(NamedTuple):
-    """A limit on the cores out of each set of engines that `set_of` names alike."""
+    """A limit on the cores out of each set of engines that `engine_set_of` names alike."""
 
     label: str
     max_share: float
-    set_of: Callable[[EngineFact], str]
+    engine_set_of: Callable[[EngineFact], str]
 
 
 @dataclass(slots=True)
 class _CoresOut:
     """Cores of one set of engines: all of them, those out, and how many engines those are."""
 
-    whole: float = 0.0
+    total: float = 0.0
     out: float = 0.0
     engines_out: int = 0
 
@@ -151,13 +151,13 @@
             if engine.condition != EngineCondition.HEALTHY
         }
 
-    def find_objection(self, unit: WaitingUnit, with_load: bool = True) -> str:
+    def find_wait_reason(self, unit: WaitingUnit, with_load: bool = True) -> str:
         """Why the unit may not go out now; empty: it may.
 
         Without the load only what no lull would change is looked at.
         """
         if unit.is_gateway:
-            return self._gateway_objection(unit)
+            return self._gateway_wait_reason(unit)
         for tag in unit.members:
             if tag not in self.engines:
                 return f"{tag} is not in the list"
@@ -167,15 +167,17 @@
         # would stay dead.
         if after == before and self._are_all_dead(unit.members):
             return ""
-        objection = self._limit_objection(after) or self._remainder_objection(after, before)
-        if objection or not with_load:
-            return objection
-        return self._load_objection(after)
+        wait_reason = self._limit_wait_reason(after) or self._remaining_engines_wait_reason(
+            after, before
+        )
+        if wait_reason or not with_load:
+            return wait_reason
+        return self._load_wait_reason(after)
 
     def _are_all_dead(self, tags: Iterable[str]) -> bool:
         return all(self.engines[tag].condition == EngineCondition.DEAD for tag in tags)
 
-    def _gateway_objection(self, unit: WaitingUnit) -> str:
+    def _gateway_wait_reason(self, unit: WaitingUnit) -> str:
         name = unit.members[0]
         if name not in self.gateways:
             return f"no gateway {name}"
@@ -190,40 +192,40 @@
             return f"{voters_left} of {len(self.voters)} voters would be left"
         return ""
 
-    def _limit_objection(self, out: set[str]) -> str:
+    def _limit_wait_reason(self, out: set[str]) -> str:
         limits = self.limits
         if len(out) > limits.max_engines:
             return f"{len(out)} would be out, {limits.max_engines} at once"
         for limit in (
-            _CoresLimit("", limits.max_cores_share, lambda engine: ""),
-            _CoresLimit("hall ", limits.max_zone_share, lambda engine: engine.zone),
-            _CoresLimit("kind ", limits.max_kind_share, lambda engine: engine.kind),
+            _CoresLimit("", limits.max_cores_fraction, lambda engine: ""),
+            _CoresLimit("hall ", limits.max_zone_fraction, lambda engine: engine.zone),
+            _CoresLimit("kind ", limits.max_kind_fraction, lambda engine: engine.kind),
         ):
-            objection = self._cores_objection(limit, out)
-            if objection:
-                return objection
+            wait_reason = self._cores_wait_reason(limit, out)
+            if wait_reason:
+                return wait_reason
         return ""
 
-    def _cores_objection(self, limit: _CoresLimit, out: set[str]) -> str:
+    def _cores_wait_reason(self, limit: _CoresLimit, out: set[str]) -> str:
         by_set: dict[str, _CoresOut] = defaultdict(_CoresOut)
         for tag, engine in self.engines.items():
-            cores = by_set[limit.set_of(engine)]
-            cores.whole += engine.cores
+            cores = by_set[limit.engine_set_of(engine)]
+            cores.total += engine.cores
             if tag in out:
                 cores.out += engine.cores
                 cores.engines_out += 1
         for name, cores in sorted(by_set.items(), key=lambda item: item[0]):
             # A share of less than one engine allows one: else no engine of a small set could ever
             # be worked on.
-            allowed = limit.max_share * cores.whole + ROUNDING_CORES
+            allowed = limit.max_share * cores.total + ROUNDING_TOLERANCE_CORES
             if cores.out > allowed and cores.engines_out > 1:
                 return (
-                    f"{limit.label}{name or 'all'}: {cores.out:g} of {cores.whole:g} cores "
+                    f"{limit.label}{name or 'all'}: {cores.out:g} of {cores.total:g} cores "
                     f"would be out, {limit.max_share:g} of them at most"
                 )
         return ""
 
-    def _remainder_objection(self, out: set[str], before: set[str]) -> str:
+    def _remaining_engines_wait_reason(self, out: set[str], before: set[str]) -> str:
         left = [engine for tag, engine in self.engines.items() if tag not in out]
         required = self.limits.min_engines_per_class
         for request_class in self.request_classes:
@@ -233,9 +235,9 @@
                     f"offering {request_class.name}: {able} engines left for it, "
                     f"{required} at least"
                 )
-        return self._group_objection(out, before)
+        return self._group_wait_reason(out, before)
 
-    def _group_objection(self, out: set[str], before: set[str]) -> str:
+    def _group_wait_reason(self, out: set[str], before: set[str]) -> str:
         groups: dict[str, list[str]] = {}
         for tag, engine in self.engines.items():
             if engine.group is not None:
@@ -249,7 +251,7 @@
                 return f"group {name}: none would be left where its marks are known"
         return ""
 
-    def _load_objection(self, out: set[str]) -> str:
+    def _load_wait_reason(self, out: set[str]) -> str:
         unknown = self.gateways_of_unknown_load
         if unknown:
             return f"load of {' '.join(sorted(unknown)[:3])} not known"
@@ -259,7 +261,7 @@
         """Which demand does not fit on the engines left when these are out; empty: all does."""
         cores_left = self._cores_left(out)
         groups = self._class_groups()
-        usable_share = self.limits.usable_share
+        usable_fraction = self.limits.usable_fraction
         for indexes in _index_sets(len(groups)):
             chosen = [groups[n] for n in indexes]
             needed = sum(each.cores for group in chosen for each in group)
@@ -268,11 +270,11 @@
                 for (zone, kind), cores in cores_left.items()
                 if any(group[0].can_use(zone, kind) for group in chosen)
             )
-            if needed > usable_share * able + ROUNDING_CORES:
+            if needed > usable_fraction * able + ROUNDING_TOLERANCE_CORES:
                 names = sorted(each.name for group in chosen for each in group)
                 return (
                     f"{' '.join(names[:3])}: {needed:.1f} cores needed, "
-                    f"{usable_share:g} of {able:g} left"
+                    f"{usable_fraction:g} of {able:g} left"
                 )
         return ""
 
@@ -296,7 +298,7 @@
 
 
 def _index_sets(count: int) -> Iterable[tuple[int, ...]]:
-    """Yield the sets of `count` groups that are checked: all, or the small ones and the whole.
+    """Yield the sets of `count` groups that are checked: all, or the small ones and the total.
 
     >>> [*_index_sets(2)]
     [(0,), (1,), (0, 1)]
--- a/corkgauge/maintenance/commands.py
+++ b/corkgauge/maintenance/commands.py
@@ -164,14 +164,16 @@
             kind = type(problem).__name__
             self._answer(sender, key, "", f"makes no sense ({kind} {problem})")
             return
-        if self.proposer.settled >= self.proposer.proposed:
+        if self.proposer.agreed_count >= self.proposer.proposed_count:
             self._answer(sender, key, answer, "")
             return
-        self.unconfirmed.append(UnconfirmedCommand(self.proposer.proposed, sender, key, answer))
+        self.unconfirmed.append(
+            UnconfirmedCommand(self.proposer.proposed_count, sender, key, answer)
+        )
 
     def on_changes_agreed(self) -> None:
         """Answer every command whose changes are agreed now."""
-        settled = self.proposer.settled
+        settled = self.proposer.agreed_count
         confirmed = [each for each in self.unconfirmed if each.change_number <= settled]
         self.unconfirmed = [each for each in self.unconfirmed if each.change_number > settled]
         for each in confirmed:
--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -17,8 +17,10 @@
 from corkgauge.maintenance.plan_records import TAKEN_STATES, Unit, UnitKind, UnitState
 from corkgauge.maintenance.schedule import GrantDecision, select_grants
 
-EJECTION_REPORTERS = 2  # gateways that outweigh our own view of an engine
-REPORT_AGE_TICKS = 50_000  # tenths of a millisecond, from which a report of an ejection is too old
+MIN_EJECTION_REPORTER_COUNT = 2  # gateways that outweigh our own view of an engine
+MAX_EJECTION_REPORT_AGE_TICKS = (
+    50_000  # tenths of a millisecond, from which a report of an ejection is too old
+)
 
 
 class GrantPlanner:
@@ -30,24 +32,24 @@
         self.fleet = leadership.fleet
         self.limits = limits
 
-    def grantable(self, plan: Plan) -> list[str]:
+    def find_grantable_units(self, plan: Plan) -> list[str]:
         """Name the units to be granted now.
 
-        Why the others wait goes to the leadership's objections.
+        Why the others wait goes to the leadership's wait_reasons.
         """
         waiting = [
-            self._waiting_unit(unit, plan, place)
-            for place, unit in enumerate(plan.units_in(UnitState.ASKED))
+            self._waiting_unit(unit, plan, queue_position)
+            for queue_position, unit in enumerate(plan.units_in(UnitState.ASKED))
         ]
         if not waiting:
             return []
         snapshot = self.snapshot(plan)
         if self._must_wait_for_returns(snapshot, plan):
             why = "load has grown, what is out comes back first"
-            decision = GrantDecision(objections={unit.name: why for unit in waiting})
+            decision = GrantDecision(wait_reasons={unit.name: why for unit in waiting})
         else:
             decision = select_grants(snapshot, waiting, self.host.name)
-        self.leadership.objections.update(decision.objections)
+        self.leadership.wait_reasons.update(decision.wait_reasons)
         return decision.granted
 
     def _must_wait_for_returns(self, snapshot: CapacitySnapshot, plan: Plan) -> bool:
@@ -87,24 +89,25 @@
             return fact
         now_ticks = self.host.now
         reporters = sum(
-            fact.tag in report.ejected and now_ticks < report.at_ticks + REPORT_AGE_TICKS
+            fact.tag in report.ejected
+            and now_ticks < report.at_ticks + MAX_EJECTION_REPORT_AGE_TICKS
             for report in self.leadership.reports.values()
         )
-        if reporters < EJECTION_REPORTERS:
+        if reporters < MIN_EJECTION_REPORTER_COUNT:
             return fact
         return replace(fact, condition=EngineCondition.IMPAIRED)
 
-    def _waiting_unit(self, unit: Unit, plan: Plan, place: int) -> WaitingUnit:
+    def _waiting_unit(self, unit: Unit, plan: Plan, queue_position: int) -> WaitingUnit:
         request = plan.requests.get(unit.request_id)
-        lasting_ticks = 1 if request is None else request.lasting_ticks
+        duration_ticks = 1 if request is None else request.duration_ticks
         due_ticks = NEVER_TICKS if request is None else request.due_ticks
         return WaitingUnit(
             unit.name,
             tuple(unit.members),
-            lasting_ticks=lasting_ticks,
+            duration_ticks=duration_ticks,
             due_ticks=due_ticks,
-            passed=_times_passed(unit, plan),
-            place=place,
+            times_overtaken=_times_passed(unit, plan),
+            queue_position=queue_position,
             is_gateway=unit.kind == UnitKind.GATEWAY,
         )
 
--- a/corkgauge/maintenance/leadership.py
+++ b/corkgauge/maintenance/leadership.py
@@ -66,17 +66,17 @@
 
 
 class Leadership:
-    """Reports, demand, objections and stamps of one span of leading."""
+    """Reports, demand, wait_reasons and stamps of one span of leading."""
 
     def __init__(self, host: Host, fleet: Fleet, proposer: PlanProposer) -> None:
         self.host = host
         self.fleet = fleet
         self.proposer = proposer
         self.counts = Counter[str]()  # for operators; not begun anew
-        self.is_forgotten = False  # no majority of replicas remembers the plan
+        self.is_plan_lost = False  # no majority of replicas remembers the plan
         self.demand = Demand()
         self.reports: dict[str, GatewayReport] = {}
-        self.objections: dict[str, str] = {}  # by unit: why it does not go on
+        self.wait_reasons: dict[str, str] = {}  # by unit: why it does not go on
         self.stamps: dict[str, dict[int, Stamp]] = {}  # by unit and state: when it was agreed, here
         self.since_ticks = 0
         self.clock_base_ticks = 0  # the host's clock, at maintenance time `time_base_ticks`
@@ -84,16 +84,16 @@
 
     def begin(self) -> None:
         """Forget what was known: the lease has just been gained."""
-        self.is_forgotten = False
+        self.is_plan_lost = False
         self.demand = Demand()
         self.reports = {}
-        self.objections = {}
+        self.wait_reasons = {}
         self.stamps = {}
         self.since_ticks = self.host.now
         self.clock_base_ticks = self.since_ticks
         self.time_base_ticks = 0
 
-    def on_plan_led(self) -> None:
+    def on_plan_taken_over(self) -> None:
         """Go on from the plan taken over: a majority has our first step.
 
         Maintenance time continues from that of the plan.
@@ -101,7 +101,7 @@
         plan = self.proposer.plan
         self.clock_base_ticks = self.host.now
         self.time_base_ticks = plan.time_ticks
-        self.is_forgotten = False
+        self.is_plan_lost = False
         # All gateways confirm anew: what they told the earlier leader is not known here.
         for unit in plan.units.values():
             self.stamps[unit.name] = {unit.state: self.proposer.stamp}
@@ -109,7 +109,7 @@
     def forget_unit(self, name: str) -> None:
         """Forget a unit that is back."""
         self.stamps.pop(name, None)
-        self.objections.pop(name, None)
+        self.wait_reasons.pop(name, None)
 
     def maintenance_time(self) -> int:
         """Return the tenths of a millisecond in which somebody has led.
@@ -121,7 +121,7 @@
 
     def has_plan(self) -> bool:
         """Whether the plan is taken over."""
-        return self.proposer.state == ProposerState.LEADING and self.proposer.led
+        return self.proposer.state == ProposerState.LEADING and self.proposer.is_taken_over
 
     def may_act(self) -> bool:
         """Whether the lease is held at this very moment."""
--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -60,21 +60,21 @@
         owner: str,
         reason: str,
         within_ticks: int,
-        lasting_ticks: int,
+        duration_ticks: int,
     ) -> str:
         """Request maintenance of what is named.
 
-        Each unit takes `lasting_ticks`; all should be over within `within_ticks`.
+        Each unit takes `duration_ticks`; all should be over within `within_ticks`.
 
         `within_ticks` 0 means any time. The same id again changes nothing.
         """
         plan = self._plan()
         if id_ in plan.requests or any(entry.request_id == id_ for entry in plan.history):
             return "known"
-        if not owner or lasting_ticks <= 0 or not names or len(id_) > MAX_ID_CHARACTERS:
+        if not owner or duration_ticks <= 0 or not names or len(id_) > MAX_ID_CHARACTERS:
             raise ValueError("expected an owner, names, and how long the work lasts")
         units = self._new_units(kind, names, plan)
-        self._refuse_impossible(units, lasting_ticks)
+        self._refuse_impossible(units, duration_ticks)
         if sum(len(name.encode()) + 2 for name in names) > MAX_NAMES_BYTES:
             raise ValueError("too many names at once, ask in two")
         now_ticks = self.leadership.maintenance_time()
@@ -86,7 +86,7 @@
             owner=owner[:MAX_TEXT_CHARACTERS],
             reason=reason[:MAX_TEXT_CHARACTERS],
             due_ticks=due_ticks,
-            lasting_ticks=lasting_ticks,
+            duration_ticks=duration_ticks,
             count=len(units),
             cancelled="",
             at_ticks=now_ticks,
@@ -115,7 +115,7 @@
             raise ValueError(f"{MAX_UNITS} units at most")
         return units
 
-    def _refuse_impossible(self, units: Iterable[PlannedUnit], lasting_ticks: int) -> None:
+    def _refuse_impossible(self, units: Iterable[PlannedUnit], duration_ticks: int) -> None:
         """Refuse now what no lull makes possible; nobody should wait for it."""
         alone = CapacitySnapshot(
             self.grants.limits,
@@ -129,8 +129,8 @@
         )
         for unit in units:
             is_gateway = unit.kind == UnitKind.GATEWAY
-            waiting = WaitingUnit(unit.name, unit.members, lasting_ticks, is_gateway=is_gateway)
-            objection = alone.find_objection(waiting, with_load=False)
+            waiting = WaitingUnit(unit.name, unit.members, duration_ticks, is_gateway=is_gateway)
+            objection = alone.find_wait_reason(waiting, with_load=False)
             if objection:
                 raise ValueError(f"{unit.name}: never possible: {objection}")
 
@@ -183,8 +183,8 @@
 
     def tell_known(self, out: Sequence[str], by: str) -> str:
         """Take an operator's word on what is out, after the loss of everything or at first."""
-        if not self.leadership.is_forgotten:
-            if self._plan().known == f"told by {by}":
+        if not self.leadership.is_plan_lost:
+            if self._plan().confirmed_by == f"told by {by}":
                 return "taken"
             raise ValueError("the plan is known")
         self.declare_out(out, f"told by {by}")
@@ -194,7 +194,7 @@
         """Return the plan as it will be with all that is proposed."""
         if self.leadership.has_plan():
             return self.proposer.plan_with_pending()
-        if self.leadership.is_forgotten:
+        if self.leadership.is_plan_lost:
             raise ValueError("forgotten: tell what is out (works known)")
         raise ValueError("the plan is being taken over, try again")
 
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -22,9 +22,9 @@
     64  # of which the time of writing is known, so that a grant can count from it
 )
 QUIET_CHECK_TICKS = 200  # tenths of a millisecond between two looks whether an engine is quiet
-MAX_PARTS = 64  # of one set of orders
+MAX_ORDERS_PART_COUNT = 64  # of one set of orders
 MAX_CLOSED_BYTES = 500  # of closed engines' names in one report
-MAX_PATIENCE_SPANS = 5  # spans of patience that a gateway waits at its start, at most
+MAX_STARTUP_WAIT_COUNT = 5  # spans of patience that a gateway waits at its start, at most
 
 Stamp = tuple[int, int]
 
@@ -42,7 +42,7 @@
 
     stamp: Stamp = (0, 0)
     parts: int = 0
-    levels_by_part: dict[int, dict[str, int]] = field(default_factory=dict)
+    states_by_part: dict[int, dict[str, int]] = field(default_factory=dict)
 
 
 class Host(Protocol):
@@ -89,11 +89,11 @@
         self.grant_ticks = grant_ticks
         # Orders in force.
         self.stamp: Stamp = 0, 0
-        self.levels: dict[str, OrderedState] = {}
+        self.states_by_member: dict[str, OrderedState] = {}
         self.tag_by_address: dict[str, str] = {}  # of the engines that orders name
         self.closed: set[str] = set()
         self.is_blank = stored is None
-        self.granted_until = 0
+        self.grant_expires_at = 0
         self.partial_orders = PartialOrders()
         self.preempted_orders = 0  # counted for operators
         # What is on disk, and so may be reported.
@@ -101,17 +101,17 @@
         self.stored_closed: frozenset[str] = frozenset()
         # Reports.
         self.report_serial = 0
-        self.written_at: dict[int, int] = {}  # by serial number of a report
-        self.next_closed = 0  # which closed engine the next report names first
+        self.report_written_at: dict[int, int] = {}  # by serial number of a report
+        self.next_closed_index = 0  # which closed engine the next report names first
         # The start.
         self.started_at = host.now
-        self.met_at = -1  # when a member was first reached
+        self.member_reached_at = -1  # when a member was first reached
         self.has_orders = False  # somebody has told us since our start
-        self.was_asked = False  # somebody leads who knows no more than we, and asks us
+        self.report_was_requested = False  # somebody leads who knows no more than we, and asks us
         self.is_checking = False  # whether draining engines are quiet
         if stored is not None:
             self._restore(stored)
-        self._on_levels_changed()
+        self._on_states_changed()
 
     def _restore(self, stored: list[Any]) -> None:
         stamp, levels, closed = stored
@@ -119,32 +119,34 @@
         self.closed = {*closed}
         self.stored_stamp = self.stamp
         self.stored_closed = frozenset(closed)
-        self.levels = {
+        self.states_by_member = {
             tag: OrderedState(state, address) for tag, (state, address) in levels.items()
         }
 
     # At the start.
 
-    def must_wait(self, patience_ticks: int, has_met: bool, other_leader: str) -> bool:
+    def must_wait(
+        self, startup_wait_ticks: int, has_reached_member: bool, other_leader: str
+    ) -> bool:
         """Whether it is too early to accept clients.
 
-        `has_met` is whether a member was reached, `other_leader` who is known to hold the lease, or
-        empty.
+        `has_reached_member` is whether a member was reached, `other_leader` who is known to hold
+        the lease, or empty.
 
         A gateway that has forgotten over a restart, or remembers what was true before it, would
         send to a machine that is out. So it waits for orders: for a moment after its start and
         after it has reached a member, as either may be slow, and for a leader that is known; but it
-        serves all the same where nobody is there or nobody knows, and after MAX_PATIENCE_SPANS such
-        moments whatever is.
+        serves all the same where nobody is there or nobody knows, and after MAX_STARTUP_WAIT_COUNT
+        such moments whatever is.
         """
         now = self.host.now
-        if self.has_orders or now >= self.started_at + MAX_PATIENCE_SPANS * patience_ticks:
+        if self.has_orders or now >= self.started_at + MAX_STARTUP_WAIT_COUNT * startup_wait_ticks:
             return False
-        if has_met and self.met_at < 0:
-            self.met_at = now
-        if now < max(self.started_at, self.met_at) + patience_ticks:
+        if has_reached_member and self.member_reached_at < 0:
+            self.member_reached_at = now
+        if now < max(self.started_at, self.member_reached_at) + startup_wait_ticks:
             return True
-        return bool(other_leader) and not self.was_asked
+        return bool(other_leader) and not self.report_was_requested
 
     # Orders.
 
@@ -159,36 +161,36 @@
             is_preempted = orders.fence < self.stamp[0]
             self.preempted_orders += is_preempted
             return not is_preempted
-        if orders.echo in self.written_at:
-            self._extend_grant(self.written_at[orders.echo] + self.grant_ticks)
+        if orders.echo in self.report_written_at:
+            self._extend_grant(self.report_written_at[orders.echo] + self.grant_ticks)
         if stamp == self.stamp and not self.is_blank and self.checks_fence:
             self.has_orders = True
             return True
-        self._gather(stamp, orders)
+        self._collect_part(stamp, orders)
         return True
 
-    def _gather(self, stamp: Stamp, orders: Orders) -> None:
+    def _collect_part(self, stamp: Stamp, orders: Orders) -> None:
         """Keep the part; with the last one the orders are taken whole."""
         part = orders.part
         parts = orders.parts
         are_numbers = type(part) is int and type(parts) is int
-        if not are_numbers or not 0 <= part < parts <= MAX_PARTS:
+        if not are_numbers or not 0 <= part < parts <= MAX_ORDERS_PART_COUNT:
             raise ValueError("orders that make no sense")
         partial = self.partial_orders
         if (partial.stamp, partial.parts) != (stamp, parts):
             partial = PartialOrders(stamp, parts)
             self.partial_orders = partial
-        partial.levels_by_part[part] = dict(orders.levels)
-        if len(partial.levels_by_part) == parts:
+        partial.states_by_part[part] = dict(orders.levels)
+        if len(partial.states_by_part) == parts:
             states: dict[str, int] = {}
-            for levels in partial.levels_by_part.values():
+            for levels in partial.states_by_part.values():
                 states.update(levels)
             self._take_orders(stamp, states)
             self.partial_orders = PartialOrders()
 
     def _take_orders(self, stamp: Stamp, states: Mapping[str, int]) -> None:
-        before = self.levels
-        self.levels = {
+        before = self.states_by_member
+        self.states_by_member = {
             tag: OrderedState(state, self.host.address_of(tag) or _address_in(before, tag))
             for tag, state in states.items()
         }
@@ -197,7 +199,7 @@
         self.has_orders = True
         # An engine that was let go and is drained again must be looked at again.
         self.closed = {tag for tag in self.closed if self._state_of(tag) >= UnitState.DRAINING}
-        self._on_levels_changed()
+        self._on_states_changed()
         self._write()
 
     def _extend_grant(self, until: int) -> None:
@@ -205,12 +207,12 @@
 
         Whatever time the datagrams took is lost, not gained.
         """
-        if until <= self.granted_until:
+        if until <= self.grant_expires_at:
             return
-        had_lapsed = self.host.now >= self.granted_until
-        self.granted_until = until
+        had_lapsed = self.host.now >= self.grant_expires_at
+        self.grant_expires_at = until
         self.host.call_later(max(until - self.host.now, 1), self._on_grant_end, until)
-        if had_lapsed and self.levels:
+        if had_lapsed and self.states_by_member:
             self.host.refresh_cordons()
 
     def _on_grant_end(self, until: int) -> None:
@@ -218,12 +220,12 @@
 
         Cut off from the leader, we could not hear that the work begins.
         """
-        if until == self.granted_until and self.levels:
+        if until == self.grant_expires_at and self.states_by_member:
             self.host.refresh_cordons()
 
-    def _on_levels_changed(self) -> None:
+    def _on_states_changed(self) -> None:
         self.tag_by_address = {
-            level.address: tag for tag, level in self.levels.items() if level.address
+            level.address: tag for tag, level in self.states_by_member.items() if level.address
         }
         self.host.refresh_cordons()
         if not self.is_checking and self._draining():
@@ -231,7 +233,7 @@
             self.host.call_later(1, self._check_quiet)
 
     def _state_of(self, tag: str) -> int:
-        level = self.levels.get(tag)
+        level = self.states_by_member.get(tag)
         return UnitState.ASKED if level is None else level.state
 
     def cordon_of(self, tag: str, address: str = "") -> Cordon:
@@ -240,13 +242,13 @@
         An engine that the list names anew, at the address where maintenance is on, is the same
         machine.
         """
-        if tag not in self.levels:
+        if tag not in self.states_by_member:
             tag = self.tag_by_address.get(address, tag)
         state = self._state_of(tag)
         if state < UnitState.GRANTED:
             return Cordon.NONE
         if state == UnitState.GRANTED:
-            has_grant = self.host.now < self.granted_until
+            has_grant = self.host.now < self.grant_expires_at
             return Cordon.NONE if has_grant else Cordon.NO_NEW_WORK
         return Cordon.NOTHING if tag in self.closed else Cordon.NO_NEW_WORK
 
@@ -256,7 +258,7 @@
         """Engines that take nothing new and are not closed yet."""
         return [
             tag
-            for tag, level in self.levels.items()
+            for tag, level in self.states_by_member.items()
             if level.state >= UnitState.DRAINING and tag not in self.closed
         ]
 
@@ -282,7 +284,7 @@
 
     def record(self) -> list[Any]:
         """Return what is stored: [stamp, levels, closed]."""
-        levels = {tag: [*level] for tag, level in self.levels.items()}
+        levels = {tag: [*level] for tag, level in self.states_by_member.items()}
         return [[*self.stamp], levels, sorted(self.closed)]
 
     def _on_written(self, stamp: Stamp, closed: frozenset[str]) -> None:
@@ -299,23 +301,23 @@
         reports, in turn.
         """
         self.report_serial += 1
-        self.written_at[self.report_serial] = self.host.now
-        while len(self.written_at) > MAX_REPORTS_REMEMBERED:
-            del self.written_at[next(iter(self.written_at))]
-        closed = sorted(self.stored_closed & {*self.levels})
-        named = self._closed_in_turn(closed)
+        self.report_written_at[self.report_serial] = self.host.now
+        while len(self.report_written_at) > MAX_REPORTS_REMEMBERED:
+            del self.report_written_at[next(iter(self.report_written_at))]
+        closed = sorted(self.stored_closed & {*self.states_by_member})
+        named = self._next_closed_engines(closed)
         return [self.report_serial, *self.stored_stamp, self.is_blank, named, len(closed)]
 
-    def _closed_in_turn(self, closed: list[str]) -> list[str]:
+    def _next_closed_engines(self, closed: list[str]) -> list[str]:
         named: list[str] = []
         size = 0
         for offset in range(len(closed)):
-            tag = closed[(self.next_closed + offset) % len(closed)]
+            tag = closed[(self.next_closed_index + offset) % len(closed)]
             size += len(tag.encode()) + 2
             if size > MAX_CLOSED_BYTES:
                 break
             named.append(tag)
-        self.next_closed = (self.next_closed + len(named)) % max(len(closed), 1)
+        self.next_closed_index = (self.next_closed_index + len(named)) % max(len(closed), 1)
         return named
 
 
--- a/corkgauge/maintenance/plan.py
+++ b/corkgauge/maintenance/plan.py
@@ -59,8 +59,8 @@
 
     def __init__(self) -> None:
         self.time_ticks = 0
-        self.known = ""  # by whose word it is known what is out; empty: nothing is granted
-        self.held = ""  # who holds all grants back; empty: nobody
+        self.confirmed_by = ""  # by whose word it is known what is out; empty: nothing is granted
+        self.held_by = ""  # who holds all grants back; empty: nobody
         self.requests: dict[str, MaintenanceRequest] = {}
         self.units: dict[str, Unit] = {}
         self.history: deque[HistoryEntry] = deque(maxlen=MAX_HISTORY_ENTRIES)
@@ -90,11 +90,11 @@
         # A leader that counts from an older plan must not turn the time back.
         self.time_ticks = max(self.time_ticks, at_ticks)
 
-    def _set_known(self, by: str) -> None:
-        self.known = by[:MAX_TEXT_CHARACTERS]
+    def _set_confirmed_by(self, by: str) -> None:
+        self.confirmed_by = by[:MAX_TEXT_CHARACTERS]
 
     def _set_held(self, by: str) -> None:
-        self.held = by[:MAX_TEXT_CHARACTERS]
+        self.held_by = by[:MAX_TEXT_CHARACTERS]
 
     def _add_request(self, fields: Sequence[Any]) -> None:
         request = MaintenanceRequest.from_wire(fields)
@@ -171,8 +171,8 @@
         """
         fields = [
             self.time_ticks,
-            self.known,
-            self.held,
+            self.confirmed_by,
+            self.held_by,
             [request.to_wire() for request in self.requests.values()],
             [unit.to_wire() for unit in self.units.values()],
             [*self.history],
@@ -188,8 +188,8 @@
         try:
             time_ticks, known, held, requests, units, history, serial = msgpack.unpackb(data)
             plan.time_ticks = time_ticks
-            plan.known = known
-            plan.held = held
+            plan.confirmed_by = known
+            plan.held_by = held
             plan.requests = {fields[0]: MaintenanceRequest.from_wire(fields) for fields in requests}
             plan.units = {fields[0]: Unit.from_wire(fields) for fields in units}
             plan.history.extend(HistoryEntry.from_wire(fields) for fields in history)
@@ -221,7 +221,7 @@
 
 _CHANGES: dict[str, Callable[..., None]] = {
     "time": Plan._advance_time,
-    "known": Plan._set_known,
+    "known": Plan._set_confirmed_by,
     "hold": Plan._set_held,
     "ask": Plan._add_request,
     "unit": Plan._add_unit,
--- a/corkgauge/maintenance/plan_copy.py
+++ b/corkgauge/maintenance/plan_copy.py
@@ -14,7 +14,7 @@
 from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_messages import Chunk, Stamp
 
-FETCH_PAUSE_TICKS = 1_000  # until chunks are asked for again
+COPY_RETRY_TICKS = 1_000  # until chunks are asked for again
 MAX_FETCH_DATAGRAMS = 40  # of one fetch, which is for show alone and must not go on for ever
 
 
@@ -34,7 +34,7 @@
 
     stamp: Stamp = (0, 0)
     plan: Plan = field(default_factory=Plan)
-    objections: Mapping[str, str] = field(default_factory=dict)
+    wait_reasons: Mapping[str, str] = field(default_factory=dict)
 
 
 class PlanCopier:
@@ -49,7 +49,7 @@
         """Begin to fetch the leader's plan, unless a fetch is under way."""
         if self.fetch is None or self.fetch.is_over:
             self.fetch = ChunkFetch(
-                _LimitedSender(self), leader, 0, FETCH_PAUSE_TICKS, self._on_fetched
+                _LimitedSender(self), leader, 0, COPY_RETRY_TICKS, self._on_fetched
             )
 
     def on_chunk(self, sender: str, chunk: Chunk) -> None:
@@ -59,14 +59,14 @@
 
     def send_chunks(self, to: str, copy: PlanCopy, indexes: Sequence[int]) -> None:
         """Answer another gateway's fetch with some chunks of this copy."""
-        data = msgpack.packb([copy.plan.packed(), copy.objections])
+        data = msgpack.packb([copy.plan.packed(), copy.wait_reasons])
         for chunk in chunks_of(data, indexes, 0, copy.stamp):
             self.host.send_copy(to, chunk.encode())
 
     def _on_fetched(self, stamp: Stamp, data: bytes) -> None:
-        packed, objections = msgpack.unpackb(data)
+        packed, wait_reasons = msgpack.unpackb(data)
         if stamp >= self.copy.stamp:
-            self.copy = PlanCopy(stamp, Plan.unpacked(packed), objections)
+            self.copy = PlanCopy(stamp, Plan.unpacked(packed), wait_reasons)
 
 
 class _LimitedSender:
--- a/corkgauge/maintenance/plan_display.py
+++ b/corkgauge/maintenance/plan_display.py
@@ -53,11 +53,11 @@
 
     def _may_be_copied(self) -> bool:
         """Whether the plan here is the agreed one: it is led, and the lease is held now."""
-        is_led = self.proposer.state == ProposerState.LEADING and self.proposer.led
+        is_led = self.proposer.state == ProposerState.LEADING and self.proposer.is_taken_over
         return is_led and self.host.may_act(self.proposer.fence)
 
     def _own_plan(self) -> PlanCopy:
-        return PlanCopy(self.proposer.stamp, self.proposer.plan, self.planner.objections)
+        return PlanCopy(self.proposer.stamp, self.proposer.plan, self.planner.wait_reasons)
 
     def report(self, participant: Participant) -> dict[str, Any]:
         """Show the plan as the leader has agreed it; elsewhere a copy, and fetch a newer one.
@@ -78,7 +78,7 @@
             leader,
             STATE_WORDS[self.proposer.state],
             is_leader or (bool(leader) and has_newest),
-            self.planner.is_forgotten,
+            self.planner.is_plan_lost,
             self._counters(participant),
         )
         return status_report(status, shown, participant)
--- a/corkgauge/maintenance/plan_history.py
+++ b/corkgauge/maintenance/plan_history.py
@@ -6,15 +6,15 @@
 from corkgauge.maintenance.plan_records import NEXT_STATES, STATE_WORDS, TAKEN_STATES, HistoryEntry
 
 
-def wrong_history(entries: Iterable[Sequence[Any]], max_taken: int = 0) -> list[str]:
+def find_history_errors(entries: Iterable[Sequence[Any]], max_taken: int = 0) -> list[str]:
     """List what is wrong: a step twice, one left out, or too many units taken at once.
 
     `max_taken` is how many may be taken at once (0: any number).
 
     >>> rows = [[1, 0, "e1", 0, "a", ""], [2, 5, "e1", 1, "a", ""], [3, 6, "e1", 1, "a", ""]]
-    >>> wrong_history(rows)
+    >>> find_history_errors(rows)
     ['entry 3: e1 of a is granted after granted']
-    >>> wrong_history([[n, 0, e, s, "a", ""] for n, (e, s) in enumerate(
+    >>> find_history_errors([[n, 0, e, s, "a", ""] for n, (e, s) in enumerate(
     ...     [(e, s) for s in (0, 1, 2) for e in ("e1", "e2")], 1)], 1)
     ['entry 4: 2 taken at once, 1 allowed']
     """
@@ -30,7 +30,7 @@
             continue
         key = entry.unit, entry.request_id
         if key in last_states:
-            found += _wrong_step(entry, last_states[key])
+            found += _check_transition(entry, last_states[key])
         last_states[key] = entry.state
         taken_before = len(taken)
         if entry.state in TAKEN_STATES:
@@ -42,7 +42,7 @@
     return found
 
 
-def _wrong_step(entry: HistoryEntry, last_state: int) -> list[str]:
+def _check_transition(entry: HistoryEntry, last_state: int) -> list[str]:
     if entry.state in NEXT_STATES.get(last_state, ()):
         return []
     state = STATE_WORDS[entry.state]
--- a/corkgauge/maintenance/plan_proposer.py
+++ b/corkgauge/maintenance/plan_proposer.py
@@ -44,7 +44,7 @@
     IDLE = 0
     TAKING_OVER = 1
     FETCHING = 2
-    FORGOTTEN = 3
+    PLAN_LOST = 3
     LEADING = 4
 
 
@@ -66,13 +66,13 @@
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call the method after `delay` ticks."""
 
-    def on_plan_led(self) -> None:
+    def on_plan_taken_over(self) -> None:
         """Take note: the plan is taken over."""
 
     def on_changes_agreed(self, changes: Sequence[Change]) -> None:
         """Take note: a majority of replicas has these changes."""
 
-    def on_plan_forgotten(self) -> None:
+    def on_plan_lost(self) -> None:
         """Take note: no majority of replicas remembers the plan."""
 
     def on_preempted(self, fence: int) -> None:
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class StepUnderWay:
+class PendingStep:
     """Changes proposed to the replicas: from the plan of stamp `before` to `plan`."""
 
     changes: list[Change]
@@ -111,14 +111,14 @@
         self.stamp = NO_STAMP
         self.promises: dict[str, Promise] = {}  # by replica
         self.fetch: ChunkFetch | None = None
-        self.step: StepUnderWay | None = None
+        self.step: PendingStep | None = None
         self.pending: list[PendingChange] = []
-        self.led = False  # a majority has our first step, so that all before it is agreed
-        self.proposed = 0  # changes, since the lease is held
-        self.settled = 0  # those of them that are agreed
+        self.is_taken_over = False  # a majority has our first step, so that all before it is agreed
+        self.proposed_count = 0  # changes, since the lease is held
+        self.agreed_count = 0  # those of them that are agreed
         self.timer_serial = 0  # of the timer that is awaited; earlier ones do nothing
         self.packed: bytes | None = None  # the plan with the step under way
-        self.packed_as: tuple[bool, Stamp] = (
+        self.packed_version: tuple[bool, Stamp] = (
             False,
             NO_STAMP,
         )  # with a step under way? of which stamp
@@ -131,8 +131,8 @@
         self.state = ProposerState.TAKING_OVER
         self.promises = {}
         self._drop_changes()
-        self.proposed = 0
-        self.settled = 0
+        self.proposed_count = 0
+        self.agreed_count = 0
         self._send_prepare()
 
     def on_lease_lost(self) -> None:
@@ -166,7 +166,7 @@
             self.host.log(f"works: not proposed, {problem}")
             return False
         self.pending += sized
-        self.proposed += len(changes)
+        self.proposed_count += len(changes)
         self._begin_step()
         return True
 
@@ -181,10 +181,10 @@
         """Whether a step is under way or waits."""
         return bool(self.pending) or self.step is not None
 
-    def begin_anew(self, plan: Plan) -> None:
+    def replace_lost_plan(self, plan: Plan) -> None:
         """Begin with this plan, by somebody's word, after the loss of everything."""
-        if self.state == ProposerState.FORGOTTEN and self.host.may_act(self.fence):
-            self._lead_with(plan, (self.fence, 0))
+        if self.state == ProposerState.PLAN_LOST and self.host.may_act(self.fence):
+            self._start_leading(plan, (self.fence, 0))
 
     # What replicas send.
 
@@ -228,7 +228,7 @@
         return len(self.host.voters()) // 2 + 1
 
     def _is_taking_over(self) -> bool:
-        return self.state in (ProposerState.TAKING_OVER, ProposerState.FORGOTTEN)
+        return self.state in (ProposerState.TAKING_OVER, ProposerState.PLAN_LOST)
 
     def _send_prepare(self) -> None:
         if self._is_taking_over() and self.host.may_act(self.fence):
@@ -250,8 +250,8 @@
             and blank_count > len(self.host.voters()) - self._majority()
         ):
             # So many forgot that no majority remembers, ever: what is out has to be told.
-            self.state = ProposerState.FORGOTTEN
-            self.host.on_plan_forgotten()
+            self.state = ProposerState.PLAN_LOST
+            self.host.on_plan_lost()
 
     def _fetch_from(self, replica: str, stamp: Stamp) -> None:
         self.state = ProposerState.FETCHING
@@ -270,9 +270,9 @@
 
     def _on_fetched(self, stamp: Stamp, packed: bytes) -> None:
         if self.state == ProposerState.FETCHING and self.host.may_act(self.fence):
-            self._lead_with(Plan.unpacked(packed), stamp)
+            self._start_leading(Plan.unpacked(packed), stamp)
 
-    def _lead_with(self, plan: Plan, before: Stamp) -> None:
+    def _start_leading(self, plan: Plan, before: Stamp) -> None:
         """Begin our fence with an empty step.
 
         Once a majority has it, all before it is agreed too.
@@ -281,8 +281,8 @@
         self.plan = plan
         self.packed = None
         self.stamp = (self.fence, 0)
-        self.step = StepUnderWay([], before, plan)
-        self.led = False
+        self.step = PendingStep([], before, plan)
+        self.is_taken_over = False
         self._send_step()
 
     # Steps.
@@ -296,7 +296,7 @@
             pending = self.pending.pop(0)
             changes.append(pending.change)
             size += pending.size
-        self.step = StepUnderWay(changes, self.stamp, self.plan.with_changes(changes))
+        self.step = PendingStep(changes, self.stamp, self.plan.with_changes(changes))
         self._send_step()
 
     def _send_step(self) -> None:
@@ -324,12 +324,12 @@
         self.plan = step.plan
         self.stamp = accepted.stamp
         self.packed = None
-        self.settled += len(step.changes)
-        if self.led:
+        self.agreed_count += len(step.changes)
+        if self.is_taken_over:
             self.host.on_changes_agreed(step.changes)
         else:
-            self.led = True
-            self.host.on_plan_led()
+            self.is_taken_over = True
+            self.host.on_plan_taken_over()
         self._begin_step()
 
     def _on_fetch(self, sender: str, fetch: FetchChunks) -> None:
@@ -342,9 +342,9 @@
             return
         has_step = self.step is not None
         plan = self.plan if self.step is None else self.step.plan
-        if self.packed is None or self.packed_as != (has_step, self.stamp):
+        if self.packed is None or self.packed_version != (has_step, self.stamp):
             self.packed = plan.packed()
-            self.packed_as = has_step, self.stamp
+            self.packed_version = has_step, self.stamp
         stamp = (self.fence, self.stamp[1] + has_step)
         for chunk in chunks_of(self.packed, fetch.indexes, self.fence, stamp):
             self.host.send(sender, chunk.encode())
--- a/corkgauge/maintenance/plan_rebuild.py
+++ b/corkgauge/maintenance/plan_rebuild.py
@@ -29,14 +29,14 @@
         names = self.fleet.gateways()
         # A gateway that has forgotten, or was not heard, may be the only one that confirmed that an
         # engine is out.
-        if not all(self._has_told_all(name) for name in names):
+        if not all(self._has_reported_all(name) for name in names):
             return
         reports = self.leadership.reports
         self.declare_out(
             {tag for name in names for tag in reports[name].closed}, "told by all gateways"
         )
 
-    def _has_told_all(self, name: str) -> bool:
+    def _has_reported_all(self, name: str) -> bool:
         report = self.leadership.reports.get(name)
         if report is None or report.is_blank:
             return False
@@ -56,7 +56,7 @@
                 owner=by,
                 reason="forgotten",
                 due_ticks=NEVER_TICKS,
-                lasting_ticks=NEVER_TICKS,
+                duration_ticks=NEVER_TICKS,
                 count=len(tags),
                 cancelled="",
                 at_ticks=now_ticks,
@@ -68,4 +68,4 @@
             plan.apply([["unit", tag, RECOVERED_REQUEST, kind.value, [tag]]])
             for state in (UnitState.GRANTED, UnitState.DRAINING, UnitState.OUT):
                 plan.apply([["state", tag, state, "recovered"]])
-        self.leadership.proposer.begin_anew(plan)
+        self.leadership.proposer.replace_lost_plan(plan)
--- a/corkgauge/maintenance/plan_records.py
+++ b/corkgauge/maintenance/plan_records.py
@@ -51,7 +51,7 @@
 class MaintenanceRequest:
     """What an operator requested.
 
-    `due_ticks` is the maintenance time by which it should be over, `lasting_ticks` what one unit's
+    `due_ticks` is the maintenance time by which it should be over, `duration_ticks` what one unit's
     work takes, `count` how many units it has, `at_ticks` when it was taken. `cancelled` names who
     cancelled it; empty: nobody.
     """
@@ -62,7 +62,7 @@
     owner: str
     reason: str
     due_ticks: int
-    lasting_ticks: int
+    duration_ticks: int
     count: int
     cancelled: str
     at_ticks: int
@@ -85,7 +85,7 @@
             self.owner,
             self.reason,
             self.due_ticks,
-            self.lasting_ticks,
+            self.duration_ticks,
             self.count,
             self.cancelled,
             self.at_ticks,
--- a/corkgauge/maintenance/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -28,7 +28,7 @@
 class Planner:
     """Leads maintenance while the lease is held.
 
-    `turn_ticks` is the time between two turns. `grant_ticks` and `longest_deadline_ticks` are the
+    `round_ticks` is the time between two turns. `grant_ticks` and `longest_deadline_ticks` are the
     span of a grant and the longest time to deadline, lengthened by the drift of clocks;
     `warm_up_ticks` how long an engine counts as cold.
     """
@@ -39,7 +39,7 @@
         fleet: Fleet,
         proposer: PlanProposer,
         limits: DisruptionLimits,
-        turn_ticks: int,
+        round_ticks: int,
         grant_ticks: int,
         longest_deadline_ticks: int,
         warm_up_ticks: int,
@@ -47,7 +47,7 @@
         self.host = host
         self.fleet = fleet
         self.proposer = proposer
-        self.turn_ticks = turn_ticks
+        self.round_ticks = round_ticks
         self.leadership = Leadership(host, fleet, proposer)
         self.grants = GrantPlanner(self.leadership, limits)
         self.progress = UnitProgress(
@@ -55,30 +55,30 @@
         )
         self.rebuilder = PlanRebuilder(self.leadership)
         self.requests = OperatorRequests(self.leadership, self.grants, self.rebuilder.declare_out)
-        self.turn_serial = 0  # of the turn that is awaited; earlier timers do nothing
+        self.round_serial = 0  # of the turn that is awaited; earlier timers do nothing
         self.is_decision_due = False  # at the next turn of the event loop
 
     # What the service shows and sets.
 
     @property
-    def objections(self) -> Mapping[str, str]:
+    def wait_reasons(self) -> Mapping[str, str]:
         """By unit: why it does not go on."""
-        return self.leadership.objections
+        return self.leadership.wait_reasons
 
     @property
-    def is_forgotten(self) -> bool:
+    def is_plan_lost(self) -> bool:
         """Whether no majority of replicas remembers the plan."""
-        return self.leadership.is_forgotten
+        return self.leadership.is_plan_lost
 
     @property
     def counts(self) -> Counter[str]:
         """Counters for operators."""
         return self.leadership.counts
 
-    def set_limits(self, limits: DisruptionLimits, turn_ticks: int) -> None:
+    def set_limits(self, limits: DisruptionLimits, round_ticks: int) -> None:
         """Take a new configuration."""
         self.grants.limits = limits
-        self.turn_ticks = turn_ticks
+        self.round_ticks = round_ticks
 
     # The lease and the plan.
 
@@ -87,16 +87,16 @@
         self.leadership.begin()
         self.proposer.on_lease_gained(fence)
         # What gateways remember is asked at once: it may be needed, and costs a datagram each.
-        self._schedule_turn()
+        self._schedule_round()
 
     def on_lease_lost(self) -> None:
         """Stop all turns."""
-        self.turn_serial += 1
+        self.round_serial += 1
         self.proposer.on_lease_lost()
 
-    def on_plan_led(self) -> None:
+    def on_plan_taken_over(self) -> None:
         """Order what the plan taken over says: a majority has our first step."""
-        self.leadership.on_plan_led()
+        self.leadership.on_plan_taken_over()
         plan = self.proposer.plan
         taken_count = len(plan.units_in(*TAKEN_STATES))
         self.host.log(
@@ -111,7 +111,7 @@
                 self._on_step_agreed(*arguments)
         self.send_all_orders()
         if any(change[0] != "time" for change in changes):
-            self._schedule_turn()
+            self._schedule_round()
 
     def _on_step_agreed(self, name: str, state: int, why: str) -> None:
         self.leadership.stamps.setdefault(name, {})[state] = self.proposer.stamp
@@ -121,9 +121,9 @@
         if state == UnitState.BACK:
             self.leadership.forget_unit(name)
 
-    def on_plan_forgotten(self) -> None:
+    def on_plan_lost(self) -> None:
         """So many replicas have forgotten that nothing can be known from them."""
-        self.leadership.is_forgotten = True
+        self.leadership.is_plan_lost = True
         self.host.log(
             "works: the plan is forgotten, nothing is granted until all gateways, or an operator, "
             "have told what is out"
@@ -139,7 +139,7 @@
         proposer = self.proposer
         if self.leadership.has_plan() and known.stamp != proposer.stamp:
             self._send_orders(name)  # it missed some, or has just started
-        elif self.leadership.is_forgotten:
+        elif self.leadership.is_plan_lost:
             self.rebuilder.rebuild_from_reports()
         elif (
             proposer.state == ProposerState.LEADING
@@ -147,7 +147,7 @@
             and not self.is_decision_due
         ):
             self.is_decision_due = True
-            self.host.call_later(1, self._decide_soon)
+            self.host.call_later(1, self._decide_on_report)
 
     def send_all_orders(self) -> None:
         """Send what is agreed to each gateway; it is also what renews their grants."""
@@ -174,23 +174,23 @@
 
     # Turns.
 
-    def _schedule_turn(self) -> None:
+    def _schedule_round(self) -> None:
         """Have a turn at once, instead of the one that is awaited."""
-        self.turn_serial += 1
-        self.host.call_later(1, self._take_turn, self.turn_serial)
+        self.round_serial += 1
+        self.host.call_later(1, self._run_round, self.round_serial)
 
-    def _take_turn(self, serial: int) -> None:
-        if serial != self.turn_serial:
+    def _run_round(self, serial: int) -> None:
+        if serial != self.round_serial:
             return
-        self.turn_serial += 1
-        self.host.call_later(self.turn_ticks, self._take_turn, self.turn_serial)
+        self.round_serial += 1
+        self.host.call_later(self.round_ticks, self._run_round, self.round_serial)
         if self.leadership.has_plan() and self.leadership.may_act():
             self.send_all_orders()
             self.decide()
-        elif self.leadership.is_forgotten:
+        elif self.leadership.is_plan_lost:
             self.request_all_reports()
 
-    def _decide_soon(self) -> None:
+    def _decide_on_report(self) -> None:
         self.is_decision_due = False
         if self.leadership.has_plan() and self.leadership.may_act():
             self.decide()
@@ -206,8 +206,8 @@
             step = self.progress.next_step(unit, plan)
             if step is not None:
                 changes.append(["state", unit.name, step.state, step.why])
-        if not changes and not plan.held:
-            granted = self.grants.grantable(plan)
+        if not changes and not plan.held_by:
+            granted = self.grants.find_grantable_units(plan)
             changes = [["state", name, UnitState.GRANTED, ""] for name in granted]
         now_ticks = self.leadership.maintenance_time()
         if changes or now_ticks >= plan.time_ticks + MIN_TIME_STEP_TICKS:
--- a/corkgauge/maintenance/quiescence.py
+++ b/corkgauge/maintenance/quiescence.py
@@ -73,7 +73,7 @@
     longest_deadline_ticks: int
 
 
-def find_doubt(
+def find_missing_proof(
     report: GatewayReport | None, has_ended: bool, engines: DrainingEngines, clock: LeaderClock
 ) -> str:
     """Why a gateway may still be sending to these engines; empty: it is proven that it is not.
@@ -83,7 +83,7 @@
     >>> report = GatewayReport(5, (7, 4), frozenset({"e1"}), 100, 1, False)
     >>> def doubt(report, tag, drained, announced, now, has_ended=False, idle_since=-1):
     ...     engines = DrainingEngines([tag], drained, announced, idle_since)
-    ...     return find_doubt(report, has_ended, engines, LeaderClock(now, 0, 50, 300))
+    ...     return find_missing_proof(report, has_ended, engines, LeaderClock(now, 0, 50, 300))
     >>> doubt(report, "e1", (7, 4), (7, 3), 130)
     ''
     >>> doubt(report, "e2", (7, 4), (7, 3), 130)
--- a/corkgauge/maintenance/schedule.py
+++ b/corkgauge/maintenance/schedule.py
@@ -10,8 +10,8 @@
 
 from corkgauge.maintenance.capacity import NEVER_TICKS, CapacitySnapshot, WaitingUnit
 
-MAX_TIMES_PASSED = 8  # by units asked later, from which a unit is passed no more
-MAX_UNITS_CHECKED = 24  # in one turn, the first in the order
+MAX_OVERTAKEN_COUNT = 8  # by units asked later, from which a unit is passed no more
+MAX_CHECKED_UNIT_COUNT = 24  # in one turn, the first in the order
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
     """Units that may go out now, in their order; and by unit what stands against the others."""
 
     granted: list[str] = field(default_factory=list)
-    objections: dict[str, str] = field(default_factory=dict)
+    wait_reasons: dict[str, str] = field(default_factory=dict)
 
 
 def grant_order(
@@ -37,13 +37,13 @@
         unit_cores = sum(cores.get(tag, 0.0) for tag in unit.members)
         latest_start = NEVER_TICKS
         if unit.due_ticks < NEVER_TICKS:
-            latest_start = unit.due_ticks - unit.lasting_ticks
+            latest_start = unit.due_ticks - unit.duration_ticks
         return (
             unit.members == (leader,),
-            unit.passed < MAX_TIMES_PASSED,
+            unit.times_overtaken < MAX_OVERTAKEN_COUNT,
             latest_start,
-            -unit_cores / max(unit.lasting_ticks, 1),
-            unit.place,
+            -unit_cores / max(unit.duration_ticks, 1),
+            unit.queue_position,
             unit.name,
         )
 
@@ -75,38 +75,40 @@
     def run(self, waiting: Iterable[WaitingUnit]) -> GrantDecision:
         cores = {tag: engine.cores for tag, engine in self.snapshot.engines.items()}
         for unit in grant_order(waiting, cores, self.leader):
-            objection = self._gateway_turn(unit) if unit.is_gateway else self._engine_turn(unit)
-            if objection:
-                self.decision.objections[unit.name] = objection
+            wait_reason = (
+                self._select_gateway(unit) if unit.is_gateway else self._select_engines(unit)
+            )
+            if wait_reason:
+                self.decision.wait_reasons[unit.name] = wait_reason
             else:
                 self.decision.granted.append(unit.name)
         return self.decision
 
-    def _gateway_turn(self, unit: WaitingUnit) -> str:
+    def _select_gateway(self, unit: WaitingUnit) -> str:
         """Take the gateway, or say why not."""
-        objection = self.snapshot.find_objection(unit)
+        wait_reason = self.snapshot.find_wait_reason(unit)
         is_leader = unit.members == (self.leader,)
-        if not objection and is_leader and self._is_other_work_left():
-            objection = "the planner itself goes last"
-        if not objection:
+        if not wait_reason and is_leader and self._is_other_work_left():
+            wait_reason = "the planner itself goes last"
+        if not wait_reason:
             self.snapshot.unavailable_gateways.update(unit.members)
-        return objection
+        return wait_reason
 
     def _is_other_work_left(self) -> bool:
         return bool(self.decision.granted or self.snapshot.taken_engines or self.waiting_count > 1)
 
-    def _engine_turn(self, unit: WaitingUnit) -> str:
+    def _select_engines(self, unit: WaitingUnit) -> str:
         """Take the engines of the unit, or say why not."""
         self.units_checked += 1
         # Checking each of a thousand units over a thousand engines would hold up the event loop for
         # seconds.
-        if self.units_checked > MAX_UNITS_CHECKED:
-            return f"{MAX_UNITS_CHECKED} before it wait"
+        if self.units_checked > MAX_CHECKED_UNIT_COUNT:
+            return f"{MAX_CHECKED_UNIT_COUNT} before it wait"
         if self.blocked_behind:
-            return f"behind {self.blocked_behind}, which was passed {MAX_TIMES_PASSED} times"
-        objection = self.snapshot.find_objection(unit)
-        if not objection:
+            return f"behind {self.blocked_behind}, which was passed {MAX_OVERTAKEN_COUNT} times"
+        wait_reason = self.snapshot.find_wait_reason(unit)
+        if not wait_reason:
             self.snapshot.taken_engines.update(unit.members)
-        elif unit.passed >= MAX_TIMES_PASSED:
+        elif unit.times_overtaken >= MAX_OVERTAKEN_COUNT:
             self.blocked_behind = unit.name
-        return objection
+        return wait_reason
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -27,13 +27,13 @@
 from corkgauge.maintenance.serving_host import ServingHost
 from corkgauge.policy.records import Cordon
 
-LEASE = "works"  # the lease's name, as voters and the operator file know it
+LEASE_NAME = "works"  # the lease's name, as voters and the operator file know it
 HTTP_PATH = b"/works"
-SAMPLE_TICKS = SECOND  # between two samples of the demand
+DEMAND_SAMPLE_INTERVAL_TICKS = SECOND  # between two samples of the demand
 
 
 class MaintenanceService:
-    """Built once a process, on top of the membership service and the lease service (`office`)."""
+    """Built once a process, on top of the membership service and the lease service."""
 
     def __init__(
         self,
@@ -41,20 +41,20 @@
         platform_config: PlatformConfig,
         config: MaintenanceConfig,
         membership: Any,
-        office: Any,
+        lease_service: Any,
     ) -> None:
         self.socket_host = socket_host
         self.event_loop = socket_host.event_loop
         self.name = platform_config.name
         self.config = config
         self.member_list = membership.member_list
-        self.office = office
+        self.lease_service = lease_service
         self.fleet = FleetView(socket_host, self.member_list, self.name)
         self.pending_commands = PendingCommands(self)
-        self.is_built = False  # the participant calls back while it is built
-        self.safe = self._open_record()
-        replica_record, participant_record = self.safe.stored or (None, None)
-        silent_ticks = 0 if office.settings.folder else office.timing.silence_ticks
+        self.is_initialized = False  # the participant calls back while it is built
+        self.durable_record = self._open_record()
+        replica_record, participant_record = self.durable_record.stored or (None, None)
+        silent_ticks = 0 if lease_service.settings.folder else lease_service.timing.silence_ticks
         self.plan_replica = PlanReplica(self, replica_record, silent_ticks)
         self.plan_proposer = PlanProposer(self)
         self.planner = self._build_planner()
@@ -64,7 +64,7 @@
         self.command_executor = CommandExecutor(self, self.planner, self.plan_proposer)
         self._register()
         self.participant = Participant(self, self.name, config.grant_ticks, participant_record)
-        self.is_built = True
+        self.is_initialized = True
         self.refresh_cordons()  # what was remembered holds from the first request on
         self._sample_demand()
 
@@ -72,7 +72,7 @@
         return DurableRecord(
             self.event_loop,
             self.socket_host.log,
-            self.office.settings.folder,
+            self.lease_service.settings.folder,
             f"{self.name}.works",
             "works: what was kept is torn, blank at first",
             "works: nothing is written, nothing is confirmed until a restart",
@@ -80,7 +80,7 @@
 
     def _build_planner(self) -> Planner:
         settings = self.socket_host.settings
-        drift_factor = 1 + 2 * self.office.timing.drift
+        drift_factor = 1 + 2 * self.lease_service.timing.drift
         longest_deadline = max(each.time_to_deadline for each in settings.request_classes)
         return Planner(
             self,
@@ -101,7 +101,7 @@
         self.member_list.call_handlers["copy"] = self.plan_display.on_datagram
         self.socket_host.routes[b"GET", HTTP_PATH] = self.report_status
         self.socket_host.routes[b"POST", HTTP_PATH] = self.pending_commands.handle_http
-        self.office.add_candidate(LEASE, self)
+        self.lease_service.add_candidate(LEASE_NAME, self)
 
     def reload(self, config: MaintenanceConfig) -> None:
         """Take a new configuration.
@@ -115,7 +115,7 @@
 
     def end(self) -> None:
         """Close the file; the host is attached to nothing any more."""
-        self.safe.close()
+        self.durable_record.close()
         self.socket_host.works = None
 
     def waiting(self) -> bool:
@@ -130,7 +130,7 @@
 
     def on_lease_gained(self) -> None:
         """Begin to lead: the lease service calls it when the lease is gained."""
-        self.planner.on_lease_gained(self.office.candidates[LEASE].fencing_token)
+        self.planner.on_lease_gained(self.lease_service.candidates[LEASE_NAME].fencing_token)
 
     def on_lease_lost(self) -> None:
         """Stop leading: the lease service calls it when the lease is lost."""
@@ -139,22 +139,22 @@
 
     def may_act(self, fence: int) -> bool:
         """Whether the lease is held under this fence, now."""
-        holder = self.office.candidates[LEASE]
+        holder = self.lease_service.candidates[LEASE_NAME]
         is_held: bool = holder.may_act() and holder.fencing_token == fence
         return is_held
 
     def leader_name(self) -> str:
         """Name who is known to hold the lease; empty: nobody."""
-        holder = self.office.candidates[LEASE]
+        holder = self.lease_service.candidates[LEASE_NAME]
         return self.name if holder.may_act() else holder.known_holder
 
     def hand_over_lease(self, reason: str) -> None:
         """Give the lease up, so that another gateway takes it."""
-        self.office.hand_over(LEASE, reason)
+        self.lease_service.hand_over(LEASE_NAME, reason)
 
     def on_preempted(self, fence: int) -> None:
         """Give way: somebody has promised to heed a higher fence than ours."""
-        self.office.candidates[LEASE].on_preempted(fence)
+        self.lease_service.candidates[LEASE_NAME].on_preempted(fence)
 
     # What the machines need: clock, timers, log, file, datagrams.
 
@@ -182,7 +182,7 @@
         Replica and participant share a file: each write holds both as they are now.
         """
         participant_record = None if self.participant.is_blank else self.participant.record()
-        self.safe.write([self.plan_replica.record(), participant_record], then, *what)
+        self.durable_record.write([self.plan_replica.record(), participant_record], then, *what)
 
     def send(self, name: str, body: list[Any]) -> None:
         """Send a message about the plan, to a replica or a proposer."""
@@ -203,23 +203,23 @@
 
     def voters(self) -> Sequence[str]:
         """Name the gateways that have a plan replica."""
-        names: Sequence[str] = self.office.configuration.names
+        names: Sequence[str] = self.lease_service.configuration.names
         return names
 
     # What the plan proposer notifies of.
 
-    def on_plan_led(self) -> None:
+    def on_plan_taken_over(self) -> None:
         """Pass on that the plan is taken over."""
-        self.planner.on_plan_led()
+        self.planner.on_plan_taken_over()
 
     def on_changes_agreed(self, changes: Sequence[Any]) -> None:
         """Pass on that a majority of replicas has these changes."""
         self.planner.on_changes_agreed(changes)
         self.command_executor.on_changes_agreed()
 
-    def on_plan_forgotten(self) -> None:
+    def on_plan_lost(self) -> None:
         """Pass on that no majority of replicas remembers the plan."""
-        self.planner.on_plan_forgotten()
+        self.planner.on_plan_lost()
 
     # What the planner needs.
 
@@ -244,12 +244,12 @@
             cordon = self.cordon_for(engine.host_reference, engine_pool.address)
             if engine.cordon != cordon:
                 self.socket_host.gateway.on_engine_cordon(engine, cordon)
-        self.office.set_cordoned(self.cordon_for(self.name) > 0)
+        self.lease_service.set_cordoned(self.cordon_for(self.name) > 0)
 
     def is_quiet(self, tag: str) -> bool:
         """Whether nothing of ours is open at the engine; for our own name: no lease is held."""
         if tag == self.name:
-            holds_no_lease: bool = self.office.is_idle
+            holds_no_lease: bool = self.lease_service.is_idle
             return holds_no_lease
         return self.fleet.is_engine_quiet(tag)
 
@@ -259,7 +259,7 @@
 
     def on_engines_closed(self) -> None:
         """Report at once that engines are closed here: a step of the plan may wait for it."""
-        leader = self.office.candidates[LEASE].known_holder
+        leader = self.lease_service.candidates[LEASE_NAME].known_holder
         if leader:
             self._send_report(leader)
 
@@ -267,7 +267,7 @@
 
     def cordon_for(self, tag: str, address: tuple[str, int] = ("", 0)) -> Cordon:
         """Return the cordon of an engine that the list names, perhaps anew."""
-        if not self.is_built:
+        if not self.is_initialized:
             return Cordon.NONE
         return self.participant.cordon_of(tag, format_address(address))
 
@@ -296,7 +296,7 @@
             case messages.Orders():
                 self._on_orders(sender, message)
             case messages.ReportRequest():
-                self.participant.was_asked = True
+                self.participant.report_was_requested = True
                 self._send_report(sender)
             case messages.Report():
                 self._on_report(sender, message)
@@ -328,7 +328,7 @@
         loads = self.fleet.demand_cores()
         ejected = self.fleet.ejected_engines()
         body = messages.encode_report(
-            self.participant.report_fields(), loads, ejected, self.office.is_idle
+            self.participant.report_fields(), loads, ejected, self.lease_service.is_idle
         )
         self._send(to, body)
 
@@ -345,7 +345,7 @@
     def _sample_demand(self) -> None:
         self.fleet.sample_demand()
         self.fleet.engines()  # an engine that leaves the list is noticed even where nobody plans
-        self.event_loop.call_later(SAMPLE_TICKS, self._sample_demand)
+        self.event_loop.call_later(DEMAND_SAMPLE_INTERVAL_TICKS, self._sample_demand)
 
     # What operators see.
 
--- a/corkgauge/maintenance/status.py
+++ b/corkgauge/maintenance/status.py
@@ -23,7 +23,7 @@
     leader: str
     state: str
     is_fresh: bool
-    is_forgotten: bool
+    is_plan_lost: bool
     counters: Mapping[str, int]
 
 
@@ -38,13 +38,13 @@
         "state": service.state,
         "stamp": [*shown.stamp],
         "fresh": service.is_fresh,
-        "forgotten": service.is_forgotten,
+        "forgotten": service.is_plan_lost,
         "time": plan.time_ticks / SECOND,
-        "known": plan.known,
-        "held": plan.held,
+        "known": plan.confirmed_by,
+        "held": plan.held_by,
         "asks": [_request_row(request) for request in plan.requests.values()],
         "units": [
-            _unit_row(unit, plan, shown.objections.get(unit.name, ""))
+            _unit_row(unit, plan, shown.wait_reasons.get(unit.name, ""))
             for unit in plan.units.values()
         ],
         "history": [[*entry] for entry in plan.history],
@@ -62,7 +62,7 @@
         "reason": request.reason,
         "count": request.count,
         "cancelled": request.cancelled,
-        "lasting": request.lasting_ticks / SECOND,
+        "lasting": request.duration_ticks / SECOND,
     }
 
 
@@ -85,5 +85,7 @@
         "stamp": [*participant.stamp],
         "blank": participant.is_blank,
         "closed": sorted(participant.closed),
-        "levels": {tag: STATE_WORDS[level.state] for tag, level in participant.levels.items()},
+        "levels": {
+            tag: STATE_WORDS[level.state] for tag, level in participant.states_by_member.items()
+        },
     }
--- a/corkgauge/maintenance/unit_progress.py
+++ b/corkgauge/maintenance/unit_progress.py
@@ -10,11 +10,11 @@
 from corkgauge.maintenance.leadership import Leadership
 from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_records import Unit, UnitKind, UnitState
-from corkgauge.maintenance.quiescence import DrainingEngines, LeaderClock, find_doubt
+from corkgauge.maintenance.quiescence import DrainingEngines, LeaderClock, find_missing_proof
 
 ANNOUNCEMENT_TICKS = 20_000  # that gateways have to hear of a step, before it goes on without them
 LATE_LOG_TICKS = 600_000  # between two log lines on a unit that is late
-RECOVERY_TICKS = 300_000  # that a unit may take to be healthy again, before it is logged
+RECOVERY_LOG_DELAY_TICKS = 300_000  # that a unit may take to be healthy again, before it is logged
 TICKS_PER_SECOND = 10_000
 MAX_NAMES_SHOWN = 3
 
@@ -49,12 +49,12 @@
         self.grant_ticks = grant_ticks
         self.longest_deadline_ticks = longest_deadline_ticks
         self.warm_up_ticks = warm_up_ticks
-        self.next_late_log: dict[str, int] = {}  # by unit, ticks since boot
+        self.next_late_log_at: dict[str, int] = {}  # by unit, ticks since boot
 
     def next_step(self, unit: Unit, plan: Plan) -> Step | None:
         """Decide the unit's next step; None where it waits.
 
-        Then the reason stands in the leadership's objections.
+        Then the reason stands in the leadership's wait_reasons.
         """
         match unit.state:
             case UnitState.GRANTED:
@@ -72,7 +72,7 @@
                 outcome = ""
         if isinstance(outcome, Step):
             return outcome
-        self.leadership.objections[unit.name] = outcome
+        self.leadership.wait_reasons[unit.name] = outcome
         return None
 
     def _after_granted(self, unit: Unit) -> Step | str:
@@ -86,27 +86,27 @@
         return Step(UnitState.DRAINING, "")
 
     def _after_draining(self, unit: Unit) -> Step | str:
-        doubts = self.doubts(unit)
-        if not doubts:
+        missing_proofs = self.missing_proofs(unit)
+        if not missing_proofs:
             return Step(UnitState.OUT, "")
-        name, doubt = next(iter(doubts.items()))
-        more = f", and {len(doubts) - 1} more" if len(doubts) > 1 else ""
-        return f"{name}: {doubt}{more}"
+        name, missing_proof = next(iter(missing_proofs.items()))
+        more = f", and {len(missing_proofs) - 1} more" if len(missing_proofs) > 1 else ""
+        return f"{name}: {missing_proof}{more}"
 
     def _after_out(self, unit: Unit, plan: Plan) -> Step | str:
         request = plan.requests.get(unit.request_id)
-        lasting_ticks = NEVER_TICKS if request is None else request.lasting_ticks
-        if self.leadership.maintenance_time() <= unit.since_ticks + lasting_ticks:
+        duration_ticks = NEVER_TICKS if request is None else request.duration_ticks
+        if self.leadership.maintenance_time() <= unit.since_ticks + duration_ticks:
             return ""
         self._log_late(unit, "not back within its time")
         return Step(UnitState.LATE, "not back within its time")
 
     def _after_returning(self, unit: Unit) -> Step | str:
         now_ticks = self.leadership.maintenance_time()
-        why = self._why_not_back(unit, now_ticks)
+        why = self._return_wait_reason(unit, now_ticks)
         if not why:
             return Step(UnitState.BACK, "")
-        if now_ticks > unit.since_ticks + RECOVERY_TICKS:
+        if now_ticks > unit.since_ticks + RECOVERY_LOG_DELAY_TICKS:
             self._log_late(unit, why)
         return why
 
@@ -116,8 +116,8 @@
         A machine that nobody thinks of keeps its place in the limits, and blocks others.
         """
         now_ticks = self.host.now
-        if now_ticks >= self.next_late_log.get(unit.name, 0):
-            self.next_late_log[unit.name] = now_ticks + LATE_LOG_TICKS
+        if now_ticks >= self.next_late_log_at.get(unit.name, 0):
+            self.next_late_log_at[unit.name] = now_ticks + LATE_LOG_TICKS
             out_ticks = self.leadership.maintenance_time() - unit.began_ticks
             self.host.log(
                 f"works: {unit.name} of {unit.request_id} LATE, {why}; "
@@ -137,10 +137,10 @@
 
     # The proof that nobody sends there.
 
-    def doubts(self, unit: Unit) -> dict[str, str]:
+    def missing_proofs(self, unit: Unit) -> dict[str, str]:
         """By gateway: why it may still be sending there."""
         if unit.kind == UnitKind.GATEWAY:
-            return self._gateway_doubts(unit)
+            return self._gateway_missing_proofs(unit)
         leadership = self.leadership
         stamps = leadership.stamps.get(unit.name, {})
         drained_under = stamps.get(UnitState.DRAINING, leadership.proposer.stamp)
@@ -163,12 +163,14 @@
         found = {}
         for name, status in self.fleet.gateways().items():
             has_ended = status.has_left and name in kept_down
-            doubt = find_doubt(leadership.reports.get(name), has_ended, engines, clock)
-            if doubt and name not in unit.overruled and self.confirmations_required:
-                found[name] = doubt
+            missing_proof = find_missing_proof(
+                leadership.reports.get(name), has_ended, engines, clock
+            )
+            if missing_proof and name not in unit.overruled and self.confirmations_required:
+                found[name] = missing_proof
         return found
 
-    def _gateway_doubts(self, unit: Unit) -> dict[str, str]:
+    def _gateway_missing_proofs(self, unit: Unit) -> dict[str, str]:
         """Say why a gateway may not go out yet: it holds a lease and has not ended."""
         name = unit.members[0]
         status = self.fleet.gateways().get(name)
@@ -184,12 +186,12 @@
 
     # Coming back.
 
-    def _why_not_back(self, unit: Unit, now_ticks: int) -> str:
+    def _return_wait_reason(self, unit: Unit, now_ticks: int) -> str:
         if unit.kind == UnitKind.GATEWAY:
             status = self.fleet.gateways().get(unit.members[0])
             is_alive = status is not None and status.is_alive
             return "" if is_alive else "not alive yet"
-        why = self._why_engines_not_back(unit, now_ticks)
+        why = self._engines_return_wait_reason(unit, now_ticks)
         if why:
             return why
         unaware = self._unaware_gateways(unit, UnitState.RETURNING)
@@ -197,7 +199,7 @@
             return f"{_first_names(unaware)} has not heard yet"
         return ""
 
-    def _why_engines_not_back(self, unit: Unit, now_ticks: int) -> str:
+    def _engines_return_wait_reason(self, unit: Unit, now_ticks: int) -> str:
         engines = self.fleet.engines()
         warm_at_ticks = unit.since_ticks + max(self.warm_up_ticks, 1)
         for tag in unit.members:
--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -60,13 +60,13 @@
     def voters(self) -> tuple[str, ...]:
         return self.node.world.roll.names
 
-    def on_plan_led(self) -> None:
+    def on_plan_taken_over(self) -> None:
         self.node.world.agreed(self.node)
 
     def on_changes_agreed(self, changes: Any) -> None:
         self.node.world.agreed(self.node)
 
-    def on_plan_forgotten(self) -> None:
+    def on_plan_lost(self) -> None:
         """An operator comes, some time later, and tells what is out: he was there."""
         self.node.call_later(LEASE // 2, self.node.declare_plan)
 
@@ -107,7 +107,7 @@
         self.proposer.on_lease_lost()
 
     def declare_plan(self) -> None:
-        self.proposer.begin_anew(Plan.unpacked(self.world.truth))
+        self.proposer.replace_lost_plan(Plan.unpacked(self.world.truth))
 
     def heard(self, sender: Node, start: int, known_as: int, body: list[Any]) -> None:
         if body[0] != "plan":
@@ -132,7 +132,7 @@
         proposer, chance = self.proposer, self.world.chance
         if (
             proposer.state != ProposerState.LEADING
-            or not proposer.led
+            or not proposer.is_taken_over
             or not proposer.host.may_act(proposer.fence)
         ):
             return
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -148,7 +148,7 @@
         if snapshot.find_overload(snapshot.unavailable_engines()):
             return []
         waiting_units = [
-            WaitingUnit(each.tag, (each.tag,), LASTING_SECONDS, place=n)
+            WaitingUnit(each.tag, (each.tag,), LASTING_SECONDS, queue_position=n)
             for n, each in enumerate(waiting)
         ]
         granted = {*select_grants(snapshot, waiting_units).granted}
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -202,8 +202,8 @@
         self.hold("works")
         proposer = self.yard.plan_proposer
         proposer.on_lease_gained(FENCE)
-        proposer.state = ProposerState.FORGOTTEN
-        proposer.begin_anew(maintenance_plan())
+        proposer.state = ProposerState.PLAN_LOST
+        proposer.replace_lost_plan(maintenance_plan())
         for name in "n2", "n3":
             proposer.on_datagram(name, [PlanMessageKind.ACCEPTED, FENCE, FENCE, 1])
 
@@ -222,7 +222,7 @@
 
     def close(self) -> None:
         self.office.durable_record.close()
-        self.yard.safe.close()
+        self.yard.durable_record.close()
         self.membership.close()
 
 
@@ -633,7 +633,7 @@
     with tempfile.TemporaryDirectory() as folder, instance(votes_folder=folder) as here:
         act(here)
         give_up_at = time.monotonic() + 10
-        while here.office.durable_record.waiting or here.yard.safe.waiting:
+        while here.office.durable_record.waiting or here.yard.durable_record.waiting:
             assert time.monotonic() < give_up_at, "the helper has not answered"
             here.premises.event_loop.turn(5)
         return Path(folder, name).read_bytes()
@@ -771,7 +771,7 @@
                 plan_values(replica.plan),
                 participant.is_blank,
                 list(participant.stamp),
-                {name: list(level) for name, level in participant.levels.items()},
+                {name: list(level) for name, level in participant.states_by_member.items()},
                 sorted(participant.closed),
             ]
 
@@ -785,7 +785,7 @@
             each.owner,
             each.reason,
             each.due_ticks,
-            each.lasting_ticks,
+            each.duration_ticks,
             each.count,
             each.cancelled,
             each.at_ticks,
@@ -807,7 +807,7 @@
         for each in plan.units.values()
     ]
     history = [list(each) for each in plan.history]
-    return [plan.time_ticks, plan.known, plan.held, requests, units, history, plan.serial]
+    return [plan.time_ticks, plan.confirmed_by, plan.held_by, requests, units, history, plan.serial]
 
 
 def plan_read(octets: bytes) -> Any:
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -70,13 +70,13 @@
     def log(self, line):
         self.events.append(line)
 
-    def on_plan_led(self):
+    def on_plan_taken_over(self):
         self.events.append("led")
 
     def on_changes_agreed(self, changes):
         self.events.append(("agreed", changes))
 
-    def on_plan_forgotten(self):
+    def on_plan_lost(self):
         self.events.append("forgot")
 
     def on_preempted(self, fence):
@@ -274,7 +274,7 @@
     assert "e1" not in proposer.plan.units
     desk.holds = True
     proposer.on_datagram("k1", [MessageKind.ACCEPTED, 9, 9, 2])
-    assert "e1" in proposer.plan.units and proposer.settled == proposer.proposed
+    assert "e1" in proposer.plan.units and proposer.agreed_count == proposer.proposed_count
     proposer.on_datagram("k1", [MessageKind.PREEMPTED, 9, 12])
     assert desk.events[-1] == ("outbid", 12)
     proposer.on_lease_lost()
@@ -287,19 +287,19 @@
     proposer.on_lease_gained(9)
     proposer.on_datagram("k1", [MessageKind.PROMISE, 9, 5, 1, False])
     proposer.on_datagram("k2", [MessageKind.PROMISE, 9, 0, 0, True])
-    assert proposer.state != ProposerState.FORGOTTEN  # the third may remember
+    assert proposer.state != ProposerState.PLAN_LOST  # the third may remember
     proposer.on_datagram("k3", [MessageKind.PROMISE, 9, 0, 0, True])
     assert (
-        proposer.state == ProposerState.FORGOTTEN
+        proposer.state == ProposerState.PLAN_LOST
         and desk.events == ["forgot"]
         and not proposer.propose(["time", 5])
     )
     told = Plan()
     told.apply([["known", "told by ada"]])
-    proposer.begin_anew(told)
+    proposer.replace_lost_plan(told)
     for name in "k2", "k3":
         proposer.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
-    assert proposer.plan.known == "told by ada" and "led" in desk.events
+    assert proposer.plan.confirmed_by == "told by ada" and "led" in desk.events
 
 
 def test_simulated_days_keep_one_history_and_each_defence_left_out_is_found():
@@ -332,9 +332,9 @@
         DisruptionLimits(
             **{
                 "max_engines": 8,
-                "max_cores_share": 1.0,
-                "max_zone_share": 1.0,
-                "max_kind_share": 1.0,
+                "max_cores_fraction": 1.0,
+                "max_zone_fraction": 1.0,
+                "max_kind_fraction": 1.0,
                 **(bounds or {}),
             }
         ),
@@ -345,7 +345,7 @@
 
 
 def unit(*tags, **more):
-    return WaitingUnit(tags[0], tags, more.pop("lasting_ticks", 60), **more)
+    return WaitingUnit(tags[0], tags, more.pop("duration_ticks", 60), **more)
 
 
 REPORT = RequestClassDemand("report", frozenset(), frozenset({"c12"}), 0.0)
@@ -365,23 +365,23 @@
             "3 would be out, 2 at once",
         ),
         (
-            ground({"max_cores_share": 0.25}, taken_engines={"e0", "e1"}),
+            ground({"max_cores_fraction": 0.25}, taken_engines={"e0", "e1"}),
             unit("e2"),
             "all: 30 of 80 cores",
         ),
         (
-            ground({"max_zone_share": 0.5}, taken_engines={"e0", "e2"}),
+            ground({"max_zone_fraction": 0.5}, taken_engines={"e0", "e2"}),
             unit("e4"),
             "hall a: 30 of 40",
         ),
-        (ground({"max_zone_share": 0.5}, taken_engines={"e0", "e2"}), unit("e1"), ""),
+        (ground({"max_zone_fraction": 0.5}, taken_engines={"e0", "e2"}), unit("e1"), ""),
         (
-            ground({"max_kind_share": 0.5}, taken_engines={"e0", "e1"}),
+            ground({"max_kind_fraction": 0.5}, taken_engines={"e0", "e1"}),
             unit("e4"),
             "kind c8: 30 of 40",
         ),
         (
-            ground({"max_cores_share": 0.01}),
+            ground({"max_cores_fraction": 0.01}),
             unit("e4"),
             "",
         ),  # a part below one engine is one engine
@@ -463,7 +463,7 @@
     ],
 )
 def test_limits(place, asked, why):
-    said = place.find_objection(asked)
+    said = place.find_wait_reason(asked)
     assert said.startswith(why) if why else said == ""
 
 
@@ -474,7 +474,7 @@
             tag: replace(each, group="x" if tag in tags else "y")
             for tag, each in place.engines.items()
         }
-        return place.find_objection(unit("e1"))
+        return place.find_wait_reason(unit("e1"))
 
     assert "none would be left where its marks are known" in grouped("e0", "e1")
     assert grouped("e1") == ""  # alone in its group: its gateways say when no mark is open there
@@ -499,7 +499,7 @@
 def test_demand_fits_just_where_a_flow_carries_it(engines, request_classes):
     """Every unit of demand on some engine that may take it: augmenting paths, core by core."""
     place = ground(
-        {"usable_share": 1.0},
+        {"usable_fraction": 1.0},
         [
             RequestClassDemand(f"o{n}", frozenset(zones), frozenset(kinds), float(cores))
             for n, (zones, kinds, cores) in enumerate(request_classes)
@@ -531,19 +531,19 @@
 
 def test_what_is_due_goes_first_what_was_passed_often_is_passed_no_more_and_the_planner_goes_last():
     waiting = [
-        unit("e0", lasting_ticks=90),
-        unit("e1", lasting_ticks=30),
-        unit("e2", due_ticks=100, lasting_ticks=50),
+        unit("e0", duration_ticks=90),
+        unit("e1", duration_ticks=30),
+        unit("e2", due_ticks=100, duration_ticks=50),
         unit("n1", is_gateway=True),
         unit("n2", is_gateway=True),
     ]
     place = ground({"max_engines": 2}, gateways={"n1": "a", "n2": "b"})
     decision = select_grants(place, waiting, "n1")
-    granted, against = decision.granted, decision.objections
+    granted, against = decision.granted, decision.wait_reasons
     assert granted == ["e2", "e1", "n2"] and "planner itself goes last" in against["n1"]
-    large = unit("e0", "e1", "e2", "e3", passed=8)
+    large = unit("e0", "e1", "e2", "e3", times_overtaken=8)
     decision = select_grants(ground({"max_engines": 4}, taken_engines={"e7"}), [unit("e4"), large])
-    granted, against = decision.granted, decision.objections
+    granted, against = decision.granted, decision.wait_reasons
     assert granted == [] and against["e4"].startswith("behind e0")
     assert select_grants(place, waiting, "n1") == select_grants(place, [*reversed(waiting)], "n1")
 
@@ -662,9 +662,9 @@
     desk.pass_time(1)
     assert not one.must_wait(span, True, "")  # nobody plans
     assert one.must_wait(span, True, "n2")  # n2 does, and is slow
-    one.was_asked = True
+    one.report_was_requested = True
     assert not one.must_wait(span, True, "n2")  # it knows no more than we
-    one.was_asked = False
+    one.report_was_requested = False
     desk.pass_time(5 * span - 9_001)
     assert one.must_wait(span, True, "n2")
     desk.pass_time(1)
--- a/tests/test_works_fleet.py
+++ b/tests/test_works_fleet.py
@@ -487,9 +487,9 @@
 def test_all_engines_and_all_gateways_are_changed(scenes):
     units, history, (found, _) = scenes["rolling"].result()
     assert found == [] and sorted(units) == ["e1", "e2", "e3", "e4", "e5", "e6", "n1", "n2", "n3"]
-    from corkgauge.maintenance.plan_history import wrong_history
+    from corkgauge.maintenance.plan_history import find_history_errors
 
-    assert wrong_history(history) == []
+    assert find_history_errors(history) == []
 
 
 def test_everybody_is_killed_while_two_are_out(scenes):
