--- a/corkgauge/maintenance/plan_proposer.py
+++ b/corkgauge/maintenance/plan_proposer.py
@@ -1,11 +1,13 @@
-"""The plan proposer: takes the plan over from a majority of replicas, and changes it step by step.
+"""The plan proposer: takes over the maintenance plan and proposes changes to the replicas.
 
-Nothing counts before a majority of replicas has it *and* the lease is still held at that very
-moment; and no plan is begun from less than a majority of replicas that remember. Free of I/O.
+The proposer is the Paxos proposer of the lease holder, with the fencing token of the lease as its
+ballot. It changes the plan in steps. A step is agreed only if a majority of replicas has accepted
+the step *and* the lease is held when the last of these acceptances is counted. A plan is taken over
+only from a majority of replicas that have not lost their state. Free of I/O.
 
-Why the look at the lease as a step is counted: a replica without a disk that came back has
-forgotten what it promised to a later leader. While we hold the lease there is no later leader, so
-nothing was forgotten that speaks against the step.
+The lease is checked when an acceptance is counted because a replica without a disk loses its
+promise to a later leader when it restarts. While this gateway holds the lease there is no later
+leader, so no promise that forbids the step can have been lost.
 """
 
 from collections.abc import Callable, Sequence
@@ -30,16 +32,19 @@
 )
 from corkgauge.maintenance.plan_replica import NO_STAMP
 
-RETRY_TICKS = 1_000  # tenths of a millisecond, until replicas are asked again
-MAX_FETCH_TICKS = 20 * RETRY_TICKS  # until another replica is fetched from
-MAX_STEP_BYTES = 1_000  # of the changes of one step, so that it fits a datagram
-MAX_PENDING_CHANGES = 400  # that wait for their step
+RETRY_TICKS = 1_000  # until a request is sent again to the replicas
+MAX_FETCH_TICKS = 20 * RETRY_TICKS  # until a fetch is abandoned and all replicas are asked again
+MAX_STEP_BYTES = 1_000  # encoded changes of one step, which must fit in one datagram
+MAX_PENDING_CHANGES = 400  # changes that wait for the current step to be agreed
 
 Change = Sequence[Any]
 
 
 class ProposerState(IntEnum):
-    """How far the proposer has come, which operators read in the words of STATE_WORDS."""
+    """State of the proposer; STATE_WORDS has the words that operators see.
+
+    In PLAN_LOST so many replicas have lost the plan that no majority can return it.
+    """
 
     IDLE = 0
     TAKING_OVER = 1
@@ -48,35 +53,35 @@
     LEADING = 4
 
 
-STATE_WORDS = "idle", "taking over", "fetching", "forgotten", "leading"  # by ProposerState
+STATE_WORDS = "idle", "taking over", "fetching", "forgotten", "leading"  # indexed by ProposerState
 
 
 class Host(Protocol):
-    """What a proposer may do."""
+    """Interface of the plan proposer to its service."""
 
     def may_act(self, fence: int) -> bool:
-        """Whether the lease is held under this fence, now."""
+        """Whether this gateway holds the lease under the fencing token `fence` now."""
 
     def voters(self) -> Sequence[str]:
-        """Name the gateways that have a plan replica."""
+        """Return the names of the gateways that have a plan replica."""
 
     def send(self, name: str, body: list[Any]) -> None:
-        """Send a message about the plan."""
+        """Send a plan message to a gateway."""
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call the method after `delay` ticks."""
 
     def on_plan_taken_over(self) -> None:
-        """Take note: the plan is taken over."""
+        """Handle the end of the takeover: the proposer has the agreed plan."""
 
     def on_changes_agreed(self, changes: Sequence[Change]) -> None:
-        """Take note: a majority of replicas has these changes."""
+        """Handle changes that a majority of replicas has accepted."""
 
     def on_plan_lost(self) -> None:
-        """Take note: no majority of replicas remembers the plan."""
+        """Handle the loss of the plan: no majority of replicas has the plan any more."""
 
     def on_preempted(self, fence: int) -> None:
-        """Give way to a higher fence."""
+        """Give up leading, since a replica has promised the higher fencing token `fence`."""
 
     def log(self, line: str) -> None:
         """Write one line to the program's log."""
@@ -84,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingChange:
-    """A change that waits for its step, and its size in bytes."""
+    """A proposed change that is not part of a step yet; `size` is its encoded size in bytes."""
 
     change: Change
     size: int
@@ -92,16 +97,16 @@
 
 @dataclass(slots=True)
 class PendingStep:
-    """Changes proposed to the replicas: from the plan of stamp `before` to `plan`."""
+    """A step sent to the replicas; it changes the plan at stamp `base_stamp` into `plan`."""
 
     changes: list[Change]
-    before: Stamp
+    base_stamp: Stamp
     plan: Plan
     accepted_by: set[str] = field(default_factory=set)
 
 
 class PlanProposer:
-    """Holds the agreed plan while the lease is held, and the one step under way."""
+    """Holds the agreed plan while the lease is held, and the one step that is being agreed."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -109,24 +114,24 @@
         self.fence = 0
         self.plan = Plan()
         self.stamp = NO_STAMP
-        self.promises: dict[str, Promise] = {}  # by replica
+        self.promises: dict[str, Promise] = {}  # by replica name
         self.fetch: ChunkFetch | None = None
         self.step: PendingStep | None = None
         self.pending: list[PendingChange] = []
-        self.is_taken_over = False  # a majority has our first step, so that all before it is agreed
-        self.proposed_count = 0  # changes, since the lease is held
-        self.agreed_count = 0  # those of them that are agreed
-        self.timer_serial = 0  # of the timer that is awaited; earlier ones do nothing
-        self.packed: bytes | None = None  # the plan with the step under way
-        self.packed_version: tuple[bool, Stamp] = (
-            False,
-            NO_STAMP,
-        )  # with a step under way? of which stamp
+        # Whether a majority has accepted the first step under this fencing token, which makes all
+        # earlier steps agreed too.
+        self.is_taken_over = False
+        self.proposed_count = 0  # changes proposed since the lease was gained
+        self.agreed_count = 0  # the proposed changes that are agreed
+        self.timer_serial = 0  # serial of the active timer; earlier timers are ignored
+        # The encoded plan including the current step, whether it includes one, and its stamp.
+        self.packed: bytes | None = None
+        self.packed_version: tuple[bool, Stamp] = (False, NO_STAMP)
 
     # The lease.
 
     def on_lease_gained(self, fence: int) -> None:
-        """Begin to take the plan over, under this fence."""
+        """Start to take over the plan under the fencing token `fence`."""
         self.fence = fence
         self.state = ProposerState.TAKING_OVER
         self.promises = {}
@@ -136,7 +141,7 @@
         self._send_prepare()
 
     def on_lease_lost(self) -> None:
-        """Stop; what is under way may still be agreed by the next leader."""
+        """Stop proposing; the next leader may still complete the current step."""
         self.state = ProposerState.IDLE
         self._drop_changes()
         self.timer_serial += 1
@@ -147,12 +152,13 @@
         self.step = None
         self.pending = []
 
-    # What the planner wants.
+    # Proposals of the planner.
 
     def propose(self, *changes: Change) -> bool:
-        """Have these changes agreed, in this order.
+        """Propose these changes in this order.
 
-        False, and nothing is done, where they do not fit the plan as it will be then.
+        Returns False and proposes nothing if the plan is not led, if too many changes are pending,
+        or if a change does not apply to the plan with all pending changes.
         """
         is_full = len(self.pending) + len(changes) > MAX_PENDING_CHANGES
         if self.state != ProposerState.LEADING or is_full:
@@ -160,10 +166,10 @@
         sized = [PendingChange(change, len(msgpack.packb(change))) for change in changes]
         try:
             if any(each.size > MAX_STEP_BYTES for each in sized):
-                raise InvalidChangeError("a change that no datagram takes")
+                raise InvalidChangeError("a change is too large for one datagram")
             self.plan_with_pending().with_changes(changes)
         except InvalidChangeError as problem:
-            self.host.log(f"works: not proposed, {problem}")
+            self.host.log(f"works: changes not proposed, {problem}")
             return False
         self.pending += sized
         self.proposed_count += len(changes)
@@ -171,27 +177,30 @@
         return True
 
     def plan_with_pending(self) -> Plan:
-        """Return the plan with all that is under way or waits: what decisions must count with."""
+        """Return the plan with the current step and all pending changes.
+
+        Decisions must be based on this plan, since the changes may still be agreed.
+        """
         plan = self.plan if self.step is None else self.step.plan
         if not self.pending:
             return plan
         return plan.with_changes([each.change for each in self.pending])
 
     def has_pending_changes(self) -> bool:
-        """Whether a step is under way or waits."""
+        """Whether a step is being agreed or changes are pending."""
         return bool(self.pending) or self.step is not None
 
     def replace_lost_plan(self, plan: Plan) -> None:
-        """Begin with this plan, by somebody's word, after the loss of everything."""
+        """Start leading with `plan`, which was declared after the replicas lost theirs."""
         if self.state == ProposerState.PLAN_LOST and self.host.may_act(self.fence):
             self._start_leading(plan, (self.fence, 0))
 
-    # What replicas send.
+    # Messages from replicas.
 
     def on_datagram(self, sender: str, body: Sequence[Any]) -> None:
-        """Apply a replica's message.
+        """Handle a message from a replica.
 
-        Answers to another fence, or from one that is no voter, are ignored.
+        Answers under another fencing token, or from a gateway that is no voter, are ignored.
         """
         message = decode(body)
         if isinstance(message, FetchChunks):
@@ -209,7 +218,7 @@
                 self._on_accepted(sender, message)
 
     def on_chunk_datagram(self, sender: str, body: Sequence[Any]) -> None:
-        """Take a chunk of a replica's plan, as we asked for it."""
+        """Handle a chunk of the plan that is being fetched from a replica."""
         message = decode(body)
         if self.state != ProposerState.FETCHING or self.fetch is None:
             return
@@ -217,12 +226,12 @@
             self.fetch.on_chunk(sender, message)
 
     def is_fetching_from(self, sender: str) -> bool:
-        """Whether this replica's plan is being fetched."""
+        """Whether the plan is being fetched from the replica `sender`."""
         if self.state != ProposerState.FETCHING or self.fetch is None:
             return False
         return sender == self.fetch.source
 
-    # Taking over.
+    # Takeover of the plan.
 
     def _majority(self) -> int:
         return len(self.host.voters()) // 2 + 1
@@ -249,7 +258,8 @@
             self.state == ProposerState.TAKING_OVER
             and blank_count > len(self.host.voters()) - self._majority()
         ):
-            # So many forgot that no majority remembers, ever: what is out has to be told.
+            # Too many replicas lost their state for a majority to ever return the plan, so the
+            # gateways or an operator have to declare which units are out.
             self.state = ProposerState.PLAN_LOST
             self.host.on_plan_lost()
 
@@ -261,7 +271,7 @@
         self._call_later(self._on_fetch_timeout, MAX_FETCH_TICKS)
 
     def _on_fetch_timeout(self) -> None:
-        """Ask all replicas again: the one that we fetch from has gone."""
+        """Ask all replicas again, since the replica fetched from has not sent its whole plan."""
         if self.state == ProposerState.FETCHING and self.fetch is not None:
             self.fetch.end()
             self.state = ProposerState.TAKING_OVER
@@ -272,16 +282,16 @@
         if self.state == ProposerState.FETCHING and self.host.may_act(self.fence):
             self._start_leading(Plan.unpacked(packed), stamp)
 
-    def _start_leading(self, plan: Plan, before: Stamp) -> None:
-        """Begin our fence with an empty step.
+    def _start_leading(self, plan: Plan, base_stamp: Stamp) -> None:
+        """Propose an empty first step under the new fencing token.
 
-        Once a majority has it, all before it is agreed too.
+        Once a majority has accepted this step, all earlier steps are agreed too.
         """
         self.state = ProposerState.LEADING
         self.plan = plan
         self.packed = None
         self.stamp = (self.fence, 0)
-        self.step = PendingStep([], before, plan)
+        self.step = PendingStep([], base_stamp, plan)
         self.is_taken_over = False
         self._send_step()
 
@@ -300,14 +310,14 @@
         self._send_step()
 
     def _send_step(self) -> None:
-        """Send the step to each replica that has not accepted it, again and again."""
+        """Send the step to each replica that has not accepted it, and repeat until agreed."""
         step = self.step
         if self.state != ProposerState.LEADING or step is None:
             return
-        accept = Accept(self.fence, step.before, self.stamp[1] + 1, step.changes)
+        accept = Accept(self.fence, step.base_stamp, self.stamp[1] + 1, step.changes)
         for name in self.host.voters():
-            # Looked at before each datagram, not once a round: the process may have stood still
-            # between two.
+            # The lease is checked before each datagram, not once per round: the process may have
+            # been suspended between two datagrams, and the lease may have expired meanwhile.
             if name not in step.accepted_by and self.host.may_act(self.fence):
                 self.host.send(name, accept.encode())
         self._call_later(self._send_step)
@@ -333,9 +343,9 @@
         self._begin_step()
 
     def _on_fetch(self, sender: str, fetch: FetchChunks) -> None:
-        """Answer a replica that missed something, with what is under way too.
+        """Send the plan including the current step to a replica that missed a step.
 
-        It counts as accepting that step.
+        The replica's acceptance of that plan counts as acceptance of the current step.
         """
         is_leading = self.state == ProposerState.LEADING and fetch.fence == self.fence
         if not is_leading or not self.host.may_act(fetch.fence):
@@ -352,7 +362,7 @@
     # Timers.
 
     def _call_later(self, method: Callable[[], None], delay_ticks: int = RETRY_TICKS) -> None:
-        """Call the method, instead of any other that is awaited."""
+        """Call the method after the delay; this cancels the timer set before."""
         self.timer_serial += 1
         self.host.call_later(delay_ticks, self._on_timer, self.timer_serial, method)
 
--- a/corkgauge/maintenance/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -1,7 +1,8 @@
-"""The planner: what the leader does next, from the agreed plan and the gateways' reports.
+"""The planner: decides the leader's next steps from the agreed plan and the gateways' reports.
 
-Free of I/O: clock, datagrams and facts are its host's. Acts on agreed changes alone, and looks
-whether the lease is held immediately before each order that it sends.
+Free of I/O: the host provides the clock and datagrams, the fleet view provides the state of the
+fleet. The planner acts only on agreed changes, and checks the lease immediately before each order
+that it sends.
 """
 
 from collections import Counter
@@ -19,18 +20,16 @@
 from corkgauge.maintenance.plan_records import STATE_WORDS, TAKEN_STATES, UnitState
 from corkgauge.maintenance.unit_progress import UnitProgress
 
-MIN_TIME_STEP_TICKS = (
-    50_000  # tenths of a millisecond between two agreed moments of maintenance time
-)
+MIN_TIME_STEP_TICKS = 50_000  # between two changes that only advance the maintenance time
 STATES_WAITING_FOR_REPORTS = UnitState.GRANTED, UnitState.DRAINING, UnitState.RETURNING
 
 
 class Planner:
     """Leads maintenance while the lease is held.
 
-    `round_ticks` is the time between two turns. `grant_ticks` and `longest_deadline_ticks` are the
-    span of a grant and the longest time to deadline, lengthened by the drift of clocks;
-    `warm_up_ticks` how long an engine counts as cold.
+    `round_ticks` is the time between two planning rounds. `grant_ticks` is the duration of a grant
+    and `longest_deadline_ticks` the longest time to deadline of any request class, both extended by
+    the clock drift. `warm_up_ticks` is how long a returned engine counts as cold.
     """
 
     def __init__(
@@ -55,47 +54,48 @@
         )
         self.rebuilder = PlanRebuilder(self.leadership)
         self.requests = OperatorRequests(self.leadership, self.grants, self.rebuilder.declare_out)
-        self.round_serial = 0  # of the turn that is awaited; earlier timers do nothing
-        self.is_decision_due = False  # at the next turn of the event loop
+        self.round_serial = 0  # serial of the next round; earlier timers are ignored
+        self.is_decision_due = False  # a decision is scheduled for the next tick
 
-    # What the service shows and sets.
+    # Status and settings for the service.
 
     @property
     def wait_reasons(self) -> Mapping[str, str]:
-        """By unit: why it does not go on."""
+        """Return why each waiting unit cannot proceed, by unit name."""
         return self.leadership.wait_reasons
 
     @property
     def is_plan_lost(self) -> bool:
-        """Whether no majority of replicas remembers the plan."""
+        """Whether no majority of replicas has the plan any more."""
         return self.leadership.is_plan_lost
 
     @property
     def counts(self) -> Counter[str]:
-        """Counters for operators."""
+        """Return the counters for operators."""
         return self.leadership.counts
 
     def set_limits(self, limits: DisruptionLimits, round_ticks: int) -> None:
-        """Take a new configuration."""
+        """Apply new limits and a new time between two rounds."""
         self.grants.limits = limits
         self.round_ticks = round_ticks
 
     # The lease and the plan.
 
     def on_lease_gained(self, fence: int) -> None:
-        """Begin to take the plan over."""
+        """Start to take over the plan under the fencing token `fence`."""
         self.leadership.begin()
         self.proposer.on_lease_gained(fence)
-        # What gateways remember is asked at once: it may be needed, and costs a datagram each.
+        # The first round runs at once: if the plan turns out to be lost, the round requests the
+        # reports that a new plan is built from, which costs one datagram per gateway.
         self._schedule_round()
 
     def on_lease_lost(self) -> None:
-        """Stop all turns."""
+        """Stop all planning rounds."""
         self.round_serial += 1
         self.proposer.on_lease_lost()
 
     def on_plan_taken_over(self) -> None:
-        """Order what the plan taken over says: a majority has our first step."""
+        """Send orders for the plan taken over: a majority has accepted the first step."""
         self.leadership.on_plan_taken_over()
         plan = self.proposer.plan
         taken_count = len(plan.units_in(*TAKEN_STATES))
@@ -105,7 +105,7 @@
         self.send_all_orders()
 
     def on_changes_agreed(self, changes: Sequence[Sequence[Any]]) -> None:
-        """Note the steps that are agreed, and order what follows from them."""
+        """Record agreed state changes and send the resulting orders to all gateways."""
         for word, *arguments in changes:
             if word == "state":
                 self._on_step_agreed(*arguments)
@@ -122,23 +122,23 @@
             self.leadership.forget_unit(name)
 
     def on_plan_lost(self) -> None:
-        """So many replicas have forgotten that nothing can be known from them."""
+        """Handle the loss of the plan: too many replicas lost it for a majority to return it."""
         self.leadership.is_plan_lost = True
         self.host.log(
-            "works: the plan is forgotten, nothing is granted until all gateways, or an operator, "
-            "have told what is out"
+            "works: the plan is forgotten by most voters, nothing is granted until all gateways "
+            "have reported, or an operator has declared, what is out"
         )
 
     # Reports and orders.
 
     def on_report(self, name: str, incarnation: int, report: Report) -> None:
-        """Take a gateway's report; a step may have waited for it."""
+        """Record a gateway's report and decide again if a unit may have waited for the report."""
         known = self.leadership.record_report(name, incarnation, report)
         if known is None:
             return
         proposer = self.proposer
         if self.leadership.has_plan() and known.stamp != proposer.stamp:
-            self._send_orders(name)  # it missed some, or has just started
+            self._send_orders(name)  # the gateway missed orders or has just started
         elif self.leadership.is_plan_lost:
             self.rebuilder.rebuild_from_reports()
         elif (
@@ -150,7 +150,7 @@
             self.host.call_later(1, self._decide_on_report)
 
     def send_all_orders(self) -> None:
-        """Send what is agreed to each gateway; it is also what renews their grants."""
+        """Send the agreed orders to each gateway, which also renews the gateways' grants."""
         if self.leadership.has_plan():
             for name in self.fleet.gateways():
                 self._send_orders(name)
@@ -160,22 +160,22 @@
         echo = 0 if report is None else report.serial
         states = self.proposer.plan.ordered_states()
         for body in encode_orders(states, self.proposer.stamp, echo):
-            if (
-                not self.leadership.may_act()
-            ):  # before each datagram: the process may have stood still
+            # The lease is checked before each datagram: the process may have been suspended since
+            # the previous datagram, and the lease may have expired meanwhile.
+            if not self.leadership.may_act():
                 return
             self.host.send_orders(name, body)
 
     def request_all_reports(self) -> None:
-        """Ask each gateway to report what it holds."""
+        """Request a report from each gateway."""
         for name in self.fleet.gateways():
             if self.leadership.may_act():
                 self.host.request_report(name)
 
-    # Turns.
+    # Planning rounds.
 
     def _schedule_round(self) -> None:
-        """Have a turn at once, instead of the one that is awaited."""
+        """Schedule a round for the next tick; this replaces the round scheduled before."""
         self.round_serial += 1
         self.host.call_later(1, self._run_round, self.round_serial)
 
@@ -196,10 +196,10 @@
             self.decide()
 
     def decide(self) -> None:
-        """Propose the next step of each unit, where nothing stands against it."""
+        """Propose the next step of each unit that can proceed, or grant waiting units."""
         proposer = self.proposer
         if proposer.has_pending_changes():
-            return  # one thing after the other: what is under way may change what is next
+            return  # pending changes may alter the next decision, so they are agreed first
         plan = proposer.plan
         changes: list[list[Any]] = []
         for unit in plan.units.values():
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -1,9 +1,9 @@
-"""The maintenance service of one gateway: datagrams, timers, the file, HTTP, the host.
+"""Runs the maintenance state machines of one gateway and performs their I/O.
 
-Carries between the state machines of this package (plan replica, plan proposer, planner,
-participant) and the membership service, the lease service, the disk and the host; decides nothing.
-What another gateway or an operator sends is checked by the machines, and raises ValueError,
-TypeError and the like to whoever called.
+The state machines are the plan replica, the plan proposer, the planner and the participant. This
+module connects them to the membership service, the lease service, the disk, HTTP and the socket
+host, and makes no maintenance decision. The state machines check what other gateways and operators
+send; for invalid input they raise ValueError, TypeError or similar to the caller of this module.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -27,13 +27,16 @@
 from corkgauge.maintenance.serving_host import ServingHost
 from corkgauge.policy.records import Cordon
 
-LEASE_NAME = "works"  # the lease's name, as voters and the operator file know it
+LEASE_NAME = "works"  # name of the maintenance lease at voters and in the operator file
 HTTP_PATH = b"/works"
-DEMAND_SAMPLE_INTERVAL_TICKS = SECOND  # between two samples of the demand
+DEMAND_SAMPLE_INTERVAL_TICKS = SECOND  # between two samples of the demand of this gateway
 
 
 class MaintenanceService:
-    """Built once a process, on top of the membership service and the lease service."""
+    """Manages maintenance on one gateway; built once per process.
+
+    `membership` is the membership service, `lease_service` the lease service of the same process.
+    """
 
     def __init__(
         self,
@@ -51,7 +54,9 @@
         self.lease_service = lease_service
         self.fleet = FleetView(socket_host, self.member_list, self.name)
         self.pending_commands = PendingCommands(self)
-        self.is_initialized = False  # the participant calls back while it is built
+        # The constructor of Participant already calls `refresh_cordons`, which needs
+        # `self.participant`; until then `cordon_for` returns no cordon.
+        self.is_initialized = False
         self.durable_record = self._open_record()
         replica_record, participant_record = self.durable_record.stored or (None, None)
         silent_ticks = 0 if lease_service.settings.folder else lease_service.timing.silence_ticks
@@ -65,7 +70,8 @@
         self._register()
         self.participant = Participant(self, self.name, config.grant_ticks, participant_record)
         self.is_initialized = True
-        self.refresh_cordons()  # what was remembered holds from the first request on
+        # Apply the cordons read from disk before the first request is dispatched.
+        self.refresh_cordons()
         self._sample_demand()
 
     def _open_record(self) -> DurableRecord:
@@ -74,8 +80,9 @@
             self.socket_host.log,
             self.lease_service.settings.folder,
             f"{self.name}.works",
-            "works: what was kept is torn, blank at first",
-            "works: nothing is written, nothing is confirmed until a restart",
+            "works: what was kept is torn, starting blank until the leader sends plan and orders",
+            "works: nothing is written, nothing is confirmed until a restart; "
+            "check the disk, then restart",
         )
 
     def _build_planner(self) -> Planner:
@@ -94,7 +101,7 @@
         )
 
     def _register(self) -> None:
-        """Be called for datagrams, HTTP requests, the lease and the host's notifications."""
+        """Register for datagrams, HTTP requests, the maintenance lease and host notifications."""
         self.socket_host.works = self
         self.member_list.call_handlers["plan"] = self.on_plan_message
         self.member_list.call_handlers["works"] = self.on_message
@@ -104,9 +111,10 @@
         self.lease_service.add_candidate(LEASE_NAME, self)
 
     def reload(self, config: MaintenanceConfig) -> None:
-        """Take a new configuration.
+        """Apply a new configuration.
 
-        The span of a grant stays until a restart: the grants under way count with it.
+        The grant duration stays in force until a restart, because running grants were issued with
+        the previous duration.
         """
         self.config = config
         self.planner.set_limits(DisruptionLimits(*config.bounds), config.period_ticks)
@@ -114,12 +122,12 @@
             self.socket_host.log("operator file: works grant changed, in force after a restart")
 
     def end(self) -> None:
-        """Close the file; the host is attached to nothing any more."""
+        """Close the record file and detach from the socket host."""
         self.durable_record.close()
         self.socket_host.works = None
 
     def waiting(self) -> bool:
-        """Whether it is too early after the start to accept clients."""
+        """Whether the gateway still waits for maintenance orders before it accepts clients."""
         leader = self.leader_name()
         other_leader = "" if leader == self.name else leader
         return self.participant.must_wait(
@@ -129,47 +137,47 @@
     # The lease.
 
     def on_lease_gained(self) -> None:
-        """Begin to lead: the lease service calls it when the lease is gained."""
+        """Start leading maintenance; called by the lease service when the lease is gained."""
         self.planner.on_lease_gained(self.lease_service.candidates[LEASE_NAME].fencing_token)
 
     def on_lease_lost(self) -> None:
-        """Stop leading: the lease service calls it when the lease is lost."""
+        """Stop leading maintenance; called by the lease service when the lease is lost."""
         self.command_executor.clear()
         self.planner.on_lease_lost()
 
     def may_act(self, fence: int) -> bool:
-        """Whether the lease is held under this fence, now."""
+        """Whether this gateway holds the lease under the fencing token `fence` now."""
         holder = self.lease_service.candidates[LEASE_NAME]
         is_held: bool = holder.may_act() and holder.fencing_token == fence
         return is_held
 
     def leader_name(self) -> str:
-        """Name who is known to hold the lease; empty: nobody."""
+        """Return the name of the known lease holder; empty if none is known."""
         holder = self.lease_service.candidates[LEASE_NAME]
         return self.name if holder.may_act() else holder.known_holder
 
     def hand_over_lease(self, reason: str) -> None:
-        """Give the lease up, so that another gateway takes it."""
+        """Release the lease so that another gateway can gain it."""
         self.lease_service.hand_over(LEASE_NAME, reason)
 
     def on_preempted(self, fence: int) -> None:
-        """Give way: somebody has promised to heed a higher fence than ours."""
+        """Give up leading, since a replica has promised the higher fencing token `fence`."""
         self.lease_service.candidates[LEASE_NAME].on_preempted(fence)
 
-    # What the machines need: clock, timers, log, file, datagrams.
+    # Clock, timers, log, disk and datagrams for the state machines.
 
     @property
     def now(self) -> int:
-        """Tenths of a millisecond since boot."""
+        """Return the ticks (tenths of a millisecond) since boot."""
         return ticks_since_boot()
 
     @property
     def loop_time(self) -> int:
-        """Tenths of a millisecond on the event loop's clock."""
+        """Return the event loop's clock in ticks (tenths of a millisecond)."""
         return self.event_loop.now
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """Call the method after `delay` ticks, one at least."""
+        """Call the method after `delay` ticks, but after one tick at least."""
         self.event_loop.call_later(max(int(delay), 1), method, *what)
 
     def log(self, line: str) -> None:
@@ -177,22 +185,23 @@
         self.socket_host.log(line)
 
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Write, then call `then`.
+        """Write the record to disk, then call `then`.
 
-        Replica and participant share a file: each write holds both as they are now.
+        The plan replica and the participant share one file; each write stores the current state of
+        both.
         """
         participant_record = None if self.participant.is_blank else self.participant.record()
         self.durable_record.write([self.plan_replica.record(), participant_record], then, *what)
 
     def send(self, name: str, body: list[Any]) -> None:
-        """Send a message about the plan, to a replica or a proposer."""
+        """Send a plan message to the replica or the proposer of a gateway."""
         if name == self.name:
             self.event_loop.call_later(1, self.on_plan_message, name, body)
         else:
             self.member_list.call(name, "plan", body)
 
     def send_copy(self, name: str, body: list[Any]) -> None:
-        """Send a message about a copy of the plan."""
+        """Send a message that requests or carries a copy of the plan."""
         self.member_list.call(name, "copy", body)
 
     def _send(self, name: str, body: list[Any]) -> None:
@@ -202,43 +211,43 @@
             self.member_list.call(name, "works", body)
 
     def voters(self) -> Sequence[str]:
-        """Name the gateways that have a plan replica."""
+        """Return the names of the gateways that have a plan replica."""
         names: Sequence[str] = self.lease_service.configuration.names
         return names
 
-    # What the plan proposer notifies of.
+    # Notifications from the plan proposer.
 
     def on_plan_taken_over(self) -> None:
-        """Pass on that the plan is taken over."""
+        """Notify the planner that the plan is taken over."""
         self.planner.on_plan_taken_over()
 
     def on_changes_agreed(self, changes: Sequence[Any]) -> None:
-        """Pass on that a majority of replicas has these changes."""
+        """Notify the planner and the command executor of changes that a majority accepted."""
         self.planner.on_changes_agreed(changes)
         self.command_executor.on_changes_agreed()
 
     def on_plan_lost(self) -> None:
-        """Pass on that no majority of replicas remembers the plan."""
+        """Notify the planner that no majority of replicas has the plan any more."""
         self.planner.on_plan_lost()
 
-    # What the planner needs.
+    # Interface for the planner.
 
     def machines(self) -> Mapping[str, Sequence[str]]:
-        """Return engines by the machine that they share, as the operator file has them."""
+        """Return the engines on each machine, as configured in the operator file."""
         return dict(self.config.machines)
 
     def send_orders(self, name: str, body: list[Any]) -> None:
-        """Send one part of the orders to a gateway."""
+        """Send one part of a set of orders to a gateway."""
         self._send(name, [messages.ORDERS, *body])
 
     def request_report(self, name: str) -> None:
-        """Ask a gateway to report at once."""
+        """Request an immediate report from a gateway."""
         self._send(name, [messages.REPORT_REQUEST, self.plan_proposer.fence])
 
-    # What the participant needs.
+    # Interface for the participant.
 
     def refresh_cordons(self) -> None:
-        """Tell the policy which engines take nothing new, and the lease service whether we do."""
+        """Apply the current cordons to each engine of the policy and to the lease service."""
         for engine_pool in [*self.socket_host.engine_pools.values()]:
             engine = engine_pool.engine
             cordon = self.cordon_for(engine.host_reference, engine_pool.address)
@@ -247,38 +256,44 @@
         self.lease_service.set_cordoned(self.cordon_for(self.name) > 0)
 
     def is_quiet(self, tag: str) -> bool:
-        """Whether nothing of ours is open at the engine; for our own name: no lease is held."""
+        """Whether this gateway has no open attempt at engine `tag`.
+
+        If `tag` names this gateway: whether this gateway holds no lease.
+        """
         if tag == self.name:
             holds_no_lease: bool = self.lease_service.is_idle
             return holds_no_lease
         return self.fleet.is_engine_quiet(tag)
 
     def address_of(self, tag: str) -> str:
-        """Return the engine's `host:port` as listed last; empty for one that is not listed."""
+        """Return the engine's `host:port` from the endpoint list; empty if it is not listed."""
         return self.fleet.address_of(tag)
 
     def on_engines_closed(self) -> None:
-        """Report at once that engines are closed here: a step of the plan may wait for it."""
+        """Report to the leader at once, since a step of the plan may wait for closed engines."""
         leader = self.lease_service.candidates[LEASE_NAME].known_holder
         if leader:
             self._send_report(leader)
 
-    # What the host notifies of and asks.
+    # Interface for the socket host.
 
     def cordon_for(self, tag: str, address: tuple[str, int] = ("", 0)) -> Cordon:
-        """Return the cordon of an engine that the list names, perhaps anew."""
+        """Return the cordon of the engine or gateway `tag`.
+
+        `address` identifies an engine that is listed under a new name.
+        """
         if not self.is_initialized:
             return Cordon.NONE
         return self.participant.cordon_of(tag, format_address(address))
 
     def on_attempt_finished(self, tag: str, outcome: int) -> None:
-        """Note that an attempt at the engine has ended."""
+        """Record the end of an attempt at the engine."""
         self.fleet.record_attempt_end(tag, outcome)
 
     # Datagrams.
 
     def on_plan_message(self, sender: str, body: Any) -> None:
-        """Pass a message about the plan to the replica or the proposer here."""
+        """Dispatch a plan message to the plan replica or the plan proposer of this gateway."""
         kind, fence = body[:2]
         proposer = self.plan_proposer
         is_leading = proposer.state == ProposerState.LEADING and fence == proposer.fence
@@ -333,21 +348,23 @@
         self._send(to, body)
 
     def forward_command(self, leader: str, key: str, text: str) -> None:
-        """Send an operator's command to the leader."""
+        """Forward an operator's command to the leader."""
         self._send(leader, [messages.COMMAND, key, text])
 
     def send_answer(self, to: str, key: str, answer: str, error: str) -> None:
-        """Answer a command that a gateway forwarded."""
+        """Send the answer of a command back to the gateway that forwarded the command."""
         self._send(to, [messages.ANSWER, key, answer, error])
 
     # Timers.
 
     def _sample_demand(self) -> None:
         self.fleet.sample_demand()
-        self.fleet.engines()  # an engine that leaves the list is noticed even where nobody plans
+        # Called for its side effect: it records that an engine has left the endpoint list. On
+        # gateways that do not lead nothing else calls it.
+        self.fleet.engines()
         self.event_loop.call_later(DEMAND_SAMPLE_INTERVAL_TICKS, self._sample_demand)
 
-    # What operators see.
+    # Status for operators.
 
     def report_status(self, body: bytes = b"") -> dict[str, Any]:
         """Answer `GET /works`."""
