--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -1,13 +1,14 @@
-"""A gateway's part in maintenance: the orders that it heeds, and what it may answer for.
+"""The maintenance participant: applies the leader's orders on one gateway and closes engines.
 
-Orders name each engine with the state of its unit. `granted` (announced): this gateway sends there
-only while its grant runs, which counts from when it wrote the report that the leader answers; so a
-gateway that is cut off afterwards is known to stop. From `draining` on: nothing new; once nothing
-of its is open there the engine is closed, written to disk, and confirmed.
+Orders name each engine in maintenance, with the state of its unit. While a unit is `granted`
+(announced), the gateway sends to its engines only while the gateway's grant runs. The grant counts
+from the time at which the gateway wrote the report that the leader answered, so the leader knows
+when a disconnected gateway stops. From `draining` on the gateway sends no new attempts. Once the
+gateway has no open attempt at an engine, it closes the engine, writes that to disk and confirms it.
 
-Free of I/O: its host cordons engines, says whether anything is open there, sends and writes.
-Nothing is confirmed that might be forgotten, and no orders are taken that are older than those in
-force. Where nothing was announced nothing of this holds up serving.
+Free of I/O: the host cordons engines, tells whether attempts are open, sends and writes. A
+participant must never confirm what a restart could lose, and must never apply orders that are older
+than the orders in force. Without announced maintenance the participant does not delay any request.
 """
 
 from collections.abc import Callable, Mapping
@@ -18,19 +19,17 @@
 from corkgauge.maintenance.plan_records import UnitState
 from corkgauge.policy.records import Cordon
 
-MAX_REPORTS_REMEMBERED = (
-    64  # of which the time of writing is known, so that a grant can count from it
-)
-QUIET_CHECK_TICKS = 200  # tenths of a millisecond between two looks whether an engine is quiet
-MAX_ORDERS_PART_COUNT = 64  # of one set of orders
-MAX_CLOSED_BYTES = 500  # of closed engines' names in one report
-MAX_STARTUP_WAIT_COUNT = 5  # spans of patience that a gateway waits at its start, at most
+MAX_REPORTS_REMEMBERED = 64  # reports whose time is kept, since a grant counts from that time
+QUIET_CHECK_TICKS = 200  # between two checks whether draining engines have open attempts
+MAX_ORDERS_PART_COUNT = 64  # datagrams of one set of orders
+MAX_CLOSED_BYTES = 500  # names of closed engines in one report
+MAX_STARTUP_WAIT_COUNT = 5  # startup waits after which a gateway serves in any case
 
 Stamp = tuple[int, int]
 
 
 class OrderedState(NamedTuple):
-    """The state of an engine's unit, as ordered, and the engine's address as listed last."""
+    """Ordered state of an engine's unit, and the engine's last address in the endpoint list."""
 
     state: int
     address: str
@@ -38,7 +37,7 @@
 
 @dataclass(slots=True)
 class PartialOrders:
-    """Orders of which some parts have not come yet."""
+    """A set of orders of which some parts have not been received yet."""
 
     stamp: Stamp = (0, 0)
     parts: int = 0
@@ -46,42 +45,43 @@
 
 
 class Host(Protocol):
-    """What a participant may do. `now` is tenths of a millisecond since boot."""
+    """Interface of the participant to its service."""
 
     @property
     def now(self) -> int:
-        """Return the tenths of a millisecond since boot."""
+        """Return the ticks (tenths of a millisecond) since boot."""
 
     def refresh_cordons(self) -> None:
-        """Cordon each engine, and this gateway, as `cordon_of` says."""
+        """Apply the result of `cordon_of` to each engine and to this gateway."""
 
     def is_quiet(self, tag: str) -> bool:
-        """Whether nothing of this gateway's is open there."""
+        """Whether this gateway has no open attempt at engine `tag`."""
 
     def address_of(self, tag: str) -> str:
-        """Return the engine's `host:port` as listed last; empty: not in the list."""
+        """Return the engine's `host:port` from the endpoint list; empty if it is not listed."""
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call the method after `delay` ticks."""
 
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Call `then` once the record is safe on disk."""
+        """Write the record and call `then` once the record is durable on disk."""
 
     def on_engines_closed(self) -> None:
-        """Report to the leader: engines are closed here."""
+        """Report to the leader that the record of closed engines is written."""
 
     def log(self, line: str) -> None:
         """Write one line to the program's log."""
 
 
 class Participant:
-    """Heeds orders, and closes engines.
+    """Applies orders and closes engines.
 
-    `grant_ticks` is the span of a grant. `stored` is what the disk gave, [stamp, levels, closed],
-    or None: then the participant is blank.
+    `grant_ticks` is the duration of a grant. `stored` is the record read from disk: stamp, ordered
+    states, closed engines. If `stored` is None, the participant is blank: it has no memory of
+    earlier orders.
     """
 
-    checks_fence = True  # False shows, in tests, what the look at the fence is for
+    checks_fence = True  # tests set False to show the failure that the fence check prevents
 
     def __init__(self, host: Host, name: str, grant_ticks: int, stored: list[Any] | None) -> None:
         self.host = host
@@ -90,54 +90,57 @@
         # Orders in force.
         self.stamp: Stamp = 0, 0
         self.states_by_member: dict[str, OrderedState] = {}
-        self.tag_by_address: dict[str, str] = {}  # of the engines that orders name
+        self.tag_by_address: dict[str, str] = {}  # of the engines in the orders in force
         self.closed: set[str] = set()
         self.is_blank = stored is None
         self.grant_expires_at = 0
         self.partial_orders = PartialOrders()
-        self.preempted_orders = 0  # counted for operators
-        # What is on disk, and so may be reported.
+        self.preempted_orders = 0  # counter for operators
+        # State that is on disk; only this state may be reported.
         self.stored_stamp: Stamp = 0, 0
         self.stored_closed: frozenset[str] = frozenset()
         # Reports.
         self.report_serial = 0
-        self.report_written_at: dict[int, int] = {}  # by serial number of a report
-        self.next_closed_index = 0  # which closed engine the next report names first
-        # The start.
+        self.report_written_at: dict[int, int] = {}  # ticks by report serial
+        self.next_closed_index = 0  # closed engine that the next report names first
+        # Startup.
         self.started_at = host.now
-        self.member_reached_at = -1  # when a member was first reached
-        self.has_orders = False  # somebody has told us since our start
-        self.report_was_requested = False  # somebody leads who knows no more than we, and asks us
-        self.is_checking = False  # whether draining engines are quiet
+        self.member_reached_at = -1  # when a member was first reached; -1: not yet
+        self.has_orders = False  # a leader has sent orders since this process started
+        # A leader that has lost the plan has requested a report from this gateway, so no orders are
+        # to be expected from that leader.
+        self.report_was_requested = False
+        self.is_checking = False  # a check for open attempts at draining engines is scheduled
         if stored is not None:
             self._restore(stored)
         self._on_states_changed()
 
     def _restore(self, stored: list[Any]) -> None:
-        stamp, levels, closed = stored
+        stamp, states, closed = stored
         self.stamp = (stamp[0], stamp[1])
         self.closed = {*closed}
         self.stored_stamp = self.stamp
         self.stored_closed = frozenset(closed)
         self.states_by_member = {
-            tag: OrderedState(state, address) for tag, (state, address) in levels.items()
+            tag: OrderedState(state, address) for tag, (state, address) in states.items()
         }
 
-    # At the start.
+    # Startup.
 
     def must_wait(
         self, startup_wait_ticks: int, has_reached_member: bool, other_leader: str
     ) -> bool:
-        """Whether it is too early to accept clients.
+        """Whether the gateway must wait for orders before it accepts clients.
 
-        `has_reached_member` is whether a member was reached, `other_leader` who is known to hold
-        the lease, or empty.
+        `has_reached_member` says whether another member was reached. `other_leader` is the known
+        lease holder, if that is another gateway, and else empty.
 
-        A gateway that has forgotten over a restart, or remembers what was true before it, would
-        send to a machine that is out. So it waits for orders: for a moment after its start and
-        after it has reached a member, as either may be slow, and for a leader that is known; but it
-        serves all the same where nobody is there or nobody knows, and after MAX_STARTUP_WAIT_COUNT
-        such moments whatever is.
+        A restarted gateway that has lost its orders, or has orders from before the restart, could
+        send to a machine that is out of service. The gateway therefore waits for orders until
+        `startup_wait_ticks` have passed since its start and since it first reached a member, as
+        either may be slow. After that time the gateway still waits if a leader is known, but serves
+        without orders if no leader is known or the leader has lost the plan. The gateway serves in
+        any case once MAX_STARTUP_WAIT_COUNT times `startup_wait_ticks` have passed.
         """
         now = self.host.now
         if self.has_orders or now >= self.started_at + MAX_STARTUP_WAIT_COUNT * startup_wait_ticks:
@@ -151,13 +154,14 @@
     # Orders.
 
     def on_orders(self, orders: Orders) -> bool:
-        """Take a part of a leader's orders. False where a later leader's are in force.
+        """Handle one part of a leader's orders; False if orders of a later leader are in force.
 
-        Raises ValueError for parts that make no sense.
+        Raises ValueError for invalid part numbers.
         """
         stamp = orders.fence, orders.number
         if stamp < self.stamp and self.checks_fence:
-            # What a leader wrote before it stood still would take back what its successor cordoned.
+            # Orders that an earlier leader sent before its process was suspended would lift
+            # cordons that its successor has ordered.
             is_preempted = orders.fence < self.stamp[0]
             self.preempted_orders += is_preempted
             return not is_preempted
@@ -170,12 +174,12 @@
         return True
 
     def _collect_part(self, stamp: Stamp, orders: Orders) -> None:
-        """Keep the part; with the last one the orders are taken whole."""
+        """Store the part; apply the orders once all parts have been received."""
         part = orders.part
         parts = orders.parts
         are_numbers = type(part) is int and type(parts) is int
         if not are_numbers or not 0 <= part < parts <= MAX_ORDERS_PART_COUNT:
-            raise ValueError("orders that make no sense")
+            raise ValueError("orders have an invalid part number or too many parts")
         partial = self.partial_orders
         if (partial.stamp, partial.parts) != (stamp, parts):
             partial = PartialOrders(stamp, parts)
@@ -183,29 +187,29 @@
         partial.states_by_part[part] = dict(orders.levels)
         if len(partial.states_by_part) == parts:
             states: dict[str, int] = {}
-            for levels in partial.states_by_part.values():
-                states.update(levels)
+            for part_states in partial.states_by_part.values():
+                states.update(part_states)
             self._take_orders(stamp, states)
             self.partial_orders = PartialOrders()
 
     def _take_orders(self, stamp: Stamp, states: Mapping[str, int]) -> None:
         before = self.states_by_member
         self.states_by_member = {
-            tag: OrderedState(state, self.host.address_of(tag) or _address_in(before, tag))
+            tag: OrderedState(state, self.host.address_of(tag) or _known_address(before, tag))
             for tag, state in states.items()
         }
         self.stamp = stamp
         self.is_blank = False
         self.has_orders = True
-        # An engine that was let go and is drained again must be looked at again.
+        # An engine that was returned to service and is drained again must be checked again.
         self.closed = {tag for tag in self.closed if self._state_of(tag) >= UnitState.DRAINING}
         self._on_states_changed()
         self._write()
 
     def _extend_grant(self, until: int) -> None:
-        """Extend the grant, counted from before it was asked for.
+        """Extend the grant to `until`, which counts from the time of the report.
 
-        Whatever time the datagrams took is lost, not gained.
+        The transit time of the datagrams thus shortens the grant and never extends it.
         """
         if until <= self.grant_expires_at:
             return
@@ -216,31 +220,33 @@
             self.host.refresh_cordons()
 
     def _on_grant_end(self, until: int) -> None:
-        """Stop sending where work was announced.
+        """Stop sending to the engines of announced maintenance.
 
-        Cut off from the leader, we could not hear that the work begins.
+        A gateway without contact to the leader would not learn that the maintenance begins.
         """
         if until == self.grant_expires_at and self.states_by_member:
             self.host.refresh_cordons()
 
     def _on_states_changed(self) -> None:
         self.tag_by_address = {
-            level.address: tag for tag, level in self.states_by_member.items() if level.address
+            ordered_state.address: tag
+            for tag, ordered_state in self.states_by_member.items()
+            if ordered_state.address
         }
         self.host.refresh_cordons()
-        if not self.is_checking and self._draining():
+        if not self.is_checking and self._draining_engines():
             self.is_checking = True
             self.host.call_later(1, self._check_quiet)
 
     def _state_of(self, tag: str) -> int:
-        level = self.states_by_member.get(tag)
-        return UnitState.ASKED if level is None else level.state
+        ordered_state = self.states_by_member.get(tag)
+        return UnitState.ASKED if ordered_state is None else ordered_state.state
 
     def cordon_of(self, tag: str, address: str = "") -> Cordon:
-        """Say what may be sent to the engine, or to this gateway, now.
+        """Return the current cordon of an engine or of this gateway.
 
-        An engine that the list names anew, at the address where maintenance is on, is the same
-        machine.
+        An engine that is listed under a new name, but at the address of an engine in maintenance,
+        is the same machine and gets the same cordon.
         """
         if tag not in self.states_by_member:
             tag = self.tag_by_address.get(address, tag)
@@ -254,38 +260,38 @@
 
     # Closing engines.
 
-    def _draining(self) -> list[str]:
-        """Engines that take nothing new and are not closed yet."""
+    def _draining_engines(self) -> list[str]:
+        """Return the engines that get no new attempts and are not closed yet."""
         return [
             tag
-            for tag, level in self.states_by_member.items()
-            if level.state >= UnitState.DRAINING and tag not in self.closed
+            for tag, ordered_state in self.states_by_member.items()
+            if ordered_state.state >= UnitState.DRAINING and tag not in self.closed
         ]
 
     def _check_quiet(self) -> None:
-        """Close each draining engine at which nothing of ours is open any more."""
-        draining = self._draining()
+        """Close each draining engine at which this gateway has no open attempt any more."""
+        draining = self._draining_engines()
         quiet = [tag for tag in draining if self.host.is_quiet(tag)]
         if quiet:
             self.closed.update(quiet)
-            self.host.refresh_cordons()  # before it is confirmed
+            self.host.refresh_cordons()  # must take effect before the engines are confirmed closed
             self._write()
         self.is_checking = len(quiet) < len(draining)
         if self.is_checking:
             self.host.call_later(QUIET_CHECK_TICKS, self._check_quiet)
 
     def _write(self) -> None:
-        """Write before anything is confirmed.
+        """Write the record to disk; only written state is confirmed to the leader.
 
-        A gateway that confirmed, and forgets it over a restart, would send to a machine that is
-        open on a bench.
+        A gateway that confirmed an engine as closed and lost that over a restart would send to a
+        machine that is being worked on.
         """
         self.host.write_record(self.record(), self._on_written, self.stamp, frozenset(self.closed))
 
     def record(self) -> list[Any]:
-        """Return what is stored: [stamp, levels, closed]."""
-        levels = {tag: [*level] for tag, level in self.states_by_member.items()}
-        return [[*self.stamp], levels, sorted(self.closed)]
+        """Return the record for the disk: stamp, ordered states, closed engines."""
+        states = {tag: [*ordered_state] for tag, ordered_state in self.states_by_member.items()}
+        return [[*self.stamp], states, sorted(self.closed)]
 
     def _on_written(self, stamp: Stamp, closed: frozenset[str]) -> None:
         self.stored_stamp = stamp
@@ -295,10 +301,11 @@
     # Reports to the leader.
 
     def report_fields(self) -> list[Any]:
-        """Begin a report: [serial, fence, number, blank, closed, how many are closed].
+        """Return the first fields of a report and record its time.
 
-        Its grant counts from now. Closed engines that do not fit one datagram go with the next
-        reports, in turn.
+        The fields are: serial, fence, number, is blank, names of closed engines, number of closed
+        engines. A grant that answers this report counts from now. Closed engines that do not fit
+        in one datagram are named in the following reports, in turn.
         """
         self.report_serial += 1
         self.report_written_at[self.report_serial] = self.host.now
@@ -321,6 +328,6 @@
         return named
 
 
-def _address_in(levels: Mapping[str, OrderedState], tag: str) -> str:
-    level = levels.get(tag)
-    return "" if level is None else level.address
+def _known_address(states: Mapping[str, OrderedState], tag: str) -> str:
+    ordered_state = states.get(tag)
+    return "" if ordered_state is None else ordered_state.address
--- a/corkgauge/maintenance/plan.py
+++ b/corkgauge/maintenance/plan.py
@@ -1,18 +1,20 @@
-"""The maintenance plan: what was requested, where each unit stands, and what has happened.
+"""The maintenance plan: requests, the state of each unit, and the history of state changes.
 
-A majority of plan replicas holds it. It changes by a list of small changes alone; all who apply the
-same changes in the same order end up with the same plan. Free of I/O and of clocks; looks at
-nothing but the plan and the change, whoever proposes a change has looked at the rest.
+A majority of the plan replicas stores the agreed plan. The plan changes only by lists of small
+changes; replicas that apply the same changes in the same order have the same plan. Free of I/O and
+of clocks. A change is validated against the plan alone; the proposer of a change has checked
+everything else, such as capacity and the quiescence proof.
 
-A *unit* is what goes out together: one engine, the engines that share a machine, or one gateway.
-Its states:
+A *unit* is taken out of service as a whole: one engine, the engines that share a machine, or one
+gateway. Its states:
 
-    asked > granted > draining > out > returning > back      each once
-                                 out > late > returning      it did not come back within its time
+    asked > granted > draining > out > returning > back      normal order, each state once
+                                 out > late > returning      not returned within the requested time
             granted, draining > returning                    cancelled before the work began
 
-Time in a plan is *maintenance time*, tenths of a millisecond in which somebody has held the lease:
-it only grows, whatever the clocks of machines are set to, and stands still while nobody leads.
+Times in a plan are *maintenance time*: the ticks (tenths of a millisecond) during which a leader
+has held the lease. Maintenance time never decreases, whatever the clocks of machines are set to,
+and does not advance without a leader.
 """
 
 from collections import deque
@@ -30,18 +32,18 @@
     UnitState,
 )
 
-MAX_HISTORY_ENTRIES = 300  # that operators, and the next leader, can look back at
+MAX_HISTORY_ENTRIES = 300  # kept for operators and for the next leader
 MAX_REQUESTS = 200
 MAX_UNITS = 2_000
-MAX_TEXT_CHARACTERS = 120  # of an owner or a reason
+MAX_TEXT_CHARACTERS = 120  # of an owner, a reason or another free text
 
 
 class InvalidChangeError(ValueError):
-    """A change that does not fit the plan: why, in one line."""
+    """A change that cannot be applied to the plan; the message is one line."""
 
 
 class Plan:
-    """Requests, units and history, with the changes that apply to them.
+    """The requests, units and history of maintenance, and the methods that change them.
 
     >>> plan = Plan()
     >>> request = ["a1", "engine", ["e1"], "ada", "disk", 900, 60, 1, "", 0]
@@ -59,35 +61,38 @@
 
     def __init__(self) -> None:
         self.time_ticks = 0
-        self.confirmed_by = ""  # by whose word it is known what is out; empty: nothing is granted
-        self.held_by = ""  # who holds all grants back; empty: nobody
+        self.confirmed_by = ""  # who declared which units are out at the start; empty: no grants
+        self.held_by = ""  # operator who suspended all grants; empty: not suspended
         self.requests: dict[str, MaintenanceRequest] = {}
         self.units: dict[str, Unit] = {}
         self.history: deque[HistoryEntry] = deque(maxlen=MAX_HISTORY_ENTRIES)
-        self.serial = 0  # of the last entry of the history
+        self.serial = 0  # serial number of the last history entry
 
     def apply(self, changes: Iterable[Sequence[Any]]) -> None:
-        """Apply all changes, in order.
+        """Apply all changes in order.
 
-        Raises InvalidChangeError at the first that does not fit; those before it hold then, so
-        whoever proposes changes tries them on a copy first.
+        Raises InvalidChangeError at the first invalid change. Earlier changes of the list stay
+        applied, so a proposer must first apply the changes to a copy.
         """
         for word, *arguments in changes:
             method = _CHANGES.get(word)
             if method is None:
-                raise InvalidChangeError(f"no change {word!r}")
+                raise InvalidChangeError(f"unknown change {word!r}")
             method(self, *arguments)
 
     def with_changes(self, changes: Iterable[Sequence[Any]]) -> "Plan":
-        """Copy the plan, with the changes. Raises InvalidChangeError where they do not fit."""
+        """Return a copy of the plan with the changes applied.
+
+        Raises InvalidChangeError for an invalid change.
+        """
         plan = Plan.unpacked(self.packed())
         plan.apply(changes)
         return plan
 
-    # One method a change; the arguments are those of the wire.
+    # One method per kind of change; the arguments are the fields of the change on the wire.
 
     def _advance_time(self, at_ticks: int) -> None:
-        # A leader that counts from an older plan must not turn the time back.
+        # A leader that started from an older plan must not turn maintenance time back.
         self.time_ticks = max(self.time_ticks, at_ticks)
 
     def _set_confirmed_by(self, by: str) -> None:
@@ -99,13 +104,15 @@
     def _add_request(self, fields: Sequence[Any]) -> None:
         request = MaintenanceRequest.from_wire(fields)
         if len(self.requests) >= MAX_REQUESTS and request.id not in self.requests:
-            raise InvalidChangeError(f"{MAX_REQUESTS} asks are open")
+            raise InvalidChangeError(f"{MAX_REQUESTS} asks are open, no more fit in the plan")
         self.requests.setdefault(request.id, request)
 
     def _add_unit(self, name: str, request_id: str, kind: str, members: Sequence[str]) -> None:
         is_full = len(self.units) >= MAX_UNITS
         if request_id not in self.requests or name in self.units or is_full:
-            raise InvalidChangeError(f"no room for unit {name} of {request_id}")
+            raise InvalidChangeError(
+                f"cannot add unit {name} of ask {request_id}: unknown ask, known unit, or plan full"
+            )
         unit = Unit(name, request_id, kind, [*members], UnitState.ASKED, self.time_ticks)
         self.units[name] = unit
         self._record(unit)
@@ -129,7 +136,7 @@
                 self.requests.pop(unit.request_id, None)
 
     def _shrink_request(self, request_id: str, count: int) -> None:
-        """Not all units that the request named are there any more."""
+        """Set the number of units of a request; some of its units no longer exist."""
         if request_id in self.requests:
             self.requests[request_id].count = count
             if not self._has_units(request_id):
@@ -162,12 +169,12 @@
         )
         self.history.append(entry)
 
-    # The whole.
+    # Encoding of the whole plan.
 
     def packed(self) -> bytes:
-        """Encode the plan as it is stored and sent, msgpack.
+        """Encode the plan with msgpack for disk and wire.
 
-        The same plan gives the same bytes everywhere.
+        Equal plans are encoded to equal bytes on every gateway.
         """
         fields = [
             self.time_ticks,
@@ -183,7 +190,7 @@
 
     @staticmethod
     def unpacked(data: bytes) -> "Plan":
-        """Decode a stored or received plan. Raises InvalidChangeError where it makes no sense."""
+        """Decode a stored or received plan. Raises InvalidChangeError if it is malformed."""
         plan = Plan()
         try:
             time_ticks, known, held, requests, units, history, serial = msgpack.unpackb(data)
@@ -196,20 +203,20 @@
             plan.serial = serial
         except (ValueError, TypeError, IndexError, msgpack.UnpackException) as problem:
             raise InvalidChangeError(
-                f"a plan that makes no sense ({type(problem).__name__})"
+                f"the encoded plan is malformed ({type(problem).__name__})"
             ) from None
         return plan
 
-    # What follows from it.
+    # Queries.
 
     def units_in(self, *states: UnitState) -> list[Unit]:
-        """List the units in any of these states, in the order in which they were requested."""
+        """Return the units in any of these states, in the order of their requests."""
         return [unit for unit in self.units.values() if unit.state in states]
 
     def ordered_states(self) -> dict[str, int]:
-        """Return what each gateway has to heed.
+        """Return the states that orders tell to every gateway.
 
-        The unit's state, by engine's reference or gateway's name.
+        The keys are engine references and gateway names, the values the states of their units.
         """
         return {
             member: unit.state
--- a/corkgauge/maintenance/plan_copy.py
+++ b/corkgauge/maintenance/plan_copy.py
@@ -1,7 +1,7 @@
-"""The plan as shown at gateways that do not lead: a copy fetched from the leader.
+"""Fetches a copy of the plan from the leader, for display on other gateways.
 
-The copy travels as chunks under a datagram subject of its own, so that it never meets the replicas'
-messages.
+The copy is sent as chunks under a separate datagram subject, so that its messages are never
+confused with messages of the plan replicas.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -14,15 +14,15 @@
 from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_messages import Chunk, Stamp
 
-COPY_RETRY_TICKS = 1_000  # until chunks are asked for again
-MAX_FETCH_DATAGRAMS = 40  # of one fetch, which is for show alone and must not go on for ever
+COPY_RETRY_TICKS = 1_000  # until missing chunks are requested again
+MAX_FETCH_DATAGRAMS = 40  # requests of one fetch; a fetch for display must not retry forever
 
 
 class Host(Protocol):
-    """What copying the plan needs of the service."""
+    """Interface of the copier to the maintenance service."""
 
     def send_copy(self, name: str, body: list[Any]) -> None:
-        """Send a message about a copy of the plan."""
+        """Send a message that requests or carries a copy of the plan."""
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call the method after `delay` ticks."""
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanCopy:
-    """A plan, the stamp it was agreed under, and by unit why it does not go on."""
+    """A plan, the stamp of its last agreed step, and why units cannot proceed, by unit name."""
 
     stamp: Stamp = (0, 0)
     plan: Plan = field(default_factory=Plan)
@@ -38,7 +38,7 @@
 
 
 class PlanCopier:
-    """Holds the newest copy, fetches newer ones, and answers other gateways' fetches."""
+    """Stores the newest copy, fetches newer copies, and answers fetches of other gateways."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -46,19 +46,19 @@
         self.fetch: ChunkFetch | None = None
 
     def fetch_from(self, leader: str) -> None:
-        """Begin to fetch the leader's plan, unless a fetch is under way."""
+        """Start to fetch the leader's plan, unless a fetch is running."""
         if self.fetch is None or self.fetch.is_over:
             self.fetch = ChunkFetch(
                 _LimitedSender(self), leader, 0, COPY_RETRY_TICKS, self._on_fetched
             )
 
     def on_chunk(self, sender: str, chunk: Chunk) -> None:
-        """Take a chunk of a plan that is being fetched."""
+        """Handle a chunk of the plan that is being fetched."""
         if self.fetch is not None:
             self.fetch.on_chunk(sender, chunk)
 
     def send_chunks(self, to: str, copy: PlanCopy, indexes: Sequence[int]) -> None:
-        """Answer another gateway's fetch with some chunks of this copy."""
+        """Answer another gateway's fetch with the requested chunks of this copy."""
         data = msgpack.packb([copy.plan.packed(), copy.wait_reasons])
         for chunk in chunks_of(data, indexes, 0, copy.stamp):
             self.host.send_copy(to, chunk.encode())
@@ -70,7 +70,7 @@
 
 
 class _LimitedSender:
-    """Sends the questions of one fetch, and ends it after MAX_FETCH_DATAGRAMS."""
+    """Sends the requests of one fetch, and ends the fetch after MAX_FETCH_DATAGRAMS."""
 
     def __init__(self, copier: PlanCopier) -> None:
         self.copier = copier
--- a/corkgauge/maintenance/plan_history.py
+++ b/corkgauge/maintenance/plan_history.py
@@ -1,4 +1,4 @@
-"""Checks a recorded history of maintenance, as `GET /works` gives it, from outside."""
+"""Checks a maintenance history that was read with `GET /works`."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
@@ -7,9 +7,9 @@
 
 
 def find_history_errors(entries: Iterable[Sequence[Any]], max_taken: int = 0) -> list[str]:
-    """List what is wrong: a step twice, one left out, or too many units taken at once.
+    """Return the errors of a history: repeated or skipped states, too many units taken at once.
 
-    `max_taken` is how many may be taken at once (0: any number).
+    `max_taken` is the number of units that may be taken at once (0: no limit).
 
     >>> rows = [[1, 0, "e1", 0, "a", ""], [2, 5, "e1", 1, "a", ""], [3, 6, "e1", 1, "a", ""]]
     >>> find_history_errors(rows)
--- a/corkgauge/maintenance/plan_rebuild.py
+++ b/corkgauge/maintenance/plan_rebuild.py
@@ -1,6 +1,7 @@
-"""A new plan after the loss of everything: what was out stays out, until an operator says `done`.
+"""Builds a new plan after a majority of replicas has lost the plan.
 
-The word for it comes from all gateways together, or from an operator.
+Units that were out of service stay out in the new plan until an operator commands `done` for them.
+Which units are out is known from the reports of all gateways, or declared by an operator.
 """
 
 from collections.abc import Iterable
@@ -10,25 +11,25 @@
 from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_records import MaintenanceRequest, UnitKind, UnitState
 
-RECOVERED_REQUEST = "recovered"  # the id of the request that units found out belong to
-MAX_NAMES_STORED = 40  # of that request
+RECOVERED_REQUEST = "recovered"  # id of the request that contains the units found out of service
+MAX_NAMES_STORED = 40  # names listed in that request
 
 
 class PlanRebuilder:
-    """Begins a plan anew at the leader."""
+    """Builds a new plan at the leader."""
 
     def __init__(self, leadership: Leadership) -> None:
         self.leadership = leadership
         self.fleet = leadership.fleet
 
     def rebuild_from_reports(self) -> None:
-        """Begin a plan once every gateway has reported and remembers.
+        """Build a plan once every gateway has reported completely and none is blank.
 
-        Out is then what any of them holds closed.
+        An engine is out in the new plan if any gateway has closed the engine.
         """
         names = self.fleet.gateways()
-        # A gateway that has forgotten, or was not heard, may be the only one that confirmed that an
-        # engine is out.
+        # A gateway that is blank or has not reported may be the only one that has confirmed an
+        # engine as closed.
         if not all(self._has_reported_all(name) for name in names):
             return
         reports = self.leadership.reports
@@ -43,7 +44,7 @@
         return len(report.closed) >= report.closed_count
 
     def declare_out(self, out: Iterable[str], by: str) -> None:
-        """Begin a plan in which these engines and gateways are out, by somebody's word."""
+        """Start a plan in which these engines and gateways are out; `by` names who declared it."""
         now_ticks = self.leadership.maintenance_time()
         tags = sorted({*out})
         plan = Plan()
--- a/corkgauge/maintenance/plan_records.py
+++ b/corkgauge/maintenance/plan_records.py
@@ -1,7 +1,7 @@
 """Records of the maintenance plan: unit states, requests, units and history entries.
 
-Each record knows the list that it is on the wire and in stored plans; the order of its fields
-there never changes.
+Each record encodes itself as a list for the wire and for stored plans. The order of the fields in
+that list must never change.
 """
 
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 class UnitState(IntEnum):
-    """Where a unit stands; the numbers are those of the wire and of stored plans."""
+    """State of a unit; the numbers are used on the wire and in stored plans."""
 
     ASKED = 0
     GRANTED = 1
@@ -23,14 +23,22 @@
 
 
 class UnitKind(StrEnum):
-    """What a unit consists of; the words are those of the wire and of stored plans."""
+    """What a unit consists of; the values are used on the wire and in stored plans."""
 
     ENGINE = "engine"
     GATEWAY = "gateway"
 
 
-STATE_WORDS = "asked", "granted", "draining", "out", "late", "returning", "back"  # by UnitState
-TAKEN_STATES = (  # those that count in the limits
+STATE_WORDS = (
+    "asked",
+    "granted",
+    "draining",
+    "out",
+    "late",
+    "returning",
+    "back",
+)  # indexed by UnitState
+TAKEN_STATES = (  # states in which a unit counts against the disruption limits
     UnitState.GRANTED,
     UnitState.DRAINING,
     UnitState.OUT,
@@ -49,11 +57,12 @@
 
 @dataclass(slots=True)
 class MaintenanceRequest:
-    """What an operator requested.
+    """A maintenance request of an operator.
 
-    `due_ticks` is the maintenance time by which it should be over, `duration_ticks` what one unit's
-    work takes, `count` how many units it has, `at_ticks` when it was taken. `cancelled` names who
-    cancelled it; empty: nobody.
+    `due_ticks` is the maintenance time by which all work should be finished, `duration_ticks` the
+    time that the work on one unit takes, `count` the number of units, `at_ticks` the maintenance
+    time at which the request was accepted. `cancelled` names the operator who cancelled the
+    request; it is empty if the request is not cancelled.
     """
 
     id: str
@@ -69,15 +78,15 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> "MaintenanceRequest":
-        """Decode the list that a change or a stored plan holds.
+        """Decode a request from the list in a change or a stored plan.
 
-        Raises ValueError for another number of fields.
+        Raises ValueError for a wrong number of fields.
         """
         id_, kind, names, owner, reason, due, lasting, count, cancelled, at = fields
         return cls(id_, kind, [*names], owner, reason, due, lasting, count, cancelled, at)
 
     def to_wire(self) -> list[Any]:
-        """Encode the list that a change or a stored plan holds."""
+        """Encode the request as the list in a change or a stored plan."""
         return [
             self.id,
             self.kind,
@@ -94,11 +103,12 @@
 
 @dataclass(slots=True)
 class Unit:
-    """One unit of a request. `members` are engines' references, or one gateway's name.
+    """One unit of a request; `members` are engine references, or the name of one gateway.
 
-    `state` is a UnitState, or the number that a later version stored. `since_ticks` is the
-    maintenance time at which it came into that state, `began_ticks` at which it went out (0: not
-    yet). `overruled` are gateways that an operator said need not be waited for.
+    `state` is a UnitState, or an unknown number that a later version stored. `since_ticks` is the
+    maintenance time at which the unit entered the state, `began_ticks` the maintenance time at
+    which the unit went out of service (0: not yet). `overruled` names the gateways whose missing
+    confirmation an operator has overruled.
     """
 
     name: str
@@ -113,15 +123,15 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> "Unit":
-        """Decode the list that a stored plan holds.
+        """Decode a unit from the list in a stored plan.
 
-        Raises ValueError for another number of fields.
+        Raises ValueError for a wrong number of fields.
         """
         name, request_id, kind, members, state, since, why, began, overruled = fields
         return cls(name, request_id, kind, [*members], state, since, why, began, [*overruled])
 
     def to_wire(self) -> list[Any]:
-        """Encode the list that a stored plan holds."""
+        """Encode the unit as the list in a stored plan."""
         return [
             self.name,
             self.request_id,
@@ -136,7 +146,7 @@
 
 
 class HistoryEntry(NamedTuple):
-    """One step of a unit, or one overruling, at a maintenance time."""
+    """A state change of a unit, or an operator's overruling, and its maintenance time."""
 
     serial: int
     at_ticks: int
@@ -147,9 +157,9 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence[Any]) -> "HistoryEntry":
-        """Decode the list that a stored plan holds.
+        """Decode a history entry from the list in a stored plan.
 
-        Raises ValueError for another number of fields.
+        Raises ValueError for a wrong number of fields.
         """
         serial, at_ticks, unit, state, request_id, why = fields
         return cls(serial, at_ticks, unit, state, request_id, why)
--- a/corkgauge/maintenance/plan_replica.py
+++ b/corkgauge/maintenance/plan_replica.py
@@ -1,12 +1,14 @@
-"""A plan replica: one voter's copy of the plan, and the highest fence that it has promised to heed.
-
-This is Paxos (Lamport, 1998) with the fence of the lease as its ballot and the whole plan as its
-value, which moves in small steps; what a replica misses it fetches whole, as snapshots do in
-Viewstamped Replication (Liskov and Cowling, 2012). A replica without a disk comes back *blank*. It
-says so, and counts for nothing until a leader has told it the plan again; and it listens to none
-for as long as an earlier leader's lease may run, since what it promised is forgotten too (Michael,
-Ports, Sharma and Szekeres, 2017, on what goes wrong else). Free of I/O: its host sends, writes to
-disk and keeps time.
+"""A plan replica: a voter's copy of the plan and the highest fencing token that it has promised.
+
+This is Paxos (Lamport, 1998) with the fencing token of the lease as the ballot and the whole plan
+as the value, which changes in small steps. A replica that missed a step fetches the whole plan, as
+with snapshots in Viewstamped Replication (Liskov and Cowling, 2012).
+
+A replica without a disk restarts *blank*. It reports that it is blank, and counts for no majority
+until a leader has sent the plan again. Since its promises are lost too, a blank replica ignores
+every leader for as long as the lease of an earlier leader may run; Michael, Ports, Sharma and
+Szekeres (2017) show what fails otherwise. Free of I/O: the host sends, writes to disk and provides
+the clock.
 """
 
 from collections import Counter
@@ -28,37 +30,37 @@
 )
 
 NO_STAMP: Stamp = 0, 0
-FETCH_RETRY_TICKS = 1_500  # tenths of a millisecond, until chunks are asked for again
+FETCH_RETRY_TICKS = 1_500  # until missing chunks are requested again
 
 
 class Host(Protocol):
-    """What a replica may do. `now` is tenths of a millisecond since boot."""
+    """Interface of the plan replica to its service."""
 
     @property
     def now(self) -> int:
-        """Return the tenths of a millisecond since boot."""
+        """Return the ticks (tenths of a millisecond) since boot."""
 
     def send(self, name: str, body: list[Any]) -> None:
-        """Send a message about the plan."""
+        """Send a plan message to a gateway."""
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call the method after `delay` ticks."""
 
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Call `then` once the record is safe on disk."""
+        """Write the record and call `then` once the record is durable on disk."""
 
     def log(self, line: str) -> None:
         """Write one line to the program's log."""
 
 
 class PlanReplica:
-    """Takes steps of the leader with the highest fence.
+    """Accepts plan steps from the leader with the highest fencing token.
 
-    `stored` is what the disk gave, [promised fence, stamp, packed plan], or None: then the replica
-    is blank, and listens to nobody for `silent_ticks`.
+    `stored` is the record read from disk: promised fencing token, stamp, encoded plan. If `stored`
+    is None, the replica is blank and ignores every leader for `silent_ticks`.
     """
 
-    checks_fence = True  # False shows, in tests, what the look at the fence is for
+    checks_fence = True  # tests set False to show the failure that the fence check prevents
 
     def __init__(self, host: Host, stored: list[Any] | None, silent_ticks: int) -> None:
         self.host = host
@@ -68,25 +70,25 @@
         self.is_blank = stored is None
         self.silent_until = host.now + silent_ticks if stored is None else 0
         self.fetch: ChunkFetch | None = None
-        self.packed: bytes | None = None  # the plan as it is now; None: not packed yet
-        self.counts = Counter[str]()  # for operators
+        self.packed: bytes | None = None  # the encoded current plan; None: not encoded yet
+        self.counts = Counter[str]()  # counters for operators
         if stored is not None:
             self.promised_fence, stamp, packed = stored
             self.stamp = (stamp[0], stamp[1])
             self.plan = Plan.unpacked(packed)
 
     def on_datagram(self, sender: str, body: Sequence[Any]) -> None:
-        """Apply a leader's message, or a chunk that was asked for.
+        """Handle a leader's message or a requested chunk.
 
-        What makes no sense raises, and changes nothing.
+        A malformed message raises an exception and changes nothing.
         """
         message = decode(body)
         if isinstance(message, FetchChunks):
             self._on_fetch(sender, message)
             return
         if message.fence < self.promised_fence and self.checks_fence:
-            # A leader that stood still would go on with a plan that its successor has changed
-            # since.
+            # A leader whose process was suspended would otherwise continue with a plan that its
+            # successor has changed since.
             self.counts["low"] += 1
             self.host.send(sender, Preempted(message.fence, self.promised_fence).encode())
             return
@@ -129,7 +131,7 @@
         fence = accept.fence
         self._promise(fence)
         if not self.is_blank and self.stamp[0] == fence and self.stamp[1] >= accept.number:
-            self._write_then(self._send_accepted, sender, fence)  # told before
+            self._write_then(self._send_accepted, sender, fence)  # a repeated step
             return
         if self.is_blank or self.stamp != accept.before:
             self._fetch_from(sender, fence)
@@ -137,9 +139,9 @@
         try:
             self.plan.apply(accept.changes)
         except InvalidChangeError as problem:
-            # The plan here is another than the leader's: never seen; the whole of it puts that
-            # right.
-            self.host.log(f"works: a step that does not fit, {problem}")
+            # The plan differs from the leader's plan at the same stamp, which should not happen.
+            # Fetching the whole plan repairs the replica.
+            self.host.log(f"works: step does not apply, fetching the whole plan: {problem}")
             self._fetch_from(sender, fence)
             return
         self.stamp = (fence, accept.number)
@@ -150,7 +152,7 @@
         if not self.is_blank and self.stamp[0] == fence:
             self.host.send(sender, Accepted(fence, self.stamp).encode())
 
-    # The whole plan, fetched from the leader where a step was missed.
+    # Fetching the whole plan from the leader after a missed step.
 
     def _fetch_from(self, leader: str, fence: int) -> None:
         if self.fetch is None or self.fetch.is_over:
@@ -160,12 +162,12 @@
             )
 
     def _on_fetched(self, stamp: Stamp, packed: bytes) -> None:
-        assert self.fetch is not None  # it is the one that calls
+        assert self.fetch is not None  # the fetch calls this method
         fence = self.fetch.fence
         leader = self.fetch.source
         self.fetch = None
-        # A plan of an earlier fence, as the leader had it before it began its own, is none of this
-        # fence's.
+        # The leader may answer with the plan from before its own first step. Such a plan belongs
+        # to an earlier fencing token and must not be accepted under this one.
         is_of_other_fence = stamp[0] != fence or fence < self.promised_fence
         if is_of_other_fence or (not self.is_blank and stamp <= self.stamp):
             return
@@ -176,17 +178,18 @@
         self._write_then(self._send_accepted, leader, fence)
 
     def _on_fetch(self, sender: str, fetch: FetchChunks) -> None:
-        """Whoever has just begun to hold the lease asks for what we hold."""
+        """Send chunks of the plan to a new leader that is taking over."""
         if not self.is_blank:
             for chunk in chunks_of(self._packed_plan(), fetch.indexes, self.stamp[0], self.stamp):
                 self.host.send(sender, chunk.encode())
 
-    # The disk.
+    # Disk.
 
     def _write_then(self, then: Callable[..., None], *what: Any) -> None:
-        """Write, then call `then`: what a power cut takes back was never promised or accepted.
+        """Write the record, then call `then`.
 
-        A blank replica has nothing to write but a promise that it may not speak of.
+        Promises and acceptances are sent only after the write, so a power failure cannot revoke
+        them. A blank replica writes nothing: its promise alone counts for no majority.
         """
         if self.is_blank:
             then(*what)
@@ -194,7 +197,10 @@
             self.host.write_record(self.record(), then, *what)
 
     def record(self) -> list[Any] | None:
-        """Return what is stored: [promised fence, stamp, packed plan]; None while blank."""
+        """Return the record for the disk; None while blank.
+
+        The record is: promised fencing token, stamp, encoded plan.
+        """
         if self.is_blank:
             return None
         return [self.promised_fence, [*self.stamp], self._packed_plan()]
