--- a/corkgauge/maintenance/capacity.py
+++ b/corkgauge/maintenance/capacity.py
@@ -1,11 +1,11 @@
-"""Which engines and gateways may be out of service at once: the limits, and the check against them.
+"""Checks which engines and gateways may be out of service at once under the disruption limits.
 
-Free of I/O and of clocks: the same facts give the same answer at every gateway. What is not known
-counts as loaded.
+Free of I/O and of clocks: the same input gives the same result on every gateway. Unknown load
+counts as high load.
 
-Request classes that may use different engines compete for them, so for every set of classes its
-demand has to fit on the engines that any of the set may use; that is what Hall's marriage condition
-(1935) asks of such an assignment.
+Request classes that may use different engines compete for the engines that they share. The demand
+of every set of classes therefore has to fit on the engines that any class of the set may use; this
+is the condition of Hall's marriage theorem (1935) for such an assignment.
 """
 
 from collections import defaultdict
@@ -15,18 +15,19 @@
 from itertools import combinations
 from typing import NamedTuple
 
-MAX_CLASS_GROUPS_EXHAUSTIVE = (
-    12  # groups of alike classes of which every set is checked: 4,095 sets
-)
-MAX_SET_SIZE = 3  # of more groups, sets up to this size, and all together
-NEVER_TICKS = 2**62  # a due time that does not come
-ROUNDING_TOLERANCE_CORES = 1e-9  # by which a sum of cores may be off
+# Class groups up to which every set of groups is checked; 12 groups have 4,095 sets. With more
+# groups, sets of up to MAX_SET_SIZE groups are checked, and the set of all groups.
+MAX_CLASS_GROUPS_EXHAUSTIVE = 12
+MAX_SET_SIZE = 3
+NEVER_TICKS = 2**62  # due time of a request without a due time
+ROUNDING_TOLERANCE_CORES = 1e-9  # rounding error allowed in sums of cores
 
 
 class EngineCondition(IntEnum):
-    """How an engine counts.
+    """Condition of an engine for the capacity check.
 
-    IMPAIRED passes by itself: ejected, warming up, or not seen healthy yet.
+    IMPAIRED engines recover without maintenance: they are ejected, warming up, or have not been
+    seen healthy yet.
     """
 
     HEALTHY = 0
@@ -36,9 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFact:
-    """An engine as the planner knows it.
+    """An engine as known to the planner.
 
-    `group` is where idempotency keys are remembered together; None: everywhere.
+    `group` names the engines that share a memory of idempotency keys. None means that the keys are
+    known on every engine.
     """
 
     tag: str
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayStatus:
-    """A gateway as the member list knows it; `has_left` after it ended in order."""
+    """A gateway in the member list; `has_left` is set after an orderly shutdown."""
 
     zone: str
     is_alive: bool
@@ -60,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassDemand:
-    """A request class, and the cores that it needs now. No zones or no kinds: any."""
+    """A request class and the cores that it needs now.
+
+    Empty `zones` allow every zone, empty `kinds` every engine kind.
+    """
 
     name: str
     zones: frozenset[str]
@@ -68,17 +73,17 @@
     cores: float
 
     def can_use(self, zone: str, kind: str) -> bool:
-        """Whether engines of that zone and kind may serve it."""
+        """Whether engines of that zone and kind may serve the request class."""
         return (not self.zones or zone in self.zones) and (not self.kinds or kind in self.kinds)
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingUnit:
-    """A unit that waits to go out.
+    """A unit that waits for a grant.
 
-    `due_ticks` is maintenance time, `duration_ticks` the span of its work (both tenths of a
-    millisecond); `passed` is how many units asked later went before it, `place` its turn among all
-    that were asked.
+    `due_ticks` is a maintenance time and `duration_ticks` the time that the work takes.
+    `times_overtaken` counts the later units that were granted before this unit; `queue_position` is
+    the position of the unit in the order of requests.
     """
 
     name: str
@@ -92,11 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DisruptionLimits:
-    """The operators' limits, in the order of the operator file's tuple.
-
-    Engines at once; the parts of all cores, of a zone's and of a kind's that may be out; the part
-    of the cores left that demand may fill; engines left for each request class; gateways of one
-    zone at once.
+    """The operators' limits; the order of the fields is that of the tuple in the operator file.
+
+    `max_engines` limits the engines that are out at once. `max_cores_fraction`,
+    `max_zone_fraction` and `max_kind_fraction` limit the cores that are out, as a fraction of all
+    cores, of the cores of a zone and of the cores of an engine kind. `usable_fraction` is the
+    fraction of the remaining cores that the demand may use. `min_engines_per_class` engines must
+    remain for each request class. `max_gateways_per_zone` limits the gateways of one zone that are
+    out at once.
     """
 
     max_engines: int = 4
@@ -109,7 +117,10 @@
 
 
 class _CoresLimit(NamedTuple):
-    """A limit on the cores out of each set of engines that `engine_set_of` names alike."""
+    """A limit on the cores that are out in each set of engines.
+
+    Engines with the same result of `engine_set_of` form one set.
+    """
 
     label: str
     max_share: float
@@ -118,7 +129,7 @@
 
 @dataclass(slots=True)
 class _CoresOut:
-    """Cores of one set of engines: all of them, those out, and how many engines those are."""
+    """Cores of one set of engines: total cores, cores out, and the number of engines out."""
 
     total: float = 0.0
     out: float = 0.0
@@ -127,11 +138,12 @@
 
 @dataclass(slots=True)
 class CapacitySnapshot:
-    """All facts of one moment, and the checks on them.
+    """The state of the fleet at one moment, and the capacity checks on it.
 
-    `taken_engines` are those that the plan has taken, `gateways` the zone of each gateway,
-    `unavailable_gateways` those taken or not alive, `voters` those whose majority has to stay.
-    `gateways_of_unknown_load` names gateways only where the load of none is known.
+    `taken_engines` are the engines that the plan has taken, `gateways` maps each gateway to its
+    zone, `unavailable_gateways` are the gateways that are taken or not alive, and `voters` are the
+    gateways of which a majority has to stay available. `gateways_of_unknown_load` is empty unless
+    the load of every gateway is unknown.
     """
 
     limits: DisruptionLimits
@@ -144,7 +156,7 @@
     gateways_of_unknown_load: Sequence[str] = ()
 
     def unavailable_engines(self) -> set[str]:
-        """Return what counts as out: taken by the plan, dead, or impaired for the moment."""
+        """Return the engines that count as out: taken by the plan, dead or impaired."""
         return self.taken_engines | {
             tag
             for tag, engine in self.engines.items()
@@ -152,9 +164,9 @@
         }
 
     def find_wait_reason(self, unit: WaitingUnit, with_load: bool = True) -> str:
-        """Why the unit may not go out now; empty: it may.
+        """Return why the unit cannot go out now; empty if the unit can go out.
 
-        Without the load only what no lull would change is looked at.
+        With `with_load` False, only the limits are checked that do not depend on the current load.
         """
         if unit.is_gateway:
             return self._gateway_wait_reason(unit)
@@ -163,8 +175,8 @@
                 return f"{tag} is not in the list"
         before = self.unavailable_engines()
         after = before | {*unit.members}
-        # A dead engine gives nothing that its maintenance could take; held back by the limits it
-        # would stay dead.
+        # Maintenance of a dead engine removes no capacity. Without this exception the limits could
+        # prevent the repair of a dead engine.
         if after == before and self._are_all_dead(unit.members):
             return ""
         wait_reason = self._limit_wait_reason(after) or self._remaining_engines_wait_reason(
@@ -186,7 +198,9 @@
         out_of_zone = sum(self.gateways.get(each) == zone for each in others)
         allowed = self.limits.max_gateways_per_zone
         if out_of_zone >= allowed:
-            return f"{allowed} of hall {zone or '-'} at once, {' '.join(sorted(others))} away"
+            return (
+                f"{allowed} of hall {zone or '-'} at once, unavailable: {' '.join(sorted(others))}"
+            )
         voters_left = sum(each != name and each not in others for each in self.voters)
         if name in self.voters and voters_left < len(self.voters) // 2 + 1:
             return f"{voters_left} of {len(self.voters)} voters would be left"
@@ -195,7 +209,7 @@
     def _limit_wait_reason(self, out: set[str]) -> str:
         limits = self.limits
         if len(out) > limits.max_engines:
-            return f"{len(out)} would be out, {limits.max_engines} at once"
+            return f"{len(out)} would be out, {limits.max_engines} at once at most"
         for limit in (
             _CoresLimit("", limits.max_cores_fraction, lambda engine: ""),
             _CoresLimit("hall ", limits.max_zone_fraction, lambda engine: engine.zone),
@@ -215,8 +229,8 @@
                 cores.out += engine.cores
                 cores.engines_out += 1
         for name, cores in sorted(by_set.items(), key=lambda item: item[0]):
-            # A share of less than one engine allows one: else no engine of a small set could ever
-            # be worked on.
+            # One engine may always be out, even if it exceeds the fraction. Otherwise no engine of
+            # a small set could ever be maintained.
             allowed = limit.max_share * cores.total + ROUNDING_TOLERANCE_CORES
             if cores.out > allowed and cores.engines_out > 1:
                 return (
@@ -233,7 +247,7 @@
             if able < required:
                 return (
                     f"offering {request_class.name}: {able} engines left for it, "
-                    f"{required} at least"
+                    f"{required} required"
                 )
         return self._group_wait_reason(out, before)
 
@@ -243,8 +257,9 @@
             if engine.group is not None:
                 groups.setdefault(engine.group, []).append(tag)
         for name, tags in sorted(groups.items()):
-            # What may have run in a group may be tried again only there, so one engine of it has to
-            # stay. One alone in its group may go once no key is open there: its gateways say so.
+            # Requests that may have run in a group may be retried only in that group, so one of its
+            # engines must stay. The only engine of a group may go out once no idempotency key is
+            # open there, which its gateways confirm when they close the engine.
             goes_out_whole = all(tag in out for tag in tags)
             was_out_whole = all(tag in before for tag in tags)
             if len(tags) > 1 and goes_out_whole and not was_out_whole:
@@ -258,7 +273,7 @@
         return self.find_overload(out)
 
     def find_overload(self, out: set[str]) -> str:
-        """Which demand does not fit on the engines left when these are out; empty: all does."""
+        """Return which demand does not fit on the engines left without `out`; empty if all fits."""
         cores_left = self._cores_left(out)
         groups = self._class_groups()
         usable_fraction = self.limits.usable_fraction
@@ -279,7 +294,7 @@
         return ""
 
     def _cores_left(self, out: set[str]) -> dict[tuple[str, str], float]:
-        """Cores that are not out, by zone and kind."""
+        """Return the cores that are not out, by zone and engine kind."""
         cores: dict[tuple[str, str], float] = {}
         for tag, engine in self.engines.items():
             if tag not in out:
@@ -288,7 +303,7 @@
         return cores
 
     def _class_groups(self) -> list[list[RequestClassDemand]]:
-        """Group request classes that need cores by the engines they may use; ordered by name."""
+        """Group the request classes with demand by the engines they may use, ordered by name."""
         groups: dict[tuple[frozenset[str], frozenset[str]], list[RequestClassDemand]] = {}
         for request_class in self.request_classes:
             if request_class.cores > 0:
@@ -298,7 +313,7 @@
 
 
 def _index_sets(count: int) -> Iterable[tuple[int, ...]]:
-    """Yield the sets of `count` groups that are checked: all, or the small ones and the total.
+    """Yield the sets of `count` groups to check: every set, or small sets and the set of all.
 
     >>> [*_index_sets(2)]
     [(0,), (1,), (0, 1)]
--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -1,4 +1,4 @@
-"""Which waiting units may begin, by the plan and the gateways' reports."""
+"""Selects the waiting units to grant, based on the plan and the gateways' reports."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -17,14 +17,12 @@
 from corkgauge.maintenance.plan_records import TAKEN_STATES, Unit, UnitKind, UnitState
 from corkgauge.maintenance.schedule import GrantDecision, select_grants
 
-MIN_EJECTION_REPORTER_COUNT = 2  # gateways that outweigh our own view of an engine
-MAX_EJECTION_REPORT_AGE_TICKS = (
-    50_000  # tenths of a millisecond, from which a report of an ejection is too old
-)
+MIN_EJECTION_REPORTER_COUNT = 2  # reported ejections that overrule this gateway's view
+MAX_EJECTION_REPORT_AGE_TICKS = 50_000  # age from which a reported ejection is ignored
 
 
 class GrantPlanner:
-    """Builds the facts of a moment, and grants what fits within the limits."""
+    """Builds a snapshot of the fleet and selects the units that fit within the limits."""
 
     def __init__(self, leadership: Leadership, limits: DisruptionLimits) -> None:
         self.leadership = leadership
@@ -33,9 +31,9 @@
         self.limits = limits
 
     def find_grantable_units(self, plan: Plan) -> list[str]:
-        """Name the units to be granted now.
+        """Return the names of the units to grant now.
 
-        Why the others wait goes to the leadership's wait_reasons.
+        The reasons why the other units wait are stored in `Leadership.wait_reasons`.
         """
         waiting = [
             self._waiting_unit(unit, plan, queue_position)
@@ -45,7 +43,7 @@
             return []
         snapshot = self.snapshot(plan)
         if self._must_wait_for_returns(snapshot, plan):
-            why = "load has grown, what is out comes back first"
+            why = "load has grown, units that are out have to return first"
             decision = GrantDecision(wait_reasons={unit.name: why for unit in waiting})
         else:
             decision = select_grants(snapshot, waiting, self.host.name)
@@ -53,22 +51,22 @@
         return decision.granted
 
     def _must_wait_for_returns(self, snapshot: CapacitySnapshot, plan: Plan) -> bool:
-        """Whether nothing may go out until something has come back.
+        """Whether no unit may go out until another unit has returned.
 
-        So it is while there is more load than the engines left take well.
+        This is the case while the demand exceeds what the remaining engines can take.
         """
         if not snapshot.find_overload(snapshot.unavailable_engines()):
             return False
         return bool(plan.units_in(UnitState.OUT, UnitState.RETURNING))
 
     def snapshot(self, plan: Plan) -> CapacitySnapshot:
-        """Gather the facts of this moment: engines, demand, gateways, what the plan has taken."""
+        """Return the current state of engines, demand, gateways, and units taken by the plan."""
         gateways = self.fleet.gateways()
-        # One that ended in order has no load; its clients are with the others.
+        # A gateway that shut down in order has no load; its clients use the other gateways.
         running = [name for name, status in gateways.items() if not status.has_left]
         cores, unknown = self.leadership.demand.estimate(self.host.now, running)
-        # One that is not heard counts as the busiest that is; where nobody is heard, nothing can be
-        # said.
+        # A gateway without a recent report counts as loaded as the busiest gateway with one. If no
+        # gateway has a recent report, the load is unknown.
         unknown_gateways = unknown if len(unknown) >= len(running) else []
         taken = plan.units_in(*TAKEN_STATES)
         engines = {tag: self._as_reported(fact) for tag, fact in self.fleet.engines().items()}
@@ -84,7 +82,7 @@
         )
 
     def _as_reported(self, fact: EngineFact) -> EngineFact:
-        """Two gateways that have ejected an engine outweigh our own view of it."""
+        """Return the engine as IMPAIRED if enough gateways have reported its ejection."""
         if fact.condition != EngineCondition.HEALTHY:
             return fact
         now_ticks = self.host.now
@@ -113,7 +111,7 @@
 
 
 def _times_passed(unit: Unit, plan: Plan) -> int:
-    """How many units that were asked later have been granted before this one."""
+    """Return how many units that were requested later have been granted before this unit."""
     asked_serial = next(
         (
             entry.serial
--- a/corkgauge/maintenance/leadership.py
+++ b/corkgauge/maintenance/leadership.py
@@ -1,7 +1,7 @@
-"""What the leader of maintenance knows while it holds the lease, and the clock that it counts by.
+"""The state of a maintenance leader while it holds the lease, and the maintenance clock.
 
-All parts of the planner share one `Leadership`. Begun anew with each lease: what an earlier leader
-was told does not count for its successor.
+All parts of the planner share one `Leadership`. Its state is reset when the lease is gained, since
+reports to an earlier leader do not count for its successor.
 """
 
 from collections import Counter
@@ -16,74 +16,79 @@
 
 
 class Host(Protocol):
-    """What a planner may do. `now` is tenths of a millisecond since boot."""
+    """Interface of the planner to its service; `name` is the name of this gateway."""
 
     @property
     def now(self) -> int:
-        """Return the tenths of a millisecond since boot."""
+        """Return the ticks (tenths of a millisecond) since boot."""
 
     name: str
 
     def may_act(self, fence: int) -> bool:
-        """Whether the lease is held under this fence, now."""
+        """Whether this gateway holds the lease under the fencing token `fence` now."""
 
     def voters(self) -> Sequence[str]:
-        """Name the gateways that have a plan replica."""
+        """Return the names of the gateways that have a plan replica."""
 
     def machines(self) -> Mapping[str, Sequence[str]]:
-        """Return engines by the machine that they share."""
+        """Return the engines on each machine, by machine."""
 
     def send_orders(self, name: str, body: list[Any]) -> None:
-        """Send one part of the orders to a gateway."""
+        """Send one part of a set of orders to a gateway."""
 
     def request_report(self, name: str) -> None:
-        """Ask a gateway to report at once."""
+        """Request an immediate report from a gateway."""
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
         """Call the method after `delay` ticks."""
 
     def hand_over_lease(self, reason: str) -> None:
-        """Give the lease up, so that another gateway takes it."""
+        """Release the lease so that another gateway can gain it."""
 
     def log(self, line: str) -> None:
         """Write one line to the program's log."""
 
 
 class Fleet(Protocol):
-    """What a planner knows of the fleet, as `FleetView` has it."""
+    """Interface of the planner to the state of the fleet; `FleetView` implements it."""
 
     def gateways(self) -> Mapping[str, GatewayStatus]:
-        """Return every gateway of the fleet by name."""
+        """Return all gateways of the fleet, by name."""
 
     def engines(self) -> Mapping[str, EngineFact]:
-        """Return every engine by its host reference."""
+        """Return all engines, by host reference."""
 
     def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
-        """Return the request classes, with the cores that each needs."""
+        """Return the request classes with the cores that each class needs."""
 
     def idle_since(self, tags: Sequence[str]) -> int:
-        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
+        """Return since when all these engines are idle, in ticks since boot.
+
+        Returns -1 if some engine is not known to be idle.
+        """
 
 
 class Leadership:
-    """Reports, demand, wait_reasons and stamps of one span of leading."""
+    """Reports, demand, wait reasons and stamps of one term as leader."""
 
     def __init__(self, host: Host, fleet: Fleet, proposer: PlanProposer) -> None:
         self.host = host
         self.fleet = fleet
         self.proposer = proposer
-        self.counts = Counter[str]()  # for operators; not begun anew
-        self.is_plan_lost = False  # no majority of replicas remembers the plan
+        self.counts = Counter[str]()  # counters for operators; never reset
+        self.is_plan_lost = False  # no majority of replicas has the plan any more
         self.demand = Demand()
         self.reports: dict[str, GatewayReport] = {}
-        self.wait_reasons: dict[str, str] = {}  # by unit: why it does not go on
-        self.stamps: dict[str, dict[int, Stamp]] = {}  # by unit and state: when it was agreed, here
+        self.wait_reasons: dict[str, str] = {}  # why the unit cannot proceed, by unit name
+        # Stamps of the agreed state changes, by unit name and state; only changes seen by this
+        # leader.
+        self.stamps: dict[str, dict[int, Stamp]] = {}
         self.since_ticks = 0
-        self.clock_base_ticks = 0  # the host's clock, at maintenance time `time_base_ticks`
+        self.clock_base_ticks = 0  # host clock at the maintenance time `time_base_ticks`
         self.time_base_ticks = 0
 
     def begin(self) -> None:
-        """Forget what was known: the lease has just been gained."""
+        """Reset the state, since the lease has just been gained."""
         self.is_plan_lost = False
         self.demand = Demand()
         self.reports = {}
@@ -94,44 +99,44 @@
         self.time_base_ticks = 0
 
     def on_plan_taken_over(self) -> None:
-        """Go on from the plan taken over: a majority has our first step.
+        """Continue with the plan taken over: a majority has accepted the first step.
 
-        Maintenance time continues from that of the plan.
+        Maintenance time continues from the time in the plan.
         """
         plan = self.proposer.plan
         self.clock_base_ticks = self.host.now
         self.time_base_ticks = plan.time_ticks
         self.is_plan_lost = False
-        # All gateways confirm anew: what they told the earlier leader is not known here.
+        # All gateways have to confirm again, since their reports to the earlier leader are unknown.
         for unit in plan.units.values():
             self.stamps[unit.name] = {unit.state: self.proposer.stamp}
 
     def forget_unit(self, name: str) -> None:
-        """Forget a unit that is back."""
+        """Delete the state of a unit that has returned to service."""
         self.stamps.pop(name, None)
         self.wait_reasons.pop(name, None)
 
     def maintenance_time(self) -> int:
-        """Return the tenths of a millisecond in which somebody has led.
+        """Return the ticks (tenths of a millisecond) during which a leader has held the lease.
 
-        Never less than the agreed plan has.
+        The result is never less than the time in the agreed plan.
         """
         elapsed_ticks = self.host.now - self.clock_base_ticks
         return max(self.time_base_ticks + elapsed_ticks, self.proposer.plan.time_ticks)
 
     def has_plan(self) -> bool:
-        """Whether the plan is taken over."""
+        """Whether this leader has taken over the plan."""
         return self.proposer.state == ProposerState.LEADING and self.proposer.is_taken_over
 
     def may_act(self) -> bool:
-        """Whether the lease is held at this very moment."""
+        """Whether this gateway holds the lease now."""
         return self.host.may_act(self.proposer.fence)
 
     def record_report(self, name: str, incarnation: int, report: Report) -> GatewayReport | None:
-        """Take a gateway's report; None for one that is older than what is known."""
+        """Record a gateway's report; None if the report is older than the last one."""
         known = self.reports.get(name)
         if known is None or known.incarnation != incarnation:
-            # A later process answers for itself: what the earlier one confirmed does not count.
+            # The confirmations of an earlier process of the gateway do not count for a new process.
             known = GatewayReport(incarnation)
             self.reports[name] = known
         if report.serial <= known.serial:
@@ -139,7 +144,8 @@
         stamp = report.fence, report.number
         closed = frozenset(report.closed)
         if known.stamp == stamp:
-            # Under the same orders what is closed stays so; one report may name only some of it.
+            # A closed engine stays closed under the same orders, and one report may name only some
+            # of the closed engines.
             closed |= known.closed
         known.serial = report.serial
         known.at_ticks = self.host.now
--- a/corkgauge/maintenance/quiescence.py
+++ b/corkgauge/maintenance/quiescence.py
@@ -1,22 +1,23 @@
-"""The quiescence proof: what shows that a gateway sends nothing to a machine any more.
-
-One rule, free of I/O. Silence alone is no proof.
-
-    what is known                           what it proves
-    its own report, under the order         nothing of its is open there, and nothing new goes
-      to drain
-    its process has ended, and it is out    it sends no more, and is not started before that is over
-      for maintenance
-    a later incarnation of it was heard     the earlier process sends no more; the new one answers
-                                              for itself
-    it knew of the work, its last grant to  it sends nothing new since its grant ran out, and what
-      send there ran out, and its longest     was in flight has ended
-      deadline passed
-    the same, and the engine reports        the same, without waiting for the deadline
-      nothing in flight after the grant
-      ran out
-    an operator overruled, by name          nothing; it is his word, and it is logged
-    it was not heard                        nothing
+"""The quiescence proof: shows that a gateway sends nothing to an engine any more.
+
+The proof is a single rule, free of I/O. A gateway that does not report proves nothing by that.
+
+    evidence                                  what the evidence proves
+    the gateway's report under the orders     the gateway has no open attempt at the engine and
+      to drain                                  sends no new attempt
+    the gateway's process has ended, and the  the gateway sends nothing, and is not started before
+      gateway is out for maintenance            its own maintenance is over
+    a report of a later incarnation           the earlier process sends nothing any more; the new
+                                                process has to confirm for itself
+    the gateway knew of the maintenance, its  the gateway has sent no new attempt since its grant
+      last grant expired, and the longest       expired, and the attempts in flight have ended
+      deadline has passed since
+    the same without the deadline, and the    the same
+      engine reported no attempt in flight
+      after the grant had expired
+    an operator overruled the gateway by      nothing; the operator is responsible, and the
+      name                                      overruling is logged
+    no report                                 nothing
 """
 
 from collections.abc import Mapping, Sequence
@@ -27,20 +28,21 @@
 
 @dataclass(slots=True)
 class GatewayReport:
-    """What is known of one gateway, at the planner.
+    """The reported state of one gateway, at the planner.
 
-    Times are tenths of a millisecond since the planner's boot.
+    Times are ticks (tenths of a millisecond) since the boot of the planner's machine.
     """
 
-    incarnation: int = 0  # of its process
-    stamp: Stamp = (0, 0)  # of the last orders that it said it holds
-    closed: frozenset[str] = frozenset()  # where nothing of its is open, under those orders
-    at_ticks: int = -1  # of the last report: the latest moment that its grant may count from
-    closed_count: int = 0  # how many engines it holds closed; `closed` may not name them all yet
-    is_blank: bool = True  # it has forgotten what it was told
-    serial: int = 0  # of its last report
-    holds_no_lease: bool = False  # and is no candidate for one
-    ejected: frozenset[str] = frozenset()  # engines that it has ejected
+    incarnation: int = 0  # of the gateway's process
+    stamp: Stamp = (0, 0)  # of the last orders that the gateway reported as stored
+    closed: frozenset[str] = frozenset()  # engines reported as closed under those orders
+    # Time of the last report, which is the latest time that the gateway's grant can count from.
+    at_ticks: int = -1
+    closed_count: int = 0  # engines closed at the gateway; `closed` may not name all of them yet
+    is_blank: bool = True  # the gateway has no orders stored
+    serial: int = 0  # serial number of the last report
+    holds_no_lease: bool = False  # the gateway holds no lease and is no candidate
+    ejected: frozenset[str] = frozenset()  # engines that the gateway has ejected
     loads: Mapping[str, float] = field(default_factory=dict)  # cores by request class
 
 
@@ -48,8 +50,9 @@
 class DrainingEngines:
     """Engines that are being drained together.
 
-    `drained_under` and `announced_under` are the stamps of the orders to drain and of those that
-    announced it. `idle_since_ticks` is when the engines last reported nothing in flight; -1: never.
+    `drained_under` is the stamp of the orders to drain, `announced_under` the stamp of the orders
+    that announced the maintenance. `idle_since_ticks` is when the engines reported that they have
+    no attempt in flight; -1 if some engine has not reported that.
     """
 
     members: Sequence[str]
@@ -60,11 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderClock:
-    """Time as the leader counts it, in tenths of a millisecond.
+    """Times on the leader's clock, in ticks (tenths of a millisecond).
 
-    `leading_since_ticks` is when it began to hold the lease: a grant of an earlier leader's is no
-    younger. `grant_ticks` and `longest_deadline_ticks` are the span of a grant and the longest time
-    to deadline, both with clock drift.
+    `leading_since_ticks` is when the leader gained the lease; grants of earlier leaders count from
+    no later time. `grant_ticks` is the duration of a grant and `longest_deadline_ticks` the longest
+    time to deadline, both extended by the clock drift.
     """
 
     now_ticks: int
@@ -76,9 +79,9 @@
 def find_missing_proof(
     report: GatewayReport | None, has_ended: bool, engines: DrainingEngines, clock: LeaderClock
 ) -> str:
-    """Why a gateway may still be sending to these engines; empty: it is proven that it is not.
+    """Return why a gateway may still send to these engines; empty if quiescence is proven.
 
-    `has_ended`: its process has ended, for work on its machine.
+    `has_ended` says that the gateway's process has ended for maintenance of its machine.
 
     >>> report = GatewayReport(5, (7, 4), frozenset({"e1"}), 100, 1, False)
     >>> def doubt(report, tag, drained, announced, now, has_ended=False, idle_since=-1):
@@ -106,9 +109,8 @@
     if report.is_blank or report.stamp < engines.announced_under:
         return "not heard, and does not know of the work"
     last_grant_ticks = max(report.at_ticks, clock.leading_since_ticks)
-    grant_end_ticks = (
-        last_grant_ticks + clock.grant_ticks
-    )  # from then on it sends nothing new there
+    # After this time the gateway sends no new attempts to the engines.
+    grant_end_ticks = last_grant_ticks + clock.grant_ticks
     now_ticks = clock.now_ticks
     if now_ticks < grant_end_ticks:
         return f"has not confirmed; its grant runs for {grant_end_ticks - now_ticks} more"
--- a/corkgauge/maintenance/schedule.py
+++ b/corkgauge/maintenance/schedule.py
@@ -1,8 +1,9 @@
-"""The order in which units go out, and which of them fit within the limits now.
+"""Orders the waiting units and selects those that fit within the disruption limits now.
 
-What is due first goes first; then what gives back most capacity soonest (cores a second of work,
-the largest first: Smith, 1956); a unit that many later ones have passed is passed no more. Free of
-I/O, of clocks and of chance: the same facts give the same answer at every gateway.
+Units with the earliest latest start go first. Units without a due time follow, ordered by cores per
+time of work, the largest first (Smith, 1956), since that returns the most capacity soonest. A unit
+that many later units have overtaken is not overtaken any more. Free of I/O, clocks and randomness:
+the same input gives the same result on every gateway.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -10,13 +11,13 @@
 
 from corkgauge.maintenance.capacity import NEVER_TICKS, CapacitySnapshot, WaitingUnit
 
-MAX_OVERTAKEN_COUNT = 8  # by units asked later, from which a unit is passed no more
-MAX_CHECKED_UNIT_COUNT = 24  # in one turn, the first in the order
+MAX_OVERTAKEN_COUNT = 8  # later units that may be granted before a waiting unit
+MAX_CHECKED_UNIT_COUNT = 24  # engine units checked in one round, the first in the order
 
 
 @dataclass(slots=True)
 class GrantDecision:
-    """Units that may go out now, in their order; and by unit what stands against the others."""
+    """The units to grant now, in order, and why each other unit waits, by unit name."""
 
     granted: list[str] = field(default_factory=list)
     wait_reasons: dict[str, str] = field(default_factory=dict)
@@ -25,7 +26,7 @@
 def grant_order(
     waiting: Iterable[WaitingUnit], cores: Mapping[str, float], leader: str = ""
 ) -> list[WaitingUnit]:
-    """Order the waiting units; the gateway that leads comes after all others.
+    """Return the waiting units in grant order; the leader's own gateway goes last.
 
     >>> units = [WaitingUnit("a", ("a",), 60), WaitingUnit("b", ("b",), 30)]
     >>> units.append(WaitingUnit("c", ("c",), 90, due_ticks=100))
@@ -53,12 +54,12 @@
 def select_grants(
     snapshot: CapacitySnapshot, waiting: Sequence[WaitingUnit], leader: str = ""
 ) -> GrantDecision:
-    """Choose the units that may go out now, each checked together with those chosen before it."""
+    """Select the units to grant now; each unit is checked together with those selected before."""
     return _GrantSelection(snapshot, len(waiting), leader).run(waiting)
 
 
 class _GrantSelection:
-    """One pass over the waiting units; the snapshot that was handed in is left as it was."""
+    """One pass over the waiting units, on a copy of the given snapshot."""
 
     def __init__(self, snapshot: CapacitySnapshot, waiting_count: int, leader: str) -> None:
         self.snapshot = replace(
@@ -70,7 +71,8 @@
         self.leader = leader
         self.decision = GrantDecision()
         self.units_checked = 0
-        self.blocked_behind = ""  # a unit that was passed often enough: no later one goes before it
+        # A unit that was overtaken MAX_OVERTAKEN_COUNT times; later units wait behind it.
+        self.blocked_behind = ""
 
     def run(self, waiting: Iterable[WaitingUnit]) -> GrantDecision:
         cores = {tag: engine.cores for tag, engine in self.snapshot.engines.items()}
@@ -85,11 +87,11 @@
         return self.decision
 
     def _select_gateway(self, unit: WaitingUnit) -> str:
-        """Take the gateway, or say why not."""
+        """Select the gateway and return an empty text, or return why the gateway must wait."""
         wait_reason = self.snapshot.find_wait_reason(unit)
         is_leader = unit.members == (self.leader,)
         if not wait_reason and is_leader and self._is_other_work_left():
-            wait_reason = "the planner itself goes last"
+            wait_reason = "the planner itself goes last, after all other maintenance"
         if not wait_reason:
             self.snapshot.unavailable_gateways.update(unit.members)
         return wait_reason
@@ -98,14 +100,14 @@
         return bool(self.decision.granted or self.snapshot.taken_engines or self.waiting_count > 1)
 
     def _select_engines(self, unit: WaitingUnit) -> str:
-        """Take the engines of the unit, or say why not."""
+        """Select the engines and return an empty text, or return why the unit must wait."""
         self.units_checked += 1
-        # Checking each of a thousand units over a thousand engines would hold up the event loop for
-        # seconds.
+        # Checking each of a thousand units against a thousand engines would block the event loop
+        # for seconds.
         if self.units_checked > MAX_CHECKED_UNIT_COUNT:
-            return f"{MAX_CHECKED_UNIT_COUNT} before it wait"
+            return f"{MAX_CHECKED_UNIT_COUNT} units before it are checked first"
         if self.blocked_behind:
-            return f"behind {self.blocked_behind}, which was passed {MAX_OVERTAKEN_COUNT} times"
+            return f"behind {self.blocked_behind}, which {MAX_OVERTAKEN_COUNT} later units overtook"
         wait_reason = self.snapshot.find_wait_reason(unit)
         if not wait_reason:
             self.snapshot.taken_engines.update(unit.members)
--- a/corkgauge/maintenance/unit_progress.py
+++ b/corkgauge/maintenance/unit_progress.py
@@ -1,7 +1,7 @@
-"""The next step of each unit of the plan, or the reason why it has to wait.
+"""Decides the next step of each unit of the plan, or why the unit has to wait.
 
-Work begins only once it is proven that no gateway sends there any more; where the proof is missing,
-the unit waits.
+A unit goes out of service only once it is proven that no gateway sends to its engines any more.
+Without that quiescence proof the unit waits.
 """
 
 from typing import NamedTuple
@@ -12,15 +12,15 @@
 from corkgauge.maintenance.plan_records import Unit, UnitKind, UnitState
 from corkgauge.maintenance.quiescence import DrainingEngines, LeaderClock, find_missing_proof
 
-ANNOUNCEMENT_TICKS = 20_000  # that gateways have to hear of a step, before it goes on without them
-LATE_LOG_TICKS = 600_000  # between two log lines on a unit that is late
-RECOVERY_LOG_DELAY_TICKS = 300_000  # that a unit may take to be healthy again, before it is logged
+ANNOUNCEMENT_TICKS = 20_000  # time for gateways to confirm a step before the unit proceeds
+LATE_LOG_TICKS = 600_000  # between two log lines about a late unit
+RECOVERY_LOG_DELAY_TICKS = 300_000  # time in RETURNING from which a unit is logged as late
 TICKS_PER_SECOND = 10_000
 MAX_NAMES_SHOWN = 3
 
 
 class Step(NamedTuple):
-    """A state that a unit goes into, and why."""
+    """The state that a unit enters next, and the reason."""
 
     state: UnitState
     why: str
@@ -29,12 +29,13 @@
 class UnitProgress:
     """Decides each unit's next step.
 
-    `grant_ticks` and `longest_deadline_ticks` are the span of a grant and the longest time to
-    deadline, lengthened by the drift of clocks; `warm_up_ticks` is how long an engine counts as
-    warming up.
+    `grant_ticks` is the duration of a grant and `longest_deadline_ticks` the longest time to
+    deadline of any request class, both extended by the clock drift. `warm_up_ticks` is how long a
+    returned engine counts as cold.
     """
 
-    confirmations_required = True  # False shows, in tests, what the quiescence proof is for
+    # Tests set False to show the failure that the quiescence proof prevents.
+    confirmations_required = True
 
     def __init__(
         self,
@@ -49,12 +50,12 @@
         self.grant_ticks = grant_ticks
         self.longest_deadline_ticks = longest_deadline_ticks
         self.warm_up_ticks = warm_up_ticks
-        self.next_late_log_at: dict[str, int] = {}  # by unit, ticks since boot
+        self.next_late_log_at: dict[str, int] = {}  # ticks since boot, by unit name
 
     def next_step(self, unit: Unit, plan: Plan) -> Step | None:
-        """Decide the unit's next step; None where it waits.
+        """Return the unit's next step, or None if the unit waits.
 
-        Then the reason stands in the leadership's wait_reasons.
+        The reason for waiting is stored in `Leadership.wait_reasons`.
         """
         match unit.state:
             case UnitState.GRANTED:
@@ -77,12 +78,12 @@
 
     def _after_granted(self, unit: Unit) -> Step | str:
         if unit.kind == UnitKind.GATEWAY and unit.members == [self.host.name]:
-            self.host.hand_over_lease("its own machine's turn")
-            return "the planner hands on first"
+            self.host.hand_over_lease("its own machine is next in maintenance")
+            return "the planner hands its lease over first"
         if self.leadership.maintenance_time() < unit.since_ticks + ANNOUNCEMENT_TICKS:
             unaware = self._unaware_gateways(unit, UnitState.GRANTED)
             if unaware:
-                return f"{_first_names(unaware)} has not heard yet"
+                return f"{_first_names(unaware)} has not confirmed the step yet"
         return Step(UnitState.DRAINING, "")
 
     def _after_draining(self, unit: Unit) -> Step | str:
@@ -111,9 +112,9 @@
         return why
 
     def _log_late(self, unit: Unit, why: str) -> None:
-        """Log the unit now and then.
+        """Log the late unit, at most once per LATE_LOG_TICKS.
 
-        A machine that nobody thinks of keeps its place in the limits, and blocks others.
+        A unit that operators overlook keeps counting against the limits and blocks other units.
         """
         now_ticks = self.host.now
         if now_ticks >= self.next_late_log_at.get(unit.name, 0):
@@ -125,7 +126,7 @@
             )
 
     def _unaware_gateways(self, unit: Unit, state: UnitState) -> list[str]:
-        """Gateways that are alive and have not reported yet that they know of this step."""
+        """Return the gateways that are alive and have not confirmed the orders for this step."""
         leadership = self.leadership
         stamp = leadership.stamps.get(unit.name, {}).get(state, leadership.proposer.stamp)
         reports = leadership.reports
@@ -135,10 +136,10 @@
             if status.is_alive and (name not in reports or reports[name].stamp < stamp)
         ]
 
-    # The proof that nobody sends there.
+    # Quiescence proof.
 
     def missing_proofs(self, unit: Unit) -> dict[str, str]:
-        """By gateway: why it may still be sending there."""
+        """Return why gateways may still send to the unit, by gateway name."""
         if unit.kind == UnitKind.GATEWAY:
             return self._gateway_missing_proofs(unit)
         leadership = self.leadership
@@ -153,8 +154,9 @@
         clock = LeaderClock(
             self.host.now, leadership.since_ticks, self.grant_ticks, self.longest_deadline_ticks
         )
-        # One that left in order may be started again by anybody, with orders of before, and not be
-        # heard yet. Only of one that is out for maintenance itself it is known that it stays down.
+        # A gateway that shut down in order may have been started again with its old orders, before
+        # its first report arrives. Only a gateway that is itself out for maintenance is known to
+        # stay down.
         kept_down = {
             each.members[0]
             for each in leadership.proposer.plan.units_in(UnitState.OUT, UnitState.LATE)
@@ -171,7 +173,11 @@
         return found
 
     def _gateway_missing_proofs(self, unit: Unit) -> dict[str, str]:
-        """Say why a gateway may not go out yet: it holds a lease and has not ended."""
+        """Return why a gateway cannot go out yet, under its name; empty if the gateway can go out.
+
+        A gateway can go out once its process has ended, or once it holds no lease under the orders
+        to drain.
+        """
         name = unit.members[0]
         status = self.fleet.gateways().get(name)
         if name in unit.overruled or status is None or status.has_left:
@@ -182,9 +188,9 @@
         report = leadership.reports.get(name)
         if report is not None and report.stamp >= drained_under and report.holds_no_lease:
             return {}
-        return {name: "still stands for duties" if status.is_alive else "not heard"}
+        return {name: "still holds or competes for leases" if status.is_alive else "not heard"}
 
-    # Coming back.
+    # Return to service.
 
     def _return_wait_reason(self, unit: Unit, now_ticks: int) -> str:
         if unit.kind == UnitKind.GATEWAY:
@@ -196,7 +202,7 @@
             return why
         unaware = self._unaware_gateways(unit, UnitState.RETURNING)
         if unaware and now_ticks < unit.since_ticks + ANNOUNCEMENT_TICKS:
-            return f"{_first_names(unaware)} has not heard yet"
+            return f"{_first_names(unaware)} has not confirmed the step yet"
         return ""
 
     def _engines_return_wait_reason(self, unit: Unit, now_ticks: int) -> str:
@@ -206,11 +212,11 @@
             fact = engines.get(tag)
             if fact is None or fact.condition == EngineCondition.DEAD:
                 return f"{tag} is not in the list, or not serving"
-            # Cold engines give little: they count as out, so that the next unit waits until they
-            # are warm.
+            # Cold engines have little capacity. The unit stays in RETURNING and counts as out, so
+            # that the next unit waits until the engines are warm.
             is_impaired = fact.condition != EngineCondition.HEALTHY
             if unit.began_ticks and is_impaired and now_ticks < warm_at_ticks:
-                return f"{tag} is cold"
+                return f"{tag} is cold, still warming up"
         return ""
 
 
