--- a/corkgauge/maintenance/chunk_transfer.py
+++ b/corkgauge/maintenance/chunk_transfer.py
@@ -10,9 +10,9 @@
 from corkgauge.maintenance.plan_messages import Chunk, FetchChunks, Stamp
 
 CHUNK_BYTES = 900
-MAX_CHUNKS_ASKED = 6  # in one datagram
-MAX_CHUNKS_ANSWERED = 16  # of one datagram
-MAX_CHUNKS = 2_000  # of one state
+MAX_CHUNKS_PER_REQUEST = 6  # in one datagram
+MAX_CHUNKS_PER_ANSWER = 16  # of one datagram
+MAX_CHUNKS_PER_PLAN = 2_000  # of one state
 
 
 class Host(Protocol):
@@ -25,20 +25,22 @@
         """Call the method after `delay` ticks."""
 
 
-def chunk_of(packed: bytes, index: int) -> tuple[int, bytes]:
+def slice_chunk(packed: bytes, index: int) -> tuple[int, bytes]:
     """How many chunks there are, and one of them.
 
-    >>> chunk_of(b"x" * 1000, 1)[0], len(chunk_of(b"x" * 1000, 1)[1]), chunk_of(b"", 0)
+    >>> slice_chunk(b"x" * 1000, 1)[0], len(slice_chunk(b"x" * 1000, 1)[1]), slice_chunk(b"", 0)
     (2, 100, (1, b''))
     """
     count = max(-(-len(packed) // CHUNK_BYTES), 1)
     return count, packed[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES]
 
 
-def chunks_of(packed: bytes, indexes: Sequence[int], fence: int, stamp: Stamp) -> Iterable[Chunk]:
+def requested_chunks(
+    packed: bytes, indexes: Sequence[int], fence: int, stamp: Stamp
+) -> Iterable[Chunk]:
     """Yield the chunks that a fetch asks for, as far as there are such."""
-    for index in indexes[:MAX_CHUNKS_ANSWERED]:
-        count, data = chunk_of(packed, index)
+    for index in indexes[:MAX_CHUNKS_PER_ANSWER]:
+        count, data = slice_chunk(packed, index)
         if 0 <= index < count:
             yield Chunk(fence, stamp, index, count, data)
 
@@ -47,7 +49,7 @@
     """Asks `source` for its plan, then calls `on_complete(stamp, bytes)`.
 
     Chunks of another stamp than the one begun with start over with that: the source has gone on.
-    Nothing of a stamp below `least` counts. What does not come is asked for again after
+    Nothing of a stamp below `min_stamp` counts. What does not come is asked for again after
     `retry_ticks`.
     """
 
@@ -58,24 +60,24 @@
         fence: int,
         retry_ticks: int,
         on_complete: Callable[[Stamp, bytes], None],
-        least: Stamp = (0, 0),
+        min_stamp: Stamp = (0, 0),
     ) -> None:
         self.host = host
         self.source = source
         self.fence = fence
         self.retry_ticks = retry_ticks
         self.on_complete = on_complete
-        self.least = least
+        self.min_stamp = min_stamp
         self.stamp: Stamp | None = None
         self.count = 1
         self.chunks: dict[int, bytes] = {}
-        self.is_over = False
+        self.is_finished = False
         self.request_serial = 0  # of the last datagram; the timers of earlier ones do nothing
         self._request_missing()
 
     def on_chunk(self, sender: str, chunk: Chunk) -> None:
         """Take a chunk; one of another source or an earlier state is ignored."""
-        if not self._is_wanted(sender, chunk):
+        if not self._is_acceptable(sender, chunk):
             return
         if chunk.stamp != self.stamp:
             self.stamp = chunk.stamp
@@ -83,32 +85,32 @@
             self.chunks = {}
         self.chunks[chunk.index] = chunk.data
         if len(self.chunks) == self.count:
-            self.is_over = True
+            self.is_finished = True
             packed = b"".join(self.chunks[index] for index in range(self.count))
             self.on_complete(chunk.stamp, packed)
-        elif chunk.index >= max(self.chunks) or not chunk.index % MAX_CHUNKS_ASKED:
+        elif chunk.index >= max(self.chunks) or not chunk.index % MAX_CHUNKS_PER_REQUEST:
             self._request_missing()
 
-    def _is_wanted(self, sender: str, chunk: Chunk) -> bool:
+    def _is_acceptable(self, sender: str, chunk: Chunk) -> bool:
         # A chunk that was asked for in an earlier span of leading comes late, and is of a state
-        # that has been changed since by agreement: it is below `least`.
-        if self.is_over or sender != self.source or chunk.stamp < self.least:
+        # that has been changed since by agreement: it is below `min_stamp`.
+        if self.is_finished or sender != self.source or chunk.stamp < self.min_stamp:
             return False
-        if not 0 <= chunk.index < chunk.count <= MAX_CHUNKS:
+        if not 0 <= chunk.index < chunk.count <= MAX_CHUNKS_PER_PLAN:
             return False
-        is_of_earlier_state = self.stamp is not None and chunk.stamp < self.stamp
-        return not is_of_earlier_state
+        is_outdated = self.stamp is not None and chunk.stamp < self.stamp
+        return not is_outdated
 
-    def end(self) -> None:
+    def cancel(self) -> None:
         """Ask for nothing any more, and take nothing."""
-        self.is_over = True
+        self.is_finished = True
 
     def _request_missing(self) -> None:
         """Ask for the next few that are not here, and again where none of them comes."""
-        if self.is_over:
+        if self.is_finished:
             return
         missing = [index for index in range(self.count) if index not in self.chunks]
-        request = FetchChunks(self.fence, self.stamp, missing[:MAX_CHUNKS_ASKED])
+        request = FetchChunks(self.fence, self.stamp, missing[:MAX_CHUNKS_PER_REQUEST])
         self.request_serial += 1
         self.host.send(self.source, request.encode())
         self.host.call_later(self.retry_ticks, self._retry, self.request_serial)
--- a/corkgauge/maintenance/fleet_view.py
+++ b/corkgauge/maintenance/fleet_view.py
@@ -163,7 +163,7 @@
         """Return since when all these engines are idle, ticks since boot; -1: some never were."""
         return min((self.idle_at.get(tag, -1) for tag in tags), default=-1)
 
-    def is_engine_quiet(self, tag: str) -> bool:
+    def is_engine_quiescent(self, tag: str) -> bool:
         """Whether nothing of ours is open or uncertain at the engine, or bound to it by key."""
         if self.event_loop.now < self.uncertain_until.get(tag, 0):
             return False
--- a/corkgauge/maintenance/plan_copy.py
+++ b/corkgauge/maintenance/plan_copy.py
@@ -10,7 +10,7 @@
 
 import msgpack
 
-from corkgauge.maintenance.chunk_transfer import ChunkFetch, chunks_of
+from corkgauge.maintenance.chunk_transfer import ChunkFetch, requested_chunks
 from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_messages import Chunk, Stamp
 
@@ -47,7 +47,7 @@
 
     def fetch_from(self, leader: str) -> None:
         """Begin to fetch the leader's plan, unless a fetch is under way."""
-        if self.fetch is None or self.fetch.is_over:
+        if self.fetch is None or self.fetch.is_finished:
             self.fetch = ChunkFetch(
                 _LimitedSender(self), leader, 0, FETCH_PAUSE_TICKS, self._on_fetched
             )
@@ -60,7 +60,7 @@
     def send_chunks(self, to: str, copy: PlanCopy, indexes: Sequence[int]) -> None:
         """Answer another gateway's fetch with some chunks of this copy."""
         data = msgpack.packb([copy.plan.packed(), copy.objections])
-        for chunk in chunks_of(data, indexes, 0, copy.stamp):
+        for chunk in requested_chunks(data, indexes, 0, copy.stamp):
             self.host.send_copy(to, chunk.encode())
 
     def _on_fetched(self, stamp: Stamp, data: bytes) -> None:
@@ -79,7 +79,7 @@
     def send(self, name: str, body: list[Any]) -> None:
         self.datagrams_left -= 1
         if self.datagrams_left < 0 and self.copier.fetch is not None:
-            self.copier.fetch.end()
+            self.copier.fetch.cancel()
         else:
             self.copier.host.send_copy(name, body)
 
--- a/corkgauge/maintenance/plan_messages.py
+++ b/corkgauge/maintenance/plan_messages.py
@@ -57,16 +57,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Apply these changes to the plan of stamp `before`; it is then the plan (fence, number)."""
+    """Apply `changes` to the plan of `base_stamp`; its new stamp is (`fence`, `number`)."""
 
     fence: int
-    before: Stamp
+    base_stamp: Stamp
     number: int
     changes: Sequence[Any]
 
     def encode(self) -> list[Any]:
         """Return the body of the datagram."""
-        return [MessageKind.ACCEPT.value, self.fence, *self.before, self.number, self.changes]
+        return [MessageKind.ACCEPT.value, self.fence, *self.base_stamp, self.number, self.changes]
 
 
 @dataclass(frozen=True, slots=True)
--- a/corkgauge/maintenance/plan_proposer.py
+++ b/corkgauge/maintenance/plan_proposer.py
@@ -15,7 +15,7 @@
 
 import msgpack
 
-from corkgauge.maintenance.chunk_transfer import ChunkFetch, chunks_of
+from corkgauge.maintenance.chunk_transfer import ChunkFetch, requested_chunks
 from corkgauge.maintenance.plan import InvalidChangeError, Plan
 from corkgauge.maintenance.plan_messages import (
     Accept,
@@ -141,7 +141,7 @@
         self._drop_changes()
         self.timer_serial += 1
         if self.fetch is not None:
-            self.fetch.end()
+            self.fetch.cancel()
 
     def _drop_changes(self) -> None:
         self.step = None
@@ -263,7 +263,7 @@
     def _on_fetch_timeout(self) -> None:
         """Ask all replicas again: the one that we fetch from has gone."""
         if self.state == ProposerState.FETCHING and self.fetch is not None:
-            self.fetch.end()
+            self.fetch.cancel()
             self.state = ProposerState.TAKING_OVER
             self.promises = {}
             self._send_prepare()
@@ -346,7 +346,7 @@
             self.packed = plan.packed()
             self.packed_as = has_step, self.stamp
         stamp = (self.fence, self.stamp[1] + has_step)
-        for chunk in chunks_of(self.packed, fetch.indexes, self.fence, stamp):
+        for chunk in requested_chunks(self.packed, fetch.indexes, self.fence, stamp):
             self.host.send(sender, chunk.encode())
 
     # Timers.
--- a/corkgauge/maintenance/plan_replica.py
+++ b/corkgauge/maintenance/plan_replica.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from corkgauge.maintenance.chunk_transfer import ChunkFetch, chunks_of
+from corkgauge.maintenance.chunk_transfer import ChunkFetch, requested_chunks
 from corkgauge.maintenance.plan import InvalidChangeError, Plan
 from corkgauge.maintenance.plan_messages import (
     Accept,
@@ -114,7 +114,7 @@
         if fence > self.promised_fence:
             self.promised_fence = fence
             if self.fetch is not None:
-                self.fetch.end()
+                self.fetch.cancel()
                 self.fetch = None
 
     def _send_promise(self, sender: str, fence: int) -> None:
@@ -131,7 +131,7 @@
         if not self.is_blank and self.stamp[0] == fence and self.stamp[1] >= accept.number:
             self._write_then(self._send_accepted, sender, fence)  # told before
             return
-        if self.is_blank or self.stamp != accept.before:
+        if self.is_blank or self.stamp != accept.base_stamp:
             self._fetch_from(sender, fence)
             return
         try:
@@ -153,7 +153,7 @@
     # The whole plan, fetched from the leader where a step was missed.
 
     def _fetch_from(self, leader: str, fence: int) -> None:
-        if self.fetch is None or self.fetch.is_over:
+        if self.fetch is None or self.fetch.is_finished:
             self.counts["behind"] += 1
             self.fetch = ChunkFetch(
                 self.host, leader, fence, FETCH_RETRY_TICKS, self._on_fetched, (fence, 0)
@@ -178,7 +178,9 @@
     def _on_fetch(self, sender: str, fetch: FetchChunks) -> None:
         """Whoever has just begun to hold the lease asks for what we hold."""
         if not self.is_blank:
-            for chunk in chunks_of(self._packed_plan(), fetch.indexes, self.stamp[0], self.stamp):
+            for chunk in requested_chunks(
+                self._packed_plan(), fetch.indexes, self.stamp[0], self.stamp
+            ):
                 self.host.send(sender, chunk.encode())
 
     # The disk.
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -251,7 +251,7 @@
         if tag == self.name:
             holds_no_lease: bool = self.office.is_idle
             return holds_no_lease
-        return self.fleet.is_engine_quiet(tag)
+        return self.fleet.is_engine_quiescent(tag)
 
     def address_of(self, tag: str) -> str:
         """Return the engine's `host:port` as listed last; empty for one that is not listed."""
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -39,7 +39,7 @@
 from corkgauge.leases.messages import MessageKind
 from corkgauge.leases.service import LeaseService
 from corkgauge.leases.voter_configuration import VoterConfiguration
-from corkgauge.maintenance.chunk_transfer import chunk_of
+from corkgauge.maintenance.chunk_transfer import slice_chunk
 from corkgauge.maintenance.plan import Plan
 from corkgauge.maintenance.plan_messages import MessageKind as PlanMessageKind
 from corkgauge.maintenance.plan_proposer import ProposerState
@@ -654,8 +654,8 @@
     plan = maintenance_plan()
     plan.apply([["unit", f"engine-{n:03}", "a1", "engine", [f"engine-{n:03}"]] for n in range(30)])
     packed = plan.packed()
-    count = chunk_of(packed, 0)[0]
-    return [chunk_of(packed, index)[1].hex() for index in range(count)]
+    count = slice_chunk(packed, 0)[0]
+    return [slice_chunk(packed, index)[1].hex() for index in range(count)]
 
 
 def small_ledger() -> RequestLedger:
--- a/tests/test_works.py
+++ b/tests/test_works.py
@@ -15,7 +15,7 @@
     RequestClassDemand,
     WaitingUnit,
 )
-from corkgauge.maintenance.chunk_transfer import CHUNK_BYTES, ChunkFetch, chunk_of
+from corkgauge.maintenance.chunk_transfer import CHUNK_BYTES, ChunkFetch, slice_chunk
 from corkgauge.maintenance.messages import Orders
 from corkgauge.maintenance.participant import Participant
 from corkgauge.maintenance.plan import InvalidChangeError, Plan
@@ -213,16 +213,16 @@
     desk, got = Desk(), []
     fetch = ChunkFetch(desk, "k", 7, 100, lambda stamp, data: got.append((stamp, data)), (5, 0))
     old, new = b"a" * (2 * CHUNK_BYTES + 1), b"b" * (CHUNK_BYTES + 5)
-    fetch.on_chunk("k", Chunk(7, (4, 9), 0, *chunk_of(b"x", 0)))  # below what was promised
-    fetch.on_chunk("k", Chunk(7, (5, 1), 0, *chunk_of(old, 0)))
-    fetch.on_chunk("other", Chunk(7, (5, 1), 1, *chunk_of(old, 1)))
-    fetch.on_chunk("k", Chunk(7, (5, 2), 1, *chunk_of(new, 1)))
-    fetch.on_chunk("k", Chunk(7, (5, 1), 2, *chunk_of(old, 2)))  # late
+    fetch.on_chunk("k", Chunk(7, (4, 9), 0, *slice_chunk(b"x", 0)))  # below what was promised
+    fetch.on_chunk("k", Chunk(7, (5, 1), 0, *slice_chunk(old, 0)))
+    fetch.on_chunk("other", Chunk(7, (5, 1), 1, *slice_chunk(old, 1)))
+    fetch.on_chunk("k", Chunk(7, (5, 2), 1, *slice_chunk(new, 1)))
+    fetch.on_chunk("k", Chunk(7, (5, 1), 2, *slice_chunk(old, 2)))  # late
     assert not got
     before = len(desk.sent)
     desk.pass_time(150)
     assert len(desk.sent) > before and desk.sent[-1][1][2:] == [[5, 2], [0]]
-    fetch.on_chunk("k", Chunk(7, (5, 2), 0, *chunk_of(new, 0)))
+    fetch.on_chunk("k", Chunk(7, (5, 2), 0, *slice_chunk(new, 0)))
     assert got == [((5, 2), new)]
 
 
