--- a/corkgauge/maintenance/messages.py
+++ b/corkgauge/maintenance/messages.py
@@ -1,13 +1,15 @@
-"""Datagrams of the subject `works`: typed records, and the lists they are on the wire.
+"""Encodes and decodes the datagrams of the subject `works`.
 
-A body is a msgpack list whose first element is the kind of message. The words of the wire are those
-of the first version, as a fleet is upgraded one instance at a time.
+A body is a msgpack list whose first element is the message kind. The kinds on the wire keep the
+words of the first version, because a fleet is upgraded one instance at a time and its instances
+have to understand each other meanwhile.
 """
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
+# Message kinds.
 ORDERS, REPORT_REQUEST, REPORT, PREEMPTED, COMMAND, ANSWER = (
     "orders",
     "tell",
@@ -16,15 +18,16 @@
     "wish",
     "answer",
 )
-LOAD_SCALE = 100  # loads travel as whole hundredths of a core
+LOAD_UNITS_PER_CORE = 100  # loads are sent as whole hundredths of a core
 
 
 @dataclass(frozen=True, slots=True)
 class Orders:
-    """One part of the leader's orders: the unit state of each engine or gateway that is named.
+    """One part of the leader's orders: unit states by engine or gateway name.
 
-    `fence` and `number` are the stamp of the plan, `echo` the serial number of the report that is
-    answered (0: none), `part` counts from 0 to `parts` - 1.
+    `fence` and `number` form the stamp of the plan. `echo` is the serial number of the gateway's
+    last report that the leader received (0: none). `part` is the index of this part, from 0 to
+    `parts` - 1.
     """
 
     fence: int
@@ -37,19 +40,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportRequest:
-    """Asks a gateway to report at once."""
+    """Requests an immediate report from a gateway."""
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a gateway answers for.
-
-    `fence` and `number` are the stamp of the orders it holds on disk, `closed` some of the engines
-    where nothing of its is open, `closed_count` how many those are in all. `loads` are cores by
-    request class, `ejected` engines that it has ejected; `holds_no_lease` is True where it holds no
-    lease and is no candidate.
+    """A gateway's report to the leader.
+
+    Attributes:
+        serial: Serial number of the report, which the leader returns as `Orders.echo`.
+        fence: Fence of the orders that the gateway has stored on disk.
+        number: Number, under that fence, of the same orders.
+        is_blank: Whether the gateway holds no orders, for example after losing its disk.
+        closed: Some of the engines that the gateway has closed: it has nothing open there.
+        closed_count: Number of all engines that it has closed.
+        loads: Cores needed by request class.
+        ejected: Engines that the gateway has ejected.
+        holds_no_lease: Whether the gateway neither holds a lease nor is a candidate for one.
     """
 
     serial: int
@@ -65,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Preempted:
-    """Tells a sender of orders that orders under this higher fence are in force."""
+    """Rejects orders: the receiver already holds orders under this higher fence."""
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """An operator's command on its way to the leader, as JSON text."""
+    """An operator's command, forwarded to the leader as JSON text."""
 
     key: str
     text: str
@@ -80,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came of a command; `error` is empty where it was carried out."""
+    """The leader's answer to a forwarded command; `error` is empty if it was carried out."""
 
     key: str
     answer: str
@@ -91,71 +100,71 @@
 
 
 def encode_report(
-    participant_part: Sequence[Any],
+    participant_fields: Sequence[Any],
     loads: Mapping[str, float],
     ejected: Sequence[str],
     holds_no_lease: bool,
 ) -> list[Any]:
     """Encode the body of a report.
 
-    Loads go up to the next hundredth of a core, so that no load counts as none.
+    `participant_fields` are the fields from `serial` to `closed_count`. Each load is rounded up to
+    the next hundredth of a core, so that a small load is not reported as none.
 
     >>> encode_report([1, 7, 4, False, ["e1"], 1], {"lookup": 2.5}, [], True)
     ['word', 1, 7, 4, False, ['e1'], 1, {'lookup': 251}, [], True]
     """
-    scaled = {name: int(LOAD_SCALE * cores) + 1 for name, cores in loads.items()}
-    return [REPORT, *participant_part, scaled, ejected, holds_no_lease]
+    scaled = {name: int(LOAD_UNITS_PER_CORE * cores) + 1 for name, cores in loads.items()}
+    return [REPORT, *participant_fields, scaled, ejected, holds_no_lease]
 
 
 def decode(body: Any) -> Message | None:
-    """Decode a datagram's body; None for a kind that this version does not know.
+    """Decode the body of a datagram; return None for an unknown kind, sent by a later version.
 
-    Raises TypeError or ValueError where the body is no list, or has not the fields of its kind.
+    Raises TypeError or ValueError if the body is not a list or lacks fields of its kind.
     """
     kind, *fields = body
     decoder = _DECODERS.get(kind)
     return None if decoder is None else decoder(fields)
 
 
-def _orders(fields: list[Any]) -> Orders:
+def _decode_orders(fields: list[Any]) -> Orders:
     fence, number, echo, part, parts, levels = fields
     return Orders(fence, number, echo, part, parts, levels)
 
 
-def _report_request(fields: list[Any]) -> ReportRequest:
-    fence = (
-        fields[0] if fields else 0
-    )  # nobody looks at it; it is on the wire for those who read traces
+def _decode_report_request(fields: list[Any]) -> ReportRequest:
+    # The receiver ignores the fence, which is sent only for readers of packet traces.
+    fence = fields[0] if fields else 0
     return ReportRequest(fence)
 
 
-def _report(fields: list[Any]) -> Report:
+def _decode_report(fields: list[Any]) -> Report:
     serial, fence, number, is_blank, closed, closed_count, scaled, ejected, holds_no_lease = fields
-    loads = {name: cores / LOAD_SCALE for name, cores in scaled.items()}
+    loads = {name: units / LOAD_UNITS_PER_CORE for name, units in scaled.items()}
     return Report(
         serial, fence, number, is_blank, closed, closed_count, loads, ejected, holds_no_lease
     )
 
 
-def _preempted(fields: list[Any]) -> Preempted:
+def _decode_preempted(fields: list[Any]) -> Preempted:
     return Preempted(int(fields[0]))
 
 
-def _command(fields: list[Any]) -> Command:
+def _decode_command(fields: list[Any]) -> Command:
     key, text = fields
     return Command(key, text)
 
 
-def _answer(fields: list[Any]) -> Answer:
+def _decode_answer(fields: list[Any]) -> Answer:
     key, answer, error = fields
     return Answer(key, answer, error)
 
 
 _DECODERS: dict[str, Callable[[list[Any]], Message]] = {
-    ORDERS: _orders,
-    REPORT_REQUEST: _report_request,
-    REPORT: _report,
-    PREEMPTED: _preempted,
-    COMMAND: _command,
-    ANSWER: _answer,
+    ORDERS: _decode_orders,
+    REPORT_REQUEST: _decode_report_request,
+    REPORT: _decode_report,
+    PREEMPTED: _decode_preempted,
+    COMMAND: _decode_command,
+    ANSWER: _decode_answer,
 }
--- a/corkgauge/maintenance/plan_messages.py
+++ b/corkgauge/maintenance/plan_messages.py
@@ -1,7 +1,7 @@
-"""Datagrams between plan replicas and proposers: typed records, and their lists on the wire.
+"""Encodes and decodes the datagrams between plan replicas and plan proposers.
 
-A body is a msgpack list that begins with the kind and the fence. Fields that a later version
-appends are ignored.
+A body is a msgpack list whose first two elements are the message kind and the fence. Additional
+fields at the end, appended by a later version, are ignored.
 """
 
 from collections.abc import Sequence
@@ -9,14 +9,14 @@
 from enum import IntEnum
 from typing import Any
 
-Stamp = tuple[int, int]  # fence, and number under it: the later state is the greater stamp
+Stamp = tuple[int, int]  # fence, and number under that fence; a later plan has the greater stamp
 
 
 class MessageKind(IntEnum):
-    """Kinds of messages; the numbers are those of the wire.
+    """Message kinds by their number on the wire.
 
-    From a proposer to replicas: PREPARE, ACCEPT. To a proposer: PROMISE, ACCEPTED, PREEMPTED.
-    Either way: FETCH, CHUNK.
+    A proposer sends PREPARE and ACCEPT; a replica answers with PROMISE, ACCEPTED or PREEMPTED.
+    Both send FETCH and CHUNK.
     """
 
     PREPARE = 0
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Heed no lower fence from now on, and say what you hold."""
+    """Asks a replica to reject all lower fences from now on, and for the stamp of its plan."""
 
     fence: int
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The fence is promised; the replica holds the plan of this stamp, or is blank."""
+    """Promises to reject lower fences; `stamp` is that of the replica's plan unless it is blank."""
 
     fence: int
     stamp: Stamp
@@ -57,7 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Apply `changes` to the plan of `base_stamp`; its new stamp is (`fence`, `number`)."""
+    """Asks a replica to apply `changes` to the plan of stamp `base_stamp`.
+
+    The changed plan has the stamp (`fence`, `number`).
+    """
 
     fence: int
     base_stamp: Stamp
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The replica holds the plan of this stamp, on disk."""
+    """Confirms that the replica has stored the plan of this stamp on disk."""
 
     fence: int
     stamp: Stamp
@@ -83,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Preempted:
-    """The fence is below the one that the replica has promised."""
+    """Rejects a fence that is lower than the fence that the replica has promised."""
 
     fence: int
     promised: int
@@ -95,7 +98,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchChunks:
-    """Send these chunks of the plan; `stamp` is that of the chunks already here, None: none is."""
+    """Requests chunks of the plan by index.
+
+    `stamp` is the stamp of the chunks that the sender already has, None if it has none.
+    """
 
     fence: int
     stamp: Stamp | None
@@ -108,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Chunk `index` of `count` of a packed plan of this stamp."""
+    """Chunk number `index`, of `count` in all, of the packed plan of this stamp."""
 
     fence: int
     stamp: Stamp
@@ -124,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownMessage:
-    """A kind that this version does not know."""
+    """A message whose kind this version does not know."""
 
     fence: int
 
@@ -133,9 +139,9 @@
 
 
 def decode(body: Sequence[Any]) -> Message:
-    """Decode a datagram's body.
+    """Decode the body of a datagram.
 
-    Raises IndexError, TypeError or ValueError where fields are missing.
+    Raises IndexError, TypeError or ValueError if fields are missing.
     """
     kind, fence = body[:2]
     match kind:
@@ -150,7 +156,8 @@
         case MessageKind.PREEMPTED:
             return Preempted(fence, body[2])
         case MessageKind.FETCH:
-            return FetchChunks(fence, None, body[3])  # the stamp is for those who read traces
+            # The receiver ignores the stamp, which is sent only for readers of packet traces.
+            return FetchChunks(fence, None, body[3])
         case MessageKind.CHUNK:
             return Chunk(fence, (body[2], body[3]), body[4], body[5], body[6])
     return UnknownMessage(fence)
