--- a/corkgauge/maintenance/commands.py
+++ b/corkgauge/maintenance/commands.py
@@ -1,7 +1,8 @@
-"""Operators' commands: kept where they were asked, and carried out by the leader.
+"""Accepts operators' commands at any gateway and executes them at the leader.
 
-Every command has a key chosen by the operator's program; the same key asked again gives what has
-come of it. Free of I/O: the service sends, keeps time and answers over HTTP.
+The gateway that accepts a command forwards it to the leader until the leader answers. The
+operator's program chooses a key for every command and polls for the result by sending the command
+again with the same key. Free of I/O: the service sends datagrams, runs timers and serves HTTP.
 """
 
 import json
@@ -13,41 +14,41 @@
 from corkgauge.maintenance.plan_proposer import PlanProposer
 from corkgauge.maintenance.planner import Planner
 
-RESEND_TICKS = 2_500  # between two tellings of a command that is not answered
-COMMAND_LIFETIME_TICKS = 30 * SECOND  # after which it is given up
+RESEND_INTERVAL_TICKS = 2_500
+COMMAND_LIFETIME_TICKS = 30 * SECOND  # an unanswered command expires after this time
 MAX_PENDING_COMMANDS = 64
 MAX_COMMAND_BYTES = 1_000
 MAX_KEY_CHARACTERS = 64
 MAX_ERROR_CHARACTERS = 400
-COMMANDS = "ask", "cancel", "done", "hold", "overrule", "known"  # words of the HTTP interface
+COMMAND_NAMES = "ask", "cancel", "done", "hold", "overrule", "known"  # in the HTTP interface
 
 
 class Host(Protocol):
-    """What the commands need of the service. `loop_time` is tenths of a millisecond."""
+    """The operations of the maintenance service that commands use."""
 
     @property
     def loop_time(self) -> int:
-        """Return the event loop's time, tenths of a millisecond."""
+        """Return the event loop's time in ticks."""
 
     def leader_name(self) -> str:
-        """Name who is known to hold the lease; empty: nobody."""
+        """Return the name of the gateway known to hold the lease; empty if none is known."""
 
     def may_act(self, fence: int) -> bool:
-        """Whether the lease is held under this fence, now."""
+        """Return whether this gateway holds the lease under this fence now."""
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """Call the method after `delay` ticks."""
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method with the arguments after `delay` ticks."""
 
     def forward_command(self, leader: str, key: str, text: str) -> None:
         """Send an operator's command to the leader."""
 
     def send_answer(self, to: str, key: str, answer: str, error: str) -> None:
-        """Answer a command that a gateway forwarded."""
+        """Send the answer to a command to the gateway that forwarded it."""
 
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command asked here. `answer` and `error` are None until the leader has answered."""
+    """A command accepted here; `answer` and `error` are None until the leader answers."""
 
     command: dict[str, Any]
     deadline_ticks: int
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedCommand:
-    """A command carried out by the leader, answered once the change of that number is agreed."""
+    """An executed command, answered once a majority of replicas accepts its last change."""
 
     change_number: int
     sender: str
@@ -66,23 +67,25 @@
 
 
 class PendingCommands:
-    """The commands that operators asked at this gateway, by key."""
+    """Keeps the commands that this gateway accepted over HTTP and forwards them to the leader."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
         self.by_key: dict[str, PendingCommand] = {}
 
     def handle_http(self, body: bytes) -> dict[str, Any]:
-        """Take `{"do": ..., "key": ..., ...}` and give what has come of it so far.
+        """Accept the command `{"do": ..., "key": ..., ...}`, or return its result so far.
 
-        Raises ValueError, with the reason for the operator, for a command that cannot be taken.
+        Raises ValueError, with a reason for the operator, if the command cannot be accepted.
         """
         command = json.loads(body)
         if len(body) > MAX_COMMAND_BYTES:
-            raise ValueError(f"{MAX_COMMAND_BYTES} octets at most, ask in two")
+            raise ValueError(
+                f"a command has at most {MAX_COMMAND_BYTES} bytes; split it into several"
+            )
         key = str(command.get("key", ""))[:MAX_KEY_CHARACTERS]
-        if not key or command.get("do") not in COMMANDS:
-            raise ValueError(f"expected a key, and one of {', '.join(COMMANDS)}")
+        if not key or command.get("do") not in COMMAND_NAMES:
+            raise ValueError(f"expected a key, and as `do` one of {', '.join(COMMAND_NAMES)}")
         pending = self.by_key.get(key)
         if pending is None:
             pending = self._add(key, command)
@@ -101,29 +104,32 @@
                 if pending.error is None and now < pending.deadline_ticks
             }
         if len(self.by_key) >= MAX_PENDING_COMMANDS:
-            raise ValueError(f"{MAX_PENDING_COMMANDS} wishes wait, try again")
+            raise ValueError(
+                f"{MAX_PENDING_COMMANDS} commands are pending at this gateway, try again"
+            )
         pending = PendingCommand(command, now + COMMAND_LIFETIME_TICKS)
         self.by_key[key] = pending
         self._forward(key)
         return pending
 
     def _forward(self, key: str) -> None:
-        """Send the command to the leader until it answers or the command expires."""
+        """Send the command to the leader repeatedly, until it is answered or expires."""
         pending = self.by_key.get(key)
         if pending is None or pending.error is not None:
             return
         if self.host.loop_time >= pending.deadline_ticks:
             pending.error = (
-                "nobody plans now, or its answer did not come; the same id may be asked again"
+                "no gateway leads maintenance, or its answer was lost; "
+                "the same id may be asked again"
             )
             return
         leader = self.host.leader_name()
         if leader:
             self.host.forward_command(leader, key, json.dumps(pending.command))
-        self.host.call_later(RESEND_TICKS, self._forward, key)
+        self.host.call_later(RESEND_INTERVAL_TICKS, self._forward, key)
 
     def on_answer(self, key: str, answer: str, error: str) -> None:
-        """Take the leader's answer; one to a command that was given up is ignored."""
+        """Store the leader's answer; ignore it if the command is no longer kept."""
         pending = self.by_key.get(key)
         if pending is not None:
             pending.answer = answer
@@ -131,7 +137,7 @@
 
 
 class CommandExecutor:
-    """Carries out commands at the leader, and answers each once a majority has agreed to it."""
+    """Executes commands at the leader; answers each once a majority accepts its changes."""
 
     def __init__(self, host: Host, planner: Planner, proposer: PlanProposer) -> None:
         self.host = host
@@ -140,13 +146,16 @@
         self.unconfirmed: list[UnconfirmedCommand] = []
 
     def clear(self) -> None:
-        """Forget what is not confirmed: the lease is lost, and the next leader is asked again."""
+        """Drop unconfirmed commands after the lease is lost.
+
+        The gateways that forwarded them send them again to the next leader.
+        """
         self.unconfirmed.clear()
 
     def on_command(self, sender: str, key: str, text: str) -> None:
-        """Carry out a command that a gateway forwards.
+        """Execute a command that a gateway forwarded.
 
-        Raises ValueError for text that is no JSON.
+        Raises ValueError if the text is not JSON.
         """
         if not self.host.may_act(self.proposer.fence):
             return
@@ -157,12 +166,13 @@
         try:
             answer = self._execute(command, owner)
         except ValueError as problem:
-            if "try again" not in str(problem):  # else the gateway sends it again by itself
+            # A command refused with "try again" is not answered: its gateway sends it again.
+            if "try again" not in str(problem):
                 self._answer(sender, key, "", str(problem))
             return
         except (KeyError, TypeError) as problem:
             kind = type(problem).__name__
-            self._answer(sender, key, "", f"makes no sense ({kind} {problem})")
+            self._answer(sender, key, "", f"a field is missing or malformed ({kind} {problem})")
             return
         if self.proposer.settled >= self.proposer.proposed:
             self._answer(sender, key, answer, "")
@@ -170,7 +180,7 @@
         self.unconfirmed.append(UnconfirmedCommand(self.proposer.proposed, sender, key, answer))
 
     def on_changes_agreed(self) -> None:
-        """Answer every command whose changes are agreed now."""
+        """Answer every command whose changes a majority has accepted."""
         settled = self.proposer.settled
         confirmed = [each for each in self.unconfirmed if each.change_number <= settled]
         self.unconfirmed = [each for each in self.unconfirmed if each.change_number > settled]
@@ -180,18 +190,18 @@
     def _execute(self, command: dict[str, Any], owner: str) -> str:
         if not owner:
             raise ValueError("expected an owner")
-        action = _ACTIONS.get(str(command["do"]), _declare_known)
+        action = _ACTIONS.get(str(command["do"]), _declare_out)
         return action(self.planner, command, owner)
 
     def _answer(self, to: str, key: str, answer: str, error: str) -> None:
         self.host.send_answer(to, key, answer, error[:MAX_ERROR_CHARACTERS])
 
 
-# One function a command: the planner, the command as decoded JSON, its owner.
+# One function per command; each takes the planner, the decoded command and its owner.
 
 
-def _request(planner: Planner, command: dict[str, Any], owner: str) -> str:
-    return planner.requests.ask(
+def _request_maintenance(planner: Planner, command: dict[str, Any], owner: str) -> str:
+    return planner.requests.request_maintenance(
         str(command["id"]),
         command["kind"],
         command["names"],
@@ -202,31 +212,31 @@
     )
 
 
-def _cancel(planner: Planner, command: dict[str, Any], owner: str) -> str:
-    return planner.requests.cancel(str(command["id"]), owner)
+def _cancel_request(planner: Planner, command: dict[str, Any], owner: str) -> str:
+    return planner.requests.cancel_request(str(command["id"]), owner)
 
 
-def _finish(planner: Planner, command: dict[str, Any], owner: str) -> str:
-    return planner.requests.done(command["names"], owner)
+def _finish_work(planner: Planner, command: dict[str, Any], owner: str) -> str:
+    return planner.requests.finish_work(command["names"], owner)
 
 
-def _hold(planner: Planner, command: dict[str, Any], owner: str) -> str:
+def _set_hold(planner: Planner, command: dict[str, Any], owner: str) -> str:
     held_by = owner if command.get("on", True) else ""
-    return planner.requests.hold(held_by)
+    return planner.requests.set_hold(held_by)
 
 
-def _overrule(planner: Planner, command: dict[str, Any], owner: str) -> str:
-    return planner.requests.overrule(str(command["unit"]), str(command["gateway"]), owner)
+def _overrule_gateway(planner: Planner, command: dict[str, Any], owner: str) -> str:
+    return planner.requests.overrule_gateway(str(command["unit"]), str(command["gateway"]), owner)
 
 
-def _declare_known(planner: Planner, command: dict[str, Any], owner: str) -> str:
-    return planner.requests.tell_known(command["out"], owner)
+def _declare_out(planner: Planner, command: dict[str, Any], owner: str) -> str:
+    return planner.requests.declare_out_units(command["out"], owner)
 
 
 _ACTIONS: dict[str, Callable[[Planner, dict[str, Any], str], str]] = {
-    "ask": _request,
-    "cancel": _cancel,
-    "done": _finish,
-    "hold": _hold,
-    "overrule": _overrule,
+    "ask": _request_maintenance,
+    "cancel": _cancel_request,
+    "done": _finish_work,
+    "hold": _set_hold,
+    "overrule": _overrule_gateway,
 }
--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -1,7 +1,8 @@
-"""What operators ask of the leader: each command checked against the plan, and proposed as changes.
+"""Validates operators' commands against the maintenance plan and proposes them as changes.
 
-Every method gives the line that is told to the operator, or raises ValueError with the reason. A
-reason that contains `try again` is not told: the operator's gateway asks again by itself.
+Every method returns the answer line for the operator, or raises ValueError with the reason. A
+reason that contains `try again` does not reach the operator: the gateway that accepted the command
+sends it again.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -19,13 +20,13 @@
 from corkgauge.maintenance.plan import MAX_TEXT_CHARACTERS, MAX_UNITS, Plan
 from corkgauge.maintenance.plan_records import MaintenanceRequest, UnitKind, UnitState
 
-MAX_NAMES_BYTES = 500  # of the names in one request, so that it fits a datagram
+MAX_NAMES_BYTES = 500  # in one request, so that the request fits in a datagram
 MAX_ID_CHARACTERS = 40
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedUnit:
-    """A unit that a request comes to."""
+    """A unit that a request takes out as a whole; `members` are its engines or its gateway."""
 
     name: str
     kind: UnitKind
@@ -33,10 +34,10 @@
 
 
 class OperatorRequests:
-    """Carries out operators' commands at the leader.
+    """Executes operators' commands at the leader.
 
-    `declare_out(tags, by)` begins a new plan after the loss of everything, with these engines and
-    gateways out.
+    `declare_out(names, origin)` begins a new plan in which these engines and gateways are out, for
+    the case that no majority of replicas remembers the plan. `origin` says who stated it.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.grants = grants
         self.declare_out = declare_out
 
-    def ask(
+    def request_maintenance(
         self,
         id_: str,
         kind: str,
@@ -62,21 +63,22 @@
         within_ticks: int,
         lasting_ticks: int,
     ) -> str:
-        """Request maintenance of what is named.
+        """Add a request for maintenance of the named engines, machines, zones or gateways.
 
-        Each unit takes `lasting_ticks`; all should be over within `within_ticks`.
-
-        `within_ticks` 0 means any time. The same id again changes nothing.
+        The work on each unit takes `lasting_ticks`. All of it is due within `within_ticks`; 0 means
+        that there is no due time. Repeating a request under the same id changes nothing.
         """
         plan = self._plan()
         if id_ in plan.requests or any(entry.request_id == id_ for entry in plan.history):
             return "known"
         if not owner or lasting_ticks <= 0 or not names or len(id_) > MAX_ID_CHARACTERS:
-            raise ValueError("expected an owner, names, and how long the work lasts")
+            raise ValueError(
+                "expected an owner, names, a positive duration and an id that is not too long"
+            )
         units = self._new_units(kind, names, plan)
-        self._refuse_impossible(units, lasting_ticks)
+        self._reject_never_allowed(units, lasting_ticks)
         if sum(len(name.encode()) + 2 for name in names) > MAX_NAMES_BYTES:
-            raise ValueError("too many names at once, ask in two")
+            raise ValueError("the names of the request are too long, split it into several")
         now_ticks = self.leadership.maintenance_time()
         due_ticks = now_ticks + within_ticks if within_ticks else NEVER_TICKS
         request = MaintenanceRequest(
@@ -100,24 +102,27 @@
             ["unit", unit.name, request.id, unit.kind.value, [*unit.members]] for unit in units
         )
         if not self.proposer.propose(*changes):
-            raise ValueError("too much is asked at once, try again")
+            raise ValueError("too many plan changes are pending, try again")
         self.leadership.counts["asks"] += 1
 
     def _new_units(self, kind: str, names: Sequence[str], plan: Plan) -> list[PlannedUnit]:
-        """Find the units that the names come to and that are not in the plan yet."""
+        """Return the units that the names stand for, without those already in the plan."""
         zones = {tag: fact.zone for tag, fact in self.fleet.engines().items()}
         found = units_for_request(kind, names, zones, self.host.machines(), self.fleet.gateways())
         units = [unit for unit in found if unit.name not in plan.units]
         if not units:
             other = next(iter(plan.units.values())).request_id if plan.units else ""
-            raise ValueError(f"all of that is asked already, as {other}")
+            raise ValueError(f"all of these units are already in the plan, as {other}")
         if len(units) + len(plan.units) > MAX_UNITS:
-            raise ValueError(f"{MAX_UNITS} units at most")
+            raise ValueError(f"the plan holds at most {MAX_UNITS} units")
         return units
 
-    def _refuse_impossible(self, units: Iterable[PlannedUnit], lasting_ticks: int) -> None:
-        """Refuse now what no lull makes possible; nobody should wait for it."""
-        alone = CapacitySnapshot(
+    def _reject_never_allowed(self, units: Iterable[PlannedUnit], lasting_ticks: int) -> None:
+        """Reject units that the limits forbid even with all engines healthy and without load.
+
+        Such a request would wait forever.
+        """
+        best_case = CapacitySnapshot(
             self.grants.limits,
             {
                 tag: replace(fact, condition=EngineCondition.HEALTHY)
@@ -130,15 +135,15 @@
         for unit in units:
             is_gateway = unit.kind == UnitKind.GATEWAY
             waiting = WaitingUnit(unit.name, unit.members, lasting_ticks, is_gateway=is_gateway)
-            objection = alone.find_objection(waiting, with_load=False)
+            objection = best_case.find_objection(waiting, with_load=False)
             if objection:
-                raise ValueError(f"{unit.name}: never possible: {objection}")
+                raise ValueError(f"{unit.name}: the limits never allow it: {objection}")
 
-    def cancel(self, id_: str, by: str) -> str:
-        """Withdraw a request; units that are out stay out until their owner's `done`."""
+    def cancel_request(self, id_: str, by: str) -> str:
+        """Cancel a request; its units that are out stay out until their owner's `done`."""
         plan = self._plan()
         if id_ not in plan.requests:
-            raise ValueError(f"no open ask {id_!r}")
+            raise ValueError(f"no open request {id_!r}")
         units = [unit for unit in plan.units.values() if unit.request_id == id_]
         changes: list[list[Any]] = [["cancel", id_, by]]
         for unit in units:
@@ -147,13 +152,13 @@
             elif unit.state in (UnitState.GRANTED, UnitState.DRAINING):
                 changes.append(["state", unit.name, UnitState.RETURNING, f"cancelled by {by}"])
         self._propose(changes)
-        # On a machine that was told to be out somebody may be at work; only its owner's `done` ends
-        # that.
+        # Somebody may be working on a unit that was shown as out, so only its owner's `done`
+        # returns it to service.
         out = sorted(unit.name for unit in units if unit.state in (UnitState.OUT, UnitState.LATE))
         return f"cancelled, but for what is out: {' '.join(out)}" if out else "cancelled"
 
-    def done(self, names: Sequence[str], by: str) -> str:
-        """Let units return whose work is over, named themselves or by their request."""
+    def finish_work(self, names: Sequence[str], by: str) -> str:
+        """Return units to service; `names` may be units, their members or their requests."""
         plan = self._plan()
         units = [
             unit
@@ -170,38 +175,45 @@
         )
         return f"returning: {' '.join(unit.name for unit in units)}"
 
-    def hold(self, by: str) -> str:
-        """Grant nothing new, or (`by` empty) go on."""
+    def set_hold(self, by: str) -> str:
+        """Stop granting units, or resume if `by` is empty."""
         self._propose([["hold", by]])
         return f"held by {by}" if by else "going on"
 
-    def overrule(self, name: str, gateway: str, by: str) -> str:
-        """Wait no longer for this gateway's confirmation, by the operator's word."""
+    def overrule_gateway(self, name: str, gateway: str, by: str) -> str:
+        """Let work on a unit begin without this gateway's confirmation."""
         self._propose([["overrule", name, gateway, by]])
         self.host.log(f"works: {name}: {gateway} overruled by {by}")
         return "overruled"
 
-    def tell_known(self, out: Sequence[str], by: str) -> str:
-        """Take an operator's word on what is out, after the loss of everything or at first."""
+    def declare_out_units(self, out: Sequence[str], by: str) -> str:
+        """Begin a new plan in which the named engines and gateways are out.
+
+        Only at first use, or when no majority of replicas remembers the plan. The first call
+        raises a ValueError with "try again", so that the command is repeated until the new plan is
+        agreed.
+        """
         if not self.leadership.is_forgotten:
             if self._plan().known == f"told by {by}":
                 return "taken"
-            raise ValueError("the plan is known")
+            raise ValueError("the plan is known; `known` applies only where it is forgotten")
         self.declare_out(out, f"told by {by}")
-        raise ValueError("being agreed, try again")
+        raise ValueError("the new plan is not agreed yet, try again")
 
     def _plan(self) -> Plan:
-        """Return the plan as it will be with all that is proposed."""
+        """Return the plan as it will be after all proposed changes."""
         if self.leadership.has_plan():
             return self.proposer.plan_with_pending()
         if self.leadership.is_forgotten:
-            raise ValueError("forgotten: tell what is out (works known)")
-        raise ValueError("the plan is being taken over, try again")
+            raise ValueError(
+                "the plan is forgotten; state what is out with `corkgauge maintenance known`"
+            )
+        raise ValueError("the leader is still taking over the plan, try again")
 
     def _propose(self, changes: Sequence[Sequence[Any]]) -> None:
         now_ticks = self.leadership.maintenance_time()
         if not self.proposer.propose(["time", now_ticks], *changes):
-            raise ValueError("that does not fit the plan as it is now, try again")
+            raise ValueError("the change does not fit the plan, or too many are pending, try again")
 
 
 def units_for_request(
@@ -211,9 +223,10 @@
     machines: Mapping[str, Sequence[str]],
     gateways: Iterable[str],
 ) -> list[PlannedUnit]:
-    """Find the units that a request comes to; engines of one machine go together.
+    """Return the units that a request stands for; the engines of one machine form one unit.
 
-    `zones` has the zone of each engine that is listed. Raises ValueError, naming what there is not.
+    `zones` has the zone of each engine in the endpoint list. Raises ValueError with the first name
+    that is not known.
 
     >>> zones = {"e1": "a", "e2": "a", "e3": "b"}
     >>> [unit] = units_for_request("engine", ["e1"], zones, {"m1": ["e1", "e3"]}, [])
@@ -243,7 +256,7 @@
 def _engine_unit(
     tag: str, machine: str | None, zones: Mapping[str, str], machines: Mapping[str, Sequence[str]]
 ) -> PlannedUnit:
-    """Return the unit of an engine: its whole machine, as far as its engines are listed."""
+    """Return the unit of an engine: all listed engines of its machine, or the engine alone."""
     if not machine:
         return PlannedUnit(tag, UnitKind.ENGINE, (tag,))
     members = sorted(each for each in machines[machine] if each in zones or each == tag)
