--- a/corkgauge/maintenance/__init__.py
+++ b/corkgauge/maintenance/__init__.py
@@ -1,1 +1,1 @@
-"""Taking machines out for work, in an order that the gateways settle among themselves."""
+"""Maintenance of engines and gateways: the gateways agree on which units are out, and when."""
--- a/corkgauge/maintenance/chunk_transfer.py
+++ b/corkgauge/maintenance/chunk_transfer.py
@@ -1,7 +1,7 @@
-"""Fetches a plan that is too large for one datagram, a few chunks at a time.
+"""Transfers a plan that is too large for one datagram in chunks.
 
-Chunks of two states are never put together: each names the stamp of its state, and another stamp
-begins anew. Free of I/O.
+Chunks of two versions of the plan are never combined: each chunk has the stamp of its plan, and a
+chunk of a later stamp restarts the fetch. Free of I/O.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -10,23 +10,23 @@
 from corkgauge.maintenance.plan_messages import Chunk, FetchChunks, Stamp
 
 CHUNK_BYTES = 900
-MAX_CHUNKS_PER_REQUEST = 6  # in one datagram
-MAX_CHUNKS_PER_ANSWER = 16  # of one datagram
-MAX_CHUNKS_PER_PLAN = 2_000  # of one state
+MAX_CHUNKS_PER_REQUEST = 6
+MAX_CHUNKS_PER_ANSWER = 16  # limits the answer to one request, whatever the request asks for
+MAX_CHUNKS_PER_PLAN = 2_000
 
 
 class Host(Protocol):
-    """What a fetch may do."""
+    """The operations that a chunk fetch uses."""
 
     def send(self, name: str, body: list[Any]) -> None:
-        """Send a message about the plan."""
+        """Send the body of a plan message to the named gateway."""
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """Call the method after `delay` ticks."""
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method with the arguments after `delay` ticks."""
 
 
 def slice_chunk(packed: bytes, index: int) -> tuple[int, bytes]:
-    """How many chunks there are, and one of them.
+    """Return the number of chunks of a packed plan, and the data of chunk number `index`.
 
     >>> slice_chunk(b"x" * 1000, 1)[0], len(slice_chunk(b"x" * 1000, 1)[1]), slice_chunk(b"", 0)
     (2, 100, (1, b''))
@@ -38,7 +38,7 @@
 def requested_chunks(
     packed: bytes, indexes: Sequence[int], fence: int, stamp: Stamp
 ) -> Iterable[Chunk]:
-    """Yield the chunks that a fetch asks for, as far as there are such."""
+    """Yield the requested chunks; indexes beyond the end of the packed plan are ignored."""
     for index in indexes[:MAX_CHUNKS_PER_ANSWER]:
         count, data = slice_chunk(packed, index)
         if 0 <= index < count:
@@ -46,11 +46,11 @@
 
 
 class ChunkFetch:
-    """Asks `source` for its plan, then calls `on_complete(stamp, bytes)`.
+    """Fetches the plan of `source`, then calls `on_complete(stamp, packed)`.
 
-    Chunks of another stamp than the one begun with start over with that: the source has gone on.
-    Nothing of a stamp below `min_stamp` counts. What does not come is asked for again after
-    `retry_ticks`.
+    If a chunk of a later stamp arrives, the source has changed its plan: the fetch drops the chunks
+    it has and continues with the later plan. Chunks of stamps below `min_stamp` are ignored.
+    Missing chunks are requested again after `retry_ticks`.
     """
 
     def __init__(
@@ -72,11 +72,11 @@
         self.count = 1
         self.chunks: dict[int, bytes] = {}
         self.is_finished = False
-        self.request_serial = 0  # of the last datagram; the timers of earlier ones do nothing
+        self.request_serial = 0  # of the last request; retry timers of earlier requests do nothing
         self._request_missing()
 
     def on_chunk(self, sender: str, chunk: Chunk) -> None:
-        """Take a chunk; one of another source or an earlier state is ignored."""
+        """Store a chunk; ignore chunks from another source or of an earlier plan."""
         if not self._is_acceptable(sender, chunk):
             return
         if chunk.stamp != self.stamp:
@@ -92,8 +92,8 @@
             self._request_missing()
 
     def _is_acceptable(self, sender: str, chunk: Chunk) -> bool:
-        # A chunk that was asked for in an earlier span of leading comes late, and is of a state
-        # that has been changed since by agreement: it is below `min_stamp`.
+        # A late chunk, requested while this gateway led before, can belong to a plan that has
+        # since been changed by agreement: its stamp is below `min_stamp`.
         if self.is_finished or sender != self.source or chunk.stamp < self.min_stamp:
             return False
         if not 0 <= chunk.index < chunk.count <= MAX_CHUNKS_PER_PLAN:
@@ -102,11 +102,11 @@
         return not is_outdated
 
     def cancel(self) -> None:
-        """Ask for nothing any more, and take nothing."""
+        """Stop requesting chunks, and ignore those that still arrive."""
         self.is_finished = True
 
     def _request_missing(self) -> None:
-        """Ask for the next few that are not here, and again where none of them comes."""
+        """Request the next missing chunks, and again if no chunk arrives before the timeout."""
         if self.is_finished:
             return
         missing = [index for index in range(self.count) if index not in self.chunks]
--- a/corkgauge/maintenance/demand.py
+++ b/corkgauge/maintenance/demand.py
@@ -1,40 +1,40 @@
-"""What the fleet has to do now, in cores by request class, as each gateway reports it.
+"""Estimates the fleet's demand, in cores by request class, from the gateways' load reports.
 
-Free of I/O. A gateway that is silent is not taken for an idle one: what is not known counts as
-loaded.
+A gateway without a recent report is not assumed to be idle: it counts as the busiest gateway whose
+load is known. Free of I/O.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_REPORT_AGE_TICKS = 50_000  # tenths of a millisecond, from which a report is too old to go by
-PEAK_DECAY = 0.93  # of a peak, a report: load that fell a moment ago may come back
+MAX_REPORT_AGE_TICKS = 50_000  # older reports are ignored
+PEAK_DECAY_FRACTION = 0.93  # of a peak, kept per report: load that just fell may soon return
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Cores by request class that one gateway needs, with faded peaks, and when it said so."""
+    """Cores by request class that a gateway needed at `at_ticks`, with decayed earlier peaks."""
 
     at_ticks: int
     cores: Mapping[str, float]
 
 
 class FleetDemand(NamedTuple):
-    """Cores by request class of the whole fleet, and the gateways whose load is not known."""
+    """Cores by request class for the whole fleet, and the gateways whose load is not known."""
 
     cores: dict[str, float]
     unknown_gateways: list[str]
 
 
 class Demand:
-    """The last load report of each gateway.
+    """Keeps the last load report of each gateway and estimates the fleet's demand from them.
 
     >>> demand = Demand()
     >>> demand.record("n1", 0, {"lookup": 3.0})
     >>> tuple(demand.estimate(10, ["n1"]))
     ({'lookup': 3.0}, [])
-    >>> tuple(demand.estimate(10, ["n1", "n2"]))  # n2 counts as the busiest that is known
+    >>> tuple(demand.estimate(10, ["n1", "n2"]))  # n2 counts as the busiest known
     ({'lookup': 6.0}, ['n2'])
     >>> demand.record("n1", 20, {"lookup": 1.0})
     >>> round(demand.estimate(20, ["n1"]).cores["lookup"], 2)
@@ -45,16 +45,17 @@
         self.reports: dict[str, LoadReport] = {}
 
     def record(self, gateway: str, now_ticks: int, cores: Mapping[str, float]) -> None:
-        """Take a gateway's report; a peak of earlier reports fades slowly."""
+        """Store a gateway's report; peaks of its earlier reports decay with each report."""
         last = self.reports.get(gateway)
         before = {} if last is None else last.cores
         with_peaks = {
-            name: max(value, PEAK_DECAY * before.get(name, 0.0)) for name, value in cores.items()
+            name: max(value, PEAK_DECAY_FRACTION * before.get(name, 0.0))
+            for name, value in cores.items()
         }
         self.reports[gateway] = LoadReport(now_ticks, with_peaks)
 
     def estimate(self, now_ticks: int, gateways: Iterable[str]) -> FleetDemand:
-        """Sum the demand on these gateways; one of unknown load counts as the busiest known."""
+        """Sum the demand of the gateways; one of unknown load counts as the busiest known."""
         fresh: list[Mapping[str, float]] = []
         unknown: list[str] = []
         for name in gateways:
--- a/corkgauge/maintenance/fleet_view.py
+++ b/corkgauge/maintenance/fleet_view.py
@@ -1,7 +1,8 @@
-"""What one gateway knows of the fleet: engines, gateways, request classes, and its load.
+"""Collects what one gateway knows of the fleet: engines, gateways, request classes and demand.
 
-Reads the host's engine pools and the member list; decides nothing. Times of the event loop and
-times since boot are both tenths of a millisecond; they are never mixed.
+Reads the host's engine pools and the member list; decides nothing. There are two clocks, the event
+loop's and the time since boot, both in ticks (tenths of a millisecond). Times of one clock are
+never compared with times of the other.
 """
 
 from collections import deque
@@ -22,9 +23,10 @@
 from corkgauge.membership.member_list import ALIVE, LEFT, SUSPECTED, MemberList
 from corkgauge.policy.records import AttemptOutcome, EngineState, Repeatability
 
-DEMAND_WINDOW_SECONDS = 5  # over which the load that arrives is averaged
-MAX_EJECTED_REPORTED = 24  # engines named in one report, so that it fits a datagram
-UNLISTED_TICKS = 600 * SECOND  # for which an engine that the list no longer names counts as dead
+DEMAND_WINDOW_SECONDS = 5  # the arrival rate is averaged over this time
+MAX_EJECTED_REPORTED = 24  # engines named in one report, so that it fits in a datagram
+UNLISTED_RETENTION_TICKS = 600 * SECOND  # an engine no longer listed counts as dead this long
+# After these outcomes the engine may still execute the attempt.
 UNCERTAIN_OUTCOMES = (
     AttemptOutcome.TIMED_OUT,
     AttemptOutcome.CONNECTION_RESET,
@@ -34,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnlistedEngine:
-    """An engine that the endpoint list no longer names, and when that was noticed."""
+    """An engine that the endpoint list no longer names; `since_ticks` is when this was noticed."""
 
     fact: EngineFact
     since_ticks: int
@@ -42,30 +44,30 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandSample:
-    """Requests accepted so far by request class, at a time of the event loop."""
+    """Totals of accepted requests by request class at `at_ticks` of the event loop."""
 
     at_ticks: int
     accepted: dict[str, int]
 
 
 class FleetView:
-    """Answers what the planner and the participant ask about engines, gateways and demand."""
+    """Provides the planner and the participant with facts on engines, gateways and demand."""
 
     def __init__(self, socket_host: ServingHost, member_list: MemberList, name: str) -> None:
         self.socket_host = socket_host
         self.event_loop = socket_host.event_loop
         self.member_list = member_list
         self.name = name
-        self.uncertain_until: dict[
-            str, int
-        ] = {}  # by engine: something of ours may still run there
-        self.idle_at: dict[str, int] = {}  # by engine: when it last reported nothing in flight
-        self.listed: dict[str, EngineFact] = {}  # as of the last look
+        # By engine: until when it may still execute an attempt of uncertain outcome.
+        self.uncertain_until_ticks: dict[str, int] = {}
+        # By engine: when it last reported nothing in flight.
+        self.last_idle_ticks: dict[str, int] = {}
+        self.last_listed: dict[str, EngineFact] = {}  # at the previous call of `engines`
         self.unlisted: dict[str, UnlistedEngine] = {}
         self.samples: deque[DemandSample] = deque(maxlen=DEMAND_WINDOW_SECONDS + 1)
 
     def gateways(self) -> Mapping[str, GatewayStatus]:
-        """Every gateway of the fleet by name, this one among them."""
+        """Return the status of every gateway of the fleet by name, including this gateway."""
         statuses = {
             member.name: GatewayStatus(
                 member.zone, member.state in (ALIVE, SUSPECTED), member.state == LEFT
@@ -78,7 +80,7 @@
     # Engines.
 
     def engines(self) -> Mapping[str, EngineFact]:
-        """Every engine that is listed, or was until a short while ago, by its host reference."""
+        """Return every listed or recently unlisted engine by host reference."""
         key_scopes = {
             request_class.key_scope
             for request_class in self.socket_host.settings.request_classes
@@ -112,23 +114,23 @@
         return EngineCondition.HEALTHY
 
     def _remember_unlisted(self, found: dict[str, EngineFact]) -> None:
-        # A dead engine soon leaves the list; forgotten at once, its cores would not count as
-        # missing.
+        # Discovery soon removes a dead engine from the list. If it were dropped here at once, its
+        # cores would no longer count as missing.
         now = ticks_since_boot()
         self.unlisted = {
             tag: missing
             for tag, missing in self.unlisted.items()
-            if tag not in found and now < missing.since_ticks + UNLISTED_TICKS
+            if tag not in found and now < missing.since_ticks + UNLISTED_RETENTION_TICKS
         }
-        for tag, fact in self.listed.items():
+        for tag, fact in self.last_listed.items():
             if tag not in found:
                 self.unlisted[tag] = UnlistedEngine(
                     replace(fact, condition=EngineCondition.DEAD), now
                 )
-        self.listed = found
+        self.last_listed = found
 
     def ejected_engines(self) -> list[str]:
-        """Host references of engines that outlier detection has ejected here, the first few."""
+        """Return at most MAX_EJECTED_REPORTED engines that outlier detection ejected here."""
         gateway = self.socket_host.gateway
         now = self.event_loop.now
         ejected = [
@@ -137,35 +139,41 @@
         return ejected[:MAX_EJECTED_REPORTED]
 
     def address_of(self, tag: str) -> str:
-        """Return the engine's `host:port` as listed last; empty for one that is not listed."""
+        """Return the engine's current `host:port`; empty for an engine that is not listed."""
         engine_pool = self.socket_host.engine_pools.get(tag)
         return "" if engine_pool is None else format_address(engine_pool.address)
 
-    # What of ours may still run on an engine.
+    # Attempts of this gateway that an engine may still execute.
 
     def record_attempt_end(self, tag: str, outcome: int) -> None:
-        """Note an attempt that ended.
+        """Record the end of an attempt.
 
-        One that ended uncertainly may run on at the engine for the settling time.
+        An attempt of uncertain outcome may run at the engine for up to `settle_ticks` more.
         """
         if outcome in UNCERTAIN_OUTCOMES:
             now = self.event_loop.now
-            self.uncertain_until[tag] = now + self.socket_host.gateway.options.settle_ticks
-            if len(self.uncertain_until) > 4 * len(self.socket_host.engine_pools) + 64:
-                self.uncertain_until = {
-                    each: until for each, until in self.uncertain_until.items() if until > now
+            self.uncertain_until_ticks[tag] = now + self.socket_host.gateway.options.settle_ticks
+            if len(self.uncertain_until_ticks) > 4 * len(self.socket_host.engine_pools) + 64:
+                self.uncertain_until_ticks = {
+                    each: until for each, until in self.uncertain_until_ticks.items() if until > now
                 }
         engine_pool = self.socket_host.engine_pools.get(tag)
         if engine_pool is not None and engine_pool.engine.stats.reported_load == 0:
-            self.idle_at[tag] = ticks_since_boot()
+            self.last_idle_ticks[tag] = ticks_since_boot()
 
     def idle_since(self, tags: Sequence[str]) -> int:
-        """Return since when all these engines are idle, ticks since boot; -1: some never were."""
-        return min((self.idle_at.get(tag, -1) for tag in tags), default=-1)
+        """Return the earliest of the times at which these engines last reported to be idle.
+
+        In ticks since boot; -1 if one of them never reported to be idle.
+        """
+        return min((self.last_idle_ticks.get(tag, -1) for tag in tags), default=-1)
 
     def is_engine_quiescent(self, tag: str) -> bool:
-        """Whether nothing of ours is open or uncertain at the engine, or bound to it by key."""
-        if self.event_loop.now < self.uncertain_until.get(tag, 0):
+        """Return whether the engine executes no attempt of this gateway, and none is bound to it.
+
+        A keyed request is bound to every engine that one of its attempts was sent to.
+        """
+        if self.event_loop.now < self.uncertain_until_ticks.get(tag, 0):
             return False
         engine_pool = self.socket_host.engine_pools.get(tag)
         if engine_pool is None:
@@ -182,10 +190,7 @@
     # Demand.
 
     def request_classes(self, cores: Mapping[str, float]) -> Sequence[RequestClassDemand]:
-        """Return the request classes with the cores that each needs now.
-
-        One that `cores` does not name needs none.
-        """
+        """Return the demand of each request class; a class missing in `cores` needs no cores."""
         settings = self.socket_host.settings
         return [
             RequestClassDemand(
@@ -198,13 +203,13 @@
         ]
 
     def sample_demand(self) -> None:
-        """Take the accounting counters as they are now; called once a second."""
+        """Record the current totals of accepted requests; called once a second."""
         rows = self.socket_host.ledger.request_classes
         accepted = {name: row.terms[Term.ACCEPTED] for name, row in rows.items()}
         self.samples.append(DemandSample(self.event_loop.now, accepted))
 
     def demand_cores(self) -> dict[str, float]:
-        """Cores needed here by request class: arrival rate times the typical work of a request."""
+        """Return the cores needed here by request class: arrival rate times typical work."""
         first, last = self.samples[0], self.samples[-1]
         span_ticks = last.at_ticks - first.at_ticks
         if span_ticks <= 0:
@@ -219,9 +224,10 @@
 
 
 def _is_keyed_to(request: Any, engine: Any) -> bool:
-    """Whether the request has an idempotency key and was ever sent to the engine.
+    """Return whether the request has an idempotency key and was ever sent to the engine.
 
-    It may have run there, or in the engine's group, so it may be tried again only there.
+    Such a request may have been executed there, so it may be retried only on that engine or in its
+    group, where the key is known.
     """
     if request.request_class.repeatability != Repeatability.KEYED:
         return False
@@ -230,7 +236,7 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
-    """Host and port as the participant stores them.
+    """Return `host:port`, the form in which the participant stores addresses.
 
     >>> format_address(("10.0.0.7", 7100))
     '10.0.0.7:7100'
--- a/corkgauge/maintenance/orders.py
+++ b/corkgauge/maintenance/orders.py
@@ -1,18 +1,19 @@
-"""Orders to gateways: the unit states that each has to heed, parted into datagrams."""
+"""Splits the leader's orders, the unit states that every gateway must obey, into datagrams."""
 
 from collections.abc import Mapping
 from typing import Any
 
 from corkgauge.maintenance.quiescence import Stamp
 
-MAX_PART_BYTES = 800  # of names and states in one datagram
-ENTRY_OVERHEAD_BYTES = 3  # of msgpack, a name and its state
+MAX_PART_BYTES = 800  # names and states in one datagram
+ENTRY_OVERHEAD_BYTES = 3  # msgpack's bytes for an entry, beside the name
 
 
 def encode_orders(states: Mapping[str, int], stamp: Stamp, echo: int) -> list[list[Any]]:
-    """Encode the bodies that carry all states: [fence, number, echo, part, parts, states].
+    """Encode all states as bodies of the form [fence, number, echo, part, parts, states].
 
-    `echo` is the serial number of the gateway's last report: its grant counts from that.
+    `echo` is the serial number of the gateway's last report. The gateway's grant is counted from
+    the time at which it wrote that report.
 
     >>> states = {f"engine-{n:03}": 2 for n in range(100)}
     >>> [len(body[5]) for body in encode_orders(states, (7, 1), 3)]
--- a/corkgauge/maintenance/plan_display.py
+++ b/corkgauge/maintenance/plan_display.py
@@ -1,6 +1,6 @@
-"""What operators see of the plan at any gateway: the leader's own, or a copy of it.
+"""Shows operators the maintenance plan at any gateway: the leader's plan, or a copy of it.
 
-Answers other gateways' fetches of the copy too. Decides nothing about maintenance.
+Also sends copies of the leader's plan to gateways that fetch it. Decides nothing about maintenance.
 """
 
 from collections.abc import Mapping
@@ -16,19 +16,19 @@
 
 
 class Host(CopyHost, Protocol):
-    """What the display needs of the service."""
+    """The operations of the maintenance service that the display uses."""
 
     name: str
 
     def leader_name(self) -> str:
-        """Name who is known to hold the lease; empty: nobody."""
+        """Return the name of the gateway known to hold the lease; empty if none is known."""
 
     def may_act(self, fence: int) -> bool:
-        """Whether the lease is held under this fence, now."""
+        """Return whether this gateway holds the lease under this fence now."""
 
 
 class PlanDisplay:
-    """Shows the plan. `replica_counts` are the plan replica's counters."""
+    """Builds status reports of the plan. `replica_counts` are the plan replica's counters."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         self.copier = PlanCopier(host)
 
     def on_datagram(self, sender: str, body: Any) -> None:
-        """Answer a fetch of the plan's copy, or take a chunk of one."""
+        """Answer a fetch of the leader's plan, or store a chunk of the copy fetched here."""
         match decode(body):
             case Chunk() as chunk:
                 self.copier.on_chunk(sender, chunk)
-            case FetchChunks() as fetch if self._may_be_copied():
+            case FetchChunks() as fetch if self._can_serve_copy():
                 self.copier.send_chunks(sender, self._own_plan(), fetch.indexes)
 
-    def _may_be_copied(self) -> bool:
-        """Whether the plan here is the agreed one: it is led, and the lease is held now."""
+    def _can_serve_copy(self) -> bool:
+        """Return whether the plan here is the agreed one: taken over, and the lease is held now."""
         is_led = self.proposer.state == ProposerState.LEADING and self.proposer.led
         return is_led and self.host.may_act(self.proposer.fence)
 
@@ -60,9 +60,10 @@
         return PlanCopy(self.proposer.stamp, self.proposer.plan, self.planner.objections)
 
     def report(self, participant: Participant) -> dict[str, Any]:
-        """Show the plan as the leader has agreed it; elsewhere a copy, and fetch a newer one.
+        """Return the status with the leader's plan, or, elsewhere, with the last fetched copy.
 
-        `fresh` tells whether the plan shown is the one that the orders here are of.
+        At other gateways each call also begins to fetch a newer copy. `fresh` in the result is
+        False if this gateway's orders come from a later plan than the copy.
         """
         leader = self.host.leader_name()
         is_leader = leader == self.host.name
@@ -79,11 +80,11 @@
             STATE_WORDS[self.proposer.state],
             is_leader or (bool(leader) and has_newest),
             self.planner.is_forgotten,
-            self._counters(participant),
+            self._counter_values(participant),
         )
         return status_report(status, shown, participant)
 
-    def _counters(self, participant: Participant) -> dict[str, int]:
+    def _counter_values(self, participant: Participant) -> dict[str, int]:
         return {
             **{f"keeper {name}": count for name, count in self.replica_counts.items()},
             **self.planner.counts,
--- a/corkgauge/maintenance/serving_host.py
+++ b/corkgauge/maintenance/serving_host.py
@@ -1,4 +1,4 @@
-"""What maintenance needs of the host that serves."""
+"""Declares the interface of the serving host that maintenance uses."""
 
 from collections.abc import Callable, Mapping, MutableMapping
 from typing import Any, Protocol
@@ -10,30 +10,30 @@
 
 
 class ServingHost(Protocol):
-    """The host's open requests, engines and listener, as maintenance uses them."""
+    """The serving host's requests, engines and HTTP routes."""
 
     event_loop: EventLoop
     gateway: Gateway
     settings: Settings
-    ledger: Any  # its rows of request classes are read
-    works: Any  # the maintenance service registers itself here
+    ledger: Any  # maintenance reads its rows of request classes
+    works: Any  # set by the maintenance service to itself
 
     @property
     def engine_pools(self) -> Mapping[str, Any]:
-        """Connection pools by the engine's reference."""
+        """Return the connection pools by the engine's host reference."""
 
     @property
     def open_requests(self) -> Mapping[str, Request]:
-        """Open requests by name."""
+        """Return the open requests by name."""
 
     @property
     def request_classes(self) -> Mapping[str, RequestClass]:
-        """Request classes by name."""
+        """Return the request classes by name."""
 
     @property
     def routes(self) -> MutableMapping[tuple[bytes, bytes], Callable[[bytes], Any]]:
-        """What the accounting listener answers for subsystems, by method and path."""
+        """Return the HTTP handlers that subsystems add to the listener, by method and path."""
 
     @property
     def log(self) -> Callable[[str], None]:
-        """Writes one line to the log."""
+        """Return the function that writes one line to the log."""
--- a/corkgauge/maintenance/status.py
+++ b/corkgauge/maintenance/status.py
@@ -1,6 +1,6 @@
-"""The answer to `GET /works`: the plan and this gateway's part in it, as JSON for operators.
+"""Builds the answer to `GET /works`: the plan and this gateway's orders, as JSON for operators.
 
-The keys are those of the first version; operators' programs read them. Spans are seconds of
+Operators' programs read the keys, so the keys stay those of the first version. Times are seconds of
 maintenance time.
 """
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceStatus:
-    """What the service knows of itself; `state` is its proposer's, in words."""
+    """The maintenance service's part of the answer; `state` is its proposer's state, in words."""
 
     name: str
     leader: str
@@ -30,7 +30,7 @@
 def status_report(
     service: ServiceStatus, shown: PlanCopy, participant: Participant
 ) -> dict[str, Any]:
-    """Build what `corkgauge maintenance show` prints."""
+    """Return the data that `corkgauge maintenance show` prints."""
     plan = shown.plan
     return {
         "name": service.name,
