--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,9 +8,9 @@
         "test_day",
         "test_fleet",
         "test_hollow",
+        "test_maintenance_fleet",
         "test_shared_fleet",
         "test_subset_fleet",
-        "test_works_fleet",
     }
 )
 
