--- a/corkgauge/maintenance/plan_display.py
+++ b/corkgauge/maintenance/plan_display.py
@@ -62,8 +62,9 @@
     def report(self, participant: Participant) -> dict[str, Any]:
         """Return the status with the leader's plan, or, elsewhere, with the last fetched copy.
 
-        At other gateways each call also begins to fetch a newer copy. `fresh` in the result is
-        False if this gateway's orders come from a later plan than the copy.
+        At other gateways each call also begins to fetch a newer copy. There, `fresh` in the result
+        is False if no leader is known, no copy was fetched yet, or the copy is older than the plan
+        that this gateway's orders come from.
         """
         leader = self.host.leader_name()
         is_leader = leader == self.host.name
