--- a/corkgauge/maintenance/plan_replica.py
+++ b/corkgauge/maintenance/plan_replica.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from corkgauge.maintenance.chunk_transfer import ChunkFetch, chunks_of
+from corkgauge.maintenance.chunk_transfer import ChunkFetch, requested_chunks
 from corkgauge.maintenance.plan import InvalidChangeError, Plan
 from corkgauge.maintenance.plan_messages import (
     Accept,
@@ -116,7 +116,7 @@
         if fence > self.promised_fence:
             self.promised_fence = fence
             if self.fetch is not None:
-                self.fetch.end()
+                self.fetch.cancel()
                 self.fetch = None
 
     def _send_promise(self, sender: str, fence: int) -> None:
@@ -133,7 +133,7 @@
         if not self.is_blank and self.stamp[0] == fence and self.stamp[1] >= accept.number:
             self._write_then(self._send_accepted, sender, fence)  # a repeated step
             return
-        if self.is_blank or self.stamp != accept.before:
+        if self.is_blank or self.stamp != accept.base_stamp:
             self._fetch_from(sender, fence)
             return
         try:
@@ -155,7 +155,7 @@
     # Fetching the whole plan from the leader after a missed step.
 
     def _fetch_from(self, leader: str, fence: int) -> None:
-        if self.fetch is None or self.fetch.is_over:
+        if self.fetch is None or self.fetch.is_finished:
             self.counts["behind"] += 1
             self.fetch = ChunkFetch(
                 self.host, leader, fence, FETCH_RETRY_TICKS, self._on_fetched, (fence, 0)
@@ -180,7 +180,9 @@
     def _on_fetch(self, sender: str, fetch: FetchChunks) -> None:
         """Send chunks of the plan to a new leader that is taking over."""
         if not self.is_blank:
-            for chunk in chunks_of(self._packed_plan(), fetch.indexes, self.stamp[0], self.stamp):
+            for chunk in requested_chunks(
+                self._packed_plan(), fetch.indexes, self.stamp[0], self.stamp
+            ):
                 self.host.send(sender, chunk.encode())
 
     # Disk.
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -263,7 +263,7 @@
         if tag == self.name:
             holds_no_lease: bool = self.lease_service.is_idle
             return holds_no_lease
-        return self.fleet.is_engine_quiet(tag)
+        return self.fleet.is_engine_quiescent(tag)
 
     def address_of(self, tag: str) -> str:
         """Return the engine's `host:port` from the endpoint list; empty if it is not listed."""
