--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -65,8 +65,8 @@
     ) -> str:
         """Add a request for maintenance of the named engines, machines, zones or gateways.
 
-        The work on each unit takes `duration_ticks`. All of it is due within `within_ticks`; 0 means
-        that there is no due time. Repeating a request under the same id changes nothing.
+        The work on each unit takes `duration_ticks`. All of it is due within `within_ticks`; 0
+        means that there is no due time. Repeating a request under the same id changes nothing.
         """
         plan = self._plan()
         if id_ in plan.requests or any(entry.request_id == id_ for entry in plan.history):
