--- a/corkgauge/commands/recovery.py
+++ b/corkgauge/commands/recovery.py
@@ -56,15 +56,15 @@
     """The state that a log makes, and what is wrong with it."""
     from corkgauge.recovery.attempt_log import AttemptLog
     from corkgauge.recovery.attempt_records import read_records
-    from corkgauge.recovery.log_writer import segments
+    from corkgauge.recovery.log_writer import list_segments
 
     state, wrong = AttemptLog(), []
-    for _, path in segments(folder, gateway, os.listdir(folder)):
+    for _, path in list_segments(folder, gateway, os.listdir(folder)):
         with open(path, "rb") as file:
             data = file.read(64 * 2**20)
         for body, at, why in read_records(data):
             if body is not None:
-                state.apply(body)
+                state.replay_record(body)
             elif why:
                 wrong.append(f"{path}: {why} at {at}")
     return state, wrong
@@ -91,7 +91,7 @@
                 "snapshot": good and good[0],
                 "body": good and good[1],
                 "effects": len(state),
-                "unsettled": len(state.in_doubt()),
+                "unsettled": len(state.find_in_doubt_attempts()),
             }
         )
     if as_json:
--- a/corkgauge/recovery/attempt_records.py
+++ b/corkgauge/recovery/attempt_records.py
@@ -17,12 +17,12 @@
 
 from corkgauge.errors import CorruptedFileError
 
-HEAD = Struct("<II")
+RECORD_HEADER = Struct("<II")
 MAX_RECORD_BYTES = 4096
-MIN_BODY_FIELDS = 3
-SENT_FIELDS = 9  # behind the type: those of LoggedAttempt but the last
-SENT_TEXTS = (1, 2, 4)  # idempotency key, request class, engine
-SENT_NUMBERS = (0, 3, 5, 6, 7, 8)
+MIN_BODY_FIELD_COUNT = 3
+SENT_FIELD_COUNT = 9  # behind the type: those of LoggedAttempt but the last
+SENT_STRING_INDEXES = (1, 2, 4)  # idempotency key, request class, engine
+SENT_INTEGER_INDEXES = (0, 3, 5, 6, 7, 8)
 
 
 class RecordType(IntEnum):
@@ -37,7 +37,7 @@
 
     NONE = ""
     TORN_END = "a torn end"
-    IN_THE_MIDDLE = "damage in the middle"
+    CORRUPT_MIDDLE = "damage in the middle"
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
 
 def encode_sent(attempt: LoggedAttempt) -> bytes:
     """Return the record of an attempt that is about to be sent."""
-    return _encode(
+    return _encode_record(
         [
             int(RecordType.SENT),
             attempt.serial,
@@ -92,12 +92,12 @@
 
 def encode_finished(serial: int, may_have_run: bool) -> bytes:
     """Return the record of an attempt's outcome."""
-    return _encode([int(RecordType.FINISHED), serial, may_have_run])
+    return _encode_record([int(RecordType.FINISHED), serial, may_have_run])
 
 
-def _encode(body: list[Any]) -> bytes:
+def _encode_record(body: list[Any]) -> bytes:
     packed: bytes = msgpack.packb(body)
-    return HEAD.pack(len(packed), xxhash.xxh32_intdigest(packed)) + packed
+    return RECORD_HEADER.pack(len(packed), xxhash.xxh32_intdigest(packed)) + packed
 
 
 def read_records(data: bytes) -> Iterator[LogRecord]:
@@ -111,52 +111,52 @@
     """
     position = 0
     while position < len(data):
-        packed = _checked_body(data, position)
+        packed = _read_verified_body(data, position)
         if packed is None:
-            yield LogRecord(None, position, _damage_at(data, position))
+            yield LogRecord(None, position, _classify_damage(data, position))
             return
-        body = _unpack(packed)
+        body = _unpack_body(packed)
         if body is None:
-            yield LogRecord(None, position, LogDamage.IN_THE_MIDDLE)
+            yield LogRecord(None, position, LogDamage.CORRUPT_MIDDLE)
             return
-        position += HEAD.size + len(packed)
+        position += RECORD_HEADER.size + len(packed)
         yield LogRecord(body, position, LogDamage.NONE)
     yield LogRecord(None, position, LogDamage.NONE)
 
 
-def _checked_body(data: bytes, position: int) -> bytes | None:
+def _read_verified_body(data: bytes, position: int) -> bytes | None:
     """Return the packed body of the record there, or None if it is not whole."""
-    if len(data) - position < HEAD.size:
+    if len(data) - position < RECORD_HEADER.size:
         return None
-    length, checksum = HEAD.unpack_from(data, position)
-    begin = position + HEAD.size
+    length, checksum = RECORD_HEADER.unpack_from(data, position)
+    begin = position + RECORD_HEADER.size
     body = data[begin : begin + length]
     if length > MAX_RECORD_BYTES or len(body) < length:
         return None
     return body if xxhash.xxh32_intdigest(body) == checksum else None
 
 
-def _unpack(packed: bytes) -> list[Any] | None:
+def _unpack_body(packed: bytes) -> list[Any] | None:
     try:
         body = msgpack.unpackb(packed)
     except (ValueError, msgpack.UnpackException):
         return None
-    if not isinstance(body, list) or len(body) < MIN_BODY_FIELDS:
+    if not isinstance(body, list) or len(body) < MIN_BODY_FIELD_COUNT:
         return None
     return body if body[0] in (RecordType.SENT, RecordType.FINISHED) else None
 
 
-def _damage_at(data: bytes, position: int) -> LogDamage:
+def _classify_damage(data: bytes, position: int) -> LogDamage:
     """Tell what a record that is not whole means.
 
     A kill tears the end of a log, which is no fault; good records behind the bad one are.
     """
-    if len(data) - position < HEAD.size:
+    if len(data) - position < RECORD_HEADER.size:
         return LogDamage.TORN_END
-    search_end = min(len(data) - HEAD.size, position + 1 + 2 * MAX_RECORD_BYTES)
+    search_end = min(len(data) - RECORD_HEADER.size, position + 1 + 2 * MAX_RECORD_BYTES)
     for begin in range(position + 1, search_end):
-        if _checked_body(data, begin):
-            return LogDamage.IN_THE_MIDDLE
+        if _read_verified_body(data, begin):
+            return LogDamage.CORRUPT_MIDDLE
     return LogDamage.TORN_END
 
 
@@ -167,10 +167,10 @@
         if not isinstance(fields[0], int):
             raise CorruptedFileError(f"the serial {fields[0]!r} is no whole number")
         return FinishedAttempt(fields[0], bool(fields[1]))
-    if len(fields) != SENT_FIELDS:
-        raise CorruptedFileError(f"{len(fields)} fields, expected {SENT_FIELDS}")
-    if not all(isinstance(fields[index], str) for index in SENT_TEXTS):
+    if len(fields) != SENT_FIELD_COUNT:
+        raise CorruptedFileError(f"{len(fields)} fields, expected {SENT_FIELD_COUNT}")
+    if not all(isinstance(fields[index], str) for index in SENT_STRING_INDEXES):
         raise CorruptedFileError("a field that is no text")
-    if not all(isinstance(fields[index], int) for index in SENT_NUMBERS):
+    if not all(isinstance(fields[index], int) for index in SENT_INTEGER_INDEXES):
         raise CorruptedFileError("a field that is no whole number")
     return LoggedAttempt(*fields)
--- a/corkgauge/recovery/decay.py
+++ b/corkgauge/recovery/decay.py
@@ -11,17 +11,19 @@
 
 Sample = TypeVar("Sample")
 
-SECOND = 10_000
+SECOND_TICKS = 10_000
 UNKNOWN_AGE = inf  # nobody knows how long ago: nothing is left
 NOT_EJECTED = -1
 
 # After so many ticks, half of what a value says is left.
-SLOWNESS_HALF_LIFE_TICKS = 20 * SECOND  # neighbours and load of an engine change within a minute
-LIMIT_HALF_LIFE_TICKS = 30 * SECOND
-FAULT_HALF_LIFE_TICKS = 10 * SECOND  # outlier detection compares faults of ten seconds
-PRICE_HALF_LIFE_TICKS = 6 * SECOND  # admission itself takes a fifth off each two seconds
-SHARE_HALF_LIFE_TICKS = 60 * SECOND
-ESTIMATE_HALF_LIFE_TICKS = 600 * SECOND  # what requests of a class need changes slowest
+SLOWNESS_HALF_LIFE_TICKS = (
+    20 * SECOND_TICKS
+)  # neighbours and load of an engine change within a minute
+LIMIT_HALF_LIFE_TICKS = 30 * SECOND_TICKS
+FAULT_HALF_LIFE_TICKS = 10 * SECOND_TICKS  # outlier detection compares faults of ten seconds
+PRICE_HALF_LIFE_TICKS = 6 * SECOND_TICKS  # admission itself takes a fifth off each two seconds
+SHARE_HALF_LIFE_TICKS = 60 * SECOND_TICKS
+ESTIMATE_HALF_LIFE_TICKS = 600 * SECOND_TICKS  # what requests of a class need changes slowest
 
 FULL_LIMIT_FACTOR = 1.0  # of an engine's concurrency limit, while nothing is known against it
 
@@ -46,7 +48,7 @@
     return float(0.5 ** (max(age, 0) / half_life))
 
 
-def snapshot_age(body: Mapping[str, Any], now: int, boot_id: str, since_boot: int) -> float:
+def snapshot_age(body: Mapping[str, Any], now: int, boot_id: str, ticks_since_boot: int) -> float:
     """Return how many ticks ago a snapshot was saved.
 
     Within one boot the clock since boot tells, whatever was done to the date. Over a boot the date
@@ -58,8 +60,8 @@
     >>> snapshot_age(saved, 80, "x", 1), snapshot_age(saved, 20, "x", 1)
     (30, inf)
     """
-    if boot_id and body.get("boot") == boot_id and since_boot >= body.get("since_boot", inf):
-        age: int = since_boot - body["since_boot"]
+    if boot_id and body.get("boot") == boot_id and ticks_since_boot >= body.get("since_boot", inf):
+        age: int = ticks_since_boot - body["since_boot"]
         return age
     saved_at: int = body["at"]
     return now - saved_at if now >= saved_at else UNKNOWN_AGE
@@ -77,9 +79,9 @@
     return samples[len(samples) - count :]
 
 
-def decay_towards(value: float, unknown: float, age: float, half_life: int) -> float:
+def decay_towards(value: float, default: float, age: float, half_life: int) -> float:
     """Return the value, moved towards what stands for "unknown"."""
-    return unknown + (value - unknown) * remaining_fraction(age, half_life)
+    return default + (value - default) * remaining_fraction(age, half_life)
 
 
 def decay_engine(learned: LearnedEngine, age: float, saved_at: int, now: int) -> LearnedEngine:
@@ -102,7 +104,7 @@
 def decay_shares(shares: list[float], age: float) -> list[float]:
     """Return the shares of queues, moved towards equal ones; their sum stays.
 
-    >>> decay_shares([0.8, 0.2], 60 * SECOND)
+    >>> decay_shares([0.8, 0.2], 60 * SECOND_TICKS)
     [0.65, 0.35]
     """
     equal_share = sum(shares) / max(len(shares), 1)
--- a/corkgauge/recovery/learned_state.py
+++ b/corkgauge/recovery/learned_state.py
@@ -45,13 +45,13 @@
 class LearnedStateCopy:
     """What the gateway has learned, as copies. Times are ticks since 1970."""
 
-    price: float
-    best: float
-    extras: list[int]
-    honoured: list[int]
+    admission_price: float
+    best_slowness: float
+    retry_times: list[int]
+    success_times: list[int]
     engines: list[EngineCopy]
     samples: list[SamplesCopy]
-    queues: list[QueueShare]
+    queue_shares: list[QueueShare]
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,10 +66,10 @@
 def copy_learned_state(gateway: Any) -> LearnedStateCopy:
     """Copy what the gateway has learned; cheap enough to be done between two events."""
     return LearnedStateCopy(
-        price=gateway.price.current,
-        best=gateway.slowness.best,
-        extras=[*gateway.retry_budget.retry_times],
-        honoured=[*gateway.retry_budget.success_times],
+        admission_price=gateway.price.current,
+        best_slowness=gateway.slowness.best,
+        retry_times=[*gateway.retry_budget.retry_times],
+        success_times=[*gateway.retry_budget.success_times],
         engines=[
             EngineCopy(
                 engine,
@@ -86,7 +86,7 @@
             SamplesCopy(request_class, [*request_class.answer_samples])
             for request_class in {q.request_class: 0 for q in gateway.queues.values()}
         ],
-        queues=[
+        queue_shares=[
             QueueShare(tenant, request_class, queue.share)
             for (tenant, request_class), queue in gateway.queues.by_tenant_and_class.items()
         ],
@@ -96,8 +96,8 @@
 def encode_learned_state(state: LearnedStateCopy) -> dict[str, Any]:
     """Return the fields of a snapshot's body; the state is a copy, so this may come later."""
     return {
-        "price": state.price,
-        "best": state.best,
+        "price": state.admission_price,
+        "best": state.best_slowness,
         "engines": {
             engine.name: {
                 "started": engine.incarnation,
@@ -113,10 +113,11 @@
             for request_class, samples in state.samples
         },
         "queues": [
-            [tenant, request_class.name, share] for tenant, request_class, share in state.queues
+            [tenant, request_class.name, share]
+            for tenant, request_class, share in state.queue_shares
         ],
-        "extras": state.extras,
-        "honoured": state.honoured,
+        "extras": state.retry_times,
+        "honoured": state.success_times,
     }
 
 
@@ -142,12 +143,12 @@
     A body that makes no sense raises KeyError, TypeError, ValueError, AttributeError or IndexError
     before the gateway is given anything.
     """
-    engines = _remaining_engines(body, gateway.engines, now, age)
+    engines = _decay_matching_engines(body, gateway.engines, now, age)
     samples = [
-        (request_class, _remaining_samples(body["offerings"].get(name, []), age))
+        (request_class, _decay_samples(body["offerings"].get(name, []), age))
         for name, request_class in request_classes.items()
     ]
-    queues = _remaining_shares(body["queues"], request_classes, age)
+    queues = _decay_queue_shares(body["queues"], request_classes, age)
     window_ticks = gateway.retry_budget.window_ticks
     best_slowness = gateway.slowness.best if age == decay.UNKNOWN_AGE else body["best"]
     gateway.restore_learned_state(
@@ -156,21 +157,21 @@
             best_slowness=best_slowness,
             # Both counts of the retry budget: successes of before without the retries of before
             # would make it too wide.
-            retry_times=_within(body["extras"], window_ticks, now),
-            success_times=_within(body["honoured"], window_ticks, now),
+            retry_times=_times_within(body["extras"], window_ticks, now),
+            success_times=_times_within(body["honoured"], window_ticks, now),
             engines=[_learned_engine(engine, learned) for engine, learned in engines],
             request_classes=[LearnedClass(*each) for each in samples],
             shares=[LearnedShare(*each) for each in queues],
         )
     )
     return RestoredCounts(
-        engines=sum(_has_something_left(learned) for _, learned in engines),
+        engines=sum(_has_remaining_state(learned) for _, learned in engines),
         request_classes=sum(bool(each) for _, each in samples),
         queues=len(queues),
     )
 
 
-def _remaining_engines(
+def _decay_matching_engines(
     body: dict[str, Any], engines: list[Engine], now: int, age: float
 ) -> list[EngineCopy]:
     """Return what is left of each engine that is the one remembered.
@@ -186,16 +187,16 @@
     return remaining
 
 
-def _has_something_left(learned: LearnedEngine) -> bool:
+def _has_remaining_state(learned: LearnedEngine) -> bool:
     return bool(learned.slowness_samples or learned.ejected_until >= 0)
 
 
-def _remaining_samples(samples: list[Any], age: float) -> list[tuple[Any, ...]]:
+def _decay_samples(samples: list[Any], age: float) -> list[tuple[Any, ...]]:
     newest = decay.newest_samples(samples, age, decay.ESTIMATE_HALF_LIFE_TICKS)
     return [tuple(each) for each in newest]
 
 
-def _remaining_shares(
+def _decay_queue_shares(
     rows: list[Any], request_classes: dict[str, RequestClass], age: float
 ) -> list[QueueShare]:
     """Return the decayed shares of queues whose request class still exists."""
@@ -208,6 +209,6 @@
     return [queue._replace(share=share) for queue, share in zip(queues, shares, strict=True)]
 
 
-def _within(times: list[int], span: int, now: int) -> list[int]:
+def _times_within(times: list[int], span: int, now: int) -> list[int]:
     """Return the times of the last `span` ticks."""
     return [when for when in times if now - span < when <= now]
--- a/corkgauge/recovery/log_writer.py
+++ b/corkgauge/recovery/log_writer.py
@@ -18,14 +18,14 @@
 import time
 from typing import Any
 
-FRAME = struct.Struct("<cI")
-SNAPSHOT, RECORDS, SERIALS = b"S", b"E", b"F"  # types of a frame
+FRAME_HEADER = struct.Struct("<cI")
+SNAPSHOT_FRAME, RECORDS_FRAME, SERIALS_FRAME = b"S", b"E", b"F"  # types of a frame
 SERIALS_BODY = struct.Struct("<QQ")
-SEGMENT_BYTES = 2**20  # of one segment of the log
-MAX_SEGMENTS = 64  # kept, as many as are read at a start
+MAX_SEGMENT_BYTES = 2**20  # of one segment of the log
+MAX_SEGMENT_COUNT = 64  # kept, as many as are read at a start
 MAX_FRAME_BYTES = 32 * 2**20
 ERROR_INTERVAL_SECONDS = 1
-STANDARD_OUTPUT = 1
+STANDARD_OUTPUT_DESCRIPTOR = 1
 
 
 class Disk:
@@ -57,7 +57,7 @@
         """Remove a file."""
         os.unlink(path)
 
-    def names(self, folder: str) -> list[str]:
+    def list_names(self, folder: str) -> list[str]:
         """Return the names in a folder."""
         return os.listdir(folder)
 
@@ -89,7 +89,7 @@
         # By closed segment: no attempt in it has a higher serial; 0 until that is known.
         self.highest_serials: dict[str, int] = {}
 
-    def path(self, suffix: str) -> str:
+    def path_for(self, suffix: str) -> str:
         """Return the path of this gateway's file with that suffix."""
         return os.path.join(self.folder, f"{self.name}.{suffix}")
 
@@ -99,38 +99,40 @@
         So a reader finds an older one or this one, never a part.
         """
         disk = self.disk
-        temporary = self.path("recall.new")
+        temporary = self.path_for("recall.new")
         file = disk.create(temporary)
         try:
             disk.write(file, data)
             disk.sync(file)
         finally:
             disk.close(file)
-        self._shift_snapshots()
-        disk.rename(temporary, self.path("recall"))
+        self._rotate_snapshots()
+        disk.rename(temporary, self.path_for("recall"))
         if self.durable:
             disk.sync_folder(self.folder)
 
-    def _shift_snapshots(self) -> None:
+    def _rotate_snapshots(self) -> None:
         """Move each snapshot that is kept one number up, the oldest first."""
-        names = set(self.disk.names(self.folder))
+        names = set(self.disk.list_names(self.folder))
         for number in range(self.snapshots_kept - 1, 0, -1):
             earlier = f"{self.name}.recall"
             if number > 1:
                 earlier += f".{number - 1}"
             if earlier in names:
-                self.disk.rename(os.path.join(self.folder, earlier), self.path(f"recall.{number}"))
+                self.disk.rename(
+                    os.path.join(self.folder, earlier), self.path_for(f"recall.{number}")
+                )
 
     def append_records(self, data: bytes) -> None:
         """Append records to the log, to a new segment if the present one is full."""
-        if self.segment is None or self.segment_bytes + len(data) > SEGMENT_BYTES:
+        if self.segment is None or self.segment_bytes + len(data) > MAX_SEGMENT_BYTES:
             self._open_segment()
         self.disk.write(self.segment, data)
         self.segment_bytes += len(data)
         if self.durable:
             self.disk.sync(self.segment)
 
-    def drop_settled_segments(self, oldest: int, newest: int) -> None:
+    def remove_settled_segments(self, oldest: int, newest: int) -> None:
         """Remove closed segments in which no attempt counts any more.
 
         Serials: of the oldest attempt that still counts, and of the newest. A segment that was
@@ -148,21 +150,21 @@
         disk = self.disk
         if self.segment is not None:
             disk.close(self.segment)
-        earlier = segments(self.folder, self.name, disk.names(self.folder))
+        earlier = list_segments(self.folder, self.name, disk.list_names(self.folder))
         number = earlier[-1][0] + 1 if earlier else 1
-        self.segment = disk.create(self.path(f"effects.{number:08}"))
+        self.segment = disk.create(self.path_for(f"effects.{number:08}"))
         self.segment_bytes = 0
         for _, path in earlier:
             self.highest_serials.setdefault(path, 0)
         # A log without end would fill the disk.
-        for _, path in earlier[: 1 - MAX_SEGMENTS]:
+        for _, path in earlier[: 1 - MAX_SEGMENT_COUNT]:
             disk.remove(path)
             self.highest_serials.pop(path, None)
         if self.durable:
             disk.sync_folder(self.folder)
 
 
-def segments(folder: str, name: str, names: list[str]) -> list[tuple[int, str]]:
+def list_segments(folder: str, name: str, names: list[str]) -> list[tuple[int, str]]:
     """Return number and path of a log's segments among a folder's names, the oldest first."""
     found = []
     prefix = f"{name}.effects."
@@ -178,18 +180,18 @@
 
     A frame that is not whole never was: the parent was killed while it wrote.
     """
-    head = source.read(FRAME.size)
-    if len(head) < FRAME.size:
+    head = source.read(FRAME_HEADER.size)
+    if len(head) < FRAME_HEADER.size:
         return None
-    frame_type, length = FRAME.unpack(head)
+    frame_type, length = FRAME_HEADER.unpack(head)
     body = source.read(length) if length <= MAX_FRAME_BYTES else b""
     return (frame_type, body) if len(body) == length else None
 
 
 def _write_frame(files: RecoveryFiles, frame_type: bytes, body: bytes) -> None:
-    if frame_type == SERIALS:
-        files.drop_settled_segments(*SERIALS_BODY.unpack(body))
-    elif frame_type == SNAPSHOT:
+    if frame_type == SERIALS_FRAME:
+        files.remove_settled_segments(*SERIALS_BODY.unpack(body))
+    elif frame_type == SNAPSHOT_FRAME:
         files.write_snapshot(body)
     else:
         files.append_records(body)
@@ -211,7 +213,7 @@
             if time.monotonic() > reported_at + ERROR_INTERVAL_SECONDS:
                 reported_at = time.monotonic()
                 with contextlib.suppress(OSError):
-                    os.write(STANDARD_OUTPUT, f"{problem.strerror}\n".encode())
+                    os.write(STANDARD_OUTPUT_DESCRIPTOR, f"{problem.strerror}\n".encode())
 
 
 if __name__ == "__main__":
--- a/corkgauge/recovery/restart.py
+++ b/corkgauge/recovery/restart.py
@@ -11,16 +11,16 @@
 from corkgauge.recovery.attempt_records import LoggedAttempt, read_records
 from corkgauge.recovery.decay import UNKNOWN_AGE, snapshot_age
 from corkgauge.recovery.learned_state import RestoredCounts, restore_learned_state
-from corkgauge.recovery.log_writer import MAX_SEGMENTS, SEGMENT_BYTES, segments
+from corkgauge.recovery.log_writer import MAX_SEGMENT_BYTES, MAX_SEGMENT_COUNT, list_segments
 
-MAX_LOG_BYTES = MAX_SEGMENTS * SEGMENT_BYTES  # that are read, the newest segments first
+MAX_LOG_BYTES = MAX_SEGMENT_COUNT * MAX_SEGMENT_BYTES  # that are read, the newest segments first
 
 # What a snapshot raises that has a good checksum and makes no sense all the same.
-SENSELESS = (KeyError, TypeError, ValueError, AttributeError, IndexError)
+MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, IndexError)
 
 
 @dataclass(frozen=True, slots=True)
-class Restart:
+class RestartRecovery:
     """One start of a gateway; `name` is the gateway's as part of a file name."""
 
     socket_host: Any
@@ -30,13 +30,13 @@
     settings_checksum: int
     now: int  # ticks since 1970
     boot_id: str
-    since_boot: int  # ticks
+    ticks_since_boot: int  # ticks
 
     def read_attempt_log(self, attempts: AttemptLog) -> list[LoggedAttempt]:
         """Replay the log and hold the order keys of attempts in doubt, which are returned."""
         for path, size in self._segments_to_read():
             self._replay_segment(attempts, path, size)
-        in_doubt = attempts.in_doubt()
+        in_doubt = attempts.find_in_doubt_attempts()
         self._hold_order_keys(in_doubt)
         if len(attempts):
             self.socket_host.log(f"recall: effects={len(attempts)} unsettled={len(in_doubt)}")
@@ -47,7 +47,7 @@
         bytes_left = MAX_LOG_BYTES
         chosen: list[tuple[str, int]] = []
         folder = self.config.folder
-        for _, path in reversed(segments(folder, self.name, os.listdir(folder))):
+        for _, path in reversed(list_segments(folder, self.name, os.listdir(folder))):
             size = os.path.getsize(path)
             if size > bytes_left:
                 self.socket_host.log(
@@ -64,7 +64,7 @@
             data = file.read(size)
         for body, end, damage in read_records(data):
             if body is not None:
-                attempts.apply(body)
+                attempts.replay_record(body)
             elif damage:
                 self.socket_host.log(f"recall: {path} has {damage} at {end}")
 
@@ -85,16 +85,16 @@
         paths = [os.path.join(self.config.folder, f"{self.name}.recall")]
         paths += [f"{paths[0]}.{number}" for number in range(1, self.config.snapshots_kept)]
         for path in paths:
-            if self._restore_from(path):
+            if self._restore_file(path):
                 return
 
-    def _restore_from(self, path: str) -> bool:
+    def _restore_file(self, path: str) -> bool:
         """Restore from one file; return False, having logged why, if it is of no use."""
         try:
             with open(path, "rb") as file:
                 data = file.read(snapshot.MAX_SNAPSHOT_BYTES + 1)
             body = snapshot.decode(data, self.gateway, self.settings_checksum)
-            age = snapshot_age(body, self.now, self.boot_id, self.since_boot)
+            age = snapshot_age(body, self.now, self.boot_id, self.ticks_since_boot)
             counts = restore_learned_state(
                 body, self.socket_host.gateway, self.socket_host.request_classes, self.now, age
             )
@@ -104,7 +104,7 @@
             reason = getattr(problem, "strerror", None) or problem
             self.socket_host.log(f"recall: {path} is {reason}, passed over")
             return False
-        except SENSELESS as problem:
+        except MALFORMED_BODY_ERRORS as problem:
             self.socket_host.log(
                 f"recall: {path} makes no sense ({type(problem).__name__}), passed over"
             )
--- a/corkgauge/recovery/service.py
+++ b/corkgauge/recovery/service.py
@@ -20,11 +20,11 @@
     copy_learned_state,
     encode_learned_state,
 )
-from corkgauge.recovery.log_writer import RECORDS, SERIALS, SERIALS_BODY, SNAPSHOT
-from corkgauge.recovery.restart import Restart
+from corkgauge.recovery.log_writer import RECORDS_FRAME, SERIALS_BODY, SERIALS_FRAME, SNAPSHOT_FRAME
+from corkgauge.recovery.restart import RestartRecovery
 from corkgauge.recovery.writer_process import LogWriterProcess
 
-EVERY_ZONE = "all"  # the key scope of classes whose idempotency keys all engines share
+KEY_SCOPE_ALL_ZONES = "all"  # the key scope of classes whose idempotency keys all engines share
 
 
 class RecoveryHost(Protocol):
@@ -58,9 +58,9 @@
         self.attempts = AttemptLog()
         self.last_serial = 0
         self.writer: LogWriterProcess | None = None
-        self.lock = -1  # descriptor of the lock file
+        self.lock_descriptor = -1  # descriptor of the lock file
         if self._lock_folder():
-            self._start()
+            self._restore_and_start_writer()
 
     def _lock_folder(self) -> bool:
         """Lock the folder, or log why recovery is off.
@@ -71,19 +71,19 @@
         try:
             os.makedirs(folder, exist_ok=True)
             path = os.path.join(folder, f"{self.name}.lock")
-            self.lock = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.lock_descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as problem:
             in_use = isinstance(problem, BlockingIOError)
             reason = "in use by another" if in_use else problem.strerror
             self.socket_host.log(f"recall off: {folder}: {reason}")
-            if self.lock >= 0:
-                os.close(self.lock)
-                self.lock = -1
+            if self.lock_descriptor >= 0:
+                os.close(self.lock_descriptor)
+                self.lock_descriptor = -1
             return False
         return True
 
-    def _start(self) -> None:
+    def _restore_and_start_writer(self) -> None:
         in_doubt = self._restore()
         self.writer = LogWriterProcess(
             self.event_loop, self.socket_host.log, self.config, self.name
@@ -91,14 +91,14 @@
         self.writer.start()
         # Without these records each later start would take the attempts for in doubt again.
         for attempt in in_doubt:
-            self.writer.put(RECORDS, encode_finished(attempt.serial, True))
+            self.writer.send_frame(RECORDS_FRAME, encode_finished(attempt.serial, True))
         self.socket_host.recovery = self
         self.event_loop.call_later(self.config.snapshot_interval_ticks, self.on_snapshot_timer)
 
     def _restore(self) -> list[LoggedAttempt]:
         """Restore what is stored; return the attempts that were in doubt, settled here by now."""
-        boot_id, since_boot = read_boot()
-        restart = Restart(
+        boot_id, ticks_since_boot = read_boot()
+        restart = RestartRecovery(
             socket_host=self.socket_host,
             config=self.config,
             gateway=self.gateway,
@@ -106,13 +106,13 @@
             settings_checksum=self.settings_checksum,
             now=self.event_loop.now,
             boot_id=boot_id,
-            since_boot=since_boot,
+            ticks_since_boot=ticks_since_boot,
         )
         in_doubt = restart.read_attempt_log(self.attempts)
         self.last_serial = max(self.attempts.by_serial, default=0)
         for attempt in in_doubt:
             attempt.is_in_doubt = False
-        self.attempts.expire(restart.now, len(self.attempts))
+        self.attempts.expire_attempts(restart.now, len(self.attempts))
         restart.restore_snapshot()
         return in_doubt
 
@@ -133,22 +133,22 @@
             sent_at=attempt.sent_at,
             deduplicated_until=attempt.sent_at + request.request_class.key_ttl,
         )
-        self.attempts.add_sent(logged)
-        self._put(RECORDS, encode_sent(logged))
+        self.attempts.add_sent_attempt(logged)
+        self._send_frame(RECORDS_FRAME, encode_sent(logged))
         return self.last_serial
 
     def on_attempt_finished(self, serial: int, outcome: int) -> None:
         """Log the outcome of an attempt."""
         may_have_run = outcome not in NEVER_RAN
-        self.attempts.add_finished(serial, may_have_run)
-        self._put(RECORDS, encode_finished(serial, may_have_run))
+        self.attempts.record_outcome(serial, may_have_run)
+        self._send_frame(RECORDS_FRAME, encode_finished(serial, may_have_run))
 
     def restrict_retry(self, request: Request, idempotency_key: str) -> None:
         """Bind a keyed request that may have run to where its key is known, and as long."""
         request_class = request.request_class
         now = self.event_loop.now
-        known = self.attempts.remembered(request_class.name, idempotency_key, now)
-        if not known or request_class.key_scope == EVERY_ZONE:
+        known = self.attempts.find_deduplicated_attempts(request_class.name, idempotency_key, now)
+        if not known or request_class.key_scope == KEY_SCOPE_ALL_ZONES:
             return
         request.earlier_attempts = [_as_earlier_attempt(each) for each in known]
         remembered_for = min(each.deduplicated_until for each in known) - now
@@ -162,35 +162,35 @@
         The state of a large fleet takes some milliseconds to gather; so it is copied in one turn of
         the loop, named in the next and packed in a third.
         """
-        self.attempts.expire(self.event_loop.now)
+        self.attempts.expire_attempts(self.event_loop.now)
         if self.socket_host.recovery is self:
-            oldest = self.attempts.oldest_serial(self.last_serial + 1)
-            self._put(SERIALS, SERIALS_BODY.pack(oldest, self.last_serial))
+            oldest = self.attempts.find_oldest_serial(self.last_serial + 1)
+            self._send_frame(SERIALS_FRAME, SERIALS_BODY.pack(oldest, self.last_serial))
         state = copy_learned_state(self.socket_host.gateway)
-        self.event_loop.call_later(1, self._encode, self._header(), state)
+        self.event_loop.call_later(1, self._encode_snapshot, self._build_header(), state)
         self.event_loop.call_later(self.config.snapshot_interval_ticks, self.on_snapshot_timer)
 
-    def _header(self) -> dict[str, Any]:
+    def _build_header(self) -> dict[str, Any]:
         """Return the fields of a snapshot's body that say whose it is, and of when."""
-        boot_id, since_boot = read_boot()
+        boot_id, ticks_since_boot = read_boot()
         return {
             "gateway": self.gateway,
             "mark": self.settings_checksum,
             "at": self.event_loop.now,
             "boot": boot_id,
-            "since_boot": since_boot,
+            "since_boot": ticks_since_boot,
         }
 
-    def _encode(self, header: dict[str, Any], state: LearnedStateCopy) -> None:
+    def _encode_snapshot(self, header: dict[str, Any], state: LearnedStateCopy) -> None:
         body = {**header, **encode_learned_state(state)}
-        self.event_loop.call_later(1, self._put_snapshot, body)
+        self.event_loop.call_later(1, self._send_snapshot, body)
 
-    def _put_snapshot(self, body: dict[str, Any]) -> None:
-        self._put(SNAPSHOT, snapshot.encode(body))
+    def _send_snapshot(self, body: dict[str, Any]) -> None:
+        self._send_frame(SNAPSHOT_FRAME, snapshot.encode(body))
 
-    def _put(self, frame_type: bytes, body: bytes) -> None:
+    def _send_frame(self, frame_type: bytes, body: bytes) -> None:
         assert self.writer is not None  # the host is given a service that is on only
-        self.writer.put(frame_type, body)
+        self.writer.send_frame(frame_type, body)
 
     # The program's.
 
@@ -206,10 +206,10 @@
         """Keep a last snapshot, and end the writer."""
         if self.writer is None:
             return
-        self.writer.ending = True
+        self.writer.is_ending = True
         if self.writer.process is not None:
             state = copy_learned_state(self.socket_host.gateway)
-            self._put_snapshot({**self._header(), **encode_learned_state(state)})
+            self._send_snapshot({**self._build_header(), **encode_learned_state(state)})
         self.writer.end()
 
 
--- a/corkgauge/recovery/snapshot.py
+++ b/corkgauge/recovery/snapshot.py
@@ -14,10 +14,10 @@
 from corkgauge.errors import CorruptedFileError
 
 MAGIC = b"CKGRECL\n"
-VERSION = 1
-HEAD = Struct("<8sHI")
-CHECKSUM = Struct("<Q")
-OVERHEAD_BYTES = HEAD.size + CHECKSUM.size
+FORMAT_VERSION = 1
+FILE_HEADER = Struct("<8sHI")
+CHECKSUM_FORMAT = Struct("<Q")
+OVERHEAD_BYTES = FILE_HEADER.size + CHECKSUM_FORMAT.size
 MAX_SNAPSHOT_BYTES = 16 * 2**20
 
 
@@ -28,8 +28,8 @@
 def encode(body: dict[str, Any]) -> bytes:
     """Return the bytes of a snapshot file."""
     data: bytes = msgpack.packb(body)
-    head = HEAD.pack(MAGIC, VERSION, len(data))
-    return head + CHECKSUM.pack(_checksum(head, data)) + data
+    head = FILE_HEADER.pack(MAGIC, FORMAT_VERSION, len(data))
+    return head + CHECKSUM_FORMAT.pack(_checksum(head, data)) + data
 
 
 def _checksum(head: bytes, body: bytes) -> int:
@@ -47,7 +47,7 @@
     Traceback (most recent call last):
     corkgauge.recovery.snapshot.UnusableSnapshotError: of another gateway
     """
-    body = _decode_body(_checked_body(data))
+    body = _decode_body(_verify_body(data))
     if gateway and body.get("gateway") != gateway:
         raise UnusableSnapshotError("of another gateway")
     if gateway and body.get("mark") != settings_checksum:
@@ -55,17 +55,17 @@
     return body
 
 
-def _checked_body(data: bytes) -> bytes:
+def _verify_body(data: bytes) -> bytes:
     if len(data) > MAX_SNAPSHOT_BYTES:
         raise UnusableSnapshotError("too large")
     if len(data) < OVERHEAD_BYTES or not data.startswith(MAGIC):
         raise UnusableSnapshotError("foreign")
-    _, version, length = HEAD.unpack_from(data)
-    if version > VERSION:
-        raise UnusableSnapshotError(f"of version {version}, newer than {VERSION}")
+    _, version, length = FILE_HEADER.unpack_from(data)
+    if version > FORMAT_VERSION:
+        raise UnusableSnapshotError(f"of version {version}, newer than {FORMAT_VERSION}")
     body = data[OVERHEAD_BYTES:]
-    (checksum,) = CHECKSUM.unpack_from(data, HEAD.size)
-    if len(body) != length or checksum != _checksum(data[: HEAD.size], body):
+    (checksum,) = CHECKSUM_FORMAT.unpack_from(data, FILE_HEADER.size)
+    if len(body) != length or checksum != _checksum(data[: FILE_HEADER.size], body):
         raise UnusableSnapshotError("torn")
     return body
 
--- a/corkgauge/recovery/writer_process.py
+++ b/corkgauge/recovery/writer_process.py
@@ -13,12 +13,12 @@
 from corkgauge.config.operator_records import RecoveryConfig
 from corkgauge.eventloop.loop import READ, SECOND, EventLoop
 from corkgauge.recovery import log_writer
-from corkgauge.recovery.log_writer import FRAME
+from corkgauge.recovery.log_writer import FRAME_HEADER
 
 PIPE_BYTES = 2**20  # that the pipe is asked to hold
-RESTART_TICKS = 5 * SECOND  # until a writer that ended is started again
-END_SECONDS = 2  # that the writer may take for what is in the pipe at the end
-MAX_ERROR_LENGTH = 200
+RESTART_DELAY_TICKS = 5 * SECOND  # until a writer that ended is started again
+STOP_TIMEOUT_SECONDS = 2  # that the writer may take for what is in the pipe at the end
+MAX_ERROR_CHARS = 200
 
 
 class LogWriterProcess:
@@ -37,7 +37,7 @@
         self.pipe = -1
         self.unwritten = bytearray()  # the rest of a frame that the pipe took a part of
         self.frames_lost = 0  # that the pipe did not take, since it last took one
-        self.ending = False
+        self.is_ending = False
         self._command = [
             sys.executable,
             log_writer.__file__,
@@ -85,40 +85,40 @@
                 data = b""
             if not data:
                 break
-            error = data.decode(errors="replace").splitlines()[0][:MAX_ERROR_LENGTH]
+            error = data.decode(errors="replace").splitlines()[0][:MAX_ERROR_CHARS]
             self.log(f"recall: not written: {error}")
         process.stdout.close()
         process.wait()
-        if not self.event_loop.stopped and not self.ending:
+        if not self.event_loop.stopped and not self.is_ending:
             self.process = None
             self.log("recall: the helper ended, nothing is kept until another one runs")
-            self.event_loop.call_later(RESTART_TICKS, self.start)
+            self.event_loop.call_later(RESTART_DELAY_TICKS, self.start)
 
-    def put(self, frame_type: bytes, body: bytes) -> None:
+    def send_frame(self, frame_type: bytes, body: bytes) -> None:
         """Hand a frame to the writer, or count it as lost.
 
         A writer that waits for a disk fills the pipe; waiting for it would stop the gateway.
         """
-        if self.process is None or not self.flush():
-            self._on_frame_lost()
+        if self.process is None or not self.flush_frame():
+            self._count_lost_frame()
             return
-        frame = FRAME.pack(frame_type, len(body)) + body
+        frame = FRAME_HEADER.pack(frame_type, len(body)) + body
         self.unwritten += frame
-        self.flush()
+        self.flush_frame()
         if len(self.unwritten) == len(frame):
             self.unwritten.clear()  # nothing of it went: it never was
-            self._on_frame_lost()
+            self._count_lost_frame()
             return
         if self.frames_lost and self.process is not None:
             self.log(f"recall: written again, {self.frames_lost} entries were not kept")
             self.frames_lost = 0
 
-    def _on_frame_lost(self) -> None:
+    def _count_lost_frame(self) -> None:
         self.frames_lost += 1
         if self.frames_lost == 1:
             self.log("recall: the helper does not keep up, entries are not kept")
 
-    def flush(self) -> bool:
+    def flush_frame(self) -> bool:
         """Write the rest of the last frame, so that each goes whole; tell if the pipe is free."""
         try:
             while self.unwritten:
@@ -137,9 +137,9 @@
             return
         os.set_blocking(self.pipe, True)
         try:
-            self.flush()
+            self.flush_frame()
             assert self.process.stdin is not None
             self.process.stdin.close()
-            self.process.wait(END_SECONDS)
+            self.process.wait(STOP_TIMEOUT_SECONDS)
         except (OSError, subprocess.TimeoutExpired):
             pass
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -577,7 +577,7 @@
             here.socket_host, "n1", 11, RecoveryConfig(folder, SECOND, "process", 3)
         )
         service.end()
-        os.close(service.lock)
+        os.close(service.lock_descriptor)
         return Path(folder, "n1.recall").read_bytes()
 
 
@@ -726,7 +726,7 @@
     known, wrong = effects.AttemptLog(), ""
     for body, _, wrong in attempt_records.read_records(octets):  # noqa: B007 (the last one counts)
         if body is not None:
-            assert known.apply(body)
+            assert known.replay_record(body)
     return [
         [
             [
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -22,7 +22,7 @@
     read_records,
 )
 from corkgauge.recovery.decay import LearnedEngine
-from corkgauge.recovery.log_writer import FRAME, RecoveryFiles, segments
+from corkgauge.recovery.log_writer import FRAME_HEADER, RecoveryFiles, list_segments
 from corkgauge.recovery.service import RecoveryService
 from corkgauge.testkit.faults.script import read as read_script
 from corkgauge.testkit.fleet.day import Day
@@ -75,24 +75,27 @@
     "body", [[1, "x"], [1, 2, 3, 4, 5, 6, 7, 8, 9, 10], [2, [], True], [1, 1, "l", "o", 1, "e"]]
 )
 def test_records_that_make_no_sense_are_passed_over(body):
-    assert not AttemptLog().apply(body) or not len(AttemptLog())
+    assert not AttemptLog().replay_record(body) or not len(AttemptLog())
 
 
 def test_effects_are_known_by_label_until_engines_forget_and_stay_bounded(monkeypatch):
     known = AttemptLog()
-    known.add_sent(logged_attempt(1, sent=0))
-    known.add_sent(logged_attempt(2, "l2"))
-    known.add_finished(2, may_have_run=False)  # proof that it never ran
-    known.add_finished(1, may_have_run=True)
-    assert [each.serial for each in known.remembered("load", "l1", 5)] == [
+    known.add_sent_attempt(logged_attempt(1, sent=0))
+    known.add_sent_attempt(logged_attempt(2, "l2"))
+    known.record_outcome(2, may_have_run=False)  # proof that it never ran
+    known.record_outcome(1, may_have_run=True)
+    assert [each.serial for each in known.find_deduplicated_attempts("load", "l1", 5)] == [
         1
-    ] and not known.remembered("load", "l2", 5)
-    assert not known.remembered("load", "l1", 100 * SECOND) and not known.in_doubt()
-    known.expire(100 * SECOND)
+    ] and not known.find_deduplicated_attempts("load", "l2", 5)
+    assert (
+        not known.find_deduplicated_attempts("load", "l1", 100 * SECOND)
+        and not known.find_in_doubt_attempts()
+    )
+    known.expire_attempts(100 * SECOND)
     assert len(known) == 0 and not known.by_idempotency_key
-    monkeypatch.setattr(attempt_log, "MAX_ATTEMPTS", 10)
+    monkeypatch.setattr(attempt_log, "MAX_ATTEMPT_COUNT", 10)
     for serial in range(50):
-        known.add_sent(logged_attempt(serial, f"l{serial}"))
+        known.add_sent_attempt(logged_attempt(serial, f"l{serial}"))
     assert len(known) == 10 and len(known.by_idempotency_key) == 10
 
 
@@ -113,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    "boot, since_boot, now, age",
+    "boot, ticks_since_boot, now, age",
     [
         # the date a year ahead, or set back: the boot's clock tells
         ("b1", 900, 10**9, 400),
@@ -124,9 +127,11 @@
         ("", 3, 400, decay.UNKNOWN_AGE),
     ],
 )
-def test_the_time_it_was_down(boot, since_boot, now, age):
+def test_the_time_it_was_down(boot, ticks_since_boot, now, age):
     assert (
-        decay.snapshot_age({"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot, since_boot)
+        decay.snapshot_age(
+            {"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot, ticks_since_boot
+        )
         == age
     )
 
@@ -185,7 +190,7 @@
         self.step()
         self._change(("remove", path, None))
 
-    def names(self, folder):
+    def list_names(self, folder):
         return [os.path.basename(path) for path in self.folder]
 
     def sync_folder(self, folder):
@@ -251,9 +256,9 @@
                     continue
             assert done <= read <= done + 1 or not done, (until, done, read)  # synced is never lost
             known = AttemptLog()
-            for _, path in segments("/d", "n", [os.path.basename(path) for path in found]):
+            for _, path in list_segments("/d", "n", [os.path.basename(path) for path in found]):
                 for body, _, _ in read_records(found[path]):
-                    assert body is None or known.apply(body)
+                    assert body is None or known.replay_record(body)
             assert max(known.by_serial, default=0) >= logged or not logged
             outcomes.add((until, read, max(known.by_serial, default=0)))
         if files is not None and disk.steps < until:
@@ -362,7 +367,7 @@
         settled(before, lambda: any(path.stat().st_size for path in folder.glob("n.effects.*")))
         service.writer.process.stdin.close()
         service.writer.process.wait(5)
-        os.close(service.lock)  # as a kill does
+        os.close(service.lock_descriptor)  # as a kill does
         after = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
         again = start_service(folder, after)
         assert any("effects=1 unsettled=1" in line for line in after.logged)
@@ -431,7 +436,7 @@
     os.kill(service.writer.process.pid, signal.SIGSTOP)
     begun = time.time()
     for serial in range(3000):
-        service.writer.put(log_writer.RECORDS, bytes(1000))
+        service.writer.send_frame(log_writer.RECORDS_FRAME, bytes(1000))
     assert (
         time.time() - begun < 2
         and service.writer.frames_lost > 0
@@ -439,8 +444,8 @@
     )
     assert sum("does not keep up" in line for line in harness.logged) == 1
     os.kill(service.writer.process.pid, signal.SIGCONT)
-    settled(harness, lambda: service.writer.flush())
-    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(1)))
+    settled(harness, lambda: service.writer.flush_frame())
+    service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(1)))
     assert (
         any("written again" in line for line in harness.logged) and service.writer.frames_lost == 0
     )
@@ -457,10 +462,10 @@
     for path in tmp_path.iterdir():
         path.unlink()
     tmp_path.rmdir()
-    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(1)))
+    service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(1)))
     settled(harness, lambda: any("not written: No such file" in line for line in harness.logged))
     tmp_path.mkdir()
-    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(2)))
+    service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(2)))
     settled(harness, lambda: any(path.stat().st_size for path in tmp_path.glob("n.effects.*")))
     service.end()
 
@@ -475,9 +480,9 @@
     )
     whole = encode_sent(logged_attempt(1))
     helper.stdin.write(
-        FRAME.pack(log_writer.RECORDS, len(whole))
+        FRAME_HEADER.pack(log_writer.RECORDS_FRAME, len(whole))
         + whole
-        + FRAME.pack(log_writer.RECORDS, 500)
+        + FRAME_HEADER.pack(log_writer.RECORDS_FRAME, 500)
         + b"x" * 99
     )
     helper.stdin.close()
@@ -519,8 +524,8 @@
     for serial, outcome in enumerate(
         (AttemptOutcome.CONNECTION_RESET, AttemptOutcome.UNREACHABLE), 1
     ):
-        known.add_sent(logged_attempt(serial, f"l{serial}"))
-        known.add_finished(serial, outcome == AttemptOutcome.CONNECTION_RESET)
+        known.add_sent_attempt(logged_attempt(serial, f"l{serial}"))
+        known.record_outcome(serial, outcome == AttemptOutcome.CONNECTION_RESET)
     assert [*known.by_idempotency_key] == [("load", "l1")]
 
 
@@ -528,7 +533,7 @@
     harness, run = HostHarness(), CliRunner().invoke
     service = start_service(tmp_path, harness)
     assert run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
-    service.writer.put(log_writer.RECORDS, encode_sent(logged_attempt(1)))
+    service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(1)))
     service.end()
     assert (
         run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
@@ -542,13 +547,13 @@
         "foreign" in (bad := run(group, ["recovery", "check", str(tmp_path)])).output
         and bad.exit_code == 1
     )
-    os.close(service.lock)
+    os.close(service.lock_descriptor)
     assert run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 0
     assert {path.name for path in tmp_path.iterdir()} == {"n.lock"}
 
 
 def test_segments_go_when_all_in_them_is_over_and_not_before(tmp_path, monkeypatch):
-    monkeypatch.setattr(log_writer, "SEGMENT_BYTES", 500)
+    monkeypatch.setattr(log_writer, "MAX_SEGMENT_BYTES", 500)
     files = RecoveryFiles(str(tmp_path), "n", False, 1)
 
     def there():
@@ -559,17 +564,17 @@
     ):  # far more than sixteen segments of one mark that is remembered long
         files.append_records(encode_sent(logged_attempt(serial)))
         if serial % 10 == 0:
-            files.drop_settled_segments(1, serial)
+            files.remove_settled_segments(1, serial)
     many = len(there())
-    assert 16 < many <= log_writer.MAX_SEGMENTS
+    assert 16 < many <= log_writer.MAX_SEGMENT_COUNT
     found = AttemptLog()
-    for _, path in segments(str(tmp_path), "n", os.listdir(tmp_path)):
+    for _, path in list_segments(str(tmp_path), "n", os.listdir(tmp_path)):
         with open(path, "rb") as file:
             for body, _, _ in read_records(file.read()):
-                assert body is None or found.apply(body)
-    assert found.oldest_serial(0) == 1 and len(found) == 400
-    files.drop_settled_segments(200, 400)  # all below is over
+                assert body is None or found.replay_record(body)
+    assert found.find_oldest_serial(0) == 1 and len(found) == 400
+    files.remove_settled_segments(200, 400)  # all below is over
     left = len(there())
     assert many // 3 < left < many
-    files.drop_settled_segments(401, 400)
+    files.remove_settled_segments(401, 400)
     assert len(there()) == 1  # the one that is written to
