--- a/corkgauge/recovery/__init__.py
+++ b/corkgauge/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Memory over a restart: what was learned, aged, and which hand-offs may have run."""
+"""Crash recovery: a log of attempts that may have run, and snapshots of the learned state."""
--- a/corkgauge/recovery/log_writer.py
+++ b/corkgauge/recovery/log_writer.py
@@ -1,14 +1,15 @@
-"""The process that writes the files: `python log_writer.py FOLDER NAME DURABILITY KEPT`.
+"""Log writer process of a gateway: `python log_writer.py FOLDER NAME DURABILITY SNAPSHOTS_KEPT`.
 
-It owns the files of one gateway while that runs, and waits for disks so that the gateway never
-does. It ends with its parent, also when that is killed, as the end of its standard input is the
-end of its work; what the pipe still holds by then is written first.
+Owns the recovery files of one gateway while the gateway runs, and waits for the disk so that the
+gateway never has to. The process exits at the end of its standard input, thus when its parent exits
+or is killed; frames that are still in the pipe are written first.
 
-Frames on standard input: type (1 byte), length (4), body. `S` is a snapshot, `E` records of the
-attempt log, `F` two serials (8 bytes each): of the oldest attempt that still counts, and of the
-newest. On standard output goes a line for a failed write, at most one a second.
+Standard input contains frames: type (1 byte), length (4 bytes), body. An `S` frame contains a
+snapshot, an `E` frame records of the attempt log, and an `F` frame two serials (8 bytes each): of
+the oldest attempt in the gateway's memory and of the newest attempt. Numbers are little-endian. The
+process reports a failed write as a line on standard output, at most one line a second.
 
-Run by its path: it imports the standard library only.
+The file is run by its path, so it imports the standard library only.
 """
 
 import contextlib
@@ -19,30 +20,30 @@
 from typing import Any
 
 FRAME_HEADER = struct.Struct("<cI")
-SNAPSHOT_FRAME, RECORDS_FRAME, SERIALS_FRAME = b"S", b"E", b"F"  # types of a frame
-SERIALS_BODY = struct.Struct("<QQ")
-MAX_SEGMENT_BYTES = 2**20  # of one segment of the log
-MAX_SEGMENT_COUNT = 64  # kept, as many as are read at a start
+SNAPSHOT_FRAME, RECORDS_FRAME, SERIALS_FRAME = b"S", b"E", b"F"  # frame types
+SERIALS_BODY = struct.Struct("<QQ")  # oldest and newest serial
+MAX_SEGMENT_BYTES = 2**20  # of one log segment
+MAX_SEGMENT_COUNT = 64  # on disk; a start reads at most as many
 MAX_FRAME_BYTES = 32 * 2**20
 ERROR_INTERVAL_SECONDS = 1
 STANDARD_OUTPUT_DESCRIPTOR = 1
 
 
 class Disk:
-    """What the files need of a disk; the tests have one that fails."""
+    """File operations of `RecoveryFiles`; tests replace this class by a disk with faults."""
 
     def create(self, path: str) -> Any:
         """Open a new, empty file."""
         return open(path, "wb", buffering=0)
 
     def write(self, file: Any, data: bytes) -> None:
-        """Write all of it; a raw file may take less at a time."""
-        rest = memoryview(data)
-        while rest:
-            rest = rest[file.write(rest) :]
+        """Write all data; a raw file may accept only a part in one call."""
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[file.write(remaining) :]
 
     def sync(self, file: Any) -> None:
-        """Wait until what was written survives loss of power."""
+        """Wait until the written data survives a loss of power."""
         os.fsync(file.fileno())
 
     def close(self, file: Any) -> None:
@@ -50,7 +51,7 @@
         file.close()
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, in place of one that has the new name."""
+        """Rename a file; replaces an existing file of the new name."""
         os.replace(old, new)
 
     def remove(self, path: str) -> None:
@@ -58,11 +59,11 @@
         os.unlink(path)
 
     def list_names(self, folder: str) -> list[str]:
-        """Return the names in a folder."""
+        """Return the names of the files in a folder."""
         return os.listdir(folder)
 
     def sync_folder(self, folder: str) -> None:
-        """Wait until the folder's names survive loss of power."""
+        """Wait until created, renamed and removed names in a folder survive a loss of power."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -73,7 +74,8 @@
 class RecoveryFiles:
     """Snapshots and log segments of one gateway.
 
-    `durable` syncs what must survive loss of power; otherwise surviving a kill is enough.
+    With `durable`, log records and folder entries are synced so that they survive a loss of power.
+    Without it, they survive only a kill of the process.
     """
 
     def __init__(
@@ -84,19 +86,20 @@
         self.durable = durable
         self.snapshots_kept = snapshots_kept
         self.disk = disk or Disk()
-        self.segment: Any = None  # the one that is written to
+        self.segment: Any = None  # the open segment
         self.segment_bytes = 0
-        # By closed segment: no attempt in it has a higher serial; 0 until that is known.
+        # Upper bound of the serials in each closed segment, by path; 0 until a bound is known.
         self.highest_serials: dict[str, int] = {}
 
     def path_for(self, suffix: str) -> str:
-        """Return the path of this gateway's file with that suffix."""
+        """Return the path of this gateway's file with a suffix."""
         return os.path.join(self.folder, f"{self.name}.{suffix}")
 
     def write_snapshot(self, data: bytes) -> None:
-        """Write a snapshot under another name, sync, rename, sync the folder.
+        """Write a snapshot atomically: write a temporary file, sync, rename, and sync the folder.
 
-        So a reader finds an older one or this one, never a part.
+        A reader therefore finds either an older snapshot or the complete new one, never a part. The
+        folder is synced only if durable.
         """
         disk = self.disk
         temporary = self.path_for("recall.new")
@@ -112,19 +115,19 @@
             disk.sync_folder(self.folder)
 
     def _rotate_snapshots(self) -> None:
-        """Move each snapshot that is kept one number up, the oldest first."""
+        """Rename each kept snapshot to the next higher number, beginning with the oldest."""
         names = set(self.disk.list_names(self.folder))
         for number in range(self.snapshots_kept - 1, 0, -1):
-            earlier = f"{self.name}.recall"
+            newer_name = f"{self.name}.recall"
             if number > 1:
-                earlier += f".{number - 1}"
-            if earlier in names:
+                newer_name += f".{number - 1}"
+            if newer_name in names:
                 self.disk.rename(
-                    os.path.join(self.folder, earlier), self.path_for(f"recall.{number}")
+                    os.path.join(self.folder, newer_name), self.path_for(f"recall.{number}")
                 )
 
     def append_records(self, data: bytes) -> None:
-        """Append records to the log, to a new segment if the present one is full."""
+        """Append records to the log; opens a new segment if the open segment is full."""
         if self.segment is None or self.segment_bytes + len(data) > MAX_SEGMENT_BYTES:
             self._open_segment()
         self.disk.write(self.segment, data)
@@ -133,11 +136,15 @@
             self.disk.sync(self.segment)
 
     def remove_settled_segments(self, oldest: int, newest: int) -> None:
-        """Remove closed segments in which no attempt counts any more.
+        """Truncate the log: remove closed segments whose attempts are all forgotten.
 
-        Serials: of the oldest attempt that still counts, and of the newest. A segment that was
-        closed before this is called holds none above the newest. Were segments kept by number
-        instead, keys remembered for longer than so many attempts take would be lost.
+        Args:
+            oldest: Serial of the oldest attempt that the gateway still has in memory.
+            newest: Serial of the newest attempt; segments that are already closed contain no
+                higher serial.
+
+        Keeping a fixed number of segments instead would lose attempts whose keys engines remember
+        for longer than it takes to fill these segments.
         """
         for path, highest in list(self.highest_serials.items()):
             if not highest:
@@ -150,14 +157,14 @@
         disk = self.disk
         if self.segment is not None:
             disk.close(self.segment)
-        earlier = list_segments(self.folder, self.name, disk.list_names(self.folder))
-        number = earlier[-1][0] + 1 if earlier else 1
+        closed_segments = list_segments(self.folder, self.name, disk.list_names(self.folder))
+        number = closed_segments[-1][0] + 1 if closed_segments else 1
         self.segment = disk.create(self.path_for(f"effects.{number:08}"))
         self.segment_bytes = 0
-        for _, path in earlier:
+        for _, path in closed_segments:
             self.highest_serials.setdefault(path, 0)
-        # A log without end would fill the disk.
-        for _, path in earlier[: 1 - MAX_SEGMENT_COUNT]:
+        # Without this limit, a log that grows forever would fill the disk.
+        for _, path in closed_segments[: 1 - MAX_SEGMENT_COUNT]:
             disk.remove(path)
             self.highest_serials.pop(path, None)
         if self.durable:
@@ -165,25 +172,25 @@
 
 
 def list_segments(folder: str, name: str, names: list[str]) -> list[tuple[int, str]]:
-    """Return number and path of a log's segments among a folder's names, the oldest first."""
-    found = []
+    """Return number and path of each log segment among the names in a folder, oldest first."""
+    numbered_paths = []
     prefix = f"{name}.effects."
-    for each in names:
-        number = each.removeprefix(prefix)
-        if each.startswith(prefix) and number.isdigit():
-            found.append((int(number), os.path.join(folder, each)))
-    return sorted(found)
+    for file_name in names:
+        number = file_name.removeprefix(prefix)
+        if file_name.startswith(prefix) and number.isdigit():
+            numbered_paths.append((int(number), os.path.join(folder, file_name)))
+    return sorted(numbered_paths)
 
 
 def _read_frame(source: Any) -> tuple[bytes, bytes] | None:
-    """Return type and body of the next frame, or None at the end.
+    """Return type and body of the next frame, or None at the end of the input.
 
-    A frame that is not whole never was: the parent was killed while it wrote.
+    An incomplete frame is discarded: the parent was killed while writing the frame.
     """
-    head = source.read(FRAME_HEADER.size)
-    if len(head) < FRAME_HEADER.size:
+    header = source.read(FRAME_HEADER.size)
+    if len(header) < FRAME_HEADER.size:
         return None
-    frame_type, length = FRAME_HEADER.unpack(head)
+    frame_type, length = FRAME_HEADER.unpack(header)
     body = source.read(length) if length <= MAX_FRAME_BYTES else b""
     return (frame_type, body) if len(body) == length else None
 
@@ -198,7 +205,7 @@
 
 
 def main() -> int:
-    """Write what standard input brings until its end; a failed write is reported, and no end."""
+    """Write the frames of standard input until its end; report failed writes and continue."""
     folder, name, durability, snapshots_kept = sys.argv[1:5]
     files = RecoveryFiles(folder, name, durability == "machine", int(snapshots_kept))
     reported_at = 0.0
@@ -209,7 +216,7 @@
         try:
             _write_frame(files, *frame)
         except OSError as problem:
-            files.segment = None  # the next records go to a new one
+            files.segment = None  # the next records go to a new segment
             if time.monotonic() > reported_at + ERROR_INTERVAL_SECONDS:
                 reported_at = time.monotonic()
                 with contextlib.suppress(OSError):
--- a/corkgauge/recovery/restart.py
+++ b/corkgauge/recovery/restart.py
@@ -1,4 +1,4 @@
-"""What is read at a start: the attempt log, and the newest snapshot that can be used."""
+"""Recovery at start: replays the attempt log and restores the newest usable snapshot."""
 
 import os
 from dataclasses import dataclass
@@ -13,15 +13,15 @@
 from corkgauge.recovery.learned_state import RestoredCounts, restore_learned_state
 from corkgauge.recovery.log_writer import MAX_SEGMENT_BYTES, MAX_SEGMENT_COUNT, list_segments
 
-MAX_LOG_BYTES = MAX_SEGMENT_COUNT * MAX_SEGMENT_BYTES  # that are read, the newest segments first
+MAX_LOG_BYTES = MAX_SEGMENT_COUNT * MAX_SEGMENT_BYTES  # read at a start, newest segments first
 
-# What a snapshot raises that has a good checksum and makes no sense all the same.
+# Errors that a snapshot with a valid checksum but a malformed body raises during restore.
 MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, IndexError)
 
 
 @dataclass(frozen=True, slots=True)
 class RestartRecovery:
-    """One start of a gateway; `name` is the gateway's as part of a file name."""
+    """Recovery of one gateway start; `name` is the gateway's name, made safe for file names."""
 
     socket_host: Any
     config: RecoveryConfig
@@ -30,10 +30,10 @@
     settings_checksum: int
     now: int  # ticks since 1970
     boot_id: str
-    ticks_since_boot: int  # ticks
+    ticks_since_boot: int
 
     def read_attempt_log(self, attempts: AttemptLog) -> list[LoggedAttempt]:
-        """Replay the log and hold the order keys of attempts in doubt, which are returned."""
+        """Replay the log and hold the order keys of in-doubt attempts; return these attempts."""
         for path, size in self._segments_to_read():
             self._replay_segment(attempts, path, size)
         in_doubt = attempts.find_in_doubt_attempts()
@@ -43,7 +43,7 @@
         return in_doubt
 
     def _segments_to_read(self) -> list[tuple[str, int]]:
-        """Return path and size of the newest segments, as many as the bound allows, in order."""
+        """Return path and size of the newest segments up to MAX_LOG_BYTES, oldest first."""
         bytes_left = MAX_LOG_BYTES
         chosen: list[tuple[str, int]] = []
         folder = self.config.folder
@@ -51,7 +51,8 @@
             size = os.path.getsize(path)
             if size > bytes_left:
                 self.socket_host.log(
-                    f"recall: {path} has {size} octets, more than are read; passed over"
+                    f"recall: {path} has {size} bytes, more than are read; "
+                    "this and all older segments are passed over"
                 )
                 break
             bytes_left -= size
@@ -59,20 +60,26 @@
         return chosen[::-1]
 
     def _replay_segment(self, attempts: AttemptLog, path: str, size: int) -> None:
-        """Replay one segment; one at a time, as together they may be more than our memory."""
+        """Replay one segment.
+
+        Segments are read one at a time, because all segments together may not fit into memory.
+        """
         with open(path, "rb") as file:
             data = file.read(size)
         for body, end, damage in read_records(data):
             if body is not None:
                 attempts.replay_record(body)
             elif damage:
-                self.socket_host.log(f"recall: {path} has {damage} at {end}")
+                self.socket_host.log(
+                    f"recall: {path} has {damage} at {end}, no record after this byte is replayed"
+                )
 
     def _hold_order_keys(self, in_doubt: list[LoggedAttempt]) -> None:
-        """Hold the order key of each attempt in doubt as after a connection reset.
+        """Hold the order key of each in-doubt attempt, as after a connection reset.
 
-        It may still run, and the next of its key would run beside it. It was given up with its
-        connection, at the latest when the program before ended.
+        The attempt may still run, and the next request with the same order key would run
+        concurrently. The attempt lost its connection at the latest when the previous process ended,
+        so holding the key for the settle time from now is enough.
         """
         gateway = self.socket_host.gateway
         ordered = {each.name for each in self.socket_host.settings.request_classes if each.ordered}
@@ -81,7 +88,7 @@
                 gateway.hold_order_key(attempt.order_key, self.now + gateway.options.settle_ticks)
 
     def restore_snapshot(self) -> None:
-        """Give the gateway what is left of the newest snapshot that can be used, if any."""
+        """Restore the decayed learned state of the newest usable snapshot, if there is one."""
         paths = [os.path.join(self.config.folder, f"{self.name}.recall")]
         paths += [f"{paths[0]}.{number}" for number in range(1, self.config.snapshots_kept)]
         for path in paths:
@@ -89,7 +96,10 @@
                 return
 
     def _restore_file(self, path: str) -> bool:
-        """Restore from one file; return False, having logged why, if it is of no use."""
+        """Restore one snapshot file; log the reason and return False if the file is unusable.
+
+        A missing file is not logged.
+        """
         try:
             with open(path, "rb") as file:
                 data = file.read(snapshot.MAX_SNAPSHOT_BYTES + 1)
@@ -102,11 +112,11 @@
             return False
         except (OSError, snapshot.UnusableSnapshotError) as problem:
             reason = getattr(problem, "strerror", None) or problem
-            self.socket_host.log(f"recall: {path} is {reason}, passed over")
+            self.socket_host.log(f"recall: {path}: snapshot passed over: {reason}")
             return False
         except MALFORMED_BODY_ERRORS as problem:
             self.socket_host.log(
-                f"recall: {path} makes no sense ({type(problem).__name__}), passed over"
+                f"recall: {path}: snapshot passed over: malformed body ({type(problem).__name__})"
             )
             return False
         self._log_restored(counts, age)
--- a/corkgauge/recovery/writer_process.py
+++ b/corkgauge/recovery/writer_process.py
@@ -1,6 +1,7 @@
-"""The gateway's end of the log writer: starts and restarts it, feeds its pipe without waiting.
+"""Gateway side of the log writer: starts and restarts the process, writes frames to its pipe.
 
-Nothing is claimed to be kept that the pipe did not take.
+Writing never blocks while the gateway serves requests. Frames that the pipe did not accept are
+counted as lost; the first loss and the next success are logged.
 """
 
 import contextlib
@@ -15,14 +16,14 @@
 from corkgauge.recovery import log_writer
 from corkgauge.recovery.log_writer import FRAME_HEADER
 
-PIPE_BYTES = 2**20  # that the pipe is asked to hold
-RESTART_DELAY_TICKS = 5 * SECOND  # until a writer that ended is started again
-STOP_TIMEOUT_SECONDS = 2  # that the writer may take for what is in the pipe at the end
-MAX_ERROR_CHARS = 200
+PIPE_BYTES = 2**20  # requested capacity of the pipe
+RESTART_DELAY_TICKS = 5 * SECOND  # between the end of a writer and its restart
+STOP_TIMEOUT_SECONDS = 2  # for the writer to write the rest of the pipe
+MAX_ERROR_CHARS = 200  # of an error of the writer, in the log
 
 
 class LogWriterProcess:
-    """The running writer of one gateway's files; `name` is the gateway's as part of a file name."""
+    """Log writer process of one gateway; `name` is the gateway's name, made safe for file names."""
 
     def __init__(
         self,
@@ -35,8 +36,8 @@
         self.log = log
         self.process: subprocess.Popen[bytes] | None = None
         self.pipe = -1
-        self.unwritten = bytearray()  # the rest of a frame that the pipe took a part of
-        self.frames_lost = 0  # that the pipe did not take, since it last took one
+        self.unwritten = bytearray()  # rest of a frame that the pipe accepted in part
+        self.frames_lost = 0  # frames lost since the pipe last accepted a frame
         self.is_ending = False
         self._command = [
             sys.executable,
@@ -48,7 +49,7 @@
         ]
 
     def start(self) -> None:
-        """Start the writer, or log why there is none."""
+        """Start the writer process, or log why the process could not be started."""
         try:
             process = subprocess.Popen(
                 self._command,
@@ -58,7 +59,10 @@
                 start_new_session=True,
             )
         except OSError as problem:
-            self.log(f"recall: no helper: {problem.strerror}")
+            self.log(
+                "recall: log writer not started, nothing is stored until a restart: "
+                f"{problem.strerror}"
+            )
             return
         assert process.stdin is not None
         assert process.stdout is not None
@@ -72,7 +76,10 @@
         self.event_loop.spawn(self._read_errors, process)
 
     def _read_errors(self, process: subprocess.Popen[bytes]) -> None:
-        """Log the writer's failed writes until it ends, then start another; a task of the loop."""
+        """Log failed writes until the writer ends, then schedule its restart.
+
+        Runs as a task of the event loop.
+        """
         assert process.stdout is not None
         descriptor = process.stdout.fileno()
         while True:
@@ -86,18 +93,19 @@
             if not data:
                 break
             error = data.decode(errors="replace").splitlines()[0][:MAX_ERROR_CHARS]
-            self.log(f"recall: not written: {error}")
+            self.log(f"recall: not written: {error}; check the folder and its disk")
         process.stdout.close()
         process.wait()
         if not self.event_loop.stopped and not self.is_ending:
             self.process = None
-            self.log("recall: the helper ended, nothing is kept until another one runs")
+            self.log("recall: the log writer ended, nothing is stored until its automatic restart")
             self.event_loop.call_later(RESTART_DELAY_TICKS, self.start)
 
     def send_frame(self, frame_type: bytes, body: bytes) -> None:
-        """Hand a frame to the writer, or count it as lost.
+        """Write a frame to the pipe without blocking, or count the frame as lost.
 
-        A writer that waits for a disk fills the pipe; waiting for it would stop the gateway.
+        While the writer waits for a disk, the pipe fills up. Waiting for the writer would stop the
+        gateway.
         """
         if self.process is None or not self.flush_frame():
             self._count_lost_frame()
@@ -106,20 +114,26 @@
         self.unwritten += frame
         self.flush_frame()
         if len(self.unwritten) == len(frame):
-            self.unwritten.clear()  # nothing of it went: it never was
+            self.unwritten.clear()  # the pipe accepted no part of the frame
             self._count_lost_frame()
             return
         if self.frames_lost and self.process is not None:
-            self.log(f"recall: written again, {self.frames_lost} entries were not kept")
+            self.log(f"recall: written again, {self.frames_lost} frames were lost")
             self.frames_lost = 0
 
     def _count_lost_frame(self) -> None:
         self.frames_lost += 1
         if self.frames_lost == 1:
-            self.log("recall: the helper does not keep up, entries are not kept")
+            self.log(
+                "recall: the log writer does not keep up or does not run, frames are lost; "
+                "check the disk"
+            )
 
     def flush_frame(self) -> bool:
-        """Write the rest of the last frame, so that each goes whole; tell if the pipe is free."""
+        """Write the rest of the last frame; return whether the pipe accepted all of the rest.
+
+        No other frame is started before, so that the writer gets each frame complete.
+        """
         try:
             while self.unwritten:
                 written = os.write(self.pipe, self.unwritten)
@@ -132,7 +146,7 @@
         return True
 
     def end(self) -> None:
-        """Let the writer finish what it was given, for a while, and end it by closing its pipe."""
+        """Close the pipe, which ends the writer, and wait a limited time for the last writes."""
         if self.process is None:
             return
         os.set_blocking(self.pipe, True)
