--- a/corkgauge/recovery/attempt_log.py
+++ b/corkgauge/recovery/attempt_log.py
@@ -1,11 +1,11 @@
-"""What the attempt log says: the attempts that may have run, by serial and by idempotency key.
+"""In-memory state of the attempt log: attempts that may have run, by serial and idempotency key.
 
-Free of I/O; the clock is handed in, in ticks (tenths of a millisecond) since 1970. Bounded,
-whatever the log claims.
+Does no I/O. Callers pass the current time in ticks (tenths of a millisecond) since 1970. The number
+of attempts in memory is bounded, whatever the log contains.
 
-The record of an attempt is written before the attempt is sent. After a kill between the two the
-log names one that never left, which is only stricter; the other way round, one that ran would be
-unknown.
+As in any write-ahead log, the record of an attempt is written before the attempt is sent. If the
+process is killed between the two, the log contains an attempt that was never sent, which only makes
+later decisions stricter. In the reverse order, an attempt that ran could be missing from the log.
 """
 
 from itertools import islice
@@ -14,41 +14,41 @@
 from corkgauge.errors import CorruptedFileError
 from corkgauge.recovery.attempt_records import LoggedAttempt, decode_body
 
-MAX_ATTEMPT_COUNT = 100_000  # held; beyond it the oldest are forgotten
-MAX_EXPIRED_COUNT = 1000
+MAX_ATTEMPT_COUNT = 100_000  # in memory; the oldest attempts beyond this number are forgotten
+MAX_EXPIRED_COUNT = 1000  # attempts examined in one call
 
 
 class AttemptLog:
-    """The attempts that may have run, and those among them in doubt: without a known outcome."""
+    """Attempts that may have run; the attempts without a known outcome are in doubt."""
 
     def __init__(self) -> None:
         self.by_serial: dict[int, LoggedAttempt] = {}
-        # By request class and idempotency key.
+        # Attempts by serial, by (request class, idempotency key).
         self.by_idempotency_key: dict[tuple[str, str], dict[int, LoggedAttempt]] = {}
 
     def __len__(self) -> int:
         return len(self.by_serial)
 
     def add_sent_attempt(self, attempt: LoggedAttempt) -> None:
-        """Add an attempt that is about to be sent."""
+        """Add an attempt that is about to be sent; it is in doubt until an outcome is recorded."""
         self.by_serial[attempt.serial] = attempt
         key = (attempt.request_class, attempt.idempotency_key)
         self.by_idempotency_key.setdefault(key, {})[attempt.serial] = attempt
-        # A log without end, or one that claims to be, would fill the memory.
+        # Without this limit, a log that grows forever or a corrupted log would fill the memory.
         while len(self.by_serial) > MAX_ATTEMPT_COUNT:
-            self._forget(next(iter(self.by_serial.values())))
+            self._forget_attempt(next(iter(self.by_serial.values())))
 
     def record_outcome(self, serial: int, may_have_run: bool) -> None:
-        """Settle an attempt; one that never ran is forgotten, and its idempotency key free."""
+        """Settle an attempt; forget an attempt that never ran, which frees its idempotency key."""
         attempt = self.by_serial.get(serial)
         if attempt is None:
             return
         attempt.is_in_doubt = False
         if not may_have_run:
-            self._forget(attempt)
+            self._forget_attempt(attempt)
 
     def replay_record(self, body: list[Any]) -> bool:
-        """Replay a record's body; return False, and change nothing, if it makes no sense."""
+        """Replay the body of a record; return False and change nothing if the body is invalid."""
         try:
             entry = decode_body(body)
         except CorruptedFileError:
@@ -62,25 +62,28 @@
     def find_deduplicated_attempts(
         self, request_class: str, idempotency_key: str, now: int
     ) -> list[LoggedAttempt]:
-        """Return the attempts under a key that engines still remember, the oldest first."""
+        """Return the attempts whose key engines still remember, the oldest first."""
         attempts = self.by_idempotency_key.get((request_class, idempotency_key), {})
         return [each for each in attempts.values() if now < each.deduplicated_until]
 
     def expire_attempts(self, now: int, max_attempts: int = MAX_EXPIRED_COUNT) -> None:
-        """Forget settled attempts that no engine remembers; looks at so many of the oldest."""
+        """Forget settled attempts that no engine remembers, among the oldest `max_attempts`."""
         for attempt in list(islice(self.by_serial.values(), max_attempts)):
             if now >= attempt.deduplicated_until and not attempt.is_in_doubt:
-                self._forget(attempt)
+                self._forget_attempt(attempt)
 
     def find_oldest_serial(self, default: int) -> int:
-        """Return the lowest serial that still counts, or the default if none does."""
+        """Return the serial of the oldest attempt in memory, or `default` if there is none."""
         return next(iter(self.by_serial), default)
 
     def find_in_doubt_attempts(self) -> list[LoggedAttempt]:
-        """Return the attempts without an outcome; after a restart their order keys are held."""
+        """Return the attempts without a known outcome.
+
+        After a restart the gateway holds the order keys of these attempts.
+        """
         return [attempt for attempt in self.by_serial.values() if attempt.is_in_doubt]
 
-    def _forget(self, attempt: LoggedAttempt) -> None:
+    def _forget_attempt(self, attempt: LoggedAttempt) -> None:
         del self.by_serial[attempt.serial]
         key = (attempt.request_class, attempt.idempotency_key)
         attempts = self.by_idempotency_key[key]
--- a/corkgauge/recovery/attempt_records.py
+++ b/corkgauge/recovery/attempt_records.py
@@ -1,9 +1,10 @@
 """Codec of the attempt log: a write-ahead log of attempts that may have run.
 
-A record is its length (4 bytes), the xxHash32 of its body (4 bytes) and the body in msgpack, all
-little-endian. A body is a list: `[1, serial, idempotency key, request class, order key, engine,
-zone, cell, sent at, deduplicated until]` for an attempt that is about to be sent, `[2, serial, may
-have run]` for one that finished. Free of I/O; no bytes make it raise.
+A record consists of the length of its body (4 bytes), the xxHash32 of the body (4 bytes) and the
+body in msgpack; numbers are little-endian. A body is a list: `[1, serial, idempotency key, request
+class, order key, engine, zone, cell, sent at, deduplicated until]` for an attempt that is about to
+be sent, `[2, serial, may have run]` for a finished attempt. The module does no I/O, and reading
+never raises, whatever the bytes.
 """
 
 from collections.abc import Iterator
@@ -17,23 +18,23 @@
 
 from corkgauge.errors import CorruptedFileError
 
-RECORD_HEADER = Struct("<II")
+RECORD_HEADER = Struct("<II")  # length and xxHash32 of the body
 MAX_RECORD_BYTES = 4096
 MIN_BODY_FIELD_COUNT = 3
-SENT_FIELD_COUNT = 9  # behind the type: those of LoggedAttempt but the last
+SENT_FIELD_COUNT = 9  # after the record type: the fields of LoggedAttempt without the last
 SENT_STRING_INDEXES = (1, 2, 4)  # idempotency key, request class, engine
 SENT_INTEGER_INDEXES = (0, 3, 5, 6, 7, 8)
 
 
 class RecordType(IntEnum):
-    """The first field of a body."""
+    """Type of a record: the first field of its body."""
 
     SENT = 1
     FINISHED = 2
 
 
 class LogDamage(StrEnum):
-    """What is wrong at the end of the part that can be read."""
+    """Kind of damage that ends the readable part of a log segment."""
 
     NONE = ""
     TORN_END = "a torn end"
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class LoggedAttempt:
-    """An attempt that may have run. Times are ticks (tenths of a millisecond) since 1970."""
+    """An attempt that may have run; times are in ticks (tenths of a millisecond) since 1970."""
 
     serial: int
     idempotency_key: str
@@ -52,20 +53,20 @@
     zone: int
     cell: int
     sent_at: int
-    deduplicated_until: int  # engines remember its idempotency key so long
-    is_in_doubt: bool = True  # no outcome is known
+    deduplicated_until: int  # engines remember the idempotency key until this time
+    is_in_doubt: bool = True  # the outcome is unknown
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedAttempt:
-    """The outcome of a logged attempt: whether it ran, or may have."""
+    """Outcome of a logged attempt: whether the attempt may have run."""
 
     serial: int
     may_have_run: bool
 
 
 class LogRecord(NamedTuple):
-    """A body and the offset at which it ends; the last one has no body and says what is wrong."""
+    """Body of a record and the offset of its end; the last entry has no body, only the damage."""
 
     body: list[Any] | None
     end: int
@@ -73,7 +74,7 @@
 
 
 def encode_sent(attempt: LoggedAttempt) -> bytes:
-    """Return the record of an attempt that is about to be sent."""
+    """Encode the record of an attempt that is about to be sent."""
     return _encode_record(
         [
             int(RecordType.SENT),
@@ -91,7 +92,7 @@
 
 
 def encode_finished(serial: int, may_have_run: bool) -> bytes:
-    """Return the record of an attempt's outcome."""
+    """Encode the record of the outcome of an attempt."""
     return _encode_record([int(RecordType.FINISHED), serial, may_have_run])
 
 
@@ -101,7 +102,7 @@
 
 
 def read_records(data: bytes) -> Iterator[LogRecord]:
-    """Yield each record as far as the log is good; last one without a body, saying what is wrong.
+    """Yield the records before the first damage, then an entry with the damage and no body.
 
     >>> log = encode_finished(7, True) + encode_finished(8, False)
     >>> [record.body for record in read_records(log)]
@@ -125,7 +126,7 @@
 
 
 def _read_verified_body(data: bytes, position: int) -> bytes | None:
-    """Return the packed body of the record there, or None if it is not whole."""
+    """Return the packed body of the record at a position, or None if incomplete or corrupted."""
     if len(data) - position < RECORD_HEADER.size:
         return None
     length, checksum = RECORD_HEADER.unpack_from(data, position)
@@ -147,9 +148,10 @@
 
 
 def _classify_damage(data: bytes, position: int) -> LogDamage:
-    """Tell what a record that is not whole means.
+    """Classify the damage at a record that is incomplete or corrupted.
 
-    A kill tears the end of a log, which is no fault; good records behind the bad one are.
+    A torn write at the end of a log is normal after a kill. Valid records after the damaged one
+    show that the file was corrupted.
     """
     if len(data) - position < RECORD_HEADER.size:
         return LogDamage.TORN_END
@@ -161,16 +163,20 @@
 
 
 def decode_body(body: list[Any]) -> LoggedAttempt | FinishedAttempt:
-    """Return what a body says; raise CorruptedFileError if it makes no sense."""
+    """Decode the body of a record; raise CorruptedFileError if the body is invalid."""
     fields = body[1:]
     if body[0] == RecordType.FINISHED:
         if not isinstance(fields[0], int):
-            raise CorruptedFileError(f"the serial {fields[0]!r} is no whole number")
+            raise CorruptedFileError(
+                f"a finished record has serial {fields[0]!r}, expected an integer"
+            )
         return FinishedAttempt(fields[0], bool(fields[1]))
     if len(fields) != SENT_FIELD_COUNT:
-        raise CorruptedFileError(f"{len(fields)} fields, expected {SENT_FIELD_COUNT}")
+        raise CorruptedFileError(
+            f"a sent record has {len(fields)} fields, expected {SENT_FIELD_COUNT}"
+        )
     if not all(isinstance(fields[index], str) for index in SENT_STRING_INDEXES):
-        raise CorruptedFileError("a field that is no text")
+        raise CorruptedFileError("a sent record has another type where a string is expected")
     if not all(isinstance(fields[index], int) for index in SENT_INTEGER_INDEXES):
-        raise CorruptedFileError("a field that is no whole number")
+        raise CorruptedFileError("a sent record has another type where an integer is expected")
     return LoggedAttempt(*fields)
--- a/corkgauge/recovery/decay.py
+++ b/corkgauge/recovery/decay.py
@@ -1,8 +1,8 @@
-"""Decay: what is left of each learned value after the time that the program was down.
+"""Decays learned values by the time between a snapshot and the restart.
 
-Owns the half-lives, and what "unknown" is for each value. Free of I/O and of clocks. Decay never
-makes an ejection longer than it had left, and never loosens a rule. Spans are ticks (tenths of a
-millisecond).
+Defines the half-life of each value and the default that the value decays towards. Does no I/O and
+reads no clock. Decay never prolongs an ejection beyond its remaining time and never relaxes a rule.
+Durations are in ticks (tenths of a millisecond).
 """
 
 from collections.abc import Mapping
@@ -12,24 +12,24 @@
 Sample = TypeVar("Sample")
 
 SECOND_TICKS = 10_000
-UNKNOWN_AGE = inf  # nobody knows how long ago: nothing is left
+UNKNOWN_AGE = inf  # the time of the snapshot is unknown: values decay fully
 NOT_EJECTED = -1
 
-# After so many ticks, half of what a value says is left.
-SLOWNESS_HALF_LIFE_TICKS = (
-    20 * SECOND_TICKS
-)  # neighbours and load of an engine change within a minute
+# Half-lives: the time after which half of a value remains.
+
+# The load of an engine and the workloads next to the engine change within a minute.
+SLOWNESS_HALF_LIFE_TICKS = 20 * SECOND_TICKS
 LIMIT_HALF_LIFE_TICKS = 30 * SECOND_TICKS
-FAULT_HALF_LIFE_TICKS = 10 * SECOND_TICKS  # outlier detection compares faults of ten seconds
-PRICE_HALF_LIFE_TICKS = 6 * SECOND_TICKS  # admission itself takes a fifth off each two seconds
+FAULT_HALF_LIFE_TICKS = 10 * SECOND_TICKS  # outlier detection compares faults within 10 s
+PRICE_HALF_LIFE_TICKS = 6 * SECOND_TICKS  # admission lowers the price by 20% every 2 s
 SHARE_HALF_LIFE_TICKS = 60 * SECOND_TICKS
-ESTIMATE_HALF_LIFE_TICKS = 600 * SECOND_TICKS  # what requests of a class need changes slowest
+ESTIMATE_HALF_LIFE_TICKS = 600 * SECOND_TICKS  # resource needs of a class change slowest
 
-FULL_LIMIT_FACTOR = 1.0  # of an engine's concurrency limit, while nothing is known against it
+FULL_LIMIT_FACTOR = 1.0  # of an engine's concurrency limit, without reasons for a lower limit
 
 
 class LearnedEngine(NamedTuple):
-    """What was learned of one engine; `ejected_until` in ticks since 1970, or NOT_EJECTED."""
+    """Learned state of an engine; `ejected_until` is in ticks since 1970, or NOT_EJECTED."""
 
     slowness_samples: list[float]
     limit_factor: float
@@ -38,7 +38,7 @@
 
 
 def remaining_fraction(age: float, half_life: int) -> float:
-    """Return the fraction that is left.
+    """Return the fraction of a value that remains after `age` ticks.
 
     >>> remaining_fraction(0, 10), remaining_fraction(10, 10), remaining_fraction(inf, 10)
     (1.0, 0.5, 0.0)
@@ -49,10 +49,11 @@
 
 
 def snapshot_age(body: Mapping[str, Any], now: int, boot_id: str, ticks_since_boot: int) -> float:
-    """Return how many ticks ago a snapshot was saved.
+    """Return the age of a snapshot in ticks.
 
-    Within one boot the clock since boot tells, whatever was done to the date. Over a boot the date
-    tells, and where that went back nobody knows: the age is UNKNOWN_AGE.
+    Within one boot of the machine, the age is measured with the clock since boot, so changes of the
+    date have no effect. After a reboot, the age is the difference of dates. If the date went back,
+    the age cannot be determined and is UNKNOWN_AGE.
 
     >>> snapshot_age({"boot": "x", "since_boot": 100, "at": 5_000}, 1, "x", 700)
     600
@@ -68,7 +69,7 @@
 
 
 def newest_samples(samples: list[Sample], age: float, half_life: int) -> list[Sample]:
-    """Return the newest of the samples, fewer the older they are.
+    """Return the newest samples; the number kept halves with each half-life.
 
     >>> newest_samples([1, 2, 3, 4], 0, 10), newest_samples([1, 2, 3, 4], 10, 10)
     ([1, 2, 3, 4], [3, 4])
@@ -80,14 +81,14 @@
 
 
 def decay_towards(value: float, default: float, age: float, half_life: int) -> float:
-    """Return the value, moved towards what stands for "unknown"."""
+    """Return the value, moved towards the default that applies if nothing is known."""
     return default + (value - default) * remaining_fraction(age, half_life)
 
 
 def decay_engine(learned: LearnedEngine, age: float, saved_at: int, now: int) -> LearnedEngine:
-    """Return what is left of an engine's values.
+    """Return the decayed state of an engine.
 
-    Its ejection lasts at most what it had left when it was saved, counted from then.
+    An ejection lasts at most the time that remained when the snapshot was saved, counted from then.
     """
     ejected_for: float = 0
     if age != UNKNOWN_AGE:
@@ -102,7 +103,7 @@
 
 
 def decay_shares(shares: list[float], age: float) -> list[float]:
-    """Return the shares of queues, moved towards equal ones; their sum stays.
+    """Return the shares of queues, moved towards equal shares; the sum does not change.
 
     >>> decay_shares([0.8, 0.2], 60 * SECOND_TICKS)
     [0.65, 0.35]
@@ -114,5 +115,5 @@
 
 
 def decay_price(price: float, age: float) -> float:
-    """Return what is left of the admission price; unknown is no price at all."""
+    """Return the admission price, decayed towards 0: no price applies if nothing is known."""
     return price * remaining_fraction(age, PRICE_HALF_LIFE_TICKS)
--- a/corkgauge/recovery/learned_state.py
+++ b/corkgauge/recovery/learned_state.py
@@ -1,12 +1,21 @@
-"""The learned state of the gateway: to a snapshot's body and back.
+"""Converts the learned state of the gateway to the body of a snapshot and back.
 
-Owns which values are remembered, and whose they are by name. Free of I/O.
+Defines which values a snapshot contains, and matches these values to engines, request classes and
+queues by name. Does no I/O.
 
-Kept, and why: of each engine its slowness and limit factor (which engine is slow costs seconds to
-learn, by late answers), ejection and faults (a silent one costs a latency objective each); of each
-request class its samples (grants, corrected estimates); shares and admission price (a flood met
-with equal shares and no price is met late). Not kept: in-flight attempts, loads (stale in a
-second), the lottery's draws, the last few troubles.
+A snapshot contains:
+
+- For each engine, slowness samples and limit factor: to learn again which engine is slow takes
+  seconds and costs late answers.
+- For each engine, ejection and fault history: to detect again that an engine is silent costs one
+  latency objective for each such engine.
+- For each request class, the samples of its answers, which memory grants and corrected estimates
+  are based on.
+- Shares and admission price: with equal shares and no price, the gateway would react late to a
+  flood of requests.
+
+A snapshot does not contain in-flight attempts, engine loads (stale within a second), the state of
+the lottery or the last few failures.
 """
 
 from dataclasses import dataclass
@@ -20,21 +29,21 @@
 
 
 class EngineCopy(NamedTuple):
-    """An engine and what was learned of it."""
+    """An engine and a copy of its learned state."""
 
     engine: Engine
     learned: LearnedEngine
 
 
 class SamplesCopy(NamedTuple):
-    """A request class and the samples of its last answers."""
+    """A request class and a copy of the samples of its last answers."""
 
     request_class: RequestClass
     samples: list[Any]
 
 
 class QueueShare(NamedTuple):
-    """The share of one tenant's queue of a request class."""
+    """Share of the queue of one tenant and request class."""
 
     tenant: Any
     request_class: RequestClass
@@ -43,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedStateCopy:
-    """What the gateway has learned, as copies. Times are ticks since 1970."""
+    """Copy of the learned state of a gateway; times are in ticks since 1970."""
 
     admission_price: float
     best_slowness: float
@@ -56,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredCounts:
-    """How many of each had something left to restore."""
+    """Number of restored engines, request classes and queues with state left after decay."""
 
     engines: int
     request_classes: int
@@ -64,7 +73,7 @@
 
 
 def copy_learned_state(gateway: Any) -> LearnedStateCopy:
-    """Copy what the gateway has learned; cheap enough to be done between two events."""
+    """Copy the learned state of the gateway; fast enough for one turn of the event loop."""
     return LearnedStateCopy(
         admission_price=gateway.price.current,
         best_slowness=gateway.slowness.best,
@@ -84,7 +93,9 @@
         ],
         samples=[
             SamplesCopy(request_class, [*request_class.answer_samples])
-            for request_class in {q.request_class: 0 for q in gateway.queues.values()}
+            for request_class in {
+                each_queue.request_class: 0 for each_queue in gateway.queues.values()
+            }
         ],
         queue_shares=[
             QueueShare(tenant, request_class, queue.share)
@@ -94,7 +105,10 @@
 
 
 def encode_learned_state(state: LearnedStateCopy) -> dict[str, Any]:
-    """Return the fields of a snapshot's body; the state is a copy, so this may come later."""
+    """Return the learned state as fields of a snapshot's body.
+
+    The state is a copy, so the fields can be encoded in a later turn of the event loop.
+    """
     return {
         "price": state.admission_price,
         "best": state.best_slowness,
@@ -138,10 +152,10 @@
     now: int,
     age: float,
 ) -> RestoredCounts:
-    """Give the gateway what is left of a snapshot's body that is `age` ticks old.
+    """Restore the state in a snapshot's body into the gateway, decayed by `age` ticks.
 
-    A body that makes no sense raises KeyError, TypeError, ValueError, AttributeError or IndexError
-    before the gateway is given anything.
+    A malformed body raises KeyError, TypeError, ValueError, AttributeError or IndexError before the
+    gateway is changed.
     """
     engines = _decay_matching_engines(body, gateway.engines, now, age)
     samples = [
@@ -155,8 +169,8 @@
         LearnedState(
             price=decay.decay_price(body["price"], age),
             best_slowness=best_slowness,
-            # Both counts of the retry budget: successes of before without the retries of before
-            # would make it too wide.
+            # Restores both counts of the retry budget. Successes from before the restart without
+            # the retries from before the restart would make the budget too large.
             retry_times=_times_within(body["extras"], window_ticks, now),
             success_times=_times_within(body["honoured"], window_ticks, now),
             engines=[_learned_engine(engine, learned) for engine, learned in engines],
@@ -174,9 +188,9 @@
 def _decay_matching_engines(
     body: dict[str, Any], engines: list[Engine], now: int, age: float
 ) -> list[EngineCopy]:
-    """Return what is left of each engine that is the one remembered.
+    """Return the decayed state of each engine that still has the incarnation in the snapshot.
 
-    Under the same name another process may run by now, of which nothing is known.
+    Another process with unknown properties may run under the same name after the snapshot.
     """
     remaining = []
     for engine in engines:
@@ -209,6 +223,6 @@
     return [queue._replace(share=share) for queue, share in zip(queues, shares, strict=True)]
 
 
-def _times_within(times: list[int], span: int, now: int) -> list[int]:
-    """Return the times of the last `span` ticks."""
-    return [when for when in times if now - span < when <= now]
+def _times_within(times: list[int], window_ticks: int, now: int) -> list[int]:
+    """Return the times within the last `window_ticks` ticks."""
+    return [when for when in times if now - window_ticks < when <= now]
--- a/corkgauge/recovery/snapshot.py
+++ b/corkgauge/recovery/snapshot.py
@@ -1,8 +1,8 @@
 """Codec of a snapshot of the learned state.
 
-A file is magic (8 bytes), version (2), length (4), xxHash64 of head and body (8) and the body in
-msgpack, all little-endian. Free of I/O; whatever the bytes, the only error is
-UnusableSnapshotError.
+A file consists of the magic (8 bytes), the format version (2), the length of the body (4), the
+xxHash64 of header and body (8) and the body in msgpack; numbers are little-endian. The module does
+no I/O. Whatever the bytes, decoding raises no error except UnusableSnapshotError.
 """
 
 from struct import Struct
@@ -15,31 +15,34 @@
 
 MAGIC = b"CKGRECL\n"
 FORMAT_VERSION = 1
-FILE_HEADER = Struct("<8sHI")
+FILE_HEADER = Struct("<8sHI")  # magic, format version, length of the body
 CHECKSUM_FORMAT = Struct("<Q")
 OVERHEAD_BYTES = FILE_HEADER.size + CHECKSUM_FORMAT.size
 MAX_SNAPSHOT_BYTES = 16 * 2**20
 
 
 class UnusableSnapshotError(CorruptedFileError):
-    """A snapshot does not count; the message is a word or two that say why."""
+    """A snapshot file cannot be used; the message is a short phrase that says why."""
 
 
 def encode(body: dict[str, Any]) -> bytes:
-    """Return the bytes of a snapshot file."""
+    """Encode the content of a snapshot file."""
     data: bytes = msgpack.packb(body)
-    head = FILE_HEADER.pack(MAGIC, FORMAT_VERSION, len(data))
-    return head + CHECKSUM_FORMAT.pack(_checksum(head, data)) + data
+    header = FILE_HEADER.pack(MAGIC, FORMAT_VERSION, len(data))
+    return header + CHECKSUM_FORMAT.pack(_checksum(header, data)) + data
 
 
-def _checksum(head: bytes, body: bytes) -> int:
-    return int(xxhash.xxh64_intdigest(body, xxhash.xxh64_intdigest(head)))
+def _checksum(header: bytes, body: bytes) -> int:
+    return int(xxhash.xxh64_intdigest(body, xxhash.xxh64_intdigest(header)))
 
 
 def decode(data: bytes, gateway: str = "", settings_checksum: int = 0) -> dict[str, Any]:
-    """Return the body of a snapshot; with a gateway named, only of this one under these settings.
+    """Return the body of a snapshot.
 
-    Raises UnusableSnapshotError for a file that is torn, foreign, too large or of a newer version.
+    With a `gateway`, the snapshot has to be of this gateway under settings with this checksum.
+
+    Raises UnusableSnapshotError if the file is torn, of another format ("foreign"), too large, of a
+    newer format version, of another gateway or of other settings.
 
     >>> decode(encode({"gateway": "n1", "mark": 7, "at": 1}), "n1", 7)["at"]
     1
