--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: attempt log, snapshots, decay, a disk that fails, and what the gateway does with it."""
+"""Attempt log, snapshots, decay, the log writer with a faulty disk, and restarts of a gateway."""
 
 import json
 import os
@@ -35,36 +35,45 @@
     request_frame,
 )
 
-NONCE = "ab" * 16
+IDEMPOTENCY_KEY = "ab" * 16
 
 
-def logged_attempt(serial, label="l1", sent=0, until=100 * SECOND, key=7, zone=0):
-    return LoggedAttempt(serial, label, "load", key, "e1", zone, 0, sent, until)
+def logged_attempt(
+    serial,
+    idempotency_key="l1",
+    sent_at=0,
+    deduplicated_until=100 * SECOND,
+    order_key=7,
+    zone=0,
+):
+    return LoggedAttempt(
+        serial, idempotency_key, "load", order_key, "e1", zone, 0, sent_at, deduplicated_until
+    )
 
 
-# The log.
+# Attempt log.
 
 
-def test_a_log_is_read_as_far_as_it_is_good():
-    whole = b"".join(
+def test_reading_stops_at_the_first_damage_and_classifies_the_damage():
+    log = b"".join(
         [
             encode_sent(logged_attempt(1)),
             encode_finished(1, True),
             encode_sent(logged_attempt(2, "l2")),
         ]
     )
-    bodies = [body for body, _, _ in read_records(whole)]
+    bodies = [body for body, _, _ in read_records(log)]
     assert len(bodies) == 4 and bodies[-1] is None
-    for at in range(len(whole)):
-        said = [*read_records(whole[:at])]
-        assert said[-1][2] in ("", "a torn end") and len(said) - 1 <= 2
-    bad = bytearray(whole)
-    bad[20] ^= 1
-    assert [*read_records(bytes(bad))][-1] == (None, 0, "damage in the middle")
+    for length in range(len(log)):
+        records = [*read_records(log[:length])]
+        assert records[-1][2] in ("", "a torn end") and len(records) - 1 <= 2
+    corrupted_log = bytearray(log)
+    corrupted_log[20] ^= 1
+    assert [*read_records(bytes(corrupted_log))][-1] == (None, 0, "damage in the middle")
 
 
 @given(strategies.binary(max_size=200))
-def test_any_bytes_of_a_log_or_snapshot_do_no_harm(data):
+def test_arbitrary_bytes_in_a_log_or_snapshot_raise_no_unexpected_error(data):
     for body, _, _ in read_records(encode_sent(logged_attempt(1)) + data):
         assert body is None or isinstance(body, list)
     with pytest.raises(snapshot.UnusableSnapshotError):
@@ -74,51 +83,51 @@
 @pytest.mark.parametrize(
     "body", [[1, "x"], [1, 2, 3, 4, 5, 6, 7, 8, 9, 10], [2, [], True], [1, 1, "l", "o", 1, "e"]]
 )
-def test_records_that_make_no_sense_are_passed_over(body):
+def test_malformed_records_are_not_replayed(body):
     assert not AttemptLog().replay_record(body) or not len(AttemptLog())
 
 
-def test_effects_are_known_by_label_until_engines_forget_and_stay_bounded(monkeypatch):
-    known = AttemptLog()
-    known.add_sent_attempt(logged_attempt(1, sent=0))
-    known.add_sent_attempt(logged_attempt(2, "l2"))
-    known.record_outcome(2, may_have_run=False)  # proof that it never ran
-    known.record_outcome(1, may_have_run=True)
-    assert [each.serial for each in known.find_deduplicated_attempts("load", "l1", 5)] == [
+def test_attempts_are_found_by_key_until_engines_forget_the_key_and_are_bounded(monkeypatch):
+    attempts = AttemptLog()
+    attempts.add_sent_attempt(logged_attempt(1, sent_at=0))
+    attempts.add_sent_attempt(logged_attempt(2, "l2"))
+    attempts.record_outcome(2, may_have_run=False)  # the outcome proves that the attempt never ran
+    attempts.record_outcome(1, may_have_run=True)
+    assert [each.serial for each in attempts.find_deduplicated_attempts("load", "l1", 5)] == [
         1
-    ] and not known.find_deduplicated_attempts("load", "l2", 5)
+    ] and not attempts.find_deduplicated_attempts("load", "l2", 5)
     assert (
-        not known.find_deduplicated_attempts("load", "l1", 100 * SECOND)
-        and not known.find_in_doubt_attempts()
+        not attempts.find_deduplicated_attempts("load", "l1", 100 * SECOND)
+        and not attempts.find_in_doubt_attempts()
     )
-    known.expire_attempts(100 * SECOND)
-    assert len(known) == 0 and not known.by_idempotency_key
+    attempts.expire_attempts(100 * SECOND)
+    assert len(attempts) == 0 and not attempts.by_idempotency_key
     monkeypatch.setattr(attempt_log, "MAX_ATTEMPT_COUNT", 10)
     for serial in range(50):
-        known.add_sent_attempt(logged_attempt(serial, f"l{serial}"))
-    assert len(known) == 10 and len(known.by_idempotency_key) == 10
+        attempts.add_sent_attempt(logged_attempt(serial, f"l{serial}"))
+    assert len(attempts) == 10 and len(attempts.by_idempotency_key) == 10
 
 
 # Decay.
 
 
-def test_a_rest_is_never_longer_than_it_had_left_and_the_old_counts_for_less():
-    said = LearnedEngine([9.0] * 8, 0.25, 50_000, ["error"] * 4)
-    for age, left in (0, 10_000), (4_000, 6_000), (20_000, 0), (decay.UNKNOWN_AGE, 0):
-        aged = decay.decay_engine(said, age, 40_000, 1_000_000)
-        assert aged.ejected_until == (1_000_000 + left if left else -1)
-    sizes = [
-        len(decay.decay_engine(said, age, 40_000, 0).slowness_samples)
+def test_decay_never_prolongs_an_ejection_and_keeps_fewer_old_samples():
+    learned = LearnedEngine([9.0] * 8, 0.25, 50_000, ["error"] * 4)
+    for age, remaining_ticks in (0, 10_000), (4_000, 6_000), (20_000, 0), (decay.UNKNOWN_AGE, 0):
+        decayed = decay.decay_engine(learned, age, 40_000, 1_000_000)
+        assert decayed.ejected_until == (1_000_000 + remaining_ticks if remaining_ticks else -1)
+    sample_counts = [
+        len(decay.decay_engine(learned, age, 40_000, 0).slowness_samples)
         for age in (0, decay.SLOWNESS_HALF_LIFE_TICKS, 10 * decay.SLOWNESS_HALF_LIFE_TICKS)
     ]
-    assert sizes == [8, 4, 0]
-    assert decay.decay_engine(said, decay.UNKNOWN_AGE, 40_000, 0).limit_factor == 1.0
+    assert sample_counts == [8, 4, 0]
+    assert decay.decay_engine(learned, decay.UNKNOWN_AGE, 40_000, 0).limit_factor == 1.0
 
 
 @pytest.mark.parametrize(
-    "boot, ticks_since_boot, now, age",
+    "boot_id, ticks_since_boot, now, age",
     [
-        # the date a year ahead, or set back: the boot's clock tells
+        # The date was set ahead or back: the clock since boot determines the age.
         ("b1", 900, 10**9, 400),
         ("b1", 900, 5, 400),
         ("b1", 100, 1_700, 700),
@@ -127,186 +136,211 @@
         ("", 3, 400, decay.UNKNOWN_AGE),
     ],
 )
-def test_the_time_it_was_down(boot, ticks_since_boot, now, age):
+def test_snapshot_age_uses_the_clock_since_boot_within_one_boot(
+    boot_id, ticks_since_boot, now, age
+):
     assert (
         decay.snapshot_age(
-            {"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot, ticks_since_boot
+            {"boot": "b1", "since_boot": 500, "at": 1_000}, now, boot_id, ticks_since_boot
         )
         == age
     )
 
 
-# A disk that loses, tears and reorders what was not synced.
+# Power cuts with a disk that loses, tears and reorders unsynced writes.
 
 
-class Cut(Exception):
-    """The power goes."""
+class PowerCutError(Exception):
+    """Power cut of a faulty disk."""
 
 
-class Flaky:
-    """Everything lives in memory: what was synced, and what waits. Power goes at step `until`."""
+class FaultyDisk:
+    """In-memory disk with synced and unsynced writes; the power is cut at a given step."""
 
-    def __init__(self, until):
-        self.until, self.steps = until, 0
-        self.files = {}  # by handle: [synced bytes, bytes as written]
-        self.folder = {}  # as it is: name to handle
-        self.waiting = []  # changes of the folder that were not synced
-        self.kept = {}  # the folder as synced
+    def __init__(self, power_cut_step):
+        self.power_cut_step, self.steps = power_cut_step, 0
+        self.files = {}  # [synced bytes, written bytes] by handle
+        self.handles = {}  # current folder: handle by path
+        self.unsynced_changes = []  # of the folder
+        self.synced_handles = {}  # folder at the last sync: handle by path
 
-    def step(self):
+    def count_step(self):
         self.steps += 1
-        if self.steps > self.until:
-            raise Cut
+        if self.steps > self.power_cut_step:
+            raise PowerCutError
 
     def create(self, path):
-        self.step()
+        self.count_step()
         handle = len(self.files)
         self.files[handle] = [b"", b""]
-        self._change(("put", path, handle))
+        self._change_folder(("put", path, handle))
         return handle
 
-    def _change(self, change):
-        self.waiting.append(change)
-        apply(self.folder, change)
+    def _change_folder(self, change):
+        self.unsynced_changes.append(change)
+        apply_folder_change(self.handles, change)
 
     def write(self, handle, data):
         half = len(data) // 2
         for piece in data[:half], data[half:]:
-            self.step()
+            self.count_step()
             self.files[handle][1] += piece
 
     def sync(self, handle):
-        self.step()
+        self.count_step()
         self.files[handle][0] = self.files[handle][1]
 
     def close(self, handle):
         pass
 
     def rename(self, old, new):
-        self.step()
-        self._change(("rename", old, new))
+        self.count_step()
+        self._change_folder(("rename", old, new))
 
     def remove(self, path):
-        self.step()
-        self._change(("remove", path, None))
+        self.count_step()
+        self._change_folder(("remove", path, None))
 
     def list_names(self, folder):
-        return [os.path.basename(path) for path in self.folder]
+        return [os.path.basename(path) for path in self.handles]
 
     def sync_folder(self, folder):
-        self.step()
-        self.kept, self.waiting = dict(self.folder), []
-
-    def after(self, chance):
-        """What a start finds: some of what waited came through, and of files whole sectors."""
-        folder = dict(self.kept)
-        for change in self.waiting:
-            if chance.random() < 0.5:
-                apply(folder, change)
-        found = {}
-        for path, handle in folder.items():
+        self.count_step()
+        self.synced_handles, self.unsynced_changes = dict(self.handles), []
+
+    def files_after_power_cut(self, random):
+        """Return the files after a power cut.
+
+        Some unsynced folder changes and whole sectors of unsynced file data survive.
+        """
+        handles = dict(self.synced_handles)
+        for change in self.unsynced_changes:
+            if random.random() < 0.5:
+                apply_folder_change(handles, change)
+        contents = {}
+        for path, handle in handles.items():
             synced, written = self.files[handle]
-            tail = bytearray(written[len(synced) :])
-            for at in range(0, len(tail), 512):
-                if chance.random() < 0.3:
-                    tail[at : at + 512] = bytes(len(tail[at : at + 512]))
-            found[path] = synced + bytes(
-                tail[: chance.choice((len(tail), len(tail) // 512 * 512, 0))]
+            unsynced_data = bytearray(written[len(synced) :])
+            for offset in range(0, len(unsynced_data), 512):
+                if random.random() < 0.3:
+                    unsynced_data[offset : offset + 512] = bytes(
+                        len(unsynced_data[offset : offset + 512])
+                    )
+            contents[path] = synced + bytes(
+                unsynced_data[
+                    : random.choice((len(unsynced_data), len(unsynced_data) // 512 * 512, 0))
+                ]
             )
-        return found
+        return contents
 
 
-def apply(folder, change):
-    what, path, other = change
-    if what == "put":
-        folder[path] = other
-    elif path in folder:
-        handle = folder.pop(path)
-        if what == "rename":
-            folder[other] = handle
+def apply_folder_change(handles, change):
+    operation, path, target = change
+    if operation == "put":
+        handles[path] = target
+    elif path in handles:
+        handle = handles.pop(path)
+        if operation == "rename":
+            handles[target] = handle
 
 
-def body_of(n):
-    return {"gateway": "n", "mark": 1, "at": n, "fill": "x" * 1500}
+def snapshot_body(saved_at):
+    return {"gateway": "n", "mark": 1, "at": saved_at, "fill": "x" * 1500}
 
 
-def test_power_cut_at_any_step_leaves_an_earlier_state_or_a_cold_start():
-    chance, points, outcomes = Random(7), 0, set()
-    for until in range(1, 400):
-        disk = Flaky(until)
-        done = logged = 0
+def test_power_cut_at_any_step_loses_no_synced_snapshot_or_record():
+    random, power_cut_count, outcomes = Random(7), 0, set()
+    for power_cut_step in range(1, 400):
+        disk = FaultyDisk(power_cut_step)
+        last_snapshot = last_serial = 0
         files = None
         try:
             files = RecoveryFiles("/d", "n", True, 3, disk)
-            for n in range(1, 9):
-                files.write_snapshot(snapshot.encode(body_of(n)))
-                done = n
-                for k in range(4):
-                    files.append_records(encode_sent(logged_attempt(10 * n + k)))
-                    logged = 10 * n + k
-        except Cut:
-            points += 1
+            for snapshot_number in range(1, 9):
+                files.write_snapshot(snapshot.encode(snapshot_body(snapshot_number)))
+                last_snapshot = snapshot_number
+                for record_number in range(4):
+                    files.append_records(
+                        encode_sent(logged_attempt(10 * snapshot_number + record_number))
+                    )
+                    last_serial = 10 * snapshot_number + record_number
+        except PowerCutError:
+            power_cut_count += 1
         for _ in range(12):
-            found, read = disk.after(chance), 0
-            for end in "recall", "recall.1", "recall.2":
+            contents, restored_snapshot = disk.files_after_power_cut(random), 0
+            for suffix in "recall", "recall.1", "recall.2":
                 try:
-                    read = snapshot.decode(found.get(f"/d/n.{end}", b""), "n", 1)["at"]
+                    restored_snapshot = snapshot.decode(
+                        contents.get(f"/d/n.{suffix}", b""), "n", 1
+                    )["at"]
                     break
                 except snapshot.UnusableSnapshotError:
                     continue
-            assert done <= read <= done + 1 or not done, (until, done, read)  # synced is never lost
-            known = AttemptLog()
-            for _, path in list_segments("/d", "n", [os.path.basename(path) for path in found]):
-                for body, _, _ in read_records(found[path]):
-                    assert body is None or known.replay_record(body)
-            assert max(known.by_serial, default=0) >= logged or not logged
-            outcomes.add((until, read, max(known.by_serial, default=0)))
-        if files is not None and disk.steps < until:
+            # A synced snapshot is never lost.
+            assert last_snapshot <= restored_snapshot <= last_snapshot + 1 or not last_snapshot, (
+                power_cut_step,
+                last_snapshot,
+                restored_snapshot,
+            )
+            attempts = AttemptLog()
+            for _, path in list_segments("/d", "n", [os.path.basename(path) for path in contents]):
+                for body, _, _ in read_records(contents[path]):
+                    assert body is None or attempts.replay_record(body)
+            assert max(attempts.by_serial, default=0) >= last_serial or not last_serial
+            outcomes.add((power_cut_step, restored_snapshot, max(attempts.by_serial, default=0)))
+        if files is not None and disk.steps < power_cut_step:
             break
-    assert points > 90 and len(outcomes) > points
+    assert power_cut_count > 90 and len(outcomes) > power_cut_count
 
 
-# The module's two calls.
+# Learned state and order keys in the gateway.
 
 
-def test_what_was_learned_comes_back_only_for_the_same_engine():
+def test_learned_state_is_restored_only_for_the_same_incarnation_of_an_engine():
     harness = GatewayHarness(can_hedge=True)
-    slow, gone, other = harness.engines
+    slow, _replaced, _other = harness.engines
     for _ in range(4):
         harness.take()
-    for attempt in [h for e in harness.engines for h in [*e.stats.in_flight]]:
+    for attempt in [
+        in_flight_attempt
+        for engine in harness.engines
+        for in_flight_attempt in [*engine.stats.in_flight]
+    ]:
         harness.over(attempt, took=30_000)
     harness.gateway.outliers.record_fault(slow, "silent")
     harness.gateway.price.current = 1e-6
     for each in harness.engines:
         each.name = each.host_reference
-    said = {
+    body = {
         "at": harness.now,
         **learned_state.encode_learned_state(learned_state.copy_learned_state(harness.gateway)),
     }
-    later = GatewayHarness(can_hedge=True)
-    for each in later.engines:
+    restarted = GatewayHarness(can_hedge=True)
+    for each in restarted.engines:
         each.name = each.host_reference
-    later.engines[1].incarnation = 5  # another process under the same id
-    request_classes = {each.name: each for each in later.request_classes}
-    counts = learned_state.restore_learned_state(said, later.gateway, request_classes, later.now, 0)
-    assert later.engines[0].stats.ejected_until == later.now + SECOND
+    restarted.engines[1].incarnation = 5  # another process with the same name
+    request_classes = {each.name: each for each in restarted.request_classes}
+    counts = learned_state.restore_learned_state(
+        body, restarted.gateway, request_classes, restarted.now, 0
+    )
+    assert restarted.engines[0].stats.ejected_until == restarted.now + SECOND
     assert (
-        not later.engines[1].stats.slowness_samples
+        not restarted.engines[1].stats.slowness_samples
         and counts.request_classes == 1
-        and later.gateway.price.current == 1e-6
+        and restarted.gateway.price.current == 1e-6
     )
-    assert not later.gateway.outliers.is_healthy(
-        later.engines[0]
-    ) and later.gateway.outliers.is_healthy(later.engines[1])
-    assert len(later.gateway.queues) == 1
-    request = later.take()
-    assert request.attempts[0].engine is not later.engines[0]
-    later.pass_time(2 * SECOND)
-    assert len(later.engines[0].stats.in_flight) == 1  # its rest is over: one hand-off tells
-
-
-def test_a_label_that_may_have_run_keeps_its_hall_and_a_key_rests():
+    assert not restarted.gateway.outliers.is_healthy(
+        restarted.engines[0]
+    ) and restarted.gateway.outliers.is_healthy(restarted.engines[1])
+    assert len(restarted.gateway.queues) == 1
+    request = restarted.take()
+    assert request.attempts[0].engine is not restarted.engines[0]
+    restarted.pass_time(2 * SECOND)
+    # The ejection is over: one attempt probes the engine.
+    assert len(restarted.engines[0].stats.in_flight) == 1
+
+
+def test_request_with_a_held_order_key_waits_until_the_hold_expires():
     request_class = dict(
         name="load",
         latency_objective=SECOND,
@@ -320,73 +354,88 @@
     )
     harness = GatewayHarness(request_classes=(request_class,), settle_ticks=3000)
     harness.gateway.hold_order_key(9, harness.now + 3000)
-    first = harness.take(order_key=9, time_to_deadline=3 * SECOND)
-    assert not first.attempts
+    request = harness.take(order_key=9, time_to_deadline=3 * SECOND)
+    assert not request.attempts
     harness.pass_time(3100)
-    assert first.attempts and not harness.gateway.order.held_until
+    assert request.attempts and not harness.gateway.order.held_until
 
 
-# The whole, on sockets.
+# Recovery service on sockets.
 
 
-def start_service(folder, harness, each=SECOND, **said):
+def start_service(folder, harness, snapshot_interval_ticks=SECOND, **options):
     return RecoveryService(
         harness.socket_host,
         "n",
         1,
-        RecoveryConfig(str(folder), each, said.get("durability", "process"), 3),
+        RecoveryConfig(
+            str(folder), snapshot_interval_ticks, options.get("durability", "process"), 3
+        ),
     )
 
 
-def settled(harness, done, patience=5.0):
-    until = time.time() + patience
-    while not done() and time.time() < until:
+def run_until(harness, is_done, timeout_seconds=5.0):
+    deadline = time.time() + timeout_seconds
+    while not is_done() and time.time() < deadline:
         harness.time += 10
         harness.turn(2)
         time.sleep(0.005)
-    assert done()
+    assert is_done()
 
 
-LABELLED_BY_HALL = [
+ZONE_SCOPED_REQUEST_CLASSES = [
     {**each, "group": "zone"} if each["name"] == "load" else each
     for each in STATED_ON_SOCKETS["profiles"]
 ]
-TWO_HALLS = [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2", "zone": "west"})]
+TWO_ZONES_ENDPOINT_LIST = [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2", "zone": "west"})]
 
 
-def test_a_retry_after_a_restart_goes_only_where_its_mark_is_known(tmp_path):
-    for turn in range(4):  # the hashed order alone would send some of them elsewhere
+def test_retry_after_a_restart_goes_only_to_the_zone_that_knows_its_key(tmp_path):
+    # Without the restriction, the hash order would send some of the retries to the other zone.
+    for turn in range(4):
         folder = tmp_path / str(turn)
-        before = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
-        service = start_service(folder, before)
-        client = before.client()
-        sockets = {tag: before.engine(tag) for tag in ("e1", "e2")}
+        first_run = HostHarness(
+            events=TWO_ZONES_ENDPOINT_LIST, profiles=ZONE_SCOPED_REQUEST_CLASSES
+        )
+        service = start_service(folder, first_run)
+        client = first_run.client()
+        sockets = {tag: first_run.engine(tag) for tag in ("e1", "e2")}
         body = b"select * from s_%d.t" % turn
-        before.ask(client, request_frame(1, route="load", nonce=NONCE, entity="5", body=body))
-        first = next(tag for tag, sock in sockets.items() if before.heard(sock))
-        settled(before, lambda: any(path.stat().st_size for path in folder.glob("n.effects.*")))
+        first_run.ask(
+            client, request_frame(1, route="load", nonce=IDEMPOTENCY_KEY, entity="5", body=body)
+        )
+        first_engine = next(
+            tag for tag, engine_socket in sockets.items() if first_run.heard(engine_socket)
+        )
+        run_until(
+            first_run, lambda: any(segment.stat().st_size for segment in folder.glob("n.effects.*"))
+        )
         service.writer.process.stdin.close()
         service.writer.process.wait(5)
-        os.close(service.lock_descriptor)  # as a kill does
-        after = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
-        again = start_service(folder, after)
-        assert any("effects=1 unsettled=1" in line for line in after.logged)
-        other = {"e1": "e2", "e2": "e1"}[first]
-        sockets = {tag: after.engine(tag) for tag in (other, first)}
-        after.socket_host.engine_pools[
-            first
-        ].engine.threads_in_flight = 99  # whatever the load: only there is its mark known
-        after.ask(
-            after.client(), request_frame(1, route="load", nonce=NONCE, entity="6", body=body)
+        os.close(service.lock_descriptor)  # a kill also releases the lock
+        second_run = HostHarness(
+            events=TWO_ZONES_ENDPOINT_LIST, profiles=ZONE_SCOPED_REQUEST_CLASSES
+        )
+        second_service = start_service(folder, second_run)
+        assert any("effects=1 unsettled=1" in line for line in second_run.logged)
+        other = {"e1": "e2", "e2": "e1"}[first_engine]
+        sockets = {tag: second_run.engine(tag) for tag in (other, first_engine)}
+        # The retry has to go to the loaded engine, because only this engine knows the key.
+        second_run.socket_host.engine_pools[first_engine].engine.threads_in_flight = 99
+        second_run.ask(
+            second_run.client(),
+            request_frame(1, route="load", nonce=IDEMPOTENCY_KEY, entity="6", body=body),
         )
-        assert b"fetch" not in after.heard(sockets[other])
-        request = next(iter(after.socket_host.open_requests.values()), None)
-        assert request is None or [each.engine.name for each in request.earlier_attempts] == [first]
-        again.end()
+        assert b"fetch" not in second_run.heard(sockets[other])
+        request = next(iter(second_run.socket_host.open_requests.values()), None)
+        assert request is None or [each.engine.name for each in request.earlier_attempts] == [
+            first_engine
+        ]
+        second_service.end()
 
 
 @pytest.mark.parametrize(
-    "content, said",
+    "content, reason",
     [
         (b"", "foreign"),
         (b"CKGRECL\n" + b"\xff\xff" + bytes(40), "newer than 1"),
@@ -396,185 +445,190 @@
         (snapshot.encode({"gateway": "n", "mark": 1, "at": 1, "engines": 3}), "malformed body"),
     ],
 )
-def test_a_snapshot_that_is_no_use_means_a_cold_start_and_one_line(tmp_path, content, said):
+def test_unusable_snapshot_is_logged_once_and_the_gateway_starts_without_state(
+    tmp_path, content, reason
+):
     (tmp_path / "n.recall").write_bytes(content)
     harness = HostHarness()
     service = start_service(tmp_path, harness)
-    assert sum("passed over" in line for line in harness.logged) == 1 and said in harness.logged[0]
+    assert (
+        sum("passed over" in line for line in harness.logged) == 1 and reason in harness.logged[0]
+    )
     service.end()
     assert snapshot.decode((tmp_path / "n.recall").read_bytes(), "n", 1)
 
 
-def test_files_far_larger_than_they_should_be_are_not_read(tmp_path):
+def test_oversized_files_are_not_read(tmp_path):
     for name in "n.recall", "n.effects.00000001":
         with open(tmp_path / name, "wb") as file:
             file.truncate(2 * 2**30)
-    begun, harness = time.time(), HostHarness()
+    started_at, harness = time.time(), HostHarness()
     service = start_service(tmp_path, harness)
-    assert time.time() - begun < 2
+    assert time.time() - started_at < 2
     assert "more than are read" in harness.logged[0] and "too large" in harness.logged[1]
     service.end()
 
 
-def test_two_programs_in_one_folder_and_a_folder_that_cannot_be(tmp_path):
-    one, two = HostHarness(), HostHarness()
-    service, none = start_service(tmp_path, one), start_service(tmp_path, two)
+def test_recovery_is_off_if_the_folder_is_in_use_or_cannot_be_created(tmp_path):
+    first_harness, second_harness = HostHarness(), HostHarness()
+    service, second_service = (
+        start_service(tmp_path, first_harness),
+        start_service(tmp_path, second_harness),
+    )
     assert (
-        "in use by another" in two.logged[0]
-        and two.socket_host.recovery is None
-        and none.writer is None
+        "in use by another" in second_harness.logged[0]
+        and second_harness.socket_host.recovery is None
+        and second_service.writer is None
     )
     (tmp_path / "file").write_text("")
-    start_service(tmp_path / "file" / "x", two)
-    assert "Not a directory" in two.logged[1]
+    start_service(tmp_path / "file" / "x", second_harness)
+    assert "Not a directory" in second_harness.logged[1]
     service.end()
 
 
-def test_a_helper_that_stands_still_or_dies_costs_nothing_but_entries(tmp_path):
+def test_stopped_or_killed_log_writer_loses_frames_but_does_not_block_the_gateway(tmp_path):
     harness = HostHarness()
-    service = start_service(tmp_path, harness, each=10**9)
+    service = start_service(tmp_path, harness, snapshot_interval_ticks=10**9)
     os.kill(service.writer.process.pid, signal.SIGSTOP)
-    begun = time.time()
-    for serial in range(3000):
+    started_at = time.time()
+    for _ in range(3000):
         service.writer.send_frame(log_writer.RECORDS_FRAME, bytes(1000))
     assert (
-        time.time() - begun < 2
+        time.time() - started_at < 2
         and service.writer.frames_lost > 0
         and len(service.writer.unwritten) < 5000
     )
     assert sum("does not keep up" in line for line in harness.logged) == 1
     os.kill(service.writer.process.pid, signal.SIGCONT)
-    settled(harness, lambda: service.writer.flush_frame())
+    run_until(harness, lambda: service.writer.flush_frame())
     service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(1)))
     assert (
         any("written again" in line for line in harness.logged) and service.writer.frames_lost == 0
     )
     os.kill(service.writer.process.pid, signal.SIGKILL)
-    settled(harness, lambda: any("the log writer ended" in line for line in harness.logged))
+    run_until(harness, lambda: any("the log writer ended" in line for line in harness.logged))
     harness.pass_time(6 * SECOND, 500)
-    settled(harness, lambda: service.writer.process is not None)
+    run_until(harness, lambda: service.writer.process is not None)
     service.end()
 
 
-def test_a_folder_that_goes_in_mid_run_is_told_and_the_helper_goes_on(tmp_path):
+def test_removed_folder_is_logged_and_the_log_writer_continues_once_it_exists_again(tmp_path):
     harness = HostHarness()
-    service = start_service(tmp_path, harness, each=10**9)
+    service = start_service(tmp_path, harness, snapshot_interval_ticks=10**9)
     for path in tmp_path.iterdir():
         path.unlink()
     tmp_path.rmdir()
     service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(1)))
-    settled(harness, lambda: any("not written: No such file" in line for line in harness.logged))
+    run_until(harness, lambda: any("not written: No such file" in line for line in harness.logged))
     tmp_path.mkdir()
     service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(2)))
-    settled(harness, lambda: any(path.stat().st_size for path in tmp_path.glob("n.effects.*")))
+    run_until(harness, lambda: any(path.stat().st_size for path in tmp_path.glob("n.effects.*")))
     service.end()
 
 
-def test_the_helper_ends_with_its_parent_and_takes_no_part_of_a_frame(tmp_path):
+def test_log_writer_exits_with_its_parent_and_discards_an_incomplete_frame(tmp_path):
     import subprocess
     import sys
 
-    helper = subprocess.Popen(
+    log_writer_process = subprocess.Popen(
         [sys.executable, log_writer.__file__, str(tmp_path), "n", "machine", "2"],
         stdin=subprocess.PIPE,
     )
-    whole = encode_sent(logged_attempt(1))
-    helper.stdin.write(
-        FRAME_HEADER.pack(log_writer.RECORDS_FRAME, len(whole))
-        + whole
+    record = encode_sent(logged_attempt(1))
+    log_writer_process.stdin.write(
+        FRAME_HEADER.pack(log_writer.RECORDS_FRAME, len(record))
+        + record
         + FRAME_HEADER.pack(log_writer.RECORDS_FRAME, 500)
         + b"x" * 99
     )
-    helper.stdin.close()
-    assert helper.wait(5) == 0
-    assert (tmp_path / "n.effects.00000001").read_bytes() == whole
+    log_writer_process.stdin.close()
+    assert log_writer_process.wait(5) == 0
+    assert (tmp_path / "n.effects.00000001").read_bytes() == record
 
 
-RECALL = '<operator version="1"><recall folder="{folder}/recall" each="0.1"/></operator>'
+OPERATOR_FILE = '<operator version="1"><recall folder="{folder}/recall" each="0.1"/></operator>'
 
 
-def test_the_real_program_killed_again_and_again_finds_what_it_left():
+def test_gateway_process_killed_repeatedly_restores_its_state_at_each_start():
     script = "at 0.1 for 20: all slow 10\n" + "".join(
         f"at {1 + 0.6 * n}: program kill\n" for n in range(8)
     )
-    play = Day(
+    day = Day(
         6,
         read_script(script, ["e1", "e2"]),
         engines=2,
         rate=120,
         scrapes=0,
-        operator=RECALL,
+        operator=OPERATOR_FILE,
         group="zone",
         retries=True,
     )
     try:
-        play.run(6.5, drain=2)
-        log = play.program.log()
+        day.run(6.5, drain=2)
+        log = day.program.log()
     finally:
-        play.close()
-    assert len(play.program.kills) == 8 and not [
+        day.close()
+    assert len(day.program.kills) == 8 and not [
         line for line in log if "passed over" in line or "exceptions" in line
     ]
     assert sum("recall: engines=" in line for line in log) >= 7
-    assert play.broken(2500) == []
+    assert day.broken(2500) == []
 
 
-def test_outcomes_that_prove_nothing_ran_free_the_label():
-    known = AttemptLog()
+def test_outcome_that_proves_an_attempt_never_ran_frees_its_key():
+    attempts = AttemptLog()
     for serial, outcome in enumerate(
         (AttemptOutcome.CONNECTION_RESET, AttemptOutcome.UNREACHABLE), 1
     ):
-        known.add_sent_attempt(logged_attempt(serial, f"l{serial}"))
-        known.record_outcome(serial, outcome == AttemptOutcome.CONNECTION_RESET)
-    assert [*known.by_idempotency_key] == [("load", "l1")]
+        attempts.add_sent_attempt(logged_attempt(serial, f"l{serial}"))
+        attempts.record_outcome(serial, outcome == AttemptOutcome.CONNECTION_RESET)
+    assert [*attempts.by_idempotency_key] == [("load", "l1")]
 
 
-def test_the_commands_show_check_and_prune(tmp_path):
-    harness, run = HostHarness(), CliRunner().invoke
+def test_commands_show_check_and_prune_recovery_files(tmp_path):
+    harness, invoke = HostHarness(), CliRunner().invoke
     service = start_service(tmp_path, harness)
-    assert run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
+    assert invoke(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
     service.writer.send_frame(log_writer.RECORDS_FRAME, encode_sent(logged_attempt(1)))
     service.end()
-    assert (
-        run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
-    )  # it still runs
-    said = json.loads(run(group, ["recovery", "show", str(tmp_path), "--json"]).output)
-    assert said[0]["effects"] == 1 and said[0]["body"]["engines"]["e1"]["bound"] == 1.0
-    assert run(group, ["recovery", "show", str(tmp_path)]).exit_code == 0
-    assert run(group, ["recovery", "check", str(tmp_path)]).exit_code == 0
+    # The gateway still holds the lock.
+    assert invoke(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 2
+    gateways = json.loads(invoke(group, ["recovery", "show", str(tmp_path), "--json"]).output)
+    assert gateways[0]["effects"] == 1 and gateways[0]["body"]["engines"]["e1"]["bound"] == 1.0
+    assert invoke(group, ["recovery", "show", str(tmp_path)]).exit_code == 0
+    assert invoke(group, ["recovery", "check", str(tmp_path)]).exit_code == 0
     (tmp_path / "n.recall").write_bytes(b"x")
     assert (
-        "foreign" in (bad := run(group, ["recovery", "check", str(tmp_path)])).output
-        and bad.exit_code == 1
+        "foreign" in (result := invoke(group, ["recovery", "check", str(tmp_path)])).output
+        and result.exit_code == 1
     )
     os.close(service.lock_descriptor)
-    assert run(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 0
+    assert invoke(group, ["recovery", "prune", str(tmp_path), "--gateway", "n"]).exit_code == 0
     assert {path.name for path in tmp_path.iterdir()} == {"n.lock"}
 
 
-def test_segments_go_when_all_in_them_is_over_and_not_before(tmp_path, monkeypatch):
+def test_segments_are_removed_only_once_all_their_attempts_are_settled(tmp_path, monkeypatch):
     monkeypatch.setattr(log_writer, "MAX_SEGMENT_BYTES", 500)
     files = RecoveryFiles(str(tmp_path), "n", False, 1)
 
-    def there():
+    def remaining_segments():
         return [path.name[-8:] for path in sorted(tmp_path.glob("n.effects.*"))]
 
-    for serial in range(
-        1, 401
-    ):  # far more than sixteen segments of one mark that is remembered long
+    # The records fill far more than 16 segments, and the oldest key is remembered throughout.
+    for serial in range(1, 401):
         files.append_records(encode_sent(logged_attempt(serial)))
         if serial % 10 == 0:
             files.remove_settled_segments(1, serial)
-    many = len(there())
-    assert 16 < many <= log_writer.MAX_SEGMENT_COUNT
-    found = AttemptLog()
+    segment_count = len(remaining_segments())
+    assert 16 < segment_count <= log_writer.MAX_SEGMENT_COUNT
+    replayed = AttemptLog()
     for _, path in list_segments(str(tmp_path), "n", os.listdir(tmp_path)):
         with open(path, "rb") as file:
             for body, _, _ in read_records(file.read()):
-                assert body is None or found.replay_record(body)
-    assert found.find_oldest_serial(0) == 1 and len(found) == 400
-    files.remove_settled_segments(200, 400)  # all below is over
-    left = len(there())
-    assert many // 3 < left < many
+                assert body is None or replayed.replay_record(body)
+    assert replayed.find_oldest_serial(0) == 1 and len(replayed) == 400
+    files.remove_settled_segments(200, 400)  # all attempts with a lower serial are settled
+    segments_left = len(remaining_segments())
+    assert segment_count // 3 < segments_left < segment_count
     files.remove_settled_segments(401, 400)
-    assert len(there()) == 1  # the one that is written to
+    assert len(remaining_segments()) == 1  # the open segment
