--- a/corkgauge/recovery/writer_process.py
+++ b/corkgauge/recovery/writer_process.py
@@ -146,7 +146,10 @@
         return True
 
     def end(self) -> None:
-        """Close the pipe, which ends the writer, and wait a limited time for the last writes."""
+        """Write the rest of the last frame, close the pipe and wait for the end of the writer.
+
+        The wait for the end is limited to STOP_TIMEOUT_SECONDS; writing the rest is not limited.
+        """
         if self.process is None:
             return
         os.set_blocking(self.pipe, True)
