--- a/corkgauge/recovery/snapshot.py
+++ b/corkgauge/recovery/snapshot.py
@@ -1,8 +1,8 @@
 """Codec of a snapshot of the learned state.
 
-A file is magic (8 bytes), version (2), length (4), xxHash64 of head and body (8) and the body in
-msgpack, all little-endian. Free of I/O; whatever the bytes, the only error is
-UnusableSnapshotError.
+A file consists of the magic (8 bytes), the format version (2), the length of the body (4), the
+xxHash64 of header and body (8) and the body in msgpack; numbers are little-endian. The module does
+no I/O. Whatever the bytes, decoding raises no error except UnusableSnapshotError.
 """
 
 from struct import Struct
@@ -14,32 +14,35 @@
 from corkgauge.errors import CorruptedFileError
 
 MAGIC = b"CKGRECL\n"
-VERSION = 1
-HEAD = Struct("<8sHI")
-CHECKSUM = Struct("<Q")
-OVERHEAD_BYTES = HEAD.size + CHECKSUM.size
+FORMAT_VERSION = 1
+FILE_HEADER = Struct("<8sHI")  # magic, format version, length of the body
+CHECKSUM_FORMAT = Struct("<Q")
+OVERHEAD_BYTES = FILE_HEADER.size + CHECKSUM_FORMAT.size
 MAX_SNAPSHOT_BYTES = 16 * 2**20
 
 
 class UnusableSnapshotError(CorruptedFileError):
-    """A snapshot does not count; the message is a word or two that say why."""
+    """A snapshot file cannot be used; the message is a short phrase that says why."""
 
 
 def encode(body: dict[str, Any]) -> bytes:
-    """Return the bytes of a snapshot file."""
+    """Encode the content of a snapshot file."""
     data: bytes = msgpack.packb(body)
-    head = HEAD.pack(MAGIC, VERSION, len(data))
-    return head + CHECKSUM.pack(_checksum(head, data)) + data
+    header = FILE_HEADER.pack(MAGIC, FORMAT_VERSION, len(data))
+    return header + CHECKSUM_FORMAT.pack(_checksum(header, data)) + data
 
 
-def _checksum(head: bytes, body: bytes) -> int:
-    return int(xxhash.xxh64_intdigest(body, xxhash.xxh64_intdigest(head)))
+def _checksum(header: bytes, body: bytes) -> int:
+    return int(xxhash.xxh64_intdigest(body, xxhash.xxh64_intdigest(header)))
 
 
 def decode(data: bytes, gateway: str = "", settings_checksum: int = 0) -> dict[str, Any]:
-    """Return the body of a snapshot; with a gateway named, only of this one under these settings.
+    """Return the body of a snapshot.
 
-    Raises UnusableSnapshotError for a file that is torn, foreign, too large or of a newer version.
+    With a `gateway`, the snapshot has to be of this gateway under settings with this checksum.
+
+    Raises UnusableSnapshotError if the file is torn, of another format ("foreign"), too large, of a
+    newer format version, of another gateway or of other settings.
 
     >>> decode(encode({"gateway": "n1", "mark": 7, "at": 1}), "n1", 7)["at"]
     1
@@ -47,7 +50,7 @@
     Traceback (most recent call last):
     corkgauge.recovery.snapshot.UnusableSnapshotError: of another gateway
     """
-    body = _decode_body(_checked_body(data))
+    body = _decode_body(_verify_body(data))
     if gateway and body.get("gateway") != gateway:
         raise UnusableSnapshotError("of another gateway")
     if gateway and body.get("mark") != settings_checksum:
@@ -55,17 +58,17 @@
     return body
 
 
-def _checked_body(data: bytes) -> bytes:
+def _verify_body(data: bytes) -> bytes:
     if len(data) > MAX_SNAPSHOT_BYTES:
         raise UnusableSnapshotError("too large")
     if len(data) < OVERHEAD_BYTES or not data.startswith(MAGIC):
         raise UnusableSnapshotError("foreign")
-    _, version, length = HEAD.unpack_from(data)
-    if version > VERSION:
-        raise UnusableSnapshotError(f"of version {version}, newer than {VERSION}")
+    _, version, length = FILE_HEADER.unpack_from(data)
+    if version > FORMAT_VERSION:
+        raise UnusableSnapshotError(f"of version {version}, newer than {FORMAT_VERSION}")
     body = data[OVERHEAD_BYTES:]
-    (checksum,) = CHECKSUM.unpack_from(data, HEAD.size)
-    if len(body) != length or checksum != _checksum(data[: HEAD.size], body):
+    (checksum,) = CHECKSUM_FORMAT.unpack_from(data, FILE_HEADER.size)
+    if len(body) != length or checksum != _checksum(data[: FILE_HEADER.size], body):
         raise UnusableSnapshotError("torn")
     return body
 
