--- a/corkgauge/leases/durable_record.py
+++ b/corkgauge/leases/durable_record.py
@@ -198,9 +198,9 @@
             while len(remainder) >= record_writer.FRAME_NUMBER.size:
                 (number,) = record_writer.FRAME_NUMBER.unpack_from(remainder)
                 remainder = remainder[record_writer.FRAME_NUMBER.size :]
-                self._on_record_safe(number)
+                self._on_record_confirmed(number)
 
-    def _on_record_safe(self, number: int) -> None:
+    def _on_record_confirmed(self, number: int) -> None:
         # The helper never confirms a failed record. A later durable record includes its content,
         # but waiters of the failed record are dropped: their requests are repeated.
         for older in [each for each in self.waiting if each < number]:
--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -51,7 +51,7 @@
             return
         self.accounts.begin_round()
         self.round_number += 1
-        for member in self.service.member_list.alive():
+        for member in self.service.member_list.list_present_members():
             if not self._may_act(fencing_token):  # check before each act, not once per round
                 return
             self._send(member.name, AskAccount(self.lease, fencing_token, self.round_number))
@@ -65,16 +65,16 @@
         service = self.service
         if not self._may_act(fencing_token):
             return
-        alive = [member.name for member in service.member_list.alive()]
+        names = [member.name for member in service.member_list.list_present_members()]
         now_ms = service.event_loop.now // 10
-        entry = self.accounts.build_entry(fencing_token, self.round_number, now_ms, alive)
+        entry = self.accounts.build_entry(fencing_token, self.round_number, now_ms, names)
         self.history.append(entry)
         if entry["wrong"]:
             # Log the discrepancies: accounts that balance at each instance may still not balance
             # across the fleet.
             line = f"fleet out of balance: {'; '.join(entry['wrong'])}"
             service.log(line[:MAX_LOG_LINE_CHARS])
-        for name in alive:
+        for name in names:
             if not self._may_act(fencing_token):
                 return
             self._send(name, EntryNotice(self.lease, fencing_token, entry))
--- a/corkgauge/leases/messages.py
+++ b/corkgauge/leases/messages.py
@@ -25,7 +25,7 @@
 REQUEST_FIELDS = 6
 REPLY_FIELDS = 9
 NOTICE_FIELDS = 5
-ADDRESS_FIELDS = 4
+ROUTING_FIELDS = 4
 
 
 class ProtocolError(ValueError):
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Address:
+class Routing:
     """The first fields of every body: kind, lease, and the sender's voter configuration."""
 
     kind: Any
@@ -210,13 +210,13 @@
 }
 
 
-def decode_address(body: Any) -> Address:
+def decode_routing(body: Any) -> Routing:
     """Decode the recipient and the sender's voter configuration from a body.
 
-    >>> decode_address([7, "books", 1, 99, 0]).is_for_candidate
+    >>> decode_routing([7, "books", 1, 99, 0]).is_for_candidate
     True
     """
-    return Address(*_decode_fields(body, ADDRESS_FIELDS))
+    return Routing(*_decode_fields(body, ROUTING_FIELDS))
 
 
 def decode_request_envelope(body: Any) -> Envelope:
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -274,16 +274,16 @@
 
     def on_lease_datagram(self, sender: str, body: Any) -> None:
         """Pass a datagram to the voter, or to the candidate for the datagram's lease."""
-        address = messages.decode_address(body)
-        self.reported_configurations[sender] = address.version, address.fingerprint
-        if not address.is_for_candidate:
+        routing = messages.decode_routing(body)
+        self.reported_configurations[sender] = routing.version, routing.fingerprint
+        if not routing.is_for_candidate:
             codec = self.member_list.codec
             incarnation = codec.incarnation
             if sender != self.name:
                 incarnation = codec.peers[sender].incarnation
             self.voter.on_datagram(sender, incarnation, body)
             return
-        candidate = self.candidates.get(address.lease)
+        candidate = self.candidates.get(routing.lease)
         if candidate is not None:
             candidate.on_datagram(sender, body)
 
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -214,9 +214,7 @@
         vote.holder = candidate
         self._grant(candidate, vote, request, is_renewal)
 
-    def _grant(
-        self, candidate: Holder, vote: Vote, request: GrantRequest, is_persisted: bool
-    ) -> None:
+    def _grant(self, candidate: Holder, vote: Vote, request: GrantRequest, can_reply: bool) -> None:
         """Grant the lease from now on, and reply once the grant is on disk.
 
         The grant period starts after the disk write. The holder counts from before its request, so
@@ -225,7 +223,7 @@
         if vote.granted_ballot != request.ballot or vote.holder != candidate:
             return  # released, or granted to another holder, during the disk write
         vote.granted_until = self.host.now + self.timing.grant_ticks
-        if is_persisted:
+        if can_reply:
             # A renewal needs no disk write: a vote read back after a restart counts as granted at
             # the time of the restart.
             self._reply(GrantReply, candidate, vote, request, True)
--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -176,7 +176,7 @@
         if isinstance(envelope, str):
             self.counts[envelope] += 1
             return None
-        rejection = self._rejection(envelope, now_ticks)
+        rejection = self._find_rejection_reason(envelope, now_ticks)
         if rejection:
             self.counts[rejection] += 1
             if rejection in (TO_EARLIER_INCARNATION, FROM_EARLIER_INCARNATION):
@@ -210,7 +210,7 @@
         peer.restart(incarnation)
         self._on_incarnation(peer.name, incarnation)
 
-    def _rejection(self, envelope: Envelope, now_ticks: int) -> str:
+    def _find_rejection_reason(self, envelope: Envelope, now_ticks: int) -> str:
         """Return the rejection reason of a datagram with a valid seal; empty if it is accepted."""
         peer = self.peers.get(envelope.sender)
         if peer is None:
--- a/corkgauge/membership/failure_detector.py
+++ b/corkgauge/membership/failure_detector.py
@@ -17,9 +17,10 @@
 from corkgauge.membership.status_tracker import StatusTracker
 
 INDIRECT_PROBE_COUNT = 3  # members that are requested to probe an unresponsive member
-PROBE_TIMEOUT_PERIODS = 0.3  # time without an Ack before indirect probes are requested
-# Timeout of an indirect probe, as a fraction of the period's remainder after PROBE_TIMEOUT_PERIODS.
-# The rest of that remainder lets the Nack reach the requester before its probe expires.
+PROBE_TIMEOUT_FRACTION = 0.3  # time without an Ack before indirect probes are requested
+# Timeout of an indirect probe, as a fraction of the rest of the period after
+# PROBE_TIMEOUT_FRACTION. What then remains lets the Nack reach the requester before the
+# requester's probe expires.
 INDIRECT_PROBE_FRACTION = 0.8
 MAX_LATENESS_PERIODS = 0.25  # lateness of the local timer above which a probe is discarded
 
@@ -76,7 +77,7 @@
         sequence_number = self._send_probe(
             ProbeInFlight(member, expires_at=self._host.now + interval_ticks)
         )
-        timeout_ticks = int(interval_ticks * PROBE_TIMEOUT_PERIODS)
+        timeout_ticks = int(interval_ticks * PROBE_TIMEOUT_FRACTION)
         self._host.call_later(timeout_ticks, self.on_probe_timeout, sequence_number)
         self._host.call_later(interval_ticks, self.on_probe_expired, sequence_number)
 
@@ -89,7 +90,7 @@
         member = self._table.members.get(request.target)
         if member is None or not self._codec.has_incarnation(request.target):
             return
-        remaining_period_ticks = self._period_ticks * (1 - PROBE_TIMEOUT_PERIODS)
+        remaining_period_ticks = self._period_ticks * (1 - PROBE_TIMEOUT_FRACTION)
         interval_ticks = int(remaining_period_ticks * INDIRECT_PROBE_FRACTION)
         sequence_number = self._send_probe(
             ProbeInFlight(
--- a/corkgauge/membership/member_list.py
+++ b/corkgauge/membership/member_list.py
@@ -166,9 +166,9 @@
         self.sender.send_call(name, Call(subject, body))
         return True
 
-    def alive(self) -> list[Member]:
+    def list_present_members(self) -> list[Member]:
         """Return the other members that are alive or suspected, sorted by name."""
-        return self.table.alive()
+        return self.table.list_present_members()
 
     def state_of(self, name: str) -> MemberState:
         """Return a member's state: ALIVE for the local member, GONE for an unknown name."""
--- a/corkgauge/membership/member_table.py
+++ b/corkgauge/membership/member_table.py
@@ -42,11 +42,11 @@
         self.unknown_count = sum(member.state == UNKNOWN for member in self.members.values())
         self._round = [name for name in self._round if name in self.members]
 
-    def alive(self) -> list[Member]:
+    def list_present_members(self) -> list[Member]:
         """Return the members that are alive or suspected, sorted by name."""
-        living = (ALIVE, SUSPECTED)
+        present_states = (ALIVE, SUSPECTED)
         return sorted(
-            (member for member in self.members.values() if member.state in living),
+            (member for member in self.members.values() if member.state in present_states),
             key=lambda member: member.name,
         )
 
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -13,7 +13,7 @@
 
 from corkgauge.leases.candidate import CandidateState, LeaseCandidate
 from corkgauge.leases.fencing import FencingGuard
-from corkgauge.leases.messages import LeaseVacant, decode_address
+from corkgauge.leases.messages import LeaseVacant, decode_routing
 from corkgauge.leases.voter import Voter
 from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 from corkgauge.testkit.seeded_random import SeededRandom
@@ -205,7 +205,7 @@
         """Take a datagram, unless it was written to an earlier incarnation."""
         if known_as != self.start:
             return  # the membership's own rule
-        if decode_address(body).is_for_candidate:
+        if decode_routing(body).is_for_candidate:
             self.holder.on_datagram(sender.name, body)
         else:
             self.voter.on_datagram(sender.name, start, body)
--- a/corkgauge/peer_health/permit_transfer.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -31,7 +31,7 @@
 MAX_REMEMBERED_TRANSFERS = 4_096  # engines whose last transfer is kept
 MAX_DEMAND = 1e6  # requests per second; a larger reported value would attract every permit
 # Window ends are compared in hundredths of a second, because window starts are known rounded.
-WINDOW_END_TICKS = 100
+WINDOW_END_UNIT_TICKS = 100
 NEVER = -(10**9)  # a window end that is far from any actual one
 
 
@@ -74,7 +74,7 @@
     def __init__(self, window_ticks: int) -> None:
         self.window_ticks = window_ticks
         self.demand_by_member: dict[str, PermitDemand] = {}
-        # By engine: the end of the window whose permit was granted, in units of WINDOW_END_TICKS.
+        # By engine: the end of the window whose permit was granted, in WINDOW_END_UNIT_TICKS.
         self.granted_window_end: dict[str, int] = {}
         self.update_sent_at: dict[int, int] = {}  # by serial of a sent status update
         self.counts = Counter[str]()  # the keys are shown to operators
@@ -100,7 +100,7 @@
             remaining_ticks: Remainder of the engine's current window.
             random_draw: Random number from 0 to 2**32 - 1.
         """
-        window_end = (now + remaining_ticks) // WINDOW_END_TICKS
+        window_end = (now + remaining_ticks) // WINDOW_END_UNIT_TICKS
         if not self._can_grant(engine, remaining_ticks, window_end):
             return None
         candidates = [
@@ -124,11 +124,11 @@
 
     def _can_grant(self, engine: str, remaining_ticks: int, window_end: int) -> bool:
         """Return whether a grant is due in this window, and none was made in it before."""
-        earliest = (1 - RESERVED_FRACTION) * self.window_ticks
-        if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= earliest:
+        max_remaining_ticks = (1 - RESERVED_FRACTION) * self.window_ticks
+        if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= max_remaining_ticks:
             return False
         distance = abs(self.granted_window_end.get(engine, NEVER) - window_end)
-        return distance * WINDOW_END_TICKS >= self.window_ticks // 2
+        return distance * WINDOW_END_UNIT_TICKS >= self.window_ticks // 2
 
     def record_update_sent(self, now: int, serial: int) -> None:
         """Record `now` as the time at which the status update `serial` is sent."""
--- a/corkgauge/peer_health/reports.py
+++ b/corkgauge/peer_health/reports.py
@@ -152,7 +152,7 @@
         """Return all stored reports on an engine, including the local one."""
         return self.by_engine.get(engine, {}).values()
 
-    def is_disputed(self, engine: str, slowness_limit_percent: float) -> bool:
+    def has_notable_report(self, engine: str, slowness_limit_percent: float) -> bool:
         """Return whether a stored report has a fault or a slowness above the limit."""
         return any(
             report.fault != Fault.NONE or report.slowness_percent > slowness_limit_percent
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -113,7 +113,7 @@
         self._record_own_observations(now)
         self._update_retry_throttle(now)
         self.permits.measure_demand(options.report_interval_ticks)
-        members = self.member_list.alive()
+        members = self.member_list.list_present_members()
         self._retain_members(now)
         # A burst of faults produces more reports than the links can carry, so the bytes sent per
         # second are limited.
@@ -157,7 +157,7 @@
             if (
                 observation.fault != Fault.NONE
                 or observation.slowness_percent > notable_percent
-                or self.reports.is_disputed(engine.host_reference, notable_percent)
+                or self.reports.has_notable_report(engine.host_reference, notable_percent)
             ):
                 self.reports.record_own(
                     now, engine.host_reference, engine_pool.started_ms, *observation
--- a/tests/test_lease_messages.py
+++ b/tests/test_lease_messages.py
@@ -21,11 +21,11 @@
     ProbeReply,
     ProtocolError,
     Release,
-    decode_address,
     decode_reply,
     decode_reply_envelope,
     decode_request,
     decode_request_envelope,
+    decode_routing,
 )
 from corkgauge.leases.round_pacing import RoundPacing
 from corkgauge.leases.tally import Tally
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("kind", range(8))
 def test_replies_and_notices_are_for_candidates_and_requests_are_for_voters(kind):
-    assert decode_address([kind, "books", 1, 99]).is_for_candidate is (kind in (1, 3, 5, 7))
+    assert decode_routing([kind, "books", 1, 99]).is_for_candidate is (kind in (1, 3, 5, 7))
 
 
 def test_fields_appended_by_later_versions_are_ignored():
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -13,7 +13,7 @@
 from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
-LEASE = 8_000
+LEASE_TICKS = 8_000
 NAMES = "n1", "n2", "n3"
 
 
@@ -59,7 +59,7 @@
             call=self.call,
         )
         socket_host = SimpleNamespace(event_loop=self.event_loop, log=self.lines.append, routes={})
-        settings = LeaseConfig(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
+        settings = LeaseConfig(1, NAMES, (), LEASE_TICKS, LEASE_TICKS, 800, 0.01, "")
         self.lease_service = LeaseService(
             socket_host,
             SimpleNamespace(name=name),
@@ -161,7 +161,7 @@
     assert all(each.lease_service.is_overloaded for each in fleet.instances.values())
     # An instance stays overloaded for ten seconds.
     longest_vacancy, holders = fleet.run_until(fleet.now + 9 * SECOND)
-    assert longest_vacancy < 2 * LEASE and holders
+    assert longest_vacancy < 2 * LEASE_TICKS and holders
     assert all(each.lease_service.is_overloaded for each in fleet.instances.values())
 
 
@@ -176,7 +176,7 @@
     assert any(
         "given up" in line and "overloaded" in line for line in fleet.instances[holder].lines
     )
-    fleet.run_until(fleet.now + LEASE)
+    fleet.run_until(fleet.now + LEASE_TICKS)
     longest_vacancy, holders = fleet.run_until(fleet.now + 7 * SECOND)
     assert longest_vacancy == 0 and len(holders) == 1 and not holders & {*names}
     fleet.run_until(fleet.now + 10 * SECOND)
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("fraction", [0.5, 1.3, 2.0])
 def test_lease_is_acquired_with_slow_disks(monkeypatch, fraction):
     """A disk write takes `fraction` of the first round timeout, which is an eighth of a lease."""
-    fleet = SimulatedFleet(monkeypatch, disk_write_ticks=int(fraction * LEASE / 8))
+    fleet = SimulatedFleet(monkeypatch, disk_write_ticks=int(fraction * LEASE_TICKS / 8))
     longest_vacancy, holders = fleet.run_until(fleet.now + 5 * SECOND)
-    assert len(holders) == 1 and longest_vacancy < 4 * LEASE
+    assert len(holders) == 1 and longest_vacancy < 4 * LEASE_TICKS
     assert fleet.run_until(fleet.now + 5 * SECOND) == (0, holders)
