--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -54,7 +54,12 @@
 
 
 class LeaseCandidate:
-    """One instance's candidate for one lease; competes for the lease while `is_wanted` is True."""
+    """One instance's candidate for one lease.
+
+    `is_wanted` decides whether a prepare round may begin. A prepare or grant round in progress
+    continues without it and may still acquire the lease. Probe rounds run in any case, to refresh
+    the holder that operators see.
+    """
 
     def __init__(
         self,
@@ -102,7 +107,11 @@
         return self.state is CandidateState.HOLDING and self.host.now < self.held_until
 
     def set_wanted(self, is_wanted: bool) -> None:
-        """Start or stop competing for the lease; a held lease stays held."""
+        """Set whether prepare rounds may begin.
+
+        A held lease stays held, and a round in progress continues. True also restarts the timer of
+        a waiting candidate with the rank delay, which ends any pause.
+        """
         self.is_wanted = is_wanted
         if is_wanted and self.state is CandidateState.WATCHING:
             self._schedule_probe(self._rank_delay_ticks())
@@ -110,8 +119,8 @@
     def release(self, reason: str, pause_ticks: int = 0) -> None:
         """End the lease immediately and notify the voters and the next candidates.
 
-        No act is permitted after this call. This instance then does not compete for the lease for
-        `pause_ticks`, and for at least one lease duration.
+        No act is permitted after this call. The next round begins after `pause_ticks`, and after at
+        least one lease duration. A vacancy notice or `set_wanted(True)` ends this pause early.
         """
         previous_state = self.state
         self._end_holding(reason)
@@ -125,7 +134,8 @@
 
         If all voters lost their votes and the system clock was set back, a new token may be lower
         than a token already used. Guards would refuse every act under the new token, so the next
-        token must be higher than the token that the guard has seen.
+        token must be higher than the token that the guard has seen. The next probe round begins at
+        once, without the pause of a release.
         """
         self.highest_ballot = max(self.highest_ballot, fencing_token)
         if self.state is CandidateState.HOLDING and fencing_token > self.fencing_token:
@@ -146,7 +156,7 @@
     # Datagrams.
 
     def on_datagram(self, sender: str, body: Any) -> None:
-        """Apply a voter's reply, or a holder's notice that the lease is vacant.
+        """Handle a voter's reply, or a holder's notice that the lease is vacant.
 
         Ignores replies under another voter configuration and replies to earlier rounds. Raises
         ProtocolError for a malformed body, and changes nothing in that case.
@@ -170,9 +180,9 @@
 
     def _on_lease_vacant(self) -> None:
         # Replies in transit still report the released grant, and would make this candidate wait for
-        # that grant to expire, so a running probe round is abandoned. A second probe round is
-        # unnecessary: a voter that still grants the lease to another instance rejects the ballot
-        # and changes no vote.
+        # that grant to expire, so a running probe round is abandoned. Another probe round is
+        # unnecessary: a voter that still grants the lease to another instance rejects the prepare
+        # request and changes no vote.
         if self.is_wanted and self.state in (CandidateState.WATCHING, CandidateState.PROBING):
             self.state = CandidateState.WATCHING
             self.known_holder = ""
@@ -237,8 +247,9 @@
     def _schedule_retry_if_rejected(self) -> None:
         """Schedule a new round if this round can no longer reach a majority.
 
-        The retry starts when enough voters may be free to form a majority, plus the rank delay
-        and a random delay.
+        The new round begins when enough voters may be free to form a majority, plus the rank delay
+        and a random delay. If that time is later than now, the count of
+        failed rounds is reset.
         """
         if not self.tally.is_majority_impossible(self.configuration):
             return
@@ -312,8 +323,8 @@
     def _begin_requesting(self) -> None:
         self.state = CandidateState.REQUESTING
         self.requesting_since = self.host.now
-        # A late reply from an earlier holding period refers to a released grant. With the old
-        # requests forgotten, such a reply matches no request.
+        # A late reply from an earlier holding period refers to a released grant. The new
+        # GrantTimes knows no earlier request, so `_on_grant_reply` ignores such a reply.
         self.grants = GrantTimes()
         self.tally.clear_acceptances()
         self._request_grant()
@@ -326,11 +337,14 @@
             return
         promise_deadline = self.requesting_since + self.timing.hold_ticks // 2
         if self.state is CandidateState.REQUESTING and now >= promise_deadline:
-            # A voter that restarted is silent for one lease duration, so promises are reliable for
-            # that long only; an older promise may have been lost in a restart.
+            # A voter that restarts without stored votes is silent for one lease duration and then
+            # has lost its promises. A promise must therefore be used within one lease duration of
+            # the start of the prepare round. That round took up to 3/8 of a lease (see
+            # RoundPacing), so grant requests stop after half of the holding time.
             self._back_off()
             return
-        # Record the time before the request is sent: voters count from a later time.
+        # Record the send time before sending: voters count from a later time, so the holding
+        # period ends before the grants.
         self.grants.record_request(self.serial + 1, self.host.now)
         self._broadcast(GrantRequest, self.ballot)
         self.grants.forget_oldest_requests()
--- a/corkgauge/leases/candidate_ranking.py
+++ b/corkgauge/leases/candidate_ranking.py
@@ -8,21 +8,22 @@
 if TYPE_CHECKING:
     from corkgauge.leases.service import LeaseService
 
-VACANCY_NOTICE_COUNT = 2  # candidates notified of a vacancy, in order of preference
+VACANCY_NOTICE_COUNT = 2  # instances notified of a vacancy, in order of preference
 
 
 class CandidateRanking:
-    """Ranks candidates by the instances that are alive and by the known lease holders."""
+    """Ranks candidates by the members that are alive or suspected and by the known holders."""
 
     def __init__(self, service: "LeaseService") -> None:
         self.service = service
 
     def rank_of(self, lease: str) -> int:
-        """Return how many other candidates should try to acquire the lease first.
+        """Return the rank of this instance: 0 for the candidate that should try first.
 
-        An overloaded instance ranks last but still competes. If all instances are overloaded at
-        once, for example after the machine was paused for a moment, and each stopped competing,
-        nobody would hold the lease until they recovered.
+        The rank is the number of better candidates, at most `placement.MAX_RANK`. An overloaded
+        instance adds the staggers of half a lease, so it tries after all others but still competes.
+        If all instances are overloaded at once, for example after the machine was paused for a
+        moment, and each stopped competing, nobody would hold the lease until they recovered.
         """
         service = self.service
         rank = placement.rank_of(
--- a/corkgauge/leases/command_loans.py
+++ b/corkgauge/leases/command_loans.py
@@ -2,7 +2,7 @@
 
 Owns the loans and the times of the commands' last requests. A command never runs beyond the time
 for which its lease was granted, so a loan is never revoked: the instance releases the lease after
-the command has ended.
+the command has ended or the loan has expired.
 """
 
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -47,12 +47,13 @@
     def lend(self, candidate: LeaseCandidate, command: str) -> dict[str, Any]:
         """Handle a command's request for a lease or for more time; times in the reply are seconds.
 
-        Raises ValueError for a lease that is reserved for the gateways.
+        Raises ValueError for a lease that fleet accounts or another subsystem of the gateway uses.
         """
         service = self.service
         lease = candidate.lease
         if lease in service.collectors or lease in service.owners:
-            raise ValueError(f"{lease!r} is the gateways' own")
+            # The command line recognizes this error by the word "own".
+            raise ValueError(f"duty {lease!r} is the gateways' own; use a duty of kind run")
         loan = self.loans.get(lease)
         self.last_requested_at[lease] = service.now
         if not candidate.is_wanted and service.is_wanted(lease):
@@ -92,7 +93,7 @@
         self.release_reasons.pop(lease, None)
 
     def expire(self, now: int) -> None:
-        """End expired loans, and stop competing for leases that no command requests."""
+        """End expired loans, and give up leases that no command requests any more."""
         for lease, loan in [*self.loans.items()]:
             if now >= loan.until:  # the command was killed or stopped requesting the lease
                 self._on_loan_ended(lease)
--- a/corkgauge/leases/durable_record.py
+++ b/corkgauge/leases/durable_record.py
@@ -1,8 +1,8 @@
-"""Stores a record on disk before callbacks act on the record, through a helper process.
+"""Makes records durable on disk through a helper process, and then calls back.
 
 Owns the helper process (`record_writer.py`) and the callbacks that wait for a record. A callback
-must never run before its record, or a later record that includes its content, is durable on disk.
-The event loop must never block.
+runs only after the helper has confirmed the callback's own record. The confirmation of a later
+record drops all callbacks that still wait for earlier records. The event loop must never block.
 """
 
 import os
@@ -17,7 +17,7 @@
 from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 from corkgauge.leases import record_writer
 
-# Rewrite an unconfirmed record after this time, if `write` is called again.
+# An unconfirmed record is written again after this time, if `write` is called with the same record.
 REWRITE_TICKS = SECOND
 READ_BYTES = 4096  # read size for the helper's answers
 
@@ -34,7 +34,7 @@
 
     With an empty `folder` nothing is stored, and callbacks run immediately. `corrupted_message` and
     `write_failed_message` are the log lines for a corrupted file and for a failed helper. Raises
-    ConfigurationError if the folder cannot be used.
+    ConfigurationError if the folder cannot be created or the file cannot be read.
     """
 
     def __init__(
@@ -71,7 +71,10 @@
         except FileNotFoundError:
             data = b""
         except OSError as error:
-            raise ConfigurationError(f"duties: {self.folder}: {error.strerror}") from None
+            raise ConfigurationError(
+                f"duties: cannot create the folder {self.folder} or read the votes in it: "
+                f"{error.strerror}; check owner and mode"
+            ) from None
         body = record_writer.unpack_record(data)
         self._start_helper(path)
         if body is not None:
@@ -94,8 +97,8 @@
         """Call `callback` once the record is durable on disk.
 
         A promise must survive a power cut, so the record is written before the callback may send
-        any reply. The helper process waits for the disk, and the callback of a record that the
-        helper never confirms never runs.
+        any reply. The helper process waits for the disk. The callback of a record that the helper
+        never confirms never runs; after a failure of the helper, no callback runs.
         """
         waiter = Waiter(callback, arguments)
         if self.helper is None:
@@ -119,9 +122,9 @@
             self._send(frame)
 
     def _join_last_record(self, waiter: Waiter) -> bool:
-        """Wait for the last record, which is identical; return False if it must be rewritten.
+        """Wait for the identical last record; return False if the record must be written again.
 
-        Senders repeat requests that have no reply yet, and rewriting the same record for each
+        Senders repeat requests that have no reply yet, and writing the same record for each
         repetition would make a slow disk slower. The helper never confirms a record whose write
         failed, so that record is written again after `REWRITE_TICKS`.
         """
@@ -201,8 +204,9 @@
                 self._on_record_confirmed(number)
 
     def _on_record_confirmed(self, number: int) -> None:
-        # The helper never confirms a failed record. A later durable record includes its content,
-        # but waiters of the failed record are dropped: their requests are repeated.
+        # Earlier records without a confirmation either failed to be written, or were replaced in
+        # `next_frame` before they were sent. The confirmed record includes their content, but their
+        # waiters are dropped: the requests behind these waiters are repeated.
         for older in [each for each in self.waiting if each < number]:
             del self.waiting[older]
         for waiter in self.waiting.pop(number, ()):
--- a/corkgauge/leases/fleet_accounts.py
+++ b/corkgauge/leases/fleet_accounts.py
@@ -21,8 +21,8 @@
 COUNT_LIMIT = 2**53  # exclusive limit: every JSON reader represents smaller integers exactly
 MAX_ENTRIES = 500  # entries kept in the history
 MAX_EPOCHS = 16  # epochs kept separately per instance; older epochs are summed
-MAX_SHOWN_MISSING = 8  # instances without a reply that an entry names
-MAX_SHOWN_DISCREPANCIES = 4  # discrepancies that an entry lists
+MAX_SHOWN_MISSING = 8  # names of instances without a reply, in one entry
+MAX_SHOWN_DISCREPANCIES = 4  # discrepancies listed in one entry
 
 Account = dict[str, Any]
 
@@ -85,10 +85,11 @@
 
     def __init__(self) -> None:
         self.accounts: dict[str, dict[str, Account]] = {}  # by instance and epoch
-        self.closed: dict[str, Account] = {}  # sum of older epochs, by instance
+        self.closed: dict[str, Account] = {}  # sum of the epochs before those, by instance
         self.answered_round: dict[str, int] = {}  # round of the last reply, by instance
         self.round = 0
-        self.decreased_counts: list[str] = []  # log lines on counts that decreased in this round
+        # Discrepancies of this round: counts of an account that decreased since the previous one.
+        self.decreased_counts: list[str] = []
 
     def begin_round(self) -> None:
         """Begin another round of requests."""
@@ -123,7 +124,9 @@
         """Return the history entry with the sum over all instances and epochs.
 
         `at` is the system time in milliseconds. The sum includes earlier accounts of instances
-        without a reply in this round. Requests that were open when an epoch ended count as cut off.
+        without a reply in this round. `cut_off` counts the requests that were open when an epoch
+        ended, but only for the epochs kept separately (MAX_EPOCHS): open requests of older epochs
+        remain in `open` and are no longer counted in `cut_off`.
         """
         accounts = [account for epochs in self.accounts.values() for account in epochs.values()]
         accounts += self.closed.values()
--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -40,13 +40,13 @@
         self.epoch = str(service.member_list.codec.incarnation)
 
     def on_lease_gained(self) -> None:
-        """Begin rounds under the new fencing token only."""
+        """Begin rounds under the new fencing token; rounds under an earlier token end."""
         self.round_number = 0
         self.fencing_token = self.service.candidates[self.lease].fencing_token
         self.begin_round(self.fencing_token)
 
     def begin_round(self, fencing_token: int) -> None:
-        """Request the accounts of all instances that are alive."""
+        """Request the accounts of all other instances that are alive or suspected."""
         if not self._may_act(fencing_token):
             return
         self.accounts.begin_round()
@@ -61,7 +61,7 @@
         event_loop.call_later(self.period_ticks, self.begin_round, fencing_token)
 
     def finish_round(self, fencing_token: int) -> None:
-        """Add the sum of the collected accounts to the history, here and at all other instances."""
+        """Add the sum of the accounts to the history, here and at the instances in the list."""
         service = self.service
         if not self._may_act(fencing_token):
             return
--- a/corkgauge/leases/interfaces.py
+++ b/corkgauge/leases/interfaces.py
@@ -49,7 +49,7 @@
         """Return a random number from 0 to `limit` - 1."""
 
     def rank_of(self, lease: str) -> int:
-        """Return how many other candidates should try to acquire the lease first."""
+        """Return this candidate's rank: 0 for the one that should try first."""
 
     def on_lease_gained(self, candidate: "LeaseCandidate") -> None:
         """Notify the host that the candidate has acquired the lease."""
--- a/corkgauge/leases/leased_command.py
+++ b/corkgauge/leases/leased_command.py
@@ -33,8 +33,8 @@
 class LeasedCommand:
     """One command under a lease; times are seconds, and points in time are seconds since boot.
 
-    `grace_seconds` is the time between SIGTERM and SIGKILL. `margin_seconds` is the time between
-    SIGKILL and the end of the process.
+    `grace_seconds` is the time from SIGTERM to SIGKILL. `margin_seconds` is the time from SIGKILL
+    to the end of the lease.
     """
 
     def __init__(self, host: CommandHost, grace_seconds: float, margin_seconds: float) -> None:
@@ -49,12 +49,16 @@
     def on_answer(
         self, asked_at: float, is_held: bool, fencing_token: int, left_seconds: float
     ) -> None:
-        """Handle the instance's reply, which grants `left_seconds` counted from `asked_at`."""
+        """Handle the instance's reply to a request sent at `asked_at`.
+
+        If `is_held`, the lease ends `left_seconds` after `asked_at`.
+        """
         if not is_held:
             self._terminate("no longer held")
         elif self.state is CommandState.WAITING:
-            # A command that starts with less than its grace period left would have to be ended at
-            # once.
+            # The command is terminated one grace period and margin before the lease ends, so with
+            # no more time left it would be terminated at once. Twice that time is required, so that
+            # the command can do some work before SIGTERM.
             if left_seconds > 2 * (self.grace_seconds + self.margin_seconds):
                 self.state = CommandState.RUNNING
                 self.fencing_token = fencing_token
@@ -76,7 +80,7 @@
             self.host.kill()
 
     def seconds_to_next_check(self, now: float) -> float:
-        """Return the seconds until the next deadline."""
+        """Return the seconds until the next deadline, or 1 if no command runs."""
         if self.state is CommandState.RUNNING:
             return max(self._terminate_at() - now, 0.0)
         if self.state is CommandState.ENDING:
--- a/corkgauge/leases/load_monitor.py
+++ b/corkgauge/leases/load_monitor.py
@@ -1,7 +1,7 @@
 """Checks the load of this instance several times per lease, and expires loans to commands.
 
-An instance whose event loop is late would lose its leases by expiry in the middle of its work. It
-hands them over instead, and ranks last while it is overloaded.
+An instance whose event loop is late would lose its leases by expiry in the middle of its work. The
+instance therefore hands its leases over, and ranks last while it is overloaded.
 """
 
 from typing import TYPE_CHECKING
@@ -44,6 +44,8 @@
         state = "overloaded, standing last" if self.is_overloaded else "standing again"
         service.log(f"duties: {state}")
         for name, candidate in service.candidates.items():
+            # The load does not change whether a lease is wanted. The call restarts the timer of a
+            # waiting candidate with its new rank, which also ends a pause after a release.
             candidate.set_wanted(service.is_wanted(name))
             if self.is_overloaded:  # only once, because the next holder may be just as overloaded
                 service.hand_over(name, "overloaded")
--- a/corkgauge/leases/messages.py
+++ b/corkgauge/leases/messages.py
@@ -6,9 +6,10 @@
 0]`. Instances of several versions exchange these messages, so the numbers of kinds and the
 positions of fields never change.
 
-Decoding has two steps, because a receiver must ignore any message under another voter
-configuration, whatever the other fields contain. The first step decodes the envelope, the second
-the message. Both steps raise ProtocolError.
+Decoding has three steps. The service decodes the routing fields, to pass the body to the voter or
+to the candidate for the lease. The receiver then decodes the envelope, because the receiver must
+ignore any message under another voter configuration, whatever the other fields contain. Only then
+does the receiver decode the whole message. Each step raises ProtocolError.
 """
 
 from dataclasses import dataclass
@@ -55,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Routing:
-    """The first fields of every body: kind, lease, and the sender's voter configuration."""
+    """The first fields of every body, which select the receiver in the process.
+
+    `version` and `fingerprint` are those of the sender's voter configuration.
+    """
 
     kind: Any
     lease: Any
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """The fields that decide whether a message is current or ignored.
+    """The fields that decide whether a message is accepted or ignored.
 
     The sender of a request chooses `serial`, and replies repeat the request's serial.
     """
@@ -114,7 +118,7 @@
 
 
 class Prepare(CandidateRequest):
-    """Asks for a promise to accept no ballot below this ballot."""
+    """Asks for a promise to grant the lease under no ballot below this ballot."""
 
     __slots__ = ()
     KIND = MessageKind.PREPARE
@@ -211,7 +215,7 @@
 
 
 def decode_routing(body: Any) -> Routing:
-    """Decode the recipient and the sender's voter configuration from a body.
+    """Decode the fields that select the receiver, and the sender's voter configuration.
 
     >>> decode_routing([7, "books", 1, 99, 0]).is_for_candidate
     True
@@ -245,7 +249,7 @@
     if not (isinstance(lease, str) and type(ballot) is int and 0 <= ballot < BALLOT_LIMIT):
         raise ProtocolError("expected a lease name and a ballot from 0 to 2**60 - 1")
     if not isinstance(kind, (int, float)) or kind not in REQUESTS:
-        raise ProtocolError("expected the kind of a candidate's request")
+        raise ProtocolError("expected kind 0, 2, 4 or 6, which a candidate's request has")
     return REQUESTS[int(kind)](lease, version, fingerprint, serial, ballot)
 
 
@@ -272,7 +276,7 @@
     if not (type(blocked_ticks) is int and blocked_ticks >= 0):
         raise ProtocolError("expected blocked ticks as an integer of 0 or more")
     if not isinstance(kind, (int, float)) or kind not in REPLIES:
-        raise ProtocolError("expected the kind of a voter's reply")
+        raise ProtocolError("expected kind 1, 3 or 5, which a voter's reply has")
     return REPLIES[int(kind)](
         lease,
         version,
--- a/corkgauge/leases/operator_commands.py
+++ b/corkgauge/leases/operator_commands.py
@@ -79,17 +79,20 @@
         command = str(request.get("by", ""))[:MAX_COMMAND_NAME_CHARS]
         candidate = self.service.candidates.get(lease)
         if candidate is None:
-            raise ValueError(f"no duty {lease!r} here")
+            raise ValueError(f"no duty {lease!r} here; check the duties in the operator file")
         if action == "hold":
             return self.service.command_loans.lend(candidate, command)
         if action == "done":
             return self.service.command_loans.finish(candidate, command)
         if action == "yield":
             return self._yield_lease(candidate)
-        raise ValueError("expected hold, done or yield")
+        raise ValueError("do: expected hold, done or yield")
 
     def _yield_lease(self, candidate: LeaseCandidate) -> dict[str, Any]:
-        """Hand a lease over, or ask its holder to do so."""
+        """Hand a lease over, or request the hand-over from its known holder.
+
+        Raises ValueError if no holder is known or the holder cannot be reached yet.
+        """
         service = self.service
         lease = candidate.lease
         holder = candidate.known_holder
@@ -99,4 +102,4 @@
         is_held_elsewhere = holder and holder != service.name
         if is_held_elsewhere and service.member_list.call(holder, YIELD_SUBJECT, lease):
             return {"told": holder, "waits_for": ""}
-        raise ValueError(f"nobody is known to hold {lease!r}")
+        raise ValueError(f"nobody is known to hold {lease!r}; retry after one lease duration")
--- a/corkgauge/leases/placement.py
+++ b/corkgauge/leases/placement.py
@@ -1,15 +1,17 @@
 """Decides where leases should be held: spread over zones and away from overloaded instances.
 
-Owns the order of candidates, which all instances calculate alike from the same information, and an
-instance's assessment of its own load. Free of I/O. The order only suggests which candidate tries
-first; it must never take a lease from a holder that keeps the lease.
+Owns the order of candidates, which all instances calculate alike from the same information, and the
+assessment of the local load. Free of I/O. The order only suggests which candidate tries first. The
+order must never take a lease from a holder that keeps the lease.
 """
 
 from collections import deque
 from collections.abc import Mapping, Sequence
 from zlib import crc32
 
-MAX_RANK = 6  # candidates from this rank on try together, separated by random delays
+# Highest rank. All later candidates get this rank too, so they first try after the same delay;
+# random delays separate their retries.
+MAX_RANK = 6
 LOAD_SAMPLE_COUNT = 8  # latest load checks that count
 LATE_SAMPLE_COUNT = 2  # late checks among them that mean overload
 RECOVERY_TICKS = 100_000  # time without a late check until the overload ends
@@ -20,7 +22,7 @@
 ) -> list[str]:
     """Return the names of the candidates, in the order in which they should try.
 
-    `members` holds name and zone of the alive instances, and `holders` the known holder of each
+    `members` holds the name and zone of each candidate, and `holders` the known holder of each
     lease. Candidates are ordered by the number of other leases held in their zone, then by the
     number of other leases they hold, then by a hash.
 
@@ -66,7 +68,7 @@
         self.overloaded_until = -1
 
     def record_check(self, now: int, late_by: int) -> bool:
-        """Record a check that was `late_by` ticks late, and return whether overload exists."""
+        """Record a check that was `late_by` ticks late; return whether there is overload."""
         is_late = late_by >= self.late_threshold_ticks
         self.samples.append(is_late)
         if is_late and sum(self.samples) >= LATE_SAMPLE_COUNT:
--- a/corkgauge/leases/record_writer.py
+++ b/corkgauge/leases/record_writer.py
@@ -96,7 +96,7 @@
 
 
 def main() -> int:
-    """Write records until the input ends or a frame is too large to be valid."""
+    """Write records until the input ends, the output closes or a frame is too large."""
     path = sys.argv[1]
     remainder = b""
     while data := os.read(0, FRAME_HEADER.size + MAX_RECORD_BYTES):
--- a/corkgauge/leases/round_pacing.py
+++ b/corkgauge/leases/round_pacing.py
@@ -32,19 +32,22 @@
         """The round timeout of the next round, in reply times.
 
         If disks or processors take longer than one reply time to make a promise, no round would
-        ever complete within one reply time. The timeout therefore grows after each round that timed
-        out. A promise must be used within the time for which the voter is sure to remember it,
-        which is one lease duration from the start of the promise: rounds here take at most 3/8 of a
-        lease, and grant requests take at most half of a lease.
+        ever complete within one reply time. The timeout therefore grows after each failed round.
+        A promise must be used within one lease duration: a voter that restarts without stored votes
+        loses its promises, but is silent for that long. A prepare round takes at most 3/8 of a
+        lease, and grant requests follow for at most half of a lease.
         """
         return min(1 + self.failed_rounds, MAX_TIMEOUT_REPLY_TIMES)
 
     def backoff(self, waited: int) -> int:
-        """Return the reply times to wait before the next round, less the `waited` reply times."""
+        """Return how many reply times to wait before the next round.
+
+        `waited` reply times, which a longer round timeout has already used up, are subtracted.
+        """
         return min(self.failed_rounds, MAX_BACKOFF_REPLY_TIMES) - waited
 
     def jitter_limit_ticks(self, stagger_ticks: int) -> int:
-        """Return the upper limit of a random delay.
+        """Return the exclusive upper limit of the random delay before the next round.
 
         Without the random delay, two candidates that retry at the same moment would repeatedly keep
         each other from acquiring the lease.
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -33,7 +33,8 @@
 
 ACCOUNTS_KIND = "books"  # the operator file's kind for leases on fleet accounts
 MAX_CHANGES = 50  # lease changes kept for operators
-# Lease durations for which an instance does not compete for a lease that it handed over.
+# Pause before the next round for a lease that was handed over, in lease durations. A vacancy notice
+# or `LeaseCandidate.set_wanted` ends the pause early.
 RELEASE_PAUSE_LEASES = 2
 
 
@@ -120,7 +121,7 @@
         )
 
     def is_wanted(self, lease: str) -> bool:
-        """Return whether this instance should currently compete for the lease."""
+        """Return whether this instance should currently begin rounds for the lease."""
         if self.is_leaving or self.is_cordoned:
             return False
         has_owner = lease in self.collectors or lease in self.owners
@@ -141,7 +142,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether this instance neither holds a lease nor competes for one."""
+        """Whether this instance neither holds nor wants any lease."""
         return not any(
             candidate.state is CandidateState.HOLDING or candidate.is_wanted
             for candidate in self.candidates.values()
@@ -163,7 +164,7 @@
             self.release(lease, reason)
 
     def release(self, lease: str, reason: str) -> None:
-        """Release a lease now, and pause so that other instances can acquire the lease."""
+        """Release a lease now, and pause so that other instances can acquire the lease first."""
         self.candidates[lease].release(reason, RELEASE_PAUSE_LEASES * self.timing.lease_ticks)
 
     # Process lifecycle.
@@ -235,7 +236,7 @@
         self.durable_record.write(record, callback, *arguments)
 
     def rank_of(self, lease: str) -> int:
-        """Return how many other candidates should try to acquire the lease first."""
+        """Return this instance's rank for the lease: 0 for the one that should try first."""
         return self.ranking.rank_of(lease)
 
     def on_lease_gained(self, candidate: LeaseCandidate) -> None:
@@ -300,7 +301,7 @@
             collector.on_datagram(sender, datagram)
 
     def on_yield_datagram(self, sender: str, body: Any) -> None:
-        """Hand over a lease that an operator asked another instance to release."""
+        """Hand over a lease, as an operator requested at the instance `sender`."""
         if body in self.candidates:
             self.hand_over(body, f"told at {sender}")
 
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -2,7 +2,7 @@
 
 Owns promises and grants. Free of I/O: the host provides the clock, datagrams and the disk. A voter
 must never grant a lease while its grant to another candidate is valid, must never lower a promise,
-and must never reply while it may have lost its votes.
+and must never reply while votes from before a restart may be lost.
 
 Leases from voters without disks follow PaxosLease (Trencseni, Gazso, Reinhardt, 2012), after Gray
 and Cheriton (1989). Unlike there, a voter rejects every request that is not from the current holder
@@ -73,8 +73,8 @@
     """The votes of one instance.
 
     `stored` holds the votes read from disk, or is None if there is no folder or nothing was stored.
-    In that case the voter cannot know what it granted just before it ended, and stays silent for
-    the longest lease that was ever granted.
+    Without stored votes, the voter cannot know what it granted before the restart, and stays silent
+    for the longest lease that was ever granted.
     """
 
     def __init__(
@@ -215,17 +215,20 @@
         self._grant(candidate, vote, request, is_renewal)
 
     def _grant(self, candidate: Holder, vote: Vote, request: GrantRequest, can_reply: bool) -> None:
-        """Grant the lease from now on, and reply once the grant is on disk.
+        """Grant the lease from now on, and reply now or after the votes are on disk.
 
-        The grant period starts after the disk write. The holder counts from before its request, so
-        the holder's period always ends first.
+        With `can_reply`, the voter replies now. Otherwise the grant period starts now, and starts
+        anew when the disk write is confirmed; the voter then replies. The holder counts from before
+        its request, so the holder's period always ends first.
         """
         if vote.granted_ballot != request.ballot or vote.holder != candidate:
             return  # released, or granted to another holder, during the disk write
         vote.granted_until = self.host.now + self.timing.grant_ticks
         if can_reply:
-            # A renewal needs no disk write: a vote read back after a restart counts as granted at
-            # the time of the restart.
+            # A renewal of a grant on disk needs no disk write: a vote read back after a restart
+            # counts as granted at the time of the restart. A request repeated while the first
+            # grant's write is pending also counts as a renewal, and is answered before that write
+            # is confirmed.
             self._reply(GrantReply, candidate, vote, request, True)
         else:
             self._persist(self._grant, candidate, vote, request, True)
@@ -233,7 +236,7 @@
     def _on_release(self, candidate: Holder, vote: Vote, request: Release) -> None:
         """Free the lease if the sender holds the lease under this ballot.
 
-        A later grant to the sender, under another ballot, stays valid.
+        A later grant to the sender, under another ballot, stays valid. A release has no reply.
         """
         if (vote.granted_ballot, vote.holder) != (request.ballot, candidate):
             return
@@ -243,8 +246,8 @@
         vote.granted_ballot = 0
         vote.granted_until = 0
         # A release is not written to disk separately: the successor's promise would wait for that
-        # write, and the record of the promise includes the release. A voter that loses the release
-        # in a restart counts the released lease as granted for one more lease duration.
+        # write, and the record of the promise includes the release. A voter that restarts before
+        # that record counts the released lease as granted for the longest lease duration.
 
     def _persist(self, callback: Callable[..., None], *arguments: Any) -> None:
         record = {lease: vote.encode() for lease, vote in self.votes.items()}
--- a/corkgauge/leases/voter_configuration.py
+++ b/corkgauge/leases/voter_configuration.py
@@ -1,7 +1,7 @@
 """Voter configurations, the check of configuration changes, and the lease timing.
 
-Owns the numbers that leases are calculated from. Free of I/O. Two configurations whose majorities
-may be disjoint must never be in force at the same time.
+Owns the times, ballots and majorities that leases are calculated from. Free of I/O. Two
+configurations whose majorities may be disjoint must never be in force at the same time.
 
 A change adds or removes only one voter, because majorities of two configurations that differ by one
 voter always share a voter, and that voter remembers its grants. A change waits until a majority of
@@ -21,11 +21,14 @@
 MIN_STAGGER_TICKS = 10
 MAX_STAGGER_TICKS = 600
 TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
-NAME_BITS = 8  # low bits of a ballot, below the round
+NAME_BITS = 8  # low bits of a ballot, below the round; `make_ballot` masks them with 255
 
 
 class UnsafeChangeError(ValueError):
-    """An unsafe or invalid voter configuration; the one-line message gives the reason."""
+    """An unsafe change of the voters, or an invalid list of voters or lease duration.
+
+    The one-line message gives the reason.
+    """
 
 
 class VoterConfiguration:
@@ -49,8 +52,8 @@
             )
         self.majority = len(self.names) // 2 + 1
         # The fingerprint includes the lease duration. A voter with a shorter lease duration than
-        # the holder assumes could grant the lease to a second holder while the first one still
-        # holds it.
+        # the holder assumes could grant the lease to a second holder while the first holder still
+        # holds the lease.
         self.fingerprint = crc32(f"{version} {lease_ticks} {' '.join(self.names)}".encode())
 
     def __eq__(self, other: object) -> bool:
@@ -142,7 +145,7 @@
                 "least half; lower the margin or drift, or use a longer lease"
             )
         self.renewal_ticks = max(lease_ticks // RENEWALS_PER_LEASE, 1)
-        # Voters have this long to reply before the candidate sends another request.
+        # A round without a majority times out after one to three reply times (see RoundPacing).
         self.reply_ticks = max(lease_ticks // RENEWALS_PER_LEASE, 1)
         # Delay between the first attempts of two candidates with successive ranks.
         self.stagger_ticks = min(MAX_STAGGER_TICKS, max(lease_ticks // 40, MIN_STAGGER_TICKS))
@@ -151,8 +154,9 @@
 def make_ballot(round_number: int, name: str) -> int:
     """Return the ballot that an instance proposes in a round.
 
-    Later rounds give higher ballots. The low bits are a hash of the name, which distinguishes
-    instances in the same round.
+    Later rounds give higher ballots. The low bits are a hash of the name, which usually differs
+    between two instances in the same round. Equal ballots are safe, because a voter promises a
+    ballot only once, so at most one of the instances gets a majority of promises.
 
     >>> make_ballot(5, "n1") >> 8, make_ballot(6, "n1") > make_ballot(5, "n2")
     (5, True)
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -18,7 +18,7 @@
 
 
 class Owner:
-    """An owner that holds the lease without acting under the lease."""
+    """An owner that performs no acts under the lease."""
 
     def on_lease_gained(self):
         pass
@@ -28,9 +28,10 @@
 
 
 class Instance:
-    """A lease service with simulated surroundings.
+    """A lease service with a simulated event loop, network and disk.
 
-    `paused_until` is when its event loop resumes, `disk_write_ticks` how long a disk write takes.
+    `paused_until` is the time at which the event loop resumes, `disk_write_ticks` the duration of a
+    disk write.
     """
 
     def __init__(self, fleet, name, zone, disk_write_ticks):
@@ -80,7 +81,7 @@
         return True
 
     def persist(self, record, callback, *arguments):
-        """Write one record at a time, and all records queued meanwhile together."""
+        """Queue a record; after the write in progress, all queued records are written at once."""
         if not self.disk_write_ticks:
             return callback(*arguments)
         self.waiting.append((callback, arguments))
@@ -147,7 +148,11 @@
             self.instances[name].paused_until = self.now + ticks
 
     def overload(self, names):
-        """Pause event loops twice for 250 ms: two late load checks, each shorter than a lease."""
+        """Pause event loops twice for 250 ms.
+
+        Each pause is shorter than a lease and makes one load check late. Two late checks mean
+        overload.
+        """
         for _ in range(2):
             self.pause(names, 2_500)
             self.run_until(self.now + 4_000)
