--- a/corkgauge/membership/datagrams.py
+++ b/corkgauge/membership/datagrams.py
@@ -2,7 +2,9 @@
 
 Owns the keys and, for each peer, the send counter, the replay window and the rate limit. Takes and
 returns bytes; performs no I/O and reads no clock. No field of a datagram takes effect before the
-seal, the receiver and the counter have been verified.
+seal, the sender, the receiver and the rate limit have been checked. The incarnations take effect
+then. The body, except that of a HELLO, is also withheld until the replay window has accepted the
+counter.
 
 A datagram consists of a magic byte (1 octet), the key number (1 octet), a msgpack list and the seal
 (16 octets: HMAC-SHA256, truncated as RFC 2104 section 5 allows). The list holds the kind, the
@@ -122,7 +124,8 @@
         self.incarnation = incarnation
         self.keys = [*keys]  # the first key seals, any key verifies
         self.peers: dict[str, PeerSession] = {}
-        self.counts = Counter[str]()  # datagrams by "taken" or by rejection reason
+        # Received datagrams by rejection reason, or "taken" if accepted; HELLOs are not counted.
+        self.counts = Counter[str]()
         self._on_incarnation = on_incarnation
         self._on_superseded = on_superseded
 
@@ -171,7 +174,11 @@
         return self.peers[name].incarnation > 0
 
     def decode(self, data: bytes, now_ticks: int) -> OpenedDatagram | None:
-        """Return the datagram if it is accepted; otherwise count the rejection and return None."""
+        """Return the datagram if it is accepted; otherwise count the rejection and return None.
+
+        A datagram from or to an earlier incarnation is counted as rejected, but returned as a HELLO
+        without its body.
+        """
         envelope = self._unseal(data)
         if isinstance(envelope, str):
             self.counts[envelope] += 1
@@ -186,7 +193,8 @@
                 return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
             return None
         if envelope.kind == DatagramKind.HELLO:
-            # A replayed HELLO changes no state; answering it again is harmless.
+            # A HELLO is not checked for replay: the answer to a replayed HELLO is harmless, because
+            # a HELLO changes no state here.
             return OpenedDatagram(envelope.sender, DatagramKind.HELLO, envelope.incarnation)
         peer = self.peers[envelope.sender]
         if envelope.incarnation > peer.incarnation:
@@ -211,7 +219,11 @@
         self._on_incarnation(peer.name, incarnation)
 
     def _find_rejection_reason(self, envelope: Envelope, now_ticks: int) -> str:
-        """Return the rejection reason of a datagram with a valid seal; empty if it is accepted."""
+        """Return the rejection reason of a datagram with a valid seal, or an empty string.
+
+        Also charges the sender's rate limit, and reports a later local incarnation to
+        `on_superseded`. The replay window is checked afterwards, by the caller.
+        """
         peer = self.peers.get(envelope.sender)
         if peer is None:
             return "stranger"
--- a/corkgauge/membership/failure_detector.py
+++ b/corkgauge/membership/failure_detector.py
@@ -1,9 +1,9 @@
 """Detects failed members by direct and indirect probes, one probed member per period.
 
 Owns the probes in flight. Implements SWIM (Das, Gupta, Motivala, 2002) with the local health and
-the negative acknowledgements of Lifeguard (Dadgar, Phillips, Currey, 2017). A probe result is
-discarded if the local timer was late, so that a stalled local member suspects nobody. Times are
-ticks of a tenth of a millisecond.
+the negative acknowledgements of Lifeguard (Dadgar, Phillips, Currey, 2017). A missing answer is
+ignored if the local timer was late, so that a stalled local member suspects nobody. Times are ticks
+of a tenth of a millisecond.
 """
 
 from collections import Counter
@@ -17,12 +17,15 @@
 from corkgauge.membership.status_tracker import StatusTracker
 
 INDIRECT_PROBE_COUNT = 3  # members that are requested to probe an unresponsive member
-PROBE_TIMEOUT_FRACTION = 0.3  # time without an Ack before indirect probes are requested
+# Time without an Ack before indirect probes are requested, as a fraction of the probe interval. The
+# interval is the period scaled by the local health; a helper assumes an unscaled period.
+PROBE_TIMEOUT_FRACTION = 0.3
 # Timeout of an indirect probe, as a fraction of the rest of the period after
-# PROBE_TIMEOUT_FRACTION. What then remains lets the Nack reach the requester before the
-# requester's probe expires.
+# PROBE_TIMEOUT_FRACTION. The unused part lets the Nack reach the requester before the requester's
+# probe expires.
 INDIRECT_PROBE_FRACTION = 0.8
-MAX_LATENESS_PERIODS = 0.25  # lateness of the local timer above which a probe is discarded
+# Lateness of the local timer, in unscaled periods, above which a missing answer is ignored.
+MAX_LATENESS_PERIODS = 0.25
 
 
 @dataclass(slots=True)
@@ -65,8 +68,8 @@
     def probe_next_member(self, interval_ticks: int) -> None:
         """Probe the next member of the round.
 
-        The member is suspected unless an Ack arrives within the interval. A member whose
-        incarnation is unknown gets a HELLO instead.
+        The member is suspected unless an Ack arrives within the interval, directly or through a
+        helper. A member whose incarnation is unknown gets a HELLO instead.
         """
         member = self._table.next_probe_target()
         if member is None:
@@ -120,8 +123,8 @@
 
     def on_probe_timeout(self, sequence_number: int) -> None:
         """Request indirect probes of a member that has not answered."""
-        # Without indirect probes, a single bad link to a healthy member would make the local member
-        # suspect it.
+        # Without indirect probes, the local member would suspect a healthy member because of a
+        # single bad link between the two.
         probe = self._probes.get(sequence_number)
         if probe is None:
             return
@@ -142,7 +145,7 @@
         max_lateness_ticks = int(MAX_LATENESS_PERIODS * self._period_ticks)
         if self._host.now > probe.expires_at + max_lateness_ticks:
             # The local process stalled, and Acks that arrived meanwhile may be unread. Without this
-            # check, a stalled member would suspect every member that it probes.
+            # check, a stalled process would suspect every member that it has probed.
             self._counts["late ourselves"] += 1
             self._local.adjust_health(1)
             return
--- a/corkgauge/membership/member_list.py
+++ b/corkgauge/membership/member_list.py
@@ -167,7 +167,7 @@
         return True
 
     def list_present_members(self) -> list[Member]:
-        """Return the other members that are alive or suspected, sorted by name."""
+        """Return the other members in the state ALIVE or SUSPECTED, sorted by name."""
         return self.table.list_present_members()
 
     def state_of(self, name: str) -> MemberState:
@@ -190,16 +190,16 @@
         try:
             self._handle_body(member, opened.kind, opened.body)
         except DECODING_ERRORS:
-            # A member of another version, or a malfunctioning one, also holds the key. Its
-            # malformed message must not end the reading of datagrams.
+            # A member of another version, or a malfunctioning member, also holds the key. A
+            # malformed message from such a member must not end the reading of datagrams.
             self.counts["no sense"] += 1
 
     def on_period(self) -> None:
         """Send HELLOs until a member has answered; after that, probe the next member."""
         if self.local.has_left:
             return
-        # Scaled by local health: on a slow machine, unscaled intervals expire before answers are
-        # read, and every probed member would be suspected.
+        # The interval is scaled by the local health: on a slow machine, unscaled intervals would
+        # expire before answers are read, and every probed member would be suspected.
         interval_ticks = self._period_ticks * (1 + self.local.health)
         self._host.call_later(interval_ticks, self.on_period)
         if not self.local.has_joined:
@@ -212,7 +212,7 @@
         self.failure_detector.probe_next_member(interval_ticks)
 
     def _on_hello_reply(self, member: Member) -> None:
-        if not self.local.has_joined:  # the first member to answer provides the full state
+        if not self.local.has_joined:  # only the first member that answers sends the full state
             self.local.has_joined = True
             self.state_sync.request_state(member.name)
 
--- a/corkgauge/membership/member_table.py
+++ b/corkgauge/membership/member_table.py
@@ -1,7 +1,7 @@
 """Keeps the records of the other members and selects members to probe or to send messages to.
 
-Owns the records and the order of the current probe round. All random numbers are the host's, so
-that a run can be repeated with the same seed.
+Owns the records and the order of the current probe round. All random numbers come from the host,
+so that a run can be repeated with the same seed.
 """
 
 from collections.abc import Callable, Sequence
@@ -43,7 +43,7 @@
         self._round = [name for name in self._round if name in self.members]
 
     def list_present_members(self) -> list[Member]:
-        """Return the members that are alive or suspected, sorted by name."""
+        """Return the other members in the state ALIVE or SUSPECTED, sorted by name."""
         present_states = (ALIVE, SUSPECTED)
         return sorted(
             (member for member in self.members.values() if member.state in present_states),
@@ -60,7 +60,7 @@
     def next_probe_target(self) -> Member | None:
         """Return the next member to probe, or None if there is no other member.
 
-        Each round visits every member once, in random order. Members that are gone or have left are
+        Each round visits every member once, in random order. Members in the state GONE or LEFT are
         skipped in most rounds.
         """
         member = None
@@ -76,7 +76,7 @@
         return member
 
     def sample_alive_members(self, count: int, excluded: Member | None = None) -> list[Member]:
-        """Return up to `count` random members that are alive and whose incarnation is known."""
+        """Return up to `count` random members in the state ALIVE with a known incarnation."""
         names = [
             member.name
             for member in self.members.values()
--- a/corkgauge/membership/members.py
+++ b/corkgauge/membership/members.py
@@ -39,12 +39,12 @@
         self.state_since = 0  # ticks
         self.reason = ""  # of the last state change, shown to operators
         self.accusers: set[str] = set()  # members that suspect this member
-        self.suspicion_timer_serial = 0  # of the latest suspicion timer; earlier ones are void
-        self.last_datagram_at = 0  # ticks, when its last datagram was received
+        self.suspicion_timer_serial = 0  # of the latest suspicion timer; earlier timers are ignored
+        self.last_datagram_at = 0  # ticks; receipt of the last accepted datagram except HELLOs
         self.state_sent_at = -STATE_SYNC_INTERVAL_TICKS  # ticks, last full state sent
 
     def status_update(self) -> StatusUpdate:
-        """Return the status update that gossip spreads on the member."""
+        """Return the status update on the member, for gossip."""
         accuser = min(self.accusers, default="")
         return StatusUpdate(self.name, self.state, self.incarnation, self.refutations, accuser)
 
@@ -58,7 +58,7 @@
         self.refutations = 0
         # 0 to MAX_LOCAL_HEALTH: 0 is healthy, higher values mean that the local member is slow.
         self.health = 0
-        self.has_joined = False  # another member has answered
+        self.has_joined = False  # another member has answered a HELLO
         self.has_left = False
 
     def adjust_health(self, step: int) -> None:
--- a/corkgauge/membership/message_sender.py
+++ b/corkgauge/membership/message_sender.py
@@ -24,7 +24,8 @@
 # Gossiped updates in a datagram. The rest of the datagram holds the message and up to two updates
 # that precede the gossip: the one on the receiver and the one on a leaving local member.
 MAX_GOSSIP_BYTES = 780
-# States recorded for a receiver that the receiver is sent, so that it can refute them.
+# If one of these states is recorded for the receiver of a message, the message carries that state,
+# so that the receiver can refute it.
 REFUTABLE_STATES = (SUSPECTED, GONE, LEFT)
 
 
--- a/corkgauge/membership/messages.py
+++ b/corkgauge/membership/messages.py
@@ -19,7 +19,11 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; the values are part of the wire format, and a higher value overrides."""
+    """State of a member; the values are part of the wire format.
+
+    For the same incarnation and refutation count, SUSPECTED overrides ALIVE, and GONE and LEFT
+    override both. Neither of GONE and LEFT overrides the other. Any update overrides UNKNOWN.
+    """
 
     ALIVE = 0
     SUSPECTED = 1
--- a/corkgauge/membership/service.py
+++ b/corkgauge/membership/service.py
@@ -28,7 +28,7 @@
 
 
 class ServingHost(Protocol):
-    """The host of the process, as far as the service uses it."""
+    """The parts of the process's host that the service uses."""
 
     event_loop: EventLoop
     routes: dict[tuple[bytes, bytes], Callable[..., Any]]  # by HTTP method and path
@@ -41,7 +41,8 @@
     """Hosts a MemberList on a UDP socket.
 
     Raises:
-        ConfigurationError: The local name is not among the members, or its address is in use.
+        ConfigurationError: The local name is not among the members, or the socket cannot be bound
+            to the local address.
     """
 
     def __init__(
@@ -99,11 +100,11 @@
         return self.event_loop.now
 
     def send_datagram(self, name: str, data: bytes) -> None:
-        """Send a datagram to a member; count and drop it if the socket refuses it."""
+        """Send a datagram to a member; count and drop the datagram if the socket refuses it."""
         try:
             self.sock.sendto(data, self.addresses[name])
         except OSError as problem:
-            # ECONNREFUSED reports an earlier datagram to a member that was not listening.
+            # ECONNREFUSED reports that an earlier datagram reached no listening socket.
             if problem.errno != errno.ECONNREFUSED:
                 self.unsent += 1
 
@@ -179,7 +180,8 @@
         except OSError as problem:
             self.sock.close()
             raise ConfigurationError(
-                f"fellows: cannot bind {address[0]}:{address[1]}: {problem.strerror}"
+                f"fellows: cannot bind {address[0]}:{address[1]}: {problem.strerror}; check that "
+                "the address is local and that no other process runs under this name"
             ) from None
 
     def _set_addresses(self, config: MembershipConfig) -> None:
@@ -198,7 +200,7 @@
                 except BlockingIOError:
                     break
                 except OSError:
-                    continue  # reports an earlier sent datagram to a member that was not listening
+                    continue  # an earlier datagram that was sent reached no listening socket
                 self._handle_datagram(data)
 
     def _handle_datagram(self, data: bytes) -> None:
@@ -213,7 +215,7 @@
 
 
 def _new_incarnation(seed: int, now_ticks: int) -> int:
-    """Return an incarnation above that of any earlier start, unless the clock was set back."""
+    """Return an incarnation above those of all earlier starts, unless the clock was set back."""
     milliseconds = now_ticks // TICKS_PER_MILLISECOND
     drawn = crc32(pack("<QQ", seed, now_ticks)) % (1 << INCARNATION_SHIFT_BITS)
     return (milliseconds << INCARNATION_SHIFT_BITS) | drawn
--- a/corkgauge/membership/status_tracker.py
+++ b/corkgauge/membership/status_tracker.py
@@ -37,7 +37,7 @@
         self._period_ticks = period_ticks
 
     def apply_update(self, sender: str, update: StatusUpdate) -> None:
-        """Apply an update that is newer than the member's record or confirms its suspicion."""
+        """Apply an update that is newer than the member's record, or confirms a suspicion."""
         if update.name == self._local.name:
             self._apply_to_local(update)
             return
@@ -57,7 +57,10 @@
                 self._set_state(member, update.state, f"reported by {sender}")
 
     def suspect(self, member: Member, accuser: str, reason: str) -> None:
-        """Suspect a member, or add an accuser; unless refuted in time, the member is gone."""
+        """Suspect a member, or add an accuser, and restart the suspicion timer.
+
+        The member is marked as gone unless the suspicion is refuted before the timer expires.
+        """
         if member.state != SUSPECTED:
             member.state_since = self._host.now
             self._set_state(member, SUSPECTED, reason, {accuser})
@@ -109,9 +112,9 @@
             self._local.refutations = update.refutations + 1
             self._counts["accused"] += 1
             self._local.adjust_health(1)
-        # Gossiped again even if this suspicion was refuted before: while the local member's
-        # datagrams were lost, the refutation used up its transmissions, and the accuser never
-        # received it.
+        # The refutation is gossiped again even if this suspicion was refuted before: an earlier
+        # refutation may have used up its transmissions while the local member's datagrams were
+        # lost, so that the accuser never received it.
         self._gossip.add(self._local.name, self._local.status_update(self._codec.incarnation))
 
     def _confirm_suspicion(self, member: Member, accuser: str) -> None:
@@ -157,8 +160,8 @@
 def _is_newer(update: StatusUpdate, member: Member) -> bool:
     """Return whether the update is newer, by incarnation, then refutations, then state.
 
-    The rule is that of SWIM, section 4.2. GONE and LEFT have equal precedence: the one that was
-    received first stays.
+    The rule is that of SWIM, section 4.2. GONE and LEFT have equal precedence: the state that was
+    received first stays. Any update is newer than UNKNOWN.
     """
     update_order = (update.incarnation, update.refutations, min(update.state, GONE))
     if member.state == UNKNOWN:
--- a/corkgauge/membership/suspicion.py
+++ b/corkgauge/membership/suspicion.py
@@ -3,7 +3,8 @@
 from math import log, log10
 
 EXPECTED_CONFIRMATIONS = 3  # further accusers after which the timeout is shortest
-MIN_TIMEOUT_PERIODS = 4  # shortest timeout, multiplied by log10 of the number of members
+# Shortest timeout in periods; multiplied by log10 of the number of members, or 1 if that is more.
+MIN_TIMEOUT_PERIODS = 4
 MAX_TIMEOUT_FACTOR = 4  # longest timeout divided by the shortest
 
 
@@ -14,7 +15,7 @@
 
     >>> [suspicion_timeout_ticks(confirmations, 10, 5_000) for confirmations in range(5)]
     [80000, 50000, 32451, 20000, 20000]
-    >>> suspicion_timeout_ticks(0, 2, 5_000)  # no third member could confirm it
+    >>> suspicion_timeout_ticks(0, 2, 5_000)  # no third member could confirm the suspicion
     20000
     """
     shortest = MIN_TIMEOUT_PERIODS * max(1.0, log10(member_count)) * period_ticks
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,7 +19,7 @@
 
 
 def codec_pair():
-    """Return two codecs that know each other's incarnation."""
+    """Return two codecs that know each other's incarnation; each has accepted a HELLO_REPLY."""
     one = DatagramCodec("n1", 100, [Key(SECRET)], lambda *_: None, lambda incarnation: None)
     two = DatagramCodec("n2", 200, [Key(SECRET)], lambda *_: None, lambda incarnation: None)
     one.set_peers(["n2"])
@@ -56,6 +56,7 @@
     one, two = codec_pair()
     data = bytearray(one.encode("n2", DatagramKind.CALL, ["some", "words"]))
     data[change % len(data)] ^= 0x41
+    # The one accepted datagram is the HELLO_REPLY of `codec_pair`.
     assert two.decode(bytes(data), 0) is None and two.counts["taken"] == 1
 
 
