--- a/corkgauge/peer_health/aggregation.py
+++ b/corkgauge/peer_health/aggregation.py
@@ -1,18 +1,21 @@
 """Aggregates the peer health reports on one engine into a suspicion and a slowness estimate.
 
-Performs no I/O. Reports are hints: a recent observation of the local gateway takes precedence, a
-single reporter has no effect, and a suspected engine still gets attempts.
+Performs no I/O. Reports are hints: recent data from the engine to the local gateway takes
+precedence over a suspicion, a single reporter has no effect, and a few gateways still send attempts
+to a suspected engine.
 
 The weight of a report falls linearly with its age, from 1 to 0 at the end of its lifetime, and is
 halved if the reporter is in another zone. A report on another incarnation of the engine is ignored.
 An engine is *suspected* if reporters from at least two zones reported a fault (at least three
 reporters if the fleet has only one zone), if the weights of their reports add up to at least that
-of one fresh report from the local zone, and if they exceed the weights of the reports without a
-fault. A single gateway with false reports, or a majority of such gateways in one zone, therefore
-cannot make an engine suspected. A suspicion limits the engine to one attempt at a time, and ends
-with the first good answer to the local gateway. The slowness estimate is the weighted median of at
-least three reporters, from at least two zones if the fleet has several. Times are ticks, tenths of
-a millisecond.
+of one fresh report from the local zone, and if this sum exceeds the sum of the weights of the
+reports without a fault. A single gateway with false reports therefore cannot make an engine
+suspected; in a fleet with several zones, neither can all gateways of one zone. While an engine is
+suspected, a few gateways per period send it one attempt at a time, and all others send none; in a
+small fleet, all gateways send one at a time (see `trials.py`). A gateway ignores the suspicion for
+OWN_OBSERVATION_TICKS after the engine last sent data to this gateway; with the same reports, the
+suspicion then returns. The slowness estimate is the weighted median of at least three reporters,
+from at least two zones if the fleet has several. Times are ticks, tenths of a millisecond.
 """
 
 from collections.abc import Iterable, Mapping
@@ -24,7 +27,8 @@
 OTHER_ZONE_WEIGHT = 0.5  # factor on the weight of a report from another zone
 MIN_SUSPICION_WEIGHT = 1.0  # sum of the weights of all reports of a fault
 MIN_REPORTERS = 3  # for a suspicion in a fleet with one zone, and for a slowness estimate
-OWN_OBSERVATION_TICKS = 20_000  # a more recent sign from the engine overrides any suspicion
+# No suspicion holds for this time after the engine last sent data to the local gateway.
+OWN_OBSERVATION_TICKS = 20_000
 # Multiples of the usual response time; a reported slowness outside this range is clamped to it.
 MAX_SLOWNESS = 50.0
 MIN_SLOWNESS = 0.5
@@ -94,7 +98,7 @@
         engine_incarnation: The engine's incarnation as known to the local gateway.
         own_name: Name of the local gateway.
         zones: Zone by gateway, the local gateway included.
-        own_observation_at: When the engine last gave a sign to the local gateway; below 0 for
+        own_observation_at: When the engine last sent data to the local gateway; below 0 for
             never.
 
     >>> def report(reporter, fault, slowness=0):
@@ -106,9 +110,9 @@
     >>> two_zones = [report("n2", Fault.SILENT), report("n4", Fault.SILENT)]
     >>> assess(two_zones, 0, 7, "me", zones, -1).is_suspected
     True
-    >>> assess(two_zones, 0, 7, "me", zones, 0).is_suspected      # overridden locally
+    >>> assess(two_zones, 0, 7, "me", zones, 0).is_suspected      # recent data from the engine
     False
-    >>> assess(two_zones, 0, 8, "me", zones, -1).is_suspected     # on an earlier start
+    >>> assess(two_zones, 0, 8, "me", zones, -1).is_suspected     # on an earlier incarnation
     False
     >>> slow = [report("n2", Fault.NONE, 300), report("n3", Fault.NONE, 200)]
     >>> assess([*slow, report("n4", Fault.NONE, 9900)], 0, 7, "me", zones, -1).slowness
@@ -158,7 +162,7 @@
 
 
 def _weighted_median(samples: list[SlownessSample]) -> float:
-    """Return the least slowness at which the cumulated weight reaches half of the total.
+    """Return the lowest slowness at which the cumulated weight reaches half of the total weight.
 
     >>> _weighted_median([SlownessSample(*each) for each in ((1.0, 1.0), (9.0, 0.2), (2.0, 1.0))])
     2.0
--- a/corkgauge/peer_health/health_report.py
+++ b/corkgauge/peer_health/health_report.py
@@ -11,12 +11,12 @@
 
 REPORT_LIFETIME_TICKS = 100_000  # age at which the weight is 0 and a report is dropped
 MAX_ENGINE_CHARS = 64  # longest engine reference accepted from another gateway
-WIRE_INTEGER_LIMIT = 2**62  # numbers of a row have to be below this limit
-ROW_OVERHEAD_BYTES = 40  # upper estimate of a row without its two names
+WIRE_INTEGER_LIMIT = 2**62  # exclusive upper limit of the numbers in a row
+ROW_OVERHEAD_BYTES = 40  # estimate of a row without its two names, for numbers of usual size
 
 
 class Fault(IntEnum):
-    """Fault of an engine as reported; the values are part of the wire format."""
+    """Fault of an engine in a report; the values are part of the wire format."""
 
     NONE = 0
     ERROR = 1
@@ -72,7 +72,7 @@
         return now >= self.found_at + REPORT_LIFETIME_TICKS
 
     def row_bytes(self) -> int:
-        """Return an upper estimate of the row's size in a datagram."""
+        """Return an upper estimate of the row's size in a datagram, for numbers of usual size."""
         return ROW_OVERHEAD_BYTES + len(self.reporter) + len(self.engine)
 
 
--- a/corkgauge/peer_health/messages.py
+++ b/corkgauge/peer_health/messages.py
@@ -1,10 +1,9 @@
 """Encodes and decodes the three datagram bodies of peer health: status, reconciliation, permit.
 
 Bodies are lists of fixed length and, like the subjects, part of the wire format between versions.
-Decoding raises ValueError or TypeError if a body has the wrong length, but does not check its
-elements. An element is checked where it is used: an exception there makes the membership service
-count the body as malformed and continue, and the elements before the malformed one have been
-applied.
+Decoding raises ValueError or TypeError if a body has the wrong length, but does not check the
+elements. An element is checked where it is used. An exception there makes the member list count the
+body as malformed and continue; the elements before the malformed one have then been applied.
 """
 
 from typing import Any, NamedTuple
@@ -18,8 +17,8 @@
 
 UNPLACED_SCALE = 10  # unplaced requests per second are sent in tenths
 
-BODY_BYTES = 60  # upper estimate of a body without its rows
-ROW_BYTES = 70  # assumed size of one row
+BODY_BYTES = 60  # assumed size of a body without its rows and its digest
+ROW_BYTES = 70  # assumed size of one row; `HealthReport.row_bytes` may be larger
 
 
 class StatusUpdate(NamedTuple):
@@ -89,5 +88,5 @@
 
 
 def body_bytes(row_count: int) -> int:
-    """Return an upper estimate of the size of a body with `row_count` rows."""
+    """Return an assumed size of a body with `row_count` rows; a digest is not counted."""
     return BODY_BYTES + ROW_BYTES * row_count
--- a/corkgauge/peer_health/permit_exchange.py
+++ b/corkgauge/peer_health/permit_exchange.py
@@ -17,7 +17,7 @@
 
 MAX_ENGINES_OFFERED = 40  # engines in slow start that one offer considers
 PERMIT_OFFER_INTERVAL_TICKS = 1_000
-UNSENT_REASON_INDEX = 3  # in the reasons of a ledger row: the request found no engine
+UNSENT_REASON_INDEX = 3  # index in the reasons of a ledger row: the request found no engine
 MAX_WORK = 1e9  # of a received permit; a larger value would void the slow-start limit
 
 
@@ -70,6 +70,7 @@
         request_classes = self.socket_host.settings.request_classes
         work = max((each.typical_work for each in request_classes), default=0.0)
         window_ticks = self.transfers.window_ticks
+        # The incarnation is the time of the engine's start in ticks; windows count from there.
         remaining_ticks = window_ticks - (now - engine.incarnation) % window_ticks
         if not work or not gateway.slow_start.has_budget(engine, work):
             return
@@ -80,7 +81,7 @@
         if grant is None:
             return
         # Spend the permit before sending it: a process that ends in between loses the permit, while
-        # the reverse order would allow two gateways to use it.
+        # the reverse order would allow two gateways to use the permit.
         gateway.on_permit_moved(engine, work, now)
         permit = PermitMessage(
             engine.host_reference,
@@ -110,5 +111,7 @@
         # A permit for an earlier incarnation would exceed the budget of the current one.
         if engine.incarnation == permit.engine_incarnation and 0 < permit.work < MAX_WORK:
             gateway = self.socket_host.gateway
+            # The received permit counts as negative usage. The usage is dated back, so that it
+            # leaves the slow-start window at `usable_until`.
             spent_at = now + (usable_until - now_since_boot) - gateway.slow_start.window_ticks
             gateway.on_permit_moved(engine, -float(permit.work), spent_at)
--- a/corkgauge/peer_health/permit_transfer.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -26,11 +26,13 @@
 from typing import NamedTuple
 
 MAX_REMEMBERED_UPDATES = 64  # sent status updates whose send times are kept
-MIN_REMAINING_FRACTION = 0.15  # of a window; with less left, a permit is not worth a datagram
+# Fraction of a window; with less of the window remaining, a permit is not worth a datagram.
+MIN_REMAINING_FRACTION = 0.15
 RESERVED_FRACTION = 0.3  # initial part of a window, in which permits are kept for local requests
-MAX_REMEMBERED_TRANSFERS = 4_096  # engines whose last transfer is kept
+MAX_REMEMBERED_TRANSFERS = 4_096  # engines whose last transfer is kept; above, all are dropped
 MAX_DEMAND = 1e6  # requests per second; a larger reported value would attract every permit
-# Window ends are compared in hundredths of a second, because window starts are known rounded.
+# Window ends are compared in units of 10 ms, because gateways know the start dates of engines, from
+# which windows count, only rounded.
 WINDOW_END_UNIT_TICKS = 100
 NEVER = -(10**9)  # a window end that is far from any actual one
 
@@ -54,7 +56,7 @@
 
     member: str
     serial: int
-    known_ticks: int  # time since the granter received that update
+    known_ticks: int  # time since the granter received the status update
     remaining_ticks: int  # of the window
 
 
@@ -123,7 +125,7 @@
         return None
 
     def _can_grant(self, engine: str, remaining_ticks: int, window_end: int) -> bool:
-        """Return whether a grant is due in this window, and none was made in it before."""
+        """Return whether the window is at a stage for grants, without an earlier grant in it."""
         max_remaining_ticks = (1 - RESERVED_FRACTION) * self.window_ticks
         if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= max_remaining_ticks:
             return False
--- a/corkgauge/peer_health/reports.py
+++ b/corkgauge/peer_health/reports.py
@@ -1,15 +1,16 @@
 """Stores the latest health report of each gateway on each engine, and spreads reports by gossip.
 
 Performs no I/O: the caller provides the time and exchanges the datagrams. Three invariants hold:
-forwarding a report never makes it younger; a reporter has at most one report per engine, and a
-limited number in total; every report expires.
+forwarding makes a report younger by no more than the time in transit; a reporter has at most one
+report per engine, and a limited number in total; every report expires.
 
 The store is a last-writer-wins map (Shapiro, Preguica, Baquero and Zawirski, 2011) from (reporter,
 engine) to the report with the greatest (incarnation, serial) of that reporter, so merging is
 commutative, associative and idempotent. Reports spread by rumor mongering (Demers et al., 1987):
 each is sent a number of times that grows with the logarithm of the number of members. Comparing
 digests (anti-entropy) repairs gaps that gossip leaves. Reports carry ages instead of dates, so a
-clock that is a day ahead has no effect. Times are ticks, tenths of a millisecond.
+clock that is a day ahead has no effect; an age does not include the time in transit. Times are
+ticks, tenths of a millisecond.
 """
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -37,7 +38,7 @@
 
 
 class DigestEntry(NamedTuple):
-    """One reporter in a digest: the latest version, and a checksum over all its reports."""
+    """One reporter in a digest: its latest version, and a checksum over all its reports."""
 
     incarnation: int
     serial: int
@@ -81,7 +82,9 @@
     ) -> bool:
         """Record a local observation as a report; return False if the report is not needed.
 
-        A report is needed if it differs from the previous one or keeps it from expiring.
+        A report is needed if there is no local report on the engine; if the fault or the engine's
+        incarnation has changed; if the slowness has changed notably and the last report is older
+        than MIN_REPORT_INTERVAL_TICKS; or if half of the last report's lifetime has passed.
         """
         before = self.by_engine.get(engine, {}).get(self.name)
         if before is not None and not self._is_worth_reporting(
@@ -109,9 +112,9 @@
     ) -> bool:
         if (before.engine_incarnation, before.fault) != (engine_incarnation, fault):
             return True
-        # A fluctuating slowness would cause a report in every period. So a new slowness is reported
-        # only if it changed by more than half, and an unchanged report is repeated only after half
-        # of its lifetime.
+        # A fluctuating slowness would cause a report in every period. So a slowness is reported
+        # early only if it changed by more than half of the last one, and by more than half of the
+        # usual one. Otherwise a report is repeated only after half of its lifetime.
         change = abs(before.slowness_percent - slowness_percent)
         has_changed = change > max(before.slowness_percent, 100) // 2
         interval_ticks = MIN_REPORT_INTERVAL_TICKS if has_changed else REPORT_LIFETIME_TICKS // 2
@@ -135,8 +138,8 @@
         before = self.by_engine.get(report.engine, {}).get(report.reporter)
         if before is not None and before.version >= report.version:
             if before.version == report.version:
-                # Of two copies, the one with the greater age is more accurate: ages omit the time
-                # in transit, so a copy can only appear too young.
+                # Of two copies of a report, the copy with the greater age is more accurate: ages
+                # omit the time in transit, so a copy can only appear too young.
                 before.found_at = min(before.found_at, report.found_at)
             return False
         if report.is_expired(now):
@@ -153,7 +156,10 @@
         return self.by_engine.get(engine, {}).values()
 
     def has_notable_report(self, engine: str, slowness_limit_percent: float) -> bool:
-        """Return whether a stored report has a fault or a slowness above the limit."""
+        """Return whether any stored report, the local one included, has a fault or is notable.
+
+        A report is notable if its slowness is above the limit.
+        """
         return any(
             report.fault != Fault.NONE or report.slowness_percent > slowness_limit_percent
             for report in self.reports_on(engine)
@@ -168,7 +174,7 @@
                     self._drop(report)
 
     def next_gossip(self, now: int, member_count: int, room_bytes: int) -> list[Row]:
-        """Return rows to gossip, at most `room_bytes`, least often sent reports first."""
+        """Return rows to gossip, at most `room_bytes` by estimate, least often sent first."""
         send_limit = GOSSIP_FACTOR * ceil(log2(max(member_count, 2) + 1))
         by_times_sent = sorted(self.pending_gossip.items(), key=lambda item: item[1].times_sent)
         rows: list[Row] = []
@@ -206,12 +212,12 @@
         include_unlisted: bool,
         rotation: int,
     ) -> list[Row]:
-        """Return rows that the sender of the digest lacks, at most `room_bytes`.
+        """Return rows that the sender of the digest may lack, at most `room_bytes` by estimate.
 
         Args:
             now: Current time.
             digest: The received digest, not validated.
-            room_bytes: Maximum size of the rows.
+            room_bytes: Maximum size of the rows, by the estimate of `HealthReport.row_bytes`.
             include_unlisted: Whether to add reporters that the digest does not list.
             rotation: Where to start among a reporter's reports if all of them are sent.
 
--- a/corkgauge/peer_health/retry_throttle.py
+++ b/corkgauge/peer_health/retry_throttle.py
@@ -7,14 +7,16 @@
 retry budget, but the sum of the retries on the remaining capacity can keep the fleet from
 recovering (metastable failures: Bronson, Aghayev, Charapko and Zhu, 2021). All gateways compute the
 same fraction from the same sums, as far as they received the same updates. A gateway that receives
-no updates keeps its whole budget. Times are ticks, tenths of a millisecond.
+no updates keeps its whole budget, or returns to it in steps if it was throttled before. Times are
+ticks, tenths of a millisecond.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 USAGE_LIFETIME_TICKS = 40_000  # age at which an update is ignored
-NORMAL_SPENT_FRACTION = 0.25  # of the fleet's retry budget; nothing is throttled up to it
+# Fraction of the fleet's retry budget that may be spent without throttling.
+NORMAL_SPENT_FRACTION = 0.25
 MIN_BUDGET_FRACTION = 0.1  # some retries continue, to detect the end of the fault
 RECOVERY_STEP_FRACTION = 0.05  # of the budget, regained at each update
 MIN_GATEWAY_COUNT = 3  # known gateways, the local one included, needed for throttling
@@ -72,8 +74,8 @@
         if len(usages) < MIN_GATEWAY_COUNT or spent_fraction <= NORMAL_SPENT_FRACTION:
             self.budget_fraction = min(1.0, regained)
         else:
-            # The more of its budget the fleet spends, the smaller the fraction. An increase is
-            # limited to one step, because a jump would bring back all retries at once.
+            # The more of its retry budget the fleet spends, the smaller the fraction. An increase
+            # is limited to one step, because a jump would bring back all retries at once.
             throttled = NORMAL_SPENT_FRACTION / spent_fraction
             self.budget_fraction = max(MIN_BUDGET_FRACTION, min(regained, throttled))
         return self.budget_fraction
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -43,10 +43,10 @@
 NOTABLE_SLOWNESS = 2.0  # multiple of the usual slowness above which an engine is reported
 MIN_SLOWNESS_SAMPLE_COUNT = 3  # local samples needed to report a slowness
 DATAGRAM_ROOM_BYTES = 1_000  # for reports or a digest in one datagram
-DIGEST_BYTES_PER_ROW = 90  # by which each row reduces the room for the digest beside it
+DIGEST_BYTES_PER_ROW = 90  # each row reduces the room for a digest in the same datagram by this
 GOSSIP_FANOUT = 2  # members that get a status update per period
-RECONCILIATION_PERIODS = 6  # between two reconciliations that the local gateway starts
-LAST_RECONCILIATION_STAGE = 2  # not answered
+RECONCILIATION_PERIODS = 6  # periods between two reconciliations that the local gateway starts
+LAST_RECONCILIATION_STAGE = 2  # a message of this stage is not answered
 
 
 class Observation(NamedTuple):
@@ -86,7 +86,7 @@
 
         self.status_serial = 0
         self.period_count = 0
-        self.sent_bytes = 0
+        self.sent_bytes = 0  # by the assumed sizes of `body_bytes`
         self.byte_budget = 0  # remaining budget for sending; refilled each period
 
         self.member_list.call_handlers[STATUS_SUBJECT] = self.on_status_update
@@ -116,7 +116,7 @@
         members = self.member_list.list_present_members()
         self._retain_members(now)
         # A burst of faults produces more reports than the links can carry, so the bytes sent per
-        # second are limited.
+        # second are limited, by the assumed sizes of `body_bytes`.
         refill = options.max_bytes_per_second * options.report_interval_ticks // SECOND
         self.byte_budget = min(self.byte_budget + refill, 2 * options.max_bytes_per_second)
         for member in self._sample_members(members, GOSSIP_FANOUT):
@@ -152,8 +152,9 @@
             if observation is None:
                 continue
             # Reports that an engine is as usual, from hundreds of gateways on hundreds of engines,
-            # would leave no room for reports of faults. So such a report is made only if another
-            # report on the engine disagrees.
+            # would leave no room for reports of faults. So such a report is made only if a stored
+            # report on the engine, possibly the local gateway's own, has a fault or a notable
+            # slowness.
             if (
                 observation.fault != Fault.NONE
                 or observation.slowness_percent > notable_percent
@@ -164,7 +165,7 @@
                 )
 
     def _observe(self, engine: Any, now: int) -> Observation | None:
-        """Return the local observation of an engine, or None if there is no recent one."""
+        """Return the local observation of an engine, or None without a recent and trusted one."""
         stats = engine.stats
         if engine.state != EngineState.READY or stats is None:
             return None
--- a/tests/test_peer_health.py
+++ b/tests/test_peer_health.py
@@ -101,11 +101,13 @@
             for distance in (1, 3):
                 receiver = names[(n + distance + period) % 8]
                 reports_by_name[receiver].merge(now + 100, rows)
-    # An age may omit the 100 ticks of each hop, so `found_at` may be late, but never early.
+    # Each of at most 7 hops between 8 gateways takes 100 ticks, which the age omits. So `found_at`,
+    # which is 0 at the reporter, is at most 700 ticks late at the others, and never early.
     assert all(
         [report.found_at for report in reports.reports_on("e1")][0] <= 700
         for reports in reports_by_name.values()
     )
+    # Each of 8 gateways sends the report at most GOSSIP_FACTOR * ceil(log2(8 + 1)) = 2 * 4 times.
     assert sent_rows < 8 * 2 * 4 + 1
     for reports in reports_by_name.values():
         assert reports.next_gossip(now, 8, 900) == []  # the gossip has ended
