--- a/corkgauge/leases/candidate.py
+++ b/corkgauge/leases/candidate.py
@@ -120,7 +120,8 @@
         """End the lease immediately and notify the voters and the next candidates.
 
         No act is permitted after this call. The next round begins after `pause_ticks`, and after at
-        least one lease duration. A vacancy notice or `set_wanted(True)` ends this pause early.
+        least one lease duration. `set_wanted(True)`, and a vacancy notice while the lease is
+        wanted, end this pause early.
         """
         previous_state = self.state
         self._end_holding(reason)
@@ -248,8 +249,7 @@
         """Schedule a new round if this round can no longer reach a majority.
 
         The new round begins when enough voters may be free to form a majority, plus the rank delay
-        and a random delay. If that time is later than now, the count of
-        failed rounds is reset.
+        and a random delay. If enough voters are not free yet, the count of failed rounds is reset.
         """
         if not self.tally.is_majority_impossible(self.configuration):
             return
--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -61,7 +61,7 @@
         event_loop.call_later(self.period_ticks, self.begin_round, fencing_token)
 
     def finish_round(self, fencing_token: int) -> None:
-        """Add the sum of the accounts to the history, here and at the instances in the list."""
+        """Add the sum of the accounts to the history, here and at all members that are present."""
         service = self.service
         if not self._may_act(fencing_token):
             return
--- a/corkgauge/leases/grant_times.py
+++ b/corkgauge/leases/grant_times.py
@@ -6,9 +6,9 @@
 class GrantTimes:
     """The send times of a candidate's grant requests, and the latest request granted by each voter.
 
-    Times are in the caller's unit. A lease is held from the time by which a majority's latest
-    granted requests were all sent. Voters count a grant from a later time, so a slow reply shortens
-    the holding period and never extends it beyond the grant.
+    Times are in the caller's unit. A holding period counts from the latest time for which a
+    majority of voters has granted a request that was sent then or later. Voters count a grant from
+    a later time, so a slow reply shortens the holding period and never extends it beyond the grant.
 
     >>> grants = GrantTimes()
     >>> grants.record_request(1, 100)
@@ -46,7 +46,7 @@
         self.granted_at[voter] = max(self.sent_at[serial], self.granted_at.get(voter, 0))
 
     def majority_since(self, majority: int) -> int | None:
-        """Return the time since which a majority's grants count, or None without a majority."""
+        """Return the time from which a holding period counts, or None without a majority."""
         if len(self.granted_at) < majority:
             return None
         return sorted(self.granted_at.values(), reverse=True)[majority - 1]
--- a/corkgauge/leases/leased_command.py
+++ b/corkgauge/leases/leased_command.py
@@ -72,7 +72,7 @@
                 self.held_until = max(self.held_until, asked_at + left_seconds)
 
     def check_deadlines(self, now: float) -> None:
-        """Terminate or kill the command if its time is over, with or without a reply."""
+        """Terminate or kill the command at its deadline, even if the instance does not reply."""
         if self.state is CommandState.RUNNING and now >= self._terminate_at():
             self._terminate("the time is nearly over")
         if self.state is CommandState.ENDING and now >= self._kill_at():
--- a/corkgauge/leases/load_monitor.py
+++ b/corkgauge/leases/load_monitor.py
@@ -47,5 +47,7 @@
             # The load does not change whether a lease is wanted. The call restarts the timer of a
             # waiting candidate with its new rank, which also ends a pause after a release.
             candidate.set_wanted(service.is_wanted(name))
-            if self.is_overloaded:  # only once, because the next holder may be just as overloaded
+            # Leases are handed over only when overload begins, not repeatedly during overload: the
+            # next holder may be just as overloaded.
+            if self.is_overloaded:
                 service.hand_over(name, "overloaded")
--- a/corkgauge/leases/operator_commands.py
+++ b/corkgauge/leases/operator_commands.py
@@ -24,7 +24,7 @@
         self.service = service
 
     def report_status(self, _body: bytes = b"") -> dict[str, Any]:
-        """Handle GET; durations are seconds, points in time are system time in milliseconds."""
+        """Handle GET `/duties`; durations are seconds, and points in time are Unix milliseconds."""
         service = self.service
         now = service.now
         return {
@@ -68,7 +68,7 @@
         }
 
     def handle_request(self, body: bytes) -> dict[str, Any]:
-        """Handle POST.
+        """Handle POST `/duties`.
 
         Requests are `{"do": "hold", "duty", "by"}`, `{"do": "done", "duty", "by"}` and
         `{"do": "yield", "duty"}`. Raises ValueError or KeyError for any other request.
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -114,7 +114,7 @@
             self.collectors[name] = FleetAccountsCollector(self, name, period_ticks)
 
     def add_candidate(self, lease: str, owner: LeaseOwner) -> None:
-        """Compete for another subsystem's lease and notify `owner` of each gain and loss."""
+        """Add another subsystem's lease, and notify `owner` of each gain and loss."""
         self.owners[lease] = owner
         self.candidates[lease] = LeaseCandidate(
             self, lease, self.name, self.configuration, self.timing, self.is_wanted(lease)
@@ -130,7 +130,7 @@
     def set_cordoned(self, is_cordoned: bool) -> None:
         """Cordon or uncordon this instance.
 
-        A cordoned instance hands over its leases and competes for none.
+        A cordoned instance hands over its leases and wants none.
         """
         if is_cordoned == self.is_cordoned:
             return
--- a/corkgauge/leases/tally.py
+++ b/corkgauge/leases/tally.py
@@ -43,8 +43,8 @@
 
     def is_majority_impossible(self, configuration: VoterConfiguration) -> bool:
         """Return whether so many voters have rejected that no majority can be reached."""
-        refusals = len(self.accepted) - sum(self.accepted.values())
-        return refusals > len(configuration.names) - configuration.majority
+        rejection_count = len(self.accepted) - sum(self.accepted.values())
+        return rejection_count > len(configuration.names) - configuration.majority
 
     def earliest_retry_ticks(self, configuration: VoterConfiguration, unanswered_ticks: int) -> int:
         """Return the ticks until enough voters may be free to form a majority.
--- a/corkgauge/leases/voter.py
+++ b/corkgauge/leases/voter.py
@@ -247,7 +247,8 @@
         vote.granted_until = 0
         # A release is not written to disk separately: the successor's promise would wait for that
         # write, and the record of the promise includes the release. A voter that restarts before
-        # that record counts the released lease as granted for the longest lease duration.
+        # that record is on disk counts the released lease as granted for the longest lease
+        # duration.
 
     def _persist(self, callback: Callable[..., None], *arguments: Any) -> None:
         record = {lease: vote.encode() for lease, vote in self.votes.items()}
--- a/corkgauge/leases/voter_configuration.py
+++ b/corkgauge/leases/voter_configuration.py
@@ -15,7 +15,7 @@
 from zlib import crc32
 
 MIN_VOTERS = 1
-MAX_VOTERS = 7  # 3, 5 or 7 are useful
+MAX_VOTERS = 7  # useful counts are 3, 5 and 7
 BALLOT_LIMIT = 2**60  # exclusive upper limit of ballots
 RENEWALS_PER_LEASE = 8  # allows for lost renewals
 MIN_STAGGER_TICKS = 10
@@ -132,6 +132,7 @@
         self.lease_ticks = lease_ticks
         self.drift = drift
         self.margin_ticks = margin_ticks
+        # Rounded up, so that no grant ends early.
         is_fraction_left = lease_ticks * drift % 1 > 0
         self.grant_ticks = int(lease_ticks * (1 + drift)) + is_fraction_left
         # Voters that may have lost their votes are silent for the longest lease ever granted.
