--- a/corkgauge/membership/status_tracker.py
+++ b/corkgauge/membership/status_tracker.py
@@ -107,7 +107,7 @@
             self._refute(update)
 
     def _refute(self, update: StatusUpdate) -> None:
-        """Gossip that the local member is alive; otherwise all members mark it as gone."""
+        """Gossip that the local member is alive; without this, all members mark it as gone."""
         if update.refutations >= self._local.refutations:
             self._local.refutations = update.refutations + 1
             self._counts["accused"] += 1
--- a/corkgauge/peer_health/aggregation.py
+++ b/corkgauge/peer_health/aggregation.py
@@ -29,7 +29,7 @@
 MIN_REPORTERS = 3  # for a suspicion in a fleet with one zone, and for a slowness estimate
 # No suspicion holds for this time after the engine last sent data to the local gateway.
 OWN_OBSERVATION_TICKS = 20_000
-# Multiples of the usual response time; a reported slowness outside this range is clamped to it.
+# Multiples of the usual response time; a reported slowness is clamped to this range.
 MAX_SLOWNESS = 50.0
 MIN_SLOWNESS = 0.5
 MAX_NAMED_REPORTERS = 6  # reporters named in an assessment
--- a/corkgauge/peer_health/permit_transfer.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -125,7 +125,7 @@
         return None
 
     def _can_grant(self, engine: str, remaining_ticks: int, window_end: int) -> bool:
-        """Return whether the window is at a stage for grants, without an earlier grant in it."""
+        """Return whether enough, but not too much, of the window remains and no grant was made."""
         max_remaining_ticks = (1 - RESERVED_FRACTION) * self.window_ticks
         if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= max_remaining_ticks:
             return False
--- a/corkgauge/peer_health/reports.py
+++ b/corkgauge/peer_health/reports.py
@@ -46,7 +46,7 @@
 
 
 class HealthReports:
-    """The reports stored by the gateway `name` in its current `incarnation`, including its own.
+    """The reports stored by the gateway `name` in its current `incarnation`, local ones included.
 
     >>> one, other = HealthReports("n1", 1), HealthReports("n2", 1)
     >>> one.record_own(0, "e1", 5, Fault.SILENT, 0, 0)
@@ -272,7 +272,7 @@
     def _store(self, report: HealthReport) -> None:
         self.by_engine.setdefault(report.engine, {})[report.reporter] = report
         self.by_reporter.setdefault(report.reporter, {})[report.engine] = report
-        # Removed first, so that the report moves to the end of the insertion order.
+        # The report is removed first, so that the report moves to the end of the insertion order.
         self.pending_gossip.pop((report.reporter, report.engine), None)
         self.pending_gossip[report.reporter, report.engine] = report
 
