--- a/corkgauge/leases/fleet_accounts_collector.py
+++ b/corkgauge/leases/fleet_accounts_collector.py
@@ -40,18 +40,18 @@
         self.epoch = str(service.member_list.codec.incarnation)
 
     def on_lease_gained(self) -> None:
-        """Begin rounds under the new fencing token only."""
+        """Begin rounds under the new fencing token; rounds under an earlier token end."""
         self.round_number = 0
         self.fencing_token = self.service.candidates[self.lease].fencing_token
         self.begin_round(self.fencing_token)
 
     def begin_round(self, fencing_token: int) -> None:
-        """Request the accounts of all instances that are alive."""
+        """Request the accounts of all other instances that are alive or suspected."""
         if not self._may_act(fencing_token):
             return
         self.accounts.begin_round()
         self.round_number += 1
-        for member in self.service.member_list.alive():
+        for member in self.service.member_list.list_present_members():
             if not self._may_act(fencing_token):  # check before each act, not once per round
                 return
             self._send(member.name, AskAccount(self.lease, fencing_token, self.round_number))
@@ -61,20 +61,20 @@
         event_loop.call_later(self.period_ticks, self.begin_round, fencing_token)
 
     def finish_round(self, fencing_token: int) -> None:
-        """Add the sum of the collected accounts to the history, here and at all other instances."""
+        """Add the sum of the accounts to the history, here and at all members that are present."""
         service = self.service
         if not self._may_act(fencing_token):
             return
-        alive = [member.name for member in service.member_list.alive()]
+        names = [member.name for member in service.member_list.list_present_members()]
         now_ms = service.event_loop.now // 10
-        entry = self.accounts.build_entry(fencing_token, self.round_number, now_ms, alive)
+        entry = self.accounts.build_entry(fencing_token, self.round_number, now_ms, names)
         self.history.append(entry)
         if entry["wrong"]:
             # Log the discrepancies: accounts that balance at each instance may still not balance
             # across the fleet.
             line = f"fleet out of balance: {'; '.join(entry['wrong'])}"
             service.log(line[:MAX_LOG_LINE_CHARS])
-        for name in alive:
+        for name in names:
             if not self._may_act(fencing_token):
                 return
             self._send(name, EntryNotice(self.lease, fencing_token, entry))
--- a/corkgauge/leases/service.py
+++ b/corkgauge/leases/service.py
@@ -33,7 +33,8 @@
 
 ACCOUNTS_KIND = "books"  # the operator file's kind for leases on fleet accounts
 MAX_CHANGES = 50  # lease changes kept for operators
-# Lease durations for which an instance does not compete for a lease that it handed over.
+# Pause before the next round for a lease that was handed over, in lease durations. A vacancy notice
+# or `LeaseCandidate.set_wanted` ends the pause early.
 RELEASE_PAUSE_LEASES = 2
 
 
@@ -113,14 +114,14 @@
             self.collectors[name] = FleetAccountsCollector(self, name, period_ticks)
 
     def add_candidate(self, lease: str, owner: LeaseOwner) -> None:
-        """Compete for another subsystem's lease and notify `owner` of each gain and loss."""
+        """Add another subsystem's lease, and notify `owner` of each gain and loss."""
         self.owners[lease] = owner
         self.candidates[lease] = LeaseCandidate(
             self, lease, self.name, self.configuration, self.timing, self.is_wanted(lease)
         )
 
     def is_wanted(self, lease: str) -> bool:
-        """Return whether this instance should currently compete for the lease."""
+        """Return whether this instance should currently begin rounds for the lease."""
         if self.is_leaving or self.is_cordoned:
             return False
         has_owner = lease in self.collectors or lease in self.owners
@@ -129,7 +130,7 @@
     def set_cordoned(self, is_cordoned: bool) -> None:
         """Cordon or uncordon this instance.
 
-        A cordoned instance hands over its leases and competes for none.
+        A cordoned instance hands over its leases and wants none.
         """
         if is_cordoned == self.is_cordoned:
             return
@@ -141,7 +142,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether this instance neither holds a lease nor competes for one."""
+        """Whether this instance neither holds nor wants any lease."""
         return not any(
             candidate.state is CandidateState.HOLDING or candidate.is_wanted
             for candidate in self.candidates.values()
@@ -163,7 +164,7 @@
             self.release(lease, reason)
 
     def release(self, lease: str, reason: str) -> None:
-        """Release a lease now, and pause so that other instances can acquire the lease."""
+        """Release a lease now, and pause so that other instances can acquire the lease first."""
         self.candidates[lease].release(reason, RELEASE_PAUSE_LEASES * self.timing.lease_ticks)
 
     # Process lifecycle.
@@ -235,7 +236,7 @@
         self.durable_record.write(record, callback, *arguments)
 
     def rank_of(self, lease: str) -> int:
-        """Return how many other candidates should try to acquire the lease first."""
+        """Return this instance's rank for the lease: 0 for the one that should try first."""
         return self.ranking.rank_of(lease)
 
     def on_lease_gained(self, candidate: LeaseCandidate) -> None:
@@ -274,16 +275,16 @@
 
     def on_lease_datagram(self, sender: str, body: Any) -> None:
         """Pass a datagram to the voter, or to the candidate for the datagram's lease."""
-        address = messages.decode_address(body)
-        self.reported_configurations[sender] = address.version, address.fingerprint
-        if not address.is_for_candidate:
+        routing = messages.decode_routing(body)
+        self.reported_configurations[sender] = routing.version, routing.fingerprint
+        if not routing.is_for_candidate:
             codec = self.member_list.codec
             incarnation = codec.incarnation
             if sender != self.name:
                 incarnation = codec.peers[sender].incarnation
             self.voter.on_datagram(sender, incarnation, body)
             return
-        candidate = self.candidates.get(address.lease)
+        candidate = self.candidates.get(routing.lease)
         if candidate is not None:
             candidate.on_datagram(sender, body)
 
@@ -300,7 +301,7 @@
             collector.on_datagram(sender, datagram)
 
     def on_yield_datagram(self, sender: str, body: Any) -> None:
-        """Hand over a lease that an operator asked another instance to release."""
+        """Hand over a lease, as an operator requested at the instance `sender`."""
         if body in self.candidates:
             self.hand_over(body, f"told at {sender}")
 
--- a/corkgauge/peer_health/permit_transfer.py
+++ b/corkgauge/peer_health/permit_transfer.py
@@ -26,12 +26,14 @@
 from typing import NamedTuple
 
 MAX_REMEMBERED_UPDATES = 64  # sent status updates whose send times are kept
-MIN_REMAINING_FRACTION = 0.15  # of a window; with less left, a permit is not worth a datagram
+# Fraction of a window; with less of the window remaining, a permit is not worth a datagram.
+MIN_REMAINING_FRACTION = 0.15
 RESERVED_FRACTION = 0.3  # initial part of a window, in which permits are kept for local requests
-MAX_REMEMBERED_TRANSFERS = 4_096  # engines whose last transfer is kept
+MAX_REMEMBERED_TRANSFERS = 4_096  # engines whose last transfer is kept; above, all are dropped
 MAX_DEMAND = 1e6  # requests per second; a larger reported value would attract every permit
-# Window ends are compared in hundredths of a second, because window starts are known rounded.
-WINDOW_END_TICKS = 100
+# Window ends are compared in units of 10 ms, because gateways know the start dates of engines, from
+# which windows count, only rounded.
+WINDOW_END_UNIT_TICKS = 100
 NEVER = -(10**9)  # a window end that is far from any actual one
 
 
@@ -54,7 +56,7 @@
 
     member: str
     serial: int
-    known_ticks: int  # time since the granter received that update
+    known_ticks: int  # time since the granter received the status update
     remaining_ticks: int  # of the window
 
 
@@ -74,7 +76,7 @@
     def __init__(self, window_ticks: int) -> None:
         self.window_ticks = window_ticks
         self.demand_by_member: dict[str, PermitDemand] = {}
-        # By engine: the end of the window whose permit was granted, in units of WINDOW_END_TICKS.
+        # By engine: the end of the window whose permit was granted, in WINDOW_END_UNIT_TICKS.
         self.granted_window_end: dict[str, int] = {}
         self.update_sent_at: dict[int, int] = {}  # by serial of a sent status update
         self.counts = Counter[str]()  # the keys are shown to operators
@@ -100,7 +102,7 @@
             remaining_ticks: Remainder of the engine's current window.
             random_draw: Random number from 0 to 2**32 - 1.
         """
-        window_end = (now + remaining_ticks) // WINDOW_END_TICKS
+        window_end = (now + remaining_ticks) // WINDOW_END_UNIT_TICKS
         if not self._can_grant(engine, remaining_ticks, window_end):
             return None
         candidates = [
@@ -123,12 +125,12 @@
         return None
 
     def _can_grant(self, engine: str, remaining_ticks: int, window_end: int) -> bool:
-        """Return whether a grant is due in this window, and none was made in it before."""
-        earliest = (1 - RESERVED_FRACTION) * self.window_ticks
-        if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= earliest:
+        """Return whether enough, but not too much, of the window remains and no grant was made."""
+        max_remaining_ticks = (1 - RESERVED_FRACTION) * self.window_ticks
+        if not MIN_REMAINING_FRACTION * self.window_ticks <= remaining_ticks <= max_remaining_ticks:
             return False
         distance = abs(self.granted_window_end.get(engine, NEVER) - window_end)
-        return distance * WINDOW_END_TICKS >= self.window_ticks // 2
+        return distance * WINDOW_END_UNIT_TICKS >= self.window_ticks // 2
 
     def record_update_sent(self, now: int, serial: int) -> None:
         """Record `now` as the time at which the status update `serial` is sent."""
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -13,12 +13,12 @@
 from corkgauge.testkit.seeded_random import SeededRandom
 
 SECOND = 10_000
-LEASE = 8_000
+LEASE_TICKS = 8_000
 NAMES = "n1", "n2", "n3"
 
 
 class Owner:
-    """An owner that holds the lease without acting under the lease."""
+    """An owner that performs no acts under the lease."""
 
     def on_lease_gained(self):
         pass
@@ -28,9 +28,10 @@
 
 
 class Instance:
-    """A lease service with simulated surroundings.
+    """A lease service with a simulated event loop, network and disk.
 
-    `paused_until` is when its event loop resumes, `disk_write_ticks` how long a disk write takes.
+    `paused_until` is the time at which the event loop resumes, `disk_write_ticks` the duration of a
+    disk write.
     """
 
     def __init__(self, fleet, name, zone, disk_write_ticks):
@@ -59,7 +60,7 @@
             call=self.call,
         )
         socket_host = SimpleNamespace(event_loop=self.event_loop, log=self.lines.append, routes={})
-        settings = LeaseConfig(1, NAMES, (), LEASE, LEASE, 800, 0.01, "")
+        settings = LeaseConfig(1, NAMES, (), LEASE_TICKS, LEASE_TICKS, 800, 0.01, "")
         self.lease_service = LeaseService(
             socket_host,
             SimpleNamespace(name=name),
@@ -80,7 +81,7 @@
         return True
 
     def persist(self, record, callback, *arguments):
-        """Write one record at a time, and all records queued meanwhile together."""
+        """Queue a record; after the write in progress, all queued records are written at once."""
         if not self.disk_write_ticks:
             return callback(*arguments)
         self.waiting.append((callback, arguments))
@@ -147,7 +148,11 @@
             self.instances[name].paused_until = self.now + ticks
 
     def overload(self, names):
-        """Pause event loops twice for 250 ms: two late load checks, each shorter than a lease."""
+        """Pause event loops twice for 250 ms.
+
+        Each pause is shorter than a lease and makes one load check late. Two late checks mean
+        overload.
+        """
         for _ in range(2):
             self.pause(names, 2_500)
             self.run_until(self.now + 4_000)
@@ -161,7 +166,7 @@
     assert all(each.lease_service.is_overloaded for each in fleet.instances.values())
     # An instance stays overloaded for ten seconds.
     longest_vacancy, holders = fleet.run_until(fleet.now + 9 * SECOND)
-    assert longest_vacancy < 2 * LEASE and holders
+    assert longest_vacancy < 2 * LEASE_TICKS and holders
     assert all(each.lease_service.is_overloaded for each in fleet.instances.values())
 
 
@@ -176,7 +181,7 @@
     assert any(
         "given up" in line and "overloaded" in line for line in fleet.instances[holder].lines
     )
-    fleet.run_until(fleet.now + LEASE)
+    fleet.run_until(fleet.now + LEASE_TICKS)
     longest_vacancy, holders = fleet.run_until(fleet.now + 7 * SECOND)
     assert longest_vacancy == 0 and len(holders) == 1 and not holders & {*names}
     fleet.run_until(fleet.now + 10 * SECOND)
@@ -186,7 +191,7 @@
 @pytest.mark.parametrize("fraction", [0.5, 1.3, 2.0])
 def test_lease_is_acquired_with_slow_disks(monkeypatch, fraction):
     """A disk write takes `fraction` of the first round timeout, which is an eighth of a lease."""
-    fleet = SimulatedFleet(monkeypatch, disk_write_ticks=int(fraction * LEASE / 8))
+    fleet = SimulatedFleet(monkeypatch, disk_write_ticks=int(fraction * LEASE_TICKS / 8))
     longest_vacancy, holders = fleet.run_until(fleet.now + 5 * SECOND)
-    assert len(holders) == 1 and longest_vacancy < 4 * LEASE
+    assert len(holders) == 1 and longest_vacancy < 4 * LEASE_TICKS
     assert fleet.run_until(fleet.now + 5 * SECOND) == (0, holders)
