--- a/corkgauge/eventloop/connection.py
+++ b/corkgauge/eventloop/connection.py
@@ -76,7 +76,7 @@
         self.linger_ticks = LINGER_TICKS
         self.is_parsing = False  # the machine is running and may call the owner
         self.is_write_blocked = False  # the send buffer of the socket is full
-        self.is_flush_scheduled = False  # at the end of this turn of the event loop
+        self.is_flush_scheduled = False  # as a deferred callback of the event loop
 
         # Time limit for one frame.
         self.frame_timeout_ticks = frame_timeout_ticks
@@ -209,23 +209,23 @@
             if self.close_reason or size < len(free_space):
                 return
 
-    def send(self, *pieces: bytes) -> bool:
-        """Queue all pieces for writing; return False and queue nothing if there is no room."""
-        if not self._queue(pieces):
+    def send(self, *buffers: bytes) -> bool:
+        """Queue all buffers for writing; return False and queue nothing if there is no room."""
+        if not self._queue(buffers):
             return False
-        # One write at the end of the turn covers all output queued in it: each call is expensive.
+        # The deferred write covers all output that the task queues, as each call is expensive.
         if not (self.is_flush_scheduled or self.is_write_blocked):
             self.is_flush_scheduled = True
-            self.event_loop.end_of_turn_callbacks.append(self.flush)
+            self.event_loop.deferred_callbacks.append(self.flush)
         return True
 
-    def _queue(self, pieces: tuple[bytes, ...]) -> bool:
+    def _queue(self, buffers: tuple[bytes, ...]) -> bool:
         ring = self.machine.outward
-        size = sum(map(len, pieces))
+        size = sum(map(len, buffers))
         if self.close_reason or not ring.reserve(len(ring) + size):
             return False
-        for piece in pieces:
-            ring.put(piece)
+        for buffer in buffers:
+            ring.put(buffer)
         self.bytes_queued += size
         return True
 
@@ -251,16 +251,16 @@
         if not len(ring):
             self.owner.on_output_drained()
 
-    def send_now(self, *pieces: bytes) -> bool:
-        """Queue all pieces and write them at once, after the output queued before.
+    def send_now(self, *buffers: bytes) -> bool:
+        """Queue all buffers and write them at once, after the output queued before.
 
         Returns False if not one byte of them was written; none of them is ever written then.
         """
         if len(self.machine.outward):
             self.flush()
-        if self.is_write_blocked or not self._queue(pieces):
+        if self.is_write_blocked or not self._queue(buffers):
             return False
-        size = sum(map(len, pieces))
+        size = sum(map(len, buffers))
         queued_before = self.bytes_queued - size
         self.flush()
         if self.bytes_sent > queued_before:
@@ -283,7 +283,7 @@
         self.close(reason)
 
     def close_if_input_read(self, reason: str) -> bool:
-        """Close the connection, unless input has arrived that is still unread.
+        """Close the connection, unless an open peer has sent input that is still unread.
 
         Returns False, and does nothing, in that case and if the connection is closed already.
         """
--- a/corkgauge/eventloop/loop.py
+++ b/corkgauge/eventloop/loop.py
@@ -81,7 +81,8 @@
 
         # Tasks.
         self.parked: dict[int, ParkedTask] = {}  # by file descriptor
-        self.end_of_turn_callbacks: list[Callable[[], None]] = []
+        # Called as soon as the running task or the due timers have returned to the loop.
+        self.deferred_callbacks: list[Callable[[], None]] = []
         self._main = getcurrent()
         self._ready: deque[ReadyTask] = deque()
         self._timeout_serial = 0
@@ -213,7 +214,7 @@
             self.wake(fd, events)
 
     def _run_due_timers(self) -> None:
-        """Run the due timers, then the callbacks that wait for the end of the turn."""
+        """Run the due timers, then the deferred callbacks."""
         while (
             self._due_milliseconds
             and TICKS_PER_MILLISECOND * self._due_milliseconds[0] <= self.now
@@ -224,10 +225,10 @@
                 self.worst_lag = max(self.worst_lag, self.now - due)
                 self._call_guarded(method, arguments)
             self.update_now()
-        while self.end_of_turn_callbacks:
+        while self.deferred_callbacks:
             # A new list, as a callback may append further callbacks.
-            callbacks = self.end_of_turn_callbacks
-            self.end_of_turn_callbacks = []
+            callbacks = self.deferred_callbacks
+            self.deferred_callbacks = []
             for method in callbacks:
                 self._call_guarded(method, ())
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -275,8 +275,10 @@
     ground = SimulatorAdapter()
     boot = b'{"profiles":[{"deadlineUs":-5}]}'
     ground.handle_record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
-    assert ground.actions[0][0] == 70
-    assert b"deadlineUs: expected a number in the allowed range, found -5" in ground.actions[0]
+    assert (
+        ground.actions[0][0] == 70
+        and b"deadlineUs: expected a number in the allowed range, found -5" in ground.actions[0]
+    )
 
 
 def test_timeouts_lower_the_concurrency_limit_and_answers_in_time_raise_it():
