--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -50,7 +50,7 @@
     discrepancies: Discrepancies
     auditor: LedgerAuditor
     latency_sketches: "LatencySketches | None"
-    flows: FlowReport | None
+    flow_export: FlowReport | None
 
     @property
     def records(self) -> LiveConnections:
@@ -119,8 +119,8 @@
         snapshot = add_audit(self._take_counts(), host.discrepancies, host.auditor.passes)
         if host.latency_sketches is not None:
             snapshot["waits"] = host.latency_sketches.fields()
-        if host.flows is not None:
-            snapshot["flows"] = host.flows.status_report()
+        if host.flow_export is not None:
+            snapshot["flows"] = host.flow_export.status_report()
         if self.checkpoint_file is not None:
             snapshot["earlier"] = self.checkpoint_file.earlier_epochs
         return snapshot
--- a/corkgauge/eventloop/connection.py
+++ b/corkgauge/eventloop/connection.py
@@ -47,8 +47,8 @@
     `on_closed(reason)` once, at the end. `frame_timeout_ticks` limits the time for receiving one
     frame (0: no limit). The limit runs from the first byte of the frame; the limit of the first
     frame from a client (`peer_is_client`) runs from the start of the connection. A client is
-    informed why it is rejected: the owner's `on_rejected(reason)` is called first and may send the
-    reason.
+    informed why it is rejected: the owner's `on_connection_rejected(reason)` is called first and
+    may send the reason.
     """
 
     def __init__(
@@ -279,7 +279,7 @@
         """Close the connection because of the peer; a client receives the reason first."""
         if self.peer_is_client and not self.close_reason:
             self.is_lingering = True
-            self.owner.on_rejected(reason)
+            self.owner.on_connection_rejected(reason)
         self.close(reason)
 
     def close_if_input_read(self, reason: str) -> bool:
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -39,7 +39,7 @@
     """What flow export needs of the host on sockets."""
 
     event_loop: EventLoop
-    flows: Any  # where the exporter registers
+    flow_export: Any  # where the exporter registers
     ledger: Any
     records: Any
     auditor: Any
@@ -94,7 +94,7 @@
         self.buffers: dict[str, ExportBuffer] = {}
 
         self._configure(settings, read_collectors(settings))
-        socket_host.flows = self
+        socket_host.flow_export = self
         socket_host.auditor.equations.append(self.differences)
         self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_tick)
 
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -95,7 +95,7 @@
 
     def _register(self) -> None:
         """Be called for datagrams, HTTP requests, the lease and the host's notifications."""
-        self.socket_host.works = self
+        self.socket_host.maintenance = self
         self.member_list.call_handlers["plan"] = self.on_plan_message
         self.member_list.call_handlers["works"] = self.on_message
         self.member_list.call_handlers["copy"] = self.plan_display.on_datagram
@@ -116,7 +116,7 @@
     def end(self) -> None:
         """Close the file; the host is attached to nothing any more."""
         self.safe.close()
-        self.socket_host.works = None
+        self.socket_host.maintenance = None
 
     def waiting(self) -> bool:
         """Whether it is too early after the start to accept clients."""
--- a/corkgauge/maintenance/serving_host.py
+++ b/corkgauge/maintenance/serving_host.py
@@ -16,7 +16,7 @@
     gateway: Gateway
     settings: Settings
     ledger: Any  # its rows of request classes are read
-    works: Any  # the maintenance service registers itself here
+    maintenance: Any  # the maintenance service registers itself here
 
     @property
     def engine_pools(self) -> Mapping[str, Any]:
--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -145,7 +145,7 @@
         self.send_answer(stream, FAILED, [why.encode()])
         return "" if self.fault_count <= MAX_FAULT_COUNT else "too much that cannot be used"
 
-    def on_rejected(self, why: str) -> None:
+    def on_connection_rejected(self, why: str) -> None:
         """Answer all open requests, then send the reason for closing the connection."""
         self.socket_host.counters["turned out"] += 1
         for request in self.unsubmitted:
@@ -258,7 +258,7 @@
             # for results is used up, a short failure is queued instead of the result.
             if not socket_host.result_memory.reserve(sum(map(len, body))):
                 socket_host.counters["results dropped"] += 1
-                code, body = self._mark_answer_not_read(client_request)
+                code, body = self._replace_by_failure(client_request)
             self.waiting_answers.append((stream, code, body, expires_at, client_request))
 
     def _write_answer(
@@ -270,9 +270,7 @@
             self.unwritten_answers.append((self.link.bytes_queued, client_request))
         return True
 
-    def _mark_answer_not_read(
-        self, client_request: ClientRequest | None
-    ) -> tuple[int, list[bytes]]:
+    def _replace_by_failure(self, client_request: ClientRequest | None) -> tuple[int, list[bytes]]:
         if client_request is not None:
             client_request.end_reason = EndReason.ANSWER_NOT_READ
         return FAILED, []
@@ -295,7 +293,7 @@
         while self.waiting_answers:
             stream, code, body, expires_at, client_request = self.waiting_answers[0]
             if self.socket_host.now >= expires_at:
-                code, body = self._mark_answer_not_read(client_request)
+                code, body = self._replace_by_failure(client_request)
             if not self._write_answer(stream, code, body, client_request):
                 return
             self._drop_first_waiting()
@@ -313,8 +311,8 @@
         self.socket_host.ledger.record_connection_closed(
             Side.CLIENT, self.link.bytes_received, self.link.bytes_sent
         )
-        if self.socket_host.flows is not None:
-            self.socket_host.flows.over(self.link)
+        if self.socket_host.flow_export is not None:
+            self.socket_host.flow_export.over(self.link)
         self._close_written_answers()
         while self.unwritten_answers:
             self._close_unsent_answer(self.unwritten_answers.popleft()[1], EndReason.ANSWER_CUT_OFF)
--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -17,7 +17,7 @@
 # Time limit for one line, and for the status and headers before the first line. A gateway counts as
 # notified of a change 7 s after the announcement, so the limit stays below that.
 MAX_LINE_TICKS = 30_000
-LOOK_TICKS = MAX_SILENCE_TICKS // 8  # between two checks of the connection
+CHECK_INTERVAL_TICKS = MAX_SILENCE_TICKS // 8  # between two checks of the connection
 
 
 class DiscoveryWatch:
@@ -109,7 +109,7 @@
             link.close("no complete line received for 3 s")
         else:
             self.socket_host.event_loop.call_later(
-                LOOK_TICKS, self.check_alive, link, known_lines, line_since
+                CHECK_INTERVAL_TICKS, self.check_alive, link, known_lines, line_since
             )
 
     def on_output_drained(self) -> None:
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -114,22 +114,22 @@
         if engine_pool is None:
             engine_pool = self._add_engine(entry)
         engine = engine_pool.engine
-        is_renewed = entry.started_ms > engine_pool.started_ms
+        has_restarted = entry.started_ms > engine_pool.started_ms
         incarnation = engine.incarnation
         if entry.started_ms != engine_pool.started_ms:
             engine_pool.started_ms = entry.started_ms
             incarnation = self.start_ticks(entry.started_ms)
         self.host.settings.place_engine(engine, entry.zone, entry.kind, entry.cell)
         self.host.gateway.on_engine_update(engine, entry.state, incarnation)
-        engine_pool.update_address(entry.address, is_renewed)
+        engine_pool.update_address(entry.address, has_restarted)
         return engine_pool
 
     def _add_engine(self, entry: EndpointEntry) -> EnginePool:
         name = entry.name
         engine = Engine(name, name.encode(), entry.zone, entry.kind, entry.cell, name=name)
-        if self.host.works is not None:
+        if self.host.maintenance is not None:
             # An engine that is listed again during the maintenance of its machine stays cordoned.
-            engine.cordon = self.host.works.cordon_for(name, entry.address)
+            engine.cordon = self.host.maintenance.cordon_for(name, entry.address)
         engine_pool = EnginePool(self.host, engine, self.listed_count)
         self.host.engine_pools[name] = engine_pool
         self.listed_count += 1
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -60,10 +60,10 @@
             self,
             ANSWER_TIMEOUT_TICKS,
         )
-        if self.socket_host.flows is not None:
+        if self.socket_host.flow_export is not None:
             engine = engine_pool.engine
             zone = str(self.socket_host.settings.zones[engine.zone])
-            self.socket_host.flows.up(self.link, Side.ENGINE, engine.name, zone)
+            self.socket_host.flow_export.up(self.link, Side.ENGINE, engine.name, zone)
 
     def has_room_for(self, client_request: ClientRequest) -> bool:
         """Return whether an attempt of this request may be sent on this connection.
@@ -229,8 +229,8 @@
         self.socket_host.ledger.record_connection_closed(
             Side.ENGINE, self.link.bytes_received, self.link.bytes_sent, self.pages
         )
-        if self.socket_host.flows is not None:
-            self.socket_host.flows.over(self.link)
+        if self.socket_host.flow_export is not None:
+            self.socket_host.flow_export.over(self.link)
         in_flight_attempts, self.open = [*self.open.values()], {}
         if in_flight_attempts:
             self.socket_host.log(
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -24,8 +24,8 @@
     __slots__ = (
         "address",
         "address_generation",
-        "dialling",
         "engine",
+        "is_dialling",
         "is_fill_due",
         "is_filling",
         "lacks_descriptor",
@@ -47,7 +47,7 @@
         self.links: list[EngineConnection] = []
         # A list, as a deque takes 760 bytes even for an engine that never gets an attempt.
         self.waiting: list[InFlightAttempt] = []
-        self.dialling = False
+        self.is_dialling = False
         self.next_spare_dial_at = 0  # earliest tick of the next dial ahead of need
         self.started_ms = 0  # start date of the engine's process, from the endpoint list
         # Incremented with each new process or address of the engine; a dial that began under an
@@ -134,7 +134,7 @@
         if (
             len(self.links) >= MAX_SPREAD_CONNECTION_COUNT
             or not self.engine.in_subset
-            or self.dialling
+            or self.is_dialling
         ):
             return False
         if not all(each.open for each in self.links):
@@ -151,10 +151,10 @@
         else:
             self.socket_host.pools_lacking_spare.pop(self, None)
         may_dial_spare = lacks_spare and self.socket_host.now >= self.next_spare_dial_at
-        if not (self.waiting or may_dial_spare) or self.dialling or len(self.links) >= max_links:
+        if not (self.waiting or may_dial_spare) or self.is_dialling or len(self.links) >= max_links:
             return
-        if self.socket_host.has_descriptor_left(bool(self.waiting)):
-            self.dialling = True
+        if self.socket_host.make_room_for_link(bool(self.waiting)):
+            self.is_dialling = True
             self.socket_host.pools_lacking_spare.pop(self, None)
             self.socket_host.dials_in_progress += 1
             self.socket_host.event_loop.spawn(self.dial, self.address)
@@ -174,7 +174,7 @@
         sock, why = dial(
             self.socket_host.event_loop, address, self.socket_host.settings.dial_timeout_ticks
         )
-        self.dialling = False
+        self.is_dialling = False
         self.socket_host.dials_in_progress -= 1
         self.socket_host.counters["dialled"] += 1
         if why in OWN_SHORTAGE_ERRORS:
@@ -201,12 +201,12 @@
             link.check_idle()
         self.fill()
 
-    def update_address(self, address: tuple[str, int], renewed: bool) -> None:
+    def update_address(self, address: tuple[str, int], has_restarted: bool) -> None:
         """Set the address from the endpoint list.
 
         Connections to an earlier address or process get no new attempts.
         """
-        if address != self.address or renewed:
+        if address != self.address or has_restarted:
             self.address = address
             self.address_generation += 1
             self.retire_links()
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -38,8 +38,8 @@
 # Progress reports on an attempt that an engine may omit before the attempt counts as lost.
 MAX_MISSED_REPORT_COUNT = 3
 MIN_HELD_BYTES = 4 * 2**20  # for buffers and records together
-AUDIT_TICKS = SECOND  # pause between two passes over the ledger
-AUDIT_SLICE_TICKS = 20  # pause between two slices of a pass
+AUDIT_PAUSE_TICKS = SECOND  # pause between two passes over the ledger
+AUDIT_SLICE_PAUSE_TICKS = 20  # pause between two slices of a pass
 PROGRESS_KINDS = {"advance": 1, "disk": 2, "stall": 3}
 
 
@@ -129,8 +129,8 @@
         self.answering: dict[ClientRequest, None] = {}
         # Subsystems, None unless the operator file enables them.
         self.recovery: Any = None  # recovery
-        self.flows: Any = None  # flow export
-        self.works: Any = None  # maintenance
+        self.flow_export: Any = None  # flow export
+        self.maintenance: Any = None  # maintenance
         self.latency_sketches: Any = None  # of accounting
         # HTTP handlers of other subsystems on the accounting listener, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
@@ -173,18 +173,18 @@
             2, self.max_engine_links // max(len(self.gateway.engines) + len(self.closing_pools), 1)
         )
 
-    def has_descriptor_left(self, needed: bool) -> bool:
+    def make_room_for_link(self, is_needed: bool) -> bool:
         """Return whether another connection to an engine may be opened now.
 
         Two connections to each of many engines would use up the descriptors that discovery and the
-        clients need. At the limit, if a connection is `needed`, the one that has been idle longest
+        clients need. At the limit, if `is_needed`, the one that has been idle longest
         is closed, those of engines outside the subset first, so that a later call succeeds.
         """
         if len(self.links) + self.dials_in_progress < self.max_engine_links:
             return True
         idle = (
             [link for link in self.links if not (link.open or link.link.close_reason)]
-            if needed
+            if is_needed
             else []
         )
         if idle:
@@ -378,7 +378,7 @@
     def audit(self) -> None:
         """Check the next slice of the ledger; a new pass begins a second after the last one."""
         is_pass_complete = self.auditor.step()
-        pause = AUDIT_TICKS if is_pass_complete else AUDIT_SLICE_TICKS
+        pause = AUDIT_PAUSE_TICKS if is_pass_complete else AUDIT_SLICE_PAUSE_TICKS
         self.event_loop.call_later(pause, self.audit)
 
     def on_ledger_mistake(self, kind: str, row: Any, serial: int) -> None:
@@ -473,8 +473,8 @@
         self.ledger.on_attempt_finished(in_flight_attempt, outcome)
         if in_flight_attempt.attempt_log_serial:
             self.recovery.on_attempt_finished(in_flight_attempt.attempt_log_serial, outcome)
-        if self.works is not None:
-            self.works.on_attempt_finished(in_flight_attempt.engine_row.name, outcome)
+        if self.maintenance is not None:
+            self.maintenance.on_attempt_finished(in_flight_attempt.engine_row.name, outcome)
         self.gateway.on_attempt_finished(
             attempt,
             outcome,
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -58,7 +58,7 @@
         )
         self.shutdown_deadline = NEVER  # tick of the last answers, once shutdown has begun
         self.acceptor: Any = None  # set where the program listens for clients
-        self.farewell_started_at = NEVER  # tick at which the client connections were shut down
+        self.write_shutdown_at = NEVER  # tick at which the client connections were shut down
         self.client_connections: dict[ClientConnection, None] = {}
         # The usual clients take a third of the sockets.
         self.max_client_connections = platform_config.max_sockets // 2
@@ -102,8 +102,8 @@
         client_connection = ClientConnection(self, sock)
         self.client_connections[client_connection] = None
         self.ledger.record_connection_opened(Side.CLIENT)
-        if self.flows is not None:
-            self.flows.up(client_connection.link, Side.CLIENT)
+        if self.flow_export is not None:
+            self.flow_export.up(client_connection.link, Side.CLIENT)
         self.event_loop.spawn(client_connection.link.run)
         if self.shutdown_deadline != NEVER:
             client_connection.link.send(client_wire.leaving_frame())
@@ -138,11 +138,8 @@
         Called again by timer until the event loop is stopped.
         """
         is_overdue, pause = self.now >= self.shutdown_deadline + SHUTDOWN_GRACE_TICKS // 4, 100
-        if self.farewell_started_at != NEVER:
-            if (
-                not self.client_connections
-                or self.now >= self.farewell_started_at + IN_TRANSIT_TICKS
-            ):
+        if self.write_shutdown_at != NEVER:
+            if not self.client_connections or self.now >= self.write_shutdown_at + IN_TRANSIT_TICKS:
                 self.event_loop.stopped = True
                 return
             pause = 20
@@ -153,14 +150,14 @@
                 # A process that ends with unread bytes resets its connections, and the clients lose
                 # the last answers. So the write side of each connection is shut down first, and
                 # bytes that were already under way are read and dropped for a moment.
-                self.farewell_started_at = self.now
+                self.write_shutdown_at = self.now
                 for each in [*self.client_connections]:
                     if not (
                         each.link.close_if_input_read("the program ends")
                         or is_overdue
                         or each.link.close_reason
                     ):
-                        self.farewell_started_at = NEVER  # new input has arrived
+                        self.write_shutdown_at = NEVER  # new input has arrived
         self.event_loop.call_later(pause, self.continue_shutdown)
 
     def has_pending_work(self, client_connection: ClientConnection) -> bool:
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -20,7 +20,7 @@
 MAX_RESULT_BYTES = 48_000
 MAX_PAGES = 64
 MAX_PAGE_NUMBER_DIGITS = 3
-PAGE_TICKS = 2_500  # time limit for the next page of a result
+PAGE_TIMEOUT_TICKS = 2_500  # time limit for the next page of a result
 TICKS_PER_MS = 10
 
 
@@ -87,7 +87,7 @@
                 for number in range(1, len(in_flight.pages)):
                     in_flight.link.send_command("more", in_flight.client_request.name, str(number))
                 self.host.event_loop.call_later(
-                    PAGE_TICKS, self.on_pages_late, in_flight, 1, self.host.now
+                    PAGE_TIMEOUT_TICKS, self.on_pages_late, in_flight, 1, self.host.now
                 )
             self.awaiting_memory.popleft()
 
@@ -101,11 +101,14 @@
         if in_flight.attempt not in self.host.in_flight_attempts:
             return
         page_count = len(in_flight.pages) - in_flight.pages.count(None)
-        if page_count > earlier_count or in_flight.link.last_answer_at < since + PAGE_TICKS // 2:
+        if (
+            page_count > earlier_count
+            or in_flight.link.last_answer_at < since + PAGE_TIMEOUT_TICKS // 2
+        ):
             if page_count > earlier_count:
                 since = self.host.now
             self.host.event_loop.call_later(
-                PAGE_TICKS, self.on_pages_late, in_flight, page_count, since
+                PAGE_TIMEOUT_TICKS, self.on_pages_late, in_flight, page_count, since
             )
             return
         self.host.counters["pages late"] += 1
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -158,7 +158,7 @@
         self.event_loop, self.wire, self.log, self.routes = beat, wire, log, {}
         self.engine_pools: dict[str, Any] = {}
         self.open_requests: dict[str, Any] = {}
-        self.works: Any = None
+        self.maintenance: Any = None
         self.settings = Settings(platform_config.settings, self, platform_config.seed)
         self.gateway = self.settings.gateway
         self.request_classes = {each.name: each for each in self.settings.request_classes}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -248,7 +248,7 @@
         EnginePool.dial = REAL_DIAL
         premises.socket_host.dials_in_progress = 0
         for engine_pool in premises.socket_host.engine_pools.values():
-            engine_pool.dialling = False
+            engine_pool.is_dialling = False
         monkeypatch.setattr("corkgauge.net.engine_pool.dial", self.dial)
 
     def dial(self, event_loop, where, span):
@@ -330,15 +330,15 @@
     socket_host, kept = premises.socket_host, []
     for n in range(40):
         for engine_pool in socket_host.engine_pools.values():
-            engine_pool.dialling = True  # but for what is joined by hand here nobody dials
-        if not socket_host.has_descriptor_left(True):
+            engine_pool.is_dialling = True  # but for what is joined by hand here nobody dials
+        if not socket_host.make_room_for_link(True):
             break
         kept.append(premises.engine(f"e{n}"))
     assert (
         sum(len(engine_pool.links) for engine_pool in socket_host.engine_pools.values()) <= 96 // 3
     )
     premises.turn()  # the one that was idle longest has given way
-    assert socket_host.counters["links gave way"] == 1 and socket_host.has_descriptor_left(True)
+    assert socket_host.counters["links gave way"] == 1 and socket_host.make_room_for_link(True)
 
 
 def test_bytes_that_come_before_an_idle_connection_is_closed_keep_it():
@@ -431,7 +431,7 @@
     premises.ask_and_settle(client, READY_ASKED, client_connection)
     ending(premises)
     premises.pass_time(9_200, 100)
-    assert premises.socket_host.farewell_started_at < 2**60 and not premises.event_loop.stopped
+    assert premises.socket_host.write_shutdown_at < 2**60 and not premises.event_loop.stopped
     client.sendall(request_frame())  # crosses the end
     settled(client_connection.link.sock)
     premises.pass_time(1_000, 50)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -973,7 +973,7 @@
 
     def dial(engine_pool, where):
         dialled.append(engine_pool.engine.name)
-        engine_pool.dialling = False
+        engine_pool.is_dialling = False
 
     EnginePool.dial = dial
     premises.turn()
@@ -995,12 +995,12 @@
 
     def dial(engine_pool, where):
         dialled.append(engine_pool.engine.name)
-        engine_pool.dialling = False
+        engine_pool.is_dialling = False
 
     premises = HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
     EnginePool.dial = dial
     for engine_pool in premises.socket_host.engine_pools.values():
-        engine_pool.dialling = False
+        engine_pool.is_dialling = False
         engine_pool.fill()
     premises.turn()
     assert sorted(dialled) == ["e1", "e2"]
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -50,7 +50,7 @@
         self.kept, engines.dial = engines.dial, self.dial
         self.premises.socket_host.dials_in_progress = 0
         for engine_pool in self.premises.socket_host.engine_pools.values():
-            engine_pool.dialling = False
+            engine_pool.is_dialling = False
         self.event, self.traces, self.refuse = 1, 0, False
         self.clients, self.asks, self.guests = [], {}, []
 
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -90,7 +90,7 @@
     def begin(premises):
         monkeypatch.setattr(EnginePool, "dial", dial)  # the rig puts its own there
         for engine_pool in premises.socket_host.engine_pools.values():
-            engine_pool.dialling, engine_pool.socket_host.dials_in_progress = False, 0
+            engine_pool.is_dialling, engine_pool.socket_host.dials_in_progress = False, 0
         found.clear()
         return found
 
@@ -188,7 +188,7 @@
         self.socket_host = self.premises.socket_host
         self.socket_host.dials_in_progress = 0
         for engine_pool in self.socket_host.engine_pools.values():
-            engine_pool.dialling = False
+            engine_pool.is_dialling = False
             engine_pool.fill()
         self.client, self.whole, self.stream, self.states = (
             self.premises.client(),
@@ -279,7 +279,7 @@
     client = premises.client()
     walked(premises)
     assert (
-        premises.socket_host.has_descriptor_left(True)
+        premises.socket_host.make_room_for_link(True)
         and premises.socket_host.max_links_per_engine() >= 2
     )
     for n in range(1, 9):
@@ -335,11 +335,11 @@
             0
         ].link.last_written_at = premises.event_loop.now
     held(premises, "e1", "e2", "e4")
-    assert not premises.socket_host.has_descriptor_left(True)
+    assert not premises.socket_host.make_room_for_link(True)
     premises.turn()
     assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e1", "e2"]
     ends.append(premises.engine("e4"))
-    assert not premises.socket_host.has_descriptor_left(True)
+    assert not premises.socket_host.make_room_for_link(True)
     premises.turn()  # all in the set: the one that has been idle longest, as ever
     assert [each.engine_pool.engine.name for each in premises.socket_host.links] == ["e2", "e4"]
 
@@ -398,7 +398,7 @@
     client = premises.client()
     premises.ask(client, request_frame(1) + request_frame(2))
     assert found == ["e1"]
-    engine_pool.dialling = False
+    engine_pool.is_dialling = False
     end = premises.engine()
     premises.turn()
     assert (
