--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -1,8 +1,8 @@
 """Handles one connection to an engine: the attempts on it, and its keepalives.
 
-Owns the connection's lifetime, the attempts open on it, and the names of finished attempts that the
-engine may still answer. Does not decide where a request goes, and accepts no corrupted, repeated or
-late answer.
+Owns the lifetime of the connection, the attempts that are open on the connection, and the names of
+finished attempts that the engine may still answer. Does not choose the engine for a request. Drops
+repeated and late answers, and closes the connection on a corrupted answer.
 """
 
 from __future__ import annotations
@@ -23,7 +23,9 @@
 ANSWER_TIMEOUT_TICKS = 3_000  # from the first byte of an answer to its last
 KEEPALIVE_AFTER_TICKS = 5_000  # without input on a connection with open attempts
 KEEPALIVE_TIMEOUT_TICKS = 5_000  # from a keepalive to any answer
-# Longest time between two answers while a quiet connection gets keepalives.
+# An engine counts as paused if more time passes between two of its answers. With open attempts, a
+# keepalive is sent KEEPALIVE_AFTER_TICKS after the last input, or up to 2,500 ticks later (one
+# interval of `check_idle`); the other 1,500 ticks (150 ms) are for the answer to the keepalive.
 MAX_ANSWER_GAP_TICKS = KEEPALIVE_AFTER_TICKS + 4_000
 MAX_FINISHED_NAME_COUNT = 500  # remembered on a connection to recognize repeated answers
 REQUEST_NAME = re.compile(r"[0-9a-f]{16}").fullmatch
@@ -44,14 +46,16 @@
         self.open: dict[str, InFlightAttempt] = {}  # by name of the request
         # Names of finished attempts, which the engine may still answer, perhaps again.
         self.finished_names: dict[str, None] = {}
-        self.is_retired = False  # takes no new attempt, and closes with the last open one
-        self.pages = 0  # received
+        # A retired connection gets no new attempts, and is closed after its last open attempt.
+        self.is_retired = False
+        self.pages = 0  # result pages received
         self.socket_host.links[self] = None
         self.socket_host.ledger.record_connection_opened(Side.ENGINE)
-        self.keepalive_count = 0  # sent
+        self.keepalive_count = 0  # keepalives sent
         self.keepalive_sent_at = NEVER  # tick of a keepalive that is not answered yet
         self.last_answer_at = self.socket_host.now
-        # Start of the current period without a gap over MAX_ANSWER_GAP_TICKS between answers.
+        # Start of the current period in which no two successive answers are more than
+        # MAX_ANSWER_GAP_TICKS apart.
         self.responsive_since = self.socket_host.now
         self.link = StreamConnection(
             self.socket_host.event_loop,
@@ -83,8 +87,8 @@
     def send_attempt(self, in_flight_attempt: InFlightAttempt) -> bool:
         """Write an attempt at once; return False, with nothing sent, if the socket takes no byte.
 
-        No attempt waits in the send buffer: it would start whenever the engine reads again, even if
-        its client had disconnected meanwhile.
+        No attempt waits in the send buffer. A buffered attempt would start whenever the engine
+        reads again, even if the client had disconnected meanwhile.
         """
         socket_host = self.socket_host
         settings = socket_host.settings
@@ -135,8 +139,8 @@
         in_flight_attempt = self.open.get(name)
         now = self.socket_host.now
         self.keepalive_sent_at = NEVER
-        # An engine that was paused continues where it stopped; reports that were due during the
-        # pause do not count as omitted.
+        # An engine whose process was paused sends no reports during the pause. These reports do not
+        # count as omitted, so the period for which reports are required starts anew.
         if now > self.last_answer_at + MAX_ANSWER_GAP_TICKS:
             self.responsive_since = now
         self.last_answer_at = now
@@ -144,8 +148,10 @@
             return f"unknown answer {word[:8]!r}"
         self.socket_host.counters["answers " + word] += 1
         if in_flight_attempt is None:
-            # A repeated or late answer, or one to an unknown name, says nothing about the other
-            # attempts on this connection: the answer is dropped, and the connection stays open.
+            # A repeated or late answer, or an answer with an unknown request id, says nothing about
+            # the other attempts on this connection, so the answer is dropped and the connection
+            # stays open. FIT answers a keepalive. An id that is not 16 hexadecimal digits is
+            # invalid and closes the connection.
             self.socket_host.counters["answers dropped"] += word != "FIT"
             return (
                 "" if word == "FIT" or REQUEST_NAME(name) else "answer with an invalid request id"
@@ -179,21 +185,21 @@
             self.link.close("no longer needed")
 
     def on_output_drained(self) -> None:
-        """Send waiting attempts now that the send buffer is empty."""
+        """Send waiting attempts, as the send buffer is empty."""
         self.engine_pool.fill()
 
     def check_idle(self) -> None:
-        """Send a keepalive on a quiet connection, and close one that does not answer.
+        """Send a keepalive if no input arrives, or close the connection; called again by timer.
 
-        Engines close idle connections, and an attempt that is sent at that moment would be lost, so
-        keepalives prevent idle connections. An unused connection to an engine outside the subset is
-        closed instead: otherwise all gateways of a large fleet would in time be connected to all
-        engines. Called again by timer.
+        Engines close idle connections, and an attempt that is sent at that moment would be lost.
+        Keepalives prevent that. An unused connection to an engine outside the subset is closed
+        instead: otherwise all gateways of a large fleet would in time be connected to all engines.
+        The connection is also closed if a keepalive is not answered.
         """
         if self.link.close_reason:
             return
-        # The connections of a machine that crashed or lost its network stay open without input.
-        # Without this check all attempts in flight there would wait for their deadlines.
+        # The connections to a machine that crashed or lost its network stay open without input.
+        # Without this check all attempts in flight on them would wait for their time limits.
         now = self.socket_host.now
         quiet_ticks = now - self.link.last_read_at
         if now >= self.keepalive_sent_at + KEEPALIVE_TIMEOUT_TICKS:
@@ -217,12 +223,12 @@
 
     @property
     def max_idle_ticks(self) -> int:
-        """Ticks without input after which a keepalive is sent; a third of the engines' limit."""
+        """Ticks without input after which a connection is idle; a third of the engines' limit."""
         idle_ticks: int = self.socket_host.settings.idle_timeout_ticks // 3
         return idle_ticks
 
-    def on_closed(self, why: str) -> None:
-        """Fail all attempts that were open on the connection, which has closed."""
+    def on_closed(self, reason: str) -> None:
+        """Fail the attempts that were open on the connection when the connection closed."""
         engine_pool = self.engine_pool
         engine_pool.links.remove(self)
         self.socket_host.links.pop(self, None)
@@ -234,7 +240,7 @@
         in_flight_attempts, self.open = [*self.open.values()], {}
         if in_flight_attempts:
             self.socket_host.log(
-                f"link {engine_pool.engine.host_reference} ended: {why}; "
+                f"link {engine_pool.engine.host_reference} ended: {reason}; "
                 f"{len(in_flight_attempts)} out"
             )
         for in_flight_attempt in in_flight_attempts:
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -13,9 +13,11 @@
 from corkgauge.net.in_flight import InFlightAttempt
 from corkgauge.policy.records import Engine, EngineState
 
-# Connections that are opened to one engine so that its attempts need not share a connection.
+# Limit for the connections to one engine that are opened ahead of need, so that attempts need not
+# share a connection.
 MAX_SPREAD_CONNECTION_COUNT = 6
-OWN_SHORTAGE_ERRORS = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}  # our resources, not the engine's
+# Errors of a dial that are due to a lack of resources on this machine, not to the engine.
+OWN_SHORTAGE_ERRORS = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}
 
 
 class EnginePool:
@@ -47,7 +49,7 @@
         self.links: list[EngineConnection] = []
         # A list, as a deque takes 760 bytes even for an engine that never gets an attempt.
         self.waiting: list[InFlightAttempt] = []
-        self.is_dialling = False
+        self.is_dialling = False  # a dial is in progress, at most one at a time
         self.next_spare_dial_at = 0  # earliest tick of the next dial ahead of need
         self.started_ms = 0  # start date of the engine's process, from the endpoint list
         # Incremented with each new process or address of the engine; a dial that began under an
@@ -55,12 +57,13 @@
         self.address_generation = 0
         self.is_filling = False  # `fill` is running
         self.is_fill_due = False  # `fill` is scheduled for the end of this turn
-        self.lacks_descriptor = False  # this process had no descriptor for the last dial
+        self.lacks_descriptor = False  # the last dial found no free descriptor in this process
 
     def enqueue(self, in_flight_attempt: InFlightAttempt) -> None:
         """Queue an attempt for a connection.
 
-        The attempt is written at the end of this turn, outside the gateway's own calls.
+        The attempt is written at the end of this turn, outside the gateway's own calls, if a
+        connection has room then. Otherwise the attempt waits for a connection.
         """
         self.waiting.append(in_flight_attempt)
         self.socket_host.pools_with_waiting[self] = None
@@ -69,10 +72,11 @@
             self.socket_host.event_loop.end_of_turn_callbacks.append(self.fill)
 
     def fill(self) -> None:
-        """Write waiting attempts to connections with room, and dial where there is none.
+        """Write waiting attempts to connections with room, and dial if another one is needed.
 
-        Must not be called from within the gateway's own calls: the check whether a client is still
-        connected may notify the gateway of a disconnect.
+        Dials for attempts that still wait, and ahead of need for later attempts. Must not be called
+        from within the gateway's own calls: the check whether a client is still connected may
+        notify the gateway of a disconnect.
         """
         self.is_fill_due = False
         if self.engine.state != EngineState.READY or self.is_filling:
@@ -110,8 +114,9 @@
         """Return the connection with the fewest open attempts that has room and is not closed.
 
         A corrupted answer ends the connection and fails all attempts open on it, so attempts are
-        spread over connections. The socket is polled because nobody could tell whether an attempt
-        ran that was written to a connection after the engine closed it.
+        spread over connections. Each socket is polled before use: if the engine had already closed
+        the connection, the gateway could not tell whether the engine ran an attempt that was
+        written to the connection.
         """
         usable_links = sorted(
             (each for each in self.links if each.has_room_for(client_request)),
@@ -139,14 +144,14 @@
             return False
         if not all(each.open for each in self.links):
             return False
-        has_large_part = self.socket_host.gateway.limit.threads_per_core * self.engine.cores >= 1.0
-        return has_large_part or any(len(each.open) > 1 for each in self.links)
+        has_whole_share = self.socket_host.gateway.limit.threads_per_core * self.engine.cores >= 1.0
+        return has_whole_share or any(len(each.open) > 1 for each in self.links)
 
     def _dial_more(self) -> None:
         max_links = self.socket_host.max_links_per_engine()
         lacks_spare = self._lacks_spare()
         if lacks_spare:
-            # Checked again at the next change of the endpoint list.
+            # Checked again by each `fill`, which the next change of the endpoint list calls.
             self.socket_host.pools_lacking_spare[self] = None
         else:
             self.socket_host.pools_lacking_spare.pop(self, None)
@@ -162,7 +167,7 @@
             self._wait_for_descriptor()
 
     def _wait_for_descriptor(self) -> None:
-        """Retry later: a lack of descriptors in this process is not the engine's fault."""
+        """Retry the dial in 10 ms: a lack of descriptors here is not the engine's fault."""
         self.lacks_descriptor = True
         self.next_spare_dial_at = self.socket_host.now + SECOND
         self.socket_host.counters["no descriptor"] += 1
@@ -189,7 +194,7 @@
             if address_generation == self.address_generation:
                 self._fail_waiting("unreached")
         # A dial that began before the engine changed its address or restarted says nothing about
-        # the current process, whether the dial succeeded or not.
+        # the engine's current process, whether the dial succeeded or not.
         elif (
             address_generation != self.address_generation or self.engine.state != EngineState.READY
         ):
@@ -202,7 +207,7 @@
         self.fill()
 
     def update_address(self, address: tuple[str, int], has_restarted: bool) -> None:
-        """Set the address from the endpoint list.
+        """Set the address from the endpoint list; `has_restarted` means a new engine process.
 
         Connections to an earlier address or process get no new attempts.
         """
@@ -219,9 +224,9 @@
                 link.link.close("no longer needed")
 
     def withdraw(self) -> None:
-        """Send nothing more to an engine that drains or is gone.
+        """Send no more attempts to an engine that drains or is gone.
 
-        Waiting attempts fail now, as they would start on an engine that is leaving.
+        Waiting attempts fail now: they would otherwise start on an engine that drains or is gone.
         """
         self.retire_links()
         self._fail_waiting("withdrawn")
--- a/corkgauge/net/engine_protocol.py
+++ b/corkgauge/net/engine_protocol.py
@@ -12,10 +12,10 @@
 
 MAX_ANSWER_BYTES = 16_384  # holds a page of 6,000 bytes in any framing
 MAX_COMMAND_BYTES = 262_144 + 4_096  # holds a statement as large as a client's frame
-MAX_NUMBER_BYTES = 12  # a count with its type mark, without the end of the line
-MAX_ARRAY_PARTS = 8
-MIN_ANSWER_PARTS = 2  # name and word
-MAX_ANSWER_PARTS = 4  # name, word, fields and page
+MAX_NUMBER_BYTES = 12  # a count: type mark, up to 9 digits, and CRLF
+MAX_ARRAY_PARTS = 8  # an array with more parts is refused before its parts are read
+MIN_ANSWER_PARTS = 2  # request id and answer word
+MAX_ANSWER_PARTS = 4  # request id, answer word, fields and page; checked in complete arrays
 MAX_PAGE_BYTES = 6_000
 NO_FIELDS = "-"
 
@@ -26,25 +26,31 @@
 
 
 class AnswerOwner(Protocol):
-    """Receiver of the answers."""
+    """Interface of the object that handles the answers of one connection."""
 
     def on_answer(self, name: str, word: str, fields: dict[str, str], body: bytes) -> str:
-        """Handle an answer to the named request; return what is wrong, or an empty string."""
+        """Handle an answer; return why the answer is invalid, or an empty string.
+
+        Args:
+            name: Id of the request, or name of the keepalive, that the engine answers.
+            word: Kind of the answer.
+            fields: Fields of the answer by name.
+            body: Page of a result; empty if there is none.
+        """
 
 
 class EngineProtocol:
     """Parses answers and passes each of them to its owner.
 
-    A malformed answer ends the connection and fails all attempts open on it.
-    `complete_frame_count` counts the
-    complete answers.
+    A malformed answer ends the connection, which fails all attempts open on it.
+    `complete_frame_count` counts the complete answers.
     """
 
     def __init__(self, owner: AnswerOwner, memory_budget: MemoryBudget) -> None:
         self.owner = owner
         self.complete_frame_count = 0
-        # Stalled clients may use up the memory by which ring buffers grow. Answers have to be read
-        # all the same, so this ring buffer is allocated at its full size.
+        # Clients that do not read may use up the memory budget from which ring buffers grow. The
+        # engine's answers still have to be read, so this ring buffer starts at its full size.
         self.inward = RingBuffer(MAX_ANSWER_BYTES, memory_budget, MAX_ANSWER_BYTES)
         self.outward = RingBuffer(MAX_COMMAND_BYTES, memory_budget)
 
@@ -81,7 +87,13 @@
 
 
 def read_number(data: bytes, position: int, mark: bytes) -> tuple[int, int, str]:
-    """Return the number after a type mark, the end of its line (0: incomplete), and any error."""
+    """Return the number after a type mark, the end of its line (0: incomplete), and any error.
+
+    Args:
+        data: Input.
+        position: Index of the type mark.
+        mark: Expected type mark.
+    """
     if data[position : position + 1] != mark:
         wrong = (
             f"{data[position : position + 1]!r} instead of {mark!r}" if position < len(data) else ""
@@ -90,7 +102,7 @@
     end = data.find(b"\r\n", position, position + MAX_NUMBER_BYTES)
     if end < 0:
         is_too_long = len(data) - position >= MAX_NUMBER_BYTES
-        return 0, 0, "number without the end of its line" if is_too_long else ""
+        return 0, 0, "expected a number of up to 9 digits and CRLF" if is_too_long else ""
     digits = data[position + 1 : end]
     if not digits.isdigit() or int(digits) > MAX_ANSWER_BYTES:
         return 0, 0, f"a count of {digits!r}"
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -2,7 +2,7 @@
 
 Owns the open requests, the attempts in flight, the engine pools, and the limits on memory and
 descriptors. The host makes no policy decision: it notifies the gateway of events and carries out
-the gateway's calls. It never calls the gateway from within one of the gateway's own calls.
+the gateway's calls. The host never calls the gateway from within one of the gateway's own calls.
 """
 
 from collections import deque
@@ -37,7 +37,7 @@
 
 # Progress reports on an attempt that an engine may omit before the attempt counts as lost.
 MAX_MISSED_REPORT_COUNT = 3
-MIN_HELD_BYTES = 4 * 2**20  # for buffers and records together
+MIN_HELD_BYTES = 4 * 2**20  # least memory for buffers and records together
 AUDIT_PAUSE_TICKS = SECOND  # pause between two passes over the ledger
 AUDIT_SLICE_PAUSE_TICKS = 20  # pause between two slices of a pass
 PROGRESS_KINDS = {"advance": 1, "disk": 2, "stall": 3}
@@ -91,12 +91,13 @@
         self.dials_in_progress = 0  # connections to engines that are being opened
         self.open_requests: dict[str, Request] = {}  # by name
         self.engine_pools: dict[str, EnginePool] = {}  # by the engine's name
-        # The next four are subsets, kept so that no request, timer or change of the endpoint list
-        # has to walk all engines.
+        # The next four are indexes, so that no request, timer or partial endpoint list has to
+        # iterate over all engines.
         self.links: dict[EngineConnection, None] = {}  # open connections to engines
         self.closing_pools: dict[EnginePool, None] = {}  # of engines that drain or are gone
-        self.pools_with_waiting: dict[EnginePool, None] = {}  # with attempts that wait for a link
-        self.pools_lacking_spare: dict[EnginePool, None] = {}  # that should dial ahead of need
+        # Pools with attempts that wait for a connection, and pools that should dial ahead of need.
+        self.pools_with_waiting: dict[EnginePool, None] = {}
+        self.pools_lacking_spare: dict[EnginePool, None] = {}
         self.in_flight_attempts: dict[Attempt, InFlightAttempt] = {}
         self.pager = ResultPager(self)
         self.finished_requests: deque[Request] = deque()
@@ -128,10 +129,10 @@
         # Finished requests whose answer is not completely written yet.
         self.answering: dict[ClientRequest, None] = {}
         # Subsystems, None unless the operator file enables them.
-        self.recovery: Any = None  # recovery
-        self.flow_export: Any = None  # flow export
-        self.maintenance: Any = None  # maintenance
-        self.latency_sketches: Any = None  # of accounting
+        self.recovery: Any = None
+        self.flow_export: Any = None
+        self.maintenance: Any = None
+        self.latency_sketches: Any = None  # part of the accounting subsystem
         # HTTP handlers of other subsystems on the accounting listener, by method and path.
         self.routes: dict[tuple[bytes, bytes], Callable[[bytes], Any]] = {}
         # Cancelled attempts whose outcome the gateway has not been notified of yet.
@@ -147,7 +148,7 @@
     def remove_gone_engine(self, engine_pool: "EnginePool") -> None:
         """Remove the pool of an engine that is gone, once all its connections are closed.
 
-        Does nothing where another pool has been registered under the same engine id since.
+        Does nothing if another pool has been registered under the same engine id meanwhile.
         """
         engine_id = engine_pool.engine.host_reference
         if (
@@ -163,11 +164,11 @@
                 self.latency_sketches.merge_engine(engine_id, DEPARTED_ROW)
 
     def max_links_per_engine(self) -> int:
-        """Return how many connections each engine of the subset, or closing engine, may have.
+        """Return how many connections the pool of each engine may have.
 
-        The limit is divided among these engines only, not among all that a long endpoint list
-        names. With fewer connections than its attempts need, a healthy engine would count as
-        unreachable.
+        The limit of the process is divided among the engines in the subset and those that drain or
+        are gone, not among all engines of a long endpoint list. With fewer connections than its
+        attempts need, a healthy engine would count as unreachable.
         """
         return max(
             2, self.max_engine_links // max(len(self.gateway.engines) + len(self.closing_pools), 1)
@@ -177,8 +178,9 @@
         """Return whether another connection to an engine may be opened now.
 
         Two connections to each of many engines would use up the descriptors that discovery and the
-        clients need. At the limit, if `is_needed`, the one that has been idle longest
-        is closed, those of engines outside the subset first, so that a later call succeeds.
+        clients need. At the limit the method returns False and, if a connection `is_needed`, closes
+        the connection that has been idle longest, those to engines outside the subset first. A
+        later call succeeds once the closed connection has released its descriptor.
         """
         if len(self.links) + self.dials_in_progress < self.max_engine_links:
             return True
@@ -201,9 +203,9 @@
         return False
 
     def make_room(self) -> bool:
-        """Close idle client connections, as far as the front end supports it.
+        """Close idle client connections; return whether there were any.
 
-        Returns whether there were any.
+        This class has no client connections; a front end overrides the method.
         """
         return False
 
@@ -265,7 +267,7 @@
         client_request.priority = priority
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Answer that the request was not run; client frames have no field for `retry_after`."""
+        """Answer that a retry would do no harm; client frames have no field for `retry_after`."""
         self.send_final_answer(request, REFUSED, [])
 
     def fail(self, request: Request) -> None:
@@ -293,6 +295,9 @@
     def reason_not_to_start(self, in_flight_attempt: InFlightAttempt) -> str:
         """Return why an attempt must not be sent now, or an empty string.
 
+        The reason is a `why` of `fail_attempt`; that method does nothing if the attempt is no
+        longer in flight.
+
         Called directly before the first byte is written. Between the gateway's decision and the
         write there may be a dial or a long turn of the event loop. Meanwhile the client may have
         disconnected or cancelled, the engine may have begun to drain or restarted, and the time
@@ -346,8 +351,8 @@
     def release_finished_requests(self) -> None:
         """Break the reference cycles of finished requests that have no attempt in flight.
 
-        A full garbage collection would stop the process for over 100 ms, so none is run, and cycles
-        have to be broken here. Must be called outside the gateway's own calls.
+        A full garbage collection stops the process for over 100 ms, so automatic collection is off,
+        and cycles have to be broken here. Must be called outside the gateway's own calls.
         """
         while self.finished_requests:
             request = self.finished_requests.popleft()
@@ -363,10 +368,10 @@
             self.statement_memory.release(request.host_reference.budgeted_bytes)
             self.open_requests.pop(request.host_reference.name, None)
             if request in request.host_reference.client_connection.unsubmitted:
-                request.is_finished = True  # it is never passed to the gateway
+                request.is_finished = True  # never passed to the gateway
             else:
                 self.gateway.on_client_left(request)
-                for attempt in request.attempts:  # those that wait for a link are never sent
+                for attempt in request.attempts:  # attempts without a connection are never sent
                     in_flight_attempt = self.in_flight_attempts.get(attempt)
                     if in_flight_attempt is not None and in_flight_attempt.link is None:
                         in_flight_attempt.engine_pool.waiting.remove(in_flight_attempt)
@@ -378,8 +383,8 @@
     def audit(self) -> None:
         """Check the next slice of the ledger; a new pass begins a second after the last one."""
         is_pass_complete = self.auditor.step()
-        pause = AUDIT_PAUSE_TICKS if is_pass_complete else AUDIT_SLICE_PAUSE_TICKS
-        self.event_loop.call_later(pause, self.audit)
+        pause_ticks = AUDIT_PAUSE_TICKS if is_pass_complete else AUDIT_SLICE_PAUSE_TICKS
+        self.event_loop.call_later(pause_ticks, self.audit)
 
     def on_ledger_mistake(self, kind: str, row: Any, serial: int) -> None:
         """Record a discrepancy that the ledger noticed while recording an event."""
@@ -431,8 +436,10 @@
             silence_ticks < self.report_timeout_ticks
             or link.last_answer_at < self.now - SECOND // 2
         ):
-            pause = max(self.report_timeout_ticks - silence_ticks, SECOND // 10)
-            self.event_loop.call_later(pause, self.check_attempt_reports, in_flight_attempt, link)
+            pause_ticks = max(self.report_timeout_ticks - silence_ticks, SECOND // 10)
+            self.event_loop.call_later(
+                pause_ticks, self.check_attempt_reports, in_flight_attempt, link
+            )
             return
         self.counters["untold"] += 1
         link.release_attempt(in_flight_attempt)
@@ -490,12 +497,12 @@
         self.pager.request_pages()
 
     def fail_attempt(self, in_flight_attempt: InFlightAttempt, why: str) -> None:
-        """Fail an attempt; `why` is "unreached", "broken", "late" or "withdrawn"."""
+        """Fail an attempt that is in flight; `outcome_of` documents the values of `why`."""
         if in_flight_attempt.attempt in self.in_flight_attempts:
             self.finish_attempt(in_flight_attempt, outcome_of(in_flight_attempt.stage(), why))
 
     def on_connection_wait_timeout(self, in_flight_attempt: InFlightAttempt) -> None:
-        """Fail an attempt that found no connection, or none with room, within the dial timeout."""
+        """Fail an attempt that no connection had room for within the dial timeout."""
         is_in_flight = in_flight_attempt.attempt in self.in_flight_attempts
         if not is_in_flight or in_flight_attempt.link is not None:
             return
@@ -523,5 +530,9 @@
         return self.endpoint_list.last_event
 
     def on_discovery_event(self, number: str, data: str) -> str:
-        """Apply a discovery event; return why the event is invalid, or an empty string."""
+        """Apply a discovery event; return why the event is invalid, or an empty string.
+
+        `number`, the id of the server-sent event, is ignored: the JSON object `data` contains the
+        number that counts.
+        """
         return self.endpoint_list.on_event(data)
--- a/corkgauge/net/in_flight.py
+++ b/corkgauge/net/in_flight.py
@@ -13,7 +13,10 @@
 
 
 class Stage(IntEnum):
-    """Progress of an attempt when it failed. Only `NOT_BEGUN` proves that it never ran."""
+    """Progress of an attempt when the attempt failed.
+
+    Only `NOT_BEGUN` proves that the engine never ran the attempt.
+    """
 
     NOT_BEGUN = 0
     PARTLY_WRITTEN = 1
@@ -24,12 +27,18 @@
 def outcome_of(stage: Stage, why: str) -> AttemptOutcome:
     """Return the outcome of an attempt that failed at a stage, by the reason of the failure.
 
-    The reason `why` is "unreached", "broken", "late" or "withdrawn".
+    The reason `why` is one of:
+        "unreached": no connection to the engine was opened, or had room, within the dial timeout.
+        "broken": the connection closed, or a page or progress report of the attempt is missing.
+        "late": the attempt's time limit has passed.
+        "withdrawn": the attempt must not be sent any more: its client has left, the engine drains
+            or is gone, this process had no descriptor for a connection, or the gateway does not
+            permit the start.
 
     >>> outcome_of(Stage.NOT_BEGUN, "unreached").name, outcome_of(Stage.NOT_BEGUN, "withdrawn").name
     ('UNREACHABLE', 'ABANDONED')
 
-    An attempt that ran out of time before it was sent is not the engine's fault:
+    An attempt whose time limit passed before the attempt was sent is not the engine's fault:
 
     >>> outcome_of(Stage.NOT_BEGUN, "late").name
     'ABANDONED'
@@ -75,20 +84,21 @@
         self.deadline = deadline  # tick at which the attempt times out
         self.engine_pool = engine_pool
         self.link: EngineConnection | None = None
-        # Bytes buffered on the connection before this attempt's command, and including it.
+        # Bytes that the connection had queued before the command of this attempt, and after it.
         self.command_begin = 0
         self.command_end = 0
         # The result: its pages by number (None: not received), and the memory reserved for them.
         self.is_answered = False
         self.pages: list[bytes | None] = []
         self.reserved_page_bytes = 0
-        # The engine's reports: work (thread ticks), memory needed, its load (attempts; below 0:
-        # none reported), and the tick of the last report.
+        # The engine's reports: work (thread ticks), memory needed, load of the engine (attempts;
+        # below 0: none reported), and the tick of the last report.
         self.work_ticks = 0
         self.memory_needed_mb = 0.0
         self.reported_load = -1.0
         self.last_report_at = 0
-        # The engine's row in the ledger; the attempt's serial number there, negated at its end.
+        # Ledger row of the engine, and the attempt's serial number in the ledger, negated once the
+        # end of the attempt is recorded.
         self.engine_row = engine_pool.row
         self.serial = 0
         self.attempt_log_serial = 0  # serial number in the attempt log; 0: not logged
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -44,10 +44,11 @@
         return [*self.socket_host.engine_pools.values()]
 
     def engine_mismatch(self, engine_pool: Any) -> tuple[str, str]:
-        """Return an engine's name, and what only the gateway counts as in flight there.
+        """Return an engine's name, and how the gateway's records of the engine are inconsistent.
 
-        A slot that is never given back to the gateway is lost for good, and only this check shows
-        the loss.
+        That is: attempts that only the gateway counts as in flight there, or a count of threads in
+        flight that differs from the sum over these attempts. A slot that is never returned to the
+        gateway is lost for good, and only this check shows the loss.
         """
         socket_host, engine = self.socket_host, engine_pool.engine
         lost = threads = 0
@@ -58,9 +59,16 @@
             )
             threads += attempt.request.request_class.threads if attempt.request else 0
         if lost:
-            return engine.name, f"{lost} attempts in flight for the gateway, not for the host"
+            return (
+                engine.name,
+                f"gateway counts {lost} attempts in flight that the host does not have",
+            )
         if threads != engine.threads_in_flight:
-            return engine.name, f"{engine.threads_in_flight} threads counted, {threads} in flight"
+            return (
+                engine.name,
+                f"gateway counts {engine.threads_in_flight} threads in flight, "
+                f"the attempts add up to {threads}",
+            )
         return engine.name, ""
 
     def engine_name(self, engine_pool: Any) -> str:
@@ -92,8 +100,8 @@
     def find_trace(self, serial: int) -> str:
         """Return the stream of the request with this serial number, or an empty string.
 
-        A request that is missing from the table of open requests still needs its answer, and can be
-        found through the stream.
+        A request that is missing from the host's table of open requests still needs an answer, and
+        can be found through the stream.
         """
         for client_connection in self.socket_host.client_connections:
             for stream, request in client_connection.open.items():
--- a/corkgauge/net/results.py
+++ b/corkgauge/net/results.py
@@ -18,9 +18,9 @@
     from corkgauge.net.host import SocketHost
 
 MAX_RESULT_BYTES = 48_000
-MAX_PAGES = 64
+MAX_PAGES = 64  # of one result
 MAX_PAGE_NUMBER_DIGITS = 3
-PAGE_TIMEOUT_TICKS = 2_500  # time limit for the next page of a result
+PAGE_TIMEOUT_TICKS = 2_500  # for the next page of a result
 TICKS_PER_MS = 10
 
 
@@ -29,6 +29,7 @@
 
     def __init__(self, host: SocketHost) -> None:
         self.host = host
+        # Attempts whose further pages are requested once the memory budget has room for them.
         self.awaiting_memory: deque[InFlightAttempt] = deque()
 
     def on_first_page(
@@ -46,7 +47,7 @@
         if in_flight.is_answered:
             is_copy = body == in_flight.pages[0] and int(pages) == len(in_flight.pages)
             return "" if is_copy else "second, different result of an attempt"
-        # The request ran, but its result is corrupted and must not reach the client.
+        # The engine ran the request, but the result is corrupted and must not reach the client.
         if not is_valid_page(body):
             return "invalid first page of a result"
         in_flight.is_answered = True
@@ -95,8 +96,14 @@
         """Fail an attempt whose next page is overdue; called again by timer.
 
         A missing page would block the request until its deadline. Other attempts on the connection
-        may be fine, so only this attempt fails, and only if its engine has answered anything on the
-        connection during the second half of the time limit.
+        may be fine, so only this attempt fails. The attempt fails only if the engine still answers:
+        if any answer has arrived on the connection since half of the time limit after `since`.
+        Otherwise another time limit begins, with the same `since`.
+
+        Args:
+            in_flight: The attempt.
+            earlier_count: Number of pages received at the last check.
+            since: Tick of the last check that found a new page; at first, of the page requests.
         """
         if in_flight.attempt not in self.host.in_flight_attempts:
             return
