--- a/corkgauge/net/discovery.py
+++ b/corkgauge/net/discovery.py
@@ -1,4 +1,4 @@
-"""Watches endpoint discovery: stays connected, and resumes after the last complete event.
+"""Watches endpoint discovery: stays connected, and resumes after the last event that was applied.
 
 Owns the connection to one discovery address, until the address changes. The host applies the
 events.
@@ -14,42 +14,42 @@
 MIN_BACKOFF_TICKS = SECOND // 20
 MAX_BACKOFF_TICKS = SECOND // 2
 MAX_SILENCE_TICKS = 15_000  # without a byte; the server sends a comment each second
-# Time limit for one line, and for the status and headers before the first line. A gateway counts as
-# notified of a change 7 s after the announcement, so the limit stays below that.
+# Time limit for one line, and for the status and headers before the first line. The platform treats
+# a gateway as informed of a change 7 s after the announcement, so the limit has to be shorter.
 MAX_LINE_TICKS = 30_000
 CHECK_INTERVAL_TICKS = MAX_SILENCE_TICKS // 8  # between two checks of the connection
 
 
 class DiscoveryWatch:
-    """Keeps a connection to discovery at one address, until `leave` is called."""
+    """Keeps a connection to discovery at one address until `leave` is called."""
 
     def __init__(self, socket_host: Any, address: tuple[str, int]) -> None:
         self.socket_host = socket_host
         self.address = address
         self.link: StreamConnection | None = None
-        self.backoff = 0  # ticks until the next dial
-        self.is_lost = False  # the loss of the connection has been logged
-        self.is_left = False  # another address has replaced this one
+        self.backoff_ticks = 0  # pause before the next dial
+        self.is_lost = False  # from a logged loss of the connection until the next event
+        self.is_replaced = False  # another address has replaced this one
 
     def run(self) -> None:
-        """Connect, and reconnect until the loop stops or the address is left; runs as a task."""
+        """Connect, and reconnect until the loop stops or the address changes; runs as a task."""
         event_loop = self.socket_host.event_loop
-        while not (event_loop.stopped or self.is_left):
-            begun = event_loop.now
+        while not (event_loop.stopped or self.is_replaced):
+            started_at = event_loop.now
             sock, why = dial(event_loop, self.address, SECOND)
-            if self.is_left:
+            if self.is_replaced:
                 if sock is not None:
                     sock.close()
                 return
             if sock is not None:
                 why = self._watch_connection(sock)
-            if not (self.is_lost or self.is_left):
+            if not (self.is_lost or self.is_replaced):
                 self.is_lost = True
                 self.socket_host.log(f"feed lost: {why}")
-            self._back_off(event_loop.now - begun)
+            self._back_off(event_loop.now - started_at)
 
     def _watch_connection(self, sock: Any) -> str:
-        """Read events until the connection closes; return the reason."""
+        """Read events until the connection closes; return why it closed."""
         event_loop = self.socket_host.event_loop
         protocol = discovery_protocol.DiscoveryProtocol(self, self.socket_host.server_ring_memory)
         link = self.link = StreamConnection(event_loop, sock, protocol, self)
@@ -60,28 +60,29 @@
         why: str = link.close_reason
         return why
 
-    def _back_off(self, lasted: int) -> None:
-        """Wait before the next dial.
+    def _back_off(self, lasted_ticks: int) -> None:
+        """Wait before the next dial, if earlier dials or connections failed soon.
 
         The fleet acts on announced changes soon, even if this gateway has not received them. So the
-        first dial follows at once. Only after connections that failed within a second do the next
-        dials wait, each time longer.
+        first dial after a loss follows at once. The pause before each further dial doubles, from
+        `MIN_BACKOFF_TICKS` to `MAX_BACKOFF_TICKS`. The pause is reset by an event, and if the dial
+        and its connection lasted for more than a second (`lasted_ticks`).
         """
-        if lasted > SECOND:
-            self.backoff = 0
-        if self.backoff and not self.is_left:
-            self.socket_host.event_loop.sleep(self.backoff)
-        self.backoff = min(max(2 * self.backoff, MIN_BACKOFF_TICKS), MAX_BACKOFF_TICKS)
+        if lasted_ticks > SECOND:
+            self.backoff_ticks = 0
+        if self.backoff_ticks and not self.is_replaced:
+            self.socket_host.event_loop.sleep(self.backoff_ticks)
+        self.backoff_ticks = min(max(2 * self.backoff_ticks, MIN_BACKOFF_TICKS), MAX_BACKOFF_TICKS)
 
     def leave(self) -> None:
         """End the watch, as another discovery address has been configured."""
-        self.is_left = True
+        self.is_replaced = True
         if self.link is not None:
             self.link.close("replaced by another discovery address")
 
     def on_event(self, number: str, data: str) -> str:
         """Pass one event to the host; return why the event is invalid, or an empty string."""
-        self.backoff = 0
+        self.backoff_ticks = 0
         if self.is_lost:
             self.is_lost = False
             self.socket_host.log(f"feed back at {self.socket_host.last_event}")
@@ -94,8 +95,13 @@
         """Close a connection that is silent or never completes a line; called again by timer.
 
         A server that hangs keeps its connection open. The server sends a comment each second, so
-        after another half second without a byte the server counts as dead. A server that sends
-        single bytes, or no complete status line, is never silent, so the lines are timed as well.
+        after 1.5 s without a byte the connection is closed. A server that sends single bytes, or no
+        complete status line, is never silent, so the time for each line is limited as well.
+
+        Args:
+            link: The connection.
+            known_lines: Number of complete lines at the last check.
+            line_since: Tick of the check that found the last complete line.
         """
         if link is not self.link or link.close_reason:
             return
@@ -115,5 +121,5 @@
     def on_output_drained(self) -> None:
         """Do nothing: after the request there is nothing more to send."""
 
-    def on_closed(self, why: str) -> None:
-        """Do nothing: `run` continues after the connection has closed."""
+    def on_closed(self, reason: str) -> None:
+        """Do nothing: `run` reconnects after the connection has closed."""
--- a/corkgauge/net/discovery_protocol.py
+++ b/corkgauge/net/discovery_protocol.py
@@ -12,18 +12,18 @@
 MAX_UNREAD_BYTES = 262_144
 MAX_HEADER_LINE_BYTES = 16_384
 REQUEST_BYTES = 4096
-# One line, and so one event with the complete list. An event over the limit would be requested
-# again without end while the gateway keeps an outdated list; 1,800 engines with ids of 36
-# characters take 300,000 bytes.
+# Limit for one line, and for the data of one event. An event over the limit closes the connection,
+# and would be requested again without end while the gateway keeps an outdated list. A complete list
+# of 1,800 engines with ids of 36 characters takes 300,000 bytes.
 MAX_LINE_BYTES = 2**20
-NEED_MORE = "more"  # returned by a reader that needs more bytes
+NEED_MORE = "more"  # returned by a reader of input that needs more bytes
 
 
 class EventOwner(Protocol):
-    """Receiver of the events."""
+    """Interface of the object that handles the events."""
 
     def on_event(self, number: str, data: str) -> str:
-        """Handle one event; return why the event is invalid, or an empty string."""
+        """Handle one event: its id and its data; return why it is invalid, or an empty string."""
 
 
 def request(host: str, last_event: int) -> bytes:
@@ -45,7 +45,8 @@
         self.complete_frame_count = 0
         self.inward = RingBuffer(MAX_UNREAD_BYTES, memory_budget)
         self.outward = RingBuffer(REQUEST_BYTES, memory_budget)
-        # Reader of the next bytes: a line of HTTP, for `_on_line`, or a part of the event stream.
+        # Reads the next bytes: a line of the HTTP response, which is passed to `_on_line`, or part
+        # of the event stream.
         self._read: Callable[[], str] = self._read_line
         self._on_line: Callable[[bytes], str] = self._on_status
         self._is_chunked = False
--- a/corkgauge/net/endpoint_list.py
+++ b/corkgauge/net/endpoint_list.py
@@ -1,7 +1,8 @@
 """Applies discovery events to the engines and their connection pools.
 
-Checks each event completely before applying any of it, and owns the number of the last event. Makes
-no policy decision: the gateway is notified of each engine, and each pool fills or withdraws.
+Checks each event completely before applying any part of the event, and owns the number of the last
+event. Makes no policy decision: the gateway is notified of each listed engine, and each connection
+pool opens connections, or retires the connections to an engine that drains or is gone.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One engine as listed in an event."""
+    """One engine as listed in an event; `started_ms` is the start date of its process."""
 
     name: str
     address: tuple[str, int]
@@ -50,14 +51,15 @@
             event = json.loads(data)
             number = int(event["n"])
         except (ValueError, TypeError, KeyError, RecursionError, OverflowError):
-            return "invalid event: expected a JSON object with an integer n"
+            return "invalid event: expected a JSON object with a number n"
         members = event.get("members")
         if number <= self.last_event:
             return ""  # already applied
         is_full_list = isinstance(members, dict) and members.get("full")
         if number > self.last_event + 1 and not is_full_list:
             return f"event {number} follows event {self.last_event}: events are missing"
-        wrong = self.apply(event) if members is not None else ""  # others are not about engines
+        # An event without members does not concern engines.
+        wrong = self.apply(event) if members is not None else ""
         if not wrong:
             self.last_event = number
             self.host.counters["events"] += 1
@@ -80,7 +82,10 @@
             AttributeError,
             OverflowError,
         ) as problem:
-            return f"invalid event ({type(problem).__name__} {problem})"
+            return (
+                f"invalid event ({type(problem).__name__}: {problem}): expected servers with id, "
+                "addr, state SERVING, DRAINING or DELETED, and a zone and kind of the settings"
+            )
         if is_full_list:
             self._remove_unlisted({entry.name for entry in entries})
         changed: dict[EnginePool, None] = {}
@@ -103,7 +108,7 @@
         )
 
     def _remove_unlisted(self, listed: set[str]) -> None:
-        """Mark all engines as gone that a complete list does not name."""
+        """Mark as gone all engines that a complete list omits."""
         for engine_pool in self.host.engine_pools.values():
             engine = engine_pool.engine
             if engine.host_reference not in listed and engine.state != EngineState.GONE:
@@ -136,16 +141,17 @@
         return engine_pool
 
     def _update_pools(self, changed: dict[EnginePool, None], is_full_list: bool) -> None:
-        """Let the pools fill or withdraw that a change of the list may affect.
+        """Update the connection pools that a change of the list may affect.
 
-        These are the changed ones, those where attempts wait for a connection, and those that
-        should dial ahead of need. For all other pools `fill` would do nothing, as none of its
-        conditions has changed since the last call.
+        After a complete list, all pools are updated. After a partial list, the updated pools are
+        those of the listed engines, those where attempts wait for a connection, and those that
+        should dial ahead of need. For any other pool, `fill` would do nothing, as none of the
+        conditions that `fill` checks has changed since the last call.
         """
         host = self.host
-        concerned = {**changed, **host.pools_with_waiting, **host.pools_lacking_spare}
+        affected = {**changed, **host.pools_with_waiting, **host.pools_lacking_spare}
         engine_pools = sorted(
-            host.engine_pools.values() if is_full_list else concerned,
+            host.engine_pools.values() if is_full_list else affected,
             key=lambda engine_pool: engine_pool.number,
         )
         for engine_pool in engine_pools:
@@ -162,11 +168,14 @@
                 host.remove_gone_engine(engine_pool)
 
     def start_ticks(self, started_ms: int) -> int:
-        """Return when an engine started, in ticks of the event loop, from a date in ms.
-
-        If the system's date was changed, this machine's date may be the wrong one. An engine that
-        is taken for warm too early is overloaded, so the later of the two possible times counts,
-        but never a time in the future.
+        """Return when an engine started, in ticks of the event loop's clock, from a date in ms.
+
+        While the clock agrees with the system date to within a second, the start date is converted
+        as sent, even a date in the future. The two differ after the system date was set, and then
+        the sender's date may agree with either. An engine that is taken for warm too early is
+        overloaded, so the later reading counts: the date as sent, or, if the clock is ahead of the
+        system date, the date plus the difference. In this case the result is at most the current
+        tick.
         """
         started = started_ms * TICKS_PER_MS
         ahead_ticks = self.host.event_loop.clock_offset()
--- a/corkgauge/net/request_fields.py
+++ b/corkgauge/net/request_fields.py
@@ -16,8 +16,8 @@
 MAX_WORK_MS = 3.6e6  # largest work estimate of a request
 TICKS_PER_MS = 10
 # Largest time to the deadline that a client may send, as a multiple of the request class's time.
-# Somewhat more than the class's time is valid: the client's clock differs from the gateway's, and
-# the client adds the network delay to the gateway.
+# More than the class's time is valid, as the client's clock differs from the gateway's, and the
+# client adds the network delay to the gateway.
 MAX_DEADLINE_RATIO = 2
 PLAIN_TEXT = re.compile(r"[!-+\-.-<>-~]{1,128}").fullmatch
 ORDER_KEY = re.compile(r"[0-9a-fA-F]{1,16}").fullmatch
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableField:
-    """The name of the first unusable field."""
+    """The first unusable field of a request, by name."""
 
     name: str
 
@@ -104,8 +104,8 @@
             return "trace"
         nonce = fields.get("nonce", "")
         is_keyed = request_class.repeatability == Repeatability.KEYED
-        is_absent_and_needless = not nonce and not is_keyed
-        if not is_absent_and_needless and not is_plain(nonce):
+        is_absent_and_optional = not nonce and not is_keyed
+        if not is_absent_and_optional and not is_plain(nonce):
             return "nonce"
         return ""
 
--- a/corkgauge/net/table_group.py
+++ b/corkgauge/net/table_group.py
@@ -6,8 +6,8 @@
 
 import re
 
-# Strings, comments, and quoted names that are not plain words cannot name a table group, so they
-# are replaced by spaces. An unclosed one extends to the end of the statement.
+# Strings, comments, and quoted names that are not plain words cannot name a table group, so each is
+# replaced by a space. Without a closing mark it extends to the end of the statement.
 IGNORED_TEXT = re.compile(
     rb"""
     '(?:[^']+|'')*+(?:'|\Z) | --[^\n]* | /\*.*?(?:\*/|\Z)
@@ -16,6 +16,9 @@
 """,
     re.X | re.S,
 )
+# A schema's name with a number after the last underscore, and the begin of the name of its table.
+# `(?!staging\b)` excludes only names in which `$` or a byte outside ASCII follows "staging", as in
+# `staging$_17`. It does not exclude `staging_17`: an underscore is a word character.
 SCHEMA = rb"""(?: (?!staging\b) [A-Za-z_\x80-\xff] [\w$\x80-\xff]* _ | ["`] (?!staging\b) [\w$]* _ )
             (\d{1,9}) ["`]? \s* \. \s* ["`]? [A-Za-z_\x80-\xff]"""
 TABLE_REFERENCE = re.compile(
@@ -28,7 +31,9 @@
 
 
 def group_number(statement: bytes) -> float:
-    """Return the number behind the underscore in a schema's name; 0.0 when there is none.
+    """Return the number after the last underscore of a schema's name; 0.0 if there is none.
+
+    The result is a float because the policy's records have table groups as floats.
 
     >>> group_number(b"SELECT 'x from sales_3.a' FROM sales_17.orders"), group_number(b"select 1")
     (17.0, 0.0)
