--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -139,8 +139,9 @@
         in_flight_attempt = self.open.get(name)
         now = self.socket_host.now
         self.keepalive_sent_at = NEVER
-        # An engine whose process was paused sends no reports during the pause. These reports do not
-        # count as omitted, so the period for which reports are required starts anew.
+        # An engine whose process was paused sends no reports during the pause, and afterwards
+        # continues its attempts. The missing reports do not count as omitted, so the period for
+        # which reports are required starts anew.
         if now > self.last_answer_at + MAX_ANSWER_GAP_TICKS:
             self.responsive_since = now
         self.last_answer_at = now
--- a/corkgauge/net/table_group.py
+++ b/corkgauge/net/table_group.py
@@ -7,7 +7,7 @@
 import re
 
 # Strings, comments, and quoted names that are not plain words cannot name a table group, so each is
-# replaced by a space. Without a closing mark it extends to the end of the statement.
+# replaced by a space. One without a closing mark extends to the end of the statement.
 IGNORED_TEXT = re.compile(
     rb"""
     '(?:[^']+|'')*+(?:'|\Z) | --[^\n]* | /\*.*?(?:\*/|\Z)
