--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -102,7 +102,7 @@
 
     def _register(self) -> None:
         """Register for datagrams, HTTP requests, the maintenance lease and host notifications."""
-        self.socket_host.works = self
+        self.socket_host.maintenance = self
         self.member_list.call_handlers["plan"] = self.on_plan_message
         self.member_list.call_handlers["works"] = self.on_message
         self.member_list.call_handlers["copy"] = self.plan_display.on_datagram
@@ -124,7 +124,7 @@
     def end(self) -> None:
         """Close the record file and detach from the socket host."""
         self.durable_record.close()
-        self.socket_host.works = None
+        self.socket_host.maintenance = None
 
     def waiting(self) -> bool:
         """Whether the gateway still waits for maintenance orders before it accepts clients."""
--- a/corkgauge/maintenance/serving_host.py
+++ b/corkgauge/maintenance/serving_host.py
@@ -16,7 +16,7 @@
     gateway: Gateway
     settings: Settings
     ledger: Any  # maintenance reads its rows of request classes
-    works: Any  # set by the maintenance service to itself
+    maintenance: Any  # set by the maintenance service to itself
 
     @property
     def engine_pools(self) -> Mapping[str, Any]:
