--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -127,12 +127,12 @@
     def __init__(self, name: str, votes_folder: str = "", met: bool = True) -> None:
         self.name = name
         rules = {**STATED_ON_SOCKETS["rules"], "coldUs": 15_000_000}
-        self.premises = HostHarness(
+        self.harness = HostHarness(
             [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules
         )
-        self.premises.time = NOW
-        self.premises.event_loop.update_now()
-        self.socket_host = self.premises.socket_host
+        self.harness.time = NOW
+        self.harness.event_loop.update_now()
+        self.socket_host = self.harness.socket_host
         said = {
             "name": name,
             "listen": "127.0.0.1:1",
@@ -635,7 +635,7 @@
         give_up_at = time.monotonic() + 10
         while here.office.durable_record.waiting or here.yard.safe.waiting:
             assert time.monotonic() < give_up_at, "the helper has not answered"
-            here.premises.event_loop.turn(5)
+            here.harness.event_loop.turn(5)
         return Path(folder, name).read_bytes()
 
 
@@ -1015,7 +1015,7 @@
 
 def take_request(here: Instance) -> None:
     """Let a client ask for something, so that there is a queue, and its answer is owed."""
-    here.premises.ask(here.premises.client(), request_frame())
+    here.harness.ask(here.harness.client(), request_frame())
 
 
 def asked(here: Instance, where: str, method: str, path: str, body: bytes) -> tuple[bytes, bytes]:
@@ -1027,8 +1027,8 @@
         reader.setblocking(False)
         received = b""
         for _ in range(400):
-            here.premises.time += 1
-            here.premises.event_loop.turn(0)
+            here.harness.time += 1
+            here.harness.event_loop.turn(0)
             try:
                 more = reader.recv(1 << 20)
             except BlockingIOError:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -117,31 +117,29 @@
 @pytest.mark.parametrize("goes", GOINGS)
 def test_no_attempt_begins_once_its_client_has_gone_while_it_waited_for_a_link(goes):
     """The link comes up in the very turn after the client went, before its connection is read."""
-    premises = Loopback()
-    client, client_connection = premises.client()
-    premises.ask_and_settle(client, request_frame(), client_connection)
-    assert len(premises.socket_host.engine_pools["e1"].waiting) == 1
+    harness = Loopback()
+    client, client_connection = harness.client()
+    harness.ask_and_settle(client, request_frame(), client_connection)
+    assert len(harness.socket_host.engine_pools["e1"].waiting) == 1
     goes(client)
     settled(client_connection.link.sock)
-    engine, link = premises.engine(turn=False)
-    premises.socket_host.engine_pools[
+    engine, link = harness.engine(turn=False)
+    harness.socket_host.engine_pools[
         "e1"
     ].fill()  # as a dial that comes up does it, before the poller is asked again
-    assert link.link.bytes_queued == 0 and not premises.socket_host.in_flight_attempts
-    assert (
-        premises.heard_soon(engine, 0) == b"" and premises.socket_host.counters["handed off"] == 0
-    )
-    assert not premises.logged
+    assert link.link.bytes_queued == 0 and not harness.socket_host.in_flight_attempts
+    assert harness.heard_soon(engine, 0) == b"" and harness.socket_host.counters["handed off"] == 0
+    assert not harness.logged
 
 
 @pytest.mark.parametrize("goes", GOINGS)
 def test_no_further_attempt_begins_once_its_client_has_gone_while_the_first_was_out(goes):
     """The engine's refusal and the client's going lie unread in one turn; the refusal is read first."""
-    premises = Loopback([listing(1, {}, {"id": "e2"})])
-    client, client_connection = premises.client()
-    engines = {tag: premises.engine(tag) for tag in ("e1", "e2")}
-    premises.ask_and_settle(client, request_frame(), client_connection)
-    (first,) = (tag for tag, (sock, _) in engines.items() if premises.heard_soon(sock, 0))
+    harness = Loopback([listing(1, {}, {"id": "e2"})])
+    client, client_connection = harness.client()
+    engines = {tag: harness.engine(tag) for tag in ("e1", "e2")}
+    harness.ask_and_settle(client, request_frame(), client_connection)
+    (first,) = (tag for tag, (sock, _) in engines.items() if harness.heard_soon(sock, 0))
     (sock, link), (other, other_link) = engines[first], engines["e2" if first == "e1" else "e1"]
     sock.sendall(b"*4\r\n$16\r\n" + T1.encode() + b"\r\n$4\r\nWAIT\r\n$1\r\n-\r\n$0\r\n\r\n")
     settled(link.link.sock)
@@ -149,9 +147,9 @@
     settled(client_connection.link.sock)
     assert link.link.is_peer_connected()  # the answer is told, as its task would have told it
     for _ in range(3):
-        premises.event_loop._run_due_timers()  # what the turn left to do, with the client's end still unread by its task
-    assert other_link.link.bytes_queued == 0 and premises.heard_soon(other, 0) == b""
-    assert not premises.socket_host.in_flight_attempts and not premises.logged
+        harness.event_loop._run_due_timers()  # what the turn left to do, with the client's end still unread by its task
+    assert other_link.link.bytes_queued == 0 and harness.heard_soon(other, 0) == b""
+    assert not harness.socket_host.in_flight_attempts and not harness.logged
 
 
 @pytest.mark.parametrize("goes", GOINGS)
@@ -159,26 +157,24 @@
     """Request and end have both come before the loop reads either, 0.2 s late. (The gateway takes nothing while it is
     so far behind, so this holds without the last look as well.)
     """
-    premises = Loopback()
-    client, client_connection = premises.client()
-    engine, _ = premises.engine()
+    harness = Loopback()
+    client, client_connection = harness.client()
+    engine, _ = harness.engine()
     client.sendall(request_frame())
     goes(client)
     settled(client_connection.link.sock)
     time.sleep(0.01)
-    premises.time += 2_000
-    premises.turn()
-    premises.pass_time(2_000)
-    assert (
-        premises.heard_soon(engine, 0) == b"" and premises.socket_host.counters["handed off"] == 0
-    )
+    harness.time += 2_000
+    harness.turn()
+    harness.pass_time(2_000)
+    assert harness.heard_soon(engine, 0) == b"" and harness.socket_host.counters["handed off"] == 0
 
 
 def test_an_attempt_that_an_engine_does_not_read_is_never_kept_back_in_a_ring():
     """Danger: put into a full socket it would begin when the engine reads again, whoever had gone by then."""
-    premises = Loopback()
-    client, client_connection = premises.client()
-    engine, link = premises.engine()
+    harness = Loopback()
+    client, client_connection = harness.client()
+    engine, link = harness.engine()
     engine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     link.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     try:
@@ -191,8 +187,8 @@
             link.link.sock.send(b"x")
     except BlockingIOError:
         pass
-    premises.ask_and_settle(client, request_frame(), client_connection)
-    (in_flight_attempt,) = premises.socket_host.in_flight_attempts.values()
+    harness.ask_and_settle(client, request_frame(), client_connection)
+    (in_flight_attempt,) = harness.socket_host.in_flight_attempts.values()
     assert (
         in_flight_attempt.link is None
         and len(link.link.machine.outward) == 0
@@ -200,54 +196,54 @@
     )
     client.close()
     settled(client_connection.link.sock)
-    premises.turn()
-    assert not premises.socket_host.in_flight_attempts
-    assert T1.encode() not in premises.heard_soon(engine, 0)
+    harness.turn()
+    assert not harness.socket_host.in_flight_attempts
+    assert T1.encode() not in harness.heard_soon(engine, 0)
 
 
 def test_a_client_that_goes_while_its_input_is_paused_is_seen_to_go():
-    premises = Loopback()
-    client, client_connection = premises.client()
-    engine, _ = premises.engine()
-    premises.ask_and_settle(client, request_frame(), client_connection)
-    premises.socket_host.client_ring_memory.limit_bytes = (
-        premises.socket_host.client_ring_memory.reserved_bytes
+    harness = Loopback()
+    client, client_connection = harness.client()
+    engine, _ = harness.engine()
+    harness.ask_and_settle(client, request_frame(), client_connection)
+    harness.socket_host.client_ring_memory.limit_bytes = (
+        harness.socket_host.client_ring_memory.reserved_bytes
     )  # no memory: what comes now pauses the input
     client.sendall((200_000).to_bytes(4, "little") + b"\2" + b"x" * 9_000)
     settled(client_connection.link.sock)
-    premises.turn()
+    harness.turn()
     assert not client_connection.link.machine.inward.free_bytes and client_connection.open
     client.close()
     time.sleep(0.01)
-    premises.turn()
-    assert not client_connection.open and not premises.socket_host.client_connections
+    harness.turn()
+    assert not client_connection.open and not harness.socket_host.client_connections
 
 
 def test_an_engine_that_has_closed_its_link_gets_nothing_written_there():
     """Danger: a request that an unsafe class sent there may have run or not, nobody knows."""
-    premises = Loopback([listing(1, {})])
-    client, client_connection = premises.client()
-    engine, link = premises.engine()
+    harness = Loopback([listing(1, {})])
+    client, client_connection = harness.client()
+    engine, link = harness.engine()
     engine.close()
     settled(link.link.sock)
     client.sendall(request_frame(route="once"))
     settled(client_connection.link.sock)
     client_connection.link.is_peer_connected()  # the request is read before the engine's end is
-    premises.event_loop._run_due_timers()
+    harness.event_loop._run_due_timers()
     assert link.link.bytes_queued == 0
-    premises.turn()
-    second, _ = premises.engine()
-    assert T1.encode() in premises.heard_soon(second, 60)
+    harness.turn()
+    second, _ = harness.engine()
+    assert T1.encode() in harness.heard_soon(second, 60)
 
 
 class Dials:
     """Dials that come up, or fail, only when they are let; `ends` holds where each led, and what it was let do."""
 
-    def __init__(self, premises, monkeypatch):
+    def __init__(self, harness, monkeypatch):
         self.asked, self.let, self.ends = [], [], []
         EnginePool.dial = REAL_DIAL
-        premises.socket_host.dials_in_progress = 0
-        for engine_pool in premises.socket_host.engine_pools.values():
+        harness.socket_host.dials_in_progress = 0
+        for engine_pool in harness.socket_host.engine_pools.values():
             engine_pool.dialling = False
         monkeypatch.setattr("corkgauge.net.engine_pool.dial", self.dial)
 
@@ -266,110 +262,110 @@
 
 def test_a_dial_for_an_old_address_does_not_leave_what_waits_for_the_new_one(monkeypatch):
     """The old address refuses only after the engine has moved; nothing else would fill again."""
-    premises = Loopback()
-    dials, (client, client_connection) = Dials(premises, monkeypatch), premises.client()
-    premises.ask_and_settle(client, request_frame(), client_connection)
+    harness = Loopback()
+    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.client()
+    harness.ask_and_settle(client, request_frame(), client_connection)
     assert dials.asked == [("127.0.0.9", 1)]
-    assert not premises.socket_host.on_discovery_event(
+    assert not harness.socket_host.on_discovery_event(
         "2", json.dumps(listing(2, {"addr": "127.0.0.9:2"}, full=False))
     )
     dials.let += ["ECONNREFUSED", ""]
-    premises.pass_time(60, 10)
+    harness.pass_time(60, 10)
     assert dials.asked == [("127.0.0.9", 1), ("127.0.0.9", 2)]
-    assert T1.encode() in premises.heard_soon(dials.ends[0], 60) and not premises.logged
+    assert T1.encode() in harness.heard_soon(dials.ends[0], 60) and not harness.logged
 
 
 @pytest.mark.parametrize("up", [True, False])
 def test_a_dial_that_began_before_its_engine_started_anew_tells_nothing_of_the_new_one(
     up, monkeypatch
 ):
-    premises = Loopback([listing(1, {"started_ms": 1})])
-    dials, (client, client_connection) = Dials(premises, monkeypatch), premises.client()
-    premises.ask_and_settle(client, request_frame(), client_connection)
+    harness = Loopback([listing(1, {"started_ms": 1})])
+    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.client()
+    harness.ask_and_settle(client, request_frame(), client_connection)
     engine_pool, (in_flight_attempt,) = (
-        premises.socket_host.engine_pools["e1"],
-        premises.socket_host.in_flight_attempts.values(),
+        harness.socket_host.engine_pools["e1"],
+        harness.socket_host.in_flight_attempts.values(),
     )
     assert len(dials.asked) == 1
-    assert not premises.socket_host.on_discovery_event(
+    assert not harness.socket_host.on_discovery_event(
         "2", json.dumps(listing(2, {"started_ms": 100_000}, full=False))
     )
     dials.let.append("" if up else "ECONNREFUSED")
-    premises.pass_time(100, 20)
-    assert not engine_pool.links and not any("rest e1" in line for line in premises.logged)
+    harness.pass_time(100, 20)
+    assert not engine_pool.links and not any("rest e1" in line for line in harness.logged)
     if up:  # the connection that reached the process before is closed with nothing on it
-        assert premises.heard_soon(dials.ends[0], 0) == b""
+        assert harness.heard_soon(dials.ends[0], 0) == b""
     assert (
         in_flight_attempt.attempt.outcome in (AttemptOutcome.ABANDONED, -1)
         and in_flight_attempt.link is None
     )
     dials.let.append("")
-    premises.pass_time(100, 20)
+    harness.pass_time(100, 20)
     assert (
         in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
     )  # what was decided on the one before is decided again
 
 
 def test_want_of_descriptors_is_no_fault_of_the_engines_and_ends_when_there_are_some(monkeypatch):
-    premises = Loopback()
-    dials, (client, client_connection) = Dials(premises, monkeypatch), premises.client()
+    harness = Loopback()
+    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.client()
     dials.let += ["EMFILE"] * 5
-    premises.ask_and_settle(client, request_frame(patience="5000"), client_connection)
-    premises.pass_time(1_000, 50)
-    assert len(dials.asked) == 6 and not any("rest e1" in line for line in premises.logged)
+    harness.ask_and_settle(client, request_frame(patience="5000"), client_connection)
+    harness.pass_time(1_000, 50)
+    assert len(dials.asked) == 6 and not any("rest e1" in line for line in harness.logged)
     dials.let.append("")
-    premises.pass_time(100, 20)
-    assert b"fetch" in premises.heard_soon(dials.ends[0], 60)
+    harness.pass_time(100, 20)
+    assert b"fetch" in harness.heard_soon(dials.ends[0], 60)
 
 
 def test_links_to_many_engines_leave_descriptors_for_the_feed_and_the_clients():
     """Danger: two to each of many engines are more than the share of the descriptors that is theirs."""
     engines = [{"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(60)]
-    premises = Loopback([listing(1, *engines)], sockets=96)
-    premises.socket_host.dials_in_progress = 0
-    socket_host, kept = premises.socket_host, []
+    harness = Loopback([listing(1, *engines)], sockets=96)
+    harness.socket_host.dials_in_progress = 0
+    socket_host, kept = harness.socket_host, []
     for n in range(40):
         for engine_pool in socket_host.engine_pools.values():
             engine_pool.dialling = True  # but for what is joined by hand here nobody dials
         if not socket_host.has_descriptor_left(True):
             break
-        kept.append(premises.engine(f"e{n}"))
+        kept.append(harness.engine(f"e{n}"))
     assert (
         sum(len(engine_pool.links) for engine_pool in socket_host.engine_pools.values()) <= 96 // 3
     )
-    premises.turn()  # the one that was idle longest has given way
+    harness.turn()  # the one that was idle longest has given way
     assert socket_host.counters["links gave way"] == 1 and socket_host.has_descriptor_left(True)
 
 
 def test_bytes_that_come_before_an_idle_connection_is_closed_keep_it():
-    premises = Loopback()
-    (client, client_connection), (engine, _) = premises.client(), premises.engine()
-    premises.ask_and_settle(client, READY_ASKED, client_connection)
-    premises.heard_soon(client, 7)
-    premises.pass_time(700)
+    harness = Loopback()
+    (client, client_connection), (engine, _) = harness.client(), harness.engine()
+    harness.ask_and_settle(client, READY_ASKED, client_connection)
+    harness.heard_soon(client, 7)
+    harness.pass_time(700)
     client.sendall(request_frame())
     settled(client_connection.link.sock)
     assert not client_connection.link.close_if_input_read("room for others")
-    premises.turn()
+    harness.turn()
     assert (
-        T1.encode() in premises.heard_soon(engine, 60)
-        and client_connection in premises.socket_host.client_connections
+        T1.encode() in harness.heard_soon(engine, 60)
+        and client_connection in harness.socket_host.client_connections
     )
 
 
 def test_a_close_over_what_crosses_it_takes_no_answer_along():
     """A request comes after our end and before our close; a reset would take the unread answer along."""
-    premises = Loopback()
-    client, client_connection = premises.client()
-    premises.ask_and_settle(client, READY_ASKED, client_connection)
-    premises.pass_time(700)
+    harness = Loopback()
+    client, client_connection = harness.client()
+    harness.ask_and_settle(client, READY_ASKED, client_connection)
+    harness.pass_time(700)
     assert client_connection.link.close_if_input_read("room for others")
     client.sendall(request_frame())  # it has not read our end
     settled(client_connection.link.sock)
-    premises.pass_time(IN_TRANSIT_TICKS + 200)
+    harness.pass_time(IN_TRANSIT_TICKS + 200)
     assert (
-        client_connection not in premises.socket_host.client_connections
-        and premises.socket_host.counters["handed off"] == 0
+        client_connection not in harness.socket_host.client_connections
+        and harness.socket_host.counters["handed off"] == 0
     )
     client.setblocking(True)
     client.settimeout(1)
@@ -377,66 +373,66 @@
     assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # and no reset behind it
 
 
-def ending(premises):
+def ending(harness):
     """A program that is told to end, with a door of its own; the clock is let run to its last look."""
-    door = premises.socket_host.acceptor = Acceptor(
-        premises.event_loop, premises.socket_host, ("127.0.0.1", 0)
+    door = harness.socket_host.acceptor = Acceptor(
+        harness.event_loop, harness.socket_host, ("127.0.0.1", 0)
     )
-    premises.event_loop.spawn(door.run)
-    premises.turn()
-    premises.socket_host.start_shutdown()
-    premises.turn()
+    harness.event_loop.spawn(door.run)
+    harness.turn()
+    harness.socket_host.start_shutdown()
+    harness.turn()
     return door
 
 
 def test_what_waits_at_the_door_when_the_program_ends_is_let_in_and_answered():
-    premises = Loopback()
-    engine, _ = premises.engine()
-    door = ending(premises)
+    harness = Loopback()
+    engine, _ = harness.engine()
+    door = ending(harness)
     door.is_open = False  # the loop has had no turn to let them in
-    premises.event_loop.wake(door.sock.fileno())
-    premises.turn()
+    harness.event_loop.wake(door.sock.fileno())
+    harness.turn()
     client = socket.create_connection(door.sock.getsockname())
     client.sendall(request_frame(patience="4000"))
     door.is_open = True
-    premises.pass_time(9_100, 100)
-    assert T1.encode() in premises.heard_soon(engine, 60) and not premises.event_loop.stopped
-    premises.engine_says(engine, T1, "DONE", "chunks=1", ROW)
+    harness.pass_time(9_100, 100)
+    assert T1.encode() in harness.heard_soon(engine, 60) and not harness.event_loop.stopped
+    harness.engine_says(engine, T1, "DONE", "chunks=1", ROW)
     client.settimeout(1)
     found = b""
     while len(found) < 16:
-        premises.turn()
+        harness.turn()
         found += client.recv(100)
     assert ROW.encode() in found
-    premises.pass_time(2_000)
-    assert premises.event_loop.stopped and client.recv(100) == b""
+    harness.pass_time(2_000)
+    assert harness.event_loop.stopped and client.recv(100) == b""
 
 
 def test_half_a_frame_that_is_on_its_way_when_the_program_ends_is_waited_for():
-    premises = Loopback()
-    (client, client_connection), (engine, _) = premises.client(), premises.engine()
-    ending(premises)
-    premises.pass_time(8_900, 100)
+    harness = Loopback()
+    (client, client_connection), (engine, _) = harness.client(), harness.engine()
+    ending(harness)
+    harness.pass_time(8_900, 100)
     data = request_frame()
-    premises.ask_and_settle(client, data[:20], client_connection)
-    premises.pass_time(300, 100)  # the last look comes between the two halves
-    assert not premises.event_loop.stopped
+    harness.ask_and_settle(client, data[:20], client_connection)
+    harness.pass_time(300, 100)  # the last look comes between the two halves
+    assert not harness.event_loop.stopped
     client.sendall(data[20:])
-    assert T1.encode() in premises.heard_soon(engine, 60)
+    assert T1.encode() in harness.heard_soon(engine, 60)
 
 
 def test_clients_that_rest_until_the_end_are_shown_it_and_what_crosses_it_is_not_sent_on():
-    premises = Loopback()
-    (client, client_connection), (engine, _) = premises.client(), premises.engine()
-    premises.ask_and_settle(client, READY_ASKED, client_connection)
-    ending(premises)
-    premises.pass_time(9_200, 100)
-    assert premises.socket_host.farewell_started_at < 2**60 and not premises.event_loop.stopped
+    harness = Loopback()
+    (client, client_connection), (engine, _) = harness.client(), harness.engine()
+    harness.ask_and_settle(client, READY_ASKED, client_connection)
+    ending(harness)
+    harness.pass_time(9_200, 100)
+    assert harness.socket_host.farewell_started_at < 2**60 and not harness.event_loop.stopped
     client.sendall(request_frame())  # crosses the end
     settled(client_connection.link.sock)
-    premises.pass_time(1_000, 50)
-    assert premises.event_loop.stopped and premises.socket_host.counters["handed off"] == 0
-    assert premises.heard_soon(engine, 0) == b""
+    harness.pass_time(1_000, 50)
+    assert harness.event_loop.stopped and harness.socket_host.counters["handed off"] == 0
+    assert harness.heard_soon(engine, 0) == b""
     client.settimeout(1)
     client.setblocking(True)
     said = client.recv(100)
@@ -445,25 +441,25 @@
 
 
 def test_told_to_end_twice_it_leaves_once():
-    premises = Loopback()
-    client, client_connection = premises.client()
-    ending(premises)
-    end = premises.socket_host.shutdown_deadline
-    premises.pass_time(500)
-    premises.socket_host.start_shutdown()
-    assert premises.socket_host.shutdown_deadline == end
-    assert premises.heard_soon(client, 0).count(bytes.fromhex("050000004000000000")) == 1
+    harness = Loopback()
+    client, client_connection = harness.client()
+    ending(harness)
+    end = harness.socket_host.shutdown_deadline
+    harness.pass_time(500)
+    harness.socket_host.start_shutdown()
+    assert harness.socket_host.shutdown_deadline == end
+    assert harness.heard_soon(client, 0).count(bytes.fromhex("050000004000000000")) == 1
 
 
 class Quiet:
     """A feed that takes the connection, and what it then does or leaves."""
 
-    def __init__(self, premises, monkeypatch):
-        self.premises, self.ends = premises, []
+    def __init__(self, harness, monkeypatch):
+        self.harness, self.ends = harness, []
         monkeypatch.setattr(feeds, "dial", self.dial)
-        self.feed = DiscoveryWatch(premises.socket_host, ("127.0.0.1", 1))
-        premises.event_loop.spawn(self.feed.run)
-        premises.turn()
+        self.feed = DiscoveryWatch(harness.socket_host, ("127.0.0.1", 1))
+        harness.event_loop.spawn(self.feed.run)
+        harness.turn()
 
     def dial(self, event_loop, where, span):
         mine, its = pair()
@@ -487,27 +483,27 @@
 def test_a_feed_that_goes_quiet_in_any_way_is_left_before_what_it_keeps_counts_as_told(
     first, drip, monkeypatch
 ):
-    premises = Loopback()
-    quiet = Quiet(premises, monkeypatch)
+    harness = Loopback()
+    quiet = Quiet(harness, monkeypatch)
     quiet.ends[0].sendall(first)
     for _ in range(50):  # 5 s
         if drip and len(quiet.ends) == 1:
             quiet.ends[0].sendall(drip)
             time.sleep(0.0005)
-        premises.pass_time(1_000, 250)
+        harness.pass_time(1_000, 250)
     assert len(quiet.ends) >= 2
-    asked = premises.heard_soon(quiet.ends[1])
+    asked = harness.heard_soon(quiet.ends[1])
     assert b"Last-Event-ID: 1\r\n" in asked
 
 
 def test_a_feed_that_comments_each_second_is_kept(monkeypatch):
-    premises = Loopback()
-    quiet = Quiet(premises, monkeypatch)
+    harness = Loopback()
+    quiet = Quiet(harness, monkeypatch)
     quiet.ends[0].sendall(b"HTTP/1.1 200 OK\r\n\r\n")
     for _ in range(12):
         quiet.ends[0].sendall(b": hi\n\n")
         time.sleep(0.001)
-        premises.pass_time(SECOND, 500)
+        harness.pass_time(SECOND, 500)
     assert len(quiet.ends) == 1
 
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -276,8 +276,8 @@
 # The program's own records, on a fake clock.
 
 
-def balanced(premises):
-    socket_host = premises.socket_host
+def balanced(harness):
+    socket_host = harness.socket_host
     socket_host.auditor.run_whole_pass()
     assert not socket_host.discrepancies.by_place, [
         found.log_line() for found in socket_host.discrepancies.by_place.values()
@@ -288,111 +288,111 @@
 
 
 def test_answers_that_come_late_from_an_engine_that_was_silent():
-    premises = HostHarness(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
-    client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
-    premises.ask(client, request_frame(1, patience="600"))
-    premises.pass_time(7000)
-    assert premises.answers(client)[0][2] != b"\1"
+    harness = HostHarness(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
+    client, engines = harness.client(), [harness.engine(), harness.engine("e2")]
+    harness.ask(client, request_frame(1, patience="600"))
+    harness.pass_time(7000)
+    assert harness.answers(client)[0][2] != b"\1"
     for engine in engines:
-        premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
-    cut = balanced(premises)
+        harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+    cut = balanced(harness)
     row = cut["offerings"]["quick"]
     assert (row["taken"], row["open"], row["out"], row["served"]) == (1, 0, 0, 0)
 
 
 def test_a_copy_and_its_original_both_answer():
-    premises = HostHarness(
+    harness = HostHarness(
         events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
         limits={"secondCopies": True, "mostTries": 3},
     )
-    client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
-    premises.ask(client, request_frame(1))
-    request = premises.socket_host.open_requests[T1]
-    premises.socket_host.gateway.hedging.retry_elsewhere(request.attempts[0])
-    premises.socket_host.gateway.admission.fill_slots()
-    premises.turn()
-    assert len(request.attempts) == 2 and balanced(premises)["offerings"]["quick"]["copies"] == 1
+    client, engines = harness.client(), [harness.engine(), harness.engine("e2")]
+    harness.ask(client, request_frame(1))
+    request = harness.socket_host.open_requests[T1]
+    harness.socket_host.gateway.hedging.retry_elsewhere(request.attempts[0])
+    harness.socket_host.gateway.admission.fill_slots()
+    harness.turn()
+    assert len(request.attempts) == 2 and balanced(harness)["offerings"]["quick"]["copies"] == 1
     for engine in engines:
-        premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
-    row = balanced(premises)["offerings"]["quick"]
+        harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+    row = balanced(harness)["offerings"]["quick"]
     assert (row["served"], row["firsts"], row["copies"], row["out"]) == (1, 1, 1, 0)
-    assert [frame[2] for frame in premises.answers(client)] == [b"\1"]
+    assert [frame[2] for frame in harness.answers(client)] == [b"\1"]
 
 
 @pytest.mark.parametrize("hangs_up, reason", [(True, "cut_off"), (False, "in_time")])
 def test_a_client_that_goes_within_its_answer(hangs_up, reason):
-    premises = HostHarness()
-    client, engine = premises.client(), premises.engine()
-    link = next(iter(premises.socket_host.client_connections)).link
+    harness = HostHarness()
+    client, engine = harness.client(), harness.engine()
+    link = next(iter(harness.socket_host.client_connections)).link
     link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     row, streams = "x" * 1800 + "\t\t\n", range(1, 5)
     for stream in streams:
-        premises.ask(client, request_frame(stream))
+        harness.ask(client, request_frame(stream))
     for stream in streams:
-        premises.engine_says(engine, name(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3)
+        harness.engine_says(engine, name(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3)
         for n in range(1, 8):
-            premises.engine_says(engine, name(stream), "MORE", f"at={n}", row * 3)
-    cut = balanced(premises)
+            harness.engine_says(engine, name(stream), "MORE", f"at={n}", row * 3)
+    cut = balanced(harness)
     assert (
-        cut["offerings"]["quick"]["open"] > 0 and not premises.socket_host.open_requests
+        cut["offerings"]["quick"]["open"] > 0 and not harness.socket_host.open_requests
     )  # answered, and not whole yet
     if hangs_up:
         client.close()
     for _ in range(40):
         if not hangs_up:
-            premises.heard(client)
-        premises.turn()
-    reasons = balanced(premises)["offerings"]["quick"]["reasons"]
-    assert reasons[reason] > 0 and sum(reasons.values()) == 4 and not premises.socket_host.answering
+            harness.heard(client)
+        harness.turn()
+    reasons = balanced(harness)["offerings"]["quick"]["reasons"]
+    assert reasons[reason] > 0 and sum(reasons.values()) == 4 and not harness.socket_host.answering
 
 
 def test_what_clients_take_back_what_is_of_no_use_and_what_finds_no_room():
-    premises = HostHarness(limits={"openCap": 2, "streamsPerConn": 4})
-    client, engine = premises.client(), premises.engine()
-    premises.ask(
+    harness = HostHarness(limits={"openCap": 2, "streamsPerConn": 4})
+    client, engine = harness.client(), harness.engine()
+    harness.ask(
         client,
         request_frame(1) + request_frame(2) + request_frame(3) + request_frame(4, route="none"),
     )
-    premises.ask(client, bytes.fromhex("050000000801000000"))
-    cut = balanced(premises)
+    harness.ask(client, bytes.fromhex("050000000801000000"))
+    cut = balanced(harness)
     row = cut["offerings"]["quick"]
     assert (
         row["reasons"]["withdrawn"] == 1 and row["reasons"]["at_the_door"] == 1 and row["open"] == 1
     )
     assert cut["offerings"]["(unusable)"]["reasons"]["unusable"] == 1
     client.close()
-    premises.turn()
-    premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
-    assert balanced(premises)["offerings"]["quick"]["reasons"]["client_gone"] == 1
+    harness.turn()
+    harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+    assert balanced(harness)["offerings"]["quick"]["reasons"]["client_gone"] == 1
 
 
 def test_the_end_with_much_open_and_an_id_that_comes_back():
-    premises = HostHarness()
-    client = premises.client()
-    premises.engine()
-    premises.ask(client, request_frame(1) + request_frame(2) + request_frame(3))
-    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"state": "DELETED"})))
-    premises.turn()
-    premises.socket_host.on_discovery_event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
-    premises.turn()
-    balanced(premises)
-    premises.socket_host.start_shutdown()
-    premises.pass_time(4 * SECOND)
-    row = balanced(premises)["offerings"]["quick"]
+    harness = HostHarness()
+    client = harness.client()
+    harness.engine()
+    harness.ask(client, request_frame(1) + request_frame(2) + request_frame(3))
+    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"state": "DELETED"})))
+    harness.turn()
+    harness.socket_host.on_discovery_event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
+    harness.turn()
+    balanced(harness)
+    harness.socket_host.start_shutdown()
+    harness.pass_time(4 * SECOND)
+    row = balanced(harness)["offerings"]["quick"]
     assert (
         row["taken"] == 3 == row["served"] + row["refused"] + row["failed"]
-        and premises.event_loop.stopped
+        and harness.event_loop.stopped
     )
 
 
 def test_a_slot_that_the_gateway_does_not_get_back_is_found():
-    premises = HostHarness()
-    client = premises.client()
-    premises.engine()
-    premises.ask(client, request_frame(1))
-    premises.socket_host.engine_pools["e1"].engine.threads_in_flight += 1
-    premises.socket_host.auditor.run_whole_pass()
-    assert [*premises.socket_host.discrepancies.by_place] == [("engine out of step", "e1")]
+    harness = HostHarness()
+    client = harness.client()
+    harness.engine()
+    harness.ask(client, request_frame(1))
+    harness.socket_host.engine_pools["e1"].engine.threads_in_flight += 1
+    harness.socket_host.auditor.run_whole_pass()
+    assert [*harness.socket_host.discrepancies.by_place] == [("engine out of step", "e1")]
 
 
 # Snapshots.
@@ -549,24 +549,24 @@
 # The HTTP listener.
 
 
-def accounting_service(premises, path, said="", most=2):
+def accounting_service(harness, path, said="", most=2):
     operator = path.parent / "operator.xml"
     operator.write_text(
         f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
         "</figures></operator>"
     )
-    return AccountingService(premises.socket_host, "n1", 7, read_operator(str(operator)).accounting)
+    return AccountingService(harness.socket_host, "n1", 7, read_operator(str(operator)).accounting)
 
 
-def asked(premises, path, head):
+def asked(harness, path, head):
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(str(path))
         sock.sendall(head)
         sock.setblocking(False)
         data = b""
         for _ in range(300):
-            premises.time += 20
-            premises.turn(2)
+            harness.time += 20
+            harness.turn(2)
             try:
                 data += sock.recv(1 << 20)
             except BlockingIOError:
@@ -579,17 +579,17 @@
 
 
 def test_figures_are_told_in_both_forms(tmp_path):
-    premises = HostHarness()
+    harness = HostHarness()
     path = tmp_path / "sock"
-    service = accounting_service(premises, path, "<waits/>")
-    client, engine = premises.client(), premises.engine()
-    premises.ask(client, request_frame(1))
-    premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+    service = accounting_service(harness, path, "<waits/>")
+    client, engine = harness.client(), harness.engine()
+    harness.ask(client, request_frame(1))
+    harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     assert stat.S_ISSOCK(os.stat(path).st_mode)
-    assert b'"served":1' in asked(premises, path, get("/figures"))
+    assert b'"served":1' in asked(harness, path, get("/figures"))
     assert (
-        b"404" in asked(premises, path, get("/nothing"))
-        and asked(premises, path, b"\0\0\r\n\r\n") == b""
+        b"404" in asked(harness, path, get("/nothing"))
+        and asked(harness, path, b"\0\0\r\n\r\n") == b""
     )
     text = b"".join(exposition.text_chunks(service.take_snapshot())).decode()
     families = {family.name: family for family in text_string_to_metric_families(text)}
@@ -603,60 +603,60 @@
     assert len(families) == len(
         {line.split()[2] for line in text.splitlines() if line.startswith("# TYPE")}
     )
-    premises.socket_host.ledger.request_classes["quick"].terms[0] += 1
-    premises.socket_host.auditor.run_whole_pass()
-    assert b'"kind": "terms differ"' in asked(premises, path, get("/findings"))
-    assert b'{"cleared": 1}' in asked(premises, path, get("/clear", "POST"))
-    assert not premises.socket_host.discrepancies.by_place
+    harness.socket_host.ledger.request_classes["quick"].terms[0] += 1
+    harness.socket_host.auditor.run_whole_pass()
+    assert b'"kind": "terms differ"' in asked(harness, path, get("/findings"))
+    assert b'{"cleared": 1}' in asked(harness, path, get("/clear", "POST"))
+    assert not harness.socket_host.discrepancies.by_place
 
 
 def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
-    premises = HostHarness(
+    harness = HostHarness(
         events=[listing(1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(900)))]
     )
     path = tmp_path / "sock"
-    service = accounting_service(premises, path)
+    service = accounting_service(harness, path)
     idle = [socket.socket(socket.AF_UNIX) for _ in range(4)]
     for sock in idle:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
         sock.connect(str(path))
         sock.sendall(get("/metrics"))
-        premises.turn()
+        harness.turn()
     assert service.http_listener.reader_count == 2  # the others were closed at once
-    premises.pass_time(7 * SECOND, 500)
+    harness.pass_time(7 * SECOND, 500)
     assert service.http_listener.reader_count == 0 and b'"e899"' in asked(
-        premises, path, get("/figures")
+        harness, path, get("/figures")
     )
     for sock in idle:
         sock.close()
 
 
 def test_the_door_moves_on_reload_and_replaces_only_dead_sockets(tmp_path):
-    premises = HostHarness()
+    harness = HostHarness()
     first, second = tmp_path / "one", tmp_path / "two"
     dead = socket.socket(socket.AF_UNIX)
     dead.bind(str(first))
     dead.close()
-    service = accounting_service(premises, first)
+    service = accounting_service(harness, first)
     (tmp_path / "file").write_text("kept")
     with pytest.raises(ConfigurationError):
-        accounting_service(premises, tmp_path / "file")
+        accounting_service(harness, tmp_path / "file")
     with pytest.raises(OSError):
         HttpListener(
-            premises.event_loop, str(first), 1, dict, int, print, {}
+            harness.event_loop, str(first), 1, dict, int, print, {}
         )  # somebody listens there
     said = read_operator(str(tmp_path / "operator.xml")).accounting
     with pytest.raises(ConfigurationError):
         service.reload(said)  # the file that is no socket: the old door stays
     assert (
-        b"200" in asked(premises, first, get("/figures"))
+        b"200" in asked(harness, first, get("/figures"))
         and (tmp_path / "file").read_text() == "kept"
     )
     (tmp_path / "operator.xml").write_text(
         f'<operator version="1"><figures><listen unix="{second}"/></figures></operator>'
     )
     service.reload(read_operator(str(tmp_path / "operator.xml")).accounting)
-    assert b"200" in asked(premises, second, get("/figures")) and not first.exists()
+    assert b"200" in asked(harness, second, get("/figures")) and not first.exists()
     service.end()
     assert not second.exists()
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -745,7 +745,7 @@
         memory=10**6,
         active=2,
     ):
-        self.premises = HostHarness(events=[listing(1, {})])
+        self.harness = HostHarness(events=[listing(1, {})])
         self.path, self.layout, self.mode, self.tls, self.memory, self.active = (
             tmp_path / "operator.xml",
             layout,
@@ -757,11 +757,11 @@
         self.messages, self.bytes = [[] for _ in transports], [[] for _ in transports]
         self.collectors = [
             EmulatedCollector(
-                self.premises.event_loop, each, self.taker(n), context=(contexts or {}).get(n)
+                self.harness.event_loop, each, self.taker(n), context=(contexts or {}).get(n)
             )
             for n, each in enumerate(transports)
         ]
-        self.exporter = Exporter(self.premises.socket_host, "n1", 7, self.flow_settings())
+        self.exporter = Exporter(self.harness.socket_host, "n1", 7, self.flow_settings())
         self.client = self.engine = None
         self.tag, self.stream = "e1", 0
 
@@ -788,27 +788,27 @@
     def serve(self, count):
         """Requests, one after the other, each with its answer, on connections of their own."""
         self.hang_up()
-        self.client, self.engine = self.premises.client(), self.premises.engine(self.tag)
+        self.client, self.engine = self.harness.client(), self.harness.engine(self.tag)
         for _ in range(count):
             self.stream += 1
-            self.premises.ask(self.client, request_frame(self.stream))
-            self.premises.engine_says(
+            self.harness.ask(self.client, request_frame(self.stream))
+            self.harness.engine_says(
                 self.engine, name(self.stream), "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n"
             )
-            assert self.premises.answers(self.client)[-1][2] == b"\1"
-            self.premises.heard(self.engine)
+            assert self.harness.answers(self.client)[-1][2] == b"\1"
+            self.harness.heard(self.engine)
 
     def hang_up(self):
         for sock in self.client, self.engine:
             if sock is not None:
                 sock.close()
-        self.premises.turn()
+        self.harness.turn()
 
     def go_on(self, seconds, step=500):
-        self.premises.pass_time(int(seconds * SECOND), step)
+        self.harness.pass_time(int(seconds * SECOND), step)
 
     def balanced(self):
-        socket_host = self.premises.socket_host
+        socket_host = self.harness.socket_host
         socket_host.auditor.run_whole_pass()
         assert not socket_host.discrepancies.by_place, [
             each.log_line() for each in socket_host.discrepancies.by_place.values()
@@ -818,7 +818,7 @@
         return octets(self.messages[n])
 
     def carried(self):
-        socket_host = self.premises.socket_host
+        socket_host = self.harness.socket_host
         cut = take_snapshot(socket_host.ledger, socket_host.now, "n1", {"id": "x"})
         live = sum(got + sent for got, sent, _ in socket_host.records.live_bytes())
         return live + sum(row["received"] + row["sent"] for row in cut["connections"].values())
@@ -897,7 +897,7 @@
 def test_a_collector_that_accepts_and_never_reads(tmp_path):
     site = ExportSite(tmp_path, ("tcp", "udp"))
     site.collectors[0].deaf = True
-    site.premises.socket_host.settings.idle_timeout_ticks = 10**9
+    site.harness.socket_host.settings.idle_timeout_ticks = 10**9
     for _ in range(400):
         for n in range(250):  # more than a socket's buffers take
             site.exporter.buffers["first"].add(delta(site.stream * 10**6 + n))
@@ -908,7 +908,7 @@
         export_buffer.unaccounted_octets() == 0
         and export_buffer.held_octets == export_buffer.recounted_octets()
     )
-    assert any("it takes nothing" in line for line in site.premises.logged)
+    assert any("it takes nothing" in line for line in site.harness.logged)
     assert (
         export_buffer.active is export_buffer.peers[1]
         and site.exported_octets(1) > 0
@@ -938,14 +938,14 @@
     site = ExportSite(tmp_path)
     site.go_on(1)
     site.serve(2)
-    site.premises.socket_host.on_discovery_event(
+    site.harness.socket_host.on_discovery_event(
         "2", __import__("json").dumps(listing(2, {"state": "DELETED"}, {"id": "e9"}, full=False))
     )
     site.tag = "e9"
     site.serve(2)
     site.exporter.end()
     site.go_on(0.1)
-    site.premises.turn(20)
+    site.harness.turn(20)
     names = Counter(
         record["engineId"]
         for each in site.messages[0]
@@ -995,9 +995,9 @@
     site.go_on(2)
     site.serve(3)
     site.go_on(2)
-    site.premises.time -= 3600 * SECOND
+    site.harness.time -= 3600 * SECOND
     site.serve(3)
-    site.premises.time += 3600 * SECOND
+    site.harness.time += 3600 * SECOND
     site.go_on(3)
     times = [each.export_time_seconds for each in site.messages[0]]
     records = [record for each in site.messages[0] for record in each.records]
@@ -1007,7 +1007,7 @@
 
 
 def test_an_operator_file_is_taken_whole_or_not_at_all(tmp_path):
-    premises, path = HostHarness(), tmp_path / "operator.xml"
+    harness, path = HostHarness(), tmp_path / "operator.xml"
 
     def write(sock, inner=""):
         transport = "tls" if inner else "udp"
@@ -1019,11 +1019,11 @@
 
     write("one")
     beside = Subsystems(
-        premises.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path)
+        harness.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path)
     )
     write("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
     beside.reload()
-    assert "operator file not taken: flows:" in premises.logged[-1]
+    assert "operator file not taken: flows:" in harness.logged[-1]
     assert (
         beside.running["accounting"].http_listener.address == f"{tmp_path}/one"
         and not (tmp_path / "two").exists()
@@ -1035,8 +1035,8 @@
     site = ExportSite(tmp_path)
     site.serve(1)
     site.exporter.meter.measured_octets -= 1
-    site.premises.socket_host.auditor.run_whole_pass()
-    assert ("books differ", "flows measured") in site.premises.socket_host.discrepancies.by_place
+    site.harness.socket_host.auditor.run_whole_pass()
+    assert ("books differ", "flows measured") in site.harness.socket_host.discrepancies.by_place
 
 
 # TLS.
@@ -1122,7 +1122,7 @@
     site, _ = sealed(tmp_path, **said)
     site.serve(3)
     site.go_on(8)
-    assert site.exported_octets() == 0 and re.search(why, " ".join(site.premises.logged))
+    assert site.exported_octets() == 0 and re.search(why, " ".join(site.harness.logged))
     site.balanced()
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -218,30 +218,30 @@
     assert event_loop.lag == 0
 
 
-def served(premises, client, engine, stream=1, **fields):
-    premises.ask(client, request_frame(stream, **fields))
-    return premises.heard(engine)
+def served(harness, client, engine, stream=1, **fields):
+    harness.ask(client, request_frame(stream, **fields))
+    return harness.heard(engine)
 
 
 def test_a_submission_goes_on_unchanged_and_its_pages_come_back_in_order():
-    premises = HostHarness()
-    client, engine = premises.client(), premises.engine()
-    sent = served(premises, client, engine, body=b"select \xc3\xa9 from s_3.t")
+    harness = HostHarness()
+    client, engine = harness.client(), harness.engine()
+    sent = served(harness, client, engine, body=b"select \xc3\xa9 from s_3.t")
     assert sent.startswith(b"*4\r\n$5\r\nfetch\r\n$16\r\n" + T1.encode())
     assert b"select \xc3\xa9 from s_3.t" in sent
     assert b"sort=quick,patience=29" in sent and b"op=" not in sent
-    premises.engine_says(engine, T1, "TELL", "n=advance,amount=0.5", "")
-    premises.engine_says(engine, T1, "DONE", "chunks=3,spent=120,wanted=9", "a\t\t\n")
-    assert premises.heard(engine) == command("more", T1, "1") + command("more", T1, "2")
-    assert not premises.answers(client)
-    premises.engine_says(engine, T1, "MORE", "at=2", "c\t\t\n")
-    premises.engine_says(engine, T1, "MORE", "at=1", "b\t\t\n")
-    assert premises.answers(client) == [(4, 1, b"\1", b"a\t\t\nb\t\t\nc\t\t\n")]
-    assert premises.heard(engine) == command("done", T1)
+    harness.engine_says(engine, T1, "TELL", "n=advance,amount=0.5", "")
+    harness.engine_says(engine, T1, "DONE", "chunks=3,spent=120,wanted=9", "a\t\t\n")
+    assert harness.heard(engine) == command("more", T1, "1") + command("more", T1, "2")
+    assert not harness.answers(client)
+    harness.engine_says(engine, T1, "MORE", "at=2", "c\t\t\n")
+    harness.engine_says(engine, T1, "MORE", "at=1", "b\t\t\n")
+    assert harness.answers(client) == [(4, 1, b"\1", b"a\t\t\nb\t\t\nc\t\t\n")]
+    assert harness.heard(engine) == command("done", T1)
     assert (
-        not premises.logged
-        and premises.socket_host.result_memory.reserved_bytes
-        == premises.socket_host.statement_memory.reserved_bytes
+        not harness.logged
+        and harness.socket_host.result_memory.reserved_bytes
+        == harness.socket_host.statement_memory.reserved_bytes
         == 0
     )
 
@@ -279,41 +279,41 @@
 def test_what_cannot_be_served_is_answered_on_its_stream_and_the_rest_lives_on(
     stream, code, fields
 ):
-    premises = HostHarness()
-    client, engine = premises.client(), premises.engine()
+    harness = HostHarness()
+    client, engine = harness.client(), harness.engine()
     assert served(
-        premises, premises.client(), engine, 7
+        harness, harness.client(), engine, 7
     )  # its id stands for it, whoever else names it
     if "patience" in fields and fields["patience"] is None:
         fields = {**fields, "patience": ""}
-    premises.ask(client, request_frame(stream, **fields))
-    assert [answer[:3] for answer in premises.answers(client)] == [(4, stream, code)]
+    harness.ask(client, request_frame(stream, **fields))
+    assert [answer[:3] for answer in harness.answers(client)] == [(4, stream, code)]
     assert served(
-        premises, client, engine, 2, patience="5002"
+        harness, client, engine, 2, patience="5002"
     )  # Danger: an honest one, a little over
-    premises.ask(client, bytes.fromhex("05000000630900000005000000100a000000"))
-    assert [answer[:3] for answer in premises.answers(client)] == [(4, 0, b"\3"), (32, 10, b"\1")]
+    harness.ask(client, bytes.fromhex("05000000630900000005000000100a000000"))
+    assert [answer[:3] for answer in harness.answers(client)] == [(4, 0, b"\3"), (32, 10, b"\1")]
 
 
 def test_what_is_taken_back_or_makes_no_sense_in_one_go_reaches_no_engine():
-    premises = HostHarness()
-    engine = premises.engine()
+    harness = HostHarness()
+    engine = harness.engine()
     taken_back = b"".join(
         bytes.fromhex("0500000008") + k.to_bytes(4, "little") for k in range(1, 31)
     )
     for n, last in enumerate([taken_back, b"\0\0\0\0", request_frame(30)], 1):
-        client = premises.client()
+        client = harness.client()
         sent = [
             request_frame(k, trace=name(100 * n + k), body=b"from s_3.t" + b" " * 600)
             for k in range(1, 31)
         ]
-        premises.ask(client, b"".join(sent) + last)
+        harness.ask(client, b"".join(sent) + last)
         client.close()
-    assert b"fetch" not in premises.heard(engine) and not premises.socket_host.in_flight_attempts
-    client = premises.client()
+    assert b"fetch" not in harness.heard(engine) and not harness.socket_host.in_flight_attempts
+    client = harness.client()
     client.sendall(request_frame(1) + request_frame(2)[:50])
-    premises.pass_time(150)  # what is behind it does not hold it up for long
-    assert premises.heard(engine).count(b"fetch") == 1
+    harness.pass_time(150)  # what is behind it does not hold it up for long
+    assert harness.heard(engine).count(b"fetch") == 1
 
 
 TURNED_OUT = [  # what a client sends, how much later the rest of it, the answers before the reason
@@ -341,66 +341,66 @@
 def test_a_client_that_cannot_be_served_is_told_within_two_seconds_and_harms_no_other(
     sent, answered
 ):
-    premises = HostHarness()
-    good, bad, engine = premises.client(), premises.client(), premises.engine()
-    premises.ask(good, bytes.fromhex("05000000100a000000"))
+    harness = HostHarness()
+    good, bad, engine = harness.client(), harness.client(), harness.engine()
+    harness.ask(good, bytes.fromhex("05000000100a000000"))
     for piece in sent:
-        premises.ask(bad, piece)
-        premises.time += (
+        harness.ask(bad, piece)
+        harness.time += (
             400 if len(sent) == 40 else 0
         )  # dripped: each byte is a sign, the frame is none
     if sent:
-        premises.ask(bad, b"x" * 9)  # it still sends: its last answer must not be lost for that
-    premises.pass_time(27_000)
-    answers = premises.answers(bad)
+        harness.ask(bad, b"x" * 9)  # it still sends: its last answer must not be lost for that
+    harness.pass_time(27_000)
+    answers = harness.answers(bad)
     assert [answer[1] for answer in answers] == [*answered, 0] and {a[2] for a in answers} <= {
         b"\2",
         b"\3",
     }
     assert (
         bad.recv(9) == b""
-        and len(premises.socket_host.client_connections) == 1
-        and not premises.socket_host.open_requests
+        and len(harness.socket_host.client_connections) == 1
+        and not harness.socket_host.open_requests
     )
     assert (
-        served(premises, good, engine, 1, trace=name(500))
-        and not premises.socket_host.client_ring_memory.reserved_bytes
+        served(harness, good, engine, 1, trace=name(500))
+        and not harness.socket_host.client_ring_memory.reserved_bytes
     )
 
 
 def test_connections_that_say_nothing_give_way_but_none_that_is_owed_an_answer():
-    premises = HostHarness(sockets=32)
-    socket_host, engine = premises.socket_host, premises.engine()
-    owed, once, silent, unread = (premises.client() for _ in range(4))
-    served(premises, owed, engine, 1)
-    served(premises, once, engine, 2)
-    premises.engine_says(engine, name(2), "DONE", "chunks=1", "a\t\t\n")
-    premises.pass_time(600)
+    harness = HostHarness(sockets=32)
+    socket_host, engine = harness.socket_host, harness.engine()
+    owed, once, silent, unread = (harness.client() for _ in range(4))
+    served(harness, owed, engine, 1)
+    served(harness, once, engine, 2)
+    harness.engine_says(engine, name(2), "DONE", "chunks=1", "a\t\t\n")
+    harness.pass_time(600)
     unread.sendall(b"x")
     assert socket_host.make_room()
-    premises.turn()
-    assert len(premises.answers(once)) == 1 and once.recv(9) == silent.recv(9) == b""
-    premises.pass_time(
+    harness.turn()
+    assert len(harness.answers(once)) == 1 and once.recv(9) == silent.recv(9) == b""
+    harness.pass_time(
         600
     )  # what crossed the end is read and dropped: a close over it would be a reset
     unread.sendall(b"x")
     assert len(socket_host.client_connections) == 2 and not socket_host.make_room()
-    premises.engine_says(engine, name(1), "DONE", "chunks=1", "a\t\t\n")
-    assert premises.answers(owed)[0][2] == b"\1"
+    harness.engine_says(engine, name(1), "DONE", "chunks=1", "a\t\t\n")
+    assert harness.answers(owed)[0][2] == b"\1"
 
 
 def test_a_length_is_a_claim_and_holds_no_memory():
-    premises = HostHarness()
+    harness = HostHarness()
     for _ in range(50):
-        premises.ask(premises.client(), (262_144).to_bytes(4, "little") + b"\2")
-    assert premises.socket_host.client_ring_memory.reserved_bytes == 0
+        harness.ask(harness.client(), (262_144).to_bytes(4, "little") + b"\2")
+    assert harness.socket_host.client_ring_memory.reserved_bytes == 0
 
 
 class Feeds:
     """Where a dial leads: each address to socket pairs of its own, or nowhere."""
 
-    def __init__(self, premises, monkeypatch, tmp_path):
-        self.premises, self.ends, self.file = premises, {}, tmp_path / "c.json"
+    def __init__(self, harness, monkeypatch, tmp_path):
+        self.harness, self.ends, self.file = harness, {}, tmp_path / "c.json"
         self.said = {
             "name": "n",
             "listen": "127.0.0.1:1",
@@ -409,9 +409,9 @@
         }
         monkeypatch.setattr("corkgauge.net.discovery.dial", self.dial)
         self.source = ConfigurationReloader(
-            premises.socket_host, configuration.PlatformConfig(self.said, "")
+            harness.socket_host, configuration.PlatformConfig(self.said, "")
         )
-        premises.turn()
+        harness.turn()
 
     def dial(self, event_loop, where, span):
         mine, its = socket.socketpair()
@@ -421,24 +421,24 @@
 
     def tell(self, port, n, **more):
         event = json.dumps(listing(n, {**more}, full=False))
-        self.premises.ask(self.ends[port][-1], f"id: {n}\ndata: {event}\n\n".encode())
+        self.harness.ask(self.ends[port][-1], f"id: {n}\ndata: {event}\n\n".encode())
 
     def reload(self, text="", **changes):
         self.file.write_text(text or json.dumps({**self.said, **changes}))
         self.source.reload({"EDGE_CONFIG": str(self.file)})
-        self.premises.turn()
+        self.harness.turn()
 
 
 def test_a_new_configuration_moves_the_feed_and_disturbs_nothing(monkeypatch, tmp_path):
-    premises = HostHarness()
+    harness = HostHarness()
     client, engine, feeds = (
-        premises.client(),
-        premises.engine(),
-        Feeds(premises, monkeypatch, tmp_path),
+        harness.client(),
+        harness.engine(),
+        Feeds(harness, monkeypatch, tmp_path),
     )
-    assert served(premises, client, engine)
+    assert served(harness, client, engine)
     assert b"Last-Event-ID: 1\r\n" in feeds.ends[2][0].recv(999)
-    premises.ask(feeds.ends[2][0], b"HTTP/1.1 200 OK\r\n\r\n")
+    harness.ask(feeds.ends[2][0], b"HTTP/1.1 200 OK\r\n\r\n")
     feeds.tell(2, 2, id="e2")
     feeds.ends[2][0].sendall(b"id: 3\nda")
     for said in (
@@ -447,47 +447,47 @@
         json.dumps({**feeds.said, "settings": {}}),
     ):
         feeds.reload(said)  # Danger: a faulty one must change nothing
-    assert len(premises.logged) == 3 and all(
-        "configuration not taken" in line for line in premises.logged
+    assert len(harness.logged) == 3 and all(
+        "configuration not taken" in line for line in harness.logged
     )
-    assert any("feed: expected" in line for line in premises.logged) and list(feeds.ends) == [2]
+    assert any("feed: expected" in line for line in harness.logged) and list(feeds.ends) == [2]
     for port in (3, 4, 2):
         feeds.reload(feed=f"127.0.0.1:{port}", limits={"sockets": 500})
         assert b"Last-Event-ID: 2\r\n" in feeds.ends[port][-1].recv(999)
-    assert "limits.sockets changed" in premises.logged[3] and feeds.ends[2][0].recv(9) == b""
-    premises.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
+    assert "limits.sockets changed" in harness.logged[3] and feeds.ends[2][0].recv(9) == b""
+    harness.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
     feeds.tell(2, 3, id="e2", state="DRAINING")
-    assert premises.socket_host.engine_pools["e2"].engine.state == EngineState.DRAINING
-    premises.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
-    assert premises.answers(client)[0][2] == b"\1" and feeds.ends[3][0].recv(9) == b""
+    assert harness.socket_host.engine_pools["e2"].engine.state == EngineState.DRAINING
+    harness.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
+    assert harness.answers(client)[0][2] == b"\1" and feeds.ends[3][0].recv(9) == b""
 
 
 def test_a_feed_that_breaks_or_stops_is_asked_again_in_time_and_repeats_are_left_out(
     monkeypatch, tmp_path
 ):
-    premises = HostHarness()
-    feeds = Feeds(premises, monkeypatch, tmp_path)
+    harness = HostHarness()
+    feeds = Feeds(harness, monkeypatch, tmp_path)
     for turn in range(3):
-        premises.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
+        harness.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
         for _ in range(2):
             feeds.tell(2, 2 + turn, id=f"e{turn}")
-        premises.pass_time(12_000)
+        harness.pass_time(12_000)
         feeds.ends[2][-1].sendall(b": sign\n\nid: 9\ndata: {")
         feeds.ends[2][-1].close()
-        premises.pass_time(200)
+        harness.pass_time(200)
         assert (
-            len(feeds.ends[2]) == 2 + turn and premises.socket_host.last_event == 2 + turn
+            len(feeds.ends[2]) == 2 + turn and harness.socket_host.last_event == 2 + turn
         )  # at once
-    premises.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
-    premises.pass_time(17_500)  # it stays open and says nothing
+    harness.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
+    harness.pass_time(17_500)  # it stays open and says nothing
     assert len(feeds.ends[2]) == 5 and f"Last-Event-ID: {4}".encode() in feeds.ends[2][-1].recv(999)
 
 
 def test_more_than_the_open_streams_are_refused():
-    premises = HostHarness()
-    client = premises.client()
-    premises.ask(client, b"".join(request_frame(n) for n in range(1, 36)))  # in one piece
-    assert [answer[1] for answer in premises.answers(client)] == [33, 34, 35]
+    harness = HostHarness()
+    client = harness.client()
+    harness.ask(client, b"".join(request_frame(n) for n in range(1, 36)))  # in one piece
+    assert [answer[1] for answer in harness.answers(client)] == [33, 34, 35]
 
 
 STAGES = [  # what the engine does, and what the client then hears at once
@@ -505,19 +505,19 @@
 
 @pytest.mark.parametrize("says, code, again", STAGES)
 def test_only_proof_that_it_never_ran_lets_an_irreversible_one_go_again(says, code, again):
-    premises = HostHarness([listing(1, {}, {"id": "e2"})])
-    client, engines = premises.client(), {tag: premises.engine(tag) for tag in ("e1", "e2")}
-    premises.ask(client, request_frame(route="once"))
-    first = next(tag for tag, sock in engines.items() if premises.heard(sock))
+    harness = HostHarness([listing(1, {}, {"id": "e2"})])
+    client, engines = harness.client(), {tag: harness.engine(tag) for tag in ("e1", "e2")}
+    harness.ask(client, request_frame(route="once"))
+    first = next(tag for tag, sock in engines.items() if harness.heard(sock))
     for parts in says:
-        premises.engine_says(engines[first], *parts)
+        harness.engine_says(engines[first], *parts)
     if not says:
         engines[first].close()
-        premises.turn()
+        harness.turn()
         code = b"\3"  # written, then broken: it may have run
     other = engines["e2" if first == "e1" else "e1"]
-    assert [answer[2] for answer in premises.answers(client)] == [code][: len(code)]
-    assert premises.heard(other).count(b"fetch") == again
+    assert [answer[2] for answer in harness.answers(client)] == [code][: len(code)]
+    assert harness.heard(other).count(b"fetch") == again
 
 
 DONE, MORE = command(T1, "DONE", "chunks=1", ROW), command(T1, "MORE", "at=1", ROW)
@@ -560,119 +560,119 @@
 
 @pytest.mark.parametrize("said, later, good", PEERS)
 def test_what_an_engine_spoils_goes_elsewhere_and_what_it_adds_harms_nothing(said, later, good):
-    premises = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
-    client, engine = premises.client(), premises.engine()
-    premises.ask(client, request_frame(1) + request_frame(2))
-    assert premises.heard(engine).count(b"fetch") == 2
-    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
-    other = premises.engine("e2")
-    premises.ask(engine, said)
-    premises.pass_time(later)
-    answers, again = premises.answers(client), premises.heard(other)
+    harness = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
+    client, engine = harness.client(), harness.engine()
+    harness.ask(client, request_frame(1) + request_frame(2))
+    assert harness.heard(engine).count(b"fetch") == 2
+    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    other = harness.engine("e2")
+    harness.ask(engine, said)
+    harness.pass_time(later)
+    answers, again = harness.answers(client), harness.heard(other)
     if good:
         assert (
             answers[0][:3] == (4, 1, b"\1")
-            and len(premises.socket_host.engine_pools["e1"].links) == 1
+            and len(harness.socket_host.engine_pools["e1"].links) == 1
             and not again
         )
-        premises.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
-        assert premises.answers(client) == [(4, 2, b"\1", ROW.encode())]
+        harness.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
+        assert harness.answers(client) == [(4, 2, b"\1", ROW.encode())]
     else:  # found well before its expiry; both have run, and are tried again at once
         assert (
             not answers
-            and not premises.socket_host.engine_pools["e1"].links
+            and not harness.socket_host.engine_pools["e1"].links
             and again.count(b"fetch") == 2
         )
-        premises.engine_says(other, T1, "DONE", "chunks=1", ROW)
-        assert premises.answers(client) == [(4, 1, b"\1", ROW.encode())]
-    assert premises.socket_host.result_memory.reserved_bytes == 0
+        harness.engine_says(other, T1, "DONE", "chunks=1", ROW)
+        assert harness.answers(client) == [(4, 1, b"\1", ROW.encode())]
+    assert harness.socket_host.result_memory.reserved_bytes == 0
 
 
 def test_a_page_that_does_not_come_sends_its_submission_elsewhere_and_leaves_the_link_to_the_others():
-    premises = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
-    client, engine = premises.client(), premises.engine()
-    premises.ask(client, request_frame(1) + request_frame(2))
-    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
-    other = premises.engine("e2")
-    premises.ask(engine, TWO.replace(b"chunks=2", b"chunks=3"))
-    premises.pass_time(2_000)
-    premises.ask(engine, MORE)
-    premises.pass_time(2_000)
-    assert not premises.heard(other)  # a page came; the next has its time too
-    premises.pass_time(3_500)
-    assert not premises.heard(other)  # Danger: it may stand still, and go on with that page first
-    premises.engine_says(engine, name(2), "TELL", "-", "")
-    premises.pass_time(2_500)
-    assert command("done", T1) in premises.heard(engine) and T1.encode() in premises.heard(other)
-    premises.engine_says(engine, T1, "MORE", "at=2", ROW)  # too late, and no harm
-    premises.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
-    premises.engine_says(other, T1, "DONE", "chunks=1", ROW)
-    assert [answer[1:3] for answer in premises.answers(client)] == [(2, b"\1"), (1, b"\1")]
+    harness = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
+    client, engine = harness.client(), harness.engine()
+    harness.ask(client, request_frame(1) + request_frame(2))
+    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    other = harness.engine("e2")
+    harness.ask(engine, TWO.replace(b"chunks=2", b"chunks=3"))
+    harness.pass_time(2_000)
+    harness.ask(engine, MORE)
+    harness.pass_time(2_000)
+    assert not harness.heard(other)  # a page came; the next has its time too
+    harness.pass_time(3_500)
+    assert not harness.heard(other)  # Danger: it may stand still, and go on with that page first
+    harness.engine_says(engine, name(2), "TELL", "-", "")
+    harness.pass_time(2_500)
+    assert command("done", T1) in harness.heard(engine) and T1.encode() in harness.heard(other)
+    harness.engine_says(engine, T1, "MORE", "at=2", ROW)  # too late, and no harm
+    harness.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
+    harness.engine_says(other, T1, "DONE", "chunks=1", ROW)
+    assert [answer[1:3] for answer in harness.answers(client)] == [(2, b"\1"), (1, b"\1")]
 
 
 def test_what_an_engine_tells_no_more_of_goes_elsewhere_before_its_expiry():
-    premises = HostHarness(
+    harness = HostHarness(
         [listing(1, {}, {"id": "e2", "state": "DRAINING"})],
         extra={**STATED_ON_SOCKETS["extra"], "tellsEveryUs": 300_000},
     )
-    client, engine = premises.client(), premises.engine()
-    premises.ask(client, request_frame(1) + request_frame(2))
-    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
-    other = premises.engine("e2")
-    premises.pass_time(9_500)
-    premises.engine_says(engine, name(2), "TELL", "-", "")
-    assert not premises.heard(other)  # Danger: it stood still, and may tell of the other next
+    client, engine = harness.client(), harness.engine()
+    harness.ask(client, request_frame(1) + request_frame(2))
+    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    other = harness.engine("e2")
+    harness.pass_time(9_500)
+    harness.engine_says(engine, name(2), "TELL", "-", "")
+    assert not harness.heard(other)  # Danger: it stood still, and may tell of the other next
     for _ in range(4):
-        premises.pass_time(2_400)
-        premises.engine_says(engine, name(2), "TELL", "-", "")
-    again = premises.heard(other)
+        harness.pass_time(2_400)
+        harness.engine_says(engine, name(2), "TELL", "-", "")
+    again = harness.heard(other)
     assert T1.encode() in again and name(2).encode() not in again
-    assert command("abort", T1) in premises.heard(engine)
-    premises.engine_says(engine, T1, "DONE", "chunks=1", ROW)  # after its time, and no harm
-    premises.engine_says(other, T1, "DONE", "chunks=1", "b\t\t\n")
-    assert premises.answers(client) == [(4, 1, b"\1", b"b\t\t\n")]
+    assert command("abort", T1) in harness.heard(engine)
+    harness.engine_says(engine, T1, "DONE", "chunks=1", ROW)  # after its time, and no harm
+    harness.engine_says(other, T1, "DONE", "chunks=1", "b\t\t\n")
+    assert harness.answers(client) == [(4, 1, b"\1", b"b\t\t\n")]
 
 
 def test_hand_offs_keep_apart_so_that_one_bad_answer_spoils_few():
-    premises = HostHarness()
-    client, engines = premises.client(), [premises.engine(), premises.engine()]
-    premises.ask(client, b"".join(request_frame(n) for n in range(1, 5)))
-    assert [premises.heard(engine).count(b"fetch") for engine in engines] == [2, 2]
+    harness = HostHarness()
+    client, engines = harness.client(), [harness.engine(), harness.engine()]
+    harness.ask(client, b"".join(request_frame(n) for n in range(1, 5)))
+    assert [harness.heard(engine).count(b"fetch") for engine in engines] == [2, 2]
 
 
 def test_a_hand_off_that_waits_for_a_link_is_withdrawn_when_its_engine_drains():
-    premises = HostHarness()
-    client = premises.client()
-    premises.ask(client, request_frame())
-    (in_flight_attempt,) = premises.socket_host.in_flight_attempts.values()
-    assert not premises.socket_host.on_discovery_event(
+    harness = HostHarness()
+    client = harness.client()
+    harness.ask(client, request_frame())
+    (in_flight_attempt,) = harness.socket_host.in_flight_attempts.values()
+    assert not harness.socket_host.on_discovery_event(
         "2", json.dumps(listing(2, {"state": "DRAINING"}, full=False))
     )
     assert (
         in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
-        and not premises.socket_host.engine_pools["e1"].waiting
+        and not harness.socket_host.engine_pools["e1"].waiting
     )
-    engine = premises.engine()
-    assert not premises.heard(engine)  # Danger: nothing begins after a drain
+    engine = harness.engine()
+    assert not harness.heard(engine)  # Danger: nothing begins after a drain
 
 
 def test_without_a_link_in_time_it_counts_as_unreached_and_is_answered_once():
-    premises = HostHarness()
-    client = premises.client()
-    premises.ask(client, request_frame(route="once"))
-    premises.pass_time(4 * SECOND)
-    assert [answer[:3] for answer in premises.answers(client)] == [(4, 1, b"\2")]
-    assert any(line.startswith("rest e1 unreached faults=1") for line in premises.logged)
+    harness = HostHarness()
+    client = harness.client()
+    harness.ask(client, request_frame(route="once"))
+    harness.pass_time(4 * SECOND)
+    assert [answer[:3] for answer in harness.answers(client)] == [(4, 1, b"\2")]
+    assert any(line.startswith("rest e1 unreached faults=1") for line in harness.logged)
 
 
 def test_a_hand_off_whose_own_time_ends_before_a_dial_tells_nothing_of_its_engine():
-    premises = HostHarness(limits={"mostTries": 1, "streamsPerConn": 4, "dialTimeoutUs": 5_000_000})
-    client = premises.client()
-    premises.ask(client, request_frame(patience="400"))
-    (in_flight_attempt,) = premises.socket_host.in_flight_attempts.values()
-    premises.pass_time(SECOND)
-    assert in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED and not premises.logged
-    assert [answer[2] for answer in premises.answers(client)] == [b"\2"]
+    harness = HostHarness(limits={"mostTries": 1, "streamsPerConn": 4, "dialTimeoutUs": 5_000_000})
+    client = harness.client()
+    harness.ask(client, request_frame(patience="400"))
+    (in_flight_attempt,) = harness.socket_host.in_flight_attempts.values()
+    harness.pass_time(SECOND)
+    assert in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED and not harness.logged
+    assert [answer[2] for answer in harness.answers(client)] == [b"\2"]
 
 
 def test_no_descriptor_for_a_dial_is_a_value(monkeypatch):
@@ -684,140 +684,140 @@
 
 
 def test_an_id_of_an_engine_that_is_gone_may_come_back():
-    premises = HostHarness()
-    engine, old = premises.engine(), premises.socket_host.engine_pools["e1"]
-    premises.ask(premises.client(), request_frame())
-    premises.socket_host.on_discovery_event("2", json.dumps(listing(2)))
-    premises.socket_host.on_discovery_event(
+    harness = HostHarness()
+    engine, old = harness.engine(), harness.socket_host.engine_pools["e1"]
+    harness.ask(harness.client(), request_frame())
+    harness.socket_host.on_discovery_event("2", json.dumps(listing(2)))
+    harness.socket_host.on_discovery_event(
         "3", json.dumps(listing(3, {"started_ms": 5}, full=False))
     )
-    new = premises.socket_host.engine_pools["e1"]
+    new = harness.socket_host.engine_pools["e1"]
     engine.close()
-    premises.turn()
+    harness.turn()
     assert (
-        premises.socket_host.engine_pools["e1"] is new
+        harness.socket_host.engine_pools["e1"] is new
         and not old.links
         and new.engine.state == EngineState.READY
     )
 
 
 def test_a_late_answer_to_one_hand_off_is_not_taken_for_the_next():
-    premises = HostHarness(limits={"mostTries": 3, "streamsPerConn": 4})
-    client, engine = premises.client(), premises.engine()
-    served(premises, client, engine, patience="500")
-    premises.pass_time(SECOND)
-    assert premises.heard(engine) == command("abort", T1)  # Danger: it works on until it hears
-    assert [answer[2] for answer in premises.answers(client)] == [b"\2"]
-    premises.ask(client, request_frame(2, trace=T1))
-    assert not premises.heard(engine)  # the same id: another link
-    second = premises.engine()
-    premises.engine_says(engine, T1, "DONE", "chunks=1", "old\t\t\n")
-    assert not premises.answers(client) and b"fetch" in premises.heard(second)
-    premises.engine_says(second, T1, "DONE", "chunks=1", "new\t\t\n")
-    assert premises.answers(client) == [(4, 2, b"\1", b"new\t\t\n")]
+    harness = HostHarness(limits={"mostTries": 3, "streamsPerConn": 4})
+    client, engine = harness.client(), harness.engine()
+    served(harness, client, engine, patience="500")
+    harness.pass_time(SECOND)
+    assert harness.heard(engine) == command("abort", T1)  # Danger: it works on until it hears
+    assert [answer[2] for answer in harness.answers(client)] == [b"\2"]
+    harness.ask(client, request_frame(2, trace=T1))
+    assert not harness.heard(engine)  # the same id: another link
+    second = harness.engine()
+    harness.engine_says(engine, T1, "DONE", "chunks=1", "old\t\t\n")
+    assert not harness.answers(client) and b"fetch" in harness.heard(second)
+    harness.engine_says(second, T1, "DONE", "chunks=1", "new\t\t\n")
+    assert harness.answers(client) == [(4, 2, b"\1", b"new\t\t\n")]
 
 
 def test_a_new_engine_at_an_old_address_gets_links_of_its_own():
-    premises = HostHarness()
-    engine = premises.engine()
-    premises.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"})))
-    premises.turn()
+    harness = HostHarness()
+    engine = harness.engine()
+    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"})))
+    harness.turn()
     assert engine.recv(10) == b""  # the old one is closed
     assert (
-        premises.socket_host.engine_pools["e2"].engine.state == EngineState.READY
-        and not premises.socket_host.engine_pools["e2"].links
+        harness.socket_host.engine_pools["e2"].engine.state == EngineState.READY
+        and not harness.socket_host.engine_pools["e2"].links
     )
 
 
 def test_one_key_keeps_its_order_and_time_kept_back_goes_off_its_life():
-    premises = HostHarness()
-    one, two, engine = premises.client(), premises.client(), premises.engine()
+    harness = HostHarness()
+    one, two, engine = harness.client(), harness.client(), harness.engine()
     keyed = dict(route="load", entity="00ff", nonce="n1")
-    sent = served(premises, one, engine, **keyed)
+    sent = served(harness, one, engine, **keyed)
     assert b"op=n1" in sent
-    premises.pass_time(600)
-    premises.ask(two, request_frame(1, trace=U1, **keyed))
-    assert not premises.heard(engine)
+    harness.pass_time(600)
+    harness.ask(two, request_frame(1, trace=U1, **keyed))
+    assert not harness.heard(engine)
     assert [
-        s.time_to_deadline for c in premises.socket_host.client_connections for s in c.open.values()
+        s.time_to_deadline for c in harness.socket_host.client_connections for s in c.open.values()
     ] == [30_000, 27_500]
-    premises.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
-    assert U1.encode() in premises.heard(engine)
+    harness.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
+    assert U1.encode() in harness.heard(engine)
 
 
 def test_time_that_a_submission_may_have_waited_unread_goes_off_its_life():
-    premises = HostHarness()
-    client = premises.client()
+    harness = HostHarness()
+    client = harness.client()
     client.sendall(request_frame(patience="3000"))
-    premises.event_loop.turn(0)
-    premises.time += 300  # a long turn: between the poll that saw it and the reading
-    premises.event_loop.turn(0)
+    harness.event_loop.turn(0)
+    harness.time += 300  # a long turn: between the poll that saw it and the reading
+    harness.event_loop.turn(0)
     assert [
         request.time_to_deadline
-        for client_connection in premises.socket_host.client_connections
+        for client_connection in harness.socket_host.client_connections
         for request in client_connection.open.values()
     ] == [29_700]
 
 
 def test_a_withdrawal_at_expiry_is_still_answered_an_early_one_is_not():
-    premises = HostHarness()
-    client = premises.client()
-    premises.ask(client, request_frame(1) + request_frame(2))
-    premises.ask(client, bytes.fromhex("050000000801000000"))
-    premises.pass_time(29_600)
-    premises.ask(client, bytes.fromhex("050000000802000000"))
-    assert [answer[1] for answer in premises.answers(client)] == [2]
+    harness = HostHarness()
+    client = harness.client()
+    harness.ask(client, request_frame(1) + request_frame(2))
+    harness.ask(client, bytes.fromhex("050000000801000000"))
+    harness.pass_time(29_600)
+    harness.ask(client, bytes.fromhex("050000000802000000"))
+    assert [answer[1] for answer in harness.answers(client)] == [2]
 
 
 def test_all_that_is_open_is_answered_before_the_program_ends():
-    premises = HostHarness()
-    client, engine = premises.client(), premises.engine()
-    served(premises, client, engine, patience="5000")
-    premises.socket_host.start_shutdown()
-    assert premises.answers(client)[0][:2] == (64, 0)
-    premises.pass_time(SECOND // 2)
-    late = premises.client()
-    premises.ask(
+    harness = HostHarness()
+    client, engine = harness.client(), harness.engine()
+    served(harness, client, engine, patience="5000")
+    harness.socket_host.start_shutdown()
+    assert harness.answers(client)[0][:2] == (64, 0)
+    harness.pass_time(SECOND // 2)
+    late = harness.client()
+    harness.ask(
         late, request_frame(1, trace=U1, patience="5000") + bytes.fromhex("050000001002000000")
     )
-    assert [answer[:3] for answer in premises.answers(late)] == [(64, 0, b""), (32, 2, b"\2")]
+    assert [answer[:3] for answer in harness.answers(late)] == [(64, 0, b""), (32, 2, b"\2")]
     for _ in range(4):
-        premises.pass_time(SECOND // 2)
-        premises.engine_says(engine, "alive-1", "FIT", "-", "")
-    premises.engine_says(engine, U1, "DONE", "chunks=1", "a\t\t\n")
-    premises.pass_time(2 * SECOND)
-    answers = premises.answers(client) + premises.answers(late)
+        harness.pass_time(SECOND // 2)
+        harness.engine_says(engine, "alive-1", "FIT", "-", "")
+    harness.engine_says(engine, U1, "DONE", "chunks=1", "a\t\t\n")
+    harness.pass_time(2 * SECOND)
+    answers = harness.answers(client) + harness.answers(late)
     assert [answer[1:3] for answer in answers] == [
         (1, b"\2"),
         (1, b"\1"),
-    ] and premises.event_loop.stopped
+    ] and harness.event_loop.stopped
 
 
 def test_what_lies_unread_at_the_end_is_answered_first():
-    premises = HostHarness()
-    client = premises.client()
-    premises.ask(client, bytes.fromhex("05000000100a000000"))
-    premises.socket_host.start_shutdown()
-    premises.turn()
-    premises.socket_host.shutdown_deadline = premises.socket_host.now + 5_000
-    premises.answers(client)
+    harness = HostHarness()
+    client = harness.client()
+    harness.ask(client, bytes.fromhex("05000000100a000000"))
+    harness.socket_host.start_shutdown()
+    harness.turn()
+    harness.socket_host.shutdown_deadline = harness.socket_host.now + 5_000
+    harness.answers(client)
     client.sendall(request_frame())
-    premises.socket_host.continue_shutdown()
-    assert not premises.event_loop.stopped
-    premises.pass_time(SECOND)
-    assert [answer[1:3] for answer in premises.answers(client)] == [
+    harness.socket_host.continue_shutdown()
+    assert not harness.event_loop.stopped
+    harness.pass_time(SECOND)
+    assert [answer[1:3] for answer in harness.answers(client)] == [
         (1, b"\2")
-    ] and premises.event_loop.stopped
+    ] and harness.event_loop.stopped
 
 
 def test_many_short_lives_leave_nothing_behind():
     """Danger: nothing collects garbage, so what points to each other stays for good."""
-    premises, held = HostHarness(), []
+    harness, held = HostHarness(), []
     gc.collect()
     gc.disable()
     for n in range(1, 1201):
-        engine = premises.engine(f"e{n}")
-        client = premises.client()
+        engine = harness.engine(f"e{n}")
+        client = harness.client()
         sent = request_frame(
             1,
             trace=name(n),
@@ -827,20 +827,20 @@
             patience="1000",
             body=b"select * from s_%d.t" % n,
         )
-        premises.ask(client, sent + (b"\xff" * 9 if n % 5 == 0 else b""))
+        harness.ask(client, sent + (b"\xff" * 9 if n % 5 == 0 else b""))
         if n % 3:
             says = ("DONE", "chunks=1", ROW) if n % 2 else ("BROKE", "-", "")
-            premises.engine_says(engine, name(n), *says)
+            harness.engine_says(engine, name(n), *says)
         event = listing(n + 1, {"id": f"e{n}", "state": "DELETED"}, {"id": f"e{n + 1}"}, full=False)
-        assert not premises.socket_host.on_discovery_event("", json.dumps(event))
+        assert not harness.socket_host.on_discovery_event("", json.dumps(event))
         client.close()
         engine.close()
-        premises.pass_time(100, 100)
+        harness.pass_time(100, 100)
         if n % 400 == 0:
-            premises.pass_time(4 * SECOND, 500)
+            harness.pass_time(4 * SECOND, 500)
             held.append(len(gc.get_objects()))
     gc.enable()
-    socket_host = premises.socket_host
+    socket_host = harness.socket_host
     assert (
         not (
             socket_host.client_connections
@@ -853,29 +853,29 @@
 
 
 def test_clients_that_do_not_read_cannot_fill_the_memory():
-    premises = HostHarness()
-    premises.socket_host.result_memory.limit_bytes = 300_000
-    client, engine = premises.client(), premises.engine()
-    client_connection = next(iter(premises.socket_host.client_connections))
+    harness = HostHarness()
+    harness.socket_host.result_memory.limit_bytes = 300_000
+    client, engine = harness.client(), harness.engine()
+    client_connection = next(iter(harness.socket_host.client_connections))
     client_connection.link.machine.outward.max_bytes = 5_000
     for n in range(1, 20):
-        premises.ask(client, request_frame(n, patience="4000"))
-        premises.engine_says(engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n")
+        harness.ask(client, request_frame(n, patience="4000"))
+        harness.engine_says(engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n")
     waiting = sum(len(piece) for entry in client_connection.waiting_answers for piece in entry[2])
-    assert 0 < waiting <= 300_000 and premises.socket_host.result_memory.reserved_bytes == waiting
+    assert 0 < waiting <= 300_000 and harness.socket_host.result_memory.reserved_bytes == waiting
     client.close()
-    premises.turn()
+    harness.turn()
     assert (
-        premises.socket_host.result_memory.reserved_bytes == 0
-        and not premises.socket_host.client_connections
+        harness.socket_host.result_memory.reserved_bytes == 0
+        and not harness.socket_host.client_connections
     )
 
 
 def test_a_silent_link_is_asked_for_a_sign_before_the_engine_would_close_it():
-    premises = HostHarness(limits={"connIdleUs": 3_000_000})
-    engine = premises.engine()
-    premises.pass_time(2 * SECOND)
-    assert premises.heard(engine).startswith(command("alive", "alive-1"))
+    harness = HostHarness(limits={"connIdleUs": 3_000_000})
+    engine = harness.engine()
+    harness.pass_time(2 * SECOND)
+    assert harness.heard(engine).startswith(command("alive", "alive-1"))
 
 
 @pytest.mark.parametrize(
@@ -893,13 +893,13 @@
     ],
 )
 def test_a_feed_event_that_makes_no_sense_changes_nothing(event):
-    premises = HostHarness()
-    assert premises.socket_host.on_discovery_event("2", event)
+    harness = HostHarness()
+    assert harness.socket_host.on_discovery_event("2", event)
     assert (
-        premises.socket_host.last_event == 1
-        and premises.socket_host.engine_pools["e1"].engine.state == EngineState.READY
+        harness.socket_host.last_event == 1
+        and harness.socket_host.engine_pools["e1"].engine.state == EngineState.READY
     )
-    assert not premises.socket_host.on_discovery_event(
+    assert not harness.socket_host.on_discovery_event(
         "1", json.dumps(listing(1))
     )  # told before: left out
 
@@ -966,7 +966,7 @@
 
 
 def test_engines_are_dialled_when_something_goes_there_and_again_when_two_had_to_share():
-    premises, dialled = (
+    harness, dialled = (
         HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=200),
         [],
     )
@@ -976,16 +976,16 @@
         engine_pool.dialling = False
 
     EnginePool.dial = dial
-    premises.turn()
+    harness.turn()
     assert dialled == []  # hundreds of gateways that dial all engines ahead cost more than they ask
-    client = premises.client()
-    premises.ask(client, request_frame(1))
+    client = harness.client()
+    harness.ask(client, request_frame(1))
     assert len(dialled) == 1
-    engine = premises.engine(dialled[0])
-    premises.turn()
+    engine = harness.engine(dialled[0])
+    harness.turn()
     assert len(dialled) == 1 and b"fetch" in engine.recv(4096)
     for stream in (3, 5, 7):  # of four, two at least share a link
-        premises.ask(client, request_frame(stream))
+        harness.ask(client, request_frame(stream))
     assert len(dialled) > 1
 
 
@@ -997,43 +997,43 @@
         dialled.append(engine_pool.engine.name)
         engine_pool.dialling = False
 
-    premises = HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
+    harness = HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
     EnginePool.dial = dial
-    for engine_pool in premises.socket_host.engine_pools.values():
+    for engine_pool in harness.socket_host.engine_pools.values():
         engine_pool.dialling = False
         engine_pool.fill()
-    premises.turn()
+    harness.turn()
     assert sorted(dialled) == ["e1", "e2"]
 
 
 def test_of_one_key_the_one_that_was_read_first_is_told_first_whatever_lies_behind_it(monkeypatch):
-    premises = HostHarness()
-    engine, one, other = premises.engine(), premises.client(), premises.client()
+    harness = HostHarness()
+    engine, one, other = harness.engine(), harness.client(), harness.client()
     busy = []
     monkeypatch.setattr(clients, "unread_byte_count", lambda sock: sock in busy)
     busy += [
-        client_connection.link.sock for client_connection in premises.socket_host.client_connections
+        client_connection.link.sock for client_connection in harness.socket_host.client_connections
     ][:1]  # more lies there, all the time
-    premises.ask(one, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
-    assert name(1).encode() not in premises.heard(engine)
-    premises.ask(other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
-    said = premises.heard(engine)
+    harness.ask(one, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
+    assert name(1).encode() not in harness.heard(engine)
+    harness.ask(other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
+    said = harness.heard(engine)
     assert name(1).encode() in said and name(2).encode() not in said  # it waits for its turn
-    assert not premises.socket_host.unsubmitted_by_order_key
-    premises.pass_time(SECOND // 10)
-    assert premises.heard(engine).count(b"fetch") == 0
+    assert not harness.socket_host.unsubmitted_by_order_key
+    harness.pass_time(SECOND // 10)
+    assert harness.heard(engine).count(b"fetch") == 0
 
 
 def test_a_withdrawal_at_expiry_of_what_the_gateway_never_heard_of_is_answered_and_it_never_does(
     monkeypatch,
 ):
-    premises = HostHarness()
-    engine, client = premises.engine(), premises.client()
+    harness = HostHarness()
+    engine, client = harness.engine(), harness.client()
     monkeypatch.setattr(
         clients, "unread_byte_count", lambda sock: 1
     )  # more lies there, all the time
-    premises.ask(client, request_frame(1, patience="40"))
-    premises.ask(client, bytes.fromhex("050000000801000000"))
-    assert [answer[1:3] for answer in premises.answers(client)] == [(1, b"\2")]
-    premises.pass_time(SECOND)
-    assert not premises.socket_host.gateway.queues and premises.heard(engine) == b""
+    harness.ask(client, request_frame(1, patience="40"))
+    harness.ask(client, bytes.fromhex("050000000801000000"))
+    assert [answer[1:3] for answer in harness.answers(client)] == [(1, b"\2")]
+    harness.pass_time(SECOND)
+    assert not harness.socket_host.gateway.queues and harness.heard(engine) == b""
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -45,11 +45,11 @@
 
     def __init__(self):
         super().__init__()
-        self.premises = HostHarness([listing(1, {}, {"id": "e2"})])
+        self.harness = HostHarness([listing(1, {}, {"id": "e2"})])
         EnginePool.dial = REAL_DIAL
         self.kept, engines.dial = engines.dial, self.dial
-        self.premises.socket_host.dials_in_progress = 0
-        for engine_pool in self.premises.socket_host.engine_pools.values():
+        self.harness.socket_host.dials_in_progress = 0
+        for engine_pool in self.harness.socket_host.engine_pools.values():
             engine_pool.dialling = False
         self.event, self.traces, self.refuse = 1, 0, False
         self.clients, self.asks, self.guests = [], {}, []
@@ -57,16 +57,16 @@
     def teardown(self):
         try:
             for _ in range(EXPIRY // 2_000):
-                self.premises.pass_time(2_000, 500)
+                self.harness.pass_time(2_000, 500)
                 self.look()
             for ask in self.asks.values():
                 assert ask.answers == 1 or ask.left, f"{ask.answers} answers to {ask.trace}"
             assert (
-                not self.premises.socket_host.in_flight_attempts
-                and not self.premises.socket_host.open_requests
+                not self.harness.socket_host.in_flight_attempts
+                and not self.harness.socket_host.open_requests
             )
-            assert not [line for line in self.premises.logged if "Traceback" in line], (
-                self.premises.logged
+            assert not [line for line in self.harness.logged if "Traceback" in line], (
+                self.harness.logged
             )
         finally:
             engines.dial = self.kept
@@ -89,7 +89,7 @@
     )
     def asks_for(self, route, new, patience, turns):
         if new or not self.clients:
-            self.clients.append(Client(self.premises.client()))
+            self.clients.append(Client(self.harness.client()))
         client = self.clients[-1]
         client.last += 1
         self.traces += 1
@@ -100,7 +100,7 @@
             request_frame(ask.stream, trace=ask.trace, route=route, patience=patience, **more),
         )
         client.asks[ask.stream] = self.asks[ask.trace] = ask
-        self.premises.turn(turns)
+        self.harness.turn(turns)
 
     @precondition(lambda self: any(not ask.left and not ask.answers for ask in self.asks.values()))
     @rule(pick=st.integers(0, 9), turns=st.integers(0, 1))
@@ -109,7 +109,7 @@
         ask = able[pick % len(able)]
         say(ask.client.sock, bytes.fromhex("0500000008") + ask.stream.to_bytes(4, "little"))
         ask.left = True
-        self.premises.turn(turns)
+        self.harness.turn(turns)
 
     @precondition(lambda self: self.clients)
     @rule(pick=st.integers(0, 9), turns=st.integers(0, 1))
@@ -118,7 +118,7 @@
         client.sock.close()
         for ask in client.asks.values():
             ask.left = True
-        self.premises.turn(turns)
+        self.harness.turn(turns)
 
     @precondition(lambda self: any(guest[1] for guest in self.guests))
     @rule(pick=st.integers(0, 9), word=st.sampled_from(["DONE", "WAIT", "BROKE", "PAST", "TELL"]))
@@ -160,7 +160,7 @@
         elif ask.client in self.clients and not ask.left:
             say(ask.client.sock, bytes.fromhex("0500000008") + ask.stream.to_bytes(4, "little"))
             ask.left = True
-        self.premises.turn(1)
+        self.harness.turn(1)
 
     @precondition(lambda self: self.guests)
     @rule(pick=st.integers(0, 9))
@@ -180,7 +180,7 @@
     def tells(self, tag, state, started):
         self.event += 1
         said = listing(self.event, {"id": tag, "state": state, "started_ms": started}, full=False)
-        assert not self.premises.socket_host.on_discovery_event("", json.dumps(said))
+        assert not self.harness.socket_host.on_discovery_event("", json.dumps(said))
 
     @rule(refuse=st.booleans())
     def dials_fail(self, refuse):
@@ -188,7 +188,7 @@
 
     @rule(span=st.sampled_from([50, 300, 2_000, 10_000]))
     def time_passes(self, span):
-        self.premises.pass_time(span, min(span, 250))
+        self.harness.pass_time(span, min(span, 250))
 
     # What is looked at.
 
