--- a/tests/harness.py
+++ b/tests/harness.py
@@ -42,24 +42,24 @@
 
 
 class GatewayHarness:
-    """Keeps every call in `done` as (what, submission or engine tag, detail)."""
+    """Keeps every call in `calls` as (what, submission or engine tag, detail)."""
 
     def __init__(self, request_classes=(QUICK,), engines=3, **settings):
-        self.now, self.lag, self.done, self.wakes, self.serial = 100 * SECOND, 0, [], [], 0
+        self.now, self.lag, self.calls, self.wakes, self.serial = 100 * SECOND, 0, [], [], 0
         self.request_classes = [RequestClass(**o) for o in request_classes]
         options = GatewayOptions(**{**STATED, **settings})
         self.gateway = Gateway(self, options, self.request_classes)
         self.engines = [
             Engine(f"e{n}", b"e%d" % n, n % 2, n % 2, n, cores=8.0) for n in range(engines)
         ]
-        self.tell(*self.engines)
+        self.update_engines(*self.engines)
 
-    def tell(self, *engines, state=EngineState.READY, started=0):
+    def update_engines(self, *engines, state=EngineState.READY, started=0):
         for engine in engines:
             self.gateway.on_engine_update(engine, state, started)
         self.gateway.on_engine_list_complete()
 
-    def take(self, request_class=0, **said):
+    def submit_request(self, request_class=0, **said):
         self.serial += 1
         said = {
             "tenant": 0,
@@ -73,7 +73,9 @@
         self.gateway.on_request(request)
         return request
 
-    def over(self, attempt, outcome=AttemptOutcome.SUCCEEDED, took=None, finished=None, work=2000):
+    def finish_attempt(
+        self, attempt, outcome=AttemptOutcome.SUCCEEDED, took=None, finished=None, work=2000
+    ):
         took = self.now - attempt.sent_at if took is None else took
         finished = outcome == AttemptOutcome.SUCCEEDED if finished is None else finished
         self.gateway.on_attempt_finished(
@@ -91,34 +93,34 @@
             due[2](*due[3])
         self.now = until
 
-    def said(self, what):
-        return [entry[1:] for entry in self.done if entry[0] == what]
+    def recorded_calls(self, what):
+        return [entry[1:] for entry in self.calls if entry[0] == what]
 
     # The host protocol.
 
     def send_attempt(self, attempt, allow):
-        self.done.append(
-            ("hand_off", attempt.request.host_reference, attempt.engine.host_reference)
+        self.calls.append(
+            ("send_attempt", attempt.request.host_reference, attempt.engine.host_reference)
         )
 
     def set_resources(self, request, memory, priority):
-        self.done.append(("terms", request.host_reference, priority))
+        self.calls.append(("set_resources", request.host_reference, priority))
 
     def reject(self, request, retry_after):
-        self.done.append(("dismiss", request.host_reference, retry_after))
+        self.calls.append(("reject", request.host_reference, retry_after))
 
     def fail(self, request):
-        self.done.append(("scrap", request.host_reference, None))
+        self.calls.append(("fail", request.host_reference, None))
 
     def cancel_attempt(self, attempt):
-        self.done.append(("call_off", attempt.request.host_reference, attempt.number))
+        self.calls.append(("cancel_attempt", attempt.request.host_reference, attempt.number))
 
     def call_later(self, delay, method, *what):
         self.serial += 1
         self.wakes.append((self.now + max(delay, 1), self.serial, method, what))
 
     def log(self, line):
-        self.done.append(("log", line, None))
+        self.calls.append(("log", line, None))
 
 
 STATED_ON_SOCKETS = {
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -44,7 +44,7 @@
         self.start = max(harness.now for harness in self.harnesses)
         for harness in self.harnesses:
             harness.pass_time(self.start - harness.now)
-            harness.tell(harness.engines[0], started=self.start)
+            harness.update_engines(harness.engines[0], started=self.start)
 
     def make_gateway_harness(self, number):
         request_classes = [
@@ -64,9 +64,9 @@
         harness.engines[0].cores = ENGINE_CORES
         for class_index, (_fraction, work) in enumerate(self.mix):
             for _ in range(4):
-                request = harness.take(class_index, estimated_work=work)
+                request = harness.submit_request(class_index, estimated_work=work)
                 if request.attempts:
-                    harness.over(request.attempts[0], took=work, work=work)
+                    harness.finish_attempt(request.attempts[0], took=work, work=work)
         harness.pass_time(3 * SECOND)
         return harness
 
@@ -76,10 +76,10 @@
         (class_index,) = self.random.choices(
             range(len(self.mix)), [fraction for fraction, _ in self.mix]
         )
-        request = harness.take(class_index, estimated_work=self.mix[class_index][1])
+        request = harness.submit_request(class_index, estimated_work=self.mix[class_index][1])
         if request.attempts:
             self.sent.append((when, self.mix[class_index][1]))
-            harness.over(
+            harness.finish_attempt(
                 request.attempts[0],
                 AttemptOutcome.SUCCEEDED,
                 took=self.mix[class_index][1],
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("shares", [(0.5, 0.5), (0.75, 0.25), (0.9, 0.1)])
 def test_lottery_draws_queues_in_proportion_to_their_shares(shares):
     harness = GatewayHarness([QUICK, HEAVY_CLASS])
-    harness.take(), harness.take(1)
+    harness.submit_request(), harness.submit_request(1)
     queues = list(harness.gateway.queues.values())
     for queue, share in zip(queues, shares):
         queue.share = share
@@ -32,7 +32,9 @@
     first_engines = [
         [
             request.attempts[0].engine.host_reference
-            for request in [harness.take(table_group=table_group) for table_group in range(12)]
+            for request in [
+                harness.submit_request(table_group=table_group) for table_group in range(12)
+            ]
         ]
         for harness in (GatewayHarness(seed=1, engines=8), GatewayHarness(seed=2, engines=8))
     ]
@@ -42,36 +44,43 @@
 def test_concurrency_limit_applies_only_under_pressure():
     harness = GatewayHarness(engines=1)
     # One gateway, and an engine that is not under pressure.
-    requests = [harness.take() for _ in range(int(8 * MAX_THREADS_PER_CORE))]
+    requests = [harness.submit_request() for _ in range(int(8 * MAX_THREADS_PER_CORE))]
     assert all(each.attempts for each in requests)
-    harness.over(requests[0].attempts[0], AttemptOutcome.ENGINE_FULL)
-    waiting = harness.take()
+    harness.finish_attempt(requests[0].attempts[0], AttemptOutcome.ENGINE_FULL)
+    waiting = harness.submit_request()
     assert not waiting.attempts
     harness.pass_time(SECOND)
     for request in requests[1:]:
-        harness.over(request.attempts[0], took=2000)
-    assert harness.take().attempts  # a gateway without attempts may always send one
+        harness.finish_attempt(request.attempts[0], took=2000)
+    assert harness.submit_request().attempts  # a gateway without attempts may always send one
 
 
 def test_burst_is_limited_by_max_threads_per_core():
     harness = GatewayHarness(engines=1)
-    assert 0 < sum(len(harness.take().attempts) for _ in range(100)) <= 8 * MAX_THREADS_PER_CORE
+    assert (
+        0
+        < sum(len(harness.submit_request().attempts) for _ in range(100))
+        <= 8 * MAX_THREADS_PER_CORE
+    )
 
 
 def test_light_request_is_sent_while_a_heavy_one_waits():
     harness = GatewayHarness([QUICK, {**HEAVY_CLASS, "latency_objective": 9 * SECOND}], engines=1)
-    harness.over(harness.take().attempts[0], took=2000)
-    harness.take(1, estimated_work=9 * SECOND, time_to_deadline=20 * SECOND)
+    harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
+    harness.submit_request(1, estimated_work=9 * SECOND, time_to_deadline=20 * SECOND)
     harness.pass_time(2 * SECOND)
     harness.gateway.slowness.best = 0.1  # under pressure
-    assert not harness.take(1, estimated_work=9 * SECOND).attempts and harness.take().attempts
+    assert (
+        not harness.submit_request(1, estimated_work=9 * SECOND).attempts
+        and harness.submit_request().attempts
+    )
 
 
 def test_waiting_queue_sends_its_lightest_request_first():
     harness = GatewayHarness(engines=0)
-    requests = [harness.take(estimated_work=work) for work in (5000, 900, 3000)]
-    harness.tell(Engine("e", b"e", 0, 0, 0, cores=8.0))
-    assert [reference for reference, _ in harness.said("hand_off")] == [
+    requests = [harness.submit_request(estimated_work=work) for work in (5000, 900, 3000)]
+    harness.update_engines(Engine("e", b"e", 0, 0, 0, cores=8.0))
+    assert [reference for reference, _ in harness.recorded_calls("send_attempt")] == [
         requests[index].host_reference for index in (1, 2, 0)
     ]
 
@@ -80,18 +89,20 @@
 def test_stalled_engine_counts_as_under_pressure(in_flight_count):
     harness = GatewayHarness(engines=1)
     for _ in range(in_flight_count):
-        harness.take()
-    assert harness.take().attempts
+        harness.submit_request()
+    assert harness.submit_request().attempts
     harness.pass_time(6500)
-    assert not harness.take().attempts
+    assert not harness.submit_request().attempts
 
 
 @pytest.mark.parametrize("slow_queue", [0, 1])
 def test_feedback_raises_the_share_of_the_worse_queue_by_at_most_one_step(slow_queue):
     harness = GatewayHarness([QUICK, {**QUICK, "name": "other"}])
-    requests = [harness.take(0), harness.take(1)]
+    requests = [harness.submit_request(0), harness.submit_request(1)]
     for index, request in enumerate(requests):
-        harness.over(request.attempts[0], took=4 * SECOND if index == slow_queue else 2000)
+        harness.finish_attempt(
+            request.attempts[0], took=4 * SECOND if index == slow_queue else 2000
+        )
     harness.pass_time(2 * SECOND)
     shares = [queue.share for queue in harness.gateway.queues.values()]
     assert abs(sum(shares) - 1) < 1e-9 and min(shares) >= MIN_SHARE_FRACTION / 2 * 0.99
@@ -100,9 +111,9 @@
 
 def test_queue_without_engines_records_a_shortfall():
     harness = GatewayHarness([QUICK, HEAVY_CLASS], engines=0)
-    harness.take(1)
+    harness.submit_request(1)
     harness.pass_time(int(1.5 * SECOND))
-    assert harness.said("dismiss")
+    assert harness.recorded_calls("reject")
     assert max(next(queue for queue in harness.gateway.queues.values()).shortfalls) > 1
 
 
@@ -116,29 +127,32 @@
 )
 def test_faulty_engine_is_ejected(outcomes, is_ejected):
     harness = GatewayHarness()
-    request = harness.take()
+    request = harness.submit_request()
     first_engine = request.attempts[0].engine
     for outcome in outcomes:
-        harness.over(request.attempts[0], outcome)
-    other = harness.take()
-    assert bool(harness.said("log")) == is_ejected and other.attempts[0].engine is not first_engine
-    harness.over(other.attempts[0], took=2000)
+        harness.finish_attempt(request.attempts[0], outcome)
+    other = harness.submit_request()
+    assert (
+        bool(harness.recorded_calls("log")) == is_ejected
+        and other.attempts[0].engine is not first_engine
+    )
+    harness.finish_attempt(other.attempts[0], took=2000)
     harness.pass_time(int(1.1 * SECOND))
-    assert any(harness.take().attempts[0].engine is first_engine for _ in range(4))
+    assert any(harness.submit_request().attempts[0].engine is first_engine for _ in range(4))
 
 
 def test_all_engines_are_used_when_all_are_faulty():
     harness = GatewayHarness()
     for _ in range(12):
-        for attempt in harness.take().attempts:
-            harness.over(attempt, AttemptOutcome.ERROR)
-    assert harness.take().attempts
+        for attempt in harness.submit_request().attempts:
+            harness.finish_attempt(attempt, AttemptOutcome.ERROR)
+    assert harness.submit_request().attempts
 
 
 @pytest.mark.parametrize(
     "can_cancel, can_hedge, has_progress, expected_action",
     [
-        (True, False, False, "call_off"),
+        (True, False, False, "cancel_attempt"),
         (False, True, False, "hedge"),
         (True, False, True, None),
         (False, False, False, None),
@@ -149,38 +163,41 @@
 ):
     harness = GatewayHarness(can_cancel=can_cancel, can_hedge=can_hedge)
     for _ in range(9):  # the gateway must know the usual slowness
-        harness.over(harness.take(table_group=2.0).attempts[0], took=2000)
+        harness.finish_attempt(harness.submit_request(table_group=2.0).attempts[0], took=2000)
     harness.now += 1
-    request = harness.take()
+    request = harness.submit_request()
     harness.pass_time(SECOND // 10)
     if has_progress:
         harness.gateway.on_attempt_progress(request.attempts[0], NoteKind.PROGRESS, 0.9)
     harness.pass_time(4 * SECOND)
-    assert bool(harness.said("call_off")) == (expected_action == "call_off")
+    assert bool(harness.recorded_calls("cancel_attempt")) == (expected_action == "cancel_attempt")
     assert (len(request.attempts) == 2) == (expected_action == "hedge")
 
 
 def test_one_long_attempt_is_not_silence_and_does_not_block_a_trial():
     harness = GatewayHarness([QUICK, HEAVY_CLASS], engines=2)
-    long_request = harness.take(1, estimated_work=8 * SECOND, time_to_deadline=30 * SECOND)
+    long_request = harness.submit_request(
+        1, estimated_work=8 * SECOND, time_to_deadline=30 * SECOND
+    )
     engine, table_group = long_request.attempts[0].engine, long_request.table_group
     harness.pass_time(8 * SECOND)
-    assert not any("silent" in line for line, _ in harness.said("log"))
-    for request in [harness.take(table_group=table_group) for _ in range(6)]:
+    assert not any("silent" in line for line, _ in harness.recorded_calls("log"))
+    for request in [harness.submit_request(table_group=table_group) for _ in range(6)]:
         if request.attempts[0].engine is engine:
-            harness.over(request.attempts[0], AttemptOutcome.ERROR)
+            harness.finish_attempt(request.attempts[0], AttemptOutcome.ERROR)
     harness.pass_time(30 * SECOND // 2)
     assert not long_request.is_finished and any(
-        harness.take(table_group=table_group).attempts[0].engine is engine for _ in range(9)
+        harness.submit_request(table_group=table_group).attempts[0].engine is engine
+        for _ in range(9)
     )
 
 
 def test_attempt_with_little_progress_is_cancelled():
     harness = GatewayHarness(can_cancel=True)
-    request = harness.take()
+    request = harness.submit_request()
     harness.now += 4000
     harness.gateway.on_attempt_progress(request.attempts[0], NoteKind.PROGRESS, 0.02)
-    assert harness.said("call_off") == [(request.host_reference, 0)]
+    assert harness.recorded_calls("cancel_attempt") == [(request.host_reference, 0)]
 
 
 SIMULATOR_PROGRAM = r"""
@@ -288,36 +305,40 @@
     ):
         engine.stats.limit_factor = 1.0
         for _ in range(20):
-            for attempt in harness.take().attempts:
-                harness.over(attempt, outcome, took=2000)
+            for attempt in harness.submit_request().attempts:
+                harness.finish_attempt(attempt, outcome, took=2000)
         assert least <= engine.stats.limit_factor <= most and engine.stats.limit_factor != 1.0
 
 
 def test_gateway_with_little_traffic_spreads_a_busy_table_group_over_engines():
     harness = GatewayHarness(gateway_count=200, engines=8)
     for _ in range(128):
-        harness.over(harness.take().attempts[0], took=2000)
-    engines = [engine for _, engine in harness.said("hand_off")][64:]
+        harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
+    engines = [engine for _, engine in harness.recorded_calls("send_attempt")][64:]
     # Without the spread, all 200 gateways would use one engine.
     assert max(engines.count(each) for each in engines) <= 12
 
 
 def test_late_answers_raise_the_price_for_heavy_requests_and_it_decays():
     harness = GatewayHarness([QUICK, HEAVY_CLASS], gateway_count=200)
-    harness.over(harness.take().attempts[0], took=2000)
+    harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
     harness.pass_time(2 * SECOND)
     for _ in range(40):
-        harness.over(
-            harness.take(1, estimated_work=SECOND, time_to_deadline=20 * SECOND).attempts[0],
+        harness.finish_attempt(
+            harness.submit_request(1, estimated_work=SECOND, time_to_deadline=20 * SECOND).attempts[
+                0
+            ],
             took=15 * SECOND,
             work=SECOND,
         )
-    heavy = harness.take(1, estimated_work=15 * SECOND, time_to_deadline=20 * SECOND)
-    assert harness.take().attempts and not heavy.attempts
+    heavy = harness.submit_request(1, estimated_work=15 * SECOND, time_to_deadline=20 * SECOND)
+    assert harness.submit_request().attempts and not heavy.attempts
     harness.pass_time(20 * SECOND)  # no attempt is in flight, so no answer could lower the price
     assert (
         heavy.is_finished
-        and harness.take(1, estimated_work=15 * SECOND, time_to_deadline=20 * SECOND).attempts
+        and harness.submit_request(
+            1, estimated_work=15 * SECOND, time_to_deadline=20 * SECOND
+        ).attempts
     )
 
 
@@ -326,28 +347,31 @@
     for number in range(200):
         harness = GatewayHarness(engines=1, gateway_count=200, gateway_number=number)
         for _ in range(8):
-            harness.over(harness.take().attempts[0], took=2000)
+            harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
         harness.pass_time(2 * SECOND)
-        harness.tell(harness.engines[0], started=harness.now - 100)
-        sent_counts.append(sum(len(harness.take().attempts) for _ in range(5)))
+        harness.update_engines(harness.engines[0], started=harness.now - 100)
+        sent_counts.append(sum(len(harness.submit_request().attempts) for _ in range(5)))
     budget = 8 * 0.85 * 2.0 * 0.3 * SECOND
     assert 0 < sum(sent_counts) * 2000 <= budget and max(sent_counts) == 1
 
 
 def test_heaviest_request_is_rejected_when_an_order_key_exceeds_the_objective():
     harness = GatewayHarness([{**QUICK, "ordered": True, "objective_stretch": 0.0}])
-    requests = [harness.take(order_key=5, estimated_work=work) for work in (1000, 9000, 2000, 1000)]
+    requests = [
+        harness.submit_request(order_key=5, estimated_work=work)
+        for work in (1000, 9000, 2000, 1000)
+    ]
     # The request with work 9000 would delay all later ones; the first request is already running.
-    assert [tag for tag, _ in harness.said("dismiss")] == [requests[1].host_reference] and requests[
-        0
-    ].attempts
+    assert [tag for tag, _ in harness.recorded_calls("reject")] == [
+        requests[1].host_reference
+    ] and requests[0].attempts
 
 
 @pytest.mark.parametrize("late_answer_count", [20, 2000])
 def test_price_after_late_answers_stays_affordable_for_the_class(late_answer_count):
     harness = GatewayHarness(engines=8)
-    requests = [harness.take() for _ in range(40)]
-    harness.over(requests[0].attempts[0], took=2000)
+    requests = [harness.submit_request() for _ in range(40)]
+    harness.finish_attempt(requests[0].attempts[0], took=2000)
     harness.pass_time(2 * SECOND)
     for _answer in range(late_answer_count):
         harness.gateway.learning.adjust_limit_and_price(
@@ -363,41 +387,47 @@
 def test_lagging_gateway_rejects_requests_until_it_catches_up():
     harness = GatewayHarness()
     harness.lag = 500
-    assert harness.take().is_finished and len(harness.said("dismiss")) == 1
+    assert harness.submit_request().is_finished and len(harness.recorded_calls("reject")) == 1
     harness.lag = 400
-    assert harness.take().attempts
+    assert harness.submit_request().attempts
 
 
 def test_common_faults_eject_no_engine_but_a_worse_engine_is_ejected():
     harness = GatewayHarness(engines=4)
     for _ in range(6):
         for _ in harness.engines:
-            request = harness.take(table_group=float(harness.serial))
-            harness.over(request.attempts[0], AttemptOutcome.CONNECTION_RESET, finished=True)
+            request = harness.submit_request(table_group=float(harness.serial))
+            harness.finish_attempt(
+                request.attempts[0], AttemptOutcome.CONNECTION_RESET, finished=True
+            )
         harness.pass_time(SECOND)
     harness.pass_time(3 * SECOND)
-    early_count = len([line for line, _ in harness.said("log") if line.startswith("rest")])
+    early_count = len(
+        [line for line, _ in harness.recorded_calls("log") if line.startswith("rest")]
+    )
     for index in range(60):
-        harness.over(
-            harness.take(table_group=float(index)).attempts[0],
+        harness.finish_attempt(
+            harness.submit_request(table_group=float(index)).attempts[0],
             AttemptOutcome.CONNECTION_RESET if index % 4 == 0 else AttemptOutcome.SUCCEEDED,
             finished=True,
         )
         harness.pass_time(SECOND // 10)
-    ejection_lines = [line for line, _ in harness.said("log") if line.startswith("rest")]
+    ejection_lines = [line for line, _ in harness.recorded_calls("log") if line.startswith("rest")]
     # Without the comparison between engines, each engine would be ejected in turn.
     assert len(ejection_lines) == early_count <= 4
     for _ in range(9):  # faults of one engine that has died
         harness.gateway.outliers.record_fault(harness.engines[0], "unreached")
         harness.pass_time(1)
-    assert harness.said("log")[-1][0].startswith("rest  unreached")
+    assert harness.recorded_calls("log")[-1][0].startswith("rest  unreached")
 
 
 def test_overtaken_attempt_is_hedged_once_and_one_with_progress_is_not():
     harness = GatewayHarness(engines=2, can_hedge=True)
     for index in range(8):
-        harness.over(harness.take(table_group=float(index)).attempts[0], took=2000)
-    requests = [harness.take(), harness.take()]
+        harness.finish_attempt(
+            harness.submit_request(table_group=float(index)).attempts[0], took=2000
+        )
+    requests = [harness.submit_request(), harness.submit_request()]
     engine = requests[0].attempts[0].engine
     requests = [request for request in requests if request.attempts[0].engine is engine]
     for _ in range(60):
@@ -405,20 +435,20 @@
         harness.gateway.on_attempt_progress(requests[-1].attempts[0], 0, 0.0) if len(
             requests
         ) > 1 else None
-        later = harness.take()
-        harness.over(later.attempts[0], took=200)
+        later = harness.submit_request()
+        harness.finish_attempt(later.attempts[0], took=200)
     # The engine is healthy and answers the others, so silence cannot show that this one is lost.
     assert [len(request.attempts) for request in requests] == [2] + [1] * (
         len(requests) - 1
     ) and not requests[0].is_finished
     assert requests[0].attempts[1].engine is not engine
     # No further attempt for a request that was answered or whose client has disconnected.
-    harness.over(requests[0].attempts[1])
-    abandoned = harness.take()
+    harness.finish_attempt(requests[0].attempts[1])
+    abandoned = harness.submit_request()
     harness.gateway.on_client_left(abandoned)
     harness.pass_time(2 * SECOND)
     for _ in range(9):
-        harness.over(harness.take().attempts[0], took=200)
+        harness.finish_attempt(harness.submit_request().attempts[0], took=200)
     assert (
         len(requests[0].attempts) == 2
         and len(abandoned.attempts) == 1
@@ -428,10 +458,10 @@
 
 def test_request_failed_by_two_engines_gets_no_third_attempt():
     harness = GatewayHarness(engines=4)
-    request = harness.take()
-    harness.over(request.attempts[0], AttemptOutcome.ERROR)
-    harness.over(request.attempts[1], AttemptOutcome.ERROR)
-    assert request.is_finished and len(request.attempts) == 2 and harness.said("dismiss")
+    request = harness.submit_request()
+    harness.finish_attempt(request.attempts[0], AttemptOutcome.ERROR)
+    harness.finish_attempt(request.attempts[1], AttemptOutcome.ERROR)
+    assert request.is_finished and len(request.attempts) == 2 and harness.recorded_calls("reject")
 
 
 def test_finished_requests_leave_no_state_behind():
@@ -444,15 +474,17 @@
             if any(h.is_in_flight for h in request.attempts) or not request.is_finished
         ]
         requests.append(
-            harness.take(table_group=float(index), order_key=index + 1, time_to_deadline=5000)
+            harness.submit_request(
+                table_group=float(index), order_key=index + 1, time_to_deadline=5000
+            )
         )
         for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
-            harness.over(
+            harness.finish_attempt(
                 attempt, AttemptOutcome.TIMED_OUT if index % 3 else AttemptOutcome.SUCCEEDED
             )
         harness.pass_time(100)
     for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
-        harness.over(attempt, AttemptOutcome.TIMED_OUT, finished=True)
+        harness.finish_attempt(attempt, AttemptOutcome.TIMED_OUT, finished=True)
     harness.pass_time(12 * SECOND)
     gateway = harness.gateway
     order, budget = gateway.order, gateway.retry_budget
@@ -473,7 +505,7 @@
     for number in range(200):
         harness = GatewayHarness(engines=20, gateway_count=200, gateway_number=number, seed=number)
         first_engine_counts.update(
-            request.attempts[0].engine.host_reference for request in [harness.take()]
+            request.attempts[0].engine.host_reference for request in [harness.submit_request()]
         )
     assert len(first_engine_counts) >= 18 and max(first_engine_counts.values()) < 30
 
@@ -482,10 +514,10 @@
     harness = GatewayHarness(engines=20, gateway_count=200)
     first_engines = []
     for index in range(60):
-        request = harness.take(table_group=float(index % 12))
+        request = harness.submit_request(table_group=float(index % 12))
         if index % 12 == 0:
             first_engines.append(request.attempts[0].engine.host_reference)
-        harness.over(request.attempts[0], took=2000)
+        harness.finish_attempt(request.attempts[0], took=2000)
     assert Counter(first_engines[1:]).most_common(1)[0][1] >= 3
 
 
@@ -493,15 +525,15 @@
     harness = GatewayHarness(engines=8, gateway_count=1)
     order = harness.gateway.selector.order_for(1.0)
     for engine in order[4:]:
-        harness.tell(engine, started=harness.now - 2 * SECOND)
+        harness.update_engines(engine, started=harness.now - 2 * SECOND)
     harness.gateway.slow_start.started_at = 0
     for engine in order[:4]:  # the warm engines already hold attempts
         engine.threads_in_flight = 2
-    request = harness.take()
+    request = harness.submit_request()
     assert request.attempts[0].engine in order[:4]
-    harness.over(request.attempts[0])
+    harness.finish_attempt(request.attempts[0])
     harness.gateway.price.current = 1e-9  # as if raised by late or refused answers
-    assert harness.take().attempts[0].engine in order[4:]
+    assert harness.submit_request().attempts[0].engine in order[4:]
 
 
 def test_cordoned_engine_gets_only_retries_that_no_other_engine_may_run():
@@ -516,24 +548,24 @@
         key_ttl=20 * SECOND,
     )
     harness = GatewayHarness([QUICK, keyed], engines=3)
-    first = harness.take(1)
+    first = harness.submit_request(1)
     engine = first.attempts[0].engine  # the only engine of its cell
     harness.gateway.on_engine_cordon(engine, 1)
-    others = [harness.take(index % 2).attempts[0] for index in range(6)]
+    others = [harness.submit_request(index % 2).attempts[0] for index in range(6)]
     assert all(attempt.engine is not engine for attempt in others)
     for attempt in others:
-        harness.over(attempt)
-    harness.over(first.attempts[0], AttemptOutcome.CONNECTION_RESET)
+        harness.finish_attempt(attempt)
+    harness.finish_attempt(first.attempts[0], AttemptOutcome.CONNECTION_RESET)
     assert first.attempts[-1].engine is engine and len(first.attempts) == 2
     harness.gateway.on_engine_cordon(engine, 2)
-    harness.over(first.attempts[-1], AttemptOutcome.CONNECTION_RESET)
+    harness.finish_attempt(first.attempts[-1], AttemptOutcome.CONNECTION_RESET)
     assert len(first.attempts) == 2
     harness.gateway.on_engine_cordon(engine, 0)
     harness.pass_time(30 * SECOND)  # the ejections are over
     assert engine in {
         attempt.engine
         for index in range(12)
-        for attempt in harness.take(table_group=float(index)).attempts
+        for attempt in harness.submit_request(table_group=float(index)).attempts
     }
 
 
@@ -541,29 +573,29 @@
     harness = GatewayHarness(engines=8)
     first = {}
     for index in range(60):  # one attempt on each engine
-        request = harness.take(table_group=float(index))
+        request = harness.submit_request(table_group=float(index))
         if request.attempts and request.attempts[0].engine not in first:
             first[request.attempts[0].engine] = request.attempts[0]
         else:
             harness.gateway.on_client_left(request)
             for attempt in request.attempts:
-                harness.over(attempt, took=2000)
+                harness.finish_attempt(attempt, took=2000)
     lost_zone_engines = [engine for engine in harness.engines if engine.zone == 0]
     for engine in lost_zone_engines[:2]:
-        harness.over(first[engine], AttemptOutcome.CONNECTION_RESET, finished=True)
+        harness.finish_attempt(first[engine], AttemptOutcome.CONNECTION_RESET, finished=True)
 
     def send_requests_and_list_lost_engines():
-        requests = [harness.take(table_group=float(index)) for index in range(100, 130)]
+        requests = [harness.submit_request(table_group=float(index)) for index in range(100, 130)]
         used_engines = [attempt.engine for request in requests for attempt in request.attempts[:1]]
         for request in requests:
             for attempt in request.attempts:
                 if attempt.engine.zone:
-                    harness.over(attempt, took=2000)
+                    harness.finish_attempt(attempt, took=2000)
         return [engine for engine in used_engines if engine.zone == 0]
 
     assert send_requests_and_list_lost_engines() == []
     harness.pass_time(SECOND + 10)
     # One trial, which shows whether the zone is reachable.
     assert len(send_requests_and_list_lost_engines()) == 1
-    harness.over(first[lost_zone_engines[2]], took=2000)
+    harness.finish_attempt(first[lost_zone_engines[2]], took=2000)
     assert len(send_requests_and_list_lost_engines()) > 1
--- a/tests/test_peer_health.py
+++ b/tests/test_peer_health.py
@@ -270,9 +270,9 @@
         for number in range(40):
             harness = GatewayHarness(engines=1, gateway_count=40, gateway_number=number)
             for _ in range(8):
-                harness.over(harness.take().attempts[0], took=2000)
+                harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
             harness.pass_time(2 * SECOND)
-            harness.tell(harness.engines[0], started=harness.now - 100)
+            harness.update_engines(harness.engines[0], started=harness.now - 100)
             harnesses.append(harness)
         if with_transfers:  # gateways with a permit transfer it to gateways without one
             work = harnesses[0].request_classes[0].typical_work
@@ -286,7 +286,7 @@
                 granter.gateway.on_permit_moved(granter.engines[0], work, granter.now)
                 receiver.gateway.on_permit_moved(receiver.engines[0], -work, receiver.now)
         for harness in harnesses:
-            total += sum(len(harness.take().attempts) for _ in range(3))
+            total += sum(len(harness.submit_request().attempts) for _ in range(3))
         return total
 
     assert attempts_sent(True) == attempts_sent(False) > 0
@@ -297,14 +297,18 @@
     engine = harness.engines[0]
     harness.gateway.on_peer_health(engine, 6.0, 1)
     taken = [
-        attempt.engine for n in range(6) for attempt in harness.take(table_group=float(n)).attempts
+        attempt.engine
+        for n in range(6)
+        for attempt in harness.submit_request(table_group=float(n)).attempts
     ]
     assert taken.count(engine) == 1 and len(taken) > 3
     assert harness.gateway.slowness.of_engine(engine.stats, 1.0) == 6.0
     other = GatewayHarness(engines=2)
     other.gateway.on_peer_health(other.engines[0], 0.0, 2)
     taken = [
-        attempt.engine for n in range(4) for attempt in other.take(table_group=float(n)).attempts
+        attempt.engine
+        for n in range(4)
+        for attempt in other.submit_request(table_group=float(n)).attempts
     ]
     assert taken and other.engines[0] not in taken
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -268,9 +268,9 @@
     harness = GatewayHarness(can_hedge=True)
     slow, gone, other = harness.engines
     for _ in range(4):
-        harness.take()
+        harness.submit_request()
     for attempt in [h for e in harness.engines for h in [*e.stats.in_flight]]:
-        harness.over(attempt, took=30_000)
+        harness.finish_attempt(attempt, took=30_000)
     harness.gateway.outliers.record_fault(slow, "silent")
     harness.gateway.price.current = 1e-6
     for each in harness.engines:
@@ -295,7 +295,7 @@
         later.engines[0]
     ) and later.gateway.outliers.is_healthy(later.engines[1])
     assert len(later.gateway.queues) == 1
-    request = later.take()
+    request = later.submit_request()
     assert request.attempts[0].engine is not later.engines[0]
     later.pass_time(2 * SECOND)
     assert len(later.engines[0].stats.in_flight) == 1  # its rest is over: one hand-off tells
@@ -315,7 +315,7 @@
     )
     harness = GatewayHarness(request_classes=(request_class,), settle_ticks=3000)
     harness.gateway.hold_order_key(9, harness.now + 3000)
-    first = harness.take(order_key=9, time_to_deadline=3 * SECOND)
+    first = harness.submit_request(order_key=9, time_to_deadline=3 * SECOND)
     assert not first.attempts
     harness.pass_time(3100)
     assert first.attempts and not harness.gateway.order.held_until
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -453,7 +453,7 @@
     yard.engines = [
         Counted(f"e{n}", b"e%d" % n, n % 5, n % 2, n // 8, cores=8.0) for n in range(engines)
     ]
-    yard.tell(*yard.engines)
+    yard.update_engines(*yard.engines)
     play(yard, 200)
     return yard
 
@@ -462,7 +462,7 @@
     """Statements of seven table groups as they come, each answered while the next two are out; the time goes on."""
     for n in range(statements):
         yard.pass_time(each)
-        yard.out += yard.take(
+        yard.out += yard.submit_request(
             n % 2,
             table_group=float(n % GROUPS),
             tenant=n % 3,
@@ -470,7 +470,7 @@
             time_to_deadline=1_000,
         ).attempts
         while len(yard.out) > 2:
-            yard.over(yard.out.pop(0), AttemptOutcome.SUCCEEDED, took=300, work=200)
+            yard.finish_attempt(yard.out.pop(0), AttemptOutcome.SUCCEEDED, took=300, work=200)
 
 
 def of_decisions(engines):
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -60,7 +60,7 @@
         )
         for each in engines
     ]
-    harness.tell(*harness.engines)
+    harness.update_engines(*harness.engines)
     return harness
 
 
@@ -172,7 +172,7 @@
     before = [subset_of(harness) for harness in harnesses]
     new_engine = Engine("new", b"new", 2, 0, 7, cores=8.0)
     for harness in harnesses:
-        harness.tell(Engine("new", b"new", 2, 0, 7, cores=8.0))
+        harness.update_engines(Engine("new", b"new", 2, 0, 7, cores=8.0))
     changed = sum(
         len(subset_of(harness) ^ subset_before) for harness, subset_before in zip(harnesses, before)
     )
@@ -184,7 +184,7 @@
         and new_engine.subset_rank == 0.0
     )
     for harness in harnesses:
-        harness.tell(
+        harness.update_engines(
             next(
                 each
                 for each in harness.gateway.subset.zone_and_kind_of
@@ -200,10 +200,10 @@
     before = subset_of(harness)
     for first in range(0, 300, 30):
         step = harness.engines[first : first + 30]
-        harness.tell(*step, state=EngineState.DRAINING)
+        harness.update_engines(*step, state=EngineState.DRAINING)
         assert not subset_of(harness) & {engine.host_reference for engine in step}
-        harness.tell(*step, state=EngineState.GONE)
-        harness.tell(*step, started=harness.now)
+        harness.update_engines(*step, state=EngineState.GONE)
+        harness.update_engines(*step, started=harness.now)
     assert subset_of(harness) == before
 
 
@@ -218,8 +218,10 @@
         harness = make_harness(engines_with_rare, number, request_classes=(QUICK, RARE_KIND_CLASS))
         rare_engines = [each for each in harness.gateway.engines if each.kind]
         rare_counts.append(len(rare_engines))
-        harness.take(1)
-        assert harness.said("hand_off")[0][1] in {each.host_reference for each in rare_engines}
+        harness.submit_request(1)
+        assert harness.recorded_calls("send_attempt")[0][1] in {
+            each.host_reference for each in rare_engines
+        }
     assert (
         min(rare_counts) >= subsetting.MIN_HEALTHY_ENGINES
         and max(rare_counts) < 30
@@ -258,9 +260,9 @@
         engine.stats.fault_history.append("")
     harness.pass_time(60 * SECOND)
     assert subset_of(harness) == before
-    assert [line for line, _ in harness.said("log") if line.startswith("set ")][0].startswith(
-        "set wider"
-    )
+    assert [line for line, _ in harness.recorded_calls("log") if line.startswith("set ")][
+        0
+    ].startswith("set wider")
 
 
 def test_gateways_started_together_update_their_subsets_at_different_times():
@@ -290,7 +292,7 @@
         harness = make_harness(make_engines(1800))
         # In threads, as a multiple of the gateway's part of the work.
         work = 8 * 1800 * INITIAL_THREADS_PER_CORE / 870 * traffic_factor
-        queue = harness.take().queue
+        queue = harness.submit_request().queue
         for _ in range(40):  # until the count of arrivals has settled
             finished_count = int(work * 2 * SECOND / queue.request_class.typical_work)
             queue.shortfalls += [0.5] * finished_count
@@ -318,11 +320,11 @@
         harness = make_harness(
             make_engines(900, zone_count=300), number, request_classes=(keyed_class,)
         )
-        request = harness.take()
+        request = harness.submit_request()
         first = request.attempts[0].engine
         place = (lambda each: each.cell) if key_scope == "cell" else (lambda each: each.zone)
         alone_count += sum(place(each) == place(first) for each in harness.gateway.engines) == 1
-        harness.over(request.attempts[0], AttemptOutcome.TIMED_OUT)
+        harness.finish_attempt(request.attempts[0], AttemptOutcome.TIMED_OUT)
         assert len(request.attempts) == 2
         second = request.attempts[1].engine
         assert place(second) == place(first) and second is not first
@@ -331,14 +333,14 @@
 
 def test_request_that_never_ran_is_retried_within_the_subset():
     harness = make_harness(make_engines(900))
-    request = harness.take()
+    request = harness.submit_request()
     for outcome in (
         AttemptOutcome.ENGINE_FULL,
         AttemptOutcome.UNREACHABLE,
         AttemptOutcome.CONNECTION_RESET,
     ):
         if not request.is_finished and request.attempts[-1].is_in_flight:
-            harness.over(request.attempts[-1], outcome)
+            harness.finish_attempt(request.attempts[-1], outcome)
     assert len(request.attempts) > 1 and all(each.engine.in_subset for each in request.attempts)
 
 
@@ -373,10 +375,10 @@
     for tick in range(0, 5 * SECOND, SECOND // 10):
         for harness in harnesses:
             harness.now = 120 * SECOND + tick + 1
-            request = harness.take(estimated_work=int(work))
+            request = harness.submit_request(estimated_work=int(work))
             sent += [tick for each in request.attempts if each.engine.host_reference == "s200"]
             for each in request.attempts:
-                harness.over(each, took=500, work=int(work))
+                harness.finish_attempt(each, took=500, work=int(work))
     allowed = 2.0 * 0.3 * 8.0 * window_ticks / work
     worst = max(sum(start <= when < start + window_ticks for when in sent) for start in sent)
     return worst / (allowed + 2 * (allowed + 2) ** 0.5)
@@ -414,13 +416,13 @@
     for number in range(0, 870, 60):
         harness = make_harness(engines, number, request_classes=(QUICK, RARE_KIND_CLASS))
         for _ in range(60):
-            harness.take()
+            harness.submit_request()
         usual_limit, rare_limit = (each.subset_rank_limit for each in harness.request_classes)
         used_engines = [each for each in harness.engines if each.threads_in_flight]
         assert usual_limit < 0.04 and 0.2 < rare_limit < 0.5 and len(used_engines) > 10
         assert all(each.subset_rank <= usual_limit for each in used_engines)
         before = {each.host_reference: each.threads_in_flight for each in harness.engines}
-        harness.take(1)
+        harness.submit_request(1)
         assert (
             next(
                 used_engine
@@ -441,7 +443,9 @@
     for number in range(40):
         harness = make_harness(make_engines(1500), number)
         subset_before = subset_of(harness)
-        harness.tell(*[each for each in harness.engines if each.zone == 0], state=EngineState.GONE)
+        harness.update_engines(
+            *[each for each in harness.engines if each.zone == 0], state=EngineState.GONE
+        )
         before.append(subset_before)
         immediate_changes.append(subset_of(harness) - subset_before)
         harness.pass_time(6 * SECOND)
@@ -452,9 +456,9 @@
 
 def test_loss_of_most_engines_is_compensated_at_once():
     harness = make_harness(make_engines(1500))
-    harness.tell(*harness.engines[:1200], state=EngineState.GONE)
+    harness.update_engines(*harness.engines[:1200], state=EngineState.GONE)
     assert len(subset_of(harness)) > 30
-    harness.tell(*harness.engines[1200:1450], state=EngineState.GONE)
+    harness.update_engines(*harness.engines[1200:1450], state=EngineState.GONE)
     assert subset_of(harness) == {each.host_reference for each in harness.engines[1450:]}
 
 
