--- a/tests/harness.py
+++ b/tests/harness.py
@@ -218,14 +218,14 @@
             self.time += step
             self.turn(2)
 
-    def client(self):
+    def connect_client(self):
         mine, its = socket.socketpair()
         self.socket_host.add_client(its)
         self.turn()
         mine.setblocking(False)
         return mine
 
-    def engine(self, tag="e1"):
+    def connect_engine(self, tag="e1"):
         mine, its = socket.socketpair()
         engine_pool = self.socket_host.engine_pools[tag]
         link = EngineConnection(engine_pool, its)
@@ -237,25 +237,25 @@
         mine.setblocking(False)
         return mine
 
-    def ask(self, sock, data):
+    def send(self, sock, data):
         sock.sendall(data)
         self.turn()
 
-    def heard(self, sock):
+    def receive(self, sock):
         self.turn()
         try:
             return sock.recv(1 << 20)
         except BlockingIOError:
             return b""
 
-    def answers(self, sock):
+    def receive_answers(self, sock):
         """Frames as (type, stream, code, body)."""
-        data, found = self.heard(sock), []
+        data, found = self.receive(sock), []
         while data:
             size = int.from_bytes(data[:4], "little")
             frame, data = data[: 4 + size], data[4 + size :]
             found.append((frame[4], int.from_bytes(frame[5:9], "little"), frame[9:10], frame[11:]))
         return found
 
-    def engine_says(self, sock, *parts):
-        self.ask(sock, command(*parts))
+    def send_engine_command(self, sock, *parts):
+        self.send(sock, command(*parts))
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -1015,7 +1015,7 @@
 
 def take_request(here: Instance) -> None:
     """Let a client ask for something, so that there is a queue, and its answer is owed."""
-    here.harness.ask(here.harness.client(), request_frame())
+    here.harness.send(here.harness.connect_client(), request_frame())
 
 
 def asked(here: Instance, where: str, method: str, path: str, body: bytes) -> tuple[bytes, bytes]:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -52,7 +52,7 @@
 class Loopback(HostHarness):
     """Premises whose clients and engines are TCP connections; the clock is still handed in."""
 
-    def client(self):
+    def connect_client(self):
         mine, its = pair()
         self.socket_host.add_client(its)
         self.turn()
@@ -60,7 +60,7 @@
         client_connection = [*self.socket_host.client_connections][-1]
         return mine, client_connection
 
-    def engine(self, tag="e1", turn=True):
+    def connect_engine(self, tag="e1", turn=True):
         mine, its = pair()
         engine_pool = self.socket_host.engine_pools[tag]
         link = EngineConnection(engine_pool, its)
@@ -118,12 +118,12 @@
 def test_no_attempt_begins_once_its_client_has_gone_while_it_waited_for_a_link(goes):
     """The link comes up in the very turn after the client went, before its connection is read."""
     harness = Loopback()
-    client, client_connection = harness.client()
+    client, client_connection = harness.connect_client()
     harness.ask_and_settle(client, request_frame(), client_connection)
     assert len(harness.socket_host.engine_pools["e1"].waiting) == 1
     goes(client)
     settled(client_connection.link.sock)
-    engine, link = harness.engine(turn=False)
+    engine, link = harness.connect_engine(turn=False)
     harness.socket_host.engine_pools[
         "e1"
     ].fill()  # as a dial that comes up does it, before the poller is asked again
@@ -136,8 +136,8 @@
 def test_no_further_attempt_begins_once_its_client_has_gone_while_the_first_was_out(goes):
     """The engine's refusal and the client's going lie unread in one turn; the refusal is read first."""
     harness = Loopback([listing(1, {}, {"id": "e2"})])
-    client, client_connection = harness.client()
-    engines = {tag: harness.engine(tag) for tag in ("e1", "e2")}
+    client, client_connection = harness.connect_client()
+    engines = {tag: harness.connect_engine(tag) for tag in ("e1", "e2")}
     harness.ask_and_settle(client, request_frame(), client_connection)
     (first,) = (tag for tag, (sock, _) in engines.items() if harness.heard_soon(sock, 0))
     (sock, link), (other, other_link) = engines[first], engines["e2" if first == "e1" else "e1"]
@@ -158,8 +158,8 @@
     so far behind, so this holds without the last look as well.)
     """
     harness = Loopback()
-    client, client_connection = harness.client()
-    engine, _ = harness.engine()
+    client, client_connection = harness.connect_client()
+    engine, _ = harness.connect_engine()
     client.sendall(request_frame())
     goes(client)
     settled(client_connection.link.sock)
@@ -173,8 +173,8 @@
 def test_an_attempt_that_an_engine_does_not_read_is_never_kept_back_in_a_ring():
     """Danger: put into a full socket it would begin when the engine reads again, whoever had gone by then."""
     harness = Loopback()
-    client, client_connection = harness.client()
-    engine, link = harness.engine()
+    client, client_connection = harness.connect_client()
+    engine, link = harness.connect_engine()
     engine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     link.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     try:
@@ -203,8 +203,8 @@
 
 def test_a_client_that_goes_while_its_input_is_paused_is_seen_to_go():
     harness = Loopback()
-    client, client_connection = harness.client()
-    engine, _ = harness.engine()
+    client, client_connection = harness.connect_client()
+    engine, _ = harness.connect_engine()
     harness.ask_and_settle(client, request_frame(), client_connection)
     harness.socket_host.client_ring_memory.limit_bytes = (
         harness.socket_host.client_ring_memory.reserved_bytes
@@ -222,8 +222,8 @@
 def test_an_engine_that_has_closed_its_link_gets_nothing_written_there():
     """Danger: a request that an unsafe class sent there may have run or not, nobody knows."""
     harness = Loopback([listing(1, {})])
-    client, client_connection = harness.client()
-    engine, link = harness.engine()
+    client, client_connection = harness.connect_client()
+    engine, link = harness.connect_engine()
     engine.close()
     settled(link.link.sock)
     client.sendall(request_frame(route="once"))
@@ -232,7 +232,7 @@
     harness.event_loop._run_due_timers()
     assert link.link.bytes_queued == 0
     harness.turn()
-    second, _ = harness.engine()
+    second, _ = harness.connect_engine()
     assert T1.encode() in harness.heard_soon(second, 60)
 
 
@@ -263,7 +263,7 @@
 def test_a_dial_for_an_old_address_does_not_leave_what_waits_for_the_new_one(monkeypatch):
     """The old address refuses only after the engine has moved; nothing else would fill again."""
     harness = Loopback()
-    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.client()
+    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.connect_client()
     harness.ask_and_settle(client, request_frame(), client_connection)
     assert dials.asked == [("127.0.0.9", 1)]
     assert not harness.socket_host.on_discovery_event(
@@ -280,7 +280,7 @@
     up, monkeypatch
 ):
     harness = Loopback([listing(1, {"started_ms": 1})])
-    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.client()
+    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.connect_client()
     harness.ask_and_settle(client, request_frame(), client_connection)
     engine_pool, (in_flight_attempt,) = (
         harness.socket_host.engine_pools["e1"],
@@ -308,7 +308,7 @@
 
 def test_want_of_descriptors_is_no_fault_of_the_engines_and_ends_when_there_are_some(monkeypatch):
     harness = Loopback()
-    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.client()
+    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.connect_client()
     dials.let += ["EMFILE"] * 5
     harness.ask_and_settle(client, request_frame(patience="5000"), client_connection)
     harness.pass_time(1_000, 50)
@@ -329,7 +329,7 @@
             engine_pool.dialling = True  # but for what is joined by hand here nobody dials
         if not socket_host.has_descriptor_left(True):
             break
-        kept.append(harness.engine(f"e{n}"))
+        kept.append(harness.connect_engine(f"e{n}"))
     assert (
         sum(len(engine_pool.links) for engine_pool in socket_host.engine_pools.values()) <= 96 // 3
     )
@@ -339,7 +339,7 @@
 
 def test_bytes_that_come_before_an_idle_connection_is_closed_keep_it():
     harness = Loopback()
-    (client, client_connection), (engine, _) = harness.client(), harness.engine()
+    (client, client_connection), (engine, _) = harness.connect_client(), harness.connect_engine()
     harness.ask_and_settle(client, READY_ASKED, client_connection)
     harness.heard_soon(client, 7)
     harness.pass_time(700)
@@ -356,7 +356,7 @@
 def test_a_close_over_what_crosses_it_takes_no_answer_along():
     """A request comes after our end and before our close; a reset would take the unread answer along."""
     harness = Loopback()
-    client, client_connection = harness.client()
+    client, client_connection = harness.connect_client()
     harness.ask_and_settle(client, READY_ASKED, client_connection)
     harness.pass_time(700)
     assert client_connection.link.close_if_input_read("room for others")
@@ -387,7 +387,7 @@
 
 def test_what_waits_at_the_door_when_the_program_ends_is_let_in_and_answered():
     harness = Loopback()
-    engine, _ = harness.engine()
+    engine, _ = harness.connect_engine()
     door = ending(harness)
     door.is_open = False  # the loop has had no turn to let them in
     harness.event_loop.wake(door.sock.fileno())
@@ -397,7 +397,7 @@
     door.is_open = True
     harness.pass_time(9_100, 100)
     assert T1.encode() in harness.heard_soon(engine, 60) and not harness.event_loop.stopped
-    harness.engine_says(engine, T1, "DONE", "chunks=1", ROW)
+    harness.send_engine_command(engine, T1, "DONE", "chunks=1", ROW)
     client.settimeout(1)
     found = b""
     while len(found) < 16:
@@ -410,7 +410,7 @@
 
 def test_half_a_frame_that_is_on_its_way_when_the_program_ends_is_waited_for():
     harness = Loopback()
-    (client, client_connection), (engine, _) = harness.client(), harness.engine()
+    (client, client_connection), (engine, _) = harness.connect_client(), harness.connect_engine()
     ending(harness)
     harness.pass_time(8_900, 100)
     data = request_frame()
@@ -423,7 +423,7 @@
 
 def test_clients_that_rest_until_the_end_are_shown_it_and_what_crosses_it_is_not_sent_on():
     harness = Loopback()
-    (client, client_connection), (engine, _) = harness.client(), harness.engine()
+    (client, client_connection), (engine, _) = harness.connect_client(), harness.connect_engine()
     harness.ask_and_settle(client, READY_ASKED, client_connection)
     ending(harness)
     harness.pass_time(9_200, 100)
@@ -442,7 +442,7 @@
 
 def test_told_to_end_twice_it_leaves_once():
     harness = Loopback()
-    client, client_connection = harness.client()
+    client, client_connection = harness.connect_client()
     ending(harness)
     end = harness.socket_host.shutdown_deadline
     harness.pass_time(500)
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -289,12 +289,15 @@
 
 def test_answers_that_come_late_from_an_engine_that_was_silent():
     harness = HostHarness(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
-    client, engines = harness.client(), [harness.engine(), harness.engine("e2")]
-    harness.ask(client, request_frame(1, patience="600"))
+    client, engines = (
+        harness.connect_client(),
+        [harness.connect_engine(), harness.connect_engine("e2")],
+    )
+    harness.send(client, request_frame(1, patience="600"))
     harness.pass_time(7000)
-    assert harness.answers(client)[0][2] != b"\1"
+    assert harness.receive_answers(client)[0][2] != b"\1"
     for engine in engines:
-        harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+        harness.send_engine_command(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     cut = balanced(harness)
     row = cut["offerings"]["quick"]
     assert (row["taken"], row["open"], row["out"], row["served"]) == (1, 0, 0, 0)
@@ -305,33 +308,38 @@
         events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
         limits={"secondCopies": True, "mostTries": 3},
     )
-    client, engines = harness.client(), [harness.engine(), harness.engine("e2")]
-    harness.ask(client, request_frame(1))
+    client, engines = (
+        harness.connect_client(),
+        [harness.connect_engine(), harness.connect_engine("e2")],
+    )
+    harness.send(client, request_frame(1))
     request = harness.socket_host.open_requests[T1]
     harness.socket_host.gateway.hedging.retry_elsewhere(request.attempts[0])
     harness.socket_host.gateway.admission.fill_slots()
     harness.turn()
     assert len(request.attempts) == 2 and balanced(harness)["offerings"]["quick"]["copies"] == 1
     for engine in engines:
-        harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+        harness.send_engine_command(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     row = balanced(harness)["offerings"]["quick"]
     assert (row["served"], row["firsts"], row["copies"], row["out"]) == (1, 1, 1, 0)
-    assert [frame[2] for frame in harness.answers(client)] == [b"\1"]
+    assert [frame[2] for frame in harness.receive_answers(client)] == [b"\1"]
 
 
 @pytest.mark.parametrize("hangs_up, reason", [(True, "cut_off"), (False, "in_time")])
 def test_a_client_that_goes_within_its_answer(hangs_up, reason):
     harness = HostHarness()
-    client, engine = harness.client(), harness.engine()
+    client, engine = harness.connect_client(), harness.connect_engine()
     link = next(iter(harness.socket_host.client_connections)).link
     link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     row, streams = "x" * 1800 + "\t\t\n", range(1, 5)
     for stream in streams:
-        harness.ask(client, request_frame(stream))
+        harness.send(client, request_frame(stream))
     for stream in streams:
-        harness.engine_says(engine, name(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3)
+        harness.send_engine_command(
+            engine, name(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3
+        )
         for n in range(1, 8):
-            harness.engine_says(engine, name(stream), "MORE", f"at={n}", row * 3)
+            harness.send_engine_command(engine, name(stream), "MORE", f"at={n}", row * 3)
     cut = balanced(harness)
     assert (
         cut["offerings"]["quick"]["open"] > 0 and not harness.socket_host.open_requests
@@ -340,7 +348,7 @@
         client.close()
     for _ in range(40):
         if not hangs_up:
-            harness.heard(client)
+            harness.receive(client)
         harness.turn()
     reasons = balanced(harness)["offerings"]["quick"]["reasons"]
     assert reasons[reason] > 0 and sum(reasons.values()) == 4 and not harness.socket_host.answering
@@ -348,12 +356,12 @@
 
 def test_what_clients_take_back_what_is_of_no_use_and_what_finds_no_room():
     harness = HostHarness(limits={"openCap": 2, "streamsPerConn": 4})
-    client, engine = harness.client(), harness.engine()
-    harness.ask(
+    client, engine = harness.connect_client(), harness.connect_engine()
+    harness.send(
         client,
         request_frame(1) + request_frame(2) + request_frame(3) + request_frame(4, route="none"),
     )
-    harness.ask(client, bytes.fromhex("050000000801000000"))
+    harness.send(client, bytes.fromhex("050000000801000000"))
     cut = balanced(harness)
     row = cut["offerings"]["quick"]
     assert (
@@ -362,15 +370,15 @@
     assert cut["offerings"]["(unusable)"]["reasons"]["unusable"] == 1
     client.close()
     harness.turn()
-    harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+    harness.send_engine_command(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     assert balanced(harness)["offerings"]["quick"]["reasons"]["client_gone"] == 1
 
 
 def test_the_end_with_much_open_and_an_id_that_comes_back():
     harness = HostHarness()
-    client = harness.client()
-    harness.engine()
-    harness.ask(client, request_frame(1) + request_frame(2) + request_frame(3))
+    client = harness.connect_client()
+    harness.connect_engine()
+    harness.send(client, request_frame(1) + request_frame(2) + request_frame(3))
     harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"state": "DELETED"})))
     harness.turn()
     harness.socket_host.on_discovery_event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
@@ -387,9 +395,9 @@
 
 def test_a_slot_that_the_gateway_does_not_get_back_is_found():
     harness = HostHarness()
-    client = harness.client()
-    harness.engine()
-    harness.ask(client, request_frame(1))
+    client = harness.connect_client()
+    harness.connect_engine()
+    harness.send(client, request_frame(1))
     harness.socket_host.engine_pools["e1"].engine.threads_in_flight += 1
     harness.socket_host.auditor.run_whole_pass()
     assert [*harness.socket_host.discrepancies.by_place] == [("engine out of step", "e1")]
@@ -582,9 +590,9 @@
     harness = HostHarness()
     path = tmp_path / "sock"
     service = accounting_service(harness, path, "<waits/>")
-    client, engine = harness.client(), harness.engine()
-    harness.ask(client, request_frame(1))
-    harness.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
+    client, engine = harness.connect_client(), harness.connect_engine()
+    harness.send(client, request_frame(1))
+    harness.send_engine_command(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     assert stat.S_ISSOCK(os.stat(path).st_mode)
     assert b'"served":1' in asked(harness, path, get("/figures"))
     assert (
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -788,15 +788,18 @@
     def serve(self, count):
         """Requests, one after the other, each with its answer, on connections of their own."""
         self.hang_up()
-        self.client, self.engine = self.harness.client(), self.harness.engine(self.tag)
+        self.client, self.engine = (
+            self.harness.connect_client(),
+            self.harness.connect_engine(self.tag),
+        )
         for _ in range(count):
             self.stream += 1
-            self.harness.ask(self.client, request_frame(self.stream))
-            self.harness.engine_says(
+            self.harness.send(self.client, request_frame(self.stream))
+            self.harness.send_engine_command(
                 self.engine, name(self.stream), "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n"
             )
-            assert self.harness.answers(self.client)[-1][2] == b"\1"
-            self.harness.heard(self.engine)
+            assert self.harness.receive_answers(self.client)[-1][2] == b"\1"
+            self.harness.receive(self.engine)
 
     def hang_up(self):
         for sock in self.client, self.engine:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -219,25 +219,25 @@
 
 
 def served(harness, client, engine, stream=1, **fields):
-    harness.ask(client, request_frame(stream, **fields))
-    return harness.heard(engine)
+    harness.send(client, request_frame(stream, **fields))
+    return harness.receive(engine)
 
 
 def test_a_submission_goes_on_unchanged_and_its_pages_come_back_in_order():
     harness = HostHarness()
-    client, engine = harness.client(), harness.engine()
+    client, engine = harness.connect_client(), harness.connect_engine()
     sent = served(harness, client, engine, body=b"select \xc3\xa9 from s_3.t")
     assert sent.startswith(b"*4\r\n$5\r\nfetch\r\n$16\r\n" + T1.encode())
     assert b"select \xc3\xa9 from s_3.t" in sent
     assert b"sort=quick,patience=29" in sent and b"op=" not in sent
-    harness.engine_says(engine, T1, "TELL", "n=advance,amount=0.5", "")
-    harness.engine_says(engine, T1, "DONE", "chunks=3,spent=120,wanted=9", "a\t\t\n")
-    assert harness.heard(engine) == command("more", T1, "1") + command("more", T1, "2")
-    assert not harness.answers(client)
-    harness.engine_says(engine, T1, "MORE", "at=2", "c\t\t\n")
-    harness.engine_says(engine, T1, "MORE", "at=1", "b\t\t\n")
-    assert harness.answers(client) == [(4, 1, b"\1", b"a\t\t\nb\t\t\nc\t\t\n")]
-    assert harness.heard(engine) == command("done", T1)
+    harness.send_engine_command(engine, T1, "TELL", "n=advance,amount=0.5", "")
+    harness.send_engine_command(engine, T1, "DONE", "chunks=3,spent=120,wanted=9", "a\t\t\n")
+    assert harness.receive(engine) == command("more", T1, "1") + command("more", T1, "2")
+    assert not harness.receive_answers(client)
+    harness.send_engine_command(engine, T1, "MORE", "at=2", "c\t\t\n")
+    harness.send_engine_command(engine, T1, "MORE", "at=1", "b\t\t\n")
+    assert harness.receive_answers(client) == [(4, 1, b"\1", b"a\t\t\nb\t\t\nc\t\t\n")]
+    assert harness.receive(engine) == command("done", T1)
     assert (
         not harness.logged
         and harness.socket_host.result_memory.reserved_bytes
@@ -280,40 +280,43 @@
     stream, code, fields
 ):
     harness = HostHarness()
-    client, engine = harness.client(), harness.engine()
+    client, engine = harness.connect_client(), harness.connect_engine()
     assert served(
-        harness, harness.client(), engine, 7
+        harness, harness.connect_client(), engine, 7
     )  # its id stands for it, whoever else names it
     if "patience" in fields and fields["patience"] is None:
         fields = {**fields, "patience": ""}
-    harness.ask(client, request_frame(stream, **fields))
-    assert [answer[:3] for answer in harness.answers(client)] == [(4, stream, code)]
+    harness.send(client, request_frame(stream, **fields))
+    assert [answer[:3] for answer in harness.receive_answers(client)] == [(4, stream, code)]
     assert served(
         harness, client, engine, 2, patience="5002"
     )  # Danger: an honest one, a little over
-    harness.ask(client, bytes.fromhex("05000000630900000005000000100a000000"))
-    assert [answer[:3] for answer in harness.answers(client)] == [(4, 0, b"\3"), (32, 10, b"\1")]
+    harness.send(client, bytes.fromhex("05000000630900000005000000100a000000"))
+    assert [answer[:3] for answer in harness.receive_answers(client)] == [
+        (4, 0, b"\3"),
+        (32, 10, b"\1"),
+    ]
 
 
 def test_what_is_taken_back_or_makes_no_sense_in_one_go_reaches_no_engine():
     harness = HostHarness()
-    engine = harness.engine()
+    engine = harness.connect_engine()
     taken_back = b"".join(
         bytes.fromhex("0500000008") + k.to_bytes(4, "little") for k in range(1, 31)
     )
     for n, last in enumerate([taken_back, b"\0\0\0\0", request_frame(30)], 1):
-        client = harness.client()
+        client = harness.connect_client()
         sent = [
             request_frame(k, trace=name(100 * n + k), body=b"from s_3.t" + b" " * 600)
             for k in range(1, 31)
         ]
-        harness.ask(client, b"".join(sent) + last)
+        harness.send(client, b"".join(sent) + last)
         client.close()
-    assert b"fetch" not in harness.heard(engine) and not harness.socket_host.in_flight_attempts
-    client = harness.client()
+    assert b"fetch" not in harness.receive(engine) and not harness.socket_host.in_flight_attempts
+    client = harness.connect_client()
     client.sendall(request_frame(1) + request_frame(2)[:50])
     harness.pass_time(150)  # what is behind it does not hold it up for long
-    assert harness.heard(engine).count(b"fetch") == 1
+    assert harness.receive(engine).count(b"fetch") == 1
 
 
 TURNED_OUT = [  # what a client sends, how much later the rest of it, the answers before the reason
@@ -342,17 +345,17 @@
     sent, answered
 ):
     harness = HostHarness()
-    good, bad, engine = harness.client(), harness.client(), harness.engine()
-    harness.ask(good, bytes.fromhex("05000000100a000000"))
+    good, bad, engine = harness.connect_client(), harness.connect_client(), harness.connect_engine()
+    harness.send(good, bytes.fromhex("05000000100a000000"))
     for piece in sent:
-        harness.ask(bad, piece)
+        harness.send(bad, piece)
         harness.time += (
             400 if len(sent) == 40 else 0
         )  # dripped: each byte is a sign, the frame is none
     if sent:
-        harness.ask(bad, b"x" * 9)  # it still sends: its last answer must not be lost for that
+        harness.send(bad, b"x" * 9)  # it still sends: its last answer must not be lost for that
     harness.pass_time(27_000)
-    answers = harness.answers(bad)
+    answers = harness.receive_answers(bad)
     assert [answer[1] for answer in answers] == [*answered, 0] and {a[2] for a in answers} <= {
         b"\2",
         b"\3",
@@ -370,29 +373,29 @@
 
 def test_connections_that_say_nothing_give_way_but_none_that_is_owed_an_answer():
     harness = HostHarness(sockets=32)
-    socket_host, engine = harness.socket_host, harness.engine()
-    owed, once, silent, unread = (harness.client() for _ in range(4))
+    socket_host, engine = harness.socket_host, harness.connect_engine()
+    owed, once, silent, unread = (harness.connect_client() for _ in range(4))
     served(harness, owed, engine, 1)
     served(harness, once, engine, 2)
-    harness.engine_says(engine, name(2), "DONE", "chunks=1", "a\t\t\n")
+    harness.send_engine_command(engine, name(2), "DONE", "chunks=1", "a\t\t\n")
     harness.pass_time(600)
     unread.sendall(b"x")
     assert socket_host.make_room()
     harness.turn()
-    assert len(harness.answers(once)) == 1 and once.recv(9) == silent.recv(9) == b""
+    assert len(harness.receive_answers(once)) == 1 and once.recv(9) == silent.recv(9) == b""
     harness.pass_time(
         600
     )  # what crossed the end is read and dropped: a close over it would be a reset
     unread.sendall(b"x")
     assert len(socket_host.client_connections) == 2 and not socket_host.make_room()
-    harness.engine_says(engine, name(1), "DONE", "chunks=1", "a\t\t\n")
-    assert harness.answers(owed)[0][2] == b"\1"
+    harness.send_engine_command(engine, name(1), "DONE", "chunks=1", "a\t\t\n")
+    assert harness.receive_answers(owed)[0][2] == b"\1"
 
 
 def test_a_length_is_a_claim_and_holds_no_memory():
     harness = HostHarness()
     for _ in range(50):
-        harness.ask(harness.client(), (262_144).to_bytes(4, "little") + b"\2")
+        harness.send(harness.connect_client(), (262_144).to_bytes(4, "little") + b"\2")
     assert harness.socket_host.client_ring_memory.reserved_bytes == 0
 
 
@@ -421,7 +424,7 @@
 
     def tell(self, port, n, **more):
         event = json.dumps(listing(n, {**more}, full=False))
-        self.harness.ask(self.ends[port][-1], f"id: {n}\ndata: {event}\n\n".encode())
+        self.harness.send(self.ends[port][-1], f"id: {n}\ndata: {event}\n\n".encode())
 
     def reload(self, text="", **changes):
         self.file.write_text(text or json.dumps({**self.said, **changes}))
@@ -432,13 +435,13 @@
 def test_a_new_configuration_moves_the_feed_and_disturbs_nothing(monkeypatch, tmp_path):
     harness = HostHarness()
     client, engine, feeds = (
-        harness.client(),
-        harness.engine(),
+        harness.connect_client(),
+        harness.connect_engine(),
         Feeds(harness, monkeypatch, tmp_path),
     )
     assert served(harness, client, engine)
     assert b"Last-Event-ID: 1\r\n" in feeds.ends[2][0].recv(999)
-    harness.ask(feeds.ends[2][0], b"HTTP/1.1 200 OK\r\n\r\n")
+    harness.send(feeds.ends[2][0], b"HTTP/1.1 200 OK\r\n\r\n")
     feeds.tell(2, 2, id="e2")
     feeds.ends[2][0].sendall(b"id: 3\nda")
     for said in (
@@ -455,11 +458,11 @@
         feeds.reload(feed=f"127.0.0.1:{port}", limits={"sockets": 500})
         assert b"Last-Event-ID: 2\r\n" in feeds.ends[port][-1].recv(999)
     assert "limits.sockets changed" in harness.logged[3] and feeds.ends[2][0].recv(9) == b""
-    harness.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
+    harness.send(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
     feeds.tell(2, 3, id="e2", state="DRAINING")
     assert harness.socket_host.engine_pools["e2"].engine.state == EngineState.DRAINING
-    harness.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
-    assert harness.answers(client)[0][2] == b"\1" and feeds.ends[3][0].recv(9) == b""
+    harness.send_engine_command(engine, T1, "DONE", "chunks=1", "a\t\t\n")
+    assert harness.receive_answers(client)[0][2] == b"\1" and feeds.ends[3][0].recv(9) == b""
 
 
 def test_a_feed_that_breaks_or_stops_is_asked_again_in_time_and_repeats_are_left_out(
@@ -468,7 +471,7 @@
     harness = HostHarness()
     feeds = Feeds(harness, monkeypatch, tmp_path)
     for turn in range(3):
-        harness.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
+        harness.send(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
         for _ in range(2):
             feeds.tell(2, 2 + turn, id=f"e{turn}")
         harness.pass_time(12_000)
@@ -478,16 +481,16 @@
         assert (
             len(feeds.ends[2]) == 2 + turn and harness.socket_host.last_event == 2 + turn
         )  # at once
-    harness.ask(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
+    harness.send(feeds.ends[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
     harness.pass_time(17_500)  # it stays open and says nothing
     assert len(feeds.ends[2]) == 5 and f"Last-Event-ID: {4}".encode() in feeds.ends[2][-1].recv(999)
 
 
 def test_more_than_the_open_streams_are_refused():
     harness = HostHarness()
-    client = harness.client()
-    harness.ask(client, b"".join(request_frame(n) for n in range(1, 36)))  # in one piece
-    assert [answer[1] for answer in harness.answers(client)] == [33, 34, 35]
+    client = harness.connect_client()
+    harness.send(client, b"".join(request_frame(n) for n in range(1, 36)))  # in one piece
+    assert [answer[1] for answer in harness.receive_answers(client)] == [33, 34, 35]
 
 
 STAGES = [  # what the engine does, and what the client then hears at once
@@ -506,18 +509,21 @@
 @pytest.mark.parametrize("says, code, again", STAGES)
 def test_only_proof_that_it_never_ran_lets_an_irreversible_one_go_again(says, code, again):
     harness = HostHarness([listing(1, {}, {"id": "e2"})])
-    client, engines = harness.client(), {tag: harness.engine(tag) for tag in ("e1", "e2")}
-    harness.ask(client, request_frame(route="once"))
-    first = next(tag for tag, sock in engines.items() if harness.heard(sock))
+    client, engines = (
+        harness.connect_client(),
+        {tag: harness.connect_engine(tag) for tag in ("e1", "e2")},
+    )
+    harness.send(client, request_frame(route="once"))
+    first = next(tag for tag, sock in engines.items() if harness.receive(sock))
     for parts in says:
-        harness.engine_says(engines[first], *parts)
+        harness.send_engine_command(engines[first], *parts)
     if not says:
         engines[first].close()
         harness.turn()
         code = b"\3"  # written, then broken: it may have run
     other = engines["e2" if first == "e1" else "e1"]
-    assert [answer[2] for answer in harness.answers(client)] == [code][: len(code)]
-    assert harness.heard(other).count(b"fetch") == again
+    assert [answer[2] for answer in harness.receive_answers(client)] == [code][: len(code)]
+    assert harness.receive(other).count(b"fetch") == again
 
 
 DONE, MORE = command(T1, "DONE", "chunks=1", ROW), command(T1, "MORE", "at=1", ROW)
@@ -561,53 +567,53 @@
 @pytest.mark.parametrize("said, later, good", PEERS)
 def test_what_an_engine_spoils_goes_elsewhere_and_what_it_adds_harms_nothing(said, later, good):
     harness = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
-    client, engine = harness.client(), harness.engine()
-    harness.ask(client, request_frame(1) + request_frame(2))
-    assert harness.heard(engine).count(b"fetch") == 2
+    client, engine = harness.connect_client(), harness.connect_engine()
+    harness.send(client, request_frame(1) + request_frame(2))
+    assert harness.receive(engine).count(b"fetch") == 2
     harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
-    other = harness.engine("e2")
-    harness.ask(engine, said)
+    other = harness.connect_engine("e2")
+    harness.send(engine, said)
     harness.pass_time(later)
-    answers, again = harness.answers(client), harness.heard(other)
+    answers, again = harness.receive_answers(client), harness.receive(other)
     if good:
         assert (
             answers[0][:3] == (4, 1, b"\1")
             and len(harness.socket_host.engine_pools["e1"].links) == 1
             and not again
         )
-        harness.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
-        assert harness.answers(client) == [(4, 2, b"\1", ROW.encode())]
+        harness.send_engine_command(engine, name(2), "DONE", "chunks=1", ROW)
+        assert harness.receive_answers(client) == [(4, 2, b"\1", ROW.encode())]
     else:  # found well before its expiry; both have run, and are tried again at once
         assert (
             not answers
             and not harness.socket_host.engine_pools["e1"].links
             and again.count(b"fetch") == 2
         )
-        harness.engine_says(other, T1, "DONE", "chunks=1", ROW)
-        assert harness.answers(client) == [(4, 1, b"\1", ROW.encode())]
+        harness.send_engine_command(other, T1, "DONE", "chunks=1", ROW)
+        assert harness.receive_answers(client) == [(4, 1, b"\1", ROW.encode())]
     assert harness.socket_host.result_memory.reserved_bytes == 0
 
 
 def test_a_page_that_does_not_come_sends_its_submission_elsewhere_and_leaves_the_link_to_the_others():
     harness = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
-    client, engine = harness.client(), harness.engine()
-    harness.ask(client, request_frame(1) + request_frame(2))
+    client, engine = harness.connect_client(), harness.connect_engine()
+    harness.send(client, request_frame(1) + request_frame(2))
     harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
-    other = harness.engine("e2")
-    harness.ask(engine, TWO.replace(b"chunks=2", b"chunks=3"))
+    other = harness.connect_engine("e2")
+    harness.send(engine, TWO.replace(b"chunks=2", b"chunks=3"))
     harness.pass_time(2_000)
-    harness.ask(engine, MORE)
+    harness.send(engine, MORE)
     harness.pass_time(2_000)
-    assert not harness.heard(other)  # a page came; the next has its time too
+    assert not harness.receive(other)  # a page came; the next has its time too
     harness.pass_time(3_500)
-    assert not harness.heard(other)  # Danger: it may stand still, and go on with that page first
-    harness.engine_says(engine, name(2), "TELL", "-", "")
+    assert not harness.receive(other)  # Danger: it may stand still, and go on with that page first
+    harness.send_engine_command(engine, name(2), "TELL", "-", "")
     harness.pass_time(2_500)
-    assert command("done", T1) in harness.heard(engine) and T1.encode() in harness.heard(other)
-    harness.engine_says(engine, T1, "MORE", "at=2", ROW)  # too late, and no harm
-    harness.engine_says(engine, name(2), "DONE", "chunks=1", ROW)
-    harness.engine_says(other, T1, "DONE", "chunks=1", ROW)
-    assert [answer[1:3] for answer in harness.answers(client)] == [(2, b"\1"), (1, b"\1")]
+    assert command("done", T1) in harness.receive(engine) and T1.encode() in harness.receive(other)
+    harness.send_engine_command(engine, T1, "MORE", "at=2", ROW)  # too late, and no harm
+    harness.send_engine_command(engine, name(2), "DONE", "chunks=1", ROW)
+    harness.send_engine_command(other, T1, "DONE", "chunks=1", ROW)
+    assert [answer[1:3] for answer in harness.receive_answers(client)] == [(2, b"\1"), (1, b"\1")]
 
 
 def test_what_an_engine_tells_no_more_of_goes_elsewhere_before_its_expiry():
@@ -615,35 +621,35 @@
         [listing(1, {}, {"id": "e2", "state": "DRAINING"})],
         extra={**STATED_ON_SOCKETS["extra"], "tellsEveryUs": 300_000},
     )
-    client, engine = harness.client(), harness.engine()
-    harness.ask(client, request_frame(1) + request_frame(2))
+    client, engine = harness.connect_client(), harness.connect_engine()
+    harness.send(client, request_frame(1) + request_frame(2))
     harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
-    other = harness.engine("e2")
+    other = harness.connect_engine("e2")
     harness.pass_time(9_500)
-    harness.engine_says(engine, name(2), "TELL", "-", "")
-    assert not harness.heard(other)  # Danger: it stood still, and may tell of the other next
+    harness.send_engine_command(engine, name(2), "TELL", "-", "")
+    assert not harness.receive(other)  # Danger: it stood still, and may tell of the other next
     for _ in range(4):
         harness.pass_time(2_400)
-        harness.engine_says(engine, name(2), "TELL", "-", "")
-    again = harness.heard(other)
+        harness.send_engine_command(engine, name(2), "TELL", "-", "")
+    again = harness.receive(other)
     assert T1.encode() in again and name(2).encode() not in again
-    assert command("abort", T1) in harness.heard(engine)
-    harness.engine_says(engine, T1, "DONE", "chunks=1", ROW)  # after its time, and no harm
-    harness.engine_says(other, T1, "DONE", "chunks=1", "b\t\t\n")
-    assert harness.answers(client) == [(4, 1, b"\1", b"b\t\t\n")]
+    assert command("abort", T1) in harness.receive(engine)
+    harness.send_engine_command(engine, T1, "DONE", "chunks=1", ROW)  # after its time, and no harm
+    harness.send_engine_command(other, T1, "DONE", "chunks=1", "b\t\t\n")
+    assert harness.receive_answers(client) == [(4, 1, b"\1", b"b\t\t\n")]
 
 
 def test_hand_offs_keep_apart_so_that_one_bad_answer_spoils_few():
     harness = HostHarness()
-    client, engines = harness.client(), [harness.engine(), harness.engine()]
-    harness.ask(client, b"".join(request_frame(n) for n in range(1, 5)))
-    assert [harness.heard(engine).count(b"fetch") for engine in engines] == [2, 2]
+    client, engines = harness.connect_client(), [harness.connect_engine(), harness.connect_engine()]
+    harness.send(client, b"".join(request_frame(n) for n in range(1, 5)))
+    assert [harness.receive(engine).count(b"fetch") for engine in engines] == [2, 2]
 
 
 def test_a_hand_off_that_waits_for_a_link_is_withdrawn_when_its_engine_drains():
     harness = HostHarness()
-    client = harness.client()
-    harness.ask(client, request_frame())
+    client = harness.connect_client()
+    harness.send(client, request_frame())
     (in_flight_attempt,) = harness.socket_host.in_flight_attempts.values()
     assert not harness.socket_host.on_discovery_event(
         "2", json.dumps(listing(2, {"state": "DRAINING"}, full=False))
@@ -652,27 +658,27 @@
         in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
         and not harness.socket_host.engine_pools["e1"].waiting
     )
-    engine = harness.engine()
-    assert not harness.heard(engine)  # Danger: nothing begins after a drain
+    engine = harness.connect_engine()
+    assert not harness.receive(engine)  # Danger: nothing begins after a drain
 
 
 def test_without_a_link_in_time_it_counts_as_unreached_and_is_answered_once():
     harness = HostHarness()
-    client = harness.client()
-    harness.ask(client, request_frame(route="once"))
+    client = harness.connect_client()
+    harness.send(client, request_frame(route="once"))
     harness.pass_time(4 * SECOND)
-    assert [answer[:3] for answer in harness.answers(client)] == [(4, 1, b"\2")]
+    assert [answer[:3] for answer in harness.receive_answers(client)] == [(4, 1, b"\2")]
     assert any(line.startswith("rest e1 unreached faults=1") for line in harness.logged)
 
 
 def test_a_hand_off_whose_own_time_ends_before_a_dial_tells_nothing_of_its_engine():
     harness = HostHarness(limits={"mostTries": 1, "streamsPerConn": 4, "dialTimeoutUs": 5_000_000})
-    client = harness.client()
-    harness.ask(client, request_frame(patience="400"))
+    client = harness.connect_client()
+    harness.send(client, request_frame(patience="400"))
     (in_flight_attempt,) = harness.socket_host.in_flight_attempts.values()
     harness.pass_time(SECOND)
     assert in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED and not harness.logged
-    assert [answer[2] for answer in harness.answers(client)] == [b"\2"]
+    assert [answer[2] for answer in harness.receive_answers(client)] == [b"\2"]
 
 
 def test_no_descriptor_for_a_dial_is_a_value(monkeypatch):
@@ -685,8 +691,8 @@
 
 def test_an_id_of_an_engine_that_is_gone_may_come_back():
     harness = HostHarness()
-    engine, old = harness.engine(), harness.socket_host.engine_pools["e1"]
-    harness.ask(harness.client(), request_frame())
+    engine, old = harness.connect_engine(), harness.socket_host.engine_pools["e1"]
+    harness.send(harness.connect_client(), request_frame())
     harness.socket_host.on_discovery_event("2", json.dumps(listing(2)))
     harness.socket_host.on_discovery_event(
         "3", json.dumps(listing(3, {"started_ms": 5}, full=False))
@@ -703,23 +709,23 @@
 
 def test_a_late_answer_to_one_hand_off_is_not_taken_for_the_next():
     harness = HostHarness(limits={"mostTries": 3, "streamsPerConn": 4})
-    client, engine = harness.client(), harness.engine()
+    client, engine = harness.connect_client(), harness.connect_engine()
     served(harness, client, engine, patience="500")
     harness.pass_time(SECOND)
-    assert harness.heard(engine) == command("abort", T1)  # Danger: it works on until it hears
-    assert [answer[2] for answer in harness.answers(client)] == [b"\2"]
-    harness.ask(client, request_frame(2, trace=T1))
-    assert not harness.heard(engine)  # the same id: another link
-    second = harness.engine()
-    harness.engine_says(engine, T1, "DONE", "chunks=1", "old\t\t\n")
-    assert not harness.answers(client) and b"fetch" in harness.heard(second)
-    harness.engine_says(second, T1, "DONE", "chunks=1", "new\t\t\n")
-    assert harness.answers(client) == [(4, 2, b"\1", b"new\t\t\n")]
+    assert harness.receive(engine) == command("abort", T1)  # Danger: it works on until it hears
+    assert [answer[2] for answer in harness.receive_answers(client)] == [b"\2"]
+    harness.send(client, request_frame(2, trace=T1))
+    assert not harness.receive(engine)  # the same id: another link
+    second = harness.connect_engine()
+    harness.send_engine_command(engine, T1, "DONE", "chunks=1", "old\t\t\n")
+    assert not harness.receive_answers(client) and b"fetch" in harness.receive(second)
+    harness.send_engine_command(second, T1, "DONE", "chunks=1", "new\t\t\n")
+    assert harness.receive_answers(client) == [(4, 2, b"\1", b"new\t\t\n")]
 
 
 def test_a_new_engine_at_an_old_address_gets_links_of_its_own():
     harness = HostHarness()
-    engine = harness.engine()
+    engine = harness.connect_engine()
     harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"})))
     harness.turn()
     assert engine.recv(10) == b""  # the old one is closed
@@ -731,23 +737,23 @@
 
 def test_one_key_keeps_its_order_and_time_kept_back_goes_off_its_life():
     harness = HostHarness()
-    one, two, engine = harness.client(), harness.client(), harness.engine()
+    one, two, engine = harness.connect_client(), harness.connect_client(), harness.connect_engine()
     keyed = dict(route="load", entity="00ff", nonce="n1")
     sent = served(harness, one, engine, **keyed)
     assert b"op=n1" in sent
     harness.pass_time(600)
-    harness.ask(two, request_frame(1, trace=U1, **keyed))
-    assert not harness.heard(engine)
+    harness.send(two, request_frame(1, trace=U1, **keyed))
+    assert not harness.receive(engine)
     assert [
         s.time_to_deadline for c in harness.socket_host.client_connections for s in c.open.values()
     ] == [30_000, 27_500]
-    harness.engine_says(engine, T1, "DONE", "chunks=1", "a\t\t\n")
-    assert U1.encode() in harness.heard(engine)
+    harness.send_engine_command(engine, T1, "DONE", "chunks=1", "a\t\t\n")
+    assert U1.encode() in harness.receive(engine)
 
 
 def test_time_that_a_submission_may_have_waited_unread_goes_off_its_life():
     harness = HostHarness()
-    client = harness.client()
+    client = harness.connect_client()
     client.sendall(request_frame(patience="3000"))
     harness.event_loop.turn(0)
     harness.time += 300  # a long turn: between the poll that saw it and the reading
@@ -761,32 +767,35 @@
 
 def test_a_withdrawal_at_expiry_is_still_answered_an_early_one_is_not():
     harness = HostHarness()
-    client = harness.client()
-    harness.ask(client, request_frame(1) + request_frame(2))
-    harness.ask(client, bytes.fromhex("050000000801000000"))
+    client = harness.connect_client()
+    harness.send(client, request_frame(1) + request_frame(2))
+    harness.send(client, bytes.fromhex("050000000801000000"))
     harness.pass_time(29_600)
-    harness.ask(client, bytes.fromhex("050000000802000000"))
-    assert [answer[1] for answer in harness.answers(client)] == [2]
+    harness.send(client, bytes.fromhex("050000000802000000"))
+    assert [answer[1] for answer in harness.receive_answers(client)] == [2]
 
 
 def test_all_that_is_open_is_answered_before_the_program_ends():
     harness = HostHarness()
-    client, engine = harness.client(), harness.engine()
+    client, engine = harness.connect_client(), harness.connect_engine()
     served(harness, client, engine, patience="5000")
     harness.socket_host.start_shutdown()
-    assert harness.answers(client)[0][:2] == (64, 0)
+    assert harness.receive_answers(client)[0][:2] == (64, 0)
     harness.pass_time(SECOND // 2)
-    late = harness.client()
-    harness.ask(
+    late = harness.connect_client()
+    harness.send(
         late, request_frame(1, trace=U1, patience="5000") + bytes.fromhex("050000001002000000")
     )
-    assert [answer[:3] for answer in harness.answers(late)] == [(64, 0, b""), (32, 2, b"\2")]
+    assert [answer[:3] for answer in harness.receive_answers(late)] == [
+        (64, 0, b""),
+        (32, 2, b"\2"),
+    ]
     for _ in range(4):
         harness.pass_time(SECOND // 2)
-        harness.engine_says(engine, "alive-1", "FIT", "-", "")
-    harness.engine_says(engine, U1, "DONE", "chunks=1", "a\t\t\n")
+        harness.send_engine_command(engine, "alive-1", "FIT", "-", "")
+    harness.send_engine_command(engine, U1, "DONE", "chunks=1", "a\t\t\n")
     harness.pass_time(2 * SECOND)
-    answers = harness.answers(client) + harness.answers(late)
+    answers = harness.receive_answers(client) + harness.receive_answers(late)
     assert [answer[1:3] for answer in answers] == [
         (1, b"\2"),
         (1, b"\1"),
@@ -795,17 +804,17 @@
 
 def test_what_lies_unread_at_the_end_is_answered_first():
     harness = HostHarness()
-    client = harness.client()
-    harness.ask(client, bytes.fromhex("05000000100a000000"))
+    client = harness.connect_client()
+    harness.send(client, bytes.fromhex("05000000100a000000"))
     harness.socket_host.start_shutdown()
     harness.turn()
     harness.socket_host.shutdown_deadline = harness.socket_host.now + 5_000
-    harness.answers(client)
+    harness.receive_answers(client)
     client.sendall(request_frame())
     harness.socket_host.continue_shutdown()
     assert not harness.event_loop.stopped
     harness.pass_time(SECOND)
-    assert [answer[1:3] for answer in harness.answers(client)] == [
+    assert [answer[1:3] for answer in harness.receive_answers(client)] == [
         (1, b"\2")
     ] and harness.event_loop.stopped
 
@@ -816,8 +825,8 @@
     gc.collect()
     gc.disable()
     for n in range(1, 1201):
-        engine = harness.engine(f"e{n}")
-        client = harness.client()
+        engine = harness.connect_engine(f"e{n}")
+        client = harness.connect_client()
         sent = request_frame(
             1,
             trace=name(n),
@@ -827,10 +836,10 @@
             patience="1000",
             body=b"select * from s_%d.t" % n,
         )
-        harness.ask(client, sent + (b"\xff" * 9 if n % 5 == 0 else b""))
+        harness.send(client, sent + (b"\xff" * 9 if n % 5 == 0 else b""))
         if n % 3:
             says = ("DONE", "chunks=1", ROW) if n % 2 else ("BROKE", "-", "")
-            harness.engine_says(engine, name(n), *says)
+            harness.send_engine_command(engine, name(n), *says)
         event = listing(n + 1, {"id": f"e{n}", "state": "DELETED"}, {"id": f"e{n + 1}"}, full=False)
         assert not harness.socket_host.on_discovery_event("", json.dumps(event))
         client.close()
@@ -855,12 +864,14 @@
 def test_clients_that_do_not_read_cannot_fill_the_memory():
     harness = HostHarness()
     harness.socket_host.result_memory.limit_bytes = 300_000
-    client, engine = harness.client(), harness.engine()
+    client, engine = harness.connect_client(), harness.connect_engine()
     client_connection = next(iter(harness.socket_host.client_connections))
     client_connection.link.machine.outward.max_bytes = 5_000
     for n in range(1, 20):
-        harness.ask(client, request_frame(n, patience="4000"))
-        harness.engine_says(engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n")
+        harness.send(client, request_frame(n, patience="4000"))
+        harness.send_engine_command(
+            engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n"
+        )
     waiting = sum(len(piece) for entry in client_connection.waiting_answers for piece in entry[2])
     assert 0 < waiting <= 300_000 and harness.socket_host.result_memory.reserved_bytes == waiting
     client.close()
@@ -873,9 +884,9 @@
 
 def test_a_silent_link_is_asked_for_a_sign_before_the_engine_would_close_it():
     harness = HostHarness(limits={"connIdleUs": 3_000_000})
-    engine = harness.engine()
+    engine = harness.connect_engine()
     harness.pass_time(2 * SECOND)
-    assert harness.heard(engine).startswith(command("alive", "alive-1"))
+    assert harness.receive(engine).startswith(command("alive", "alive-1"))
 
 
 @pytest.mark.parametrize(
@@ -978,14 +989,14 @@
     EnginePool.dial = dial
     harness.turn()
     assert dialled == []  # hundreds of gateways that dial all engines ahead cost more than they ask
-    client = harness.client()
-    harness.ask(client, request_frame(1))
+    client = harness.connect_client()
+    harness.send(client, request_frame(1))
     assert len(dialled) == 1
-    engine = harness.engine(dialled[0])
+    engine = harness.connect_engine(dialled[0])
     harness.turn()
     assert len(dialled) == 1 and b"fetch" in engine.recv(4096)
     for stream in (3, 5, 7):  # of four, two at least share a link
-        harness.ask(client, request_frame(stream))
+        harness.send(client, request_frame(stream))
     assert len(dialled) > 1
 
 
@@ -1008,32 +1019,36 @@
 
 def test_of_one_key_the_one_that_was_read_first_is_told_first_whatever_lies_behind_it(monkeypatch):
     harness = HostHarness()
-    engine, one, other = harness.engine(), harness.client(), harness.client()
+    engine, one, other = (
+        harness.connect_engine(),
+        harness.connect_client(),
+        harness.connect_client(),
+    )
     busy = []
     monkeypatch.setattr(clients, "unread_byte_count", lambda sock: sock in busy)
     busy += [
         client_connection.link.sock for client_connection in harness.socket_host.client_connections
     ][:1]  # more lies there, all the time
-    harness.ask(one, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
-    assert name(1).encode() not in harness.heard(engine)
-    harness.ask(other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
-    said = harness.heard(engine)
+    harness.send(one, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
+    assert name(1).encode() not in harness.receive(engine)
+    harness.send(other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
+    said = harness.receive(engine)
     assert name(1).encode() in said and name(2).encode() not in said  # it waits for its turn
     assert not harness.socket_host.unsubmitted_by_order_key
     harness.pass_time(SECOND // 10)
-    assert harness.heard(engine).count(b"fetch") == 0
+    assert harness.receive(engine).count(b"fetch") == 0
 
 
 def test_a_withdrawal_at_expiry_of_what_the_gateway_never_heard_of_is_answered_and_it_never_does(
     monkeypatch,
 ):
     harness = HostHarness()
-    engine, client = harness.engine(), harness.client()
+    engine, client = harness.connect_engine(), harness.connect_client()
     monkeypatch.setattr(
         clients, "unread_byte_count", lambda sock: 1
     )  # more lies there, all the time
-    harness.ask(client, request_frame(1, patience="40"))
-    harness.ask(client, bytes.fromhex("050000000801000000"))
-    assert [answer[1:3] for answer in harness.answers(client)] == [(1, b"\2")]
+    harness.send(client, request_frame(1, patience="40"))
+    harness.send(client, bytes.fromhex("050000000801000000"))
+    assert [answer[1:3] for answer in harness.receive_answers(client)] == [(1, b"\2")]
     harness.pass_time(SECOND)
-    assert not harness.socket_host.gateway.queues and harness.heard(engine) == b""
+    assert not harness.socket_host.gateway.queues and harness.receive(engine) == b""
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -354,11 +354,11 @@
         folder = tmp_path / str(turn)
         before = HostHarness(events=TWO_HALLS, profiles=LABELLED_BY_HALL)
         service = start_service(folder, before)
-        client = before.client()
-        sockets = {tag: before.engine(tag) for tag in ("e1", "e2")}
+        client = before.connect_client()
+        sockets = {tag: before.connect_engine(tag) for tag in ("e1", "e2")}
         body = b"select * from s_%d.t" % turn
-        before.ask(client, request_frame(1, route="load", nonce=NONCE, entity="5", body=body))
-        first = next(tag for tag, sock in sockets.items() if before.heard(sock))
+        before.send(client, request_frame(1, route="load", nonce=NONCE, entity="5", body=body))
+        first = next(tag for tag, sock in sockets.items() if before.receive(sock))
         settled(before, lambda: any(path.stat().st_size for path in folder.glob("n.effects.*")))
         service.writer.process.stdin.close()
         service.writer.process.wait(5)
@@ -367,14 +367,15 @@
         again = start_service(folder, after)
         assert any("effects=1 unsettled=1" in line for line in after.logged)
         other = {"e1": "e2", "e2": "e1"}[first]
-        sockets = {tag: after.engine(tag) for tag in (other, first)}
+        sockets = {tag: after.connect_engine(tag) for tag in (other, first)}
         after.socket_host.engine_pools[
             first
         ].engine.threads_in_flight = 99  # whatever the load: only there is its mark known
-        after.ask(
-            after.client(), request_frame(1, route="load", nonce=NONCE, entity="6", body=body)
+        after.send(
+            after.connect_client(),
+            request_frame(1, route="load", nonce=NONCE, entity="6", body=body),
         )
-        assert b"fetch" not in after.heard(sockets[other])
+        assert b"fetch" not in after.receive(sockets[other])
         request = next(iter(after.socket_host.open_requests.values()), None)
         assert request is None or [each.engine.name for each in request.earlier_attempts] == [first]
         again.end()
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -89,7 +89,7 @@
     )
     def asks_for(self, route, new, patience, turns):
         if new or not self.clients:
-            self.clients.append(Client(self.harness.client()))
+            self.clients.append(Client(self.harness.connect_client()))
         client = self.clients[-1]
         client.last += 1
         self.traces += 1
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -142,8 +142,8 @@
 
 def test_what_waits_for_a_link_goes_on_with_a_change_that_names_another_engine(walked):
     harness = HostHarness([listing(1, {})], instances=200)
-    client = harness.client()
-    harness.ask(client, request_frame())
+    client = harness.connect_client()
+    harness.send(client, request_frame())
     mine, its = socket.socketpair()
     engine_pool = harness.socket_host.engine_pools["e1"]
     link = engines.EngineConnection(engine_pool, its)
@@ -189,7 +189,7 @@
             engine_pool.dialling = False
             engine_pool.fill()
         self.client, self.whole, self.stream, self.states = (
-            self.harness.client(),
+            self.harness.connect_client(),
             whole,
             0,
             dict.fromkeys(range(1, 9)),
@@ -231,7 +231,7 @@
             if (
                 not self.socket_host.client_connections
             ):  # an idle one gives way where there are no descriptors
-                self.client = self.harness.client()
+                self.client = self.harness.connect_client()
             self.stream += 1
             self.client.sendall(request_frame(self.stream, patience="900"))
         self.harness.turn()
@@ -245,7 +245,7 @@
             except (BlockingIOError, ConnectionError):
                 pass
         self.harness.turn()
-        self.trace.append(("answers", len(self.harness.answers(self.client))))
+        self.trace.append(("answers", len(self.harness.receive_answers(self.client))))
 
     def over(self):
         engines.dial = self.kept
@@ -273,21 +273,21 @@
 
 def test_a_dial_costs_no_walk_over_all_engines(walked):
     harness = HostHarness([listing(1, *many(50))], sockets=90, instances=200)
-    ends = [harness.engine(f"e{n}") for n in range(1, 21)]
-    client = harness.client()
+    ends = [harness.connect_engine(f"e{n}") for n in range(1, 21)]
+    client = harness.connect_client()
     walked(harness)
     assert (
         harness.socket_host.has_descriptor_left(True)
         and harness.socket_host.max_links_per_engine() >= 2
     )
     for n in range(1, 9):
-        harness.ask(client, request_frame(n))
+        harness.send(client, request_frame(n))
     assert Walked.walks == 0 and len(harness.socket_host.links) == len(ends)
 
 
 def test_links_that_end_are_counted_no_more():
     harness = HostHarness([listing(1, *many(3))], instances=200)
-    socks = [harness.engine(tag) for tag in ("e1", "e1", "e2")]
+    socks = [harness.connect_engine(tag) for tag in ("e1", "e1", "e2")]
     assert len(harness.socket_host.links) == 3
     socks[0].close()
     harness.turn()
@@ -311,7 +311,7 @@
 def test_while_all_engines_are_in_the_set_the_share_is_that_of_the_list(count):
     harness = HostHarness([listing(1, *many(count))], sockets=300, instances=200)
     socket_host = harness.socket_host
-    kept = harness.engine("e1")
+    kept = harness.connect_engine("e1")
     for state in "DRAINING", "DELETED", "SERVING", "DRAINING":
         changed(harness, {"id": "e1", "addr": "127.0.0.9:1", "state": state})
         assert socket_host.max_links_per_engine() == max(2, 100 // len(socket_host.engine_pools))
@@ -327,14 +327,14 @@
     harness = HostHarness([listing(1, *many(9))], sockets=32, instances=200)
     harness.socket_host.max_engine_links, ends = 3, []
     for tag in "e1", "e2", "e3":
-        ends.append(harness.engine(tag))
+        ends.append(harness.connect_engine(tag))
         harness.pass_time(100)
         harness.socket_host.engine_pools[tag].links[0].link.last_written_at = harness.event_loop.now
     held(harness, "e1", "e2", "e4")
     assert not harness.socket_host.has_descriptor_left(True)
     harness.turn()
     assert [each.engine_pool.engine.name for each in harness.socket_host.links] == ["e1", "e2"]
-    ends.append(harness.engine("e4"))
+    ends.append(harness.connect_engine("e4"))
     assert not harness.socket_host.has_descriptor_left(True)
     harness.turn()  # all in the set: the one that has been idle longest, as ever
     assert [each.engine_pool.engine.name for each in harness.socket_host.links] == ["e2", "e4"]
@@ -342,10 +342,10 @@
 
 def test_an_idle_link_outside_the_set_ends_and_one_inside_is_kept():
     harness = HostHarness([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
-    ends = [harness.engine(tag) for tag in ("e1", "e2")]
+    ends = [harness.connect_engine(tag) for tag in ("e1", "e2")]
     held(harness, "e1")
     harness.pass_time(SECOND + SECOND // 4)
-    assert harness.heard(ends[0]).startswith(command("alive", "alive-1"))
+    assert harness.receive(ends[0]).startswith(command("alive", "alive-1"))
     assert (
         ends[1].recv(100) == b"" and not harness.socket_host.engine_pools["e2"].links
     )  # closed, with nothing said before
@@ -354,25 +354,25 @@
 
 def test_a_link_of_an_engine_that_comes_back_to_the_set_is_kept():
     harness = HostHarness([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
-    end = harness.engine("e2")
+    end = harness.connect_engine("e2")
     held(harness, "e1")
     harness.pass_time(SECOND // 2)
     held(harness, "e1", "e2")
     harness.pass_time(SECOND)
-    assert harness.heard(end).startswith(command("alive", "alive-1"))
+    assert harness.receive(end).startswith(command("alive", "alive-1"))
 
 
 def test_a_link_outside_the_set_is_asked_for_signs_while_something_is_out_there():
     harness = HostHarness([listing(1, {})], limits={"connIdleUs": 1_200_000}, instances=200)
-    end, client = harness.engine(), harness.client()
-    harness.ask(client, request_frame(patience="4500"))
-    assert b"fetch" in harness.heard(end)
+    end, client = harness.connect_engine(), harness.connect_client()
+    harness.send(client, request_frame(patience="4500"))
+    assert b"fetch" in harness.receive(end)
     harness.socket_host.engine_pools["e1"].engine.in_subset = False
     harness.pass_time(SECOND // 2 + SECOND // 10)
-    assert harness.heard(end).startswith(command("alive", "alive-1"))
-    harness.engine_says(end, "alive-1", "FIT", "-", "")
-    harness.engine_says(end, name(1), "DONE", "chunks=1", "a\t\t\n")
-    assert [each[1:3] for each in harness.answers(client)] == [(1, b"\1")]
+    assert harness.receive(end).startswith(command("alive", "alive-1"))
+    harness.send_engine_command(end, "alive-1", "FIT", "-", "")
+    harness.send_engine_command(end, name(1), "DONE", "chunks=1", "a\t\t\n")
+    assert [each[1:3] for each in harness.receive_answers(client)] == [(1, b"\1")]
     harness.pass_time(2 * SECOND)
     assert not harness.socket_host.links
 
@@ -391,14 +391,14 @@
     harness = HostHarness([listing(1, {})], instances=3)
     engine_pool, found = harness.socket_host.engine_pools["e1"], dialled(harness)
     engine_pool.engine.in_subset = False
-    client = harness.client()
-    harness.ask(client, request_frame(1) + request_frame(2))
+    client = harness.connect_client()
+    harness.send(client, request_frame(1) + request_frame(2))
     assert found == ["e1"]
     engine_pool.dialling = False
-    end = harness.engine()
+    end = harness.connect_engine()
     harness.turn()
     assert (
-        harness.heard(end).count(b"fetch") == 2
+        harness.receive(end).count(b"fetch") == 2
     )  # they share it, and no further one is dialled ahead
     assert found == ["e1"]
     engine_pool.engine.in_subset = True
