--- a/benchmarks/recall.py
+++ b/benchmarks/recall.py
@@ -301,10 +301,10 @@
 
 def start():
     from corkgauge.recovery import learned_state, snapshot
-    from tests.harness import HostHarness, listing
+    from tests.harness import HostHarness, endpoint_list_event
 
     rows = [{"id": f"e{n}", "addr": f"127.0.{n // 250}.9:{n % 250 + 1}"} for n in range(1000)]
-    socket_host = HostHarness(events=[listing(1, *rows)]).socket_host
+    socket_host = HostHarness(events=[endpoint_list_event(1, *rows)]).socket_host
     for engine in socket_host.gateway.engines:
         engine.stats.slowness_samples.extend([1.5] * 8)
         engine.stats.fault_history.extend([""] * 8)
@@ -318,7 +318,7 @@
     with tempfile.NamedTemporaryFile() as file:
         file.write(data)
         file.flush()
-        again = HostHarness(events=[listing(1, *rows)]).socket_host
+        again = HostHarness(events=[endpoint_list_event(1, *rows)]).socket_host
         before = time.perf_counter()
         with open(file.name, "rb") as source:
             said = snapshot.decode(source.read(), "n", 1)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -14,14 +14,14 @@
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Request, RequestClass
 
 SECOND = 10_000
-QUICK = dict(
+QUICK_CLASS = dict(
     name="quick",
     latency_objective=SECOND,
     objective_stretch=1.0,
     time_to_deadline=5 * SECOND,
     priority_weight=1.0,
 )
-STATED = dict(
+DEFAULT_OPTIONS = dict(
     seed=7,
     gateway_number=1,
     gateway_count=2,
@@ -44,10 +44,10 @@
 class GatewayHarness:
     """Keeps every call in `calls` as (what, submission or engine tag, detail)."""
 
-    def __init__(self, request_classes=(QUICK,), engines=3, **settings):
+    def __init__(self, request_classes=(QUICK_CLASS,), engines=3, **settings):
         self.now, self.lag, self.calls, self.wakes, self.serial = 100 * SECOND, 0, [], [], 0
         self.request_classes = [RequestClass(**o) for o in request_classes]
-        options = GatewayOptions(**{**STATED, **settings})
+        options = GatewayOptions(**{**DEFAULT_OPTIONS, **settings})
         self.gateway = Gateway(self, options, self.request_classes)
         self.engines = [
             Engine(f"e{n}", b"e%d" % n, n % 2, n % 2, n, cores=8.0) for n in range(engines)
@@ -123,7 +123,7 @@
         self.calls.append(("log", line, None))
 
 
-STATED_ON_SOCKETS = {
+PLATFORM_SETTINGS = {
     "profiles": [
         {"name": "quick", "objectiveUs": 1_000_000, "deadlineUs": 5_000_000, "worth": 1.0},
         {
@@ -155,21 +155,30 @@
     "limits": {"mostTries": 3, "streamsPerConn": 4},
     "rules": {"coldShare": 0.3, "fallUs": 1_000_000},
 }
-ENGINE = {"id": "e1", "addr": "127.0.0.9:1", "zone": "east", "kind": "std", "state": "SERVING"}
+ENGINE_ENTRY = {
+    "id": "e1",
+    "addr": "127.0.0.9:1",
+    "zone": "east",
+    "kind": "std",
+    "state": "SERVING",
+}
 
 
-def listing(n, *servers, full=True):
-    return {"n": n, "members": {"full": full, "servers": [{**ENGINE, **each} for each in servers]}}
+def endpoint_list_event(n, *servers, full=True):
+    return {
+        "n": n,
+        "members": {"full": full, "servers": [{**ENGINE_ENTRY, **each} for each in servers]},
+    }
 
 
-def name(number):
+def request_id(number):
     return f"{number:016x}"
 
 
 def request_frame(stream=1, body=b"select * from s_3.t", **fields):
     fields = {
         "route": "quick",
-        "trace": name(stream),
+        "trace": request_id(stream),
         "patience": "3000",
         "customer": "acme",
         "weight": "200",
@@ -187,7 +196,7 @@
 class HostHarness:
     """A house on a fake clock; clients and engines are the other ends of socket pairs."""
 
-    def __init__(self, events=(listing(1, {}),), sockets=1024, **settings):
+    def __init__(self, events=(endpoint_list_event(1, {}),), sockets=1024, **settings):
         said = {
             "name": "n",
             "listen": "127.0.0.1:1",
@@ -195,7 +204,7 @@
             "seed": "7",
             "limits": {"sockets": sockets},
             "known": {"n": 1, "events": list(events)},
-            "settings": {**STATED_ON_SOCKETS, **settings},
+            "settings": {**PLATFORM_SETTINGS, **settings},
         }
         self.time, self.logged = 10**9, []
         self.event_loop = EventLoop(
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -56,7 +56,7 @@
 from corkgauge.recovery import attempt_records, learned_state, snapshot
 from corkgauge.recovery import log_writer as writer
 from corkgauge.recovery import service as keeping
-from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, request_frame
+from tests.harness import PLATFORM_SETTINGS, HostHarness, endpoint_list_event, request_frame
 
 FOLDER = Path(__file__).parent / "fixtures" / "landed"
 NOW = 17_000_000_000_000  # tenths of a millisecond of the date
@@ -126,9 +126,9 @@
 
     def __init__(self, name: str, votes_folder: str = "", met: bool = True) -> None:
         self.name = name
-        rules = {**STATED_ON_SOCKETS["rules"], "coldUs": 15_000_000}
+        rules = {**PLATFORM_SETTINGS["rules"], "coldUs": 15_000_000}
         self.harness = HostHarness(
-            [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules
+            [endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules
         )
         self.harness.time = NOW
         self.harness.event_loop.update_now()
@@ -138,7 +138,7 @@
             "listen": "127.0.0.1:1",
             "feed": "127.0.0.1:2",
             "seed": "7",
-            "settings": STATED_ON_SOCKETS,
+            "settings": PLATFORM_SETTINGS,
         }
         self.post = PlatformConfig(said, "")
         self.membership = RecordingSociety(
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,7 +9,7 @@
 import pytest
 
 from corkgauge.policy.records import AttemptOutcome, EngineState
-from tests.harness import QUICK, SECOND, GatewayHarness
+from tests.harness import QUICK_CLASS, SECOND, GatewayHarness
 
 ENGINE_CORES, SLOW_START_SPEED, OVERLOAD_FACTOR, WINDOW_TICKS, SLOW_START_TICKS = (
     12.0,
@@ -48,7 +48,7 @@
 
     def make_gateway_harness(self, number):
         request_classes = [
-            dict(QUICK, name=f"o{class_index}", time_to_deadline=25 * SECOND)
+            dict(QUICK_CLASS, name=f"o{class_index}", time_to_deadline=25 * SECOND)
             for class_index in range(len(self.mix))
         ]
         harness = GatewayHarness(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,9 +21,16 @@
 from corkgauge.policy.records import AttemptOutcome
 from corkgauge.testkit.fleet.parent_process import tied
 from corkgauge.testkit.fleet.ports import free_port
-from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
+from tests.harness import (
+    PLATFORM_SETTINGS,
+    SECOND,
+    HostHarness,
+    endpoint_list_event,
+    request_frame,
+    request_id,
+)
 
-ROW, T1 = "a\t\t\n", name(1)
+ROW, T1 = "a\t\t\n", request_id(1)
 REAL_DIAL = EnginePool.dial
 TAKE_BACK = bytes.fromhex("050000000801000000")
 READY_ASKED = bytes.fromhex("05000000100a000000")
@@ -135,7 +142,7 @@
 @pytest.mark.parametrize("goes", GOINGS)
 def test_no_further_attempt_begins_once_its_client_has_gone_while_the_first_was_out(goes):
     """The engine's refusal and the client's going lie unread in one turn; the refusal is read first."""
-    harness = Loopback([listing(1, {}, {"id": "e2"})])
+    harness = Loopback([endpoint_list_event(1, {}, {"id": "e2"})])
     client, client_connection = harness.connect_client()
     engines = {tag: harness.connect_engine(tag) for tag in ("e1", "e2")}
     harness.ask_and_settle(client, request_frame(), client_connection)
@@ -221,7 +228,7 @@
 
 def test_an_engine_that_has_closed_its_link_gets_nothing_written_there():
     """Danger: a request that an unsafe class sent there may have run or not, nobody knows."""
-    harness = Loopback([listing(1, {})])
+    harness = Loopback([endpoint_list_event(1, {})])
     client, client_connection = harness.connect_client()
     engine, link = harness.connect_engine()
     engine.close()
@@ -267,7 +274,7 @@
     harness.ask_and_settle(client, request_frame(), client_connection)
     assert dials.asked == [("127.0.0.9", 1)]
     assert not harness.socket_host.on_discovery_event(
-        "2", json.dumps(listing(2, {"addr": "127.0.0.9:2"}, full=False))
+        "2", json.dumps(endpoint_list_event(2, {"addr": "127.0.0.9:2"}, full=False))
     )
     dials.let += ["ECONNREFUSED", ""]
     harness.pass_time(60, 10)
@@ -279,7 +286,7 @@
 def test_a_dial_that_began_before_its_engine_started_anew_tells_nothing_of_the_new_one(
     up, monkeypatch
 ):
-    harness = Loopback([listing(1, {"started_ms": 1})])
+    harness = Loopback([endpoint_list_event(1, {"started_ms": 1})])
     dials, (client, client_connection) = Dials(harness, monkeypatch), harness.connect_client()
     harness.ask_and_settle(client, request_frame(), client_connection)
     engine_pool, (in_flight_attempt,) = (
@@ -288,7 +295,7 @@
     )
     assert len(dials.asked) == 1
     assert not harness.socket_host.on_discovery_event(
-        "2", json.dumps(listing(2, {"started_ms": 100_000}, full=False))
+        "2", json.dumps(endpoint_list_event(2, {"started_ms": 100_000}, full=False))
     )
     dials.let.append("" if up else "ECONNREFUSED")
     harness.pass_time(100, 20)
@@ -321,7 +328,7 @@
 def test_links_to_many_engines_leave_descriptors_for_the_feed_and_the_clients():
     """Danger: two to each of many engines are more than the share of the descriptors that is theirs."""
     engines = [{"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(60)]
-    harness = Loopback([listing(1, *engines)], sockets=96)
+    harness = Loopback([endpoint_list_event(1, *engines)], sockets=96)
     harness.socket_host.dials_in_progress = 0
     socket_host, kept = harness.socket_host, []
     for n in range(40):
@@ -513,7 +520,7 @@
         "name": "n",
         "listen": "127.0.0.1:1",
         "feed": "127.0.0.1:2",
-        "settings": STATED_ON_SOCKETS,
+        "settings": PLATFORM_SETTINGS,
     }
     port = free_port()
     (tmp_path / "c.json").write_text(json.dumps(said))
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -25,9 +25,9 @@
 from corkgauge.config.operator_file import read as read_operator
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.eventloop.logging import event_of
-from tests.harness import SECOND, HostHarness, listing, name, request_frame
+from tests.harness import SECOND, HostHarness, endpoint_list_event, request_frame, request_id
 
-T1 = name(1)
+T1 = request_id(1)
 
 
 class Record:
@@ -288,7 +288,7 @@
 
 
 def test_answers_that_come_late_from_an_engine_that_was_silent():
-    harness = HostHarness(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
+    harness = HostHarness(events=[endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
     client, engines = (
         harness.connect_client(),
         [harness.connect_engine(), harness.connect_engine("e2")],
@@ -305,7 +305,7 @@
 
 def test_a_copy_and_its_original_both_answer():
     harness = HostHarness(
-        events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
+        events=[endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
         limits={"secondCopies": True, "mostTries": 3},
     )
     client, engines = (
@@ -336,10 +336,10 @@
         harness.send(client, request_frame(stream))
     for stream in streams:
         harness.send_engine_command(
-            engine, name(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3
+            engine, request_id(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3
         )
         for n in range(1, 8):
-            harness.send_engine_command(engine, name(stream), "MORE", f"at={n}", row * 3)
+            harness.send_engine_command(engine, request_id(stream), "MORE", f"at={n}", row * 3)
     cut = balanced(harness)
     assert (
         cut["offerings"]["quick"]["open"] > 0 and not harness.socket_host.open_requests
@@ -379,9 +379,13 @@
     client = harness.connect_client()
     harness.connect_engine()
     harness.send(client, request_frame(1) + request_frame(2) + request_frame(3))
-    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"state": "DELETED"})))
+    harness.socket_host.on_discovery_event(
+        "2", json.dumps(endpoint_list_event(2, {"state": "DELETED"}))
+    )
     harness.turn()
-    harness.socket_host.on_discovery_event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
+    harness.socket_host.on_discovery_event(
+        "3", json.dumps(endpoint_list_event(3, {"addr": "127.0.0.9:7"}))
+    )
     harness.turn()
     balanced(harness)
     harness.socket_host.start_shutdown()
@@ -620,7 +624,11 @@
 
 def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
     harness = HostHarness(
-        events=[listing(1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(900)))]
+        events=[
+            endpoint_list_event(
+                1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(900))
+            )
+        ]
     )
     path = tmp_path / "sock"
     service = accounting_service(harness, path)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -37,7 +37,7 @@
 from corkgauge.flow_export.tls import TlsConfigurationError, client_context
 from corkgauge.testkit.emulators.collector import EmulatedCollector
 from fuzz.decoder import changed, one, seeds
-from tests.harness import HostHarness, listing, name, request_frame
+from tests.harness import HostHarness, endpoint_list_event, request_frame, request_id
 
 SECOND = 10_000
 
@@ -745,7 +745,7 @@
         memory=10**6,
         active=2,
     ):
-        self.harness = HostHarness(events=[listing(1, {})])
+        self.harness = HostHarness(events=[endpoint_list_event(1, {})])
         self.path, self.layout, self.mode, self.tls, self.memory, self.active = (
             tmp_path / "operator.xml",
             layout,
@@ -796,7 +796,7 @@
             self.stream += 1
             self.harness.send(self.client, request_frame(self.stream))
             self.harness.send_engine_command(
-                self.engine, name(self.stream), "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n"
+                self.engine, request_id(self.stream), "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n"
             )
             assert self.harness.receive_answers(self.client)[-1][2] == b"\1"
             self.harness.receive(self.engine)
@@ -942,7 +942,10 @@
     site.go_on(1)
     site.serve(2)
     site.harness.socket_host.on_discovery_event(
-        "2", __import__("json").dumps(listing(2, {"state": "DELETED"}, {"id": "e9"}, full=False))
+        "2",
+        __import__("json").dumps(
+            endpoint_list_event(2, {"state": "DELETED"}, {"id": "e9"}, full=False)
+        ),
     )
     site.tag = "e9"
     site.serve(2)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -10,14 +10,14 @@
 from corkgauge.policy.outcome_learning import OVERLOAD_STEP
 from corkgauge.policy.records import AttemptOutcome, Engine, NoteKind, Repeatability
 from corkgauge.policy.share_controller import MAX_SHARE_STEP, MIN_SHARE_FRACTION
-from tests.harness import QUICK, SECOND, GatewayHarness
+from tests.harness import QUICK_CLASS, SECOND, GatewayHarness
 
-HEAVY_CLASS = {**QUICK, "name": "heavy", "priority_weight": 6.0, "threads": 4}
+HEAVY_CLASS = {**QUICK_CLASS, "name": "heavy", "priority_weight": 6.0, "threads": 4}
 
 
 @pytest.mark.parametrize("shares", [(0.5, 0.5), (0.75, 0.25), (0.9, 0.1)])
 def test_lottery_draws_queues_in_proportion_to_their_shares(shares):
-    harness = GatewayHarness([QUICK, HEAVY_CLASS])
+    harness = GatewayHarness([QUICK_CLASS, HEAVY_CLASS])
     harness.submit_request(), harness.submit_request(1)
     queues = list(harness.gateway.queues.values())
     for queue, share in zip(queues, shares):
@@ -65,7 +65,9 @@
 
 
 def test_light_request_is_sent_while_a_heavy_one_waits():
-    harness = GatewayHarness([QUICK, {**HEAVY_CLASS, "latency_objective": 9 * SECOND}], engines=1)
+    harness = GatewayHarness(
+        [QUICK_CLASS, {**HEAVY_CLASS, "latency_objective": 9 * SECOND}], engines=1
+    )
     harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
     harness.submit_request(1, estimated_work=9 * SECOND, time_to_deadline=20 * SECOND)
     harness.pass_time(2 * SECOND)
@@ -97,7 +99,7 @@
 
 @pytest.mark.parametrize("slow_queue", [0, 1])
 def test_feedback_raises_the_share_of_the_worse_queue_by_at_most_one_step(slow_queue):
-    harness = GatewayHarness([QUICK, {**QUICK, "name": "other"}])
+    harness = GatewayHarness([QUICK_CLASS, {**QUICK_CLASS, "name": "other"}])
     requests = [harness.submit_request(0), harness.submit_request(1)]
     for index, request in enumerate(requests):
         harness.finish_attempt(
@@ -110,7 +112,7 @@
 
 
 def test_queue_without_engines_records_a_shortfall():
-    harness = GatewayHarness([QUICK, HEAVY_CLASS], engines=0)
+    harness = GatewayHarness([QUICK_CLASS, HEAVY_CLASS], engines=0)
     harness.submit_request(1)
     harness.pass_time(int(1.5 * SECOND))
     assert harness.recorded_calls("reject")
@@ -175,7 +177,7 @@
 
 
 def test_one_long_attempt_is_not_silence_and_does_not_block_a_trial():
-    harness = GatewayHarness([QUICK, HEAVY_CLASS], engines=2)
+    harness = GatewayHarness([QUICK_CLASS, HEAVY_CLASS], engines=2)
     long_request = harness.submit_request(
         1, estimated_work=8 * SECOND, time_to_deadline=30 * SECOND
     )
@@ -320,7 +322,7 @@
 
 
 def test_late_answers_raise_the_price_for_heavy_requests_and_it_decays():
-    harness = GatewayHarness([QUICK, HEAVY_CLASS], gateway_count=200)
+    harness = GatewayHarness([QUICK_CLASS, HEAVY_CLASS], gateway_count=200)
     harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
     harness.pass_time(2 * SECOND)
     for _ in range(40):
@@ -356,7 +358,7 @@
 
 
 def test_heaviest_request_is_rejected_when_an_order_key_exceeds_the_objective():
-    harness = GatewayHarness([{**QUICK, "ordered": True, "objective_stretch": 0.0}])
+    harness = GatewayHarness([{**QUICK_CLASS, "ordered": True, "objective_stretch": 0.0}])
     requests = [
         harness.submit_request(order_key=5, estimated_work=work)
         for work in (1000, 9000, 2000, 1000)
@@ -380,7 +382,7 @@
     assert (
         0
         < harness.gateway.price.current * requests[0].request_class.typical_work
-        <= QUICK["priority_weight"]
+        <= QUICK_CLASS["priority_weight"]
     )
 
 
@@ -465,7 +467,7 @@
 
 
 def test_finished_requests_leave_no_state_behind():
-    harness = GatewayHarness([{**QUICK, "ordered": True}], settle_ticks=SECOND)
+    harness = GatewayHarness([{**QUICK_CLASS, "ordered": True}], settle_ticks=SECOND)
     requests = []
     for index in range(3000):
         requests = [
@@ -547,7 +549,7 @@
         key_scope="cell",
         key_ttl=20 * SECOND,
     )
-    harness = GatewayHarness([QUICK, keyed], engines=3)
+    harness = GatewayHarness([QUICK_CLASS, keyed], engines=3)
     first = harness.submit_request(1)
     engine = first.attempts[0].engine  # the only engine of its cell
     harness.gateway.on_engine_cordon(engine, 1)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -22,10 +22,17 @@
 from corkgauge.net.engine_protocol import EngineProtocol, command
 from corkgauge.net.table_group import group_number
 from corkgauge.policy.records import AttemptOutcome, EngineState
-from tests.harness import SECOND, STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
+from tests.harness import (
+    PLATFORM_SETTINGS,
+    SECOND,
+    HostHarness,
+    endpoint_list_event,
+    request_frame,
+    request_id,
+)
 
 PLENTY, ROW = 10**7, "a\t\t\n"
-T1, U1 = name(1), name(99)
+T1, U1 = request_id(1), request_id(99)
 
 
 class Told:
@@ -273,7 +280,7 @@
         (1, b"\3", {"body": b"select \xff"}),
         (1, b"\3", {"body": b"select \0"}),
         (1, b"\3", {"body": b""}),
-        (1, b"\3", {"trace": name(7)}),
+        (1, b"\3", {"trace": request_id(7)}),
     ],
 )
 def test_what_cannot_be_served_is_answered_on_its_stream_and_the_rest_lives_on(
@@ -307,7 +314,7 @@
     for n, last in enumerate([taken_back, b"\0\0\0\0", request_frame(30)], 1):
         client = harness.connect_client()
         sent = [
-            request_frame(k, trace=name(100 * n + k), body=b"from s_3.t" + b" " * 600)
+            request_frame(k, trace=request_id(100 * n + k), body=b"from s_3.t" + b" " * 600)
             for k in range(1, 31)
         ]
         harness.send(client, b"".join(sent) + last)
@@ -366,7 +373,7 @@
         and not harness.socket_host.open_requests
     )
     assert (
-        served(harness, good, engine, 1, trace=name(500))
+        served(harness, good, engine, 1, trace=request_id(500))
         and not harness.socket_host.client_ring_memory.reserved_bytes
     )
 
@@ -377,7 +384,7 @@
     owed, once, silent, unread = (harness.connect_client() for _ in range(4))
     served(harness, owed, engine, 1)
     served(harness, once, engine, 2)
-    harness.send_engine_command(engine, name(2), "DONE", "chunks=1", "a\t\t\n")
+    harness.send_engine_command(engine, request_id(2), "DONE", "chunks=1", "a\t\t\n")
     harness.pass_time(600)
     unread.sendall(b"x")
     assert socket_host.make_room()
@@ -388,7 +395,7 @@
     )  # what crossed the end is read and dropped: a close over it would be a reset
     unread.sendall(b"x")
     assert len(socket_host.client_connections) == 2 and not socket_host.make_room()
-    harness.send_engine_command(engine, name(1), "DONE", "chunks=1", "a\t\t\n")
+    harness.send_engine_command(engine, request_id(1), "DONE", "chunks=1", "a\t\t\n")
     assert harness.receive_answers(owed)[0][2] == b"\1"
 
 
@@ -408,7 +415,7 @@
             "name": "n",
             "listen": "127.0.0.1:1",
             "feed": "127.0.0.1:2",
-            "settings": STATED_ON_SOCKETS,
+            "settings": PLATFORM_SETTINGS,
         }
         monkeypatch.setattr("corkgauge.net.discovery.dial", self.dial)
         self.source = ConfigurationReloader(
@@ -423,7 +430,7 @@
         return its, ""
 
     def tell(self, port, n, **more):
-        event = json.dumps(listing(n, {**more}, full=False))
+        event = json.dumps(endpoint_list_event(n, {**more}, full=False))
         self.harness.send(self.ends[port][-1], f"id: {n}\ndata: {event}\n\n".encode())
 
     def reload(self, text="", **changes):
@@ -508,7 +515,7 @@
 
 @pytest.mark.parametrize("says, code, again", STAGES)
 def test_only_proof_that_it_never_ran_lets_an_irreversible_one_go_again(says, code, again):
-    harness = HostHarness([listing(1, {}, {"id": "e2"})])
+    harness = HostHarness([endpoint_list_event(1, {}, {"id": "e2"})])
     client, engines = (
         harness.connect_client(),
         {tag: harness.connect_engine(tag) for tag in ("e1", "e2")},
@@ -529,7 +536,7 @@
 DONE, MORE = command(T1, "DONE", "chunks=1", ROW), command(T1, "MORE", "at=1", ROW)
 TWO = command(T1, "DONE", "chunks=2", ROW)
 PEERS = [  # what an engine writes of a first of two open there, after how long, is it served from that
-    (command(name(77), "DONE", "chunks=1", "x\t\t\n") + DONE, 0, True),
+    (command(request_id(77), "DONE", "chunks=1", "x\t\t\n") + DONE, 0, True),
     (DONE + DONE, 0, True),
     (TWO + TWO + MORE + MORE, 0, True),
     (command(T1, "TELL", "n=x,amount=y", "") + DONE, 0, True),
@@ -566,11 +573,13 @@
 
 @pytest.mark.parametrize("said, later, good", PEERS)
 def test_what_an_engine_spoils_goes_elsewhere_and_what_it_adds_harms_nothing(said, later, good):
-    harness = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
+    harness = HostHarness([endpoint_list_event(1, {}, {"id": "e2", "state": "DRAINING"})])
     client, engine = harness.connect_client(), harness.connect_engine()
     harness.send(client, request_frame(1) + request_frame(2))
     assert harness.receive(engine).count(b"fetch") == 2
-    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    harness.socket_host.on_discovery_event(
+        "2", json.dumps(endpoint_list_event(2, {"id": "e2"}, full=False))
+    )
     other = harness.connect_engine("e2")
     harness.send(engine, said)
     harness.pass_time(later)
@@ -581,7 +590,7 @@
             and len(harness.socket_host.engine_pools["e1"].links) == 1
             and not again
         )
-        harness.send_engine_command(engine, name(2), "DONE", "chunks=1", ROW)
+        harness.send_engine_command(engine, request_id(2), "DONE", "chunks=1", ROW)
         assert harness.receive_answers(client) == [(4, 2, b"\1", ROW.encode())]
     else:  # found well before its expiry; both have run, and are tried again at once
         assert (
@@ -595,10 +604,12 @@
 
 
 def test_a_page_that_does_not_come_sends_its_submission_elsewhere_and_leaves_the_link_to_the_others():
-    harness = HostHarness([listing(1, {}, {"id": "e2", "state": "DRAINING"})])
+    harness = HostHarness([endpoint_list_event(1, {}, {"id": "e2", "state": "DRAINING"})])
     client, engine = harness.connect_client(), harness.connect_engine()
     harness.send(client, request_frame(1) + request_frame(2))
-    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    harness.socket_host.on_discovery_event(
+        "2", json.dumps(endpoint_list_event(2, {"id": "e2"}, full=False))
+    )
     other = harness.connect_engine("e2")
     harness.send(engine, TWO.replace(b"chunks=2", b"chunks=3"))
     harness.pass_time(2_000)
@@ -607,32 +618,34 @@
     assert not harness.receive(other)  # a page came; the next has its time too
     harness.pass_time(3_500)
     assert not harness.receive(other)  # Danger: it may stand still, and go on with that page first
-    harness.send_engine_command(engine, name(2), "TELL", "-", "")
+    harness.send_engine_command(engine, request_id(2), "TELL", "-", "")
     harness.pass_time(2_500)
     assert command("done", T1) in harness.receive(engine) and T1.encode() in harness.receive(other)
     harness.send_engine_command(engine, T1, "MORE", "at=2", ROW)  # too late, and no harm
-    harness.send_engine_command(engine, name(2), "DONE", "chunks=1", ROW)
+    harness.send_engine_command(engine, request_id(2), "DONE", "chunks=1", ROW)
     harness.send_engine_command(other, T1, "DONE", "chunks=1", ROW)
     assert [answer[1:3] for answer in harness.receive_answers(client)] == [(2, b"\1"), (1, b"\1")]
 
 
 def test_what_an_engine_tells_no_more_of_goes_elsewhere_before_its_expiry():
     harness = HostHarness(
-        [listing(1, {}, {"id": "e2", "state": "DRAINING"})],
-        extra={**STATED_ON_SOCKETS["extra"], "tellsEveryUs": 300_000},
+        [endpoint_list_event(1, {}, {"id": "e2", "state": "DRAINING"})],
+        extra={**PLATFORM_SETTINGS["extra"], "tellsEveryUs": 300_000},
     )
     client, engine = harness.connect_client(), harness.connect_engine()
     harness.send(client, request_frame(1) + request_frame(2))
-    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"}, full=False)))
+    harness.socket_host.on_discovery_event(
+        "2", json.dumps(endpoint_list_event(2, {"id": "e2"}, full=False))
+    )
     other = harness.connect_engine("e2")
     harness.pass_time(9_500)
-    harness.send_engine_command(engine, name(2), "TELL", "-", "")
+    harness.send_engine_command(engine, request_id(2), "TELL", "-", "")
     assert not harness.receive(other)  # Danger: it stood still, and may tell of the other next
     for _ in range(4):
         harness.pass_time(2_400)
-        harness.send_engine_command(engine, name(2), "TELL", "-", "")
+        harness.send_engine_command(engine, request_id(2), "TELL", "-", "")
     again = harness.receive(other)
-    assert T1.encode() in again and name(2).encode() not in again
+    assert T1.encode() in again and request_id(2).encode() not in again
     assert command("abort", T1) in harness.receive(engine)
     harness.send_engine_command(engine, T1, "DONE", "chunks=1", ROW)  # after its time, and no harm
     harness.send_engine_command(other, T1, "DONE", "chunks=1", "b\t\t\n")
@@ -652,7 +665,7 @@
     harness.send(client, request_frame())
     (in_flight_attempt,) = harness.socket_host.in_flight_attempts.values()
     assert not harness.socket_host.on_discovery_event(
-        "2", json.dumps(listing(2, {"state": "DRAINING"}, full=False))
+        "2", json.dumps(endpoint_list_event(2, {"state": "DRAINING"}, full=False))
     )
     assert (
         in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
@@ -693,9 +706,9 @@
     harness = HostHarness()
     engine, old = harness.connect_engine(), harness.socket_host.engine_pools["e1"]
     harness.send(harness.connect_client(), request_frame())
-    harness.socket_host.on_discovery_event("2", json.dumps(listing(2)))
+    harness.socket_host.on_discovery_event("2", json.dumps(endpoint_list_event(2)))
     harness.socket_host.on_discovery_event(
-        "3", json.dumps(listing(3, {"started_ms": 5}, full=False))
+        "3", json.dumps(endpoint_list_event(3, {"started_ms": 5}, full=False))
     )
     new = harness.socket_host.engine_pools["e1"]
     engine.close()
@@ -726,7 +739,7 @@
 def test_a_new_engine_at_an_old_address_gets_links_of_its_own():
     harness = HostHarness()
     engine = harness.connect_engine()
-    harness.socket_host.on_discovery_event("2", json.dumps(listing(2, {"id": "e2"})))
+    harness.socket_host.on_discovery_event("2", json.dumps(endpoint_list_event(2, {"id": "e2"})))
     harness.turn()
     assert engine.recv(10) == b""  # the old one is closed
     assert (
@@ -829,7 +842,7 @@
         client = harness.connect_client()
         sent = request_frame(
             1,
-            trace=name(n),
+            trace=request_id(n),
             route="load",
             nonce=f"n{n}",
             entity=f"{n:x}",
@@ -839,8 +852,10 @@
         harness.send(client, sent + (b"\xff" * 9 if n % 5 == 0 else b""))
         if n % 3:
             says = ("DONE", "chunks=1", ROW) if n % 2 else ("BROKE", "-", "")
-            harness.send_engine_command(engine, name(n), *says)
-        event = listing(n + 1, {"id": f"e{n}", "state": "DELETED"}, {"id": f"e{n + 1}"}, full=False)
+            harness.send_engine_command(engine, request_id(n), *says)
+        event = endpoint_list_event(
+            n + 1, {"id": f"e{n}", "state": "DELETED"}, {"id": f"e{n + 1}"}, full=False
+        )
         assert not harness.socket_host.on_discovery_event("", json.dumps(event))
         client.close()
         engine.close()
@@ -870,7 +885,7 @@
     for n in range(1, 20):
         harness.send(client, request_frame(n, patience="4000"))
         harness.send_engine_command(
-            engine, name(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n"
+            engine, request_id(n), "DONE", "chunks=1", "\t\t" + "x" * 5_997 + "\n"
         )
     waiting = sum(len(piece) for entry in client_connection.waiting_answers for piece in entry[2])
     assert 0 < waiting <= 300_000 and harness.socket_host.result_memory.reserved_bytes == waiting
@@ -898,9 +913,9 @@
         '{"n": "x"}',
         '{"n": 2, "members": 3}',
         '{"n": 2, "members": {"servers": [{}]}}',
-        json.dumps(listing(2, {"zone": "moon"})),
-        json.dumps(listing(2, {"addr": "x"})),
-        json.dumps(listing(4, {}, full=False)),
+        json.dumps(endpoint_list_event(2, {"zone": "moon"})),
+        json.dumps(endpoint_list_event(2, {"addr": "x"})),
+        json.dumps(endpoint_list_event(4, {}, full=False)),
     ],
 )
 def test_a_feed_event_that_makes_no_sense_changes_nothing(event):
@@ -911,7 +926,7 @@
         and harness.socket_host.engine_pools["e1"].engine.state == EngineState.READY
     )
     assert not harness.socket_host.on_discovery_event(
-        "1", json.dumps(listing(1))
+        "1", json.dumps(endpoint_list_event(1))
     )  # told before: left out
 
 
@@ -929,16 +944,16 @@
         ({"known": {"n": 1, "events": 5}}, "known.events"),
         ({"settings": None}, "settings"),
         ({"settings": {}}, "profiles"),
-        ({"settings": {**STATED_ON_SOCKETS, "instances": 0}}, "instances"),
-        ({"settings": {**STATED_ON_SOCKETS, "rules": {"coldUs": -1}}}, "coldUs"),
+        ({"settings": {**PLATFORM_SETTINGS, "instances": 0}}, "instances"),
+        ({"settings": {**PLATFORM_SETTINGS, "rules": {"coldUs": -1}}}, "coldUs"),
         (
-            {"settings": {**STATED_ON_SOCKETS, "profiles": [{"effect": "x", "deadlineUs": 1}]}},
+            {"settings": {**PLATFORM_SETTINGS, "profiles": [{"effect": "x", "deadlineUs": 1}]}},
             "effect",
         ),
     ],
 )
 def test_a_faulty_configuration_is_told_by_its_key(change, key, tmp_path):
-    said = {"listen": "127.0.0.1:1", "feed": "127.0.0.1:2", "settings": STATED_ON_SOCKETS, **change}
+    said = {"listen": "127.0.0.1:1", "feed": "127.0.0.1:2", "settings": PLATFORM_SETTINGS, **change}
     (tmp_path / "c.json").write_text(json.dumps(said))
     with pytest.raises(configuration.ConfigurationError, match=key):
         from corkgauge.net.platform_frontend import PlatformFrontEnd
@@ -978,7 +993,9 @@
 
 def test_engines_are_dialled_when_something_goes_there_and_again_when_two_had_to_share():
     harness, dialled = (
-        HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=200),
+        HostHarness(
+            (endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=200
+        ),
         [],
     )
 
@@ -1008,7 +1025,9 @@
         dialled.append(engine_pool.engine.name)
         engine_pool.dialling = False
 
-    harness = HostHarness((listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3)
+    harness = HostHarness(
+        (endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2"}),), instances=3
+    )
     EnginePool.dial = dial
     for engine_pool in harness.socket_host.engine_pools.values():
         engine_pool.dialling = False
@@ -1029,11 +1048,17 @@
     busy += [
         client_connection.link.sock for client_connection in harness.socket_host.client_connections
     ][:1]  # more lies there, all the time
-    harness.send(one, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=name(1)))
-    assert name(1).encode() not in harness.receive(engine)
-    harness.send(other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=name(2)))
+    harness.send(
+        one, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=request_id(1))
+    )
+    assert request_id(1).encode() not in harness.receive(engine)
+    harness.send(
+        other, request_frame(8, route="load", entity="5", nonce="b" * 8, trace=request_id(2))
+    )
     said = harness.receive(engine)
-    assert name(1).encode() in said and name(2).encode() not in said  # it waits for its turn
+    assert (
+        request_id(1).encode() in said and request_id(2).encode() not in said
+    )  # it waits for its turn
     assert not harness.socket_host.unsubmitted_by_order_key
     harness.pass_time(SECOND // 10)
     assert harness.receive(engine).count(b"fetch") == 0
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -27,11 +27,11 @@
 from corkgauge.testkit.faults.script import read as read_script
 from corkgauge.testkit.fleet.day import Day
 from tests.harness import (
+    PLATFORM_SETTINGS,
     SECOND,
-    STATED_ON_SOCKETS,
     GatewayHarness,
     HostHarness,
-    listing,
+    endpoint_list_event,
     request_frame,
 )
 
@@ -344,9 +344,9 @@
 
 LABELLED_BY_HALL = [
     {**each, "group": "zone"} if each["name"] == "load" else each
-    for each in STATED_ON_SOCKETS["profiles"]
+    for each in PLATFORM_SETTINGS["profiles"]
 ]
-TWO_HALLS = [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2", "zone": "west"})]
+TWO_HALLS = [endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2", "zone": "west"})]
 
 
 def test_a_retry_after_a_restart_goes_only_where_its_mark_is_known(tmp_path):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,10 +3,10 @@
 import pytest
 
 from corkgauge.policy.records import AttemptOutcome, EngineState, Repeatability
-from tests.harness import QUICK, SECOND, GatewayHarness
+from tests.harness import QUICK_CLASS, SECOND, GatewayHarness
 
 ORDERED = {
-    **QUICK,
+    **QUICK_CLASS,
     "name": "ordered",
     "repeatability": Repeatability.KEYED,
     "ordered": True,
@@ -47,7 +47,7 @@
     ],
 )
 def test_retries_follow_repeatability(repeat, outcome, again, ending):
-    harness = GatewayHarness([{**QUICK, "repeatability": repeat, "key_ttl": 20 * SECOND}])
+    harness = GatewayHarness([{**QUICK_CLASS, "repeatability": repeat, "key_ttl": 20 * SECOND}])
     request = harness.submit_request()
     harness.finish_attempt(request.attempts[0], outcome)
     assert (len(request.attempts) == 2) == again
@@ -61,7 +61,7 @@
     harness = GatewayHarness(
         [
             {
-                **QUICK,
+                **QUICK_CLASS,
                 "repeatability": Repeatability.KEYED,
                 "key_ttl": 20 * SECOND,
                 "key_scope": group,
@@ -80,7 +80,9 @@
 
 
 def test_retries_stop_when_the_key_has_expired():
-    harness = GatewayHarness([{**QUICK, "repeatability": Repeatability.KEYED, "key_ttl": SECOND}])
+    harness = GatewayHarness(
+        [{**QUICK_CLASS, "repeatability": Repeatability.KEYED, "key_ttl": SECOND}]
+    )
     request = harness.submit_request()
     harness.now += SECOND
     harness.finish_attempt(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
@@ -170,7 +172,7 @@
 
 
 def test_placement_holds_when_the_allowed_are_down():
-    harness = GatewayHarness([{**QUICK, "engine_kinds": (1,)}, QUICK])
+    harness = GatewayHarness([{**QUICK_CLASS, "engine_kinds": (1,)}, QUICK_CLASS])
     harness.update_engines(harness.engines[1], state=EngineState.GONE)
     bound, free = harness.submit_request(), harness.submit_request(1)
     harness.pass_time(4 * SECOND)
@@ -194,7 +196,7 @@
 
 def test_the_key_may_have_expired_by_the_time_a_connection_is_up():
     harness = GatewayHarness(
-        [{**QUICK, "repeatability": Repeatability.KEYED, "key_ttl": 2 * SECOND}]
+        [{**QUICK_CLASS, "repeatability": Repeatability.KEYED, "key_ttl": 2 * SECOND}]
     )
     request = harness.submit_request()
     harness.finish_attempt(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from corkgauge.net.host import UnstartedHost, build_settings
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState
 from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, FEEDBACK_INTERVAL_TICKS
-from tests.harness import QUICK, GatewayHarness
+from tests.harness import QUICK_CLASS, GatewayHarness
 
 ROOT = Path(__file__).resolve().parent.parent
 SIZES = 200, 400, 800, 1_800
@@ -444,7 +444,7 @@
 def worked(engines):
     """A gateway of 870 that has worked for a while before so many engines."""
     yard = GatewayHarness(
-        [dict(QUICK, name=f"o{n}", priority_weight=1.0 + n) for n in range(2)],
+        [dict(QUICK_CLASS, name=f"o{n}", priority_weight=1.0 + n) for n in range(2)],
         engines=0,
         gateway_count=GATEWAYS,
         gateway_number=17,
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -10,7 +10,13 @@
 from corkgauge.net import engine_pool as engines
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import command
-from tests.harness import STATED_ON_SOCKETS, HostHarness, listing, name, request_frame
+from tests.harness import (
+    PLATFORM_SETTINGS,
+    HostHarness,
+    endpoint_list_event,
+    request_frame,
+    request_id,
+)
 
 REAL_DIAL = EnginePool.dial
 ROW = "a\t\t\n"
@@ -45,7 +51,7 @@
 
     def __init__(self):
         super().__init__()
-        self.harness = HostHarness([listing(1, {}, {"id": "e2"})])
+        self.harness = HostHarness([endpoint_list_event(1, {}, {"id": "e2"})])
         EnginePool.dial = REAL_DIAL
         self.kept, engines.dial = engines.dial, self.dial
         self.harness.socket_host.dials_in_progress = 0
@@ -93,7 +99,7 @@
         client = self.clients[-1]
         client.last += 1
         self.traces += 1
-        ask = Ask(client, client.last, name(self.traces), route)
+        ask = Ask(client, client.last, request_id(self.traces), route)
         more = {"nonce": f"n{self.traces}", "entity": "5"} if route == "load" else {}
         say(
             client.sock,
@@ -179,7 +185,9 @@
     )
     def tells(self, tag, state, started):
         self.event += 1
-        said = listing(self.event, {"id": tag, "state": state, "started_ms": started}, full=False)
+        said = endpoint_list_event(
+            self.event, {"id": tag, "state": state, "started_ms": started}, full=False
+        )
         assert not self.harness.socket_host.on_discovery_event("", json.dumps(said))
 
     @rule(refuse=st.booleans())
@@ -245,7 +253,7 @@
                     assert client.asks[stream].answers == 1, "a second answer"
 
 
-assert "once" in {each["name"] for each in STATED_ON_SOCKETS["profiles"]}
+assert "once" in {each["name"] for each in PLATFORM_SETTINGS["profiles"]}
 TestSequences = Sequences.TestCase
 # Drawn alike every time; a failing sequence is told as drawn, as shortening it takes minutes.
 TestSequences.settings = settings(
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,9 +13,9 @@
 from corkgauge.policy.concurrency_limit import INITIAL_THREADS_PER_CORE
 from corkgauge.policy.outlier_detection import is_trusted
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Repeatability
-from tests.harness import QUICK, SECOND, STATED_ON_SOCKETS, GatewayHarness
+from tests.harness import PLATFORM_SETTINGS, QUICK_CLASS, SECOND, GatewayHarness
 
-RARE_KIND_CLASS = {**QUICK, "name": "rare", "engine_kinds": (1,)}
+RARE_KIND_CLASS = {**QUICK_CLASS, "name": "rare", "engine_kinds": (1,)}
 
 
 def make_engines(count, rare_count=0, zone_count=5, key_format=b"s-%d"):
@@ -35,7 +35,7 @@
 
 
 def make_harness(
-    engines, gateway_number=5, gateway_count=870, request_classes=(QUICK,), **settings
+    engines, gateway_number=5, gateway_count=870, request_classes=(QUICK_CLASS,), **settings
 ):
     """Return a harness whose gateway has copies of these engines.
 
@@ -85,7 +85,7 @@
 def test_short_list_is_the_whole_subset(engine_count):
     harness = make_harness(
         make_engines(engine_count, rare_count=engine_count // 4),
-        request_classes=(QUICK, RARE_KIND_CLASS),
+        request_classes=(QUICK_CLASS, RARE_KIND_CLASS),
     )
     assert subset_of(harness) == {engine.host_reference for engine in harness.engines} and all(
         each.in_subset for each in harness.engines
@@ -137,7 +137,7 @@
         worst_over_mean(
             engines,
             subsets_of(
-                engines, numbers, gateway_count=300, request_classes=(QUICK, RARE_KIND_CLASS)
+                engines, numbers, gateway_count=300, request_classes=(QUICK_CLASS, RARE_KIND_CLASS)
             ),
         )
         <= 1.25
@@ -151,7 +151,7 @@
         worst_over_mean(
             engines,
             subsets_of(
-                engines, numbers, gateway_count=300, request_classes=(QUICK, RARE_KIND_CLASS)
+                engines, numbers, gateway_count=300, request_classes=(QUICK_CLASS, RARE_KIND_CLASS)
             ),
         )
         > 1.25
@@ -211,11 +211,15 @@
     engines_with_one_rare = make_engines(1800, rare_count=1)
     for number in range(0, 870, 50):
         assert "s1799" in subset_of(
-            make_harness(engines_with_one_rare, number, request_classes=(QUICK, RARE_KIND_CLASS))
+            make_harness(
+                engines_with_one_rare, number, request_classes=(QUICK_CLASS, RARE_KIND_CLASS)
+            )
         )
     engines_with_rare, rare_counts = make_engines(1800, rare_count=60), []
     for number in range(0, 870, 50):
-        harness = make_harness(engines_with_rare, number, request_classes=(QUICK, RARE_KIND_CLASS))
+        harness = make_harness(
+            engines_with_rare, number, request_classes=(QUICK_CLASS, RARE_KIND_CLASS)
+        )
         rare_engines = [each for each in harness.gateway.engines if each.kind]
         rare_counts.append(len(rare_engines))
         harness.submit_request(1)
@@ -231,7 +235,7 @@
 
 def test_class_whose_subset_engines_all_fail_gets_other_engines():
     harness = make_harness(
-        make_engines(600, rare_count=60), request_classes=(QUICK, RARE_KIND_CLASS)
+        make_engines(600, rare_count=60), request_classes=(QUICK_CLASS, RARE_KIND_CLASS)
     )
     for _ in range(3):  # the replacement engines fail too
         record_faults(harness, [each for each in harness.gateway.engines if each.kind])
@@ -310,7 +314,7 @@
 @pytest.mark.parametrize("key_scope", ["cell", "zone"])
 def test_possibly_executed_keyed_request_is_retried_in_its_key_scope_outside_the_subset(key_scope):
     keyed_class = {
-        **QUICK,
+        **QUICK_CLASS,
         "repeatability": Repeatability.KEYED,
         "key_scope": key_scope,
         "key_ttl": 60 * SECOND,
@@ -396,7 +400,7 @@
 def test_gateways_without_a_number_have_different_subsets():
     subsets_found = []
     for name in "n1", "n2", "n3":
-        stated = {**STATED_ON_SOCKETS, "instances": 870}  # the same seed in all files
+        stated = {**PLATFORM_SETTINGS, "instances": 870}  # the same seed in all files
         host = GatewayHarness(engines=0)
         gateway = Settings(stated, host, 7, name).gateway
         for engine in make_engines(900):
@@ -414,7 +418,7 @@
     """
     engines = make_engines(1800, rare_count=32)
     for number in range(0, 870, 60):
-        harness = make_harness(engines, number, request_classes=(QUICK, RARE_KIND_CLASS))
+        harness = make_harness(engines, number, request_classes=(QUICK_CLASS, RARE_KIND_CLASS))
         for _ in range(60):
             harness.submit_request()
         usual_limit, rare_limit = (each.subset_rank_limit for each in harness.request_classes)
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -11,7 +11,7 @@
 from corkgauge.net.engine_protocol import command
 from corkgauge.policy.records import EngineState
 from corkgauge.testkit.seeded_random import SeededRandom
-from tests.harness import SECOND, HostHarness, listing, name, request_frame
+from tests.harness import SECOND, HostHarness, endpoint_list_event, request_frame, request_id
 
 REAL_DIAL = EnginePool.dial
 
@@ -23,7 +23,7 @@
 def changed(harness, *servers, full=False):
     number = harness.socket_host.last_event + 1
     assert not harness.socket_host.on_discovery_event(
-        str(number), json.dumps(listing(number, *servers, full=full))
+        str(number), json.dumps(endpoint_list_event(number, *servers, full=full))
     )
 
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("count", [10, 40, 160])
 def test_a_change_of_one_engine_costs_one_however_long_the_list(count, walked):
-    harness = HostHarness([listing(1, *many(count))], instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(count))], instances=200)
     seen = walked(harness)
     changed(harness, {"id": "e3", "addr": "127.0.0.9:3", "started_ms": 5})
     changed(harness, {"id": "e4", "addr": "127.0.0.9:4", "state": "DRAINING"})
@@ -116,7 +116,7 @@
 
 
 def test_a_whole_list_costs_the_list_once(walked):
-    harness = HostHarness([listing(1, *many(30))], instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(30))], instances=200)
     seen = walked(harness)
     changed(harness, *many(20, 11), full=True)
     assert seen == {
@@ -129,7 +129,7 @@
 
 
 def test_what_is_told_of_several_acts_in_the_order_in_which_the_list_first_named_them(walked):
-    harness = HostHarness([listing(1, *many(30))], instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(30))], instances=200)
     seen = walked(harness)
     changed(
         harness,
@@ -141,7 +141,7 @@
 
 
 def test_what_waits_for_a_link_goes_on_with_a_change_that_names_another_engine(walked):
-    harness = HostHarness([listing(1, {})], instances=200)
+    harness = HostHarness([endpoint_list_event(1, {})], instances=200)
     client = harness.connect_client()
     harness.send(client, request_frame())
     mine, its = socket.socketpair()
@@ -150,14 +150,14 @@
     engine_pool.links.append(link)  # it is there, and nobody has filled it yet
     seen = walked(harness)
     changed(harness, *many(1, 2))
-    assert {*seen["fill"]} == {"e1", "e2"} and name(1).encode() in mine.recv(4096)
+    assert {*seen["fill"]} == {"e1", "e2"} and request_id(1).encode() in mine.recv(4096)
     seen["fill"].clear()
     changed(harness, *many(1, 3))
     assert seen["fill"] == ["e3"]  # nothing waits at the first any more
 
 
 def test_a_link_ahead_that_was_not_to_be_had_is_tried_again_with_the_next_change(walked, dialled):
-    harness = HostHarness([listing(1, {}, *many(1, 2))], instances=3)
+    harness = HostHarness([endpoint_list_event(1, {}, *many(1, 2))], instances=3)
     engine_pool = harness.socket_host.engine_pools["e1"]
     found = dialled(harness)
     engine_pool.next_spare_dial_at = (
@@ -181,7 +181,9 @@
     def __init__(self, seed, whole):
         self.chance, self.trace, self.guests, self.refused = SeededRandom(seed), [], [], 0
         self.kept, engines.dial = engines.dial, self.dial
-        self.harness = HostHarness([listing(1, *many(5))], sockets=60, instances=(3, 200)[seed % 2])
+        self.harness = HostHarness(
+            [endpoint_list_event(1, *many(5))], sockets=60, instances=(3, 200)[seed % 2]
+        )
         EnginePool.dial = REAL_DIAL
         self.socket_host = self.harness.socket_host
         self.socket_host.dials_in_progress = 0
@@ -272,7 +274,7 @@
 
 
 def test_a_dial_costs_no_walk_over_all_engines(walked):
-    harness = HostHarness([listing(1, *many(50))], sockets=90, instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(50))], sockets=90, instances=200)
     ends = [harness.connect_engine(f"e{n}") for n in range(1, 21)]
     client = harness.connect_client()
     walked(harness)
@@ -286,7 +288,7 @@
 
 
 def test_links_that_end_are_counted_no_more():
-    harness = HostHarness([listing(1, *many(3))], instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(3))], instances=200)
     socks = [harness.connect_engine(tag) for tag in ("e1", "e1", "e2")]
     assert len(harness.socket_host.links) == 3
     socks[0].close()
@@ -297,7 +299,7 @@
 
 
 def test_links_are_shared_by_the_working_set_and_what_closes_not_by_the_list():
-    harness = HostHarness([listing(1, *many(60))], sockets=96, instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(60))], sockets=96, instances=200)
     socket_host = harness.socket_host
     assert socket_host.max_links_per_engine() == 2  # as ever where all engines are in the set
     held(harness, "e1", "e2", "e3", "e4")
@@ -309,7 +311,7 @@
 
 @pytest.mark.parametrize("count", [2, 7, 30])
 def test_while_all_engines_are_in_the_set_the_share_is_that_of_the_list(count):
-    harness = HostHarness([listing(1, *many(count))], sockets=300, instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(count))], sockets=300, instances=200)
     socket_host = harness.socket_host
     kept = harness.connect_engine("e1")
     for state in "DRAINING", "DELETED", "SERVING", "DRAINING":
@@ -324,7 +326,7 @@
 
 
 def test_where_descriptors_run_out_a_link_outside_the_set_gives_way_first():
-    harness = HostHarness([listing(1, *many(9))], sockets=32, instances=200)
+    harness = HostHarness([endpoint_list_event(1, *many(9))], sockets=32, instances=200)
     harness.socket_host.max_engine_links, ends = 3, []
     for tag in "e1", "e2", "e3":
         ends.append(harness.connect_engine(tag))
@@ -341,7 +343,9 @@
 
 
 def test_an_idle_link_outside_the_set_ends_and_one_inside_is_kept():
-    harness = HostHarness([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
+    harness = HostHarness(
+        [endpoint_list_event(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200
+    )
     ends = [harness.connect_engine(tag) for tag in ("e1", "e2")]
     held(harness, "e1")
     harness.pass_time(SECOND + SECOND // 4)
@@ -353,7 +357,9 @@
 
 
 def test_a_link_of_an_engine_that_comes_back_to_the_set_is_kept():
-    harness = HostHarness([listing(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200)
+    harness = HostHarness(
+        [endpoint_list_event(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200
+    )
     end = harness.connect_engine("e2")
     held(harness, "e1")
     harness.pass_time(SECOND // 2)
@@ -363,7 +369,9 @@
 
 
 def test_a_link_outside_the_set_is_asked_for_signs_while_something_is_out_there():
-    harness = HostHarness([listing(1, {})], limits={"connIdleUs": 1_200_000}, instances=200)
+    harness = HostHarness(
+        [endpoint_list_event(1, {})], limits={"connIdleUs": 1_200_000}, instances=200
+    )
     end, client = harness.connect_engine(), harness.connect_client()
     harness.send(client, request_frame(patience="4500"))
     assert b"fetch" in harness.receive(end)
@@ -371,14 +379,14 @@
     harness.pass_time(SECOND // 2 + SECOND // 10)
     assert harness.receive(end).startswith(command("alive", "alive-1"))
     harness.send_engine_command(end, "alive-1", "FIT", "-", "")
-    harness.send_engine_command(end, name(1), "DONE", "chunks=1", "a\t\t\n")
+    harness.send_engine_command(end, request_id(1), "DONE", "chunks=1", "a\t\t\n")
     assert [each[1:3] for each in harness.receive_answers(client)] == [(1, b"\1")]
     harness.pass_time(2 * SECOND)
     assert not harness.socket_host.links
 
 
 def test_no_engine_outside_the_set_is_dialled_ahead(dialled):
-    harness = HostHarness([listing(1, *many(4))], instances=3)
+    harness = HostHarness([endpoint_list_event(1, *many(4))], instances=3)
     found = dialled(harness)
     held(harness, "e1", "e3")
     for engine_pool in harness.socket_host.engine_pools.values():
@@ -388,7 +396,7 @@
 
 
 def test_an_engine_outside_the_set_is_dialled_for_what_waits_and_for_nothing_more(dialled):
-    harness = HostHarness([listing(1, {})], instances=3)
+    harness = HostHarness([endpoint_list_event(1, {})], instances=3)
     engine_pool, found = harness.socket_host.engine_pools["e1"], dialled(harness)
     engine_pool.engine.in_subset = False
     client = harness.connect_client()
@@ -408,7 +416,7 @@
 
 
 def test_an_engine_of_a_long_list_that_nothing_is_sent_to_costs_the_host_little():
-    events = [listing(1, *many(count)) for count in (100, 500)]
+    events = [endpoint_list_event(1, *many(count)) for count in (100, 500)]
     took = []
     for event in events:
         tracemalloc.start()
