--- a/tests/harness.py
+++ b/tests/harness.py
@@ -45,7 +45,7 @@
     """Keeps every call in `calls` as (what, submission or engine tag, detail)."""
 
     def __init__(self, request_classes=(QUICK_CLASS,), engines=3, **settings):
-        self.now, self.lag, self.calls, self.wakes, self.serial = 100 * SECOND, 0, [], [], 0
+        self.now, self.lag, self.calls, self.timers, self.serial = 100 * SECOND, 0, [], [], 0
         self.request_classes = [RequestClass(**o) for o in request_classes]
         options = GatewayOptions(**{**DEFAULT_OPTIONS, **settings})
         self.gateway = Gateway(self, options, self.request_classes)
@@ -86,9 +86,9 @@
         """Let time go by, waking the gateway in order."""
         until = self.now + span
         while due := min(
-            (w for w in self.wakes if w[0] <= until), key=lambda w: w[:2], default=None
+            (w for w in self.timers if w[0] <= until), key=lambda w: w[:2], default=None
         ):
-            self.wakes.remove(due)
+            self.timers.remove(due)
             self.now = max(self.now, due[0])
             due[2](*due[3])
         self.now = until
@@ -117,7 +117,7 @@
 
     def call_later(self, delay, method, *what):
         self.serial += 1
-        self.wakes.append((self.now + max(delay, 1), self.serial, method, what))
+        self.timers.append((self.now + max(delay, 1), self.serial, method, what))
 
     def log(self, line):
         self.calls.append(("log", line, None))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -498,7 +498,7 @@
     ]
     remaining_state.append(gateway.selector.cached_order_count)
     # Each request had a new order key and a new table group.
-    assert not any(remaining_state) and len(harness.wakes) < 5
+    assert not any(remaining_state) and len(harness.timers) < 5
 
 
 def test_hundreds_of_gateways_spread_the_first_requests_of_a_table_group():
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -276,7 +276,7 @@
         harness.gateway.on_feedback_interval()
         moments += [
             when - harness.now
-            for when, _, method, _ in harness.wakes
+            for when, _, method, _ in harness.timers
             if method == harness.gateway.on_subset_update_due
         ]
     assert len(moments) == 100
@@ -287,7 +287,7 @@
 def test_short_list_schedules_no_subset_update():
     harness = make_harness(make_engines(100))
     harness.pass_time(10 * SECOND)
-    assert not [each for each in harness.wakes if each[2] == harness.gateway.on_subset_update_due]
+    assert not [each for each in harness.timers if each[2] == harness.gateway.on_subset_update_due]
 
 
 def test_gateway_with_several_times_its_part_of_traffic_has_a_larger_subset():
