--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,8 @@
-"""A gateway on a host that writes down what it is told; the one helper of all tests."""
+"""Test harnesses for the gateway policy and for the platform front end, shared by all tests.
+
+`GatewayHarness` runs a gateway on a host that records the calls of the gateway. `HostHarness` runs
+a platform front end over socket pairs and a simulated clock.
+"""
 
 import socket
 import traceback
@@ -42,15 +46,20 @@
 
 
 class GatewayHarness:
-    """Keeps every call in `calls` as (what, submission or engine tag, detail)."""
+    """Hosts a gateway on a simulated clock and records every call that the gateway makes.
+
+    `calls` holds each call as (method, reference of the request, detail); a log line is held as
+    ("log", line, None).
+    """
 
     def __init__(self, request_classes=(QUICK_CLASS,), engines=3, **settings):
         self.now, self.lag, self.calls, self.timers, self.serial = 100 * SECOND, 0, [], [], 0
-        self.request_classes = [RequestClass(**o) for o in request_classes]
+        self.request_classes = [RequestClass(**fields) for fields in request_classes]
         options = GatewayOptions(**{**DEFAULT_OPTIONS, **settings})
         self.gateway = Gateway(self, options, self.request_classes)
         self.engines = [
-            Engine(f"e{n}", b"e%d" % n, n % 2, n % 2, n, cores=8.0) for n in range(engines)
+            Engine(f"e{index}", b"e%d" % index, index % 2, index % 2, index, cores=8.0)
+            for index in range(engines)
         ]
         self.update_engines(*self.engines)
 
@@ -59,17 +68,17 @@
             self.gateway.on_engine_update(engine, state, started)
         self.gateway.on_engine_list_complete()
 
-    def submit_request(self, request_class=0, **said):
+    def submit_request(self, request_class=0, **fields):
         self.serial += 1
-        said = {
+        fields = {
             "tenant": 0,
             "table_group": 1.0,
             "accepted_at": self.now,
             "time_to_deadline": 5 * SECOND,
             "estimated_work": 2000,
-            **said,
+            **fields,
         }
-        request = Request(f"s{self.serial}", self.request_classes[request_class], **said)
+        request = Request(f"s{self.serial}", self.request_classes[request_class], **fields)
         self.gateway.on_request(request)
         return request
 
@@ -82,21 +91,23 @@
             attempt, outcome, took, finished, work if finished else 0, 0.0, -1.0
         )
 
-    def pass_time(self, span):
-        """Let time go by, waking the gateway in order."""
-        until = self.now + span
+    def pass_time(self, duration):
+        """Advance the clock by `duration` ticks and run the due timers in order."""
+        until = self.now + duration
         while due := min(
-            (w for w in self.timers if w[0] <= until), key=lambda w: w[:2], default=None
+            (timer for timer in self.timers if timer[0] <= until),
+            key=lambda timer: timer[:2],
+            default=None,
         ):
             self.timers.remove(due)
             self.now = max(self.now, due[0])
             due[2](*due[3])
         self.now = until
 
-    def recorded_calls(self, what):
-        return [entry[1:] for entry in self.calls if entry[0] == what]
+    def recorded_calls(self, method):
+        return [entry[1:] for entry in self.calls if entry[0] == method]
 
-    # The host protocol.
+    # Methods of the host protocol.
 
     def send_attempt(self, attempt, allow):
         self.calls.append(
@@ -115,9 +126,9 @@
     def cancel_attempt(self, attempt):
         self.calls.append(("cancel_attempt", attempt.request.host_reference, attempt.number))
 
-    def call_later(self, delay, method, *what):
+    def call_later(self, delay, method, *arguments):
         self.serial += 1
-        self.timers.append((self.now + max(delay, 1), self.serial, method, what))
+        self.timers.append((self.now + max(delay, 1), self.serial, method, arguments))
 
     def log(self, line):
         self.calls.append(("log", line, None))
@@ -164,18 +175,21 @@
 }
 
 
-def endpoint_list_event(n, *servers, full=True):
+def endpoint_list_event(number, *servers, full=True):
+    """Build watch event `number`; each server lists the fields that differ from ENGINE_ENTRY."""
     return {
-        "n": n,
-        "members": {"full": full, "servers": [{**ENGINE_ENTRY, **each} for each in servers]},
+        "n": number,
+        "members": {"full": full, "servers": [{**ENGINE_ENTRY, **server} for server in servers]},
     }
 
 
 def request_id(number):
+    """Return a request id as the `trace` field has it: 16 hexadecimal digits."""
     return f"{number:016x}"
 
 
 def request_frame(stream=1, body=b"select * from s_3.t", **fields):
+    """Encode a request as a client sends it; a field that is None is left out."""
     fields = {
         "route": "quick",
         "trace": request_id(stream),
@@ -184,20 +198,27 @@
         "weight": "200",
         **fields,
     }
-    said = bytes([len(fields)]) + b"".join(
-        bytes([len(k)]) + k.encode() + len(v.encode()).to_bytes(2, "little") + v.encode()
-        for k, v in fields.items()
-        if v is not None
+    header = bytes([len(fields)]) + b"".join(
+        bytes([len(key)])
+        + key.encode()
+        + len(value.encode()).to_bytes(2, "little")
+        + value.encode()
+        for key, value in fields.items()
+        if value is not None
     )
-    length = 5 + len(said) + len(body)
-    return length.to_bytes(4, "little") + b"\2" + stream.to_bytes(4, "little") + said + body
+    length = 5 + len(header) + len(body)
+    return length.to_bytes(4, "little") + b"\2" + stream.to_bytes(4, "little") + header + body
 
 
 class HostHarness:
-    """A house on a fake clock; clients and engines are the other ends of socket pairs."""
+    """Runs a platform front end on a simulated clock, with socket pairs for its connections.
+
+    Methods return the socket at the client's or engine's end of a pair; the front end has the other
+    end.
+    """
 
     def __init__(self, events=(endpoint_list_event(1, {}),), sockets=1024, **settings):
-        said = {
+        configuration = {
             "name": "n",
             "listen": "127.0.0.1:1",
             "feed": "127.0.0.1:2",
@@ -211,10 +232,10 @@
             clock=lambda: self.time, on_exception=lambda: self.logged.append(traceback.format_exc())
         )
         EnginePool.dial = (
-            lambda engine_pool, where: None
-        )  # no engine listens here: `engine` joins them by hand
+            lambda engine_pool, address: None
+        )  # no engine listens: `connect_engine` adds connections directly
         self.socket_host = PlatformFrontEnd(
-            self.event_loop, PlatformConfig(said, ""), self.logged.append
+            self.event_loop, PlatformConfig(configuration, ""), self.logged.append
         )
         self.turn()
 
@@ -222,29 +243,30 @@
         for _ in range(rounds):
             self.event_loop.turn(0)
 
-    def pass_time(self, span, step=50):
-        for _ in range(span // step):
+    def pass_time(self, duration, step=50):
+        """Advance the clock by `duration` ticks, with two turns of the event loop per `step`."""
+        for _ in range(duration // step):
             self.time += step
             self.turn(2)
 
     def connect_client(self):
-        mine, its = socket.socketpair()
-        self.socket_host.add_client(its)
+        peer_socket, host_socket = socket.socketpair()
+        self.socket_host.add_client(host_socket)
         self.turn()
-        mine.setblocking(False)
-        return mine
+        peer_socket.setblocking(False)
+        return peer_socket
 
     def connect_engine(self, tag="e1"):
-        mine, its = socket.socketpair()
+        peer_socket, host_socket = socket.socketpair()
         engine_pool = self.socket_host.engine_pools[tag]
-        link = EngineConnection(engine_pool, its)
+        link = EngineConnection(engine_pool, host_socket)
         engine_pool.links.append(link)
         self.event_loop.spawn(link.link.run)
         link.check_idle()
         engine_pool.fill()
         self.turn()
-        mine.setblocking(False)
-        return mine
+        peer_socket.setblocking(False)
+        return peer_socket
 
     def send(self, sock, data):
         sock.sendall(data)
@@ -258,13 +280,13 @@
             return b""
 
     def receive_answers(self, sock):
-        """Frames as (type, stream, code, body)."""
-        data, found = self.receive(sock), []
+        """Return the frames received as (type, stream, code, body)."""
+        data, frames = self.receive(sock), []
         while data:
             size = int.from_bytes(data[:4], "little")
             frame, data = data[: 4 + size], data[4 + size :]
-            found.append((frame[4], int.from_bytes(frame[5:9], "little"), frame[9:10], frame[11:]))
-        return found
+            frames.append((frame[4], int.from_bytes(frame[5:9], "little"), frame[9:10], frame[11:]))
+        return frames
 
     def send_engine_command(self, sock, *parts):
         self.send(sock, command(*parts))
