--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -1,4 +1,7 @@
-"""Moments at which two events cross, over real connections on loopback, the bad order forced every time."""
+"""Tests of races between two events on TCP connections over loopback.
+
+Each test forces the order of events that would cause a failure.
+"""
 
 import json
 import os
@@ -13,7 +16,7 @@
 
 from corkgauge.eventloop.connection import IN_TRANSIT_TICKS
 from corkgauge.eventloop.loop import EventLoop
-from corkgauge.net import discovery as feeds
+from corkgauge.net import discovery as discovery_module
 from corkgauge.net.acceptor import Acceptor
 from corkgauge.net.discovery import DiscoveryWatch
 from corkgauge.net.engine_connection import EngineConnection
@@ -30,47 +33,47 @@
     request_id,
 )
 
-ROW, T1 = "a\t\t\n", request_id(1)
+RESULT_ROW, FIRST_REQUEST_ID = "a\t\t\n", request_id(1)
 REAL_DIAL = EnginePool.dial
-TAKE_BACK = bytes.fromhex("050000000801000000")
-READY_ASKED = bytes.fromhex("05000000100a000000")
+CANCEL_FRAME = bytes.fromhex("050000000801000000")
+READY_CHECK_FRAME = bytes.fromhex("05000000100a000000")
 
 
-def pair():
-    """Both ends of a real connection on loopback."""
-    with socket.socket() as door:
-        door.bind(("127.0.0.1", 0))
-        door.listen()
-        mine = socket.create_connection(door.getsockname())
-        its, _ = door.accept()
-    mine.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return mine, its
+def connected_pair():
+    """Return both ends of a TCP connection over loopback."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        peer_socket = socket.create_connection(listener.getsockname())
+        host_socket, _ = listener.accept()
+    peer_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return peer_socket, host_socket
 
 
-def settled(sock):
-    """Wait until the peer's machine has what was written or closed here; loopback needs no more than this."""
-    end = time.monotonic() + 1
-    while time.monotonic() < end:
+def wait_for_input(sock):
+    """Wait for input or end of stream; loopback delivers at once all that the peer has sent."""
+    give_up_at = time.monotonic() + 1
+    while time.monotonic() < give_up_at:
         if EventLoop().poll_now(sock.fileno())[0]:
             return
-    raise AssertionError("nothing came")
+    raise AssertionError("socket received neither input nor end of stream within 1 s")
 
 
-class Loopback(HostHarness):
-    """Premises whose clients and engines are TCP connections; the clock is still handed in."""
+class LoopbackHarness(HostHarness):
+    """Runs a front end with TCP connections for clients and engines, on a simulated clock."""
 
     def connect_client(self):
-        mine, its = pair()
-        self.socket_host.add_client(its)
+        peer_socket, host_socket = connected_pair()
+        self.socket_host.add_client(host_socket)
         self.turn()
-        mine.setblocking(False)
+        peer_socket.setblocking(False)
         client_connection = [*self.socket_host.client_connections][-1]
-        return mine, client_connection
+        return peer_socket, client_connection
 
     def connect_engine(self, tag="e1", turn=True):
-        mine, its = pair()
+        peer_socket, host_socket = connected_pair()
         engine_pool = self.socket_host.engine_pools[tag]
-        link = EngineConnection(engine_pool, its)
+        link = EngineConnection(engine_pool, host_socket)
         engine_pool.links.append(link)
         self.event_loop.spawn(link.link.run)
         link.check_idle()
@@ -78,114 +81,132 @@
             self.turn()
             engine_pool.fill()
             self.turn()
-        mine.setblocking(False)
-        return mine, link
+        peer_socket.setblocking(False)
+        return peer_socket, link
 
-    def ask_and_settle(self, sock, data, client_connection):
+    def send_and_wait(self, sock, data, client_connection):
         sock.sendall(data)
-        settled(client_connection.link.sock)
+        wait_for_input(client_connection.link.sock)
         self.turn()
 
-    def heard_soon(self, sock, least=1):
-        """What comes within a moment; at least so much where so much is due."""
-        found, end = b"", time.monotonic() + (1 if least else 0.02)
-        while time.monotonic() < end and (not least or len(found) < least):
+    def receive_soon(self, sock, min_bytes=1):
+        """Return the bytes received within 1 s, or earlier once `min_bytes` have arrived.
+
+        With `min_bytes` of 0, return what arrives within 0.02 s.
+        """
+        received, give_up_at = b"", time.monotonic() + (1 if min_bytes else 0.02)
+        while time.monotonic() < give_up_at and (not min_bytes or len(received) < min_bytes):
             self.turn(2)
             try:
-                found += sock.recv(1 << 16)
+                received += sock.recv(1 << 16)
             except BlockingIOError:
                 time.sleep(0.001)
-        return found
+        return received
 
 
-def closes(sock):
+def close_connection(sock):
     sock.close()
 
 
-def resets(sock):
+def reset_connection(sock):
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-def takes_back(sock):
-    sock.sendall(TAKE_BACK)
+def cancel_request(sock):
+    sock.sendall(CANCEL_FRAME)
 
 
-def says_much_and_goes(sock):
-    """What lies before the end is more than one turn reads."""
+def send_many_requests_and_close(sock):
+    """Send more input before the end of stream than one turn of the event loop reads."""
     sock.setblocking(True)
     sock.sendall(b"".join(request_frame(n) for n in range(2, 30)) + request_frame(40)[:60])
     sock.close()
 
 
-GOINGS = [closes, resets, takes_back, says_much_and_goes]
+CLIENT_DEPARTURES = [
+    close_connection,
+    reset_connection,
+    cancel_request,
+    send_many_requests_and_close,
+]
 
 
-@pytest.mark.parametrize("goes", GOINGS)
-def test_no_attempt_begins_once_its_client_has_gone_while_it_waited_for_a_link(goes):
-    """The link comes up in the very turn after the client went, before its connection is read."""
-    harness = Loopback()
+@pytest.mark.parametrize("leave", CLIENT_DEPARTURES)
+def test_no_attempt_is_sent_after_its_client_left_while_it_waited_for_a_connection(leave):
+    """The connection to the engine opens before the client's end of stream is read."""
+    harness = LoopbackHarness()
     client, client_connection = harness.connect_client()
-    harness.ask_and_settle(client, request_frame(), client_connection)
+    harness.send_and_wait(client, request_frame(), client_connection)
     assert len(harness.socket_host.engine_pools["e1"].waiting) == 1
-    goes(client)
-    settled(client_connection.link.sock)
+    leave(client)
+    wait_for_input(client_connection.link.sock)
     engine, link = harness.connect_engine(turn=False)
-    harness.socket_host.engine_pools[
-        "e1"
-    ].fill()  # as a dial that comes up does it, before the poller is asked again
+    harness.socket_host.engine_pools["e1"].fill()  # as after a completed dial, before the next poll
     assert link.link.bytes_queued == 0 and not harness.socket_host.in_flight_attempts
-    assert harness.heard_soon(engine, 0) == b"" and harness.socket_host.counters["handed off"] == 0
+    assert (
+        harness.receive_soon(engine, 0) == b"" and harness.socket_host.counters["handed off"] == 0
+    )
     assert not harness.logged
 
 
-@pytest.mark.parametrize("goes", GOINGS)
-def test_no_further_attempt_begins_once_its_client_has_gone_while_the_first_was_out(goes):
-    """The engine's refusal and the client's going lie unread in one turn; the refusal is read first."""
-    harness = Loopback([endpoint_list_event(1, {}, {"id": "e2"})])
+@pytest.mark.parametrize("leave", CLIENT_DEPARTURES)
+def test_no_retry_is_sent_after_the_client_left_during_the_first_attempt(leave):
+    """Both the engine's refusal and the client's end are unread; the refusal is read first."""
+    harness = LoopbackHarness([endpoint_list_event(1, {}, {"id": "e2"})])
     client, client_connection = harness.connect_client()
     engines = {tag: harness.connect_engine(tag) for tag in ("e1", "e2")}
-    harness.ask_and_settle(client, request_frame(), client_connection)
-    (first,) = (tag for tag, (sock, _) in engines.items() if harness.heard_soon(sock, 0))
-    (sock, link), (other, other_link) = engines[first], engines["e2" if first == "e1" else "e1"]
-    sock.sendall(b"*4\r\n$16\r\n" + T1.encode() + b"\r\n$4\r\nWAIT\r\n$1\r\n-\r\n$0\r\n\r\n")
-    settled(link.link.sock)
-    goes(client)
-    settled(client_connection.link.sock)
-    assert link.link.is_peer_connected()  # the answer is told, as its task would have told it
+    harness.send_and_wait(client, request_frame(), client_connection)
+    (first_tag,) = (tag for tag, (sock, _) in engines.items() if harness.receive_soon(sock, 0))
+    (sock, link), (other, other_link) = (
+        engines[first_tag],
+        engines["e2" if first_tag == "e1" else "e1"],
+    )
+    sock.sendall(
+        b"*4\r\n$16\r\n" + FIRST_REQUEST_ID.encode() + b"\r\n$4\r\nWAIT\r\n$1\r\n-\r\n$0\r\n\r\n"
+    )
+    wait_for_input(link.link.sock)
+    leave(client)
+    wait_for_input(client_connection.link.sock)
+    assert link.link.is_peer_connected()  # reads the answer, as the task of the connection does
     for _ in range(3):
-        harness.event_loop._run_due_timers()  # what the turn left to do, with the client's end still unread by its task
-    assert other_link.link.bytes_queued == 0 and harness.heard_soon(other, 0) == b""
+        # Runs the work that the turn left, before the client's task reads its end of stream.
+        harness.event_loop._run_due_timers()
+    assert other_link.link.bytes_queued == 0 and harness.receive_soon(other, 0) == b""
     assert not harness.socket_host.in_flight_attempts and not harness.logged
 
 
-@pytest.mark.parametrize("goes", GOINGS)
-def test_no_attempt_begins_in_a_turn_that_lags(goes):
-    """Request and end have both come before the loop reads either, 0.2 s late. (The gateway takes nothing while it is
-    so far behind, so this holds without the last look as well.)
+@pytest.mark.parametrize("leave", CLIENT_DEPARTURES)
+def test_no_attempt_is_sent_in_a_late_turn_of_the_event_loop(leave):
+    """The request and the client's end both arrive before the loop reads either, 0.2 s late.
+
+    The gateway accepts nothing while the loop lags that far, so the test passes also without the
+    check of the client's socket before an attempt is sent.
     """
-    harness = Loopback()
+    harness = LoopbackHarness()
     client, client_connection = harness.connect_client()
     engine, _ = harness.connect_engine()
     client.sendall(request_frame())
-    goes(client)
-    settled(client_connection.link.sock)
+    leave(client)
+    wait_for_input(client_connection.link.sock)
     time.sleep(0.01)
     harness.time += 2_000
     harness.turn()
     harness.pass_time(2_000)
-    assert harness.heard_soon(engine, 0) == b"" and harness.socket_host.counters["handed off"] == 0
+    assert (
+        harness.receive_soon(engine, 0) == b"" and harness.socket_host.counters["handed off"] == 0
+    )
 
 
-def test_an_attempt_that_an_engine_does_not_read_is_never_kept_back_in_a_ring():
-    """Danger: put into a full socket it would begin when the engine reads again, whoever had gone by then."""
-    harness = Loopback()
+def test_attempt_is_never_buffered_for_an_engine_that_does_not_read():
+    """An attempt in a full send buffer would start when the engine reads, after its client left."""
+    harness = LoopbackHarness()
     client, client_connection = harness.connect_client()
     engine, link = harness.connect_engine()
     engine.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     link.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     try:
-        while True:  # the engine reads nothing, and its socket is full to the last byte
+        while True:  # fill the send buffer to the last byte; the engine reads nothing
             link.link.sock.send(b"*1\r\n$1\r\nx\r\n" * 400)
     except BlockingIOError:
         pass
@@ -194,7 +215,7 @@
             link.link.sock.send(b"x")
     except BlockingIOError:
         pass
-    harness.ask_and_settle(client, request_frame(), client_connection)
+    harness.send_and_wait(client, request_frame(), client_connection)
     (in_flight_attempt,) = harness.socket_host.in_flight_attempts.values()
     assert (
         in_flight_attempt.link is None
@@ -202,22 +223,22 @@
         and link.link.bytes_queued == 0
     )
     client.close()
-    settled(client_connection.link.sock)
+    wait_for_input(client_connection.link.sock)
     harness.turn()
     assert not harness.socket_host.in_flight_attempts
-    assert T1.encode() not in harness.heard_soon(engine, 0)
+    assert FIRST_REQUEST_ID.encode() not in harness.receive_soon(engine, 0)
 
 
-def test_a_client_that_goes_while_its_input_is_paused_is_seen_to_go():
-    harness = Loopback()
+def test_disconnect_of_a_client_with_paused_input_is_noticed():
+    harness = LoopbackHarness()
     client, client_connection = harness.connect_client()
-    engine, _ = harness.connect_engine()
-    harness.ask_and_settle(client, request_frame(), client_connection)
+    _engine, _ = harness.connect_engine()
+    harness.send_and_wait(client, request_frame(), client_connection)
     harness.socket_host.client_ring_memory.limit_bytes = (
         harness.socket_host.client_ring_memory.reserved_bytes
-    )  # no memory: what comes now pauses the input
+    )  # no memory is left, so further input pauses reading
     client.sendall((200_000).to_bytes(4, "little") + b"\2" + b"x" * 9_000)
-    settled(client_connection.link.sock)
+    wait_for_input(client_connection.link.sock)
     harness.turn()
     assert not client_connection.link.machine.inward.free_bytes and client_connection.open
     client.close()
@@ -226,149 +247,168 @@
     assert not client_connection.open and not harness.socket_host.client_connections
 
 
-def test_an_engine_that_has_closed_its_link_gets_nothing_written_there():
-    """Danger: a request that an unsafe class sent there may have run or not, nobody knows."""
-    harness = Loopback([endpoint_list_event(1, {})])
+def test_nothing_is_written_to_a_connection_that_the_engine_has_closed():
+    """A non-idempotent request written there could not be retried: it may have run or not."""
+    harness = LoopbackHarness([endpoint_list_event(1, {})])
     client, client_connection = harness.connect_client()
     engine, link = harness.connect_engine()
     engine.close()
-    settled(link.link.sock)
+    wait_for_input(link.link.sock)
     client.sendall(request_frame(route="once"))
-    settled(client_connection.link.sock)
-    client_connection.link.is_peer_connected()  # the request is read before the engine's end is
+    wait_for_input(client_connection.link.sock)
+    # Reads the request before the end of stream of the engine is read.
+    client_connection.link.is_peer_connected()
     harness.event_loop._run_due_timers()
     assert link.link.bytes_queued == 0
     harness.turn()
     second, _ = harness.connect_engine()
-    assert T1.encode() in harness.heard_soon(second, 60)
+    assert FIRST_REQUEST_ID.encode() in harness.receive_soon(second, 60)
 
 
-class Dials:
-    """Dials that come up, or fail, only when they are let; `ends` holds where each led, and what it was let do."""
+class ControlledDials:
+    """Completes dial number n when the test adds `errors[n]`: an error name, or "" for success.
+
+    `addresses` holds the address of each dial, `peer_sockets` the far ends of those that succeeded.
+    """
 
     def __init__(self, harness, monkeypatch):
-        self.asked, self.let, self.ends = [], [], []
+        self.addresses, self.errors, self.peer_sockets = [], [], []
         EnginePool.dial = REAL_DIAL
         harness.socket_host.dials_in_progress = 0
         for engine_pool in harness.socket_host.engine_pools.values():
             engine_pool.dialling = False
         monkeypatch.setattr("corkgauge.net.engine_pool.dial", self.dial)
 
-    def dial(self, event_loop, where, span):
-        number = len(self.asked)
-        self.asked.append(where)
-        while len(self.let) <= number:
+    def dial(self, event_loop, address, timeout):
+        number = len(self.addresses)
+        self.addresses.append(address)
+        while len(self.errors) <= number:
             event_loop.sleep(10)
-        if self.let[number]:
-            return None, self.let[number]
-        mine, its = pair()
-        mine.setblocking(False)
-        self.ends.append(mine)
-        return its, ""
-
-
-def test_a_dial_for_an_old_address_does_not_leave_what_waits_for_the_new_one(monkeypatch):
-    """The old address refuses only after the engine has moved; nothing else would fill again."""
-    harness = Loopback()
-    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.connect_client()
-    harness.ask_and_settle(client, request_frame(), client_connection)
-    assert dials.asked == [("127.0.0.9", 1)]
+        if self.errors[number]:
+            return None, self.errors[number]
+        peer_socket, host_socket = connected_pair()
+        peer_socket.setblocking(False)
+        self.peer_sockets.append(peer_socket)
+        return host_socket, ""
+
+
+def test_failed_dial_to_an_old_address_does_not_block_attempts_waiting_for_the_new_one(monkeypatch):
+    """The old address refuses after the engine moved; no other event would send the attempt."""
+    harness = LoopbackHarness()
+    dials, (client, client_connection) = (
+        ControlledDials(harness, monkeypatch),
+        harness.connect_client(),
+    )
+    harness.send_and_wait(client, request_frame(), client_connection)
+    assert dials.addresses == [("127.0.0.9", 1)]
     assert not harness.socket_host.on_discovery_event(
         "2", json.dumps(endpoint_list_event(2, {"addr": "127.0.0.9:2"}, full=False))
     )
-    dials.let += ["ECONNREFUSED", ""]
+    dials.errors += ["ECONNREFUSED", ""]
     harness.pass_time(60, 10)
-    assert dials.asked == [("127.0.0.9", 1), ("127.0.0.9", 2)]
-    assert T1.encode() in harness.heard_soon(dials.ends[0], 60) and not harness.logged
+    assert dials.addresses == [("127.0.0.9", 1), ("127.0.0.9", 2)]
+    assert (
+        FIRST_REQUEST_ID.encode() in harness.receive_soon(dials.peer_sockets[0], 60)
+        and not harness.logged
+    )
 
 
-@pytest.mark.parametrize("up", [True, False])
-def test_a_dial_that_began_before_its_engine_started_anew_tells_nothing_of_the_new_one(
-    up, monkeypatch
+@pytest.mark.parametrize("dial_succeeds", [True, False])
+def test_dial_begun_before_an_engine_restart_records_nothing_about_the_new_incarnation(
+    dial_succeeds, monkeypatch
 ):
-    harness = Loopback([endpoint_list_event(1, {"started_ms": 1})])
-    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.connect_client()
-    harness.ask_and_settle(client, request_frame(), client_connection)
+    harness = LoopbackHarness([endpoint_list_event(1, {"started_ms": 1})])
+    dials, (client, client_connection) = (
+        ControlledDials(harness, monkeypatch),
+        harness.connect_client(),
+    )
+    harness.send_and_wait(client, request_frame(), client_connection)
     engine_pool, (in_flight_attempt,) = (
         harness.socket_host.engine_pools["e1"],
         harness.socket_host.in_flight_attempts.values(),
     )
-    assert len(dials.asked) == 1
+    assert len(dials.addresses) == 1
     assert not harness.socket_host.on_discovery_event(
         "2", json.dumps(endpoint_list_event(2, {"started_ms": 100_000}, full=False))
     )
-    dials.let.append("" if up else "ECONNREFUSED")
+    dials.errors.append("" if dial_succeeds else "ECONNREFUSED")
     harness.pass_time(100, 20)
     assert not engine_pool.links and not any("rest e1" in line for line in harness.logged)
-    if up:  # the connection that reached the process before is closed with nothing on it
-        assert harness.heard_soon(dials.ends[0], 0) == b""
+    if dial_succeeds:  # the connection to the previous process is closed with nothing sent on it
+        assert harness.receive_soon(dials.peer_sockets[0], 0) == b""
     assert (
         in_flight_attempt.attempt.outcome in (AttemptOutcome.ABANDONED, -1)
         and in_flight_attempt.link is None
     )
-    dials.let.append("")
+    dials.errors.append("")
     harness.pass_time(100, 20)
     assert (
         in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
-    )  # what was decided on the one before is decided again
+    )  # a decision made for the previous incarnation must be made again
 
 
-def test_want_of_descriptors_is_no_fault_of_the_engines_and_ends_when_there_are_some(monkeypatch):
-    harness = Loopback()
-    dials, (client, client_connection) = Dials(harness, monkeypatch), harness.connect_client()
-    dials.let += ["EMFILE"] * 5
-    harness.ask_and_settle(client, request_frame(patience="5000"), client_connection)
+def test_lack_of_descriptors_is_no_engine_fault_and_dials_resume_when_some_are_free(monkeypatch):
+    harness = LoopbackHarness()
+    dials, (client, client_connection) = (
+        ControlledDials(harness, monkeypatch),
+        harness.connect_client(),
+    )
+    dials.errors += ["EMFILE"] * 5
+    harness.send_and_wait(client, request_frame(patience="5000"), client_connection)
     harness.pass_time(1_000, 50)
-    assert len(dials.asked) == 6 and not any("rest e1" in line for line in harness.logged)
-    dials.let.append("")
+    assert len(dials.addresses) == 6 and not any("rest e1" in line for line in harness.logged)
+    dials.errors.append("")
     harness.pass_time(100, 20)
-    assert b"fetch" in harness.heard_soon(dials.ends[0], 60)
+    assert b"fetch" in harness.receive_soon(dials.peer_sockets[0], 60)
 
 
-def test_links_to_many_engines_leave_descriptors_for_the_feed_and_the_clients():
-    """Danger: two to each of many engines are more than the share of the descriptors that is theirs."""
+def test_connections_to_many_engines_leave_descriptors_for_discovery_and_clients():
+    """Two connections to each of many engines exceed the share of descriptors for engines."""
     engines = [{"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(60)]
-    harness = Loopback([endpoint_list_event(1, *engines)], sockets=96)
+    harness = LoopbackHarness([endpoint_list_event(1, *engines)], sockets=96)
     harness.socket_host.dials_in_progress = 0
-    socket_host, kept = harness.socket_host, []
+    socket_host, peer_sockets = harness.socket_host, []
     for n in range(40):
         for engine_pool in socket_host.engine_pools.values():
-            engine_pool.dialling = True  # but for what is joined by hand here nobody dials
+            engine_pool.dialling = True  # no dials but the connections added below
         if not socket_host.has_descriptor_left(True):
             break
-        kept.append(harness.connect_engine(f"e{n}"))
+        peer_sockets.append(harness.connect_engine(f"e{n}"))
     assert (
         sum(len(engine_pool.links) for engine_pool in socket_host.engine_pools.values()) <= 96 // 3
     )
-    harness.turn()  # the one that was idle longest has given way
+    harness.turn()  # close_connection the connection that was idle longest
     assert socket_host.counters["links gave way"] == 1 and socket_host.has_descriptor_left(True)
 
 
-def test_bytes_that_come_before_an_idle_connection_is_closed_keep_it():
-    harness = Loopback()
+def test_input_before_the_close_of_an_idle_connection_keeps_it_open():
+    harness = LoopbackHarness()
     (client, client_connection), (engine, _) = harness.connect_client(), harness.connect_engine()
-    harness.ask_and_settle(client, READY_ASKED, client_connection)
-    harness.heard_soon(client, 7)
+    harness.send_and_wait(client, READY_CHECK_FRAME, client_connection)
+    harness.receive_soon(client, 7)
     harness.pass_time(700)
     client.sendall(request_frame())
-    settled(client_connection.link.sock)
+    wait_for_input(client_connection.link.sock)
     assert not client_connection.link.close_if_input_read("room for others")
     harness.turn()
     assert (
-        T1.encode() in harness.heard_soon(engine, 60)
+        FIRST_REQUEST_ID.encode() in harness.receive_soon(engine, 60)
         and client_connection in harness.socket_host.client_connections
     )
 
 
-def test_a_close_over_what_crosses_it_takes_no_answer_along():
-    """A request comes after our end and before our close; a reset would take the unread answer along."""
-    harness = Loopback()
+def test_close_with_a_request_in_transit_loses_no_answer():
+    """A request arrives after end of stream was sent and before the close.
+
+    A reset would discard the answer that the client has not read.
+    """
+    harness = LoopbackHarness()
     client, client_connection = harness.connect_client()
-    harness.ask_and_settle(client, READY_ASKED, client_connection)
+    harness.send_and_wait(client, READY_CHECK_FRAME, client_connection)
     harness.pass_time(700)
     assert client_connection.link.close_if_input_read("room for others")
-    client.sendall(request_frame())  # it has not read our end
-    settled(client_connection.link.sock)
+    client.sendall(request_frame())  # the client has not read the end of stream
+    wait_for_input(client_connection.link.sock)
     harness.pass_time(IN_TRANSIT_TICKS + 200)
     assert (
         client_connection not in harness.socket_host.client_connections
@@ -376,103 +416,113 @@
     )
     client.setblocking(True)
     client.settimeout(1)
-    assert client.recv(100)[4] == 32 and client.recv(100) == b""  # the answer, then the end
-    assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # and no reset behind it
+    assert client.recv(100)[4] == 32 and client.recv(100) == b""  # the answer, then end of stream
+    assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset follows
+
 
+def begin_shutdown(harness):
+    """Add an acceptor and start the shutdown; return the acceptor.
 
-def ending(harness):
-    """A program that is told to end, with a door of its own; the clock is let run to its last look."""
-    door = harness.socket_host.acceptor = Acceptor(
+    The caller advances the clock up to the last check for input.
+    """
+    acceptor = harness.socket_host.acceptor = Acceptor(
         harness.event_loop, harness.socket_host, ("127.0.0.1", 0)
     )
-    harness.event_loop.spawn(door.run)
+    harness.event_loop.spawn(acceptor.run)
     harness.turn()
     harness.socket_host.start_shutdown()
     harness.turn()
-    return door
+    return acceptor
 
 
-def test_what_waits_at_the_door_when_the_program_ends_is_let_in_and_answered():
-    harness = Loopback()
+def test_connection_in_the_accept_queue_at_shutdown_is_accepted_and_answered():
+    harness = LoopbackHarness()
     engine, _ = harness.connect_engine()
-    door = ending(harness)
-    door.is_open = False  # the loop has had no turn to let them in
-    harness.event_loop.wake(door.sock.fileno())
+    acceptor = begin_shutdown(harness)
+    acceptor.is_open = False  # as if the loop had no turn to accept connections
+    harness.event_loop.wake(acceptor.sock.fileno())
     harness.turn()
-    client = socket.create_connection(door.sock.getsockname())
+    client = socket.create_connection(acceptor.sock.getsockname())
     client.sendall(request_frame(patience="4000"))
-    door.is_open = True
+    acceptor.is_open = True
     harness.pass_time(9_100, 100)
-    assert T1.encode() in harness.heard_soon(engine, 60) and not harness.event_loop.stopped
-    harness.send_engine_command(engine, T1, "DONE", "chunks=1", ROW)
+    assert (
+        FIRST_REQUEST_ID.encode() in harness.receive_soon(engine, 60)
+        and not harness.event_loop.stopped
+    )
+    harness.send_engine_command(engine, FIRST_REQUEST_ID, "DONE", "chunks=1", RESULT_ROW)
     client.settimeout(1)
-    found = b""
-    while len(found) < 16:
+    received = b""
+    while len(received) < 16:
         harness.turn()
-        found += client.recv(100)
-    assert ROW.encode() in found
+        received += client.recv(100)
+    assert RESULT_ROW.encode() in received
     harness.pass_time(2_000)
     assert harness.event_loop.stopped and client.recv(100) == b""
 
 
-def test_half_a_frame_that_is_on_its_way_when_the_program_ends_is_waited_for():
-    harness = Loopback()
+def test_shutdown_waits_for_the_rest_of_a_partial_frame():
+    harness = LoopbackHarness()
     (client, client_connection), (engine, _) = harness.connect_client(), harness.connect_engine()
-    ending(harness)
+    begin_shutdown(harness)
     harness.pass_time(8_900, 100)
     data = request_frame()
-    harness.ask_and_settle(client, data[:20], client_connection)
-    harness.pass_time(300, 100)  # the last look comes between the two halves
+    harness.send_and_wait(client, data[:20], client_connection)
+    harness.pass_time(300, 100)  # the last check for input runs between the two halves
     assert not harness.event_loop.stopped
     client.sendall(data[20:])
-    assert T1.encode() in harness.heard_soon(engine, 60)
+    assert FIRST_REQUEST_ID.encode() in harness.receive_soon(engine, 60)
 
 
-def test_clients_that_rest_until_the_end_are_shown_it_and_what_crosses_it_is_not_sent_on():
-    harness = Loopback()
+def test_idle_clients_get_an_orderly_close_at_shutdown_and_late_requests_are_not_sent():
+    harness = LoopbackHarness()
     (client, client_connection), (engine, _) = harness.connect_client(), harness.connect_engine()
-    harness.ask_and_settle(client, READY_ASKED, client_connection)
-    ending(harness)
+    harness.send_and_wait(client, READY_CHECK_FRAME, client_connection)
+    begin_shutdown(harness)
     harness.pass_time(9_200, 100)
     assert harness.socket_host.farewell_started_at < 2**60 and not harness.event_loop.stopped
-    client.sendall(request_frame())  # crosses the end
-    settled(client_connection.link.sock)
+    client.sendall(request_frame())  # crosses the end of stream
+    wait_for_input(client_connection.link.sock)
     harness.pass_time(1_000, 50)
     assert harness.event_loop.stopped and harness.socket_host.counters["handed off"] == 0
-    assert harness.heard_soon(engine, 0) == b""
+    assert harness.receive_soon(engine, 0) == b""
     client.settimeout(1)
     client.setblocking(True)
-    said = client.recv(100)
-    assert said[4] == 32 and said[-5:] == bytes.fromhex("4000000000") and client.recv(100) == b""
+    received = client.recv(100)
+    assert (
+        received[4] == 32
+        and received[-5:] == bytes.fromhex("4000000000")
+        and client.recv(100) == b""
+    )
     assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
 
 
-def test_told_to_end_twice_it_leaves_once():
-    harness = Loopback()
-    client, client_connection = harness.connect_client()
-    ending(harness)
-    end = harness.socket_host.shutdown_deadline
+def test_second_start_of_shutdown_changes_nothing():
+    harness = LoopbackHarness()
+    client, _client_connection = harness.connect_client()
+    begin_shutdown(harness)
+    deadline = harness.socket_host.shutdown_deadline
     harness.pass_time(500)
     harness.socket_host.start_shutdown()
-    assert harness.socket_host.shutdown_deadline == end
-    assert harness.heard_soon(client, 0).count(bytes.fromhex("050000004000000000")) == 1
+    assert harness.socket_host.shutdown_deadline == deadline
+    assert harness.receive_soon(client, 0).count(bytes.fromhex("050000004000000000")) == 1
 
 
-class Quiet:
-    """A feed that takes the connection, and what it then does or leaves."""
+class DiscoveryServer:
+    """Accepts connections of a discovery watch; the test decides what is sent on them."""
 
     def __init__(self, harness, monkeypatch):
-        self.harness, self.ends = harness, []
-        monkeypatch.setattr(feeds, "dial", self.dial)
-        self.feed = DiscoveryWatch(harness.socket_host, ("127.0.0.1", 1))
-        harness.event_loop.spawn(self.feed.run)
+        self.harness, self.server_sockets = harness, []
+        monkeypatch.setattr(discovery_module, "dial", self.dial)
+        self.watch = DiscoveryWatch(harness.socket_host, ("127.0.0.1", 1))
+        harness.event_loop.spawn(self.watch.run)
         harness.turn()
 
-    def dial(self, event_loop, where, span):
-        mine, its = pair()
-        mine.setblocking(False)
-        self.ends.append(mine)
-        return its, ""
+    def dial(self, event_loop, address, timeout):
+        server_socket, watch_socket = connected_pair()
+        server_socket.setblocking(False)
+        self.server_sockets.append(server_socket)
+        return watch_socket, ""
 
 
 @pytest.mark.parametrize(
@@ -487,46 +537,46 @@
         (b"HTTP/1.1 200 OK\r\n\r\n: hi\n\nid: 2", b""),
     ],
 )
-def test_a_feed_that_goes_quiet_in_any_way_is_left_before_what_it_keeps_counts_as_told(
+def test_stalled_discovery_connection_is_replaced_and_incomplete_events_do_not_count(
     first, drip, monkeypatch
 ):
-    harness = Loopback()
-    quiet = Quiet(harness, monkeypatch)
-    quiet.ends[0].sendall(first)
+    harness = LoopbackHarness()
+    discovery = DiscoveryServer(harness, monkeypatch)
+    discovery.server_sockets[0].sendall(first)
     for _ in range(50):  # 5 s
-        if drip and len(quiet.ends) == 1:
-            quiet.ends[0].sendall(drip)
+        if drip and len(discovery.server_sockets) == 1:
+            discovery.server_sockets[0].sendall(drip)
             time.sleep(0.0005)
         harness.pass_time(1_000, 250)
-    assert len(quiet.ends) >= 2
-    asked = harness.heard_soon(quiet.ends[1])
-    assert b"Last-Event-ID: 1\r\n" in asked
+    assert len(discovery.server_sockets) >= 2
+    watch_request = harness.receive_soon(discovery.server_sockets[1])
+    assert b"Last-Event-ID: 1\r\n" in watch_request
 
 
-def test_a_feed_that_comments_each_second_is_kept(monkeypatch):
-    harness = Loopback()
-    quiet = Quiet(harness, monkeypatch)
-    quiet.ends[0].sendall(b"HTTP/1.1 200 OK\r\n\r\n")
+def test_discovery_connection_with_a_comment_each_second_is_kept(monkeypatch):
+    harness = LoopbackHarness()
+    discovery = DiscoveryServer(harness, monkeypatch)
+    discovery.server_sockets[0].sendall(b"HTTP/1.1 200 OK\r\n\r\n")
     for _ in range(12):
-        quiet.ends[0].sendall(b": hi\n\n")
+        discovery.server_sockets[0].sendall(b": hi\n\n")
         time.sleep(0.001)
         harness.pass_time(SECOND, 500)
-    assert len(quiet.ends) == 1
+    assert len(discovery.server_sockets) == 1
 
 
 @pytest.mark.parametrize("when", ["loading", "reading"])
-def test_a_signal_to_read_again_that_comes_while_the_program_starts_does_not_end_it(when, tmp_path):
-    said = {
+def test_reload_signal_during_startup_does_not_end_the_process(when, tmp_path):
+    configuration = {
         "name": "n",
         "listen": "127.0.0.1:1",
         "feed": "127.0.0.1:2",
         "settings": PLATFORM_SETTINGS,
     }
     port = free_port()
-    (tmp_path / "c.json").write_text(json.dumps(said))
+    (tmp_path / "c.json").write_text(json.dumps(configuration))
     code = f"""
 import os, signal, sys
-def strike(*_):
+def send_reload_signal(*_):
     os.kill(os.getpid(), signal.SIGHUP)
 import corkgauge.commands.serve as serve
 if {when!r} == "loading":
@@ -534,21 +584,21 @@
     real = builtins.__import__
     def slow(name, *rest):
         if name == "corkgauge.eventloop.loop" or name == "corkgauge.daemon.process":
-            strike()
+            send_reload_signal()
         return real(name, *rest)
     builtins.__import__ = slow
 else:
     from corkgauge.config import platform as configuration
     real_read = configuration.read
     def read(environment):
-        strike()
+        send_reload_signal()
         return real_read(environment)
     configuration.read = read
 from corkgauge.commands import main
 sys.argv = ["corkgauge", "serve"]
 sys.exit(main())
 """
-    started = subprocess.Popen(
+    process = subprocess.Popen(
         [sys.executable, "-c", code],
         stderr=subprocess.PIPE,
         text=True,
@@ -561,9 +611,9 @@
     )
     try:
         assert "serving as n" in next(
-            line for line in started.stderr if "serving" in line or "Trace" in line
+            line for line in process.stderr if "serving" in line or "Trace" in line
         )
     finally:
-        started.send_signal(signal.SIGTERM)
-        assert started.wait(10) == 0
-        started.stderr.close()
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(10) == 0
+        process.stderr.close()
