--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -1,4 +1,7 @@
-"""Any sequence of what clients, engines, list and time may do: one final answer each, nothing for who left."""
+"""Stateful test with random actions of clients, engines, the endpoint list and the clock.
+
+Each request gets exactly one final answer, and no attempt starts after its client has left.
+"""
 
 import json
 import socket
@@ -7,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from corkgauge.net import engine_pool as engines
+from corkgauge.net import engine_pool as engine_pool_module
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import command
 from tests.harness import (
@@ -19,54 +22,59 @@
 )
 
 REAL_DIAL = EnginePool.dial
-ROW = "a\t\t\n"
-EXPIRY = 52_000
-PROOF = "WAIT", "PAST"  # an engine's word that it never ran
+RESULT_ROW = "a\t\t\n"
+LONGEST_WAIT_TICKS = 52_000
+NEVER_RAN_STATUSES = "WAIT", "PAST"  # statuses by which an engine states that an attempt never ran
 
 
-def say(sock, data):
-    """A peer may have closed by now."""
+def send_if_open(sock, data):
+    """Send data to a peer that may have closed the connection."""
     try:
         sock.sendall(data)
     except (BrokenPipeError, ConnectionResetError):
         pass
 
 
-class Ask:
-    """One request as its client knows it."""
+class TrackedRequest:
+    """Tracks one request from its client's side."""
 
     def __init__(self, client, stream, trace, route):
         self.client, self.stream, self.trace, self.route = client, stream, trace, route
-        self.left, self.answers = False, 0
-        self.attempts = []  # what became of each: "out", "proof", "ended"
+        self.is_abandoned, self.answer_count = False, 0
+        self.attempts = []  # state of each: "in flight", "never ran" or "ended"
 
 
-class Client:
+class TrackedClient:
     def __init__(self, sock):
-        self.sock, self.last, self.asks, self.read = sock, 0, {}, b""
+        self.sock, self.last_stream, self.requests, self.unparsed = sock, 0, {}, b""
 
 
 class Sequences(RuleBasedStateMachine):
-    """The outside's own book, beside the program's; only what passes on connections is looked at."""
+    """Plays clients and engines, and checks what passes on the connections alone.
+
+    Keeps records of requests and attempts that do not depend on those of the front end.
+    """
 
     def __init__(self):
         super().__init__()
         self.harness = HostHarness([endpoint_list_event(1, {}, {"id": "e2"})])
         EnginePool.dial = REAL_DIAL
-        self.kept, engines.dial = engines.dial, self.dial
+        self.original_dial, engine_pool_module.dial = engine_pool_module.dial, self.dial
         self.harness.socket_host.dials_in_progress = 0
         for engine_pool in self.harness.socket_host.engine_pools.values():
             engine_pool.dialling = False
-        self.event, self.traces, self.refuse = 1, 0, False
-        self.clients, self.asks, self.guests = [], {}, []
+        self.event_number, self.request_count, self.refuse_dials = 1, 0, False
+        self.clients, self.requests, self.engine_connections = [], {}, []
 
     def teardown(self):
         try:
-            for _ in range(EXPIRY // 2_000):
+            for _ in range(LONGEST_WAIT_TICKS // 2_000):
                 self.harness.pass_time(2_000, 500)
-                self.look()
-            for ask in self.asks.values():
-                assert ask.answers == 1 or ask.left, f"{ask.answers} answers to {ask.trace}"
+                self.check_output()
+            for request in self.requests.values():
+                assert request.answer_count == 1 or request.is_abandoned, (
+                    f"request {request.trace}: expected 1 answer, got {request.answer_count}"
+                )
             assert (
                 not self.harness.socket_host.in_flight_attempts
                 and not self.harness.socket_host.open_requests
@@ -75,138 +83,157 @@
                 self.harness.logged
             )
         finally:
-            engines.dial = self.kept
+            engine_pool_module.dial = self.original_dial
 
-    def dial(self, event_loop, where, span):
-        if self.refuse:
+    def dial(self, event_loop, address, timeout):
+        if self.refuse_dials:
             return None, "ECONNREFUSED"
-        mine, its = socket.socketpair()
-        mine.setblocking(False)
-        self.guests.append([mine, {}, b""])
-        return its, ""
+        engine_socket, host_socket = socket.socketpair()
+        engine_socket.setblocking(False)
+        self.engine_connections.append([engine_socket, {}, b""])
+        return host_socket, ""
 
-    # What the outside does.
+    # Actions of clients, engines, the endpoint list and the clock.
 
     @rule(
         route=st.sampled_from(["quick", "load", "once"]),
-        new=st.booleans(),
+        on_new_client=st.booleans(),
         patience=st.sampled_from(["80", "900", "5000"]),
         turns=st.integers(0, 3),
     )
-    def asks_for(self, route, new, patience, turns):
-        if new or not self.clients:
-            self.clients.append(Client(self.harness.connect_client()))
+    def send_request(self, route, on_new_client, patience, turns):
+        if on_new_client or not self.clients:
+            self.clients.append(TrackedClient(self.harness.connect_client()))
         client = self.clients[-1]
-        client.last += 1
-        self.traces += 1
-        ask = Ask(client, client.last, request_id(self.traces), route)
-        more = {"nonce": f"n{self.traces}", "entity": "5"} if route == "load" else {}
-        say(
+        client.last_stream += 1
+        self.request_count += 1
+        request = TrackedRequest(client, client.last_stream, request_id(self.request_count), route)
+        key_fields = {"nonce": f"n{self.request_count}", "entity": "5"} if route == "load" else {}
+        send_if_open(
             client.sock,
-            request_frame(ask.stream, trace=ask.trace, route=route, patience=patience, **more),
+            request_frame(
+                request.stream, trace=request.trace, route=route, patience=patience, **key_fields
+            ),
         )
-        client.asks[ask.stream] = self.asks[ask.trace] = ask
+        client.requests[request.stream] = self.requests[request.trace] = request
         self.harness.turn(turns)
 
-    @precondition(lambda self: any(not ask.left and not ask.answers for ask in self.asks.values()))
+    @precondition(
+        lambda self: any(
+            not request.is_abandoned and not request.answer_count
+            for request in self.requests.values()
+        )
+    )
     @rule(pick=st.integers(0, 9), turns=st.integers(0, 1))
-    def takes_back(self, pick, turns):
-        able = [ask for ask in self.asks.values() if not ask.left and not ask.answers]
-        ask = able[pick % len(able)]
-        say(ask.client.sock, bytes.fromhex("0500000008") + ask.stream.to_bytes(4, "little"))
-        ask.left = True
+    def cancel_request(self, pick, turns):
+        candidates = [
+            request
+            for request in self.requests.values()
+            if not request.is_abandoned and not request.answer_count
+        ]
+        request = candidates[pick % len(candidates)]
+        send_if_open(
+            request.client.sock, bytes.fromhex("0500000008") + request.stream.to_bytes(4, "little")
+        )
+        request.is_abandoned = True
         self.harness.turn(turns)
 
     @precondition(lambda self: self.clients)
     @rule(pick=st.integers(0, 9), turns=st.integers(0, 1))
-    def closes(self, pick, turns):
+    def close_client(self, pick, turns):
         client = self.clients.pop(pick % len(self.clients))
         client.sock.close()
-        for ask in client.asks.values():
-            ask.left = True
+        for request in client.requests.values():
+            request.is_abandoned = True
         self.harness.turn(turns)
 
-    @precondition(lambda self: any(guest[1] for guest in self.guests))
-    @rule(pick=st.integers(0, 9), word=st.sampled_from(["DONE", "WAIT", "BROKE", "PAST", "TELL"]))
-    def answers(self, pick, word):
-        able = [guest for guest in self.guests if guest[1]]
-        sock, out, _ = able[pick % len(able)]
-        trace = next(iter(out))
-        say(
+    @precondition(lambda self: any(connection[1] for connection in self.engine_connections))
+    @rule(pick=st.integers(0, 9), status=st.sampled_from(["DONE", "WAIT", "BROKE", "PAST", "TELL"]))
+    def send_answer(self, pick, status):
+        candidates = [connection for connection in self.engine_connections if connection[1]]
+        sock, in_flight, _ = candidates[pick % len(candidates)]
+        trace = next(iter(in_flight))
+        send_if_open(
             sock,
             command(
-                trace, word, "chunks=1" if word == "DONE" else "-", ROW if word == "DONE" else ""
+                trace,
+                status,
+                "chunks=1" if status == "DONE" else "-",
+                RESULT_ROW if status == "DONE" else "",
             ),
         )
-        if word != "TELL":
-            ask, number = out.pop(trace)
-            ask.attempts[number] = "proof" if word in PROOF else "ended"
+        if status != "TELL":
+            request, number = in_flight.pop(trace)
+            request.attempts[number] = "never ran" if status in NEVER_RAN_STATUSES else "ended"
 
-    @precondition(lambda self: any(guest[1] for guest in self.guests))
+    @precondition(lambda self: any(connection[1] for connection in self.engine_connections))
     @rule(
         pick=st.integers(0, 9),
-        word=st.sampled_from(["WAIT", "BROKE", "PAST"]),
+        status=st.sampled_from(["WAIT", "BROKE", "PAST"]),
         closes=st.booleans(),
     )
-    def answers_as_its_client_leaves(self, pick, word, closes):
-        """Both lie unread as the next turn begins."""
-        self.look()
-        able = [guest for guest in self.guests if guest[1]]
-        if not able:
+    def send_answer_while_client_leaves(self, pick, status, closes):
+        """Leave both the answer and the client's departure unread for the next turn."""
+        self.check_output()
+        candidates = [connection for connection in self.engine_connections if connection[1]]
+        if not candidates:
             return
-        sock, out, _ = able[pick % len(able)]
-        ask, number = out.pop(trace := next(iter(out)))
-        say(sock, command(trace, word, "-", ""))
-        ask.attempts[number] = "proof" if word in PROOF else "ended"
-        if closes and ask.client in self.clients:
-            self.clients.remove(ask.client)
-            ask.client.sock.close()
-            for each in ask.client.asks.values():
-                each.left = True
-        elif ask.client in self.clients and not ask.left:
-            say(ask.client.sock, bytes.fromhex("0500000008") + ask.stream.to_bytes(4, "little"))
-            ask.left = True
+        sock, in_flight, _ = candidates[pick % len(candidates)]
+        request, number = in_flight.pop(trace := next(iter(in_flight)))
+        send_if_open(sock, command(trace, status, "-", ""))
+        request.attempts[number] = "never ran" if status in NEVER_RAN_STATUSES else "ended"
+        if closes and request.client in self.clients:
+            self.clients.remove(request.client)
+            request.client.sock.close()
+            for other in request.client.requests.values():
+                other.is_abandoned = True
+        elif request.client in self.clients and not request.is_abandoned:
+            send_if_open(
+                request.client.sock,
+                bytes.fromhex("0500000008") + request.stream.to_bytes(4, "little"),
+            )
+            request.is_abandoned = True
         self.harness.turn(1)
 
-    @precondition(lambda self: self.guests)
+    @precondition(lambda self: self.engine_connections)
     @rule(pick=st.integers(0, 9))
-    def breaks(self, pick):
-        sock, out, _ = self.guests[pick % len(self.guests)]
-        self.read(sock, out, pick % len(self.guests))
+    def close_engine_connection(self, pick):
+        sock, in_flight, _ = self.engine_connections[pick % len(self.engine_connections)]
+        self.read_commands(sock, in_flight, pick % len(self.engine_connections))
         sock.close()
-        for ask, number in out.values():
-            ask.attempts[number] = "ended"
-        del self.guests[pick % len(self.guests)]
+        for request, number in in_flight.values():
+            request.attempts[number] = "ended"
+        del self.engine_connections[pick % len(self.engine_connections)]
 
     @rule(
         tag=st.sampled_from(["e1", "e2"]),
         state=st.sampled_from(["SERVING", "DRAINING", "DELETED"]),
         started=st.sampled_from([0, 50_000, 60_000]),
     )
-    def tells(self, tag, state, started):
-        self.event += 1
-        said = endpoint_list_event(
-            self.event, {"id": tag, "state": state, "started_ms": started}, full=False
+    def update_endpoint_list(self, tag, state, started):
+        self.event_number += 1
+        event = endpoint_list_event(
+            self.event_number, {"id": tag, "state": state, "started_ms": started}, full=False
         )
-        assert not self.harness.socket_host.on_discovery_event("", json.dumps(said))
+        assert not self.harness.socket_host.on_discovery_event("", json.dumps(event))
 
     @rule(refuse=st.booleans())
-    def dials_fail(self, refuse):
-        self.refuse = refuse
+    def set_dial_failure(self, refuse):
+        self.refuse_dials = refuse
 
-    @rule(span=st.sampled_from([50, 300, 2_000, 10_000]))
-    def time_passes(self, span):
-        self.harness.pass_time(span, min(span, 250))
+    @rule(duration=st.sampled_from([50, 300, 2_000, 10_000]))
+    def advance_clock(self, duration):
+        self.harness.pass_time(duration, min(duration, 250))
 
-    # What is looked at.
+    # Checks.
 
-    def read(self, sock, out, at):
+    def read_commands(self, sock, in_flight, index):
         try:
-            data = self.guests[at][2] + sock.recv(1 << 20)
+            data = self.engine_connections[index][2] + sock.recv(1 << 20)
         except BlockingIOError:
             return
         except ConnectionResetError:
-            data = self.guests[at][2]
+            data = self.engine_connections[index][2]
         while data:
             head, _, rest = data.partition(b"\r\n")
             parts = []
@@ -216,46 +243,53 @@
                 rest = rest[int(size[1:]) + 2 :]
             data = rest
             if parts[0] == b"fetch":
-                self.begun(self.asks[parts[1].decode()], out)
+                self.record_attempt(self.requests[parts[1].decode()], in_flight)
             elif parts[0] in (b"abort", b"done"):
-                gone = out.pop(parts[1].decode(), None)
-                if gone:
-                    gone[0].attempts[gone[1]] = "ended"
-        self.guests[at][2] = b""
-
-    def begun(self, ask, out):
-        assert not ask.left, f"an attempt of {ask.trace} began after its client had gone"
-        assert not ask.answers, f"an attempt of {ask.trace} began after its answer"
-        if ask.route == "once":  # Danger: it may have run
-            assert all(each == "proof" for each in ask.attempts), (
-                f"{ask.trace} again after {ask.attempts}"
+                ended = in_flight.pop(parts[1].decode(), None)
+                if ended:
+                    ended[0].attempts[ended[1]] = "ended"
+        self.engine_connections[index][2] = b""
+
+    def record_attempt(self, request, in_flight):
+        assert not request.is_abandoned, (
+            f"request {request.trace}: an attempt started after its client had left"
+        )
+        assert not request.answer_count, (
+            f"request {request.trace}: an attempt started after its answer"
+        )
+        if request.route == "once":  # non-idempotent: an earlier attempt may have run
+            assert all(state == "never ran" for state in request.attempts), (
+                f"request {request.trace}: retried after attempts {request.attempts}"
             )
-        out[ask.trace] = (ask, len(ask.attempts))
-        ask.attempts.append("out")
+        in_flight[request.trace] = (request, len(request.attempts))
+        request.attempts.append("in flight")
 
     @invariant()
-    def look(self):
-        """What the program did with what it had by now."""
-        for at, (sock, out, _) in enumerate(self.guests):
-            self.read(sock, out, at)
+    def check_output(self):
+        """Read and check everything that the front end has sent so far."""
+        for index, (sock, in_flight, _) in enumerate(self.engine_connections):
+            self.read_commands(sock, in_flight, index)
         for client in self.clients:
             try:
-                client.read += client.sock.recv(1 << 20)
+                client.unparsed += client.sock.recv(1 << 20)
             except (BlockingIOError, ConnectionResetError):
                 pass
-            while len(client.read) >= 4 and len(client.read) >= 4 + (
-                size := int.from_bytes(client.read[:4], "little")
+            while len(client.unparsed) >= 4 and len(client.unparsed) >= 4 + (
+                size := int.from_bytes(client.unparsed[:4], "little")
             ):
-                frame, client.read = client.read[4 : 4 + size], client.read[4 + size :]
+                frame, client.unparsed = client.unparsed[4 : 4 + size], client.unparsed[4 + size :]
                 stream = int.from_bytes(frame[1:5], "little")
                 if frame[0] == 4 and stream:
-                    client.asks[stream].answers += 1
-                    assert client.asks[stream].answers == 1, "a second answer"
+                    client.requests[stream].answer_count += 1
+                    assert client.requests[stream].answer_count == 1, (
+                        "expected one answer to a request, got a second one"
+                    )
 
 
 assert "once" in {each["name"] for each in PLATFORM_SETTINGS["profiles"]}
 TestSequences = Sequences.TestCase
-# Drawn alike every time; a failing sequence is told as drawn, as shortening it takes minutes.
+# Draws the same sequences in each run. A failing sequence is reported as drawn, because shrinking
+# takes minutes.
 TestSequences.settings = settings(
     max_examples=40,
     stateful_step_count=30,
