--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -1,4 +1,4 @@
-"""The host's side of a bounded working set: what a change of the list costs, whom links are shared by and kept for."""
+"""Tests of subsets in the host: cost of list changes, connection limits, idle connections."""
 
 import json
 import socket
@@ -6,7 +6,7 @@
 
 import pytest
 
-from corkgauge.net import engine_pool as engines
+from corkgauge.net import engine_pool as engine_pool_module
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import command
 from corkgauge.policy.records import EngineState
@@ -16,19 +16,23 @@
 REAL_DIAL = EnginePool.dial
 
 
-def many(count, first=1):
-    return [{"id": f"e{n}", "addr": f"127.0.0.9:{n}"} for n in range(first, first + count)]
+def engine_entries(count, first=1):
+    """Return entries of an endpoint list event for `count` engines, numbered from `first`."""
+    return [
+        {"id": f"e{number}", "addr": f"127.0.0.9:{number}"}
+        for number in range(first, first + count)
+    ]
 
 
-def changed(harness, *servers, full=False):
+def apply_event(harness, *servers, full=False):
     number = harness.socket_host.last_event + 1
     assert not harness.socket_host.on_discovery_event(
         str(number), json.dumps(endpoint_list_event(number, *servers, full=full))
     )
 
 
-def held(harness, *tags):
-    """As the module tells it: these alone are in the working set."""
+def set_subset(harness, *tags):
+    """Put these engines alone into the subset, as the gateway does."""
     for tag, engine_pool in harness.socket_host.engine_pools.items():
         engine_pool.engine.in_subset = tag in tags
     harness.socket_host.gateway.subset.engines = [
@@ -37,152 +41,162 @@
     harness.socket_host.gateway.selector.clear_cached_orders()
 
 
-class Walked(dict):
-    """A table that counts how often anybody goes through all of it."""
+class CountingDict(dict):
+    """A dict that counts how often all of its entries are iterated over."""
 
-    walks = 0
+    iteration_count = 0
 
     def __iter__(self):
-        Walked.walks += 1
+        CountingDict.iteration_count += 1
         return super().__iter__()
 
     def values(self):
-        Walked.walks += 1
+        CountingDict.iteration_count += 1
         return super().values()
 
     def items(self):
-        Walked.walks += 1
+        CountingDict.iteration_count += 1
         return super().items()
 
 
 @pytest.fixture
-def walked(monkeypatch):
-    """Calls of `fill` and `withdraw` by engine, and walks over all engines of the host."""
-    seen = {"fill": [], "withdraw": []}
-    for kind in seen:
+def pool_calls(monkeypatch):
+    """Record calls of `fill` and `withdraw` by engine; count iterations over all pools."""
+    calls = {"fill": [], "withdraw": []}
+    for method in calls:
 
-        def noted(engine_pool, kind=kind, real=getattr(EnginePool, kind)):
-            seen[kind].append(engine_pool.engine.name)
-            real(engine_pool)
+        def recorded(engine_pool, method=method, original=getattr(EnginePool, method)):
+            calls[method].append(engine_pool.engine.name)
+            original(engine_pool)
 
-        monkeypatch.setattr(EnginePool, kind, noted)
+        monkeypatch.setattr(EnginePool, method, recorded)
 
     def watch(harness):
-        harness.socket_host.engine_pools = Walked(harness.socket_host.engine_pools)
-        Walked.walks = 0
-        for each in seen.values():
-            each.clear()
-        return seen
+        harness.socket_host.engine_pools = CountingDict(harness.socket_host.engine_pools)
+        CountingDict.iteration_count = 0
+        for engine_names in calls.values():
+            engine_names.clear()
+        return calls
 
     return watch
 
 
 @pytest.fixture
-def dialled(monkeypatch):
-    """Whom the host dials; nothing ever comes of it."""
-    found = []
+def dialled_engines(monkeypatch):
+    """Record which engines the host dials; no dial ever completes."""
+    engine_names = []
 
-    def dial(engine_pool, where):
-        found.append(engine_pool.engine.name)
+    def dial(engine_pool, address):
+        engine_names.append(engine_pool.engine.name)
 
     monkeypatch.setattr(EnginePool, "dial", dial)
 
     def begin(harness):
-        monkeypatch.setattr(EnginePool, "dial", dial)  # the rig puts its own there
+        monkeypatch.setattr(EnginePool, "dial", dial)  # the harness replaces `dial` too
         for engine_pool in harness.socket_host.engine_pools.values():
             engine_pool.dialling, engine_pool.socket_host.dials_in_progress = False, 0
-        found.clear()
-        return found
+        engine_names.clear()
+        return engine_names
 
     return begin
 
 
-# A change of the list.
+# Changes of the endpoint list.
 
 
 @pytest.mark.parametrize("count", [10, 40, 160])
-def test_a_change_of_one_engine_costs_one_however_long_the_list(count, walked):
-    harness = HostHarness([endpoint_list_event(1, *many(count))], instances=200)
-    seen = walked(harness)
-    changed(harness, {"id": "e3", "addr": "127.0.0.9:3", "started_ms": 5})
-    changed(harness, {"id": "e4", "addr": "127.0.0.9:4", "state": "DRAINING"})
-    changed(harness, {"id": "e4", "addr": "127.0.0.9:4", "state": "DELETED"})
-    changed(harness, *many(1, count + 1))
-    assert seen == {"fill": ["e3", f"e{count + 1}"], "withdraw": ["e4", "e4"]} and Walked.walks == 0
+def test_event_about_one_engine_processes_one_pool_whatever_the_list_length(count, pool_calls):
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(count))], instances=200)
+    calls = pool_calls(harness)
+    apply_event(harness, {"id": "e3", "addr": "127.0.0.9:3", "started_ms": 5})
+    apply_event(harness, {"id": "e4", "addr": "127.0.0.9:4", "state": "DRAINING"})
+    apply_event(harness, {"id": "e4", "addr": "127.0.0.9:4", "state": "DELETED"})
+    apply_event(harness, *engine_entries(1, count + 1))
+    assert (
+        calls == {"fill": ["e3", f"e{count + 1}"], "withdraw": ["e4", "e4"]}
+        and CountingDict.iteration_count == 0
+    )
     assert (
         len(harness.socket_host.engine_pools) == count
         and "e4" not in harness.socket_host.engine_pools
     )
 
 
-def test_a_whole_list_costs_the_list_once(walked):
-    harness = HostHarness([endpoint_list_event(1, *many(30))], instances=200)
-    seen = walked(harness)
-    changed(harness, *many(20, 11), full=True)
-    assert seen == {
+def test_full_endpoint_list_processes_each_pool_once(pool_calls):
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(30))], instances=200)
+    calls = pool_calls(harness)
+    apply_event(harness, *engine_entries(20, 11), full=True)
+    assert calls == {
         "fill": [f"e{n}" for n in range(11, 31)],
         "withdraw": [f"e{n}" for n in range(1, 11)],
     }
-    assert Walked.walks == 2 and [*harness.socket_host.engine_pools] == [
+    assert CountingDict.iteration_count == 2 and [*harness.socket_host.engine_pools] == [
         f"e{n}" for n in range(11, 31)
     ]
 
 
-def test_what_is_told_of_several_acts_in_the_order_in_which_the_list_first_named_them(walked):
-    harness = HostHarness([endpoint_list_event(1, *many(30))], instances=200)
-    seen = walked(harness)
-    changed(
+def test_event_about_several_engines_processes_them_in_the_order_first_listed(pool_calls):
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(30))], instances=200)
+    calls = pool_calls(harness)
+    apply_event(
         harness,
-        *reversed(many(3, 4)),
+        *reversed(engine_entries(3, 4)),
         {"id": "e9", "addr": "127.0.0.9:9", "state": "DRAINING"},
-        *many(1, 2),
+        *engine_entries(1, 2),
     )
-    assert seen == {"fill": ["e2", "e4", "e5", "e6"], "withdraw": ["e9"]}
+    assert calls == {"fill": ["e2", "e4", "e5", "e6"], "withdraw": ["e9"]}
 
 
-def test_what_waits_for_a_link_goes_on_with_a_change_that_names_another_engine(walked):
+def test_waiting_attempt_is_sent_by_an_event_about_another_engine(pool_calls):
     harness = HostHarness([endpoint_list_event(1, {})], instances=200)
     client = harness.connect_client()
     harness.send(client, request_frame())
-    mine, its = socket.socketpair()
+    engine_socket, host_socket = socket.socketpair()
     engine_pool = harness.socket_host.engine_pools["e1"]
-    link = engines.EngineConnection(engine_pool, its)
-    engine_pool.links.append(link)  # it is there, and nobody has filled it yet
-    seen = walked(harness)
-    changed(harness, *many(1, 2))
-    assert {*seen["fill"]} == {"e1", "e2"} and request_id(1).encode() in mine.recv(4096)
-    seen["fill"].clear()
-    changed(harness, *many(1, 3))
-    assert seen["fill"] == ["e3"]  # nothing waits at the first any more
-
-
-def test_a_link_ahead_that_was_not_to_be_had_is_tried_again_with_the_next_change(walked, dialled):
-    harness = HostHarness([endpoint_list_event(1, {}, *many(1, 2))], instances=3)
+    link = engine_pool_module.EngineConnection(engine_pool, host_socket)
+    engine_pool.links.append(link)  # `fill` has not been called since
+    calls = pool_calls(harness)
+    apply_event(harness, *engine_entries(1, 2))
+    assert {*calls["fill"]} == {"e1", "e2"} and request_id(1).encode() in engine_socket.recv(4096)
+    calls["fill"].clear()
+    apply_event(harness, *engine_entries(1, 3))
+    assert calls["fill"] == ["e3"]  # no attempt waits for the first engine any more
+
+
+def test_failed_dial_of_a_spare_connection_is_repeated_with_the_next_event(
+    pool_calls, dialled_engines
+):
+    harness = HostHarness([endpoint_list_event(1, {}, *engine_entries(1, 2))], instances=3)
     engine_pool = harness.socket_host.engine_pools["e1"]
-    found = dialled(harness)
-    engine_pool.next_spare_dial_at = (
-        harness.event_loop.now + SECOND
-    )  # as after a dial that was refused
+    dials = dialled_engines(harness)
+    engine_pool.next_spare_dial_at = harness.event_loop.now + SECOND  # as after a refused dial
     engine_pool.fill()
-    changed(harness, *many(1, 3))
+    apply_event(harness, *engine_entries(1, 3))
     harness.turn()
-    assert "e1" not in found
+    assert "e1" not in dials
     harness.pass_time(SECOND)
-    changed(harness, *many(1, 4))
+    apply_event(harness, *engine_entries(1, 4))
     harness.turn()
-    assert "e1" in found
+    assert "e1" in dials
 
 
-class Played:
-    """One course of changes, requests, failed dials and ended links, by chance; `whole` fills all engines after each
-    change, as the host once did. `trace` is what the outside sees.
+class RandomRun:
+    """Runs random list changes, requests, failed dials and closed connections.
+
+    With `fill_all`, fills all pools after each change, as earlier versions of the host did. `trace`
+    holds what clients, engines and the network observe.
     """
 
-    def __init__(self, seed, whole):
-        self.chance, self.trace, self.guests, self.refused = SeededRandom(seed), [], [], 0
-        self.kept, engines.dial = engines.dial, self.dial
+    def __init__(self, seed, fill_all):
+        self.random, self.trace, self.engine_sockets, self.refusals_left = (
+            SeededRandom(seed),
+            [],
+            [],
+            0,
+        )
+        self.original_dial, engine_pool_module.dial = engine_pool_module.dial, self.dial
         self.harness = HostHarness(
-            [endpoint_list_event(1, *many(5))], sockets=60, instances=(3, 200)[seed % 2]
+            [endpoint_list_event(1, *engine_entries(5))], sockets=60, instances=(3, 200)[seed % 2]
         )
         EnginePool.dial = REAL_DIAL
         self.socket_host = self.harness.socket_host
@@ -190,67 +204,69 @@
         for engine_pool in self.socket_host.engine_pools.values():
             engine_pool.dialling = False
             engine_pool.fill()
-        self.client, self.whole, self.stream, self.states = (
+        self.client, self.fill_all, self.stream, self.states = (
             self.harness.connect_client(),
-            whole,
+            fill_all,
             0,
             dict.fromkeys(range(1, 9)),
         )
 
-    def dial(self, event_loop, where, span):
-        self.trace.append(("dial", where[1]))
-        if self.refused:
-            self.refused -= 1
-            return None, ("ECONNREFUSED", "EMFILE")[self.refused % 2]
-        mine, its = socket.socketpair()
-        mine.setblocking(False)
-        self.guests.append((where[1], mine))
-        return its, ""
+    def dial(self, event_loop, address, timeout):
+        self.trace.append(("dial", address[1]))
+        if self.refusals_left:
+            self.refusals_left -= 1
+            return None, ("ECONNREFUSED", "EMFILE")[self.refusals_left % 2]
+        engine_socket, host_socket = socket.socketpair()
+        engine_socket.setblocking(False)
+        self.engine_sockets.append((address[1], engine_socket))
+        return host_socket, ""
 
     def step(self):
-        what = self.chance.below(6)
-        if what < 2:
-            n = 1 + self.chance.below(8)
-            state = ("SERVING", "SERVING", "DRAINING", "DELETED")[self.chance.below(4)]
-            moved, started = self.chance.below(8) == 0, self.chance.below(6) == 0
-            changed(
+        action = self.random.below(6)
+        if action < 2:
+            number = 1 + self.random.below(8)
+            state = ("SERVING", "SERVING", "DRAINING", "DELETED")[self.random.below(4)]
+            moved, started = self.random.below(8) == 0, self.random.below(6) == 0
+            apply_event(
                 self.harness,
                 {
-                    "id": f"e{n}",
-                    "addr": f"127.0.0.9:{n + 100 * moved}",
+                    "id": f"e{number}",
+                    "addr": f"127.0.0.9:{number + 100 * moved}",
                     "state": state,
                     "started_ms": self.harness.time // 10 if started else 0,
                 },
             )
-            if self.whole:
+            if self.fill_all:
                 for engine_pool in [*self.socket_host.engine_pools.values()]:
                     engine_pool.fill()
-        elif what == 2:
-            self.refused = self.chance.below(4)
-        elif what == 3 and self.guests:
-            self.guests.pop(self.chance.below(len(self.guests)))[1].close()
+        elif action == 2:
+            self.refusals_left = self.random.below(4)
+        elif action == 3 and self.engine_sockets:
+            self.engine_sockets.pop(self.random.below(len(self.engine_sockets)))[1].close()
         else:
             if (
                 not self.socket_host.client_connections
-            ):  # an idle one gives way where there are no descriptors
+            ):  # without free descriptors an idle one is closed
                 self.client = self.harness.connect_client()
             self.stream += 1
             self.client.sendall(request_frame(self.stream, patience="900"))
         self.harness.turn()
-        self.harness.pass_time(100 * (1 + self.chance.below(40)), 100)
-        for where, guest in self.guests:
+        self.harness.pass_time(100 * (1 + self.random.below(40)), 100)
+        for port, engine_socket in self.engine_sockets:
             try:
-                for line in guest.recv(1 << 16).split(b"fetch")[1:]:
-                    self.trace.append(("fetch", where, line[7:23]))
-                    if self.chance.below(3):
-                        guest.sendall(command(line[7:23].decode(), "DONE", "chunks=1", "a\t\t\n"))
+                for line in engine_socket.recv(1 << 16).split(b"fetch")[1:]:
+                    self.trace.append(("fetch", port, line[7:23]))
+                    if self.random.below(3):
+                        engine_socket.sendall(
+                            command(line[7:23].decode(), "DONE", "chunks=1", "a\t\t\n")
+                        )
             except (BlockingIOError, ConnectionError):
                 pass
         self.harness.turn()
         self.trace.append(("answers", len(self.harness.receive_answers(self.client))))
 
-    def over(self):
-        engines.dial = self.kept
+    def finish(self):
+        engine_pool_module.dial = self.original_dial
         assert not [line for line in self.harness.logged if "Traceback" in line], (
             self.harness.logged
         )
@@ -258,51 +274,55 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_a_change_does_all_that_looking_at_every_engine_did(seed):
+def test_event_has_the_same_effects_as_filling_every_pool(seed):
     traces = []
-    for whole in False, True:
-        play = Played(seed, whole)
+    for fill_all in False, True:
+        run = RandomRun(seed, fill_all)
         try:
             for _ in range(60):
-                play.step()
+                run.step()
         finally:
-            traces.append(play.over())
-    assert traces[0] == traces[1] and sum(each[0] == "dial" for each in traces[0]) > 10
+            traces.append(run.finish())
+    assert traces[0] == traces[1] and sum(entry[0] == "dial" for entry in traces[0]) > 10
 
 
-# Links.
+# Connections.
 
 
-def test_a_dial_costs_no_walk_over_all_engines(walked):
-    harness = HostHarness([endpoint_list_event(1, *many(50))], sockets=90, instances=200)
-    ends = [harness.connect_engine(f"e{n}") for n in range(1, 21)]
+def test_dial_does_not_iterate_over_all_engines(pool_calls):
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(50))], sockets=90, instances=200)
+    engine_sockets = [harness.connect_engine(f"e{n}") for n in range(1, 21)]
     client = harness.connect_client()
-    walked(harness)
+    pool_calls(harness)
     assert (
         harness.socket_host.has_descriptor_left(True)
         and harness.socket_host.max_links_per_engine() >= 2
     )
     for n in range(1, 9):
         harness.send(client, request_frame(n))
-    assert Walked.walks == 0 and len(harness.socket_host.links) == len(ends)
+    assert CountingDict.iteration_count == 0 and len(harness.socket_host.links) == len(
+        engine_sockets
+    )
 
 
-def test_links_that_end_are_counted_no_more():
-    harness = HostHarness([endpoint_list_event(1, *many(3))], instances=200)
-    socks = [harness.connect_engine(tag) for tag in ("e1", "e1", "e2")]
+def test_closed_connections_are_no_longer_counted():
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(3))], instances=200)
+    engine_sockets = [harness.connect_engine(tag) for tag in ("e1", "e1", "e2")]
     assert len(harness.socket_host.links) == 3
-    socks[0].close()
+    engine_sockets[0].close()
     harness.turn()
-    changed(harness, *many(1), full=True)
+    apply_event(harness, *engine_entries(1), full=True)
     harness.turn()
     assert [each.engine_pool.engine.name for each in harness.socket_host.links] == ["e1"]
 
 
-def test_links_are_shared_by_the_working_set_and_what_closes_not_by_the_list():
-    harness = HostHarness([endpoint_list_event(1, *many(60))], sockets=96, instances=200)
+def test_connection_limit_depends_on_the_subset_and_closing_pools_not_on_the_list():
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(60))], sockets=96, instances=200)
     socket_host = harness.socket_host
-    assert socket_host.max_links_per_engine() == 2  # as ever where all engines are in the set
-    held(harness, "e1", "e2", "e3", "e4")
+    assert (
+        socket_host.max_links_per_engine() == 2
+    )  # as without a subset, because all engines are in it
+    set_subset(harness, "e1", "e2", "e3", "e4")
     assert socket_host.max_links_per_engine() == 96 // 3 // 4
     socket_host.engine_pools["e9"].engine.state = EngineState.DRAINING
     socket_host.closing_pools[socket_host.engine_pools["e9"]] = None
@@ -310,114 +330,122 @@
 
 
 @pytest.mark.parametrize("count", [2, 7, 30])
-def test_while_all_engines_are_in_the_set_the_share_is_that_of_the_list(count):
-    harness = HostHarness([endpoint_list_event(1, *many(count))], sockets=300, instances=200)
+def test_connection_limit_depends_on_the_list_while_the_subset_holds_all_engines(count):
+    harness = HostHarness(
+        [endpoint_list_event(1, *engine_entries(count))], sockets=300, instances=200
+    )
     socket_host = harness.socket_host
-    kept = harness.connect_engine("e1")
+    engine_socket = harness.connect_engine("e1")
     for state in "DRAINING", "DELETED", "SERVING", "DRAINING":
-        changed(harness, {"id": "e1", "addr": "127.0.0.9:1", "state": state})
+        apply_event(harness, {"id": "e1", "addr": "127.0.0.9:1", "state": state})
         assert socket_host.max_links_per_engine() == max(2, 100 // len(socket_host.engine_pools))
-    changed(harness, *many(count - 1, 2), full=True)
+    apply_event(harness, *engine_entries(count - 1, 2), full=True)
     assert socket_host.max_links_per_engine() == max(2, 100 // len(socket_host.engine_pools))
-    assert kept.fileno() >= 0 and {each.engine.state for each in socket_host.closing_pools} <= {
+    assert engine_socket.fileno() >= 0 and {
+        each.engine.state for each in socket_host.closing_pools
+    } <= {
         EngineState.DRAINING,
         EngineState.GONE,
     }
 
 
-def test_where_descriptors_run_out_a_link_outside_the_set_gives_way_first():
-    harness = HostHarness([endpoint_list_event(1, *many(9))], sockets=32, instances=200)
-    harness.socket_host.max_engine_links, ends = 3, []
+def test_connection_outside_the_subset_is_closed_first_when_descriptors_run_out():
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(9))], sockets=32, instances=200)
+    harness.socket_host.max_engine_links, engine_sockets = 3, []
     for tag in "e1", "e2", "e3":
-        ends.append(harness.connect_engine(tag))
+        engine_sockets.append(harness.connect_engine(tag))
         harness.pass_time(100)
         harness.socket_host.engine_pools[tag].links[0].link.last_written_at = harness.event_loop.now
-    held(harness, "e1", "e2", "e4")
+    set_subset(harness, "e1", "e2", "e4")
     assert not harness.socket_host.has_descriptor_left(True)
     harness.turn()
     assert [each.engine_pool.engine.name for each in harness.socket_host.links] == ["e1", "e2"]
-    ends.append(harness.connect_engine("e4"))
+    engine_sockets.append(harness.connect_engine("e4"))
     assert not harness.socket_host.has_descriptor_left(True)
-    harness.turn()  # all in the set: the one that has been idle longest, as ever
+    harness.turn()  # all are in the subset: closes the one idle longest, as without a subset
     assert [each.engine_pool.engine.name for each in harness.socket_host.links] == ["e2", "e4"]
 
 
-def test_an_idle_link_outside_the_set_ends_and_one_inside_is_kept():
+def test_idle_connection_outside_the_subset_is_closed_and_one_inside_is_kept():
     harness = HostHarness(
-        [endpoint_list_event(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200
+        [endpoint_list_event(1, *engine_entries(2))],
+        limits={"connIdleUs": 3_000_000},
+        instances=200,
     )
-    ends = [harness.connect_engine(tag) for tag in ("e1", "e2")]
-    held(harness, "e1")
+    engine_sockets = [harness.connect_engine(tag) for tag in ("e1", "e2")]
+    set_subset(harness, "e1")
     harness.pass_time(SECOND + SECOND // 4)
-    assert harness.receive(ends[0]).startswith(command("alive", "alive-1"))
+    assert harness.receive(engine_sockets[0]).startswith(command("alive", "alive-1"))
     assert (
-        ends[1].recv(100) == b"" and not harness.socket_host.engine_pools["e2"].links
-    )  # closed, with nothing said before
+        engine_sockets[1].recv(100) == b"" and not harness.socket_host.engine_pools["e2"].links
+    )  # closed without a keepalive before
     assert [each.engine_pool.engine.name for each in harness.socket_host.links] == ["e1"]
 
 
-def test_a_link_of_an_engine_that_comes_back_to_the_set_is_kept():
+def test_connection_of_an_engine_that_returns_to_the_subset_is_kept():
     harness = HostHarness(
-        [endpoint_list_event(1, *many(2))], limits={"connIdleUs": 3_000_000}, instances=200
+        [endpoint_list_event(1, *engine_entries(2))],
+        limits={"connIdleUs": 3_000_000},
+        instances=200,
     )
-    end = harness.connect_engine("e2")
-    held(harness, "e1")
+    engine_socket = harness.connect_engine("e2")
+    set_subset(harness, "e1")
     harness.pass_time(SECOND // 2)
-    held(harness, "e1", "e2")
+    set_subset(harness, "e1", "e2")
     harness.pass_time(SECOND)
-    assert harness.receive(end).startswith(command("alive", "alive-1"))
+    assert harness.receive(engine_socket).startswith(command("alive", "alive-1"))
 
 
-def test_a_link_outside_the_set_is_asked_for_signs_while_something_is_out_there():
+def test_connection_outside_the_subset_gets_keepalives_while_an_attempt_is_in_flight():
     harness = HostHarness(
         [endpoint_list_event(1, {})], limits={"connIdleUs": 1_200_000}, instances=200
     )
-    end, client = harness.connect_engine(), harness.connect_client()
+    engine_socket, client = harness.connect_engine(), harness.connect_client()
     harness.send(client, request_frame(patience="4500"))
-    assert b"fetch" in harness.receive(end)
+    assert b"fetch" in harness.receive(engine_socket)
     harness.socket_host.engine_pools["e1"].engine.in_subset = False
     harness.pass_time(SECOND // 2 + SECOND // 10)
-    assert harness.receive(end).startswith(command("alive", "alive-1"))
-    harness.send_engine_command(end, "alive-1", "FIT", "-", "")
-    harness.send_engine_command(end, request_id(1), "DONE", "chunks=1", "a\t\t\n")
+    assert harness.receive(engine_socket).startswith(command("alive", "alive-1"))
+    harness.send_engine_command(engine_socket, "alive-1", "FIT", "-", "")
+    harness.send_engine_command(engine_socket, request_id(1), "DONE", "chunks=1", "a\t\t\n")
     assert [each[1:3] for each in harness.receive_answers(client)] == [(1, b"\1")]
     harness.pass_time(2 * SECOND)
     assert not harness.socket_host.links
 
 
-def test_no_engine_outside_the_set_is_dialled_ahead(dialled):
-    harness = HostHarness([endpoint_list_event(1, *many(4))], instances=3)
-    found = dialled(harness)
-    held(harness, "e1", "e3")
+def test_engine_outside_the_subset_is_not_dialled_in_advance(dialled_engines):
+    harness = HostHarness([endpoint_list_event(1, *engine_entries(4))], instances=3)
+    dials = dialled_engines(harness)
+    set_subset(harness, "e1", "e3")
     for engine_pool in harness.socket_host.engine_pools.values():
         engine_pool.fill()
     harness.turn()
-    assert found == ["e1", "e3"] and len(harness.socket_host.pools_lacking_spare) <= 2
+    assert dials == ["e1", "e3"] and len(harness.socket_host.pools_lacking_spare) <= 2
 
 
-def test_an_engine_outside_the_set_is_dialled_for_what_waits_and_for_nothing_more(dialled):
+def test_engine_outside_the_subset_is_dialled_only_for_waiting_attempts(dialled_engines):
     harness = HostHarness([endpoint_list_event(1, {})], instances=3)
-    engine_pool, found = harness.socket_host.engine_pools["e1"], dialled(harness)
+    engine_pool, dials = harness.socket_host.engine_pools["e1"], dialled_engines(harness)
     engine_pool.engine.in_subset = False
     client = harness.connect_client()
     harness.send(client, request_frame(1) + request_frame(2))
-    assert found == ["e1"]
+    assert dials == ["e1"]
     engine_pool.dialling = False
-    end = harness.connect_engine()
+    engine_socket = harness.connect_engine()
     harness.turn()
     assert (
-        harness.receive(end).count(b"fetch") == 2
-    )  # they share it, and no further one is dialled ahead
-    assert found == ["e1"]
+        harness.receive(engine_socket).count(b"fetch") == 2
+    )  # both use this connection, and no further one is dialled in advance
+    assert dials == ["e1"]
     engine_pool.engine.in_subset = True
     engine_pool.fill()
     harness.turn()
-    assert found == ["e1", "e1"]
+    assert dials == ["e1", "e1"]
 
 
-def test_an_engine_of_a_long_list_that_nothing_is_sent_to_costs_the_host_little():
-    events = [endpoint_list_event(1, *many(count)) for count in (100, 500)]
-    took = []
+def test_unused_engine_of_a_long_list_takes_little_memory():
+    events = [endpoint_list_event(1, *engine_entries(count)) for count in (100, 500)]
+    sizes = []
     for event in events:
         tracemalloc.start()
         try:
@@ -428,10 +456,10 @@
                     tracemalloc.Filter(True, "*/corkgauge/figures/*"),
                 ]
             )
-            took.append(sum(each.size for each in snapshot.statistics("filename")))
+            sizes.append(sum(statistic.size for statistic in snapshot.statistics("filename")))
         finally:
             tracemalloc.stop()
         assert {each.engine.state for each in harness.socket_host.engine_pools.values()} == {
             EngineState.READY
         }
-    assert (took[1] - took[0]) / 400 < 1_100
+    assert (sizes[1] - sizes[0]) / 400 < 1_100  # bytes per engine
