--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -29,7 +29,7 @@
 
 
 # Damage: which method of the ledger, how; and the kind that must be found, on what sort of row.
-ENTRIES = {
+CALL_FAULTS = {
     "taken skipped": ("record_accepted", skipped, "never entered", "offering"),
     "taken doubled": ("record_accepted", doubled, "entered twice", "offering"),
     "closed skipped": ("record_closed", skipped, "never closed", "offering"),
@@ -97,7 +97,7 @@
     raise SystemExit(f"no damage {what!r}")
 
 
-TABLES = {
+RECORD_FAULTS = {
     "name lost": "lost from the table",
     "errand lost": "hand-off never closed",
     "cancelling": "count altered",
@@ -108,14 +108,14 @@
     "threads lost": "engine out of step",
     "page lost": "books differ",
 }
-ALL = [*ENTRIES, *TABLES]
+ALL_FAULTS = [*CALL_FAULTS, *RECORD_FAULTS]
 
 
 def damage_entry(what):
     """The method does it once, and then works as ever."""
     from corkgauge.accounting.ledger import RequestLedger
 
-    name, how, _, _ = ENTRIES[what]
+    name, how, _, _ = CALL_FAULTS[what]
     method, begun = getattr(RequestLedger, name), time.time()
     bad = how(method)
 
@@ -188,7 +188,7 @@
         play(sys.argv[2])
     else:
         wanted = sys.argv.pop(1)
-        (damage_entry if wanted in ENTRIES else damage_tables)(wanted)
+        (damage_entry if wanted in CALL_FAULTS else damage_tables)(wanted)
         from corkgauge.commands import main
 
         sys.exit(main())
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -30,7 +30,7 @@
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 from corkgauge.testkit.fleet.parent_process import tied
 from corkgauge.testkit.fleet.ports import free_port
-from tests.corrupted_files import ALL, ENTRIES, TABLES
+from tests.corrupted_files import ALL_FAULTS, CALL_FAULTS, RECORD_FAULTS
 
 HERE = os.path.dirname(__file__)
 SLACK = 2500  # a busy machine may keep any process from its processor for a while
@@ -66,7 +66,7 @@
 @pytest.fixture(scope="module")
 def damages():
     """Every damage, a few at once."""
-    left, running, said = [*ALL], {}, {}
+    left, running, said = [*ALL_FAULTS], {}, {}
     while left or running:
         while left and len(running) < 5:
             what = left.pop()
@@ -87,9 +87,9 @@
     return time.mktime(time.strptime(line[:19], "%Y-%m-%d %H:%M:%S")) + float(line[19:23])
 
 
-@pytest.mark.parametrize("what", ALL)
+@pytest.mark.parametrize("what", ALL_FAULTS)
 def test_damage_to_any_entry_is_found_within_five_seconds_at_its_place(damages, what):
-    kind = ENTRIES[what][2] if what in ENTRIES else TABLES[what]
+    kind = CALL_FAULTS[what][2] if what in CALL_FAULTS else RECORD_FAULTS[what]
     damaged = damages[what]["damaged"]
     assert len(damaged) == 1, damages[what]["log"]
     _, when, row = damaged[0].split(" ", 2)
