--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -377,7 +377,7 @@
     assert (
         sum(len(engine_pool.links) for engine_pool in socket_host.engine_pools.values()) <= 96 // 3
     )
-    harness.turn()  # close_connection the connection that was idle longest
+    harness.turn()  # closes the connection that was idle longest
     assert socket_host.counters["links gave way"] == 1 and socket_host.has_descriptor_left(True)
 
 
