--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -1,8 +1,11 @@
-"""The real program with one of its entry points damaged, for tests only; the product has no such command.
+"""Runs the program with one injected accounting fault, for tests only.
 
-python tests/corrupted_files.py DAMAGE serve ...      the program, damaged once after a second
-python tests/corrupted_files.py play DAMAGE           a short day with it; prints what was found, as
-JSON
+The program itself has no such command.
+
+python tests/corrupted_files.py FAULT serve ...   the program, with the fault injected once, 1.5 s
+                                                  after the start
+python tests/corrupted_files.py play FAULT        a short day with that program; prints the findings
+                                                  as JSON
 """
 
 import json
@@ -12,91 +15,104 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-AFTER = 1.5  # seconds from the start
-HOLDS = "at 1 for 2: e1 silent"  # so that something is open for longer than a pass
+FAULT_DELAY_SECONDS = 1.5  # from the start of the program
+# An engine that is silent for 2 s keeps requests open for longer than a pass of the auditor.
+SILENT_ENGINE_SCRIPT = "at 1 for 2: e1 silent"
 
 
-def skipped(method):
-    return lambda self, *what: None
+def skip_call(method):
+    return lambda self, *arguments: None
 
 
-def doubled(method):
-    def twice(self, *what):
-        method(self, *what)
-        method(self, *what)
+def repeat_call(method):
+    def call_twice(self, *arguments):
+        method(self, *arguments)
+        method(self, *arguments)
 
-    return twice
+    return call_twice
 
 
-# Damage: which method of the ledger, how; and the kind that must be found, on what sort of row.
+# By fault: method of the ledger, change of the method, kind of discrepancy that the auditor must
+# report, kind of its row.
 CALL_FAULTS = {
-    "taken skipped": ("record_accepted", skipped, "never entered", "offering"),
-    "taken doubled": ("record_accepted", doubled, "entered twice", "offering"),
-    "closed skipped": ("record_closed", skipped, "never closed", "offering"),
-    "closed doubled": ("record_closed", doubled, "closed twice", "offering"),
-    "handed off skipped": ("record_attempt_sent", skipped, "hand-off never entered", "engine"),
-    "handed off doubled": ("record_attempt_sent", doubled, "hand-off entered twice", "engine"),
-    "handoff over skipped": ("on_attempt_finished", skipped, "hand-off never closed", "engine"),
-    "handoff over doubled": ("on_attempt_finished", doubled, "hand-off closed twice", "engine"),
+    "taken skipped": ("record_accepted", skip_call, "never entered", "offering"),
+    "taken doubled": ("record_accepted", repeat_call, "entered twice", "offering"),
+    "closed skipped": ("record_closed", skip_call, "never closed", "offering"),
+    "closed doubled": ("record_closed", repeat_call, "closed twice", "offering"),
+    "handed off skipped": ("record_attempt_sent", skip_call, "hand-off never entered", "engine"),
+    "handed off doubled": (
+        "record_attempt_sent",
+        repeat_call,
+        "hand-off entered twice",
+        "engine",
+    ),
+    "handoff over skipped": ("on_attempt_finished", skip_call, "hand-off never closed", "engine"),
+    "handoff over doubled": (
+        "on_attempt_finished",
+        repeat_call,
+        "hand-off closed twice",
+        "engine",
+    ),
     "connection up skipped": (
         "record_connection_opened",
-        skipped,
+        skip_call,
         "books differ",
         "client connections",
     ),
     "connection over doubled": (
         "record_connection_closed",
-        doubled,
+        repeat_call,
         "books differ",
         "client connections",
     ),
 }
 
 
-def hurt_tables(socket_host, what):
-    """Damage to the records and counts themselves: what must be found, and where."""
+def corrupt_record(socket_host, fault):
+    """Change a record or a count; return the name of the row that the auditor must report."""
     ledger = socket_host.ledger
     rows = [*ledger.request_classes.values()]
-    if what == "name lost":
+    if fault == "name lost":
         request = max(
             socket_host.open_requests.values(),
             key=lambda request: request.accepted_at + request.time_to_deadline,
         )
         del socket_host.open_requests[request.host_reference.name]
         return request.request_class.name
-    if what == "errand lost":
+    if fault == "errand lost":
         in_flight_attempt = socket_host.in_flight_attempts.pop(
             next(iter(socket_host.in_flight_attempts))
         )
         return in_flight_attempt.engine_row.name
-    if what == "cancelling":  # one in a million, that cancels out in the totals
+    if fault == "cancelling":  # a difference of one in a million that cancels out in the totals
         rows[0].terms[0] += 1
         rows[0].open += 1
         rows[1].terms[0] -= 1
         rows[1].open -= 1
         return rows[0].name
-    if what == "swapped":  # cancels out even in its own row's count
+    if fault == "swapped":  # cancels out even in the count of the row; only the serials differ
         rows[0].open_serials += 1
         return rows[0].name
-    if what == "term altered":
+    if fault == "term altered":
         rows[0].terms[1] += 1
         return rows[0].name
-    if what == "reason altered":
+    if fault == "reason altered":
         rows[1].reasons[0] += 1
         return rows[1].name
-    if what == "sort altered":
+    if fault == "sort altered":
         rows[0].sorts[1] += 1
         return "further"
     engine_pool = next(iter(socket_host.engine_pools.values()))
-    if what == "threads lost":
+    if fault == "threads lost":
         engine_pool.engine.threads_in_flight += 1
         return engine_pool.engine.name
-    if what == "page lost":
+    if fault == "page lost":
         engine_pool.row.pages -= 1
         return "pages"
-    raise SystemExit(f"no damage {what!r}")
+    raise SystemExit(f"unknown fault {fault!r}")
 
 
+# By fault: kind of discrepancy that the auditor must report.
 RECORD_FAULTS = {
     "name lost": "lost from the table",
     "errand lost": "hand-off never closed",
@@ -111,16 +127,18 @@
 ALL_FAULTS = [*CALL_FAULTS, *RECORD_FAULTS]
 
 
-def damage_entry(what):
-    """The method does it once, and then works as ever."""
+def inject_call_fault(fault):
+    """Change the method of the ledger for one call; later calls work as usual."""
     from corkgauge.accounting.ledger import RequestLedger
 
-    name, how, _, _ = CALL_FAULTS[what]
-    method, begun = getattr(RequestLedger, name), time.time()
-    bad = how(method)
+    name, change, _, _ = CALL_FAULTS[fault]
+    method, started_at = getattr(RequestLedger, name), time.time()
+    faulty_method = change(method)
 
-    def hurt(self, *args):
-        if time.time() < begun + AFTER or (name.startswith("record_connection") and args[0] != 0):
+    def call_with_fault(self, *args):
+        if time.time() < started_at + FAULT_DELAY_SECONDS or (
+            name.startswith("record_connection") and args[0] != 0
+        ):
             return method(self, *args)
         setattr(RequestLedger, name, method)
         row = getattr(args[0], "engine_row", None) or getattr(args[0], "row", None)
@@ -129,42 +147,49 @@
             file=sys.stderr,
             flush=True,
         )
-        return bad(self, *args)
+        return faulty_method(self, *args)
 
-    setattr(RequestLedger, name, hurt)
+    setattr(RequestLedger, name, call_with_fault)
 
 
-def damage_tables(what):
+def inject_record_fault(fault):
+    """Replace the audit of the front end until the fault is injected before one of its passes."""
     from corkgauge.net.platform_frontend import PlatformFrontEnd
 
-    audit, begun = PlatformFrontEnd.audit, time.time()
+    audit, started_at = PlatformFrontEnd.audit, time.time()
 
-    def hurt(self):
-        ready = self.in_flight_attempts and self.open_requests and time.time() > begun + AFTER
+    def audit_with_fault(self):
+        ready = (
+            self.in_flight_attempts
+            and self.open_requests
+            and time.time() > started_at + FAULT_DELAY_SECONDS
+        )
         if ready:
             PlatformFrontEnd.audit = audit
             print(
-                f"damaged {time.time():.3f} {hurt_tables(self, what)}", file=sys.stderr, flush=True
+                f"damaged {time.time():.3f} {corrupt_record(self, fault)}",
+                file=sys.stderr,
+                flush=True,
             )
-            self.auditor.run_whole_pass()  # some of it is over before the next pass
+            self.auditor.run_whole_pass()  # some requests would end before the next pass
         self.event_loop.call_later(500, self.audit) if not ready else audit(self)
 
-    PlatformFrontEnd.audit = hurt
+    PlatformFrontEnd.audit = audit_with_fault
 
 
-def play(what):
+def play(fault):
     from corkgauge.testkit.faults.script import read
     from corkgauge.testkit.fleet.day import Day
 
     day = Day(
         11,
-        read(HOLDS, ["e1"]),
+        read(SILENT_ENGINE_SCRIPT, ["e1"]),
         engines=2,
         clients=4,
         rate=60,
         scrapes=10,
         hangs_up=0.05,
-        start=(__file__, what),
+        start=(__file__, fault),
     )
     try:
         day.run(5.0, drain=2.0)
@@ -187,8 +212,8 @@
     if sys.argv[1] == "play":
         play(sys.argv[2])
     else:
-        wanted = sys.argv.pop(1)
-        (damage_entry if wanted in CALL_FAULTS else damage_tables)(wanted)
+        fault = sys.argv.pop(1)
+        (inject_call_fault if fault in CALL_FAULTS else inject_record_fault)(fault)
         from corkgauge.commands import main
 
         sys.exit(main())
