--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -1,9 +1,9 @@
 """Samples of stored files and of datagrams, built by the program from fixed state.
 
-Every value that would differ from run to run (clocks, key, names, seeds) is fixed here. The tables
-at the end map the name of each sample to the function that builds it;
-`tests/fixtures/write_landed.py` stores the results and `tests/test_landed_fixtures.py` compares
-the program with what is stored. This module is the only place of the three that names modules and
+Every value that would differ from run to run (clocks, key, names, seeds) is fixed in this module.
+The tables SENDERS, FILES and READERS map the name of each sample to the function that builds or
+reads it. `tests/fixtures/write_landed.py` stores the results, and `tests/test_landed_fixtures.py`
+compares the program with the stored results. Of the three, this module alone uses modules and
 types of the program.
 """
 
@@ -46,24 +46,23 @@
 from corkgauge.maintenance.plan_records import UnitState
 from corkgauge.maintenance.service import MaintenanceService
 from corkgauge.membership import datagrams, sealing
-from corkgauge.membership.datagrams import DatagramKind as letters
+from corkgauge.membership.datagrams import DatagramKind
 from corkgauge.membership.member_list import ALIVE
 from corkgauge.membership.service import MembershipService
 from corkgauge.peer_health.aggregation import Assessment
 from corkgauge.peer_health.health_report import Fault
 from corkgauge.peer_health.service import PeerHealthService
-from corkgauge.recovery import attempt_log as effects
-from corkgauge.recovery import attempt_records, learned_state, snapshot
-from corkgauge.recovery import log_writer as writer
-from corkgauge.recovery import service as keeping
+from corkgauge.recovery import attempt_log as attempt_log_module
+from corkgauge.recovery import attempt_records, learned_state, log_writer, snapshot
+from corkgauge.recovery import service as recovery_service
 from tests.harness import PLATFORM_SETTINGS, HostHarness, endpoint_list_event, request_frame
 
 FOLDER = Path(__file__).parent / "fixtures" / "landed"
-NOW = 17_000_000_000_000  # tenths of a millisecond of the date
-BOOT_NANOSECONDS = 5_000_000_000_000  # since the machine's boot
+NOW_TICKS = 17_000_000_000_000  # wall-clock time, in ticks since 1970
+SINCE_BOOT_NANOSECONDS = 5_000_000_000_000  # of the machine
 SECRET = bytes(range(32))
 PEER_INCARNATIONS = {"n2": 6_000_002, "n3": 6_000_003}
-FENCE = 77
+FENCING_TOKEN = 77
 ROSTER = (
     ("n1", ("10.0.0.11", 7100), "hall-a"),
     ("n2", ("10.0.0.12", 7100), "hall-b"),
@@ -87,28 +86,28 @@
 
 
 class Datagram(NamedTuple):
-    """One datagram as it left an instance."""
+    """A datagram as an instance sent it."""
 
     receiver: str
     octets: bytes
 
 
-class Opened(NamedTuple):
-    """What a receiver takes out of a datagram, and how its handlers counted it."""
+class DecodedDatagram(NamedTuple):
+    """The content that a receiver decodes from a datagram, and the count of invalid messages."""
 
     sender: str
-    sort: int
+    kind: int
     body: Any
-    not_understood: int
+    invalid_count: int
 
 
 # Instances.
 
 
-class RecordingSociety(MembershipService):
-    """The membership service of an instance whose datagrams are recorded instead of sent."""
+class RecordingMembership(MembershipService):
+    """Records the datagrams of an instance instead of sending them."""
 
-    def _bind(self, said: MembershipConfig) -> None:
+    def _bind(self, config: MembershipConfig) -> None:
         self.sent: list[Datagram] = []
         self.sock, self.other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
@@ -122,459 +121,492 @@
 
 
 class Instance:
-    """One instance with every subsystem, on a clock that stands still."""
+    """A gateway instance with all subsystems, on a stopped clock."""
 
-    def __init__(self, name: str, votes_folder: str = "", met: bool = True) -> None:
+    def __init__(self, name: str, votes_folder: str = "", knows_peers: bool = True) -> None:
         self.name = name
         rules = {**PLATFORM_SETTINGS["rules"], "coldUs": 15_000_000}
         self.harness = HostHarness(
             [endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})], rules=rules
         )
-        self.harness.time = NOW
+        self.harness.time = NOW_TICKS
         self.harness.event_loop.update_now()
         self.socket_host = self.harness.socket_host
-        said = {
+        configuration = {
             "name": name,
             "listen": "127.0.0.1:1",
             "feed": "127.0.0.1:2",
             "seed": "7",
             "settings": PLATFORM_SETTINGS,
         }
-        self.post = PlatformConfig(said, "")
-        self.membership = RecordingSociety(
-            self.socket_host, self.post, MembershipConfig((SECRET,), ROSTER, None, SECOND // 2)
+        self.platform_config = PlatformConfig(configuration, "")
+        self.membership = RecordingMembership(
+            self.socket_host,
+            self.platform_config,
+            MembershipConfig((SECRET,), ROSTER, None, SECOND // 2),
         )
         self.member_list = self.membership.member_list
-        if met:
-            self._meet()
-        duties = (("books", "books", 5 * SECOND), ("nightly", "run", 5 * SECOND))
-        self.office = LeaseService(
+        if knows_peers:
+            self._learn_peers()
+        leases = (("books", "books", 5 * SECOND), ("nightly", "run", 5 * SECOND))
+        self.lease_service = LeaseService(
             self.socket_host,
-            self.post,
+            self.platform_config,
             LeaseConfig(
-                1, ("n1", "n2", "n3"), duties, 5 * SECOND, 5 * SECOND, 2_500, 0.01, votes_folder
+                1, ("n1", "n2", "n3"), leases, 5 * SECOND, 5 * SECOND, 2_500, 0.01, votes_folder
             ),
             self.membership,
         )
-        self.office.voter.silent_until = 0
-        self.yard = MaintenanceService(
+        self.lease_service.voter.silent_until = 0
+        self.maintenance = MaintenanceService(
             self.socket_host,
-            self.post,
+            self.platform_config,
             MaintenanceConfig((4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND),
             self.membership,
-            self.office,
+            self.lease_service,
         )
-        self.yard.plan_replica.silent_until = 0
-        self.exchange = PeerHealthService(
-            self.socket_host, self.post, PeerHealthConfig(2_500, 8_000), self.membership
+        self.maintenance.plan_replica.silent_until = 0
+        self.peer_health = PeerHealthService(
+            self.socket_host, self.platform_config, PeerHealthConfig(2_500, 8_000), self.membership
         )
-        self.exchange.byte_budget = 8_000
+        self.peer_health.byte_budget = 8_000
         self.membership.sent.clear()
 
-    def _meet(self) -> None:
+    def _learn_peers(self) -> None:
         for name, incarnation in PEER_INCARNATIONS.items():
             if name != self.name:
                 self.member_list.codec.learn_incarnation(name, incarnation)
                 assert self.member_list.members[name].state == ALIVE
         self.member_list.local.has_joined = True
 
-    def receive(self, sort: int, body: Any) -> None:
-        """Take a datagram of n2's."""
-        pens = datagrams.DatagramCodec(
+    def receive(self, kind: int, body: Any) -> None:
+        """Handle a datagram sent by n2."""
+        codec = datagrams.DatagramCodec(
             "n2",
             PEER_INCARNATIONS["n2"],
             [sealing.Key(SECRET)],
             lambda name, start: None,
             lambda start: None,
         )
-        pens.set_peers(["n1"])
+        codec.set_peers(["n1"])
         known_as = self.member_list.codec.incarnation
-        self.member_list.handle_datagram(pens.encode("n1", sort, body, known_as))
-
-    def hold(self, duty: str) -> None:
-        """Let this instance hold a lease, under the fixed fencing token."""
-        holder = self.office.candidates[duty]
-        holder.state, holder.fencing_token, holder.ballot = CandidateState.HOLDING, FENCE, FENCE
-        holder.held_until = self.office.now + 4 * SECOND
-
-    def lead_plan(self) -> None:
-        """Hold the maintenance lease with a plan that a majority has."""
-        self.hold("works")
-        proposer = self.yard.plan_proposer
-        proposer.on_lease_gained(FENCE)
+        self.member_list.handle_datagram(codec.encode("n1", kind, body, known_as))
+
+    def hold_lease(self, lease: str) -> None:
+        """Make this instance the holder of a lease, with the fixed fencing token."""
+        holder = self.lease_service.candidates[lease]
+        holder.state, holder.fencing_token, holder.ballot = (
+            CandidateState.HOLDING,
+            FENCING_TOKEN,
+            FENCING_TOKEN,
+        )
+        holder.held_until = self.lease_service.now + 4 * SECOND
+
+    def hold_plan_lease(self) -> None:
+        """Make this instance hold the maintenance lease, with a plan stored on a majority."""
+        self.hold_lease("works")
+        proposer = self.maintenance.plan_proposer
+        proposer.on_lease_gained(FENCING_TOKEN)
         proposer.state = ProposerState.FORGOTTEN
         proposer.begin_anew(maintenance_plan())
         for name in "n2", "n3":
-            proposer.on_datagram(name, [PlanMessageKind.ACCEPTED, FENCE, FENCE, 1])
+            proposer.on_datagram(name, [PlanMessageKind.ACCEPTED, FENCING_TOKEN, FENCING_TOKEN, 1])
 
-    def last(self, sort: int, subject: str = "", tag: int | str | None = None) -> bytes:
-        """The last datagram sent of this sort and subject."""
+    def last_datagram(self, kind: int, subject: str = "", tag: int | str | None = None) -> bytes:
+        """Return the last datagram sent of this kind, subject and first item of the body."""
         for datagram in reversed(self.membership.sent):
-            said = msgpack.unpackb(datagram.octets[2 : -sealing.SEAL_BYTES], strict_map_key=False)
-            if said[0] != sort:
+            fields = msgpack.unpackb(datagram.octets[2 : -sealing.SEAL_BYTES], strict_map_key=False)
+            if fields[0] != kind:
                 continue
-            if sort != letters.CALL:
+            if kind != DatagramKind.CALL:
                 return datagram.octets
-            named, body = said[6]
-            if named == subject and (tag is None or body[0] == tag):
+            sent_subject, body = fields[6]
+            if sent_subject == subject and (tag is None or body[0] == tag):
                 return datagram.octets
-        raise AssertionError(f"no datagram {sort} {subject} {tag} was sent")
+        raise AssertionError(
+            f"expected a datagram of kind {kind}, subject {subject!r}, tag {tag!r}; none sent"
+        )
 
     def close(self) -> None:
-        self.office.durable_record.close()
-        self.yard.safe.close()
+        self.lease_service.durable_record.close()
+        self.maintenance.safe.close()
         self.membership.close()
 
 
 @contextmanager
 def fixed_boot_clock() -> Iterator[None]:
-    """Let the time since the machine's boot stand still."""
-    with mock.patch.object(time, "clock_gettime_ns", lambda clock: BOOT_NANOSECONDS):
+    """Stop the clock that counts the time since the machine's boot."""
+    with mock.patch.object(time, "clock_gettime_ns", lambda clock: SINCE_BOOT_NANOSECONDS):
         yield
 
 
 @contextmanager
-def instance(name: str = "n1", votes_folder: str = "", met: bool = True) -> Iterator[Instance]:
-    """An instance for the length of a block."""
+def running_instance(
+    name: str = "n1", votes_folder: str = "", knows_peers: bool = True
+) -> Iterator[Instance]:
+    """Create an instance, and close it at the end of the block."""
     with fixed_boot_clock():
-        made = Instance(name, votes_folder, met)
+        new_instance = Instance(name, votes_folder, knows_peers)
         try:
-            yield made
+            yield new_instance
         finally:
-            made.close()
+            new_instance.close()
 
 
-# Datagrams. Each function brings an instance to send one.
+# Datagrams. Each function makes an instance send one, and returns the datagram.
 
 
-def send_hello(here: Instance) -> bytes:
-    here.member_list.call("n3", "duty", [])
-    return here.last(letters.HELLO)
+def send_hello(instance: Instance) -> bytes:
+    instance.member_list.call("n3", "duty", [])
+    return instance.last_datagram(DatagramKind.HELLO)
 
 
-def send_back(here: Instance) -> bytes:
-    here.receive(letters.HELLO, None)
-    return here.last(letters.HELLO_REPLY)
+def send_hello_reply(instance: Instance) -> bytes:
+    instance.receive(DatagramKind.HELLO, None)
+    return instance.last_datagram(DatagramKind.HELLO_REPLY)
 
 
-def send_ask_all(here: Instance) -> bytes:
-    here.receive(letters.HELLO_REPLY, None)
-    return here.last(letters.STATE_REQUEST)
+def send_state_request(instance: Instance) -> bytes:
+    instance.receive(DatagramKind.HELLO_REPLY, None)
+    return instance.last_datagram(DatagramKind.STATE_REQUEST)
 
 
-def send_ask(here: Instance) -> bytes:
-    here.member_list.on_period()
-    return here.last(letters.PROBE)
+def send_probe(instance: Instance) -> bytes:
+    instance.member_list.on_period()
+    return instance.last_datagram(DatagramKind.PROBE)
 
 
-def send_answer(here: Instance) -> bytes:
-    here.receive(letters.PROBE, [5, []])
-    return here.last(letters.ACK)
+def send_ack(instance: Instance) -> bytes:
+    instance.receive(DatagramKind.PROBE, [5, []])
+    return instance.last_datagram(DatagramKind.ACK)
 
 
-def send_ask_for(here: Instance) -> bytes:
-    here.member_list.on_period()
-    here.member_list.failure_detector.on_probe_timeout(
-        here.member_list.failure_detector.last_sequence_number
+def send_indirect_probe(instance: Instance) -> bytes:
+    instance.member_list.on_period()
+    instance.member_list.failure_detector.on_probe_timeout(
+        instance.member_list.failure_detector.last_sequence_number
     )
-    return here.last(letters.INDIRECT_PROBE)
+    return instance.last_datagram(DatagramKind.INDIRECT_PROBE)
 
 
-def send_deaf(here: Instance) -> bytes:
-    here.receive(letters.INDIRECT_PROBE, [9, "n3", []])
-    here.member_list.failure_detector.on_probe_expired(
-        here.member_list.failure_detector.last_sequence_number
+def send_nack(instance: Instance) -> bytes:
+    instance.receive(DatagramKind.INDIRECT_PROBE, [9, "n3", []])
+    instance.member_list.failure_detector.on_probe_expired(
+        instance.member_list.failure_detector.last_sequence_number
     )
-    return here.last(letters.NACK)
+    return instance.last_datagram(DatagramKind.NACK)
 
 
-def send_tell(here: Instance) -> bytes:
-    here.receive(letters.STATE_REQUEST, [[["n3", 1, PEER_INCARNATIONS["n3"], 2, "n2"]]])
-    return here.last(letters.GOSSIP)
+def send_gossip(instance: Instance) -> bytes:
+    instance.receive(DatagramKind.STATE_REQUEST, [[["n3", 1, PEER_INCARNATIONS["n3"], 2, "n2"]]])
+    return instance.last_datagram(DatagramKind.GOSSIP)
 
 
-def send_lease_probe(here: Instance) -> bytes:
-    here.office.candidates["books"]._probe()
-    return here.last(letters.CALL, "duty", MessageKind.PROBE)
+def send_lease_probe(instance: Instance) -> bytes:
+    instance.lease_service.candidates["books"]._probe()
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.PROBE)
 
 
-def send_lease_prepare(here: Instance) -> bytes:
-    here.office.candidates["books"]._prepare()
-    return here.last(letters.CALL, "duty", MessageKind.PREPARE)
+def send_lease_prepare(instance: Instance) -> bytes:
+    instance.lease_service.candidates["books"]._prepare()
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.PREPARE)
 
 
-def send_lease_grant(here: Instance) -> bytes:
-    here.office.candidates["books"]._prepare()
-    here.office.candidates["books"]._begin_requesting()
-    return here.last(letters.CALL, "duty", MessageKind.GRANT_REQUEST)
+def send_lease_grant_request(instance: Instance) -> bytes:
+    instance.lease_service.candidates["books"]._prepare()
+    instance.lease_service.candidates["books"]._begin_requesting()
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.GRANT_REQUEST)
 
 
-def send_lease_release(here: Instance) -> bytes:
-    here.hold("books")
-    here.office.candidates["books"].release("told")
-    return here.last(letters.CALL, "duty", MessageKind.RELEASE)
+def send_lease_release(instance: Instance) -> bytes:
+    instance.hold_lease("books")
+    instance.lease_service.candidates["books"].release("told")
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.RELEASE)
 
 
-def send_lease_vacant(here: Instance) -> bytes:
-    here.hold("books")
-    here.office.candidates["books"].release("told")
-    return here.last(letters.CALL, "duty", MessageKind.VACANT)
+def send_lease_vacant(instance: Instance) -> bytes:
+    instance.hold_lease("books")
+    instance.lease_service.candidates["books"].release("told")
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.VACANT)
 
 
-def lease_question(here: Instance, sort: int) -> list[Any]:
-    return [sort, "books", 1, here.office.configuration.fingerprint, 3, 500]
+def lease_request(instance: Instance, kind: int) -> list[Any]:
+    return [kind, "books", 1, instance.lease_service.configuration.fingerprint, 3, 500]
 
 
-def send_lease_would(here: Instance) -> bytes:
-    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.PROBE))
-    return here.last(letters.CALL, "duty", MessageKind.PROBE_REPLY)
+def send_lease_probe_reply(instance: Instance) -> bytes:
+    instance.lease_service.on_lease_datagram("n2", lease_request(instance, MessageKind.PROBE))
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.PROBE_REPLY)
 
 
-def send_lease_promised(here: Instance) -> bytes:
-    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.PREPARE))
-    return here.last(letters.CALL, "duty", MessageKind.PREPARE_REPLY)
+def send_lease_prepare_reply(instance: Instance) -> bytes:
+    instance.lease_service.on_lease_datagram("n2", lease_request(instance, MessageKind.PREPARE))
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.PREPARE_REPLY)
 
 
-def send_lease_granted(here: Instance) -> bytes:
-    here.office.on_lease_datagram("n2", lease_question(here, MessageKind.GRANT_REQUEST))
-    return here.last(letters.CALL, "duty", MessageKind.GRANT_REPLY)
+def send_lease_grant_reply(instance: Instance) -> bytes:
+    instance.lease_service.on_lease_datagram(
+        "n2", lease_request(instance, MessageKind.GRANT_REQUEST)
+    )
+    return instance.last_datagram(DatagramKind.CALL, "duty", MessageKind.GRANT_REPLY)
 
 
-def send_books_ask(here: Instance) -> bytes:
-    here.hold("books")
-    here.office.collectors["books"].on_lease_gained()
-    return here.last(letters.CALL, "books", "ask")
+def send_account_request(instance: Instance) -> bytes:
+    instance.hold_lease("books")
+    instance.lease_service.collectors["books"].on_lease_gained()
+    return instance.last_datagram(DatagramKind.CALL, "books", "ask")
 
 
-def send_books_entry(here: Instance) -> bytes:
-    here.hold("books")
-    here.office.collectors["books"].on_lease_gained()
-    here.office.collectors["books"].finish_round(FENCE)
-    return here.last(letters.CALL, "books", "entry")
+def send_account_entry(instance: Instance) -> bytes:
+    instance.hold_lease("books")
+    instance.lease_service.collectors["books"].on_lease_gained()
+    instance.lease_service.collectors["books"].finish_round(FENCING_TOKEN)
+    return instance.last_datagram(DatagramKind.CALL, "books", "entry")
 
 
-def send_books_account(here: Instance) -> bytes:
-    here.office.on_accounts_datagram("n2", ["ask", "books", FENCE, 1])
-    return here.last(letters.CALL, "books", "account")
+def send_account(instance: Instance) -> bytes:
+    instance.lease_service.on_accounts_datagram("n2", ["ask", "books", FENCING_TOKEN, 1])
+    return instance.last_datagram(DatagramKind.CALL, "books", "account")
 
 
-def send_books_no(here: Instance) -> bytes:
-    here.office.on_accounts_datagram("n3", ["ask", "books", FENCE + 1, 1])
-    here.office.on_accounts_datagram("n2", ["ask", "books", FENCE, 1])
-    return here.last(letters.CALL, "books", "no")
+def send_account_refusal(instance: Instance) -> bytes:
+    instance.lease_service.on_accounts_datagram("n3", ["ask", "books", FENCING_TOKEN + 1, 1])
+    instance.lease_service.on_accounts_datagram("n2", ["ask", "books", FENCING_TOKEN, 1])
+    return instance.last_datagram(DatagramKind.CALL, "books", "no")
 
 
-def send_yield(here: Instance) -> bytes:
-    here.office.candidates["nightly"].known_holder = "n2"
-    here.office.operator_commands.handle_request(b'{"do": "yield", "duty": "nightly"}')
-    return here.last(letters.CALL, "yield")
+def send_lease_yield(instance: Instance) -> bytes:
+    instance.lease_service.candidates["nightly"].known_holder = "n2"
+    instance.lease_service.operator_commands.handle_request(b'{"do": "yield", "duty": "nightly"}')
+    return instance.last_datagram(DatagramKind.CALL, "yield")
 
 
-def send_plan_promise(here: Instance) -> bytes:
-    here.hold("works")
-    here.yard.on_lease_gained()
-    return here.last(letters.CALL, "plan", PlanMessageKind.PREPARE)
+def send_plan_prepare(instance: Instance) -> bytes:
+    instance.hold_lease("works")
+    instance.maintenance.on_lease_gained()
+    return instance.last_datagram(DatagramKind.CALL, "plan", PlanMessageKind.PREPARE)
 
 
-def send_plan_promised(here: Instance) -> bytes:
-    here.yard.on_plan_message("n2", [PlanMessageKind.PREPARE, FENCE])
-    return here.last(letters.CALL, "plan", PlanMessageKind.PROMISE)
+def send_plan_promise(instance: Instance) -> bytes:
+    instance.maintenance.on_plan_message("n2", [PlanMessageKind.PREPARE, FENCING_TOKEN])
+    return instance.last_datagram(DatagramKind.CALL, "plan", PlanMessageKind.PROMISE)
 
 
-def send_plan_step(here: Instance) -> bytes:
-    here.lead_plan()
-    here.yard.plan_proposer.propose(["hold", ""], ["time", 10_000])
-    return here.last(letters.CALL, "plan", PlanMessageKind.ACCEPT)
+def send_plan_accept(instance: Instance) -> bytes:
+    instance.hold_plan_lease()
+    instance.maintenance.plan_proposer.propose(["hold", ""], ["time", 10_000])
+    return instance.last_datagram(DatagramKind.CALL, "plan", PlanMessageKind.ACCEPT)
 
 
-def send_plan_taken(here: Instance) -> bytes:
-    here.yard.plan_replica.is_blank = False
-    here.yard.on_plan_message("n2", [PlanMessageKind.ACCEPT, FENCE, 0, 0, 1, PLAN_CHANGES])
-    return here.last(letters.CALL, "plan", PlanMessageKind.ACCEPTED)
+def send_plan_accepted(instance: Instance) -> bytes:
+    instance.maintenance.plan_replica.is_blank = False
+    instance.maintenance.on_plan_message(
+        "n2", [PlanMessageKind.ACCEPT, FENCING_TOKEN, 0, 0, 1, PLAN_CHANGES]
+    )
+    return instance.last_datagram(DatagramKind.CALL, "plan", PlanMessageKind.ACCEPTED)
 
 
-def send_plan_low(here: Instance) -> bytes:
-    here.yard.plan_replica.promised_fence = FENCE + 1
-    here.yard.on_plan_message("n2", [PlanMessageKind.ACCEPT, FENCE, 0, 0, 1, []])
-    return here.last(letters.CALL, "plan", PlanMessageKind.PREEMPTED)
+def send_plan_preempted(instance: Instance) -> bytes:
+    instance.maintenance.plan_replica.promised_fence = FENCING_TOKEN + 1
+    instance.maintenance.on_plan_message("n2", [PlanMessageKind.ACCEPT, FENCING_TOKEN, 0, 0, 1, []])
+    return instance.last_datagram(DatagramKind.CALL, "plan", PlanMessageKind.PREEMPTED)
 
 
-def send_plan_want(here: Instance) -> bytes:
-    here.yard.on_plan_message("n2", [PlanMessageKind.ACCEPT, FENCE, 0, 0, 1, []])
-    return here.last(letters.CALL, "plan", PlanMessageKind.FETCH)
+def send_plan_fetch(instance: Instance) -> bytes:
+    instance.maintenance.on_plan_message("n2", [PlanMessageKind.ACCEPT, FENCING_TOKEN, 0, 0, 1, []])
+    return instance.last_datagram(DatagramKind.CALL, "plan", PlanMessageKind.FETCH)
 
 
-def send_plan_piece(here: Instance) -> bytes:
-    here.yard.plan_replica.is_blank, here.yard.plan_replica.plan = False, maintenance_plan()
-    here.yard.on_plan_message("n2", [PlanMessageKind.FETCH, FENCE, [], [0]])
-    return here.last(letters.CALL, "plan", PlanMessageKind.CHUNK)
+def send_plan_chunk(instance: Instance) -> bytes:
+    instance.maintenance.plan_replica.is_blank, instance.maintenance.plan_replica.plan = (
+        False,
+        maintenance_plan(),
+    )
+    instance.maintenance.on_plan_message("n2", [PlanMessageKind.FETCH, FENCING_TOKEN, [], [0]])
+    return instance.last_datagram(DatagramKind.CALL, "plan", PlanMessageKind.CHUNK)
 
 
-def send_works_orders(here: Instance) -> bytes:
-    here.lead_plan()
-    here.yard.planner.send_all_orders()
-    return here.last(letters.CALL, "works", "orders")
+def send_orders(instance: Instance) -> bytes:
+    instance.hold_plan_lease()
+    instance.maintenance.planner.send_all_orders()
+    return instance.last_datagram(DatagramKind.CALL, "works", "orders")
 
 
-def send_works_tell(here: Instance) -> bytes:
-    here.lead_plan()
-    here.yard.planner.request_all_reports()
-    return here.last(letters.CALL, "works", "tell")
+def send_report_request(instance: Instance) -> bytes:
+    instance.hold_plan_lease()
+    instance.maintenance.planner.request_all_reports()
+    return instance.last_datagram(DatagramKind.CALL, "works", "tell")
 
 
-def send_works_word(here: Instance) -> bytes:
-    here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING}])
-    return here.last(letters.CALL, "works", "word")
+def send_report(instance: Instance) -> bytes:
+    instance.maintenance.on_message(
+        "n2", ["orders", FENCING_TOKEN, 1, 0, 0, 1, {"e1": UnitState.DRAINING}]
+    )
+    return instance.last_datagram(DatagramKind.CALL, "works", "word")
 
 
-def send_works_no(here: Instance) -> bytes:
-    here.yard.on_message("n3", ["orders", FENCE + 1, 1, 0, 0, 1, {}])
-    here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {}])
-    return here.last(letters.CALL, "works", "no")
+def send_orders_refusal(instance: Instance) -> bytes:
+    instance.maintenance.on_message("n3", ["orders", FENCING_TOKEN + 1, 1, 0, 0, 1, {}])
+    instance.maintenance.on_message("n2", ["orders", FENCING_TOKEN, 1, 0, 0, 1, {}])
+    return instance.last_datagram(DatagramKind.CALL, "works", "no")
 
 
-def send_works_wish(here: Instance) -> bytes:
-    here.office.candidates["works"].known_holder = "n2"
-    here.yard.pending_commands.handle_http(b'{"do": "hold", "key": "k1", "owner": "ada"}')
-    return here.last(letters.CALL, "works", "wish")
+def send_forwarded_command(instance: Instance) -> bytes:
+    instance.lease_service.candidates["works"].known_holder = "n2"
+    instance.maintenance.pending_commands.handle_http(
+        b'{"do": "hold", "key": "k1", "owner": "ada"}'
+    )
+    return instance.last_datagram(DatagramKind.CALL, "works", "wish")
 
 
-def send_works_answer(here: Instance) -> bytes:
-    here.lead_plan()
-    here.yard.on_message("n2", ["wish", "k1", '{"do": "hold"}'])
-    return here.last(letters.CALL, "works", "answer")
+def send_command_answer(instance: Instance) -> bytes:
+    instance.hold_plan_lease()
+    instance.maintenance.on_message("n2", ["wish", "k1", '{"do": "hold"}'])
+    return instance.last_datagram(DatagramKind.CALL, "works", "answer")
 
 
-def send_copy_want(here: Instance) -> bytes:
-    here.office.candidates["works"].known_holder = "n2"
-    here.yard.report_status()
-    return here.last(letters.CALL, "copy", PlanMessageKind.FETCH)
+def send_plan_copy_fetch(instance: Instance) -> bytes:
+    instance.lease_service.candidates["works"].known_holder = "n2"
+    instance.maintenance.report_status()
+    return instance.last_datagram(DatagramKind.CALL, "copy", PlanMessageKind.FETCH)
 
 
-def send_copy_piece(here: Instance) -> bytes:
-    here.lead_plan()
-    here.yard.plan_display.on_datagram("n2", [PlanMessageKind.FETCH, 0, [], [0]])
-    return here.last(letters.CALL, "copy", PlanMessageKind.CHUNK)
+def send_plan_copy_chunk(instance: Instance) -> bytes:
+    instance.hold_plan_lease()
+    instance.maintenance.plan_display.on_datagram("n2", [PlanMessageKind.FETCH, 0, [], [0]])
+    return instance.last_datagram(DatagramKind.CALL, "copy", PlanMessageKind.CHUNK)
 
 
-def send_findings(here: Instance) -> bytes:
-    here.exchange.reports.record_own(NOW - 300, "e1", NOW - 90_000, Fault.SILENT, 250, 6)
-    here.exchange._send_status_update("n2", NOW, 2)
-    return here.last(letters.CALL, "findings")
+def send_health_report(instance: Instance) -> bytes:
+    instance.peer_health.reports.record_own(
+        NOW_TICKS - 300, "e1", NOW_TICKS - 90_000, Fault.SILENT, 250, 6
+    )
+    instance.peer_health._send_status_update("n2", NOW_TICKS, 2)
+    return instance.last_datagram(DatagramKind.CALL, "findings")
 
 
-def send_repair_question(here: Instance) -> bytes:
-    here.exchange.reports.record_own(NOW - 300, "e1", NOW - 90_000, Fault.SILENT, 250, 6)
-    here.exchange.period_count = 5  # the comparison is due in the next period
-    here.exchange.run_period()
-    return here.last(letters.CALL, "repair", 0)
+def send_reconciliation_request(instance: Instance) -> bytes:
+    instance.peer_health.reports.record_own(
+        NOW_TICKS - 300, "e1", NOW_TICKS - 90_000, Fault.SILENT, 250, 6
+    )
+    instance.peer_health.period_count = 5  # the comparison is due in the next period
+    instance.peer_health.run_period()
+    return instance.last_datagram(DatagramKind.CALL, "repair", 0)
 
 
-def send_repair_answer(here: Instance) -> bytes:
-    here.exchange.reports.record_own(NOW - 300, "e1", NOW - 90_000, Fault.SILENT, 250, 6)
-    here.exchange.on_reconciliation("n2", [0, {}, []])
-    return here.last(letters.CALL, "repair", 1)
+def send_reconciliation_reply(instance: Instance) -> bytes:
+    instance.peer_health.reports.record_own(
+        NOW_TICKS - 300, "e1", NOW_TICKS - 90_000, Fault.SILENT, 250, 6
+    )
+    instance.peer_health.on_reconciliation("n2", [0, {}, []])
+    return instance.last_datagram(DatagramKind.CALL, "repair", 1)
 
 
-def send_turn(here: Instance) -> bytes:
-    engine = here.socket_host.engine_pools["e1"].engine
-    window = here.exchange.permits.transfers.window_ticks
-    engine.incarnation = NOW - 2 * window - window // 2
-    here.exchange.permits.transfers.record_demand(
-        "n2", here.office.now, PEER_INCARNATIONS["n2"], 7, 3.0
+def send_permit_transfer(instance: Instance) -> bytes:
+    engine = instance.socket_host.engine_pools["e1"].engine
+    window = instance.peer_health.permits.transfers.window_ticks
+    engine.incarnation = NOW_TICKS - 2 * window - window // 2
+    instance.peer_health.permits.transfers.record_demand(
+        "n2", instance.lease_service.now, PEER_INCARNATIONS["n2"], 7, 3.0
     )
-    here.exchange.permits.offer_unused()
-    return here.last(letters.CALL, "turn")
+    instance.peer_health.permits.offer_unused()
+    return instance.last_datagram(DatagramKind.CALL, "turn")
 
 
 SENDERS: dict[str, Callable[[Instance], bytes]] = {
     "hello": send_hello,
-    "back": send_back,
-    "ask": send_ask,
-    "answer": send_answer,
-    "ask-for": send_ask_for,
-    "deaf": send_deaf,
-    "ask-all": send_ask_all,
-    "tell": send_tell,
+    "back": send_hello_reply,
+    "ask": send_probe,
+    "answer": send_ack,
+    "ask-for": send_indirect_probe,
+    "deaf": send_nack,
+    "ask-all": send_state_request,
+    "tell": send_gossip,
     "duty-probe": send_lease_probe,
-    "duty-would": send_lease_would,
+    "duty-would": send_lease_probe_reply,
     "duty-prepare": send_lease_prepare,
-    "duty-promised": send_lease_promised,
-    "duty-grant": send_lease_grant,
-    "duty-granted": send_lease_granted,
+    "duty-promised": send_lease_prepare_reply,
+    "duty-grant": send_lease_grant_request,
+    "duty-granted": send_lease_grant_reply,
     "duty-release": send_lease_release,
     "duty-vacant": send_lease_vacant,
-    "books-ask": send_books_ask,
-    "books-account": send_books_account,
-    "books-entry": send_books_entry,
-    "books-no": send_books_no,
-    "yield": send_yield,
-    "plan-promise": send_plan_promise,
-    "plan-promised": send_plan_promised,
-    "plan-step": send_plan_step,
-    "plan-taken": send_plan_taken,
-    "plan-low": send_plan_low,
-    "plan-want": send_plan_want,
-    "plan-piece": send_plan_piece,
-    "works-orders": send_works_orders,
-    "works-tell": send_works_tell,
-    "works-word": send_works_word,
-    "works-no": send_works_no,
-    "works-wish": send_works_wish,
-    "works-answer": send_works_answer,
-    "copy-want": send_copy_want,
-    "copy-piece": send_copy_piece,
-    "findings": send_findings,
-    "repair-question": send_repair_question,
-    "repair-answer": send_repair_answer,
-    "turn": send_turn,
+    "books-ask": send_account_request,
+    "books-account": send_account,
+    "books-entry": send_account_entry,
+    "books-no": send_account_refusal,
+    "yield": send_lease_yield,
+    "plan-promise": send_plan_prepare,
+    "plan-promised": send_plan_promise,
+    "plan-step": send_plan_accept,
+    "plan-taken": send_plan_accepted,
+    "plan-low": send_plan_preempted,
+    "plan-want": send_plan_fetch,
+    "plan-piece": send_plan_chunk,
+    "works-orders": send_orders,
+    "works-tell": send_report_request,
+    "works-word": send_report,
+    "works-no": send_orders_refusal,
+    "works-wish": send_forwarded_command,
+    "works-answer": send_command_answer,
+    "copy-want": send_plan_copy_fetch,
+    "copy-piece": send_plan_copy_chunk,
+    "findings": send_health_report,
+    "repair-question": send_reconciliation_request,
+    "repair-answer": send_reconciliation_reply,
+    "turn": send_permit_transfer,
 }
-BEFORE_MEETING = "hello", "ask-all"  # sent while the receiver's incarnation is not known
+SENT_TO_UNKNOWN_PEERS = "hello", "ask-all"  # sent to a peer whose incarnation is not known yet
 
 
-def datagram(name: str) -> bytes:
-    """The octets of the datagram of this kind, as n1 sends it."""
-    with instance(met=name not in BEFORE_MEETING) as here:
-        return SENDERS[name](here)
+def sample_datagram(name: str) -> bytes:
+    """Return the octets of the datagram of this name, as n1 sends it."""
+    with running_instance(knows_peers=name not in SENT_TO_UNKNOWN_PEERS) as instance:
+        return SENDERS[name](instance)
 
 
-def opened(octets: bytes) -> Opened:
-    """What the instance that a datagram is for takes out of it; its handlers take it too."""
+def decode_datagram(octets: bytes) -> DecodedDatagram:
+    """Decode a datagram at the instance that it is addressed to, and run its handlers."""
     receiver, known_as = msgpack.unpackb(octets[2 : -sealing.SEAL_BYTES], strict_map_key=False)[3:5]
-    with instance(receiver) as there:
-        # A sender that does not know this incarnation yet writes 0, and only HELLO may.
-        there.member_list.codec.incarnation = known_as or PEER_INCARNATIONS[receiver]
-        taken = there.member_list.codec.decode(octets, NOW)
-        assert taken is not None, dict(there.member_list.codec.counts)
-        there.member_list.codec.peers["n1"].replay_window = sealing.ReplayWindow()
-        there.member_list.handle_datagram(octets)
-        return Opened(*taken, there.member_list.counts["no sense"])
+    with running_instance(receiver) as receiver_instance:
+        # Only HELLO may be sent before the receiver's incarnation is known, with incarnation 0.
+        receiver_instance.member_list.codec.incarnation = known_as or PEER_INCARNATIONS[receiver]
+        decoded = receiver_instance.member_list.codec.decode(octets, NOW_TICKS)
+        assert decoded is not None, dict(receiver_instance.member_list.codec.counts)
+        receiver_instance.member_list.codec.peers["n1"].replay_window = sealing.ReplayWindow()
+        receiver_instance.member_list.handle_datagram(octets)
+        return DecodedDatagram(*decoded, receiver_instance.member_list.counts["no sense"])
 
 
 # Stored files.
 
 
 def recovery_snapshot() -> bytes:
-    """A snapshot of the learned state, in the form that the recovery service writes."""
-    with instance() as here:
-        gateway = here.socket_host.gateway
-        take_request(here)
+    """Build a snapshot of the learned state as the recovery service stores it."""
+    with running_instance() as instance:
+        gateway = instance.socket_host.gateway
+        send_client_request(instance)
         gateway.price.current = 0.25
         gateway.engines[0].stats.slowness_samples.extend([1.25, 1.5, 2.0])
-        moment = {"gateway": "n1", "mark": 11, "at": NOW, "boot": "boot-1", "since_boot": 5_000}
+        header = {
+            "gateway": "n1",
+            "mark": 11,
+            "at": NOW_TICKS,
+            "boot": "boot-1",
+            "since_boot": 5_000,
+        }
         return snapshot.encode(
             {
-                **moment,
+                **header,
                 **learned_state.encode_learned_state(learned_state.copy_learned_state(gateway)),
             }
         )
 
 
 def recovery_snapshot_of_service(folder: str) -> bytes:
-    """The snapshot that a recovery service leaves at its end."""
-    with instance() as here:
-        service = keeping.RecoveryService(
-            here.socket_host, "n1", 11, RecoveryConfig(folder, SECOND, "process", 3)
+    """Return the snapshot that a recovery service writes when it ends."""
+    with running_instance() as instance:
+        service = recovery_service.RecoveryService(
+            instance.socket_host, "n1", 11, RecoveryConfig(folder, SECOND, "process", 3)
         )
         service.end()
         os.close(service.lock)
@@ -582,20 +614,20 @@
 
 
 def attempt_log() -> bytes:
-    """A segment of the log of attempts that may have run, as its writer leaves it."""
+    """Build a segment of the attempt log, which records attempts that may have run."""
     first = attempt_records.LoggedAttempt(
-        1, "label-1", "once", 7, "e1", 0, 1, NOW - 50, NOW + 9 * SECOND
+        1, "label-1", "once", 7, "e1", 0, 1, NOW_TICKS - 50, NOW_TICKS + 9 * SECOND
     )
     second = attempt_records.LoggedAttempt(
-        2, "label-2", "load", 8, "e2", 1, 0, NOW - 40, NOW + 9 * SECOND
+        2, "label-2", "load", 8, "e2", 1, 0, NOW_TICKS - 40, NOW_TICKS + 9 * SECOND
     )
     third = attempt_records.LoggedAttempt(
-        3, "label-3", "load", 9, "e2", 1, 0, NOW - 30, NOW + 9 * SECOND
+        3, "label-3", "load", 9, "e2", 1, 0, NOW_TICKS - 30, NOW_TICKS + 9 * SECOND
     )
     with tempfile.TemporaryDirectory() as folder:
-        files = writer.RecoveryFiles(folder, "n1", False, 3)
-        for effect in first, second, third:
-            files.append_records(attempt_records.encode_sent(effect))
+        files = log_writer.RecoveryFiles(folder, "n1", False, 3)
+        for attempt in first, second, third:
+            files.append_records(attempt_records.encode_sent(attempt))
         files.append_records(
             attempt_records.encode_finished(1, True) + attempt_records.encode_finished(2, False)
         )
@@ -604,38 +636,57 @@
 
 
 def stored_votes() -> bytes:
-    """The file of a voter that promised one lease and granted another."""
+    """Build the file of a voter that promised one lease and granted another."""
 
-    def vote(here: Instance) -> None:
-        mark = here.office.configuration.fingerprint
-        here.office.on_lease_datagram("n2", [MessageKind.PREPARE, "books", 1, mark, 3, 500])
-        here.office.on_lease_datagram("n2", [MessageKind.GRANT_REQUEST, "books", 1, mark, 4, 500])
-        here.office.on_lease_datagram("n3", [MessageKind.PREPARE, "works", 1, mark, 3, 600])
+    def vote(instance: Instance) -> None:
+        fingerprint = instance.lease_service.configuration.fingerprint
+        instance.lease_service.on_lease_datagram(
+            "n2", [MessageKind.PREPARE, "books", 1, fingerprint, 3, 500]
+        )
+        instance.lease_service.on_lease_datagram(
+            "n2", [MessageKind.GRANT_REQUEST, "books", 1, fingerprint, 4, 500]
+        )
+        instance.lease_service.on_lease_datagram(
+            "n3", [MessageKind.PREPARE, "works", 1, fingerprint, 3, 600]
+        )
 
     return stored_by_helper("n1.votes", vote)
 
 
 def stored_maintenance() -> bytes:
-    """The file of a plan replica that took a plan, and of a participant under its orders."""
+    """Build the file of a plan replica with an accepted plan and of a participant with orders."""
 
-    def take(here: Instance) -> None:
-        here.yard.plan_replica.is_blank = False
-        here.yard.on_plan_message("n2", [PlanMessageKind.ACCEPT, FENCE, 0, 0, 1, PLAN_CHANGES])
-        here.yard.on_message(
-            "n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING, "e2": UnitState.GRANTED}]
+    def accept_plan(instance: Instance) -> None:
+        instance.maintenance.plan_replica.is_blank = False
+        instance.maintenance.on_plan_message(
+            "n2", [PlanMessageKind.ACCEPT, FENCING_TOKEN, 0, 0, 1, PLAN_CHANGES]
+        )
+        instance.maintenance.on_message(
+            "n2",
+            [
+                "orders",
+                FENCING_TOKEN,
+                1,
+                0,
+                0,
+                1,
+                {"e1": UnitState.DRAINING, "e2": UnitState.GRANTED},
+            ],
         )
 
-    return stored_by_helper("n1.works", take)
+    return stored_by_helper("n1.works", accept_plan)
 
 
 def stored_by_helper(name: str, act: Callable[[Instance], None]) -> bytes:
-    """A file as the helper leaves it, once it has answered for all that `act` had written."""
-    with tempfile.TemporaryDirectory() as folder, instance(votes_folder=folder) as here:
-        act(here)
+    """Return a file after the helper process has acknowledged all records written by `act`."""
+    with tempfile.TemporaryDirectory() as folder, running_instance(votes_folder=folder) as instance:
+        act(instance)
         give_up_at = time.monotonic() + 10
-        while here.office.durable_record.waiting or here.yard.safe.waiting:
-            assert time.monotonic() < give_up_at, "the helper has not answered"
-            here.harness.event_loop.turn(5)
+        while instance.lease_service.durable_record.waiting or instance.maintenance.safe.waiting:
+            assert time.monotonic() < give_up_at, (
+                "helper process has not acknowledged all records within 10 s"
+            )
+            instance.harness.event_loop.turn(5)
         return Path(folder, name).read_bytes()
 
 
@@ -649,8 +700,8 @@
     return maintenance_plan().packed()
 
 
-def plan_piece_by_piece() -> list[str]:
-    """A plan of more than one chunk, as hexadecimal chunks in order."""
+def plan_chunks() -> list[str]:
+    """Return a plan of more than one chunk, as hexadecimal chunks in order."""
     plan = maintenance_plan()
     plan.apply([["unit", f"engine-{n:03}", "a1", "engine", [f"engine-{n:03}"]] for n in range(30)])
     packed = plan.packed()
@@ -659,12 +710,12 @@
 
 
 def small_ledger() -> RequestLedger:
-    """Accounts of one class and one engine with a few requests."""
+    """Build a ledger of one request class and one engine, with a few requests."""
 
     class Entry:
         serial = 0
 
-    ledger = RequestLedger(["quick"], lambda: NOW)
+    ledger = RequestLedger(["quick"], lambda: NOW_TICKS)
     entry, attempt = Entry(), Entry()
     entry.row = ledger.request_classes["quick"]
     attempt.client_request, attempt.engine_row = entry, ledger.engine_row("e1")
@@ -679,28 +730,30 @@
 
 
 def accounts_checkpoint() -> bytes:
-    """A checkpoint file that one run wrote and the next one took over, with both slots in use."""
+    """Build a checkpoint file of one run, continued by the next run, with both slots in use."""
     with tempfile.TemporaryDirectory() as folder:
         for epoch in "first", "second":
-            kept = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
-            for at in NOW, NOW + 5:
-                kept.write(
-                    take_snapshot(small_ledger(), at, "n1", {"id": epoch, "started": NOW - 100})
+            checkpoint = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
+            for at in NOW_TICKS, NOW_TICKS + 5:
+                checkpoint.write(
+                    take_snapshot(
+                        small_ledger(), at, "n1", {"id": epoch, "started": NOW_TICKS - 100}
+                    )
                 )
-            kept.close()
+            checkpoint.close()
         return Path(folder, "n1.figures").read_bytes()
 
 
-def rolls() -> list[list[Any]]:
-    """Voter configurations: version, lease, names, majority, and the mark that datagrams carry."""
-    made = [
+def voter_configurations() -> list[list[Any]]:
+    """Return version, lease, names, majority and fingerprint of some voter configurations."""
+    configurations = [
         VoterConfiguration(1, ["n1", "n2", "n3"], 50_000),
         VoterConfiguration(2, ["n3", "n1", "n2", "n4"], 50_000),
         VoterConfiguration(9, ["n1"]),
     ]
     return [
         [each.version, each.lease_ticks, list(each.names), each.majority, each.fingerprint]
-        for each in made
+        for each in configurations
     ]
 
 
@@ -714,7 +767,7 @@
 }
 
 
-# What the program reads of a file, as lists in a stated order.
+# Values that the program reads from a file, as lists in a fixed order.
 
 
 def snapshot_read(octets: bytes) -> Any:
@@ -722,11 +775,11 @@
 
 
 def attempt_log_read(octets: bytes) -> Any:
-    """Attempts with open ones told apart, and what is wrong at the log's end."""
-    known, wrong = effects.AttemptLog(), ""
-    for body, _, wrong in attempt_records.read_records(octets):  # noqa: B007 (the last one counts)
+    """Return the attempts, with those in doubt marked, and the error at the end of the log."""
+    attempt_log, error = attempt_log_module.AttemptLog(), ""
+    for body, _, error in attempt_records.read_records(octets):  # noqa: B007 (the last one counts)
         if body is not None:
-            assert known.apply(body)
+            assert attempt_log.apply(body)
     return [
         [
             [
@@ -741,29 +794,32 @@
                 each.deduplicated_until,
                 each.is_in_doubt,
             ]
-            for each in known.by_serial.values()
+            for each in attempt_log.by_serial.values()
         ],
-        wrong,
+        error,
     ]
 
 
 def votes_read(octets: bytes) -> Any:
-    """By lease: promised ballot, granted ballot, holder and its incarnation."""
+    """Return by lease: promised ballot, granted ballot, holder and its incarnation."""
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "n1.votes").write_bytes(octets)
-        with instance(votes_folder=folder) as here:
+        with running_instance(votes_folder=folder) as instance:
             return {
                 name: [vote.promised_ballot, vote.granted_ballot, *vote.holder]
-                for name, vote in here.office.voter.votes.items()
+                for name, vote in instance.lease_service.voter.votes.items()
             }
 
 
 def maintenance_read(octets: bytes) -> Any:
-    """Promise, stamp and plan of the replica; stamp, levels and closed of the participant."""
+    """Return promise, stamp and plan of the replica; stamp, levels, closed of the participant."""
     with tempfile.TemporaryDirectory() as folder:
         Path(folder, "n1.works").write_bytes(octets)
-        with instance(votes_folder=folder) as here:
-            replica, participant = here.yard.plan_replica, here.yard.participant
+        with running_instance(votes_folder=folder) as instance:
+            replica, participant = (
+                instance.maintenance.plan_replica,
+                instance.maintenance.participant,
+            )
             return [
                 replica.is_blank,
                 replica.promised_fence,
@@ -814,19 +870,19 @@
     return plan_values(Plan.unpacked(octets))
 
 
-def plan_of_chunks(chunks: list[str]) -> Any:
+def plan_from_chunks(chunks: list[str]) -> Any:
     return plan_read(b"".join(map(bytes.fromhex, chunks)))
 
 
 def checkpoint_read(octets: bytes) -> Any:
-    """The counts that a file holds, and the earlier runs that a program takes over from it."""
+    """Return the counts in a file, and the earlier runs that a new run continues from it."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "n1.figures")
         path.write_bytes(octets)
         body = checkpoint_file.read_checkpoint_file(str(path))
-        taken_over = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
-        taken_over.close()
-        return [as_plain(body["cut"]), body["earlier"], taken_over.earlier_epochs]
+        continued = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
+        continued.close()
+        return [as_plain(body["cut"]), body["earlier"], continued.earlier_epochs]
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
@@ -854,7 +910,7 @@
 
 
 def operator_values(path: Path) -> list[Any]:
-    """What an operator file says, by section; key and roster files are stood in for."""
+    """Return the values of an operator file by section; temporary key and roster files are used."""
     with tempfile.TemporaryDirectory() as folder:
         key, roster, copy = (Path(folder, name) for name in ("fellows.key", "roster", path.name))
         key.write_text(SECRET.hex())
@@ -862,31 +918,31 @@
         roster.write_text("n3 10.0.0.13:7100 hall-c # a comment\n\nn4 [2001:db8::4]:7100\n")
         copy.write_text(path.read_text().replace(SECRETS_FOLDER + "/fellows.key", str(key)))
         copy.write_text(copy.read_text().replace(SECRETS_FOLDER + "/roster", str(roster)))
-        said = operator.read(str(copy))
+        config = operator.read(str(copy))
     sections = [
-        figures_values(said.accounting),
-        flows_values(said.flow_export),
-        recall_values(said.recovery),
-        fellows_values(said.membership),
-        duties_values(said.leases),
-        works_values(said.maintenance),
-        shared_values(said.peer_health),
+        accounting_values(config.accounting),
+        flow_export_values(config.flow_export),
+        recovery_values(config.recovery),
+        membership_values(config.membership),
+        lease_values(config.leases),
+        maintenance_values(config.maintenance),
+        peer_health_values(config.peer_health),
     ]
     return json.loads(json.dumps(sections, default=bytes.hex))
 
 
-def figures_values(said: AccountingConfig | None) -> list[Any] | None:
-    return said and [
-        said.listen,
-        said.readers,
-        said.checkpoint_folder,
-        said.checkpoint_interval_ticks,
-        said.latency_relative_error,
+def accounting_values(config: AccountingConfig | None) -> list[Any] | None:
+    return config and [
+        config.listen,
+        config.readers,
+        config.checkpoint_folder,
+        config.checkpoint_interval_ticks,
+        config.latency_relative_error,
     ]
 
 
-def flows_values(said: operator.FlowExportConfig | None) -> list[Any] | None:
-    if said is None:
+def flow_export_values(config: operator.FlowExportConfig | None) -> list[Any] | None:
+    if config is None:
         return None
     collectors = [
         [
@@ -903,61 +959,61 @@
                 each.tls.key_file,
             ],
         ]
-        for each in said.collectors
+        for each in config.collectors
     ]
     return [
-        said.layout,
-        said.mode,
-        said.active_timeout_ticks,
-        said.idle_timeout_ticks,
-        said.memory_bytes,
+        config.layout,
+        config.mode,
+        config.active_timeout_ticks,
+        config.idle_timeout_ticks,
+        config.memory_bytes,
         collectors,
     ]
 
 
-def recall_values(said: RecoveryConfig | None) -> list[Any] | None:
-    return said and [
-        said.folder,
-        said.snapshot_interval_ticks,
-        said.durability,
-        said.snapshots_kept,
+def recovery_values(config: RecoveryConfig | None) -> list[Any] | None:
+    return config and [
+        config.folder,
+        config.snapshot_interval_ticks,
+        config.durability,
+        config.snapshots_kept,
     ]
 
 
-def fellows_values(said: MembershipConfig | None) -> list[Any] | None:
-    return said and [said.keys, said.members, said.listen, said.period_ticks]
+def membership_values(config: MembershipConfig | None) -> list[Any] | None:
+    return config and [config.keys, config.members, config.listen, config.period_ticks]
 
 
-def duties_values(said: LeaseConfig | None) -> list[Any] | None:
-    return said and [
-        said.version,
-        said.voters,
-        said.leases,
-        said.lease_ticks,
-        said.max_lease_ticks,
-        said.margin_ticks,
-        said.max_clock_drift,
-        said.folder,
+def lease_values(config: LeaseConfig | None) -> list[Any] | None:
+    return config and [
+        config.version,
+        config.voters,
+        config.leases,
+        config.lease_ticks,
+        config.max_lease_ticks,
+        config.margin_ticks,
+        config.max_clock_drift,
+        config.folder,
     ]
 
 
-def works_values(said: MaintenanceConfig | None) -> list[Any] | None:
-    return said and [
-        said.bounds,
-        said.machines,
-        said.period_ticks,
-        said.grant_ticks,
-        said.startup_wait_ticks,
+def maintenance_values(config: MaintenanceConfig | None) -> list[Any] | None:
+    return config and [
+        config.bounds,
+        config.machines,
+        config.period_ticks,
+        config.grant_ticks,
+        config.startup_wait_ticks,
     ]
 
 
-def shared_values(said: PeerHealthConfig | None) -> list[Any] | None:
-    return said and [said.report_interval_ticks, said.max_bytes_per_second]
+def peer_health_values(config: PeerHealthConfig | None) -> list[Any] | None:
+    return config and [config.report_interval_ticks, config.max_bytes_per_second]
 
 
 # The HTTP listener.
 
-QUESTIONS: dict[str, tuple[str, str, bytes]] = {
+HTTP_REQUESTS: dict[str, tuple[str, str, bytes]] = {
     "metrics": ("GET", "/metrics", b""),
     "figures": ("GET", "/figures", b""),
     "findings": ("GET", "/findings", b""),
@@ -977,49 +1033,53 @@
 
 
 def http_answer(name: str) -> list[Any]:
-    """Status, content type and shape of an answer, asked over a socket."""
-    with tempfile.TemporaryDirectory() as folder, instance() as here:
+    """Return status, content type and shape of an answer of the listener, over a socket."""
+    with tempfile.TemporaryDirectory() as folder, running_instance() as instance:
         where = os.path.join(folder, "figures.sock")
         service = AccountingService(
-            here.socket_host, "n1", 7, AccountingConfig(where, 4, folder, SECOND, 0.02)
+            instance.socket_host, "n1", 7, AccountingConfig(where, 4, folder, SECOND, 0.02)
         )
-        give_state(here)
+        set_up_all_state(instance)
         try:
-            head, body = asked(here, where, *QUESTIONS[name])
+            head, body = fetch_http(instance, where, *HTTP_REQUESTS[name])
         finally:
             service.end()
     lines = head.decode().split("\r\n")
-    kind = next(each for each in lines if each.lower().startswith("content-type"))
-    return [int(lines[0].split()[1]), kind.partition(": ")[2], shape(kind, body)]
-
-
-def give_state(here: Instance) -> None:
-    """Give every nested part of an answer a row."""
-    here.lead_plan()
-    here.hold("nightly")
-    here.office.on_lease_gained(here.office.candidates["nightly"])
-    here.hold("books")
-    here.office.collectors["books"].on_lease_gained()
-    here.office.collectors["books"].finish_round(FENCE)
-    here.yard.on_message("n2", ["orders", FENCE, 1, 0, 0, 1, {"e1": UnitState.DRAINING}])
+    content_type = next(each for each in lines if each.lower().startswith("content-type"))
+    return [int(lines[0].split()[1]), content_type.partition(": ")[2], shape(content_type, body)]
+
+
+def set_up_all_state(instance: Instance) -> None:
+    """Set up state such that every nested part of an answer has at least one row."""
+    instance.hold_plan_lease()
+    instance.hold_lease("nightly")
+    instance.lease_service.on_lease_gained(instance.lease_service.candidates["nightly"])
+    instance.hold_lease("books")
+    instance.lease_service.collectors["books"].on_lease_gained()
+    instance.lease_service.collectors["books"].finish_round(FENCING_TOKEN)
+    instance.maintenance.on_message(
+        "n2", ["orders", FENCING_TOKEN, 1, 0, 0, 1, {"e1": UnitState.DRAINING}]
+    )
     rows = [[name, 6, 1, 100, "e1", 0, Fault.SILENT.value, 250, 6] for name in PEER_INCARNATIONS]
-    here.exchange.on_status_update("n2", [1, 5, 1, 20, rows])
-    here.exchange.run_period()
-    here.exchange.assessments["e1"] = Assessment(2.5, True, "n2 n3")
-    here.socket_host.discrepancies.record_difference(
-        "taken", "quick", 1, "one more", [(NOW, "entered", 1)]
+    instance.peer_health.on_status_update("n2", [1, 5, 1, 20, rows])
+    instance.peer_health.run_period()
+    instance.peer_health.assessments["e1"] = Assessment(2.5, True, "n2 n3")
+    instance.socket_host.discrepancies.record_difference(
+        "taken", "quick", 1, "one more", [(NOW_TICKS, "entered", 1)]
     )
-    take_request(here)
-    here.socket_host.ledger.record_connection_opened(0)
+    send_client_request(instance)
+    instance.socket_host.ledger.record_connection_opened(0)
 
 
-def take_request(here: Instance) -> None:
-    """Let a client ask for something, so that there is a queue, and its answer is owed."""
-    here.harness.send(here.harness.connect_client(), request_frame())
+def send_client_request(instance: Instance) -> None:
+    """Send a request from a client, so that there are a queue and an open request."""
+    instance.harness.send(instance.harness.connect_client(), request_frame())
 
 
-def asked(here: Instance, where: str, method: str, path: str, body: bytes) -> tuple[bytes, bytes]:
-    """Head and body of an answer; the clock goes on by a tick a turn."""
+def fetch_http(
+    instance: Instance, where: str, method: str, path: str, body: bytes
+) -> tuple[bytes, bytes]:
+    """Return head and body of an answer; the clock advances by one tick per turn."""
     head = f"{method} {path} HTTP/1.1\r\nHost: n1\r\nConnection: close\r\n"
     with socket.socket(socket.AF_UNIX) as reader:
         reader.connect(where)
@@ -1027,21 +1087,21 @@
         reader.setblocking(False)
         received = b""
         for _ in range(400):
-            here.harness.time += 1
-            here.harness.event_loop.turn(0)
+            instance.harness.time += 1
+            instance.harness.event_loop.turn(0)
             try:
-                more = reader.recv(1 << 20)
+                data = reader.recv(1 << 20)
             except BlockingIOError:
                 continue
-            if not more:
+            if not data:
                 break
-            received += more
+            received += data
     head, _, chunked = received.partition(b"\r\n\r\n")
-    return head, joined(chunked)
+    return head, join_chunks(chunked)
 
 
-def joined(chunked: bytes) -> bytes:
-    """The body of a message in chunks (RFC 9112, section 7.1)."""
+def join_chunks(chunked: bytes) -> bytes:
+    """Return the body of a chunked message (RFC 9112, section 7.1)."""
     body = b""
     while chunked:
         size, _, chunked = chunked.partition(b"\r\n")
@@ -1052,9 +1112,9 @@
     return body
 
 
-def shape(kind: str, body: bytes) -> Any:
-    """Keys of JSON; of metrics each name with its labels; of other text the text."""
-    if "json" in kind:
+def shape(content_type: str, body: bytes) -> Any:
+    """Return the keys of JSON, the names and labels of metrics, or any other text as a whole."""
+    if "json" in content_type:
         return keys_of(json.loads(body))
     if "/metrics" in body.decode():
         return body.decode()
@@ -1063,7 +1123,7 @@
 
 
 def keys_of(value: Any) -> Any:
-    """The nested keys of a JSON value; of a list the different shapes in it.
+    """Return the nested keys of a JSON value; of a list, the different shapes of its items.
 
     >>> keys_of({"a": 1, "b": [{"c": 2}, {"c": 3}], "d": {}})
     {'a': None, 'b': [{'c': None}], 'd': {}}
