--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Marks that say how long tests take, set by module."""
+"""Marks tests that run for long, by module."""
 
 import pytest
 
-# Modules that play scenes of several processes in real time; all others take seconds together.
+# Modules whose tests run several processes in real time; all other tests take seconds together.
 SCENE_MODULES = frozenset(
     {
         "test_day",
@@ -16,7 +16,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark the tests of the scene modules, so that `-m "not scene"` leaves what takes seconds."""
+    """Mark the tests of the scene modules, so that `-m "not scene"` deselects the slow tests."""
     for item in items:
         if item.path.stem in SCENE_MODULES:
             item.add_marker(pytest.mark.scene)
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file names what is there: every policy file, and packages that serve."""
+"""Tests that the deploy file lists existing paths, all policy files and all serving packages."""
 
 import tomllib
 from pathlib import Path
@@ -10,17 +10,17 @@
 
 
 def test_every_policy_file_is_listed():
-    files = {str(path.relative_to(ROOT)) for path in (ROOT / "corkgauge" / "policy").glob("*.py")}
+    files = {str(file.relative_to(ROOT)) for file in (ROOT / "corkgauge" / "policy").glob("*.py")}
     assert sorted(DEPLOY["policy"]) == sorted(files)
 
 
-@pytest.mark.parametrize("place", DEPLOY["node"])
-def test_what_the_deploy_file_names_is_there(place):
-    assert (ROOT / place).exists()
+@pytest.mark.parametrize("path", DEPLOY["node"])
+def test_every_path_in_the_deploy_file_exists(path):
+    assert (ROOT / path).exists()
 
 
-def test_no_serving_package_is_left_out():
-    tested_only = {"model", "policy", "simulator", "testkit"}
-    packages = {path.parent.name for path in (ROOT / "corkgauge").glob("*/__init__.py")}
-    named = {Path(place).name for place in DEPLOY["node"]}
-    assert packages - tested_only <= named
+def test_every_serving_package_is_listed():
+    test_packages = {"model", "policy", "simulator", "testkit"}
+    packages = {init_file.parent.name for init_file in (ROOT / "corkgauge").glob("*/__init__.py")}
+    listed = {Path(path).name for path in DEPLOY["node"]}
+    assert packages - test_packages <= listed
--- a/tests/test_import_directions.py
+++ b/tests/test_import_directions.py
@@ -1,7 +1,7 @@
-"""Which package imports which: imports point downwards only, as docs/ARCHITECTURE.md draws them.
+"""Tests that packages import only from lower layers, as docs/ARCHITECTURE.md defines them.
 
-The sources are read by `ast`, so an import inside a function counts as one at module level does,
-except in the rule on `model` and `testkit`, which commands load when they are called.
+The tests parse the sources with `ast`, so an import inside a function counts like one at module
+level. The rule on `model` and `testkit` is an exception: commands may import them in functions.
 """
 
 import ast
@@ -13,8 +13,8 @@
 
 ROOT = Path(__file__).parents[1] / "corkgauge"
 
-# From the bottom to the top. A package may import from lower layers, and from no other of its own
-# layer.
+# From the lowest layer to the highest. A package may import from lower layers, but not from other
+# packages of the same layer.
 LAYERS = (
     ("policy",),
     ("config",),
@@ -29,31 +29,35 @@
     ("__main__",),
 )
 HEIGHT = {package: height for height, layer in enumerate(LAYERS) for package in layer}
-TRIED_ON = ("model", "testkit")  # what the program is tried on; never part of what serves
-STANDING_ALONE = ("policy", "eventloop")  # import nothing of the program, whatever lies below
-ANYBODYS = ("VERSION", "errors")  # directly in `corkgauge`
-
-# Names imported against the order for now: by importing module and package, how many, and why. The
-# numbers are exact: one more fails, and so does one that has gone and is still listed.
+# Packages that test the program; serving packages never load them.
+TEST_PACKAGES = ("model", "testkit")
+# Packages that import no other package of the program, even from a lower layer.
+STANDALONE = ("policy", "eventloop")
+# Names directly in `corkgauge`, which all packages but the standalone ones may import.
+SHARED_BY_ALL = ("VERSION", "errors")
+
+# Disallowed imports that are tolerated for now: number of names, by importing module and imported
+# package. The numbers are exact: an additional import fails the test, and so does an entry whose
+# import has been removed.
 EXCEPTIONS = {
-    # `safe_file_name`, which makes a file name of a gateway's name, is shared by the two that keep
-    # files. It goes once that function stands below both.
+    # `safe_file_name`, which turns a gateway's name into a file name, is used by both packages that
+    # store files. The entry can go once that function is in a layer below both.
     ("recovery/service.py", "accounting"): 1,
 }
 
 
 class Import(NamedTuple):
-    """One imported name."""
+    """A name that a module imports."""
 
     module: str  # path below `corkgauge/`
     package: str  # first part of that path
-    name: str  # dotted, from `corkgauge` on
-    target: str  # the package that the name lies in
+    name: str  # full dotted name, which starts with `corkgauge`
+    target: str  # package that holds the name
     at_module_level: bool
 
 
 def imported_names(node: ast.AST, path: Path) -> list[str]:
-    """The dotted names that an import statement names, relative ones made absolute."""
+    """Return the dotted names that an import statement imports, relative ones as absolute."""
     if isinstance(node, ast.Import):
         return [alias.name for alias in node.names]
     if not isinstance(node, ast.ImportFrom):
@@ -67,7 +71,7 @@
 
 
 def imports_of(path: Path, source: str) -> list[Import]:
-    """All names of the program that a file imports."""
+    """Return all names of the program that a file imports."""
     tree = ast.parse(source)
     in_functions = {
         id(inner)
@@ -87,74 +91,78 @@
 
 def all_imports() -> list[Import]:
     return [
-        each
+        imported
         for path in sorted(ROOT.rglob("*.py"))
         if path != ROOT / "__init__.py"
-        for each in imports_of(path, path.read_text(encoding="utf-8"))
+        for imported in imports_of(path, path.read_text(encoding="utf-8"))
     ]
 
 
-def points_down(each: Import) -> bool:
-    """Does the import keep the order? Within a package it does."""
-    if each.target == each.package:
+def is_allowed(imported: Import) -> bool:
+    """Return whether an import is allowed; imports within a package are."""
+    if imported.target == imported.package:
         return True
-    if each.package in STANDING_ALONE:
+    if imported.package in STANDALONE:
         return False
-    if each.target in ANYBODYS:
+    if imported.target in SHARED_BY_ALL:
         return True
-    return each.target in HEIGHT and HEIGHT[each.target] < HEIGHT[each.package]
+    return imported.target in HEIGHT and HEIGHT[imported.target] < HEIGHT[imported.package]
 
 
-def against_order(imports: list[Import]) -> Counter[tuple[str, str]]:
-    """Imports of serving packages that point upwards or sideways, by module and package.
+def disallowed_imports(imports: list[Import]) -> Counter[tuple[str, str]]:
+    """Count imports of serving packages from higher or equal layers, by module and package.
 
-    Those of `model` and `testkit` have a rule of their own.
+    Imports of and by `model` and `testkit` are left out, as a separate rule covers them.
     """
     return Counter(
-        (each.module, each.target)
-        for each in imports
-        if each.package not in TRIED_ON and each.target not in TRIED_ON and not points_down(each)
+        (imported.module, imported.target)
+        for imported in imports
+        if imported.package not in TEST_PACKAGES
+        and imported.target not in TEST_PACKAGES
+        and not is_allowed(imported)
     )
 
 
-def test_every_package_has_a_place_in_the_order() -> None:
+def test_every_package_is_in_a_layer() -> None:
     packages = {path.name for path in ROOT.iterdir() if (path / "__init__.py").exists()}
 
-    assert packages - set(HEIGHT) - set(TRIED_ON) == set()
+    assert packages - set(HEIGHT) - set(TEST_PACKAGES) == set()
 
 
 def test_imports_point_downwards() -> None:
-    assert against_order(all_imports()) == Counter(EXCEPTIONS)
+    assert disallowed_imports(all_imports()) == Counter(EXCEPTIONS)
 
 
-def test_policy_and_eventloop_import_nothing_of_the_program() -> None:
-    outside = [
-        each
-        for each in all_imports()
-        if each.package in STANDING_ALONE and each.target != each.package
+def test_policy_and_eventloop_import_no_other_package_of_the_program() -> None:
+    other_imports = [
+        imported
+        for imported in all_imports()
+        if imported.package in STANDALONE and imported.target != imported.package
     ]
 
-    assert outside == []
+    assert other_imports == []
 
 
-def test_serving_packages_load_no_model_or_testkit() -> None:
-    loaded = [
-        each
-        for each in all_imports()
-        if each.target in TRIED_ON and each.package not in TRIED_ON and each.at_module_level
+def test_serving_packages_import_no_model_or_testkit_at_module_level() -> None:
+    test_imports = [
+        imported
+        for imported in all_imports()
+        if imported.target in TEST_PACKAGES
+        and imported.package not in TEST_PACKAGES
+        and imported.at_module_level
     ]
 
-    assert loaded == []
+    assert test_imports == []
 
 
-def test_only_commands_reach_for_model_or_testkit_when_called() -> None:
-    reaching = {
-        each.package
-        for each in all_imports()
-        if each.target in TRIED_ON and each.package not in TRIED_ON
+def test_only_commands_import_model_or_testkit_in_functions() -> None:
+    importing_packages = {
+        imported.package
+        for imported in all_imports()
+        if imported.target in TEST_PACKAGES and imported.package not in TEST_PACKAGES
     }
 
-    assert reaching <= {"commands"}
+    assert importing_packages <= {"commands"}
 
 
 @pytest.mark.parametrize(
@@ -174,5 +182,5 @@
         ),
     ],
 )
-def test_an_import_against_the_order_is_found(module: str, source: str) -> None:
-    assert len(against_order(imports_of(ROOT / module, source))) == 1
+def test_disallowed_import_is_found(module: str, source: str) -> None:
+    assert len(disallowed_imports(imports_of(ROOT / module, source))) == 1
