--- a/tests/harness.py
+++ b/tests/harness.py
@@ -231,9 +231,8 @@
         self.event_loop = EventLoop(
             clock=lambda: self.time, on_exception=lambda: self.logged.append(traceback.format_exc())
         )
-        EnginePool.dial = (
-            lambda engine_pool, address: None
-        )  # no engine listens: `connect_engine` adds connections directly
+        # No engine listens: `connect_engine` adds connections directly.
+        EnginePool.dial = lambda engine_pool, address: None
         self.socket_host = PlatformFrontEnd(
             self.event_loop, PlatformConfig(configuration, ""), self.logged.append
         )
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -234,9 +234,10 @@
     client, client_connection = harness.connect_client()
     _engine, _ = harness.connect_engine()
     harness.send_and_wait(client, request_frame(), client_connection)
+    # No memory is left, so further input pauses reading.
     harness.socket_host.client_ring_memory.limit_bytes = (
         harness.socket_host.client_ring_memory.reserved_bytes
-    )  # no memory is left, so further input pauses reading
+    )
     client.sendall((200_000).to_bytes(4, "little") + b"\2" + b"x" * 9_000)
     wait_for_input(client_connection.link.sock)
     harness.turn()
@@ -342,9 +343,8 @@
     )
     dials.errors.append("")
     harness.pass_time(100, 20)
-    assert (
-        in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
-    )  # a decision made for the previous incarnation must be made again
+    # A decision made for the previous incarnation must be made again.
+    assert in_flight_attempt.attempt.outcome == AttemptOutcome.ABANDONED
 
 
 def test_lack_of_descriptors_is_no_engine_fault_and_dials_resume_when_some_are_free(monkeypatch):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -293,16 +293,14 @@
 ):
     harness = HostHarness()
     client, engine = harness.connect_client(), harness.connect_engine()
-    assert send_request(
-        harness, harness.connect_client(), engine, 7
-    )  # its request id is taken while it is open, also for other clients
+    # While a request is open, its id is taken, also for other clients.
+    assert send_request(harness, harness.connect_client(), engine, 7)
     if "patience" in fields and fields["patience"] is None:
         fields = {**fields, "patience": ""}
     harness.send(client, request_frame(stream, **fields))
     assert [answer[:3] for answer in harness.receive_answers(client)] == [(4, stream, code)]
-    assert send_request(
-        harness, client, engine, 2, patience="5002"
-    )  # an honest client slightly over the limit is accepted
+    # An honest client slightly over the limit is accepted.
+    assert send_request(harness, client, engine, 2, patience="5002")
     harness.send(client, bytes.fromhex("05000000630900000005000000100a000000"))
     assert [answer[:3] for answer in harness.receive_answers(client)] == [
         (4, 0, b"\3"),
@@ -363,9 +361,8 @@
     harness.send(good, bytes.fromhex("05000000100a000000"))
     for piece in sent:
         harness.send(bad, piece)
-        harness.time += (
-            400 if len(sent) == 40 else 0
-        )  # single bytes count as activity, but the frame stays incomplete
+        # Single bytes count as activity, but the frame stays incomplete.
+        harness.time += 400 if len(sent) == 40 else 0
     if sent:
         # The client still sends: a reset for that must not discard the last answer to it.
         harness.send(bad, b"x" * 9)
@@ -398,9 +395,8 @@
     assert socket_host.make_room()
     harness.turn()
     assert len(harness.receive_answers(answered)) == 1 and answered.recv(9) == silent.recv(9) == b""
-    harness.pass_time(
-        600
-    )  # input that crosses the end of stream is read and dropped: a close before would reset
+    # Input that crosses the end of stream is read and dropped: closing over it would be a reset.
+    harness.pass_time(600)
     unread.sendall(b"x")
     assert len(socket_host.client_connections) == 2 and not socket_host.make_room()
     harness.send_engine_command(engine, request_id(1), "DONE", "chunks=1", "a\t\t\n")
@@ -495,9 +491,10 @@
         servers.sockets[2][-1].sendall(b": sign\n\nid: 9\ndata: {")
         servers.sockets[2][-1].close()
         harness.pass_time(200)
+        # Reconnected at once.
         assert (
             len(servers.sockets[2]) == 2 + attempt and harness.socket_host.last_event == 2 + attempt
-        )  # reconnected at once
+        )
     harness.send(servers.sockets[2][-1], b"HTTP/1.1 200 OK\r\n\r\n")
     harness.pass_time(17_500)  # the connection stays open without any bytes
     assert len(servers.sockets[2]) == 5 and f"Last-Event-ID: {4}".encode() in servers.sockets[2][
@@ -649,17 +646,15 @@
     harness.pass_time(2_000)
     assert not harness.receive(other)  # each page that arrives restarts the time limit
     harness.pass_time(3_500)
-    assert not harness.receive(
-        other
-    )  # the whole engine may be stalled, and may continue with this page
+    # No retry yet: the whole engine may be stalled, and may continue with this page.
+    assert not harness.receive(other)
     harness.send_engine_command(engine, request_id(2), "TELL", "-", "")
     harness.pass_time(2_500)
     assert command("done", FIRST_REQUEST_ID) in harness.receive(
         engine
     ) and FIRST_REQUEST_ID.encode() in harness.receive(other)
-    harness.send_engine_command(
-        engine, FIRST_REQUEST_ID, "MORE", "at=2", RESULT_ROW
-    )  # a late page is ignored
+    # A late page is ignored.
+    harness.send_engine_command(engine, FIRST_REQUEST_ID, "MORE", "at=2", RESULT_ROW)
     harness.send_engine_command(engine, request_id(2), "DONE", "chunks=1", RESULT_ROW)
     harness.send_engine_command(other, FIRST_REQUEST_ID, "DONE", "chunks=1", RESULT_ROW)
     assert [answer[1:3] for answer in harness.receive_answers(client)] == [(2, b"\1"), (1, b"\1")]
@@ -678,18 +673,16 @@
     other = harness.connect_engine("e2")
     harness.pass_time(9_500)
     harness.send_engine_command(engine, request_id(2), "TELL", "-", "")
-    assert not harness.receive(
-        other
-    )  # the engine was stalled, and its next report may be of the other attempt
+    # No retry yet: the engine was stalled, and its next report may be of the other attempt.
+    assert not harness.receive(other)
     for _ in range(4):
         harness.pass_time(2_400)
         harness.send_engine_command(engine, request_id(2), "TELL", "-", "")
     retries = harness.receive(other)
     assert FIRST_REQUEST_ID.encode() in retries and request_id(2).encode() not in retries
     assert command("abort", FIRST_REQUEST_ID) in harness.receive(engine)
-    harness.send_engine_command(
-        engine, FIRST_REQUEST_ID, "DONE", "chunks=1", RESULT_ROW
-    )  # a late answer is ignored
+    # A late answer is ignored.
+    harness.send_engine_command(engine, FIRST_REQUEST_ID, "DONE", "chunks=1", RESULT_ROW)
     harness.send_engine_command(other, FIRST_REQUEST_ID, "DONE", "chunks=1", "b\t\t\n")
     assert harness.receive_answers(client) == [(4, 1, b"\1", b"b\t\t\n")]
 
@@ -767,9 +760,8 @@
     client, engine = harness.connect_client(), harness.connect_engine()
     send_request(harness, client, engine, patience="500")
     harness.pass_time(SECOND)
-    assert harness.receive(engine) == command(
-        "abort", FIRST_REQUEST_ID
-    )  # without the abort the engine would keep running the statement
+    # Without the abort the engine would keep running the statement.
+    assert harness.receive(engine) == command("abort", FIRST_REQUEST_ID)
     assert [answer[2] for answer in harness.receive_answers(client)] == [b"\2"]
     harness.send(client, request_frame(2, trace=FIRST_REQUEST_ID))
     assert not harness.receive(engine)  # two attempts with one id must not share a connection
@@ -982,9 +974,8 @@
         harness.socket_host.last_event == 1
         and harness.socket_host.engine_pools["e1"].engine.state == EngineState.READY
     )
-    assert not harness.socket_host.on_discovery_event(
-        "1", json.dumps(endpoint_list_event(1))
-    )  # a repeated event is skipped
+    # A repeated event is skipped.
+    assert not harness.socket_host.on_discovery_event("1", json.dumps(endpoint_list_event(1)))
 
 
 @pytest.mark.parametrize(
@@ -1067,9 +1058,8 @@
 
     EnginePool.dial = dial
     harness.turn()
-    assert (
-        dialled == []
-    )  # hundreds of gateways that dial all engines in advance cost more than their requests
+    # Hundreds of gateways that dial all engines in advance cost more than their requests.
+    assert dialled == []
     client = harness.connect_client()
     harness.send(client, request_frame(1))
     assert len(dialled) == 1
@@ -1111,9 +1101,10 @@
     monkeypatch.setattr(
         client_connection_module, "unread_byte_count", lambda sock: sock in unread_sockets
     )
+    # The first connection always has unread bytes.
     unread_sockets += [
         client_connection.link.sock for client_connection in harness.socket_host.client_connections
-    ][:1]  # the first connection always has unread bytes
+    ][:1]
     harness.send(
         first_client, request_frame(7, route="load", entity="5", nonce="a" * 8, trace=request_id(1))
     )
@@ -1123,9 +1114,8 @@
         request_frame(8, route="load", entity="5", nonce="b" * 8, trace=request_id(2)),
     )
     commands = harness.receive(engine)
-    assert (
-        request_id(1).encode() in commands and request_id(2).encode() not in commands
-    )  # the second request waits for the first
+    # The second request waits for the first.
+    assert request_id(1).encode() in commands and request_id(2).encode() not in commands
     assert not harness.socket_host.unsubmitted_by_order_key
     harness.pass_time(SECOND // 10)
     assert harness.receive(engine).count(b"fetch") == 0
@@ -1136,9 +1126,8 @@
 ):
     harness = HostHarness()
     engine, client = harness.connect_engine(), harness.connect_client()
-    monkeypatch.setattr(
-        client_connection_module, "unread_byte_count", lambda sock: 1
-    )  # the connection always has unread bytes
+    # The connection always has unread bytes.
+    monkeypatch.setattr(client_connection_module, "unread_byte_count", lambda sock: 1)
     harness.send(client, request_frame(1, patience="40"))
     harness.send(client, bytes.fromhex("050000000801000000"))
     assert [answer[1:3] for answer in harness.receive_answers(client)] == [(1, b"\2")]
--- a/tests/test_subset_net.py
+++ b/tests/test_subset_net.py
@@ -244,9 +244,8 @@
         elif action == 3 and self.engine_sockets:
             self.engine_sockets.pop(self.random.below(len(self.engine_sockets)))[1].close()
         else:
-            if (
-                not self.socket_host.client_connections
-            ):  # without free descriptors an idle one is closed
+            # Without free descriptors the host closes an idle client connection.
+            if not self.socket_host.client_connections:
                 self.client = self.harness.connect_client()
             self.stream += 1
             self.client.sendall(request_frame(self.stream, patience="900"))
@@ -319,9 +318,8 @@
 def test_connection_limit_depends_on_the_subset_and_closing_pools_not_on_the_list():
     harness = HostHarness([endpoint_list_event(1, *engine_entries(60))], sockets=96, instances=200)
     socket_host = harness.socket_host
-    assert (
-        socket_host.max_links_per_engine() == 2
-    )  # as without a subset, because all engines are in it
+    # The same limit as without a subset, because all engines are in the subset.
+    assert socket_host.max_links_per_engine() == 2
     set_subset(harness, "e1", "e2", "e3", "e4")
     assert socket_host.max_links_per_engine() == 96 // 3 // 4
     socket_host.engine_pools["e9"].engine.state = EngineState.DRAINING
@@ -376,9 +374,8 @@
     set_subset(harness, "e1")
     harness.pass_time(SECOND + SECOND // 4)
     assert harness.receive(engine_sockets[0]).startswith(command("alive", "alive-1"))
-    assert (
-        engine_sockets[1].recv(100) == b"" and not harness.socket_host.engine_pools["e2"].links
-    )  # closed without a keepalive before
+    # Closed without a keepalive before.
+    assert engine_sockets[1].recv(100) == b"" and not harness.socket_host.engine_pools["e2"].links
     assert [each.engine_pool.engine.name for each in harness.socket_host.links] == ["e1"]
 
 
@@ -433,9 +430,8 @@
     engine_pool.dialling = False
     engine_socket = harness.connect_engine()
     harness.turn()
-    assert (
-        harness.receive(engine_socket).count(b"fetch") == 2
-    )  # both use this connection, and no further one is dialled in advance
+    # Both use this connection, and no further one is dialled in advance.
+    assert harness.receive(engine_socket).count(b"fetch") == 2
     assert dials == ["e1"]
     engine_pool.engine.in_subset = True
     engine_pool.fill()
