--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -27,11 +27,11 @@
 from corkgauge.testkit.faults.script import read as read_script
 from corkgauge.testkit.fleet.day import Day
 from tests.harness import (
+    PLATFORM_SETTINGS,
     SECOND,
-    STATED_ON_SOCKETS,
     GatewayHarness,
     HostHarness,
-    listing,
+    endpoint_list_event,
     request_frame,
 )
 
@@ -300,13 +300,13 @@
     harness = GatewayHarness(can_hedge=True)
     slow, _replaced, _other = harness.engines
     for _ in range(4):
-        harness.take()
+        harness.submit_request()
     for attempt in [
         in_flight_attempt
         for engine in harness.engines
         for in_flight_attempt in [*engine.stats.in_flight]
     ]:
-        harness.over(attempt, took=30_000)
+        harness.finish_attempt(attempt, took=30_000)
     harness.gateway.outliers.record_fault(slow, "silent")
     harness.gateway.price.current = 1e-6
     for each in harness.engines:
@@ -333,7 +333,7 @@
         restarted.engines[0]
     ) and restarted.gateway.outliers.is_healthy(restarted.engines[1])
     assert len(restarted.gateway.queues) == 1
-    request = restarted.take()
+    request = restarted.submit_request()
     assert request.attempts[0].engine is not restarted.engines[0]
     restarted.pass_time(2 * SECOND)
     # The ejection is over: one attempt probes the engine.
@@ -354,7 +354,7 @@
     )
     harness = GatewayHarness(request_classes=(request_class,), settle_ticks=3000)
     harness.gateway.hold_order_key(9, harness.now + 3000)
-    request = harness.take(order_key=9, time_to_deadline=3 * SECOND)
+    request = harness.submit_request(order_key=9, time_to_deadline=3 * SECOND)
     assert not request.attempts
     harness.pass_time(3100)
     assert request.attempts and not harness.gateway.order.held_until
@@ -385,9 +385,11 @@
 
 ZONE_SCOPED_REQUEST_CLASSES = [
     {**each, "group": "zone"} if each["name"] == "load" else each
-    for each in STATED_ON_SOCKETS["profiles"]
+    for each in PLATFORM_SETTINGS["profiles"]
+]
+TWO_ZONES_ENDPOINT_LIST = [
+    endpoint_list_event(1, {}, {"id": "e2", "addr": "127.0.0.9:2", "zone": "west"})
 ]
-TWO_ZONES_ENDPOINT_LIST = [listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2", "zone": "west"})]
 
 
 def test_retry_after_a_restart_goes_only_to_the_zone_that_knows_its_key(tmp_path):
@@ -398,14 +400,14 @@
             events=TWO_ZONES_ENDPOINT_LIST, profiles=ZONE_SCOPED_REQUEST_CLASSES
         )
         service = start_service(folder, first_run)
-        client = first_run.client()
-        sockets = {tag: first_run.engine(tag) for tag in ("e1", "e2")}
+        client = first_run.connect_client()
+        sockets = {tag: first_run.connect_engine(tag) for tag in ("e1", "e2")}
         body = b"select * from s_%d.t" % turn
-        first_run.ask(
+        first_run.send(
             client, request_frame(1, route="load", nonce=IDEMPOTENCY_KEY, entity="5", body=body)
         )
         first_engine = next(
-            tag for tag, engine_socket in sockets.items() if first_run.heard(engine_socket)
+            tag for tag, engine_socket in sockets.items() if first_run.receive(engine_socket)
         )
         run_until(
             first_run, lambda: any(segment.stat().st_size for segment in folder.glob("n.effects.*"))
@@ -419,14 +421,14 @@
         second_service = start_service(folder, second_run)
         assert any("effects=1 unsettled=1" in line for line in second_run.logged)
         other = {"e1": "e2", "e2": "e1"}[first_engine]
-        sockets = {tag: second_run.engine(tag) for tag in (other, first_engine)}
+        sockets = {tag: second_run.connect_engine(tag) for tag in (other, first_engine)}
         # The retry has to go to the loaded engine, because only this engine knows the key.
         second_run.socket_host.engine_pools[first_engine].engine.threads_in_flight = 99
-        second_run.ask(
-            second_run.client(),
+        second_run.send(
+            second_run.connect_client(),
             request_frame(1, route="load", nonce=IDEMPOTENCY_KEY, entity="6", body=body),
         )
-        assert b"fetch" not in second_run.heard(sockets[other])
+        assert b"fetch" not in second_run.receive(sockets[other])
         request = next(iter(second_run.socket_host.open_requests.values()), None)
         assert request is None or [each.engine.name for each in request.earlier_attempts] == [
             first_engine
