--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -23,13 +23,13 @@
 sys.path.insert(0, str(ROOT))
 
 from corkgauge.accounting import counter_names  # noqa: E402
-from corkgauge.accounting.auditor import SLICE_RECORDS  # noqa: E402
+from corkgauge.accounting.auditor import SLICE_RECORD_COUNT  # noqa: E402
 from tests.test_figures import AuditedLedger, Record  # noqa: E402
 
 
 def books(open_, engines):
-    made = AuditedLedger(SLICE_RECORDS)
-    made.engine_rows = [made.ledger.engine_row(f"e{n}") for n in range(engines)]
+    made = AuditedLedger(SLICE_RECORD_COUNT)
+    made.engine_rows = [made.ledger.get_engine_row(f"e{n}") for n in range(engines)]
     for n in range(open_):
         made.send(made.accept(n % 2), n % engines)
     return made
@@ -56,7 +56,7 @@
             begun = time.perf_counter()
             made.auditor.run_whole_pass()
             plain.append((time.perf_counter() - begun) * 1000)
-        assert not made.discrepancies.by_place
+        assert not made.discrepancies.by_kind_and_row
         print(
             f"{open_:6} {engines:7} {len(steps):6} {statistics.median(longest):12.2f} "
             f"{statistics.median(whole):12.2f} {statistics.median(plain):12.2f}"
@@ -68,9 +68,9 @@
         ("taken", lambda n: made.ledger.record_accepted(entries[n])),
         (
             "handed off",
-            lambda n: made.ledger.record_attempt_sent(hands[n], counter_names.AttemptSort.FIRST),
+            lambda n: made.ledger.record_attempt_sent(hands[n], counter_names.AttemptKind.FIRST),
         ),
-        ("hand-off over", lambda n: made.ledger.on_attempt_finished(hands[n], 1)),
+        ("hand-off over", lambda n: made.ledger.record_attempt_finished(hands[n], 1)),
         (
             "closed",
             lambda n: made.ledger.record_closed(
--- a/corkgauge/accounting/audited_records.py
+++ b/corkgauge/accounting/audited_records.py
@@ -16,13 +16,13 @@
     def attempts_in_flight(self) -> list[Any]:
         """Return a copy of the attempts in flight, each an `AttemptEntry`."""
 
-    def attempt_mismatch(self, attempt: Any) -> str:
+    def find_attempt_mismatch(self, attempt: Any) -> str:
         """Return how an attempt in flight differs from the gateway's record; empty: it does not."""
 
     def engines(self) -> list[Any]:
         """Return a copy of the engines."""
 
-    def engine_mismatch(self, engine: Any) -> tuple[str, str]:
+    def find_engine_mismatch(self, engine: Any) -> tuple[str, str]:
         """Return an engine's name, and what the gateway alone holds in flight there."""
 
     def engine_name(self, engine: Any) -> str:
@@ -31,5 +31,5 @@
     def connections(self) -> Sequence[tuple[int, int]]:
         """Return, by side, the connections that are up, and the pages received on them."""
 
-    def find_trace(self, serial: int) -> str:
+    def find_other_reference(self, serial: int) -> str:
         """Return where else a request is still found, or an empty string."""
--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -15,7 +15,13 @@
 from typing import Any, NamedTuple
 
 from corkgauge.accounting.audited_records import AuditedRecords
-from corkgauge.accounting.counter_names import SIDES, SORTS, TERM_OF, TERMS, Term
+from corkgauge.accounting.counter_names import (
+    ATTEMPT_KIND_NAMES,
+    SIDE_NAMES,
+    TERM_BY_REASON,
+    TERM_NAMES,
+    Term,
+)
 from corkgauge.accounting.discrepancies import Discrepancies, DiscrepancyKind
 from corkgauge.accounting.ledger import EventKind, RequestLedger
 from corkgauge.accounting.ledger_rows import (
@@ -35,7 +41,7 @@
     tally_records,
 )
 
-SLICE_RECORDS = 500  # records of one step
+SLICE_RECORD_COUNT = 500  # records of one step
 
 
 class Equation(NamedTuple):
@@ -60,7 +66,7 @@
         ledger: RequestLedger,
         records: AuditedRecords,
         discrepancies: Discrepancies,
-        slice_records: int = SLICE_RECORDS,
+        slice_records: int = SLICE_RECORD_COUNT,
     ) -> None:
         self.ledger = ledger
         self.records = records
@@ -112,7 +118,7 @@
             self._compare(each, tallies, self._kind_of_request)
 
     def _check_attempts(self) -> Iterator[None]:
-        expected_by_engine = copy_in_flight(self.ledger.engine_rows())
+        expected_by_engine = copy_in_flight(self.ledger.list_engine_rows())
         expected_by_class = copy_in_flight(self.ledger.request_classes.values())
         attempts = self.records.attempts_in_flight()
         yield
@@ -147,19 +153,19 @@
         if difference:
             detail = "taken - served - refused - failed - open"
             self._record(DiscrepancyKind.TERMS_DIFFER, row, difference, detail)
-        reasons_of_term = [0] * len(TERMS)
+        reasons_of_term = [0] * len(TERM_NAMES)
         for reason, count in enumerate(row.reasons):
-            reasons_of_term[TERM_OF[reason]] += count
+            reasons_of_term[TERM_BY_REASON[reason]] += count
         for term in (Term.SUCCEEDED, Term.REJECTED, Term.FAILED):
             difference = row.terms[term] - reasons_of_term[term]
             if difference:
-                detail = f"{TERMS[term]} - its reasons"
+                detail = f"{TERM_NAMES[term]} - its reasons"
                 self._record(DiscrepancyKind.TERMS_DIFFER, row, difference, detail)
 
     def _check_engine_rows(self) -> Iterator[None]:
-        for part in in_slices(self.ledger.engine_rows(), self.slice_rows):
+        for part in in_slices(self.ledger.list_engine_rows(), self.slice_rows):
             for row in part:
-                difference = sum(row.sorts) - sum(row.outcomes) - row.in_flight
+                difference = sum(row.sent_by_kind) - sum(row.outcomes) - row.in_flight
                 if difference:
                     detail = "handed off - outcomes - out"
                     self._record(DiscrepancyKind.TERMS_DIFFER, row, difference, detail)
@@ -169,7 +175,7 @@
         """Compare two records of the same attempts, the host's and the gateway's."""
         for part in in_slices(self.records.attempts_in_flight(), self.slice_records):
             for attempt in part:
-                mismatch = self.records.attempt_mismatch(attempt)
+                mismatch = self.records.find_attempt_mismatch(attempt)
                 if mismatch:
                     self._record(DiscrepancyKind.ENGINE_MISMATCH, attempt.engine_row, 1, mismatch)
             yield
@@ -177,7 +183,7 @@
     def _check_engines_of_gateway(self) -> Iterator[None]:
         for part in in_slices(self.records.engines(), self.slice_engines):
             for engine in part:
-                name, mismatch = self.records.engine_mismatch(engine)
+                name, mismatch = self.records.find_engine_mismatch(engine)
                 if mismatch:
                     self.discrepancies.record_difference(
                         DiscrepancyKind.ENGINE_MISMATCH, name, 1, mismatch
@@ -196,20 +202,20 @@
 
     def _check_sums_of_attempts(self) -> None:
         """Compare the sums that rows of two kinds hold."""
-        engine_rows = self.ledger.engine_rows()
-        for sort, name in enumerate(SORTS):
-            by_class = sum(row.sorts[sort] for row in self.ledger.request_classes.values())
-            by_engine = sum(row.sorts[sort] for row in engine_rows)
+        engine_rows = self.ledger.list_engine_rows()
+        for sort, name in enumerate(ATTEMPT_KIND_NAMES):
+            by_class = sum(row.sent_by_kind[sort] for row in self.ledger.request_classes.values())
+            by_engine = sum(row.sent_by_kind[sort] for row in engine_rows)
             self._check_sum(Equation(name, by_class - by_engine, "by offering - by engine"))
 
     def _check_connections(self) -> None:
         pages = 0
-        sides = zip(self.ledger.sides, SIDES, self.records.connections(), strict=True)
+        sides = zip(self.ledger.sides, SIDE_NAMES, self.records.connections(), strict=True)
         for side, name, (connections_up, pages_received) in sides:
             difference = side.opened - side.closed - connections_up
             self._check_sum(Equation(f"{name} connections", difference, "up - ended - those there"))
             pages += side.pages + pages_received
-        difference = sum(row.pages for row in self.ledger.engine_rows()) - pages
+        difference = sum(row.pages for row in self.ledger.list_engine_rows()) - pages
         self._check_sum(Equation("pages", difference, "by engine - by connection"))
 
     def _check_equations(self) -> None:
@@ -250,10 +256,10 @@
         if not 0 < serial <= self.ledger.last_request_serial:
             return DiscrepancyKind.COUNT_ALTERED
         if difference > 0:
-            if self.records.find_trace(serial):
+            if self.records.find_other_reference(serial):
                 return DiscrepancyKind.LOST_FROM_TABLE
             return DiscrepancyKind.NEVER_CLOSED
-        events = self.ledger.last_events(row, serial)
+        events = self.ledger.find_last_events(row, serial)
         if any(event.kind == EventKind.CLOSED for event in events):
             return DiscrepancyKind.CLOSED_TWICE
         return DiscrepancyKind.NEVER_ENTERED
@@ -271,7 +277,7 @@
     def _record(
         self, kind: DiscrepancyKind, row: Row, difference: int, detail: str, serial: int = 0
     ) -> None:
-        events = self.ledger.last_events(row, serial)
+        events = self.ledger.find_last_events(row, serial)
         self.discrepancies.record_difference(kind, row.name, difference, detail, events)
 
 
--- a/corkgauge/accounting/checkpoint.py
+++ b/corkgauge/accounting/checkpoint.py
@@ -18,7 +18,7 @@
 import msgpack
 import xxhash
 
-from corkgauge.accounting.snapshot import EngineRows, Snapshot, as_plain
+from corkgauge.accounting.snapshot import LazyEngineRows, Snapshot, as_plain_dict
 from corkgauge.accounting.snapshot_merge import sum_rows
 
 MAGIC = b"CKGFIGS\n"
@@ -146,7 +146,7 @@
         raise CheckpointError(slot.problem)
     snapshot = slot.body["cut"]
     if ALL_ENGINES not in snapshot["engines"]:
-        snapshot = as_plain({**snapshot, "engines": EngineRows(snapshot["engines"])})
+        snapshot = as_plain_dict({**snapshot, "engines": LazyEngineRows(snapshot["engines"])})
     return {**slot.body, "cut": snapshot}
 
 
--- a/corkgauge/accounting/counter_names.py
+++ b/corkgauge/accounting/counter_names.py
@@ -53,7 +53,7 @@
     """Its client's connection ended within the answer."""
 
 
-class AttemptSort(IntEnum):
+class AttemptKind(IntEnum):
     """Index of the sort of an attempt."""
 
     FIRST = 0
@@ -72,10 +72,10 @@
 
 
 # What the enums' members are called in JSON, metrics, checkpoints and logs, by index.
-TERMS = "taken", "served", "refused", "failed"
-SORTS = "firsts", "further", "copies"
-SIDES = "client", "engine"
-OUTCOMES = (  # of policy.records.AttemptOutcome
+TERM_NAMES = "taken", "served", "refused", "failed"
+ATTEMPT_KIND_NAMES = "firsts", "further", "copies"
+SIDE_NAMES = "client", "engine"
+OUTCOME_NAMES = (  # of policy.records.AttemptOutcome
     "error",
     "honoured",
     "full",
@@ -86,7 +86,7 @@
     "moot",
 )
 # Each reason lies beneath one term; the counts of the reasons sum to those of their terms.
-REASONS = (
+END_REASONS = (
     (Term.SUCCEEDED, "in_time"),
     (Term.SUCCEEDED, "late"),
     (Term.REJECTED, "at_the_door"),
@@ -101,11 +101,11 @@
     (Term.FAILED, "not_read"),
     (Term.FAILED, "cut_off"),
 )
-TERM_OF = tuple(int(term) for term, _ in REASONS)  # a plain int indexes a list fastest
-REASON_NAMES = tuple(name for _, name in REASONS)
+TERM_BY_REASON = tuple(int(term) for term, _ in END_REASONS)  # a plain int indexes a list fastest
+REASON_NAMES = tuple(name for _, name in END_REASONS)
 
 UNUSABLE_ROW = "(unusable)"  # the row of what names no request class of ours
-DEPARTED_ROW = "(departed)"  # the row of all engines that were removed
+REMOVED_ENGINES_ROW = "(departed)"  # the row of all engines that were removed
 
 # A member that is looked up through its enum costs 0.1 us each time (CPython 3.11), an addition to
 # a count 0.04 us. So what the path of a request needs is looked up once.
@@ -117,12 +117,12 @@
 _AFTER_ATTEMPTS = EndReason.AFTER_ATTEMPTS
 _AT_DEADLINE = EndReason.AT_DEADLINE
 _GIVEN_UP = EndReason.GIVEN_UP
-_FIRST = AttemptSort.FIRST
-_RETRY = AttemptSort.RETRY
-_HEDGE = AttemptSort.HEDGE
+_FIRST = AttemptKind.FIRST
+_RETRY = AttemptKind.RETRY
+_HEDGE = AttemptKind.HEDGE
 
 
-def reason_of_end(
+def find_end_reason(
     code: int, request: Request, now_ticks: int, deadline_margin_ticks: int
 ) -> EndReason:
     """Return the reason of an end that the gateway gave a request.
@@ -134,11 +134,11 @@
     >>> from corkgauge.policy.records import RequestClass
     >>> quick = RequestClass("quick", 10, 0.0, 500, 1.0)
     >>> request = Request(None, quick, 0, 0.0, 1000, 500, latency_objective=100.0)
-    >>> [REASON_NAMES[reason_of_end(Term.SUCCEEDED, request, now, 20)] for now in (1100, 1101)]
+    >>> [REASON_NAMES[find_end_reason(Term.SUCCEEDED, request, now, 20)] for now in (1100, 1101)]
     ['in_time', 'late']
-    >>> [REASON_NAMES[reason_of_end(Term.REJECTED, request, now, 20)] for now in (1100, 1480)]
+    >>> [REASON_NAMES[find_end_reason(Term.REJECTED, request, now, 20)] for now in (1100, 1480)]
     ['unsent', 'at_expiry']
-    >>> REASON_NAMES[reason_of_end(Term.FAILED, request, 1100, 20)]
+    >>> REASON_NAMES[find_end_reason(Term.FAILED, request, 1100, 20)]
     'given_up'
     """
     if code == _SUCCEEDED:
@@ -154,10 +154,10 @@
     return _NEVER_SENT
 
 
-def sort_of_attempt(number: int, has_others_in_flight: bool) -> AttemptSort:
+def classify_attempt(number: int, has_others_in_flight: bool) -> AttemptKind:
     """Return the sort of an attempt by its number within its request, from 0.
 
-    >>> [int(sort_of_attempt(*each)) for each in ((0, False), (1, False), (1, True))]
+    >>> [int(classify_attempt(*each)) for each in ((0, False), (1, False), (1, True))]
     [0, 1, 2]
     """
     if not number:
--- a/corkgauge/accounting/discrepancies.py
+++ b/corkgauge/accounting/discrepancies.py
@@ -93,27 +93,27 @@
     def __init__(self, clock: Callable[[], int], log: Callable[[str], None]) -> None:
         self.clock = clock
         self.log = log
-        self.by_place: dict[tuple[str, str], Discrepancy] = {}  # by kind and row
-        self.omitted = 0  # findings beyond MAX_FINDINGS
+        self.by_kind_and_row: dict[tuple[str, str], Discrepancy] = {}  # by kind and row
+        self.omitted_count = 0  # findings beyond MAX_FINDINGS
 
     @property
-    def alarm(self) -> bool:
+    def has_findings(self) -> bool:
         """Whether there is a finding."""
-        return bool(self.by_place)
+        return bool(self.by_kind_and_row)
 
     def record_difference(
         self, kind: str, row: str, difference: int, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
         """Record a difference as one pass of the auditor sees it, in place of the last one."""
         now = self.clock()
-        found = self.by_place.get((kind, row))
+        found = self.by_kind_and_row.get((kind, row))
         if found is None:
             # Damage in every row would otherwise fill the memory with its own report.
-            if len(self.by_place) >= MAX_FINDINGS:
-                self.omitted += 1
+            if len(self.by_kind_and_row) >= MAX_FINDINGS:
+                self.omitted_count += 1
                 return
             found = Discrepancy(kind, row, now, now, difference, detail, events, difference)
-            self.by_place[kind, row] = found
+            self.by_kind_and_row[kind, row] = found
             self.log(found.log_line())
             return
         found.last_seen_at = now
@@ -130,7 +130,7 @@
     ) -> None:
         """Record a mistake that was seen at an entry itself: each one adds to its finding."""
         difference = -1 if kind in COUNTS_HOLD_LESS else 1
-        found = self.by_place.get((kind, row))
+        found = self.by_kind_and_row.get((kind, row))
         if found is not None:
             difference += found.difference
         self.record_difference(kind, row, difference, detail, events)
@@ -140,9 +140,9 @@
 
         What is still wrong is found again by the next pass.
         """
-        count = len(self.by_place)
-        self.by_place = {}
-        self.omitted = 0
+        count = len(self.by_kind_and_row)
+        self.by_kind_and_row = {}
+        self.omitted_count = 0
         if count:
             self.log(f"figures: {count} findings cleared")
         return count
--- a/corkgauge/accounting/exposition.py
+++ b/corkgauge/accounting/exposition.py
@@ -17,7 +17,7 @@
     Metric,
 )
 
-from corkgauge.accounting.counter_names import REASONS, SORTS, TERMS
+from corkgauge.accounting.counter_names import ATTEMPT_KIND_NAMES, END_REASONS, TERM_NAMES
 from corkgauge.accounting.latency_sketches import SERVICE, buckets
 from corkgauge.accounting.snapshot import Snapshot
 
@@ -109,7 +109,7 @@
         "corkgauge_handoffs",
         "Hand-offs, by offering and sort.",
         ("offering", "sort"),
-        _samples_by_key(rows, SORTS),
+        _samples_by_key(rows, ATTEMPT_KIND_NAMES),
     )
 
 
@@ -119,7 +119,7 @@
         "corkgauge_engine_handoffs",
         "Hand-offs, by engine and sort.",
         ("engine", "sort"),
-        _samples_by_key(rows, SORTS),
+        _samples_by_key(rows, ATTEMPT_KIND_NAMES),
     )
     yield Family(
         CounterMetricFamily,
@@ -219,8 +219,8 @@
 
 def _samples_by_reason(rows: Rows) -> Iterator[Sample]:
     for name, row in rows.items():
-        for term, reason in REASONS:
-            yield Sample((name, TERMS[term], reason), row["reasons"][reason])
+        for term, reason in END_REASONS:
+            yield Sample((name, TERM_NAMES[term], reason), row["reasons"][reason])
 
 
 def _samples_by_outcome(rows: Rows) -> Iterator[Sample]:
--- a/corkgauge/accounting/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -11,13 +11,13 @@
 from typing import NamedTuple
 
 from corkgauge.accounting.counter_names import (
-    DEPARTED_ROW,
-    OUTCOMES,
-    SIDES,
-    TERM_OF,
-    TERMS,
+    OUTCOME_NAMES,
+    REMOVED_ENGINES_ROW,
+    SIDE_NAMES,
+    TERM_BY_REASON,
+    TERM_NAMES,
     UNUSABLE_ROW,
-    AttemptSort,
+    AttemptKind,
     EndReason,
     Side,
     Term,
@@ -64,7 +64,7 @@
 
 # Looked up once: a look-up through the enum costs more than an entry's additions together.
 _ACCEPTED = int(Term.ACCEPTED)
-_FIRST = int(AttemptSort.FIRST)
+_FIRST = int(AttemptKind.FIRST)
 _NO_CAPACITY = EndReason.NO_CAPACITY
 _UNUSABLE = EndReason.UNUSABLE
 _EVENT_ACCEPTED = EventKind.ACCEPTED
@@ -97,9 +97,9 @@
         self.request_classes = {name: RequestClassRow(name) for name in request_classes}
         self.unusable_row = self.request_classes[UNUSABLE_ROW] = RequestClassRow(UNUSABLE_ROW)
         self.engines: dict[str, EngineRow] = {}
-        self.departed = EngineRow(DEPARTED_ROW)
-        self.departing: list[EngineRow] = []  # removed, with attempts in flight
-        self.sides = [SideRow(name) for name in SIDES]
+        self.removed_row = EngineRow(REMOVED_ENGINES_ROW)
+        self.removed_in_flight: list[EngineRow] = []  # removed, with attempts in flight
+        self.sides = [SideRow(name) for name in SIDE_NAMES]
         self.last_request_serial = 0
         self.last_attempt_serial = 0
         self.events = deque[_StoredEvent](maxlen=MAX_EVENTS)
@@ -136,7 +136,7 @@
             serial = -serial
             self.on_mistake(kind, row, serial)
         request.serial = -serial
-        row.terms[TERM_OF[reason]] += 1
+        row.terms[TERM_BY_REASON[reason]] += 1
         row.reasons[reason] += 1
         row.open -= 1
         row.open_serials -= serial
@@ -152,23 +152,23 @@
 
     def _record_at_once(self, row: RequestClassRow, reason: EndReason) -> None:
         row.terms[_ACCEPTED] += 1
-        row.terms[TERM_OF[reason]] += 1
+        row.terms[TERM_BY_REASON[reason]] += 1
         row.reasons[reason] += 1
 
     # Attempts.
 
     def record_attempt_sent(self, attempt: AttemptEntry, sort: int) -> None:
-        """Count an attempt that is sent; `sort` is an `AttemptSort`."""
+        """Count an attempt that is sent; `sort` is an `AttemptKind`."""
         row = attempt.client_request.row
         engine = attempt.engine_row
         if attempt.serial:
             self.on_mistake(DiscrepancyKind.ATTEMPT_ENTERED_TWICE, engine, abs(attempt.serial))
         serial = self.last_attempt_serial + 1
         self.last_attempt_serial = attempt.serial = serial
-        row.sorts[sort] += 1
+        row.sent_by_kind[sort] += 1
         row.in_flight += 1
         row.in_flight_serials += serial
-        engine.sorts[sort] += 1
+        engine.sent_by_kind[sort] += 1
         engine.in_flight += 1
         engine.in_flight_serials += serial
         now = self.clock()
@@ -180,7 +180,7 @@
         ):
             self.on_mistake(DiscrepancyKind.OVER_BUDGET, engine, serial)
 
-    def on_attempt_finished(self, attempt: AttemptEntry, outcome: int) -> None:
+    def record_attempt_finished(self, attempt: AttemptEntry, outcome: int) -> None:
         """Count the outcome of an attempt, an `AttemptOutcome`."""
         row = attempt.client_request.row
         engine = attempt.engine_row
@@ -198,13 +198,13 @@
         row.in_flight -= 1
         row.in_flight_serials -= serial
         self._append_event((self.clock(), _EVENT_ATTEMPT_FINISHED, engine, serial))
-        if engine.is_removed and not engine.in_flight and engine in self.departing:
-            self.departing.remove(engine)
-            self.departed.add_row(engine)
+        if engine.is_removed and not engine.in_flight and engine in self.removed_in_flight:
+            self.removed_in_flight.remove(engine)
+            self.removed_row.add_row(engine)
 
     # Engines and connections.
 
-    def engine_row(self, name: str) -> EngineRow:
+    def get_engine_row(self, name: str) -> EngineRow:
         """Return the row of a listed engine, made if there is none.
 
         An engine that comes back under its id starts a new row; what it was before has departed.
@@ -225,9 +225,9 @@
         if self.engines.get(row.name) is row:
             del self.engines[row.name]
         if row.in_flight:
-            self.departing.append(row)
+            self.removed_in_flight.append(row)
         else:
-            self.departed.add_row(row)
+            self.removed_row.add_row(row)
 
     def record_connection_opened(self, side: int) -> None:
         """Count a connection that came up; `side` is a `Side`."""
@@ -245,19 +245,19 @@
 
     # Reading.
 
-    def engine_rows(self) -> list[EngineRow]:
+    def list_engine_rows(self) -> list[EngineRow]:
         """Return all rows of engines, the departed ones last."""
-        return [*self.engines.values(), *self.departing, self.departed]
+        return [*self.engines.values(), *self.removed_in_flight, self.removed_row]
 
-    def term_total(self, term: int) -> int:
+    def sum_term(self, term: int) -> int:
         """Return the count of a `Term` over all request classes."""
         return sum(row.terms[term] for row in self.request_classes.values())
 
-    def outcome_total(self, outcome: int) -> int:
+    def sum_outcome(self, outcome: int) -> int:
         """Return the count of an `AttemptOutcome` over all engines."""
-        return sum(row.outcomes[outcome] for row in self.engine_rows())
+        return sum(row.outcomes[outcome] for row in self.list_engine_rows())
 
-    def last_events(
+    def find_last_events(
         self, row: Row, serial: int = 0, limit: int = MAX_EVENTS_SHOWN
     ) -> list[LedgerEvent]:
         """Return the last events of a row, or, with a serial number, those of that alone."""
@@ -268,20 +268,20 @@
         ]
         return found[-limit:]
 
-    def log_totals(self) -> dict[str, int]:
+    def get_log_totals(self) -> dict[str, int]:
         """Return totals that are not 0, under the names that the log has always had."""
-        totals = {TERMS[Term.ACCEPTED]: self.term_total(Term.ACCEPTED)}
+        totals = {TERM_NAMES[Term.ACCEPTED]: self.sum_term(Term.ACCEPTED)}
         for term in (Term.SUCCEEDED, Term.REJECTED):
-            totals[f"answered {TERMS[term]}"] = self.term_total(term)
+            totals[f"answered {TERM_NAMES[term]}"] = self.sum_term(term)
         # What clients cancelled or left is no answer of ours.
         answered_failed = (EndReason.UNUSABLE, EndReason.GIVEN_UP, EndReason.ANSWER_NOT_READ)
-        totals[f"answered {TERMS[Term.FAILED]}"] = sum(
+        totals[f"answered {TERM_NAMES[Term.FAILED]}"] = sum(
             row.reasons[reason]
             for row in self.request_classes.values()
             for reason in answered_failed
         )
-        for outcome in range(len(OUTCOMES)):
-            totals[f"outcome {outcome}"] = self.outcome_total(outcome)
+        for outcome in range(len(OUTCOME_NAMES)):
+            totals[f"outcome {outcome}"] = self.sum_outcome(outcome)
         clients = self.sides[Side.CLIENT]
         totals["connections"] = clients.opened
         totals["connections ended"] = clients.closed
--- a/corkgauge/accounting/ledger_rows.py
+++ b/corkgauge/accounting/ledger_rows.py
@@ -9,7 +9,12 @@
 from operator import add
 from typing import Protocol
 
-from corkgauge.accounting.counter_names import OUTCOMES, REASONS, SORTS, TERMS
+from corkgauge.accounting.counter_names import (
+    ATTEMPT_KIND_NAMES,
+    END_REASONS,
+    OUTCOME_NAMES,
+    TERM_NAMES,
+)
 
 
 class RequestClassRow:
@@ -22,17 +27,17 @@
         "open",
         "open_serials",
         "reasons",
-        "sorts",
+        "sent_by_kind",
         "terms",
     )
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.terms = [0] * len(TERMS)  # requests, by `Term`
-        self.reasons = [0] * len(REASONS)  # requests that ended, by `EndReason`
+        self.terms = [0] * len(TERM_NAMES)  # requests, by `Term`
+        self.reasons = [0] * len(END_REASONS)  # requests that ended, by `EndReason`
         self.open = 0  # requests that are owed an answer
         self.open_serials = 0  # the sum of their serial numbers
-        self.sorts = [0] * len(SORTS)  # attempts sent, by `AttemptSort`
+        self.sent_by_kind = [0] * len(ATTEMPT_KIND_NAMES)  # attempts sent, by `AttemptKind`
         self.in_flight = 0  # attempts whose outcome is awaited
         self.in_flight_serials = 0  # the sum of their serial numbers
 
@@ -47,21 +52,21 @@
         "name",
         "outcomes",
         "pages",
-        "sorts",
+        "sent_by_kind",
     )
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.is_removed = False
-        self.sorts = [0] * len(SORTS)  # attempts sent, by `AttemptSort`
-        self.outcomes = [0] * len(OUTCOMES)  # attempts that finished, by `AttemptOutcome`
+        self.sent_by_kind = [0] * len(ATTEMPT_KIND_NAMES)  # attempts sent, by `AttemptKind`
+        self.outcomes = [0] * len(OUTCOME_NAMES)  # attempts that finished, by `AttemptOutcome`
         self.in_flight = 0  # attempts whose outcome is awaited
         self.in_flight_serials = 0  # the sum of their serial numbers
         self.pages = 0  # pages of results received
 
     def add_row(self, other: "EngineRow") -> None:
         """Add the counts of another row to this one."""
-        self.sorts = [*map(add, self.sorts, other.sorts)]
+        self.sent_by_kind = [*map(add, self.sent_by_kind, other.sent_by_kind)]
         self.outcomes = [*map(add, self.outcomes, other.outcomes)]
         self.in_flight += other.in_flight
         self.in_flight_serials += other.in_flight_serials
--- a/corkgauge/accounting/snapshot.py
+++ b/corkgauge/accounting/snapshot.py
@@ -12,7 +12,12 @@
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any, NamedTuple
 
-from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, SORTS, TERMS
+from corkgauge.accounting.counter_names import (
+    ATTEMPT_KIND_NAMES,
+    OUTCOME_NAMES,
+    REASON_NAMES,
+    TERM_NAMES,
+)
 from corkgauge.accounting.discrepancies import Discrepancies, Discrepancy
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.accounting.ledger_rows import EngineRow, RequestClassRow, SideRow
@@ -31,7 +36,7 @@
     pages: int
 
 
-class EngineRows(Mapping[str, dict[str, Any]]):
+class LazyEngineRows(Mapping[str, dict[str, Any]]):
     """The rows of all engines as they were in one moment, named only as they are read.
 
     The rows of a fleet by name take milliseconds to make, and a snapshot must be taken in one step;
@@ -45,8 +50,8 @@
         sorts, outcomes, in_flight, pages = self.counts[name]
         return {
             # A checkpoint of another version may know fewer sorts or outcomes.
-            **dict(zip(SORTS, sorts, strict=False)),
-            "outcomes": dict(zip(OUTCOMES, outcomes, strict=False)),
+            **dict(zip(ATTEMPT_KIND_NAMES, sorts, strict=False)),
+            "outcomes": dict(zip(OUTCOME_NAMES, outcomes, strict=False)),
             "out": in_flight,
             "pages": pages,
         }
@@ -70,12 +75,12 @@
         "offerings": {
             name: _request_class_fields(row) for name, row in ledger.request_classes.items()
         },
-        "engines": EngineRows(_engine_counts(ledger)),
+        "engines": LazyEngineRows(_engine_counts(ledger)),
         "connections": {row.name: _side_fields(row) for row in ledger.sides},
     }
 
 
-def as_plain(snapshot: Snapshot) -> Snapshot:
+def as_plain_dict(snapshot: Snapshot) -> Snapshot:
     """Return a snapshot as it looks to whoever read it from JSON."""
     return {**snapshot, "engines": {**snapshot["engines"]}}
 
@@ -99,9 +104,9 @@
     """Add to a snapshot what does not add up, after so many passes; return the same snapshot."""
     snapshot["audit"] = {
         "passes": passes,
-        "alarm": discrepancies.alarm,
-        "untold": discrepancies.omitted,
-        "findings": [_discrepancy_fields(each) for each in discrepancies.by_place.values()],
+        "alarm": discrepancies.has_findings,
+        "untold": discrepancies.omitted_count,
+        "findings": [_discrepancy_fields(each) for each in discrepancies.by_kind_and_row.values()],
     }
     return snapshot
 
@@ -116,7 +121,7 @@
         "until": snapshot["at"],
         "connections": snapshot["connections"],
         "offerings": {
-            name: {**{term: row[term] for term in TERMS}, "cut_off": row["open"]}
+            name: {**{term: row[term] for term in TERM_NAMES}, "cut_off": row["open"]}
             for name, row in snapshot["offerings"].items()
         },
     }
@@ -124,10 +129,10 @@
 
 def _request_class_fields(row: RequestClassRow) -> dict[str, Any]:
     return {
-        **dict(zip(TERMS, row.terms, strict=True)),
+        **dict(zip(TERM_NAMES, row.terms, strict=True)),
         "open": row.open,
         "reasons": dict(zip(REASON_NAMES, row.reasons, strict=True)),
-        **dict(zip(SORTS, row.sorts, strict=True)),
+        **dict(zip(ATTEMPT_KIND_NAMES, row.sent_by_kind, strict=True)),
         "out": row.in_flight,
     }
 
@@ -144,11 +149,11 @@
 
 def _engine_counts(ledger: RequestLedger) -> dict[str, EngineCounts]:
     """Return copies of the counts by engine; removed ones with attempts in flight have departed."""
-    departed = EngineRow(ledger.departed.name)
-    for row in (ledger.departed, *ledger.departing):
+    departed = EngineRow(ledger.removed_row.name)
+    for row in (ledger.removed_row, *ledger.removed_in_flight):
         departed.add_row(row)
     return {
-        name: EngineCounts(row.sorts.copy(), row.outcomes.copy(), row.in_flight, row.pages)
+        name: EngineCounts(row.sent_by_kind.copy(), row.outcomes.copy(), row.in_flight, row.pages)
         for name, row in {**ledger.engines, departed.name: departed}.items()
     }
 
--- a/corkgauge/accounting/snapshot_checks.py
+++ b/corkgauge/accounting/snapshot_checks.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from corkgauge.accounting.counter_names import REASONS, SORTS, TERMS
+from corkgauge.accounting.counter_names import ATTEMPT_KIND_NAMES, END_REASONS, TERM_NAMES
 from corkgauge.accounting.snapshot import Snapshot
 
-ENDS = TERMS[1:]  # the terms of requests that ended
+ENDS = TERM_NAMES[1:]  # the terms of requests that ended
 
 
 def find_imbalances(snapshot: Snapshot) -> list[str]:
@@ -40,21 +40,21 @@
         parts = " + ".join(f"{term} {row[term]}" for term in terms)
         yield f"{name}: taken {row['taken']}, {parts} = {total}"
     for index, term in enumerate(ENDS, 1):
-        names = [reason for under, reason in REASONS if under == index]
+        names = [reason for under, reason in END_REASONS if under == index]
         reasons = sum(row["reasons"].get(reason, 0) for reason in names)
         if reasons != row[term]:
             yield f"{name}: {term} {row[term]}, its reasons {reasons}"
 
 
 def _imbalances_of_engine(name: str, row: Mapping[str, Any]) -> Iterator[str]:
-    sent = sum(row[sort] for sort in SORTS)
+    sent = sum(row[sort] for sort in ATTEMPT_KIND_NAMES)
     finished = sum(row["outcomes"].values())
     if sent != finished + row["out"]:
         yield f"{name}: handed off {sent}, outcomes {finished} + out {row['out']}"
 
 
 def _imbalances_of_sums(snapshot: Snapshot) -> Iterator[str]:
-    for key in (*SORTS, "out"):
+    for key in (*ATTEMPT_KIND_NAMES, "out"):
         by_class = sum(row[key] for row in snapshot["offerings"].values())
         by_engine = sum(row[key] for row in snapshot["engines"].values())
         if by_class != by_engine:
@@ -73,7 +73,7 @@
         found.append(f"at: {before['at']}, then {after['at']}")
     for name, row in before["offerings"].items():
         found += _decreases_of_request_class(name, row, after["offerings"].get(name, {}))
-    for sort in SORTS:
+    for sort in ATTEMPT_KIND_NAMES:
         earlier = sum(row[sort] for row in before["engines"].values())
         later = sum(row[sort] for row in after["engines"].values())
         if later < earlier:
@@ -86,7 +86,7 @@
 def _decreases_of_request_class(
     name: str, before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> Iterator[str]:
-    keys = (*TERMS, *SORTS)
+    keys = (*TERM_NAMES, *ATTEMPT_KIND_NAMES)
     counts = {key: before[key] for key in keys}
     yield from _decreases(name, counts, {key: after.get(key, 0) for key in keys})
     reasons = before["reasons"]
--- a/corkgauge/commands/tables.py
+++ b/corkgauge/commands/tables.py
@@ -7,7 +7,12 @@
 from rich.table import Table
 from rich.text import Text
 
-from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, SORTS, TERMS
+from corkgauge.accounting.counter_names import (
+    ATTEMPT_KIND_NAMES,
+    OUTCOME_NAMES,
+    REASON_NAMES,
+    TERM_NAMES,
+)
 from corkgauge.accounting.snapshot import Snapshot
 from corkgauge.accounting.snapshot_checks import find_imbalances
 
@@ -25,14 +30,14 @@
     table = plain_table(
         f"{cut['gateway']}: taken = served + refused + failed + open",
         "offering",
-        (*TERMS, "open", *SORTS, "out", "p50 s", "p99 s"),
+        (*TERM_NAMES, "open", *ATTEMPT_KIND_NAMES, "out", "p50 s", "p99 s"),
     )
     latency = {each["whose"]: each for each in cut.get("waits", ()) if each["what"] == "latency"}
     for name, row in cut["offerings"].items():
         if row["taken"]:
             table.add_row(
                 name,
-                *(str(row[key]) for key in (*TERMS, "open", *SORTS, "out")),
+                *(str(row[key]) for key in (*TERM_NAMES, "open", *ATTEMPT_KIND_NAMES, "out")),
                 *_times(latency.get(name)),
             )
     return table
@@ -41,18 +46,20 @@
 def engines(cut: Snapshot, most: int = 40) -> Table:
     outcomes = [
         name
-        for name in OUTCOMES
+        for name in OUTCOME_NAMES
         if any(row["outcomes"].get(name) for row in cut["engines"].values())
     ]
     table = plain_table(
-        "handed off = outcomes + out", "engine", (*SORTS, *outcomes, "out", "pages")
+        "handed off = outcomes + out", "engine", (*ATTEMPT_KIND_NAMES, *outcomes, "out", "pages")
+    )
+    rows = sorted(
+        cut["engines"].items(), key=lambda each: -sum(each[1][sort] for sort in ATTEMPT_KIND_NAMES)
     )
-    rows = sorted(cut["engines"].items(), key=lambda each: -sum(each[1][sort] for sort in SORTS))
     for name, row in rows[:most]:
-        if any(row[sort] for sort in SORTS):
+        if any(row[sort] for sort in ATTEMPT_KIND_NAMES):
             table.add_row(
                 name,
-                *(str(row[sort]) for sort in SORTS),
+                *(str(row[sort]) for sort in ATTEMPT_KIND_NAMES),
                 *(str(row["outcomes"].get(outcome) or "") for outcome in outcomes),
                 str(row["out"]),
                 str(row["pages"]),
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -132,7 +132,7 @@
         logger.info(f"ended; {self._counters()}")
 
     def _counters(self) -> str:
-        ledger_line = self.front_end.ledger.log_totals()
+        ledger_line = self.front_end.ledger.get_log_totals()
         return (
             f"counters {self.front_end.counters.line(ledger_line)} {self.event_loop.worst_delays()}"
         )
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -43,7 +43,7 @@
         self.engine = engine
         self.address = ("", 0)
         self.number = number  # position in the order in which engines were first listed
-        self.row = socket_host.ledger.engine_row(engine.name)  # ledger row of the engine
+        self.row = socket_host.ledger.get_engine_row(engine.name)  # ledger row of the engine
         self.links: list[EngineConnection] = []
         # A list, as a deque takes 760 bytes even for an engine that never gets an attempt.
         self.waiting: list[InFlightAttempt] = []
--- a/corkgauge/net/host.py
+++ b/corkgauge/net/host.py
@@ -10,7 +10,11 @@
 from typing import Any
 
 from corkgauge.accounting.auditor import LedgerAuditor
-from corkgauge.accounting.counter_names import DEPARTED_ROW, reason_of_end, sort_of_attempt
+from corkgauge.accounting.counter_names import (
+    REMOVED_ENGINES_ROW,
+    classify_attempt,
+    find_end_reason,
+)
 from corkgauge.accounting.discrepancies import Discrepancies
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.config.platform import ConfigurationError, PlatformConfig
@@ -160,7 +164,7 @@
                 pools.pop(engine_pool, None)
             self.ledger.record_engine_removed(engine_pool.row)
             if self.latency_sketches is not None:
-                self.latency_sketches.merge_engine(engine_id, DEPARTED_ROW)
+                self.latency_sketches.merge_engine(engine_id, REMOVED_ENGINES_ROW)
 
     def max_links_per_engine(self) -> int:
         """Return how many connections each engine of the subset, or closing engine, may have.
@@ -227,7 +231,7 @@
         )
         has_other_in_flight = any(each.is_in_flight for each in attempt.request.attempts[:-1])
         self.ledger.record_attempt_sent(
-            in_flight_attempt, sort_of_attempt(attempt.number, has_other_in_flight)
+            in_flight_attempt, classify_attempt(attempt.number, has_other_in_flight)
         )
         request_class = attempt.request.request_class
         if self.recovery is not None and (
@@ -324,7 +328,7 @@
         self.open_requests.pop(client_request.name, None)
         self.finished_requests.append(request)
         if reason < 0:
-            reason = reason_of_end(
+            reason = find_end_reason(
                 code, request, self.now, self.gateway.options.deadline_margin_ticks
             )
         client_request.end_reason = reason
@@ -384,7 +388,7 @@
     def on_ledger_mistake(self, kind: str, row: Any, serial: int) -> None:
         """Record a discrepancy that the ledger noticed while recording an event."""
         self.discrepancies.record_mistake(
-            kind, row.name, f"serial {serial}", self.ledger.last_events(row, serial)
+            kind, row.name, f"serial {serial}", self.ledger.find_last_events(row, serial)
         )
 
     # Attempts.
@@ -470,7 +474,7 @@
             self.latency_sketches.record_succeeded(
                 in_flight_attempt.engine_row.name, self.now - attempt.sent_at
             )
-        self.ledger.on_attempt_finished(in_flight_attempt, outcome)
+        self.ledger.record_attempt_finished(in_flight_attempt, outcome)
         if in_flight_attempt.attempt_log_serial:
             self.recovery.on_attempt_finished(in_flight_attempt.attempt_log_serial, outcome)
         if self.works is not None:
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -28,7 +28,7 @@
             *self.socket_host.cancelled_attempts.values(),
         ]
 
-    def attempt_mismatch(self, in_flight_attempt: Any) -> str:
+    def find_attempt_mismatch(self, in_flight_attempt: Any) -> str:
         """Return how an attempt in flight differs from the gateway's record, or an empty string."""
         socket_host, attempt = self.socket_host, in_flight_attempt.attempt
         if attempt in socket_host.in_flight_attempts or attempt in socket_host.cancelled_attempts:
@@ -43,7 +43,7 @@
         """Return a copy of the engine pools."""
         return [*self.socket_host.engine_pools.values()]
 
-    def engine_mismatch(self, engine_pool: Any) -> tuple[str, str]:
+    def find_engine_mismatch(self, engine_pool: Any) -> tuple[str, str]:
         """Return an engine's name, and what only the gateway counts as in flight there.
 
         A slot that is never given back to the gateway is lost for good, and only this check shows
@@ -89,7 +89,7 @@
                 _add(sides[1], link.link, link.pages)
         return [(got, sent, pages) for got, sent, pages in sides]
 
-    def find_trace(self, serial: int) -> str:
+    def find_other_reference(self, serial: int) -> str:
         """Return the stream of the request with this serial number, or an empty string.
 
         A request that is missing from the table of open requests still needs its answer, and can be
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -36,8 +36,8 @@
     "closed doubled": ("record_closed", doubled, "closed twice", "offering"),
     "handed off skipped": ("record_attempt_sent", skipped, "hand-off never entered", "engine"),
     "handed off doubled": ("record_attempt_sent", doubled, "hand-off entered twice", "engine"),
-    "handoff over skipped": ("on_attempt_finished", skipped, "hand-off never closed", "engine"),
-    "handoff over doubled": ("on_attempt_finished", doubled, "hand-off closed twice", "engine"),
+    "handoff over skipped": ("record_attempt_finished", skipped, "hand-off never closed", "engine"),
+    "handoff over doubled": ("record_attempt_finished", doubled, "hand-off closed twice", "engine"),
     "connection up skipped": (
         "record_connection_opened",
         skipped,
@@ -85,7 +85,7 @@
         rows[1].reasons[0] += 1
         return rows[1].name
     if what == "sort altered":
-        rows[0].sorts[1] += 1
+        rows[0].sent_by_kind[1] += 1
         return "further"
     engine_pool = next(iter(socket_host.engine_pools.values()))
     if what == "threads lost":
--- a/tests/landed_samples.py
+++ b/tests/landed_samples.py
@@ -23,7 +23,7 @@
 from corkgauge.accounting import checkpoint_file
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.accounting.service import AccountingService
-from corkgauge.accounting.snapshot import as_plain, take_snapshot
+from corkgauge.accounting.snapshot import as_plain_dict, take_snapshot
 from corkgauge.config import operator_file as operator
 from corkgauge.config.operator_file import (
     AccountingConfig,
@@ -667,10 +667,10 @@
     ledger = RequestLedger(["quick"], lambda: NOW)
     entry, attempt = Entry(), Entry()
     entry.row = ledger.request_classes["quick"]
-    attempt.client_request, attempt.engine_row = entry, ledger.engine_row("e1")
+    attempt.client_request, attempt.engine_row = entry, ledger.get_engine_row("e1")
     ledger.record_accepted(entry)
     ledger.record_attempt_sent(attempt, 0)
-    ledger.on_attempt_finished(attempt, 0)
+    ledger.record_attempt_finished(attempt, 0)
     ledger.record_closed(entry, 0)
     ledger.record_rejected(ledger.request_classes["quick"])
     ledger.record_connection_opened(0)
@@ -826,7 +826,7 @@
         body = checkpoint_file.read_checkpoint_file(str(path))
         taken_over = checkpoint_file.CheckpointFile(folder, "n1", lambda line: None)
         taken_over.close()
-        return [as_plain(body["cut"]), body["earlier"], taken_over.earlier_epochs]
+        return [as_plain_dict(body["cut"]), body["earlier"], taken_over.earlier_epochs]
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -18,7 +18,7 @@
 from corkgauge.accounting.latency_sketches import LatencySketches, quantile
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.accounting.service import AccountingService
-from corkgauge.accounting.snapshot import as_plain, take_snapshot
+from corkgauge.accounting.snapshot import as_plain_dict, take_snapshot
 from corkgauge.accounting.snapshot_checks import find_decreases, find_imbalances
 from corkgauge.accounting.snapshot_merge import merge_snapshots
 from corkgauge.commands import group
@@ -53,7 +53,7 @@
         self.discrepancies = Discrepancies(lambda: self.now, self.logged.append)
         self.ledger = RequestLedger(["a", "b"], lambda: self.now, on_mistake=self.guard, **said)
         self.rows = [self.ledger.request_classes["a"], self.ledger.request_classes["b"]]
-        self.engine_rows = [self.ledger.engine_row(f"e{n}") for n in range(2)]
+        self.engine_rows = [self.ledger.get_engine_row(f"e{n}") for n in range(2)]
         self.auditor = LedgerAuditor(self.ledger, self, self.discrepancies, slice_)
 
     def guard(self, kind, row, serial):
@@ -69,7 +69,7 @@
         self.open.remove(record)
         self.ledger.record_closed(record, reason)
 
-    def send(self, record, engine=0, sort=counter_names.AttemptSort.FIRST):
+    def send(self, record, engine=0, sort=counter_names.AttemptKind.FIRST):
         attempt = Record(None, self.engine_rows[engine], record)
         self.ledger.record_attempt_sent(attempt, sort)
         self.in_flight.append(attempt)
@@ -77,14 +77,14 @@
 
     def finish(self, attempt, outcome=1):
         self.in_flight.remove(attempt)
-        self.ledger.on_attempt_finished(attempt, outcome)
+        self.ledger.record_attempt_finished(attempt, outcome)
 
     def run_pass(self):
         """Run a whole pass; return kind, row and difference of all that was found."""
         self.auditor.run_whole_pass()
         return [
             (found.kind, found.row, found.difference)
-            for found in self.discrepancies.by_place.values()
+            for found in self.discrepancies.by_kind_and_row.values()
         ]
 
     # What the auditor asks.
@@ -98,13 +98,13 @@
     def attempts_in_flight(self):
         return [*self.in_flight]
 
-    def attempt_mismatch(self, attempt):
+    def find_attempt_mismatch(self, attempt):
         return ""
 
     def engines(self):
         return [*self.engine_rows]
 
-    def engine_mismatch(self, row):
+    def find_engine_mismatch(self, row):
         return row.name, ""
 
     def engine_name(self, row):
@@ -113,7 +113,7 @@
     def connections(self):
         return (0, 0), (0, 0)
 
-    def find_trace(self, serial):
+    def find_other_reference(self, serial):
         return "stream 1" if serial in self.elsewhere else ""
 
 
@@ -132,7 +132,7 @@
             accounts.accept(which % 2)
         elif what == 1 and accounts.open:
             accounts.close(
-                accounts.open[which % len(accounts.open)], which % len(counter_names.REASONS)
+                accounts.open[which % len(accounts.open)], which % len(counter_names.END_REASONS)
             )
         elif what == 2 and accounts.open:
             accounts.send(accounts.open[which % len(accounts.open)], which % 2, which % 3)
@@ -185,7 +185,7 @@
         (swapped, ("count altered", "a", 0)),
         (lambda accounts: accounts.in_flight.pop(), ("hand-off never closed", "e0", 1)),
         (
-            lambda accounts: accounts.ledger.on_attempt_finished(accounts.in_flight[0], 1),
+            lambda accounts: accounts.ledger.record_attempt_finished(accounts.in_flight[0], 1),
             ("hand-off closed twice", "e0", -1),
         ),
         (
@@ -203,12 +203,15 @@
             lambda accounts: accounts.engine_rows[0].outcomes.__setitem__(3, 1),
             ("terms differ", "e0", -1),
         ),
-        (lambda accounts: accounts.rows[1].sorts.__setitem__(1, 2), ("books differ", "further", 2)),
+        (
+            lambda accounts: accounts.rows[1].sent_by_kind.__setitem__(1, 2),
+            ("books differ", "further", 2),
+        ),
         (
             lambda accounts: accounts.ledger.record_connection_opened(0),
             ("books differ", "client connections", 1),
         ),
-        (lambda accounts: accounts.ledger.engine_row("e9"), ("engine out of step", "e9", 1)),
+        (lambda accounts: accounts.ledger.get_engine_row("e9"), ("engine out of step", "e9", 1)),
     ],
 )
 def test_an_imbalance_is_named_with_its_place(meddle, found):
@@ -228,48 +231,54 @@
     assert len(accounts.logged) == 2  # that a count is altered, and that its row's terms differ
     accounts.rows[0].open -= 1
     # right again, and still held
-    assert len(accounts.run_pass()) == 2 and accounts.discrepancies.alarm
+    assert len(accounts.run_pass()) == 2 and accounts.discrepancies.has_findings
     assert (
         accounts.discrepancies.clear() == 2
         and accounts.run_pass() == []
-        and not accounts.discrepancies.alarm
+        and not accounts.discrepancies.has_findings
     )
-    assert accounts.ledger.last_events(accounts.rows[0]) == []
+    assert accounts.ledger.find_last_events(accounts.rows[0]) == []
 
 
 def test_damage_everywhere_is_bounded():
     accounts = AuditedLedger()
     for n in range(2000):
         accounts.discrepancies.record_difference("count altered", f"r{n}", 1)
-    assert len(accounts.discrepancies.by_place) == 256 and accounts.discrepancies.omitted == 1744
+    assert (
+        len(accounts.discrepancies.by_kind_and_row) == 256
+        and accounts.discrepancies.omitted_count == 1744
+    )
 
 
 def test_the_budget_is_counted_from_what_was_taken():
     accounts = AuditedLedger(budget=(1.0, 0.1, SECOND))
     requests = [accounts.accept() for _ in range(10)]
     for _ in range(2):
-        accounts.send(requests[0], sort=counter_names.AttemptSort.RETRY)
+        accounts.send(requests[0], sort=counter_names.AttemptKind.RETRY)
     assert accounts.run_pass() == []
-    accounts.send(requests[1], sort=counter_names.AttemptSort.HEDGE)
+    accounts.send(requests[1], sort=counter_names.AttemptKind.HEDGE)
     assert ("over budget", "e0", 1) in accounts.run_pass()
     accounts.now += 2 * SECOND
     accounts.discrepancies.clear()
-    accounts.send(requests[2], sort=counter_names.AttemptSort.RETRY)
+    accounts.send(requests[2], sort=counter_names.AttemptKind.RETRY)
     assert accounts.run_pass() == []
 
 
 def test_engines_that_left_fold_into_one_row():
     accounts = AuditedLedger()
     for n in range(300):
-        row = accounts.ledger.engine_row(f"x{n}")
+        row = accounts.ledger.get_engine_row(f"x{n}")
         attempt = Record(None, row, accounts.accept())
         accounts.ledger.record_attempt_sent(attempt, 0)
         accounts.ledger.record_engine_removed(row)  # with an attempt in flight
-        again = accounts.ledger.engine_row(f"x{n}")
+        again = accounts.ledger.get_engine_row(f"x{n}")
         assert again is not row  # its id came back: another's account
         accounts.ledger.record_engine_removed(again)
-        accounts.ledger.on_attempt_finished(attempt, n % 8)
-    assert len(accounts.ledger.engine_rows()) == 3 and sum(accounts.ledger.departed.outcomes) == 300
+        accounts.ledger.record_attempt_finished(attempt, n % 8)
+    assert (
+        len(accounts.ledger.list_engine_rows()) == 3
+        and sum(accounts.ledger.removed_row.outcomes) == 300
+    )
     assert accounts.run_pass() == []
 
 
@@ -279,8 +288,8 @@
 def balanced(premises):
     socket_host = premises.socket_host
     socket_host.auditor.run_whole_pass()
-    assert not socket_host.discrepancies.by_place, [
-        found.log_line() for found in socket_host.discrepancies.by_place.values()
+    assert not socket_host.discrepancies.by_kind_and_row, [
+        found.log_line() for found in socket_host.discrepancies.by_kind_and_row.values()
     ]
     cut = take_snapshot(socket_host.ledger, socket_host.now, "n", {"id": "x"})
     assert find_imbalances(cut) == []
@@ -392,7 +401,7 @@
     premises.ask(client, request_frame(1))
     premises.socket_host.engine_pools["e1"].engine.threads_in_flight += 1
     premises.socket_host.auditor.run_whole_pass()
-    assert [*premises.socket_host.discrepancies.by_place] == [("engine out of step", "e1")]
+    assert [*premises.socket_host.discrepancies.by_kind_and_row] == [("engine out of step", "e1")]
 
 
 # Snapshots.
@@ -429,10 +438,10 @@
 
 def test_the_commands_tell_what_is_wrong(tmp_path):
     good, bad = tmp_path / "good.json", tmp_path / "bad.jsonl"
-    good.write_text(json.dumps(as_plain(one_snapshot())))
+    good.write_text(json.dumps(as_plain_dict(one_snapshot())))
     bad.write_text(
         "\n".join(
-            json.dumps(as_plain(each))
+            json.dumps(as_plain_dict(each))
             for each in (one_snapshot(), one_snapshot(served=0), one_snapshot(taken=0))
         )
     )
@@ -477,7 +486,7 @@
 
 def test_a_slot_torn_at_any_place_leaves_the_other(tmp_path):
     old, new = (
-        checkpoint.encode_slot(n, {"cut": as_plain(one_snapshot()), "earlier": [], "n": n})
+        checkpoint.encode_slot(n, {"cut": as_plain_dict(one_snapshot()), "earlier": [], "n": n})
         for n in (4, 5)
     )
     assert checkpoint.latest_slot(old.ljust(checkpoint.SLOT_BYTES, b"\0") + new)[1]["n"] == 5
@@ -534,7 +543,7 @@
 def test_more_engines_than_fit_are_kept_in_one_row(tmp_path):
     accounts = AuditedLedger()
     for n in range(12_000):
-        accounts.ledger.engine_row(f"engine-{n:05d}").outcomes[1] = 10**9
+        accounts.ledger.get_engine_row(f"engine-{n:05d}").outcomes[1] = 10**9
     kept, logged = checkpoint_file_in(tmp_path)
     for _ in range(3):
         kept.write(take_snapshot(accounts.ledger, 7, "n1", {"id": "x"}))
@@ -607,7 +616,7 @@
     premises.socket_host.auditor.run_whole_pass()
     assert b'"kind": "terms differ"' in asked(premises, path, get("/findings"))
     assert b'{"cleared": 1}' in asked(premises, path, get("/clear", "POST"))
-    assert not premises.socket_host.discrepancies.by_place
+    assert not premises.socket_host.discrepancies.by_kind_and_row
 
 
 def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -810,8 +810,8 @@
     def balanced(self):
         socket_host = self.premises.socket_host
         socket_host.auditor.run_whole_pass()
-        assert not socket_host.discrepancies.by_place, [
-            each.log_line() for each in socket_host.discrepancies.by_place.values()
+        assert not socket_host.discrepancies.by_kind_and_row, [
+            each.log_line() for each in socket_host.discrepancies.by_kind_and_row.values()
         ]
 
     def exported_octets(self, n=0):
@@ -1036,7 +1036,10 @@
     site.serve(1)
     site.exporter.meter.measured_octets -= 1
     site.premises.socket_host.auditor.run_whole_pass()
-    assert ("books differ", "flows measured") in site.premises.socket_host.discrepancies.by_place
+    assert (
+        "books differ",
+        "flows measured",
+    ) in site.premises.socket_host.discrepancies.by_kind_and_row
 
 
 # TLS.
