--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -24,7 +24,7 @@
 
 from corkgauge.accounting import counter_names  # noqa: E402
 from corkgauge.accounting.auditor import SLICE_RECORD_COUNT  # noqa: E402
-from tests.test_figures import AuditedLedger, Record  # noqa: E402
+from tests.test_accounting import AuditedLedger, Record  # noqa: E402
 
 
 def books(open_, engines):
