--- a/corkgauge/accounting/audited_records.py
+++ b/corkgauge/accounting/audited_records.py
@@ -1,35 +1,35 @@
-"""What the auditor needs of the live records: the protocol that their owner implements."""
+"""Defines the protocol by which the auditor reads the live records."""
 
 from collections.abc import Sequence
 from typing import Any, Protocol
 
 
 class AuditedRecords(Protocol):
-    """The live records, as their owner shows them; no call interrupts a change to them."""
+    """The live records; their owner must not be called in the middle of a change to them."""
 
     def open_entries(self) -> list[Any]:
         """Return a copy of the open requests, each a `RequestEntry`."""
 
     def answering_entries(self) -> list[Any]:
-        """Return a copy of the requests that ended and whose answer is not sent completely."""
+        """Return a copy of the ended requests whose answer is not completely sent."""
 
     def attempts_in_flight(self) -> list[Any]:
         """Return a copy of the attempts in flight, each an `AttemptEntry`."""
 
     def find_attempt_mismatch(self, attempt: Any) -> str:
-        """Return how an attempt in flight differs from the gateway's record; empty: it does not."""
+        """Return how an attempt in flight differs from the gateway's record, or an empty string."""
 
     def engines(self) -> list[Any]:
         """Return a copy of the engines."""
 
     def find_engine_mismatch(self, engine: Any) -> tuple[str, str]:
-        """Return an engine's name, and what the gateway alone holds in flight there."""
+        """Return the name of an engine, and how the gateway's counts for the engine differ."""
 
     def engine_name(self, engine: Any) -> str:
-        """Return an engine's name."""
+        """Return the name of an engine."""
 
     def connections(self) -> Sequence[tuple[int, int]]:
-        """Return, by side, the connections that are up, and the pages received on them."""
+        """Return, by side, the number of open connections and the pages received on them."""
 
     def find_other_reference(self, serial: int) -> str:
-        """Return where else a request is still found, or an empty string."""
+        """Return which other table still refers to a request, or an empty string."""
--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -1,14 +1,14 @@
-"""The auditor: recounts from the live records and compares with the ledger.
+"""Recounts the live records and compares the result with the ledger.
 
-Owns the pass over the records and the decision what an imbalance is called. Free of I/O and of
-time. Never takes a count from the ledger for a record, never changes either, and never looks at
-more than a slice of the records in one step, apart from copying their references.
+Owns the passes over the records and the classification of differences. Free of I/O; uses no clock.
+The auditor must never derive a record from a count of the ledger and must never change either. One
+step checks at most one slice of the records; only their references are copied all at once.
 
-Why it is right although things happen between slices: each part of a pass begins by copying the
-references of the records and the counts in one step, while nothing else runs. What is summed
-afterwards (row and serial number) never changes in a record, so the copy stays the state of that
-moment however long the pass takes. What may change is checked record by record against the tables
-of the moment at which it is looked at.
+A pass is consistent although requests and attempts change between its slices: each part of a pass
+begins by copying the references of the records and the counts of the ledger in one step, while
+nothing else runs. The summed fields of a record (row and serial number) never change, so the copies
+represent that moment however long the pass takes. Fields that can change are checked record by
+record, against the tables at the time of the check.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -32,34 +32,34 @@
     Row,
 )
 from corkgauge.accounting.tallies import (
-    Expected,
+    ExpectedTally,
     Tallies,
     Tally,
-    copy_in_flight,
-    copy_open,
-    in_slices,
+    copy_in_flight_counts,
+    copy_open_counts,
+    split_into_slices,
     tally_records,
 )
 
-SLICE_RECORD_COUNT = 500  # records of one step
+SLICE_RECORD_COUNT = 500  # records checked in one step
 
 
 class Equation(NamedTuple):
-    """What another subsystem compares for the auditor: it holds if the difference is 0."""
+    """A check by another subsystem, evaluated by the auditor; the expected difference is 0."""
 
     name: str
     difference: int
     detail: str
 
 
-KindOf = Callable[[Row, int, int], DiscrepancyKind]
-"""What a difference of one is called, by the row, the difference, and the serial number."""
+DifferenceClassifier = Callable[[Row, int, int], DiscrepancyKind]
+"""Returns the kind of a difference of one, by the row, the difference and the serial number."""
 
 _NO_RECORDS = Tally()
 
 
 class LedgerAuditor:
-    """Compares the ledger with the live records, one slice of a pass after another."""
+    """Compares the ledger with the live records, one slice at a time."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self.records = records
         self.discrepancies = discrepancies
         self.slice_records = slice_records
-        # A row of an engine, and an engine, cost more to check than a record does.
+        # Slices of engine rows and of engines are smaller: each costs more to check than a record.
         self.slice_rows = slice_records // 2 + 1
         self.slice_engines = slice_records // 8 + 1
         self.passes = 0
@@ -81,7 +81,7 @@
         self.equations: list[Callable[[], Iterable[tuple[str, int, str]]]] = []
 
     def step(self) -> bool:
-        """Check one slice; True at the end of a pass."""
+        """Check one slice; return whether this step ended the pass."""
         for _ in self.running_pass:
             return False
         self.running_pass = self._run_pass()
@@ -89,12 +89,12 @@
         return True
 
     def run_whole_pass(self) -> None:
-        """Run a pass at once, for the end of the program and for tests."""
+        """Run a complete pass in one call, for the shutdown and for tests."""
         for _ in self._run_pass():
             pass
         self.passes += 1
 
-    # The parts of a pass; each yields between two slices.
+    # The parts of a pass; each part yields between two slices.
 
     def _run_pass(self) -> Iterator[None]:
         yield from self._check_requests()
@@ -103,46 +103,46 @@
         yield from self._check_engine_rows()
         yield from self._check_attempts_of_gateway()
         yield from self._check_engines_of_gateway()
-        self._check_accounts_without_engine()
-        self._check_sums_of_attempts()
+        self._check_rows_without_engine()
+        self._check_attempt_sums()
         self._check_connections()
         self._check_equations()
 
     def _check_requests(self) -> Iterator[None]:
-        expected = copy_open(self.ledger.request_classes.values())
+        expected = copy_open_counts(self.ledger.request_classes.values())
         entries = [*self.records.open_entries(), *self.records.answering_entries()]
         yield
         tallies: Tallies = {}
-        yield from self._tally(entries, _row_of_request, tallies)
+        yield from self._tally(entries, _get_row_of_request, tallies)
         for each in expected:
-            self._compare(each, tallies, self._kind_of_request)
+            self._compare(each, tallies, self._classify_request)
 
     def _check_attempts(self) -> Iterator[None]:
-        expected_by_engine = copy_in_flight(self.ledger.list_engine_rows())
-        expected_by_class = copy_in_flight(self.ledger.request_classes.values())
+        expected_by_engine = copy_in_flight_counts(self.ledger.list_engine_rows())
+        expected_by_class = copy_in_flight_counts(self.ledger.request_classes.values())
         attempts = self.records.attempts_in_flight()
         yield
         tallies: Tallies = {}
-        yield from self._tally(attempts, _engine_row_of_attempt, tallies)
-        for part in in_slices(expected_by_engine, self.slice_rows):
+        yield from self._tally(attempts, _get_engine_row_of_attempt, tallies)
+        for part in split_into_slices(expected_by_engine, self.slice_rows):
             for each in part:
-                self._compare(each, tallies, self._kind_of_attempt)
+                self._compare(each, tallies, self._classify_attempt)
             yield
         tallies.clear()
-        yield from self._tally(attempts, _row_of_attempt, tallies)
+        yield from self._tally(attempts, _get_row_of_attempt, tallies)
         for each in expected_by_class:
-            self._compare(each, tallies, self._kind_of_attempt)
+            self._compare(each, tallies, self._classify_attempt)
 
     def _tally(
-        self, records: list[Any], row_of: Callable[[Any], Row], tallies: Tallies
+        self, records: list[Any], get_row: Callable[[Any], Row], tallies: Tallies
     ) -> Iterator[None]:
-        for part in in_slices(records, self.slice_records):
-            tally_records(part, row_of, tallies)
+        for part in split_into_slices(records, self.slice_records):
+            tally_records(part, get_row, tallies)
             yield
 
     def _check_request_class_rows(self) -> Iterator[None]:
-        """Check the equations within a row, which hold at any moment: each row alone."""
-        for part in in_slices([*self.ledger.request_classes.values()], self.slice_records):
+        """Check the equations within each row, which hold at any moment."""
+        for part in split_into_slices([*self.ledger.request_classes.values()], self.slice_records):
             for row in part:
                 self._check_request_class_row(row)
             yield
@@ -163,7 +163,7 @@
                 self._record(DiscrepancyKind.TERMS_DIFFER, row, difference, detail)
 
     def _check_engine_rows(self) -> Iterator[None]:
-        for part in in_slices(self.ledger.list_engine_rows(), self.slice_rows):
+        for part in split_into_slices(self.ledger.list_engine_rows(), self.slice_rows):
             for row in part:
                 difference = sum(row.sent_by_kind) - sum(row.outcomes) - row.in_flight
                 if difference:
@@ -172,8 +172,8 @@
             yield
 
     def _check_attempts_of_gateway(self) -> Iterator[None]:
-        """Compare two records of the same attempts, the host's and the gateway's."""
-        for part in in_slices(self.records.attempts_in_flight(), self.slice_records):
+        """Compare the host's record of each attempt in flight with the gateway's record."""
+        for part in split_into_slices(self.records.attempts_in_flight(), self.slice_records):
             for attempt in part:
                 mismatch = self.records.find_attempt_mismatch(attempt)
                 if mismatch:
@@ -181,7 +181,7 @@
             yield
 
     def _check_engines_of_gateway(self) -> Iterator[None]:
-        for part in in_slices(self.records.engines(), self.slice_engines):
+        for part in split_into_slices(self.records.engines(), self.slice_engines):
             for engine in part:
                 name, mismatch = self.records.find_engine_mismatch(engine)
                 if mismatch:
@@ -190,22 +190,24 @@
                     )
             yield
 
-    def _check_accounts_without_engine(self) -> None:
+    def _check_rows_without_engine(self) -> None:
         listed = {self.records.engine_name(engine) for engine in self.records.engines()}
         for name in self.ledger.engines.keys() - listed:
             self.discrepancies.record_difference(
                 DiscrepancyKind.ENGINE_MISMATCH,
                 name,
                 1,
-                "an account of an engine that is not there",
+                "the ledger has a row for an engine that is not listed",
             )
 
-    def _check_sums_of_attempts(self) -> None:
-        """Compare the sums that rows of two kinds hold."""
+    def _check_attempt_sums(self) -> None:
+        """Compare the attempt counts summed by request class with those summed by engine."""
         engine_rows = self.ledger.list_engine_rows()
-        for sort, name in enumerate(ATTEMPT_KIND_NAMES):
-            by_class = sum(row.sent_by_kind[sort] for row in self.ledger.request_classes.values())
-            by_engine = sum(row.sent_by_kind[sort] for row in engine_rows)
+        for attempt_kind, name in enumerate(ATTEMPT_KIND_NAMES):
+            by_class = sum(
+                row.sent_by_kind[attempt_kind] for row in self.ledger.request_classes.values()
+            )
+            by_engine = sum(row.sent_by_kind[attempt_kind] for row in engine_rows)
             self._check_sum(Equation(name, by_class - by_engine, "by offering - by engine"))
 
     def _check_connections(self) -> None:
@@ -213,7 +215,9 @@
         sides = zip(self.ledger.sides, SIDE_NAMES, self.records.connections(), strict=True)
         for side, name, (connections_up, pages_received) in sides:
             difference = side.opened - side.closed - connections_up
-            self._check_sum(Equation(f"{name} connections", difference, "up - ended - those there"))
+            self._check_sum(
+                Equation(f"{name} connections", difference, "up - ended - open connections")
+            )
             pages += side.pages + pages_received
         difference = sum(row.pages for row in self.ledger.list_engine_rows()) - pages
         self._check_sum(Equation("pages", difference, "by engine - by connection"))
@@ -229,28 +233,30 @@
                 DiscrepancyKind.SUMS_DIFFER, equation.name, equation.difference, equation.detail
             )
 
-    # What a difference is called.
+    # Classification of differences.
 
-    def _compare(self, expected: Expected, tallies: Tallies, kind_of: KindOf) -> None:
+    def _compare(
+        self, expected: ExpectedTally, tallies: Tallies, classify: DifferenceClassifier
+    ) -> None:
         row, expected_count, expected_serials = expected
         tally = tallies.get(row, _NO_RECORDS)
         difference = expected_count - tally.count
         serials = expected_serials - tally.serials
         if not difference and not serials:
             return
-        # One request or attempt alone explains a difference of one, and the difference of the sums
-        # is then its serial number. A live record that was never counted has the number 0.
+        # A single request or attempt explains a difference of one, and the difference of the serial
+        # sums is then its serial number. A live record that was never counted has serial number 0.
         if abs(difference) == 1:
             serial = serials * difference
             if serial > 0 or (serial == 0 and difference < 0):
-                kind = kind_of(row, difference, serial)
+                kind = classify(row, difference, serial)
                 self._record(kind, row, difference, f"serial {serial}", serial)
                 return
         detail = f"serials differ by {serials}"
         self._record(DiscrepancyKind.COUNT_ALTERED, row, difference, detail)
 
-    def _kind_of_request(self, row: Row, difference: int, serial: int) -> DiscrepancyKind:
-        """Name a request that is open by the counts and in no record, or the other way round."""
+    def _classify_request(self, row: Row, difference: int, serial: int) -> DiscrepancyKind:
+        """Classify a request that is open only in the ledger, or only in the live records."""
         if not serial:
             return DiscrepancyKind.NEVER_ENTERED
         if not 0 < serial <= self.ledger.last_request_serial:
@@ -264,8 +270,8 @@
             return DiscrepancyKind.CLOSED_TWICE
         return DiscrepancyKind.NEVER_ENTERED
 
-    def _kind_of_attempt(self, row: Row, difference: int, serial: int) -> DiscrepancyKind:
-        """Name an attempt that is in flight by the counts alone, or by the records alone."""
+    def _classify_attempt(self, row: Row, difference: int, serial: int) -> DiscrepancyKind:
+        """Classify an attempt that is in flight only in the ledger, or only in the live records."""
         if not serial:
             return DiscrepancyKind.ATTEMPT_NEVER_ENTERED
         if not 0 < serial <= self.ledger.last_attempt_serial:
@@ -281,13 +287,13 @@
         self.discrepancies.record_difference(kind, row.name, difference, detail, events)
 
 
-def _row_of_request(entry: RequestEntry) -> RequestClassRow:
+def _get_row_of_request(entry: RequestEntry) -> RequestClassRow:
     return entry.row
 
 
-def _engine_row_of_attempt(attempt: AttemptEntry) -> EngineRow:
+def _get_engine_row_of_attempt(attempt: AttemptEntry) -> EngineRow:
     return attempt.engine_row
 
 
-def _row_of_attempt(attempt: AttemptEntry) -> RequestClassRow:
+def _get_row_of_attempt(attempt: AttemptEntry) -> RequestClassRow:
     return attempt.client_request.row
--- a/corkgauge/accounting/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -1,8 +1,8 @@
-"""The request ledger: counts entered where things happen, by class, engine and connection side.
+"""Counts requests, attempts and connections by request class, engine and connection side.
 
-Owns the rows and the last events. Free of I/O, the clock is handed in. Never looks at the live
-records (the auditor does, and compares), never puts a count right, and costs no more than a few
-additions an entry: it is on the path of every request.
+Owns the rows and the most recent events. Free of I/O; the caller provides the clock. The ledger
+must never read the live records (the auditor compares both) and must never correct a count. An
+entry costs only a few additions, because the ledger is on the path of every request.
 """
 
 from collections import deque
@@ -33,15 +33,15 @@
 )
 from corkgauge.accounting.retry_budget_check import RetryBudget, RetryBudgetCheck
 
-MAX_EVENTS = 512  # kept of all rows together, to show what happened around a mistake
-MAX_EVENTS_SHOWN = 8  # of one finding
+MAX_EVENTS = 512  # most recent events of all rows together, kept as context for mistakes
+MAX_EVENTS_SHOWN = 8  # events in one finding
 
 MistakeHandler = Callable[[str, Row, int], None]
-"""Called with the kind of a mistake, the row, and the serial number that was entered wrongly."""
+"""Called with the kind of the mistake, the row, and the serial number of the wrong entry."""
 
 
 class EventKind(StrEnum):
-    """What an event of the ledger was; the values are shown in findings."""
+    """Kind of a ledger event; findings show the values."""
 
     ACCEPTED = "entered"
     CLOSED = "closed"
@@ -50,7 +50,7 @@
 
 
 class LedgerEvent(NamedTuple):
-    """An event of one row, as a finding shows it."""
+    """An event of one row, in the form that a finding shows."""
 
     at: int
     """Tenths of a millisecond."""
@@ -58,11 +58,11 @@
     serial: int
 
 
-# A NamedTuple costs a call to make, four times a request; events are kept as tuples until they are
-# shown.
+# Events are stored as plain tuples and become a LedgerEvent only when they are shown, because
+# creating a NamedTuple costs a call, and each request makes four events.
 _StoredEvent = tuple[int, str, Row, int]
 
-# Looked up once: a look-up through the enum costs more than an entry's additions together.
+# Module constants, because a lookup through the enum costs more than all additions of an entry.
 _ACCEPTED = int(Term.ACCEPTED)
 _FIRST = int(AttemptKind.FIRST)
 _NO_CAPACITY = EndReason.NO_CAPACITY
@@ -74,15 +74,16 @@
 
 
 def _ignore_mistake(kind: str, row: Row, serial: int) -> None:
-    """Do nothing: for ledgers that nobody audits."""
+    """Do nothing: the default handler of ledgers without an auditor."""
 
 
 class RequestLedger:
-    """Counts requests, attempts and connections; one method for each thing that is counted.
+    """Counts requests, attempts and connections; each kind of event has its own method.
 
-    `clock` returns tenths of a millisecond. `budget` is the retry budget's floor, share and window
-    in tenths of a millisecond; without it, or with a window of 0, no budget is checked.
-    `on_mistake` is notified of what is wrong at an entry itself.
+    `clock` returns tenths of a millisecond. `budget` is the retry budget's floor, its allowance
+    per accepted request and its window in tenths of a millisecond; without a budget, or with a
+    window of 0, no budget is checked. `on_mistake` is called for an entry that is wrong in itself,
+    such as a second end of one request.
     """
 
     def __init__(
@@ -98,12 +99,14 @@
         self.unusable_row = self.request_classes[UNUSABLE_ROW] = RequestClassRow(UNUSABLE_ROW)
         self.engines: dict[str, EngineRow] = {}
         self.removed_row = EngineRow(REMOVED_ENGINES_ROW)
-        self.removed_in_flight: list[EngineRow] = []  # removed, with attempts in flight
+        self.removed_in_flight: list[
+            EngineRow
+        ] = []  # rows of removed engines that still have attempts in flight
         self.sides = [SideRow(name) for name in SIDE_NAMES]
         self.last_request_serial = 0
         self.last_attempt_serial = 0
         self.events = deque[_StoredEvent](maxlen=MAX_EVENTS)
-        self._append_event = self.events.append  # four times a request: looked up once
+        self._append_event = self.events.append  # bound once; called four times per request
         self.budget_check: RetryBudgetCheck | None = None
         if budget is not None and budget[2]:
             self.budget_check = RetryBudgetCheck(RetryBudget(*budget))
@@ -111,7 +114,7 @@
     # Requests.
 
     def record_accepted(self, request: RequestEntry) -> None:
-        """Count an accepted request: from now on it is owed one final answer."""
+        """Count an accepted request; from now on, the client is owed one final answer."""
         row = request.row
         if request.serial:
             self.on_mistake(DiscrepancyKind.ENTERED_TWICE, row, abs(request.serial))
@@ -126,12 +129,13 @@
             self.budget_check.record_accepted(now)
 
     def record_closed(self, request: RequestEntry, reason: int) -> None:
-        """Count the end of a request, for an `EndReason`."""
+        """Count the end of a request; `reason` is an `EndReason`."""
         row = request.row
         serial = request.serial
         if serial <= 0:
-            # A second end would pass unseen where another one is lost, so it is reported here. It
-            # is counted all the same: counts are never put right in silence.
+            # The totals do not show a second end if the end of another request is missing, so the
+            # mistake is reported here. The end is still counted, because the ledger never corrects
+            # counts silently.
             kind = DiscrepancyKind.CLOSED_TWICE if serial else DiscrepancyKind.NEVER_ENTERED
             serial = -serial
             self.on_mistake(kind, row, serial)
@@ -143,45 +147,45 @@
         self._append_event((self.clock(), _EVENT_CLOSED, row, serial))
 
     def record_rejected(self, row: RequestClassRow) -> None:
-        """Count a request that was accepted and rejected at once, as there is no room for it."""
-        self._record_at_once(row, _NO_CAPACITY)
+        """Count a request that was rejected on arrival because too many requests were open."""
+        self._record_closed_on_arrival(row, _NO_CAPACITY)
 
     def record_unusable(self) -> None:
-        """Count a request that nobody can serve, and that therefore names no request class."""
-        self._record_at_once(self.unusable_row, _UNUSABLE)
+        """Count an unusable request, which has no request class."""
+        self._record_closed_on_arrival(self.unusable_row, _UNUSABLE)
 
-    def _record_at_once(self, row: RequestClassRow, reason: EndReason) -> None:
+    def _record_closed_on_arrival(self, row: RequestClassRow, reason: EndReason) -> None:
         row.terms[_ACCEPTED] += 1
         row.terms[TERM_BY_REASON[reason]] += 1
         row.reasons[reason] += 1
 
     # Attempts.
 
-    def record_attempt_sent(self, attempt: AttemptEntry, sort: int) -> None:
-        """Count an attempt that is sent; `sort` is an `AttemptKind`."""
+    def record_attempt_sent(self, attempt: AttemptEntry, attempt_kind: int) -> None:
+        """Count an attempt that is sent; `attempt_kind` is an `AttemptKind`."""
         row = attempt.client_request.row
         engine = attempt.engine_row
         if attempt.serial:
             self.on_mistake(DiscrepancyKind.ATTEMPT_ENTERED_TWICE, engine, abs(attempt.serial))
         serial = self.last_attempt_serial + 1
         self.last_attempt_serial = attempt.serial = serial
-        row.sent_by_kind[sort] += 1
+        row.sent_by_kind[attempt_kind] += 1
         row.in_flight += 1
         row.in_flight_serials += serial
-        engine.sent_by_kind[sort] += 1
+        engine.sent_by_kind[attempt_kind] += 1
         engine.in_flight += 1
         engine.in_flight_serials += serial
         now = self.clock()
         self._append_event((now, _EVENT_ATTEMPT_SENT, engine, serial))
         if (
-            sort != _FIRST
+            attempt_kind != _FIRST
             and self.budget_check is not None
             and self.budget_check.record_extra_attempt(now)
         ):
             self.on_mistake(DiscrepancyKind.OVER_BUDGET, engine, serial)
 
     def record_attempt_finished(self, attempt: AttemptEntry, outcome: int) -> None:
-        """Count the outcome of an attempt, an `AttemptOutcome`."""
+        """Count the outcome of an attempt; `outcome` is an `AttemptOutcome`."""
         row = attempt.client_request.row
         engine = attempt.engine_row
         serial = attempt.serial
@@ -205,9 +209,10 @@
     # Engines and connections.
 
     def get_engine_row(self, name: str) -> EngineRow:
-        """Return the row of a listed engine, made if there is none.
+        """Return the row of a listed engine; create the row if there is none.
 
-        An engine that comes back under its id starts a new row; what it was before has departed.
+        An engine that is listed again under the id of a removed engine gets a new row. The counts
+        of the removed engine remain in the row of the removed engines.
         """
         row = self.engines.get(name)
         if row is None:
@@ -215,9 +220,10 @@
         return row
 
     def record_engine_removed(self, row: EngineRow) -> None:
-        """Fold the row of an engine into that of the departed, once nothing of it is in flight.
+        """Add the row of an engine to the row of removed engines, once no attempt is in flight.
 
-        Engines that come and go under new ids all day would otherwise be kept without end.
+        Without this, engines that are replaced under new ids all day would grow the table without
+        limit.
         """
         if row.is_removed:
             return
@@ -230,13 +236,13 @@
             self.removed_row.add_row(row)
 
     def record_connection_opened(self, side: int) -> None:
-        """Count a connection that came up; `side` is a `Side`."""
+        """Count an opened connection; `side` is a `Side`."""
         self.sides[side].opened += 1
 
     def record_connection_closed(
         self, side: int, received_bytes: int, sent_bytes: int, pages: int = 0
     ) -> None:
-        """Count the end of a connection, with its bytes and the pages of results received on it."""
+        """Count a closed connection, its bytes, and the result pages received on it."""
         row = self.sides[side]
         row.closed += 1
         row.received_bytes += received_bytes
@@ -246,7 +252,7 @@
     # Reading.
 
     def list_engine_rows(self) -> list[EngineRow]:
-        """Return all rows of engines, the departed ones last."""
+        """Return all rows of engines, those of removed engines last."""
         return [*self.engines.values(), *self.removed_in_flight, self.removed_row]
 
     def sum_term(self, term: int) -> int:
@@ -260,20 +266,20 @@
     def find_last_events(
         self, row: Row, serial: int = 0, limit: int = MAX_EVENTS_SHOWN
     ) -> list[LedgerEvent]:
-        """Return the last events of a row, or, with a serial number, those of that alone."""
+        """Return the last events of a row; with a serial number, only the events of that number."""
         found = [
-            LedgerEvent(at, kind, each)
-            for at, kind, where, each in self.events
-            if where is row and (not serial or each == serial)
+            LedgerEvent(at, kind, event_serial)
+            for at, kind, event_row, event_serial in self.events
+            if event_row is row and (not serial or event_serial == serial)
         ]
         return found[-limit:]
 
     def get_log_totals(self) -> dict[str, int]:
-        """Return totals that are not 0, under the names that the log has always had."""
+        """Return the totals that are not 0, by their names in the log, which must not change."""
         totals = {TERM_NAMES[Term.ACCEPTED]: self.sum_term(Term.ACCEPTED)}
         for term in (Term.SUCCEEDED, Term.REJECTED):
             totals[f"answered {TERM_NAMES[term]}"] = self.sum_term(term)
-        # What clients cancelled or left is no answer of ours.
+        # Requests that clients cancelled or abandoned were not answered by the gateway.
         answered_failed = (EndReason.UNUSABLE, EndReason.GIVEN_UP, EndReason.ANSWER_NOT_READ)
         totals[f"answered {TERM_NAMES[Term.FAILED]}"] = sum(
             row.reasons[reason]
--- a/corkgauge/accounting/ledger_rows.py
+++ b/corkgauge/accounting/ledger_rows.py
@@ -1,9 +1,9 @@
-"""Rows of the ledger: the counts of one request class, one engine, or one side of connections.
+"""Defines the rows of the ledger: the counts of a request class, an engine or a connection side.
 
-A row keeps, beside the number of things that are open, the sum of their serial numbers. Two
-mistakes that cancel out in a number (one thing lost, another entered twice) do not cancel out in
-the sum, and the difference that a single mistake makes in the sum is the serial number of what it
-happened to.
+In addition to the number of open requests or attempts, a row holds the sum of their serial numbers.
+Two mistakes that cancel out in the number (one request lost, another one entered twice) do not
+cancel out in the sum, and the change of the sum by a single mistake is the serial number of the
+affected request or attempt.
 """
 
 from operator import add
@@ -18,7 +18,7 @@
 
 
 class RequestClassRow:
-    """The account of one request class."""
+    """The counts of one request class."""
 
     __slots__ = (
         "in_flight",
@@ -35,15 +35,15 @@
         self.name = name
         self.terms = [0] * len(TERM_NAMES)  # requests, by `Term`
         self.reasons = [0] * len(END_REASONS)  # requests that ended, by `EndReason`
-        self.open = 0  # requests that are owed an answer
-        self.open_serials = 0  # the sum of their serial numbers
+        self.open = 0  # requests that still need an answer
+        self.open_serials = 0  # sum of the serial numbers of open requests
         self.sent_by_kind = [0] * len(ATTEMPT_KIND_NAMES)  # attempts sent, by `AttemptKind`
-        self.in_flight = 0  # attempts whose outcome is awaited
-        self.in_flight_serials = 0  # the sum of their serial numbers
+        self.in_flight = 0  # attempts without an outcome yet
+        self.in_flight_serials = 0  # sum of the serial numbers of attempts in flight
 
 
 class EngineRow:
-    """The account of one engine, by its id; or of all that were removed, in one row."""
+    """The counts of one engine, named by its id, or of all removed engines together."""
 
     __slots__ = (
         "in_flight",
@@ -60,8 +60,8 @@
         self.is_removed = False
         self.sent_by_kind = [0] * len(ATTEMPT_KIND_NAMES)  # attempts sent, by `AttemptKind`
         self.outcomes = [0] * len(OUTCOME_NAMES)  # attempts that finished, by `AttemptOutcome`
-        self.in_flight = 0  # attempts whose outcome is awaited
-        self.in_flight_serials = 0  # the sum of their serial numbers
+        self.in_flight = 0  # attempts without an outcome yet
+        self.in_flight_serials = 0  # sum of the serial numbers of attempts in flight
         self.pages = 0  # pages of results received
 
     def add_row(self, other: "EngineRow") -> None:
@@ -77,7 +77,7 @@
 
 
 class SideRow:
-    """The account of the connections of one side; bytes and pages are of closed ones."""
+    """The counts of the connections of one side; bytes and pages are of closed connections."""
 
     __slots__ = "closed", "name", "opened", "pages", "received_bytes", "sent_bytes"
 
@@ -91,10 +91,10 @@
 
 
 class RequestEntry(Protocol):
-    """What the ledger needs of a request.
+    """A request, as far as the ledger uses it.
 
-    `serial` is 0 until the request is recorded, then its serial number, and that number negated
-    once its end is recorded.
+    `serial` is 0 until the request is recorded, then the serial number of the request, and the
+    negated serial number once the end is recorded.
     """
 
     row: RequestClassRow
@@ -102,11 +102,11 @@
 
 
 class AttemptEntry(Protocol):
-    """What the ledger needs of an attempt; `serial` is as that of a request."""
+    """An attempt, as far as the ledger uses it; `serial` is used as in `RequestEntry`."""
 
     @property
     def client_request(self) -> RequestEntry:
-        """The request that the attempt is of."""
+        """The request that the attempt belongs to."""
 
     engine_row: EngineRow
     serial: int
--- a/corkgauge/accounting/retry_budget_check.py
+++ b/corkgauge/accounting/retry_budget_check.py
@@ -1,32 +1,33 @@
-"""An independent count of retries and hedged attempts against the retry budget.
+"""Checks retries and hedged attempts against the retry budget, independently of the gateway.
 
-Counts what was really accepted and sent, not what the gateway remembers of it, so that a fault in
-the gateway's own budget shows. Free of I/O; times are tenths of a millisecond and are handed in.
+Counts the requests and attempts that were actually accepted and sent, not those in the gateway's
+budget, so that the check reveals faults of that budget. Free of I/O; the caller provides times, in
+tenths of a millisecond.
 """
 
 from collections import deque
 from dataclasses import dataclass
 from typing import NamedTuple
 
-WINDOW_SLICES = (
-    50  # accepted requests are counted by slice: one number each for thousands of requests
-)
+# Accepted requests are counted per slice of the window, which needs one number for thousands of
+# requests.
+WINDOW_SLICE_COUNT = 50
 
 
 class RetryBudget(NamedTuple):
-    """How many retries and hedged attempts a window may have."""
+    """The number of retries and hedged attempts that are allowed within a window."""
 
     floor: float
-    """Allowed in any case."""
-    share: float
-    """Allowed for each request that was accepted within the window."""
+    """Attempts allowed regardless of the number of requests."""
+    per_request: float
+    """Attempts allowed for each request that was accepted within the window."""
     window_ticks: int
-    """Length of the window in tenths of a millisecond; 0: no budget is checked."""
+    """Length of the window in tenths of a millisecond; 0 if no budget is checked."""
 
 
 @dataclass(slots=True)
 class AcceptedSlice:
-    """Requests that were accepted within one slice of the window."""
+    """The number of requests that were accepted within one slice of the window."""
 
     started_at: int
     count: int
@@ -39,10 +40,10 @@
 
     def __init__(self, budget: RetryBudget) -> None:
         self.budget = budget
-        self.slice_ticks = max(budget.window_ticks // WINDOW_SLICES, 1)
-        self.extra_attempts = deque[int]()  # when each within the window was sent
+        self.slice_ticks = max(budget.window_ticks // WINDOW_SLICE_COUNT, 1)
+        self.extra_attempts = deque[int]()  # send times within the window
         self.accepted_by_slice = deque[AcceptedSlice]()
-        self.accepted = 0  # the sum of the slices
+        self.accepted = 0  # sum over all slices
 
     def record_accepted(self, now: int) -> None:
         """Count an accepted request."""
@@ -51,21 +52,21 @@
         if slices and slices[-1].started_at + self.slice_ticks > now:
             slices[-1].count += 1
         else:
-            self._forget_before(now)
+            self._drop_before(now)
             slices.append(AcceptedSlice(now, 1))
 
     def record_extra_attempt(self, now: int) -> bool:
-        """Count a retry or hedged attempt; True if it exceeds the budget.
+        """Count a retry or hedged attempt; return whether the attempt exceeds the budget.
 
-        The window is one slice wider for accepted requests, so that it errs on the side of the
-        gateway.
+        For accepted requests, the window is one slice wider, so that the check does not report an
+        attempt in case of doubt.
         """
-        self._forget_before(now)
+        self._drop_before(now)
         self.extra_attempts.append(now)
-        allowed = self.budget.floor + self.budget.share * self.accepted
+        allowed = self.budget.floor + self.budget.per_request * self.accepted
         return len(self.extra_attempts) > allowed
 
-    def _forget_before(self, now: int) -> None:
+    def _drop_before(self, now: int) -> None:
         window_start = now - self.budget.window_ticks
         while self.extra_attempts and self.extra_attempts[0] <= window_start:
             self.extra_attempts.popleft()
--- a/corkgauge/accounting/tallies.py
+++ b/corkgauge/accounting/tallies.py
@@ -1,4 +1,4 @@
-"""Tallies of live records by row, and what the ledger held of the rows meanwhile."""
+"""Tallies live records by row, and copies the counts of the ledger to compare with."""
 
 from collections.abc import Callable, Hashable, Iterable, Iterator
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """How many records there are of a row, and the sum of their serial numbers."""
+    """The number of records of a row, and the sum of their serial numbers."""
 
     count: int = 0
     serials: int = 0
@@ -21,40 +21,40 @@
 Tallies = dict[Hashable, Tally]
 
 
-Expected = tuple[Row, int, int]
-"""A row, and the number and the sum of serials that the ledger held of it at some moment.
+ExpectedTally = tuple[Row, int, int]
+"""A row, and the count and the sum of serial numbers that the ledger held of it at one moment.
 
-A bare tuple: those of a whole fleet are copied in one step, which nothing may interrupt, and
-records with names would make that step longer by half a millisecond.
+A plain tuple, because the counts of a whole fleet are copied in one uninterrupted step, and named
+tuples would make that step half a millisecond longer.
 """
 
 
-def copy_open(rows: Iterable[RequestClassRow]) -> list[Expected]:
-    """Return how many requests of each row are open, by the ledger."""
+def copy_open_counts(rows: Iterable[RequestClassRow]) -> list[ExpectedTally]:
+    """Return the count and the sum of serial numbers of open requests, for each row."""
     return [(row, row.open, row.open_serials) for row in rows]
 
 
-def copy_in_flight(rows: Iterable[Row]) -> list[Expected]:
-    """Return how many attempts of each row are in flight, by the ledger."""
+def copy_in_flight_counts(rows: Iterable[Row]) -> list[ExpectedTally]:
+    """Return the count and the sum of serial numbers of attempts in flight, for each row."""
     return [(row, row.in_flight, row.in_flight_serials) for row in rows]
 
 
-def tally_records(records: Iterable[Any], row_of: Callable[[Any], Row], tallies: Tallies) -> None:
-    """Add records to the tallies of their rows."""
+def tally_records(records: Iterable[Any], get_row: Callable[[Any], Row], tallies: Tallies) -> None:
+    """Add each record to the tally of its row."""
     for record in records:
-        row = row_of(record)
+        row = get_row(record)
         tally = tallies.get(row)
         if tally is None:
             tally = tallies[row] = Tally()
         tally.count += 1
-        # The serial number of what has ended since the part of the pass began is negated.
+        # A request or attempt that ended after the records were copied has a negated serial number.
         tally.serials += abs(record.serial)
 
 
-def in_slices(records: Iterable[T], size: int) -> Iterator[list[T]]:
-    """Cut records into lists of a size, the last one shorter.
+def split_into_slices(records: Iterable[T], size: int) -> Iterator[list[T]]:
+    """Split records into lists of at most `size` records.
 
-    >>> [*in_slices(range(5), 2)]
+    >>> [*split_into_slices(range(5), 2)]
     [[0, 1], [2, 3], [4]]
     """
     remaining = iter(records)
