--- a/corkgauge/accounting/__init__.py
+++ b/corkgauge/accounting/__init__.py
@@ -1,1 +1,1 @@
-"""Accounting: what was accepted, answered, sent and is open, and the proof that it adds up."""
+"""Counts requests, attempts and connections, and verifies that the counts are consistent."""
--- a/corkgauge/accounting/counter_names.py
+++ b/corkgauge/accounting/counter_names.py
@@ -1,8 +1,8 @@
-"""Names of the accounts: terms, end reasons, attempt sorts, outcomes and connection sides.
+"""Names the counters: terms, end reasons, attempt kinds, outcomes and connection sides.
 
 Owns the names of all series that do not come from the settings or the engine list, and the rules
-that say which reason an end has and which sort an attempt is. Holds no count. A name here never
-changes its meaning: metrics scraped over years are compared by it.
+that determine the reason of a request's end and the kind of an attempt. Holds no counts. The
+meaning of a name must never change, because metrics scraped over years are compared by name.
 """
 
 from enum import IntEnum
@@ -11,9 +11,9 @@
 
 
 class Term(IntEnum):
-    """Index of a term of `taken = served + refused + failed + open`.
+    """Index of a term of the equation `taken = served + refused + failed + open`.
 
-    All but the first are the result codes of the client protocol.
+    All terms but the first are result codes of the client protocol.
     """
 
     ACCEPTED = 0
@@ -23,59 +23,59 @@
 
 
 class EndReason(IntEnum):
-    """Index of the reason why a request ended as it did."""
+    """Index of the reason for the end of a request."""
 
     WITHIN_OBJECTIVE = 0
     """Succeeded within its latency objective."""
     AFTER_OBJECTIVE = 1
     """Succeeded after its latency objective and before its deadline."""
     NO_CAPACITY = 2
-    """Rejected on arrival: as many requests are open as may be."""
+    """Rejected on arrival because the limit of open requests was reached."""
     NEVER_SENT = 3
     """Rejected by the gateway before any attempt was sent."""
     AFTER_ATTEMPTS = 4
-    """Rejected by the gateway after an attempt; a retry by the client would do no harm."""
+    """Rejected by the gateway after an attempt; the client can retry safely."""
     AT_DEADLINE = 5
-    """Rejected because its deadline was about to pass."""
+    """Rejected shortly before its deadline."""
     CONNECTION_EVICTED = 6
     """Its connection was evicted before the gateway was notified of the request."""
     UNUSABLE = 7
-    """Not a request that anybody could serve; answered on its stream."""
+    """The request cannot be served by any engine; it is answered on its stream."""
     GIVEN_UP = 8
-    """Failed: a retry could do harm."""
+    """Failed, because a retry could be harmful."""
     CANCELLED = 9
-    """Its client cancelled it."""
+    """Cancelled by its client."""
     CLIENT_GONE = 10
-    """Its client's connection ended before an answer."""
+    """The client's connection ended before the answer."""
     ANSWER_NOT_READ = 11
-    """Its client did not read the answer in time, or the answer had no room in our memory."""
+    """The client did not read the answer in time, or the answer did not fit in memory."""
     ANSWER_CUT_OFF = 12
-    """Its client's connection ended within the answer."""
+    """The client's connection ended while the answer was being sent."""
 
 
 class AttemptKind(IntEnum):
-    """Index of the sort of an attempt."""
+    """Index of the kind of an attempt."""
 
     FIRST = 0
     """The first attempt of a request."""
     RETRY = 1
-    """An attempt after an earlier one had ended."""
+    """An attempt that was sent after all earlier attempts of the request had ended."""
     HEDGE = 2
-    """An attempt beside one that is still in flight."""
+    """An attempt that was sent while another attempt of the request was in flight."""
 
 
 class Side(IntEnum):
-    """Index of the side of the gateway that a connection is on."""
+    """Index of the peer type of a connection: client or engine."""
 
     CLIENT = 0
     ENGINE = 1
 
 
-# What the enums' members are called in JSON, metrics, checkpoints and logs, by index.
+# Names of the enum members in JSON, metrics, checkpoints and logs, by index.
 TERM_NAMES = "taken", "served", "refused", "failed"
 ATTEMPT_KIND_NAMES = "firsts", "further", "copies"
 SIDE_NAMES = "client", "engine"
-OUTCOME_NAMES = (  # of policy.records.AttemptOutcome
+OUTCOME_NAMES = (  # by policy.records.AttemptOutcome
     "error",
     "honoured",
     "full",
@@ -85,7 +85,7 @@
     "called_off",
     "moot",
 )
-# Each reason lies beneath one term; the counts of the reasons sum to those of their terms.
+# Each reason belongs to one term; the count of a term is the sum of the counts of its reasons.
 END_REASONS = (
     (Term.SUCCEEDED, "in_time"),
     (Term.SUCCEEDED, "late"),
@@ -101,14 +101,14 @@
     (Term.FAILED, "not_read"),
     (Term.FAILED, "cut_off"),
 )
-TERM_BY_REASON = tuple(int(term) for term, _ in END_REASONS)  # a plain int indexes a list fastest
+TERM_BY_REASON = tuple(int(term) for term, _ in END_REASONS)  # plain int: fastest list index
 REASON_NAMES = tuple(name for _, name in END_REASONS)
 
-UNUSABLE_ROW = "(unusable)"  # the row of what names no request class of ours
+UNUSABLE_ROW = "(unusable)"  # the row of requests without a valid request class
 REMOVED_ENGINES_ROW = "(departed)"  # the row of all engines that were removed
 
-# A member that is looked up through its enum costs 0.1 us each time (CPython 3.11), an addition to
-# a count 0.04 us. So what the path of a request needs is looked up once.
+# Module constants for the members that the path of a request needs: a lookup through the enum takes
+# 0.1 us (CPython 3.11), an addition to a count only 0.04 us.
 _SUCCEEDED = int(Term.SUCCEEDED)
 _FAILED = int(Term.FAILED)
 _WITHIN_OBJECTIVE = EndReason.WITHIN_OBJECTIVE
@@ -125,11 +125,11 @@
 def find_end_reason(
     code: int, request: Request, now_ticks: int, deadline_margin_ticks: int
 ) -> EndReason:
-    """Return the reason of an end that the gateway gave a request.
+    """Return the reason why the gateway ended a request.
 
     `code` is a result code of the client protocol, as in `Term`. Times are tenths of a
-    millisecond; `deadline_margin_ticks` is how long before its deadline a rejection of the request
-    counts as one by the deadline.
+    millisecond. A rejection within `deadline_margin_ticks` before the deadline of the request has
+    the reason `AT_DEADLINE`.
 
     >>> from corkgauge.policy.records import RequestClass
     >>> quick = RequestClass("quick", 10, 0.0, 500, 1.0)
@@ -155,7 +155,7 @@
 
 
 def classify_attempt(number: int, has_others_in_flight: bool) -> AttemptKind:
-    """Return the sort of an attempt by its number within its request, from 0.
+    """Return the kind of an attempt by its number within its request, counted from 0.
 
     >>> [int(classify_attempt(*each)) for each in ((0, False), (1, False), (1, True))]
     [0, 1, 2]
--- a/corkgauge/accounting/discrepancies.py
+++ b/corkgauge/accounting/discrepancies.py
@@ -1,54 +1,54 @@
-"""Discrepancies: what does not add up, named, dated, and kept until an operator clears it.
+"""Records discrepancies between the ledger and the live records until an operator clears them.
 
-Owns the findings and the log lines about them. Free of I/O, the clock is handed in. Never changes a
-count, never drops a finding by itself, and does not grow with the damage: it keeps one finding a
-kind and row.
+Owns the findings and their log lines. Free of I/O; the caller provides the clock. The module must
+never change a count and never drop a finding on its own initiative. Its memory is bounded: there is
+one finding per kind and row, and at most MAX_FINDINGS.
 """
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_FINDINGS = 256  # kept; what comes beyond is only counted
+MAX_FINDINGS = 256  # findings that are kept; further ones are only counted
 
 Event = tuple[int, str, int]
-"""When (tenths of a millisecond), what, and the serial number of what it happened to."""
+"""Time (tenths of a millisecond), event kind, and serial number of the request or attempt."""
 
 
 class DiscrepancyKind(StrEnum):
-    """What is wrong; the values stand in logs, JSON and metrics, and never change."""
+    """Kind of a discrepancy; the values appear in logs, JSON and metrics and must not change."""
 
     ENTERED_TWICE = "entered twice"
-    """One request was counted as accepted two times."""
+    """One request was counted as accepted twice."""
     NEVER_ENTERED = "never entered"
-    """A live record, or an end, of a request that was never counted."""
+    """A live record or an end belongs to a request that was never counted as accepted."""
     NEVER_CLOSED = "never closed"
     """The end of a request was not counted, and no live record holds it."""
     CLOSED_TWICE = "closed twice"
-    """One end was counted two times, or a closed request is still in the table."""
+    """One end was counted twice, or a closed request is still in the table."""
     ATTEMPT_NEVER_CLOSED = "hand-off never closed"
     """The outcome of an attempt was not counted, and it is not in flight."""
     ATTEMPT_CLOSED_TWICE = "hand-off closed twice"
-    """The outcome of an attempt was counted two times, or while it is in flight."""
+    """The outcome of an attempt was counted twice, or while the attempt is in flight."""
     ATTEMPT_ENTERED_TWICE = "hand-off entered twice"
-    """One attempt was counted as sent two times."""
+    """One attempt was counted as sent twice."""
     ATTEMPT_NEVER_ENTERED = "hand-off never entered"
-    """An attempt in flight, or an outcome, of which no sending was counted."""
+    """An attempt in flight, or an outcome, belongs to an attempt not counted as sent."""
     LOST_FROM_TABLE = "lost from the table"
-    """A request is open and known elsewhere, but is no longer in the table."""
+    """An open request is missing in the table, although another table still refers to it."""
     COUNT_ALTERED = "count altered"
-    """A count differs by what no single request or attempt explains."""
+    """A count differs by an amount that no single request or attempt explains."""
     TERMS_DIFFER = "terms differ"
     """An equation within one row does not hold."""
     ENGINE_MISMATCH = "engine out of step"
-    """The gateway and the host hold different attempts in flight at an engine."""
+    """The gateway and the host have different attempts in flight at an engine."""
     SUMS_DIFFER = "books differ"
     """Sums by request class and by engine, or by connection, differ."""
     OVER_BUDGET = "over budget"
-    """More retries and hedged attempts in a window than the budget allows."""
+    """A window has more retries and hedged attempts than the retry budget allows."""
 
 
-# Mistakes after which the counts hold less than the records do; they are counted downwards.
+# Mistakes that make the counts lower than the records; their differences are negative.
 COUNTS_HOLD_LESS = frozenset(
     {
         DiscrepancyKind.CLOSED_TWICE,
@@ -61,20 +61,20 @@
 
 @dataclass(slots=True)
 class Discrepancy:
-    """One finding, as it was first seen and as it is now. Times are tenths of a millisecond."""
+    """A finding, with its first and its latest observation; times are tenths of a millisecond."""
 
     kind: str
     row: str  # name of the request class, the engine or the side
     first_seen_at: int
     last_seen_at: int
-    difference: int  # what the counts say, less what the records say; or how often it happened
+    difference: int  # counts minus records; for a mistake, the number of occurrences
     detail: str
     events: Sequence[Event]
-    logged_difference: int  # the difference in the last log line about it
-    times_seen: int = 1  # passes, or entries, that saw it
+    logged_difference: int  # the difference in the last log line of the finding
+    times_seen: int = 1  # passes or entries that observed the finding
 
     def log_line(self) -> str:
-        """Return the line that tells of it in the log."""
+        """Return the log line of the finding."""
         line = f"figures out of balance: {self.row} {self.kind} {self.difference:+d}"
         line += f" since={self.first_seen_at}"
         if self.detail:
@@ -82,13 +82,13 @@
         return line
 
     def has_changed_much(self, difference: int) -> bool:
-        """Whether a new difference has the other sign, or is twice the one that was logged."""
+        """Return whether the sign changed or the difference doubled since the last log line."""
         logged = self.logged_difference
         return difference * logged < 0 or abs(difference) >= 2 * abs(logged) > 0
 
 
 class Discrepancies:
-    """The findings that nobody has cleared."""
+    """The findings that no operator has cleared."""
 
     def __init__(self, clock: Callable[[], int], log: Callable[[str], None]) -> None:
         self.clock = clock
@@ -104,11 +104,11 @@
     def record_difference(
         self, kind: str, row: str, difference: int, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
-        """Record a difference as one pass of the auditor sees it, in place of the last one."""
+        """Record a difference that a pass of the auditor found, replacing the previous one."""
         now = self.clock()
         found = self.by_kind_and_row.get((kind, row))
         if found is None:
-            # Damage in every row would otherwise fill the memory with its own report.
+            # Without this limit, discrepancies in every row would exhaust the memory.
             if len(self.by_kind_and_row) >= MAX_FINDINGS:
                 self.omitted_count += 1
                 return
@@ -119,7 +119,7 @@
         found.last_seen_at = now
         found.times_seen += 1
         found.difference = difference
-        # A count that runs away would otherwise write a line a pass.
+        # Without this check, a difference that grows all the time would log a line in each pass.
         if found.has_changed_much(difference):
             found.logged_difference = difference
             found.detail = detail
@@ -128,7 +128,7 @@
     def record_mistake(
         self, kind: str, row: str, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
-        """Record a mistake that was seen at an entry itself: each one adds to its finding."""
+        """Record a wrong ledger entry; each one adds 1 to the difference of its finding, or -1."""
         difference = -1 if kind in COUNTS_HOLD_LESS else 1
         found = self.by_kind_and_row.get((kind, row))
         if found is not None:
@@ -136,9 +136,9 @@
         self.record_difference(kind, row, difference, detail, events)
 
     def clear(self) -> int:
-        """Forget all findings and return how many there were.
+        """Remove all findings and return their number.
 
-        What is still wrong is found again by the next pass.
+        The next pass finds the discrepancies that still exist.
         """
         count = len(self.by_kind_and_row)
         self.by_kind_and_row = {}
--- a/corkgauge/accounting/snapshot.py
+++ b/corkgauge/accounting/snapshot.py
@@ -1,12 +1,12 @@
-"""Snapshots: the accounts as they are in one moment, as plain data.
+"""Takes snapshots of the ledger: the counts of one moment, as plain data.
 
-Owns the form in which accounts leave the program. Free of I/O. Never mixes two moments in one
-snapshot: it is taken in one step, whatever is done with it afterwards.
+Owns the form in which counts leave the program. Free of I/O. A snapshot must never mix two moments,
+so its counts are copied in one step.
 
-A snapshot is what JSON has of it: `{"schema", "gateway", "epoch", "at", "offerings", "engines",
+The keys of a snapshot in JSON are `{"schema", "gateway", "epoch", "at", "offerings", "engines",
 "connections", "budget", "audit", "waits", "earlier"}`, where `at` and `epoch.started` are tenths of
 a millisecond of the system's clock. Instances of several versions read each other's snapshots, so
-a key never changes its meaning, and a reader passes over keys that it does not know.
+the meaning of a key never changes, and a reader ignores unknown keys.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -28,29 +28,29 @@
 
 
 class EngineCounts(NamedTuple):
-    """The counts of one engine; a checkpoint holds them as an array in this order."""
+    """The counts of one engine; a checkpoint stores them as an array in this order."""
 
-    sorts: list[int]
+    sent_by_kind: list[int]
     outcomes: list[int]
     in_flight: int
     pages: int
 
 
 class LazyEngineRows(Mapping[str, dict[str, Any]]):
-    """The rows of all engines as they were in one moment, named only as they are read.
+    """The rows of all engines at one moment; a row with named counts is built when it is read.
 
-    The rows of a fleet by name take milliseconds to make, and a snapshot must be taken in one step;
-    so this holds copies of the bare counts, by engine.
+    Building the named rows of a fleet takes milliseconds, but a snapshot must be taken in one step.
+    Therefore this mapping holds copies of the bare counts, by engine.
     """
 
     def __init__(self, counts: Mapping[str, Sequence[Any]]) -> None:
         self.counts = counts
 
     def __getitem__(self, name: str) -> dict[str, Any]:
-        sorts, outcomes, in_flight, pages = self.counts[name]
+        sent_by_kind, outcomes, in_flight, pages = self.counts[name]
         return {
-            # A checkpoint of another version may know fewer sorts or outcomes.
-            **dict(zip(ATTEMPT_KIND_NAMES, sorts, strict=False)),
+            # A checkpoint of another version may have fewer attempt kinds or outcomes.
+            **dict(zip(ATTEMPT_KIND_NAMES, sent_by_kind, strict=False)),
             "outcomes": dict(zip(OUTCOME_NAMES, outcomes, strict=False)),
             "out": in_flight,
             "pages": pages,
@@ -66,7 +66,7 @@
 def take_snapshot(
     ledger: RequestLedger, now: int, gateway: str, epoch: Mapping[str, Any]
 ) -> Snapshot:
-    """Return the counts alone, at a time in tenths of a millisecond: what a checkpoint holds."""
+    """Return the counts, which a checkpoint stores; `now` is tenths of a millisecond."""
     return {
         "schema": SCHEMA,
         "gateway": gateway,
@@ -81,14 +81,14 @@
 
 
 def as_plain_dict(snapshot: Snapshot) -> Snapshot:
-    """Return a snapshot as it looks to whoever read it from JSON."""
+    """Return a snapshot with its engine rows built, equal to the snapshot read from JSON."""
     return {**snapshot, "engines": {**snapshot["engines"]}}
 
 
 def add_live_connections(
     snapshot: Snapshot, live_bytes: Sequence[tuple[int, int, int]]
 ) -> Snapshot:
-    """Add to a snapshot what connections that are up carry; return the same snapshot.
+    """Add the bytes and pages of open connections to a snapshot; return the same snapshot.
 
     `live_bytes` holds, by side, the bytes received, the bytes sent, and the pages received.
     """
@@ -101,7 +101,7 @@
 
 
 def add_audit(snapshot: Snapshot, discrepancies: Discrepancies, passes: int) -> Snapshot:
-    """Add to a snapshot what does not add up, after so many passes; return the same snapshot."""
+    """Add the findings and the number of passes to a snapshot; return the same snapshot."""
     snapshot["audit"] = {
         "passes": passes,
         "alarm": discrepancies.has_findings,
@@ -112,9 +112,9 @@
 
 
 def close_epoch(snapshot: Snapshot) -> dict[str, Any]:
-    """Return what is kept of an epoch that is over, by its last snapshot.
+    """Return the record of an ended epoch, from the last snapshot of the epoch.
 
-    These are its totals by request class; what was open then was cut off.
+    The record holds the totals by request class. Requests that were open then count as cut off.
     """
     return {
         "epoch": snapshot["epoch"],
@@ -148,13 +148,13 @@
 
 
 def _engine_counts(ledger: RequestLedger) -> dict[str, EngineCounts]:
-    """Return copies of the counts by engine; removed ones with attempts in flight have departed."""
-    departed = EngineRow(ledger.removed_row.name)
+    """Return copies of the counts by engine, those of all removed engines in one row."""
+    removed = EngineRow(ledger.removed_row.name)
     for row in (ledger.removed_row, *ledger.removed_in_flight):
-        departed.add_row(row)
+        removed.add_row(row)
     return {
         name: EngineCounts(row.sent_by_kind.copy(), row.outcomes.copy(), row.in_flight, row.pages)
-        for name, row in {**ledger.engines, departed.name: departed}.items()
+        for name, row in {**ledger.engines, removed.name: removed}.items()
     }
 
 
--- a/corkgauge/accounting/snapshot_checks.py
+++ b/corkgauge/accounting/snapshot_checks.py
@@ -1,7 +1,7 @@
-"""Checks of snapshots: the equations within one, and counts that went down between two.
+"""Checks the equations within a snapshot, and finds counts that decreased between two snapshots.
 
-Free of I/O, and of the program's own state: recorded snapshots are checked by anybody. A snapshot
-that lacks a key raises KeyError.
+Free of I/O and independent of the state of the program, so recorded snapshots can be checked by any
+program. A snapshot without a required key raises KeyError.
 """
 
 from collections.abc import Iterator, Mapping
@@ -10,11 +10,11 @@
 from corkgauge.accounting.counter_names import ATTEMPT_KIND_NAMES, END_REASONS, TERM_NAMES
 from corkgauge.accounting.snapshot import Snapshot
 
-ENDS = TERM_NAMES[1:]  # the terms of requests that ended
+END_TERM_NAMES = TERM_NAMES[1:]  # the terms of requests that ended
 
 
 def find_imbalances(snapshot: Snapshot) -> list[str]:
-    """Return the equations that do not hold in a snapshot; each line names its row.
+    """Return a line for each equation that a snapshot violates, with the row and the values.
 
     >>> find_imbalances({"offerings": {"a": {"taken": 3, "served": 1, "refused": 0, "failed": 1,
     ...     "open": 0, "reasons": {"in_time": 1, "given_up": 1}, "firsts": 0, "further": 0,
@@ -23,37 +23,39 @@
     """
     found = list[str]()
     for name, row in snapshot["offerings"].items():
-        found += _imbalances_of_request_class(name, row)
+        found += _find_request_class_imbalances(name, row)
     for name, row in snapshot["engines"].items():
-        found += _imbalances_of_engine(name, row)
-    found += _imbalances_of_sums(snapshot)
+        found += _find_engine_imbalances(name, row)
+    found += _find_sum_imbalances(snapshot)
     for finding in snapshot.get("audit", {}).get("findings", ()):
         place = f"{finding['row']}: {finding['kind']}"
-        found.append(f"{place} {finding['difference']:+d}, as the program says")
+        found.append(
+            f"{place} {finding['difference']:+d}, as reported by the auditor of the gateway"
+        )
     return found
 
 
-def _imbalances_of_request_class(name: str, row: Mapping[str, Any]) -> Iterator[str]:
-    terms = (*ENDS, "open")
+def _find_request_class_imbalances(name: str, row: Mapping[str, Any]) -> Iterator[str]:
+    terms = (*END_TERM_NAMES, "open")
     total = sum(row[term] for term in terms)
     if total != row["taken"]:
         parts = " + ".join(f"{term} {row[term]}" for term in terms)
         yield f"{name}: taken {row['taken']}, {parts} = {total}"
-    for index, term in enumerate(ENDS, 1):
-        names = [reason for under, reason in END_REASONS if under == index]
+    for index, term in enumerate(END_TERM_NAMES, 1):
+        names = [reason for reason_term, reason in END_REASONS if reason_term == index]
         reasons = sum(row["reasons"].get(reason, 0) for reason in names)
         if reasons != row[term]:
             yield f"{name}: {term} {row[term]}, its reasons {reasons}"
 
 
-def _imbalances_of_engine(name: str, row: Mapping[str, Any]) -> Iterator[str]:
-    sent = sum(row[sort] for sort in ATTEMPT_KIND_NAMES)
+def _find_engine_imbalances(name: str, row: Mapping[str, Any]) -> Iterator[str]:
+    sent = sum(row[kind] for kind in ATTEMPT_KIND_NAMES)
     finished = sum(row["outcomes"].values())
     if sent != finished + row["out"]:
         yield f"{name}: handed off {sent}, outcomes {finished} + out {row['out']}"
 
 
-def _imbalances_of_sums(snapshot: Snapshot) -> Iterator[str]:
+def _find_sum_imbalances(snapshot: Snapshot) -> Iterator[str]:
     for key in (*ATTEMPT_KIND_NAMES, "out"):
         by_class = sum(row[key] for row in snapshot["offerings"].values())
         by_engine = sum(row[key] for row in snapshot["engines"].values())
@@ -62,9 +64,10 @@
 
 
 def find_decreases(before: Snapshot, after: Snapshot) -> list[str]:
-    """Return the counts that went down from one snapshot to a later one of its epoch: none may.
+    """Return the counts that decreased between two snapshots of an epoch; none may decrease.
 
-    Engines that were removed fold into one row, so engines are compared in their sum.
+    The rows of removed engines are merged into one row, so only the sums over all engines are
+    compared.
     """
     if before["epoch"]["id"] != after["epoch"]["id"]:
         return []
@@ -72,29 +75,31 @@
     if after["at"] < before["at"]:
         found.append(f"at: {before['at']}, then {after['at']}")
     for name, row in before["offerings"].items():
-        found += _decreases_of_request_class(name, row, after["offerings"].get(name, {}))
-    for sort in ATTEMPT_KIND_NAMES:
-        earlier = sum(row[sort] for row in before["engines"].values())
-        later = sum(row[sort] for row in after["engines"].values())
+        found += _find_request_class_decreases(name, row, after["offerings"].get(name, {}))
+    for kind in ATTEMPT_KIND_NAMES:
+        earlier = sum(row[kind] for row in before["engines"].values())
+        later = sum(row[kind] for row in after["engines"].values())
         if later < earlier:
-            found.append(f"engines: {sort} was {earlier}, is {later}")
+            found.append(f"engines: {kind} was {earlier}, is {later}")
     for name, row in before["connections"].items():
-        found += _decreases(f"{name} connections", row, after["connections"][name])
+        found += _find_decreases(f"{name} connections", row, after["connections"][name])
     return found
 
 
-def _decreases_of_request_class(
+def _find_request_class_decreases(
     name: str, before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> Iterator[str]:
     keys = (*TERM_NAMES, *ATTEMPT_KIND_NAMES)
     counts = {key: before[key] for key in keys}
-    yield from _decreases(name, counts, {key: after.get(key, 0) for key in keys})
+    yield from _find_decreases(name, counts, {key: after.get(key, 0) for key in keys})
     reasons = before["reasons"]
     reasons_after = after.get("reasons", {})
-    yield from _decreases(name, reasons, {key: reasons_after.get(key, 0) for key in reasons})
+    yield from _find_decreases(name, reasons, {key: reasons_after.get(key, 0) for key in reasons})
 
 
-def _decreases(name: str, before: Mapping[str, int], after: Mapping[str, int]) -> Iterator[str]:
+def _find_decreases(
+    name: str, before: Mapping[str, int], after: Mapping[str, int]
+) -> Iterator[str]:
     for key, count in before.items():
         if after[key] < count:
             yield f"{name}: {key} was {count}, is {after[key]}"
--- a/corkgauge/accounting/snapshot_merge.py
+++ b/corkgauge/accounting/snapshot_merge.py
@@ -1,4 +1,4 @@
-"""Merging: the snapshots of several gateways, summed by name. Free of I/O."""
+"""Merges the snapshots of several gateways by summing their counts by name. Free of I/O."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def merge_snapshots(snapshots: Sequence[Snapshot]) -> Snapshot:
-    """Return the sum of several gateways' snapshots; its time is the earliest of theirs.
+    """Return the sum of the snapshots of several gateways, with the earliest of their times.
 
     >>> one = {"gateway": "n1", "at": 5, "epoch": {"id": "x"}, "engines": {}, "connections": {},
     ...        "offerings": {"a": {"taken": 1, "reasons": {"late": 2}}}}
@@ -33,7 +33,7 @@
 
 
 def sum_rows(tables: Sequence[Mapping[str, Mapping[str, Any]]]) -> dict[str, dict[str, Any]]:
-    """Return the sum of several tables of rows, by the name of the row and the key of the count."""
+    """Return the sum of several tables, by the name of the row and the key of the count."""
     summed = dict[str, dict[str, Any]]()
     for table in tables:
         for name, row in table.items():
@@ -41,12 +41,12 @@
     return summed
 
 
-def _add_counts(into: dict[str, Any], row: Mapping[str, Any]) -> None:
+def _add_counts(total: dict[str, Any], row: Mapping[str, Any]) -> None:
     for key, value in row.items():
         if isinstance(value, dict):
-            _add_counts(into.setdefault(key, {}), value)
+            _add_counts(total.setdefault(key, {}), value)
         else:
-            into[key] = into.get(key, 0) + value
+            total[key] = total.get(key, 0) + value
 
 
 def _merge_audits(audits: Sequence[Mapping[str, Any]]) -> dict[str, Any]:
@@ -58,7 +58,7 @@
 
 
 def _merge_sketches(sketches: Sequence[Mapping[str, Any]]) -> list[dict[str, Any]]:
-    # The library of sketches is optional: programs that merge none need not have it.
+    # The sketch library is optional: only programs that merge sketches need it.
     from corkgauge.accounting.latency_sketches import merge_sketches
 
     by_subject = dict[tuple[str, str], list[Mapping[str, Any]]]()
