--- a/corkgauge/accounting/checkpoint.py
+++ b/corkgauge/accounting/checkpoint.py
@@ -1,13 +1,13 @@
-"""Checkpoints: the bytes of the file that keeps the accounts through a kill.
+"""Encodes and decodes the checkpoint file, which preserves the counts if the process is killed.
 
-Owns the form of a slot, and the decision which of the two slots counts, and why one does not. Free
-of I/O. Decoding raises on no bytes whatever, and takes no slot for a good one that is torn, foreign
-or of a newer version.
+Owns the format of a slot, the choice between the two slots, and the reasons for rejecting a slot.
+Free of I/O. Decoding a slot must not raise for any bytes and must never accept a slot that is torn,
+foreign or of a newer version.
 
-A slot is magic (8 bytes), version (2), length of the body (4), generation (8), xxHash64 (8) of all
-that precedes it and the body, and then the body in msgpack; little-endian. Slots are written in
-turn, so that one which is written while the power fails, or the program is killed, leaves the other
-one complete.
+A slot is magic (8 bytes), version (2), length of the body (4), generation (8), xxHash64 (8) of the
+preceding fields and the body, and then the body in msgpack; little-endian. The slots are written
+alternately, so that the other slot remains complete if the power fails or the process is killed
+during a write.
 """
 
 from collections.abc import Sequence
@@ -28,12 +28,12 @@
 OVERHEAD_BYTES = HEADER.size + CHECKSUM.size
 SLOT_BYTES = 256 * 1024
 FILE_BYTES = 2 * SLOT_BYTES
-MAX_EARLIER_EPOCHS = 8  # kept beside the present one
-ALL_ENGINES = "(all)"  # the row of all engines, where each for itself would not fit
+MAX_EARLIER_EPOCHS = 8  # kept in addition to the current epoch
+ALL_ENGINES_ROW = "(all)"  # the row of all engines, if one row per engine does not fit
 
 
 class SlotProblem(StrEnum):
-    """Why a slot does not count; the values stand in log lines and errors."""
+    """Reason for rejecting a slot; the values appear in log lines and errors."""
 
     NEWER = "newer"
     """Written by a newer version."""
@@ -45,8 +45,9 @@
     """Never written."""
 
 
-# Of two slots that do not count, the problem that says most about the file is reported.
-_PROBLEMS_BY_WEIGHT = (
+# If both slots are rejected, the first of their problems in this order is reported, because that
+# problem says the most about the file.
+_PROBLEMS_BY_PRIORITY = (
     SlotProblem.NEWER,
     SlotProblem.TORN,
     SlotProblem.FOREIGN,
@@ -55,11 +56,11 @@
 
 
 class CheckpointError(ValueError):
-    """A checkpoint that cannot be written or read."""
+    """Raised for a checkpoint that cannot be written or read."""
 
 
 class Slot(NamedTuple):
-    """A decoded slot; its body is None where there is a problem that hides it."""
+    """A decoded slot; the body is None if a problem prevents its decoding."""
 
     generation: int
     body: Any
@@ -67,7 +68,7 @@
 
 
 def encode_slot(generation: int, body: Any) -> bytes:
-    """Return the bytes of a slot; CheckpointError if the body is too large for one."""
+    """Return the bytes of a slot; raise CheckpointError if the body is too large."""
     packed: bytes = msgpack.packb(body)
     if len(packed) + OVERHEAD_BYTES > SLOT_BYTES:
         raise CheckpointError(f"{len(packed)} bytes")
@@ -76,7 +77,7 @@
 
 
 def decode_slot(data: bytes) -> Slot:
-    """Decode a slot, whatever the bytes are.
+    """Decode a slot from arbitrary bytes.
 
     >>> decode_slot(encode_slot(3, {"a": 1}))
     Slot(generation=3, body={'a': 1}, problem=None)
@@ -92,8 +93,8 @@
     if version > VERSION:
         return Slot(0, None, SlotProblem.NEWER)
     packed = data[OVERHEAD_BYTES : OVERHEAD_BYTES + length]
-    # The length may be anything in a torn header, and the body too, so neither is believed, and
-    # nothing is unpacked, before the checksum fits.
+    # A torn slot can have an arbitrary length and body, so neither is trusted, and nothing is
+    # unpacked, before the checksum matches.
     (checksum,) = CHECKSUM.unpack_from(data, HEADER.size)
     if len(packed) != length or checksum != _checksum(data[: HEADER.size], packed):
         return Slot(0, None, SlotProblem.TORN)
@@ -106,19 +107,19 @@
 
 
 def latest_slot(data: bytes) -> Slot:
-    """Return the newer good slot of a file; where there is none, one with the problem."""
+    """Return the newer valid slot of a file, or a slot with the problem if none is valid."""
     slots = [decode_slot(data[at : at + SLOT_BYTES]) for at in (0, SLOT_BYTES)]
-    good = [slot for slot in slots if slot.problem is None]
-    if good:
-        return max(good, key=lambda slot: slot.generation)
+    valid = [slot for slot in slots if slot.problem is None]
+    if valid:
+        return max(valid, key=lambda slot: slot.generation)
     problems = {slot.problem for slot in slots}
-    return Slot(0, None, next(each for each in _PROBLEMS_BY_WEIGHT if each in problems))
+    return Slot(0, None, next(each for each in _PROBLEMS_BY_PRIORITY if each in problems))
 
 
 def encode_checkpoint(
     generation: int, snapshot: Snapshot, earlier_epochs: Sequence[dict[str, Any]]
 ) -> bytes:
-    """Return the slot of a snapshot and the epochs before; CheckpointError if it is too large."""
+    """Return a slot of a snapshot and earlier epochs; raise CheckpointError if it is too large."""
     body = {
         "cut": {**snapshot, "engines": snapshot["engines"].counts},
         "earlier": earlier_epochs,
@@ -129,23 +130,26 @@
 def encode_folded_checkpoint(
     generation: int, snapshot: Snapshot, earlier_epochs: Sequence[dict[str, Any]]
 ) -> bytes:
-    """Return the same with all engines in one row; CheckpointError if even that is too large."""
-    engines = sum_rows([{ALL_ENGINES: row} for row in snapshot["engines"].values()])
+    """Return a slot like `encode_checkpoint`, but with all engines summed into one row.
+
+    Raises CheckpointError if even this slot is too large.
+    """
+    engines = sum_rows([{ALL_ENGINES_ROW: row} for row in snapshot["engines"].values()])
     body = {"cut": {**snapshot, "engines": engines}, "earlier": earlier_epochs}
     return encode_slot(generation, body)
 
 
 def decode_checkpoint(data: bytes) -> dict[str, Any]:
-    """Return what a checkpoint file holds: `{"cut", "earlier"}`, the first a snapshot.
+    """Return the content of a checkpoint file: `{"cut", "earlier"}`, where `cut` is a snapshot.
 
-    CheckpointError says why it holds nothing; KeyError, TypeError or ValueError is raised for a
-    body of another meaning.
+    Raises CheckpointError with the problem if there is no valid slot, and KeyError, TypeError or
+    ValueError if the body has another structure.
     """
     slot = latest_slot(data)
     if slot.problem is not None:
         raise CheckpointError(slot.problem)
     snapshot = slot.body["cut"]
-    if ALL_ENGINES not in snapshot["engines"]:
+    if ALL_ENGINES_ROW not in snapshot["engines"]:
         snapshot = as_plain_dict({**snapshot, "engines": LazyEngineRows(snapshot["engines"])})
     return {**slot.body, "cut": snapshot}
 
--- a/corkgauge/accounting/checkpoint_file.py
+++ b/corkgauge/accounting/checkpoint_file.py
@@ -1,7 +1,7 @@
-"""The checkpoint file on a disk: the driver of `checkpoint`.
+"""Writes and reads the checkpoint file on a disk, in the format of `checkpoint`.
 
-Owns one file, its lock and its mapping. A disk never stops the program: what cannot be had is told
-in one log line, and accounting goes on without it.
+Owns one file, its lock and its mapping. A failing disk must never stop the program: a file that
+cannot be opened is reported in one log line, and accounting continues without the file.
 """
 
 import fcntl
@@ -18,18 +18,19 @@
 
 
 class MappedFile(NamedTuple):
-    """A file of two slots, locked and mapped, and what it held when it was opened."""
+    """A locked and mapped file of two slots, and its content at the time of opening."""
 
-    descriptor: int  # held for its lock
+    descriptor: int  # kept open to hold the lock
     mapping: mmap.mmap
     data: bytes
 
 
 class CheckpointFile:
-    """Writes snapshots into the two slots in turn.
+    """Writes snapshots into the two slots alternately.
 
-    It writes to memory that the system writes out. So a kill of the process loses nothing that was
-    written, and no call waits for the disk; a power cut may lose it.
+    The file is mapped into memory, and the operating system writes that memory to the disk. Thus no
+    call waits for the disk and a kill of the process loses no written snapshot, but a power failure
+    may lose some.
     """
 
     def __init__(self, folder: str, gateway: str, log: Callable[[str], None]) -> None:
@@ -43,14 +44,14 @@
             os.makedirs(folder, exist_ok=True)
             opened = _open_mapped(self.path)
         except (OSError, ValueError) as problem:
-            self.log(f"figures not kept: {self.path}: {_reason_of(problem)}")
+            self.log(f"figures not kept: {self.path}: {_describe_error(problem)}")
             return
         self.descriptor = opened.descriptor
         self.mapping = opened.mapping
-        self._take_over(opened.data)
+        self._close_previous_epoch(opened.data)
 
-    def _take_over(self, data: bytes) -> None:
-        """Close the epoch that the file holds; what cannot be read is told, and left behind."""
+    def _close_previous_epoch(self, data: bytes) -> None:
+        """Close the epoch that the file holds; log and ignore a file that cannot be read."""
         slot = checkpoint.Slot(0, None, SlotProblem.EMPTY)
         if data:
             slot = checkpoint.latest_slot(data)
@@ -70,13 +71,13 @@
             epoch = closed["epoch"]["id"]
             self.log(f"figures: epoch {epoch} closed, taken={taken} cut_off={cut_off}")
         except (KeyError, TypeError, AttributeError) as problem:
-            # The checksum fits, so the body is what somebody wrote: with another meaning.
+            # The checksum matches, so the body is intact but was written with another structure.
             self.earlier_epochs = []
             reason = type(problem).__name__
             self.log(f"figures: {self.path} is foreign ({reason}), a fresh epoch")
 
     def write(self, snapshot: Snapshot) -> None:
-        """Write a snapshot into the older slot; without a file, do nothing."""
+        """Write a snapshot into the older slot; do nothing if there is no file."""
         if self.mapping is None:
             return
         self.generation += 1
@@ -86,12 +87,12 @@
             self.close()
             self.log(f"figures not kept: {problem}")
             return
-        at = self.generation % 2 * checkpoint.SLOT_BYTES
-        body_at = at + checkpoint.OVERHEAD_BYTES
-        # The header goes last: until it is there its checksum does not fit, so a kill between the
-        # two leaves a slot that does not count, and the other one counts.
-        self.mapping[body_at : at + len(data)] = data[checkpoint.OVERHEAD_BYTES :]
-        self.mapping[at:body_at] = data[: checkpoint.OVERHEAD_BYTES]
+        slot_offset = self.generation % 2 * checkpoint.SLOT_BYTES
+        body_offset = slot_offset + checkpoint.OVERHEAD_BYTES
+        # The header is written last. A kill between the two writes leaves a slot whose checksum
+        # does not match, so the other slot is used.
+        self.mapping[body_offset : slot_offset + len(data)] = data[checkpoint.OVERHEAD_BYTES :]
+        self.mapping[slot_offset:body_offset] = data[: checkpoint.OVERHEAD_BYTES]
 
     def _encode(self, snapshot: Snapshot) -> bytes:
         try:
@@ -103,7 +104,7 @@
         return checkpoint.encode_folded_checkpoint(self.generation, snapshot, self.earlier_epochs)
 
     def close(self) -> None:
-        """Give up the file and its lock; what was written stays."""
+        """Close the file and release its lock; written snapshots remain in the file."""
         if self.mapping is not None:
             self.mapping.close()
             self.mapping = None
@@ -111,7 +112,7 @@
 
 
 def safe_file_name(gateway: str) -> str:
-    """Return a gateway's name as part of a file's.
+    """Return the name of a gateway in a form that is safe as part of a file name.
 
     >>> safe_file_name("n1"), safe_file_name("../../etc/x")
     ('n1', '.._.._etc_x')
@@ -121,24 +122,25 @@
 
 
 def read_checkpoint_file(path: str) -> dict[str, Any]:
-    """Return what a checkpoint file holds: `{"cut", "earlier"}`, the first a snapshot.
+    """Return the content of a checkpoint file: `{"cut", "earlier"}`, where `cut` is a snapshot.
 
-    Any process may read it at any time. Raises OSError, or ValueError that says why it holds
-    nothing.
+    Any process may read the file at any time. Raises OSError, or ValueError with the reason why
+    there is no valid checkpoint; KeyError or TypeError is possible for a body with another
+    structure.
     """
     with open(path, "rb") as file:
         return checkpoint.decode_checkpoint(file.read(checkpoint.FILE_BYTES))
 
 
 def _open_mapped(path: str) -> MappedFile:
-    """Open, lock and map a file, made if there is none; OSError or ValueError if that fails."""
+    """Open or create, lock and map a file; raise OSError or ValueError if that fails."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
     try:
-        # Two programs that write one file would each take the other's accounts for its own.
+        # Without the lock, two programs that write one file would take over each other's counts.
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         data = os.pread(descriptor, checkpoint.FILE_BYTES, 0)
-        # A write to a mapping that the disk has no room for ends the process (SIGBUS), so the room
-        # is allocated first.
+        # Disk space is allocated first, because a write to a mapping that has no disk space ends
+        # the process (SIGBUS).
         os.posix_fallocate(descriptor, 0, checkpoint.FILE_BYTES)
         mapping = mmap.mmap(descriptor, checkpoint.FILE_BYTES)
     except (OSError, ValueError):
@@ -147,7 +149,7 @@
     return MappedFile(descriptor, mapping, data)
 
 
-def _reason_of(problem: OSError | ValueError) -> str:
+def _describe_error(problem: OSError | ValueError) -> str:
     if isinstance(problem, BlockingIOError):
         return "in use by another"
     return getattr(problem, "strerror", None) or str(problem)
--- a/corkgauge/accounting/client.py
+++ b/corkgauge/accounting/client.py
@@ -1,6 +1,6 @@
-"""Asking a gateway's HTTP listener, from a program that may wait.
+"""Sends requests to the HTTP listener of a gateway.
 
-Owns one blocking request. Never used by a serving program: it waits.
+The requests block, so a program that serves clients must not use this module.
 """
 
 import http.client
@@ -11,14 +11,14 @@
 
 
 class UnixConnection(http.client.HTTPConnection):
-    """HTTP over a Unix socket."""
+    """An HTTP connection over a Unix socket."""
 
     def __init__(self, path: str, timeout_seconds: float) -> None:
         super().__init__("localhost", timeout=timeout_seconds)
         self.path = path
 
     def connect(self) -> None:
-        """Connect to the path."""
+        """Connect to the socket at the path."""
         self.sock = socket.socket(socket.AF_UNIX)
         self.sock.settimeout(self.timeout)
         self.sock.connect(self.path)
@@ -33,10 +33,11 @@
 ) -> Any:
     """Send a request, with `body` as JSON, and return the JSON of the answer.
 
-    `address` is the path of a Unix socket, or ADDRESS:PORT. Raises OSError or ValueError where
-    nothing sensible comes within the timeout; the ValueError of a refused request says why.
+    `address` is the path of a Unix socket, or ADDRESS:PORT. Raises OSError if there is no answer
+    within the timeout, and ValueError for an invalid answer. For a rejected request, the ValueError
+    contains the reason.
     """
-    connection = _connection_to(address, timeout_seconds)
+    connection = _create_connection(address, timeout_seconds)
     encoded = None if body is None else json.dumps(body).encode()
     try:
         connection.request(method, target, encoded)
@@ -53,7 +54,7 @@
         connection.close()
 
 
-def _connection_to(address: str, timeout_seconds: float) -> http.client.HTTPConnection:
+def _create_connection(address: str, timeout_seconds: float) -> http.client.HTTPConnection:
     host, colon, port = address.rpartition(":")
     if address.startswith("/") or not colon or not port.isdigit():
         return UnixConnection(address, timeout_seconds)
--- a/corkgauge/accounting/exposition.py
+++ b/corkgauge/accounting/exposition.py
@@ -1,8 +1,8 @@
-"""Exposition: a snapshot as Prometheus text, through prometheus-client, a chunk at a time.
+"""Renders a snapshot as Prometheus text in chunks, using prometheus-client.
 
-Owns the names and labels of the metrics; none ever changes its meaning. A fleet's text takes long
-to make, so it comes in chunks of a few rows, and the event loop has a turn between two of them; the
-snapshot that it is made of stays what it was.
+Owns the names and labels of the metrics; their meaning must never change. Rendering the text of a
+fleet takes long, so the text is rendered in chunks of a few samples, and the event loop handles
+other events between two chunks. The snapshot does not change meanwhile.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -18,10 +18,10 @@
 )
 
 from corkgauge.accounting.counter_names import ATTEMPT_KIND_NAMES, END_REASONS, TERM_NAMES
-from corkgauge.accounting.latency_sketches import SERVICE, buckets
+from corkgauge.accounting.latency_sketches import SERVICE, cumulative_buckets
 from corkgauge.accounting.snapshot import Snapshot
 
-CHUNK_SAMPLES = 32
+CHUNK_SAMPLE_COUNT = 32
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 TICKS_PER_SECOND = 10_000
 CONNECTION_METRICS = (
@@ -36,14 +36,14 @@
 
 
 class Sample(NamedTuple):
-    """A value, by the values of its labels; the label of the gateway is added to all."""
+    """A value and its label values, except for the gateway label, which all samples have."""
 
     labels: tuple[str, ...]
     value: float
 
 
 class Family(NamedTuple):
-    """A metric: its type, name and help, the names of its labels, and its samples."""
+    """A metric: its type, name and help text, the names of its labels, and its samples."""
 
     kind: type[CounterMetricFamily] | type[GaugeMetricFamily]
     name: str
@@ -53,18 +53,18 @@
 
 
 class SingleFamilyRegistry:
-    """A registry of one family, as `generate_latest` asks for it."""
+    """A registry that contains one family, for `generate_latest`."""
 
     def __init__(self, family: Metric) -> None:
         self.family = family
 
     def collect(self) -> Iterable[Metric]:
-        """Return the family."""
+        """Return the only family."""
         return (self.family,)
 
 
 def text_chunks(snapshot: Snapshot) -> Iterator[bytes]:
-    """Return the whole text of a snapshot, in chunks that take less than a millisecond or so."""
+    """Yield the text of a snapshot, in chunks that each take about a millisecond at most."""
     gateway = snapshot["gateway"]
     families = chain(
         _request_class_families(snapshot["offerings"]),
@@ -79,7 +79,7 @@
     yield from _histogram_chunks(gateway, snapshot.get("waits", ()))
 
 
-# The families, in the order of the text. Samples are made only as they are written.
+# The families, in the order of the text. Samples are generated only when they are written.
 
 
 def _request_class_families(rows: Rows) -> Iterator[Family]:
@@ -235,13 +235,13 @@
             yield Sample((name, collector), float(state == "up"))
 
 
-# Their text.
+# The text of the families.
 
 
 def _family_chunks(gateway: str, family: Family) -> Iterator[bytes]:
     remaining = iter(family.samples)
     is_first = True
-    while part := [*islice(remaining, CHUNK_SAMPLES)]:
+    while part := [*islice(remaining, CHUNK_SAMPLE_COUNT)]:
         metric = family.kind(family.name, family.help, labels=("gateway", *family.labels))
         for sample in part:
             metric.add_metric([gateway, *sample.labels], sample.value)
@@ -259,13 +259,13 @@
             f"{what.capitalize()}, in seconds.",
             labels=("gateway", subject_label),
         )
-        metric.add_metric([gateway, sketch["whose"]], buckets(sketch), sketch["sum"])
+        metric.add_metric([gateway, sketch["whose"]], cumulative_buckets(sketch), sketch["sum"])
         yield _text_of(metric, what not in with_heading)
         with_heading.add(what)
 
 
 def _text_of(metric: Metric, with_heading: bool) -> bytes:
-    """Return the text of a metric; a heading stands once, before the first chunk of a family."""
+    """Return the text of a metric; only the first chunk of a family has a heading."""
     text = generate_latest(SingleFamilyRegistry(metric))
     if with_heading:
         return text
--- a/corkgauge/accounting/http_listener.py
+++ b/corkgauge/accounting/http_listener.py
@@ -1,12 +1,12 @@
-"""The HTTP listener that answers for the accounts, on a Unix socket or on loopback, by h11.
+"""Serves the counts over HTTP on a Unix socket or a loopback address, using h11.
 
     GET /metrics    Prometheus text        GET /figures    the snapshot as JSON
-    GET /findings   the discrepancies      POST /clear     an operator has seen them
-    and what other subsystems answer here: see their pages
+    GET /findings   the discrepancies      POST /clear     remove all findings
+    and the routes of other subsystems, described in their own documentation
 
-Owns one listening socket and its few readers. Never holds up the event loop, nor memory for a
-reader that does not read: a snapshot is taken in one step, and rendered a chunk at a time as the
-reader takes it.
+Owns one listening socket and its few readers. The listener must not block the event loop and must
+not hold memory for a reader that does not read. Therefore a snapshot is taken in one step and then
+rendered in chunks, as fast as the reader receives them.
 """
 
 import contextlib
@@ -24,8 +24,8 @@
 from corkgauge.accounting.snapshot import Snapshot
 from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 
-REQUEST_TIMEOUT_TICKS = 5 * SECOND  # for a request, and for a reader to take each chunk
-IDLE_TIMEOUT_TICKS = 60 * SECOND  # for the next request on a connection
+REQUEST_TIMEOUT_TICKS = 5 * SECOND  # to send a request, and to receive each chunk
+IDLE_TIMEOUT_TICKS = 60 * SECOND  # until the next request on a connection
 MAX_HEAD_BYTES = 16_384
 MAX_BODY_BYTES = 16_384
 RECEIVE_BYTES = 4096
@@ -35,15 +35,17 @@
 JSON_TYPE = "application/json"
 
 Address = str | tuple[str, int]
-"""The path of a Unix socket, or an address and a port."""
+"""The path of a Unix socket, or an IP address and a port."""
 
 Route = Callable[[bytes], Any]
-"""Takes the body of a request, returns what JSON can hold; ValueError, KeyError or TypeError for a
-body that makes no sense."""
+"""Takes the body of a request and returns a value that JSON can encode.
+
+Raises ValueError, KeyError or TypeError for an invalid body.
+"""
 
 
 class HttpRequest(NamedTuple):
-    """A request, read completely."""
+    """A completely received request."""
 
     method: bytes
     path: bytes
@@ -51,7 +53,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """A response; its body is made as it is sent."""
+    """A response; the chunks of the body are produced while the response is sent."""
 
     status: int
     content_type: str
@@ -59,10 +61,11 @@
 
 
 class HttpListener:
-    """Accepts readers and answers them, each in a task of its own.
+    """Accepts readers and answers each reader in a separate task.
 
-    `address` is where it listens, `max_readers` how many connections it has at most. `routes` are
-    those of other subsystems, by method and path. Raises OSError if the address is not to be had.
+    `address` is the address to listen on, `max_readers` the maximum number of connections, `routes`
+    the routes of other subsystems, by method and path. Raises OSError if the listener cannot listen
+    on the address.
     """
 
     def __init__(
@@ -88,7 +91,7 @@
         event_loop.spawn(self._accept)
 
     def close(self) -> None:
-        """Accept no more readers; those that are connected get their answers."""
+        """Stop accepting readers; connected readers still receive their answers."""
         sock = self.sock
         if sock is None:
             return
@@ -107,7 +110,8 @@
                     sock, _ = self.sock.accept()
                 except OSError:
                     break
-                # Without a bound, readers would take the descriptors of clients and engines.
+                # Without this limit, readers would use up the descriptors that clients and engines
+                # need.
                 if self.reader_count >= self.max_readers:
                     sock.close()
                     continue
@@ -115,7 +119,7 @@
                 self.reader_count += 1
                 self.event_loop.spawn(self._serve, sock)
 
-    # The task of one reader.
+    # The task that serves one reader.
 
     def _serve(self, sock: socket.socket) -> None:
         try:
@@ -125,7 +129,7 @@
                 connection.start_next_cycle()
                 timeout_ticks = IDLE_TIMEOUT_TICKS
         except (OSError, h11.ProtocolError):
-            pass  # whatever a reader does wrong ends its own connection, and nothing else
+            pass  # an error of a reader only ends the connection of that reader
         finally:
             self.reader_count -= 1
             sock.close()
@@ -133,16 +137,16 @@
     def _serve_request(
         self, sock: socket.socket, connection: h11.Connection, timeout_ticks: int
     ) -> bool:
-        """Answer one request; False if the connection cannot have another one."""
+        """Answer one request; return whether the connection can serve another request."""
         request = self._read_request(sock, connection, timeout_ticks)
         if request is None:
             return False
-        response = self._respond(request)
+        response = self._build_response(request)
         headers = [("Content-Type", response.content_type), ("Transfer-Encoding", "chunked")]
         self._send(sock, connection, h11.Response(status_code=response.status, headers=headers))
         for chunk in join_chunks(response.body):
             self._send(sock, connection, h11.Data(data=chunk))
-            # Chunks in a row would hold up all that is served: others have a turn between two.
+            # Without this pause, sending many chunks in a row would block the event loop.
             self.event_loop.sleep(1)
         self._send(sock, connection, h11.EndOfMessage())
         return connection.our_state is h11.DONE and connection.their_state is h11.DONE
@@ -150,7 +154,7 @@
     def _read_request(
         self, sock: socket.socket, connection: h11.Connection, timeout_ticks: int
     ) -> HttpRequest | None:
-        """Return the next request; None if none comes in time, or its body is too large."""
+        """Return the next request, or None after the timeout or if the body is too large."""
         head: h11.Request | None = None
         body = b""
         deadline = self.event_loop.now + timeout_ticks
@@ -169,10 +173,10 @@
             else:
                 return None
 
-    def _respond(self, request: HttpRequest) -> HttpResponse:
+    def _build_response(self, request: HttpRequest) -> HttpResponse:
         match request.method, request.path:
             case b"GET", b"/metrics":
-                # The library of metrics takes memory that only those who scrape should pay for.
+                # The metrics library is loaded on the first scrape only, because it needs memory.
                 from corkgauge.accounting import exposition
 
                 chunks = exposition.text_chunks(self.take_snapshot())
@@ -185,7 +189,7 @@
                 return _json_response(200, {"cleared": self.clear_discrepancies()})
         route = self.routes.get((request.method, request.path))
         if route is not None:
-            return _respond_by(route, request.body)
+            return _call_route(route, request.body)
         return HttpResponse(
             404, "text/plain", [b"GET /metrics, /figures, /findings; POST /clear\n"]
         )
@@ -196,9 +200,9 @@
         connection: h11.Connection,
         event: h11.Response | h11.Data | h11.EndOfMessage,
     ) -> None:
-        """Write an event; OSError if the reader does not take it in time.
+        """Write an event; raise OSError if the reader does not receive it in time.
 
-        A reader that does not read would otherwise hold its snapshot for ever.
+        Without the timeout, a reader that does not read would keep its snapshot in memory forever.
         """
         unsent = memoryview(connection.send(event) or b"")
         deadline = self.event_loop.now + REQUEST_TIMEOUT_TICKS
@@ -207,10 +211,10 @@
                 unsent = unsent[sock.send(unsent) :]
             except BlockingIOError:
                 if not self.event_loop.wait(sock.fileno(), WRITE, deadline):
-                    raise TimeoutError("a reader that does not read") from None
+                    raise TimeoutError("the reader did not receive the response in time") from None
 
 
-def _respond_by(route: Route, body: bytes) -> HttpResponse:
+def _call_route(route: Route, body: bytes) -> HttpResponse:
     try:
         return _json_response(200, route(body))
     except (ValueError, KeyError, TypeError) as problem:
@@ -222,7 +226,7 @@
 
 
 def open_listening_socket(address: Address) -> socket.socket:
-    """Return a listening socket that does not block; OSError if the address is not to be had."""
+    """Return a non-blocking listening socket; raise OSError if the address is not available."""
     if isinstance(address, tuple):
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family)
@@ -243,10 +247,10 @@
 
 
 def remove_dead_socket(path: str) -> None:
-    """Remove the socket that a killed program left at a path, and nothing but such a socket.
+    """Remove the socket that a killed program left at a path.
 
-    Without this no program could listen there again; a file, or the socket of a program that runs,
-    is somebody's.
+    Without this, no program could listen at the path again. A regular file, or the socket of a
+    running program, is not removed, because it is still in use.
     """
     with contextlib.suppress(FileNotFoundError):
         if stat.S_ISSOCK(os.lstat(path).st_mode) and not has_listener(path):
@@ -256,5 +260,8 @@
 def has_listener(path: str) -> bool:
     """Return whether a program listens at the path of a Unix socket."""
     with socket.socket(socket.AF_UNIX) as probe:
-        probe.setblocking(False)  # a Unix socket connects at once, or not
-        return probe.connect_ex(path) in (0, errno.EAGAIN)  # EAGAIN: its backlog is full
+        probe.setblocking(False)  # a Unix socket connects, or fails, immediately
+        return probe.connect_ex(path) in (
+            0,
+            errno.EAGAIN,
+        )  # EAGAIN: the backlog of a listener is full
--- a/corkgauge/accounting/json_text.py
+++ b/corkgauge/accounting/json_text.py
@@ -1,4 +1,4 @@
-"""Snapshots as JSON text, a chunk at a time: a fleet's whole text takes too long for one step."""
+"""Encodes snapshots as JSON in chunks, because a fleet's text takes too long for one step."""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -10,7 +10,7 @@
 
 
 def join_chunks(chunks: Iterable[bytes]) -> Iterator[bytes]:
-    """Join small chunks, so that none is empty and all but the last have a fair size.
+    """Join small chunks into chunks of at least CHUNK_BYTES; the last one may be smaller.
 
     >>> [*join_chunks([b"a", b"", b"b"])]
     [b'ab']
@@ -26,7 +26,7 @@
 
 
 def json_chunks(snapshot: Snapshot) -> Iterator[bytes]:
-    """Return a snapshot as JSON, row by row.
+    """Yield a snapshot as JSON, row by row.
 
     >>> b"".join(json_chunks({"a": 1, "rows": {"x": {"n": 2}, "y": [3]}, "none": {}}))
     b'{"a":1,"rows":{"x":{"n":2},"y":[3]},"none":{}}'
--- a/corkgauge/accounting/latency_sketches.py
+++ b/corkgauge/accounting/latency_sketches.py
@@ -1,9 +1,9 @@
-"""Latency sketches: how long things take, in a form that adds up over gateways.
+"""Records latencies in sketches that can be merged across gateways.
 
-Owns a sketch of latency and of wait for each request class, and of service time for each engine:
-DDSketch (Masson, Rim, Lee, VLDB 2019), by the library of its authors. Free of I/O. Keeps no sample
-itself, and no sketch for anything that a client names. Times in are tenths of a millisecond, times
-out are seconds.
+Owns a sketch of latency and of waiting time for each request class, and of service time for each
+engine: DDSketch (Masson, Rim, Lee, VLDB 2019), in the implementation of its authors. Free of I/O.
+No samples are stored, and there is no sketch for any name that a client chooses. Times are recorded
+in tenths of a millisecond and reported in seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -34,18 +34,18 @@
 SECONDS_PER_TICK = 1e-4
 
 SketchFields = Mapping[str, Any]
-"""A sketch as JSON has it: `{"what", "whose", "error", "count", "sum", "bins"}`, bins by key."""
+"""A sketch as JSON: `{"what", "whose", "error", "count", "sum", "bins"}`, with bins by key."""
 
 
 class Subject(NamedTuple):
-    """What a sketch is of: a time, and the request class or engine that took it."""
+    """The subject of a sketch: a measured time, and a request class or engine."""
 
-    what: str
-    whose: str
+    measure: str  # LATENCY, WAIT or SERVICE
+    owner: str  # name of the request class or engine
 
 
 class LatencySketches:
-    """Records times; one method for each thing that is timed.
+    """Records times; each measured time has its own method.
 
     `error` is the relative error of quantiles. Spans are tenths of a millisecond.
     """
@@ -63,30 +63,31 @@
         self._add(Subject(WAIT, request_class), span_ticks)
 
     def record_succeeded(self, engine: str, span_ticks: int) -> None:
-        """Record the time that an attempt that succeeded took."""
+        """Record the service time of an attempt that succeeded."""
         self._add(Subject(SERVICE, engine), span_ticks)
 
     def merge_engine(self, engine: str, into: str) -> None:
-        """Merge the sketch of an engine that was removed into another one.
+        """Merge the sketch of a removed engine into the sketch of `into`.
 
-        Engines that come and go under new ids all day would otherwise be kept without end.
+        Without this, engines that are replaced under new ids all day would grow the table without
+        limit.
         """
         removed = self.sketches.pop(Subject(SERVICE, engine), None)
         if removed is not None:
-            self._sketch(Subject(SERVICE, into)).merge(removed)
+            self._get_sketch(Subject(SERVICE, into)).merge(removed)
 
     def fields(self) -> list[dict[str, Any]]:
-        """Return all sketches as JSON has them, for `merge_sketches`, `quantile` and `buckets`."""
+        """Return all sketches as JSON, as the functions of this module expect them."""
         return [_encode(subject, sketch) for subject, sketch in self.sketches.items()]
 
-    def _sketch(self, subject: Subject) -> DDSketch:
+    def _get_sketch(self, subject: Subject) -> DDSketch:
         sketch = self.sketches.get(subject)
         if sketch is None:
             sketch = self.sketches[subject] = DDSketch(self.error)
         return sketch
 
     def _add(self, subject: Subject, span_ticks: int) -> None:
-        self._sketch(subject).add(max(span_ticks, 1))
+        self._get_sketch(subject).add(max(span_ticks, 1))
 
 
 def merge_sketches(several: Iterable[SketchFields]) -> dict[str, Any]:
@@ -103,20 +104,20 @@
     for other in others:
         sketch.merge(_decode(other))
     merged = _encode(Subject(first["what"], first["whose"]), sketch)
-    # The sum of a decoded sketch is only what its bins say.
+    # A decoded sketch has only an approximate sum, derived from its bins.
     merged["sum"] = first["sum"] + sum(other["sum"] for other in others)
     return merged
 
 
 def quantile(fields: SketchFields, fraction: float) -> float:
-    """Return the quantile of a fraction from 0 to 1, in seconds; 0 of an empty sketch."""
+    """Return the quantile for a fraction from 0 to 1, in seconds; 0 for an empty sketch."""
     return (_decode(fields).get_quantile_value(fraction) or 0.0) * SECONDS_PER_TICK
 
 
-def buckets(fields: SketchFields) -> list[tuple[str, float]]:
+def cumulative_buckets(fields: SketchFields) -> list[tuple[str, float]]:
     """Return cumulative counts by upper bound in seconds, the last one `+Inf`.
 
-    A bin of the sketch counts in the bucket where its middle lies.
+    A bin of the sketch counts in the bucket that contains the representative value of the bin.
     """
     mapping = DDSketch(fields["error"])._mapping
     bins = sorted(
@@ -138,8 +139,8 @@
     store = sketch._store
     bins = enumerate(store.bins, store.offset)
     return {
-        "what": subject.what,
-        "whose": subject.whose,
+        "what": subject.measure,
+        "whose": subject.owner,
         "error": sketch._relative_accuracy,
         "count": int(sketch.count),
         "sum": sketch.sum * SECONDS_PER_TICK,
--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -1,7 +1,8 @@
-"""The accounting service: what an operator file asks for in `figures`.
+"""Runs the accounting that the `figures` element of the operator file configures.
 
-Owns the HTTP listener, the checkpoint file and the latency sketches, and the epoch that the counts
-belong to. Counts nothing itself, and is imported only where an operator file has the element.
+Owns the HTTP listener, the checkpoint file, the latency sketches, and the epoch that the counts
+belong to. The ledger counts, not this service. The module is imported only if the operator file has
+the element.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -21,7 +22,7 @@
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.eventloop.loop import EventLoop
 
-# What these need (h11, msgpack, ddsketch) is imported only where the element asks for it.
+# These need h11, msgpack and ddsketch, which are imported only if the element configures them.
 if TYPE_CHECKING:
     from corkgauge.accounting.checkpoint_file import CheckpointFile
     from corkgauge.accounting.http_listener import HttpListener
@@ -29,21 +30,21 @@
 
 
 class LiveConnections(Protocol):
-    """What the service needs of the live records."""
+    """The live records, as far as the service uses them."""
 
     def live_bytes(self) -> Sequence[tuple[int, int, int]]:
-        """Return, by side, bytes received, bytes sent and pages of connections that are up."""
+        """Return, by side, bytes received, bytes sent and result pages of open connections."""
 
 
 class FlowReport(Protocol):
-    """What the service needs of flow export."""
+    """Flow export, as far as the service uses it."""
 
     def status_report(self) -> dict[str, Any]:
-        """Return the state of flow export, as a snapshot has it."""
+        """Return the state of flow export in the form that a snapshot contains."""
 
 
 class AccountedHost(Protocol):
-    """What the service needs of the host."""
+    """The host, as far as the service uses it."""
 
     event_loop: EventLoop
     ledger: RequestLedger
@@ -54,21 +55,21 @@
 
     @property
     def records(self) -> LiveConnections:
-        """Live records of what is open."""
+        """Live records of open requests, attempts and connections."""
 
     @property
     def routes(self) -> Mapping[tuple[bytes, bytes], Callable[[bytes], Any]]:
-        """What the listener answers for other subsystems, by method and path."""
+        """HTTP handlers of other subsystems, by method and path."""
 
     def log(self, line: str) -> None:
         """Write a log line."""
 
 
 class AccountingService:
-    """Answers for the accounts and keeps them; made once for a program.
+    """Serves snapshots over HTTP and writes checkpoints; a program has one instance.
 
-    `seed` is that of the platform configuration. Raises ConfigurationError if the address to listen
-    on is not to be had.
+    `seed` is the seed of the platform configuration. Raises ConfigurationError if the service
+    cannot listen on the configured address.
     """
 
     def __init__(
@@ -78,8 +79,8 @@
         self.gateway = gateway
         self.config = config
         now = host.event_loop.now
-        mark = crc32(f"{seed} {now} {gateway}".encode())
-        self.epoch = {"id": f"{now // 10:x}-{mark:08x}", "started": now}
+        suffix = crc32(f"{seed} {now} {gateway}".encode())
+        self.epoch = {"id": f"{now // 10:x}-{suffix:08x}", "started": now}
         if config.latency_relative_error:
             from corkgauge.accounting.latency_sketches import LatencySketches
 
@@ -90,14 +91,15 @@
         self.http_listener = self._open_listener(config)
 
     def reload(self, config: AccountingConfig) -> None:
-        """Take a new element: the listener moves at once, folder and sketches wait for a restart.
+        """Apply a changed element; checkpoint and sketch settings take effect after a restart.
 
-        Raises ConfigurationError if the new address is not to be had; nothing is changed then.
+        A changed listener address takes effect at once. Raises ConfigurationError, and changes
+        nothing, if the service cannot listen on the new address.
         """
         before = self.config
         if (config.listen, config.readers) != (before.listen, before.readers):
-            # The old listener stays until the new one is there: an address that is not to be had
-            # must not cost operators the one that they have.
+            # The old listener is closed only after the new one is open, so that operators do not
+            # lose the working listener if the new address is not available.
             listener = self._open_listener(config)
             if self.http_listener is not None:
                 self.http_listener.close()
@@ -114,7 +116,7 @@
         self.config = config
 
     def take_snapshot(self) -> Snapshot:
-        """Return a consistent snapshot, as readers get it."""
+        """Return a consistent snapshot, in the form that readers receive."""
         host = self.host
         snapshot = add_audit(self._take_counts(), host.discrepancies, host.auditor.passes)
         if host.latency_sketches is not None:
@@ -126,7 +128,7 @@
         return snapshot
 
     def end(self) -> None:
-        """Write the last counts and close the listener: the program ends in order."""
+        """Write the last counts and close the listener, in an orderly shutdown."""
         if self.checkpoint_file is not None:
             self.checkpoint_file.write(self._take_counts())
             self.checkpoint_file.close()
@@ -135,7 +137,7 @@
             self.http_listener = None
 
     def _write_checkpoint(self, checkpoint_file: "CheckpointFile") -> None:
-        """Put the counts where a kill leaves them, now and again each period."""
+        """Write the counts where they survive a kill, now and after each checkpoint interval."""
         checkpoint_file.write(self._take_counts())
         self.host.event_loop.call_later(
             self.config.checkpoint_interval_ticks, self._write_checkpoint, checkpoint_file
