--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -1,4 +1,4 @@
-"""Accounting: ledger, auditor, snapshots, checkpoint file, HTTP listener, operator file."""
+"""The ledger, its auditor, snapshots, checkpoint files, the HTTP listener and the operator file."""
 
 import json
 import os
@@ -31,32 +31,37 @@
 
 
 class Record:
-    """A request, or an attempt of one, without anything else."""
+    """A request or an attempt with only the fields that the ledger uses."""
 
-    def __init__(self, row, engine_row=None, order=None):
+    def __init__(self, row, engine_row=None, client_request=None):
         self.row = row
         self.engine_row = engine_row
-        self.client_request = order
+        self.client_request = client_request
         self.serial = 0
 
 
 class AuditedLedger:
-    """A ledger beside records that do what they should, unless a test meddles."""
+    """A ledger with matching live records, which tests can corrupt.
 
-    def __init__(self, slice_=3, **said):
+    Implements `AuditedRecords`.
+    """
+
+    def __init__(self, slice_records=3, **options):
         self.now = 1000
         self.logged = []
         self.open = []
         self.answering = []
         self.in_flight = []
-        self.elsewhere = set()
+        self.serials_on_streams = set()
         self.discrepancies = Discrepancies(lambda: self.now, self.logged.append)
-        self.ledger = RequestLedger(["a", "b"], lambda: self.now, on_mistake=self.guard, **said)
+        self.ledger = RequestLedger(
+            ["a", "b"], lambda: self.now, on_mistake=self.record_mistake, **options
+        )
         self.rows = [self.ledger.request_classes["a"], self.ledger.request_classes["b"]]
         self.engine_rows = [self.ledger.get_engine_row(f"e{n}") for n in range(2)]
-        self.auditor = LedgerAuditor(self.ledger, self, self.discrepancies, slice_)
+        self.auditor = LedgerAuditor(self.ledger, self, self.discrepancies, slice_records)
 
-    def guard(self, kind, row, serial):
+    def record_mistake(self, kind, row, serial):
         self.discrepancies.record_mistake(kind, row.name, f"serial {serial}")
 
     def accept(self, row=0):
@@ -80,14 +85,14 @@
         self.ledger.record_attempt_finished(attempt, outcome)
 
     def run_pass(self):
-        """Run a whole pass; return kind, row and difference of all that was found."""
+        """Run a whole pass; return the kind, row and difference of each finding."""
         self.auditor.run_whole_pass()
         return [
-            (found.kind, found.row, found.difference)
-            for found in self.discrepancies.by_kind_and_row.values()
+            (finding.kind, finding.row, finding.difference)
+            for finding in self.discrepancies.by_kind_and_row.values()
         ]
 
-    # What the auditor asks.
+    # The methods of AuditedRecords.
 
     def open_entries(self):
         return [*self.open]
@@ -114,7 +119,7 @@
         return (0, 0), (0, 0)
 
     def find_other_reference(self, serial):
-        return "stream 1" if serial in self.elsewhere else ""
+        return "stream 1" if serial in self.serials_on_streams else ""
 
 
 @settings(max_examples=150, deadline=None)
@@ -124,20 +129,20 @@
     ),
     strategies.integers(1, 7),
 )
-def test_a_pass_in_slices_is_right_whatever_happens_between_them(steps, slice_):
-    accounts = AuditedLedger(slice_)
-    for what, which in steps:
+def test_pass_finds_nothing_when_counts_change_between_slices(steps, slice_records):
+    accounts = AuditedLedger(slice_records)
+    for action, choice in steps:
         accounts.now += 1
-        if what == 0:
-            accounts.accept(which % 2)
-        elif what == 1 and accounts.open:
+        if action == 0:
+            accounts.accept(choice % 2)
+        elif action == 1 and accounts.open:
             accounts.close(
-                accounts.open[which % len(accounts.open)], which % len(counter_names.END_REASONS)
+                accounts.open[choice % len(accounts.open)], choice % len(counter_names.END_REASONS)
             )
-        elif what == 2 and accounts.open:
-            accounts.send(accounts.open[which % len(accounts.open)], which % 2, which % 3)
-        elif what == 3 and accounts.in_flight:
-            accounts.finish(accounts.in_flight[which % len(accounts.in_flight)], which % 8)
+        elif action == 2 and accounts.open:
+            accounts.send(accounts.open[choice % len(accounts.open)], choice % 2, choice % 3)
+        elif action == 3 and accounts.in_flight:
+            accounts.finish(accounts.in_flight[choice % len(accounts.in_flight)], choice % 8)
         else:
             accounts.auditor.step()
     while not accounts.auditor.step():
@@ -146,29 +151,29 @@
     assert find_imbalances(take_snapshot(accounts.ledger, accounts.now, "n", {"id": "x"})) == []
 
 
-def doubled_end(accounts):
+def close_request_twice(accounts):
     record = accounts.accept()
     accounts.close(record)
     accounts.ledger.record_closed(record, counter_names.EndReason.WITHIN_OBJECTIVE)
 
 
-def left_in_the_table(accounts):
+def keep_closed_request_in_table(accounts):
     record = accounts.accept()
     accounts.ledger.record_closed(record, counter_names.EndReason.WITHIN_OBJECTIVE)
 
 
-def lost_from_the_table(accounts):
-    accounts.elsewhere.add(accounts.open.pop().serial)
+def drop_open_request_with_stream(accounts):
+    accounts.serials_on_streams.add(accounts.open.pop().serial)
 
 
-def swapped(accounts):
-    accounts.accept()  # entered, and its record lost
+def replace_open_record(accounts):
+    accounts.accept()  # counted, but its record is lost
     accounts.open.pop()
-    accounts.open.append(Record(accounts.rows[0]))  # a record that was never entered
+    accounts.open.append(Record(accounts.rows[0]))  # has a record, but was never counted
 
 
 @pytest.mark.parametrize(
-    "meddle, found",
+    "corrupt, expected_finding",
     [
         (
             lambda accounts: accounts.ledger.record_accepted(accounts.open[0]),
@@ -179,10 +184,10 @@
             ("never entered", "b", -1),
         ),
         (lambda accounts: accounts.open.pop(), ("never closed", "a", 1)),
-        (doubled_end, ("closed twice", "a", -1)),
-        (left_in_the_table, ("closed twice", "a", -1)),
-        (lost_from_the_table, ("lost from the table", "a", 1)),
-        (swapped, ("count altered", "a", 0)),
+        (close_request_twice, ("closed twice", "a", -1)),
+        (keep_closed_request_in_table, ("closed twice", "a", -1)),
+        (drop_open_request_with_stream, ("lost from the table", "a", 1)),
+        (replace_open_record, ("count altered", "a", 0)),
         (lambda accounts: accounts.in_flight.pop(), ("hand-off never closed", "e0", 1)),
         (
             lambda accounts: accounts.ledger.record_attempt_finished(accounts.in_flight[0], 1),
@@ -214,23 +219,23 @@
         (lambda accounts: accounts.ledger.get_engine_row("e9"), ("engine out of step", "e9", 1)),
     ],
 )
-def test_an_imbalance_is_named_with_its_place(meddle, found):
+def test_finding_has_kind_row_and_difference_of_corruption(corrupt, expected_finding):
     accounts = AuditedLedger()
     accounts.send(accounts.accept())
     accounts.accept(0)
     assert accounts.run_pass() == []
-    meddle(accounts)
-    assert found in accounts.run_pass() and found[1] in accounts.logged[0]
+    corrupt(accounts)
+    assert expected_finding in accounts.run_pass() and expected_finding[1] in accounts.logged[0]
 
 
-def test_a_finding_is_told_once_a_change_and_stays_until_it_is_cleared():
+def test_finding_is_logged_once_per_change_and_kept_until_cleared():
     accounts = AuditedLedger()
     accounts.rows[0].open += 1
     for _ in range(5):
         accounts.run_pass()
-    assert len(accounts.logged) == 2  # that a count is altered, and that its row's terms differ
+    assert len(accounts.logged) == 2  # "count altered" and "terms differ"
     accounts.rows[0].open -= 1
-    # right again, and still held
+    # The count is correct again, but the findings remain.
     assert len(accounts.run_pass()) == 2 and accounts.discrepancies.has_findings
     assert (
         accounts.discrepancies.clear() == 2
@@ -240,7 +245,7 @@
     assert accounts.ledger.find_last_events(accounts.rows[0]) == []
 
 
-def test_damage_everywhere_is_bounded():
+def test_number_of_findings_is_limited():
     accounts = AuditedLedger()
     for n in range(2000):
         accounts.discrepancies.record_difference("count altered", f"r{n}", 1)
@@ -250,7 +255,7 @@
     )
 
 
-def test_the_budget_is_counted_from_what_was_taken():
+def test_retry_budget_check_counts_accepted_requests_in_window():
     accounts = AuditedLedger(budget=(1.0, 0.1, SECOND))
     requests = [accounts.accept() for _ in range(10)]
     for _ in range(2):
@@ -264,7 +269,7 @@
     assert accounts.run_pass() == []
 
 
-def test_engines_that_left_fold_into_one_row():
+def test_removed_engines_are_merged_into_one_row():
     accounts = AuditedLedger()
     for n in range(300):
         row = accounts.ledger.get_engine_row(f"x{n}")
@@ -272,7 +277,7 @@
         accounts.ledger.record_attempt_sent(attempt, 0)
         accounts.ledger.record_engine_removed(row)  # with an attempt in flight
         again = accounts.ledger.get_engine_row(f"x{n}")
-        assert again is not row  # its id came back: another's account
+        assert again is not row  # a new engine with the same id
         accounts.ledger.record_engine_removed(again)
         accounts.ledger.record_attempt_finished(attempt, n % 8)
     assert (
@@ -282,21 +287,21 @@
     assert accounts.run_pass() == []
 
 
-# The program's own records, on a fake clock.
+# The live records of the host, on a fake clock.
 
 
-def balanced(premises):
+def audit_and_take_snapshot(premises):
     socket_host = premises.socket_host
     socket_host.auditor.run_whole_pass()
     assert not socket_host.discrepancies.by_kind_and_row, [
-        found.log_line() for found in socket_host.discrepancies.by_kind_and_row.values()
+        finding.log_line() for finding in socket_host.discrepancies.by_kind_and_row.values()
     ]
-    cut = take_snapshot(socket_host.ledger, socket_host.now, "n", {"id": "x"})
-    assert find_imbalances(cut) == []
-    return cut
+    snapshot = take_snapshot(socket_host.ledger, socket_host.now, "n", {"id": "x"})
+    assert find_imbalances(snapshot) == []
+    return snapshot
 
 
-def test_answers_that_come_late_from_an_engine_that_was_silent():
+def test_answers_of_engines_after_deadline_leave_no_imbalance():
     premises = HostHarness(events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})])
     client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
     premises.ask(client, request_frame(1, patience="600"))
@@ -304,12 +309,12 @@
     assert premises.answers(client)[0][2] != b"\1"
     for engine in engines:
         premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
-    cut = balanced(premises)
-    row = cut["offerings"]["quick"]
+    snapshot = audit_and_take_snapshot(premises)
+    row = snapshot["offerings"]["quick"]
     assert (row["taken"], row["open"], row["out"], row["served"]) == (1, 0, 0, 0)
 
 
-def test_a_copy_and_its_original_both_answer():
+def test_hedged_attempt_and_original_both_answer_without_imbalance():
     premises = HostHarness(
         events=[listing(1, {}, {"id": "e2", "addr": "127.0.0.9:2"})],
         limits={"secondCopies": True, "mostTries": 3},
@@ -320,16 +325,19 @@
     premises.socket_host.gateway.hedging.retry_elsewhere(request.attempts[0])
     premises.socket_host.gateway.admission.fill_slots()
     premises.turn()
-    assert len(request.attempts) == 2 and balanced(premises)["offerings"]["quick"]["copies"] == 1
+    assert (
+        len(request.attempts) == 2
+        and audit_and_take_snapshot(premises)["offerings"]["quick"]["copies"] == 1
+    )
     for engine in engines:
         premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
-    row = balanced(premises)["offerings"]["quick"]
+    row = audit_and_take_snapshot(premises)["offerings"]["quick"]
     assert (row["served"], row["firsts"], row["copies"], row["out"]) == (1, 1, 1, 0)
     assert [frame[2] for frame in premises.answers(client)] == [b"\1"]
 
 
 @pytest.mark.parametrize("hangs_up, reason", [(True, "cut_off"), (False, "in_time")])
-def test_a_client_that_goes_within_its_answer(hangs_up, reason):
+def test_reason_shows_whether_client_disconnected_during_answer(hangs_up, reason):
     premises = HostHarness()
     client, engine = premises.client(), premises.engine()
     link = next(iter(premises.socket_host.client_connections)).link
@@ -341,21 +349,21 @@
         premises.engine_says(engine, name(stream), "DONE", "chunks=8,spent=1,wanted=1", row * 3)
         for n in range(1, 8):
             premises.engine_says(engine, name(stream), "MORE", f"at={n}", row * 3)
-    cut = balanced(premises)
+    snapshot = audit_and_take_snapshot(premises)
     assert (
-        cut["offerings"]["quick"]["open"] > 0 and not premises.socket_host.open_requests
-    )  # answered, and not whole yet
+        snapshot["offerings"]["quick"]["open"] > 0 and not premises.socket_host.open_requests
+    )  # answered, but not completely sent
     if hangs_up:
         client.close()
     for _ in range(40):
         if not hangs_up:
             premises.heard(client)
         premises.turn()
-    reasons = balanced(premises)["offerings"]["quick"]["reasons"]
+    reasons = audit_and_take_snapshot(premises)["offerings"]["quick"]["reasons"]
     assert reasons[reason] > 0 and sum(reasons.values()) == 4 and not premises.socket_host.answering
 
 
-def test_what_clients_take_back_what_is_of_no_use_and_what_finds_no_room():
+def test_cancelled_unusable_and_rejected_requests_are_counted_by_reason():
     premises = HostHarness(limits={"openCap": 2, "streamsPerConn": 4})
     client, engine = premises.client(), premises.engine()
     premises.ask(
@@ -363,19 +371,19 @@
         request_frame(1) + request_frame(2) + request_frame(3) + request_frame(4, route="none"),
     )
     premises.ask(client, bytes.fromhex("050000000801000000"))
-    cut = balanced(premises)
-    row = cut["offerings"]["quick"]
+    snapshot = audit_and_take_snapshot(premises)
+    row = snapshot["offerings"]["quick"]
     assert (
         row["reasons"]["withdrawn"] == 1 and row["reasons"]["at_the_door"] == 1 and row["open"] == 1
     )
-    assert cut["offerings"]["(unusable)"]["reasons"]["unusable"] == 1
+    assert snapshot["offerings"]["(unusable)"]["reasons"]["unusable"] == 1
     client.close()
     premises.turn()
     premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
-    assert balanced(premises)["offerings"]["quick"]["reasons"]["client_gone"] == 1
+    assert audit_and_take_snapshot(premises)["offerings"]["quick"]["reasons"]["client_gone"] == 1
 
 
-def test_the_end_with_much_open_and_an_id_that_comes_back():
+def test_shutdown_with_open_requests_and_relisted_engine_leaves_no_imbalance():
     premises = HostHarness()
     client = premises.client()
     premises.engine()
@@ -384,17 +392,17 @@
     premises.turn()
     premises.socket_host.on_discovery_event("3", json.dumps(listing(3, {"addr": "127.0.0.9:7"})))
     premises.turn()
-    balanced(premises)
+    audit_and_take_snapshot(premises)
     premises.socket_host.start_shutdown()
     premises.pass_time(4 * SECOND)
-    row = balanced(premises)["offerings"]["quick"]
+    row = audit_and_take_snapshot(premises)["offerings"]["quick"]
     assert (
         row["taken"] == 3 == row["served"] + row["refused"] + row["failed"]
         and premises.event_loop.stopped
     )
 
 
-def test_a_slot_that_the_gateway_does_not_get_back_is_found():
+def test_thread_that_is_never_released_is_found():
     premises = HostHarness()
     client = premises.client()
     premises.engine()
@@ -407,86 +415,95 @@
 # Snapshots.
 
 
-def one_snapshot(**request_class):
+def build_snapshot(**request_class):
     accounts = AuditedLedger()
     accounts.close(accounts.accept())
-    said = take_snapshot(accounts.ledger, 5, "n1", {"id": "x", "started": 1})
-    said["offerings"]["a"].update(request_class)
-    return said
+    snapshot = take_snapshot(accounts.ledger, 5, "n1", {"id": "x", "started": 1})
+    snapshot["offerings"]["a"].update(request_class)
+    return snapshot
 
 
 @pytest.mark.parametrize(
-    "after, wrong", [({}, 0), ({"taken": 0}, 1), ({"served": 0, "taken": 0}, 2)]
+    "changed_counts, decrease_count", [({}, 0), ({"taken": 0}, 1), ({"served": 0, "taken": 0}, 2)]
 )
-def test_counts_that_shrink_within_an_epoch(after, wrong):
-    assert len(find_decreases(one_snapshot(), one_snapshot(**after))) == wrong
-    assert find_decreases(one_snapshot(), {**one_snapshot(**after), "epoch": {"id": "y"}}) == []
+def test_decreased_counts_within_epoch_are_found(changed_counts, decrease_count):
+    assert len(find_decreases(build_snapshot(), build_snapshot(**changed_counts))) == decrease_count
+    assert (
+        find_decreases(build_snapshot(), {**build_snapshot(**changed_counts), "epoch": {"id": "y"}})
+        == []
+    )
 
 
-def test_several_gateways_add_up_their_sketches_too():
-    cuts = []
+def test_merge_of_snapshots_sums_counts_and_sketches():
+    snapshots = []
     for n in range(3):
         sketches = LatencySketches(0.02)
         for span in range(n + 1, 3000, 3):
             sketches.record_answered("a", span * 10)
         sketches.merge_engine("never", "(departed)")
-        cuts.append({**one_snapshot(), "gateway": f"n{n}", "waits": sketches.fields()})
-    both = merge_snapshots(cuts)
-    assert both["offerings"]["a"]["served"] == 3 and find_imbalances(both) == []
-    assert abs(quantile(both["waits"][0], 0.99) - 2.97) < 0.07 and both["waits"][0]["count"] == 2999
+        snapshots.append({**build_snapshot(), "gateway": f"n{n}", "waits": sketches.fields()})
+    merged = merge_snapshots(snapshots)
+    assert merged["offerings"]["a"]["served"] == 3 and find_imbalances(merged) == []
+    assert (
+        abs(quantile(merged["waits"][0], 0.99) - 2.97) < 0.07
+        and merged["waits"][0]["count"] == 2999
+    )
 
 
-def test_the_commands_tell_what_is_wrong(tmp_path):
+def test_accounts_and_audit_commands_report_imbalances(tmp_path):
     good, bad = tmp_path / "good.json", tmp_path / "bad.jsonl"
-    good.write_text(json.dumps(as_plain_dict(one_snapshot())))
+    good.write_text(json.dumps(as_plain_dict(build_snapshot())))
     bad.write_text(
         "\n".join(
             json.dumps(as_plain_dict(each))
-            for each in (one_snapshot(), one_snapshot(served=0), one_snapshot(taken=0))
+            for each in (build_snapshot(), build_snapshot(served=0), build_snapshot(taken=0))
         )
     )
     run = CliRunner().invoke
     for command in "accounts", "audit":
         assert run(group, [command, str(good)]).exit_code == 0
     assert run(group, ["accounts", str(good), str(good), "--json"]).exit_code == 0
-    said = run(group, ["audit", "--json", str(bad)])
-    assert said.exit_code == 1 and len(json.loads(said.output)["wrong"]) == 5
+    result = run(group, ["audit", "--json", str(bad)])
+    assert result.exit_code == 1 and len(json.loads(result.output)["wrong"]) == 5
     (tmp_path / "x").write_text("{}")
-    said = run(group, ["audit", str(tmp_path / "x")])
-    assert said.exit_code == 2 and "x:1: not a cut" in said.output
+    result = run(group, ["audit", str(tmp_path / "x")])
+    assert result.exit_code == 2 and "x:1: not a cut" in result.output
     assert run(group, ["accounts", "/nowhere.sock"]).exit_code == 2
 
 
 # The checkpoint file.
 
 
-def checkpoint_file_in(folder, gateway="n1"):
+def open_checkpoint_file(folder, gateway="n1"):
     logged = []
     return CheckpointFile(str(folder), gateway, logged.append), logged
 
 
-def test_the_next_start_closes_the_epoch_before(tmp_path):
+def test_next_start_closes_previous_epoch(tmp_path):
     accounts = AuditedLedger()
     accounts.close(accounts.accept())
     accounts.accept()
-    first, logged = checkpoint_file_in(tmp_path)
+    first, _ = open_checkpoint_file(tmp_path)
     for now in range(5):
         first.write(take_snapshot(accounts.ledger, now, "n1", {"id": f"x{now}"}))
-    second, said = checkpoint_file_in(tmp_path)
-    assert "in use by another" in said[0] and second.mapping is None  # two programs in one folder
-    second.write(one_snapshot())
-    first.close()  # as a kill does
-    third, said = checkpoint_file_in(tmp_path)
-    assert said == ["figures: epoch x4 closed, taken=2 cut_off=1"]
-    third.write(one_snapshot())
+    second, logged = open_checkpoint_file(tmp_path)
+    assert "in use by another" in logged[0] and second.mapping is None  # two programs in one folder
+    second.write(build_snapshot())
+    first.close()  # has the same effect as a kill
+    third, logged = open_checkpoint_file(tmp_path)
+    assert logged == ["figures: epoch x4 closed, taken=2 cut_off=1"]
+    third.write(build_snapshot())
     third.close()
-    kept = read_checkpoint_file(third.path)
-    assert kept["cut"]["gateway"] == "n1" and kept["earlier"][0]["offerings"]["a"]["cut_off"] == 1
+    content = read_checkpoint_file(third.path)
+    assert (
+        content["cut"]["gateway"] == "n1"
+        and content["earlier"][0]["offerings"]["a"]["cut_off"] == 1
+    )
 
 
-def test_a_slot_torn_at_any_place_leaves_the_other(tmp_path):
+def test_other_slot_is_used_if_one_is_torn_at_any_offset(tmp_path):
     old, new = (
-        checkpoint.encode_slot(n, {"cut": as_plain_dict(one_snapshot()), "earlier": [], "n": n})
+        checkpoint.encode_slot(n, {"cut": as_plain_dict(build_snapshot()), "earlier": [], "n": n})
         for n in (4, 5)
     )
     assert checkpoint.latest_slot(old.ljust(checkpoint.SLOT_BYTES, b"\0") + new)[1]["n"] == 5
@@ -501,7 +518,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, why",
+    "data, reason",
     [
         (b"{}" * 40, "foreign"),
         (checkpoint.encode_slot(1, {})[:8] + b"\2\0" + checkpoint.encode_slot(1, {})[10:], "newer"),
@@ -511,46 +528,48 @@
         (checkpoint.encode_slot(1, [1]), "foreign"),
     ],
 )
-def test_files_that_are_no_use_are_told_and_left(tmp_path, data, why):
+def test_unusable_checkpoint_file_is_logged_and_replaced(tmp_path, data, reason):
     (tmp_path / "n1.figures").write_bytes(data)
-    kept, logged = checkpoint_file_in(tmp_path)
-    assert len(logged) == 1 and why in logged[0] and "a fresh epoch" in logged[0]
-    kept.write(one_snapshot())
-    kept.close()
-    assert read_checkpoint_file(kept.path)["cut"]["at"] == 5
+    checkpoint_file, logged = open_checkpoint_file(tmp_path)
+    assert len(logged) == 1 and reason in logged[0] and "a fresh epoch" in logged[0]
+    checkpoint_file.write(build_snapshot())
+    checkpoint_file.close()
+    assert read_checkpoint_file(checkpoint_file.path)["cut"]["at"] == 5
 
 
 @given(strategies.binary(max_size=300))
-def test_any_bytes_are_read_without_harm(data):
+def test_arbitrary_bytes_are_no_valid_checkpoint(data):
     assert checkpoint.latest_slot(data)[2] and checkpoint.latest_slot(checkpoint.MAGIC + data)[2]
 
 
-def test_a_folder_that_is_full_or_no_folder(tmp_path, monkeypatch):
+def test_unusable_folder_disables_checkpoints_and_is_logged(tmp_path, monkeypatch):
     (tmp_path / "file").write_text("")
-    none, logged = checkpoint_file_in(tmp_path / "file" / "folder")
-    none.write(one_snapshot())
-    assert none.mapping is None and "Not a directory" in logged[0]
+    checkpoint_file, logged = open_checkpoint_file(tmp_path / "file" / "folder")
+    checkpoint_file.write(build_snapshot())
+    assert checkpoint_file.mapping is None and "Not a directory" in logged[0]
 
-    def full(*_):
+    def raise_disk_full(*_):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "posix_fallocate", full)
-    none, logged = checkpoint_file_in(tmp_path / "full")
-    none.write(one_snapshot())
-    assert none.mapping is None and "No space left" in logged[0]
+    monkeypatch.setattr(os, "posix_fallocate", raise_disk_full)
+    checkpoint_file, logged = open_checkpoint_file(tmp_path / "full")
+    checkpoint_file.write(build_snapshot())
+    assert checkpoint_file.mapping is None and "No space left" in logged[0]
 
 
-def test_more_engines_than_fit_are_kept_in_one_row(tmp_path):
+def test_engines_that_do_not_fit_are_written_in_one_row(tmp_path):
     accounts = AuditedLedger()
     for n in range(12_000):
         accounts.ledger.get_engine_row(f"engine-{n:05d}").outcomes[1] = 10**9
-    kept, logged = checkpoint_file_in(tmp_path)
+    checkpoint_file, logged = open_checkpoint_file(tmp_path)
     for _ in range(3):
-        kept.write(take_snapshot(accounts.ledger, 7, "n1", {"id": "x"}))
-    kept.close()
+        checkpoint_file.write(take_snapshot(accounts.ledger, 7, "n1", {"id": "x"}))
+    checkpoint_file.close()
     assert len(logged) == 1 and "engines are kept in one row" in logged[0]
     assert (
-        read_checkpoint_file(kept.path)["cut"]["engines"]["(all)"]["outcomes"]["honoured"]
+        read_checkpoint_file(checkpoint_file.path)["cut"]["engines"]["(all)"]["outcomes"][
+            "honoured"
+        ]
         == 12_000 * 10**9
     )
 
@@ -558,19 +577,19 @@
 # The HTTP listener.
 
 
-def accounting_service(premises, path, said="", most=2):
+def start_accounting_service(premises, path, elements="", max_readers=2):
     operator = path.parent / "operator.xml"
     operator.write_text(
-        f'<operator version="1"><figures><listen unix="{path}" readers="{most}"/>{said}'
+        f'<operator version="1"><figures><listen unix="{path}" readers="{max_readers}"/>{elements}'
         "</figures></operator>"
     )
     return AccountingService(premises.socket_host, "n1", 7, read_operator(str(operator)).accounting)
 
 
-def asked(premises, path, head):
+def send_http_request(premises, path, request):
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(str(path))
-        sock.sendall(head)
+        sock.sendall(request)
         sock.setblocking(False)
         data = b""
         for _ in range(300):
@@ -583,22 +602,22 @@
         return data
 
 
-def get(target, method="GET"):
+def http_request(target, method="GET"):
     return f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
 
 
-def test_figures_are_told_in_both_forms(tmp_path):
+def test_listener_serves_counts_as_json_and_as_metrics(tmp_path):
     premises = HostHarness()
     path = tmp_path / "sock"
-    service = accounting_service(premises, path, "<waits/>")
+    service = start_accounting_service(premises, path, "<waits/>")
     client, engine = premises.client(), premises.engine()
     premises.ask(client, request_frame(1))
     premises.engine_says(engine, T1, "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n")
     assert stat.S_ISSOCK(os.stat(path).st_mode)
-    assert b'"served":1' in asked(premises, path, get("/figures"))
+    assert b'"served":1' in send_http_request(premises, path, http_request("/figures"))
     assert (
-        b"404" in asked(premises, path, get("/nothing"))
-        and asked(premises, path, b"\0\0\r\n\r\n") == b""
+        b"404" in send_http_request(premises, path, http_request("/nothing"))
+        and send_http_request(premises, path, b"\0\0\r\n\r\n") == b""
     )
     text = b"".join(exposition.text_chunks(service.take_snapshot())).decode()
     families = {family.name: family for family in text_string_to_metric_families(text)}
@@ -614,58 +633,61 @@
     )
     premises.socket_host.ledger.request_classes["quick"].terms[0] += 1
     premises.socket_host.auditor.run_whole_pass()
-    assert b'"kind": "terms differ"' in asked(premises, path, get("/findings"))
-    assert b'{"cleared": 1}' in asked(premises, path, get("/clear", "POST"))
+    assert b'"kind": "terms differ"' in send_http_request(premises, path, http_request("/findings"))
+    assert b'{"cleared": 1}' in send_http_request(premises, path, http_request("/clear", "POST"))
     assert not premises.socket_host.discrepancies.by_kind_and_row
 
 
-def test_a_reader_that_does_not_read_is_left_and_others_are_not_kept(tmp_path):
+def test_idle_reader_is_disconnected_and_does_not_block_others(tmp_path):
     premises = HostHarness(
         events=[listing(1, *({"id": f"e{n}", "addr": f"127.0.0.9:{n + 1}"} for n in range(900)))]
     )
     path = tmp_path / "sock"
-    service = accounting_service(premises, path)
+    service = start_accounting_service(premises, path)
     idle = [socket.socket(socket.AF_UNIX) for _ in range(4)]
     for sock in idle:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
         sock.connect(str(path))
-        sock.sendall(get("/metrics"))
+        sock.sendall(http_request("/metrics"))
         premises.turn()
-    assert service.http_listener.reader_count == 2  # the others were closed at once
+    assert service.http_listener.reader_count == 2  # the listener closed the others immediately
     premises.pass_time(7 * SECOND, 500)
-    assert service.http_listener.reader_count == 0 and b'"e899"' in asked(
-        premises, path, get("/figures")
+    assert service.http_listener.reader_count == 0 and b'"e899"' in send_http_request(
+        premises, path, http_request("/figures")
     )
     for sock in idle:
         sock.close()
 
 
-def test_the_door_moves_on_reload_and_replaces_only_dead_sockets(tmp_path):
+def test_listener_moves_on_reload_and_replaces_only_dead_sockets(tmp_path):
     premises = HostHarness()
     first, second = tmp_path / "one", tmp_path / "two"
     dead = socket.socket(socket.AF_UNIX)
     dead.bind(str(first))
     dead.close()
-    service = accounting_service(premises, first)
+    service = start_accounting_service(premises, first)
     (tmp_path / "file").write_text("kept")
     with pytest.raises(ConfigurationError):
-        accounting_service(premises, tmp_path / "file")
+        start_accounting_service(premises, tmp_path / "file")
     with pytest.raises(OSError):
         HttpListener(
             premises.event_loop, str(first), 1, dict, int, print, {}
-        )  # somebody listens there
-    said = read_operator(str(tmp_path / "operator.xml")).accounting
+        )  # another program listens on the path
+    config = read_operator(str(tmp_path / "operator.xml")).accounting
     with pytest.raises(ConfigurationError):
-        service.reload(said)  # the file that is no socket: the old door stays
+        service.reload(config)  # the path is a regular file, so the old listener remains
     assert (
-        b"200" in asked(premises, first, get("/figures"))
+        b"200" in send_http_request(premises, first, http_request("/figures"))
         and (tmp_path / "file").read_text() == "kept"
     )
     (tmp_path / "operator.xml").write_text(
         f'<operator version="1"><figures><listen unix="{second}"/></figures></operator>'
     )
     service.reload(read_operator(str(tmp_path / "operator.xml")).accounting)
-    assert b"200" in asked(premises, second, get("/figures")) and not first.exists()
+    assert (
+        b"200" in send_http_request(premises, second, http_request("/figures"))
+        and not first.exists()
+    )
     service.end()
     assert not second.exists()
 
@@ -674,7 +696,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, wrong",
+    "text, expected_message",
     [
         ("<operator", "operator.xml:1:"),
         ('<operator version="2"/>', "operator.xml:1: Element 'operator'"),
@@ -688,7 +710,8 @@
             "'address'",
         ),
         (
-            '<operator version="1"><figures><listen address="127.0.0.999:80"/></figures></operator>',
+            '<operator version="1"><figures><listen address="127.0.0.999:80"/>'
+            "</figures></operator>",
             "loopback",
         ),
         ('<operator version="1"><figures><keep folder="rel"/></figures></operator>', "'folder'"),
@@ -707,32 +730,32 @@
         ),
     ],
 )
-def test_a_faulty_operator_file_names_its_line_and_element(tmp_path, text, wrong):
+def test_error_of_invalid_operator_file_has_line_and_element(tmp_path, text, expected_message):
     path = tmp_path / "operator.xml"
     path.write_text(text)
-    with pytest.raises(ConfigurationError) as said:
+    with pytest.raises(ConfigurationError) as raised:
         read_operator(str(path))
-    assert wrong in str(said.value) and "\n" not in str(said.value)
+    assert expected_message in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_an_operator_file_has_defaults(tmp_path):
+def test_operator_file_has_defaults(tmp_path):
     path = tmp_path / "operator.xml"
     path.write_text(
         '<operator version="1"><figures><listen address="[::1]:9"/><keep folder="/x"/></figures>'
         "</operator>"
     )
-    said = read_operator(str(path)).accounting
-    assert (said.listen, said.readers) == (("::1", 9), 4)
+    config = read_operator(str(path)).accounting
+    assert (config.listen, config.readers) == (("::1", 9), 4)
     assert (
-        said.checkpoint_folder,
-        said.checkpoint_interval_ticks,
-        said.latency_relative_error,
+        config.checkpoint_folder,
+        config.checkpoint_interval_ticks,
+        config.latency_relative_error,
     ) == ("/x", 2500, 0.0)
     path.write_text('<operator version="1"/>')
     assert read_operator(str(path)).accounting is None
 
 
-def test_every_line_of_a_finding_has_its_event():
+def test_log_lines_of_findings_have_event_names():
     accounts = AuditedLedger()
     accounts.open.append(Record(accounts.rows[0]))
     accounts.rows[1].terms[0] += 1
