--- a/corkgauge/accounting/discrepancies.py
+++ b/corkgauge/accounting/discrepancies.py
@@ -1,8 +1,8 @@
 """Records discrepancies between the ledger and the live records until an operator clears them.
 
 Owns the findings and their log lines. Free of I/O; the caller provides the clock. The module must
-never change a count and never drop a finding on its own initiative. Its memory is bounded: there is
-one finding per kind and row, and at most MAX_FINDINGS.
+never change a count, and must keep each finding until an operator clears the findings. Memory is
+bounded: there is one finding per kind and row, and at most MAX_FINDINGS.
 """
 
 from collections.abc import Callable, Sequence
@@ -93,7 +93,7 @@
     def __init__(self, clock: Callable[[], int], log: Callable[[str], None]) -> None:
         self.clock = clock
         self.log = log
-        self.by_kind_and_row: dict[tuple[str, str], Discrepancy] = {}  # by kind and row
+        self.by_kind_and_row: dict[tuple[str, str], Discrepancy] = {}
         self.omitted_count = 0  # findings beyond MAX_FINDINGS
 
     @property
@@ -128,7 +128,7 @@
     def record_mistake(
         self, kind: str, row: str, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
-        """Record a wrong ledger entry; each one adds 1 to the difference of its finding, or -1."""
+        """Record a wrong ledger entry, which changes the difference of its finding by 1 or -1."""
         difference = -1 if kind in COUNTS_HOLD_LESS else 1
         found = self.by_kind_and_row.get((kind, row))
         if found is not None:
--- a/corkgauge/accounting/http_listener.py
+++ b/corkgauge/accounting/http_listener.py
@@ -1,7 +1,7 @@
 """Serves the counts over HTTP on a Unix socket or a loopback address, using h11.
 
     GET /metrics    Prometheus text        GET /figures    the snapshot as JSON
-    GET /findings   the discrepancies      POST /clear     remove all findings
+    GET /findings   the discrepancies      POST /clear     clear the findings that an operator saw
     and the routes of other subsystems, described in their own documentation
 
 Owns one listening socket and its few readers. The listener must not block the event loop and must
@@ -261,7 +261,4 @@
     """Return whether a program listens at the path of a Unix socket."""
     with socket.socket(socket.AF_UNIX) as probe:
         probe.setblocking(False)  # a Unix socket connects, or fails, immediately
-        return probe.connect_ex(path) in (
-            0,
-            errno.EAGAIN,
-        )  # EAGAIN: the backlog of a listener is full
+        return probe.connect_ex(path) in (0, errno.EAGAIN)  # EAGAIN: the listener's backlog is full
--- a/corkgauge/accounting/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -99,9 +99,8 @@
         self.unusable_row = self.request_classes[UNUSABLE_ROW] = RequestClassRow(UNUSABLE_ROW)
         self.engines: dict[str, EngineRow] = {}
         self.removed_row = EngineRow(REMOVED_ENGINES_ROW)
-        self.removed_in_flight: list[
-            EngineRow
-        ] = []  # rows of removed engines that still have attempts in flight
+        # Rows of removed engines that still have attempts in flight.
+        self.removed_in_flight: list[EngineRow] = []
         self.sides = [SideRow(name) for name in SIDE_NAMES]
         self.last_request_serial = 0
         self.last_attempt_serial = 0
@@ -212,7 +211,7 @@
         """Return the row of a listed engine; create the row if there is none.
 
         An engine that is listed again under the id of a removed engine gets a new row. The counts
-        of the removed engine remain in the row of the removed engines.
+        of the removed engine go into the row of removed engines.
         """
         row = self.engines.get(name)
         if row is None:
--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -74,9 +74,9 @@
         self.open.remove(record)
         self.ledger.record_closed(record, reason)
 
-    def send(self, record, engine=0, sort=counter_names.AttemptKind.FIRST):
+    def send(self, record, engine=0, attempt_kind=counter_names.AttemptKind.FIRST):
         attempt = Record(None, self.engine_rows[engine], record)
-        self.ledger.record_attempt_sent(attempt, sort)
+        self.ledger.record_attempt_sent(attempt, attempt_kind)
         self.in_flight.append(attempt)
         return attempt
 
@@ -259,13 +259,13 @@
     accounts = AuditedLedger(budget=(1.0, 0.1, SECOND))
     requests = [accounts.accept() for _ in range(10)]
     for _ in range(2):
-        accounts.send(requests[0], sort=counter_names.AttemptKind.RETRY)
+        accounts.send(requests[0], attempt_kind=counter_names.AttemptKind.RETRY)
     assert accounts.run_pass() == []
-    accounts.send(requests[1], sort=counter_names.AttemptKind.HEDGE)
+    accounts.send(requests[1], attempt_kind=counter_names.AttemptKind.HEDGE)
     assert ("over budget", "e0", 1) in accounts.run_pass()
     accounts.now += 2 * SECOND
     accounts.discrepancies.clear()
-    accounts.send(requests[2], sort=counter_names.AttemptKind.RETRY)
+    accounts.send(requests[2], attempt_kind=counter_names.AttemptKind.RETRY)
     assert accounts.run_pass() == []
 
 
