--- a/corkgauge/accounting/snapshot.py
+++ b/corkgauge/accounting/snapshot.py
@@ -1,18 +1,23 @@
-"""Snapshots: the accounts as they are in one moment, as plain data.
+"""Takes snapshots of the ledger: the counts of one moment, as plain data.
 
-Owns the form in which accounts leave the program. Free of I/O. Never mixes two moments in one
-snapshot: it is taken in one step, whatever is done with it afterwards.
+Owns the form in which counts leave the program. Free of I/O. A snapshot must never mix two moments,
+so its counts are copied in one step.
 
-A snapshot is what JSON has of it: `{"schema", "gateway", "epoch", "at", "offerings", "engines",
+The keys of a snapshot in JSON are `{"schema", "gateway", "epoch", "at", "offerings", "engines",
 "connections", "budget", "audit", "waits", "earlier"}`, where `at` and `epoch.started` are tenths of
 a millisecond of the system's clock. Instances of several versions read each other's snapshots, so
-a key never changes its meaning, and a reader passes over keys that it does not know.
+the meaning of a key never changes, and a reader ignores unknown keys.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any, NamedTuple
 
-from corkgauge.accounting.counter_names import OUTCOMES, REASON_NAMES, SORTS, TERMS
+from corkgauge.accounting.counter_names import (
+    ATTEMPT_KIND_NAMES,
+    OUTCOME_NAMES,
+    REASON_NAMES,
+    TERM_NAMES,
+)
 from corkgauge.accounting.discrepancies import Discrepancies, Discrepancy
 from corkgauge.accounting.ledger import RequestLedger
 from corkgauge.accounting.ledger_rows import EngineRow, RequestClassRow, SideRow
@@ -23,30 +28,30 @@
 
 
 class EngineCounts(NamedTuple):
-    """The counts of one engine; a checkpoint holds them as an array in this order."""
+    """The counts of one engine; a checkpoint stores them as an array in this order."""
 
-    sorts: list[int]
+    sent_by_kind: list[int]
     outcomes: list[int]
     in_flight: int
     pages: int
 
 
-class EngineRows(Mapping[str, dict[str, Any]]):
-    """The rows of all engines as they were in one moment, named only as they are read.
+class LazyEngineRows(Mapping[str, dict[str, Any]]):
+    """The rows of all engines at one moment; a row with named counts is built when it is read.
 
-    The rows of a fleet by name take milliseconds to make, and a snapshot must be taken in one step;
-    so this holds copies of the bare counts, by engine.
+    Building the named rows of a fleet takes milliseconds, but a snapshot must be taken in one step.
+    Therefore this mapping holds copies of the bare counts, by engine.
     """
 
     def __init__(self, counts: Mapping[str, Sequence[Any]]) -> None:
         self.counts = counts
 
     def __getitem__(self, name: str) -> dict[str, Any]:
-        sorts, outcomes, in_flight, pages = self.counts[name]
+        sent_by_kind, outcomes, in_flight, pages = self.counts[name]
         return {
-            # A checkpoint of another version may know fewer sorts or outcomes.
-            **dict(zip(SORTS, sorts, strict=False)),
-            "outcomes": dict(zip(OUTCOMES, outcomes, strict=False)),
+            # A checkpoint of another version may have fewer attempt kinds or outcomes.
+            **dict(zip(ATTEMPT_KIND_NAMES, sent_by_kind, strict=False)),
+            "outcomes": dict(zip(OUTCOME_NAMES, outcomes, strict=False)),
             "out": in_flight,
             "pages": pages,
         }
@@ -61,7 +66,7 @@
 def take_snapshot(
     ledger: RequestLedger, now: int, gateway: str, epoch: Mapping[str, Any]
 ) -> Snapshot:
-    """Return the counts alone, at a time in tenths of a millisecond: what a checkpoint holds."""
+    """Return the counts, which a checkpoint stores; `now` is tenths of a millisecond."""
     return {
         "schema": SCHEMA,
         "gateway": gateway,
@@ -70,20 +75,20 @@
         "offerings": {
             name: _request_class_fields(row) for name, row in ledger.request_classes.items()
         },
-        "engines": EngineRows(_engine_counts(ledger)),
+        "engines": LazyEngineRows(_engine_counts(ledger)),
         "connections": {row.name: _side_fields(row) for row in ledger.sides},
     }
 
 
-def as_plain(snapshot: Snapshot) -> Snapshot:
-    """Return a snapshot as it looks to whoever read it from JSON."""
+def as_plain_dict(snapshot: Snapshot) -> Snapshot:
+    """Return a snapshot with its engine rows built, equal to the snapshot read from JSON."""
     return {**snapshot, "engines": {**snapshot["engines"]}}
 
 
 def add_live_connections(
     snapshot: Snapshot, live_bytes: Sequence[tuple[int, int, int]]
 ) -> Snapshot:
-    """Add to a snapshot what connections that are up carry; return the same snapshot.
+    """Add the bytes and pages of open connections to a snapshot; return the same snapshot.
 
     `live_bytes` holds, by side, the bytes received, the bytes sent, and the pages received.
     """
@@ -96,27 +101,27 @@
 
 
 def add_audit(snapshot: Snapshot, discrepancies: Discrepancies, passes: int) -> Snapshot:
-    """Add to a snapshot what does not add up, after so many passes; return the same snapshot."""
+    """Add the findings and the number of passes to a snapshot; return the same snapshot."""
     snapshot["audit"] = {
         "passes": passes,
-        "alarm": discrepancies.alarm,
-        "untold": discrepancies.omitted,
-        "findings": [_discrepancy_fields(each) for each in discrepancies.by_place.values()],
+        "alarm": discrepancies.has_findings,
+        "untold": discrepancies.omitted_count,
+        "findings": [_discrepancy_fields(each) for each in discrepancies.by_kind_and_row.values()],
     }
     return snapshot
 
 
 def close_epoch(snapshot: Snapshot) -> dict[str, Any]:
-    """Return what is kept of an epoch that is over, by its last snapshot.
+    """Return the record of an ended epoch, from the last snapshot of the epoch.
 
-    These are its totals by request class; what was open then was cut off.
+    The record holds the totals by request class. Requests that were open then count as cut off.
     """
     return {
         "epoch": snapshot["epoch"],
         "until": snapshot["at"],
         "connections": snapshot["connections"],
         "offerings": {
-            name: {**{term: row[term] for term in TERMS}, "cut_off": row["open"]}
+            name: {**{term: row[term] for term in TERM_NAMES}, "cut_off": row["open"]}
             for name, row in snapshot["offerings"].items()
         },
     }
@@ -124,10 +129,10 @@
 
 def _request_class_fields(row: RequestClassRow) -> dict[str, Any]:
     return {
-        **dict(zip(TERMS, row.terms, strict=True)),
+        **dict(zip(TERM_NAMES, row.terms, strict=True)),
         "open": row.open,
         "reasons": dict(zip(REASON_NAMES, row.reasons, strict=True)),
-        **dict(zip(SORTS, row.sorts, strict=True)),
+        **dict(zip(ATTEMPT_KIND_NAMES, row.sent_by_kind, strict=True)),
         "out": row.in_flight,
     }
 
@@ -143,13 +148,13 @@
 
 
 def _engine_counts(ledger: RequestLedger) -> dict[str, EngineCounts]:
-    """Return copies of the counts by engine; removed ones with attempts in flight have departed."""
-    departed = EngineRow(ledger.departed.name)
-    for row in (ledger.departed, *ledger.departing):
-        departed.add_row(row)
+    """Return copies of the counts by engine, those of all removed engines in one row."""
+    removed = EngineRow(ledger.removed_row.name)
+    for row in (ledger.removed_row, *ledger.removed_in_flight):
+        removed.add_row(row)
     return {
-        name: EngineCounts(row.sorts.copy(), row.outcomes.copy(), row.in_flight, row.pages)
-        for name, row in {**ledger.engines, departed.name: departed}.items()
+        name: EngineCounts(row.sent_by_kind.copy(), row.outcomes.copy(), row.in_flight, row.pages)
+        for name, row in {**ledger.engines, removed.name: removed}.items()
     }
 
 
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -46,9 +46,14 @@
         "hand-off entered twice",
         "engine",
     ),
-    "handoff over skipped": ("on_attempt_finished", skip_call, "hand-off never closed", "engine"),
+    "handoff over skipped": (
+        "record_attempt_finished",
+        skip_call,
+        "hand-off never closed",
+        "engine",
+    ),
     "handoff over doubled": (
-        "on_attempt_finished",
+        "record_attempt_finished",
         repeat_call,
         "hand-off closed twice",
         "engine",
@@ -100,7 +105,7 @@
         rows[1].reasons[0] += 1
         return rows[1].name
     if fault == "sort altered":
-        rows[0].sorts[1] += 1
+        rows[0].sent_by_kind[1] += 1
         return "further"
     engine_pool = next(iter(socket_host.engine_pools.values()))
     if fault == "threads lost":
