--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -81,11 +81,11 @@
     count = 50_000
     for kind in codec.LayoutKind:
         session, queue, size = Session(codec.Layout(kind, "n1"), 7, 1400, 0), deltas(count)[::-1], 0
-        session.introduction(0, Counter())
+        session.make_template_messages(0, Counter())
         begun, longest = time.perf_counter(), 0.0
         while queue:
             last = time.perf_counter()
-            data, _, left = session.data_message(0, lambda: queue.pop() if queue else None)
+            data, _, left = session.make_data_message(0, lambda: queue.pop() if queue else None)
             if left:
                 queue.append(left)
             longest = max(longest, time.perf_counter() - last)
@@ -256,7 +256,7 @@
     """Engines of one hall eight times as slow from the 10th second to the 20th, of 30."""
     import json
 
-    from corkgauge.flow_export.report_rows import rows_of
+    from corkgauge.flow_export.report_rows import rows_from_message
     from corkgauge.testkit.emulators.collector import EmulatedCollector
     from corkgauge.testkit.faults.script import read
     from corkgauge.testkit.fleet.day import Day
@@ -270,7 +270,7 @@
     )
     rows = []
     collector = EmulatedCollector(
-        play.event_loop, "udp", lambda message, data: rows.extend(rows_of(message))
+        play.event_loop, "udp", lambda message, data: rows.extend(rows_from_message(message))
     )
     said = os.path.join(play.folder, "operator.xml")
     with open(said, "w", encoding="utf-8") as file:
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -91,7 +91,7 @@
     Ends with 1 if anything came that could not be decoded.
     """
     from corkgauge.eventloop.loop import SECOND, EventLoop
-    from corkgauge.flow_export.report_rows import rows_of
+    from corkgauge.flow_export.report_rows import rows_from_message
     from corkgauge.testkit.emulators.collector import EmulatedCollector
 
     event_loop, count = EventLoop(), [0, 0, 0]
@@ -100,10 +100,10 @@
 
     def heard(message: Any, data: bytes) -> None:
         count[0] += 1
-        count[2] += message.missed
+        count[2] += message.missed_count
         if kept:
             kept.write(len(data).to_bytes(4, "big") + data)
-        for row in rows_of(message):
+        for row in rows_from_message(message):
             count[1] += 1
             if out:
                 out.put(row)
@@ -293,8 +293,8 @@
                 "domain": heard.domain,
                 "sequence": heard.sequence,
                 "exported": heard.export_time_seconds,
-                "templates": heard.templates,
-                "missed": heard.missed,
+                "templates": heard.template_count,
+                "missed": heard.missed_count,
                 "options": heard.options,
                 "records": heard.records,
             }
--- a/corkgauge/flow_export/backoff.py
+++ b/corkgauge/flow_export/backoff.py
@@ -15,7 +15,7 @@
         self.seed = seed
         self.draws = 0
 
-    def next_ticks(self, failures: int) -> int:
+    def next_ticks(self, failure_count: int) -> int:
         """Return the backoff after so many failures in a row, a quarter more or less.
 
         Without the jitter, gateways that lost one collector at the same moment would come back to
@@ -23,5 +23,5 @@
         """
         self.draws += 1
         fraction = crc32(pack("<QQ", self.seed, self.draws)) / 2**32
-        doubled = MIN_BACKOFF_TICKS * 2 ** min(failures - 1, MAX_DOUBLINGS)
+        doubled = MIN_BACKOFF_TICKS * 2 ** min(failure_count - 1, MAX_DOUBLINGS)
         return int(min(doubled, MAX_BACKOFF_TICKS) * (0.75 + fraction / 2))
--- a/corkgauge/flow_export/codec.py
+++ b/corkgauge/flow_export/codec.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from corkgauge.flow_export.counter_deltas import Delta
-from corkgauge.flow_export.elements import OWN_ELEMENTS, OWN_ENTERPRISE, TCP
+from corkgauge.flow_export.elements import DOCUMENTATION_ENTERPRISE, ENTERPRISE_ELEMENTS, TCP
 from corkgauge.flow_export.templates import (
     FIRST_DATA_SET,
     IPFIX_OPTIONS_TEMPLATE_SET,
@@ -20,7 +20,7 @@
     SET_HEADER,
     LayoutKind,
     TemplateId,
-    templates_of,
+    templates_of_layout,
 )
 
 IPFIX_VERSION = 10
@@ -53,14 +53,14 @@
         self.is_v9 = self.kind == LayoutKind.NETFLOW9
         self.is_biflow = self.kind == LayoutKind.OWN
         self.gateway = _encode_name(gateway)
-        self.templates = {template.number: template for template in templates_of(self.kind)}
+        self.templates = {template.number: template for template in templates_of_layout(self.kind)}
 
-    def records(self, delta: Delta, started_ms: int) -> list[DataRecord]:
+    def encode_delta(self, delta: Delta, started_ms: int) -> list[DataRecord]:
         """Encode a delta; `started_ms` is when NetFlow v9's uptime began, on the system's clock."""
         if self.is_v9:
             return [self._v9_record(delta, started_ms)]
         if self.is_biflow:
-            return [self._biflow(delta)]
+            return [self._biflow_record(delta)]
         records = [self._forward_record(delta)]
         if delta.reverse_octets:
             records.append(self._reverse_record(delta))
@@ -87,7 +87,7 @@
             ),
         )
 
-    def _biflow(self, delta: Delta) -> DataRecord:
+    def _biflow_record(self, delta: Delta) -> DataRecord:
         names = self.gateway, _encode_name(delta.engine), _encode_name(delta.zone)
         counters = delta.start_ms, delta.end_ms, delta.forward_octets, delta.reverse_octets
         if not delta.family:
@@ -153,26 +153,26 @@
     def _encode(
         self, number: int, values: tuple[int | bytes, ...], names: tuple[bytes, ...] = ()
     ) -> DataRecord:
-        return DataRecord(number, self.templates[number].record(values, names))
+        return DataRecord(number, self.templates[number].encode_record(values, names))
 
-    def statistics_record(self, domain: int, statistics: dict[str, int]) -> bytes:
+    def encode_statistics(self, domain: int, statistics: dict[str, int]) -> bytes:
         """Encode the totals of export (by element names) as an options record of the domain."""
         template = self.templates[TemplateId.STATISTICS]
         values = [domain]
         for field in template.fields[1:]:
             largest = 2 ** (8 * field.length) - 1
             values.append(min(statistics[field.name], largest))
-        return template.record(values)
+        return template.encode_record(values)
 
-    def element_type_records(self) -> list[bytes]:
+    def encode_element_types(self) -> list[bytes]:
         """Encode what our own elements are (RFC 5610); none in layouts without them."""
         template = self.templates.get(TemplateId.ELEMENT_TYPES)
         if template is None:
             return []
         return [
-            template.record(
+            template.encode_record(
                 (
-                    OWN_ENTERPRISE,
+                    DOCUMENTATION_ENTERPRISE,
                     element.number,
                     element.data_type,
                     element.semantics,
@@ -180,7 +180,7 @@
                 ),
                 [element.name.encode()],
             )
-            for element in OWN_ELEMENTS
+            for element in ENTERPRISE_ELEMENTS
         ]
 
 
@@ -199,9 +199,9 @@
 class Message:
     """One message while it is written; `limit` in octets."""
 
-    def __init__(self, is_v9: bool, limit: int) -> None:
+    def __init__(self, is_v9: bool, max_message_bytes: int) -> None:
         self.is_v9 = is_v9
-        self.limit = limit
+        self.max_message_bytes = max_message_bytes
         self.size = (V9_HEADER if is_v9 else IPFIX_HEADER).size  # octets, padding at its largest
         self.sets: dict[int, list[bytes]] = {}
         self.data_record_count = 0
@@ -212,7 +212,7 @@
         is_new_set = set_id not in self.sets
         if is_new_set:
             size += SET_HEADER.size + MAX_PADDING_BYTES
-        if size > self.limit:
+        if size > self.max_message_bytes:
             return False
         if is_new_set:
             self.sets[set_id] = []
@@ -222,7 +222,7 @@
             self.data_record_count += 1
         return True
 
-    def data(self, now_ms: int, started_ms: int, sequence: int, domain: int) -> bytes:
+    def encode(self, now_ms: int, started_ms: int, sequence: int, domain: int) -> bytes:
         """Encode the message.
 
         Args:
@@ -250,7 +250,7 @@
         return header + records + bytes(padding)
 
 
-def withdrawal(now_ms: int, sequence: int, domain: int) -> bytes:
+def encode_withdrawal(now_ms: int, sequence: int, domain: int) -> bytes:
     """Encode an IPFIX message that withdraws all templates of both sorts (RFC 7011, 8.1).
 
     For streams only.
@@ -258,4 +258,4 @@
     message = Message(False, MIN_MESSAGE_BYTES)
     for set_id in (IPFIX_TEMPLATE_SET, IPFIX_OPTIONS_TEMPLATE_SET):
         message.add(set_id, SET_HEADER.pack(set_id, 0))
-    return message.data(now_ms, 0, sequence, domain)
+    return message.encode(now_ms, 0, sequence, domain)
--- a/corkgauge/flow_export/collector_peer.py
+++ b/corkgauge/flow_export/collector_peer.py
@@ -11,7 +11,7 @@
 from corkgauge.flow_export.session import Session
 
 # Messages of a stream that are remembered for what the system may still hold of them.
-MAX_RECENT_MESSAGES = 1024
+MAX_WRITTEN_MESSAGES = 1024
 STALL_TIMEOUT_TICKS = 50_000  # 5 s that a stream may take no byte
 TICKS_PER_MS = 10
 
@@ -51,7 +51,7 @@
     Args:
         name: its address, as logged.
         is_datagram: whether messages go as datagrams, else in a stream.
-        limit: octets of one message.
+        max_message_bytes: octets of one message.
         refresh_ticks: time after which templates are sent again (datagrams).
         refresh_messages: messages after which templates are sent again (datagrams).
     """
@@ -60,13 +60,13 @@
         self,
         name: str,
         is_datagram: bool,
-        limit: int,
+        max_message_bytes: int,
         refresh_ticks: int,
         refresh_messages: int,
     ) -> None:
         self.name = name
         self.is_datagram = is_datagram
-        self.limit = limit
+        self.max_message_bytes = max_message_bytes
         self.refresh_ticks = refresh_ticks
         self.refresh_messages = refresh_messages
 
@@ -74,7 +74,7 @@
         self.state = CollectorState.DOWN
         self.state_since = 0
         self.retry_at = 0
-        self.failures = 0
+        self.failure_count = 0
         self.down_reason = ""
         self.session: Session | None = None
 
@@ -83,8 +83,10 @@
         self.in_flight_octets = 0
         self.sent_bytes = 0
         self.written_bytes = 0
-        self.last_progress = 0  # when it last took a byte, or had none to take
-        self.recent: deque[WrittenMessage] = deque(maxlen=MAX_RECENT_MESSAGES)  # streams only
+        self.last_progress_at = 0  # when it last took a byte, or had none to take
+        self.written_messages: deque[WrittenMessage] = deque(
+            maxlen=MAX_WRITTEN_MESSAGES
+        )  # streams only
 
     @property
     def has_session(self) -> bool:
@@ -104,7 +106,7 @@
         """Whether a stream has had bytes to take for too long, and took none."""
         if self.is_datagram or self.sent_bytes <= self.written_bytes:
             return False
-        return now > self.last_progress + STALL_TIMEOUT_TICKS
+        return now > self.last_progress_at + STALL_TIMEOUT_TICKS
 
     def is_refresh_due(self, now: int) -> bool:
         """Whether templates go again, as datagrams may be lost (RFC 7011, 8.4)."""
@@ -116,7 +118,7 @@
             or session.messages_since_templates >= self.refresh_messages
         )
 
-    def forget_in_flight(self) -> None:
+    def clear_in_flight(self) -> None:
         """Hold nothing in flight any more."""
         self.in_flight.clear()
         self.in_flight_octets = 0
@@ -138,12 +140,12 @@
         """Write a line to the program's log."""
 
 
-def is_wanted(peer: CollectorPeer, peers: list[CollectorPeer]) -> bool:
+def should_connect(peer: CollectorPeer, peers: list[CollectorPeer]) -> bool:
     """Whether to connect: the first always; a later one where none before it does well."""
     for preferred in peers:
         if preferred is peer:
             return True
-        is_opening = preferred.state is CollectorState.OPENING and not preferred.failures
+        is_opening = preferred.state is CollectorState.OPENING and not preferred.failure_count
         if preferred.has_session or is_opening:
             return False
     return False
--- a/corkgauge/flow_export/configured_collectors.py
+++ b/corkgauge/flow_export/configured_collectors.py
@@ -22,12 +22,12 @@
         ConfigurationError: a file cannot be read, or others may read a key.
     """
     try:
-        return [ConfiguredCollector(each, _tls_target_of(each)) for each in settings.collectors]
+        return [ConfiguredCollector(each, _make_tls_target(each)) for each in settings.collectors]
     except TlsConfigurationError as problem:
         raise ConfigurationError(f"flows: {problem}") from None
 
 
-def _tls_target_of(collector: CollectorConfig) -> TlsTarget | None:
+def _make_tls_target(collector: CollectorConfig) -> TlsTarget | None:
     tls = collector.tls
     if not tls:
         return None
@@ -36,13 +36,13 @@
     )
 
 
-def peer_of(collector: CollectorConfig) -> CollectorPeer:
+def make_peer(collector: CollectorConfig) -> CollectorPeer:
     """Make the state of a collector, which is down at first."""
     host, port = collector.address
     return CollectorPeer(
         name=f"{host}:{port}",
         is_datagram=collector.transport == "udp",
-        limit=collector.max_message_bytes,
+        max_message_bytes=collector.max_message_bytes,
         refresh_ticks=collector.template_refresh_ticks,
         refresh_messages=collector.template_refresh_messages,
     )
--- a/corkgauge/flow_export/decoded_message.py
+++ b/corkgauge/flow_export/decoded_message.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from corkgauge.flow_export.elements import VARIABLE, ElementKey
+from corkgauge.flow_export.elements import VARIABLE_LENGTH, ElementKey
 
 Record = dict[str, Any]  # values by element names, or "enterprise/number" of unknown elements
 
@@ -13,7 +13,7 @@
 
 
 class FieldSpecifier(NamedTuple):
-    """One field of a template as it is on the wire; `length` in octets, or `VARIABLE`."""
+    """One field of a template as it is on the wire; `length` in octets, or `VARIABLE_LENGTH`."""
 
     key: ElementKey
     length: int
@@ -30,7 +30,7 @@
     @property
     def min_record_bytes(self) -> int:
         """Length of the shortest record."""
-        return sum(1 if field.length == VARIABLE else field.length for field in self.fields)
+        return sum(1 if field.length == VARIABLE_LENGTH else field.length for field in self.fields)
 
 
 @dataclass(slots=True)
@@ -44,6 +44,6 @@
     uptime_ms: int  # NetFlow v9: since the exporter began
     records: list[Record] = field(default_factory=list)  # of flows
     options: list[Record] = field(default_factory=list)
-    templates: int = 0  # how many it had
-    unknown: int = 0  # sets whose template the exporter never sent
-    missed: int = 0  # by the sequence: data records (IPFIX) or messages (NetFlow v9)
+    template_count: int = 0  # how many it had
+    unknown_set_count: int = 0  # sets whose template the exporter never sent
+    missed_count: int = 0  # by the sequence: data records (IPFIX) or messages (NetFlow v9)
--- a/corkgauge/flow_export/decoder.py
+++ b/corkgauge/flow_export/decoder.py
@@ -18,7 +18,7 @@
 from corkgauge.flow_export.elements import (
     STANDARD_ELEMENTS,
     VALUE_TYPE_BY_DATA_TYPE,
-    VARIABLE,
+    VARIABLE_LENGTH,
     Element,
     ElementKey,
     ValueType,
@@ -86,9 +86,9 @@
         for message_set in parse_sets(data, header.size):
             record_count += self._decode_set(message, message_set.set_id, message_set.body)
         declared = header.record_count
-        if declared is not None and not message.unknown and record_count != declared:
+        if declared is not None and not message.unknown_set_count and record_count != declared:
             raise MalformedMessageError(f"{record_count} records in a message that says {declared}")
-        self._expect_next(message)
+        self._update_expected_sequence(message)
         return message
 
     # Sequence.
@@ -97,11 +97,11 @@
         expected = self.expected_sequence.get(message.domain, message.sequence)
         gap = (message.sequence - expected) % UINT32_MODULUS
         # A sequence far behind is a new start, or a message out of order.
-        message.missed = gap if gap < UINT32_MODULUS // 2 else 0
+        message.missed_count = gap if gap < UINT32_MODULUS // 2 else 0
 
-    def _expect_next(self, message: DecodedMessage) -> None:
+    def _update_expected_sequence(self, message: DecodedMessage) -> None:
         """Note the next sequence: IPFIX counts data records, NetFlow v9 messages."""
-        if message.unknown and message.version == IPFIX_VERSION:
+        if message.unknown_set_count and message.version == IPFIX_VERSION:
             # How many records those sets held is not known.
             self.expected_sequence.pop(message.domain, None)
             return
@@ -126,7 +126,7 @@
             raise MalformedMessageError(f"set {set_id}")
         template = self.templates.get(TemplateKey(message.domain, set_id))
         if template is None or template.is_v9 != is_v9:
-            message.unknown += 1
+            message.unknown_set_count += 1
             return 0
         return self._decode_data_set(message, template, body)
 
@@ -166,7 +166,7 @@
             header = _options_header(number, first, second, is_v9)
             fields, position = parse_field_specifiers(body, position, header.field_count, is_v9)
             if is_v9:
-                fields = _with_exporter_scope(fields, header.scope_count)
+                fields = _replace_v9_scope(fields, header.scope_count)
             template = LearnedTemplate(fields, header.scope_count, is_v9)
             self._learn_template(message, number, template)
             count += 1
@@ -185,7 +185,7 @@
         if number < FIRST_DATA_SET:
             raise MalformedMessageError(f"template {number}")
         self.templates[TemplateKey(message.domain, number)] = template
-        message.templates += 1
+        message.template_count += 1
         # An exporter that makes up domains would fill the memory: the oldest ones go.
         while len(self.templates) > MAX_TEMPLATES:
             del self.templates[next(iter(self.templates))]
@@ -235,7 +235,7 @@
         record: Record = {}
         for key, field_length in template.fields:
             length = field_length
-            if length == VARIABLE:
+            if length == VARIABLE_LENGTH:
                 length, position = parse_variable_length(body, position)
             value = body[position : position + length]
             if len(value) != length:
@@ -286,7 +286,7 @@
     return header
 
 
-def _with_exporter_scope(fields: list[FieldSpecifier], scope_count: int) -> list[FieldSpecifier]:
+def _replace_v9_scope(fields: list[FieldSpecifier], scope_count: int) -> list[FieldSpecifier]:
     """NetFlow v9 numbers scopes apart from elements; only the exporter's own is used here."""
     scope = [FieldSpecifier(OBSERVATION_DOMAIN_ID, field.length) for field in fields[:scope_count]]
     return scope + fields[scope_count:]
--- a/corkgauge/flow_export/elements.py
+++ b/corkgauge/flow_export/elements.py
@@ -8,9 +8,9 @@
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
-OWN_ENTERPRISE = 32473  # the enterprise number for documentation (RFC 5612)
+DOCUMENTATION_ENTERPRISE = 32473  # the enterprise number for documentation (RFC 5612)
 REVERSE_ENTERPRISE = 29305  # of the reverse direction of a biflow (RFC 5103)
-VARIABLE = 65535  # length of a field whose records state their own length (RFC 7011, 7)
+VARIABLE_LENGTH = 65535  # length of a field whose records state their own length (RFC 7011, 7)
 TCP = 6  # protocolIdentifier
 
 
@@ -136,30 +136,41 @@
 REVERSE_OCTETS = Element("reverseOctetDeltaCount", 1, ValueType.UNSIGNED, REVERSE_ENTERPRISE)
 
 
-def _own_string(name: str, number: int) -> Element:
+def _enterprise_string(name: str, number: int) -> Element:
     return Element(
-        name, number, ValueType.STRING, OWN_ENTERPRISE, DataType.STRING, Semantics.IDENTIFIER
+        name,
+        number,
+        ValueType.STRING,
+        DOCUMENTATION_ENTERPRISE,
+        DataType.STRING,
+        Semantics.IDENTIFIER,
     )
 
 
-def _own_count(name: str, number: int, semantics: Semantics, units: Units) -> Element:
+def _enterprise_counter(name: str, number: int, semantics: Semantics, units: Units) -> Element:
     return Element(
-        name, number, ValueType.UNSIGNED, OWN_ENTERPRISE, DataType.UNSIGNED64, semantics, units
+        name,
+        number,
+        ValueType.UNSIGNED,
+        DOCUMENTATION_ENTERPRISE,
+        DataType.UNSIGNED64,
+        semantics,
+        units,
     )
 
 
-OWN_ELEMENTS = [
-    _own_string("gatewayName", 1),
-    _own_string("engineId", 2),
-    _own_string("hallName", 3),
-    _own_count("measuredOctetTotalCount", 4, Semantics.TOTAL_COUNTER, Units.OCTETS),
-    _own_count("heldOctetCount", 5, Semantics.DEFAULT, Units.OCTETS),
-    _own_count("mergedFlowTotalCount", 6, Semantics.TOTAL_COUNTER, Units.FLOWS),
-    _own_count("unsureOctetTotalCount", 7, Semantics.TOTAL_COUNTER, Units.OCTETS),
-    _own_count("repeatedOctetTotalCount", 8, Semantics.TOTAL_COUNTER, Units.OCTETS),
+ENTERPRISE_ELEMENTS = [
+    _enterprise_string("gatewayName", 1),
+    _enterprise_string("engineId", 2),
+    _enterprise_string("hallName", 3),
+    _enterprise_counter("measuredOctetTotalCount", 4, Semantics.TOTAL_COUNTER, Units.OCTETS),
+    _enterprise_counter("heldOctetCount", 5, Semantics.DEFAULT, Units.OCTETS),
+    _enterprise_counter("mergedFlowTotalCount", 6, Semantics.TOTAL_COUNTER, Units.FLOWS),
+    _enterprise_counter("unsureOctetTotalCount", 7, Semantics.TOTAL_COUNTER, Units.OCTETS),
+    _enterprise_counter("repeatedOctetTotalCount", 8, Semantics.TOTAL_COUNTER, Units.OCTETS),
 ]
 ELEMENT_BY_NAME = {
-    element.name: element for element in (*IANA_ELEMENTS, REVERSE_OCTETS, *OWN_ELEMENTS)
+    element.name: element for element in (*IANA_ELEMENTS, REVERSE_OCTETS, *ENTERPRISE_ELEMENTS)
 }
 # What a decoder knows without being told; our own elements it learns from options records.
 STANDARD_ELEMENTS = {
--- a/corkgauge/flow_export/endpoints.py
+++ b/corkgauge/flow_export/endpoints.py
@@ -22,7 +22,7 @@
 NO_ENDPOINTS = Endpoints(0, b"", 0, b"", 0)
 
 
-def endpoints_of(sock: socket.socket, direction: int) -> Endpoints:
+def read_endpoints(sock: socket.socket, direction: int) -> Endpoints:
     """The initiator's address and port, and the other's; family 0 where the socket has none."""
     try:
         ours = sock.getsockname()
--- a/corkgauge/flow_export/export_buffer.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -22,22 +22,22 @@
     CollectorTransports,
     InFlightMessage,
     WrittenMessage,
-    is_wanted,
+    should_connect,
 )
 from corkgauge.flow_export.counter_deltas import Delta
 from corkgauge.flow_export.export_totals import ExportTotals
 from corkgauge.flow_export.pending_records import PendingRecords
 from corkgauge.flow_export.session import Session
 
-SECOND = 10_000  # ticks
+TICKS_PER_SECOND = 10_000
 TICKS_PER_MS = 10
 TRIAL_TICKS = 2_000  # between templates and first data
 DATAGRAM_CONFIRM_TICKS = 1_000  # that a datagram is in flight: ICMP would have come within it
-OPEN_TIMEOUT_TICKS = 3 * SECOND  # for a stream and its TLS to come up
-STEADY_TICKS = 30 * SECOND  # up for so long, and its failures are forgotten
-STATISTICS_PERIOD_TICKS = 30 * SECOND
-MAX_MESSAGES_PER_TICK = 6  # a queue of minutes would hold up the loop
-MAX_MESSAGES_AT_END = 500  # of the last tick
+OPEN_TIMEOUT_TICKS = 3 * TICKS_PER_SECOND  # for a stream and its TLS to come up
+FAILURE_RESET_TICKS = 30 * TICKS_PER_SECOND  # up for so long, and its failures are forgotten
+STATISTICS_PERIOD_TICKS = 30 * TICKS_PER_SECOND
+MAX_MESSAGES_PER_CHECK = 6  # a queue of minutes would hold up the loop
+MAX_MESSAGES_AT_SHUTDOWN = 500  # of the last tick
 
 
 class ExportBuffer:
@@ -78,11 +78,11 @@
         """Begin a session on a connection that is up: templates first."""
         peer.state = CollectorState.TRIAL
         peer.state_since = now
-        peer.last_progress = now
+        peer.last_progress_at = now
         peer.sent_bytes = 0
         peer.written_bytes = 0
         started_ms = self.started_at // TICKS_PER_MS
-        peer.session = Session(self.layout, self.domain, peer.limit, started_ms)
+        peer.session = Session(self.layout, self.domain, peer.max_message_bytes, started_ms)
         self._send_templates(peer, now)
 
     def on_lost(
@@ -96,18 +96,18 @@
             return
         if peer.state is CollectorState.UP:
             self.transports.log(f"collector {peer.name} lost: {reason}")
-        elif not peer.failures:
+        elif not peer.failure_count:
             self.transports.log(f"collector {peer.name} not reached: {reason}")
         self._confirm_delivered(peer, now)
-        self._take_back_lost(peer, unacknowledged_bytes)
-        if peer.state is CollectorState.UP and now > peer.state_since + STEADY_TICKS:
-            peer.failures = 0
-        peer.failures += 1
+        self._requeue_lost(peer, unacknowledged_bytes)
+        if peer.state is CollectorState.UP and now > peer.state_since + FAILURE_RESET_TICKS:
+            peer.failure_count = 0
+        peer.failure_count += 1
         peer.state = CollectorState.DOWN
         peer.state_since = now
         peer.session = None
         peer.down_reason = reason
-        peer.retry_at = now + self.backoff.next_ticks(peer.failures)
+        peer.retry_at = now + self.backoff.next_ticks(peer.failure_count)
         if self.active is peer:
             self.active = None
         self.transports.close(peer)
@@ -116,28 +116,28 @@
         """Confirm messages: so many bytes of the stream are in the system's hands."""
         if written_bytes > peer.written_bytes:
             peer.written_bytes = written_bytes
-            peer.last_progress = now
+            peer.last_progress_at = now
             self._confirm_delivered(peer, now)
 
-    def on_tick(self, now: int) -> None:
+    def on_timer(self, now: int) -> None:
         """Open what should be open, confirm, export what is pending; several times a second."""
         for peer in self.peers:
-            self._check_peer(peer, now)
+            self._update_peer(peer, now)
         self._select_active(now)
         if self.active is not None:
-            self._export(self.active, now, MAX_MESSAGES_PER_TICK)
+            self._export(self.active, now, MAX_MESSAGES_PER_CHECK)
 
     def flush(self, now: int) -> None:
         """Send as much as goes at once, as the program ends; `disconnect_all` follows."""
         if self.active is not None:
-            self._export(self.active, now, MAX_MESSAGES_AT_END)
+            self._export(self.active, now, MAX_MESSAGES_AT_SHUTDOWN)
 
     def reconfigure(self, peers: list[CollectorPeer], layout: Layout, now: int) -> None:
         """Go on with other collectors or another layout; what is pending stays so."""
         if self.active is not None and not self.active.is_datagram:
             # Templates of a stream are withdrawn before others may take their ids (RFC 7011, 8.1).
             session = self.active.current_session()
-            self.transports.send(self.active, session.withdraw_templates(now // TICKS_PER_MS))
+            self.transports.send(self.active, session.make_withdrawal_message(now // TICKS_PER_MS))
         self.disconnect_all(now)
         self.peers = peers
         self.layout = layout
@@ -145,7 +145,7 @@
     def disconnect_all(self, now: int) -> None:
         """Leave all collectors; what is not on its way is pending again."""
         for peer in self.peers:
-            self._release(peer, now)
+            self._stop_export_to(peer, now)
             if peer.state is not CollectorState.DOWN:
                 peer.state = CollectorState.DOWN
                 self.transports.close(peer)
@@ -153,23 +153,25 @@
 
     # What becomes of messages in flight.
 
-    def _take_back_lost(self, peer: CollectorPeer, unacknowledged_bytes: int) -> None:
+    def _requeue_lost(self, peer: CollectorPeer, unacknowledged_bytes: int) -> None:
         for message in peer.in_flight:
             if peer.is_datagram:
                 # Perhaps only the last one was refused. A loss would show nowhere; a repeat is
                 # counted.
                 self.totals.repeated_octets += message.octets
-            self.pending.put_back(message.deltas)
+            self.pending.requeue(message.deltas)
         # What the system had taken may have gone with the connection, or have arrived: sent again
         # it could count twice, so it stays exported and is reported as uncertain.
         acknowledged_bytes = peer.written_bytes - unacknowledged_bytes
         self.totals.uncertain_octets += sum(
-            message.octets for message in peer.recent if message.end_offset > acknowledged_bytes
+            message.octets
+            for message in peer.written_messages
+            if message.end_offset > acknowledged_bytes
         )
-        peer.recent.clear()
-        peer.forget_in_flight()
+        peer.written_messages.clear()
+        peer.clear_in_flight()
 
-    def _release(self, peer: CollectorPeer, now: int) -> None:
+    def _stop_export_to(self, peer: CollectorPeer, now: int) -> None:
         """Send nothing more to it: what is on its way is exported, what is not goes elsewhere."""
         confirm_time = now
         if peer.is_datagram:
@@ -178,8 +180,8 @@
         # A stream's ring still has a while to leave, so these may arrive though they are sent
         # again.
         self.totals.repeated_octets += peer.in_flight_octets
-        self.pending.put_back([delta for message in peer.in_flight for delta in message.deltas])
-        peer.forget_in_flight()
+        self.pending.requeue([delta for message in peer.in_flight for delta in message.deltas])
+        peer.clear_in_flight()
 
     def _confirm_delivered(self, peer: CollectorPeer, now: int) -> None:
         """Count as exported what has arrived, as far as that can be known."""
@@ -197,12 +199,12 @@
             self.totals.exported_octets += octets
             self.totals.exported_records += len(message.deltas)
             if not peer.is_datagram:
-                peer.recent.append(WrittenMessage(message.end_offset, octets))
+                peer.written_messages.append(WrittenMessage(message.end_offset, octets))
 
     # Which collector.
 
-    def _check_peer(self, peer: CollectorPeer, now: int) -> None:
-        if peer.is_retry_due(now) and is_wanted(peer, self.peers):
+    def _update_peer(self, peer: CollectorPeer, now: int) -> None:
+        if peer.is_retry_due(now) and should_connect(peer, self.peers):
             peer.state = CollectorState.OPENING
             peer.state_since = now
             self.transports.open(peer)
@@ -228,7 +230,7 @@
         # The active one is among the peers: if it is up, so is one before it.
         if first and self.active and self.active.state is CollectorState.UP:
             self.transports.log(f"collector {first.name} takes over from {self.active.name}")
-            self._release(self.active, now)
+            self._stop_export_to(self.active, now)
             self.active.state = CollectorState.DOWN
             self.transports.close(self.active)
         self.active = first
@@ -242,20 +244,20 @@
             self._send_templates(peer, now)
         elif now >= self.statistics_sent_at + STATISTICS_PERIOD_TICKS:
             self.statistics_sent_at = now
-            self._send(peer, session.statistics_message(now_ms, self.statistics()), [], now)
+            self._send(peer, session.make_statistics_message(now_ms, self.statistics()), [], now)
         for _ in range(max_messages):
             if not len(self.pending):
                 return
-            message = session.data_message(now_ms, self.pending.pop_next)
-            if message.left_over is not None:
-                self.pending.put_back([message.left_over])
+            message = session.make_data_message(now_ms, self.pending.pop_next)
+            if message.rejected_delta is not None:
+                self.pending.requeue([message.rejected_delta])
             if not self._send(peer, message.data, message.deltas, now):
                 return
 
     def _send_templates(self, peer: CollectorPeer, now: int) -> None:
         self.statistics_sent_at = now
         session = peer.current_session()
-        for data in session.introduction(now // TICKS_PER_MS, self.statistics()):
+        for data in session.make_template_messages(now // TICKS_PER_MS, self.statistics()):
             self._send(peer, data, [], now)
 
     def _send(self, peer: CollectorPeer, data: bytes, deltas: list[Delta], now: int) -> bool:
@@ -264,11 +266,11 @@
         A transport takes the whole of a message or nothing of it.
         """
         if not self.transports.send(peer, data):
-            self.pending.put_back(deltas)
-            peer.current_session().revert_last()
+            self.pending.requeue(deltas)
+            peer.current_session().revert_sequence()
             return False
         if peer.sent_bytes == peer.written_bytes:
-            peer.last_progress = now  # it had nothing to take until now
+            peer.last_progress_at = now  # it had nothing to take until now
         peer.sent_bytes += len(data)
         message = InFlightMessage(now, peer.sent_bytes, deltas)
         peer.in_flight_octets += message.octets
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -15,12 +15,12 @@
 from corkgauge.flow_export.collector_peer import CollectorPeer
 from corkgauge.flow_export.configured_collectors import (
     ConfiguredCollector,
-    peer_of,
+    make_peer,
     read_collectors,
 )
 from corkgauge.flow_export.counter_deltas import Delta
 from corkgauge.flow_export.elements import FlowEndReason
-from corkgauge.flow_export.endpoints import endpoints_of
+from corkgauge.flow_export.endpoints import read_endpoints
 from corkgauge.flow_export.export_buffer import ExportBuffer
 from corkgauge.flow_export.meter import Flow, Meter, MeteredConnection
 from corkgauge.flow_export.pending_records import PendingRecords
@@ -32,7 +32,7 @@
 
 CHECK_PERIOD_TICKS = 500
 # Why a connection ended by itself, and not by us.
-ENDED_BY_ITSELF = ("closed", "Connection reset by peer", "Broken pipe", "broken")
+REMOTE_CLOSE_REASONS = ("closed", "Connection reset by peer", "Broken pipe", "broken")
 
 
 class ExportHost(Protocol):
@@ -60,7 +60,7 @@
 
     name: str
     difference: int  # octets
-    meaning: str
+    formula: str
 
 
 class Exporter:
@@ -95,38 +95,38 @@
 
         self._configure(settings, read_collectors(settings))
         socket_host.flows = self
-        socket_host.auditor.equations.append(self.differences)
-        self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_tick)
+        socket_host.auditor.equations.append(self.balance_checks)
+        self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_timer)
 
     # What the host notifies of.
 
-    def up(
+    def on_connection_opened(
         self, connection: HostConnection, direction: int, engine: str = "", zone: str = ""
     ) -> None:
         """Meter a connection from now on: a client's, or one to an engine of a zone."""
-        endpoints = endpoints_of(connection.sock, direction)
+        endpoints = read_endpoints(connection.sock, direction)
         self.flows[connection] = self.meter.start_flow(
             connection, direction, endpoints, engine, zone, self.event_loop.now
         )
 
-    def over(self, connection: HostConnection) -> None:
+    def on_connection_closed(self, connection: HostConnection) -> None:
         """Report the rest of a connection that has ended."""
         flow = self.flows.pop(connection, None)
         if flow is not None:
             reason = FlowEndReason.FORCED
-            if connection.close_reason in ENDED_BY_ITSELF:
+            if connection.close_reason in REMOTE_CLOSE_REASONS:
                 reason = FlowEndReason.ENDED
             self.meter.end_flow(flow, reason, self.event_loop.now)
 
-    def on_tick(self) -> None:
+    def on_timer(self) -> None:
         """Check timeouts, transports and buffers; and again a while later."""
         now = self.event_loop.now
         self.meter.advance(now)
         for transport in [*self.transports.values()]:
             transport.report_progress()
         for buffer in [*self.buffers.values()]:
-            buffer.on_tick(now)
-        self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_tick)
+            buffer.on_timer(now)
+        self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_timer)
 
     def reload(self, settings: FlowExportConfig) -> None:
         """Go on with other collectors, or another layout; what is pending stays so.
@@ -169,7 +169,7 @@
     def _configure(self, settings: FlowExportConfig, collectors: list[ConfiguredCollector]) -> None:
         """Let buffers that are named still go on with their queue; the others drop theirs."""
         layout = Layout(settings.layout, self.gateway)
-        peers = [peer_of(collector.settings) for collector in collectors]
+        peers = [make_peer(collector.settings) for collector in collectors]
         self.collectors.update(zip(peers, collectors, strict=True))
         groups = {"first": peers}
         if settings.mode == "all":
@@ -185,7 +185,7 @@
                 buffer.reconfigure(group, layout, self.event_loop.now)
             self.buffers[name] = buffer
         for name, buffer in previous.items():
-            self._abandon(name, buffer, layout)
+            self._remove_buffer(name, buffer, layout)
         self.collectors = {peer: self.collectors[peer] for peer in peers}
 
     def _new_buffer(
@@ -194,7 +194,7 @@
         pending = PendingRecords(memory_bytes)
         return ExportBuffer(self, layout, self.domain, peers, pending, self.seed, self.started_at)
 
-    def _abandon(self, name: str, buffer: ExportBuffer, layout: Layout) -> None:
+    def _remove_buffer(self, name: str, buffer: ExportBuffer, layout: Layout) -> None:
         """Leave a collector that is no longer named, and drop what was pending for it."""
         buffer.reconfigure([], layout, self.event_loop.now)
         self.socket_host.log(
@@ -233,7 +233,7 @@
 
     # Totals.
 
-    def differences(self) -> list[BalanceCheck]:
+    def balance_checks(self) -> list[BalanceCheck]:
         """The equations of export, for the auditor."""
         checks = [
             BalanceCheck(
@@ -246,11 +246,11 @@
         ]
         for name, buffer in self.buffers.items():
             difference = buffer.unaccounted_octets()
-            meaning = "measured - told - held - dropped"
-            checks.append(BalanceCheck(f"flows to {name}", difference, meaning))
+            formula = "measured - told - held - dropped"
+            checks.append(BalanceCheck(f"flows to {name}", difference, formula))
             difference = buffer.held_octets - buffer.recounted_octets()
-            meaning = "counted - recounted"
-            checks.append(BalanceCheck(f"flows held for {name}", difference, meaning))
+            formula = "counted - recounted"
+            checks.append(BalanceCheck(f"flows held for {name}", difference, formula))
         return checks
 
     def _carried_octets(self) -> int:
--- a/corkgauge/flow_export/message_parsing.py
+++ b/corkgauge/flow_export/message_parsing.py
@@ -14,7 +14,7 @@
     FieldSpecifier,
     MalformedMessageError,
 )
-from corkgauge.flow_export.elements import VARIABLE, ElementKey, ValueType
+from corkgauge.flow_export.elements import VARIABLE_LENGTH, ElementKey, ValueType
 from corkgauge.flow_export.templates import (
     ELEMENT_NUMBER_MASK,
     ENTERPRISE_BIT,
@@ -22,8 +22,8 @@
     SET_HEADER,
 )
 
-ENTERPRISE_NUMBER = Struct("!I")
-LONG_LENGTH_MARK = 255  # two octets of length follow (RFC 7011, 7)
+ENTERPRISE_NUMBER_FIELD = Struct("!I")
+LONG_LENGTH_MARKER = 255  # two octets of length follow (RFC 7011, 7)
 
 
 class Header(NamedTuple):
@@ -95,12 +95,12 @@
         start += FIELD_SPECIFIER.size
         enterprise = 0
         if number & ENTERPRISE_BIT and not is_v9:
-            if start + ENTERPRISE_NUMBER.size > len(body):
+            if start + ENTERPRISE_NUMBER_FIELD.size > len(body):
                 raise MalformedMessageError("a template cut short")
-            (enterprise,) = ENTERPRISE_NUMBER.unpack_from(body, start)
+            (enterprise,) = ENTERPRISE_NUMBER_FIELD.unpack_from(body, start)
             number &= ELEMENT_NUMBER_MASK
-            start += ENTERPRISE_NUMBER.size
-        if not length or (length == VARIABLE and is_v9):
+            start += ENTERPRISE_NUMBER_FIELD.size
+        if not length or (length == VARIABLE_LENGTH and is_v9):
             raise MalformedMessageError(f"element {enterprise}/{number} of length {length}")
         fields.append(FieldSpecifier(ElementKey(enterprise, number), length))
     return ParsedFields(fields, start)
@@ -110,7 +110,7 @@
     """Read the length of a value that states its own (RFC 7011, 7)."""
     if start >= len(body):
         raise MalformedMessageError(f"a record cut short at {start}")
-    if body[start] < LONG_LENGTH_MARK:
+    if body[start] < LONG_LENGTH_MARKER:
         return FieldLength(body[start], start + 1)
     if start + 3 > len(body):
         raise MalformedMessageError(f"a record cut short at {start}")
--- a/corkgauge/flow_export/pending_records.py
+++ b/corkgauge/flow_export/pending_records.py
@@ -15,7 +15,7 @@
 
 DELTA_MEMORY_BYTES = 480  # that a delta takes, with its place in a table
 MIN_RECORDS = 16
-OTHERS = "(others)"  # exported as the name of engines of a zone, or zones, that were merged
+MERGED_NAME = "(others)"  # exported as the name of engines of a zone, or zones, that were merged
 
 
 class AggregateKey(NamedTuple):
@@ -53,7 +53,7 @@
         self.measured_octets += delta.octets
         self._put(delta)
 
-    def put_back(self, deltas: list[Delta]) -> None:
+    def requeue(self, deltas: list[Delta]) -> None:
         """Take back deltas that were in flight and did not arrive."""
         for delta in deltas:
             self._put(delta)
@@ -131,9 +131,9 @@
     def _merge_engine_into_zone(self) -> bool:
         """Let the oldest aggregate of one engine be one of its zone; False if there is none."""
         for key, delta in self.aggregates.items():
-            if key.engine != OTHERS:
+            if key.engine != MERGED_NAME:
                 del self.aggregates[key]
-                delta.engine = OTHERS
+                delta.engine = MERGED_NAME
                 self._put_aggregate(delta)
                 return True
         return False
@@ -141,10 +141,10 @@
     def _merge_zone_into_others(self) -> None:
         """Let the oldest aggregate of one zone be one of all zones."""
         for key, delta in self.aggregates.items():
-            if key.zone != OTHERS:
+            if key.zone != MERGED_NAME:
                 del self.aggregates[key]
-                delta.engine = OTHERS
-                delta.zone = OTHERS
+                delta.engine = MERGED_NAME
+                delta.zone = MERGED_NAME
                 self._put_aggregate(delta)
                 return
 
--- a/corkgauge/flow_export/report_rows.py
+++ b/corkgauge/flow_export/report_rows.py
@@ -40,7 +40,7 @@
 SpanOctets = tuple[int, int]  # sent to the engine, received from it
 
 
-def rows_of(message: DecodedMessage) -> Iterator[Row]:
+def rows_from_message(message: DecodedMessage) -> Iterator[Row]:
     """Yield a row for each record; times are milliseconds of the exporter's clock."""
     uptime_began_ms = message.export_time_seconds * 1000 - message.uptime_ms
     for record in message.records:
--- a/corkgauge/flow_export/templates.py
+++ b/corkgauge/flow_export/templates.py
@@ -8,7 +8,7 @@
 from struct import Struct
 from typing import Any, NamedTuple
 
-from corkgauge.flow_export.elements import ELEMENT_BY_NAME, VARIABLE
+from corkgauge.flow_export.elements import ELEMENT_BY_NAME, VARIABLE_LENGTH
 
 SET_HEADER = Struct("!HH")
 FIELD_SPECIFIER = Struct("!HH")
@@ -48,7 +48,7 @@
 
 
 class Field(NamedTuple):
-    """A field of a template: an element's name, and its length in octets or `VARIABLE`."""
+    """A field of a template: an element's name, and its length in octets or `VARIABLE_LENGTH`."""
 
     name: str
     length: int
@@ -66,17 +66,18 @@
         self.fields = fields
         self.scope_count = scope_count
         self.fixed_part = Struct(
-            "!" + "".join(_struct_format(field) for field in fields if field.length != VARIABLE)
+            "!"
+            + "".join(_struct_format(field) for field in fields if field.length != VARIABLE_LENGTH)
         )
 
-    def record(self, values: Iterable[Any], strings: Iterable[bytes] = ()) -> bytes:
+    def encode_record(self, values: Iterable[Any], strings: Iterable[bytes] = ()) -> bytes:
         """Encode one record from the values of fixed length, then those of variable length."""
         data = self.fixed_part.pack(*values)
         for text in strings:
             data += _length_prefix(text) + text
         return data
 
-    def definition(self, is_v9: bool) -> bytes:
+    def encode_definition(self, is_v9: bool) -> bytes:
         """Encode the template record itself."""
         fields = b"".join(
             _field_specifier(field, is_v9, index < self.scope_count)
@@ -92,14 +93,14 @@
         return OPTIONS_TEMPLATE_HEADER.pack(self.number, first, second) + fields
 
 
-def template_set(template: Template, is_v9: bool) -> int:
+def template_set_id(template: Template, is_v9: bool) -> int:
     """Return the id of the set that a template record goes into."""
     if template.scope_count:
         return V9_OPTIONS_TEMPLATE_SET if is_v9 else IPFIX_OPTIONS_TEMPLATE_SET
     return V9_TEMPLATE_SET if is_v9 else IPFIX_TEMPLATE_SET
 
 
-def templates_of(kind: LayoutKind) -> Iterator[Template]:
+def templates_of_layout(kind: LayoutKind) -> Iterator[Template]:
     """All templates of a layout, in the order in which they are exported."""
     yield from _flow_templates(kind)
     flow_count = Field("deltaFlowCount", 4 if kind == LayoutKind.NETFLOW9 else 8)
@@ -160,7 +161,7 @@
 def _name_fields(kind: LayoutKind) -> list[Field]:
     if kind != LayoutKind.OWN:
         return []
-    return [Field(name, VARIABLE) for name in ("gatewayName", "engineId", "hallName")]
+    return [Field(name, VARIABLE_LENGTH) for name in ("gatewayName", "engineId", "hallName")]
 
 
 def _flow_templates(kind: LayoutKind) -> Iterator[Template]:
@@ -197,7 +198,7 @@
             Field("informationElementDataType", 1),
             Field("informationElementSemantics", 1),
             Field("informationElementUnits", 2),
-            Field("informationElementName", VARIABLE),
+            Field("informationElementName", VARIABLE_LENGTH),
         ],
         scope_count=2,
     )
--- a/corkgauge/flow_export/tls.py
+++ b/corkgauge/flow_export/tls.py
@@ -10,8 +10,8 @@
 
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 
-INWARD_BYTES = 32_768
-OUTWARD_BYTES = 262_144
+INWARD_BUFFER_BYTES = 32_768
+OUTWARD_BUFFER_BYTES = 262_144
 MAX_RECORD_BYTES = 17_408  # a TLS record and what its framing may add
 READ_BYTES = 4096
 FORBIDDEN_KEY_MODE = 0o077  # any access by group or others
@@ -34,7 +34,7 @@
     def on_established(self) -> None:
         """Take note that the other side is who it should be."""
 
-    def put_encrypted(self, data: bytes) -> None:
+    def send_encrypted(self, data: bytes) -> None:
         """Send bytes to the other side."""
 
 
@@ -52,13 +52,13 @@
     try:
         context.load_verify_locations(ca)
     except (OSError, ssl.SSLError) as problem:
-        raise TlsConfigurationError(f"{ca}: {_reason_of(problem)}") from None
+        raise TlsConfigurationError(f"{ca}: {_describe_error(problem)}") from None
     if certificate:
         _check_key_mode(key)
         try:
             context.load_cert_chain(certificate, key)
         except (OSError, ssl.SSLError) as problem:
-            raise TlsConfigurationError(f"{certificate}: {_reason_of(problem)}") from None
+            raise TlsConfigurationError(f"{certificate}: {_describe_error(problem)}") from None
     return context
 
 
@@ -67,14 +67,14 @@
     try:
         mode = os.stat(key).st_mode
     except OSError as problem:
-        raise TlsConfigurationError(f"{key}: {_reason_of(problem)}") from None
+        raise TlsConfigurationError(f"{key}: {_describe_error(problem)}") from None
     if mode & FORBIDDEN_KEY_MODE:
         raise TlsConfigurationError(
             f"{key}: expected a key that its owner alone may read, found {mode & 0o777:o}"
         )
 
 
-def _reason_of(problem: Exception) -> str:
+def _describe_error(problem: Exception) -> str:
     return getattr(problem, "reason", None) or getattr(problem, "strerror", None) or str(problem)
 
 
@@ -87,8 +87,8 @@
         self.owner = owner
         self.complete_frame_count = 0  # 1 once the handshake is done
         self.is_handshake_done = False
-        self.inward = RingBuffer(INWARD_BYTES, budget)
-        self.outward = RingBuffer(OUTWARD_BYTES, budget)
+        self.inward = RingBuffer(INWARD_BUFFER_BYTES, budget)
+        self.outward = RingBuffer(OUTWARD_BUFFER_BYTES, budget)
         self.received = ssl.MemoryBIO()
         self.to_send = ssl.MemoryBIO()
         self.session = context.wrap_bio(self.received, self.to_send, server_hostname=server_name)
@@ -100,7 +100,7 @@
         reason = self._step()
         data = self.to_send.read()
         if data:
-            self.owner.put_encrypted(data)
+            self.owner.send_encrypted(data)
         if not reason and self.is_handshake_done and not self.complete_frame_count:
             self.complete_frame_count = 1
             self.owner.on_established()
@@ -122,7 +122,7 @@
         except ssl.SSLCertVerificationError as problem:
             return f"tls: {problem.verify_message}"
         except (ssl.SSLError, OSError) as problem:
-            return f"tls: {_reason_of(problem)}"
+            return f"tls: {_describe_error(problem)}"
 
     def write(self, data: bytes) -> bool:
         """Encrypt a whole message and send it; False, with nothing of it gone, without room."""
@@ -132,5 +132,5 @@
             self.session.write(data)
         except (ssl.SSLError, OSError):
             return False
-        self.owner.put_encrypted(self.to_send.read())
+        self.owner.send_encrypted(self.to_send.read())
         return True
--- a/corkgauge/flow_export/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -16,15 +16,15 @@
 from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 from corkgauge.flow_export.collector_peer import CollectorPeer
-from corkgauge.flow_export.export_buffer import SECOND, ExportBuffer
+from corkgauge.flow_export.export_buffer import TICKS_PER_SECOND, ExportBuffer
 from corkgauge.flow_export.tls import TlsMachine, TlsTarget
 
-OUTWARD_BYTES = 131_072  # of a stream's messages that wait for the socket
-DISCARD_BYTES = 4096  # of what a collector sends, before it is dropped
-STREAM_MEMORY_BYTES = 4 * OUTWARD_BYTES
-DIAL_TIMEOUT_TICKS = 2 * SECOND
-LEAVE_TIMEOUT_TICKS = SECOND  # that a stream's ring has to leave, at a close
-LEAVE_CHECK_TICKS = 50
+OUTWARD_BUFFER_BYTES = 131_072  # of a stream's messages that wait for the socket
+DISCARD_BUFFER_BYTES = 4096  # of what a collector sends, before it is dropped
+STREAM_MEMORY_BYTES = 4 * OUTWARD_BUFFER_BYTES
+DIAL_TIMEOUT_TICKS = 2 * TICKS_PER_SECOND
+CLOSE_TIMEOUT_TICKS = TICKS_PER_SECOND  # that a stream's ring has to leave, at a close
+CLOSE_CHECK_TICKS = 50
 
 
 class Transport(Protocol):
@@ -123,8 +123,8 @@
 
     def __init__(self, budget: MemoryBudget) -> None:
         self.complete_frame_count = 0
-        self.inward = RingBuffer(DISCARD_BYTES, budget)
-        self.outward = RingBuffer(OUTWARD_BYTES, budget)
+        self.inward = RingBuffer(DISCARD_BUFFER_BYTES, budget)
+        self.outward = RingBuffer(OUTWARD_BUFFER_BYTES, budget)
 
     def parse_input(self) -> str:
         """Drop what came."""
@@ -154,8 +154,8 @@
         self.message_bytes = 0  # of whole messages, before any encryption
 
         # At the last look: unacknowledged bytes in the system's hands, and what was sent by then.
-        self.system_queue_bytes = 0
-        self.sent_at_look_bytes = 0
+        self.send_queue_bytes = 0
+        self.sent_at_check_bytes = 0
         event_loop.spawn(self._run)
 
     def _run(self) -> None:
@@ -190,7 +190,7 @@
         if not self.is_closed:
             self.export_buffer.on_opened(self.peer, self.event_loop.now)
 
-    def put_encrypted(self, data: bytes) -> None:
+    def send_encrypted(self, data: bytes) -> None:
         """Send bytes of the TLS session."""
         assert self.link is not None, "a TLS session without its connection"
         self.link.send(data)
@@ -228,8 +228,8 @@
             self.export_buffer.on_written(self.peer, link.bytes_sent, self.event_loop.now)
         with contextlib.suppress(OSError):
             answer = ioctl(link.fd, termios.TIOCOUTQ, b"\0" * 4)
-            self.system_queue_bytes = struct.unpack("i", answer)[0]
-            self.sent_at_look_bytes = link.bytes_sent
+            self.send_queue_bytes = struct.unpack("i", answer)[0]
+            self.sent_at_check_bytes = link.bytes_sent
 
     def flush(self) -> None:
         """Write what the socket takes now, as the program ends."""
@@ -241,7 +241,7 @@
         """At the most: what the system held at the last look, and all that was written since."""
         if self.link is None:
             return 0
-        return self.system_queue_bytes + self.link.bytes_sent - self.sent_at_look_bytes
+        return self.send_queue_bytes + self.link.bytes_sent - self.sent_at_check_bytes
 
     def close(self) -> None:
         """Close once the ring is empty, or after a while: at once would cut off what it holds."""
@@ -249,11 +249,11 @@
             return
         self.is_closed = True
         if self.link is not None:
-            until = self.event_loop.now + LEAVE_TIMEOUT_TICKS
-            self.event_loop.call_later(1, self._leave, self.link, until)
+            until = self.event_loop.now + CLOSE_TIMEOUT_TICKS
+            self.event_loop.call_later(1, self._close_when_drained, self.link, until)
 
-    def _leave(self, link: StreamConnection, until: int) -> None:
+    def _close_when_drained(self, link: StreamConnection, until: int) -> None:
         if len(link.machine.outward) and not link.close_reason and self.event_loop.now < until:
-            self.event_loop.call_later(LEAVE_CHECK_TICKS, self._leave, link, until)
+            self.event_loop.call_later(CLOSE_CHECK_TICKS, self._close_when_drained, link, until)
             return
         link.close("left")
--- a/corkgauge/net/client_connection.py
+++ b/corkgauge/net/client_connection.py
@@ -314,7 +314,7 @@
             Side.CLIENT, self.link.bytes_received, self.link.bytes_sent
         )
         if self.socket_host.flows is not None:
-            self.socket_host.flows.over(self.link)
+            self.socket_host.flows.on_connection_closed(self.link)
         self._close_written_answers()
         while self.unwritten_answers:
             self._close_unsent_answer(self.unwritten_answers.popleft()[1], EndReason.ANSWER_CUT_OFF)
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -63,7 +63,7 @@
         if self.socket_host.flows is not None:
             engine = engine_pool.engine
             zone = str(self.socket_host.settings.zones[engine.zone])
-            self.socket_host.flows.up(self.link, Side.ENGINE, engine.name, zone)
+            self.socket_host.flows.on_connection_opened(self.link, Side.ENGINE, engine.name, zone)
 
     def has_room_for(self, client_request: ClientRequest) -> bool:
         """Return whether an attempt of this request may be sent on this connection.
@@ -230,7 +230,7 @@
             Side.ENGINE, self.link.bytes_received, self.link.bytes_sent, self.pages
         )
         if self.socket_host.flows is not None:
-            self.socket_host.flows.over(self.link)
+            self.socket_host.flows.on_connection_closed(self.link)
         in_flight_attempts, self.open = [*self.open.values()], {}
         if in_flight_attempts:
             self.socket_host.log(
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -103,7 +103,7 @@
         self.client_connections[client_connection] = None
         self.ledger.record_connection_opened(Side.CLIENT)
         if self.flows is not None:
-            self.flows.up(client_connection.link, Side.CLIENT)
+            self.flows.on_connection_opened(client_connection.link, Side.CLIENT)
         self.event_loop.spawn(client_connection.link.run)
         if self.shutdown_deadline != NEVER:
             client_connection.link.send(client_wire.leaving_frame())
--- a/corkgauge/testkit/emulators/collector.py
+++ b/corkgauge/testkit/emulators/collector.py
@@ -87,10 +87,10 @@
         except MalformedMessageError as problem:
             self.wrong.append(str(problem))
             return True
-        if heard.unknown:
-            self.wrong.append(f"{heard.unknown} sets before their template")
+        if heard.unknown_set_count:
+            self.wrong.append(f"{heard.unknown_set_count} sets before their template")
         self.heard(heard, data)
-        return not (self.resets_templates and heard.templates)
+        return not (self.resets_templates and heard.template_count)
 
 
 class Guest:
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -385,8 +385,8 @@
     ]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (
-            *session.introduction(0, Counter()),
-            session.data_message(0, lambda: queue.pop(0) if queue else None)[0],
+            *session.make_template_messages(0, Counter()),
+            session.make_data_message(0, lambda: queue.pop(0) if queue else None)[0],
         ):
             sock.sendto(data, ("127.0.0.1", port))
     assert listener.wait(20) == 0
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -25,21 +25,21 @@
 from corkgauge.flow_export.collector_peer import CollectorPeer, CollectorState
 from corkgauge.flow_export.counter_deltas import Delta
 from corkgauge.flow_export.decoder import Decoder, MalformedMessageError, MessageStream
-from corkgauge.flow_export.elements import VARIABLE, FlowDirection, FlowEndReason
+from corkgauge.flow_export.elements import VARIABLE_LENGTH, FlowDirection, FlowEndReason
 from corkgauge.flow_export.endpoints import Endpoints
 from corkgauge.flow_export.export_buffer import ExportBuffer
 from corkgauge.flow_export.exporter import Exporter
 from corkgauge.flow_export.meter import Meter
 from corkgauge.flow_export.pending_records import DELTA_MEMORY_BYTES, PendingRecords
 from corkgauge.flow_export.session import Session
-from corkgauge.flow_export.templates import Field, LayoutKind, Template, template_set
+from corkgauge.flow_export.templates import Field, LayoutKind, Template, template_set_id
 from corkgauge.flow_export.timer_wheel import TimerWheel
 from corkgauge.flow_export.tls import TlsConfigurationError, client_context
 from corkgauge.testkit.emulators.collector import EmulatedCollector
 from fuzz.decoder import changed, one, seeds
 from tests.harness import HostHarness, listing, name, request_frame
 
-SECOND = 10_000
+TICKS_PER_SECOND = 10_000
 
 
 def ip(text):
@@ -86,16 +86,16 @@
 def test_the_worked_examples_of_the_rfcs():
     message = Message(False, 1400)
     for template in FLOW, LINE:
-        assert message.add(template_set(template, False), template.definition(False))
+        assert message.add(template_set_id(template, False), template.encode_definition(False))
     for values in (
         ("192.0.2.12", "192.0.2.254", "192.0.2.1", 5009, 5344385),
         ("192.0.2.27", "192.0.2.23", "192.0.2.2", 748, 388934),
         ("192.0.2.56", "192.0.2.65", "192.0.2.3", 5, 6534),
     ):
-        assert message.add(256, FLOW.record([*map(ip, values[:3]), *values[3:]]))
+        assert message.add(256, FLOW.encode_record([*map(ip, values[:3]), *values[3:]]))
     for values in (1, 345, 10201), (2, 690, 20402):
-        message.add(258, LINE.record(values))
-    data = message.data(1_000_000, 0, 7, 9)
+        message.add(258, LINE.encode_record(values))
+    data = message.encode(1_000_000, 0, 7, 9)
     assert data[16:] == bytes.fromhex(
         GOLDEN_TEMPLATE + GOLDEN_OPTIONS + GOLDEN_DATA + GOLDEN_OPTIONS_DATA
     )
@@ -112,14 +112,14 @@
         3,
     )
     assert decoded.records[1]["octetDeltaCount"] == 388934 and decoded.options[1]["lineCardId"] == 2
-    assert FLOW.definition(True) == bytes.fromhex(GOLDEN_TEMPLATE)[4:]
-    assert LINE.definition(True)[:6] == bytes.fromhex("0102 0004 0008")  # octets, not counts
+    assert FLOW.encode_definition(True) == bytes.fromhex(GOLDEN_TEMPLATE)[4:]
+    assert LINE.encode_definition(True)[:6] == bytes.fromhex("0102 0004 0008")  # octets, not counts
 
 
 def test_strings_of_variable_length():
-    template = Template(300, [Field("engineId", VARIABLE)])
-    assert template.record((), [b"hello"]) == b"\5hello"
-    assert template.record((), [b"x" * 1000]) == b"\xff\x03\xe8" + b"x" * 1000
+    template = Template(300, [Field("engineId", VARIABLE_LENGTH)])
+    assert template.encode_record((), [b"hello"]) == b"\5hello"
+    assert template.encode_record((), [b"x" * 1000]) == b"\xff\x03\xe8" + b"x" * 1000
 
 
 def delta(
@@ -187,9 +187,9 @@
 def test_whatever_is_encoded_is_decoded_within_the_limit(kind, several, limit):
     session, decoder, queue = Session(Layout(kind, "n1"), 77, limit, 0), Decoder(), [*several]
     statistics = Counter()
-    messages, exported = session.introduction(5_000, statistics), []
+    messages, exported = session.make_template_messages(5_000, statistics), []
     while queue:
-        data, some, left = session.data_message(6_000, taker_of(queue))
+        data, some, left = session.make_data_message(6_000, taker_of(queue))
         assert some and data
         queue[:0] = [left] if left else []
         messages.append(data)
@@ -197,7 +197,7 @@
     decoded = [decoder.decode(data) for data in messages]
     assert exported == several and all(len(data) <= limit for data in messages)
     assert octets(decoded) == sum(each.octets for each in several)
-    assert not any(each.missed or each.unknown for each in decoded) and all(
+    assert not any(each.missed_count or each.unknown_set_count for each in decoded) and all(
         each.domain == 77 for each in decoded
     )
     if kind == LayoutKind.OWN:
@@ -225,8 +225,8 @@
         templates = {"netflow": {}, "ipfix": {}}
         queue = [delta(1), delta(2, family=6, side=FlowDirection.INGRESS), delta(3, forward=2**35)]
         messages = [
-            *session.introduction(5_000, Counter()),
-            session.data_message(6_000, taker_of(queue))[0],
+            *session.make_template_messages(5_000, Counter()),
+            session.make_data_message(6_000, taker_of(queue))[0],
         ]
         mine = [record for data in messages for record in ours.decode(data).records]
         theirs = [
@@ -250,8 +250,8 @@
     session = Session(Layout(kind, "n1"), 77, 1400, 0)
     queue = [delta(n, family=(4, 6)[n % 2]) for n in range(9)]
     return [
-        *session.introduction(5_000, Counter()),
-        session.data_message(6_000, taker_of(queue))[0],
+        *session.make_template_messages(5_000, Counter()),
+        session.make_data_message(6_000, taker_of(queue))[0],
     ]
 
 
@@ -312,13 +312,16 @@
 def test_a_withdrawal_forgets_and_a_gap_is_seen():
     session, decoder = Session(Layout(LayoutKind.OWN, "n1"), 7, 1400, 0), Decoder()
     queue = [delta(n) for n in range(60)]
-    introduction = session.introduction(0, Counter())
-    first, (_, gone, _), third = (session.data_message(0, taker_of(queue)) for _ in range(3))
+    introduction = session.make_template_messages(0, Counter())
+    first, (_, gone, _), third = (session.make_data_message(0, taker_of(queue)) for _ in range(3))
     for data in (*introduction, first[0]):
-        assert decoder.decode(data).missed == 0
-    assert decoder.decode(third[0]).missed == len(gone) > 0
-    assert decoder.decode(session.withdraw_templates(0)).unknown == 0 and not decoder.templates
-    assert decoder.decode(third[0]).unknown == 1
+        assert decoder.decode(data).missed_count == 0
+    assert decoder.decode(third[0]).missed_count == len(gone) > 0
+    assert (
+        decoder.decode(session.make_withdrawal_message(0)).unknown_set_count == 0
+        and not decoder.templates
+    )
+    assert decoder.decode(third[0]).unknown_set_count == 1
 
 
 def test_a_stream_gives_messages_however_it_is_split():
@@ -379,7 +382,7 @@
 
 def metered(active=60, idle=15):
     reported = []
-    return Meter(reported.append, active * SECOND, idle * SECOND, 0), reported
+    return Meter(reported.append, active * TICKS_PER_SECOND, idle * TICKS_PER_SECOND, 0), reported
 
 
 ENDS = Endpoints(4, ip("127.0.0.1"), 4000, ip("127.0.0.2"), 9090)
@@ -389,13 +392,13 @@
     meter, reported = metered()
     link = Wire()
     flow = meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
-    for now in range(0, 600 * SECOND, SECOND // 2):
+    for now in range(0, 600 * TICKS_PER_SECOND, TICKS_PER_SECOND // 2):
         link.bytes_sent += 10
         link.bytes_received += 1
         meter.advance(now)
         meter.advance(now)
-    meter.end_flow(flow, FlowEndReason.ENDED, 600 * SECOND)
-    meter.end_flow(flow, FlowEndReason.ENDED, 600 * SECOND)
+    meter.end_flow(flow, FlowEndReason.ENDED, 600 * TICKS_PER_SECOND)
+    meter.end_flow(flow, FlowEndReason.ENDED, 600 * TICKS_PER_SECOND)
     assert [each.end_reason for each in reported] == [
         *[FlowEndReason.ACTIVE] * (len(reported) - 1),
         FlowEndReason.ENDED,
@@ -420,9 +423,9 @@
     link = Wire()
     meter.start_flow(link, FlowDirection.INGRESS, ENDS, "", "", 0)
     link.bytes_received = 7
-    for now in range(0, 100 * SECOND, SECOND):
+    for now in range(0, 100 * TICKS_PER_SECOND, TICKS_PER_SECOND):
         meter.advance(now)
-        if now == 50 * SECOND:
+        if now == 50 * TICKS_PER_SECOND:
             link.bytes_sent = 3
     assert [(each.end_reason, each.forward_octets, each.reverse_octets) for each in reported] == [
         (FlowEndReason.IDLE, 7, 0),
@@ -438,7 +441,7 @@
         meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
         link.bytes_received = 1
     calls = 0
-    for now in range(60 * SECOND, 63 * SECOND, 500):
+    for now in range(60 * TICKS_PER_SECOND, 63 * TICKS_PER_SECOND, 500):
         before = len(reported)
         meter.advance(now)
         assert len(reported) - before <= 500
@@ -459,7 +462,7 @@
         if what == 0 and (some := held.pop_next()):
             under_way.append(some)
         elif what == 1 and under_way:
-            held.put_back([under_way.pop()])
+            held.requeue([under_way.pop()])
         elif what == 2 and under_way:
             exported_octets += under_way.pop().octets
         assert len(held) <= held.max_records
@@ -516,7 +519,7 @@
         self.now, self.logged, self.sent, self.opened, self.closed = 0, [], [], [], []
         self.well = {}
         self.peers = [
-            CollectorPeer(f"c{n}", each, 1400, 300 * SECOND, 1000)
+            CollectorPeer(f"c{n}", each, 1400, 300 * TICKS_PER_SECOND, 1000)
             for n, each in enumerate(datagrams)
         ]
         self.well = {peer: True for peer in self.peers}
@@ -560,7 +563,7 @@
                     self.export_buffer.on_lost(peer, "Connection refused", self.now)
                 elif writes and not peer.is_datagram and peer.state != CollectorState.DOWN:
                     self.export_buffer.on_written(peer, peer.sent_bytes, self.now)
-            self.export_buffer.on_tick(self.now)
+            self.export_buffer.on_timer(self.now)
             assert (
                 self.export_buffer.unaccounted_octets() == 0
                 and self.export_buffer.held_octets == self.export_buffer.recounted_octets()
@@ -572,7 +575,7 @@
         for _, to, data in self.sent:
             if to is peer:
                 decoded = decoder.decode(data)
-                assert not decoded.unknown
+                assert not decoded.unknown_set_count
                 total += octets([decoded])
         return total
 
@@ -583,7 +586,7 @@
     harness.well[harness.peers[0]] = False
     for n in range(1800):
         harness.export_buffer.add(delta(n % 50, reason=FlowEndReason.ACTIVE))
-        harness.run(SECOND // 10, SECOND // 10)
+        harness.run(TICKS_PER_SECOND // 10, TICKS_PER_SECOND // 10)
     assert (
         harness.export_buffer.totals.exported_octets == 0
         and len(harness.held) == 50
@@ -591,11 +594,11 @@
     )
     tries = [when for when, _ in harness.closed]
     assert (
-        3 <= len(tries) <= 12 and tries[-1] - tries[-2] > 20 * SECOND
+        3 <= len(tries) <= 12 and tries[-1] - tries[-2] > 20 * TICKS_PER_SECOND
     )  # further and further apart
     assert sum("not reached" in line for line in harness.logged) == 1
     harness.well[harness.peers[0]] = True
-    harness.run(90 * SECOND)
+    harness.run(90 * TICKS_PER_SECOND)
     assert (
         harness.export_buffer.totals.exported_octets == 1800 * 150 == harness.held.measured_octets
         and not len(harness.held)
@@ -605,19 +608,19 @@
 def test_fallback_to_the_next_and_return_to_the_first():
     harness = BufferHarness(True, False)
     first, second = harness.peers
-    harness.run(SECOND)
+    harness.run(TICKS_PER_SECOND)
     assert harness.export_buffer.active is first
     harness.well[first] = False
     for n in range(100):
         harness.export_buffer.add(delta(n))
-        harness.run(SECOND // 2)
+        harness.run(TICKS_PER_SECOND // 2)
     assert (
         harness.export_buffer.active is second
         and second.state == CollectorState.UP
         and harness.decoded(second) > 90 * 150
     )
     harness.well[first] = True
-    harness.run(80 * SECOND)
+    harness.run(80 * TICKS_PER_SECOND)
     assert harness.export_buffer.active is first and second.state == CollectorState.DOWN
     assert any("takes over" in line for line in harness.logged)
     assert harness.export_buffer.totals.exported_octets == harness.held.measured_octets
@@ -628,7 +631,7 @@
 
 def test_a_stream_that_breaks_never_sends_a_torn_message_again():
     harness = BufferHarness(False)
-    harness.run(SECOND)
+    harness.run(TICKS_PER_SECOND)
     for n in range(100):
         harness.export_buffer.add(delta(n))
     harness.run(1000, writes=False)
@@ -646,11 +649,11 @@
     )  # one whole message was in the system's hands
     # the torn one and the last go into another session, as new records
     assert harness.held.octets == unwritten
-    harness.run(30 * SECOND)
+    harness.run(30 * TICKS_PER_SECOND)
     assert harness.export_buffer.totals.exported_octets == harness.held.measured_octets == 100 * 150
     for _ in range(3):
         harness.export_buffer.add(delta(500))
-    harness.run(SECOND)
+    harness.run(TICKS_PER_SECOND)
     harness.export_buffer.on_lost(peer, "reset", harness.now, unacknowledged_bytes=10**6)
     assert (
         harness.export_buffer.totals.uncertain_octets >= 3 * 150
@@ -659,7 +662,7 @@
 
 def test_what_a_stream_still_holds_when_it_is_left_counts_as_repeated():
     harness = BufferHarness(False)
-    harness.run(SECOND)
+    harness.run(TICKS_PER_SECOND)
     harness.export_buffer.add(delta(1))
     harness.run(1000, writes=False)
     harness.export_buffer.reconfigure(harness.peers, harness.export_buffer.layout, harness.now)
@@ -671,42 +674,42 @@
 
 def test_a_stream_that_takes_nothing_is_left_and_a_full_one_keeps_its_place():
     harness = BufferHarness(False)
-    harness.run(SECOND)
+    harness.run(TICKS_PER_SECOND)
     peer = harness.peers[0]
     harness.full.add(peer)
     harness.export_buffer.add(delta(1))
-    harness.run(SECOND)
+    harness.run(TICKS_PER_SECOND)
     assert harness.held.octets == 150 and harness.export_buffer.totals.exported_octets == 0
-    harness.run(40 * SECOND)  # statistics came due meanwhile, and found no room either
+    harness.run(40 * TICKS_PER_SECOND)  # statistics came due meanwhile, and found no room either
     harness.full.clear()
-    harness.run(40 * SECOND)
+    harness.run(40 * TICKS_PER_SECOND)
     assert harness.export_buffer.totals.exported_octets == 150 and harness.decoded(peer) == 150
     decoder = Decoder()
     assert not any(
-        decoder.decode(data).missed for _, _, data in harness.sent
+        decoder.decode(data).missed_count for _, _, data in harness.sent
     )  # numbers of what never went
     harness.export_buffer.add(delta(2))
-    harness.run(8 * SECOND, writes=False)
+    harness.run(8 * TICKS_PER_SECOND, writes=False)
     assert "collector c0 lost: it takes nothing" in harness.logged
 
 
 def test_templates_again_on_udp_by_time_and_by_count():
     harness = BufferHarness(True)
-    harness.peers[0].refresh_ticks, harness.peers[0].refresh_messages = 20 * SECOND, 10
+    harness.peers[0].refresh_ticks, harness.peers[0].refresh_messages = 20 * TICKS_PER_SECOND, 10
     for n in range(80):
         harness.export_buffer.add(delta(n))
-        harness.run(SECOND)
-    starts = [when for when, _, data in harness.sent if Decoder().decode(data).templates]
-    assert len(starts) >= 8 and max(b - a for a, b in pairwise(starts)) <= 21 * SECOND
+        harness.run(TICKS_PER_SECOND)
+    starts = [when for when, _, data in harness.sent if Decoder().decode(data).template_count]
+    assert len(starts) >= 8 and max(b - a for a, b in pairwise(starts)) <= 21 * TICKS_PER_SECOND
 
 
 @pytest.mark.parametrize("datagrams", [True, False])
 def test_statistics_go_each_half_minute_and_templates_of_a_stream_once(datagrams):
     harness = BufferHarness(datagrams)
-    harness.run(130 * SECOND)
+    harness.run(130 * TICKS_PER_SECOND)
     decoder = Decoder()
     decoded = [decoder.decode(data) for _, _, data in harness.sent]
-    assert [each.templates > 0 for each in decoded] == [
+    assert [each.template_count > 0 for each in decoded] == [
         True,
         *[False] * (len(decoded) - 1),
     ] and len(decoded) == 5
@@ -715,7 +718,7 @@
         for each in decoded
         for option in each.options
         if "observationDomainId" in option
-    ) and not any(each.missed for each in decoded)
+    ) and not any(each.missed_count for each in decoded)
 
 
 def test_gateways_come_back_at_different_moments():
@@ -723,7 +726,7 @@
     for seed in range(20):
         harness = BufferHarness(True, seed=seed)
         harness.well[harness.peers[0]] = False
-        harness.run(5 * SECOND, 100)
+        harness.run(5 * TICKS_PER_SECOND, 100)
         moments.add(harness.peers[0].retry_at)
     assert len(moments) > 10
 
@@ -805,7 +808,7 @@
         self.premises.turn()
 
     def go_on(self, seconds, step=500):
-        self.premises.pass_time(int(seconds * SECOND), step)
+        self.premises.pass_time(int(seconds * TICKS_PER_SECOND), step)
 
     def balanced(self):
         socket_host = self.premises.socket_host
@@ -841,7 +844,7 @@
         == site.exported_octets()
         and export_buffer.totals.repeated_octets == export_buffer.totals.uncertain_octets == 0
     )
-    assert not any(each.missed for each in site.messages[0])
+    assert not any(each.missed_count for each in site.messages[0])
     if layout != LayoutKind.OWN:
         templates, total = {"netflow": {}, "ipfix": {}}, 0
         for data in site.bytes[0]:
@@ -995,9 +998,9 @@
     site.go_on(2)
     site.serve(3)
     site.go_on(2)
-    site.premises.time -= 3600 * SECOND
+    site.premises.time -= 3600 * TICKS_PER_SECOND
     site.serve(3)
-    site.premises.time += 3600 * SECOND
+    site.premises.time += 3600 * TICKS_PER_SECOND
     site.go_on(3)
     times = [each.export_time_seconds for each in site.messages[0]]
     records = [record for each in site.messages[0] for record in each.records]
