--- a/corkgauge/flow_export/export_buffer.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -1,17 +1,20 @@
-"""The exporting process: which collector gets the records, when one is down, what is sent first.
-
-Holds the collectors' states, what is in flight to each, and the totals of export. Free of I/O; the
-clock is handed in as ticks, tenths of a millisecond. It acts through `CollectorTransports`.
-
-Data is never sent before templates in a session, no more is held than the bound, and no octet goes
-uncounted: measured = exported + held (pending or in flight) + dropped.
-
-A collector goes down -> opening -> trial -> up. In the trial the templates are out and nothing is
-known against it yet: a UDP collector that is not there shows it by ICMP only once something was
-sent. A message in flight is confirmed when a stream has written it, or a while after a datagram
-went. What comes back unwritten is pending again; where nobody can know, it is reported:
-`uncertain_octets` count as exported and may be lost (a stream broke with bytes in the system's
-hands), `repeated_octets` are sent again and may have arrived (a datagram was refused).
+"""Exports pending flow records to the first collector that is up (the exporting process).
+
+Tracks the state of each collector, the messages in flight to the collector, and the totals of
+export. Performs no I/O: the export buffer calls `CollectorTransports` and receives the current time
+in ticks, tenths of a millisecond.
+
+In each session, templates are sent before data. The memory for pending records is bounded. Every
+octet is accounted for: measured = exported + held (pending or in flight) + dropped.
+
+The states of a collector are down -> opening -> trial -> up. During the trial, the templates have
+been sent and no data: an unreachable UDP collector is noticed only by an ICMP error, which arrives
+only after a datagram was sent. A message in flight is confirmed when a stream has written the
+message to the operating system, or DATAGRAM_CONFIRM_TICKS after a datagram was sent. Records of
+messages that were not written are pending again. Two totals report octets whose delivery is
+unknown: `uncertain_octets` are counted as exported and may be lost (a stream broke while the
+operating system still held the bytes), `repeated_octets` are sent again and may have arrived the
+first time (a datagram was refused, or a stream was closed with output pending).
 """
 
 from corkgauge.flow_export.backoff import JitteredBackoff
@@ -31,20 +34,26 @@
 
 TICKS_PER_SECOND = 10_000
 TICKS_PER_MS = 10
-TRIAL_TICKS = 2_000  # between templates and first data
-DATAGRAM_CONFIRM_TICKS = 1_000  # that a datagram is in flight: ICMP would have come within it
-OPEN_TIMEOUT_TICKS = 3 * TICKS_PER_SECOND  # for a stream and its TLS to come up
-FAILURE_RESET_TICKS = 30 * TICKS_PER_SECOND  # up for so long, and its failures are forgotten
+TRIAL_TICKS = 2_000  # from the templates to the first data
+DATAGRAM_CONFIRM_TICKS = 1_000  # an ICMP error would arrive within this time
+OPEN_TIMEOUT_TICKS = 3 * TICKS_PER_SECOND  # for the TCP connection and the TLS handshake
+FAILURE_RESET_TICKS = 30 * TICKS_PER_SECOND  # time in the state UP that clears the failure count
 STATISTICS_PERIOD_TICKS = 30 * TICKS_PER_SECOND
-MAX_MESSAGES_PER_CHECK = 6  # a queue of minutes would hold up the loop
-MAX_MESSAGES_AT_SHUTDOWN = 500  # of the last tick
+MAX_MESSAGES_PER_CHECK = 6  # sending the records of minutes at once would block the event loop
+MAX_MESSAGES_AT_SHUTDOWN = 500  # in the last flush
 
 
 class ExportBuffer:
-    """Exports one queue of deltas to the first of its collectors that is up.
-
-    `peers` are the collectors, the preferred one first; `pending` is the queue; `seed` is of the
-    backoffs' jitter; `domain` the observation domain; the exporter's uptime begins `now`.
+    """Exports one queue of records to the first of its collectors that is up.
+
+    Args:
+        transports: opens, closes and writes to the connections to collectors.
+        layout: the protocol and its templates.
+        domain: the observation domain.
+        peers: the collectors, in order of preference.
+        pending: the queue.
+        seed: determines the jitter of the backoffs.
+        now: start of the exporter's uptime, in ticks.
     """
 
     def __init__(
@@ -75,7 +84,7 @@
         self.pending.add(delta)
 
     def on_opened(self, peer: CollectorPeer, now: int) -> None:
-        """Begin a session on a connection that is up: templates first."""
+        """Start a session on a new connection by sending the templates."""
         peer.state = CollectorState.TRIAL
         peer.state_since = now
         peer.last_progress_at = now
@@ -88,9 +97,10 @@
     def on_lost(
         self, peer: CollectorPeer, reason: str, now: int, unacknowledged_bytes: int = 0
     ) -> None:
-        """Take back what is in flight to a collector that is gone or refuses; try it again later.
+        """Requeue records in flight to a collector that failed or refused, and schedule a retry.
 
-        `unacknowledged_bytes` of a stream the system had taken and nobody has acknowledged.
+        `unacknowledged_bytes` are the bytes of a stream that were written to the operating system
+        and that the collector did not acknowledge.
         """
         if peer.state is CollectorState.DOWN:
             return
@@ -113,14 +123,17 @@
         self.transports.close(peer)
 
     def on_written(self, peer: CollectorPeer, written_bytes: int, now: int) -> None:
-        """Confirm messages: so many bytes of the stream are in the system's hands."""
+        """Confirm messages, as the first `written_bytes` of the stream were written."""
         if written_bytes > peer.written_bytes:
             peer.written_bytes = written_bytes
             peer.last_progress_at = now
             self._confirm_delivered(peer, now)
 
     def on_timer(self, now: int) -> None:
-        """Open what should be open, confirm, export what is pending; several times a second."""
+        """Open connections, confirm messages and export pending records.
+
+        Called several times a second.
+        """
         for peer in self.peers:
             self._update_peer(peer, now)
         self._select_active(now)
@@ -128,14 +141,14 @@
             self._export(self.active, now, MAX_MESSAGES_PER_CHECK)
 
     def flush(self, now: int) -> None:
-        """Send as much as goes at once, as the program ends; `disconnect_all` follows."""
+        """Send as much as possible without waiting, at shutdown before `disconnect_all`."""
         if self.active is not None:
             self._export(self.active, now, MAX_MESSAGES_AT_SHUTDOWN)
 
     def reconfigure(self, peers: list[CollectorPeer], layout: Layout, now: int) -> None:
-        """Go on with other collectors or another layout; what is pending stays so."""
+        """Replace the collectors and the layout; records stay pending."""
         if self.active is not None and not self.active.is_datagram:
-            # Templates of a stream are withdrawn before others may take their ids (RFC 7011, 8.1).
+            # On a stream, templates must be withdrawn before their ids are reused (RFC 7011, 8.1).
             session = self.active.current_session()
             self.transports.send(self.active, session.make_withdrawal_message(now // TICKS_PER_MS))
         self.disconnect_all(now)
@@ -143,7 +156,7 @@
         self.layout = layout
 
     def disconnect_all(self, now: int) -> None:
-        """Leave all collectors; what is not on its way is pending again."""
+        """Disconnect from all collectors; records that were not written are pending again."""
         for peer in self.peers:
             self._stop_export_to(peer, now)
             if peer.state is not CollectorState.DOWN:
@@ -151,17 +164,18 @@
                 self.transports.close(peer)
         self.active = None
 
-    # What becomes of messages in flight.
+    # Messages in flight.
 
     def _requeue_lost(self, peer: CollectorPeer, unacknowledged_bytes: int) -> None:
         for message in peer.in_flight:
             if peer.is_datagram:
-                # Perhaps only the last one was refused. A loss would show nowhere; a repeat is
-                # counted.
+                # Possibly only the last datagram was refused. All are sent again, because a
+                # repetition is counted whereas a loss would not be noticed.
                 self.totals.repeated_octets += message.octets
             self.pending.requeue(message.deltas)
-        # What the system had taken may have gone with the connection, or have arrived: sent again
-        # it could count twice, so it stays exported and is reported as uncertain.
+        # Bytes that were written to the operating system may be lost with the connection or may
+        # have arrived. Sent again, they could be counted twice, so these octets stay exported and
+        # are reported as uncertain.
         acknowledged_bytes = peer.written_bytes - unacknowledged_bytes
         self.totals.uncertain_octets += sum(
             message.octets
@@ -172,19 +186,19 @@
         peer.clear_in_flight()
 
     def _stop_export_to(self, peer: CollectorPeer, now: int) -> None:
-        """Send nothing more to it: what is on its way is exported, what is not goes elsewhere."""
+        """Stop sending to a collector: count sent records as exported and requeue the others."""
         confirm_time = now
         if peer.is_datagram:
             confirm_time += DATAGRAM_CONFIRM_TICKS
         self._confirm_delivered(peer, confirm_time)
-        # A stream's ring still has a while to leave, so these may arrive though they are sent
-        # again.
+        # A closing stream still writes its ring buffer for a limited time, so these messages may
+        # arrive although their records are sent again.
         self.totals.repeated_octets += peer.in_flight_octets
         self.pending.requeue([delta for message in peer.in_flight for delta in message.deltas])
         peer.clear_in_flight()
 
     def _confirm_delivered(self, peer: CollectorPeer, now: int) -> None:
-        """Count as exported what has arrived, as far as that can be known."""
+        """Count the messages as exported that have arrived, as far as this is known."""
         while peer.in_flight:
             message = peer.in_flight[0]
             if peer.is_datagram:
@@ -201,7 +215,7 @@
             if not peer.is_datagram:
                 peer.written_messages.append(WrittenMessage(message.end_offset, octets))
 
-    # Which collector.
+    # Selection of a collector.
 
     def _update_peer(self, peer: CollectorPeer, now: int) -> None:
         if peer.is_retry_due(now) and should_connect(peer, self.peers):
@@ -209,33 +223,34 @@
             peer.state_since = now
             self.transports.open(peer)
         elif peer.state is CollectorState.OPENING and now > peer.state_since + OPEN_TIMEOUT_TICKS:
-            self.on_lost(peer, "no connection in time", now)
+            self.on_lost(peer, "connection not established before the timeout", now)
         elif peer.state is CollectorState.TRIAL and now >= peer.state_since + TRIAL_TICKS:
             peer.state = CollectorState.UP
             peer.state_since = now
             self.transports.log(f"collector {peer.name} up")
         elif peer.is_stalled(now):
-            self.on_lost(peer, "it takes nothing", now)
+            self.on_lost(peer, "collector accepts no data", now)
         if peer.has_session:
             self._confirm_delivered(peer, now)
 
     def _select_active(self, now: int) -> None:
-        """Export to the first that is up.
+        """Select the first collector that is up.
 
-        One that flaps would get half of each outage; that its backoff grows bounds this.
+        A collector that fails again and again is selected after each recovery, so that half of the
+        records of an outage could be sent to this collector; its growing backoff limits this.
         """
-        first = next((peer for peer in self.peers if peer.state is CollectorState.UP), None)
-        if first is self.active:
+        preferred = next((peer for peer in self.peers if peer.state is CollectorState.UP), None)
+        if preferred is self.active:
             return
-        # The active one is among the peers: if it is up, so is one before it.
-        if first and self.active and self.active.state is CollectorState.UP:
-            self.transports.log(f"collector {first.name} takes over from {self.active.name}")
+        # The active collector is one of the peers: if it is up, `preferred` precedes it.
+        if preferred and self.active and self.active.state is CollectorState.UP:
+            self.transports.log(f"collector {preferred.name} takes over from {self.active.name}")
             self._stop_export_to(self.active, now)
             self.active.state = CollectorState.DOWN
             self.transports.close(self.active)
-        self.active = first
+        self.active = preferred
 
-    # What is sent.
+    # Sending.
 
     def _export(self, peer: CollectorPeer, now: int, max_messages: int) -> None:
         session = peer.current_session()
@@ -261,16 +276,16 @@
             self._send(peer, data, [], now)
 
     def _send(self, peer: CollectorPeer, data: bytes, deltas: list[Delta], now: int) -> bool:
-        """Send a message; False, with its records pending again, where there is no room.
+        """Send a message; returns False, with its records pending again, if there is no room.
 
-        A transport takes the whole of a message or nothing of it.
+        A transport accepts a whole message or nothing.
         """
         if not self.transports.send(peer, data):
             self.pending.requeue(deltas)
             peer.current_session().revert_sequence()
             return False
         if peer.sent_bytes == peer.written_bytes:
-            peer.last_progress_at = now  # it had nothing to take until now
+            peer.last_progress_at = now  # the collector had no bytes to accept until now
         peer.sent_bytes += len(data)
         message = InFlightMessage(now, peer.sent_bytes, deltas)
         peer.in_flight_octets += message.octets
@@ -283,19 +298,19 @@
 
     @property
     def held_octets(self) -> int:
-        """Octets pending or in flight."""
+        """Number of octets pending or in flight."""
         return self.pending.octets + sum(peer.in_flight_octets for peer in self.peers)
 
     def statistics(self) -> dict[str, int]:
-        """The totals of export, by element names."""
+        """Return the totals of export by element name."""
         return self.totals.statistics(self.pending, self.held_octets)
 
     def unaccounted_octets(self) -> int:
-        """Octets measured and neither exported, held nor dropped; all but 0 is a fault."""
+        """Return the octets measured and not exported, held or dropped; 0 if the totals agree."""
         accounted = self.totals.exported_octets + self.held_octets + self.pending.dropped_octets
         return self.pending.measured_octets - accounted
 
     def recounted_octets(self) -> int:
-        """Octets held, added up from the records themselves, to compare `held_octets` with."""
+        """Return the sum of octets over all held records, for comparison with `held_octets`."""
         in_flight = sum(message.octets for peer in self.peers for message in peer.in_flight)
         return self.pending.recounted_octets() + in_flight
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -1,7 +1,8 @@
-"""Flow export of one program: the meter, the export buffers and their connections, put together.
+"""Meters the connections of a gateway process and exports their flow records to collectors.
 
-Decides which connections are metered and how often things are checked. Never stalls what is served:
-nothing here waits, and what a tick does is bounded.
+Combines the meter, the export buffers and their transports: receives the opened and closed
+connections, and schedules the periodic checks. Flow export must not delay requests: no function
+waits, and the work of each check is bounded.
 """
 
 import dataclasses
@@ -31,15 +32,15 @@
 )
 
 CHECK_PERIOD_TICKS = 500
-# Why a connection ended by itself, and not by us.
+# Close reasons of connections that the peer closed or that broke; the gateway closed all others.
 REMOTE_CLOSE_REASONS = ("closed", "Connection reset by peer", "Broken pipe", "broken")
 
 
 class ExportHost(Protocol):
-    """What flow export needs of the host on sockets."""
+    """Interface of the socket host that flow export uses."""
 
     event_loop: EventLoop
-    flows: Any  # where the exporter registers
+    flows: Any  # the exporter, which registers here
     ledger: Any
     records: Any
     auditor: Any
@@ -49,14 +50,14 @@
 
 
 class HostConnection(MeteredConnection, Protocol):
-    """A connection of the host."""
+    """A connection of the socket host."""
 
     sock: socket.socket
     close_reason: str
 
 
 class BalanceCheck(NamedTuple):
-    """One equation of export, for the auditor: anything but 0 is a fault."""
+    """An equation of flow export for the auditor, violated if `difference` is not 0."""
 
     name: str
     difference: int  # octets
@@ -64,10 +65,10 @@
 
 
 class Exporter:
-    """Meters the connections of a host and exports their records.
+    """Meters the connections of a socket host and exports their flow records.
 
-    One buffer exports to the first collector that is up; or, in mode `all`, each collector has one
-    of its own.
+    A single export buffer sends to the first collector that is up. In the mode `all`, each
+    collector has a separate export buffer.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         self.seed = seed
         self.settings = settings
         self.started_at = self.event_loop.now
-        self.domain = crc32(gateway.encode())  # the same after each restart
+        self.domain = crc32(gateway.encode())  # observation domain, unchanged by a restart
         self.meter = Meter(
             self._on_delta,
             settings.active_timeout_ticks,
@@ -98,19 +99,19 @@
         socket_host.auditor.equations.append(self.balance_checks)
         self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_timer)
 
-    # What the host notifies of.
+    # Callbacks of the socket host and of the event loop.
 
     def on_connection_opened(
         self, connection: HostConnection, direction: int, engine: str = "", zone: str = ""
     ) -> None:
-        """Meter a connection from now on: a client's, or one to an engine of a zone."""
+        """Start metering a connection from a client, or a connection to an engine in a zone."""
         endpoints = read_endpoints(connection.sock, direction)
         self.flows[connection] = self.meter.start_flow(
             connection, direction, endpoints, engine, zone, self.event_loop.now
         )
 
     def on_connection_closed(self, connection: HostConnection) -> None:
-        """Report the rest of a connection that has ended."""
+        """Stop metering a connection and report its remaining octets."""
         flow = self.flows.pop(connection, None)
         if flow is not None:
             reason = FlowEndReason.FORCED
@@ -119,7 +120,7 @@
             self.meter.end_flow(flow, reason, self.event_loop.now)
 
     def on_timer(self) -> None:
-        """Check timeouts, transports and buffers; and again a while later."""
+        """Check timeouts, transports and buffers, and schedule the next check."""
         now = self.event_loop.now
         self.meter.advance(now)
         for transport in [*self.transports.values()]:
@@ -129,10 +130,10 @@
         self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_timer)
 
     def reload(self, settings: FlowExportConfig) -> None:
-        """Go on with other collectors, or another layout; what is pending stays so.
+        """Apply changed collectors, timeouts and layout; remaining buffers keep pending records.
 
         Raises:
-            ConfigurationError: a TLS file is faulty; nothing is changed.
+            ConfigurationError: a TLS file is invalid; nothing was changed.
         """
         collectors = read_collectors(settings)
         self.meter.active_ticks = settings.active_timeout_ticks
@@ -143,7 +144,7 @@
         self.settings = settings
 
     def end(self) -> None:
-        """Report open connections as far as they went, and send what can go at once."""
+        """Report all open connections and send as much as possible without waiting."""
         now = self.event_loop.now
         for connection in [*self.flows]:
             self.meter.end_flow(self.flows.pop(connection), FlowEndReason.FORCED, now)
@@ -158,7 +159,7 @@
                 self.socket_host.log(f"collector {name}: {octets} octets were held at the end")
 
     def _on_delta(self, delta: Delta) -> None:
-        """Queue a record in each buffer; each has a copy of its own, which it merges in place."""
+        """Queue a record in all buffers, as separate copies: buffers merge records in place."""
         first, *others = self.buffers.values()
         for buffer in others:
             buffer.add(dataclasses.replace(delta))
@@ -167,7 +168,7 @@
     # Collectors.
 
     def _configure(self, settings: FlowExportConfig, collectors: list[ConfiguredCollector]) -> None:
-        """Let buffers that are named still go on with their queue; the others drop theirs."""
+        """Create, reconfigure and remove buffers; remaining buffers keep their pending records."""
         layout = Layout(settings.layout, self.gateway)
         peers = [make_peer(collector.settings) for collector in collectors]
         self.collectors.update(zip(peers, collectors, strict=True))
@@ -195,17 +196,17 @@
         return ExportBuffer(self, layout, self.domain, peers, pending, self.seed, self.started_at)
 
     def _remove_buffer(self, name: str, buffer: ExportBuffer, layout: Layout) -> None:
-        """Leave a collector that is no longer named, and drop what was pending for it."""
+        """Disconnect from a collector that is no longer configured and drop its pending records."""
         buffer.reconfigure([], layout, self.event_loop.now)
         self.socket_host.log(
             f"collector {name} left, {buffer.pending.octets} octets were held for it"
         )
         buffer.pending.drop_all()
 
-    # What a buffer asks for (`CollectorTransports`).
+    # Interface of the buffers (`CollectorTransports`).
 
     def open(self, peer: CollectorPeer) -> None:
-        """Begin to connect to a collector."""
+        """Start connecting to a collector."""
         collector = self.collectors[peer]
         address = collector.settings.address
         buffer = next(buffer for buffer in self.buffers.values() if peer in buffer.peers)
@@ -217,7 +218,7 @@
             )
 
     def send(self, peer: CollectorPeer, data: bytes) -> bool:
-        """Hand over a whole message; False, with nothing of it sent, where there is no room."""
+        """Send a whole message; returns False, with nothing sent, if there is no room for it."""
         transport = self.transports.get(peer)
         return transport is not None and transport.send(data)
 
@@ -234,14 +235,14 @@
     # Totals.
 
     def balance_checks(self) -> list[BalanceCheck]:
-        """The equations of export, for the auditor."""
+        """Return the equations of flow export for the auditor."""
         checks = [
             BalanceCheck(
                 "flows measured",
                 self._carried_octets()
                 - self.meter.measured_octets
                 - self.meter.unreported_octets(),
-                "octets of connections - measured - not yet told",
+                "octets of connections - measured - not yet reported",
             )
         ]
         for name, buffer in self.buffers.items():
@@ -254,13 +255,13 @@
         return checks
 
     def _carried_octets(self) -> int:
-        """Octets of all connections, by the ledger (ended) and the live records (open)."""
+        """Return the octets of closed connections (ledger) and open ones (live records)."""
         ended = sum(row.received_bytes + row.sent_bytes for row in self.socket_host.ledger.sides)
-        live = sum(got + sent for got, sent, _ in self.socket_host.records.live_bytes())
+        live = sum(received + sent for received, sent, _ in self.socket_host.records.live_bytes())
         return int(ended + live)
 
     def status_report(self) -> dict[str, Any]:
-        """The totals of each buffer, as the accounting snapshot has them (JSON)."""
+        """Return the totals of each buffer as JSON values for the accounting snapshot."""
         return {name: self._buffer_report(buffer) for name, buffer in self.buffers.items()}
 
     def _buffer_report(self, buffer: ExportBuffer) -> dict[str, Any]:
--- a/corkgauge/flow_export/meter.py
+++ b/corkgauge/flow_export/meter.py
@@ -1,8 +1,8 @@
-"""The metering process: which flows there are, and when a record of one is due (RFC 5470, 5.1).
+"""Measures flows and creates their records (the metering process of RFC 5470, 5.1).
 
-Holds a flow for each connection: what was reported of it, and its timeouts on a wheel. Free of I/O,
-the clock is handed in as ticks, tenths of a millisecond. No octet is counted twice or left out: a
-record has what came since the one before, whatever made it due.
+Keeps a flow for each connection, with the octets reported so far, and its timeouts in a timer
+wheel. Performs no I/O and receives the current time in ticks, tenths of a millisecond. Each octet
+is counted exactly once: whatever caused a record, it covers the octets since the previous record.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,19 +15,19 @@
 
 MAX_FLOWS_PER_CALL = 500
 SLOT_COUNT = 512
-SLOT_TICKS = 1_250  # an eighth of a second; 512 of them are a turn of 64 s
+SLOT_TICKS = 1_250  # an eighth of a second; one turn of 512 slots takes 64 s
 TICKS_PER_MS = 10
 
 
 class MeteredConnection(Protocol):
-    """What is metered of a connection: octets received and sent since it came up."""
+    """A connection with counters of the octets received and sent since it was opened."""
 
     bytes_received: int
     bytes_sent: int
 
 
 class Flow:
-    """One connection, and what records have reported of it."""
+    """A connection and the octets that records have reported for this connection."""
 
     __slots__ = (
         "connection",
@@ -59,31 +59,31 @@
         self.engine = engine
         self.zone = zone
         self.flow_id = flow_id
-        self.record_start = now  # ticks: when the last record ended
+        self.record_start = now  # ticks; end of the previous record
         self.reported_received = 0
         self.reported_sent = 0
         self.octets_at_last_check = 0
-        self.due = 0  # ticks; the wheel's
+        self.due = 0  # ticks; set by the timer wheel
 
     @property
     def octets(self) -> int:
-        """Octets of both directions since the connection came up."""
+        """Octets in both directions since the connection was opened."""
         return self.connection.bytes_received + self.connection.bytes_sent
 
     @property
     def unreported_octets(self) -> int:
-        """Octets that no record has yet."""
+        """Octets that no record has reported yet."""
         return self.octets - self.reported_received - self.reported_sent
 
 
 class Meter:
-    """Makes the records of all connections.
+    """Creates the records of all connections.
 
     Args:
-        on_delta: takes each record.
-        active_ticks: how long a flow goes on without a record (active timeout).
-        idle_ticks: how long without an octet before a flow counts as ended (idle timeout).
-        now: ticks.
+        on_delta: called with each record.
+        active_ticks: active timeout, after which a continuing flow is reported.
+        idle_ticks: idle timeout, after which a flow without new octets has ended.
+        now: the current time, in ticks.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.flows: dict[Flow, None] = {}
         self.last_flow_id = 0
         self.record_count = 0
-        self.measured_octets = 0  # of all records made
+        self.measured_octets = 0  # sum over all records
 
     def start_flow(
         self,
@@ -108,24 +108,24 @@
         zone: str,
         now: int,
     ) -> Flow:
-        """Meter a connection from now on."""
+        """Start metering a connection."""
         flow = Flow(connection, direction, endpoints, engine, zone, self._next_flow_id(), now)
         self.flows[flow] = None
         self.wheel.put(flow, now + min(self.active_ticks, self.idle_ticks))
         return flow
 
     def end_flow(self, flow: Flow, reason: FlowEndReason, now: int) -> None:
-        """Report what came since the last record, and meter no more; once only."""
+        """Report the octets since the last record and stop metering; repeated calls do nothing."""
         if flow in self.flows:
             del self.flows[flow]
             self.wheel.remove(flow)
             self._report(flow, reason, now)
 
     def advance(self, now: int) -> None:
-        """Check the flows that are due, a bounded number of them.
+        """Check a bounded number of the flows that are due.
 
-        Ten thousand that came up together are due together and would hold up the loop: the next
-        call goes on where this one stops.
+        Ten thousand connections opened at the same time are due at the same time and would block
+        the event loop, so the next call continues where this call stops.
         """
         for count, flow in enumerate(self.due_flows, start=1):
             self._check(flow, now)
@@ -134,7 +134,7 @@
         self.due_flows = self.wheel.advance(now)
 
     def unreported_octets(self) -> int:
-        """Octets of open connections that no record has yet."""
+        """Return the octets of open connections that no record has reported yet."""
         return sum(flow.unreported_octets for flow in self.flows)
 
     def _next_flow_id(self) -> int:
@@ -147,13 +147,13 @@
             self._report(flow, FlowEndReason.ACTIVE, now)
         elif octets == flow.octets_at_last_check and flow.unreported_octets > 0:
             self._report(flow, FlowEndReason.IDLE, now)
-            flow.flow_id = self._next_flow_id()  # what comes later is another flow
+            flow.flow_id = self._next_flow_id()  # later octets belong to a new flow
         flow.octets_at_last_check = octets
         active_due = max(flow.record_start + self.active_ticks, now + 1)
         self.wheel.put(flow, min(now + self.idle_ticks, active_due))
 
     def _report(self, flow: Flow, reason: FlowEndReason, now: int) -> None:
-        """Make the record of what came since the last one; none where nothing came."""
+        """Create a record of the octets since the last record, if there are any."""
         received = flow.connection.bytes_received - flow.reported_received
         sent = flow.connection.bytes_sent - flow.reported_sent
         start = flow.record_start
@@ -164,7 +164,7 @@
             return
         self.record_count += 1
         self.measured_octets += received + sent
-        # Clients initiate the connections to us; we initiate those to engines.
+        # Clients initiate their connections; the gateway initiates the connections to engines.
         forward = sent
         reverse = received
         if flow.direction == FlowDirection.INGRESS:
--- a/corkgauge/flow_export/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -1,7 +1,7 @@
-"""The connections to collectors: datagrams, streams, streams under TLS.
+"""Connections to collectors over UDP, TCP and TLS.
 
-Each owns one socket, and notifies the export buffer of what becomes of it. Never blocks, never
-sends a part of a message, and does not look at what a message says.
+Each transport owns one socket and notifies the export buffer when the connection is opened, writes
+data or is lost. A transport never blocks, accepts only whole messages, and does not interpret them.
 """
 
 import contextlib
@@ -19,11 +19,11 @@
 from corkgauge.flow_export.export_buffer import TICKS_PER_SECOND, ExportBuffer
 from corkgauge.flow_export.tls import TlsMachine, TlsTarget
 
-OUTWARD_BUFFER_BYTES = 131_072  # of a stream's messages that wait for the socket
-DISCARD_BUFFER_BYTES = 4096  # of what a collector sends, before it is dropped
+OUTWARD_BUFFER_BYTES = 131_072  # for messages of a stream that wait for the socket
+DISCARD_BUFFER_BYTES = 4096  # for input from a collector, which is discarded
 STREAM_MEMORY_BYTES = 4 * OUTWARD_BUFFER_BYTES
 DIAL_TIMEOUT_TICKS = 2 * TICKS_PER_SECOND
-CLOSE_TIMEOUT_TICKS = TICKS_PER_SECOND  # that a stream's ring has to leave, at a close
+CLOSE_TIMEOUT_TICKS = TICKS_PER_SECOND  # limit for writing the ring buffer of a closing stream
 CLOSE_CHECK_TICKS = 50
 
 
@@ -31,20 +31,20 @@
     """A connection to a collector."""
 
     def send(self, data: bytes) -> bool:
-        """Take a whole message; False, with nothing of it taken, where there is no room."""
+        """Accept a whole message; returns False, with nothing accepted, if there is no room."""
 
     def report_progress(self) -> None:
-        """Notify the export buffer of how much was written."""
+        """Notify the export buffer of the number of bytes written."""
 
     def flush(self) -> None:
-        """Write what the socket takes now, as the program ends."""
+        """Write as much as the socket accepts without waiting, at shutdown."""
 
     def close(self) -> None:
-        """Leave; the export buffer is notified of nothing more."""
+        """Close the connection; the export buffer is not notified any more."""
 
 
 class DatagramTransport:
-    """A connected UDP socket: an ICMP refusal comes back as an error of the next call."""
+    """A connected UDP socket, whose next call reports a received ICMP error."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
             self.export_buffer.on_opened(self.peer, self.event_loop.now)
 
     def _listen(self) -> None:
-        """Wait for refusals; what a collector sends is dropped. Closes the socket at the end."""
+        """Wait for ICMP errors and discard all input; close the socket at the end."""
         while not self.is_closed:
             self.event_loop.wait(self.sock.fileno(), READ)
             if self.is_closed:
@@ -91,24 +91,24 @@
             self.export_buffer.on_lost(self.peer, reason, self.event_loop.now)
 
     def send(self, data: bytes) -> bool:
-        """Send a datagram; False if the system did not take it."""
+        """Send a datagram; returns False if the operating system did not accept it."""
         try:
             return self.sock.send(data) == len(data)
         except OSError as problem:
             if problem.errno not in (errno.EAGAIN, errno.ENOBUFS):
-                # The buffer is in the middle of sending: notified at once it would drop the
-                # session that it is using.
+                # The export buffer is sending now: notified at once, it would drop the session
+                # that it is using.
                 self.event_loop.call_later(0, self._on_lost, problem.strerror or "error")
             return False
 
     def report_progress(self) -> None:
-        """Nothing to report: datagrams are confirmed by time."""
+        """Do nothing: datagrams are confirmed after a fixed time."""
 
     def flush(self) -> None:
-        """Nothing to write: a datagram has left, or was not taken."""
+        """Do nothing: a datagram was sent at once or was not accepted."""
 
     def close(self) -> None:
-        """Close the socket, by the task that waits for it if there is one."""
+        """Close the socket; if a task waits for the socket, that task closes it."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -119,7 +119,7 @@
 
 
 class DiscardingMachine:
-    """A protocol machine for a peer that has nothing to say: what comes is dropped."""
+    """A protocol machine that discards all input, as collectors send no messages."""
 
     def __init__(self, budget: MemoryBudget) -> None:
         self.complete_frame_count = 0
@@ -127,13 +127,13 @@
         self.outward = RingBuffer(OUTWARD_BUFFER_BYTES, budget)
 
     def parse_input(self) -> str:
-        """Drop what came."""
+        """Discard the received bytes."""
         self.inward.drop(len(self.inward))
         return ""
 
 
 class StreamTransport:
-    """A TCP connection, plain or (with `tls`) under TLS."""
+    """A TCP connection, with TLS if `tls` is given."""
 
     def __init__(
         self,
@@ -151,9 +151,10 @@
         self.budget = MemoryBudget(STREAM_MEMORY_BYTES)
         self.link: StreamConnection | None = None
         self.is_closed = False
-        self.message_bytes = 0  # of whole messages, before any encryption
+        self.message_bytes = 0  # of whole messages, before encryption
 
-        # At the last look: unacknowledged bytes in the system's hands, and what was sent by then.
+        # At the last check: unacknowledged bytes in the send queue of the operating system, and
+        # bytes sent until then.
         self.send_queue_bytes = 0
         self.sent_at_check_bytes = 0
         event_loop.spawn(self._run)
@@ -174,7 +175,7 @@
         else:
             machine = TlsMachine(self, self.tls.context, self.tls.server_name, self.budget)
             self.link = StreamConnection(self.event_loop, sock, machine, self)
-            machine.parse_input()  # the client begins the handshake
+            machine.parse_input()  # starts the handshake, as the client must
         self.link.run()
 
     def _on_lost(self, reason: str) -> None:
@@ -183,43 +184,43 @@
             unacknowledged = self._unacknowledged_bytes()
             self.export_buffer.on_lost(self.peer, reason, self.event_loop.now, unacknowledged)
 
-    # What the machine and the connection notify of.
+    # Callbacks of the protocol machine and of the connection.
 
     def on_established(self) -> None:
-        """Begin the session: the collector is connected, and is who it should be."""
+        """Start the session: the collector is connected and, under TLS, authenticated."""
         if not self.is_closed:
             self.export_buffer.on_opened(self.peer, self.event_loop.now)
 
     def send_encrypted(self, data: bytes) -> None:
-        """Send bytes of the TLS session."""
-        assert self.link is not None, "a TLS session without its connection"
+        """Send encrypted bytes of the TLS session."""
+        assert self.link is not None, "expected a connection under the TLS session, found none"
         self.link.send(data)
 
     def on_output_drained(self) -> None:
-        """Confirm all messages: all that was put is in the system's hands."""
+        """Confirm all messages, as all output was written to the operating system."""
         if not self.is_closed:
             self.export_buffer.on_written(self.peer, self.message_bytes, self.event_loop.now)
 
     def on_closed(self, reason: str) -> None:
-        """The connection is over."""
+        """Handle the end of the connection."""
         self._on_lost(reason)
 
-    # What the export buffer asks for.
+    # Interface of the export buffer.
 
     def send(self, data: bytes) -> bool:
-        """Take a whole message; False, with nothing of it taken, where there is no room."""
+        """Accept a whole message; returns False, with nothing accepted, if there is no room."""
         link = self.link
         if link is None or link.close_reason:
             return False
-        is_taken = link.send(data) if self.tls is None else link.machine.write(data)
-        if is_taken:
+        is_accepted = link.send(data) if self.tls is None else link.machine.write(data)
+        if is_accepted:
             self.message_bytes += len(data)
-        return bool(is_taken)
+        return bool(is_accepted)
 
     def report_progress(self) -> None:
-        """Notify the buffer of what was written, and note how much the system still holds.
+        """Notify the buffer of the bytes written, and store the length of the send queue.
 
-        What it holds may never arrive, if the connection breaks.
+        Bytes in the send queue of the operating system may be lost if the connection breaks.
         """
         link = self.link
         if link is None or link.close_reason:
@@ -232,28 +233,28 @@
             self.sent_at_check_bytes = link.bytes_sent
 
     def flush(self) -> None:
-        """Write what the socket takes now, as the program ends."""
+        """Write as much as the socket accepts without waiting, at shutdown."""
         if self.link is not None and not self.link.close_reason:
             self.link.flush()
             self.report_progress()
 
     def _unacknowledged_bytes(self) -> int:
-        """At the most: what the system held at the last look, and all that was written since."""
+        """Return an upper bound: the send queue at the last check and all bytes sent since."""
         if self.link is None:
             return 0
         return self.send_queue_bytes + self.link.bytes_sent - self.sent_at_check_bytes
 
     def close(self) -> None:
-        """Close once the ring is empty, or after a while: at once would cut off what it holds."""
+        """Close once the ring buffer is empty or after a timeout, so as not to lose its content."""
         if self.is_closed:
             return
         self.is_closed = True
         if self.link is not None:
-            until = self.event_loop.now + CLOSE_TIMEOUT_TICKS
-            self.event_loop.call_later(1, self._close_when_drained, self.link, until)
+            deadline = self.event_loop.now + CLOSE_TIMEOUT_TICKS
+            self.event_loop.call_later(1, self._close_when_drained, self.link, deadline)
 
-    def _close_when_drained(self, link: StreamConnection, until: int) -> None:
-        if len(link.machine.outward) and not link.close_reason and self.event_loop.now < until:
-            self.event_loop.call_later(CLOSE_CHECK_TICKS, self._close_when_drained, link, until)
+    def _close_when_drained(self, link: StreamConnection, deadline: int) -> None:
+        if len(link.machine.outward) and not link.close_reason and self.event_loop.now < deadline:
+            self.event_loop.call_later(CLOSE_CHECK_TICKS, self._close_when_drained, link, deadline)
             return
         link.close("left")
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -690,7 +690,7 @@
     )  # numbers of what never went
     harness.export_buffer.add(delta(2))
     harness.run(8 * TICKS_PER_SECOND, writes=False)
-    assert "collector c0 lost: it takes nothing" in harness.logged
+    assert "collector c0 lost: collector accepts no data" in harness.logged
 
 
 def test_templates_again_on_udp_by_time_and_by_count():
@@ -911,7 +911,7 @@
         export_buffer.unaccounted_octets() == 0
         and export_buffer.held_octets == export_buffer.recounted_octets()
     )
-    assert any("it takes nothing" in line for line in site.premises.logged)
+    assert any("collector accepts no data" in line for line in site.premises.logged)
     assert (
         export_buffer.active is export_buffer.peers[1]
         and site.exported_octets(1) > 0
