--- a/corkgauge/flow_export/__init__.py
+++ b/corkgauge/flow_export/__init__.py
@@ -1,1 +1,1 @@
-"""Flow export: what each connection carried, as NetFlow v9 or IPFIX, through lost collectors."""
+"""Export of flow records for all connections as IPFIX or NetFlow v9, with collector failover."""
--- a/corkgauge/flow_export/backoff.py
+++ b/corkgauge/flow_export/backoff.py
@@ -1,25 +1,25 @@
-"""How long a collector that failed is left alone: exponential backoff with jitter from a seed."""
+"""Computes the exponential backoff of a failed collector, with jitter derived from a seed."""
 
 from struct import pack
 from zlib import crc32
 
-MIN_BACKOFF_TICKS = 5_000  # half a second, doubled with each failure
+MIN_BACKOFF_TICKS = 5_000  # half a second, doubled by each further failure
 MAX_BACKOFF_TICKS = 600_000  # a minute
 MAX_DOUBLINGS = 16
 
 
 class JitteredBackoff:
-    """Draws backoffs of ticks, tenths of a millisecond."""
+    """Draws backoffs in ticks, tenths of a millisecond."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.draws = 0
 
     def next_ticks(self, failure_count: int) -> int:
-        """Return the backoff after so many failures in a row, a quarter more or less.
+        """Return the backoff after consecutive failures, with jitter of up to a quarter.
 
-        Without the jitter, gateways that lost one collector at the same moment would come back to
-        it at the same moment.
+        Without the jitter, gateways that lost a collector at the same moment would all reconnect
+        at the same moment.
         """
         self.draws += 1
         fraction = crc32(pack("<QQ", self.seed, self.draws)) / 2**32
--- a/corkgauge/flow_export/codec.py
+++ b/corkgauge/flow_export/codec.py
@@ -1,11 +1,11 @@
-"""Flow records to bytes: IPFIX (RFC 7011) and NetFlow v9 (RFC 3954).
+"""Encodes flow records as IPFIX (RFC 7011) and NetFlow v9 (RFC 3954) messages.
 
-Given records, returns bytes; knows no socket. Never puts a message above its limit.
+Performs no I/O. No message exceeds its size limit.
 
-Three layouts. `own` (IPFIX): a biflow a connection (RFC 5103), with zone, engine and gateway as
-elements of variable length. `standard` (IPFIX): a record each way, with IANA's elements of fixed
-length alone, for collectors that know no others. `netflow9`: its two octet counters for the two
-ways.
+There are three layouts. `own` (IPFIX) has one biflow per connection (RFC 5103), with zone, engine
+and gateway as elements of variable length. `standard` (IPFIX) has one record per direction, with
+only IANA elements of fixed length, for collectors that support no others. `netflow9` uses the two
+octet counters of NetFlow v9 for the two directions.
 """
 
 from struct import Struct
@@ -28,25 +28,25 @@
 IPFIX_HEADER = Struct("!HHIII")
 V9_HEADER = Struct("!HHIIII")
 MIN_MESSAGE_BYTES = 512
-MAX_PADDING_BYTES = 3  # sets end at a multiple of four octets
+MAX_PADDING_BYTES = 3  # sets are padded to a multiple of four octets
 MAX_NAME_BYTES = 64
-NARROW_COUNTER_LIMIT = 2**32  # octets that a counter of reduced size cannot hold (RFC 7011, 6.2)
+NARROW_COUNTER_LIMIT = 2**32  # octets; exceeds a counter of reduced size (RFC 7011, 6.2)
 UINT32_MODULUS = 2**32  # sequence numbers, times and uptimes wrap around
-# By address family. Plain ints, since an enum member costs a lookup that each record would pay.
+# By address family. Plain ints save the lookup of an enum member for each record.
 AGGREGATE_TEMPLATE = int(TemplateId.AGGREGATE)
 NARROW_FLOW_TEMPLATES = {4: int(TemplateId.FLOW_IPV4), 6: int(TemplateId.FLOW_IPV6)}
 WIDE_FLOW_TEMPLATES = {4: int(TemplateId.FLOW_IPV4_WIDE), 6: int(TemplateId.FLOW_IPV6_WIDE)}
 
 
 class DataRecord(NamedTuple):
-    """An encoded record, and the template that it is of."""
+    """An encoded record and the id of its template."""
 
     template_id: int
     data: bytes
 
 
 class Layout:
-    """The templates of one layout, and how a delta becomes records of them."""
+    """The templates of one layout, and the encoding of deltas as records of these templates."""
 
     def __init__(self, kind: str, gateway: str) -> None:
         self.kind = LayoutKind(kind)
@@ -56,7 +56,7 @@
         self.templates = {template.number: template for template in templates_of_layout(self.kind)}
 
     def encode_delta(self, delta: Delta, started_ms: int) -> list[DataRecord]:
-        """Encode a delta; `started_ms` is when NetFlow v9's uptime began, on the system's clock."""
+        """Encode a delta; `started_ms` is the start of the uptime (NetFlow v9, system clock)."""
         if self.is_v9:
             return [self._v9_record(delta, started_ms)]
         if self.is_biflow:
@@ -128,9 +128,9 @@
         )
 
     def _reverse_record(self, delta: Delta) -> DataRecord:
-        """The way back, as a flow of its own in the other direction.
+        """Encode the reverse direction of a connection as a separate flow.
 
-        Of an aggregate it counts no flows: the forward record has counted them.
+        The record of an aggregate counts 0 flows, as the forward record has counted them.
         """
         direction = 1 - delta.direction
         counters = delta.start_ms, delta.end_ms, delta.reverse_octets
@@ -156,7 +156,7 @@
         return DataRecord(number, self.templates[number].encode_record(values, names))
 
     def encode_statistics(self, domain: int, statistics: dict[str, int]) -> bytes:
-        """Encode the totals of export (by element names) as an options record of the domain."""
+        """Encode the totals of export (by element name) as an options record of the domain."""
         template = self.templates[TemplateId.STATISTICS]
         values = [domain]
         for field in template.fields[1:]:
@@ -165,7 +165,7 @@
         return template.encode_record(values)
 
     def encode_element_types(self) -> list[bytes]:
-        """Encode what our own elements are (RFC 5610); none in layouts without them."""
+        """Encode the types of enterprise elements (RFC 5610), if the layout has such elements."""
         template = self.templates.get(TemplateId.ELEMENT_TYPES)
         if template is None:
             return []
@@ -185,29 +185,29 @@
 
 
 def _encode_name(text: str) -> bytes:
-    """Encode a name, cut at a bound: a name of any length would fill a whole message."""
+    """Encode and truncate a name; without a limit, a long name could fill a whole message."""
     return text.encode()[:MAX_NAME_BYTES]
 
 
 def _flow_template_id(family: int, largest_octets: int) -> int:
-    """The template of a flow's family whose counters hold this many octets."""
+    """Return the template id for an address family whose counters can hold this many octets."""
     if largest_octets >= NARROW_COUNTER_LIMIT:
         return WIDE_FLOW_TEMPLATES[family]
     return NARROW_FLOW_TEMPLATES[family]
 
 
 class Message:
-    """One message while it is written; `limit` in octets."""
+    """A message under construction, with a size limit."""
 
     def __init__(self, is_v9: bool, max_message_bytes: int) -> None:
         self.is_v9 = is_v9
         self.max_message_bytes = max_message_bytes
-        self.size = (V9_HEADER if is_v9 else IPFIX_HEADER).size  # octets, padding at its largest
+        self.size = (V9_HEADER if is_v9 else IPFIX_HEADER).size  # octets, with maximum padding
         self.sets: dict[int, list[bytes]] = {}
         self.data_record_count = 0
 
     def add(self, set_id: int, record: bytes) -> bool:
-        """Put a record into a set; False, with nothing put, where the limit does not let it."""
+        """Add a record to a set; returns False, with nothing added, if it exceeds the limit."""
         size = self.size + len(record)
         is_new_set = set_id not in self.sets
         if is_new_set:
@@ -226,9 +226,9 @@
         """Encode the message.
 
         Args:
-            now_ms: the export time, on the system's clock.
-            started_ms: when NetFlow v9's uptime began, on the same clock.
-            sequence: as the protocol counts it; wraps around at 32 bits.
+            now_ms: the export time, on the system clock.
+            started_ms: start of the uptime (NetFlow v9), on the same clock.
+            sequence: the sequence number of the protocol; wraps around at 32 bits.
             domain: the observation domain (NetFlow v9: source id).
         """
         body = b"".join(self._encode_set(set_id) for set_id in self.sets)
@@ -251,9 +251,9 @@
 
 
 def encode_withdrawal(now_ms: int, sequence: int, domain: int) -> bytes:
-    """Encode an IPFIX message that withdraws all templates of both sorts (RFC 7011, 8.1).
+    """Encode an IPFIX message that withdraws all templates and options templates.
 
-    For streams only.
+    For streams only (RFC 7011, 8.1).
     """
     message = Message(False, MIN_MESSAGE_BYTES)
     for set_id in (IPFIX_TEMPLATE_SET, IPFIX_OPTIONS_TEMPLATE_SET):
--- a/corkgauge/flow_export/collector_peer.py
+++ b/corkgauge/flow_export/collector_peer.py
@@ -1,6 +1,6 @@
-"""One collector: its state, its session, and the messages in flight to it.
+"""The state of one collector, its session, and the messages in flight to the collector.
 
-The export buffer changes what is here; the transports read it.
+The export buffer changes this state; the transports only read it.
 """
 
 from collections import deque
@@ -10,14 +10,17 @@
 from corkgauge.flow_export.counter_deltas import Delta
 from corkgauge.flow_export.session import Session
 
-# Messages of a stream that are remembered for what the system may still hold of them.
+# Written messages of a stream that are kept, as the operating system may still hold their bytes.
 MAX_WRITTEN_MESSAGES = 1024
-STALL_TIMEOUT_TICKS = 50_000  # 5 s that a stream may take no byte
+STALL_TIMEOUT_TICKS = 50_000  # 5 s for which a stream may accept no byte
 TICKS_PER_MS = 10
 
 
 class CollectorState(Enum):
-    """DOWN -> OPENING -> TRIAL -> UP; from each back to DOWN. The values go into status reports."""
+    """DOWN -> OPENING -> TRIAL -> UP; each state may change to DOWN.
+
+    The values are part of status reports.
+    """
 
     DOWN = "down"
     OPENING = "opening"
@@ -26,34 +29,34 @@
 
 
 class InFlightMessage(NamedTuple):
-    """A message handed to the transport and not yet confirmed."""
+    """A message that the transport accepted and that is not confirmed yet."""
 
     sent_at: int  # ticks
-    end_offset: int  # bytes of the session up to its end
+    end_offset: int  # bytes of the session up to the end of the message
     deltas: list[Delta]
 
     @property
     def octets(self) -> int:
-        """Octets of the flows that it reports."""
+        """Octets of the flows that the message reports."""
         return sum(delta.octets for delta in self.deltas)
 
 
 class WrittenMessage(NamedTuple):
-    """A message of a stream that the system has taken."""
+    """A message of a stream that was written to the operating system."""
 
-    end_offset: int  # bytes of the session up to its end
-    octets: int  # of the flows that it reports
+    end_offset: int  # bytes of the session up to the end of the message
+    octets: int  # of the flows that the message reports
 
 
 class CollectorPeer:
-    """One collector, and what is in flight to it. Times are ticks, tenths of a millisecond.
+    """A collector and the messages in flight. Times are ticks, tenths of a millisecond.
 
     Args:
-        name: its address, as logged.
-        is_datagram: whether messages go as datagrams, else in a stream.
-        max_message_bytes: octets of one message.
+        name: the address, as logged.
+        is_datagram: whether messages are sent as datagrams rather than in a stream.
+        max_message_bytes: size limit of one message.
         refresh_ticks: time after which templates are sent again (datagrams).
-        refresh_messages: messages after which templates are sent again (datagrams).
+        refresh_messages: number of messages after which templates are sent again (datagrams).
     """
 
     def __init__(
@@ -78,38 +81,37 @@
         self.down_reason = ""
         self.session: Session | None = None
 
-        # In flight, with bytes of the session handed over and written.
+        # Messages in flight, and bytes of the session accepted by the transport and written.
         self.in_flight: deque[InFlightMessage] = deque()
         self.in_flight_octets = 0
         self.sent_bytes = 0
         self.written_bytes = 0
-        self.last_progress_at = 0  # when it last took a byte, or had none to take
-        self.written_messages: deque[WrittenMessage] = deque(
-            maxlen=MAX_WRITTEN_MESSAGES
-        )  # streams only
+        self.last_progress_at = 0  # last time that a byte was written or none was outstanding
+        # Of streams only.
+        self.written_messages: deque[WrittenMessage] = deque(maxlen=MAX_WRITTEN_MESSAGES)
 
     @property
     def has_session(self) -> bool:
-        """Whether messages may be sent to it."""
+        """Whether messages may be sent to the collector."""
         return self.state in (CollectorState.TRIAL, CollectorState.UP)
 
     def current_session(self) -> Session:
-        """The session; only while there is one."""
+        """Return the session, which must exist."""
         assert self.session is not None, f"collector {self.name} has no session"
         return self.session
 
     def is_retry_due(self, now: int) -> bool:
-        """Whether it is down, and has been left alone for long enough."""
+        """Return whether the collector is down and its backoff is over."""
         return self.state is CollectorState.DOWN and now >= self.retry_at
 
     def is_stalled(self, now: int) -> bool:
-        """Whether a stream has had bytes to take for too long, and took none."""
+        """Return whether a stream with outstanding bytes has made no progress for too long."""
         if self.is_datagram or self.sent_bytes <= self.written_bytes:
             return False
         return now > self.last_progress_at + STALL_TIMEOUT_TICKS
 
     def is_refresh_due(self, now: int) -> bool:
-        """Whether templates go again, as datagrams may be lost (RFC 7011, 8.4)."""
+        """Return whether to send templates again, as datagrams may be lost (RFC 7011, 8.4)."""
         if not self.is_datagram:
             return False
         session = self.current_session()
@@ -119,19 +121,19 @@
         )
 
     def clear_in_flight(self) -> None:
-        """Hold nothing in flight any more."""
+        """Remove all messages in flight."""
         self.in_flight.clear()
         self.in_flight_octets = 0
 
 
 class CollectorTransports(Protocol):
-    """What the export buffer needs of whoever owns the connections to collectors."""
+    """Interface of the owner of the connections, which the export buffer calls."""
 
     def open(self, peer: CollectorPeer) -> None:
-        """Begin to connect; the buffer is notified by `on_opened` or `on_lost`."""
+        """Start connecting; the buffer is notified by `on_opened` or `on_lost`."""
 
     def send(self, peer: CollectorPeer, data: bytes) -> bool:
-        """Hand over a whole message; False, with nothing of it sent, where there is no room."""
+        """Send a whole message; returns False, with nothing sent, if there is no room for it."""
 
     def close(self, peer: CollectorPeer) -> None:
         """Close the connection, if there is one."""
@@ -141,7 +143,11 @@
 
 
 def should_connect(peer: CollectorPeer, peers: list[CollectorPeer]) -> bool:
-    """Whether to connect: the first always; a later one where none before it does well."""
+    """Return whether to connect to a collector.
+
+    The first collector is always connected. Any other is connected only if no preferred collector
+    has a session or is in its first attempt to connect.
+    """
     for preferred in peers:
         if preferred is peer:
             return True
--- a/corkgauge/flow_export/configured_collectors.py
+++ b/corkgauge/flow_export/configured_collectors.py
@@ -1,4 +1,4 @@
-"""The collectors of the operator file, with their TLS files read."""
+"""Prepares the collectors of the operator file: reads TLS files and creates their state."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class ConfiguredCollector(NamedTuple):
-    """A collector as the operator file has it, with its TLS context read."""
+    """The settings of a collector in the operator file, and its TLS context."""
 
     settings: CollectorConfig
     tls: TlsTarget | None
@@ -19,7 +19,7 @@
     """Read the TLS files of all collectors.
 
     Raises:
-        ConfigurationError: a file cannot be read, or others may read a key.
+        ConfigurationError: a file cannot be read, or a key file is accessible to other users.
     """
     try:
         return [ConfiguredCollector(each, _make_tls_target(each)) for each in settings.collectors]
@@ -37,7 +37,7 @@
 
 
 def make_peer(collector: CollectorConfig) -> CollectorPeer:
-    """Make the state of a collector, which is down at first."""
+    """Create the state of a collector, which is initially down."""
     host, port = collector.address
     return CollectorPeer(
         name=f"{host}:{port}",
--- a/corkgauge/flow_export/counter_deltas.py
+++ b/corkgauge/flow_export/counter_deltas.py
@@ -1,7 +1,6 @@
-"""What one record says of a flow: the octets since the record before.
+"""Defines the content of a flow record: the octets of a flow since its previous record.
 
-Holds the record and how two of one flow become one. Times are whole milliseconds of the system's
-clock.
+Also merges two records of a flow. Times are whole milliseconds of the system clock.
 """
 
 from dataclasses import dataclass
@@ -13,8 +12,8 @@
 class Delta:
     """Octets from the initiator (`forward_octets`) and back, between `start_ms` and `end_ms`.
 
-    `family` is 4, 6, or 0 for an aggregate: several flows in one record, without addresses; then
-    `flow_count` counts them. Mutable, since what waits for a collector merges in place.
+    `family` is 4, 6, or 0 for an aggregate: a record of `flow_count` flows without addresses.
+    Mutable, because records that wait for a collector are merged in place.
     """
 
     flow_id: int
@@ -35,16 +34,16 @@
 
     @property
     def octets(self) -> int:
-        """Octets of both directions."""
+        """Octets in both directions."""
         return self.forward_octets + self.reverse_octets
 
     @property
     def has_ended(self) -> bool:
-        """Whether the flow is over; after an active timeout it goes on."""
+        """Whether the flow has ended; after an active timeout the flow continues."""
         return self.end_reason != FlowEndReason.ACTIVE
 
     def merge(self, later: "Delta") -> None:
-        """Take a later record of the same flow into this one; no octet is lost."""
+        """Add the octets and the time of a later record of the same flow to this record."""
         self.start_ms = min(self.start_ms, later.start_ms)
         self.end_ms = max(self.end_ms, later.end_ms)
         self.forward_octets += later.forward_octets
@@ -52,7 +51,7 @@
         self.end_reason = later.end_reason
 
     def to_aggregate(self) -> "Delta":
-        """Return the same octets without what tells this flow from others of its engine."""
+        """Return a record of the same octets that identifies the engine and not the flow."""
         return Delta(
             flow_id=0,
             direction=self.direction,
--- a/corkgauge/flow_export/decoded_message.py
+++ b/corkgauge/flow_export/decoded_message.py
@@ -1,19 +1,19 @@
-"""What the decoder makes of a message: its header, its records, and the templates it learns."""
+"""Defines the results of decoding: message headers, records and the templates of exporters."""
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
 from corkgauge.flow_export.elements import VARIABLE_LENGTH, ElementKey
 
-Record = dict[str, Any]  # values by element names, or "enterprise/number" of unknown elements
+Record = dict[str, Any]  # values by element name, or by "enterprise/number" if it is unknown
 
 
 class MalformedMessageError(ValueError):
-    """One line: what was expected, and where in the message."""
+    """Raised for invalid messages, with one line that says what was found or expected."""
 
 
 class FieldSpecifier(NamedTuple):
-    """One field of a template as it is on the wire; `length` in octets, or `VARIABLE_LENGTH`."""
+    """A field of a template as encoded; `length` is in octets, or `VARIABLE_LENGTH`."""
 
     key: ElementKey
     length: int
@@ -21,29 +21,32 @@
 
 @dataclass(slots=True)
 class LearnedTemplate:
-    """A template of an exporter; of an options template the first `scope_count` are its scope."""
+    """A template of an exporter.
+
+    The first `scope_count` fields of an options template are its scope.
+    """
 
     fields: list[FieldSpecifier]
-    scope_count: int = 0  # 0: of data records
+    scope_count: int = 0  # 0 for a template of data records
     is_v9: bool = False
 
     @property
     def min_record_bytes(self) -> int:
-        """Length of the shortest record."""
+        """Length of the shortest possible record."""
         return sum(1 if field.length == VARIABLE_LENGTH else field.length for field in self.fields)
 
 
 @dataclass(slots=True)
 class DecodedMessage:
-    """One message."""
+    """A decoded message."""
 
     version: int
     domain: int
     sequence: int
     export_time_seconds: int
-    uptime_ms: int  # NetFlow v9: since the exporter began
-    records: list[Record] = field(default_factory=list)  # of flows
-    options: list[Record] = field(default_factory=list)
-    template_count: int = 0  # how many it had
-    unknown_set_count: int = 0  # sets whose template the exporter never sent
-    missed_count: int = 0  # by the sequence: data records (IPFIX) or messages (NetFlow v9)
+    uptime_ms: int  # NetFlow v9: time since the start of the exporter; 0 in IPFIX
+    records: list[Record] = field(default_factory=list)  # flow records
+    options: list[Record] = field(default_factory=list)  # options records
+    template_count: int = 0
+    unknown_set_count: int = 0  # sets whose template is unknown
+    missed_count: int = 0  # data records (IPFIX) or messages (NetFlow v9) missing in the sequence
--- a/corkgauge/flow_export/decoder.py
+++ b/corkgauge/flow_export/decoder.py
@@ -1,8 +1,8 @@
-"""Flow messages to records: IPFIX (RFC 7011) and NetFlow v9 (RFC 3954), strictly.
+"""Strict decoder of IPFIX (RFC 7011) and NetFlow v9 (RFC 3954) messages.
 
-Holds the templates that exporters sent, by observation domain, and the sequence. Fed whole
-messages; knows no socket. Raises nothing but `MalformedMessageError` on any bytes, takes no record
-beyond its set, and grows within bounds.
+Keeps the templates that exporters sent, by observation domain, and the sequence numbers. Decodes
+whole messages and performs no I/O. On arbitrary input the decoder raises only
+`MalformedMessageError`, reads no record beyond its set, and uses bounded memory.
 """
 
 from typing import NamedTuple
@@ -45,28 +45,28 @@
 
 __all__ = ["DecodedMessage", "Decoder", "MalformedMessageError", "MessageStream"]
 
-MAX_TEMPLATES = 1000  # of all domains
+MAX_TEMPLATES = 1000  # of all observation domains together
 MAX_ELEMENTS = 1000
 MAX_RECORDS_IN_SET = 65_535
 OBSERVATION_DOMAIN_ID = ElementKey(0, 149)
 
 
 class TemplateKey(NamedTuple):
-    """What identifies a template in a transport session."""
+    """Identifies a template in a transport session."""
 
     domain: int
     number: int
 
 
 class OptionsHeader(NamedTuple):
-    """How many fields an options template has, and how many of them are its scope."""
+    """The number of fields of an options template, and of those that are its scope."""
 
     field_count: int
     scope_count: int
 
 
 class Decoder:
-    """One transport session, or all datagrams of one exporter."""
+    """Decoder of one transport session, or of all datagrams of one exporter."""
 
     def __init__(self) -> None:
         self.templates: dict[TemplateKey, LearnedTemplate] = {}
@@ -74,10 +74,10 @@
         self.expected_sequence: dict[int, int] = {}  # by domain
 
     def decode(self, data: bytes) -> DecodedMessage:
-        """Decode one whole message, and learn its templates and elements.
+        """Decode one whole message, and store its templates and elements.
 
         Raises:
-            MalformedMessageError: the bytes are not a message of either protocol.
+            MalformedMessageError: the bytes are not a valid message of either protocol.
         """
         header = parse_header(data)
         message = header.message
@@ -87,7 +87,9 @@
             record_count += self._decode_set(message, message_set.set_id, message_set.body)
         declared = header.record_count
         if declared is not None and not message.unknown_set_count and record_count != declared:
-            raise MalformedMessageError(f"{record_count} records in a message that says {declared}")
+            raise MalformedMessageError(
+                f"found {record_count} records, expected {declared} as declared in the header"
+            )
         self._update_expected_sequence(message)
         return message
 
@@ -96,34 +98,36 @@
     def _count_missed(self, message: DecodedMessage) -> None:
         expected = self.expected_sequence.get(message.domain, message.sequence)
         gap = (message.sequence - expected) % UINT32_MODULUS
-        # A sequence far behind is a new start, or a message out of order.
+        # A much lower sequence number means a restarted exporter or a message out of order.
         message.missed_count = gap if gap < UINT32_MODULUS // 2 else 0
 
     def _update_expected_sequence(self, message: DecodedMessage) -> None:
-        """Note the next sequence: IPFIX counts data records, NetFlow v9 messages."""
+        """Store the expected sequence: IPFIX counts data records, NetFlow v9 counts messages."""
         if message.unknown_set_count and message.version == IPFIX_VERSION:
-            # How many records those sets held is not known.
+            # The number of records in sets without a known template is unknown.
             self.expected_sequence.pop(message.domain, None)
             return
         step = 1
         if message.version == IPFIX_VERSION:
             step = len(message.records) + len(message.options)
         self.expected_sequence[message.domain] = (message.sequence + step) % UINT32_MODULUS
-        # An exporter that makes up domains would fill the memory: the oldest one goes.
+        # The oldest domain is removed: an exporter that invents domains would fill the memory.
         if len(self.expected_sequence) > MAX_TEMPLATES:
             del self.expected_sequence[next(iter(self.expected_sequence))]
 
     # Sets.
 
     def _decode_set(self, message: DecodedMessage, set_id: int, body: bytes) -> int:
-        """Decode one set; how many records it holds."""
+        """Decode a set and return its number of records."""
         is_v9 = message.version == V9_VERSION
         if set_id == (V9_TEMPLATE_SET if is_v9 else IPFIX_TEMPLATE_SET):
             return self._decode_template_set(message, body, is_v9)
         if set_id == (V9_OPTIONS_TEMPLATE_SET if is_v9 else IPFIX_OPTIONS_TEMPLATE_SET):
             return self._decode_options_template_set(message, body, is_v9)
         if set_id < FIRST_DATA_SET:
-            raise MalformedMessageError(f"set {set_id}")
+            raise MalformedMessageError(
+                f"found set {set_id}, expected a template set or a data set (256 or above)"
+            )
         template = self.templates.get(TemplateKey(message.domain, set_id))
         if template is None or template.is_v9 != is_v9:
             message.unknown_set_count += 1
@@ -171,7 +175,8 @@
             self._learn_template(message, number, template)
             count += 1
         if len(body) - position == SET_HEADER.size and not is_v9:
-            # A withdrawal is shorter than an options template, so the last one is left over.
+            # A withdrawal is shorter than the header of an options template, so the loop above
+            # leaves out a withdrawal at the end of the set.
             number, field_count = SET_HEADER.unpack_from(body, position)
             if field_count == 0:
                 self._withdraw(message.domain, number, IPFIX_OPTIONS_TEMPLATE_SET, is_v9)
@@ -183,17 +188,17 @@
         self, message: DecodedMessage, number: int, template: LearnedTemplate
     ) -> None:
         if number < FIRST_DATA_SET:
-            raise MalformedMessageError(f"template {number}")
+            raise MalformedMessageError(f"found template {number}, expected an id of 256 or above")
         self.templates[TemplateKey(message.domain, number)] = template
         message.template_count += 1
-        # An exporter that makes up domains would fill the memory: the oldest ones go.
+        # The oldest templates are removed: an exporter that invents domains would fill the memory.
         while len(self.templates) > MAX_TEMPLATES:
             del self.templates[next(iter(self.templates))]
 
     def _withdraw(self, domain: int, number: int, set_id: int, is_v9: bool) -> None:
-        """Forget a template, or all of a sort where `number` is their set's id (RFC 7011, 8.1)."""
+        """Remove a template, or all of a kind if `number` is their set's id (RFC 7011, 8.1)."""
         if is_v9:
-            raise MalformedMessageError(f"template {number} without fields")
+            raise MalformedMessageError(f"expected fields in template {number}, found none")
         if number == set_id:
             is_options = set_id == IPFIX_OPTIONS_TEMPLATE_SET
             withdrawn = [
@@ -202,7 +207,7 @@
                 if key.domain == domain and bool(template.scope_count) == is_options
             ]
         elif number < FIRST_DATA_SET:
-            raise MalformedMessageError(f"template {number}")
+            raise MalformedMessageError(f"found template {number}, expected an id of 256 or above")
         else:
             withdrawn = [TemplateKey(domain, number)]
         for key in withdrawn:
@@ -219,7 +224,7 @@
         records = message.options if template.scope_count else message.records
         while len(body) - position >= min_bytes:
             if count >= MAX_RECORDS_IN_SET:
-                raise MalformedMessageError("records without end")
+                raise MalformedMessageError("expected at most 65535 records in a set, found more")
             record, position = self._decode_record(template, body, position)
             records.append(record)
             count += 1
@@ -231,7 +236,7 @@
     def _decode_record(
         self, template: LearnedTemplate, body: bytes, position: int
     ) -> tuple[Record, int]:
-        """Decode the record at a position; the record, and where it ends."""
+        """Decode the record at a position; returns the record and its end position."""
         record: Record = {}
         for key, field_length in template.fields:
             length = field_length
@@ -239,7 +244,7 @@
                 length, position = parse_variable_length(body, position)
             value = body[position : position + length]
             if len(value) != length:
-                raise MalformedMessageError(f"a record cut short at {position}")
+                raise MalformedMessageError(f"record cut short at octet {position} of its set")
             position += length
             element = self.elements.get(key)
             if element is None:
@@ -249,7 +254,7 @@
         return record, position
 
     def _learn_element(self, record: Record) -> None:
-        """Learn an element of an enterprise from an options record (RFC 5610)."""
+        """Store an enterprise element that an options record describes (RFC 5610)."""
         try:
             number = record["informationElementId"] & ELEMENT_NUMBER_MASK
             key = ElementKey(record["privateEnterpriseNumber"], number)
@@ -262,7 +267,7 @@
             return
         if not isinstance(name, str) or not name.isalnum():
             return
-        # An exporter that makes up elements would fill the memory.
+        # Without the limit, an exporter that invents elements would fill the memory.
         if key in self.elements or len(self.elements) < MAX_ELEMENTS:
             self.elements[key] = Element(name, key.number, value_type, key.enterprise)
 
@@ -272,21 +277,30 @@
 
 
 def _options_header(number: int, first: int, second: int, is_v9: bool) -> OptionsHeader:
-    """IPFIX has two counts (RFC 7011, 3.4.2.2), NetFlow v9 two lengths (RFC 3954, 6.1)."""
+    """Read the two numbers of an options template header.
+
+    They are counts in IPFIX (RFC 7011, 3.4.2.2) and lengths in NetFlow v9 (RFC 3954, 6.1).
+    """
     header = OptionsHeader(field_count=first, scope_count=second)
     if is_v9:
         if first % 4 or second % 4:
-            raise MalformedMessageError(f"options template {number} of {first} and {second} octets")
+            raise MalformedMessageError(
+                f"options template {number}: found lengths of {first} and {second} octets, "
+                "expected multiples of 4"
+            )
         header = OptionsHeader(field_count=(first + second) // 4, scope_count=first // 4)
     if not 0 < header.scope_count <= header.field_count:
         raise MalformedMessageError(
-            f"options template {number} with {header.scope_count} of {header.field_count} "
-            "fields as scope"
+            f"options template {number}: found {header.scope_count} of {header.field_count} "
+            "fields as scope, expected at least one and at most all"
         )
     return header
 
 
 def _replace_v9_scope(fields: list[FieldSpecifier], scope_count: int) -> list[FieldSpecifier]:
-    """NetFlow v9 numbers scopes apart from elements; only the exporter's own is used here."""
+    """Replace the scope fields of NetFlow v9 by the observation domain.
+
+    NetFlow v9 numbers scopes separately from elements; only the scope of the exporter is supported.
+    """
     scope = [FieldSpecifier(OBSERVATION_DOMAIN_ID, field.length) for field in fields[:scope_count]]
     return scope + fields[scope_count:]
--- a/corkgauge/flow_export/elements.py
+++ b/corkgauge/flow_export/elements.py
@@ -1,21 +1,21 @@
-"""Information elements: the few of IANA's registry that are exported, and our own.
+"""Defines the exported information elements: some of the IANA registry, and enterprise elements.
 
-Holds their numbers, names and types. IANA's are those of RFC 7012 and its registry; ours stand
-under enterprise number 32473, kept for documentation (RFC 5612), and their types are exported with
-them (RFC 5610).
+Lists their numbers, names and types. IANA elements follow RFC 7012 and its registry. Enterprise
+elements have the enterprise number 32473, which is reserved for documentation (RFC 5612); their
+types are exported as well (RFC 5610).
 """
 
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
-DOCUMENTATION_ENTERPRISE = 32473  # the enterprise number for documentation (RFC 5612)
-REVERSE_ENTERPRISE = 29305  # of the reverse direction of a biflow (RFC 5103)
-VARIABLE_LENGTH = 65535  # length of a field whose records state their own length (RFC 7011, 7)
+DOCUMENTATION_ENTERPRISE = 32473  # enterprise number reserved for documentation (RFC 5612)
+REVERSE_ENTERPRISE = 29305  # elements of the reverse direction of a biflow (RFC 5103)
+VARIABLE_LENGTH = 65535  # marks a field whose length is part of each record (RFC 7011, 7)
 TCP = 6  # protocolIdentifier
 
 
 class ValueType(Enum):
-    """How the value of an element is read."""
+    """How the decoder interprets the value of an element."""
 
     UNKNOWN = "unknown"
     UNSIGNED = "unsigned"
@@ -25,7 +25,7 @@
 
 
 class DataType(IntEnum):
-    """Abstract data types that our own elements have (RFC 5610, 3.1)."""
+    """Abstract data types of the enterprise elements (RFC 5610, 3.1)."""
 
     NONE = 0
     UNSIGNED64 = 4
@@ -49,7 +49,7 @@
 
 
 class FlowEndReason(IntEnum):
-    """Why a flow record was made (element 136, flowEndReason)."""
+    """Why a flow record was created (element 136, flowEndReason)."""
 
     IDLE = 1
     ACTIVE = 2
@@ -65,7 +65,7 @@
     EGRESS = 1
 
 
-# How values are read, by the abstract data type's number in RFC 5610.
+# By the number of the abstract data type in RFC 5610.
 VALUE_TYPE_BY_DATA_TYPE = {
     1: ValueType.UNSIGNED,
     2: ValueType.UNSIGNED,
@@ -79,16 +79,16 @@
 
 
 class ElementKey(NamedTuple):
-    """What identifies an element on the wire."""
+    """Identifies an element in messages."""
 
     enterprise: int
     number: int
 
 
 class Element(NamedTuple):
-    """One information element.
+    """An information element.
 
-    `data_type`, `semantics` and `units` are exported for our own elements only (RFC 5610).
+    `data_type`, `semantics` and `units` are exported for enterprise elements only (RFC 5610).
     """
 
     name: str
@@ -172,7 +172,7 @@
 ELEMENT_BY_NAME = {
     element.name: element for element in (*IANA_ELEMENTS, REVERSE_OCTETS, *ENTERPRISE_ELEMENTS)
 }
-# What a decoder knows without being told; our own elements it learns from options records.
+# Elements that a decoder knows initially; it reads enterprise elements from options records.
 STANDARD_ELEMENTS = {
     ElementKey(element.enterprise, element.number): element
     for element in (*IANA_ELEMENTS, REVERSE_OCTETS)
--- a/corkgauge/flow_export/endpoints.py
+++ b/corkgauge/flow_export/endpoints.py
@@ -1,4 +1,4 @@
-"""The two ends of a connection, as flow records have them."""
+"""Reads the two endpoints of a connection for flow records."""
 
 import socket
 from typing import NamedTuple
@@ -7,9 +7,9 @@
 
 
 class Endpoints(NamedTuple):
-    """The initiator's address and port, and the other's.
+    """Address and port of the initiator (source) and of its peer (destination).
 
-    `family` is 4 or 6 with packed addresses, or 0 where the socket has none.
+    `family` is 4 or 6 with packed addresses, or 0 if the socket has no IP addresses.
     """
 
     family: int
@@ -23,19 +23,19 @@
 
 
 def read_endpoints(sock: socket.socket, direction: int) -> Endpoints:
-    """The initiator's address and port, and the other's; family 0 where the socket has none."""
+    """Return the endpoints of a socket, with family 0 if it has no IP addresses."""
     try:
-        ours = sock.getsockname()
-        theirs = sock.getpeername()
+        local = sock.getsockname()
+        remote = sock.getpeername()
     except OSError:
         return NO_ENDPOINTS
     if sock.family not in (socket.AF_INET, socket.AF_INET6):
         return NO_ENDPOINTS
-    source = ours
-    destination = theirs
+    source = local
+    destination = remote
     if direction == FlowDirection.INGRESS:
-        source = theirs
-        destination = ours
+        source = remote
+        destination = local
     return Endpoints(
         family=4 if sock.family == socket.AF_INET else 6,
         source=_packed_address(sock.family, source[0]),
@@ -46,5 +46,5 @@
 
 
 def _packed_address(family: int, address: str) -> bytes:
-    """The octets of an address, without the zone index of a link-local one."""
+    """Return the octets of an address, without the zone index of a link-local address."""
     return socket.inet_pton(family, address.partition("%")[0])
--- a/corkgauge/flow_export/export_buffer.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -11,7 +11,7 @@
 been sent and no data: an unreachable UDP collector is noticed only by an ICMP error, which arrives
 only after a datagram was sent. A message in flight is confirmed when a stream has written the
 message to the operating system, or DATAGRAM_CONFIRM_TICKS after a datagram was sent. Records of
-messages that were not written are pending again. Two totals report octets whose delivery is
+messages that were not confirmed are pending again. Two totals report octets whose delivery is
 unknown: `uncertain_octets` are counted as exported and may be lost (a stream broke while the
 operating system still held the bytes), `repeated_octets` are sent again and may have arrived the
 first time (a datagram was refused, or a stream was closed with output pending).
--- a/corkgauge/flow_export/export_totals.py
+++ b/corkgauge/flow_export/export_totals.py
@@ -1,4 +1,4 @@
-"""The totals of one export buffer, and the statistics that are exported of them."""
+"""Counts the totals of one export buffer, which are exported as statistics."""
 
 from dataclasses import dataclass
 
@@ -7,17 +7,17 @@
 
 @dataclass(slots=True)
 class ExportTotals:
-    """What became of records, and what was sent, since the buffer began."""
+    """Totals of exported records and sent messages since the buffer was created."""
 
     exported_octets: int = 0  # of flows
     exported_records: int = 0
     sent_messages: int = 0
     sent_bytes: int = 0  # of messages
-    uncertain_octets: int = 0  # exported, and may be lost
-    repeated_octets: int = 0  # exported, and may have arrived before as well
+    uncertain_octets: int = 0  # counted as exported, may be lost
+    repeated_octets: int = 0  # sent again, may have arrived before
 
     def statistics(self, pending: PendingRecords, held_octets: int) -> dict[str, int]:
-        """Return the totals by element names; `held_octets` are pending or in flight."""
+        """Return the totals by element name; `held_octets` are pending or in flight."""
         return {
             "exportedOctetTotalCount": self.sent_bytes,
             "exportedMessageTotalCount": self.sent_messages,
--- a/corkgauge/flow_export/message_parsing.py
+++ b/corkgauge/flow_export/message_parsing.py
@@ -1,6 +1,6 @@
-"""Reads the parts of a flow message: header, sets, field specifiers, records, streams.
+"""Parses the parts of a flow message: header, sets, field specifiers, values, streams.
 
-Functions without state; every one raises `MalformedMessageError` and nothing else on any bytes.
+On arbitrary input, each function raises only `MalformedMessageError`.
 """
 
 import ipaddress
@@ -23,108 +23,122 @@
 )
 
 ENTERPRISE_NUMBER_FIELD = Struct("!I")
-LONG_LENGTH_MARKER = 255  # two octets of length follow (RFC 7011, 7)
+LONG_LENGTH_MARKER = 255  # the length follows in two octets (RFC 7011, 7)
 
 
 class Header(NamedTuple):
-    """The header of a message."""
+    """A parsed message header."""
 
     message: DecodedMessage
     size: int  # octets of the header
-    record_count: int | None  # that the message declares; NetFlow v9 only
+    record_count: int | None  # declared number of records, in NetFlow v9 only
 
 
 class MessageSet(NamedTuple):
-    """One set of a message, without its header."""
+    """A set of a message, without the set header."""
 
     set_id: int
     body: bytes
 
 
 class ParsedFields(NamedTuple):
-    """The field specifiers of a template, and where they end in the set."""
+    """The field specifiers of a template, and their end position in the set."""
 
     fields: list[FieldSpecifier]
     end: int
 
 
 class FieldLength(NamedTuple):
-    """The length that a value of variable length states, and where the value begins."""
+    """The length of a value of variable length, and the start position of the value."""
 
     length: int
     start: int
 
 
 def parse_header(data: bytes) -> Header:
-    """Read the header of an IPFIX (RFC 7011, 3.1) or NetFlow v9 message (RFC 3954, 5.1)."""
+    """Parse the header of an IPFIX (RFC 7011, 3.1) or NetFlow v9 message (RFC 3954, 5.1)."""
     if len(data) < 2:
-        raise MalformedMessageError("a message of less than two octets")
+        raise MalformedMessageError("expected a message of at least two octets, found less")
     version = int.from_bytes(data[:2], "big")
     if version == IPFIX_VERSION and len(data) >= IPFIX_HEADER.size:
         _, length, export_seconds, sequence, domain = IPFIX_HEADER.unpack_from(data)
         if length != len(data):
-            raise MalformedMessageError(f"a message of {len(data)} octets that says {length}")
+            raise MalformedMessageError(
+                f"found {len(data)} octets, expected {length} as declared in the header"
+            )
         message = DecodedMessage(version, domain, sequence, export_seconds, uptime_ms=0)
         return Header(message, IPFIX_HEADER.size, None)
     if version == V9_VERSION and len(data) >= V9_HEADER.size:
         _, count, uptime_ms, export_seconds, sequence, domain = V9_HEADER.unpack_from(data)
         message = DecodedMessage(version, domain, sequence, export_seconds, uptime_ms)
         return Header(message, V9_HEADER.size, count)
-    raise MalformedMessageError(f"version {version} in {len(data)} octets")
+    raise MalformedMessageError(
+        f"found version {version} in {len(data)} octets, expected 10 or 9 with a whole header"
+    )
 
 
 def parse_sets(data: bytes, start: int) -> Iterator[MessageSet]:
-    """Yield the sets of a message, which begin at `start`."""
+    """Yield the sets of a message, the first of which starts at `start`."""
     while start < len(data):
         if start + SET_HEADER.size > len(data):
-            raise MalformedMessageError(f"{len(data) - start} octets after the last set")
+            raise MalformedMessageError(
+                f"found {len(data) - start} octets after the last set, expected none"
+            )
         set_id, length = SET_HEADER.unpack_from(data, start)
         if length < SET_HEADER.size or start + length > len(data):
-            raise MalformedMessageError(f"a set of {length} octets at {start}")
+            raise MalformedMessageError(
+                f"found a set of {length} octets at octet {start}, "
+                "expected at least its header and no more than the message"
+            )
         yield MessageSet(set_id, data[start + SET_HEADER.size : start + length])
         start += length
 
 
 def parse_field_specifiers(body: bytes, start: int, count: int, is_v9: bool) -> ParsedFields:
-    """Read so many field specifiers (RFC 7011, 3.2)."""
+    """Parse `count` field specifiers (RFC 7011, 3.2)."""
     fields = []
     for _ in range(count):
         if start + FIELD_SPECIFIER.size > len(body):
-            raise MalformedMessageError("a template cut short")
+            raise MalformedMessageError("template cut short: expected a field specifier")
         number, length = FIELD_SPECIFIER.unpack_from(body, start)
         start += FIELD_SPECIFIER.size
         enterprise = 0
         if number & ENTERPRISE_BIT and not is_v9:
             if start + ENTERPRISE_NUMBER_FIELD.size > len(body):
-                raise MalformedMessageError("a template cut short")
+                raise MalformedMessageError("template cut short: expected an enterprise number")
             (enterprise,) = ENTERPRISE_NUMBER_FIELD.unpack_from(body, start)
             number &= ELEMENT_NUMBER_MASK
             start += ENTERPRISE_NUMBER_FIELD.size
         if not length or (length == VARIABLE_LENGTH and is_v9):
-            raise MalformedMessageError(f"element {enterprise}/{number} of length {length}")
+            raise MalformedMessageError(
+                f"found element {enterprise}/{number} of length {length}, "
+                "expected 1 or more, and no variable length in NetFlow v9"
+            )
         fields.append(FieldSpecifier(ElementKey(enterprise, number), length))
     return ParsedFields(fields, start)
 
 
 def parse_variable_length(body: bytes, start: int) -> FieldLength:
-    """Read the length of a value that states its own (RFC 7011, 7)."""
+    """Parse the length of a value of variable length (RFC 7011, 7)."""
     if start >= len(body):
-        raise MalformedMessageError(f"a record cut short at {start}")
+        raise MalformedMessageError(f"record cut short at octet {start} of its set")
     if body[start] < LONG_LENGTH_MARKER:
         return FieldLength(body[start], start + 1)
     if start + 3 > len(body):
-        raise MalformedMessageError(f"a record cut short at {start}")
+        raise MalformedMessageError(f"record cut short at octet {start} of its set")
     return FieldLength(int.from_bytes(body[start + 1 : start + 3], "big"), start + 3)
 
 
 def check_padding(body: bytes, start: int) -> None:
-    """Refuse a set that ends in anything but zeros."""
+    """Raise an error if the padding of a set contains an octet other than zero."""
     if any(body[start:]):
-        raise MalformedMessageError(f"{len(body) - start} octets of padding that are not zero")
+        raise MalformedMessageError(
+            f"found {len(body) - start} octets of padding, expected only zeros"
+        )
 
 
 def decode_value(value_type: ValueType, value: bytes) -> Any:
-    r"""Decode a field's value; one of unknown type stays bytes.
+    r"""Decode the value of a field; a value of unknown type is returned as bytes.
 
     >>> decode_value(ValueType.UNSIGNED, b"\1\0")
     256
@@ -143,19 +157,22 @@
 
 
 class MessageStream:
-    """Cuts a stream of bytes into IPFIX messages."""
+    """Splits a stream of bytes into IPFIX messages."""
 
     def __init__(self) -> None:
         self.buffered = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes of the stream; return the messages that are complete with them."""
+        """Add bytes of the stream; return the messages that are now complete."""
         self.buffered += data
         messages = []
         while len(self.buffered) >= SET_HEADER.size:  # version and length
             version, length = SET_HEADER.unpack_from(self.buffered)
             if version != IPFIX_VERSION or length < IPFIX_HEADER.size:
-                raise MalformedMessageError(f"version {version}, {length} octets, in a stream")
+                raise MalformedMessageError(
+                    f"found version {version} and a length of {length} octets in a stream, "
+                    "expected version 10 and at least 16 octets"
+                )
             if len(self.buffered) < length:
                 break
             messages.append(bytes(self.buffered[:length]))
--- a/corkgauge/flow_export/pending_records.py
+++ b/corkgauge/flow_export/pending_records.py
@@ -1,25 +1,25 @@
-"""The records that wait for a collector, within a bound on memory.
+"""Queues the records that wait for a collector, with a limit on memory.
 
-Holds the deltas and decides what becomes of them where there is no room: as long as the totals can
-be kept in another form, no octet is lost. Free of I/O and time.
+If the queue is full, records are merged in a way that keeps the totals of octets. Performs no I/O
+and uses no clock.
 
-First, deltas of one flow merge into one. Beyond the bound, flows that have ended are aggregated by
-direction, zone and engine, the oldest first, then those that go on. Where even those are too many,
-engines merge within their zone, and zones into one. So octets are dropped only with the whole
-queue, when its collector is no longer named.
+Deltas of the same flow are always merged into one. Above the limit, flows that have ended are
+aggregated by direction, zone and engine, the oldest first, and then flows that continue. If there
+are still too many records, engines are merged within their zone, and then zones into one. Octets
+are therefore dropped only with the whole queue, when its collector is no longer configured.
 """
 
 from typing import NamedTuple
 
 from corkgauge.flow_export.counter_deltas import Delta
 
-DELTA_MEMORY_BYTES = 480  # that a delta takes, with its place in a table
+DELTA_MEMORY_BYTES = 480  # memory of one delta and its table entry
 MIN_RECORDS = 16
-MERGED_NAME = "(others)"  # exported as the name of engines of a zone, or zones, that were merged
+MERGED_NAME = "(others)"  # exported name of the merged engines of a zone, and of merged zones
 
 
 class AggregateKey(NamedTuple):
-    """What the flows of one aggregate have in common."""
+    """The common properties of the flows of an aggregate."""
 
     direction: int
     zone: str
@@ -27,42 +27,42 @@
 
 
 class PendingRecords:
-    """Room for `memory_bytes` of deltas.
+    """A queue of deltas that use at most `memory_bytes` of memory.
 
-    `measured_octets` = exported + pending here or in flight + `dropped_octets`; the export buffer
-    counts what was exported.
+    `measured_octets` = exported + pending in this queue or in flight + `dropped_octets`; the export
+    buffer counts the exported octets.
     """
 
     def __init__(self, memory_bytes: int) -> None:
         self.max_records = max(memory_bytes // DELTA_MEMORY_BYTES, MIN_RECORDS)
-        # By flow id, the oldest first.
+        # By flow id, oldest first.
         self.ended: dict[int, Delta] = {}
         self.ongoing: dict[int, Delta] = {}
         self.aggregates: dict[AggregateKey, Delta] = {}
-        self.octets = 0  # pending here
+        self.octets = 0  # pending in this queue
         self.measured_octets = 0
         self.dropped_octets = 0
         self.dropped_flows = 0
-        self.merged_flows = 0  # into aggregates
+        self.merged_flows = 0  # merged into aggregates
 
     def __len__(self) -> int:
         return len(self.ended) + len(self.ongoing) + len(self.aggregates)
 
     def add(self, delta: Delta) -> None:
-        """Take a delta that was measured now."""
+        """Queue a newly measured delta."""
         self.measured_octets += delta.octets
         self._put(delta)
 
     def requeue(self, deltas: list[Delta]) -> None:
-        """Take back deltas that were in flight and did not arrive."""
+        """Queue deltas again that were in flight and were not delivered."""
         for delta in deltas:
             self._put(delta)
 
     def pop_next(self) -> Delta | None:
-        """Remove and return the next delta to be exported, or None.
+        """Remove and return the next delta to export, or None if the queue is empty.
 
-        What has ended comes first, the oldest ahead, since nothing more will be reported of it;
-        then aggregates; then flows that go on, whose next record would report it as well.
+        The order is: ended flows, oldest first, because no later record will report them; then
+        aggregates; then continuing flows, whose next record would also report their octets.
         """
         if self.ended:
             delta = self.ended.pop(next(iter(self.ended)))
@@ -76,7 +76,7 @@
         return delta
 
     def drop_all(self) -> None:
-        """Drop and count everything: no collector is left for it."""
+        """Drop and count all records, because their collector is no longer configured."""
         delta = self.pop_next()
         while delta is not None:
             self.dropped_octets += delta.octets
@@ -84,7 +84,7 @@
             delta = self.pop_next()
 
     def recounted_octets(self) -> int:
-        """Octets pending here, added up from the records themselves."""
+        """Return the sum of octets over all records in this queue."""
         tables = (self.ended.values(), self.ongoing.values(), self.aggregates.values())
         return sum(delta.octets for table in tables for delta in table)
 
@@ -99,26 +99,26 @@
 
     def _put_flow(self, delta: Delta) -> None:
         for table in (self.ended, self.ongoing):
-            before = table.pop(delta.flow_id, None)
-            if before is not None:
-                delta = _merge_in_order(before, delta)
+            existing = table.pop(delta.flow_id, None)
+            if existing is not None:
+                delta = _merge_in_order(existing, delta)
         table = self.ended if delta.has_ended else self.ongoing
         table[delta.flow_id] = delta
 
     def _put_aggregate(self, delta: Delta) -> None:
         key = AggregateKey(delta.direction, delta.zone, delta.engine)
-        before = self.aggregates.get(key)
-        if before is None:
+        existing = self.aggregates.get(key)
+        if existing is None:
             self.aggregates[key] = delta
         else:
-            before.merge(delta)
-            before.flow_count += delta.flow_count
+            existing.merge(delta)
+            existing.flow_count += delta.flow_count
 
     def _make_room(self) -> None:
-        """Merge one record into an aggregate, or one aggregate into a wider one.
+        """Merge one record into an aggregate, or one aggregate into a wider aggregate.
 
-        Without it a collector down for hours, and a night of short connections, would fill the
-        memory.
+        Otherwise a collector that is down for hours, or a night of short connections, would fill
+        the memory.
         """
         table = self.ended or self.ongoing
         if table:
@@ -129,7 +129,7 @@
             self._merge_zone_into_others()
 
     def _merge_engine_into_zone(self) -> bool:
-        """Let the oldest aggregate of one engine be one of its zone; False if there is none."""
+        """Merge the oldest aggregate of an engine into its zone; returns False if there is none."""
         for key, delta in self.aggregates.items():
             if key.engine != MERGED_NAME:
                 del self.aggregates[key]
@@ -139,7 +139,7 @@
         return False
 
     def _merge_zone_into_others(self) -> None:
-        """Let the oldest aggregate of one zone be one of all zones."""
+        """Merge the oldest aggregate of a zone into that of all zones."""
         for key, delta in self.aggregates.items():
             if key.zone != MERGED_NAME:
                 del self.aggregates[key]
@@ -149,10 +149,10 @@
                 return
 
 
-def _merge_in_order(before: Delta, delta: Delta) -> Delta:
-    """One delta of both; what is put back may be older than what has come meanwhile."""
-    if delta.start_ms < before.start_ms:
-        delta.merge(before)
+def _merge_in_order(existing: Delta, delta: Delta) -> Delta:
+    """Merge two deltas of a flow; a requeued delta may be older than the existing one."""
+    if delta.start_ms < existing.start_ms:
+        delta.merge(existing)
         return delta
-    before.merge(delta)
-    return before
+    existing.merge(delta)
+    return existing
--- a/corkgauge/flow_export/report_rows.py
+++ b/corkgauge/flow_export/report_rows.py
@@ -1,6 +1,6 @@
-"""Decoded records as rows of one form, whatever their layout; their octets by engine and minute.
+"""Converts decoded records of all layouts to uniform rows, and sums octets by engine and minute.
 
-Defines the columns of reports and files. Free of I/O.
+Defines the columns of reports and files. Performs no I/O.
 """
 
 from collections import defaultdict
@@ -35,13 +35,13 @@
     FlowEndReason.LACK_OF_RESOURCES: "merged",
 }
 MINUTE_MS = 60_000
-Row = dict[str, Any]  # by COLUMNS; rows are written and read as JSON and Parquet
+Row = dict[str, Any]  # values by column; rows are written and read as JSON and Parquet
 EngineKey = tuple[str, str]  # zone, engine
 SpanOctets = tuple[int, int]  # sent to the engine, received from it
 
 
 def rows_from_message(message: DecodedMessage) -> Iterator[Row]:
-    """Yield a row for each record; times are milliseconds of the exporter's clock."""
+    """Yield a row for each record; times are in milliseconds of the exporter's clock."""
     uptime_began_ms = message.export_time_seconds * 1000 - message.uptime_ms
     for record in message.records:
         start_ms, end_ms = _times_of(record, uptime_began_ms)
@@ -67,7 +67,7 @@
 
 
 def _times_of(record: Record, uptime_began_ms: int) -> tuple[int, int]:
-    """Start and end of a record; NetFlow v9 has them in the exporter's uptime."""
+    """Return start and end of a record; in NetFlow v9 they are relative to the uptime."""
     if "flowStartSysUpTime" in record:
         return (
             uptime_began_ms + record["flowStartSysUpTime"],
@@ -87,9 +87,10 @@
 def octets_by_span(
     rows: Iterable[Row], span_ms: int = MINUTE_MS
 ) -> dict[EngineKey, dict[int, SpanOctets]]:
-    """Add up the octets of engines, by zone and engine, then by the start of each span in ms.
+    """Sum the octets of engines by zone and engine, then by the start of each span in ms.
 
-    A record's octets are spread evenly over its time. Engines without a name go by their address.
+    The octets of a record are spread evenly over its duration. Engines without a name are listed
+    by address.
 
     >>> octets_by_span([{"side": "engine", "hall": "a", "engine": "e1", "first_ms": 30_000,
     ...                  "last_ms": 90_000, "forward": 100, "reverse": 10}])
@@ -103,13 +104,16 @@
             engine = row["engine"] or f"{row['target']}:{row['target_port']}"
             _add_row(sums[row["hall"], engine], row, span_ms)
     return {
-        key: {start: (round(sent), round(got)) for start, (sent, got) in sorted(spans.items())}
+        key: {
+            start: (round(sent), round(received))
+            for start, (sent, received) in sorted(spans.items())
+        }
         for key, spans in sorted(sums.items())
     }
 
 
 def _add_row(spans: dict[int, list[float]], row: Row, span_ms: int) -> None:
-    """Spread the octets of one row over the spans that its time touches."""
+    """Spread the octets of a row over the spans that overlap its duration."""
     start_ms = row["first_ms"]
     end_ms = max(row["last_ms"], start_ms + 1)
     for span_start in range(start_ms // span_ms * span_ms, end_ms, span_ms):
--- a/corkgauge/flow_export/session.py
+++ b/corkgauge/flow_export/session.py
@@ -1,7 +1,8 @@
-"""One transport session with a collector: what it has been sent, and its next messages.
+"""Creates the messages of one transport session with a collector.
 
-Holds the sequence number and when templates went out last; templates come first in each session.
-Free of I/O, the clock is handed in as milliseconds. No message is above the session's limit.
+Keeps the sequence number and the time at which templates were last sent; each session starts with
+templates. Performs no I/O and receives the current time in milliseconds. No message exceeds the
+maximum message size of the session.
 """
 
 from collections.abc import Callable
@@ -11,12 +12,12 @@
 from corkgauge.flow_export.counter_deltas import Delta
 from corkgauge.flow_export.templates import TemplateId, template_set_id
 
-# Octets that a record may cost besides its own: a new set's header and padding.
+# Octets that a record may need in addition to its data: the header and padding of a new set.
 SET_OVERHEAD_BYTES = 7
 
 
 class DataMessage(NamedTuple):
-    """A message of data records (empty if none fitted), its deltas, and one that did not fit."""
+    """A message (empty without records), its deltas, and the next delta if it did not fit."""
 
     data: bytes
     deltas: list[Delta]
@@ -24,13 +25,13 @@
 
 
 class Session:
-    """From a connection's start to its end.
+    """A transport session, from the start to the end of a connection.
 
     Args:
         layout: the protocol and its templates.
         domain: the observation domain.
-        max_message_bytes: octets of one message.
-        started_ms: when the exporter began, on the system's clock.
+        max_message_bytes: size limit of one message.
+        started_ms: start of the exporter, on the system clock.
     """
 
     def __init__(
@@ -41,14 +42,14 @@
         self.max_message_bytes = max_message_bytes
         self.started_ms = started_ms
         self.sequence = 0  # of the next message
-        self.previous_sequence = 0  # of the last one made
+        self.previous_sequence = 0  # of the last message created
         self.templates_sent_ms = -1
         self.messages_since_templates = 0
 
     def make_template_messages(self, now_ms: int, statistics: dict[str, int]) -> list[bytes]:
-        """Messages with templates, our elements' types and the totals of export.
+        """Create messages with templates, types of enterprise elements and totals of export.
 
-        They come first in each session, and again on UDP.
+        They start each session and are repeated on UDP.
         """
         messages = [self._new_message()]
         for set_id, record in self._template_message_records(statistics):
@@ -72,22 +73,26 @@
         return records
 
     def make_statistics_message(self, now_ms: int, statistics: dict[str, int]) -> bytes:
-        """The totals of export without templates: a stream gets those once (RFC 7011, 8.1)."""
+        """Create a message with the totals of export and without templates.
+
+        On a stream, templates are sent once (RFC 7011, 8.1).
+        """
         message = self._new_message()
         message.add(TemplateId.STATISTICS, self.layout.encode_statistics(self.domain, statistics))
         return self._finish(message, now_ms)
 
     def make_data_message(self, now_ms: int, next_delta: Callable[[], Delta | None]) -> DataMessage:
-        """Make one message of as many deltas as fit; any one fits an empty message.
+        """Create a message of as many deltas as fit; any single delta fits into an empty message.
 
-        `next_delta` returns the next one, or None.
+        `next_delta` returns the next delta, or None if there is none.
         """
         message = self._new_message()
         deltas: list[Delta] = []
         delta = next_delta()
         while delta is not None:
             records = self.layout.encode_delta(delta, self.started_ms)
-            # Both ways of one connection go in one message, or its loss would lose one half.
+            # Both directions of a connection are sent in one message; otherwise the loss of a
+            # message could lose one direction only.
             size = sum(len(record.data) + SET_OVERHEAD_BYTES for record in records)
             if message.size + size > self.max_message_bytes:
                 break
@@ -101,11 +106,11 @@
         return DataMessage(self._finish(message, now_ms), deltas, delta)
 
     def revert_sequence(self) -> None:
-        """The last message was not sent: its sequence number is the next one's."""
+        """Reuse the sequence number of the last message, which was not sent."""
         self.sequence = self.previous_sequence
 
     def make_withdrawal_message(self, now_ms: int) -> bytes:
-        """A message that withdraws all templates; for streams, before others take their ids."""
+        """Create a message that withdraws all templates; on streams, before ids are reused."""
         self.templates_sent_ms = -1
         return encode_withdrawal(now_ms, self.sequence, self.domain)
 
@@ -113,7 +118,7 @@
         return Message(self.layout.is_v9, self.max_message_bytes)
 
     def _finish(self, message: Message, now_ms: int) -> bytes:
-        """Encode a message, and count it: IPFIX counts data records, NetFlow v9 messages."""
+        """Encode a message and advance the sequence by its data records, in NetFlow v9 by 1."""
         self.previous_sequence = self.sequence
         data = message.encode(now_ms, self.started_ms, self.sequence, self.domain)
         self.sequence += 1 if self.layout.is_v9 else message.data_record_count
--- a/corkgauge/flow_export/templates.py
+++ b/corkgauge/flow_export/templates.py
@@ -1,6 +1,6 @@
-"""Templates of flow records: their fields, their bytes, and those of each layout.
+"""Defines and encodes templates of flow records, and lists the templates of each layout.
 
-Template records are as in RFC 7011, 3.4 (IPFIX) and RFC 3954, 5.2 and 6.1 (NetFlow v9).
+Template records follow RFC 7011, 3.4 (IPFIX) and RFC 3954, 5.2 and 6.1 (NetFlow v9).
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,21 +14,21 @@
 FIELD_SPECIFIER = Struct("!HH")
 ENTERPRISE_FIELD_SPECIFIER = Struct("!HHI")
 OPTIONS_TEMPLATE_HEADER = Struct("!HHH")
-ENTERPRISE_BIT = 0x8000  # of an element's number: an enterprise number follows
-ELEMENT_NUMBER_MASK = 0x7FFF  # the number without that bit
-SHORT_LENGTH_LIMIT = 255  # lengths below it take one octet, others three (RFC 7011, 7)
+ENTERPRISE_BIT = 0x8000  # in the number of an element: an enterprise number follows
+ELEMENT_NUMBER_MASK = 0x7FFF  # the element number without that bit
+SHORT_LENGTH_LIMIT = 255  # shorter lengths take one octet, others three (RFC 7011, 7)
 FORMAT_BY_LENGTH = {1: "B", 2: "H", 4: "I", 8: "Q", 16: "16s"}
-V9_SCOPE_SYSTEM = 1  # NetFlow v9's scope of the whole exporter
+V9_SCOPE_SYSTEM = 1  # NetFlow v9 scope type of the whole exporter
 
 IPFIX_TEMPLATE_SET = 2
 IPFIX_OPTIONS_TEMPLATE_SET = 3
 V9_TEMPLATE_SET = 0
 V9_OPTIONS_TEMPLATE_SET = 1
-FIRST_DATA_SET = 256  # sets below it hold templates
+FIRST_DATA_SET = 256  # sets with lower ids contain templates
 
 
 class LayoutKind(StrEnum):
-    """Which protocol and which elements, by their names in the operator file."""
+    """Protocol and set of elements; the values are names in the operator file."""
 
     OWN = "own"
     STANDARD = "standard"
@@ -36,7 +36,10 @@
 
 
 class TemplateId(IntEnum):
-    """Our template ids; those of a flow by address family, and narrow or wide octet counters."""
+    """Ids of the exported templates.
+
+    Flow templates differ by address family and by narrow or wide octet counters.
+    """
 
     FLOW_IPV4 = 256
     FLOW_IPV4_WIDE = 257
@@ -48,17 +51,17 @@
 
 
 class Field(NamedTuple):
-    """A field of a template: an element's name, and its length in octets or `VARIABLE_LENGTH`."""
+    """A field of a template: an element name, and a length in octets or `VARIABLE_LENGTH`."""
 
     name: str
     length: int
 
 
 class Template:
-    """Fields, those of variable length last.
+    """A template, with fields of variable length last.
 
-    `scope_count` is how many of the first fields are the scope of an options template; 0 for a
-    template of data records.
+    The first `scope_count` fields are the scope of an options template; 0 for a template of data
+    records.
     """
 
     def __init__(self, number: int, fields: list[Field], scope_count: int = 0) -> None:
@@ -71,14 +74,14 @@
         )
 
     def encode_record(self, values: Iterable[Any], strings: Iterable[bytes] = ()) -> bytes:
-        """Encode one record from the values of fixed length, then those of variable length."""
+        """Encode a record from the values of fixed length and the strings of variable length."""
         data = self.fixed_part.pack(*values)
         for text in strings:
             data += _length_prefix(text) + text
         return data
 
     def encode_definition(self, is_v9: bool) -> bytes:
-        """Encode the template record itself."""
+        """Encode the template record."""
         fields = b"".join(
             _field_specifier(field, is_v9, index < self.scope_count)
             for index, field in enumerate(self.fields)
@@ -87,21 +90,21 @@
             return SET_HEADER.pack(self.number, len(self.fields)) + fields
         first = len(self.fields)
         second = self.scope_count
-        if is_v9:  # lengths in octets, not counts (RFC 3954, 6.1)
+        if is_v9:  # lengths in octets instead of counts (RFC 3954, 6.1)
             first = 4 * self.scope_count
             second = 4 * (len(self.fields) - self.scope_count)
         return OPTIONS_TEMPLATE_HEADER.pack(self.number, first, second) + fields
 
 
 def template_set_id(template: Template, is_v9: bool) -> int:
-    """Return the id of the set that a template record goes into."""
+    """Return the id of the set that contains a template record."""
     if template.scope_count:
         return V9_OPTIONS_TEMPLATE_SET if is_v9 else IPFIX_OPTIONS_TEMPLATE_SET
     return V9_TEMPLATE_SET if is_v9 else IPFIX_TEMPLATE_SET
 
 
 def templates_of_layout(kind: LayoutKind) -> Iterator[Template]:
-    """All templates of a layout, in the order in which they are exported."""
+    """Yield all templates of a layout in the order of export."""
     yield from _flow_templates(kind)
     flow_count = Field("deltaFlowCount", 4 if kind == LayoutKind.NETFLOW9 else 8)
     yield Template(
@@ -189,7 +192,7 @@
 
 
 def _element_types_template() -> Template:
-    """The options template by which our own elements are described (RFC 5610, 3.9)."""
+    """Return the options template that describes the enterprise elements (RFC 5610, 3.9)."""
     return Template(
         TemplateId.ELEMENT_TYPES,
         [
--- a/corkgauge/flow_export/tls.py
+++ b/corkgauge/flow_export/tls.py
@@ -1,7 +1,7 @@
-"""TLS towards a collector, as a machine fed with bytes.
+"""TLS client sessions with collectors, as a protocol machine without a socket.
 
-Holds one TLS session over two rings, by the standard library's ssl; knows no socket. Takes no
-collector whose certificate is not for its name, and uses no key that others may read.
+Runs one TLS session of the standard library's `ssl` over two ring buffers. Rejects a collector
+whose certificate is not valid for its name, and a key file that other users may read.
 """
 
 import os
@@ -12,42 +12,42 @@
 
 INWARD_BUFFER_BYTES = 32_768
 OUTWARD_BUFFER_BYTES = 262_144
-MAX_RECORD_BYTES = 17_408  # a TLS record and what its framing may add
+MAX_RECORD_BYTES = 17_408  # a TLS record with the overhead of its framing
 READ_BYTES = 4096
 FORBIDDEN_KEY_MODE = 0o077  # any access by group or others
 
 
 class TlsConfigurationError(ValueError):
-    """One line: the file, and what is wrong with it."""
+    """Raised for an invalid TLS file, with one line that names the file and the reason."""
 
 
 class TlsTarget(NamedTuple):
-    """By what a collector under TLS is known."""
+    """The TLS context for a collector, and the name that its certificate must have."""
 
     context: ssl.SSLContext
     server_name: str
 
 
 class TlsOwner(Protocol):
-    """Whoever has the connection under the TLS session."""
+    """Interface of the owner of the connection under a TLS session."""
 
     def on_established(self) -> None:
-        """Take note that the other side is who it should be."""
+        """Handle the end of a successful handshake, which authenticated the collector."""
 
     def send_encrypted(self, data: bytes) -> None:
-        """Send bytes to the other side."""
+        """Send encrypted bytes to the collector."""
 
 
 def client_context(ca: str, certificate: str, key: str) -> ssl.SSLContext:
-    """Make a context for collectors that the file `ca` vouches for.
+    """Create a context for collectors with certificates of the authorities in the file `ca`.
 
-    With a certificate of our own where one is named. Read at a start and at SIGHUP: a renewed one
-    counts from the next connection on.
+    The context has a client certificate if `certificate` is not empty. The files are read at
+    startup and on SIGHUP, so a renewed certificate is used from the next connection on.
 
     Raises:
-        TlsConfigurationError: a file cannot be read, or others may read the key.
+        TlsConfigurationError: a file cannot be read, or other users may access the key file.
     """
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # names and certificates are checked
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # verifies names and certificates
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
         context.load_verify_locations(ca)
@@ -63,7 +63,7 @@
 
 
 def _check_key_mode(key: str) -> None:
-    """Refuse a key that others may read: whoever reads it can pass for this gateway."""
+    """Raise an error if other users may read the key, as they could impersonate this gateway."""
     try:
         mode = os.stat(key).st_mode
     except OSError as problem:
@@ -79,7 +79,7 @@
 
 
 class TlsMachine:
-    """The protocol machine of a stream connection under TLS (`eventloop.connection`)."""
+    """Protocol machine of a stream connection with TLS (see `eventloop.connection`)."""
 
     def __init__(
         self, owner: TlsOwner, context: ssl.SSLContext, server_name: str, budget: MemoryBudget
@@ -94,7 +94,7 @@
         self.session = context.wrap_bio(self.received, self.to_send, server_hostname=server_name)
 
     def parse_input(self) -> str:
-        """Take what came; why the connection must end, or an empty string."""
+        """Process the received bytes; returns a reason to close the connection, or ''."""
         if len(self.inward):
             self.received.write(self.inward.take(len(self.inward)))
         reason = self._step()
@@ -111,7 +111,7 @@
             if not self.is_handshake_done:
                 self.session.do_handshake()
                 self.is_handshake_done = True
-            # A collector has nothing to say: only the end of its stream counts.
+            # Collectors send no messages: input is discarded, and the end of the stream matters.
             while self.session.read(READ_BYTES):
                 pass
             return "closed"
@@ -125,7 +125,7 @@
             return f"tls: {_describe_error(problem)}"
 
     def write(self, data: bytes) -> bool:
-        """Encrypt a whole message and send it; False, with nothing of it gone, without room."""
+        """Encrypt and send a whole message; returns False, with nothing sent, without room."""
         if not self.outward.reserve(len(self.outward) + len(data) + MAX_RECORD_BYTES):
             return False
         try:
