--- a/corkgauge/flow_export/codec.py
+++ b/corkgauge/flow_export/codec.py
@@ -207,7 +207,7 @@
         self.data_record_count = 0
 
     def add(self, set_id: int, record: bytes) -> bool:
-        """Add a record to a set; returns False, with nothing added, if it exceeds the limit."""
+        """Add a record to a set; returns False, with nothing added, if there is no room."""
         size = self.size + len(record)
         is_new_set = set_id not in self.sets
         if is_new_set:
--- a/corkgauge/flow_export/elements.py
+++ b/corkgauge/flow_export/elements.py
@@ -172,7 +172,7 @@
 ELEMENT_BY_NAME = {
     element.name: element for element in (*IANA_ELEMENTS, REVERSE_OCTETS, *ENTERPRISE_ELEMENTS)
 }
-# Elements that a decoder knows initially; it reads enterprise elements from options records.
+# Elements that a decoder knows initially; options records describe the enterprise elements.
 STANDARD_ELEMENTS = {
     ElementKey(element.enterprise, element.number): element
     for element in (*IANA_ELEMENTS, REVERSE_OCTETS)
--- a/corkgauge/flow_export/session.py
+++ b/corkgauge/flow_export/session.py
@@ -17,7 +17,7 @@
 
 
 class DataMessage(NamedTuple):
-    """A message (empty without records), its deltas, and the next delta if it did not fit."""
+    """A message (empty without records), its deltas, and the first delta that did not fit."""
 
     data: bytes
     deltas: list[Delta]
--- a/corkgauge/flow_export/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -96,8 +96,8 @@
             return self.sock.send(data) == len(data)
         except OSError as problem:
             if problem.errno not in (errno.EAGAIN, errno.ENOBUFS):
-                # The export buffer is sending now: notified at once, it would drop the session
-                # that it is using.
+                # The export buffer is sending now: an immediate notification would drop the
+                # session in use.
                 self.event_loop.call_later(0, self._on_lost, problem.strerror or "error")
             return False
 
