--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -1,4 +1,4 @@
-"""Flow export: bytes of the RFCs, timeouts, pending records, failover, and real collectors."""
+"""Tests of flow export: encoding, timeouts, pending records, failover, and emulated collectors."""
 
 import contextlib
 import ssl
@@ -42,18 +42,18 @@
 TICKS_PER_SECOND = 10_000
 
 
-def ip(text):
+def ipv4(text):
     return bytes(map(int, text.split(".")))
 
 
-def taker_of(queue):
-    """What a session asks for its next record."""
+def make_next_delta(queue):
+    """Return a function that removes and returns the next delta of a queue, or None."""
     return lambda: queue.pop(0) if queue else None
 
 
-# Bytes.
+# Encoding and decoding.
 
-FLOW = Template(
+FLOW_TEMPLATE = Template(
     256,
     [
         Field("sourceIPv4Address", 4),
@@ -63,7 +63,7 @@
         Field("octetDeltaCount", 4),
     ],
 )
-LINE = Template(
+LINE_CARD_TEMPLATE = Template(
     258,
     [
         Field("lineCardId", 4),
@@ -72,33 +72,31 @@
     ],
     1,
 )
-# RFC 7011, appendix A (and RFC 3954, section 9, which has the same flows with a template set of 0).
-GOLDEN_TEMPLATE = "0002001c 01000005 00080004 000c0004 000f0004 00020004 00010004"
-GOLDEN_DATA = (
+# RFC 7011, appendix A; RFC 3954, section 9, has the same flows with 0 as the id of template sets.
+RFC_TEMPLATE = "0002001c 01000005 00080004 000c0004 000f0004 00020004 00010004"
+RFC_DATA = (
     "01000040 c000020c c00002fe c0000201 00001391 00518c81"
     " c000021b c0000217 c0000202 000002ec 0005ef46"
     " c0000238 c0000241 c0000203 00000005 00001986"
 )
-GOLDEN_OPTIONS = "00030018 01020003 0001008d 00040029 0002002a 00020000"
-GOLDEN_OPTIONS_DATA = "01020014 00000001 015927d9 00000002 02b24fb2"
+RFC_OPTIONS = "00030018 01020003 0001008d 00040029 0002002a 00020000"
+RFC_OPTIONS_DATA = "01020014 00000001 015927d9 00000002 02b24fb2"
 
 
-def test_the_worked_examples_of_the_rfcs():
+def test_messages_match_the_examples_of_the_rfcs():
     message = Message(False, 1400)
-    for template in FLOW, LINE:
+    for template in FLOW_TEMPLATE, LINE_CARD_TEMPLATE:
         assert message.add(template_set_id(template, False), template.encode_definition(False))
     for values in (
         ("192.0.2.12", "192.0.2.254", "192.0.2.1", 5009, 5344385),
         ("192.0.2.27", "192.0.2.23", "192.0.2.2", 748, 388934),
         ("192.0.2.56", "192.0.2.65", "192.0.2.3", 5, 6534),
     ):
-        assert message.add(256, FLOW.encode_record([*map(ip, values[:3]), *values[3:]]))
+        assert message.add(256, FLOW_TEMPLATE.encode_record([*map(ipv4, values[:3]), *values[3:]]))
     for values in (1, 345, 10201), (2, 690, 20402):
-        message.add(258, LINE.encode_record(values))
+        message.add(258, LINE_CARD_TEMPLATE.encode_record(values))
     data = message.encode(1_000_000, 0, 7, 9)
-    assert data[16:] == bytes.fromhex(
-        GOLDEN_TEMPLATE + GOLDEN_OPTIONS + GOLDEN_DATA + GOLDEN_OPTIONS_DATA
-    )
+    assert data[16:] == bytes.fromhex(RFC_TEMPLATE + RFC_OPTIONS + RFC_DATA + RFC_OPTIONS_DATA)
     decoded = Decoder().decode(data)
     assert (
         decoded.sequence,
@@ -112,91 +110,98 @@
         3,
     )
     assert decoded.records[1]["octetDeltaCount"] == 388934 and decoded.options[1]["lineCardId"] == 2
-    assert FLOW.encode_definition(True) == bytes.fromhex(GOLDEN_TEMPLATE)[4:]
-    assert LINE.encode_definition(True)[:6] == bytes.fromhex("0102 0004 0008")  # octets, not counts
+    assert FLOW_TEMPLATE.encode_definition(True) == bytes.fromhex(RFC_TEMPLATE)[4:]
+    # NetFlow v9 has lengths in octets instead of counts.
+    assert LINE_CARD_TEMPLATE.encode_definition(True)[:6] == bytes.fromhex("0102 0004 0008")
 
 
-def test_strings_of_variable_length():
+def test_strings_have_one_or_three_octets_of_length():
     template = Template(300, [Field("engineId", VARIABLE_LENGTH)])
     assert template.encode_record((), [b"hello"]) == b"\5hello"
     assert template.encode_record((), [b"x" * 1000]) == b"\xff\x03\xe8" + b"x" * 1000
 
 
-def delta(
-    flow=1,
-    forward=100,
-    reverse=50,
-    reason=FlowEndReason.ENDED,
+def make_delta(
+    flow_id=1,
+    forward_octets=100,
+    reverse_octets=50,
+    end_reason=FlowEndReason.ENDED,
     family=4,
-    side=FlowDirection.EGRESS,
+    direction=FlowDirection.EGRESS,
     engine="e1",
     zone="hall-a",
-    first=1000,
-    last=2000,
+    start_ms=1000,
+    end_ms=2000,
 ):
     size = {4: 4, 6: 16, 0: 0}[family]
     return Delta(
-        flow,
-        side,
+        flow_id,
+        direction,
         family,
         b"\x7f" * size,
-        4000 + flow % 999,
+        4000 + flow_id % 999,
         b"\x0a" * size,
         9090,
         engine,
         zone,
-        first,
-        last,
-        forward,
-        reverse,
-        reason,
+        start_ms,
+        end_ms,
+        forward_octets,
+        reverse_octets,
+        end_reason,
     )
 
 
-KINDS = LayoutKind.OWN, LayoutKind.STANDARD, LayoutKind.NETFLOW9
+LAYOUT_KINDS = LayoutKind.OWN, LayoutKind.STANDARD, LayoutKind.NETFLOW9
 deltas = strategies.builds(
-    delta,
-    flow=strategies.integers(1, 10**6),
-    forward=strategies.integers(0, 2**40),
-    reverse=strategies.integers(0, 2**33),
-    reason=strategies.integers(1, 5),
+    make_delta,
+    flow_id=strategies.integers(1, 10**6),
+    forward_octets=strategies.integers(0, 2**40),
+    reverse_octets=strategies.integers(0, 2**33),
+    end_reason=strategies.integers(1, 5),
     family=strategies.sampled_from((0, 4, 6)),
-    side=strategies.integers(0, 1),
+    direction=strategies.integers(0, 1),
     engine=strategies.text(max_size=80),
-    first=strategies.integers(0, 2**41),
-    last=strategies.integers(0, 2**41),
+    start_ms=strategies.integers(0, 2**41),
+    end_ms=strategies.integers(0, 2**41),
 )
 
 
-def octets(decoded):
+def sum_octets(messages):
     return sum(
         record["octetDeltaCount"]
         + record.get("reverseOctetDeltaCount", 0)
         + record.get("postOctetDeltaCount", 0)
-        for each in decoded
-        for record in each.records
+        for message in messages
+        for record in message.records
     )
 
 
 @settings(max_examples=120, deadline=None)
 @given(
-    strategies.sampled_from(KINDS),
+    strategies.sampled_from(LAYOUT_KINDS),
     strategies.lists(deltas, max_size=30),
     strategies.integers(512, 3000),
 )
-def test_whatever_is_encoded_is_decoded_within_the_limit(kind, several, limit):
-    session, decoder, queue = Session(Layout(kind, "n1"), 77, limit, 0), Decoder(), [*several]
+def test_encoded_records_are_decoded_and_messages_respect_the_size_limit(
+    kind, queued_deltas, max_message_bytes
+):
+    session, decoder, queue = (
+        Session(Layout(kind, "n1"), 77, max_message_bytes, 0),
+        Decoder(),
+        [*queued_deltas],
+    )
     statistics = Counter()
     messages, exported = session.make_template_messages(5_000, statistics), []
     while queue:
-        data, some, left = session.make_data_message(6_000, taker_of(queue))
-        assert some and data
-        queue[:0] = [left] if left else []
+        data, message_deltas, rejected = session.make_data_message(6_000, make_next_delta(queue))
+        assert message_deltas and data
+        queue[:0] = [rejected] if rejected else []
         messages.append(data)
-        exported += some
+        exported += message_deltas
     decoded = [decoder.decode(data) for data in messages]
-    assert exported == several and all(len(data) <= limit for data in messages)
-    assert octets(decoded) == sum(each.octets for each in several)
+    assert exported == queued_deltas and all(len(data) <= max_message_bytes for data in messages)
+    assert sum_octets(decoded) == sum(each.octets for each in queued_deltas)
     assert not any(each.missed_count or each.unknown_set_count for each in decoded) and all(
         each.domain == 77 for each in decoded
     )
@@ -204,71 +209,81 @@
         assert sorted(record["engineId"] for each in decoded for record in each.records) == sorted(
             each.engine.encode()[:64].decode(errors="replace") for each in exported
         )
-    if (
-        kind != LayoutKind.OWN
-    ):  # the standard decoder knows neither variable lengths nor enterprises
+    # The netflow package supports neither variable lengths nor enterprise elements.
+    if kind != LayoutKind.OWN:
         templates = {"netflow": {}, "ipfix": {}}
-        theirs = [
+        package_flows = [
             flow.data for data in messages for flow in parse_packet(data.hex(), templates).flows
         ]
         names = ("octetDeltaCount",) if kind == LayoutKind.STANDARD else ("IN_BYTES", "OUT_BYTES")
-        statistics_records = kind == LayoutKind.STANDARD  # it takes options for flows
-        assert len(theirs) == sum(
-            len(each.records) + statistics_records * len(each.options) for each in decoded
+        # In IPFIX, the package returns options records as flows.
+        counts_options_as_flows = kind == LayoutKind.STANDARD
+        assert len(package_flows) == sum(
+            len(each.records) + counts_options_as_flows * len(each.options) for each in decoded
+        )
+        assert sum(flow.get(each, 0) for flow in package_flows for each in names) == sum_octets(
+            decoded
         )
-        assert sum(flow.get(each, 0) for flow in theirs for each in names) == octets(decoded)
 
 
-def test_both_decoders_agree_on_every_field():
+def test_decoder_agrees_with_the_netflow_package_on_every_field():
     for kind in LayoutKind.STANDARD, LayoutKind.NETFLOW9:
-        session, ours = Session(Layout(kind, "n1"), 77, 1400, 500), Decoder()
+        session, decoder = Session(Layout(kind, "n1"), 77, 1400, 500), Decoder()
         templates = {"netflow": {}, "ipfix": {}}
-        queue = [delta(1), delta(2, family=6, side=FlowDirection.INGRESS), delta(3, forward=2**35)]
+        queue = [
+            make_delta(1),
+            make_delta(2, family=6, direction=FlowDirection.INGRESS),
+            make_delta(3, forward_octets=2**35),
+        ]
         messages = [
             *session.make_template_messages(5_000, Counter()),
-            session.make_data_message(6_000, taker_of(queue))[0],
+            session.make_data_message(6_000, make_next_delta(queue))[0],
         ]
-        mine = [record for data in messages for record in ours.decode(data).records]
-        theirs = [
+        records = [record for data in messages for record in decoder.decode(data).records]
+        package_flows = [
             flow.data
             for data in messages
             for flow in parse_packet(data.hex(), templates).flows
             if "observationDomainId" not in flow.data
         ]
-        assert len(mine) == len(theirs) >= 3
-        for ours_, other in zip(mine, theirs, strict=True):
+        assert len(records) == len(package_flows) >= 3
+        for decoded, package_flow in zip(records, package_flows, strict=True):
             assert sorted(
-                str(value) for key, value in ours_.items() if "Address" not in key
+                str(value) for key, value in decoded.items() if "Address" not in key
             ) == sorted(
                 str(value)
-                for key, value in other.items()
+                for key, value in package_flow.items()
                 if "ADDR" not in key and "Address" not in key
             )
 
 
-def messages_of(kind=LayoutKind.OWN):
+def make_messages(kind=LayoutKind.OWN):
     session = Session(Layout(kind, "n1"), 77, 1400, 0)
-    queue = [delta(n, family=(4, 6)[n % 2]) for n in range(9)]
+    queue = [make_delta(flow_id, family=(4, 6)[flow_id % 2]) for flow_id in range(9)]
     return [
         *session.make_template_messages(5_000, Counter()),
-        session.make_data_message(6_000, taker_of(queue))[0],
+        session.make_data_message(6_000, make_next_delta(queue))[0],
     ]
 
 
-@pytest.mark.parametrize("kind", KINDS)
-def test_changed_bytes_are_refused_or_read_and_nothing_grows(kind):
-    chance, decoder = Random(5), Decoder()
+@pytest.mark.parametrize("kind", LAYOUT_KINDS)
+def test_corrupted_messages_raise_only_malformed_message_errors_in_bounded_memory(kind):
+    random, decoder = Random(5), Decoder()
     for _ in range(600):
-        for data in messages_of(kind):
-            bad = bytearray(data)
-            for _ in range(chance.randint(1, 5)):
-                bad[chance.randrange(len(bad))] = chance.randrange(256)
+        for data in make_messages(kind):
+            corrupted = bytearray(data)
+            for _ in range(random.randint(1, 5)):
+                corrupted[random.randrange(len(corrupted))] = random.randrange(256)
             try:
                 decoder.decode(
-                    bytes(bad[: chance.choice((len(bad), chance.randrange(len(bad) + 1)))])
+                    bytes(
+                        corrupted[
+                            : random.choice((len(corrupted), random.randrange(len(corrupted) + 1)))
+                        ]
+                    )
                 )
-            except MalformedMessageError as problem:
-                assert "\n" not in str(problem)
+            except MalformedMessageError as error:
+                assert "\n" not in str(error)
     assert (
         len(decoder.templates) <= 1000
         and len(decoder.elements) < 1100
@@ -277,19 +292,19 @@
 
 
 @given(strategies.binary(max_size=200))
-def test_any_bytes_are_no_crash(data):
-    for head in (
+def test_arbitrary_bytes_raise_only_malformed_message_errors(data):
+    for header in (
         b"",
         b"\0\x0a",
         b"\0\x09",
         b"\0\x0a" + (len(data) + 16).to_bytes(2, "big") + bytes(12),
     ):
         with contextlib.suppress(MalformedMessageError):
-            Decoder().decode(head + data)
+            Decoder().decode(header + data)
 
 
 @pytest.mark.parametrize(
-    "body, wrong",
+    "body, message",
     [
         ("0002 0003", "a set of 3 octets"),
         ("0002 0040", "a set of 64"),
@@ -303,20 +318,22 @@
         ("0002 000c 0100 0001 0052 ffff 0100 0008 0964 6464", "cut short"),
     ],
 )
-def test_what_does_not_fit_is_malformed(body, wrong):
+def test_invalid_set_is_rejected(body, message):
     data = bytes.fromhex(body)
-    with pytest.raises(MalformedMessageError, match=wrong):
+    with pytest.raises(MalformedMessageError, match=message):
         Decoder().decode(b"\0\x0a" + (16 + len(data)).to_bytes(2, "big") + bytes(12) + data)
 
 
-def test_a_withdrawal_forgets_and_a_gap_is_seen():
+def test_withdrawal_removes_templates_and_sequence_gap_is_counted():
     session, decoder = Session(Layout(LayoutKind.OWN, "n1"), 7, 1400, 0), Decoder()
-    queue = [delta(n) for n in range(60)]
-    introduction = session.make_template_messages(0, Counter())
-    first, (_, gone, _), third = (session.make_data_message(0, taker_of(queue)) for _ in range(3))
-    for data in (*introduction, first[0]):
+    queue = [make_delta(flow_id) for flow_id in range(60)]
+    template_messages = session.make_template_messages(0, Counter())
+    first, (_, lost_deltas, _), third = (
+        session.make_data_message(0, make_next_delta(queue)) for _ in range(3)
+    )
+    for data in (*template_messages, first[0]):
         assert decoder.decode(data).missed_count == 0
-    assert decoder.decode(third[0]).missed_count == len(gone) > 0
+    assert decoder.decode(third[0]).missed_count == len(lost_deltas) > 0
     assert (
         decoder.decode(session.make_withdrawal_message(0)).unknown_set_count == 0
         and not decoder.templates
@@ -324,14 +341,16 @@
     assert decoder.decode(third[0]).unknown_set_count == 1
 
 
-def test_a_stream_gives_messages_however_it_is_split():
-    whole = b"".join(messages_of())
+def test_message_stream_is_independent_of_how_the_bytes_are_split():
+    whole = b"".join(make_messages())
     for step in 1, 3, 700:
         stream = MessageStream()
         found = [
-            each for at in range(0, len(whole), step) for each in stream.feed(whole[at : at + step])
+            message
+            for start in range(0, len(whole), step)
+            for message in stream.feed(whole[start : start + step])
         ]
-        assert found == messages_of()
+        assert found == make_messages()
     with pytest.raises(MalformedMessageError):
         MessageStream().feed(b"\0\x09\0\x20")
 
@@ -345,17 +364,17 @@
         strategies.tuples(strategies.integers(0, 2), strategies.integers(1, 900)), max_size=80
     )
 )
-def test_the_wheel_is_a_plain_list_of_due_times(steps):
+def test_timer_wheel_behaves_like_a_list_of_due_times(steps):
     class Entry:
         due = 0
 
     wheel, model, now = TimerWheel(8, 10), {}, 0
-    for what, value in steps:
-        if what == 0:
+    for action, value in steps:
+        if action == 0:
             entry = Entry()
             wheel.put(entry, now + value)
             model[entry] = entry.due
-        elif what == 1 and model:
+        elif action == 1 and model:
             entry = [*model][value % len(model)]
             wheel.remove(entry)
             wheel.remove(entry)
@@ -363,35 +382,43 @@
         else:
             now += value
             expected, due = (
-                {entry for entry, when in model.items() if when // 10 <= now // 10},
+                {entry for entry, due_time in model.items() if due_time // 10 <= now // 10},
                 set(),
             )
             for entry in wheel.advance(now):
                 due.add(entry)
                 del model[entry]
-                if value % 3 == 0:  # put again while others are given
+                if value % 3 == 0:  # added again while the wheel yields other entries
                     wheel.put(entry, now + value % 7)
                     model[entry] = entry.due
-            assert due >= expected and all(when // 10 > now // 10 for when in model.values())
+            assert due >= expected and all(
+                due_time // 10 > now // 10 for due_time in model.values()
+            )
         assert len(wheel) == len(model)
 
 
-class Wire:
+class FakeConnection:
     bytes_received = bytes_sent = 0
 
 
-def metered(active=60, idle=15):
+def make_meter(active_seconds=60, idle_seconds=15):
+    """Return a meter and the list of the records that it creates."""
     reported = []
-    return Meter(reported.append, active * TICKS_PER_SECOND, idle * TICKS_PER_SECOND, 0), reported
+    return (
+        Meter(
+            reported.append, active_seconds * TICKS_PER_SECOND, idle_seconds * TICKS_PER_SECOND, 0
+        ),
+        reported,
+    )
 
 
-ENDS = Endpoints(4, ip("127.0.0.1"), 4000, ip("127.0.0.2"), 9090)
+ENDPOINTS = Endpoints(4, ipv4("127.0.0.1"), 4000, ipv4("127.0.0.2"), 9090)
 
 
-def test_a_connection_open_all_night_is_seen_each_minute():
-    meter, reported = metered()
-    link = Wire()
-    flow = meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
+def test_long_connection_is_reported_every_minute():
+    meter, reported = make_meter()
+    link = FakeConnection()
+    flow = meter.start_flow(link, FlowDirection.EGRESS, ENDPOINTS, "e1", "hall-a", 0)
     for now in range(0, 600 * TICKS_PER_SECOND, TICKS_PER_SECOND // 2):
         link.bytes_sent += 10
         link.bytes_received += 1
@@ -408,8 +435,8 @@
         and sum(each.reverse_octets for each in reported) == link.bytes_received
     )
     assert (
-        all(one.end_ms == other.start_ms for one, other in pairwise(reported))
-        and len({d.flow_id for d in reported}) == 1
+        all(earlier.end_ms == later.start_ms for earlier, later in pairwise(reported))
+        and len({delta.flow_id for delta in reported}) == 1
     )
     assert (
         meter.measured_octets == link.bytes_received + link.bytes_sent
@@ -418,10 +445,10 @@
     )
 
 
-def test_a_quiet_connection_ends_its_flow_and_begins_another():
-    meter, reported = metered()
-    link = Wire()
-    meter.start_flow(link, FlowDirection.INGRESS, ENDS, "", "", 0)
+def test_idle_connection_ends_its_flow_and_starts_another():
+    meter, reported = make_meter()
+    link = FakeConnection()
+    meter.start_flow(link, FlowDirection.INGRESS, ENDPOINTS, "", "", 0)
     link.bytes_received = 7
     for now in range(0, 100 * TICKS_PER_SECOND, TICKS_PER_SECOND):
         meter.advance(now)
@@ -434,19 +461,19 @@
     assert reported[0].flow_id != reported[1].flow_id and meter.unreported_octets() == 0
 
 
-def test_ten_thousand_due_at_once_are_looked_at_in_parts():
-    meter, reported = metered()
-    links = [Wire() for _ in range(10_000)]
+def test_ten_thousand_flows_due_at_once_are_checked_in_parts():
+    meter, reported = make_meter()
+    links = [FakeConnection() for _ in range(10_000)]
     for link in links:
-        meter.start_flow(link, FlowDirection.EGRESS, ENDS, "e1", "hall-a", 0)
+        meter.start_flow(link, FlowDirection.EGRESS, ENDPOINTS, "e1", "hall-a", 0)
         link.bytes_received = 1
-    calls = 0
+    reporting_calls = 0
     for now in range(60 * TICKS_PER_SECOND, 63 * TICKS_PER_SECOND, 500):
-        before = len(reported)
+        count_before = len(reported)
         meter.advance(now)
-        assert len(reported) - before <= 500
-        calls += len(reported) > before
-    assert len(reported) == 10_000 and calls >= 20
+        assert len(reported) - count_before <= 500
+        reporting_calls += len(reported) > count_before
+    assert len(reported) == 10_000 and reporting_calls >= 20
 
 
 # Pending records.
@@ -454,58 +481,62 @@
 
 @settings(max_examples=100, deadline=None)
 @given(strategies.lists(strategies.tuples(deltas, strategies.integers(0, 3)), max_size=150))
-def test_nothing_of_the_totals_is_lost_within_the_bound(steps):
-    held, exported_octets, under_way = PendingRecords(20 * DELTA_MEMORY_BYTES), 0, []
-    for each, what in steps:
-        each.flow_id %= 40
-        held.add(each)
-        if what == 0 and (some := held.pop_next()):
-            under_way.append(some)
-        elif what == 1 and under_way:
-            held.requeue([under_way.pop()])
-        elif what == 2 and under_way:
-            exported_octets += under_way.pop().octets
-        assert len(held) <= held.max_records
+def test_pending_records_keep_the_totals_within_the_memory_limit(steps):
+    pending, exported_octets, in_flight = PendingRecords(20 * DELTA_MEMORY_BYTES), 0, []
+    for delta, action in steps:
+        delta.flow_id %= 40
+        pending.add(delta)
+        if action == 0 and (next_delta := pending.pop_next()):
+            in_flight.append(next_delta)
+        elif action == 1 and in_flight:
+            pending.requeue([in_flight.pop()])
+        elif action == 2 and in_flight:
+            exported_octets += in_flight.pop().octets
+        assert len(pending) <= pending.max_records
         recount = sum(
-            d.octets
-            for table in (held.ended, held.ongoing, held.aggregates)
-            for d in table.values()
+            each.octets
+            for table in (pending.ended, pending.ongoing, pending.aggregates)
+            for each in table.values()
         )
-        assert held.octets == recount
+        assert pending.octets == recount
         assert (
-            held.measured_octets
+            pending.measured_octets
             == exported_octets
-            + held.octets
-            + sum(d.octets for d in under_way)
-            + held.dropped_octets
+            + pending.octets
+            + sum(each.octets for each in in_flight)
+            + pending.dropped_octets
         )
 
 
-def test_beyond_the_bound_flows_merge_by_hall_and_engine_before_any_is_dropped():
-    held = PendingRecords(20 * DELTA_MEMORY_BYTES)
-    for n in range(500):
-        held.add(delta(n, engine=f"e{n % 5}"))
+def test_above_the_memory_limit_flows_merge_by_zone_and_engine_and_none_is_dropped():
+    pending = PendingRecords(20 * DELTA_MEMORY_BYTES)
+    for flow_id in range(500):
+        pending.add(make_delta(flow_id, engine=f"e{flow_id % 5}"))
     assert (
-        held.dropped_octets == 0
-        and held.measured_octets == held.octets
-        and held.merged_flows >= 480
+        pending.dropped_octets == 0
+        and pending.measured_octets == pending.octets
+        and pending.merged_flows >= 480
     )
-    assert sum(each.flow_count for each in held.aggregates.values()) == held.merged_flows
-    for n in range(500):
-        held.add(delta(n, engine=f"other{n}", zone=f"hall{n % 40}"))
-    assert len(held) <= 20 and held.dropped_octets == 0 and held.measured_octets == held.octets
-    assert any(each.engine == "(others)" for each in held.aggregates.values())
+    assert sum(each.flow_count for each in pending.aggregates.values()) == pending.merged_flows
+    for flow_id in range(500):
+        pending.add(make_delta(flow_id, engine=f"other{flow_id}", zone=f"hall{flow_id % 40}"))
     assert (
-        sum(each.flow_count for each in held.aggregates.values())
-        + len(held.ended)
-        + len(held.ongoing)
+        len(pending) <= 20
+        and pending.dropped_octets == 0
+        and pending.measured_octets == pending.octets
+    )
+    assert any(each.engine == "(others)" for each in pending.aggregates.values())
+    assert (
+        sum(each.flow_count for each in pending.aggregates.values())
+        + len(pending.ended)
+        + len(pending.ongoing)
         >= 900
     )
-    held.drop_all()
+    pending.drop_all()
     assert (
-        (len(held), held.octets) == (0, 0)
-        and held.measured_octets == held.dropped_octets
-        and held.dropped_flows > 900
+        (len(pending), pending.octets) == (0, 0)
+        and pending.measured_octets == pending.dropped_octets
+        and pending.dropped_flows > 900
     )
 
 
@@ -513,27 +544,27 @@
 
 
 class BufferHarness:
-    """An export buffer on a fake clock; its collectors take everything while they are well."""
+    """An export buffer on a fake clock, whose collectors accept all data while reachable."""
 
-    def __init__(self, *datagrams, memory=10**6, seed=1):
-        self.now, self.logged, self.sent, self.opened, self.closed = 0, [], [], [], []
-        self.well = {}
+    def __init__(self, *datagrams, memory_bytes=10**6, seed=1):
+        self.now, self.log_lines, self.sent, self.opened, self.closed = 0, [], [], [], []
+        self.reachable = {}
         self.peers = [
-            CollectorPeer(f"c{n}", each, 1400, 300 * TICKS_PER_SECOND, 1000)
-            for n, each in enumerate(datagrams)
+            CollectorPeer(f"c{index}", is_datagram, 1400, 300 * TICKS_PER_SECOND, 1000)
+            for index, is_datagram in enumerate(datagrams)
         ]
-        self.well = {peer: True for peer in self.peers}
-        self.full = set()
-        self.held = PendingRecords(memory)
+        self.reachable = {peer: True for peer in self.peers}
+        self.full_peers = set()
+        self.pending = PendingRecords(memory_bytes)
         self.export_buffer = ExportBuffer(
-            self, Layout(LayoutKind.OWN, "n1"), 7, self.peers, self.held, seed, 0
+            self, Layout(LayoutKind.OWN, "n1"), 7, self.peers, self.pending, seed, 0
         )
 
     def open(self, peer):
         self.opened.append((self.now, peer))
 
     def send(self, peer, data):
-        if peer in self.full:
+        if peer in self.full_peers:
             return False
         self.sent.append((self.now, peer, data))
         return True
@@ -542,26 +573,26 @@
         self.closed.append((self.now, peer))
 
     def log(self, line):
-        self.logged.append(line)
+        self.log_lines.append(line)
 
-    def run(self, span, step=500, writes=True):
-        for _ in range(span // step):
+    def run(self, duration, step=500, confirms_writes=True):
+        for _ in range(duration // step):
             self.now += step
-            for when, peer in [*self.opened]:
-                self.opened.remove((when, peer))
-                if self.well[peer]:
+            for opened_at, peer in [*self.opened]:
+                self.opened.remove((opened_at, peer))
+                if self.reachable[peer]:
                     self.export_buffer.on_opened(peer, self.now)
                 else:
                     self.export_buffer.on_lost(peer, "refused", self.now)
             for peer in self.peers:
                 if (
-                    not self.well[peer]
+                    not self.reachable[peer]
                     and peer.state != CollectorState.DOWN
                     and peer.is_datagram
                     and peer.in_flight
                 ):
                     self.export_buffer.on_lost(peer, "Connection refused", self.now)
-                elif writes and not peer.is_datagram and peer.state != CollectorState.DOWN:
+                elif confirms_writes and not peer.is_datagram and peer.state != CollectorState.DOWN:
                     self.export_buffer.on_written(peer, peer.sent_bytes, self.now)
             self.export_buffer.on_timer(self.now)
             assert (
@@ -569,142 +600,149 @@
                 and self.export_buffer.held_octets == self.export_buffer.recounted_octets()
             )
 
-    def decoded(self, peer):
-        """Octets by session, as a collector adds them up; templates must come first in each."""
+    def received_octets(self, peer):
+        """Return the octets that a collector decodes; templates must precede their data."""
         decoder, total = Decoder(), 0
-        for _, to, data in self.sent:
-            if to is peer:
-                decoded = decoder.decode(data)
-                assert not decoded.unknown_set_count
-                total += octets([decoded])
+        for _, receiver, data in self.sent:
+            if receiver is peer:
+                message = decoder.decode(data)
+                assert not message.unknown_set_count
+                total += sum_octets([message])
         return total
 
 
 @pytest.mark.parametrize("datagrams", [True, False])
-def test_a_collector_that_is_down_for_minutes_gets_all_of_it_later(datagrams):
+def test_collector_down_for_minutes_receives_all_octets_later(datagrams):
     harness = BufferHarness(datagrams)
-    harness.well[harness.peers[0]] = False
-    for n in range(1800):
-        harness.export_buffer.add(delta(n % 50, reason=FlowEndReason.ACTIVE))
+    harness.reachable[harness.peers[0]] = False
+    for index in range(1800):
+        harness.export_buffer.add(make_delta(index % 50, end_reason=FlowEndReason.ACTIVE))
         harness.run(TICKS_PER_SECOND // 10, TICKS_PER_SECOND // 10)
     assert (
         harness.export_buffer.totals.exported_octets == 0
-        and len(harness.held) == 50
-        and harness.held.dropped_octets == 0
+        and len(harness.pending) == 50
+        and harness.pending.dropped_octets == 0
     )
-    tries = [when for when, _ in harness.closed]
-    assert (
-        3 <= len(tries) <= 12 and tries[-1] - tries[-2] > 20 * TICKS_PER_SECOND
-    )  # further and further apart
-    assert sum("not reached" in line for line in harness.logged) == 1
-    harness.well[harness.peers[0]] = True
+    # The intervals between attempts grow.
+    attempts = [closed_at for closed_at, _ in harness.closed]
+    assert 3 <= len(attempts) <= 12 and attempts[-1] - attempts[-2] > 20 * TICKS_PER_SECOND
+    assert sum("not reached" in line for line in harness.log_lines) == 1
+    harness.reachable[harness.peers[0]] = True
     harness.run(90 * TICKS_PER_SECOND)
     assert (
-        harness.export_buffer.totals.exported_octets == 1800 * 150 == harness.held.measured_octets
-        and not len(harness.held)
+        harness.export_buffer.totals.exported_octets
+        == 1800 * 150
+        == harness.pending.measured_octets
+        and not len(harness.pending)
     )
 
 
-def test_fallback_to_the_next_and_return_to_the_first():
+def test_failover_to_the_next_collector_and_return_to_the_first():
     harness = BufferHarness(True, False)
     first, second = harness.peers
     harness.run(TICKS_PER_SECOND)
     assert harness.export_buffer.active is first
-    harness.well[first] = False
-    for n in range(100):
-        harness.export_buffer.add(delta(n))
+    harness.reachable[first] = False
+    for flow_id in range(100):
+        harness.export_buffer.add(make_delta(flow_id))
         harness.run(TICKS_PER_SECOND // 2)
     assert (
         harness.export_buffer.active is second
         and second.state == CollectorState.UP
-        and harness.decoded(second) > 90 * 150
+        and harness.received_octets(second) > 90 * 150
     )
-    harness.well[first] = True
+    harness.reachable[first] = True
     harness.run(80 * TICKS_PER_SECOND)
     assert harness.export_buffer.active is first and second.state == CollectorState.DOWN
-    assert any("takes over" in line for line in harness.logged)
-    assert harness.export_buffer.totals.exported_octets == harness.held.measured_octets
-    total = harness.decoded(first) + harness.decoded(second)
-    # a refused datagram is sent again, and so counted
-    assert total == harness.held.measured_octets + harness.export_buffer.totals.repeated_octets
+    assert any("takes over" in line for line in harness.log_lines)
+    assert harness.export_buffer.totals.exported_octets == harness.pending.measured_octets
+    total = harness.received_octets(first) + harness.received_octets(second)
+    # A refused datagram is sent again and counted as repeated.
+    assert total == harness.pending.measured_octets + harness.export_buffer.totals.repeated_octets
 
 
-def test_a_stream_that_breaks_never_sends_a_torn_message_again():
+def test_partly_written_message_of_a_broken_stream_is_exported_as_new_records():
     harness = BufferHarness(False)
     harness.run(TICKS_PER_SECOND)
-    for n in range(100):
-        harness.export_buffer.add(delta(n))
-    harness.run(1000, writes=False)
+    for flow_id in range(100):
+        harness.export_buffer.add(make_delta(flow_id))
+    harness.run(1000, confirms_writes=False)
     peer = harness.peers[0]
     sent = [data for _, _, data in harness.sent]
-    ends = [sum(map(len, sent[: n + 1])) for n in range(len(sent))]
-    harness.export_buffer.on_written(
-        peer, ends[-3] + 10, harness.now
-    )  # the last but one is torn, the last has not begun
+    end_offsets = [sum(map(len, sent[: index + 1])) for index in range(len(sent))]
+    # The last message but one is partly written, the last not at all.
+    harness.export_buffer.on_written(peer, end_offsets[-3] + 10, harness.now)
     exported_octets, unwritten = harness.export_buffer.totals.exported_octets, peer.in_flight_octets
     assert unwritten > 0
     harness.export_buffer.on_lost(peer, "reset", harness.now, unacknowledged_bytes=11)
-    assert (
-        0 < harness.export_buffer.totals.uncertain_octets < exported_octets
-    )  # one whole message was in the system's hands
-    # the torn one and the last go into another session, as new records
-    assert harness.held.octets == unwritten
+    # The operating system held one whole message.
+    assert 0 < harness.export_buffer.totals.uncertain_octets < exported_octets
+    # The records of the last two messages are sent in another session as new records.
+    assert harness.pending.octets == unwritten
     harness.run(30 * TICKS_PER_SECOND)
-    assert harness.export_buffer.totals.exported_octets == harness.held.measured_octets == 100 * 150
+    assert (
+        harness.export_buffer.totals.exported_octets == harness.pending.measured_octets == 100 * 150
+    )
     for _ in range(3):
-        harness.export_buffer.add(delta(500))
+        harness.export_buffer.add(make_delta(500))
     harness.run(TICKS_PER_SECOND)
     harness.export_buffer.on_lost(peer, "reset", harness.now, unacknowledged_bytes=10**6)
-    assert (
-        harness.export_buffer.totals.uncertain_octets >= 3 * 150
-    )  # in the system's hands: nobody knows, so it is exported
+    # The operating system held the messages: delivery is unknown, so they count as exported.
+    assert harness.export_buffer.totals.uncertain_octets >= 3 * 150
 
 
-def test_what_a_stream_still_holds_when_it_is_left_counts_as_repeated():
+def test_unwritten_messages_of_a_closed_stream_count_as_repeated():
     harness = BufferHarness(False)
     harness.run(TICKS_PER_SECOND)
-    harness.export_buffer.add(delta(1))
-    harness.run(1000, writes=False)
+    harness.export_buffer.add(make_delta(1))
+    harness.run(1000, confirms_writes=False)
     harness.export_buffer.reconfigure(harness.peers, harness.export_buffer.layout, harness.now)
     assert (
-        harness.export_buffer.totals.repeated_octets == 150 == harness.held.octets
+        harness.export_buffer.totals.repeated_octets == 150 == harness.pending.octets
         and harness.export_buffer.unaccounted_octets() == 0
     )
 
 
-def test_a_stream_that_takes_nothing_is_left_and_a_full_one_keeps_its_place():
+def test_stalled_stream_is_closed_and_full_stream_skips_no_sequence_number():
     harness = BufferHarness(False)
     harness.run(TICKS_PER_SECOND)
     peer = harness.peers[0]
-    harness.full.add(peer)
-    harness.export_buffer.add(delta(1))
+    harness.full_peers.add(peer)
+    harness.export_buffer.add(make_delta(1))
     harness.run(TICKS_PER_SECOND)
-    assert harness.held.octets == 150 and harness.export_buffer.totals.exported_octets == 0
-    harness.run(40 * TICKS_PER_SECOND)  # statistics came due meanwhile, and found no room either
-    harness.full.clear()
+    assert harness.pending.octets == 150 and harness.export_buffer.totals.exported_octets == 0
+    harness.run(40 * TICKS_PER_SECOND)  # statistics are due, and there is no room for them either
+    harness.full_peers.clear()
     harness.run(40 * TICKS_PER_SECOND)
-    assert harness.export_buffer.totals.exported_octets == 150 and harness.decoded(peer) == 150
+    assert (
+        harness.export_buffer.totals.exported_octets == 150 and harness.received_octets(peer) == 150
+    )
     decoder = Decoder()
-    assert not any(
-        decoder.decode(data).missed_count for _, _, data in harness.sent
-    )  # numbers of what never went
-    harness.export_buffer.add(delta(2))
-    harness.run(8 * TICKS_PER_SECOND, writes=False)
-    assert "collector c0 lost: collector accepts no data" in harness.logged
+    # Messages that were not sent use no sequence numbers.
+    assert not any(decoder.decode(data).missed_count for _, _, data in harness.sent)
+    harness.export_buffer.add(make_delta(2))
+    harness.run(8 * TICKS_PER_SECOND, confirms_writes=False)
+    assert "collector c0 lost: collector accepts no data" in harness.log_lines
 
 
-def test_templates_again_on_udp_by_time_and_by_count():
+def test_templates_are_repeated_on_udp_by_time_and_by_count():
     harness = BufferHarness(True)
     harness.peers[0].refresh_ticks, harness.peers[0].refresh_messages = 20 * TICKS_PER_SECOND, 10
-    for n in range(80):
-        harness.export_buffer.add(delta(n))
+    for flow_id in range(80):
+        harness.export_buffer.add(make_delta(flow_id))
         harness.run(TICKS_PER_SECOND)
-    starts = [when for when, _, data in harness.sent if Decoder().decode(data).template_count]
-    assert len(starts) >= 8 and max(b - a for a, b in pairwise(starts)) <= 21 * TICKS_PER_SECOND
+    template_times = [
+        sent_at for sent_at, _, data in harness.sent if Decoder().decode(data).template_count
+    ]
+    assert (
+        len(template_times) >= 8
+        and max(later - earlier for earlier, later in pairwise(template_times))
+        <= 21 * TICKS_PER_SECOND
+    )
 
 
 @pytest.mark.parametrize("datagrams", [True, False])
-def test_statistics_go_each_half_minute_and_templates_of_a_stream_once(datagrams):
+def test_statistics_are_sent_every_half_minute_and_templates_at_the_start(datagrams):
     harness = BufferHarness(datagrams)
     harness.run(130 * TICKS_PER_SECOND)
     decoder = Decoder()
@@ -721,21 +759,21 @@
     ) and not any(each.missed_count for each in decoded)
 
 
-def test_gateways_come_back_at_different_moments():
-    moments = set()
+def test_gateways_retry_a_collector_at_different_times():
+    retry_times = set()
     for seed in range(20):
         harness = BufferHarness(True, seed=seed)
-        harness.well[harness.peers[0]] = False
+        harness.reachable[harness.peers[0]] = False
         harness.run(5 * TICKS_PER_SECOND, 100)
-        moments.add(harness.peers[0].retry_at)
-    assert len(moments) > 10
+        retry_times.add(harness.peers[0].retry_at)
+    assert len(retry_times) > 10
 
 
-# Real collectors, on loopback; the clock alone is a fake.
+# Emulated collectors with real sockets on loopback and a fake clock.
 
 
 class ExportSite:
-    """A host with an exporter, and collectors beside it."""
+    """A socket host with an exporter, and emulated collectors."""
 
     def __init__(
         self,
@@ -745,37 +783,40 @@
         mode="failover",
         tls="",
         contexts=None,
-        memory=10**6,
-        active=2,
+        memory_bytes=10**6,
+        active_seconds=2,
     ):
-        self.premises = HostHarness(events=[listing(1, {})])
-        self.path, self.layout, self.mode, self.tls, self.memory, self.active = (
+        self.host = HostHarness(events=[listing(1, {})])
+        self.path, self.layout, self.mode, self.tls, self.memory_bytes, self.active_seconds = (
             tmp_path / "operator.xml",
             layout,
             mode,
             tls,
-            memory,
-            active,
+            memory_bytes,
+            active_seconds,
         )
-        self.messages, self.bytes = [[] for _ in transports], [[] for _ in transports]
+        self.messages, self.encoded = [[] for _ in transports], [[] for _ in transports]
         self.collectors = [
             EmulatedCollector(
-                self.premises.event_loop, each, self.taker(n), context=(contexts or {}).get(n)
+                self.host.event_loop,
+                transport,
+                self.make_receiver(index),
+                context=(contexts or {}).get(index),
             )
-            for n, each in enumerate(transports)
+            for index, transport in enumerate(transports)
         ]
-        self.exporter = Exporter(self.premises.socket_host, "n1", 7, self.flow_settings())
+        self.exporter = Exporter(self.host.socket_host, "n1", 7, self.write_settings())
         self.client = self.engine = None
-        self.tag, self.stream = "e1", 0
+        self.engine_name, self.request_number = "e1", 0
 
-    def taker(self, n):
-        def take(decoded, data):
-            self.messages[n].append(decoded)
-            self.bytes[n].append(data)
+    def make_receiver(self, index):
+        def receive(message, data):
+            self.messages[index].append(message)
+            self.encoded[index].append(data)
 
-        return take
+        return receive
 
-    def flow_settings(self, collectors=None):
+    def write_settings(self, collectors=None):
         rows = ""
         for each in collectors or self.collectors:
             rows += (
@@ -784,85 +825,89 @@
             rows += f"{self.tls if each.transport == 'tls' else ''}</collector>"
         self.path.write_text(
             f'<operator version="1"><flows layout="{self.layout}" mode="{self.mode}" idle="1" '
-            f'active="{self.active}" memory="{self.memory}">{rows}</flows></operator>'
+            f'active="{self.active_seconds}" memory="{self.memory_bytes}">{rows}</flows></operator>'
         )
         return read_operator(str(self.path)).flow_export
 
-    def serve(self, count):
-        """Requests, one after the other, each with its answer, on connections of their own."""
-        self.hang_up()
-        self.client, self.engine = self.premises.client(), self.premises.engine(self.tag)
+    def serve_requests(self, count):
+        """Serve requests one after another on a new client and a new engine connection."""
+        self.close_connections()
+        self.client, self.engine = self.host.client(), self.host.engine(self.engine_name)
         for _ in range(count):
-            self.stream += 1
-            self.premises.ask(self.client, request_frame(self.stream))
-            self.premises.engine_says(
-                self.engine, name(self.stream), "DONE", "chunks=1,spent=1,wanted=1", "a\t\t\n"
+            self.request_number += 1
+            self.host.ask(self.client, request_frame(self.request_number))
+            self.host.engine_says(
+                self.engine,
+                name(self.request_number),
+                "DONE",
+                "chunks=1,spent=1,wanted=1",
+                "a\t\t\n",
             )
-            assert self.premises.answers(self.client)[-1][2] == b"\1"
-            self.premises.heard(self.engine)
+            assert self.host.answers(self.client)[-1][2] == b"\1"
+            self.host.heard(self.engine)
 
-    def hang_up(self):
+    def close_connections(self):
         for sock in self.client, self.engine:
             if sock is not None:
                 sock.close()
-        self.premises.turn()
+        self.host.turn()
 
-    def go_on(self, seconds, step=500):
-        self.premises.pass_time(int(seconds * TICKS_PER_SECOND), step)
+    def advance_seconds(self, seconds, step=500):
+        self.host.pass_time(int(seconds * TICKS_PER_SECOND), step)
 
-    def balanced(self):
-        socket_host = self.premises.socket_host
+    def check_balance(self):
+        socket_host = self.host.socket_host
         socket_host.auditor.run_whole_pass()
         assert not socket_host.discrepancies.by_place, [
             each.log_line() for each in socket_host.discrepancies.by_place.values()
         ]
 
-    def exported_octets(self, n=0):
-        return octets(self.messages[n])
+    def received_octets(self, index=0):
+        return sum_octets(self.messages[index])
 
-    def carried(self):
-        socket_host = self.premises.socket_host
-        cut = take_snapshot(socket_host.ledger, socket_host.now, "n1", {"id": "x"})
-        live = sum(got + sent for got, sent, _ in socket_host.records.live_bytes())
-        return live + sum(row["received"] + row["sent"] for row in cut["connections"].values())
+    def carried_octets(self):
+        socket_host = self.host.socket_host
+        snapshot = take_snapshot(socket_host.ledger, socket_host.now, "n1", {"id": "x"})
+        live = sum(received + sent for received, sent, _ in socket_host.records.live_bytes())
+        return live + sum(row["received"] + row["sent"] for row in snapshot["connections"].values())
 
 
-@pytest.mark.parametrize("layout", KINDS)
-def test_every_record_reaches_a_collector_and_adds_up(tmp_path, layout):
+@pytest.mark.parametrize("layout", LAYOUT_KINDS)
+def test_exported_octets_equal_the_octets_of_all_connections(tmp_path, layout):
     site = ExportSite(tmp_path, layout=layout)
     for _ in range(5):
-        site.serve(3)
-        site.go_on(1)
-    site.hang_up()
-    site.go_on(4)
-    assert site.exported_octets() == site.carried() > 1000 and site.collectors[0].wrong == []
-    site.balanced()
+        site.serve_requests(3)
+        site.advance_seconds(1)
+    site.close_connections()
+    site.advance_seconds(4)
+    assert site.received_octets() == site.carried_octets() > 1000 and site.collectors[0].wrong == []
+    site.check_balance()
     export_buffer = site.exporter.buffers["first"]
     assert (
         export_buffer.totals.exported_octets
         == export_buffer.pending.measured_octets
-        == site.exported_octets()
+        == site.received_octets()
         and export_buffer.totals.repeated_octets == export_buffer.totals.uncertain_octets == 0
     )
     assert not any(each.missed_count for each in site.messages[0])
     if layout != LayoutKind.OWN:
         templates, total = {"netflow": {}, "ipfix": {}}, 0
-        for data in site.bytes[0]:
+        for data in site.encoded[0]:
             total += sum(
                 flow.data.get(key, 0)
                 for flow in parse_packet(data.hex(), templates).flows
                 for key in ("octetDeltaCount", "IN_BYTES", "OUT_BYTES")
             )
-        assert total == site.carried()
+        assert total == site.carried_octets()
     else:
-        engines = [
+        engine_records = [
             record
             for each in site.messages[0]
             for record in each.records
             if record["flowDirection"] == FlowDirection.EGRESS
         ]
-        assert engines and {
-            (each["engineId"], each["hallName"], each["gatewayName"]) for each in engines
+        assert engine_records and {
+            (each["engineId"], each["hallName"], each["gatewayName"]) for each in engine_records
         } == {("e1", "east", "n1")}
         assert {
             option["informationElementName"]
@@ -873,196 +918,208 @@
 
 
 @pytest.mark.parametrize("transport", ["udp", "tcp"])
-def test_a_collector_that_goes_and_comes_back(tmp_path, transport):
+def test_restarted_collector_receives_the_pending_records(tmp_path, transport):
     site = ExportSite(tmp_path, (transport,))
-    site.go_on(2)
-    site.serve(4)
-    site.go_on(3)
+    site.advance_seconds(2)
+    site.serve_requests(4)
+    site.advance_seconds(3)
     site.collectors[0].close()
     for _ in range(30):
-        site.serve(2)
-        site.go_on(1)
+        site.serve_requests(2)
+        site.advance_seconds(1)
     site.collectors[0].open()
-    site.go_on(90)
+    site.advance_seconds(90)
     export_buffer = site.exporter.buffers["first"]
     assert site.collectors[0].wrong == [] and site.collectors[0].sessions >= 2
     assert (
         export_buffer.totals.exported_octets
         == export_buffer.pending.measured_octets
-        == site.carried()
+        == site.carried_octets()
         and export_buffer.pending.dropped_octets == 0
     )
-    lost_or_twice = export_buffer.totals.uncertain_octets + export_buffer.totals.repeated_octets
-    assert abs(site.exported_octets() - site.carried()) <= lost_or_twice < site.carried() / 5
-    site.balanced()
+    unsure_octets = export_buffer.totals.uncertain_octets + export_buffer.totals.repeated_octets
+    assert (
+        abs(site.received_octets() - site.carried_octets())
+        <= unsure_octets
+        < site.carried_octets() / 5
+    )
+    site.check_balance()
 
 
-def test_a_collector_that_accepts_and_never_reads(tmp_path):
+def test_collector_that_never_reads_is_replaced_by_the_next(tmp_path):
     site = ExportSite(tmp_path, ("tcp", "udp"))
     site.collectors[0].deaf = True
-    site.premises.socket_host.settings.idle_timeout_ticks = 10**9
+    site.host.socket_host.settings.idle_timeout_ticks = 10**9
     for _ in range(400):
-        for n in range(250):  # more than a socket's buffers take
-            site.exporter.buffers["first"].add(delta(site.stream * 10**6 + n))
-        site.stream += 1
-        site.go_on(0.1, 500)
+        for index in range(250):  # in total more than the socket buffers hold
+            site.exporter.buffers["first"].add(make_delta(site.request_number * 10**6 + index))
+        site.request_number += 1
+        site.advance_seconds(0.1, 500)
     export_buffer = site.exporter.buffers["first"]
     assert (
         export_buffer.unaccounted_octets() == 0
         and export_buffer.held_octets == export_buffer.recounted_octets()
     )
-    assert any("collector accepts no data" in line for line in site.premises.logged)
+    assert any("collector accepts no data" in line for line in site.host.logged)
     assert (
         export_buffer.active is export_buffer.peers[1]
-        and site.exported_octets(1) > 0
+        and site.received_octets(1) > 0
         and len(export_buffer.pending) <= export_buffer.pending.max_records
     )
 
 
-def test_a_collector_that_resets_at_every_template(tmp_path):
+def test_collector_that_resets_at_every_template_is_retried_with_growing_backoff(tmp_path):
     site = ExportSite(tmp_path, ("tcp",))
     site.collectors[0].resets_templates = True
-    site.serve(3)
-    site.go_on(20)
-    assert 2 <= site.collectors[0].sessions <= 12  # further and further apart
-    site.balanced()
+    site.serve_requests(3)
+    site.advance_seconds(20)
+    assert 2 <= site.collectors[0].sessions <= 12  # the backoff grows
+    site.check_balance()
     site.collectors[0].resets_templates = False
-    site.go_on(60)
+    site.advance_seconds(60)
     export_buffer = site.exporter.buffers["first"]
     assert (
         export_buffer.totals.exported_octets
         == export_buffer.pending.measured_octets
-        == site.carried()
+        == site.carried_octets()
+    )
+    assert (
+        abs(site.received_octets() - site.carried_octets()) <= export_buffer.totals.uncertain_octets
     )
-    assert abs(site.exported_octets() - site.carried()) <= export_buffer.totals.uncertain_octets
 
 
-def test_an_engine_replaced_at_its_address_and_the_end_of_the_program(tmp_path):
+def test_engine_replaced_at_its_address_is_reported_separately_at_shutdown(tmp_path):
     site = ExportSite(tmp_path)
-    site.go_on(1)
-    site.serve(2)
-    site.premises.socket_host.on_discovery_event(
+    site.advance_seconds(1)
+    site.serve_requests(2)
+    site.host.socket_host.on_discovery_event(
         "2", __import__("json").dumps(listing(2, {"state": "DELETED"}, {"id": "e9"}, full=False))
     )
-    site.tag = "e9"
-    site.serve(2)
+    site.engine_name = "e9"
+    site.serve_requests(2)
     site.exporter.end()
-    site.go_on(0.1)
-    site.premises.turn(20)
-    names = Counter(
+    site.advance_seconds(0.1)
+    site.host.turn(20)
+    engine_names = Counter(
         record["engineId"]
         for each in site.messages[0]
         for record in each.records
         if record["flowDirection"] == FlowDirection.EGRESS
     )
-    assert set(names) == {"e1", "e9"} and site.exported_octets() == site.carried()
+    assert set(engine_names) == {"e1", "e9"} and site.received_octets() == site.carried_octets()
 
 
-def test_sighup_changes_collectors_without_losing_what_is_held(tmp_path):
+def test_reload_of_collectors_keeps_pending_records(tmp_path):
     site = ExportSite(tmp_path, ("udp", "tcp"))
     site.collectors[0].close()
-    old, new = site.collectors
-    site.exporter.reload(site.flow_settings([old]))
-    site.serve(5)
-    site.go_on(5)
+    previous, current = site.collectors
+    site.exporter.reload(site.write_settings([previous]))
+    site.serve_requests(5)
+    site.advance_seconds(5)
     assert site.exporter.buffers["first"].totals.exported_octets == 0
-    site.exporter.reload(site.flow_settings([new]))
-    site.go_on(5)
-    assert site.exported_octets(1) == site.carried()
+    site.exporter.reload(site.write_settings([current]))
+    site.advance_seconds(5)
+    assert site.received_octets(1) == site.carried_octets()
     site.layout = "standard"
-    site.exporter.reload(site.flow_settings([new]))
-    site.serve(2)
-    site.go_on(5)
-    site.balanced()
+    site.exporter.reload(site.write_settings([current]))
+    site.serve_requests(2)
+    site.advance_seconds(5)
+    site.check_balance()
     assert (
-        site.exported_octets(1) == site.carried()
+        site.received_octets(1) == site.carried_octets()
         and site.exporter.buffers["first"].totals.uncertain_octets == 0
     )
 
 
-def test_all_collectors_are_told_each_for_itself(tmp_path):
+def test_mode_all_exports_to_each_collector_independently(tmp_path):
     site = ExportSite(tmp_path, ("udp", "tcp"), mode="all")
     site.collectors[1].close()
-    site.go_on(1)
-    site.serve(4)
-    site.go_on(5)
-    assert site.exported_octets(0) == site.carried() and site.exported_octets(1) == 0
+    site.advance_seconds(1)
+    site.serve_requests(4)
+    site.advance_seconds(5)
+    assert site.received_octets(0) == site.carried_octets() and site.received_octets(1) == 0
     site.collectors[1].open()
-    site.go_on(40)
-    assert site.exported_octets(1) == site.carried()
-    site.balanced()
+    site.advance_seconds(40)
+    assert site.received_octets(1) == site.carried_octets()
+    site.check_balance()
 
 
-def test_a_clock_that_is_set_back_by_an_hour(tmp_path):
+def test_clock_set_back_by_an_hour_keeps_times_in_order(tmp_path):
     site = ExportSite(tmp_path)
-    site.go_on(2)
-    site.serve(3)
-    site.go_on(2)
-    site.premises.time -= 3600 * TICKS_PER_SECOND
-    site.serve(3)
-    site.premises.time += 3600 * TICKS_PER_SECOND
-    site.go_on(3)
-    times = [each.export_time_seconds for each in site.messages[0]]
+    site.advance_seconds(2)
+    site.serve_requests(3)
+    site.advance_seconds(2)
+    site.host.time -= 3600 * TICKS_PER_SECOND
+    site.serve_requests(3)
+    site.host.time += 3600 * TICKS_PER_SECOND
+    site.advance_seconds(3)
+    export_times = [each.export_time_seconds for each in site.messages[0]]
     records = [record for each in site.messages[0] for record in each.records]
-    assert times == sorted(times) and site.exported_octets() == site.carried()
+    assert export_times == sorted(export_times) and site.received_octets() == site.carried_octets()
     assert all(each["flowStartMilliseconds"] <= each["flowEndMilliseconds"] for each in records)
-    site.balanced()
+    site.check_balance()
 
 
-def test_an_operator_file_is_taken_whole_or_not_at_all(tmp_path):
-    premises, path = HostHarness(), tmp_path / "operator.xml"
+def test_operator_file_is_applied_completely_or_not_at_all(tmp_path):
+    host, path = HostHarness(), tmp_path / "operator.xml"
 
-    def write(sock, inner=""):
-        transport = "tls" if inner else "udp"
+    def write_operator_file(socket_name, tls_element=""):
+        transport = "tls" if tls_element else "udp"
         path.write_text(
-            f'<operator version="1"><figures><listen unix="{tmp_path}/{sock}"/></figures><flows>'
-            f'<collector address="127.0.0.1:9" transport="{transport}">{inner}</collector>'
-            "</flows></operator>"
+            f'<operator version="1"><figures><listen unix="{tmp_path}/{socket_name}"/></figures>'
+            f'<flows><collector address="127.0.0.1:9" transport="{transport}">{tls_element}'
+            "</collector></flows></operator>"
         )
 
-    write("one")
-    beside = Subsystems(
-        premises.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path)
+    write_operator_file("one")
+    subsystems = Subsystems(
+        host.socket_host, SimpleNamespace(name="n1", seed=7, settings_checksum=1), str(path)
     )
-    write("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
-    beside.reload()
-    assert "operator file not taken: flows:" in premises.logged[-1]
+    write_operator_file("two", f'<tls ca="{tmp_path}/nothing.crt" name="x"/>')
+    subsystems.reload()
+    assert "operator file not taken: flows:" in host.logged[-1]
     assert (
-        beside.running["accounting"].http_listener.address == f"{tmp_path}/one"
+        subsystems.running["accounting"].http_listener.address == f"{tmp_path}/one"
         and not (tmp_path / "two").exists()
     )
-    assert beside.running["flow_export"].settings.collectors[0].transport == "udp"
+    assert subsystems.running["flow_export"].settings.collectors[0].transport == "udp"
 
 
-def test_an_octet_that_no_record_tells_is_found(tmp_path):
+def test_octet_missing_in_all_records_is_a_discrepancy(tmp_path):
     site = ExportSite(tmp_path)
-    site.serve(1)
+    site.serve_requests(1)
     site.exporter.meter.measured_octets -= 1
-    site.premises.socket_host.auditor.run_whole_pass()
-    assert ("books differ", "flows measured") in site.premises.socket_host.discrepancies.by_place
+    site.host.socket_host.auditor.run_whole_pass()
+    assert ("books differ", "flows measured") in site.host.socket_host.discrepancies.by_place
 
 
 # TLS.
 
 
-def certificate(folder, label, common, issuer=None, days=30, key_mode=0o600, since=-2):
+def make_certificate(
+    folder, label, common_name, issuer=None, end_days=30, key_mode=0o600, start_days=-2
+):
+    """Write a certificate and its key; returns key, subject and the paths of both files.
+
+    The validity starts and ends so many days from now.
+    """
     key = ec.generate_private_key(ec.SECP256R1())
-    subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common)])
+    subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common_name)])
     now = datetime.now(UTC)
-    built = (
+    certificate = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(issuer[1] if issuer else subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now + timedelta(days=since))
-        .not_valid_after(now + timedelta(days=days))
+        .not_valid_before(now + timedelta(days=start_days))
+        .not_valid_after(now + timedelta(days=end_days))
         .add_extension(x509.BasicConstraints(issuer is None, None), True)
-        .add_extension(x509.SubjectAlternativeName([x509.DNSName(common)]), False)
+        .add_extension(x509.SubjectAlternativeName([x509.DNSName(common_name)]), False)
         .sign(issuer[0] if issuer else key, hashes.SHA256())
     )
     paths = folder / f"{label}.crt", folder / f"{label}.key"
-    paths[0].write_bytes(built.public_bytes(serialization.Encoding.PEM))
+    paths[0].write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
     paths[1].write_bytes(
         key.private_bytes(
             serialization.Encoding.PEM,
@@ -1074,72 +1131,76 @@
     return key, subject, *map(str, paths)
 
 
-def server(ca, own, ask=False):
+def make_server_context(ca, certificate, requires_client_certificate=False):
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.load_cert_chain(own[2], own[3])
-    if ask:
+    context.load_cert_chain(certificate[2], certificate[3])
+    if requires_client_certificate:
         context.load_verify_locations(ca[2])
         context.verify_mode = ssl.CERT_REQUIRED
     return context
 
 
-def sealed(tmp_path, expected="collector.test", ours=True, **said):
-    ca = certificate(tmp_path, "ca", "ca")
-    own = certificate(tmp_path, "server", "collector.test", ca, **said)
-    mine = certificate(tmp_path, "client", "n1", ca)
-    files = f' certificate="{mine[2]}" key="{mine[3]}"' if ours else ""
+def make_tls_site(
+    tmp_path, server_name="collector.test", has_client_certificate=True, **server_options
+):
+    """Return a site with one TLS collector, and its certificate authority."""
+    ca = make_certificate(tmp_path, "ca", "ca")
+    server = make_certificate(tmp_path, "server", "collector.test", ca, **server_options)
+    client = make_certificate(tmp_path, "client", "n1", ca)
+    files = f' certificate="{client[2]}" key="{client[3]}"' if has_client_certificate else ""
     return ExportSite(
         tmp_path,
         ("tls",),
-        tls=f'<tls ca="{ca[2]}" name="{expected}"{files}/>',
-        contexts={0: server(ca, own, True)},
+        tls=f'<tls ca="{ca[2]}" name="{server_name}"{files}/>',
+        contexts={0: make_server_context(ca, server, True)},
     ), ca
 
 
-def test_records_go_under_tls_with_a_certificate_of_ours_and_a_renewed_one(tmp_path):
-    site, ca = sealed(tmp_path)
-    site.go_on(2)
-    site.serve(3)
-    site.go_on(3)
-    assert site.exported_octets() == site.carried() and site.collectors[0].wrong == []
-    renewed = certificate(tmp_path, "client", "n1 renewed", ca)  # the same files, while it sends
+def test_export_over_tls_with_a_client_certificate_that_is_renewed(tmp_path):
+    site, ca = make_tls_site(tmp_path)
+    site.advance_seconds(2)
+    site.serve_requests(3)
+    site.advance_seconds(3)
+    assert site.received_octets() == site.carried_octets() and site.collectors[0].wrong == []
+    # The files are replaced while the exporter is running.
+    renewed = make_certificate(tmp_path, "client", "n1 renewed", ca)
     assert renewed[3].endswith("client.key")
-    site.exporter.reload(site.flow_settings())
-    site.serve(3)
-    site.go_on(10)
-    assert site.exported_octets() == site.carried() and site.collectors[0].sessions == 2
-    site.balanced()
+    site.exporter.reload(site.write_settings())
+    site.serve_requests(3)
+    site.advance_seconds(10)
+    assert site.received_octets() == site.carried_octets() and site.collectors[0].sessions == 2
+    site.check_balance()
 
 
 @pytest.mark.parametrize(
-    "said, why",
+    "options, log_pattern",
     [
-        (dict(expected="other.test"), "Hostname mismatch"),
-        (dict(days=-1), "certificate has expired"),
-        (dict(ours=False), "tls|closed|reset"),
+        (dict(server_name="other.test"), "Hostname mismatch"),
+        (dict(end_days=-1), "certificate has expired"),
+        (dict(has_client_certificate=False), "tls|closed|reset"),
     ],
 )
-def test_a_collector_that_is_not_who_it_should_be_is_told_nothing(tmp_path, said, why):
+def test_failed_tls_authentication_exports_no_records(tmp_path, options, log_pattern):
     import re
 
-    site, _ = sealed(tmp_path, **said)
-    site.serve(3)
-    site.go_on(8)
-    assert site.exported_octets() == 0 and re.search(why, " ".join(site.premises.logged))
-    site.balanced()
+    site, _ = make_tls_site(tmp_path, **options)
+    site.serve_requests(3)
+    site.advance_seconds(8)
+    assert site.received_octets() == 0 and re.search(log_pattern, " ".join(site.host.logged))
+    site.check_balance()
 
 
-def test_a_key_that_others_may_read_is_refused(tmp_path):
-    ca = certificate(tmp_path, "ca", "ca")
-    mine = certificate(tmp_path, "client", "n1", ca, key_mode=0o644)
+def test_key_file_readable_by_others_is_rejected(tmp_path):
+    ca = make_certificate(tmp_path, "ca", "ca")
+    client = make_certificate(tmp_path, "client", "n1", ca, key_mode=0o644)
     with pytest.raises(TlsConfigurationError, match="its owner alone may read, found 644"):
-        client_context(ca[2], mine[2], mine[3])
+        client_context(ca[2], client[2], client[3])
     with pytest.raises(TlsConfigurationError, match=r"nothing\.crt"):
         client_context(str(tmp_path / "nothing.crt"), "", "")
 
 
 @pytest.mark.parametrize(
-    "flows, wrong",
+    "flows, message",
     [
         ("<flows/>", "collector"),
         ('<flows><collector address="1.2.3.4:1" transport="x"/></flows>', "'transport'"),
@@ -1170,12 +1231,12 @@
         ),
     ],
 )
-def test_faulty_flows_in_the_operator_file(tmp_path, flows, wrong):
+def test_invalid_flows_element_of_the_operator_file_is_rejected(tmp_path, flows, message):
     path = tmp_path / "operator.xml"
     path.write_text(f'<operator version="1">\n{flows}</operator>')
-    with pytest.raises(ConfigurationError) as said:
+    with pytest.raises(ConfigurationError) as raised:
         read_operator(str(path))
-    assert wrong in str(said.value) and "operator.xml:2" in str(said.value)
+    assert message in str(raised.value) and "operator.xml:2" in str(raised.value)
 
 
 @pytest.mark.parametrize(
@@ -1183,9 +1244,9 @@
     sorted((Path(__file__).parent.parent / "fuzz" / "seeds").glob("*.bin")),
     ids=lambda path: path.stem,
 )
-def test_seeds_of_the_fuzzer(path):
-    chance, known, decoder = Random(3), seeds(), Decoder()
+def test_fuzzer_seeds_raise_only_malformed_message_errors(path):
+    random, known_seeds, decoder = Random(3), seeds(), Decoder()
     one(decoder, path.read_bytes())
     for _ in range(200):
-        one(decoder, changed(path.read_bytes(), known, chance))
+        one(decoder, changed(path.read_bytes(), known_seeds, random))
     assert len(decoder.templates) <= 1000 and len(decoder.expected_sequence) <= 1001
