--- a/corkgauge/flow_export/counter_deltas.py
+++ b/corkgauge/flow_export/counter_deltas.py
@@ -43,7 +43,7 @@
         return self.end_reason != FlowEndReason.ACTIVE
 
     def merge(self, later: "Delta") -> None:
-        """Add the octets and the time of a later record of the same flow to this record."""
+        """Merge a later record of the same flow into this record, without losing octets."""
         self.start_ms = min(self.start_ms, later.start_ms)
         self.end_ms = max(self.end_ms, later.end_ms)
         self.forward_octets += later.forward_octets
--- a/corkgauge/flow_export/export_buffer.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -186,7 +186,10 @@
         peer.clear_in_flight()
 
     def _stop_export_to(self, peer: CollectorPeer, now: int) -> None:
-        """Stop sending to a collector: count sent records as exported and requeue the others."""
+        """Stop sending to a collector: count written messages as exported and requeue the others.
+
+        All datagrams in flight count as written.
+        """
         confirm_time = now
         if peer.is_datagram:
             confirm_time += DATAGRAM_CONFIRM_TICKS
--- a/corkgauge/flow_export/session.py
+++ b/corkgauge/flow_export/session.py
@@ -49,7 +49,7 @@
     def make_template_messages(self, now_ms: int, statistics: dict[str, int]) -> list[bytes]:
         """Create messages with templates, types of enterprise elements and totals of export.
 
-        They start each session and are repeated on UDP.
+        These messages start each session and are repeated on UDP.
         """
         messages = [self._new_message()]
         for set_id, record in self._template_message_records(statistics):
--- a/corkgauge/flow_export/tls.py
+++ b/corkgauge/flow_export/tls.py
@@ -111,7 +111,7 @@
             if not self.is_handshake_done:
                 self.session.do_handshake()
                 self.is_handshake_done = True
-            # Collectors send no messages: input is discarded, and the end of the stream matters.
+            # Collectors send no messages: all input but the end of the stream is discarded.
             while self.session.read(READ_BYTES):
                 pass
             return "closed"
