--- a/corkgauge/flow_export/configured_collectors.py
+++ b/corkgauge/flow_export/configured_collectors.py
@@ -1,4 +1,4 @@
-"""The collectors of the operator file, with their TLS files read."""
+"""Prepares the collectors of the operator file: reads TLS files and creates their state."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class ConfiguredCollector(NamedTuple):
-    """A collector as the operator file has it, with its TLS context read."""
+    """The settings of a collector in the operator file, and its TLS context."""
 
     settings: CollectorConfig
     tls: TlsTarget | None
@@ -19,15 +19,15 @@
     """Read the TLS files of all collectors.
 
     Raises:
-        ConfigurationError: a file cannot be read, or others may read a key.
+        ConfigurationError: a file cannot be read, or a key file is accessible to other users.
     """
     try:
-        return [ConfiguredCollector(each, _tls_target_of(each)) for each in settings.collectors]
+        return [ConfiguredCollector(each, _make_tls_target(each)) for each in settings.collectors]
     except TlsConfigurationError as problem:
         raise ConfigurationError(f"flows: {problem}") from None
 
 
-def _tls_target_of(collector: CollectorConfig) -> TlsTarget | None:
+def _make_tls_target(collector: CollectorConfig) -> TlsTarget | None:
     tls = collector.tls
     if not tls:
         return None
@@ -36,13 +36,13 @@
     )
 
 
-def peer_of(collector: CollectorConfig) -> CollectorPeer:
-    """Make the state of a collector, which is down at first."""
+def make_peer(collector: CollectorConfig) -> CollectorPeer:
+    """Create the state of a collector, which is initially down."""
     host, port = collector.address
     return CollectorPeer(
         name=f"{host}:{port}",
         is_datagram=collector.transport == "udp",
-        limit=collector.max_message_bytes,
+        max_message_bytes=collector.max_message_bytes,
         refresh_ticks=collector.template_refresh_ticks,
         refresh_messages=collector.template_refresh_messages,
     )
--- a/corkgauge/net/engine_connection.py
+++ b/corkgauge/net/engine_connection.py
@@ -67,7 +67,9 @@
         if self.socket_host.flow_export is not None:
             engine = engine_pool.engine
             zone = str(self.socket_host.settings.zones[engine.zone])
-            self.socket_host.flow_export.up(self.link, Side.ENGINE, engine.name, zone)
+            self.socket_host.flow_export.on_connection_opened(
+                self.link, Side.ENGINE, engine.name, zone
+            )
 
     def has_room_for(self, client_request: ClientRequest) -> bool:
         """Return whether an attempt of this request may be sent on this connection.
@@ -237,7 +239,7 @@
             Side.ENGINE, self.link.bytes_received, self.link.bytes_sent, self.pages
         )
         if self.socket_host.flow_export is not None:
-            self.socket_host.flow_export.over(self.link)
+            self.socket_host.flow_export.on_connection_closed(self.link)
         in_flight_attempts, self.open = [*self.open.values()], {}
         if in_flight_attempts:
             self.socket_host.log(
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -108,7 +108,7 @@
         self.client_connections[client_connection] = None
         self.ledger.record_connection_opened(Side.CLIENT)
         if self.flow_export is not None:
-            self.flow_export.up(client_connection.link, Side.CLIENT)
+            self.flow_export.on_connection_opened(client_connection.link, Side.CLIENT)
         self.event_loop.spawn(client_connection.link.run)
         if self.shutdown_deadline != NEVER:
             client_connection.link.send(client_wire.leaving_frame())
