--- a/corkgauge/eventloop/connection.py
+++ b/corkgauge/eventloop/connection.py
@@ -216,7 +216,7 @@
         # One write at the end of the turn covers all output queued in it: each call is expensive.
         if not (self.is_flush_scheduled or self.is_write_blocked):
             self.is_flush_scheduled = True
-            self.event_loop.end_of_turn_callbacks.append(self.flush)
+            self.event_loop.deferred_callbacks.append(self.flush)
         return True
 
     def _queue(self, pieces: tuple[bytes, ...]) -> bool:
--- a/corkgauge/eventloop/loop.py
+++ b/corkgauge/eventloop/loop.py
@@ -81,7 +81,7 @@
 
         # Tasks.
         self.parked: dict[int, ParkedTask] = {}  # by file descriptor
-        self.end_of_turn_callbacks: list[Callable[[], None]] = []
+        self.deferred_callbacks: list[Callable[[], None]] = []
         self._main = getcurrent()
         self._ready: deque[ReadyTask] = deque()
         self._timeout_serial = 0
@@ -224,10 +224,10 @@
                 self.worst_lag = max(self.worst_lag, self.now - due)
                 self._call_guarded(method, arguments)
             self.update_now()
-        while self.end_of_turn_callbacks:
+        while self.deferred_callbacks:
             # A new list, as a callback may append further callbacks.
-            callbacks = self.end_of_turn_callbacks
-            self.end_of_turn_callbacks = []
+            callbacks = self.deferred_callbacks
+            self.deferred_callbacks = []
             for method in callbacks:
                 self._call_guarded(method, ())
 
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -244,11 +244,11 @@
             tag = self.tag_by_address.get(address, tag)
         state = self._state_of(tag)
         if state < UnitState.GRANTED:
-            return Cordon.NONE
+            return Cordon.OFF
         if state == UnitState.GRANTED:
             has_grant = self.host.now < self.granted_until
-            return Cordon.NONE if has_grant else Cordon.NO_NEW_WORK
-        return Cordon.NOTHING if tag in self.closed else Cordon.NO_NEW_WORK
+            return Cordon.OFF if has_grant else Cordon.NO_NEW_WORK
+        return Cordon.NO_ATTEMPTS if tag in self.closed else Cordon.NO_NEW_WORK
 
     # Closing engines.
 
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -268,7 +268,7 @@
     def cordon_for(self, tag: str, address: tuple[str, int] = ("", 0)) -> Cordon:
         """Return the cordon of an engine that the list names, perhaps anew."""
         if not self.is_built:
-            return Cordon.NONE
+            return Cordon.OFF
         return self.participant.cordon_of(tag, format_address(address))
 
     def on_attempt_finished(self, tag: str, outcome: int) -> None:
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -66,7 +66,7 @@
         self.socket_host.pools_with_waiting[self] = None
         if not self.is_fill_due:
             self.is_fill_due = True
-            self.socket_host.event_loop.end_of_turn_callbacks.append(self.fill)
+            self.socket_host.event_loop.deferred_callbacks.append(self.fill)
 
     def fill(self) -> None:
         """Write waiting attempts to connections with room, and dial where there is none.
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -261,7 +261,7 @@
             self.unsubmitted_by_order_key.setdefault(request.order_key, deque()).append(request)
         client_connection.unsubmitted.append(request)
         if len(client_connection.unsubmitted) == 1:
-            self.event_loop.end_of_turn_callbacks.append(client_connection.submit_requests)
+            self.event_loop.deferred_callbacks.append(client_connection.submit_requests)
 
     def submit_earlier_requests(self, request: Request) -> None:
         """Pass on earlier requests of the same order key, which other connections hold back.
--- a/corkgauge/peer_health/service.py
+++ b/corkgauge/peer_health/service.py
@@ -145,7 +145,9 @@
 
     def _record_own_observations(self, now: int) -> None:
         """Record a report on each engine with a recent and notable local observation."""
-        notable_percent = NOTABLE_SLOWNESS * 100 * self.socket_host.gateway.slowness.usual()
+        notable_percent = (
+            NOTABLE_SLOWNESS * 100 * self.socket_host.gateway.slowness.median_of_engines()
+        )
         for engine_pool in self.socket_host.engine_pools.values():
             engine = engine_pool.engine
             observation = self._observe(engine, now)
--- a/corkgauge/policy/concurrency_limit.py
+++ b/corkgauge/policy/concurrency_limit.py
@@ -9,7 +9,7 @@
 
 INITIAL_THREADS_PER_CORE = 0.9  # initial limit of all gateways together
 LIGHT_CLASS_FACTOR = 2.0  # raises the limit for classes of less than the mean work
-MAX_THREADS_PER_CORE = 1.5  # limit of one gateway while the engine is not under pressure
+RELAXED_THREADS_PER_CORE = 1.5  # limit of one gateway while the engine is not under pressure
 MIN_LIMIT_FACTOR = 0.25  # bounds of the limit, relative to the initial limit
 MAX_LIMIT_FACTOR = 2.0
 PRESSURE_SLOWNESS_FACTOR = (
@@ -39,7 +39,7 @@
         self.threads_per_core = INITIAL_THREADS_PER_CORE / options.gateway_count
 
     def is_at_limit(
-        self, engine: Engine, request_class: RequestClass, usual_slowness: float
+        self, engine: Engine, request_class: RequestClass, median_slowness: float
     ) -> bool:
         """Whether the limit forbids another attempt of the class.
 
@@ -59,12 +59,12 @@
             stats.reported_load >= engine.cores
             and now < stats.last_activity_at + REPORT_VALIDITY_TICKS
         ) or (
-            self._slowness.of_engine(stats, usual_slowness)
+            self._slowness.estimate_for(stats, median_slowness)
             > PRESSURE_SLOWNESS_FACTOR * self._slowness.best
         )
         if not is_under_pressure:
             # Without a limit, a whole queue could be sent at once between two slow answers.
-            limit = max(limit, MAX_THREADS_PER_CORE * engine.cores)
+            limit = max(limit, RELAXED_THREADS_PER_CORE * engine.cores)
         return 0 < engine.threads_in_flight > limit - threads or now < stats.refused_until
 
     @staticmethod
--- a/corkgauge/policy/engine_selection.py
+++ b/corkgauge/policy/engine_selection.py
@@ -49,7 +49,7 @@
     request: Request
     possibly_executed: list[Attempt]  # attempts that may have run
     tried: list[Engine]
-    usual_slowness: float
+    median_slowness: float
     order: list[Engine]
     even_work_per_core: float  # an engine with more recent work is used only as a fallback
     work_slack: float  # thread ticks of recent work allowed above the even work
@@ -113,7 +113,7 @@
                 (
                     engine
                     for engine in self._subset.engines
-                    if engine.cordon < Cordon.NOTHING and engine.subset_rank <= rank_limit
+                    if engine.cordon < Cordon.NO_ATTEMPTS and engine.subset_rank <= rank_limit
                 ),
                 key=lambda engine: (crc32(prefix + engine.hash_key), engine.hash_key),
             )
@@ -125,7 +125,7 @@
         context = self._prepare(request)
         for engine_filter in FALLBACK_ORDER:
             if engine_filter is not FALLBACK_ORDER[0]:
-                outside = self.select_outside_subset(request, context.tried)
+                outside = self.select_in_key_scope(request, context.tried)
                 if outside:
                     return outside
             is_any_eligible, engine = self._select_in_order(context, engine_filter)
@@ -134,7 +134,7 @@
         return None
 
     def _prepare(self, request: Request) -> SelectionContext:
-        usual_slowness = self._slowness.usual()
+        median_slowness = self._slowness.median_of_engines()
         work = request.request_class.typical_work
         order = self.order_for(request.table_group, request.request_class.subset_rank_limit)
         recent_work = sum([engine.stats.recent_work for engine in order])
@@ -155,7 +155,7 @@
             request,
             possibly_executed_attempts(request),
             [attempt.engine for attempt in request.attempts],
-            usual_slowness,
+            median_slowness,
             order,
             EVEN_SHARE_FACTOR * recent_work / max(cores, 1),
             work_slack,
@@ -180,7 +180,7 @@
         self, context: SelectionContext, engine_filter: EngineFilter
     ) -> tuple[bool, Engine | None]:
         """Whether the filter leaves an allowed engine, and the least loaded one below its limit."""
-        request, possibly_executed, tried, usual_slowness, order, even_work, work_slack, *_ = (
+        request, possibly_executed, tried, median_slowness, order, even_work, work_slack, *_ = (
             context
         )
         request_class = request.request_class
@@ -195,8 +195,8 @@
                 and (not engine_filter.healthy or self._outliers.is_healthy(engine))
             ):
                 eligible_count += 1
-                if not self._limit.is_at_limit(engine, request_class, usual_slowness):
-                    load = self._load(engine, request_class, usual_slowness)
+                if not self._limit.is_at_limit(engine, request_class, median_slowness):
+                    load = self._load(engine, request_class, median_slowness)
                     load += self._distance_penalty(context, engine, eligible_count)
                     # A gateway with one attempt at a time sees no load on an engine that all
                     # gateways share. So its recent work is spread by cores, whatever is in flight.
@@ -214,20 +214,20 @@
         return eligible_count > 0, None
 
     def _distance_penalty(
-        self, context: SelectionContext, engine: Engine, eligible_count: int
+        self, context: SelectionContext, engine: Engine, eligible_position: int
     ) -> float:
         """The penalty, in threads per core, for an engine further on in the order."""
         # The permit of an engine in slow start is small and lapses if unused, so no penalty.
         if self._slow_start.is_warming_up(engine):
             return 0.0
         count = context.affinity_count
-        if eligible_count <= count:
+        if eligible_position <= count:
             return DISTANCE_PENALTY_THREADS_PER_CORE * (
-                (eligible_count - 1 - context.first_affinity) % count
+                (eligible_position - 1 - context.first_affinity) % count
             )
-        return DISTANCE_PENALTY_THREADS_PER_CORE * eligible_count
+        return DISTANCE_PENALTY_THREADS_PER_CORE * eligible_position
 
-    def select_outside_subset(self, request: Request, tried: Sequence[Engine]) -> Engine | None:
+    def select_in_key_scope(self, request: Request, tried: Sequence[Engine]) -> Engine | None:
         """An engine that knows the idempotency key; all such engines may be outside the subset."""
         request_class = request.request_class
         scope = request_class.key_scope
@@ -236,7 +236,7 @@
         possibly_executed = possibly_executed_attempts(request)
         if not possibly_executed or self._subset.is_whole:
             return None
-        usual_slowness = self._slowness.usual()
+        median_slowness = self._slowness.median_of_engines()
         allowed = [
             engine
             for engine in self._engines_in_key_scope(scope, possibly_executed[-1].engine)
@@ -246,11 +246,11 @@
         with_room = [
             engine
             for engine in healthy or allowed
-            if not self._limit.is_at_limit(engine, request_class, usual_slowness)
+            if not self._limit.is_at_limit(engine, request_class, median_slowness)
         ]
         return min(
             with_room,
-            key=lambda each: (self._load(each, request_class, usual_slowness), each.subset_rank),
+            key=lambda each: (self._load(each, request_class, median_slowness), each.subset_rank),
             default=None,
         )
 
@@ -274,9 +274,9 @@
             and self._slow_start.can_use(engine, request_class.typical_work)
         )
 
-    def _load(self, engine: Engine, request_class: RequestClass, usual_slowness: float) -> float:
+    def _load(self, engine: Engine, request_class: RequestClass, median_slowness: float) -> float:
         """This gateway's threads per core with the attempt added, scaled up for a slower engine."""
-        slowdown = self._slowness.of_engine(engine.stats, usual_slowness) / usual_slowness
+        slowdown = self._slowness.estimate_for(engine.stats, median_slowness) / median_slowness
         if not self._price.current and self._slow_start.is_warming_up(engine):
             slowdown = max(slowdown, 1 / self._slow_start.warming_speed)
         threads = engine.threads_in_flight + request_class.threads
--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -261,7 +261,7 @@
         queues = [*self.queues.values()]
         self.estimates.update(queues)
         self.price.update_bounds(queues)
-        self.queues.count_arrivals()
+        self.queues.count_finished_requests()
         self.estimates.update_requested(queues)
         if self.subset.target_fraction() < 1.0:
             self._schedule_subset_update()
--- a/corkgauge/policy/hedging.py
+++ b/corkgauge/policy/hedging.py
@@ -44,7 +44,7 @@
         self._outliers = outliers
         self._slowness = slowness
 
-    def retry_elsewhere(self, attempt: Attempt, budget_fraction: float = 1.0) -> None:
+    def cancel_or_hedge(self, attempt: Attempt, budget_fraction: float = 1.0) -> None:
         """Retry an attempt elsewhere if the rules and a fraction of the retry budget allow it."""
         request = attempt.request
         if request.is_finished or attempt.is_cancelled or request.is_queued:
@@ -80,7 +80,7 @@
                 age_ticks = self._host.now - attempt.sent_at
                 if age_ticks > OVERDUE_FACTOR * self._slowness.expected_time(attempt.request):
                     # The loss is not certain, so leave budget for attempts known to be lost.
-                    self.retry_elsewhere(attempt, OVERTAKEN_BUDGET_FRACTION)
+                    self.cancel_or_hedge(attempt, OVERTAKEN_BUDGET_FRACTION)
 
     def on_progress(self, attempt: Attempt, note_kind: int, completed_fraction: float) -> None:
         """Handle a note about an attempt; retry the attempt if far too much work is left."""
@@ -96,7 +96,7 @@
             (self._host.now - attempt.sent_at) * (1 - completed_fraction) / completed_fraction
         )
         if time_left > MAX_TIME_LEFT_FACTOR * self._slowness.expected_time(request):
-            self.retry_elsewhere(attempt)
+            self.cancel_or_hedge(attempt)
 
     def on_answer_overdue(self, attempt: Attempt) -> None:
         """Record a fault of an engine that accepts attempts but answers none.
@@ -106,7 +106,7 @@
         """
         stats = attempt.engine.stats
         now = self._host.now
-        usual_slowness = self._slowness.usual()
+        median_slowness = self._slowness.median_of_engines()
         # Check in this order: the host removes the request from an attempt that has ended.
         if not attempt.is_in_flight or attempt.request.is_finished:
             return
@@ -117,9 +117,9 @@
             / max(each.expected_duration, each.typical_duration)
             for each in stats.in_flight
         )
-        if total_relative_age > SILENCE_FACTOR * usual_slowness:
+        if total_relative_age > SILENCE_FACTOR * median_slowness:
             self._outliers.record_fault(attempt.engine, SILENT_FAULT)
-            self.retry_elsewhere(attempt)
+            self.cancel_or_hedge(attempt)
         else:
             recheck_ticks = max((now - attempt.sent_at) // 2, MIN_RECHECK_TICKS)
             self._host.call_later(recheck_ticks, self.on_answer_overdue, attempt)
--- a/corkgauge/policy/records.py
+++ b/corkgauge/policy/records.py
@@ -50,9 +50,9 @@
 class Cordon(IntEnum):
     """How far maintenance has taken an engine out of service."""
 
-    NONE = 0
+    OFF = 0
     NO_NEW_WORK = 1  # only retries whose idempotency key the engine may know
-    NOTHING = 2  # no attempts at all
+    NO_ATTEMPTS = 2  # no attempts at all
 
 
 class NoteKind(IntEnum):
@@ -97,7 +97,7 @@
     state: int = EngineState.GONE
     incarnation: int = 0  # start time of its process, in ticks; 0: unknown
     threads_in_flight: int = 0  # threads of this gateway's attempts on the engine
-    cordon: int = Cordon.NONE
+    cordon: int = Cordon.OFF
     in_subset: bool = False  # whether this gateway's subset contains the engine
     subset_rank: float = 0.0  # rank of this gateway among all, for this engine
     stats: Any = None  # `EngineStats`, after the first update of the engine
@@ -132,7 +132,7 @@
     request_class: RequestClass
     share_history: deque[tuple[float, float]]  # recent intervals: (share, inverse shortfall)
     share: float = 0.0
-    recent_arrivals: float = 0.0  # requests finished in recent intervals, decayed
+    recent_finished_count: float = 0.0  # requests finished in recent intervals, decayed
     shortfalls: list[float] = field(
         default_factory=list
     )  # latency over objective, in this interval
--- a/corkgauge/policy/request_queues.py
+++ b/corkgauge/policy/request_queues.py
@@ -38,15 +38,17 @@
         queue = RequestQueue(request_class, history, share)
         self.by_tenant_and_class[tenant, request_class] = queue
 
-    def count_arrivals(self) -> None:
+    def count_finished_requests(self) -> None:
         """Add the requests finished in this interval to the decayed count of arrivals."""
         for queue in self.by_tenant_and_class.values():
-            queue.recent_arrivals += len(queue.shortfalls) - queue.recent_arrivals / RECENT_SAMPLES
+            queue.recent_finished_count += (
+                len(queue.shortfalls) - queue.recent_finished_count / RECENT_SAMPLES
+            )
 
     def requested_work_rate(self) -> float:
         """The rate of work recently requested of this gateway, in threads."""
         work = sum(
-            queue.recent_arrivals * queue.request_class.typical_work
+            queue.recent_finished_count * queue.request_class.typical_work
             for queue in self.by_tenant_and_class.values()
         )
         return work / (RECENT_SAMPLES * FEEDBACK_INTERVAL_TICKS)
--- a/corkgauge/policy/share_controller.py
+++ b/corkgauge/policy/share_controller.py
@@ -22,13 +22,13 @@
 
     queue: RequestQueue
     share: float
-    performance: float  # inverse of the shortfall
+    inverse_shortfall: float  # inverse of the shortfall
     slope: float
     weight: float  # value per second that a request of the class occupies a slot
 
     def share_at(self, level: float) -> float:
         """The share at which the queue reaches the level, limited to one step."""
-        wanted = self.share + (1 - level / self.weight - self.performance) / self.slope
+        wanted = self.share + (1 - level / self.weight - self.inverse_shortfall) / self.slope
         return min(max(wanted, self.share - MAX_SHARE_STEP), self.share + MAX_SHARE_STEP)
 
 
@@ -43,18 +43,20 @@
 
 def fit_model(queue: RequestQueue) -> ShareModel:
     """Fit the model of a queue by least squares over the last few intervals."""
-    share, performance = queue.share_history[-1]
+    share, inverse_shortfall = queue.share_history[-1]
     mean_share = fmean(each for each, _ in queue.share_history)
-    mean_performance = fmean(each for _, each in queue.share_history)
+    mean_inverse_shortfall = fmean(each for _, each in queue.share_history)
     spread = sum((a - mean_share) ** 2 for a, _ in queue.share_history)
-    covariance = sum((a - mean_share) * (p - mean_performance) for a, p in queue.share_history)
+    covariance = sum(
+        (a - mean_share) * (p - mean_inverse_shortfall) for a, p in queue.share_history
+    )
     slope = covariance / spread if spread > MIN_SPREAD else 0.0
     # With a weight of the value alone, heavy classes would take all slots. So the weight is the
     # value per second of slot time.
     weight = (
         queue.request_class.priority_weight * TICKS_PER_SECOND / queue.request_class.typical_work
     )
-    return ShareModel(queue, share, performance, max(slope, MIN_SLOPE), weight)
+    return ShareModel(queue, share, inverse_shortfall, max(slope, MIN_SLOPE), weight)
 
 
 def equalise_shares(active_queues: Sequence[RequestQueue], queues: Sequence[RequestQueue]) -> None:
--- a/corkgauge/policy/work_estimates.py
+++ b/corkgauge/policy/work_estimates.py
@@ -30,8 +30,8 @@
 
     def update_requested(self, queues: Iterable[RequestQueue]) -> None:
         """Recompute the mean work of requests; call after the arrivals have been counted."""
-        counts = [queue.recent_arrivals for queue in queues]
-        works = [queue.recent_arrivals * queue.request_class.typical_work for queue in queues]
+        counts = [queue.recent_finished_count for queue in queues]
+        works = [queue.recent_finished_count * queue.request_class.typical_work for queue in queues]
         self.mean_requested_work = sum(works) / (sum(counts) or 1.0)
 
     @staticmethod
--- a/corkgauge/simulator/messages.py
+++ b/corkgauge/simulator/messages.py
@@ -92,7 +92,7 @@
     estimate_microseconds: int
     tenant: int
     order_key: int
-    deadline_microseconds: int
+    time_to_deadline_microseconds: int
 
 
 class AttemptVerdict(NamedTuple):
@@ -102,7 +102,7 @@
     attempt: int
     outcome: int
     took_microseconds: int
-    is_final: bool
+    is_answered: bool
     statistics: int  # work (20 bits, milliseconds) and memory (12 bits, units of 4 MB)
     load_report: tuple[float, ...]
 
@@ -171,7 +171,7 @@
     """Read a list of engines and its number, by which later updates refer to it."""
     (number,) = cursor.take(_COUNT16)
     (count,) = cursor.take(_COUNT32)
-    entries = cursor.run(count * _ENTRY.size)
+    entries = cursor.take_bytes(count * _ENTRY.size)
     return number, [EngineEntry(*fields) for fields in _ENTRY.iter_unpack(entries)]
 
 
@@ -183,7 +183,7 @@
 def _read_born(cursor: Cursor) -> Born:
     (seed,) = cursor.take(_SEED)
     (size,) = cursor.take(_COUNT32)
-    return Born(seed, cursor.run(size))
+    return Born(seed, cursor.take_bytes(size))
 
 
 def _read_update(cursor: Cursor) -> ListUpdate:
@@ -196,9 +196,11 @@
 
 
 def _read_verdict(cursor: Cursor) -> AttemptVerdict:
-    request, attempt, _, outcome, took, is_final, statistics = cursor.take(_VERDICT)
+    request, attempt, _, outcome, took, is_answered, statistics = cursor.take(_VERDICT)
     load_report = _read_load_report(cursor)
-    return AttemptVerdict(request, attempt, outcome, took, bool(is_final), statistics, load_report)
+    return AttemptVerdict(
+        request, attempt, outcome, took, bool(is_answered), statistics, load_report
+    )
 
 
 def _read_note(cursor: Cursor) -> AttemptNote:
@@ -222,7 +224,7 @@
 def _skip_whisper(cursor: Cursor) -> None:
     cursor.take(_COUNT16)
     (size,) = cursor.take(_COUNT16)
-    cursor.run(size)
+    cursor.take_bytes(size)
 
 
 def _skip_opened(cursor: Cursor) -> None:
--- a/corkgauge/simulator/protocol.py
+++ b/corkgauge/simulator/protocol.py
@@ -27,7 +27,7 @@
         self.offset = offset + field_format.size
         return field_format.unpack_from(self.body, offset)
 
-    def run(self, size: int) -> bytes:
+    def take_bytes(self, size: int) -> bytes:
         """Return the next `size` bytes."""
         offset = self.offset
         if offset + size > len(self.body):
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -149,7 +149,7 @@
         # Nothing is sought outside the working set.
         from corkgauge.policy.engine_selection import EngineSelector
 
-        EngineSelector.select_outside_subset = lambda self, request, tried: None
+        EngineSelector.select_in_key_scope = lambda self, request, tried: None
     elif off == "few":
         # The working set is what is first by rank, whatever kinds the offerings need.
         from corkgauge.policy.subsetting import EngineSubset
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -308,7 +308,7 @@
     client, engines = premises.client(), [premises.engine(), premises.engine("e2")]
     premises.ask(client, request_frame(1))
     request = premises.socket_host.open_requests[T1]
-    premises.socket_host.gateway.hedging.retry_elsewhere(request.attempts[0])
+    premises.socket_host.gateway.hedging.cancel_or_hedge(request.attempts[0])
     premises.socket_host.gateway.admission.fill_slots()
     premises.turn()
     assert len(request.attempts) == 2 and balanced(premises)["offerings"]["quick"]["copies"] == 1
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from corkgauge.policy.concurrency_limit import MAX_THREADS_PER_CORE
+from corkgauge.policy.concurrency_limit import RELAXED_THREADS_PER_CORE
 from corkgauge.policy.outcome_learning import OVERLOAD_STEP
 from corkgauge.policy.records import AttemptOutcome, Engine, NoteKind, Repeatability
 from corkgauge.policy.share_controller import MAX_SHARE_STEP, MIN_SHARE_FRACTION
@@ -42,7 +42,7 @@
 def test_concurrency_limit_applies_only_under_pressure():
     harness = GatewayHarness(engines=1)
     # One gateway, and an engine that is not under pressure.
-    requests = [harness.take() for _ in range(int(8 * MAX_THREADS_PER_CORE))]
+    requests = [harness.take() for _ in range(int(8 * RELAXED_THREADS_PER_CORE))]
     assert all(each.attempts for each in requests)
     harness.over(requests[0].attempts[0], AttemptOutcome.ENGINE_FULL)
     waiting = harness.take()
@@ -53,9 +53,9 @@
     assert harness.take().attempts  # a gateway without attempts may always send one
 
 
-def test_burst_is_limited_by_max_threads_per_core():
+def test_burst_is_limited_by_relaxed_threads_per_core():
     harness = GatewayHarness(engines=1)
-    assert 0 < sum(len(harness.take().attempts) for _ in range(100)) <= 8 * MAX_THREADS_PER_CORE
+    assert 0 < sum(len(harness.take().attempts) for _ in range(100)) <= 8 * RELAXED_THREADS_PER_CORE
 
 
 def test_light_request_is_sent_while_a_heavy_one_waits():
@@ -114,7 +114,7 @@
         ([AttemptOutcome.SUCCEEDED], False),
     ],
 )
-def test_faulty_engine_is_ejected(outcomes, is_ejected):
+def test_engine_is_ejected_only_after_a_fault(outcomes, is_ejected):
     harness = GatewayHarness()
     request = harness.take()
     first_engine = request.attempts[0].engine
--- a/tests/test_peer_health.py
+++ b/tests/test_peer_health.py
@@ -300,7 +300,7 @@
         attempt.engine for n in range(6) for attempt in harness.take(table_group=float(n)).attempts
     ]
     assert taken.count(engine) == 1 and len(taken) > 3
-    assert harness.gateway.slowness.of_engine(engine.stats, 1.0) == 6.0
+    assert harness.gateway.slowness.estimate_for(engine.stats, 1.0) == 6.0
     other = GatewayHarness(engines=2)
     other.gateway.on_peer_health(other.engines[0], 0.0, 2)
     taken = [
