--- a/corkgauge/policy/admission.py
+++ b/corkgauge/policy/admission.py
@@ -1,4 +1,7 @@
-"""Admission: queues requests for a slot, then sends, rejects or fails each before its deadline."""
+"""Admission: queues requests for a slot, then sends, rejects or fails each before its deadline.
+
+A slot is room for one more attempt within the concurrency limit of an engine.
+"""
 
 from collections.abc import Collection
 
@@ -18,7 +21,7 @@
 from corkgauge.policy.work_estimates import expected_work
 
 MAX_QUEUE_WAIT_FRACTION = 0.06  # of a request's time to its deadline
-MAX_HOST_LAG_TICKS = 2 * ESTIMATE_VALIDITY_TICKS
+MAX_HOST_LAG_TICKS = 2 * ESTIMATE_VALIDITY_TICKS  # above it, new requests are rejected
 MAX_REQUESTS_TRIED_COUNT = RECENT_SAMPLES  # requests of a queue that are tried for one slot
 MIN_OBJECTIVE_TICKS = 1
 
@@ -76,8 +79,9 @@
     def _append_to_key_order(self, request: Request) -> None:
         order_key = request.order_key
         self._order.append(request)
-        # If the requests of a key together need longer than the latency objective, all of them
-        # would start too late. Giving up the heaviest ones saves the largest number of others.
+        # If the unsent requests of a key together need longer than the latency objective of the
+        # new request, the last of them would end too late. Rejecting the heaviest ones saves the
+        # largest number of others.
         waiting = self._order.unsent_requests(order_key)
         while len(waiting) > 1:
             time_needed = sum(map(self._slowness.expected_time, waiting))
@@ -101,7 +105,10 @@
         self.fill_slots((request.queue,))
 
     def fill_slots(self, queues: Collection[RequestQueue] = ()) -> None:
-        """Fill free slots by lottery among the given queues, or among all if none is given."""
+        """Fill free slots with requests of queues drawn by lottery.
+
+        Draws from the given queues, or from all queues if none is given.
+        """
         eligible_queues = [queue for queue in queues or self._queues.values() if queue.waiting]
         while eligible_queues:
             queue = self._lottery.draw(eligible_queues)
@@ -119,7 +126,9 @@
                 request_queues.remove(request)
                 self._dispatcher.send(request, engine)
                 return True
-            if not request.attempts:  # no later request has a wider choice of engines
+            # A retry may be held back by the retry rules alone. But if a first attempt finds no
+            # engine, no heavier request of the queue finds one either.
+            if not request.attempts:
                 return False
         return False
 
@@ -135,11 +144,14 @@
             self.reject_or_fail(request)
 
     def on_queue_wait_over(self, request: Request, attempt_count: int) -> None:
-        """End the queue wait of a request, unless an attempt was sent since the wait began."""
+        """Remove the request from its queue, unless an attempt was sent since the wait began.
+
+        Without an attempt in flight, the request is rejected or failed.
+        """
         if request.is_finished or attempt_count != len(request.attempts):
             return
         if any(attempt.is_in_flight for attempt in request.attempts):
-            # Drop a hedged attempt that found no slot; the first attempt still runs.
+            # No slot was found for a hedged attempt; the earlier attempt is still in flight.
             request_queues.remove(request)
         else:
             self.reject_or_fail(request)
@@ -157,12 +169,18 @@
                 self.reject_or_fail(request)
 
     def on_client_left(self, request: Request) -> None:
-        """Finish a request whose client has disconnected; no answer is sent."""
+        """Finish a request whose client has disconnected; no answer is sent.
+
+        The shortfall counts a latency of the whole time to the deadline.
+        """
         if not request.is_finished:
             self.finish(request, request.time_to_deadline)
 
     def reject_or_fail(self, request: Request) -> None:
-        """Reject the request if the client can safely send it again; fail it otherwise."""
+        """Reject the request if the client can safely send it again; fail it otherwise.
+
+        The shortfall counts a latency of the whole time to the deadline.
+        """
         # Answer before finishing: finishing starts the next request of the order key.
         if can_be_rejected(request):
             self._host.reject(request, self._retry_after_ticks)
--- a/corkgauge/policy/admission_price.py
+++ b/corkgauge/policy/admission_price.py
@@ -13,7 +13,7 @@
 
 
 class AdmissionPrice:
-    """Raises the price on late and refused answers and lowers it on answers in time.
+    """Raises the price on late answers, timeouts and refusals; lowers it on answers in time.
 
     Hundreds of gateways, each below its concurrency limits, can overload the engines together. The
     price makes each of them hold back the requests of the least value for their work.
@@ -33,6 +33,7 @@
         """Bound the price by the classes in use, and lower it by the decay of one interval."""
         classes = [queue.request_class for queue in queues]
         values = [each.priority_weight / each.typical_work for each in classes] or [0.0]
+        # Prices up to an eighth of the highest price that all classes can pay are treated as 0.
         self._min_price = min(values) / RECENT_SAMPLES
         # Hundreds of late answers at once would raise the price so far that no request is sent for
         # minutes. The bound keeps the class of the best value for its work affordable.
@@ -41,7 +42,11 @@
         self.current *= 1 - INTERVAL_DECAY_FRACTION
 
     def adjust(self, request_class: RequestClass, step: float) -> None:
-        """Lower the price by the fraction `step`, or raise it if `step` is negative."""
+        """Lower the price by `step` times the relative work of the class; raise it if negative.
+
+        The price starts from the lower bound at least, stays within the upper bound, and becomes 0
+        at or below the lower bound.
+        """
         relative_work = request_class.typical_work / max(
             self._estimates.mean_typical_work, MIN_MEAN_WORK_TICKS
         )
--- a/corkgauge/policy/concurrency_limit.py
+++ b/corkgauge/policy/concurrency_limit.py
@@ -8,14 +8,14 @@
 from corkgauge.policy.work_estimates import WorkEstimates
 
 INITIAL_THREADS_PER_CORE = 0.9  # initial limit of all gateways together
-LIGHT_CLASS_FACTOR = 2.0  # raises the limit for classes of less than the mean work
-RELAXED_THREADS_PER_CORE = 1.5  # limit of one gateway while the engine is not under pressure
+LIGHT_CLASS_FACTOR = 2.0  # times the limit, for classes of less than the mean work
+RELAXED_THREADS_PER_CORE = 1.5  # least limit of one gateway on an engine not under pressure
 MIN_LIMIT_FACTOR = 0.25  # bounds of the limit, relative to the initial limit
 MAX_LIMIT_FACTOR = 2.0
-PRESSURE_SLOWNESS_FACTOR = (
-    2.0  # times the best slowness seen; above it, an engine is under pressure
-)
-REPORT_VALIDITY_TICKS = FEEDBACK_INTERVAL_TICKS  # validity of a load reported by an engine
+# Times the best slowness of any engine; an engine of a larger slowness is under pressure.
+PRESSURE_SLOWNESS_FACTOR = 2.0
+# Time without activity of an engine after which its last reported load is ignored.
+REPORT_VALIDITY_TICKS = FEEDBACK_INTERVAL_TICKS
 
 
 def clamp_limit_factor(factor: float) -> float:
@@ -44,14 +44,15 @@
         """Whether the limit forbids another attempt of the class.
 
         An engine without attempts of this gateway always accepts one, unless it has recently
-        refused one as full. The adjusted limit applies only under pressure: the engine reports at
-        least one attempt per core, or its slowness is well above the best.
+        refused one as full. An engine is under pressure if it reports at least one attempt per
+        core, or if its slowness is well above the best. Without pressure, the limit is at least
+        RELAXED_THREADS_PER_CORE.
         """
         stats: EngineStats = engine.stats
         now = self._host.now
         threads = request_class.threads
-        # With hundreds of gateways, the part of one is less than one request, and busy gateways
-        # would be starved. So the limit covers at least one request.
+        # With hundreds of gateways, the limit divided among them is less than one request, and busy
+        # gateways would be starved. So each gateway's limit covers at least one request.
         limit = stats.limit_factor * max(self.threads_per_core * engine.cores, threads)
         if request_class.typical_work < self._estimates.mean_typical_work:
             limit *= LIGHT_CLASS_FACTOR
--- a/corkgauge/policy/dispatch.py
+++ b/corkgauge/policy/dispatch.py
@@ -17,7 +17,7 @@
 PRIORITY_TIER_WORK_FRACTIONS = (0.25, 1.0, 2.0)
 MAX_PRIORITY = 3  # of requests whose queue has at least an equal share
 SHARED_PRIORITY = 2  # of requests of all other queues
-FULL_EQUAL_SHARE_FRACTION = 0.999  # of an equal share; below 1 to allow for rounding
+FULL_EQUAL_SHARE_FRACTION = 0.999  # from here on a share counts as equal; allows for rounding
 MIN_TIMEOUT_TICKS = 1
 OVERDUE_OBJECTIVE_FRACTION = 0.5  # of the latency objective, after which an attempt is checked
 OVERDUE_TIME_FACTOR = 2  # times the expected time, after which an attempt is checked
@@ -60,6 +60,8 @@
         self._host.set_resources(request, memory_grant(request, engine), self._priority(request))
         attempt = self._record_attempt(request, engine)
         time_left = request.accepted_at + request.time_to_deadline - now
+        # The attempt times out after `on_deadline_near` has answered the request, but before the
+        # deadline itself.
         self._host.send_attempt(
             attempt, max(MIN_TIMEOUT_TICKS, time_left - self._deadline_margin_ticks // 2)
         )
--- a/corkgauge/policy/engine_selection.py
+++ b/corkgauge/policy/engine_selection.py
@@ -18,11 +18,13 @@
 from corkgauge.policy.slow_start import SlowStart
 from corkgauge.policy.subsetting import EngineSubset
 
-# An engine one position further in the order is preferred only if its load is lower by this, since
-# the table group's tables are not cached there.
+# An engine one position further in the hashed order is preferred only if its load is lower by this,
+# since the tables of the table group are less likely to be cached there.
 DISTANCE_PENALTY_THREADS_PER_CORE = 0.25
-NEAREST_ENGINE_COUNT = 3  # engines that are considered first, in the hashed order
-EVEN_SHARE_FACTOR = 1.25  # of an even share of recent work; above it, other engines are preferred
+NEAREST_ENGINE_COUNT = 3  # allowed engines from the start of the hashed order, considered first
+# Times an even share of recent work per core; engines above it are used only as a fallback. Also
+# the factor by which a table group has more affinity engines than its fraction of the work needs.
+EVEN_SHARE_FACTOR = 1.25
 KEYED = Repeatability.KEYED  # a constant here, as enum access is slow on the hot path
 
 
@@ -33,8 +35,8 @@
     untried: bool  # consider only engines without an attempt of the request
 
 
-# Engines that fail, are silent or refuse requests are considered last. If no engine is healthy, the
-# cause is probably elsewhere, so all engines are used.
+# Engines that fail, are silent or cannot be reached are considered last. If no engine is healthy,
+# the cause is probably elsewhere, so all engines are used.
 FALLBACK_ORDER = (
     EngineFilter(True, True),
     EngineFilter(True, False),
@@ -47,22 +49,22 @@
     """Holds what is equal for all engines that are considered for one request."""
 
     request: Request
-    possibly_executed: list[Attempt]  # attempts that may have run
-    tried: list[Engine]
+    possibly_executed: list[Attempt]  # attempts of the request that may have run
+    tried: list[Engine]  # engines of the request's attempts
     median_slowness: float
     order: list[Engine]
-    even_work_per_core: float  # an engine with more recent work is used only as a fallback
-    work_slack: float  # thread ticks of recent work allowed above the even work
-    affinity_count: int  # affinity engines at the start of the order; 0: distance is by position
+    even_work_per_core: float  # EVEN_SHARE_FACTOR times the mean recent work per core
+    work_slack: float  # thread ticks of recent work that an engine may have above the even work
+    affinity_count: int  # affinity engines, the first allowed ones; 0: penalty by position
     first_affinity: int  # position of this gateway's first choice among them
-    considers_all_engines: bool
+    considers_all_engines: bool  # whether the search covers the whole order
 
 
 class EngineSelector:
     """Selects the engine of the next attempt.
 
-    Owns the hashed order of engines of each table group. Queries the health, capacity and
-    slow-start modules for one engine at a time, and changes none of them.
+    Caches the hashed order of the engines for each table group. Reads the state of the health,
+    limit and slow-start modules, and changes none of it.
     """
 
     def __init__(
@@ -101,14 +103,18 @@
         self._engines_by_key_scope.clear()
 
     def order_for(self, table_group: float, rank_limit: float = 1.0) -> list[Engine]:
-        """The subset in the order hashed from the table group, the same at every gateway."""
+        """Engines of the subset, sorted by a hash of table group and engine.
+
+        Contains engines up to the rank limit, except those that a cordon closes to all attempts.
+        Two gateways sort the engines that both have in the same order.
+        """
         key = table_group, rank_limit
         order = self._order_by_group.get(key)
         if order is None:
             prefix = b"%d:" % int(table_group)
-            # Engines that a class with few allowed engines needs are in many subsets, and would
-            # attract the work of all other classes from each. So each class uses only engines up
-            # to the rank limit of that class.
+            # Engines of a rare kind are in the subsets of many gateways, which need them for one
+            # class. Without the rank limit of each class, all these gateways would also send them
+            # the requests of other classes.
             order = sorted(
                 (
                     engine
@@ -121,7 +127,12 @@
         return order
 
     def select(self, request: Request) -> Engine | None:
-        """The engine to use, or None while every allowed engine is at its limit."""
+        """The engine for the next attempt of a request, or None if the request must wait.
+
+        The first filter of FALLBACK_ORDER that leaves an allowed engine decides: if all engines
+        that it leaves are at their limits, the result is None. Before the second and later filters,
+        `select_in_key_scope` is tried.
+        """
         context = self._prepare(request)
         for engine_filter in FALLBACK_ORDER:
             if engine_filter is not FALLBACK_ORDER[0]:
@@ -142,14 +153,14 @@
         most_cores = max([engine.cores for engine in order], default=0)
         affinity_count = first_affinity = 0
         work_slack = 0.0
+        # Whether this gateway's part of the limit of the largest engine is below one thread.
         if self._limit.threads_per_core * most_cores < 1.0:
             work_slack = work
             affinity_count = self._affinity_count(request, len(order), recent_work)
             hashed_position = crc32(pack("<Qd", self._gateway_number, request.table_group))
             first_affinity = hashed_position * affinity_count >> 32
-        # While there is an admission price, warm engines are overloaded, and unused permits of
-        # engines in slow start further on in the order would lapse. So the whole order is
-        # considered.
+        # While there is an admission price, warm engines are overloaded, and the unused slow-start
+        # budget of engines later in the order would lapse. So the whole order is considered.
         all_warm_at = self._subset.newest_incarnation + self._slow_start.warm_up_ticks
         return SelectionContext(
             request,
@@ -167,9 +178,10 @@
     def _affinity_count(self, request: Request, engine_count: int, recent_work: float) -> int:
         """The number of affinity engines of the request's table group.
 
-        Hundreds of gateways with a few requests each would all send a table group's first request
-        to the same engine. The table group gets a fraction of the engines that matches its fraction
-        of the recent work, and each gateway starts at a different one of them.
+        Without them, hundreds of gateways with a few requests each would all send a table group's
+        first request to the same engine. A table group gets EVEN_SHARE_FACTOR times the fraction of
+        engines that its fraction of the recent work needs, and a hash spreads the gateways' first
+        choices over them.
         """
         work = request.request_class.typical_work
         group_work = self._recent_work.work_of_group(request.table_group) + work
@@ -179,7 +191,11 @@
     def _select_in_order(
         self, context: SelectionContext, engine_filter: EngineFilter
     ) -> tuple[bool, Engine | None]:
-        """Whether the filter leaves an allowed engine, and the least loaded one below its limit."""
+        """Whether the filter leaves an allowed engine, and the engine to use or None.
+
+        Chosen is the least load plus distance penalty among the engines below their limits. Engines
+        above the even work are chosen only if no other engine is left.
+        """
         request, possibly_executed, tried, median_slowness, order, even_work, work_slack, *_ = (
             context
         )
@@ -198,8 +214,8 @@
                 if not self._limit.is_at_limit(engine, request_class, median_slowness):
                     load = self._load(engine, request_class, median_slowness)
                     load += self._distance_penalty(context, engine, eligible_count)
-                    # A gateway with one attempt at a time sees no load on an engine that all
-                    # gateways share. So its recent work is spread by cores, whatever is in flight.
+                    # The load counts only this gateway's attempts. A gateway with one attempt at a
+                    # time finds no load anywhere, so its recent work is spread by cores instead.
                     is_over_share = engine.stats.recent_work > even_work * engine.cores + work_slack
                     preference = fallback if is_over_share else preferred
                     preference.append((load, position))
@@ -216,8 +232,11 @@
     def _distance_penalty(
         self, context: SelectionContext, engine: Engine, eligible_position: int
     ) -> float:
-        """The penalty, in threads per core, for an engine further on in the order."""
-        # The permit of an engine in slow start is small and lapses if unused, so no penalty.
+        """The penalty for an engine that is not first in the order, in threads per core.
+
+        `eligible_position` counts the engines that the filter leaves, from 1.
+        """
+        # The slow-start budget of an engine is small and lapses if unused, so no penalty.
         if self._slow_start.is_warming_up(engine):
             return 0.0
         count = context.affinity_count
@@ -228,7 +247,12 @@
         return DISTANCE_PENALTY_THREADS_PER_CORE * eligible_position
 
     def select_in_key_scope(self, request: Request, tried: Sequence[Engine]) -> Engine | None:
-        """An engine that knows the idempotency key; all such engines may be outside the subset."""
+        """The least loaded untried engine in the scope of the idempotency key, or None.
+
+        Searches all ready engines of the key's zone or cell, in the subset or not: all engines that
+        know the key may be outside the subset. Returns None if the
+        request may use any engine or the subset is whole.
+        """
         request_class = request.request_class
         scope = request_class.key_scope
         if request_class.repeatability != KEYED or scope not in ("zone", "cell"):
@@ -275,7 +299,7 @@
         )
 
     def _load(self, engine: Engine, request_class: RequestClass, median_slowness: float) -> float:
-        """This gateway's threads per core with the attempt added, scaled up for a slower engine."""
+        """This gateway's threads per core with the new attempt, scaled up for a slower engine."""
         slowdown = self._slowness.estimate_for(engine.stats, median_slowness) / median_slowness
         if not self._price.current and self._slow_start.is_warming_up(engine):
             slowdown = max(slowdown, 1 / self._slow_start.warming_speed)
--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -43,7 +43,7 @@
 
 
 class Gateway:
-    """Makes the decisions of one workload manager."""
+    """Builds the modules that make the decisions, and passes the host's events to them."""
 
     def __init__(
         self, host: Host, options: GatewayOptions, request_classes: list[RequestClass]
@@ -148,7 +148,10 @@
     # Engines.
 
     def on_engine_update(self, engine: Engine, state: int, incarnation: int) -> None:
-        """Apply an update of one engine; draining or removal takes effect at once."""
+        """Store an update of one engine; `on_engine_list_complete` applies it to the subset.
+
+        An attempt whose first byte has not been sent no longer starts if the engine is not ready.
+        """
         if engine.stats is None or incarnation > engine.incarnation:
             slow_start_usage = engine.stats.slow_start_usage if engine.stats else deque()
             engine.stats = EngineStats(
@@ -180,16 +183,19 @@
         self.admission.fill_slots()
 
     def on_peer_health(self, engine: Engine, slowness: float, suspicion: int) -> None:
-        """Store what other gateways report of an engine.
+        """Store the slowness and suspicion of an engine that other gateways report.
 
-        Slowness 0 is unknown. Suspicion 1 allows one attempt at a time, as a trial; suspicion 2
+        Slowness 0 means unknown. Suspicion 1 allows one attempt at a time, as a trial; suspicion 2
         allows none.
         """
         engine.stats.peer_slowness = slowness
         engine.stats.peer_suspicion = suspicion
 
     def on_permit_moved(self, engine: Engine, work: float, when: int) -> None:
-        """Record a slow-start permit given to a peer (work above 0) or received (below 0)."""
+        """Record a slow-start permit given to a peer (work above 0) or received (below 0).
+
+        A permit is the right to send some work to an engine in slow start.
+        """
         self.slow_start.record_moved_permit(engine, work, when)
 
     # Requests.
@@ -199,7 +205,7 @@
         self.admission.accept(request)
 
     def on_client_left(self, request: Request) -> None:
-        """Finish a request whose client has disconnected."""
+        """Finish a request whose client has disconnected, without an answer."""
         self.admission.on_client_left(request)
 
     def on_deadline_near(self, request: Request) -> None:
@@ -211,13 +217,16 @@
         self.admission.enqueue(request)
 
     def on_capacity_freed(self) -> None:
-        """Fill free slots after an ejection ended or capacity was freed in another way."""
+        """Fill free slots, after an ejection has ended or capacity was freed in another way."""
         self.admission.fill_slots()
 
     # Attempts.
 
     def can_start_attempt(self, attempt: Attempt) -> bool:
-        """Whether the attempt is still allowed; called before its first byte, possibly delayed."""
+        """Whether the attempt is still allowed.
+
+        Called just before its first byte is sent, which may be long after `send_attempt`.
+        """
         return self.retries.can_start(attempt)
 
     def on_attempt_progress(self, attempt: Attempt, note_kind: int, value: float) -> None:
@@ -225,7 +234,7 @@
         self.hedging.on_progress(attempt, note_kind, value)
 
     def on_answer_overdue(self, attempt: Attempt) -> None:
-        """Check an attempt that has been in flight for longer than usual."""
+        """Check an attempt that has been in flight for longer than expected."""
         self.hedging.on_answer_overdue(attempt)
 
     def on_attempt_finished(
@@ -238,7 +247,13 @@
         memory: float,
         reported_load: float,
     ) -> None:
-        """Handle the outcome of an attempt; the host has already forwarded the first answer."""
+        """Handle the outcome of an attempt.
+
+        `is_answered` means that the host has already sent the client the final answer of the
+        request; an outcome SUCCEEDED always counts as one. `duration_ticks` runs from the sending.
+        An engine that does not report work (thread ticks) or memory (MB) has 0 there, and a
+        `reported_load` below 0.
+        """
         self.dispatcher.record_outcome(attempt, outcome)
         self.learning.learn_from_outcome(attempt, duration_ticks, work, memory, reported_load)
         has_succeeded = outcome == AttemptOutcome.SUCCEEDED
@@ -252,9 +267,10 @@
     # Timers.
 
     def on_feedback_interval(self) -> None:
-        """Move the shares by a bounded step towards equal weighted shortfall."""
+        """Do the periodic work: trim state, update estimates, price bounds, subset and shares."""
         self.host.call_later(FEEDBACK_INTERVAL_TICKS, self.on_feedback_interval)
-        # The budget is otherwise trimmed only when a retry is considered; it would grow until then.
+        # The budget discards expired records only when a retry is considered. Without this call,
+        # they would accumulate until then.
         self.retry_budget.discard_expired()
         # Clients may name any number of table groups; the cache would grow without bound.
         self.selector.clear_cached_orders()
@@ -277,7 +293,7 @@
     # Recovery after a restart.
 
     def restore_learned_state(self, learned: LearnedState) -> None:
-        """Restore learned state, before the first request; slow start and draining ignore it."""
+        """Restore learned state before the first request; slow start and draining do not use it."""
         self.price.current = learned.price
         self.slowness.best = learned.best_slowness
         self.retry_budget.restore([*learned.success_times], [*learned.retry_times])
--- a/corkgauge/policy/hedging.py
+++ b/corkgauge/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: retries slow or silent attempts elsewhere, by cancelling or by a second attempt."""
+"""Hedging: replaces slow or silent attempts, by cancelling them or by a second attempt."""
 
 from corkgauge.policy.admission import Admission
 from corkgauge.policy.admission_price import AdmissionPrice
@@ -11,12 +11,17 @@
 from corkgauge.policy.retries import RetryPolicy
 from corkgauge.policy.units import MIN_SAMPLES
 
-OVERTAKEN_BUDGET_FRACTION = 0.5  # of the retry budget; leaves the rest to known losses
+# Of the retry budget, for overtaken attempts; the rest is reserved for attempts known to be lost.
+OVERTAKEN_BUDGET_FRACTION = 0.5
 MAX_ATTEMPTS_IN_FLIGHT = 2  # of one request
 MIN_OVERTAKEN_COUNT = MIN_SAMPLES  # answers to later attempts of the same engine
-OVERDUE_FACTOR = 3.0  # times the expected time, for an overtaken attempt
-SILENCE_FACTOR = 3.0  # usual attempt durations without activity, summed over those in flight
-MAX_TIME_LEFT_FACTOR = 3  # times the expected time; large, as estimates are inaccurate
+OVERDUE_FACTOR = 3.0  # times the expected time, after which an overtaken attempt is retried
+# Times the median slowness. The silent time of each attempt in flight at an engine is divided by
+# its expected duration; if the sum exceeds this limit, the engine is silent.
+SILENCE_FACTOR = 3.0
+# Times the expected time, above which the remaining time causes a retry. Large, as estimates are
+# inaccurate.
+MAX_TIME_LEFT_FACTOR = 3
 MIN_RECHECK_TICKS = 1
 
 
@@ -45,7 +50,11 @@
         self._slowness = slowness
 
     def cancel_or_hedge(self, attempt: Attempt, budget_fraction: float = 1.0) -> None:
-        """Retry an attempt elsewhere if the rules and a fraction of the retry budget allow it."""
+        """Cancel the attempt or queue a second one, if retry rules and budget allow a retry.
+
+        The outcome of the cancelled attempt then causes the retry. `budget_fraction` is the part of
+        the retry budget that this retry may use.
+        """
         request = attempt.request
         if request.is_finished or attempt.is_cancelled or request.is_queued:
             return
@@ -61,10 +70,10 @@
                 self._admission.enqueue(request)
 
     def retry_overtaken_attempts(self, answered: Attempt) -> None:
-        """Retry overdue attempts of an engine that answered later ones first.
+        """Retry overdue attempts of an engine that answered later attempts first.
 
-        The engine is healthy, but the answers of these attempts are lost or late: later attempts of
-        no less work were answered, and these are long overdue. While there is an admission price,
+        The engine is healthy, but the answers to the overdue attempts are lost or late: it has
+        answered several later attempts of no less work. While there is an admission price,
         overtaking is not counted, as hedged attempts would crowd out other requests.
         """
         overtaken = [
@@ -99,10 +108,12 @@
             self.cancel_or_hedge(attempt)
 
     def on_answer_overdue(self, attempt: Attempt) -> None:
-        """Record a fault of an engine that accepts attempts but answers none.
+        """Record a fault of an engine that accepts attempts but has become silent.
 
-        Any activity clears the engine. One long or light request is no proof: all attempts in
-        flight there must together have lasted several times the usual since the last activity.
+        If the engine has sent anything since the attempt, nothing is recorded, and the attempt is
+        not checked again. One request proves nothing, whether a long one or a light one that
+        exceeds its small estimate. So the silent times of all attempts in flight at the engine are
+        added up, each relative to its expected or typical duration, the longer of the two.
         """
         stats = attempt.engine.stats
         now = self._host.now
--- a/corkgauge/policy/host.py
+++ b/corkgauge/policy/host.py
@@ -13,19 +13,28 @@
     """
 
     now: int  # ticks
-    lag: int  # ticks that the events of the host currently wait
+    lag: int  # ticks that events currently wait before the host handles them
 
     def send_attempt(self, attempt: Attempt, timeout: int) -> None:
-        """Send an attempt to its engine; fail the attempt without an answer in `timeout` ticks."""
+        """Send an attempt to its engine; end it if no answer arrives within `timeout` ticks.
+
+        The outcome is then TIMED_OUT, or ABANDONED if no byte of the attempt was sent.
+        """
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
-        """Set memory (MB; 0: the engine decides) and priority of the request's next attempts."""
+        """Set memory (MB; 0: the engine decides) and priority of the request's next attempts.
+
+        Priorities are 0 to 3; engines serve 3 first.
+        """
 
     def reject(self, request: Request, retry_after: int) -> None:
-        """Answer that the request was rejected unrun; `retry_after` in ticks, 0: unspecified."""
+        """Answer that the request was rejected and the client may safely send it again.
+
+        `retry_after` is the time in ticks after which to send it again; 0: unspecified.
+        """
 
     def fail(self, request: Request) -> None:
-        """Answer that the request failed and may have been executed."""
+        """Answer that the request failed; an engine may have executed it."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt in flight; the host reports its outcome later."""
--- a/corkgauge/policy/learned_state.py
+++ b/corkgauge/policy/learned_state.py
@@ -6,7 +6,7 @@
 
 from corkgauge.policy.records import Engine, RequestClass
 
-AnswerSample = tuple[float, float, float]  # as recorded by `work_estimates`
+AnswerSample = tuple[float, float, float]  # as recorded by `WorkEstimates.record_answer`
 
 
 class LearnedEngine(NamedTuple):
@@ -16,7 +16,7 @@
     slowness_samples: Sequence[float]
     limit_factor: float
     ejected_until: int  # ticks
-    faults: Sequence[str]
+    faults: Sequence[str]  # as `EngineStats.fault_history`
 
 
 class LearnedClass(NamedTuple):
@@ -39,7 +39,7 @@
     """All learned state of a gateway; slow start and the draining rules do not use it."""
 
     price: float  # the admission price
-    best_slowness: float
+    best_slowness: float  # `EngineSlowness.best`
     retry_times: Sequence[int]  # ticks, in the window of the retry budget
     success_times: Sequence[int]
     engines: Sequence[LearnedEngine]
--- a/corkgauge/policy/lottery.py
+++ b/corkgauge/policy/lottery.py
@@ -10,7 +10,10 @@
 
 
 class Lottery:
-    """Draws queues by their shares; counts the draws, so that equal seeds give equal runs."""
+    """Draws queues by their shares, with pseudo-random numbers from a seed and the draw count.
+
+    Equal seeds give equal draws.
+    """
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
--- a/corkgauge/policy/options.py
+++ b/corkgauge/policy/options.py
@@ -1,8 +1,8 @@
-"""Options of one gateway, as stated by the platform and its operators."""
+"""Options of one gateway, from the settings of the platform and its operators."""
 
 from dataclasses import dataclass
 
-ANSWER_TICKS = 10  # time for an answer to leave the host
+ANSWER_TICKS = 10  # time in which the host sends an answer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -19,11 +19,12 @@
     retry_after_ticks: int  # sent with a rejection; 0: unspecified
     slow_start_speed: float  # speed of an engine in slow start, as a fraction of its full speed
     slow_start_ticks: int  # duration of slow start
-    overload_factor: float  # work in the window that overloads an engine, times its speed
+    # An engine is overloaded by this times speed * window * cores of work in one window.
+    overload_factor: float
     overload_window_ticks: int
-    retry_floor: float  # retries per window that the budget always allows
+    retry_floor: float  # retries in one window that the budget always allows
     retry_share: float  # further retries per success in the window
-    retry_window_ticks: int  # 0: no budget stated, use the default
+    retry_window_ticks: int  # 0: no budget configured, use the default
     settle_ticks: int  # time for which an attempt with unknown outcome may still run
 
     @property
--- a/corkgauge/policy/ordering.py
+++ b/corkgauge/policy/ordering.py
@@ -15,14 +15,14 @@
 
 
 class KeyedOrder:
-    """Holds the waiting requests of each order key, and until when an attempt may still run."""
+    """Holds the requests of each order key, and until when earlier attempts may still run."""
 
     def __init__(self, host: Host, settle_ticks: int, enqueue: Callable[[Request], None]) -> None:
         self._host = host
         self._settle_ticks = settle_ticks
         self._enqueue = enqueue
         self.requests_by_key: dict[int, deque[Request]] = {}  # in order of acceptance
-        self.held_until: dict[int, int] = {}
+        self.held_until: dict[int, int] = {}  # ticks, by order key; no request is sent until then
 
     def append(self, request: Request) -> None:
         """Append a request to the queue of its order key."""
--- a/corkgauge/policy/outcome_learning.py
+++ b/corkgauge/policy/outcome_learning.py
@@ -14,8 +14,9 @@
 from corkgauge.policy.units import TICKS_PER_SECOND
 from corkgauge.policy.work_estimates import WorkEstimates
 
-OVERLOAD_STEP = -0.1  # change of limit and price, for an attempt that was refused, late or lost
-ON_TIME_STEP = 0.025  # change for an answer in time
+# Steps that change limit and price in opposite directions. A negative step lowers the limit.
+OVERLOAD_STEP = -0.1  # for an attempt that was refused, answered late or timed out
+ON_TIME_STEP = 0.025  # for an answer in time
 ENGINE_FULL_PAUSE_TICKS = TICKS_PER_SECOND  # time without attempts to an engine that was full
 MIN_DURATION_TICKS = 1
 FAULT_KINDS: dict[int, str] = {
@@ -57,10 +58,11 @@
         stats = engine.stats
         request_class = attempt.request.request_class
         outcome = attempt.outcome
+        # The load is stored even if the engine has restarted since.
         if reported_load >= 0:
             stats.reported_load = reported_load
         if attempt.sent_at < engine.incarnation:
-            return  # the outcome describes the engine before its restart
+            return  # the outcome tells nothing about the engine since its restart
         if outcome == AttemptOutcome.SUCCEEDED:
             self._learn_from_success(attempt, duration_ticks, work, memory)
         elif outcome == AttemptOutcome.ENGINE_FULL:
@@ -94,6 +96,9 @@
     def adjust_limit_and_price(
         self, stats: EngineStats, request_class: RequestClass, step: float
     ) -> None:
-        """Raise the engine's concurrency limit and lower the admission price by `step`."""
+        """Raise the engine's concurrency limit and lower the admission price by `step`.
+
+        A negative step lowers the limit and raises the price.
+        """
         self._limit.adjust(stats, step)
         self._price.adjust(request_class, step)
--- a/corkgauge/policy/outlier_detection.py
+++ b/corkgauge/policy/outlier_detection.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:  # subsetting imports `is_trusted` from this module
     from corkgauge.policy.subsetting import EngineSubset
 
-# Kinds of faults of an engine; recovery files contain these texts. NO_FAULT: a good answer.
+# Kinds of faults of an engine; recovery files contain these texts. NO_FAULT: a success.
 NO_FAULT = ""
 ERROR_FAULT = "error"
 RESET_FAULT = "reset"
@@ -21,18 +21,18 @@
 
 EJECTION_TICKS = TICKS_PER_SECOND  # after a first fault; doubled for each further recent fault
 MAX_DOUBLINGS = 4
-COMPARISON_WINDOW_TICKS = 10 * TICKS_PER_SECOND  # of failure counts that are compared
-COMMON_FAULT_FACTOR = 2  # times the median engine's failures; up to this, a fault is common
-COMMON_FAULT_SLACK_COUNT = 2  # failures allowed above the factor
-UNTRUSTED_ERROR_COUNT = 2  # among recent answers, from which an engine is not trusted
-LOST_ZONE_ENGINE_COUNT = 2  # consecutive losses after which a zone is treated as lost
+COMPARISON_WINDOW_TICKS = 10 * TICKS_PER_SECOND  # for the failure counts of engines
+COMMON_FAULT_FACTOR = 2  # times the median of the other engines' failures
+COMMON_FAULT_SLACK_COUNT = 2  # failures allowed in addition
+UNTRUSTED_ERROR_COUNT = 2  # recent errors from which on an engine is not trusted
+LOST_ZONE_ENGINE_COUNT = 2  # lost engines, without activity in between, that make a zone lost
 
 
 def is_trusted(stats: EngineStats) -> bool:
-    """Whether the recent answers show that the engine works.
+    """Whether the recent outcomes show that the engine works.
 
-    One good answer is enough after a lost connection or silence. Errors may alternate with good
-    answers, so they are counted.
+    One success is enough after a lost connection or silence. Errors may alternate with successes,
+    so they are counted.
     """
     history = stats.fault_history
     return history.count(ERROR_FAULT) < UNTRUSTED_ERROR_COUNT and not (history and history[-1])
@@ -52,20 +52,20 @@
         self._host = host
         self._subset = subset
         self._on_ejection_over = on_ejection_over
-        # By zone: when each engine was lost, since the last activity of any engine there.
+        # By zone: the engines lost since the last activity of any engine there, and when.
         self._lost_by_zone: dict[int, dict[Engine, int]] = {}
 
     def is_healthy(self, engine: Engine) -> bool:
-        """Whether attempts may go to the engine.
+        """Whether attempts may be sent to the engine.
 
-        After an ejection one attempt is allowed as a trial, even while long attempts from before
-        the end of the ejection are still in flight.
+        After an ejection, an engine that is not trusted gets one attempt as a trial, even while
+        long attempts from before the end of the ejection are still in flight.
         """
         stats = engine.stats
         now = self._host.now
-        # In a zone that is cut off, finding each lost engine separately would cost failed attempts
-        # on every one. Once several are lost with no activity in the zone, only one attempt per
-        # ejection time goes to the zone.
+        # In a zone that is cut off, detecting each lost engine separately would cost failed
+        # attempts on every one. Once several are lost with no activity in the zone, only one
+        # attempt per EJECTION_TICKS is sent to the zone.
         lost_engines = self._lost_by_zone.get(engine.zone)
         if (
             lost_engines
@@ -81,7 +81,7 @@
         )
 
     def record_attempt(self, attempt: Attempt) -> None:
-        """Restart the pause of a zone that may be lost, so that no other attempt goes there."""
+        """Restart the pause of a zone that may be lost, so that it gets no other attempt."""
         engine = attempt.engine
         lost_engines = self._lost_by_zone.get(engine.zone)
         if lost_engines and len(lost_engines) >= LOST_ZONE_ENGINE_COUNT:
@@ -93,7 +93,7 @@
         self._lost_by_zone.pop(engine.zone, None)
 
     def record_success(self, engine: Engine) -> None:
-        """Record a good answer of the engine."""
+        """Record an attempt that the engine answered with success."""
         stats = engine.stats
         was_trusted = is_trusted(stats)
         self.record_activity(engine)
@@ -102,7 +102,12 @@
             self._host.log(f"back {engine.name} faults={count_faults(stats)}")
 
     def record_fault(self, engine: Engine, kind: str) -> None:
-        """Record a fault and eject the engine, twice as long for each further recent fault."""
+        """Record a fault and eject the engine, twice as long for each further recent fault.
+
+        The engine is not ejected if other engines fail alike or if it is ejected already. Failures
+        of one kind in one tick count once in the comparison with other engines, as one broken
+        connection ends many attempts.
+        """
         stats = engine.stats
         now = self._host.now
         if kind != ERROR_FAULT:
@@ -120,7 +125,10 @@
             self._host.log(f"rest {engine.name} {kind} faults={faults} for={ticks}")
 
     def _is_common_fault(self, stats: EngineStats, kind: str) -> bool:
-        """Whether most of the other engines recently had nearly as many failures of this kind.
+        """Whether other engines recently had comparable numbers of failures of this kind.
+
+        The engine may have COMMON_FAULT_FACTOR times the median of the others, and
+        COMMON_FAULT_SLACK_COUNT more; the median must not be 0.
 
         Failures that affect all engines, such as corrupted answers, broken connections or bad
         client requests, are not the fault of one engine. Ejections would leave no engine in use.
--- a/corkgauge/policy/placement_rules.py
+++ b/corkgauge/policy/placement_rules.py
@@ -17,7 +17,10 @@
 def is_key_known_at(
     request_class: RequestClass, engine: Engine, possibly_executed: Sequence[Attempt]
 ) -> bool:
-    """Whether the engine knows the idempotency key of every attempt that may have run."""
+    """Whether the engine is in the key scope of every attempt that may have run.
+
+    True for a class without idempotency keys.
+    """
     if request_class.repeatability != KEYED:
         return True
     if request_class.key_scope == "zone":
@@ -30,12 +33,12 @@
 def is_cordoned_for(request: Request, engine: Engine, possibly_executed: Sequence[Attempt]) -> bool:
     """Whether a cordon excludes the request from this engine.
 
-    A keyed request that may have run is retried only on engines that know its key, even on one
-    that takes no new work: on other engines the request could run twice.
+    Cordon.NO_NEW_WORK still allows retries of a keyed request that may have run and whose key not
+    all engines know: on engines that do not know the key, the request could run twice.
     """
     if not engine.cordon:
         return False
-    if engine.cordon > 1:
+    if engine.cordon > 1:  # Cordon.NO_ATTEMPTS
         return True
     request_class = request.request_class
     return (
--- a/corkgauge/policy/recent_work.py
+++ b/corkgauge/policy/recent_work.py
@@ -7,7 +7,7 @@
 from corkgauge.policy.subsetting import EngineSubset
 from corkgauge.policy.units import RECENT_SAMPLES
 
-MIN_GROUP_WORK_TICKS = 1  # thread ticks; rounding errors of a group without work are smaller
+MIN_GROUP_WORK_TICKS = 1  # thread ticks; less is the rounding error of a group without work
 
 
 class SentWork(NamedTuple):
@@ -19,7 +19,10 @@
 
 
 class RecentWork:
-    """Holds the most recent attempts, RECENT_SAMPLES for each engine of the subset."""
+    """Holds the most recent attempts, on average RECENT_SAMPLES for each engine of the subset.
+
+    The number of attempts grows with the subset but does not shrink with it.
+    """
 
     def __init__(self, subset: EngineSubset) -> None:
         self._subset = subset
--- a/corkgauge/policy/records.py
+++ b/corkgauge/policy/records.py
@@ -48,9 +48,9 @@
 
 
 class Cordon(IntEnum):
-    """How far maintenance has taken an engine out of service."""
+    """Which attempts maintenance allows on an engine."""
 
-    OFF = 0
+    OFF = 0  # no restriction
     NO_NEW_WORK = 1  # only retries whose idempotency key the engine may know
     NO_ATTEMPTS = 2  # no attempts at all
 
@@ -68,7 +68,7 @@
     name: str
     latency_objective: int  # ticks, without the stretch
     objective_stretch: float  # added to the objective for each tick of work of one thread
-    time_to_deadline: int  # ticks
+    time_to_deadline: int  # ticks from acceptance
     priority_weight: float  # value of one answer in time
     repeatability: int = Repeatability.IDEMPOTENT
     key_scope: str = "all"  # keyed: the engines that know a key: all, zone, cell
@@ -77,9 +77,10 @@
     zones: tuple[int, ...] = ()  # allowed zones; empty: any
     engine_kinds: tuple[int, ...] = ()
     threads: int = 1
-    # Recent answers: true over estimated work, true over estimated memory, true work.
+    # Recent answers: (work ratio, memory ratio, work), see `WorkEstimates.record_answer`.
     answer_samples: deque[tuple[float, float, float]] = field(default_factory=deque)
-    typical_work: float = 0.0  # mean work that answers report, in thread ticks
+    # Mean work of recent answers in thread ticks; a high assumption while there are few answers.
+    typical_work: float = 0.0
     subset_rank_limit: float = 1.0  # rank up to which engines of the subset serve this class
 
 
@@ -99,7 +100,7 @@
     threads_in_flight: int = 0  # threads of this gateway's attempts on the engine
     cordon: int = Cordon.OFF
     in_subset: bool = False  # whether this gateway's subset contains the engine
-    subset_rank: float = 0.0  # rank of this gateway among all, for this engine
+    subset_rank: float = 0.0  # `subsetting.subset_rank` of this gateway for the engine
     stats: Any = None  # `EngineStats`, after the first update of the engine
     name: str = ""  # for log lines
 
@@ -109,16 +110,17 @@
     """Recent measurements of one engine by one gateway."""
 
     slow_start_usage: deque[tuple[int, float]]  # (when, typical work sent) in the overload window
-    slowness_samples: deque[float]  # duration over the duration of the work alone
-    fault_history: deque[str]  # one entry per outcome; empty text: a good answer
-    failure_history: deque[tuple[str, int]]  # (kind, when), also failures not counted as faults
+    slowness_samples: deque[float]  # of answers: duration over the duration of the work alone
+    fault_history: deque[str]  # one entry per success (empty text) or counted fault (its kind)
+    # (kind, when) of failures, also those not counted as faults because other engines fail alike.
+    failure_history: deque[tuple[str, int]]
     last_activity_at: int = -1  # when the engine last sent data
     ejected_until: int = -1
-    refused_until: int = -1
+    refused_until: int = -1  # no attempts until then, as the engine refused one as full
     limit_factor: float = 1.0  # concurrency limit, relative to the initial limit
-    reported_load: float = -1.0  # attempts running there, as last reported by the engine
-    recent_work: float = 0.0  # typical work in the gateway's recent attempts
-    slowness: float = 0.0  # cached estimate, valid until `slowness_valid_until`
+    reported_load: float = -1.0  # attempts running there, as the engine last reported; -1: never
+    recent_work: float = 0.0  # thread ticks, typical work of this gateway's recent attempts there
+    slowness: float = 0.0  # cached estimate, valid until `slowness_valid_until`; 0: unknown
     peer_slowness: float = 0.0  # as other gateways report it; 0: unknown
     peer_suspicion: int = 0  # as other gateways report it; 1: one attempt at a time; 2: none
     slowness_valid_until: int = -1
@@ -130,12 +132,12 @@
     """The requests of one tenant and class that wait for a slot, and their share."""
 
     request_class: RequestClass
-    share_history: deque[tuple[float, float]]  # recent intervals: (share, inverse shortfall)
+    # Recent feedback intervals: (share, inverse of the shortfall quantile).
+    share_history: deque[tuple[float, float]]
     share: float = 0.0
-    recent_finished_count: float = 0.0  # requests finished in recent intervals, decayed
-    shortfalls: list[float] = field(
-        default_factory=list
-    )  # latency over objective, in this interval
+    recent_finished_count: float = 0.0  # requests finished in recent feedback intervals, decayed
+    # Latency over latency objective of each request finished in this interval; up to 1: in time.
+    shortfalls: list[float] = field(default_factory=list)
     waiting: list["Request"] = field(default_factory=list)
 
 
@@ -154,8 +156,8 @@
     order_key: int = 0  # requests of one key are sent in order; 0: no key
     is_finished: bool = False
     is_queued: bool = False
-    expected_work: float = 0.0
-    latency_objective: float = 0.0
+    expected_work: float = 0.0  # thread ticks
+    latency_objective: float = 0.0  # ticks, with the stretch
     queue: Any = None  # `RequestQueue`, once accepted
     attempts: list["Attempt"] = field(default_factory=list)
     # Attempts of earlier requests with the same idempotency key that may have run.
@@ -168,12 +170,12 @@
 
     request: Request
     engine: Engine
-    number: int
+    number: int  # index among the request's attempts; 0: the first
     sent_at: int
     expected_duration: float  # ticks of the expected work alone
     typical_duration: float  # ticks of the class's typical work alone
     is_in_flight: bool = True
     is_cancelled: bool = False
-    outcome: int = -1
+    outcome: int = -1  # `AttemptOutcome`; -1: in flight
     # Answers of the engine to later attempts since its last note about this one.
     overtaken_count: int = 0
--- a/corkgauge/policy/request_queues.py
+++ b/corkgauge/policy/request_queues.py
@@ -11,7 +11,7 @@
 
 
 class RequestQueues:
-    """Holds the queues, in order of their first requests."""
+    """Holds the queues, in order of creation."""
 
     def __init__(self) -> None:
         self.by_tenant_and_class: dict[tuple[int, RequestClass], RequestQueue] = {}
@@ -39,14 +39,17 @@
         self.by_tenant_and_class[tenant, request_class] = queue
 
     def count_finished_requests(self) -> None:
-        """Add the requests finished in this interval to the decayed count of arrivals."""
+        """Add the requests finished in this interval to the decayed counts.
+
+        Must be called before `share_controller.record_interval` clears the shortfalls.
+        """
         for queue in self.by_tenant_and_class.values():
             queue.recent_finished_count += (
                 len(queue.shortfalls) - queue.recent_finished_count / RECENT_SAMPLES
             )
 
     def requested_work_rate(self) -> float:
-        """The rate of work recently requested of this gateway, in threads."""
+        """The work of recently finished requests per time, in threads."""
         work = sum(
             queue.recent_finished_count * queue.request_class.typical_work
             for queue in self.by_tenant_and_class.values()
--- a/corkgauge/policy/retries.py
+++ b/corkgauge/policy/retries.py
@@ -15,12 +15,12 @@
 )
 from corkgauge.policy.units import ESTIMATE_VALIDITY_TICKS, TICKS_PER_SECOND
 
-# Budget against retry storms, used where the configuration states none.
-DEFAULT_RETRY_FLOOR = 10
-DEFAULT_RETRY_SHARE = 0.5
+# Budget against retry storms, used if the settings contain none.
+DEFAULT_RETRY_FLOOR = 10  # retries in one window
+DEFAULT_RETRY_SHARE = 0.5  # retries per answered request
 DEFAULT_RETRY_WINDOW_TICKS = 5 * TICKS_PER_SECOND
 MAX_ERROR_COUNT = 2  # failed attempts of one request
-# A retry that waits longer for its first byte counts in the budget from that byte on.
+# A retry whose first byte is sent later than this counts in the budget from that byte on.
 IMMEDIATE_SEND_TICKS = ESTIMATE_VALIDITY_TICKS
 
 
@@ -43,22 +43,21 @@
 
 
 class RetryBudget:
-    """Limits the retries in a time window to a floor plus a share of the successes."""
+    """Limits the retries in a time window to a floor plus a share of the answered requests."""
 
     def __init__(self, host: Host, options: GatewayOptions) -> None:
         self._host = host
         self.floor: float = DEFAULT_RETRY_FLOOR
-        self.share = DEFAULT_RETRY_SHARE  # retries per success
+        self.share = DEFAULT_RETRY_SHARE  # retries per answered request
         self.window_ticks = DEFAULT_RETRY_WINDOW_TICKS
         if options.retry_window_ticks:
             self.floor = options.retry_floor
             self.share = options.retry_share
             self.window_ticks = options.retry_window_ticks
-        self.throttle = 1.0  # fraction of the budget; below 1 during a retry storm of the fleet
-        self.success_times: list[
-            int
-        ] = []  # acceptance times of answered requests in the window, sorted
-        self.retry_times: list[int] = []  # send times of retries
+        self.throttle = 1.0  # usable fraction of the budget; below 1 during a fleet's retry storm
+        # Acceptance times of answered requests in the window, sorted.
+        self.success_times: list[int] = []
+        self.retry_times: list[int] = []  # send times of retries, sorted
 
     def has_left(self, fraction: float = 1.0) -> bool:
         """Whether one more retry fits into `fraction` of the budget."""
@@ -98,7 +97,7 @@
 
 
 class RetryPolicy:
-    """Decides whether an attempt may be made, regardless of the request's value."""
+    """Decides whether an attempt is allowed by repeatability, attempt count and retry budget."""
 
     def __init__(self, host: Host, options: GatewayOptions, budget: RetryBudget) -> None:
         self._host = host
@@ -111,8 +110,8 @@
         if len(request.attempts) >= self._max_attempts:
             return False
         possibly_executed = possibly_executed_attempts(request)
-        # If two engines fail a request, the request is probably at fault. More attempts would use
-        # up the budget of other requests.
+        # If two engines fail a request, the request is probably the cause. More attempts would use
+        # up the budget that other requests need.
         error_count = sum(attempt.outcome == AttemptOutcome.ERROR for attempt in possibly_executed)
         return error_count < MAX_ERROR_COUNT and self.is_repeatable(request, possibly_executed)
 
@@ -131,12 +130,15 @@
         return self._host.now < key_expires_at - self._deadline_margin_ticks
 
     def can_start(self, attempt: Attempt) -> bool:
-        """Whether the attempt is still allowed; called before its first byte, possibly delayed."""
+        """Whether the attempt is still allowed.
+
+        Called just before its first byte is sent, which may be long after `send_attempt`.
+        """
         request = attempt.request
         engine = attempt.engine
         if request.is_finished or engine.state != EngineState.READY:
             return False
-        # An engine that has restarted since is in slow start, and its budget excludes this attempt.
+        # An engine that has restarted since is in slow start, and its budget excludes the attempt.
         if attempt not in engine.stats.in_flight:
             return False
         possibly_executed = [
--- a/corkgauge/policy/share_controller.py
+++ b/corkgauge/policy/share_controller.py
@@ -1,4 +1,9 @@
-"""Moves the lottery's shares in bounded steps towards an equal weighted shortfall of all queues."""
+"""Moves the lottery's shares in bounded steps towards an equal level of all queues.
+
+The shortfall of a request is its latency over its latency objective; up to 1, it is in time.
+The inverse of a high quantile of a queue's shortfalls measures how well the queue is served. The
+level of a queue is weight * (1 - inverse shortfall), its weighted shortfall.
+"""
 
 from collections.abc import Sequence
 from statistics import fmean
@@ -10,24 +15,26 @@
 MAX_SHARE_STEP = 0.05  # largest change of a share in one feedback interval
 MIN_SHARE_FRACTION = 0.1  # smallest share, as a fraction of an equal share
 SHORTFALL_QUANTILE = 0.99
-MIN_SHORTFALL = 1e-3  # avoids division by zero
-MIN_SLOPE = 1.0  # of the linear model; a flat or falling model would move shares without bound
+MIN_SHORTFALL = 1e-3  # avoids a division by zero
+# Least slope of the linear model. A flat model would divide by zero, and a falling one would move
+# shares in the wrong direction.
+MIN_SLOPE = 1.0
 MIN_SPREAD = 1e-9  # of the recorded shares, below which no slope can be fitted
 LEVEL_BOUND = 1e4  # the bisection searches levels between minus and plus this bound
-BISECTION_COUNT = 60  # exceeds the precision of a float
+BISECTION_COUNT = 60  # halvings, more than a float has bits of precision
 
 
 class ShareModel(NamedTuple):
     """Linear model of one queue: inverse shortfall as a function of the share."""
 
     queue: RequestQueue
-    share: float
-    inverse_shortfall: float  # inverse of the shortfall
-    slope: float
+    share: float  # in the last interval
+    inverse_shortfall: float  # in the last interval
+    slope: float  # change of the inverse shortfall per change of the share
     weight: float  # value per second that a request of the class occupies a slot
 
     def share_at(self, level: float) -> float:
-        """The share at which the queue reaches the level, limited to one step."""
+        """The share at which the model reaches this level, at most one step from the last share."""
         wanted = self.share + (1 - level / self.weight - self.inverse_shortfall) / self.slope
         return min(max(wanted, self.share - MAX_SHARE_STEP), self.share + MAX_SHARE_STEP)
 
@@ -51,8 +58,8 @@
         (a - mean_share) * (p - mean_inverse_shortfall) for a, p in queue.share_history
     )
     slope = covariance / spread if spread > MIN_SPREAD else 0.0
-    # With a weight of the value alone, heavy classes would take all slots. So the weight is the
-    # value per second of slot time.
+    # If the weight were the value alone, heavy classes would occupy all slots. So the weight is the
+    # value per second for which a request occupies a slot.
     weight = (
         queue.request_class.priority_weight * TICKS_PER_SECOND / queue.request_class.typical_work
     )
@@ -60,9 +67,10 @@
 
 
 def equalise_shares(active_queues: Sequence[RequestQueue], queues: Sequence[RequestQueue]) -> None:
-    """Set the shares of the active queues to an equal weighted shortfall, within one step each.
+    """Set the shares of the active queues to an equal level, within one step each.
 
-    Finds the level by bisection, then normalizes the shares of all queues to a sum of 1.
+    Finds by bisection the level at which the sum of these shares stays the same. Then normalizes
+    the shares of all queues to a sum of 1.
     """
     models = [fit_model(queue) for queue in active_queues]
     active_share_sum = sum(queue.share for queue in active_queues)
--- a/corkgauge/policy/slow_start.py
+++ b/corkgauge/policy/slow_start.py
@@ -1,4 +1,8 @@
-"""Slow start: limits the work that all gateways together send to a newly started engine."""
+"""Slow start: limits the work that all gateways together send to a newly started engine.
+
+All gateways have a common budget of work for each window. It is divided evenly among the gateways.
+A permit is the right to send some work; gateways may give permits to each other.
+"""
 
 from zlib import crc32
 
@@ -7,14 +11,17 @@
 from corkgauge.policy.records import Engine
 from corkgauge.policy.work_estimates import WorkEstimates
 
-BUDGET_SAFETY_FRACTION = 0.9  # of the gateway's part of the budget that it uses
-OVERLOAD_WORK_FRACTION = 0.85  # of the work that overloads an engine; the budget of all gateways
+BUDGET_SAFETY_FRACTION = 0.9  # each gateway uses this fraction of its part of the common budget
+OVERLOAD_WORK_FRACTION = (
+    0.85  # the common budget, as a fraction of the work that overloads an engine
+)
 GOLDEN_RATIO = 0.618034  # its multiples modulo 1 spread the turns of gateways evenly
-TURN_ADVANCE_FRACTION = 0.25  # of a turn, by which turns advance in each window
+# Advance of turns in one window, as a fraction of the share of gateways that may send at once.
+TURN_ADVANCE_FRACTION = 0.25
 
 
 class SlowStart:
-    """Holds this gateway's part of the budget; each engine's stats record the work sent."""
+    """Holds this gateway's part of the common budget; each engine's stats record the work sent."""
 
     def __init__(self, host: Host, options: GatewayOptions, estimates: WorkEstimates) -> None:
         self._host = host
@@ -53,14 +60,16 @@
             sent for when, sent in engine.stats.slow_start_usage if when > window_start
         )
         mean_work = self._estimates.mean_requested_work or work
-        # With hundreds of gateways, the part of one is below one request. Gateways then take turns
-        # by number and send one request of any weight. With separate turns for each weight, the
-        # fleet would spend the whole budget once per weight.
+        # With hundreds of gateways, the part of one is below one request. In its turn, a gateway
+        # then sends one request of any amount of work, counted as the mean work. With separate
+        # turns for each amount, the fleet would spend the whole budget once per amount.
         is_one_at_a_time = gateway_budget < mean_work
         if is_one_at_a_time:
             work = mean_work
-        # Turns advance gradually. If all advanced at the same time, two sets of gateways would send
-        # within one window.
+        # A turn is a number from 0 to 1 that differs between gateways. A request is allowed if its
+        # work times the turn fits: so a fraction budget / work of the gateways may send it. Turns
+        # advance gradually. If all changed at once, two sets of gateways would send within one
+        # window.
         age = now - engine.incarnation
         advance = (
             TURN_ADVANCE_FRACTION * min(gateway_budget / mean_work, 1) * age / self.window_ticks
@@ -69,7 +78,7 @@
         turn = (first_turn + advance) % 1
         if is_one_at_a_time and spent_work > 0:
             return False
-        # A restarted gateway does not know what it sent before, so it waits for one window.
+        # A restarted gateway does not know what it sent before the restart. So it waits one window.
         return window_start >= self.started_at and work * turn <= gateway_budget - spent_work
 
     def record_attempt(self, engine: Engine, work: float) -> None:
--- a/corkgauge/policy/subsetting.py
+++ b/corkgauge/policy/subsetting.py
@@ -13,24 +13,35 @@
 from corkgauge.policy.units import MIN_SAMPLES
 
 GOLDEN_RATIO = 0.618034  # its multiples modulo 1 are evenly spread
-RANK_BITS = 20  # bits of a gateway's number that determine its ranks
+RANK_BITS = 20  # low bits of a gateway's number that determine its ranks
 MAX_WHOLE_LIST_ENGINE_COUNT = 128  # lists up to this size are used whole
 BASE_ENGINE_COUNT = 48  # engines of a subset without growth
 SUBSETS_PER_ENGINE = 16  # least mean number of subsets that contain an engine
-ENGINES_PER_CLASS = 8  # engines of the subset for each request class
-MIN_HEALTHY_ENGINES = MIN_SAMPLES  # of the subset for each request class
+ENGINES_PER_CLASS = 8  # mean number of engines in a subset for a class with few allowed engines
+MIN_HEALTHY_ENGINES = MIN_SAMPLES  # fewest healthy engines in a subset for each request class
 GROWTH_STEP_FRACTION = 0.2  # per interval; a subset shrinks by at most half as much
 MAX_FAILURE_GROWTH_FACTOR = 2.0  # growth of a subset to replace failing engines
-LOAD_THRESHOLD_FACTOR = 1.5  # times the gateway's part of the traffic, above which its subset grows
-MAX_LOAD_GROWTH_FACTOR = 4.0
-LOAD_DEADBAND = (0.7, 1.4)  # a subset that followed each traffic swing would never be warm
-LIST_DEADBAND = (0.5, 2.0)  # larger changes of the target fraction apply at once
+# Requested threads over this gateway's part of the initial concurrency limit of all engines; above
+# this ratio, the subset grows.
+LOAD_THRESHOLD_FACTOR = 1.5
+MAX_LOAD_GROWTH_FACTOR = 4.0  # growth of a subset by the requested threads
+# Ratios of the new to the current growth that change nothing. If the subset changed with each swing
+# of the traffic, its engines would never be warm.
+LOAD_DEADBAND = (0.7, 1.4)
+# Ratios of the current to the target fraction at which a list change does not resize the subset.
+LIST_DEADBAND = (0.5, 2.0)
 
 ZoneAndKind = tuple[int, int]  # zone and engine kind
 
 
 def subset_rank(gateway_number: int, hash_key: bytes) -> float:
-    """The rank of a gateway for an engine, in (0, 1); a knock-out tournament of blocks of 2^i."""
+    """The rank of a gateway for an engine, in (0, 1).
+
+    Gateway numbers form blocks of 2, 4, 8 and so on. In each block, a hash of engine and block
+    picks one of the two halves. A gateway in the picked half of its `level` smallest blocks has a
+    rank from 2^-(level + 1) to 2^-level. So in each block of 2^i gateways exactly one has a rank
+    below 2^-i, and all engines are in nearly the same number of subsets.
+    """
     number = gateway_number % (1 << RANK_BITS)
     hashed = crc32(hash_key) + 1
     level = 0
@@ -56,8 +67,9 @@
         self.engines: list[Engine] = []  # the subset
         self.zone_and_kind_of: dict[Engine, ZoneAndKind] = {}  # all ready engines
         self._engines_by_zone_and_kind: dict[ZoneAndKind, list[Engine]] = {}  # by rank
-        self._fraction = 0.0  # rank up to which engines are in the subset
-        self.failure_growth = 1.0  # a model sets this to predict a larger subset
+        self._fraction = 0.0  # rank up to which engines are in the subset, 0 to 1 or more
+        # Factors of the subset's size. A model sets `failure_growth` to predict a larger subset.
+        self.failure_growth = 1.0
         self._load_growth = 1.0
         self.newest_incarnation = 0  # ticks
 
@@ -102,7 +114,7 @@
         self.rebuild()
 
     def update(self, requested_threads: float, threads_per_core: float) -> None:
-        """Resize the subset by failing engines and by this gateway's part of the total work."""
+        """Resize the subset by failing engines and by the work requested of this gateway."""
         size = len(self.engines)
         unhealthy = sum(not is_trusted(engine.stats) for engine in self.engines)
         growth_before = self.failure_growth
@@ -131,7 +143,7 @@
             self._load_growth = growth
 
     def rebuild(self) -> None:
-        """Select the engines of each zone and kind up to the highest rank limit of its classes."""
+        """Select the engines of each zone and kind, up to the highest rank limit of its classes."""
         limits = dict.fromkeys(self._engines_by_zone_and_kind, self._fraction)
         for request_class in self.request_classes:
             zones_and_kinds = [
@@ -157,8 +169,8 @@
     def _rank_limit(self, zones_and_kinds: list[ZoneAndKind]) -> float:
         """The rank up to which engines of these zones and kinds serve a class.
 
-        The subset could contain no engine of a rare or failing kind. So the limit is raised until
-        the subset contains MIN_HEALTHY_ENGINES of them.
+        With the common limit, a subset could contain no engine of a rare or failing kind. So the
+        limit is raised until the subset contains MIN_HEALTHY_ENGINES of them, if there are as many.
         """
         count = sum(
             len(self._engines_by_zone_and_kind[zone_and_kind]) for zone_and_kind in zones_and_kinds
--- a/corkgauge/policy/units.py
+++ b/corkgauge/policy/units.py
@@ -1,7 +1,11 @@
-"""Units of time and sample counts that several policy modules share."""
+"""Units of time and sample counts that several policy modules share or derive limits from."""
 
 TICKS_PER_SECOND = 10_000
-ESTIMATE_VALIDITY_TICKS = 200  # caching time of an estimate that is computed from many samples
-RECENT_SAMPLES = 8  # samples per engine; also the decay time of arrivals, in feedback intervals
-MIN_SAMPLES = 3  # samples that an estimate needs
+# Caching time of an estimate that is computed from many samples. The largest host lag for new
+# requests and the longest delay of an immediate send are derived from this value.
+ESTIMATE_VALIDITY_TICKS = 200
+# Samples per engine, and the decay time of request counts in feedback intervals. The lowest
+# admission price and the number of requests tried for one slot are derived from this value.
+RECENT_SAMPLES = 8
+MIN_SAMPLES = 3  # fewest samples that an estimate is computed from
 FEEDBACK_INTERVAL_TICKS = 2 * TICKS_PER_SECOND
--- a/corkgauge/policy/work_estimates.py
+++ b/corkgauge/policy/work_estimates.py
@@ -8,35 +8,41 @@
 from corkgauge.policy.units import MIN_SAMPLES
 
 ANSWER_SAMPLES = 48  # per request class
-DEFAULT_WORK_FACTOR = 2.0  # times the work that fits the objective, while there are few samples
-MEMORY_QUANTILE = 0.85  # of the ratio of true to estimated memory, which a grant covers
+DEFAULT_WORK_FACTOR = 2.0  # times the work that fits the objective; assumed for few samples
+MEMORY_QUANTILE = 0.85  # of the ratios of reported to estimated memory, which a grant covers
 
 
 class WorkEstimates:
-    """Holds the mean work over all classes, as of the last feedback interval."""
+    """Holds mean works as of the last feedback interval; the samples are in the request classes."""
 
     def __init__(self, request_classes: Sequence[RequestClass]) -> None:
-        self.mean_typical_work = 0.0  # mean over classes, with equal weights
-        self.mean_requested_work = 0.0  # mean over requests, with equal weights
+        # Mean typical work with equal weights of all queues, and of all recently finished requests.
+        # Both are 0.0 before the first feedback interval.
+        self.mean_typical_work = 0.0
+        self.mean_requested_work = 0.0
         for request_class in request_classes:
-            # (true work over its estimate, true memory over its estimate, true work)
             request_class.answer_samples = deque(maxlen=ANSWER_SAMPLES)
             request_class.typical_work = typical_work(request_class)
 
     def update(self, queues: Iterable[RequestQueue]) -> None:
-        """Recompute the mean typical work of the classes in use."""
+        """Recompute the mean typical work over queues."""
         works = [queue.request_class.typical_work for queue in queues]
         self.mean_typical_work = fmean(works or [0.0])
 
     def update_requested(self, queues: Iterable[RequestQueue]) -> None:
-        """Recompute the mean work of requests; call after the arrivals have been counted."""
+        """Recompute the mean typical work over requests; call after `count_finished_requests`."""
         counts = [queue.recent_finished_count for queue in queues]
         works = [queue.recent_finished_count * queue.request_class.typical_work for queue in queues]
         self.mean_requested_work = sum(works) / (sum(counts) or 1.0)
 
     @staticmethod
     def record_answer(request: Request, work: int, memory: float) -> None:
-        """Record the work (thread ticks) and memory (MB) that an answer reports; 0: unreported."""
+        """Record the work (thread ticks) and memory (MB) that an answer reports; 0: unreported.
+
+        A sample is (work ratio, memory ratio, work). The ratios are reported over estimated values,
+        or the reported values themselves for a request without an estimate. The last value is the
+        expected work if the answer reports none.
+        """
         request_class = request.request_class
         request_class.answer_samples.append(
             (
@@ -55,17 +61,20 @@
 
 
 def expected_work(request: Request) -> float:
-    """The estimated work of a request, corrected by the answers of its class."""
+    """The estimated work of a request in thread ticks, corrected by the answers of its class.
+
+    Without an estimate, the typical work of the class.
+    """
     if not request.estimated_work:
         return request.request_class.typical_work
-    # The list is empty if answers do not report their work.
+    # A ratio is 0 if the answer did not report its work.
     ratios = [ratio for ratio, _, _ in request.request_class.answer_samples if ratio]
     correction = median(ratios) if len(ratios) >= MIN_SAMPLES else 1.0
     return request.estimated_work * correction
 
 
 def typical_work(request_class: RequestClass) -> float:
-    """The mean work of a class; a high assumption while there are few samples."""
+    """The mean work of a class in thread ticks; a high assumption while there are few samples."""
     works = [work for _, _, work in request_class.answer_samples]
     if len(works) >= MIN_SAMPLES:
         return fmean(works)
@@ -74,7 +83,10 @@
 
 
 def memory_grant(request: Request, engine: Engine) -> float:
-    """The estimated memory (MB), corrected by earlier answers; 0: the engine decides."""
+    """The memory (MB) that a request needs by its estimate and earlier answers.
+
+    At most the largest grant of the engine; 0: the engine decides.
+    """
     ratios = sorted(ratio for _, ratio, _ in request.request_class.answer_samples if ratio)
     if not request.estimated_memory or len(ratios) < MIN_SAMPLES:
         return 0.0
