--- a/corkgauge/eventloop/clock.py
+++ b/corkgauge/eventloop/clock.py
@@ -1,7 +1,7 @@
 """Reads the time since boot, which no change of the system date affects.
 
-Other machines have other boot times. Only differences of this clock may be sent to them, never a
-time of it.
+Other machines have other boot times. So only differences between times of this clock may be sent to
+them.
 """
 
 import time
--- a/corkgauge/eventloop/connection.py
+++ b/corkgauge/eventloop/connection.py
@@ -17,9 +17,9 @@
 MAX_READ_BYTES = 16_384  # size limit of one read
 MEMORY_RETRY_TICKS = 500  # retry interval after a refused memory reservation
 LINGER_TICKS = 10_000  # time that a rejected peer has for reading the reason
-# How long input may still arrive that the peer wrote before it saw the close; it is discarded.
+# Time for which input that the peer sent before it noticed the close is still read and discarded.
 IN_TRANSIT_TICKS = 500
-MAX_READS_PER_CHECK = 8  # bounds a check of a peer that writes without pause
+MAX_READS_PER_CHECK = 8  # bounds a check of whether a peer that writes without pause is connected
 DISCARD_BUFFER = bytearray(65_536)  # shared by all closing connections for input to discard
 NEVER = 2**62  # a time in ticks that no clock reaches
 RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
@@ -76,7 +76,7 @@
         self.linger_ticks = LINGER_TICKS
         self.is_parsing = False  # the machine is running and may call the owner
         self.is_write_blocked = False  # the send buffer of the socket is full
-        self.is_flush_scheduled = False  # at the end of this turn of the event loop
+        self.is_flush_scheduled = False  # `flush` is one of the loop's deferred callbacks
 
         # Time limit for one frame.
         self.frame_timeout_ticks = frame_timeout_ticks
@@ -120,8 +120,8 @@
         if events & WRITE:
             self.flush()
         if self.peer_is_client and events & GONE and not self.close_reason:
-            # Reading would not detect that the client has closed while its input is paused, or
-            # while much input is unread. Nobody needs the unread input of a closed client.
+            # Reading would not detect that the client has closed while no input is read for lack of
+            # room, or while much input is unread. The unread input of a closed client is useless.
             self.close_reason = "closed"
         if not has_room and not self.close_reason:
             self._parse_input()
@@ -132,11 +132,11 @@
             and self._is_mid_frame()
             and self.event_loop.now >= self.frame_timeout_since + self.frame_timeout_ticks
         ):
-            # A frame that arrives byte by byte or never would hold memory and a file descriptor.
+            # A frame that arrives byte by byte or never would occupy memory and a file descriptor.
             self.reject("a frame that does not end" if len(ring) else "nothing said")
 
     def _is_mid_frame(self) -> bool:
-        """Return whether the time limit of an incomplete frame is running."""
+        """Return whether the time limit for receiving one frame is running."""
         return bool(self.frame_timeout_ticks) and (
             len(self.machine.inward) > 0
             or (self.peer_is_client and not self.machine.complete_frame_count)
@@ -210,10 +210,14 @@
                 return
 
     def send(self, *pieces: bytes) -> bool:
-        """Queue all pieces for writing; return False and queue nothing if there is no room."""
+        """Queue all pieces for writing.
+
+        Returns False and queues nothing if there is no room or the connection is closed.
+        """
         if not self._queue(pieces):
             return False
-        # One write at the end of the turn covers all output queued in it: each call is expensive.
+        # One write after the current task covers all output that the task queued: each system call
+        # is expensive.
         if not (self.is_flush_scheduled or self.is_write_blocked):
             self.is_flush_scheduled = True
             self.event_loop.deferred_callbacks.append(self.flush)
@@ -254,7 +258,7 @@
     def send_now(self, *pieces: bytes) -> bool:
         """Queue all pieces and write them at once, after the output queued before.
 
-        Returns False if not one byte of them was written; none of them is ever written then.
+        Returns False if no byte of them was written; they are then removed and will not be written.
         """
         if len(self.machine.outward):
             self.flush()
@@ -271,21 +275,25 @@
         return False
 
     def close(self, reason: str) -> None:
-        """Close the connection; the first given reason stays."""
+        """Close the connection; a reason given before is kept."""
         self.close_reason = self.close_reason or reason
         self.event_loop.wake(self.fd)
 
     def reject(self, reason: str) -> None:
-        """Close the connection because of the peer; a client receives the reason first."""
+        """Close the connection because the peer violated the protocol or a time limit.
+
+        A client receives the reason first.
+        """
         if self.peer_is_client and not self.close_reason:
             self.is_lingering = True
             self.owner.on_rejected(reason)
         self.close(reason)
 
     def close_if_input_read(self, reason: str) -> bool:
-        """Close the connection, unless input has arrived that is still unread.
+        """Close the connection, unless input of a peer that may send more is still unread.
 
-        Returns False, and does nothing, in that case and if the connection is closed already.
+        Returns False, and does nothing, in that case and if the connection is closed already. A
+        connection whose peer has shut down writing is closed even with unread input.
         """
         (events,) = self.event_loop.poll_now(self.fd)
         if self.close_reason or (events & READ and not events & GONE):
@@ -304,7 +312,9 @@
         self.event_loop.wake(self.fd)
 
     def _linger(self) -> None:
-        """Shut down writing and discard further input until the peer closes or a time limit.
+        """Write the remaining output, shut down writing, and discard input.
+
+        Ends when the peer closes or the time limit has passed.
 
         Closing a socket with unread input resets the connection, which would discard the last
         output before the peer reads it.
@@ -323,7 +333,7 @@
                     is_shut = True
                 if not self.sock.recv_into(DISCARD_BUFFER):
                     return
-                # Other tasks run in between; a peer that sends without pause would block them.
+                # Lets other tasks run; a peer that sends without pause would block them.
                 self.event_loop.sleep(1)
             except OSError as problem:
                 if problem.errno not in RETRYABLE_ERRNOS:
--- a/corkgauge/eventloop/logging.py
+++ b/corkgauge/eventloop/logging.py
@@ -1,7 +1,7 @@
 """Log formats: plain lines, which on-call.md quotes, and one JSON object per line.
 
-`EVENTS` maps each line that the program writes to a stable event name and to the fields of the
-event. A line that no form matches is written as the event `line` with its text.
+`EVENTS` maps log lines of known forms to stable event names and to the fields of the events. A line
+that no form matches is written as the event `line` with its text.
 """
 
 import json
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-MAX_TRACE_CHARS = 2000  # the last ones of a traceback
+MAX_TRACE_CHARS = 2000  # of a traceback, from its end
 PLAIN_FORMAT = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level} {message}"
 
 NUMBER = re.compile(r"[-+]?\d{1,18}")
--- a/corkgauge/eventloop/loop.py
+++ b/corkgauge/eventloop/loop.py
@@ -1,8 +1,9 @@
 """The event loop: runs greenlet tasks over select.poll, and timers, by one clock.
 
 The loop blocks only in poll, calls no timer early, and keeps running after an exception of a task
-or a timer. No other module polls, sleeps or reads the time. All times are ticks, tenths of a
-millisecond.
+or a timer. All tasks wait and read the time through the loop. Outside of it, `clock.py` reads the
+time since boot, `write_line` of `daemon/process.py` polls without waiting, and the writer thread of
+`corkgauge.recovery` uses a clock. All times are ticks, tenths of a millisecond.
 """
 
 import select
@@ -18,7 +19,7 @@
 SECOND = 10_000  # ticks
 TICKS_PER_MILLISECOND = 10
 NANOSECONDS_PER_TICK = 100_000
-MAX_POLL_MILLISECONDS = 1000  # of one turn, if no timer is due earlier
+MAX_POLL_MILLISECONDS = 1000  # longest wait of one turn
 
 READ, WRITE = select.POLLIN, select.POLLOUT
 BROKEN = select.POLLHUP | select.POLLERR | select.POLLNVAL
@@ -29,7 +30,7 @@
 # Plain tuples are cheap: tens of thousands exist at once, created while requests are handled.
 Timer = tuple[int, Callback, Arguments]  # due time in ticks, callback, its arguments
 ReadyTask = tuple[greenlet, Arguments]  # task, arguments of the switch to it
-ParkedTask = tuple[greenlet | None, int]  # task, serial of its timeout (0: no timeout)
+ParkedTask = tuple[greenlet | None, int]  # task, number of its timeout (0: no timeout)
 
 NOT_PARKED: ParkedTask = (None, 0)
 
@@ -73,7 +74,7 @@
         self.stopped = False
 
         # Largest timer delay and longest turn so far, in ticks. The first turn does not count, as
-        # it starts all subsystems; -1: it has not ended yet.
+        # it starts all subsystems; -1: the first turn has not ended yet.
         self.worst_lag = 0
         self.worst_turn = -1
         self._turn_began_at = self.now
@@ -81,7 +82,7 @@
 
         # Tasks.
         self.parked: dict[int, ParkedTask] = {}  # by file descriptor
-        self.deferred_callbacks: list[Callable[[], None]] = []
+        self.deferred_callbacks: list[Callable[[], None]] = []  # run after the current task
         self._main = getcurrent()
         self._ready: deque[ReadyTask] = deque()
         self._timeout_serial = 0
@@ -119,7 +120,7 @@
         """Run the method as a new task, from the next turn on."""
         self._ready.append((greenlet(method, self._main), arguments))
 
-    # Called by tasks.
+    # Methods that tasks call.
 
     def wait(self, fd: int, mask: int, deadline: int | None = None) -> int:
         """Park the calling task until one of the events in `mask`, or until the deadline.
@@ -144,7 +145,7 @@
         return events
 
     def poll_now(self, *fds: int) -> list[int]:
-        """Return the events that are pending at each descriptor now, without waiting."""
+        """Return the events that are pending for each descriptor now, without waiting."""
         for fd in fds:
             self._immediate_poller.register(fd, READ | GONE)
         found = dict(self._immediate_poller.poll(0))
@@ -153,19 +154,19 @@
         return [found.get(fd, 0) for fd in fds]
 
     def set_event_mask(self, fd: int, mask: int) -> None:
-        """Change the events that the task parked at this descriptor waits for."""
+        """Change the events that the task parked for this descriptor waits for."""
         if fd in self.parked:
             self._poller.modify(fd, mask)
 
     def wake(self, fd: int, events: int = 0) -> None:
-        """Resume the task that is parked at this descriptor, in the next turn."""
+        """Resume the task that is parked for this descriptor, in the next turn."""
         task, _ = self.parked.pop(fd, NOT_PARKED)
         if task is not None:
             self._poller.unregister(fd)
             self._ready.append((task, (events,)))
 
     def _on_wait_timeout(self, fd: int, timeout_serial: int) -> None:
-        # Another task, or none, may wait at the descriptor now; the serial identifies the wait.
+        # Another task, or none, may wait for the descriptor now; the serial identifies the wait.
         if self.parked.get(fd, NOT_PARKED)[1] == timeout_serial:
             self.wake(fd)
 
@@ -174,18 +175,18 @@
         self.call_later(ticks, self._ready.append, (getcurrent(), ()))
         self._main.switch()
 
-    # Called by the process that runs the loop.
+    # Methods of the process that runs the loop.
 
     @property
     def lag(self) -> int:
-        """Largest time in ticks that input which is read now may have waited.
+        """Longest time in ticks that input which is read now may have waited.
 
-        Such input may have arrived right after the last poll but one.
+        Such input may have arrived right after the poll before the last one.
         """
         return self._last_turn_ticks + self.now - self._turn_began_at
 
     def turn(self, max_milliseconds: float = MAX_POLL_MILLISECONDS) -> None:
-        """Run the ready tasks and due timers, then poll for events or until the next timer.
+        """Run the ready tasks and due timers, then poll for events, at most until the next timer.
 
         The poll lasts `max_milliseconds` at most.
         """
@@ -213,7 +214,10 @@
             self.wake(fd, events)
 
     def _run_due_timers(self) -> None:
-        """Run the due timers, then the callbacks that wait for the end of the turn."""
+        """Run the due timers, then the deferred callbacks.
+
+        Called after each task, so a deferred callback runs right after the task that appended it.
+        """
         while (
             self._due_milliseconds
             and TICKS_PER_MILLISECOND * self._due_milliseconds[0] <= self.now
--- a/corkgauge/eventloop/ring_buffer.py
+++ b/corkgauge/eventloop/ring_buffer.py
@@ -5,7 +5,7 @@
 buffer is full stops reading.
 """
 
-INITIAL_BYTES = 4096
+INITIAL_BYTES = 4096  # capacity of a new or empty ring buffer
 
 
 class MemoryBudget:
@@ -31,7 +31,7 @@
 
 
 class RingBuffer:
-    """A byte queue that grows up to `max_bytes` within the budget and shrinks when empty.
+    """A byte queue that grows up to `max_bytes` within the budget, and shrinks when empty.
 
     >>> ring = RingBuffer(20_000, MemoryBudget(4_000))
     >>> ring.put(b"abc"), ring.peek(2), ring.take(2), len(ring), ring.put(b"x" * 9_000)
@@ -57,7 +57,7 @@
         return len(self.storage) - self.size
 
     def reserve(self, total_bytes: int) -> bool:
-        """Grow to `total_bytes` in all; return False if a limit does not allow it now."""
+        """Grow to a capacity of `total_bytes` or more; return False if a limit forbids it now."""
         capacity = len(self.storage)
         if total_bytes <= capacity:
             return True
