--- a/corkgauge/config/operator_element.py
+++ b/corkgauge/config/operator_element.py
@@ -8,12 +8,13 @@
 from corkgauge.errors import ConfigurationError
 from corkgauge.policy.units import TICKS_PER_SECOND
 
-MAX_FILE_BYTES = 2**20  # size limit of the operator file and of each file that it names
+# Size limit of the operator file. Of each text file that it names, as many characters are read.
+MAX_FILE_BYTES = 2**20
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorElement:
-    """An element that the schema has accepted; `xml` is the lxml element."""
+    """An element that the schema accepts; `path` is the file, `xml` the lxml element."""
 
     path: str
     xml: Any
@@ -33,19 +34,19 @@
         return self.xml.get(name) is not None
 
     def text(self, name: str, default: str = "") -> str:
-        """Return an attribute as text."""
+        """Return an attribute as text, or the default without one."""
         return str(self.xml.get(name, default))
 
     def integer(self, name: str, default: str) -> int:
-        """Return an attribute as an integer."""
+        """Return an attribute, or the `default` text without one, as an integer."""
         return int(self.xml.get(name, default))
 
     def number(self, name: str, default: str) -> float:
-        """Return an attribute as a floating-point number."""
+        """Return an attribute, or the `default` text without one, as a floating-point number."""
         return float(self.xml.get(name, default))
 
     def ticks(self, name: str, default: str) -> int:
-        """Return an attribute in ticks; the file has it in seconds."""
+        """Return an attribute in ticks; the file contains seconds."""
         return int(self.number(name, default) * TICKS_PER_SECOND)
 
     def words(self) -> tuple[str, ...]:
@@ -64,7 +65,11 @@
         return host, int(port)
 
     def read_file(self, name: str) -> str:
-        """Return the text of a file that the element names; raise ConfigurationError on failure."""
+        """Return the first MAX_FILE_BYTES characters of a file that the element names.
+
+        A longer file is truncated without an error. Raises ConfigurationError for a file that is
+        unreadable or not UTF-8.
+        """
         try:
             with open(name, encoding="utf-8") as file:
                 return file.read(MAX_FILE_BYTES)
@@ -73,7 +78,7 @@
             raise self.error(f"a readable file {name}, found: {reason}") from None
 
     def error(self, expected: str) -> ConfigurationError:
-        """Return an error that names file, line and element, and what was expected there."""
+        """Return an error with file, line and element; `expected` completes "expected ..."."""
         return ConfigurationError(
             f"{self.path}:{self.xml.sourceline}: element '{self.xml.tag}': expected {expected}"
         )
--- a/corkgauge/config/operator_file.py
+++ b/corkgauge/config/operator_file.py
@@ -1,6 +1,6 @@
 """Reads the operator file: validates it by the schema and passes each element to its reader.
 
-Imported only if `--operator` names a file, so that a program without one loads no XML parser. Opens
+Imported only if `--operator` names a file, so that a process without one loads no XML parser. Opens
 only that file and the files that it names; starts no subsystem and opens no socket.
 """
 
@@ -71,7 +71,9 @@
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as problem:
-        raise ConfigurationError(f"{path}: {problem.strerror}") from None
+        raise ConfigurationError(
+            f"{path}: expected a readable file, found: {problem.strerror}"
+        ) from None
     if len(data) > MAX_FILE_BYTES:
         raise ConfigurationError(f"{path}: expected {MAX_FILE_BYTES} bytes at most, found more")
     return data
--- a/corkgauge/config/operator_fleet.py
+++ b/corkgauge/config/operator_fleet.py
@@ -16,12 +16,15 @@
 )
 from corkgauge.errors import ConfigurationError
 
-MIN_KEY_BYTES = 32  # length of a key that all members share
+MIN_KEY_BYTES = 32  # least length of a key that all members share
 MAX_VOTER_COUNT = 7
 
 
 class _MemberLine(NamedTuple):
-    """A member as an element or a line of the roster file gives it, before validation."""
+    """A member before validation, from an element `fellow` or a line of the roster file.
+
+    `element` is named in errors; for a roster line it is the element that names the roster.
+    """
 
     element: OperatorElement
     name: str
@@ -58,14 +61,14 @@
             continue
         if len(words) not in (2, 3):
             raise ConfigurationError(
-                f"{roster}:{number}: expected NAME ADDRESS:PORT HALL, found {line[:80]!r}"
+                f"{roster}:{number}: expected NAME ADDRESS:PORT [HALL], found {line[:80]!r}"
             )
         lines.append(_MemberLine(element, *words))
     return lines
 
 
 def _read_key(element: OperatorElement) -> bytes:
-    """Return a shared key.
+    """Return the key in the file that the element names.
 
     Raises ConfigurationError for a file that every user of the machine may open, as any of them
     could then forge datagrams.
@@ -105,7 +108,9 @@
     max_clock_drift = element.number("drift", "0.01")
     max_lease_ticks = element.ticks("longest", element.text("lease", "5"))
     if lease_ticks * (1 - max_clock_drift) - margin_ticks < lease_ticks / 2:
-        raise element.error("margin and drift that leave at least half of the lease usable")
+        raise element.error(
+            "a lease of which at least half remains after subtracting drift and margin"
+        )
     if max_lease_ticks < lease_ticks:
         raise element.error("longest to be at least as long as lease")
     return LeaseConfig(
--- a/corkgauge/config/operator_instance.py
+++ b/corkgauge/config/operator_instance.py
@@ -12,7 +12,7 @@
 
 MAX_DATAGRAM_BYTES = 65_507  # largest UDP payload on IPv4
 MAX_UNIX_PATH_BYTES = 107  # longest socket path that Linux accepts
-# Defaults, as text like the attributes that they stand in for.
+# Defaults of attributes, as text like the attribute values.
 CHECKPOINT_SECONDS = "0.25"
 LATENCY_ERROR_FRACTION = "0.02"
 MAX_READER_COUNT = "4"
@@ -41,7 +41,7 @@
     if element is None:
         return None
     if element.has("unix") == element.has("address"):
-        raise element.error("one of unix or address")
+        raise element.error("exactly one of the attributes unix and address")
     if element.has("unix"):
         path = element.text("unix")
         if len(path.encode()) > MAX_UNIX_PATH_BYTES:
--- a/corkgauge/config/operator_records.py
+++ b/corkgauge/config/operator_records.py
@@ -16,7 +16,7 @@
     """
 
     listen: str | tuple[str, int] | None
-    readers: int
+    readers: int  # metrics connections served at once
     checkpoint_folder: str
     checkpoint_interval_ticks: int
     latency_relative_error: float  # of the latency sketches; 0: no sketches
@@ -27,7 +27,7 @@
     """Element `tls`: how a collector is verified, and the client certificate, if any."""
 
     ca_file: str
-    server_name: str
+    server_name: str  # expected in the certificate of the collector
     certificate_file: str
     key_file: str
 
@@ -37,8 +37,8 @@
     """Element `collector`: a receiver of flow records, over udp, tcp or tls."""
 
     address: tuple[str, int]
-    transport: str
-    max_message_bytes: int
+    transport: str  # "udp", "tcp" or "tls"
+    max_message_bytes: int  # largest message with flow records
     # On UDP, templates are sent again after this time or this number of messages.
     template_refresh_ticks: int
     template_refresh_messages: int
@@ -49,8 +49,8 @@
 class FlowExportConfig:
     """Element `flows`: layout, timeouts and collectors of flow records."""
 
-    layout: str
-    mode: str
+    layout: str  # "own", "standard" or "netflow9"
+    mode: str  # "failover" (to one collector at a time) or "all"
     active_timeout_ticks: int
     idle_timeout_ticks: int
     memory_bytes: int  # limit of the records that no collector has accepted yet
@@ -65,10 +65,10 @@
     "machine" (the machine loses power).
     """
 
-    folder: str
+    folder: str  # of snapshots and attempt log
     snapshot_interval_ticks: int
     durability: str
-    snapshots_kept: int
+    snapshots_kept: int  # number of the latest snapshots that are kept
 
 
 class MemberAddress(NamedTuple):
@@ -96,7 +96,8 @@
 class LeaseEntry(NamedTuple):
     """Element `duty`: a lease that at most one instance holds at a time.
 
-    `accounts_period_ticks` is the time between two rounds of fleet accounts.
+    `kind` is "run" or "books" (fleet accounts); `accounts_period_ticks` is the time between two
+    rounds of fleet accounts.
     """
 
     name: str
@@ -112,14 +113,14 @@
     its voters started.
     """
 
-    version: int
+    version: int  # of the list of voters
     voters: tuple[str, ...]
     leases: tuple[LeaseEntry, ...]
     lease_ticks: int
     max_lease_ticks: int
     margin_ticks: int
     max_clock_drift: float  # largest relative difference between the rates of two clocks
-    folder: str
+    folder: str  # of the stored votes
 
 
 class MaintenanceBounds(NamedTuple):
--- a/corkgauge/config/platform.py
+++ b/corkgauge/config/platform.py
@@ -14,10 +14,11 @@
 
 MIN_MEMORY_BYTES = 32 * 2**20
 MIN_SOCKET_COUNT = 32
-MAX_NUMBER = 1e15  # smaller integers are exact as floats
+MAX_NUMBER = 1e15  # exclusive limit; integers below it are exact as floats
 
 # Attributes whose change needs a restart, with their keys in the file. A change of the discovery
-# address takes effect at once; `seed` and `known` are read only at the start.
+# address takes effect at once; `seed` and `known` are read only at the start, and their
+# changes are not logged.
 RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -28,7 +29,7 @@
 
 
 class PlatformConfig:
-    """Addresses, limits, first endpoint list and operators' settings of one gateway.
+    """Addresses, limits, first endpoint events and operators' settings of one gateway.
 
     `document` is the JSON object in the file. `listen` is an address that replaces the one in the
     file unless it is empty. Raises ConfigurationError.
@@ -140,6 +141,6 @@
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not minimum <= value < MAX_NUMBER:
         raise ConfigurationError(
-            f"{prefix}{key}: expected a number of {minimum} or more, found {value!r}"
+            f"{prefix}{key}: expected a number from {minimum} to below 1e15, found {value!r}"
         )
     return value
--- a/corkgauge/config/settings.py
+++ b/corkgauge/config/settings.py
@@ -35,7 +35,10 @@
         it.
 
         Raises:
-            ValueError: A value is missing or not allowed; the message names its key.
+            ValueError: The document is no object, has no request class, or a number or effect in it
+                is not allowed; the message names the key. Missing numbers get defaults that are
+                not checked. Most other values of a wrong form raise KeyError, TypeError or
+                AttributeError, or a ValueError that names no key.
         """
         if not isinstance(document, dict):
             raise ValueError("settings: expected a JSON object")
@@ -55,7 +58,7 @@
             bool(extra.get("takesGrants")),
         )
         self.accepts_priorities = bool(extra.get("takesPriority"))
-        # Between two progress reports of an attempt in flight; 0: engines send none.
+        # Time between two progress reports on an attempt in flight; 0: engines send none.
         self.progress_interval_ticks = read_number(extra, "tellsEveryUs", 0) // 100
         widths = extra.get("widthByClass", [])
         self.request_classes = [
@@ -74,7 +77,8 @@
         self.idle_timeout_ticks = read_number(limits, "connIdleUs", 30_000_000, 1) // 100
         self.max_open_requests = read_number(limits, "openCap", 20_000, 1)
         window_ticks = read_number(rules, "budgetSpanUs", 0) // 100
-        # Floor, share of the accepted requests, and window in ticks; None without a retry budget.
+        # Floor, retries per accepted request, and window in ticks, for the check of the ledger;
+        # None without a retry budget. The gateway's own budget counts answered requests instead.
         self.retry_budget = (
             (
                 read_number(rules, "extraFloor", 0.0),
@@ -121,9 +125,9 @@
 
 
 def read_number(document: dict[str, Any], key: str, default: float, minimum: float = 0) -> Any:
-    """Return the number of a key, or the default without one, in the type of the default.
+    """Return the number of a key in the type of the default; without one, the default unchecked.
 
-    Raises ValueError for a value that is not a number, below `minimum` or too large.
+    Raises ValueError for a value that is not a number, is below `minimum`, or is 1e15 or more.
 
     >>> read_number({"a": 3}, "a", 0), read_number({}, "a", 7)
     (3, 7)
--- a/corkgauge/daemon/configuration_reload.py
+++ b/corkgauge/daemon/configuration_reload.py
@@ -26,9 +26,10 @@
     def reload(self, environment: Mapping[str, str]) -> None:
         """Read the configuration again and apply the changes that need no restart.
 
-        A faulty configuration changes nothing. A valid one leaves open requests and connections
-        alone: only a new discovery address takes effect; other changed keys are logged as waiting
-        for a restart.
+        A faulty platform configuration changes nothing, and the operator file is then not read.
+        With a valid one, the operator file is reloaded too. Open requests and connections remain.
+        Of the platform configuration, only a new discovery address takes effect; other changed keys
+        are logged as waiting for a restart.
         """
         try:
             new = platform.read(environment)
--- a/corkgauge/daemon/memory.py
+++ b/corkgauge/daemon/memory.py
@@ -31,14 +31,14 @@
         self._limit_bytes = limit_bytes
 
     def start(self) -> None:
-        """Replace automatic collection; later collections skip the objects that exist now."""
+        """Replace automatic collection by `check`; collections skip the objects that exist now."""
         gc.collect()
         gc.freeze()
         gc.disable()
         self._event_loop.call_later(CHECK_INTERVAL_TICKS, self.check)
 
     def check(self) -> None:
-        """Collect if memory is short."""
+        """Collect garbage if memory is short, and schedule the next check."""
         pause_ticks = CHECK_INTERVAL_TICKS
         if resident_bytes() > MAX_MEMORY_FRACTION * self._limit_bytes:
             megabytes = resident_bytes() >> 20
--- a/corkgauge/daemon/process.py
+++ b/corkgauge/daemon/process.py
@@ -28,11 +28,14 @@
 __all__ = ["catch_signals", "check", "serve"]
 
 STANDARD_ERROR_FD = 2
-MAX_LINE_BYTES = 4096  # a pipe accepts a write up to this size as a whole (PIPE_BUF)
+MAX_LINE_BYTES = 4096  # a pipe accepts a write of up to this size as a whole (PIPE_BUF)
 
 
 def write_line(line: str) -> None:
-    """Write a line of the log; drop it if the reader has stalled and the write would block."""
+    """Write a line of the log, truncated to MAX_LINE_BYTES.
+
+    If the reader has stalled and the write would block, the line is dropped.
+    """
     poll = select.poll()
     poll.register(STANDARD_ERROR_FD, select.POLLOUT)
     if poll.poll(0):
@@ -41,7 +44,7 @@
 
 
 def check(platform_config: PlatformConfig, operator_file: str = "") -> int:
-    """Read all files that serving would read and print a summary, without serving."""
+    """Read and validate all files that serving would read, and print a summary; return 0."""
     if operator_file:
         from corkgauge.config import operator_file as operator
 
@@ -142,7 +145,7 @@
         if number == signal.SIGUSR1:
             logger.info(self._counters())
         elif number == signal.SIGHUP:
-            # Called by a timer: an exception of the reload would end the task that reads signals.
+            # Run by a timer, as an exception of the reload would end the task that reads signals.
             self.event_loop.call_later(0, self.reloader.reload, os.environ)
         else:
             self._begin_shutdown()
--- a/corkgauge/daemon/subsystems.py
+++ b/corkgauge/daemon/subsystems.py
@@ -15,7 +15,7 @@
     """Interface of a started subsystem.
 
     Two further methods are optional: `leave()` is called when the shutdown begins, while open
-    requests are still answered, and `waiting()` returns True while no client may be accepted yet.
+    requests are still answered. `waiting()` returns True as long as no client may be accepted.
     """
 
     def reload(self, config: Any, /) -> None:
@@ -97,7 +97,7 @@
     return PeerHealthService(host, platform, config, running["membership"])
 
 
-# In the order of their start: each depends only on earlier ones.
+# In the order of their start; each subsystem depends only on earlier ones.
 SUBSYSTEMS = (
     Subsystem("accounting", "figures", _start_accounting),
     Subsystem("recovery", "recall", _start_recovery),
@@ -131,7 +131,11 @@
                 )
 
     def reload(self) -> None:
-        """Read the file again and apply all of it, or log the error and change nothing."""
+        """Read the file again and apply it to the running subsystems.
+
+        After an error, logs it and changes nothing. An element that was added or removed is logged
+        and takes effect after a restart; the other elements are applied.
+        """
         from corkgauge.config import operator_file
 
         try:
@@ -143,7 +147,7 @@
             self.config = config
 
     def _apply(self, config: Any) -> bool:
-        """Pass the new configuration to each running subsystem; after an error, restore the old."""
+        """Pass the new configuration to the running subsystems; after an error, restore the old."""
         reloaded: list[str] = []
         for subsystem in SUBSYSTEMS:
             name = subsystem.name
