--- a/corkgauge/simulator/host.py
+++ b/corkgauge/simulator/host.py
@@ -1,4 +1,4 @@
-"""Host of one simulated instance: converts messages to gateway calls and its calls to actions."""
+"""Host of one simulated instance: converts messages to gateway calls, gateway calls to actions."""
 
 import json
 from collections.abc import Callable
@@ -43,7 +43,7 @@
 
 
 class SimulatedHost:
-    """Implements the gateway's host protocol for one instance, and maps its identifiers."""
+    """Implements the host protocol for one instance, and maps identifiers to its records."""
 
     lag = 0  # ticks; simulated events have no queueing delay
 
@@ -82,11 +82,11 @@
         self.actions.append(pack_decline(self.instance, request.host_reference, retry_after))
 
     def fail(self, request: Request) -> None:
-        """Fail a request that an engine may have run."""
+        """Fail a request; an engine may have run it."""
         self.actions.append(pack_lose(self.instance, request.host_reference))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt; its verdict follows."""
+        """Cancel an attempt; the simulator sends its verdict later."""
         self.actions.append(
             pack_stop_attempt(self.instance, attempt.request.host_reference, attempt.number)
         )
@@ -104,7 +104,7 @@
     # Messages.
 
     def handle(self, message: Any) -> None:
-        """Handle one message of the simulator to this instance."""
+        """Handle one message that the simulator has sent to this instance."""
         HANDLERS[type(message)](self, message)
 
     def _on_born(self, message: Born) -> None:
@@ -170,7 +170,7 @@
         if self.settings.reports_usage:
             work = (message.statistics >> MEMORY_BITS) * TICKS_PER_WORK_UNIT
             memory = (message.statistics & MEMORY_MASK) * MEMORY_UNIT_MB
-        # The report may be empty or shorter than the fields named in the settings.
+        # The report may have fewer values than the settings name fields.
         report = dict(zip(self.settings.load_report_fields, message.load_report, strict=False))
         self.gateway.on_attempt_finished(
             request.attempts[message.attempt],
--- a/corkgauge/simulator/messages.py
+++ b/corkgauge/simulator/messages.py
@@ -21,31 +21,31 @@
 class EventCode(IntEnum):
     """Codes of the records that the simulator sends."""
 
-    BORN = 10
-    UPDATE = 20
-    DEMAND = 30
-    OPENED = 40
-    VERDICT = 50
-    DROPPED = 60
-    DEADLINE_HIT = 70
-    PROBED = 80
-    WHISPER = 90
-    DESTROY = 100
-    UPDATE_OF = 110
-    CENSUS = 120
+    BORN = 10  # `Born`
+    UPDATE = 20  # `ListUpdate`
+    DEMAND = 30  # `NewRequest`
+    OPENED = 40  # skipped
+    VERDICT = 50  # `AttemptVerdict`
+    DROPPED = 60  # `ClientLeft`
+    DEADLINE_HIT = 70  # `TimerDue`
+    PROBED = 80  # an engine's load report; skipped
+    WHISPER = 90  # skipped
+    DESTROY = 100  # the instance ends
+    UPDATE_OF = 110  # `AttemptNote`
+    CENSUS = 120  # a numbered list of `EngineEntry`, common to all instances
 
 
 class ActionCode(IntEnum):
     """Codes of the records that this program sends."""
 
-    DECLINE = 40
-    REMIND = 60
-    FAULT = 70
-    TRACE = 80
-    ROUTE = 90
-    LOSE = 100
-    ASSIGN_TERMS = 110
-    STOP_ATTEMPT = 120
+    DECLINE = 40  # reject a request
+    REMIND = 60  # schedule a timer
+    FAULT = 70  # report an exception, which ends the simulated day
+    TRACE = 80  # log a line
+    ROUTE = 90  # send an attempt
+    LOSE = 100  # fail a request
+    ASSIGN_TERMS = 110  # set memory and priority of a request's attempts
+    STOP_ATTEMPT = 120  # cancel an attempt
 
 
 class ListForm(IntEnum):
@@ -63,8 +63,8 @@
     kind: int
     cell: int
     state: int
-    weight: float
-    started_microseconds: int
+    weight: float  # not used
+    started_microseconds: int  # start time of the engine's process; 0: unknown
 
 
 class Born(NamedTuple):
@@ -77,8 +77,8 @@
 class ListUpdate(NamedTuple):
     """The engine list of an instance has changed."""
 
-    form: int
-    list_number: int
+    form: int  # `ListForm`, or another number for a complete list
+    list_number: int  # of an earlier `CENSUS` record
 
 
 class NewRequest(NamedTuple):
@@ -87,22 +87,22 @@
     request: int
     table_group: float
     request_class: int
-    memory: float
-    marks: int
-    estimate_microseconds: int
+    memory: float  # estimate in MB; 0: none
+    marks: int  # bits, such as HAS_ESTIMATE
+    estimate_microseconds: int  # estimated work, if the marks contain HAS_ESTIMATE
     tenant: int
     order_key: int
-    time_to_deadline_microseconds: int
+    time_to_deadline_microseconds: int  # from now
 
 
 class AttemptVerdict(NamedTuple):
     """An attempt has ended."""
 
     request: int
-    attempt: int
-    outcome: int
+    attempt: int  # index among the request's attempts
+    outcome: int  # `AttemptOutcome`
     took_microseconds: int
-    is_answered: bool
+    is_answered: bool  # as in `Gateway.on_attempt_finished`
     statistics: int  # work (20 bits, milliseconds) and memory (12 bits, units of 4 MB)
     load_report: tuple[float, ...]
 
@@ -112,8 +112,8 @@
 
     request: int
     attempt: int
-    kind: int
-    value: float
+    kind: int  # `NoteKind`
+    value: float  # of PROGRESS: completed fraction
 
 
 class ClientLeft(NamedTuple):
@@ -232,7 +232,7 @@
 
 
 def _skip_nothing(cursor: Cursor) -> None:
-    """Read nothing: the record has no fields."""
+    """Read nothing, as the record has no fields."""
 
 
 # Reader of each record's fields; it returns None for a record that needs no reaction.
--- a/corkgauge/simulator/protocol.py
+++ b/corkgauge/simulator/protocol.py
@@ -3,12 +3,12 @@
 import struct
 from typing import Any, BinaryIO
 
-HEADER = struct.Struct("<IQII")
-REPLY = struct.Struct("<III")
+HEADER = struct.Struct("<IQII")  # size of the rest, clock, record count, frame number
+REPLY = struct.Struct("<III")  # record count, size of the rest, frame number
 
 
 class ProtocolError(Exception):
-    """The input violates the framing; later bytes cannot be interpreted."""
+    """The input violates the protocol; later bytes cannot be interpreted."""
 
 
 class Cursor:
@@ -39,9 +39,10 @@
 
 
 def read_frame(source: BinaryIO) -> tuple[int, int, int, Cursor] | None:
-    r"""Return clock, record count, number and records of the next frame, or None at the end.
+    r"""Return the next frame, or None at the end of the input.
 
-    The input may end only between two frames.
+    A frame is returned as clock (microseconds), record count, frame number and records. The input
+    may end only between two frames.
 
     >>> import io
     >>> clock, count, number, cursor = read_frame(io.BytesIO(bytes.fromhex(
@@ -72,7 +73,7 @@
 
 
 def write_frame(sink: BinaryIO, number: int, records: list[bytes]) -> None:
-    """Write one reply and flush the output.
+    """Write the reply to the frame `number`, and flush the output.
 
     >>> import io
     >>> out = io.BytesIO(); write_frame(out, 1, []); out.getvalue().hex()
