--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -41,7 +41,7 @@
 
 def test_concurrency_limit_applies_only_under_pressure():
     harness = GatewayHarness(engines=1)
-    # One gateway, and an engine that is not under pressure.
+    # An engine that is not under pressure accepts more than the initial limit of this gateway.
     requests = [harness.take() for _ in range(int(8 * RELAXED_THREADS_PER_CORE))]
     assert all(each.attempts for each in requests)
     harness.over(requests[0].attempts[0], AttemptOutcome.ENGINE_FULL)
@@ -148,7 +148,7 @@
     can_cancel, can_hedge, has_progress, expected_action
 ):
     harness = GatewayHarness(can_cancel=can_cancel, can_hedge=can_hedge)
-    for _ in range(9):  # the gateway must know the usual slowness
+    for _ in range(9):  # the gateway must know the median slowness
         harness.over(harness.take(table_group=2.0).attempts[0], took=2000)
     harness.now += 1
     request = harness.take()
@@ -298,7 +298,7 @@
     for _ in range(128):
         harness.over(harness.take().attempts[0], took=2000)
     engines = [engine for _, engine in harness.said("hand_off")][64:]
-    # Without the spread, all 200 gateways would use one engine.
+    # Without affinity engines, this gateway like all 200 would use one engine for the table group.
     assert max(engines.count(each) for each in engines) <= 12
 
 
@@ -337,7 +337,7 @@
 def test_heaviest_request_is_rejected_when_an_order_key_exceeds_the_objective():
     harness = GatewayHarness([{**QUICK, "ordered": True, "objective_stretch": 0.0}])
     requests = [harness.take(order_key=5, estimated_work=work) for work in (1000, 9000, 2000, 1000)]
-    # The request with work 9000 would delay all later ones; the first request is already running.
+    # The request with work 9000 would delay all later ones; the first request was already sent.
     assert [tag for tag, _ in harness.said("dismiss")] == [requests[1].host_reference] and requests[
         0
     ].attempts
@@ -407,7 +407,7 @@
         ) > 1 else None
         later = harness.take()
         harness.over(later.attempts[0], took=200)
-    # The engine is healthy and answers the others, so silence cannot show that this one is lost.
+    # The engine is healthy and answers later attempts, so the check for silence finds no fault.
     assert [len(request.attempts) for request in requests] == [2] + [1] * (
         len(requests) - 1
     ) and not requests[0].is_finished
@@ -495,7 +495,7 @@
     for engine in order[4:]:
         harness.tell(engine, started=harness.now - 2 * SECOND)
     harness.gateway.slow_start.started_at = 0
-    for engine in order[:4]:  # the warm engines already hold attempts
+    for engine in order[:4]:  # the warm engines already run attempts
         engine.threads_in_flight = 2
     request = harness.take()
     assert request.attempts[0].engine in order[:4]
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -73,12 +73,14 @@
 
 
 def worst_over_mean(engines, sets):
-    """Worst ratio, by zone and kind, of the most subsets of one engine to their mean."""
-    count = Counter(tag for each in sets for tag in each)
-    places = {}
+    """Return the largest ratio of an engine's subset count to the mean of its zone and kind."""
+    count = Counter(reference for each in sets for reference in each)
+    counts_by_zone_and_kind = {}
     for engine in engines:
-        places.setdefault((engine.zone, engine.kind), []).append(count[engine.host_reference])
-    return max(max(each) / (sum(each) / len(each)) for each in places.values())
+        counts_by_zone_and_kind.setdefault((engine.zone, engine.kind), []).append(
+            count[engine.host_reference]
+        )
+    return max(max(each) / (sum(each) / len(each)) for each in counts_by_zone_and_kind.values())
 
 
 @pytest.mark.parametrize("engine_count", [1, 5, 40, 80, 128])
@@ -115,10 +117,10 @@
 @settings(max_examples=5, deadline=None)
 @given(st.integers(300, 900), st.integers(600, 1800), st.integers(0, 10**6))
 def test_each_engine_is_in_nearly_the_same_number_of_subsets(gateways, engine_count, salt):
-    part = (
+    fraction = (
         max(
             subsetting.BASE_ENGINE_COUNT,
-            128**2 / engine_count,
+            128**2 / engine_count,  # from MAX_WHOLE_LIST_ENGINE_COUNT
             subsetting.SUBSETS_PER_ENGINE * engine_count / gateways,
         )
         / engine_count
@@ -126,8 +128,8 @@
     count = [0] * 40
     for number in range(gateways):
         for n in range(40):
-            count[n] += subsetting.subset_rank(number, b"%d-%d" % (salt, n)) <= part
-    assert max(count) <= 1.25 * gateways * part and min(count) >= 0.75 * gateways * part
+            count[n] += subsetting.subset_rank(number, b"%d-%d" % (salt, n)) <= fraction
+    assert max(count) <= 1.25 * gateways * fraction and min(count) >= 0.75 * gateways * fraction
 
 
 def test_evenness_bound_fails_for_ranks_by_plain_hash(monkeypatch):
@@ -288,10 +290,10 @@
     sizes = {}
     for traffic_factor in 0.5, 3.0, 30.0:
         harness = make_harness(make_engines(1800))
-        # In threads, as a multiple of the gateway's part of the work.
+        # In threads, as a multiple of the gateway's part of the initial concurrency limit.
         work = 8 * 1800 * INITIAL_THREADS_PER_CORE / 870 * traffic_factor
         queue = harness.take().queue
-        for _ in range(40):  # until the count of arrivals has settled
+        for _ in range(40):  # until the decayed count of finished requests is steady
             finished_count = int(work * 2 * SECOND / queue.request_class.typical_work)
             queue.shortfalls += [0.5] * finished_count
             harness.gateway.on_feedback_interval()
@@ -320,13 +322,15 @@
         )
         request = harness.take()
         first = request.attempts[0].engine
-        place = (lambda each: each.cell) if key_scope == "cell" else (lambda each: each.zone)
-        alone_count += sum(place(each) == place(first) for each in harness.gateway.engines) == 1
+        scope_of = (lambda each: each.cell) if key_scope == "cell" else (lambda each: each.zone)
+        alone_count += (
+            sum(scope_of(each) == scope_of(first) for each in harness.gateway.engines) == 1
+        )
         harness.over(request.attempts[0], AttemptOutcome.TIMED_OUT)
         assert len(request.attempts) == 2
         second = request.attempts[1].engine
-        assert place(second) == place(first) and second is not first
-    assert alone_count > 10  # in most subsets the first engine is the only one of its key scope
+        assert scope_of(second) == scope_of(first) and second is not first
+    assert alone_count > 10  # subsets in which the first engine is the only one of its key scope
 
 
 def test_request_that_never_ran_is_retried_within_the_subset():
@@ -346,7 +350,8 @@
     """Return the worst load of an engine in slow start, relative to the allowed load.
 
     120 gateways have unlimited work, and half of them know only half of the engine list. The load
-    is the number of requests of mean work in the worst window. Allowed are N + 2 * sqrt(N + 2).
+    is the number of requests of mean work in the worst window. If the budget is N such requests,
+    N + 2 * sqrt(N + 2) are allowed.
 
     Args:
         believed_fraction: configured number of gateways over the true number.
@@ -394,7 +399,7 @@
 def test_gateways_without_a_number_have_different_subsets():
     subsets_found = []
     for name in "n1", "n2", "n3":
-        stated = {**STATED_ON_SOCKETS, "instances": 870}  # the same seed in all files
+        stated = {**STATED_ON_SOCKETS, "instances": 870}  # all gateways have the same seed
         host = GatewayHarness(engines=0)
         gateway = Settings(stated, host, 7, name).gateway
         for engine in make_engines(900):
@@ -478,11 +483,11 @@
                     )
                     == 1
                 )
-            for part in 0.7 / block, 0.9 / block:
+            for fraction in 0.7 / block, 0.9 / block:
                 assert (
                     abs(
-                        sum(rank_function(number, engine) <= part for number in range(870))
-                        - 870 * part
+                        sum(rank_function(number, engine) <= fraction for number in range(870))
+                        - 870 * fraction
                     )
                     <= 3
                 )
