--- a/corkgauge/policy/admission.py
+++ b/corkgauge/policy/admission.py
@@ -23,7 +23,7 @@
 MAX_QUEUE_WAIT_FRACTION = 0.06  # of a request's time to its deadline
 MAX_HOST_LAG_TICKS = 2 * ESTIMATE_VALIDITY_TICKS  # above it, new requests are rejected
 MAX_REQUESTS_TRIED_COUNT = RECENT_SAMPLES  # requests of a queue that are tried for one slot
-MIN_OBJECTIVE_TICKS = 1
+MIN_OBJECTIVE_TICKS = 1  # avoids a division by zero
 
 
 class Admission:
--- a/corkgauge/policy/engine_selection.py
+++ b/corkgauge/policy/engine_selection.py
@@ -22,8 +22,8 @@
 # since the tables of the table group are less likely to be cached there.
 DISTANCE_PENALTY_THREADS_PER_CORE = 0.25
 NEAREST_ENGINE_COUNT = 3  # allowed engines from the start of the hashed order, considered first
-# Times an even share of recent work per core; engines above it are used only as a fallback. Also
-# the factor by which a table group has more affinity engines than its fraction of the work needs.
+# An engine with more than this times the mean recent work per core is used only as a fallback. A
+# table group has this times as many affinity engines as its fraction of the recent work amounts to.
 EVEN_SHARE_FACTOR = 1.25
 KEYED = Repeatability.KEYED  # a constant here, as enum access is slow on the hot path
 
@@ -136,9 +136,9 @@
         context = self._prepare(request)
         for engine_filter in FALLBACK_ORDER:
             if engine_filter is not FALLBACK_ORDER[0]:
-                outside = self.select_in_key_scope(request, context.tried)
-                if outside:
-                    return outside
+                scope_engine = self.select_in_key_scope(request, context.tried)
+                if scope_engine:
+                    return scope_engine
             is_any_eligible, engine = self._select_in_order(context, engine_filter)
             if is_any_eligible:
                 return engine
@@ -153,7 +153,7 @@
         most_cores = max([engine.cores for engine in order], default=0)
         affinity_count = first_affinity = 0
         work_slack = 0.0
-        # Whether this gateway's part of the limit of the largest engine is below one thread.
+        # True if this gateway's part of the limit of the largest engine is below one thread.
         if self._limit.threads_per_core * most_cores < 1.0:
             work_slack = work
             affinity_count = self._affinity_count(request, len(order), recent_work)
@@ -178,10 +178,10 @@
     def _affinity_count(self, request: Request, engine_count: int, recent_work: float) -> int:
         """The number of affinity engines of the request's table group.
 
-        Without them, hundreds of gateways with a few requests each would all send a table group's
-        first request to the same engine. A table group gets EVEN_SHARE_FACTOR times the fraction of
-        engines that its fraction of the recent work needs, and a hash spreads the gateways' first
-        choices over them.
+        Without affinity engines, hundreds of gateways with a few requests each would all send a
+        table group's first request to the same engine. The fraction of engines is EVEN_SHARE_FACTOR
+        times the table group's fraction of the recent work. A hash spreads the first choices of the
+        gateways over them.
         """
         work = request.request_class.typical_work
         group_work = self._recent_work.work_of_group(request.table_group) + work
@@ -250,8 +250,8 @@
         """The least loaded untried engine in the scope of the idempotency key, or None.
 
         Searches all ready engines of the key's zone or cell, in the subset or not: all engines that
-        know the key may be outside the subset. Returns None if the
-        request may use any engine or the subset is whole.
+        know the key may be outside the subset. Unhealthy engines are used only if no other is
+        allowed. Returns None if the request may use any engine or the subset is whole.
         """
         request_class = request.request_class
         scope = request_class.key_scope
--- a/corkgauge/policy/engine_slowness.py
+++ b/corkgauge/policy/engine_slowness.py
@@ -24,7 +24,7 @@
         """The slowness of an engine: its own estimate, else that of the peers, else `default`.
 
         The own estimate is the median of the slowness of recent answers and of those attempts in
-        flight whose slowness so far is above DEFAULT_SLOWNESS and the median answer.
+        flight whose slowness so far is above DEFAULT_SLOWNESS and the median of the answers.
         """
         now = self._host.now
         if now >= stats.slowness_valid_until:
@@ -46,7 +46,7 @@
         stats.slowness = median(known_samples) if len(known_samples) >= MIN_SAMPLES else 0.0
 
     def median_of_engines(self) -> float:
-        """The median slowness of the engines in the subset that have an estimate.
+        """The median slowness of the engines in the subset with an estimate, own or from peers.
 
         Without any estimate, the median is DEFAULT_SLOWNESS. Cached, since every event needs it.
         """
--- a/corkgauge/policy/gateway.py
+++ b/corkgauge/policy/gateway.py
@@ -172,7 +172,7 @@
         self.admission.fill_slots()
 
     def on_subset_update_due(self) -> None:
-        """Resize the subset, once in each feedback interval."""
+        """Resize the subset; due in each feedback interval, unless all engines should be in it."""
         self.subset.update(self.queues.requested_work_rate(), self.limit.threads_per_core)
         self.selector.clear_cached_orders()
 
@@ -286,7 +286,7 @@
         equalise_shares(active_queues, queues)
 
     def _schedule_subset_update(self) -> None:
-        # Without this offset, gateways that started together would all resize together.
+        # Without this delay, gateways that started together would all resize at the same time.
         spread_hash = crc32(pack("<qQ", self.options.gateway_number, self.host.now))
         self.host.call_later(spread_hash % FEEDBACK_INTERVAL_TICKS, self.on_subset_update_due)
 
--- a/corkgauge/policy/hedging.py
+++ b/corkgauge/policy/hedging.py
@@ -52,8 +52,9 @@
     def cancel_or_hedge(self, attempt: Attempt, budget_fraction: float = 1.0) -> None:
         """Cancel the attempt or queue a second one, if retry rules and budget allow a retry.
 
-        The outcome of the cancelled attempt then causes the retry. `budget_fraction` is the part of
-        the retry budget that this retry may use.
+        The outcome of the cancelled attempt then causes the retry. A second attempt is queued only
+        if engines do not support cancellation and the options allow hedging. `budget_fraction` is
+        the part of the retry budget that this retry may use.
         """
         request = attempt.request
         if request.is_finished or attempt.is_cancelled or request.is_queued:
--- a/corkgauge/policy/share_controller.py
+++ b/corkgauge/policy/share_controller.py
@@ -14,12 +14,12 @@
 
 MAX_SHARE_STEP = 0.05  # largest change of a share in one feedback interval
 MIN_SHARE_FRACTION = 0.1  # smallest share, as a fraction of an equal share
-SHORTFALL_QUANTILE = 0.99
+SHORTFALL_QUANTILE = 0.99  # of the shortfalls of one interval
 MIN_SHORTFALL = 1e-3  # avoids a division by zero
 # Least slope of the linear model. A flat model would divide by zero, and a falling one would move
 # shares in the wrong direction.
 MIN_SLOPE = 1.0
-MIN_SPREAD = 1e-9  # of the recorded shares, below which no slope can be fitted
+MIN_SPREAD = 1e-9  # squared deviations of shares; up to this sum, no slope can be fitted
 LEVEL_BOUND = 1e4  # the bisection searches levels between minus and plus this bound
 BISECTION_COUNT = 60  # halvings, more than a float has bits of precision
 
@@ -31,7 +31,7 @@
     share: float  # in the last interval
     inverse_shortfall: float  # in the last interval
     slope: float  # change of the inverse shortfall per change of the share
-    weight: float  # value per second that a request of the class occupies a slot
+    weight: float  # priority weight per second for which a request occupies a slot
 
     def share_at(self, level: float) -> float:
         """The share at which the model reaches this level, at most one step from the last share."""
@@ -53,9 +53,10 @@
     share, inverse_shortfall = queue.share_history[-1]
     mean_share = fmean(each for each, _ in queue.share_history)
     mean_inverse_shortfall = fmean(each for _, each in queue.share_history)
-    spread = sum((a - mean_share) ** 2 for a, _ in queue.share_history)
+    spread = sum((each_share - mean_share) ** 2 for each_share, _ in queue.share_history)
     covariance = sum(
-        (a - mean_share) * (p - mean_inverse_shortfall) for a, p in queue.share_history
+        (each_share - mean_share) * (each_inverse - mean_inverse_shortfall)
+        for each_share, each_inverse in queue.share_history
     )
     slope = covariance / spread if spread > MIN_SPREAD else 0.0
     # If the weight were the value alone, heavy classes would occupy all slots. So the weight is the
--- a/corkgauge/policy/slow_start.py
+++ b/corkgauge/policy/slow_start.py
@@ -12,9 +12,7 @@
 from corkgauge.policy.work_estimates import WorkEstimates
 
 BUDGET_SAFETY_FRACTION = 0.9  # each gateway uses this fraction of its part of the common budget
-OVERLOAD_WORK_FRACTION = (
-    0.85  # the common budget, as a fraction of the work that overloads an engine
-)
+OVERLOAD_WORK_FRACTION = 0.85  # the common budget, over the work that overloads an engine
 GOLDEN_RATIO = 0.618034  # its multiples modulo 1 spread the turns of gateways evenly
 # Advance of turns in one window, as a fraction of the share of gateways that may send at once.
 TURN_ADVANCE_FRACTION = 0.25
@@ -66,10 +64,10 @@
         is_one_at_a_time = gateway_budget < mean_work
         if is_one_at_a_time:
             work = mean_work
-        # A turn is a number from 0 to 1 that differs between gateways. A request is allowed if its
-        # work times the turn fits: so a fraction budget / work of the gateways may send it. Turns
-        # advance gradually. If all changed at once, two sets of gateways would send within one
-        # window.
+        # The turn of a gateway is a number from 0 to 1, by its gateway number. A request is allowed
+        # if its work times the turn fits into the budget. So a fraction gateway_budget / work of
+        # the gateways may send it at once. Turns advance gradually. If all changed at the same
+        # time, two sets of gateways would send within one window.
         age = now - engine.incarnation
         advance = (
             TURN_ADVANCE_FRACTION * min(gateway_budget / mean_work, 1) * age / self.window_ticks
--- a/corkgauge/policy/subsetting.py
+++ b/corkgauge/policy/subsetting.py
@@ -91,7 +91,7 @@
             insort(ranked, engine, key=lambda each: each.subset_rank)
 
     def target_fraction(self) -> float:
-        """The fraction of all engines that the subset should contain; 1 or more: all."""
+        """The fraction of all ready engines that the subset should contain; 1 or more: all."""
         count = max(len(self.zone_and_kind_of), 1)
         size = max(
             BASE_ENGINE_COUNT,
--- a/corkgauge/policy/work_estimates.py
+++ b/corkgauge/policy/work_estimates.py
@@ -13,11 +13,11 @@
 
 
 class WorkEstimates:
-    """Holds mean works as of the last feedback interval; the samples are in the request classes."""
+    """Holds two means of the work of requests; the samples are stored in the request classes."""
 
     def __init__(self, request_classes: Sequence[RequestClass]) -> None:
-        # Mean typical work with equal weights of all queues, and of all recently finished requests.
-        # Both are 0.0 before the first feedback interval.
+        # Mean typical work in thread ticks, with equal weights of all queues and of all recently
+        # finished requests. Updated in each feedback interval; 0.0 before the first.
         self.mean_typical_work = 0.0
         self.mean_requested_work = 0.0
         for request_class in request_classes:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -272,11 +272,11 @@
 
     from corkgauge.simulator.__main__ import Cursor, SimulatorAdapter
 
-    ground = SimulatorAdapter()
+    adapter = SimulatorAdapter()
     boot = b'{"profiles":[{"deadlineUs":-5}]}'
-    ground.handle_record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
-    assert ground.actions[0][0] == 70
-    assert b"deadlineUs: expected a number in the allowed range, found -5" in ground.actions[0]
+    adapter.handle_record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
+    assert adapter.actions[0][0] == 70
+    assert b"deadlineUs: expected a number in the allowed range, found -5" in adapter.actions[0]
 
 
 def test_timeouts_lower_the_concurrency_limit_and_answers_in_time_raise_it():
@@ -441,17 +441,19 @@
         requests = [
             request
             for request in requests
-            if any(h.is_in_flight for h in request.attempts) or not request.is_finished
+            if any(each.is_in_flight for each in request.attempts) or not request.is_finished
         ]
         requests.append(
             harness.take(table_group=float(index), order_key=index + 1, time_to_deadline=5000)
         )
-        for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
+        for attempt in [
+            each for request in requests for each in request.attempts if each.is_in_flight
+        ]:
             harness.over(
                 attempt, AttemptOutcome.TIMED_OUT if index % 3 else AttemptOutcome.SUCCEEDED
             )
         harness.pass_time(100)
-    for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
+    for attempt in [each for request in requests for each in request.attempts if each.is_in_flight]:
         harness.over(attempt, AttemptOutcome.TIMED_OUT, finished=True)
     harness.pass_time(12 * SECOND)
     gateway = harness.gateway
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -254,7 +254,9 @@
         harness.pass_time(2 * SECOND)
         sizes.append(len(subset_of(harness)))
     assert before < subset_of(harness) and 1.6 * len(before) < sizes[-1] <= 2.6 * len(before)
-    steps = [later_sizes - earlier for earlier, later_sizes in zip([len(before), *sizes], sizes)]
+    steps = [
+        later_size - earlier_size for earlier_size, later_size in zip([len(before), *sizes], sizes)
+    ]
     assert max(steps) <= 0.45 * len(before), steps  # a fifth per interval, with a margin for chance
     for engine in failed:
         engine.stats.fault_history.append("")
