--- a/corkgauge/policy/options.py
+++ b/corkgauge/policy/options.py
@@ -23,7 +23,7 @@
     overload_factor: float
     overload_window_ticks: int
     retry_floor: float  # retries in one window that the budget always allows
-    retry_share: float  # further retries per success in the window
+    retry_share: float  # further retries per answered request in the window
     retry_window_ticks: int  # 0: no budget configured, use the default
     settle_ticks: int  # time for which an attempt with unknown outcome may still run
 
--- a/corkgauge/policy/outlier_detection.py
+++ b/corkgauge/policy/outlier_detection.py
@@ -20,7 +20,7 @@
 SILENT_FAULT = "silent"
 
 EJECTION_TICKS = TICKS_PER_SECOND  # after a first fault; doubled for each further recent fault
-MAX_DOUBLINGS = 4
+MAX_DOUBLINGS = 4  # of the ejection time
 COMPARISON_WINDOW_TICKS = 10 * TICKS_PER_SECOND  # for the failure counts of engines
 COMMON_FAULT_FACTOR = 2  # times the median of the other engines' failures
 COMMON_FAULT_SLACK_COUNT = 2  # failures allowed in addition
--- a/corkgauge/policy/records.py
+++ b/corkgauge/policy/records.py
@@ -68,15 +68,15 @@
     name: str
     latency_objective: int  # ticks, without the stretch
     objective_stretch: float  # added to the objective for each tick of work of one thread
-    time_to_deadline: int  # ticks from acceptance
+    time_to_deadline: int  # ticks
     priority_weight: float  # value of one answer in time
     repeatability: int = Repeatability.IDEMPOTENT
     key_scope: str = "all"  # keyed: the engines that know a key: all, zone, cell
     key_ttl: int = 0  # keyed: time for which engines remember a key, in ticks
-    ordered: bool = False
+    ordered: bool = False  # requests with one order key are sent one at a time
     zones: tuple[int, ...] = ()  # allowed zones; empty: any
     engine_kinds: tuple[int, ...] = ()
-    threads: int = 1
+    threads: int = 1  # that one attempt occupies at an engine
     # Recent answers: (work ratio, memory ratio, work), see `WorkEstimates.record_answer`.
     answer_samples: deque[tuple[float, float, float]] = field(default_factory=deque)
     # Mean work of recent answers in thread ticks; a high assumption while there are few answers.
@@ -114,8 +114,8 @@
     fault_history: deque[str]  # one entry per success (empty text) or counted fault (its kind)
     # (kind, when) of failures, also those not counted as faults because other engines fail alike.
     failure_history: deque[tuple[str, int]]
-    last_activity_at: int = -1  # when the engine last sent data
-    ejected_until: int = -1
+    last_activity_at: int = -1  # ticks, when the engine last sent data
+    ejected_until: int = -1  # ticks
     refused_until: int = -1  # no attempts until then, as the engine refused one as full
     limit_factor: float = 1.0  # concurrency limit, relative to the initial limit
     reported_load: float = -1.0  # attempts running there, as the engine last reported; -1: never
@@ -171,7 +171,7 @@
     request: Request
     engine: Engine
     number: int  # index among the request's attempts; 0: the first
-    sent_at: int
+    sent_at: int  # ticks, when the policy called `Host.send_attempt`
     expected_duration: float  # ticks of the expected work alone
     typical_duration: float  # ticks of the class's typical work alone
     is_in_flight: bool = True
