--- a/corkgauge/config/operator_instance.py
+++ b/corkgauge/config/operator_instance.py
@@ -41,7 +41,7 @@
     if element is None:
         return None
     if element.has("unix") == element.has("address"):
-        raise element.error("exactly one of the attributes unix and address")
+        raise element.error("one of unix or address")
     if element.has("unix"):
         path = element.text("unix")
         if len(path.encode()) > MAX_UNIX_PATH_BYTES:
