--- a/corkgauge/config/operator_instance.py
+++ b/corkgauge/config/operator_instance.py
@@ -12,7 +12,7 @@
 
 MAX_DATAGRAM_BYTES = 65_507  # largest UDP payload on IPv4
 MAX_UNIX_PATH_BYTES = 107  # longest socket path that Linux accepts
-# Defaults, as text like the attributes that they stand in for.
+# Defaults of attributes, as text like the attribute values.
 CHECKPOINT_SECONDS = "0.25"
 LATENCY_ERROR_FRACTION = "0.02"
 MAX_READER_COUNT = "4"
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -283,7 +283,7 @@
         `address` identifies an engine that is listed under a new name.
         """
         if not self.is_initialized:
-            return Cordon.NONE
+            return Cordon.OFF
         return self.participant.cordon_of(tag, format_address(address))
 
     def on_attempt_finished(self, tag: str, outcome: int) -> None:
--- a/corkgauge/net/engine_pool.py
+++ b/corkgauge/net/engine_pool.py
@@ -56,13 +56,13 @@
         # earlier generation is discarded.
         self.address_generation = 0
         self.is_filling = False  # `fill` is running
-        self.is_fill_due = False  # `fill` is scheduled for the end of this turn
+        self.is_fill_due = False  # `fill` is scheduled to run after the current task
         self.lacks_descriptor = False  # the last dial found no free descriptor in this process
 
     def enqueue(self, in_flight_attempt: InFlightAttempt) -> None:
         """Queue an attempt for a connection.
 
-        The attempt is written at the end of this turn, outside the gateway's own calls, if a
+        The attempt is written after the current task, outside the gateway's own calls, if a
         connection has room then. Otherwise the attempt waits for a connection.
         """
         self.waiting.append(in_flight_attempt)
--- a/corkgauge/net/platform_frontend.py
+++ b/corkgauge/net/platform_frontend.py
@@ -258,7 +258,7 @@
     def _register_request(self, client_connection: ClientConnection, request: Request) -> None:
         """Register a request and schedule its submission to the gateway.
 
-        The request is submitted at the end of this turn, or up to `MAX_BATCH_WAIT_TICKS` later
+        The request is submitted after the current task, or up to `MAX_BATCH_WAIT_TICKS` later
         while the connection has unread bytes.
         """
         client_request = request.host_reference
--- a/corkgauge/simulator/messages.py
+++ b/corkgauge/simulator/messages.py
@@ -21,31 +21,31 @@
 class EventCode(IntEnum):
     """Codes of the records that the simulator sends."""
 
-    BORN = 10
-    UPDATE = 20
-    DEMAND = 30
-    OPENED = 40
-    VERDICT = 50
-    DROPPED = 60
-    DEADLINE_HIT = 70
-    PROBED = 80
-    WHISPER = 90
-    DESTROY = 100
-    UPDATE_OF = 110
-    CENSUS = 120
+    BORN = 10  # `Born`
+    UPDATE = 20  # `ListUpdate`
+    DEMAND = 30  # `NewRequest`
+    OPENED = 40  # skipped
+    VERDICT = 50  # `AttemptVerdict`
+    DROPPED = 60  # `ClientLeft`
+    DEADLINE_HIT = 70  # `TimerDue`
+    PROBED = 80  # an engine's load report; skipped
+    WHISPER = 90  # skipped
+    DESTROY = 100  # the instance ends
+    UPDATE_OF = 110  # `AttemptNote`
+    CENSUS = 120  # a numbered list of `EngineEntry`, common to all instances
 
 
 class ActionCode(IntEnum):
     """Codes of the records that this program sends."""
 
-    DECLINE = 40
-    REMIND = 60
-    FAULT = 70
-    TRACE = 80
-    ROUTE = 90
-    LOSE = 100
-    ASSIGN_TERMS = 110
-    STOP_ATTEMPT = 120
+    DECLINE = 40  # reject a request
+    REMIND = 60  # schedule a timer
+    FAULT = 70  # report an exception, which ends the simulated day
+    TRACE = 80  # log a line
+    ROUTE = 90  # send an attempt
+    LOSE = 100  # fail a request
+    ASSIGN_TERMS = 110  # set memory and priority of a request's attempts
+    STOP_ATTEMPT = 120  # cancel an attempt
 
 
 class ListForm(IntEnum):
@@ -63,8 +63,8 @@
     kind: int
     cell: int
     state: int
-    weight: float
-    started_microseconds: int
+    weight: float  # not used
+    started_microseconds: int  # start time of the engine's process; 0: unknown
 
 
 class Born(NamedTuple):
@@ -77,8 +77,8 @@
 class ListUpdate(NamedTuple):
     """The engine list of an instance has changed."""
 
-    form: int
-    list_number: int
+    form: int  # `ListForm`, or another number for a complete list
+    list_number: int  # of an earlier `CENSUS` record
 
 
 class NewRequest(NamedTuple):
@@ -87,22 +87,22 @@
     request: int
     table_group: float
     request_class: int
-    memory: float
-    marks: int
-    estimate_microseconds: int
+    memory: float  # estimate in MB; 0: none
+    marks: int  # bits, such as HAS_ESTIMATE
+    estimate_microseconds: int  # estimated work, if the marks contain HAS_ESTIMATE
     tenant: int
     order_key: int
-    deadline_microseconds: int
+    time_to_deadline_microseconds: int  # from now
 
 
 class AttemptVerdict(NamedTuple):
     """An attempt has ended."""
 
     request: int
-    attempt: int
-    outcome: int
+    attempt: int  # index among the request's attempts
+    outcome: int  # `AttemptOutcome`
     took_microseconds: int
-    is_final: bool
+    is_answered: bool  # as in `Gateway.on_attempt_finished`
     statistics: int  # work (20 bits, milliseconds) and memory (12 bits, units of 4 MB)
     load_report: tuple[float, ...]
 
@@ -112,8 +112,8 @@
 
     request: int
     attempt: int
-    kind: int
-    value: float
+    kind: int  # `NoteKind`
+    value: float  # of PROGRESS: completed fraction
 
 
 class ClientLeft(NamedTuple):
@@ -171,7 +171,7 @@
     """Read a list of engines and its number, by which later updates refer to it."""
     (number,) = cursor.take(_COUNT16)
     (count,) = cursor.take(_COUNT32)
-    entries = cursor.run(count * _ENTRY.size)
+    entries = cursor.take_bytes(count * _ENTRY.size)
     return number, [EngineEntry(*fields) for fields in _ENTRY.iter_unpack(entries)]
 
 
@@ -183,7 +183,7 @@
 def _read_born(cursor: Cursor) -> Born:
     (seed,) = cursor.take(_SEED)
     (size,) = cursor.take(_COUNT32)
-    return Born(seed, cursor.run(size))
+    return Born(seed, cursor.take_bytes(size))
 
 
 def _read_update(cursor: Cursor) -> ListUpdate:
@@ -196,9 +196,11 @@
 
 
 def _read_verdict(cursor: Cursor) -> AttemptVerdict:
-    request, attempt, _, outcome, took, is_final, statistics = cursor.take(_VERDICT)
+    request, attempt, _, outcome, took, is_answered, statistics = cursor.take(_VERDICT)
     load_report = _read_load_report(cursor)
-    return AttemptVerdict(request, attempt, outcome, took, bool(is_final), statistics, load_report)
+    return AttemptVerdict(
+        request, attempt, outcome, took, bool(is_answered), statistics, load_report
+    )
 
 
 def _read_note(cursor: Cursor) -> AttemptNote:
@@ -222,7 +224,7 @@
 def _skip_whisper(cursor: Cursor) -> None:
     cursor.take(_COUNT16)
     (size,) = cursor.take(_COUNT16)
-    cursor.run(size)
+    cursor.take_bytes(size)
 
 
 def _skip_opened(cursor: Cursor) -> None:
@@ -230,7 +232,7 @@
 
 
 def _skip_nothing(cursor: Cursor) -> None:
-    """Read nothing: the record has no fields."""
+    """Read nothing, as the record has no fields."""
 
 
 # Reader of each record's fields; it returns None for a record that needs no reaction.
--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -328,7 +328,7 @@
     )
     harness.send(client, request_frame(1))
     request = harness.socket_host.open_requests[T1]
-    harness.socket_host.gateway.hedging.retry_elsewhere(request.attempts[0])
+    harness.socket_host.gateway.hedging.cancel_or_hedge(request.attempts[0])
     harness.socket_host.gateway.admission.fill_slots()
     harness.turn()
     assert (
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from corkgauge.policy.concurrency_limit import MAX_THREADS_PER_CORE
+from corkgauge.policy.concurrency_limit import RELAXED_THREADS_PER_CORE
 from corkgauge.policy.outcome_learning import OVERLOAD_STEP
 from corkgauge.policy.records import AttemptOutcome, Engine, NoteKind, Repeatability
 from corkgauge.policy.share_controller import MAX_SHARE_STEP, MIN_SHARE_FRACTION
@@ -43,8 +43,8 @@
 
 def test_concurrency_limit_applies_only_under_pressure():
     harness = GatewayHarness(engines=1)
-    # One gateway, and an engine that is not under pressure.
-    requests = [harness.submit_request() for _ in range(int(8 * MAX_THREADS_PER_CORE))]
+    # An engine that is not under pressure accepts more than the initial limit of this gateway.
+    requests = [harness.submit_request() for _ in range(int(8 * RELAXED_THREADS_PER_CORE))]
     assert all(each.attempts for each in requests)
     harness.finish_attempt(requests[0].attempts[0], AttemptOutcome.ENGINE_FULL)
     waiting = harness.submit_request()
@@ -55,12 +55,12 @@
     assert harness.submit_request().attempts  # a gateway without attempts may always send one
 
 
-def test_burst_is_limited_by_max_threads_per_core():
+def test_burst_is_limited_by_relaxed_threads_per_core():
     harness = GatewayHarness(engines=1)
     assert (
         0
         < sum(len(harness.submit_request().attempts) for _ in range(100))
-        <= 8 * MAX_THREADS_PER_CORE
+        <= 8 * RELAXED_THREADS_PER_CORE
     )
 
 
@@ -127,7 +127,7 @@
         ([AttemptOutcome.SUCCEEDED], False),
     ],
 )
-def test_faulty_engine_is_ejected(outcomes, is_ejected):
+def test_engine_is_ejected_only_after_a_fault(outcomes, is_ejected):
     harness = GatewayHarness()
     request = harness.submit_request()
     first_engine = request.attempts[0].engine
@@ -164,7 +164,7 @@
     can_cancel, can_hedge, has_progress, expected_action
 ):
     harness = GatewayHarness(can_cancel=can_cancel, can_hedge=can_hedge)
-    for _ in range(9):  # the gateway must know the usual slowness
+    for _ in range(9):  # the gateway must know the median slowness
         harness.finish_attempt(harness.submit_request(table_group=2.0).attempts[0], took=2000)
     harness.now += 1
     request = harness.submit_request()
@@ -291,12 +291,12 @@
 
     from corkgauge.simulator.__main__ import Cursor, SimulatorAdapter
 
-    ground = SimulatorAdapter()
+    adapter = SimulatorAdapter()
     boot = b'{"profiles":[{"deadlineUs":-5}]}'
-    ground.handle_record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
+    adapter.handle_record(Cursor(pack("<BIQI", 10, 1, 2, len(boot)) + boot), 0)
     assert (
-        ground.actions[0][0] == 70
-        and b"deadlineUs: expected a number in the allowed range, found -5" in ground.actions[0]
+        adapter.actions[0][0] == 70
+        and b"deadlineUs: expected a number in the allowed range, found -5" in adapter.actions[0]
     )
 
 
@@ -319,7 +319,7 @@
     for _ in range(128):
         harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
     engines = [engine for _, engine in harness.recorded_calls("send_attempt")][64:]
-    # Without the spread, all 200 gateways would use one engine.
+    # Without affinity engines, this gateway like all 200 would use one engine for the table group.
     assert max(engines.count(each) for each in engines) <= 12
 
 
@@ -365,7 +365,7 @@
         harness.submit_request(order_key=5, estimated_work=work)
         for work in (1000, 9000, 2000, 1000)
     ]
-    # The request with work 9000 would delay all later ones; the first request is already running.
+    # The request with work 9000 would delay all later ones; the first request was already sent.
     assert [tag for tag, _ in harness.recorded_calls("reject")] == [
         requests[1].host_reference
     ] and requests[0].attempts
@@ -441,7 +441,7 @@
         ) > 1 else None
         later = harness.submit_request()
         harness.finish_attempt(later.attempts[0], took=200)
-    # The engine is healthy and answers the others, so silence cannot show that this one is lost.
+    # The engine is healthy and answers later attempts, so the check for silence finds no fault.
     assert [len(request.attempts) for request in requests] == [2] + [1] * (
         len(requests) - 1
     ) and not requests[0].is_finished
@@ -475,19 +475,21 @@
         requests = [
             request
             for request in requests
-            if any(h.is_in_flight for h in request.attempts) or not request.is_finished
+            if any(each.is_in_flight for each in request.attempts) or not request.is_finished
         ]
         requests.append(
             harness.submit_request(
                 table_group=float(index), order_key=index + 1, time_to_deadline=5000
             )
         )
-        for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
+        for attempt in [
+            each for request in requests for each in request.attempts if each.is_in_flight
+        ]:
             harness.finish_attempt(
                 attempt, AttemptOutcome.TIMED_OUT if index % 3 else AttemptOutcome.SUCCEEDED
             )
         harness.pass_time(100)
-    for attempt in [h for request in requests for h in request.attempts if h.is_in_flight]:
+    for attempt in [each for request in requests for each in request.attempts if each.is_in_flight]:
         harness.finish_attempt(attempt, AttemptOutcome.TIMED_OUT, finished=True)
     harness.pass_time(12 * SECOND)
     gateway = harness.gateway
@@ -531,7 +533,7 @@
     for engine in order[4:]:
         harness.update_engines(engine, started=harness.now - 2 * SECOND)
     harness.gateway.slow_start.started_at = 0
-    for engine in order[:4]:  # the warm engines already hold attempts
+    for engine in order[:4]:  # the warm engines already run attempts
         engine.threads_in_flight = 2
     request = harness.submit_request()
     assert request.attempts[0].engine in order[:4]
