--- a/corkgauge/commands/__init__.py
+++ b/corkgauge/commands/__init__.py
@@ -33,13 +33,13 @@
     "drills": "chaos",
     "try": "demo",
 }
-FOUND, MISUSE = 1, 2  # exit codes: found what it looks for; misuse or bad input
+EXIT_FOUND, EXIT_MISUSE = 1, 2  # exit codes: found what it looks for; misuse or bad input
 
 
 class InputError(click.ClickException):
     """Misuse or bad input: one line that names the file, key or element at fault."""
 
-    exit_code = MISUSE
+    exit_code = EXIT_MISUSE
 
     def show(self, file: object = None) -> None:
         print(f"corkgauge: {self.message}", file=sys.stderr)
@@ -117,4 +117,4 @@
             f"corkgauge: {name} is not installed; the remedy: pip install 'corkgauge[{extra}]'",
             file=sys.stderr,
         )
-        return MISUSE
+        return EXIT_MISUSE
--- a/corkgauge/commands/accounts.py
+++ b/corkgauge/commands/accounts.py
@@ -9,7 +9,7 @@
 from corkgauge.accounting.snapshot import Snapshot
 from corkgauge.accounting.snapshot_checks import find_imbalances
 from corkgauge.accounting.snapshot_merge import merge_snapshots
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option, several_gateways
 
 
@@ -79,7 +79,7 @@
                 console.clear()
             console.print(tables.whole(cut))
         if not watch:
-            raise SystemExit(FOUND if any(map(find_imbalances, cuts)) else 0)
+            raise SystemExit(EXIT_FOUND if any(map(find_imbalances, cuts)) else 0)
         try:
             time.sleep(watch)
         except KeyboardInterrupt:
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -6,7 +6,7 @@
 
 from corkgauge.accounting.snapshot import Snapshot
 from corkgauge.accounting.snapshot_checks import find_decreases, find_imbalances
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option
 
 MOST_SAID = 20
@@ -74,4 +74,4 @@
         if len(found) > MOST_SAID:
             print(f"... and {len(found) - MOST_SAID} more")
         print(f"{cuts} cuts of {epochs} epochs, {len(found)} wrong")
-    raise SystemExit(FOUND if found else 0)
+    raise SystemExit(EXIT_FOUND if found else 0)
--- a/corkgauge/commands/chaos.py
+++ b/corkgauge/commands/chaos.py
@@ -5,7 +5,7 @@
 
 import click
 
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option, seed_option
 
 
@@ -145,7 +145,7 @@
                 click.echo(f"{name:18} {value}")
         for line in said["wrong"][:10]:
             click.echo(f"the judge objects: {line}")
-    raise SystemExit(FOUND if said["wrong"] or said["rules"] else 0)
+    raise SystemExit(EXIT_FOUND if said["wrong"] or said["rules"] else 0)
 
 
 def report(fleet: object) -> dict:
--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -4,10 +4,10 @@
 
 import click
 
-from corkgauge.commands import FOUND
+from corkgauge.commands import EXIT_FOUND
 from corkgauge.commands.shared_options import json_option, seed_option
 
-SCRIPT = """
+FAULT_SCRIPT = """
 at 2 for 3: e1 error 0.6
 at 6 for 2: e2 silent
 """
@@ -62,7 +62,9 @@
             progress.update(bar, completed=min(now, seconds), description=_now(play, now))
             live.update(Group(progress, tables.request_classes(cut), tables.engines(cut)))
 
-        play = Day(seed, read(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen)
+        play = Day(
+            seed, read(FAULT_SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen
+        )
         begun = play.event_loop.now
         try:
             play.run(seconds)
@@ -82,7 +84,7 @@
         console.print(
             tables.whole(last, Text(f"what the clients saw: {_clients(play)}"), _rules(broken))
         )
-    raise SystemExit(FOUND if broken or play.wrong or last is None else 0)
+    raise SystemExit(EXIT_FOUND if broken or play.wrong or last is None else 0)
 
 
 def _now(play: object, now: float) -> str:
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -9,7 +9,7 @@
 
 import click
 
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option
 
 BATCH = 10_000  # rows of one group in a Parquet file
@@ -133,7 +133,7 @@
     )
     for line in collector.wrong[:5]:
         click.echo(line, err=True)
-    raise SystemExit(FOUND if collector.wrong else 0)
+    raise SystemExit(EXIT_FOUND if collector.wrong else 0)
 
 
 def line_of(row: dict[str, Any]) -> str:
@@ -300,7 +300,7 @@
             }
             print(json.dumps(said, default=repr) if as_json else text_of(said))
         at += 4 + size
-    raise SystemExit(FOUND if wrong else 0)
+    raise SystemExit(EXIT_FOUND if wrong else 0)
 
 
 def text_of(said: dict[str, Any]) -> str:
--- a/corkgauge/commands/leases.py
+++ b/corkgauge/commands/leases.py
@@ -8,7 +8,7 @@
 
 import click
 
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import (
     ANSWERS,
     ask_gateway,
@@ -85,7 +85,7 @@
         for each in said
         for books in each["books"].values()
     )
-    raise SystemExit(FOUND if vacant or wrong else 0)
+    raise SystemExit(EXIT_FOUND if vacant or wrong else 0)
 
 
 @command.command("yield")
@@ -181,7 +181,7 @@
             if self.running.state == CommandState.WAITING and (
                 self.told or (self.patience and self.now() > begun + self.patience)
             ):
-                return FOUND
+                return EXIT_FOUND
             until = self.now() + ASK_EACH
             while self.running.state != CommandState.OVER and self.now() < until:
                 self.running.check_deadlines(self.now())
@@ -198,7 +198,7 @@
                 f"corkgauge: {self.duty}: the command was ended, {self.running.end_reason}",
                 flush=True,
             )
-            return FOUND
+            return EXIT_FOUND
         return code if code >= 0 else 128 - code
 
     def _told(self, *_: object) -> None:
--- a/corkgauge/commands/maintenance.py
+++ b/corkgauge/commands/maintenance.py
@@ -8,7 +8,7 @@
 
 import click
 
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import ask_gateway, json_option, one_gateway
 
 SPANS = {"": 1.0, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
@@ -39,7 +39,7 @@
         told = ask_gateway(where, "/works", {**said, "key": key})
         if told["wrong"]:
             print(f"corkgauge: {told['wrong']}")
-            raise SystemExit(FOUND)
+            raise SystemExit(EXIT_FOUND)
         if told["answer"] is not None:
             return told["answer"]
         time.sleep(PAUSE)
@@ -206,7 +206,7 @@
         time.sleep(watch)
     late = any(unit["state"] == "late" for unit in said["units"])
     raise SystemExit(
-        FOUND if late or not said["holder"] or said["forgotten"] or not said["known"] else 0
+        EXIT_FOUND if late or not said["holder"] or said["forgotten"] or not said["known"] else 0
     )
 
 
--- a/corkgauge/commands/members.py
+++ b/corkgauge/commands/members.py
@@ -5,7 +5,7 @@
 
 import click
 
-from corkgauge.commands import FOUND
+from corkgauge.commands import EXIT_FOUND
 from corkgauge.commands.shared_options import ANSWERS, ask_gateway, json_option, several_gateways
 
 
@@ -48,7 +48,7 @@
                 f"not taken {refused or 0}"
             )
     states = {member["state"] for each in said for member in each["fellows"].values()}
-    raise SystemExit(FOUND if states - {"alive"} else 0)
+    raise SystemExit(EXIT_FOUND if states - {"alive"} else 0)
 
 
 def seen(by: dict[str, Any], name: str) -> str:
--- a/corkgauge/commands/peer_health.py
+++ b/corkgauge/commands/peer_health.py
@@ -4,7 +4,7 @@
 
 import click
 
-from corkgauge.commands import FOUND
+from corkgauge.commands import EXIT_FOUND
 from corkgauge.commands.shared_options import ANSWERS, ask_gateway, json_option, several_gateways
 
 
@@ -61,4 +61,4 @@
         each["strict"] < 1 or any(engine["doubted"] for engine in each["engines"].values())
         for each in said
     )
-    raise SystemExit(FOUND if found else 0)
+    raise SystemExit(EXIT_FOUND if found else 0)
--- a/corkgauge/commands/recovery.py
+++ b/corkgauge/commands/recovery.py
@@ -7,7 +7,7 @@
 
 import click
 
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option
 
 
@@ -142,7 +142,7 @@
         bad += [line for line in logged(folder, gateway)[1] if "torn end" not in line]
         print(f"{gateway}: {'; '.join(bad) or 'whole'}")
         wrong += bad
-    raise SystemExit(FOUND if wrong else 0)
+    raise SystemExit(EXIT_FOUND if wrong else 0)
 
 
 @command.command()
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -6,12 +6,12 @@
 
 import click
 
-from corkgauge.commands import FOUND, InputError
+from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option, seed_option
 
 # What befalls the engines, again and again: a round of it lasts so many seconds.
-ROUND = 30
-SCRIPT = """
+ROUND_SECONDS = 30
+FAULT_SCRIPT = """
 at 2 for 2: e1 silent
 at 3 for 3: e2 slow 6
 at 5 for 1: e3 error 0.5
@@ -29,12 +29,12 @@
 at 24: program restart
 at 26 for 2: all slow 2
 """
-GROWTH = (
+MAX_MEMORY_GROWTH_BYTES = (
     4 * 2**20
 )  # bytes that a flat program may gain from the first third of an epoch to its last
 
 
-def scenes_of(text: str, seconds: float, engines: list[str]) -> list:
+def repeat_fault_script(text: str, seconds: float, engines: list[str]) -> list:
     """A script's scenes, again each round."""
     from corkgauge.eventloop.loop import SECOND
     from corkgauge.testkit.faults.script import Scene, read
@@ -42,16 +42,16 @@
     once = read(text, engines)
     return [
         Scene(
-            scene.at + n * ROUND * SECOND,
+            scene.at + n * ROUND_SECONDS * SECOND,
             scene.span,
             scene.who,
             scene.trouble,
             scene.figure,
             scene.whom,
         )
-        for n in range(int(seconds // ROUND) + 1)
+        for n in range(int(seconds // ROUND_SECONDS) + 1)
         for scene in once
-        if scene.at + n * ROUND * SECOND < seconds * SECOND
+        if scene.at + n * ROUND_SECONDS * SECOND < seconds * SECOND
     ]
 
 
@@ -97,7 +97,9 @@
 
     engines = [f"e{n}" for n in range(1, 5)]
     try:
-        scenes = scenes_of(Path(script).read_text() if script else SCRIPT, seconds, engines)
+        scenes = repeat_fault_script(
+            Path(script).read_text() if script else FAULT_SCRIPT, seconds, engines
+        )
     except Unplayable as problem:
         raise InputError(f"{script}: {problem}") from None
 
@@ -117,7 +119,7 @@
         log, epochs = play.program.log(), _epochs(play)
     finally:
         play.close()
-    broken, grown = play.broken(), growth(play.memory)
+    broken, grown = play.broken(), measure_memory_growth(play.memory)
     said = {
         "clients": play.tally(),
         "scrapes": play.scraped,
@@ -135,7 +137,11 @@
     else:
         for name, value in said.items():
             click.echo(f"{name:18} {value}")
-    raise SystemExit(FOUND if play.wrong or broken or grown > GROWTH or said["exceptions"] else 0)
+    raise SystemExit(
+        EXIT_FOUND
+        if play.wrong or broken or grown > MAX_MEMORY_GROWTH_BYTES or said["exceptions"]
+        else 0
+    )
 
 
 def _epochs(play: object) -> int:
@@ -143,7 +149,7 @@
     return sum("figures: epoch" in line and "closed" in line for line in play.program.log())
 
 
-def growth(memory: list[int]) -> int:
+def measure_memory_growth(memory: list[int]) -> int:
     """Bytes by which the last epoch's last third lies above its first one, by their medians.
 
     A start anew shows as a fall by a tenth.
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -15,7 +15,7 @@
 
 from corkgauge.accounting.checkpoint_file import read_checkpoint_file
 from corkgauge.commands import group
-from corkgauge.commands.soak import SCRIPT, growth, scenes_of
+from corkgauge.commands.soak import FAULT_SCRIPT, measure_memory_growth, repeat_fault_script
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.flow_export.codec import Layout
 from corkgauge.flow_export.counter_deltas import Delta
@@ -37,7 +37,9 @@
 
 
 def test_every_scrape_of_a_bad_day_balances_through_a_kill_and_a_restart():
-    play = Day(3, scenes_of(SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12)
+    play = Day(
+        3, repeat_fault_script(FAULT_SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12
+    )
     try:
         play.run(26)
         log = play.program.log()
@@ -173,7 +175,10 @@
 
 
 def test_growth_is_seen_within_the_last_epoch():
-    assert growth([100] * 40 + [50] * 60) == 0 and growth([*range(1000, 1100)]) > 50
+    assert (
+        measure_memory_growth([100] * 40 + [50] * 60) == 0
+        and measure_memory_growth([*range(1000, 1100)]) > 50
+    )
 
 
 # The checker of the rules finds what breaks them.
