--- a/corkgauge/commands/__init__.py
+++ b/corkgauge/commands/__init__.py
@@ -1,11 +1,11 @@
-"""The command line: one file a command, loaded when it is called."""
+"""The command line of the program: one module per command, imported when the command is called."""
 
 import sys
 from importlib import import_module
 
 import click
 
-# Name, and the module that holds it as `command`, in the order of `--help`.
+# Command names and the modules that define them as `command`, in the order of `--help`.
 COMMANDS = {
     "demo": "demo",
     "serve": "serve",
@@ -22,7 +22,7 @@
     "chaos": "chaos",
     "soak": "soak",
 }
-# Earlier names, taken for this version and left out of `--help`.
+# Old command names and their replacements. This version accepts them, and `--help` omits them.
 ALIASES = {
     "figures": "accounts",
     "recall": "recovery",
@@ -33,28 +33,32 @@
     "drills": "chaos",
     "try": "demo",
 }
-EXIT_FOUND, EXIT_MISUSE = 1, 2  # exit codes: found what it looks for; misuse or bad input
+# Exit codes: the command found the problem that it checks for; wrong usage or invalid input.
+EXIT_FOUND, EXIT_MISUSE = 1, 2
 
 
 class InputError(click.ClickException):
-    """Misuse or bad input: one line that names the file, key or element at fault."""
+    """Wrong usage or invalid input; the message is one line that names the file, key or element."""
 
     exit_code = EXIT_MISUSE
 
     def show(self, file: object = None) -> None:
+        """Print the message on standard error, without a traceback."""
         print(f"corkgauge: {self.message}", file=sys.stderr)
 
 
 class LazyGroup(click.Group):
-    """Imports the module of the command that is called, and no other.
+    """Imports only the module of the command that is called.
 
-    Danger: what every command imports, `serve` would hold in memory for its life.
+    Otherwise `serve` would keep the imports of all commands in memory as long as it runs.
     """
 
     def list_commands(self, context: click.Context) -> list[str]:
+        """Return the command names in the order of `--help`."""
         return [*COMMANDS]
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """Import a command's module and return the command, or None for an unknown name."""
         if name not in COMMANDS:
             return None
         return import_module(f"corkgauge.commands.{COMMANDS[name]}").command
@@ -62,12 +66,12 @@
     def resolve_command(
         self, context: click.Context, arguments: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Also by its earlier name, with a line on standard error that says the present one."""
-        earlier = arguments[0]
-        if earlier in ALIASES:
-            name = ALIASES[earlier]
+        """Resolve a command, also by its old name; then print the new name on standard error."""
+        old_name = arguments[0]
+        if old_name in ALIASES:
+            name = ALIASES[old_name]
             print(
-                f"corkgauge: '{earlier}' is now '{name}'; the old name goes with the next version",
+                f"corkgauge: '{old_name}' is now '{name}'; the next version removes the old name",
                 file=sys.stderr,
             )
             arguments = [name, *arguments[1:]]
@@ -76,16 +80,17 @@
 
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def group() -> None:
-    """A workload manager (gateway) before analytic engines.
+    """A workload manager (gateway) in front of analytic engines.
 
     \b
-    Start here:  corkgauge demo
-    Help on one: corkgauge leases run --help
-    Exit codes:  0 done; 1 found what it looks for; 2 misuse or bad input
+    First steps:       corkgauge demo
+    Help on a command: corkgauge leases run --help
+    Exit codes:        0 success; 1 the command found a problem that it checks for;
+                       2 wrong usage or invalid input
     """
 
 
-# What an extra brings: a module that is missing names it.
+# Modules that each extra of the package installs. If an import fails, `main` names the extra.
 EXTRAS = {
     "operator": {
         "ddsketch",
@@ -102,9 +107,10 @@
 
 
 def main() -> int:
-    """Run the command line; the exit code.
+    """Run the command line and return its exit code.
 
-    Danger: a traceback tells an operator nothing of what to install.
+    A missing optional module is reported as one line with the package extra to install; a traceback
+    would not tell the operator which one.
     """
     try:
         return group.main(prog_name="corkgauge", standalone_mode=True) or 0
@@ -114,7 +120,7 @@
         if extra is None:
             raise
         print(
-            f"corkgauge: {name} is not installed; the remedy: pip install 'corkgauge[{extra}]'",
+            f"corkgauge: {name} is not installed; run: pip install 'corkgauge[{extra}]'",
             file=sys.stderr,
         )
         return EXIT_MISUSE
--- a/corkgauge/commands/accounts.py
+++ b/corkgauge/commands/accounts.py
@@ -13,8 +13,12 @@
 from corkgauge.commands.shared_options import json_option, several_gateways
 
 
-def snapshot_at(where: str, clear: bool = False) -> Snapshot:
-    """From an HTTP listener, a checkpoint file, or a snapshot saved as JSON."""
+def load_snapshot(where: str, clear: bool = False) -> Snapshot:
+    """Return the snapshot of a gateway, of a checkpoint file, or of a JSON file.
+
+    `clear` first clears the discrepancies of a gateway. Raises `InputError` if there is no usable
+    snapshot.
+    """
     try:
         path = Path(where)
         if path.is_file():
@@ -35,51 +39,51 @@
 @click.command("accounts")
 @several_gateways
 @click.option(
-    "--watch", type=float, default=0.0, metavar="SECONDS", help="Again and again, so far apart."
+    "--watch", type=float, default=0.0, metavar="SECONDS", help="Repeat at this interval."
 )
-@json_option("The snapshot as JSON, for programs.")
+@json_option("Print the snapshot as JSON, for programs.")
 @click.option(
     "--record",
     type=click.Path(dir_okay=False),
-    help="Add each snapshot as a line to this file, for `audit`.",
+    help="Append each snapshot as a line to this file, for `audit`.",
 )
 @click.option(
     "--clear",
     is_flag=True,
-    help="Clear the discrepancies that were found so far: an operator has seen them.",
+    help="Clear the discrepancies found so far, once an operator has read them.",
 )
 def command(
     where: tuple[str, ...], watch: float, as_json: bool, record: str | None, clear: bool
 ) -> None:
-    """Counters of one or several gateways, summed, and whether they balance.
+    """Show the summed counters of one or several gateways, and check that they balance.
 
-    WHERE is the Unix socket or ADDRESS:PORT of a gateway, a .figures checkpoint file, or a
-    snapshot saved as JSON.
+    WHERE is the Unix socket or ADDRESS:PORT of a gateway's HTTP listener, a .figures checkpoint
+    file, or a snapshot saved as JSON.
 
     \b
     corkgauge accounts /run/corkgauge/n1.sock /run/corkgauge/n2.sock --watch 1
-    Ends with 1 if they do not balance.
+    Exit code: 1 if the counters of a gateway do not balance.
     """
     from rich.console import Console
 
     console = Console()
     while True:
-        cuts = [snapshot_at(each, clear) for each in where]
-        cut = cuts[0] if len(cuts) == 1 else merge_snapshots(cuts)
+        snapshots = [load_snapshot(address, clear) for address in where]
+        total = snapshots[0] if len(snapshots) == 1 else merge_snapshots(snapshots)
         if record:
             with open(record, "a", encoding="utf-8") as file:
-                for each in cuts:
-                    print(json.dumps(each), file=file)
+                for snapshot in snapshots:
+                    print(json.dumps(snapshot), file=file)
         if as_json:
-            print(json.dumps(cut))
+            print(json.dumps(total))
         else:
             from corkgauge.commands import tables
 
             if watch:
                 console.clear()
-            console.print(tables.whole(cut))
+            console.print(tables.snapshot_tables(total))
         if not watch:
-            raise SystemExit(EXIT_FOUND if any(map(find_imbalances, cuts)) else 0)
+            raise SystemExit(EXIT_FOUND if any(map(find_imbalances, snapshots)) else 0)
         try:
             time.sleep(watch)
         except KeyboardInterrupt:
--- a/corkgauge/commands/check.py
+++ b/corkgauge/commands/check.py
@@ -10,14 +10,15 @@
 
 @click.command("check")
 @click.option(
-    "--operator", "operator_file", default="", metavar="FILE", help="Check this operator file too."
+    "--operator", "operator_file", default="", metavar="FILE", help="Also check this operator file."
 )
 def command(operator_file: str) -> None:
-    """Check the configuration that the environment names, and serve nothing.
+    """Check the configuration that the environment names, without running the gateway.
 
     \b
     EDGE_CONFIG=config.json corkgauge check --operator deploy/operator.xml
-    Ends with 2 and one line that names the key, or file, line and element, at fault.
+    Exit code: 2 if the configuration is invalid; one line names the faulty key, or the file, line
+    and element.
     """
     try:
         platform_config = configuration.read(os.environ)
--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -19,27 +19,27 @@
     type=click.FloatRange(1, 600),
     default=10.0,
     show_default=True,
-    help="How long to play.",
+    help="Duration of the demo.",
 )
 @click.option(
     "--rate",
     type=click.FloatRange(1, 2000),
     default=120.0,
     show_default=True,
-    help="Requests a second.",
+    help="Requests per second.",
 )
 @seed_option
 @json_option()
 def command(seconds: float, rate: float, seed: int, as_json: bool) -> None:
-    """Play a short day on this machine, with an engine that fails and one that falls silent.
+    """Run the gateway on this machine, with an engine that returns errors and one that stalls.
 
     Starts the real program between emulators of engines, endpoint discovery and clients, all on
-    loopback, and shows what is accepted, answered and where; then whether the accounts balance and
-    the rules were kept.
+    loopback, and shows the requests and the attempts on each engine. At the end, checks that the
+    accounts balance and that no rule was broken.
 
     \b
     corkgauge demo --seconds 20
-    Ends with 1 if a rule was broken or the accounts do not balance.
+    Exit code: 1 if a rule was broken or the accounts do not balance.
     """
     from rich.console import Console, Group
     from rich.live import Live
@@ -57,52 +57,67 @@
     console = Console(quiet=as_json)
     with Live(progress, console=console, refresh_per_second=4, transient=True) as live:
 
-        def seen(cut: dict) -> None:
-            now = (play.event_loop.now - begun) / 10_000
-            progress.update(bar, completed=min(now, seconds), description=_now(play, now))
-            live.update(Group(progress, tables.request_classes(cut), tables.engines(cut)))
+        def on_scrape(snapshot: dict) -> None:
+            now_seconds = (day.event_loop.now - start_ticks) / 10_000
+            progress.update(
+                bar,
+                completed=min(now_seconds, seconds),
+                description=_describe_faults(day, now_seconds),
+            )
+            live.update(
+                Group(progress, tables.request_class_table(snapshot), tables.engine_table(snapshot))
+            )
 
-        play = Day(
-            seed, read(FAULT_SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen
+        day = Day(
+            seed, read(FAULT_SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=on_scrape
         )
-        begun = play.event_loop.now
+        start_ticks = day.event_loop.now
         try:
-            play.run(seconds)
-            log = play.program.log()
+            day.run(seconds)
+            log = day.program.log()
         finally:
-            play.close()
-    broken, last = play.broken(), play.cuts[-1] if play.cuts else None
+            day.close()
+    broken_rules, last_snapshot = day.broken(), day.cuts[-1] if day.cuts else None
     if as_json:
         print(
             json.dumps(
-                {"clients": play.tally(), "broken": broken, "wrong": play.wrong, "figures": last}
+                {
+                    "clients": day.tally(),
+                    "broken": broken_rules,
+                    "wrong": day.wrong,
+                    "figures": last_snapshot,
+                }
             )
         )
-    elif last is None:
+    elif last_snapshot is None:
         console.print("\n".join(log[-5:]))
     else:
         console.print(
-            tables.whole(last, Text(f"what the clients saw: {_clients(play)}"), _rules(broken))
+            tables.snapshot_tables(
+                last_snapshot,
+                Text(f"results at the clients: {_describe_results(day)}"),
+                _describe_rules(broken_rules),
+            )
         )
-    raise SystemExit(EXIT_FOUND if broken or play.wrong or last is None else 0)
+    raise SystemExit(EXIT_FOUND if broken_rules or day.wrong or last_snapshot is None else 0)
 
 
-def _now(play: object, now: float) -> str:
-    struck = [
-        f"{engine.name} {engine.trouble}" for engine in play.engines.values() if engine.trouble
+def _describe_faults(day: object, now_seconds: float) -> str:
+    faults = [
+        f"{engine.name} {engine.trouble}" for engine in day.engines.values() if engine.trouble
     ]
-    return f"{now:5.1f} s  {', '.join(struck) or 'all engines well':24}"
+    return f"{now_seconds:5.1f} s  {', '.join(faults) or 'no engine faults':24}"
 
 
-def _clients(play: object) -> str:
-    return ", ".join(f"{count} {name}" for name, count in play.tally().items())
+def _describe_results(day: object) -> str:
+    return ", ".join(f"{count} {name}" for name, count in day.tally().items())
 
 
-def _rules(broken: list[str]) -> object:
+def _describe_rules(broken_rules: list[str]) -> object:
     from rich.text import Text
 
     from corkgauge.testkit.checkers.rules import worth_saying
 
-    if broken:
-        return Text("\n".join(worth_saying(broken)), style="bold red")
-    return Text("all seven rules kept", style="green")
+    if broken_rules:
+        return Text("\n".join(worth_saying(broken_rules)), style="bold red")
+    return Text("no rule was broken (7 rules checked)", style="green")
--- a/corkgauge/commands/peer_health.py
+++ b/corkgauge/commands/peer_health.py
@@ -5,12 +5,17 @@
 import click
 
 from corkgauge.commands import EXIT_FOUND
-from corkgauge.commands.shared_options import ANSWERS, ask_gateway, json_option, several_gateways
+from corkgauge.commands.shared_options import (
+    ANSWERS_HELP,
+    ask_gateway,
+    json_option,
+    several_gateways,
+)
 
 
 @click.group("peer-health")
 def command() -> None:
-    """Peer health reports: what gateways tell each other about engines and retries.
+    """Inspect peer health reports, in which gateways share the state of engines and retries.
 
     \b
     corkgauge peer-health show /run/corkgauge/n1.sock
@@ -19,46 +24,46 @@
 
 @command.command()
 @several_gateways
-@json_option(ANSWERS)
+@json_option(ANSWERS_HELP)
 def show(where: tuple[str, ...], as_json: bool) -> None:
-    """Reports received, from whom, how old, and what they changed.
+    """Show the received reports with their senders, ages and effects.
 
     WHERE is the Unix socket or ADDRESS:PORT of a gateway's HTTP listener.
 
     \b
     corkgauge peer-health show /run/corkgauge/n1.sock /run/corkgauge/n2.sock
-    Ends with 1 if one of them suspects an engine by reports, or throttles retries.
+    Exit code: 1 if one of the gateways suspects an engine because of reports, or throttles retries.
     """
-    said = [ask_gateway(each, "/shared") for each in where]
+    statuses = [ask_gateway(status, "/shared") for status in where]
     if as_json:
-        print(json.dumps(said))
+        print(json.dumps(statuses))
     else:
         from rich.console import Console
 
         from corkgauge.commands.tables import plain_table
 
-        for each in said:
+        for status in statuses:
             table = plain_table(
-                f"{each['name']}: {each['findings']} findings held, {each['octets']} octets told, "
-                f"strictness {each['strict']}",
+                f"{status['name']}: {status['findings']} reports stored, "
+                f"{status['octets']} bytes sent, retry budget fraction {status['strict']}",
                 "engine",
-                ("doubted by", "hint", "heard, and how old"),
+                ("suspected by", "hint", "latest reports and their ages"),
             )
-            for tag, engine in each["engines"].items():
-                heard = "; ".join(
-                    f"{one['from']} {one['fault']} {one['age']:.1f} s"
-                    for one in engine["heard"][:6]
+            for name, engine in status["engines"].items():
+                reports = "; ".join(
+                    f"{report['from']} {report['fault']} {report['age']:.1f} s"
+                    for report in engine["heard"][:6]
                 )
                 table.add_row(
-                    tag,
+                    name,
                     engine["why"],
                     f"{engine['slowness']:.1f}" if engine["slowness"] else "",
-                    heard,
+                    reports,
                 )
             Console().print(table)
-            print(", ".join(f"{name} {count}" for name, count in each["counters"].items()))
-    found = any(
-        each["strict"] < 1 or any(engine["doubted"] for engine in each["engines"].values())
-        for each in said
+            print(", ".join(f"{counter} {count}" for counter, count in status["counters"].items()))
+    has_effect = any(
+        status["strict"] < 1 or any(engine["doubted"] for engine in status["engines"].values())
+        for status in statuses
     )
-    raise SystemExit(EXIT_FOUND if found else 0)
+    raise SystemExit(EXIT_FOUND if has_effect else 0)
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -15,7 +15,7 @@
     "operator_file",
     default="",
     metavar="FILE",
-    help="What runs beside the platform's configuration (XML).",
+    help="The XML operator file, which complements the platform's configuration.",
 )
 @click.option(
     "--log",
@@ -23,24 +23,25 @@
     type=click.Choice(["plain", "json"]),
     default="plain",
     show_default=True,
-    help="A line, or a JSON object a line.",
+    help="Log plain lines, or one JSON object per line.",
 )
 def command(operator_file: str, log_form: str) -> None:
-    """Serve as the environment says (EDGE_CONFIG, EDGE_LISTEN).
+    """Run the gateway with the configuration from the environment (EDGE_CONFIG, EDGE_LISTEN).
 
     \b
     EDGE_CONFIG=config.json corkgauge serve --operator deploy/operator.xml
-    Ends with 0 after SIGTERM, with 2 where it cannot start.
+    Exit code: 0 after SIGTERM; 2 if the gateway cannot start.
     """
-    # Danger: a change of the configuration that is told while the program loads would end it. It is
-    # read after that.
+    # SIGHUP announces a change of the configuration. Without this line, it would terminate the
+    # program while its modules load. Ignoring SIGHUP until then loses no change, because the
+    # configuration is read afterwards.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from corkgauge.daemon import process as daemon
 
-    woken = daemon.catch_signals()
+    wakeup = daemon.catch_signals()
     try:
         raise SystemExit(
-            daemon.serve(configuration.read(os.environ), woken, operator_file, log_form)
+            daemon.serve(configuration.read(os.environ), wakeup, operator_file, log_form)
         )
     except configuration.ConfigurationError as problem:
         raise InputError(str(problem)) from None
--- a/corkgauge/commands/shared_options.py
+++ b/corkgauge/commands/shared_options.py
@@ -1,4 +1,4 @@
-"""What several commands share: options, the argument WHERE, one request to a gateway."""
+"""Options, arguments and the gateway request that several commands use."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,8 +7,8 @@
 
 from corkgauge.commands import InputError
 
-RESULT = "The result as JSON, for programs."
-ANSWERS = "The gateways' answers as they are, a list, for programs."
+RESULT_HELP = "Print the result as JSON, for programs."
+ANSWERS_HELP = "Print the unchanged answers of the gateways as a JSON list, for programs."
 
 Decorator = Callable[[Any], Any]
 
@@ -17,15 +17,16 @@
 seed_option: Decorator = click.option("--seed", type=int, default=1, show_default=True)
 
 
-def json_option(explanation: str = RESULT) -> Decorator:
-    """`--json`, handed to the command as `as_json`."""
-    return click.option("--json", "as_json", is_flag=True, help=explanation)
+def json_option(help_text: str = RESULT_HELP) -> Decorator:
+    """Return the option `--json`, which the command receives as `as_json`."""
+    return click.option("--json", "as_json", is_flag=True, help=help_text)
 
 
 def ask_gateway(where: str, path: str, body: object = None) -> dict[str, Any]:
-    """What a gateway's HTTP listener answers; with a body it is posted as JSON.
+    """Send GET, or POST with `body` as JSON, to a gateway's HTTP listener; return its JSON answer.
 
-    `where` is a Unix socket or ADDRESS:PORT. Raises `InputError` where nothing sensible comes.
+    `where` is the path of a Unix socket, or ADDRESS:PORT. Raises `InputError` if the gateway cannot
+    be reached, rejects the request, or sends an invalid answer.
     """
     from corkgauge.accounting.client import request_json
 
--- a/corkgauge/commands/tables.py
+++ b/corkgauge/commands/tables.py
@@ -1,4 +1,4 @@
-"""Cuts as tables for people."""
+"""Formats accounting snapshots as tables for the terminal."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -17,49 +17,54 @@
 from corkgauge.accounting.snapshot_checks import find_imbalances
 
 
-def plain_table(title: str, first: str, names: Iterable[str]) -> Table:
-    """A table that fits a terminal of 80 columns: no lines, no room at its edges."""
+def plain_table(title: str, first_column: str, other_columns: Iterable[str]) -> Table:
+    """Return a table without borders and outer padding, so that it fits 80 terminal columns."""
     table = Table(title=title, box=None, pad_edge=False, title_justify="left")
-    table.add_column(first)
-    for name in names:
-        table.add_column(name, justify="right")
+    table.add_column(first_column)
+    for column in other_columns:
+        table.add_column(column, justify="right")
     return table
 
 
-def request_classes(cut: Snapshot) -> Table:
+def request_class_table(snapshot: Snapshot) -> Table:
+    """Return the request counters, attempts and latencies of each request class with requests."""
     table = plain_table(
-        f"{cut['gateway']}: taken = served + refused + failed + open",
+        f"{snapshot['gateway']}: taken = served + refused + failed + open",
         "offering",
         (*TERM_NAMES, "open", *ATTEMPT_KIND_NAMES, "out", "p50 s", "p99 s"),
     )
-    latency = {each["whose"]: each for each in cut.get("waits", ()) if each["what"] == "latency"}
-    for name, row in cut["offerings"].items():
+    latencies = {
+        each["whose"]: each for each in snapshot.get("waits", ()) if each["what"] == "latency"
+    }
+    for name, row in snapshot["offerings"].items():
         if row["taken"]:
             table.add_row(
                 name,
                 *(str(row[key]) for key in (*TERM_NAMES, "open", *ATTEMPT_KIND_NAMES, "out")),
-                *_times(latency.get(name)),
+                *_latency_cells(latencies.get(name)),
             )
     return table
 
 
-def engines(cut: Snapshot, most: int = 40) -> Table:
+def engine_table(snapshot: Snapshot, max_rows: int = 40) -> Table:
+    """Return the attempts of each engine by kind and outcome; engines with most attempts first."""
     outcomes = [
         name
         for name in OUTCOME_NAMES
-        if any(row["outcomes"].get(name) for row in cut["engines"].values())
+        if any(row["outcomes"].get(name) for row in snapshot["engines"].values())
     ]
     table = plain_table(
         "handed off = outcomes + out", "engine", (*ATTEMPT_KIND_NAMES, *outcomes, "out", "pages")
     )
     rows = sorted(
-        cut["engines"].items(), key=lambda each: -sum(each[1][sort] for sort in ATTEMPT_KIND_NAMES)
+        snapshot["engines"].items(),
+        key=lambda each: -sum(each[1][kind] for kind in ATTEMPT_KIND_NAMES),
     )
-    for name, row in rows[:most]:
-        if any(row[sort] for sort in ATTEMPT_KIND_NAMES):
+    for name, row in rows[:max_rows]:
+        if any(row[kind] for kind in ATTEMPT_KIND_NAMES):
             table.add_row(
                 name,
-                *(str(row[sort]) for sort in ATTEMPT_KIND_NAMES),
+                *(str(row[kind]) for kind in ATTEMPT_KIND_NAMES),
                 *(str(row["outcomes"].get(outcome) or "") for outcome in outcomes),
                 str(row["out"]),
                 str(row["pages"]),
@@ -67,33 +72,42 @@
     return table
 
 
-def reasons(cut: Snapshot) -> Table:
-    named = [
+def end_reason_table(snapshot: Snapshot) -> Table:
+    """Return the number of requests by request class and end reason."""
+    reasons = [
         name
         for name in REASON_NAMES
-        if any(row["reasons"].get(name) for row in cut["offerings"].values())
+        if any(row["reasons"].get(name) for row in snapshot["offerings"].values())
     ]
-    table = plain_table("why they ended", "offering", named)
-    for name, row in cut["offerings"].items():
+    table = plain_table("requests by end reason", "offering", reasons)
+    for name, row in snapshot["offerings"].items():
         if row["taken"]:
-            table.add_row(name, *(str(row["reasons"].get(each, 0) or "") for each in named))
+            table.add_row(name, *(str(row["reasons"].get(each, 0) or "") for each in reasons))
     return table
 
 
-def balance(cut: Snapshot) -> Text:
-    wrong = find_imbalances(cut)
-    if wrong:
-        return Text("out of balance\n" + "\n".join(wrong), style="bold red")
+def balance_text(snapshot: Snapshot) -> Text:
+    """Return the equations of the counters that do not balance, or a confirmation."""
+    imbalances = find_imbalances(snapshot)
+    if imbalances:
+        return Text("out of balance\n" + "\n".join(imbalances), style="bold red")
     return Text("in balance", style="green")
 
 
-def whole(cut: Snapshot, *more: Any) -> Group:
-    return Group(request_classes(cut), reasons(cut), engines(cut), balance(cut), *more)
+def snapshot_tables(snapshot: Snapshot, *more: Any) -> Group:
+    """Return all tables of a snapshot, followed by the further items."""
+    return Group(
+        request_class_table(snapshot),
+        end_reason_table(snapshot),
+        engine_table(snapshot),
+        balance_text(snapshot),
+        *more,
+    )
 
 
-def _times(said: Any) -> tuple[str, str]:
-    if not said:
+def _latency_cells(sketch: Any) -> tuple[str, str]:
+    if not sketch:
         return "", ""
     from corkgauge.accounting.latency_sketches import quantile
 
-    return f"{quantile(said, 0.5):.3f}", f"{quantile(said, 0.99):.3f}"
+    return f"{quantile(sketch, 0.5):.3f}", f"{quantile(sketch, 0.99):.3f}"
--- a/corkgauge/commands/version.py
+++ b/corkgauge/commands/version.py
@@ -7,7 +7,7 @@
 
 @click.command("version")
 def command() -> None:
-    """Print the version.
+    """Print the version of the program.
 
     \b
     corkgauge version
--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -479,7 +479,7 @@
     assert result.exit_code == 1 and len(json.loads(result.output)["wrong"]) == 5
     (tmp_path / "x").write_text("{}")
     result = run(group, ["audit", str(tmp_path / "x")])
-    assert result.exit_code == 2 and "x:1: not a cut" in result.output
+    assert result.exit_code == 2 and "x:1: expected a snapshot" in result.output
     assert run(group, ["accounts", "/nowhere.sock"]).exit_code == 2
 
 
--- a/tests/test_command_names.py
+++ b/tests/test_command_names.py
@@ -1,4 +1,4 @@
-"""Commands by their earlier names: the same output and exit code, and a line with the new one."""
+"""Old command names: same output and exit code as the new name, and a notice of the new name."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 
 from corkgauge.commands import ALIASES, COMMANDS, group
 
-# What a gateway's listener tells, as far as the commands look at it.
+# Answers of a gateway's HTTP listener, reduced to the fields that the commands read.
 ANSWERS: dict[str, Any] = {
     "/fellows": {
         "name": "n1",
@@ -62,9 +62,12 @@
 
 
 class Case(NamedTuple):
-    """What follows a command's name, and how it ends. GATEWAY and FOLDER are filled in."""
+    """Arguments of an old command name and the expected exit code.
 
-    earlier: str
+    The test replaces GATEWAY and FOLDER by an address and a temporary folder.
+    """
+
+    old_name: str
     arguments: tuple[str, ...]
     exit_code: int
 
@@ -88,12 +91,12 @@
     Case("drills", ("draw", "--seconds", "5"), 0),
     Case("drills", ("run", "/nowhere.txt"), 2),
     Case("try", ("--seconds", "0"), 2),
-    *(Case(earlier, ("--help",), 0) for earlier in ALIASES),
+    *(Case(old_name, ("--help",), 0) for old_name in ALIASES),
 ]
 
 
 class Listener(BaseHTTPRequestHandler):
-    """Answers as a gateway's listener does."""
+    """Serves `ANSWERS` like the HTTP listener of a gateway."""
 
     def do_GET(self) -> None:
         answer = ANSWERS.get(self.path)
@@ -107,7 +110,7 @@
 
 @pytest.fixture(scope="module")
 def gateway() -> Iterator[str]:
-    """The address of a listener that tells `ANSWERS`."""
+    """Yield the address of a listener that serves `ANSWERS`."""
     with HTTPServer(("127.0.0.1", 0), Listener) as server:
         thread = threading.Thread(target=server.serve_forever, args=(0.01,))
         thread.start()
@@ -120,35 +123,41 @@
     return CliRunner().invoke(group, arguments, prog_name="corkgauge")
 
 
-def notice(earlier: str) -> str:
-    name = ALIASES[earlier]
-    return f"corkgauge: '{earlier}' is now '{name}'; the old name goes with the next version\n"
+def alias_notice(old_name: str) -> str:
+    new_name = ALIASES[old_name]
+    return f"corkgauge: '{old_name}' is now '{new_name}'; the next version removes the old name\n"
 
 
 @pytest.mark.parametrize(
-    "case", CASES, ids=lambda case: "-".join((case.earlier, *case.arguments)).replace("/", "")
+    "case", CASES, ids=lambda case: "-".join((case.old_name, *case.arguments)).replace("/", "")
 )
-def test_earlier_name_does_the_same_and_says_the_new_one(
+def test_old_name_gives_same_result_and_prints_new_name(
     case: Case, gateway: str, tmp_path: Path
 ) -> None:
-    filled = {"GATEWAY": gateway, "FOLDER": str(tmp_path)}
-    arguments = [filled.get(each, each) for each in case.arguments]
+    replacements = {"GATEWAY": gateway, "FOLDER": str(tmp_path)}
+    arguments = [replacements.get(argument, argument) for argument in case.arguments]
 
-    new, earlier = run(ALIASES[case.earlier], *arguments), run(case.earlier, *arguments)
+    by_new_name, by_old_name = (
+        run(ALIASES[case.old_name], *arguments),
+        run(case.old_name, *arguments),
+    )
 
-    assert (earlier.stdout, earlier.exit_code) == (new.stdout, new.exit_code)
-    assert earlier.stderr == notice(case.earlier) + new.stderr
-    assert new.exit_code == case.exit_code
+    assert (by_old_name.stdout, by_old_name.exit_code) == (
+        by_new_name.stdout,
+        by_new_name.exit_code,
+    )
+    assert by_old_name.stderr == alias_notice(case.old_name) + by_new_name.stderr
+    assert by_new_name.exit_code == case.exit_code
 
 
-def test_every_earlier_name_has_a_case_and_a_command() -> None:
-    assert {case.earlier for case in CASES} == set(ALIASES)
+def test_every_old_name_has_a_case_and_a_command() -> None:
+    assert {case.old_name for case in CASES} == set(ALIASES)
     assert set(ALIASES.values()) <= set(COMMANDS)
     assert not set(ALIASES) & set(COMMANDS)
 
 
-def test_the_notice_comes_on_standard_error_of_the_program() -> None:
-    said = subprocess.run(
+def test_program_prints_alias_notice_on_standard_error() -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "corkgauge", "drills", "draw", "--seconds", "5"],
         capture_output=True,
         text=True,
@@ -156,14 +165,14 @@
         timeout=30,
     )
 
-    assert said.stderr == notice("drills")
-    assert said.stdout.startswith("at ")
+    assert process.stderr == alias_notice("drills")
+    assert process.stdout.startswith("at ")
 
 
-def test_help_lists_the_new_names_alone() -> None:
-    listed = run("--help").stdout.partition("Commands:\n")[2].splitlines()
+def test_help_lists_only_new_names() -> None:
+    lines = run("--help").stdout.partition("Commands:\n")[2].splitlines()
 
-    assert [line.split()[0] for line in listed if line.strip()] == [*COMMANDS]
+    assert [line.split()[0] for line in lines if line.strip()] == [*COMMANDS]
 
 
 @pytest.mark.parametrize("name", COMMANDS)
@@ -173,8 +182,8 @@
     assert f"corkgauge {name}" in after_usage
 
 
-def test_a_name_that_never_was_is_misuse() -> None:
-    said = run("fellow")
+def test_unknown_name_is_wrong_usage() -> None:
+    result = run("fellow")
 
-    assert said.exit_code == 2
-    assert "No such command 'fellow'" in said.stderr
+    assert result.exit_code == 2
+    assert "No such command 'fellow'" in result.stderr
--- a/tests/test_maintenance_fleet.py
+++ b/tests/test_maintenance_fleet.py
@@ -615,5 +615,5 @@
     out, code = command("maintenance", "show", socket_path, "--json")
     (tmp_path / "history").write_text(out)
     assert code == 0 and json.loads(out)["fresh"]
-    assert command("audit", str(tmp_path / "history")) == ("1 cuts of 0 epochs, 0 wrong\n", 0)
+    assert command("audit", str(tmp_path / "history")) == ("1 records of 0 epochs, 0 errors\n", 0)
     assert scenario.close()[0] == []
