--- a/corkgauge/commands/chaos.py
+++ b/corkgauge/commands/chaos.py
@@ -11,7 +11,7 @@
 
 @click.group("chaos")
 def command() -> None:
-    """Chaos runs: faults among several gateways on this machine, judged by a lease checker.
+    """Inject faults into several gateways on this machine, while a checker verifies the leases.
 
     \b
     corkgauge chaos run --gateways 5 --seconds 60 --gap 0.5
@@ -27,17 +27,17 @@
     type=click.FloatRange(0.1, 600),
     default=1.0,
     show_default=True,
-    help="Seconds between two faults.",
+    help="Mean seconds between two faults.",
 )
 @click.option(
     "--longest",
     type=click.FloatRange(0.2, 600),
     default=3.0,
     show_default=True,
-    help="Of one fault, in seconds.",
+    help="Longest duration of a fault, in seconds.",
 )
 def draw(seed: int, gateways: int, seconds: float, gap: float, longest: float) -> None:
-    """Print a random fault script, for `chaos run`.
+    """Print a random fault script for `chaos run`.
 
     \b
     corkgauge chaos draw --seconds 60 --gap 0.5 > day.txt
@@ -53,14 +53,18 @@
 @click.option("--gateways", type=click.IntRange(2, 12), default=3, show_default=True)
 @click.option("--seconds", type=click.FloatRange(3, 36_000), default=30.0, show_default=True)
 @click.option(
-    "--lease", type=click.FloatRange(0.4, 600), default=1.0, show_default=True, help="In seconds."
+    "--lease",
+    type=click.FloatRange(0.4, 600),
+    default=1.0,
+    show_default=True,
+    help="Lease duration in seconds.",
 )
 @click.option(
     "--gap",
     type=click.FloatRange(0.1, 600),
     default=1.0,
     show_default=True,
-    help="Seconds between two faults, where no script is named.",
+    help="Mean seconds between two faults, if no script is given.",
 )
 @click.option("--clients", type=click.IntRange(0, 50), default=0, show_default=True)
 @click.option("--disk/--no-disk", default=False, help="Voters keep their records on disk.")
@@ -69,20 +73,20 @@
     "--without",
     type=click.Choice(["none", "check", "silence", "margin", "busy", "fence"]),
     default="none",
-    help="Disable a safeguard: the checker should object.",
+    help="Disable a safeguard; the checker should then report errors.",
 )
 @click.option(
     "--rates",
     default="",
     metavar="R,R,...",
-    help="How fast the gateways' clocks run, as 1.02,0.98.",
+    help="Clock rates of the gateways, such as 1.02,0.98.",
 )
 @click.option(
     "--drift",
     type=click.FloatRange(0, 0.2),
     default=0.01,
     show_default=True,
-    help="That is assumed.",
+    help="Relative clock drift that the gateways assume.",
 )
 @json_option()
 def run(
@@ -99,14 +103,14 @@
     drift: float,
     as_json: bool,
 ) -> None:
-    """Play a fault script, or a random one, and say whether ever two held a lease at once.
+    """Run a fault script, or random faults, and check that no lease ever had two holders at once.
 
-    Starts gateways in processes of their own, with relays between them and a checker outside; all
-    on loopback.
+    Starts each gateway as a separate process, connects the gateways through relays, and checks
+    their leases from outside. All traffic stays on loopback.
 
     \b
     corkgauge chaos run --gateways 5 --seconds 60 --gap 0.5
-    Ends with 1 if the checker objects, or a rule was broken for a client.
+    Exit code: 1 if the checker found an error, or a rule was broken for a client.
     """
     from corkgauge.testkit.fleet.processes import Fleet, Unplayable, drawn, read
 
@@ -117,7 +121,7 @@
             if script
             else drawn(seed, names, seconds, gap, 3 * lease)
         )
-        rated = tuple(float(each) for each in rates.split(",")) if rates else ()
+        clock_rates = tuple(float(rate) for rate in rates.split(",")) if rates else ()
     except (Unplayable, ValueError) as problem:
         raise InputError(f"{script or '--rates'}: {problem}") from None
     fleet = Fleet(
@@ -129,35 +133,37 @@
         disk=disk,
         drift=drift,
         off="none" if without == "fence" else without,
-        rates=rated,
+        rates=clock_rates,
         guarded=without != "fence",
     )
     try:
         fleet.run(seconds)
-        said = report(fleet)
+        result = summarize_run(fleet)
     finally:
         fleet.close()
     if as_json:
-        print(json.dumps(said))
+        print(json.dumps(result))
     else:
-        for name, value in said.items():
+        for name, value in result.items():
             if name != "wrong":
                 click.echo(f"{name:18} {value}")
-        for line in said["wrong"][:10]:
-            click.echo(f"the judge objects: {line}")
-    raise SystemExit(EXIT_FOUND if said["wrong"] or said["rules"] else 0)
+        for line in result["wrong"][:10]:
+            click.echo(f"lease checker: {line}")
+    raise SystemExit(EXIT_FOUND if result["wrong"] or result["rules"] else 0)
 
 
-def report(fleet: object) -> dict:
-    """What a run came to; spans without a holder in seconds."""
+def summarize_run(fleet: object) -> dict:
+    """Return the results of a run; `without_holder` is the median and maximum time in seconds."""
     changes = fleet.changes()
-    spans = sorted(span / 10_000 for _, span, *_ in changes)
+    vacant_seconds = sorted(span / 10_000 for _, span, *_ in changes)
     return {
         "faults": fleet.befallen,
         "acts": len(fleet.judge.acts),
         "acts_refused": sum(not act.admitted for act in fleet.judge.acts),
         "hand_overs": len(changes),
-        "without_holder": [spans[len(spans) // 2], spans[-1]] if spans else [],
+        "without_holder": [vacant_seconds[len(vacant_seconds) // 2], vacant_seconds[-1]]
+        if vacant_seconds
+        else [],
         "exceptions": sum("exceptions stopped" in line for line in fleet.logs()),
         "rules": fleet.broken(2_500)[:10] if fleet.clients else [],
         "wrong": fleet.wrong(),
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -12,49 +12,53 @@
 from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option
 
-BATCH = 10_000  # rows of one group in a Parquet file
-MOST_MESSAGE = 65_535
+ROWS_PER_PARQUET_GROUP = 10_000
+MAX_MESSAGE_BYTES = 65_535
 
 
 @click.group("flows")
 def command() -> None:
-    """Flow records: a collector to try with, reports, captures.
+    """Collect flow records on loopback, report on them, and decode captures.
 
     \b
     corkgauge flows listen --write night.parquet
     """
 
 
-def need(module: str, extra: str) -> Any:
+def import_optional(module: str, extra: str) -> Any:
+    """Import a module of an extra; raises `InputError` with the extra to install."""
     from importlib import import_module
 
     try:
         return import_module(module)
     except ImportError:
-        raise InputError(f"{module} is not installed: pip install corkgauge[{extra}]") from None
+        raise InputError(
+            f"{module} is not installed; run: pip install 'corkgauge[{extra}]'"
+        ) from None
 
 
-class Out:
-    """Rows to a file: Parquet where its name ends in .parquet, else a JSON object a line."""
+class RowWriter:
+    """Writes rows to a file: Parquet if its name ends in .parquet, otherwise JSON lines."""
 
     def __init__(self, path: str) -> None:
         self.path, self.rows, self.writer = path, list[dict[str, Any]](), None
         self.parquet = path.endswith(".parquet")
         if self.parquet:
-            self.arrow = need("pyarrow", "reports")
-            self.library = need("pyarrow.parquet", "reports")
+            self.arrow = import_optional("pyarrow", "reports")
+            self.library = import_optional("pyarrow.parquet", "reports")
         else:
             self.file = open(path, "w", encoding="utf-8")
 
-    def put(self, row: dict[str, Any]) -> None:
+    def write_row(self, row: dict[str, Any]) -> None:
+        """Write a JSON line, or buffer the row until its Parquet row group is full."""
         if not self.parquet:
             print(json.dumps(row), file=self.file)
             return
         self.rows.append(row)
-        if len(self.rows) >= BATCH:
-            self._write()
+        if len(self.rows) >= ROWS_PER_PARQUET_GROUP:
+            self._write_group()
 
-    def _write(self) -> None:
+    def _write_group(self) -> None:
         table = self.arrow.Table.from_pylist(self.rows)
         if self.writer is None:
             self.writer = self.library.ParquetWriter(self.path, table.schema, compression="zstd")
@@ -62,73 +66,84 @@
         self.rows = []
 
     def close(self) -> None:
+        """Write the buffered rows and close the file."""
         if not self.parquet:
             return self.file.close()
         if self.rows:
-            self._write()
+            self._write_group()
         if self.writer is not None:
             self.writer.close()
 
 
 @command.command()
 @click.option(
-    "--port", type=click.IntRange(0, 65_535), default=4739, show_default=True, help="On 127.0.0.1."
+    "--port",
+    type=click.IntRange(0, 65_535),
+    default=4739,
+    show_default=True,
+    help="Port on 127.0.0.1.",
 )
 @click.option("--transport", type=click.Choice(["udp", "tcp"]), default="udp", show_default=True)
 @click.option(
-    "--seconds", type=click.FloatRange(0.1), default=0.0, help="End after so long; else by Ctrl-C."
+    "--seconds",
+    type=click.FloatRange(0.1),
+    default=0.0,
+    help="Stop after this time; by default, run until Ctrl-C.",
+)
+@click.option(
+    "--write", "path", metavar="FILE", help="Write rows to a .parquet file, or as JSON lines."
 )
-@click.option("--write", "path", metavar="FILE", help="Write rows: .parquet, or JSON lines.")
-@click.option("--capture", metavar="FILE", help="Keep the messages as they came, for `dump`.")
+@click.option("--capture", metavar="FILE", help="Save the received messages unchanged, for `dump`.")
 @json_option("Print rows as JSON lines.")
 def listen(
     port: int, transport: str, seconds: float, path: str | None, capture: str | None, as_json: bool
 ) -> None:
-    """A collector on loopback: prints the records that it receives, or writes them.
+    """Run a collector on loopback that prints the received flow records, or writes them to a file.
 
     \b
     corkgauge flows listen --write night.parquet
-    Ends with 1 if anything came that could not be decoded.
+    Exit code: 1 if a received message could not be decoded.
     """
     from corkgauge.eventloop.loop import SECOND, EventLoop
     from corkgauge.flow_export.report_rows import rows_of
     from corkgauge.testkit.emulators.collector import EmulatedCollector
 
-    event_loop, count = EventLoop(), [0, 0, 0]
-    out = Out(path) if path else None
-    kept = open(capture, "wb") if capture else None
+    event_loop, counts = EventLoop(), [0, 0, 0]  # messages, records, missed
+    writer = RowWriter(path) if path else None
+    capture_file = open(capture, "wb") if capture else None
 
-    def heard(message: Any, data: bytes) -> None:
-        count[0] += 1
-        count[2] += message.missed
-        if kept:
-            kept.write(len(data).to_bytes(4, "big") + data)
+    def on_message(message: Any, data: bytes) -> None:
+        counts[0] += 1
+        counts[2] += message.missed
+        if capture_file:
+            capture_file.write(len(data).to_bytes(4, "big") + data)
         for row in rows_of(message):
-            count[1] += 1
-            if out:
-                out.put(row)
+            counts[1] += 1
+            if writer:
+                writer.write_row(row)
             elif as_json:
                 print(json.dumps(row), flush=True)
             else:
-                print(line_of(row), flush=True)
+                print(format_row(row), flush=True)
 
     try:
-        collector = EmulatedCollector(event_loop, transport, heard, ("127.0.0.1", port))
+        collector = EmulatedCollector(event_loop, transport, on_message, ("127.0.0.1", port))
     except OSError as problem:
         raise InputError(f"127.0.0.1:{port}: {problem.strerror}") from None
     click.echo(f"listening on 127.0.0.1:{collector.address[1]} ({transport})", err=True)
-    until = event_loop.now + int(seconds * SECOND)
+    end_at = event_loop.now + int(seconds * SECOND)
     try:
-        while not seconds or event_loop.now < until:
+        while not seconds or event_loop.now < end_at:
             event_loop.turn(200)
     except KeyboardInterrupt:
         pass
-    if out:
-        out.close()
-    if kept:
-        kept.close()
+    if writer:
+        writer.close()
+    if capture_file:
+        capture_file.close()
     click.echo(
-        f"{count[0]} messages, {count[1]} records, {count[2]} missed, {len(collector.wrong)} wrong",
+        f"{counts[0]} messages, {counts[1]} records, {counts[2]} missed by sequence number, "
+        f"{len(collector.wrong)} decoding errors",
         err=True,
     )
     for line in collector.wrong[:5]:
@@ -136,20 +151,24 @@
     raise SystemExit(EXIT_FOUND if collector.wrong else 0)
 
 
-def line_of(row: dict[str, Any]) -> str:
-    whose = f"{row['hall']}/{row['engine']}" if row["engine"] or row["hall"] else row["side"]
-    ends = f"{row['source']}:{row['source_port']} > {row['target']}:{row['target_port']}"
-    why = row["reason"]
-    octets = f"{row['forward']:>9} there {row['reverse']:>9} back"
-    return f"{row['last_ms']} {row['gateway'] or row['domain']} {whose:24} {ends:44} {octets} {why}"
+def format_row(row: dict[str, Any]) -> str:
+    """Return a flow record as one line: time, gateway, peer, addresses, octets and end reason."""
+    peer = f"{row['hall']}/{row['engine']}" if row["engine"] or row["hall"] else row["side"]
+    addresses = f"{row['source']}:{row['source_port']} > {row['target']}:{row['target_port']}"
+    reason = row["reason"]
+    octets = f"{row['forward']:>9} forward {row['reverse']:>9} reverse"
+    return (
+        f"{row['last_ms']} {row['gateway'] or row['domain']} {peer:24} {addresses:44} "
+        f"{octets} {reason}"
+    )
 
 
 def read_rows(path: str) -> Iterator[dict[str, Any]]:
-    """Rows of a Parquet file, or of JSON lines."""
+    """Yield the rows of a Parquet or JSON lines file; raises `InputError` for an invalid row."""
     from corkgauge.flow_export.report_rows import COLUMNS
 
     if path.endswith(".parquet"):
-        library = need("pyarrow.parquet", "reports")
+        library = import_optional("pyarrow.parquet", "reports")
         try:
             for batch in library.ParquetFile(path).iter_batches():
                 yield from batch.to_pylist()
@@ -162,9 +181,13 @@
                 row = json.loads(line)
                 missing = [name for name in COLUMNS if name not in row]
             except (ValueError, TypeError) as problem:
-                raise InputError(f"{path}:{number}: not a row ({problem})") from None
+                raise InputError(
+                    f"{path}:{number}: expected a row as JSON, found an invalid line ({problem})"
+                ) from None
             if missing:
-                raise InputError(f"{path}:{number}: a row without {missing[0]}")
+                raise InputError(
+                    f"{path}:{number}: expected the column {missing[0]}, found a row without it"
+                )
             yield row
 
 
@@ -175,12 +198,16 @@
     type=click.FloatRange(1),
     default=60.0,
     show_default=True,
-    help="Seconds of one column.",
+    help="Seconds per column.",
+)
+@click.option(
+    "--plot",
+    metavar="FILE",
+    help="Write an SVG plot with a panel per zone (hall) and a line per engine.",
 )
-@click.option("--plot", metavar="FILE", help="An SVG plot, a panel a hall and a line an engine.")
-@json_option("The sums as JSON, for programs.")
+@json_option("Print the sums as JSON, for programs.")
 def report(files: tuple[str, ...], span: float, plot: str | None, as_json: bool) -> None:
-    """Octets by hall, engine and minute, from files that `listen` wrote.
+    """Sum up octets by zone (hall), engine and time span, from files that `listen` wrote.
 
     \b
     corkgauge flows report night.parquet --plot night.svg
@@ -189,7 +216,7 @@
 
     sums = octets_by_span((row for path in files for row in read_rows(path)), int(span * 1000))
     if plot:
-        draw(sums, plot, span)
+        write_plot(sums, plot, span)
     if as_json:
         print(
             json.dumps(
@@ -215,7 +242,7 @@
     table = plain_table(
         "octets to and from engines",
         "hall",
-        ("engine", *(clock(begin) for begin in begins[-12:]), "all"),
+        ("engine", *(format_time(begin) for begin in begins[-12:]), "all"),
     )
     for (zone, engine), spans in sums.items():
         cells = [f"{sum(spans[begin])}" if begin in spans else "" for begin in begins[-12:]]
@@ -223,15 +250,16 @@
     Console().print(table)
 
 
-def clock(begin_ms: int) -> str:
+def format_time(begin_ms: int) -> str:
+    """Return a time of day in UTC."""
     from datetime import datetime
 
     return datetime.fromtimestamp(begin_ms / 1000, UTC).strftime("%H:%M:%S")
 
 
-def draw(sums: dict, path: str, span: float) -> None:
-    """One panel a hall, so that a hall's fall stands beside the others' course."""
-    matplotlib = need("matplotlib", "reports")
+def write_plot(sums: dict, path: str, span_seconds: float) -> None:
+    """Write an SVG plot with one panel per zone, so that a drop in one zone stands out."""
+    matplotlib = import_optional("matplotlib", "reports")
     matplotlib.use("svg")
     from matplotlib import pyplot
 
@@ -246,16 +274,16 @@
         figsize=(9, 2.4 * max(len(zones), 1) + 0.6),
     )
     for panel, zone in zip(panels[:, 0], zones):
-        for (where, engine), spans in sums.items():
-            if where == zone:
+        for (engine_zone, engine), spans in sums.items():
+            if engine_zone == zone:
                 panel.plot(
                     [(begin - begins[0]) / 1000 for begin in begins],
-                    [sum(spans.get(begin, (0, 0))) / span / 1000 for begin in begins],
+                    [sum(spans.get(begin, (0, 0))) / span_seconds / 1000 for begin in begins],
                     label=engine,
                     lw=1.5,
                 )
-        panel.set_title(zone or "(no hall told)", loc="left", fontsize=10)
-        panel.set_ylabel("kB a second")
+        panel.set_title(zone or "(zone not reported)", loc="left", fontsize=10)
+        panel.set_ylabel("kB/s")
         panel.grid(alpha=0.3)
         panel.legend(loc="upper right", fontsize=8, ncol=4, frameon=False)
     panels[-1, 0].set_xlabel("seconds")
@@ -265,53 +293,57 @@
 
 @command.command()
 @click.argument("capture", type=click.Path(exists=True, dir_okay=False))
-@json_option("JSON lines, for programs.")
+@json_option("Print JSON lines, for programs.")
 def dump(capture: str, as_json: bool) -> None:
-    """Decode a capture: messages, templates, options and records.
+    """Decode a capture of `listen`: messages, templates, options and records.
 
     \b
     corkgauge flows dump night.capture
-    Ends with 1 if a message could not be decoded.
+    Exit code: 1 if a message could not be decoded.
     """
     from corkgauge.flow_export.decoder import Decoder, MalformedMessageError
 
-    decoder, data, at, wrong = Decoder(), Path(capture).read_bytes(), 0, 0
-    while at < len(data):
-        size = int.from_bytes(data[at : at + 4], "big")
-        message = data[at + 4 : at + 4 + size]
-        if size > MOST_MESSAGE or len(message) != size:
-            raise InputError(f"{capture}: cut short, or no capture, at octet {at}")
+    decoder, data, position, error_count = Decoder(), Path(capture).read_bytes(), 0, 0
+    while position < len(data):
+        size = int.from_bytes(data[position : position + 4], "big")
+        message = data[position + 4 : position + 4 + size]
+        if size > MAX_MESSAGE_BYTES or len(message) != size:
+            raise InputError(
+                f"{capture}: expected a whole message, found a truncated message or another file "
+                f"format, at byte {position}"
+            )
         try:
-            heard = decoder.decode(message)
+            decoded = decoder.decode(message)
         except MalformedMessageError as problem:
-            wrong += 1
-            print(f"{at}: malformed: {problem}", file=sys.stderr)
+            error_count += 1
+            print(f"{position}: malformed: {problem}", file=sys.stderr)
         else:
-            said = {
-                "at": at,
-                "version": heard.version,
-                "domain": heard.domain,
-                "sequence": heard.sequence,
-                "exported": heard.export_time_seconds,
-                "templates": heard.templates,
-                "missed": heard.missed,
-                "options": heard.options,
-                "records": heard.records,
+            fields = {
+                "at": position,
+                "version": decoded.version,
+                "domain": decoded.domain,
+                "sequence": decoded.sequence,
+                "exported": decoded.export_time_seconds,
+                "templates": decoded.templates,
+                "missed": decoded.missed,
+                "options": decoded.options,
+                "records": decoded.records,
             }
-            print(json.dumps(said, default=repr) if as_json else text_of(said))
-        at += 4 + size
-    raise SystemExit(EXIT_FOUND if wrong else 0)
+            print(json.dumps(fields, default=repr) if as_json else format_message(fields))
+        position += 4 + size
+    raise SystemExit(EXIT_FOUND if error_count else 0)
 
 
-def text_of(said: dict[str, Any]) -> str:
+def format_message(fields: dict[str, Any]) -> str:
+    """Return a decoded message as text: a line for its header, then a line per record."""
     lines = [
-        f"{said['at']}: version {said['version']} domain {said['domain']} "
-        f"sequence {said['sequence']} "
-        f"templates {said['templates']} missed {said['missed']}"
+        f"{fields['at']}: version {fields['version']} domain {fields['domain']} "
+        f"sequence {fields['sequence']} "
+        f"templates {fields['templates']} missed {fields['missed']}"
     ]
-    for sort in "options", "records":
+    for kind in "options", "records":
         lines += [
-            f"    {sort[:-1]} " + " ".join(f"{key}={value}" for key, value in each.items())
-            for each in said[sort]
+            f"    {kind[:-1]} " + " ".join(f"{name}={value}" for name, value in record.items())
+            for record in fields[kind]
         ]
     return "\n".join(lines)
--- a/corkgauge/commands/recovery.py
+++ b/corkgauge/commands/recovery.py
@@ -13,15 +13,15 @@
 
 @click.group("recovery")
 def command() -> None:
-    """What a gateway keeps over a restart: snapshots, and the log of attempts that may have run.
+    """Inspect a gateway's recovery files: snapshots, and the log of attempts that may have run.
 
     \b
     corkgauge recovery show /var/lib/corkgauge
     """
 
 
-def gateways_of(folder: str) -> list[str]:
-    """The gateways that have files there."""
+def list_gateways(folder: str) -> list[str]:
+    """Return the names of the gateways with recovery files in a folder."""
     try:
         names = sorted(os.listdir(folder))
     except OSError as problem:
@@ -35,91 +35,98 @@
     )
 
 
-def snapshots(folder: str, gateway: str) -> list[tuple[str, Any, str]]:
-    """Path, body and what is wrong with it, the newest first."""
+def read_snapshots(folder: str, gateway: str) -> list[tuple[str, Any, str]]:
+    """Return the path, body and damage of each snapshot, the newest first.
+
+    The body of a damaged snapshot is None; the damage of a usable one is an empty string.
+    """
     from corkgauge.recovery import snapshot
 
-    found = []
-    for end in ("", *(f".{n}" for n in range(1, 20))):
-        path = os.path.join(folder, f"{gateway}.recall{end}")
+    snapshots = []
+    for suffix in ("", *(f".{n}" for n in range(1, 20))):
+        path = os.path.join(folder, f"{gateway}.recall{suffix}")
         if os.path.exists(path):
             with open(path, "rb") as file:
                 data = file.read(snapshot.MAX_SNAPSHOT_BYTES + 1)
             try:
-                found.append((path, snapshot.decode(data), ""))
+                snapshots.append((path, snapshot.decode(data), ""))
             except snapshot.UnusableSnapshotError as problem:
-                found.append((path, None, str(problem)))
-    return found
+                snapshots.append((path, None, str(problem)))
+    return snapshots
 
 
-def logged(folder: str, gateway: str) -> tuple[Any, list[str]]:
-    """The state that a log makes, and what is wrong with it."""
+def replay_log(folder: str, gateway: str) -> tuple[Any, list[str]]:
+    """Replay a gateway's attempt log; return the resulting state and the damage in its segments."""
     from corkgauge.recovery.attempt_log import AttemptLog
     from corkgauge.recovery.attempt_records import read_records
     from corkgauge.recovery.log_writer import list_segments
 
-    state, wrong = AttemptLog(), []
+    state, damages = AttemptLog(), []
     for _, path in list_segments(folder, gateway, os.listdir(folder)):
         with open(path, "rb") as file:
             data = file.read(64 * 2**20)
-        for body, at, why in read_records(data):
+        for body, position, damage in read_records(data):
             if body is not None:
                 state.replay_record(body)
-            elif why:
-                wrong.append(f"{path}: {why} at {at}")
-    return state, wrong
+            elif damage:
+                damages.append(f"{path}: {damage} at byte {position}")
+    return state, damages
 
 
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@json_option("As JSON, for programs.")
+@json_option("Print the summary as JSON, for programs.")
 def show(folder: str, as_json: bool) -> None:
-    """What is kept: learned state of engines and queues, and attempts that may have run.
+    """Show the saved learned state of engines and queues, and the attempts that may have run.
 
     \b
     corkgauge recovery show /var/lib/corkgauge
     """
-    said = []
-    for gateway in gateways_of(folder):
-        state, _ = logged(folder, gateway)
-        good = next(
-            ((path, body) for path, body, why in snapshots(folder, gateway) if not why), None
+    summaries = []
+    for gateway in list_gateways(folder):
+        state, _ = replay_log(folder, gateway)
+        newest_usable = next(
+            ((path, body) for path, body, damage in read_snapshots(folder, gateway) if not damage),
+            None,
         )
-        said.append(
+        summaries.append(
             {
                 "gateway": gateway,
-                "snapshot": good and good[0],
-                "body": good and good[1],
+                "snapshot": newest_usable and newest_usable[0],
+                "body": newest_usable and newest_usable[1],
                 "effects": len(state),
                 "unsettled": len(state.find_in_doubt_attempts()),
             }
         )
     if as_json:
-        print(json.dumps(said))
+        print(json.dumps(summaries))
         return
     from rich.console import Console
 
     from corkgauge.commands.tables import plain_table
 
-    for each in said:
-        body = each["body"]
+    for summary in summaries:
+        body = summary["body"]
         print(
-            f"{each['gateway']}: {each['effects']} effects, {each['unsettled']} unsettled; "
+            f"{summary['gateway']}: {summary['effects']} attempts in the log, "
+            f"{summary['unsettled']} without a known outcome; "
             + (
-                f"saved {time.time() - body['at'] / 10_000:.0f} s ago"
+                f"snapshot saved {time.time() - body['at'] / 10_000:.0f} s ago"
                 if body
-                else "no snapshot that is of use"
+                else "no usable snapshot"
             )
         )
         if body:
             table = plain_table(
-                f"price {body['price']:.6f}", "engine", ("slowness", "bound", "rests", "faults")
+                f"admission price {body['price']:.6f}",
+                "engine",
+                ("slowness", "bound", "rests", "faults"),
             )
             for name, engine in sorted(body["engines"].items()):
-                slow = sorted(engine["slowness"])
+                slowness = sorted(engine["slowness"])
                 table.add_row(
                     name,
-                    f"{slow[len(slow) // 2]:.2f}" if slow else "",
+                    f"{slowness[len(slowness) // 2]:.2f}" if slowness else "",
                     f"{engine['bound']:.2f}",
                     f"{max(engine['rests_until'] - body['at'], 0) / 10_000:.1f}",
                     str(sum(map(bool, engine["faults"]))),
@@ -130,44 +137,48 @@
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def check(folder: str) -> None:
-    """Check that no file is corrupted. A truncated end of the newest segment is what a kill leaves.
+    """Check that no recovery file is corrupted.
+
+    A truncated end of the newest log segment is no error: killing the program can cause it.
 
     \b
     corkgauge recovery check /var/lib/corkgauge
-    Ends with 1 if one is corrupted.
+    Exit code: 1 if a file is corrupted.
     """
-    wrong = []
-    for gateway in gateways_of(folder):
-        bad = [f"{path}: {why}" for path, _, why in snapshots(folder, gateway) if why]
-        bad += [line for line in logged(folder, gateway)[1] if "torn end" not in line]
-        print(f"{gateway}: {'; '.join(bad) or 'whole'}")
-        wrong += bad
-    raise SystemExit(EXIT_FOUND if wrong else 0)
+    all_damages = []
+    for gateway in list_gateways(folder):
+        damages = [
+            f"{path}: {damage}" for path, _, damage in read_snapshots(folder, gateway) if damage
+        ]
+        damages += [line for line in replay_log(folder, gateway)[1] if "torn end" not in line]
+        print(f"{gateway}: {'; '.join(damages) or 'whole'}")
+        all_damages += damages
+    raise SystemExit(EXIT_FOUND if all_damages else 0)
 
 
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--gateway", required=True, help="Whose files; it must not run.")
+@click.option("--gateway", required=True, help="Name of the gateway; it must not be running.")
 def prune(folder: str, gateway: str) -> None:
-    """Remove all files of a gateway that does not run.
+    """Remove all recovery files of a gateway that is not running.
 
     \b
     corkgauge recovery prune /var/lib/corkgauge --gateway n1
     """
     import fcntl
 
-    lock = os.path.join(folder, f"{gateway}.lock")
-    if gateway not in gateways_of(folder):
-        raise InputError(f"{folder}: nothing of {gateway!r}")
-    descriptor = os.open(lock, os.O_RDWR | os.O_CREAT, 0o640)
+    lock_path = os.path.join(folder, f"{gateway}.lock")
+    if gateway not in list_gateways(folder):
+        raise InputError(f"{folder}: expected recovery files of gateway {gateway!r}, found none")
+    descriptor = os.open(lock_path, os.O_RDWR | os.O_CREAT, 0o640)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
-        raise InputError(f"{folder}: {gateway} runs") from None
-    gone = 0
+        raise InputError(f"{folder}: gateway {gateway} is running; stop it first") from None
+    removed_count = 0
     for name in os.listdir(folder):
         if name.startswith((f"{gateway}.recall", f"{gateway}.effects.")):
             os.unlink(os.path.join(folder, name))
-            gone += 1
+            removed_count += 1
     os.close(descriptor)
-    print(f"{gateway}: {gone} files removed")
+    print(f"{gateway}: {removed_count} files removed")
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -9,7 +9,7 @@
 from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option, seed_option
 
-# What befalls the engines, again and again: a round of it lasts so many seconds.
+# The built-in fault script, and the interval at which a script repeats.
 ROUND_SECONDS = 30
 FAULT_SCRIPT = """
 at 2 for 2: e1 silent
@@ -29,29 +29,27 @@
 at 24: program restart
 at 26 for 2: all slow 2
 """
-MAX_MEMORY_GROWTH_BYTES = (
-    4 * 2**20
-)  # bytes that a flat program may gain from the first third of an epoch to its last
+MAX_MEMORY_GROWTH_BYTES = 4 * 2**20  # allowed from the first third of an epoch to its last
 
 
 def repeat_fault_script(text: str, seconds: float, engines: list[str]) -> list:
-    """A script's scenes, again each round."""
+    """Return the faults of a script, repeated every `ROUND_SECONDS` for `seconds` seconds."""
     from corkgauge.eventloop.loop import SECOND
     from corkgauge.testkit.faults.script import Scene, read
 
-    once = read(text, engines)
+    scenes = read(text, engines)
     return [
         Scene(
-            scene.at + n * ROUND_SECONDS * SECOND,
+            scene.at + round_number * ROUND_SECONDS * SECOND,
             scene.span,
             scene.who,
             scene.trouble,
             scene.figure,
             scene.whom,
         )
-        for n in range(int(seconds // ROUND_SECONDS) + 1)
-        for scene in once
-        if scene.at + n * ROUND_SECONDS * SECOND < seconds * SECOND
+        for round_number in range(int(seconds // ROUND_SECONDS) + 1)
+        for scene in scenes
+        if scene.at + round_number * ROUND_SECONDS * SECOND < seconds * SECOND
     ]
 
 
@@ -62,34 +60,35 @@
     type=click.FloatRange(1, 2000),
     default=150.0,
     show_default=True,
-    help="Submissions a second.",
+    help="Requests per second.",
 )
 @click.option(
     "--scrapes",
     type=click.FloatRange(0, 50),
     default=10.0,
     show_default=True,
-    help="Scrapes a second; each must balance.",
+    help="Snapshots read per second; each must balance.",
 )
 @seed_option
 @click.option(
     "--script",
     type=click.Path(exists=True, dir_okay=False),
-    help="Troubles to play in place of the usual round.",
+    help="Fault script to run instead of the built-in one; it repeats every 30 seconds.",
 )
 @json_option()
 def command(
     seconds: float, rate: float, scrapes: float, seed: int, script: str | None, as_json: bool
 ) -> None:
-    """Play a long day of faults on loopback, and check every scrape and every rule.
+    """Inject faults on loopback for a long time, and check every snapshot and every rule.
 
-    The engines fall silent, slow down, restart, corrupt answers; the program is killed, restarted
-    and told to read its files again. A script's lines are
+    Engines stall, slow down, restart and corrupt answers. The program is killed, restarted, and
+    signalled to reload its files. The lines of a fault script have the form
     `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`.
 
     \b
     corkgauge soak --seconds 600 --rate 300
-    Ends with 1 if a scrape does not balance, a rule breaks, or memory grows.
+    Exit code: 1 if a snapshot does not balance, a rule is broken, the program logs an exception, or
+    its memory grows by more than 4 MiB.
     """
     from corkgauge.testkit.checkers import rules
     from corkgauge.testkit.faults.script import Unplayable
@@ -103,60 +102,65 @@
     except Unplayable as problem:
         raise InputError(f"{script}: {problem}") from None
 
-    def seen(cut: dict) -> None:
-        if not as_json and play.scraped % 100 == 0:
-            taken = sum(row["taken"] for row in cut["offerings"].values())
+    def on_scrape(snapshot: dict) -> None:
+        if not as_json and day.scraped % 100 == 0:
+            taken = sum(row["taken"] for row in snapshot["offerings"].values())
             click.echo(
-                f"{(play.event_loop.now - begun) / 10_000:7.1f} s  epoch {cut['epoch']['id']}  "
-                f"taken {taken:8}  scrapes {play.scraped}, wrong {len(play.wrong)}",
+                f"{(day.event_loop.now - start_ticks) / 10_000:7.1f} s  "
+                f"epoch {snapshot['epoch']['id']}  "
+                f"taken {taken:8}  snapshots {day.scraped}, errors {len(day.wrong)}",
                 err=True,
             )
 
-    play = Day(seed, scenes, rate=rate, scrapes=scrapes, seen=seen)
-    begun = play.event_loop.now
+    day = Day(seed, scenes, rate=rate, scrapes=scrapes, seen=on_scrape)
+    start_ticks = day.event_loop.now
     try:
-        play.run(seconds)
-        log, epochs = play.program.log(), _epochs(play)
+        day.run(seconds)
+        log, closed_epochs = day.program.log(), _count_closed_epochs(day)
     finally:
-        play.close()
-    broken, grown = play.broken(), measure_memory_growth(play.memory)
-    said = {
-        "clients": play.tally(),
-        "scrapes": play.scraped,
-        "missed": play.scraper.missed if scrapes else 0,
-        "wrong": play.wrong[:20],
-        "broken": rules.worth_saying(broken),
-        "epochs_closed": epochs,
-        "memory_growth": grown,
-        "memory": play.memory[-1] if play.memory else 0,
+        day.close()
+    broken_rules, grown_bytes = day.broken(), measure_memory_growth(day.memory)
+    result = {
+        "clients": day.tally(),
+        "scrapes": day.scraped,
+        "missed": day.scraper.missed if scrapes else 0,
+        "wrong": day.wrong[:20],
+        "broken": rules.worth_saying(broken_rules),
+        "epochs_closed": closed_epochs,
+        "memory_growth": grown_bytes,
+        "memory": day.memory[-1] if day.memory else 0,
         "exceptions": sum("exceptions stopped" in line for line in log),
         "processor_seconds": resource.getrusage(resource.RUSAGE_CHILDREN).ru_utime,
     }
     if as_json:
-        print(json.dumps(said))
+        print(json.dumps(result))
     else:
-        for name, value in said.items():
+        for name, value in result.items():
             click.echo(f"{name:18} {value}")
     raise SystemExit(
         EXIT_FOUND
-        if play.wrong or broken or grown > MAX_MEMORY_GROWTH_BYTES or said["exceptions"]
+        if day.wrong
+        or broken_rules
+        or grown_bytes > MAX_MEMORY_GROWTH_BYTES
+        or result["exceptions"]
         else 0
     )
 
 
-def _epochs(play: object) -> int:
-    """Epochs that a later start closed, as the program logged them."""
-    return sum("figures: epoch" in line and "closed" in line for line in play.program.log())
+def _count_closed_epochs(day: object) -> int:
+    """Return how many epochs the program closed at a later start, according to its log."""
+    return sum("figures: epoch" in line and "closed" in line for line in day.program.log())
 
 
 def measure_memory_growth(memory: list[int]) -> int:
-    """Bytes by which the last epoch's last third lies above its first one, by their medians.
+    """Return the growth in bytes from the first to the last third of the last epoch.
 
-    A start anew shows as a fall by a tenth.
+    Compares the medians of both thirds; returns 0 if a third has fewer than 10 samples. A drop by
+    more than a tenth between two samples marks a restart of the program.
     """
-    begins = [n for n in range(1, len(memory)) if memory[n] < 0.9 * memory[n - 1]]
-    last = memory[begins[-1] if begins else 0 :]
-    third = len(last) // 3
+    starts = [index for index in range(1, len(memory)) if memory[index] < 0.9 * memory[index - 1]]
+    samples = memory[starts[-1] if starts else 0 :]
+    third = len(samples) // 3
     if third < 10:
         return 0
-    return sorted(last[-third:])[third // 2] - sorted(last[:third])[third // 2]
+    return sorted(samples[-third:])[third // 2] - sorted(samples[:third])[third // 2]
