--- a/corkgauge/commands/accounts.py
+++ b/corkgauge/commands/accounts.py
@@ -1,4 +1,4 @@
-"""`corkgauge accounts`."""
+"""Defines `corkgauge accounts`, which shows and checks the counters of gateways."""
 
 import json
 import time
--- a/corkgauge/commands/audit.py
+++ b/corkgauge/commands/audit.py
@@ -1,4 +1,4 @@
-"""`corkgauge audit`."""
+"""Defines `corkgauge audit`, which checks recorded snapshots and maintenance histories."""
 
 import json
 
--- a/corkgauge/commands/chaos.py
+++ b/corkgauge/commands/chaos.py
@@ -1,4 +1,4 @@
-"""`corkgauge chaos run | draw`."""
+"""Defines `corkgauge chaos run | draw`, which tests leases under injected faults."""
 
 import json
 from pathlib import Path
--- a/corkgauge/commands/check.py
+++ b/corkgauge/commands/check.py
@@ -1,4 +1,4 @@
-"""`corkgauge check`."""
+"""Defines `corkgauge check`, which checks the configuration."""
 
 import os
 
--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -1,4 +1,4 @@
-"""`corkgauge demo`."""
+"""Defines `corkgauge demo`, which runs the gateway between emulators for a short time."""
 
 import json
 
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -1,4 +1,4 @@
-"""`corkgauge flows`: listen, report, dump."""
+"""Defines `corkgauge flows listen | report | dump`, which handle flow records."""
 
 import json
 import sys
--- a/corkgauge/commands/leases.py
+++ b/corkgauge/commands/leases.py
@@ -1,4 +1,4 @@
-"""`corkgauge leases show | yield | run`."""
+"""Defines `corkgauge leases show | yield | run`, which show and use leases."""
 
 import json
 import os
@@ -230,8 +230,8 @@
         from corkgauge.accounting.client import request_json
 
         try:
-            # With a longer timeout than 0.2 s, a stalled gateway would block this program past the
-            # end of the command's lease.
+            # The timeout of 0.2 s limits how long a stalled gateway can block this program. With a
+            # longer one, the command could run past the end of its lease.
             return request_json(
                 self.address,
                 "/duties",
--- a/corkgauge/commands/maintenance.py
+++ b/corkgauge/commands/maintenance.py
@@ -1,4 +1,4 @@
-"""`corkgauge maintenance ask | show | cancel | done | hold | overrule | known`."""
+"""Defines `corkgauge maintenance ask | show | cancel | done | hold | overrule | known`."""
 
 import json
 import os
--- a/corkgauge/commands/members.py
+++ b/corkgauge/commands/members.py
@@ -1,4 +1,4 @@
-"""`corkgauge members`."""
+"""Defines `corkgauge members`, which shows the members of the fleet."""
 
 import json
 from typing import Any
--- a/corkgauge/commands/peer_health.py
+++ b/corkgauge/commands/peer_health.py
@@ -1,4 +1,4 @@
-"""`corkgauge peer-health show`."""
+"""Defines `corkgauge peer-health show`, which shows the peer health reports of gateways."""
 
 import json
 
--- a/corkgauge/commands/recovery.py
+++ b/corkgauge/commands/recovery.py
@@ -1,4 +1,4 @@
-"""`corkgauge recovery`: show, check, prune."""
+"""Defines `corkgauge recovery show | check | prune`, which handle recovery files."""
 
 import json
 import os
--- a/corkgauge/commands/serve.py
+++ b/corkgauge/commands/serve.py
@@ -1,4 +1,4 @@
-"""`corkgauge serve`."""
+"""Defines `corkgauge serve`, which runs the gateway."""
 
 import os
 import signal
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -1,4 +1,4 @@
-"""`corkgauge soak`."""
+"""Defines `corkgauge soak`, which tests the gateway under faults for a long time."""
 
 import json
 import resource
@@ -9,8 +9,7 @@
 from corkgauge.commands import EXIT_FOUND, InputError
 from corkgauge.commands.shared_options import json_option, seed_option
 
-# The built-in fault script, and the interval at which a script repeats.
-ROUND_SECONDS = 30
+ROUND_SECONDS = 30  # a fault script repeats at this interval
 FAULT_SCRIPT = """
 at 2 for 2: e1 silent
 at 3 for 3: e2 slow 6
--- a/corkgauge/commands/tables.py
+++ b/corkgauge/commands/tables.py
@@ -34,7 +34,9 @@
         (*TERM_NAMES, "open", *ATTEMPT_KIND_NAMES, "out", "p50 s", "p99 s"),
     )
     latencies = {
-        each["whose"]: each for each in snapshot.get("waits", ()) if each["what"] == "latency"
+        sketch["whose"]: sketch
+        for sketch in snapshot.get("waits", ())
+        if sketch["what"] == "latency"
     }
     for name, row in snapshot["offerings"].items():
         if row["taken"]:
@@ -58,7 +60,7 @@
     )
     rows = sorted(
         snapshot["engines"].items(),
-        key=lambda each: -sum(each[1][kind] for kind in ATTEMPT_KIND_NAMES),
+        key=lambda item: -sum(item[1][kind] for kind in ATTEMPT_KIND_NAMES),
     )
     for name, row in rows[:max_rows]:
         if any(row[kind] for kind in ATTEMPT_KIND_NAMES):
@@ -82,12 +84,12 @@
     table = plain_table("requests by end reason", "offering", reasons)
     for name, row in snapshot["offerings"].items():
         if row["taken"]:
-            table.add_row(name, *(str(row["reasons"].get(each, 0) or "") for each in reasons))
+            table.add_row(name, *(str(row["reasons"].get(reason, 0) or "") for reason in reasons))
     return table
 
 
 def balance_text(snapshot: Snapshot) -> Text:
-    """Return the equations of the counters that do not balance, or a confirmation."""
+    """Return the imbalances of the counters, or `in balance`."""
     imbalances = find_imbalances(snapshot)
     if imbalances:
         return Text("out of balance\n" + "\n".join(imbalances), style="bold red")
--- a/corkgauge/commands/version.py
+++ b/corkgauge/commands/version.py
@@ -1,4 +1,4 @@
-"""`corkgauge version`."""
+"""Defines `corkgauge version`, which prints the version."""
 
 import click
 
