--- a/corkgauge/commands/version.py
+++ b/corkgauge/commands/version.py
@@ -1,4 +1,4 @@
-"""`corkgauge version`."""
+"""Defines `corkgauge version`, which prints the version."""
 
 import click
 
@@ -7,7 +7,7 @@
 
 @click.command("version")
 def command() -> None:
-    """Print the version.
+    """Print the version of the program.
 
     \b
     corkgauge version
