--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -202,9 +202,9 @@
             try:
                 fleet.run(said.seconds)
                 took = sorted(
-                    ask.answers[0][0] - ask.sent
+                    ask.answers[0][0] - ask.sent_at
                     for client in fleet.clients
-                    for ask in client.book
+                    for ask in client.requests
                     if ask.answers
                 )
                 row[name] = (
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -189,7 +189,7 @@
         collector = EmulatedCollector(
             play.event_loop, transport, lambda message, data: heard.append(message)
         )
-        collector.deaf = sort == "deaf"
+        collector.ignores_input = sort == "deaf"
         path = os.path.join(play.folder, "operator.xml")
         with open(path, "w", encoding="utf-8") as file:
             file.write(
@@ -213,9 +213,9 @@
     finally:
         play.close()
     spans = sorted(
-        (ask.answers[0][0] - ask.sent) / 10
+        (ask.answers[0][0] - ask.sent_at) / 10
         for client in play.clients
-        for ask in client.book
+        for ask in client.requests
         if ask.answers
     )
     return (
@@ -258,12 +258,14 @@
 
     from corkgauge.flow_export.report_rows import rows_of
     from corkgauge.testkit.emulators.collector import EmulatedCollector
-    from corkgauge.testkit.faults.script import read
+    from corkgauge.testkit.faults.script import parse_script
     from corkgauge.testkit.fleet.day import Day
 
     play = Day(
         5,
-        read("at 10 for 10: e1 slow 30\nat 10 for 10: e2 slow 30", ["e1", "e2", "e3", "e4"]),
+        parse_script(
+            "at 10 for 10: e1 slow 30\nat 10 for 10: e2 slow 30", ["e1", "e2", "e3", "e4"]
+        ),
         rate=250,
         scrapes=0,
         operator="",
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.checkers.maintenance import Limits, wrong
+from corkgauge.testkit.checkers.maintenance import MaintenanceLimits, find_maintenance_violations
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 
@@ -97,18 +97,18 @@
         logs = self.fleet.logs()
         self.fleet.close()
         runs = [
-            (run.came, run.engine, run.trace)
+            (run.received_at, run.engine, run.trace)
             for each in self.fleet.engines.values()
-            for run in each.book
+            for run in each.attempts
         ]
         engines = {
             name: (each.zone, each.kind, float(each.cores))
             for name, each in self.fleet.engines.items()
         }
-        limits = Limits(LIMITS["most"], LIMITS["share"], 0.5, 0.5, {"c12": 1})
+        limits = MaintenanceLimits(LIMITS["most"], LIMITS["share"], 0.5, 0.5, {"c12": 1})
         bad_lines = ("exceptions stopped", "Traceback", "unreadable", "not read")
         return [
-            *wrong(self.crew.book, runs, engines, limits, 1_000),
+            *find_maintenance_violations(self.crew.book, runs, engines, limits, 1_000),
             *self.fleet.broken(RULE_SLACK),
             *self.fleet.wrong(),
             *[line for line in logs if any(bad in line for bad in bad_lines)],
--- a/benchmarks/recall.py
+++ b/benchmarks/recall.py
@@ -25,8 +25,8 @@
 sys.path.insert(0, str(ROOT))
 
 from corkgauge.eventloop.loop import SECOND  # noqa: E402
-from corkgauge.testkit.emulators.clients import Want  # noqa: E402
-from corkgauge.testkit.faults.script import read  # noqa: E402
+from corkgauge.testkit.emulators.clients import RequestProfile  # noqa: E402
+from corkgauge.testkit.faults.script import parse_script  # noqa: E402
 from corkgauge.testkit.fleet.day import Day  # noqa: E402
 from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
 
@@ -34,8 +34,8 @@
 FILE = '<operator version="1">{recall}</operator>'
 RECALL = '<recall folder="{folder}/recall" each="0.1" durability="%s"/>'
 LOADS = [
-    Want("load", 0.7, 2_000, 15.0, labelled=True, ordered=True),
-    Want("lookup", 0.3, 1_500, 8.0),
+    RequestProfile("load", 0.7, 2_000, 15.0, has_idempotency_key=True, has_order_key=True),
+    RequestProfile("lookup", 0.3, 1_500, 8.0),
 ]
 EARNS = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
 AIMS = {"lookup": 200, "report": 500, "load": 400, "once": 300}
@@ -48,7 +48,9 @@
 def kills_of(count, seed):
     """One lane: killed each 0.5 s. Starts, those that recalled, and lines that should not be."""
     script = "".join(f"at {1 + 0.5 * n:.2f}: program kill\n" for n in range(count))
-    play = Day(seed, read(script, NAMES), engines=6, rate=150, scrapes=0, operator=operator(True))
+    play = Day(
+        seed, parse_script(script, NAMES), engines=6, rate=150, scrapes=0, operator=operator(True)
+    )
     try:
         play.run(1.5 + 0.5 * count, drain=1.0)
         log, killed, broken = play.program.log(), len(play.program.kills), play.broken(2500)
@@ -82,7 +84,7 @@
     )
     play = Day(
         seed,
-        read(script, NAMES),
+        parse_script(script, NAMES),
         engines=6,
         rate=200,
         scrapes=0,
@@ -108,9 +110,9 @@
 def retried(play):
     found = {}
     for client in play.clients:
-        for ask in client.book:
-            if ask.label:
-                found.setdefault(ask.label, []).append(ask)
+        for ask in client.requests:
+            if ask.idempotency_key:
+                found.setdefault(ask.idempotency_key, []).append(ask)
     return found
 
 
@@ -132,7 +134,7 @@
         troubles = "at 0.1 for 7.9: e1 slow 10\nat 0.1 for 7.9: e4 silent\n"
     play = Day(
         seed,
-        read(troubles + "at 8: program kill", NAMES),
+        parse_script(troubles + "at 8: program kill", NAMES),
         engines=6,
         rate=250,
         scrapes=0,
@@ -147,13 +149,13 @@
         play.close()
     asked = earned = 0.0
     for client in play.clients:
-        for ask in client.book:
-            if begun + 8.2 * SECOND <= ask.sent < begun + 18.2 * SECOND:
-                worth = EARNS[ask.want.request_class]
+        for ask in client.requests:
+            if begun + 8.2 * SECOND <= ask.sent_at < begun + 18.2 * SECOND:
+                worth = EARNS[ask.profile.request_class]
                 asked += worth
                 if ask.answers and ask.answers[0][1] == 1:
-                    aim = 10 * (AIMS[ask.want.request_class] + 2 * ask.want.work)
-                    earned += worth * (1.0 if ask.answers[0][0] - ask.sent <= aim else 0.3)
+                    aim = 10 * (AIMS[ask.profile.request_class] + 2 * ask.profile.work_ms)
+                    earned += worth * (1.0 if ask.answers[0][0] - ask.sent_at <= aim else 0.3)
     return 1 - earned / max(asked, 1e-9)
 
 
@@ -197,9 +199,9 @@
     finally:
         play.close()
     spans = sorted(
-        ask.answers[0][0] - ask.sent
+        ask.answers[0][0] - ask.sent_at
         for client in play.clients
-        for ask in client.book
+        for ask in client.requests
         if ask.answers
     )
     return (
@@ -245,8 +247,8 @@
     try:
         fleet.start()
         fleet.until(3)
-        fleet.engines["e2"].begin("slow", 10.0)
-        fleet.engines["e5"].begin("silent", 0.0)
+        fleet.engines["e2"].begin_fault("slow", 10.0)
+        fleet.engines["e5"].begin_fault("silent", 0.0)
         fleet.until(5)
         whom = ("n1",) if which == "one of three" else ("n1", "n2", "n3")
         if which == "replaced":
@@ -254,8 +256,8 @@
                 for gateway, feed in fleet.feeds.items():
                     other = fleet.reached(gateway, name)
                     other.name = name + "b"
-                    feed.told([other])
-                    feed.told([fleet.reached(gateway, name)], "DELETED")
+                    feed.publish([other])
+                    feed.publish([fleet.reached(gateway, name)], "DELETED")
         begun = fleet.event_loop.now
         fleet.befall(Fault(0, 500, "kill", whom))
         fleet.until(6)
@@ -264,15 +266,16 @@
         good = possible = 0.0
         for n, client in enumerate(fleet.clients):
             if f"n{1 + n % 3}" in whom:
-                for ask in client.book:
-                    if begun + 4_000 <= ask.sent < over:
-                        possible += EARNS[ask.want.request_class]
+                for ask in client.requests:
+                    if begun + 4_000 <= ask.sent_at < over:
+                        possible += EARNS[ask.profile.request_class]
                         served = bool(ask.answers) and ask.answers[0][1] == 1
                         good += (
-                            EARNS[ask.want.request_class]
+                            EARNS[ask.profile.request_class]
                             * served
                             * (
-                                ask.answers[0][0] - ask.sent <= 10 * AIMS[ask.want.request_class]
+                                ask.answers[0][0] - ask.sent_at
+                                <= 10 * AIMS[ask.profile.request_class]
                                 if served
                                 else 0
                             )
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -35,9 +35,9 @@
 def earned(fleet, since, until):
     good = possible = 0.0
     for client in fleet.clients:
-        for ask in client.book:
-            if since <= ask.sent < until:
-                worth = WORTH[ask.want.request_class]
+        for ask in client.requests:
+            if since <= ask.sent_at < until:
+                worth = WORTH[ask.profile.request_class]
                 possible += worth
                 good += worth * (bool(ask.answers) and ask.answers[0][1] == 1)
     return good / possible
@@ -61,21 +61,21 @@
         fleet.until(6)
         begun = fleet.event_loop.now
         for name in bad:
-            fleet.engines[name].begin(trouble, TROUBLES[trouble])
+            fleet.engines[name].begin_fault(trouble, TROUBLES[trouble])
         if how == "known":
             fleet.listed(bad, "DELETED")
         fleet.until(8)
         for name in bad:
-            fleet.engines[name].end()
+            fleet.engines[name].end_fault()
         if how == "known":
             fleet.listed(bad)
         fleet.until(4)
         over = fleet.event_loop.now
         fleet.settle()
         tried = sum(
-            begun < run.came < begun + 8 * SECOND
+            begun < run.received_at < begun + 8 * SECOND
             for name in bad
-            for run in fleet.engines[name].book
+            for run in fleet.engines[name].attempts
         )
         return how, trouble, many, 1 - earned(fleet, begun, over), tried, fleet.broken(2_500)[:2]
     finally:
@@ -235,13 +235,13 @@
         fleet.start()
         fleet.event_loop.call_later(4 * SECOND, renew)
         fleet.until(seconds)
-        share, span, multiple, fall = fleet.stakes.cold
+        share, span, multiple, fall = fleet.stakes.slow_start
         for begun, some in renewals:
             for name in some:
                 sent = [
-                    (run.came, run.work)
-                    for run in fleet.engines[name].book
-                    if begun <= run.came < begun + span
+                    (run.received_at, run.work)
+                    for run in fleet.engines[name].attempts
+                    if begun <= run.received_at < begun + span
                 ]
                 for came, _ in sent:
                     work = sum(each for when, each in sent if came <= when < came + fall)
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -86,13 +86,13 @@
     def work(self, work):
         for tag in work.members:
             if tag in self.fleet.engines:
-                self.fleet.engines[tag].begin("refuse", 0.0)
+                self.fleet.engines[tag].begin_fault("refuse", 0.0)
         super().work(work)
 
     def end(self, work):
         for tag in work.members:
             if tag in self.fleet.engines:
-                self.fleet.engines[tag].end()
+                self.fleet.engines[tag].end_fault()
         super().end(work)
 
 
@@ -115,7 +115,7 @@
                 crew.ask("hall", zone)
             fleet.until(90, lambda: not crew.over(24))
         elif policy != "none":
-            from corkgauge.testkit.checkers.maintenance import Work
+            from corkgauge.testkit.checkers.maintenance import MaintenanceRecord
 
             queues = {
                 "alone": [names[n::4] for n in range(4)],
@@ -125,7 +125,7 @@
 
             def next_of(queue):
                 if queue:
-                    work = Work(queue[0], "x", (queue.pop(0),), fleet.event_loop.now)
+                    work = MaintenanceRecord(queue[0], "x", (queue.pop(0),), fleet.event_loop.now)
                     crew.wish = lambda *_: fleet.event_loop.call_later(
                         int(0.2 * SECOND), next_of, queue
                     )
@@ -143,16 +143,16 @@
         earned = possible = 0.0
         seconds: dict[tuple[str, int], list[int]] = {}
         for client in fleet.clients:
-            for ask in client.book:
-                if begun <= ask.sent < over:
+            for ask in client.requests:
+                if begun <= ask.sent_at < over:
                     worth, good = (
-                        WORTH[ask.want.request_class],
+                        WORTH[ask.profile.request_class],
                         bool(ask.answers) and ask.answers[0][1] == 1,
                     )
                     possible += worth
                     earned += worth * good
                     row = seconds.setdefault(
-                        (ask.want.request_class, (ask.sent - begun) // SECOND), [0, 0]
+                        (ask.profile.request_class, (ask.sent_at - begun) // SECOND), [0, 0]
                     )
                     row[0] += 1
                     row[1] += good
@@ -304,16 +304,16 @@
         used = sum(each.program.processor_time() for each in fleet.gateways.values()) - before
         fleet.settle()
         took = [
-            ask.answers[0][0] - ask.sent
+            ask.answers[0][0] - ask.sent_at
             for client in fleet.clients
-            for ask in client.book
-            if ask.answers and ask.sent >= begun
+            for ask in client.requests
+            if ask.answers and ask.sent_at >= begun
         ]
         good = [
             bool(ask.answers) and ask.answers[0][1] == 1
             for client in fleet.clients
-            for ask in client.book
-            if ask.sent >= begun
+            for ask in client.requests
+            if ask.sent_at >= begun
         ]
         return (
             kind,
@@ -430,22 +430,22 @@
             fleet.until(20, lambda: len([work for work in crew.book if work.ended >= 0]) < 4)
         else:
             for name in names:
-                fleet.engines[name].begin("refuse", 0.0)
+                fleet.engines[name].begin_fault("refuse", 0.0)
             fleet.until(1.0)
             for name in names:
-                fleet.engines[name].end()
+                fleet.engines[name].end_fault()
             fleet.renewed(names)
         begun = fleet.event_loop.now
         fleet.until(9)
         crew.stopped = True
         fleet.settle()
-        share, _, multiple, fall = fleet.stakes.cold
+        share, _, multiple, fall = fleet.stakes.slow_start
         worst = 0.0
         for name in names:
             sent = [
-                (run.came, run.work)
-                for run in fleet.engines[name].book
-                if begun <= run.came < begun + 8 * SECOND
+                (run.received_at, run.work)
+                for run in fleet.engines[name].attempts
+                if begun <= run.received_at < begun + 8 * SECOND
             ]
             for came, _ in sent:
                 work = sum(each for when, each in sent if came <= when < came + fall)
@@ -522,7 +522,7 @@
                 f"e{n}",
                 (f"e{n}",),
                 10 + chance.below(50),
-                due_ticks=(60 + chance.below(120)) if chance.within(0.4) else 2**62,
+                due_ticks=(60 + chance.below(120)) if chance.happens(0.4) else 2**62,
                 queue_position=n,
             )
             for n in range(6)
--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -47,7 +47,7 @@
     from rich.text import Text
 
     from corkgauge.commands import tables
-    from corkgauge.testkit.faults.script import read
+    from corkgauge.testkit.faults.script import parse_script
     from corkgauge.testkit.fleet.day import Day
 
     progress = Progress(
@@ -62,7 +62,9 @@
             progress.update(bar, completed=min(now, seconds), description=_now(play, now))
             live.update(Group(progress, tables.request_classes(cut), tables.engines(cut)))
 
-        play = Day(seed, read(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen)
+        play = Day(
+            seed, parse_script(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen
+        )
         begun = play.event_loop.now
         try:
             play.run(seconds)
@@ -86,9 +88,7 @@
 
 
 def _now(play: object, now: float) -> str:
-    struck = [
-        f"{engine.name} {engine.trouble}" for engine in play.engines.values() if engine.trouble
-    ]
+    struck = [f"{engine.name} {engine.fault}" for engine in play.engines.values() if engine.fault]
     return f"{now:5.1f} s  {', '.join(struck) or 'all engines well':24}"
 
 
@@ -99,8 +99,8 @@
 def _rules(broken: list[str]) -> object:
     from rich.text import Text
 
-    from corkgauge.testkit.checkers.rules import worth_saying
+    from corkgauge.testkit.checkers.rules import summarize_violations
 
     if broken:
-        return Text("\n".join(worth_saying(broken)), style="bold red")
+        return Text("\n".join(summarize_violations(broken)), style="bold red")
     return Text("all seven rules kept", style="green")
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -128,12 +128,13 @@
     if kept:
         kept.close()
     click.echo(
-        f"{count[0]} messages, {count[1]} records, {count[2]} missed, {len(collector.wrong)} wrong",
+        f"{count[0]} messages, {count[1]} records, {count[2]} missed, "
+        f"{len(collector.errors)} wrong",
         err=True,
     )
-    for line in collector.wrong[:5]:
+    for line in collector.errors[:5]:
         click.echo(line, err=True)
-    raise SystemExit(FOUND if collector.wrong else 0)
+    raise SystemExit(FOUND if collector.errors else 0)
 
 
 def line_of(row: dict[str, Any]) -> str:
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -37,21 +37,21 @@
 def scenes_of(text: str, seconds: float, engines: list[str]) -> list:
     """A script's scenes, again each round."""
     from corkgauge.eventloop.loop import SECOND
-    from corkgauge.testkit.faults.script import Scene, read
+    from corkgauge.testkit.faults.script import FaultEvent, parse_script
 
-    once = read(text, engines)
+    once = parse_script(text, engines)
     return [
-        Scene(
-            scene.at + n * ROUND * SECOND,
-            scene.span,
-            scene.who,
-            scene.trouble,
-            scene.figure,
-            scene.whom,
+        FaultEvent(
+            scene.at_ticks + n * ROUND * SECOND,
+            scene.span_ticks,
+            scene.target,
+            scene.fault,
+            scene.level,
+            scene.engine,
         )
         for n in range(int(seconds // ROUND) + 1)
         for scene in once
-        if scene.at + n * ROUND * SECOND < seconds * SECOND
+        if scene.at_ticks + n * ROUND * SECOND < seconds * SECOND
     ]
 
 
@@ -92,13 +92,13 @@
     Ends with 1 if a scrape does not balance, a rule breaks, or memory grows.
     """
     from corkgauge.testkit.checkers import rules
-    from corkgauge.testkit.faults.script import Unplayable
+    from corkgauge.testkit.faults.script import ScriptError
     from corkgauge.testkit.fleet.day import Day
 
     engines = [f"e{n}" for n in range(1, 5)]
     try:
         scenes = scenes_of(Path(script).read_text() if script else SCRIPT, seconds, engines)
-    except Unplayable as problem:
+    except ScriptError as problem:
         raise InputError(f"{script}: {problem}") from None
 
     def seen(cut: dict) -> None:
@@ -123,7 +123,7 @@
         "scrapes": play.scraped,
         "missed": play.scraper.missed if scrapes else 0,
         "wrong": play.wrong[:20],
-        "broken": rules.worth_saying(broken),
+        "broken": rules.summarize_violations(broken),
         "epochs_closed": epochs,
         "memory_growth": grown,
         "memory": play.memory[-1] if play.memory else 0,
--- a/corkgauge/model/dissemination.py
+++ b/corkgauge/model/dissemination.py
@@ -123,7 +123,7 @@
                 self._receive(datagram)
             for number, member in enumerate(self.members):
                 if member.next_round_at <= self.now:
-                    member.next_round_at += int(ROUND_TICKS * (0.9 + 0.2 * self.random.part()))
+                    member.next_round_at += int(ROUND_TICKS * (0.9 + 0.2 * self.random.uniform()))
                     self._run_round(number, member)
             self.now += STEP_TICKS
         if self.incomplete_count:
@@ -164,7 +164,7 @@
         second = self.now // SECOND
         sent_bytes = self.members[sender].sent_bytes
         sent_bytes[second] = sent_bytes.get(second, 0) + self._size_bytes(message)
-        if not self.random.within(self.loss):
+        if not self.random.happens(self.loss):
             crosses_regions = self.members[sender].region != self.members[receiver].region
             latency = LATENCY_TICKS[crosses_regions] // STEP_TICKS * STEP_TICKS
             arrives_at = self.now + latency + STEP_TICKS * self.random.below(3)
--- a/corkgauge/model/gossip.py
+++ b/corkgauge/model/gossip.py
@@ -88,7 +88,7 @@
         return moments[wanted - 1] / SECOND if len(moments) >= wanted > 0 else -1.0
 
     def _serve(self, name: str) -> None:
-        attempts = int(self.rate * PERIOD_TICKS / SECOND + self.random.part())
+        attempts = int(self.rate * PERIOD_TICKS / SECOND + self.random.uniform())
         for _ in range(attempts):
             engine = self.random.below(self.engine_count)
             if engine < self.silent_count and (name, engine) not in self.known_since:
@@ -116,7 +116,7 @@
             room_bytes -= size_bytes
             self.sent_bytes += size_bytes
             self.sent_datagrams += 1
-            if not self.random.within(self.loss):
+            if not self.random.happens(self.loss):
                 self.reports[receiver].merge(self.now + LATENCY_TICKS, rows)
 
     def _repair(self, name: str) -> None:
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -278,7 +278,7 @@
     def acted(self, node: Node, fence: int) -> None:
         """Let an act arrive, at once or after a stop that came within it."""
         self.acts += 1
-        if self.chance.within(STOPPED_IN_ACT):  # stopped between the look and the act
+        if self.chance.happens(STOPPED_IN_ACT):  # stopped between the look and the act
             node.stopped_until = self.time + self.chance.below(3 * LEASE)
             self.call_later(node.stopped_until - self.time + 1, self.arrive, fence)
         else:
@@ -304,11 +304,11 @@
     def carry(self, sender: Node, to: Node, body: list[Any]) -> None:
         """Put a datagram on its way, or lose it."""
         if sender is not to and (
-            self.chance.within(self.day.loss) or sender.reach["out"] > self.time
+            self.chance.happens(self.day.loss) or sender.reach["out"] > self.time
         ):
             return
         copies = 1
-        if sender is not to and self.chance.within(DUPLICATED):
+        if sender is not to and self.chance.happens(DUPLICATED):
             copies = 2
         for _ in range(copies):
             delay = self._draw_delay()
@@ -318,7 +318,7 @@
 
     def _draw_delay(self) -> int:
         delay = self.chance.below(self.day.delay)
-        if self.chance.within(MUCH_DELAYED):
+        if self.chance.happens(MUCH_DELAYED):
             delay *= 10
         return 1 + delay
 
--- a/corkgauge/model/membership.py
+++ b/corkgauge/model/membership.py
@@ -97,7 +97,7 @@
     def carry(self, receiver: str, data: bytes) -> None:
         """Bring a datagram to its receiver, some time later, or lose it."""
         node = self.nodes.get(receiver)
-        if node is not None and not self.random.within(self.loss):
+        if node is not None and not self.random.happens(self.loss):
             latency = MIN_LATENCY_TICKS + self.random.below(LATENCY_SPREAD_TICKS)
             self.call_later(latency, node, node.member_list.handle_datagram, data)
 
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -96,7 +96,7 @@
         """Cores by request class now: half a day up and down, bursts by chance."""
         part = (self.now + self.phase) % 21_600 / 21_600
         level = self.low + (self.peak - self.low) * (1 - abs(2 * part - 1))
-        if self.chance.within(0.002):
+        if self.chance.happens(0.002):
             self.jitter = 1.25  # a burst, which fades
         self.jitter = 1 + (self.jitter - 1) * 0.97
         return [share * level * self.jitter * self.cores for _, _, share, _ in REQUEST_CLASSES]
@@ -104,7 +104,7 @@
     def _one(self) -> None:
         now = self.now
         for each in self.machines:
-            if self.chance.within(FAILURES_PER_SECOND * STEP_SECONDS) and now >= each.away_until:
+            if self.chance.happens(FAILURES_PER_SECOND * STEP_SECONDS) and now >= each.away_until:
                 each.failed_until, each.warm_at = (
                     now + REPAIR_SECONDS,
                     now + REPAIR_SECONDS + WARM_UP_SECONDS,
@@ -113,7 +113,7 @@
                 each.done, each.warm_at = True, now + WARM_UP_SECONDS
         demand = self.demand()
         for each in self._chosen(demand):
-            each.away_until = now + int(LASTING_SECONDS * (0.7 + 0.6 * self.chance.part()))
+            each.away_until = now + int(LASTING_SECONDS * (0.7 + 0.6 * self.chance.uniform()))
         self._account(demand)
 
     def _chosen(self, demand: list[float]) -> list[Machine]:
--- a/corkgauge/testkit/checkers/leases.py
+++ b/corkgauge/testkit/checkers/leases.py
@@ -137,7 +137,7 @@
         """Who is alive does not matter here."""
 
 
-def verdict(acts: list[Act], stops: dict[str, list[int]]) -> list[str]:
+def find_lease_violations(acts: list[Act], stops: dict[str, list[int]]) -> list[str]:
     """Return what must never be, found among acts in the order of arrival.
 
     `stops` tells, by instance, when it was stopped or kept from its processor: one act for each of
@@ -145,13 +145,15 @@
     token that must catch it.
 
     >>> one, two = Act(10, "n1", "d", 5, True), Act(20, "n2", "d", 7, True)
-    >>> verdict([one, two], {}), verdict([one, two, Act(30, "n1", "d", 5, False)], {"n1": [15]})
+    >>> find_lease_violations([one, two], {}), find_lease_violations(
+    ...     [one, two, Act(30, "n1", "d", 5, False)], {"n1": [15]}
+    ... )
     ([], [])
-    >>> verdict([one, two, Act(30, "n1", "d", 5, False)], {})
+    >>> find_lease_violations([one, two, Act(30, "n1", "d", 5, False)], {})
     ['n1 acted under fence 5 of d at 30, after n2 under 7 at 20']
-    >>> verdict([one, two, Act(30, "n1", "d", 5, True)], {"n1": [15]})
+    >>> find_lease_violations([one, two, Act(30, "n1", "d", 5, True)], {"n1": [15]})
     ['an act of n1 under fence 5 of d was taken, after one under 7']
-    >>> verdict([one, Act(11, "n2", "d", 5, True)], {})
+    >>> find_lease_violations([one, Act(11, "n2", "d", 5, True)], {})
     ['n1 and n2 acted under one fence 5 of d']
     """
     found: list[str] = []
@@ -197,7 +199,7 @@
     return found
 
 
-def vacancies(acts: list[Act], lease: str) -> list[tuple[int, int, int, str, str]]:
+def find_holder_changes(acts: list[Act], lease: str) -> list[tuple[int, int, int, str, str]]:
     """Return changes of holder as acts show them.
 
     Of each: when, how long there was no act, the new fencing token, from whom, to whom.
--- a/corkgauge/testkit/emulators/clients.py
+++ b/corkgauge/testkit/emulators/clients.py
@@ -11,50 +11,50 @@
 from corkgauge.eventloop.connection import dial
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.net.client_protocol import FAILED, REFUSED, SERVED
-from corkgauge.testkit.emulators.listener import linked
+from corkgauge.testkit.emulators.listener import make_connection
 from corkgauge.testkit.emulators.protocols import (
     EmulatedClientProtocol,
-    ready_question,
+    cancellation_frame,
+    readiness_query_frame,
     request_frame,
-    withdrawal,
 )
 from corkgauge.testkit.seeded_random import SeededRandom
 
-PAUSE = 500  # between two dials
-TOLD = {SERVED: "served", REFUSED: "refused", FAILED: "failed"}
-KEY_APART = 3_000  # between two submissions of one key
-MOST_OPEN = 30
+RECONNECT_PAUSE_TICKS = 500  # between two dials
+OUTCOME_NAMES = {SERVED: "served", REFUSED: "refused", FAILED: "failed"}
+ORDER_KEY_PAUSE_TICKS = 3_000  # between two submissions of one key
+MAX_OPEN_REQUESTS = 30
 
 
 @dataclass(frozen=True)
-class Want:
-    """What clients ask for: an offering's name, its share of all, patience in ms, estimate of work in ms."""
+class RequestProfile:
+    """What clients request for: an offering's name, its share of all, patience in ms, estimate of work in ms."""
 
     request_class: str
     share: float
-    patience: int
-    work: float
-    labelled: bool = False
-    ordered: bool = False
+    patience_ms: int
+    work_ms: float
+    has_idempotency_key: bool = False
+    has_order_key: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class SubmittedRequest:
     """One submission, as its client saw it. Times are tenths of a millisecond."""
 
     trace: str
-    want: Want
-    key: str
-    sent: int
-    end: int  # where its last byte is among what the connection wrote
+    profile: RequestProfile
+    order_key: str
+    sent_at: int
+    end_offset: int  # where its last byte is among what the connection wrote
     stream: int
     answers: list[tuple[int, int, bytes]] = field(default_factory=list)
-    excused: str = ""  # why no answer is owed
-    label: str = ""
+    excuse: str = ""  # why no answer is owed
+    idempotency_key: str = ""
 
 
 class EmulatedClient:
-    """One client. `rate` is submissions a second; `gives_up` the share it takes back, `hangs_up` the share at
+    """One client. `rate` is submissions a second; `cancel_share` the share it takes back, `disconnect_share` the share at
     which it closes its connection instead.
     """
 
@@ -62,30 +62,37 @@
         self,
         event_loop: EventLoop,
         address: tuple[str, int],
-        wants: list[Want],
+        profiles: list[RequestProfile],
         tenant: str,
         rate: float,
         seed: int,
-        gives_up: float = 0.0,
-        hangs_up: float = 0.0,
+        cancel_share: float = 0.0,
+        disconnect_share: float = 0.0,
         retries: bool = False,
     ) -> None:
-        self.event_loop, self.address, self.wants, self.tenant, self.rate = (
+        self.event_loop, self.address, self.profiles, self.tenant, self.rate = (
             event_loop,
             address,
-            wants,
+            profiles,
             tenant,
             rate,
         )
-        self.gives_up, self.hangs_up, self.chance = gives_up, hangs_up, SeededRandom(seed)
-        self.book = list[Ask]()
-        self.retries, self.again = retries, deque[Ask]()  # labelled ones whose connection went
-        self.open: dict[int, Ask] = {}
-        self.link: Any = None
+        self.cancel_share, self.disconnect_share, self.chance = (
+            cancel_share,
+            disconnect_share,
+            SeededRandom(seed),
+        )
+        self.requests = list[SubmittedRequest]()
+        self.retries, self.pending_retries = (
+            retries,
+            deque[SubmittedRequest](),
+        )  # labelled ones whose connection went
+        self.open_requests: dict[int, SubmittedRequest] = {}
+        self.connection: Any = None
         self.stream, self.is_ready, self.stopped = 0, False, False
-        self.keys = {f"{seed & 0xFFFF:04x}{n:02x}": 0 for n in range(1, 5)}
+        self.order_key_times = {f"{seed & 0xFFFF:04x}{n:02x}": 0 for n in range(1, 5)}
         event_loop.spawn(self.run)
-        event_loop.call_later(int(self.chance.wait(SECOND / rate)), self.ask)
+        event_loop.call_later(int(self.chance.exponential(SECOND / rate)), self.submit_request)
 
     def run(self) -> None:
         """The task that keeps it connected."""
@@ -93,82 +100,107 @@
             sock, _ = dial(self.event_loop, self.address, SECOND)
             if sock is not None:
                 self.stream, self.is_ready = 0, False
-                self.link = linked(self.event_loop, sock, EmulatedClientProtocol(self), self)
-                self.link.send(ready_question())
-                self.link.run()
+                self.connection = make_connection(
+                    self.event_loop, sock, EmulatedClientProtocol(self), self
+                )
+                self.connection.send(readiness_query_frame())
+                self.connection.run()
             if not self.stopped:
-                self.event_loop.sleep(PAUSE)
+                self.event_loop.sleep(RECONNECT_PAUSE_TICKS)
 
-    def ask(self) -> None:
+    def submit_request(self) -> None:
         if self.stopped:
             return
-        self.event_loop.call_later(max(int(self.chance.wait(SECOND / self.rate)), 1), self.ask)
-        link, now = self.link, self.event_loop.now
-        draw, want = self.chance.part(), self.wants[-1]
-        for want in self.wants:
-            if draw < want.share:
+        self.event_loop.call_later(
+            max(int(self.chance.exponential(SECOND / self.rate)), 1), self.submit_request
+        )
+        connection, now = self.connection, self.event_loop.now
+        draw, profile = self.chance.uniform(), self.profiles[-1]
+        for profile in self.profiles:
+            if draw < profile.share:
                 break
-            draw -= want.share
-        if link is None or link.close_reason or not self.is_ready or len(self.open) >= MOST_OPEN:
+            draw -= profile.share
+        if (
+            connection is None
+            or connection.close_reason
+            or not self.is_ready
+            or len(self.open_requests) >= MAX_OPEN_REQUESTS
+        ):
             return
-        rested = [key for key, last in self.keys.items() if now > last + KEY_APART]
-        if want.ordered and not rested:
+        rested = [
+            key for key, last in self.order_key_times.items() if now > last + ORDER_KEY_PAUSE_TICKS
+        ]
+        if profile.has_order_key and not rested:
             return
         key, label = (
-            rested[0] if want.ordered else "",
-            self.chance.word() * 2 if want.labelled else "",
+            rested[0] if profile.has_order_key else "",
+            self.chance.hex_word() * 2 if profile.has_idempotency_key else "",
         )
-        if self.again:
-            before = self.again.popleft()
-            want, key, label = before.want, before.key, before.label
+        if self.pending_retries:
+            before = self.pending_retries.popleft()
+            profile, key, label = before.profile, before.order_key, before.idempotency_key
         self.stream += 1
         fields = {
-            "route": want.request_class,
-            "trace": self.chance.word(),
-            "patience": str(want.patience),
+            "route": profile.request_class,
+            "trace": self.chance.hex_word(),
+            "patience": str(profile.patience_ms),
             "customer": self.tenant,
-            "weight": f"{want.work:.1f}",
+            "weight": f"{profile.work_ms:.1f}",
             "est_mb": "8",
         }
         if label:
             fields["nonce"] = label
         if key:
-            fields["entity"], self.keys[key] = key, now
+            fields["entity"], self.order_key_times[key] = key, now
         body = b"select * from mart_%d.facts" % self.chance.below(40)
-        if link.send(request_frame(self.stream, fields, body)):
-            ask = Ask(fields["trace"], want, key, now, link.bytes_queued, self.stream, label=label)
-            self.book.append(ask)
-            self.open[self.stream] = ask
-            if self.chance.within(self.gives_up):
-                self.event_loop.call_later(int(self.chance.wait(200)), self.give_up, ask)
-            elif self.chance.within(self.hangs_up):
-                self.event_loop.call_later(int(self.chance.wait(300)), self.hang_up, link)
-
-    def give_up(self, ask: Ask) -> None:
-        if not ask.answers and self.open.get(ask.stream) is ask:
-            ask.excused = "withdrawn"
-            self.link.send(withdrawal(ask.stream))
-
-    def hang_up(self, link: Any) -> None:
+        if connection.send(request_frame(self.stream, fields, body)):
+            request = SubmittedRequest(
+                fields["trace"],
+                profile,
+                key,
+                now,
+                connection.bytes_queued,
+                self.stream,
+                idempotency_key=label,
+            )
+            self.requests.append(request)
+            self.open_requests[self.stream] = request
+            if self.chance.happens(self.cancel_share):
+                self.event_loop.call_later(
+                    int(self.chance.exponential(200)), self.cancel_request, request
+                )
+            elif self.chance.happens(self.disconnect_share):
+                self.event_loop.call_later(
+                    int(self.chance.exponential(300)), self.disconnect, connection
+                )
+
+    def cancel_request(self, request: SubmittedRequest) -> None:
+        if not request.answers and self.open_requests.get(request.stream) is request:
+            request.excuse = "withdrawn"
+            self.connection.send(cancellation_frame(request.stream))
+
+    def disconnect(self, connection: Any) -> None:
         """Danger to be caused: it goes between an answer's first byte and its last, or before any."""
-        for ask in self.open.values():
-            ask.excused = ask.excused or "hung up"
-        link.close("hangs up")
+        for request in self.open_requests.values():
+            request.excuse = request.excuse or "hung up"
+        connection.close("hangs up")
 
     # What the machine hears.
 
-    def answered(self, stream: int, code: int, body: bytes) -> None:
-        ask = self.open.get(stream)
-        if ask is None:
-            ask = next((each for each in reversed(self.book) if each.stream == stream), None)
-        if ask is not None:
-            ask.answers.append((self.event_loop.now, code, body))
-            self.open.pop(stream, None)
-
-    def ready(self, code: int) -> None:
+    def on_answer(self, stream: int, code: int, body: bytes) -> None:
+        request = self.open_requests.get(stream)
+        if request is None:
+            request = next(
+                (each for each in reversed(self.requests) if each.stream == stream), None
+            )
+        if request is not None:
+            request.answers.append((self.event_loop.now, code, body))
+            self.open_requests.pop(stream, None)
+
+    def on_ready(self, code: int) -> None:
         self.is_ready = code == 1
 
-    def leaving(self) -> None:
+    def on_leaving(self) -> None:
         self.is_ready = False
 
     def on_output_drained(self) -> None:
@@ -176,29 +208,29 @@
 
     def on_closed(self, why: str) -> None:
         """What was not written whole was never taken."""
-        for ask in self.open.values():
-            if ask.end > self.link.bytes_sent:
-                ask.excused = ask.excused or "not written"
-            elif self.retries and ask.label and not ask.excused:
-                self.again.append(ask)
-        self.open.clear()
+        for request in self.open_requests.values():
+            if request.end_offset > self.connection.bytes_sent:
+                request.excuse = request.excuse or "not written"
+            elif self.retries and request.idempotency_key and not request.excuse:
+                self.pending_retries.append(request)
+        self.open_requests.clear()
 
     def stop(self) -> None:
         self.stopped = True
-        if self.link is not None:
-            self.link.close("done")
+        if self.connection is not None:
+            self.connection.close("done")
 
-    def tally(self) -> dict[str, int]:
+    def count_outcomes(self) -> dict[str, int]:
         """How its submissions ended: by code of the first answer, excused, unanswered."""
         said = {
-            "asked": len(self.book),
+            "asked": len(self.requests),
             "served": 0,
             "refused": 0,
             "failed": 0,
             "excused": 0,
             "none": 0,
         }
-        for ask in self.book:
-            code = ask.answers[0][1] if ask.answers else 0
-            said[TOLD.get(code) or ("excused" if ask.excused else "none")] += 1
+        for request in self.requests:
+            code = request.answers[0][1] if request.answers else 0
+            said[OUTCOME_NAMES.get(code) or ("excused" if request.excuse else "none")] += 1
         return said
--- a/corkgauge/testkit/emulators/collector.py
+++ b/corkgauge/testkit/emulators/collector.py
@@ -16,35 +16,37 @@
     MalformedMessageError,
     MessageStream,
 )
-from corkgauge.testkit.emulators.listener import ABORTED, Listener, linked
+from corkgauge.testkit.emulators.listener import RESET_ON_CLOSE, Listener, make_connection
 
 
 class EmulatedCollector:
-    """`transport` is udp, tcp or tls (with a server's `context`); `heard(message, bytes)` gets each one."""
+    """`transport` is udp, tcp or tls (with a server's `context`); `on_message(message, bytes)` gets each one."""
 
     def __init__(
         self,
         event_loop: EventLoop,
         transport: str,
-        heard: Callable[[DecodedMessage, bytes], None] = lambda *_: None,
+        on_message: Callable[[DecodedMessage, bytes], None] = lambda *_: None,
         address: tuple[str, int] = ("127.0.0.1", 0),
         context: ssl.SSLContext | None = None,
     ) -> None:
-        self.event_loop, self.transport, self.heard, self.context = (
+        self.event_loop, self.transport, self.on_message, self.context = (
             event_loop,
             transport,
-            heard,
+            on_message,
             context,
         )
-        self.wrong, self.sessions = list[str](), 0
-        self.deaf = self.resets_templates = False
+        self.errors, self.session_count = list[str](), 0
+        self.ignores_input = self.resets_on_template = False
         self.listener: Listener | None = None
         self.sock: socket.socket | None = None
         if transport == "udp":
             self.address = address
             self.open()
         else:
-            self.listener = Listener(event_loop, lambda sock: Guest(self, sock), address)
+            self.listener = Listener(
+                event_loop, lambda sock: CollectorConnection(self, sock), address
+            )
             self.address = self.listener.address
 
     def open(self) -> None:
@@ -56,7 +58,7 @@
         self.sock.bind(self.address)
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        self.event_loop.spawn(self._datagrams, self.sock)
+        self.event_loop.spawn(self._receive_datagrams, self.sock)
 
     def close(self) -> None:
         """Gone: connections are reset, datagrams refused."""
@@ -66,7 +68,7 @@
         self.event_loop.wake(sock.fileno())
         sock.close()
 
-    def _datagrams(self, sock: socket.socket) -> None:
+    def _receive_datagrams(self, sock: socket.socket) -> None:
         decoders: dict[Any, Decoder] = {}
         while self.sock is sock:
             self.event_loop.wait(sock.fileno(), READ)
@@ -76,45 +78,47 @@
                 except OSError:
                     break
                 if source not in decoders:
-                    self.sessions += 1
+                    self.session_count += 1
                     decoders[source] = Decoder()
-                self.take(decoders[source], data)
+                self.handle_message(decoders[source], data)
 
-    def take(self, decoder: Decoder, data: bytes) -> bool:
+    def handle_message(self, decoder: Decoder, data: bytes) -> bool:
         """One message; False where its session is to be reset."""
         try:
-            heard = decoder.decode(data)
+            message = decoder.decode(data)
         except MalformedMessageError as problem:
-            self.wrong.append(str(problem))
+            self.errors.append(str(problem))
             return True
-        if heard.unknown:
-            self.wrong.append(f"{heard.unknown} sets before their template")
-        self.heard(heard, data)
-        return not (self.resets_templates and heard.templates)
+        if message.unknown:
+            self.errors.append(f"{message.unknown} sets before their template")
+        self.on_message(message, data)
+        return not (self.resets_on_template and message.templates)
 
 
-class Guest:
+class CollectorConnection:
     """One connection to it."""
 
     def __init__(self, collector: EmulatedCollector, sock: Any) -> None:
         self.collector = collector
-        collector.sessions += 1
+        collector.session_count += 1
         self.stream, self.decoder = MessageStream(), Decoder()
         machine = (
-            Plain(self, collector.deaf)
+            PlainProtocol(self, collector.ignores_input)
             if collector.context is None
-            else Sealed(self, collector.context)
+            else TlsProtocol(self, collector.context)
         )
-        self.link = linked(collector.event_loop, sock, machine, self)
+        self.connection = make_connection(collector.event_loop, sock, machine, self)
 
-    def came(self, data: bytes) -> str:
+    def on_input(self, data: bytes) -> str:
         try:
             for message in self.stream.feed(data):
-                if not self.collector.take(self.decoder, message):
-                    self.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTED)
+                if not self.collector.handle_message(self.decoder, message):
+                    self.connection.sock.setsockopt(
+                        socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                    )
                     return "reset at a template"
         except MalformedMessageError as problem:
-            self.collector.wrong.append(str(problem))
+            self.collector.errors.append(str(problem))
             return str(problem)
         return ""
 
@@ -122,48 +126,48 @@
         pass
 
     def on_closed(self, why: str) -> None:
-        self.collector.listener.left(self)
+        self.collector.listener.remove_connection(self)
 
 
-class Plain:
-    """A stream as it comes; a deaf one never takes what its ring holds."""
+class PlainProtocol:
+    """A stream as it comes; a ignores_input one never takes what its ring holds."""
 
-    def __init__(self, owner: Guest, deaf: bool) -> None:
-        self.owner, self.complete_frame_count, self.deaf = owner, 0, deaf
+    def __init__(self, owner: CollectorConnection, ignores_input: bool) -> None:
+        self.owner, self.complete_frame_count, self.ignores_input = owner, 0, ignores_input
         allowance = MemoryBudget(2**24)
         self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(4096, allowance)
-        if deaf:
+        if ignores_input:
             self.inward.put(bytes(self.inward.free_bytes))
 
     def parse_input(self) -> str:
-        return "" if self.deaf else self.owner.came(self.inward.take(len(self.inward)))
+        return "" if self.ignores_input else self.owner.on_input(self.inward.take(len(self.inward)))
 
 
-class Sealed:
+class TlsProtocol:
     """A stream under TLS, from the server's side."""
 
-    def __init__(self, owner: Guest, context: ssl.SSLContext) -> None:
-        self.owner, self.complete_frame_count, self.shaken = owner, 0, False
+    def __init__(self, owner: CollectorConnection, context: ssl.SSLContext) -> None:
+        self.owner, self.complete_frame_count, self.handshake_done = owner, 0, False
         allowance = MemoryBudget(2**24)
         self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(65_536, allowance)
-        self.into, self.out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self.session = context.wrap_bio(self.into, self.out, server_side=True)
+        self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
+        self.session = context.wrap_bio(self.incoming, self.outgoing, server_side=True)
 
     def parse_input(self) -> str:
-        self.into.write(self.inward.take(len(self.inward)))
+        self.incoming.write(self.inward.take(len(self.inward)))
         why = ""
         try:
-            if not self.shaken:
+            if not self.handshake_done:
                 self.session.do_handshake()
-                self.shaken = True
+                self.handshake_done = True
             while not why:
                 data = self.session.read(16_384)
-                why = self.owner.came(data) if data else "closed"
+                why = self.owner.on_input(data) if data else "closed"
         except ssl.SSLWantReadError:
             pass
         except (ssl.SSLError, OSError) as problem:
             why = str(problem)
-            self.owner.collector.wrong.append(f"tls: {getattr(problem, 'reason', problem)}")
-        if said := self.out.read():
-            self.owner.link.send(said)
+            self.owner.collector.errors.append(f"tls: {getattr(problem, 'reason', problem)}")
+        if said := self.outgoing.read():
+            self.owner.connection.send(said)
         return why
--- a/corkgauge/testkit/emulators/discovery.py
+++ b/corkgauge/testkit/emulators/discovery.py
@@ -7,36 +7,38 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
-from corkgauge.testkit.emulators.listener import Listener, linked
+from corkgauge.testkit.emulators.listener import Listener, make_connection
 from corkgauge.testkit.emulators.protocols import EmulatedDiscoveryProtocol
 
 
-class Reader:
+class DiscoveryConnection:
     """A gateway that reads the feed."""
 
     def __init__(self, feed: "EmulatedDiscovery", sock: Any) -> None:
-        self.feed, self.last = feed, -1
-        self.link = linked(feed.event_loop, sock, EmulatedDiscoveryProtocol(self), self)
-
-    def asked(self, last: int) -> None:
-        self.link.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        self.last = last
-        self.tell()
-
-    def tell(self) -> None:
-        if self.last >= 0:
+        self.feed, self.last_number = feed, -1
+        self.connection = make_connection(
+            feed.event_loop, sock, EmulatedDiscoveryProtocol(self), self
+        )
+
+    def on_events_requested(self, last: int) -> None:
+        self.connection.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
+        self.last_number = last
+        self.send_events()
+
+    def send_events(self) -> None:
+        if self.last_number >= 0:
             for event in self.feed.events:
-                if event["n"] > self.last:
-                    self.last = event["n"]
-                    self.link.send(
-                        b"id: %d\ndata: %s\n\n" % (self.last, json.dumps(event).encode())
+                if event["n"] > self.last_number:
+                    self.last_number = event["n"]
+                    self.connection.send(
+                        b"id: %d\ndata: %s\n\n" % (self.last_number, json.dumps(event).encode())
                     )
 
     def on_output_drained(self) -> None:
         pass
 
     def on_closed(self, why: str) -> None:
-        self.feed.listener.left(self)
+        self.feed.listener.remove_connection(self)
 
 
 class EmulatedDiscovery:
@@ -46,14 +48,14 @@
         self.event_loop, self.version = event_loop, 0
         self.events: list[dict[str, Any]] = []
         self.changes: list[tuple[int, str, str, int]] = []
-        self.listener = Listener(event_loop, lambda sock: Reader(self, sock))
-        event_loop.call_later(SECOND, self.comment)
+        self.listener = Listener(event_loop, lambda sock: DiscoveryConnection(self, sock))
+        event_loop.call_later(SECOND, self.send_comment)
 
     @property
     def address(self) -> str:
         return "%s:%d" % self.listener.address
 
-    def told(
+    def publish(
         self, engines: list[Any], state: str = "SERVING", full: bool = False
     ) -> dict[str, Any]:
         """Engines in a state; the event."""
@@ -78,12 +80,12 @@
         self.events.append(event)
         for each in engines:
             self.changes.append((self.event_loop.now, each.name, state, each.started_ms))
-        for reader in self.listener.guests:
-            reader.tell()
+        for connection in self.listener.connections:
+            connection.send_events()
         return event
 
-    def comment(self) -> None:
-        for reader in self.listener.guests:
-            if reader.last >= 0:
-                reader.link.send(b": \n\n")
-        self.event_loop.call_later(SECOND, self.comment)
+    def send_comment(self) -> None:
+        for connection in self.listener.connections:
+            if connection.last_number >= 0:
+                connection.connection.send(b": \n\n")
+        self.event_loop.call_later(SECOND, self.send_comment)
--- a/corkgauge/testkit/emulators/listener.py
+++ b/corkgauge/testkit/emulators/listener.py
@@ -11,20 +11,20 @@
 from corkgauge.eventloop.connection import StreamConnection
 from corkgauge.eventloop.loop import READ, EventLoop
 
-ABORTED = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Listener:
-    """`guest(sock)` makes an owner with a `link` for each connection that comes."""
+    """`make_owner(sock)` makes an owner with a `connection` for each connection that comes."""
 
     def __init__(
         self,
         event_loop: EventLoop,
-        guest: Callable[[Any], Any],
+        make_owner: Callable[[Any], Any],
         address: tuple[str, int] = ("127.0.0.1", 0),
     ) -> None:
-        self.event_loop, self.guest, self.address = event_loop, guest, address
-        self.guests: dict[Any, None] = {}
+        self.event_loop, self.make_owner, self.address = event_loop, make_owner, address
+        self.connections: dict[Any, None] = {}
         self.sock: socket.socket | None = None
         self.open()
 
@@ -44,31 +44,35 @@
         if self.sock is not None:
             sock, self.sock = self.sock, None
             self.event_loop.wake(sock.fileno())
-        self.drop(abort)
+        self.close_connections(abort)
 
-    def drop(self, abort: bool = False) -> None:
+    def close_connections(self, abort: bool = False) -> None:
         """End what is open: closed, or reset."""
-        for guest in [*self.guests]:
+        for owner in [*self.connections]:
             if abort:
-                guest.link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTED)
-            guest.link.close("dropped")
+                owner.connection.sock.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                )
+            owner.connection.close("dropped")
 
-    def left(self, guest: Any) -> None:
-        self.guests.pop(guest, None)
+    def remove_connection(self, owner: Any) -> None:
+        self.connections.pop(owner, None)
 
     def _accept(self, sock: socket.socket) -> None:
         while self.sock is sock:
             self.event_loop.wait(sock.fileno(), READ)
             while self.sock is sock:
                 try:
-                    found, _ = sock.accept()
+                    accepted, _ = sock.accept()
                 except OSError:
                     break
-                guest = self.guest(found)
-                self.guests[guest] = None
-                self.event_loop.spawn(guest.link.run)
+                owner = self.make_owner(accepted)
+                self.connections[owner] = None
+                self.event_loop.spawn(owner.connection.run)
         sock.close()
 
 
-def linked(event_loop: EventLoop, sock: Any, machine: Any, owner: Any) -> StreamConnection:
-    return StreamConnection(event_loop, sock, machine, owner)
+def make_connection(
+    event_loop: EventLoop, sock: Any, protocol: Any, owner: Any
+) -> StreamConnection:
+    return StreamConnection(event_loop, sock, protocol, owner)
--- a/corkgauge/testkit/emulators/protocols.py
+++ b/corkgauge/testkit/emulators/protocols.py
@@ -21,15 +21,15 @@
 )
 from corkgauge.net.engine_protocol import read_array
 
-PLENTY = 64 * 2**20
+MEMORY_BUDGET_BYTES = 64 * 2**20
 
 
 class EmulatedEngineProtocol:
-    """Reads a gateway's commands and calls its owner: `commanded(parts)`."""
+    """Reads a gateway's commands and calls its owner: `on_command(parts)`."""
 
     def __init__(self, owner: Any) -> None:
         self.owner, self.complete_frame_count = owner, 0
-        allowance = MemoryBudget(PLENTY)
+        allowance = MemoryBudget(MEMORY_BUDGET_BYTES)
         self.inward, self.outward = RingBuffer(270_000, allowance), RingBuffer(1_000_000, allowance)
 
     def parse_input(self) -> str:
@@ -45,16 +45,16 @@
                 return ""
             ring.drop(end)
             self.complete_frame_count += 1
-            self.owner.commanded([part.decode(errors="replace") for part in parts])
+            self.owner.on_command([part.decode(errors="replace") for part in parts])
         return ""
 
 
 class EmulatedDiscoveryProtocol:
-    """Reads a gateway's request for events and calls its owner: `asked(last event)`."""
+    """Reads a gateway's request for events and calls its owner: `on_events_requested(last event)`."""
 
     def __init__(self, owner: Any) -> None:
         self.owner, self.complete_frame_count = owner, 0
-        allowance = MemoryBudget(PLENTY)
+        allowance = MemoryBudget(MEMORY_BUDGET_BYTES)
         self.inward, self.outward = RingBuffer(16_384, allowance), RingBuffer(4_000_000, allowance)
 
     def parse_input(self) -> str:
@@ -69,16 +69,16 @@
             name, _, value = line.partition(b":")
             if name.lower() == b"last-event-id" and value.strip().isdigit():
                 last = int(value)
-        self.owner.asked(last)
+        self.owner.on_events_requested(last)
         return ""
 
 
 class EmulatedClientProtocol:
-    """Reads a gateway's frames and calls `answered(stream, code, body)`, `ready(code)`, `leaving()`."""
+    """Reads a gateway's frames and calls `on_answer(stream, code, body)`, `on_ready(code)`, `on_leaving()`."""
 
     def __init__(self, owner: Any) -> None:
         self.owner, self.complete_frame_count = owner, 0
-        allowance = MemoryBudget(PLENTY)
+        allowance = MemoryBudget(MEMORY_BUDGET_BYTES)
         self.inward, self.outward = RingBuffer(300_000, allowance), RingBuffer(300_000, allowance)
 
     def parse_input(self) -> str:
@@ -95,11 +95,11 @@
             payload = ring.take(length + 4)[9:]
             self.complete_frame_count += 1
             if kind == ANSWER and len(payload) >= 2:
-                self.owner.answered(stream, payload[0], payload[2:])
+                self.owner.on_answer(stream, payload[0], payload[2:])
             elif kind == READY and payload:
-                self.owner.ready(payload[0])
+                self.owner.on_ready(payload[0])
             elif kind == LEAVING:
-                self.owner.leaving()
+                self.owner.on_leaving()
             else:
                 return f"a frame of type {kind}"
         return ""
@@ -117,9 +117,9 @@
     return HEADER.pack(5 + len(said) + len(body), REQUEST, stream) + bytes(said) + body
 
 
-def withdrawal(stream: int) -> bytes:
+def cancellation_frame(stream: int) -> bytes:
     return HEADER.pack(5, WITHDRAWN, stream)
 
 
-def ready_question() -> bytes:
+def readiness_query_frame() -> bytes:
     return HEADER.pack(5, READY_ASKED, 0)
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -13,12 +13,12 @@
 import signal
 import sys
 
-STEP_AFTER = 4.0  # seconds from the start to the step of the date
-MIDORDER = 60  # orders that name nothing before the one that it stops in
-MIDACT = 40  # acts before the one that it stops in
+CLOCK_STEP_AFTER_SECONDS = 4.0  # seconds from the start to the step of the date
+ORDERS_BEFORE_STOP_COUNT = 60  # orders that name nothing before the one that it stops in
+ACTS_BEFORE_STOP_COUNT = 40  # acts before the one that it stops in
 
 
-def slanted(rate: float) -> None:
+def change_clock_rate(rate: float) -> None:
     """Before anybody has taken the clock by its name."""
     from corkgauge.eventloop import clock as boot
 
@@ -26,7 +26,7 @@
     boot.ticks_since_boot = lambda: begun + int((true() - begun) * rate)
 
 
-def without(off: str) -> None:
+def disable_safeguard(off: str) -> None:
     from corkgauge.leases.candidate import CandidateState, LeaseCandidate
     from corkgauge.leases.voter import Voter
     from corkgauge.leases.voter_configuration import LeaseTiming
@@ -47,7 +47,7 @@
 
         def stopped(self: MemberList, name: str, subject: str, body: list) -> bool:
             acts[0] += subject == "books" and body[0] == "ask"
-            if acts[0] == MIDACT:
+            if acts[0] == ACTS_BEFORE_STOP_COUNT:
                 acts[0] += 1
                 os.kill(os.getpid(), signal.SIGSTOP)
             return call(self, name, subject, body)
@@ -61,7 +61,7 @@
 
         true, begun = time.time_ns, time.monotonic()
         event_loop.unix_time = lambda: true() // 100_000 - (
-            36_000_000 if time.monotonic() > begun + STEP_AFTER else 0
+            36_000_000 if time.monotonic() > begun + CLOCK_STEP_AFTER_SECONDS else 0
         )
     elif off == "slowdisk":
         # Nothing is left out: what is kept takes a while until it is safe.
@@ -78,7 +78,11 @@
 
         def halted(self: MemberList, name: str, subject: str, body: list) -> bool:
             orders[0] += subject == "works" and body[0] == "orders" and not body[-1]
-            if orders[0] >= MIDORDER and subject == "works" and not name.startswith("judge"):
+            if (
+                orders[0] >= ORDERS_BEFORE_STOP_COUNT
+                and subject == "works"
+                and not name.startswith("judge")
+            ):
                 orders[0] = -(10**6)
                 os.kill(os.getpid(), signal.SIGSTOP)
             return call(self, name, subject, body)
@@ -207,10 +211,10 @@
 if __name__ == "__main__":
     offs, rate_said = sys.argv[1:3]
     del sys.argv[1:3]
-    slanted(float(rate_said))
+    change_clock_rate(float(rate_said))
     for each in offs.split(","):
         if each != "none":
-            without(each)
+            disable_safeguard(each)
     from corkgauge.commands import main
 
     sys.exit(main())
--- a/corkgauge/testkit/faults/relay.py
+++ b/corkgauge/testkit/faults/relay.py
@@ -13,12 +13,12 @@
 from corkgauge.eventloop.loop import READ, WRITE, EventLoop
 from corkgauge.testkit.seeded_random import SeededRandom
 
-KEPT = 200  # datagrams that may be played again
-PIECE = 65_536
+REPLAYED_DATAGRAM_COUNT = 200  # datagrams that may be played again
+RECEIVE_BYTES = 65_536
 
 
-class Way:
-    """One way, from one fellow to another. `loss` and `doubled` are parts of 1, `delay` tenths of a
+class DatagramRelay:
+    """One way, from one fellow to another. `loss_share` and `duplicate_share` are parts of 1, `max_delay_ticks` tenths of a
     millisecond at most: so what is sent later may come earlier.
     """
 
@@ -26,23 +26,23 @@
         self, event_loop: EventLoop, target: tuple[str, int], chance: SeededRandom
     ) -> None:
         self.event_loop, self.target, self.chance = event_loop, target, chance
-        self.loss = self.doubled = 0.0
-        self.delay = 0
+        self.loss_share = self.duplicate_share = 0.0
+        self.max_delay_ticks = 0
         self.cut_until = 0
-        self.carried = self.lost = 0
-        self.kept: deque[bytes] = deque(maxlen=KEPT)
+        self.sent_count = self.lost_count = 0
+        self.recent: deque[bytes] = deque(maxlen=REPLAYED_DATAGRAM_COUNT)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        event_loop.spawn(self._run)
+        event_loop.spawn(self._relay_datagrams)
 
-    def _run(self) -> None:
+    def _relay_datagrams(self) -> None:
         while True:
             self.event_loop.wait(self.sock.fileno(), READ)
             for _ in range(64):
                 try:
-                    data = self.sock.recv(PIECE)
+                    data = self.sock.recv(RECEIVE_BYTES)
                 except BlockingIOError:
                     break
                 except OSError:
@@ -50,30 +50,30 @@
                 self._carry(data)
 
     def _carry(self, data: bytes) -> None:
-        self.kept.append(data)
-        if self.event_loop.now < self.cut_until or self.chance.within(self.loss):
-            self.lost += 1
+        self.recent.append(data)
+        if self.event_loop.now < self.cut_until or self.chance.happens(self.loss_share):
+            self.lost_count += 1
             return
-        for _ in range(2 if self.chance.within(self.doubled) else 1):
-            if self.delay:
-                self.event_loop.call_later(self.chance.below(self.delay), self.send, data)
+        for _ in range(2 if self.chance.happens(self.duplicate_share) else 1):
+            if self.max_delay_ticks:
+                self.event_loop.call_later(self.chance.below(self.max_delay_ticks), self.send, data)
             else:
                 self.send(data)
 
     def send(self, data: bytes) -> None:
-        self.carried += 1
+        self.sent_count += 1
         try:
             self.sock.sendto(data, self.target)
         except OSError:
-            self.lost += 1
+            self.lost_count += 1
 
-    def again(self) -> None:
+    def replay(self) -> None:
         """All that is remembered, as it was, once more."""
-        for data in [*self.kept]:
+        for data in [*self.recent]:
             self.send(data)
 
 
-def _ended(sock: Any) -> bool:
+def _is_closed_by_peer(sock: Any) -> bool:
     """Has the other end closed?"""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
@@ -81,7 +81,7 @@
         return False
 
 
-class Passage:
+class ConnectionRelay:
     """Connections to one address, carried on to another. While `cut`, nothing passes and nothing is told."""
 
     def __init__(self, event_loop: EventLoop, target: tuple[str, int]) -> None:
@@ -125,12 +125,12 @@
                 while self.cut:
                     self.event_loop.sleep(200)
                 try:
-                    data = memoryview(source.recv(PIECE))
+                    data = memoryview(source.recv(RECEIVE_BYTES))
                 except BlockingIOError:
                     continue
                 # What was written into the cut by one that gave up meanwhile is lost with its
                 # connection.
-                if not data or (was_cut and _ended(source)):
+                if not data or (was_cut and _is_closed_by_peer(source)):
                     return
                 while data:
                     try:
--- a/corkgauge/testkit/faults/script.py
+++ b/corkgauge/testkit/faults/script.py
@@ -12,72 +12,79 @@
 from dataclasses import dataclass
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.emulators.engines import TROUBLES
+from corkgauge.testkit.emulators.engines import FAULT_KINDS
 
-PROGRAM = "kill", "restart", "reload"
-LIST = "drain", "vanish"
-WITH_PART = "full", "error", "garble", "twice", "midway", "lost"  # their figure is a part of 1
+PROGRAM_FAULTS = "kill", "restart", "reload"
+LIST_FAULTS = "drain", "vanish"
+FRACTION_FAULTS = (
+    "full",
+    "error",
+    "garble",
+    "twice",
+    "midway",
+    "lost",
+)  # their figure is a part of 1
 
 
-class Unplayable(ValueError):
+class ScriptError(ValueError):
     """One line: which line of the script, and what it should say."""
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class FaultEvent:
     """Times are tenths of a millisecond from the start."""
 
-    at: int
-    span: int
-    who: str
-    trouble: str
-    figure: float = 0.0
-    whom: str = ""
+    at_ticks: int
+    span_ticks: int
+    target: str
+    fault: str
+    level: float = 0.0
+    engine: str = ""
 
 
-def read(text: str, engines: list[str]) -> list[Scene]:
+def parse_script(text: str, engines: list[str]) -> list[FaultEvent]:
     """A script's scenes, in the order of their time.
 
-    >>> read("at 2 for 3: e1 slow 4  # a comment", ["e1"])
-    [Scene(at=20000, span=30000, who='e1', trouble='slow', figure=4.0, whom='')]
-    >>> read("at 1: list drain e9", ["e1"])
+    >>> parse_script("at 2 for 3: e1 slow 4  # a comment", ["e1"])
+    [FaultEvent(at_ticks=20000, span_ticks=30000, target='e1', fault='slow', level=4.0, engine='')]
+    >>> parse_script("at 1: list drain e9", ["e1"])
     Traceback (most recent call last):
-    corkgauge.testkit.faults.script.Unplayable: line 1: no engine 'e9'
+    corkgauge.testkit.faults.script.ScriptError: line 1: no engine 'e9'
     """
     scenes = []
     for number, line in enumerate(text.splitlines(), 1):
         line = line.partition("#")[0].strip()
         if line:
             try:
-                scenes.append(_scene(line, engines))
+                scenes.append(_parse_line(line, engines))
             except ValueError as problem:
-                raise Unplayable(f"line {number}: {problem}") from None
-    return sorted(scenes, key=lambda scene: scene.at)
+                raise ScriptError(f"line {number}: {problem}") from None
+    return sorted(scenes, key=lambda scene: scene.at_ticks)
 
 
-def _scene(line: str, engines: list[str]) -> Scene:
+def _parse_line(line: str, engines: list[str]) -> FaultEvent:
     head, colon, what = line.partition(":")
     times, words = head.split(), what.split()
     if not colon or len(times) not in (2, 4) or times[0] != "at" or times[2:3] not in ([], ["for"]):
         raise ValueError("expected 'at SECOND [for SECONDS]: WHO TROUBLE'")
-    at, span = _seconds(times[1]), _seconds(times[3]) if len(times) == 4 else 0
+    at_ticks, span_ticks = _seconds(times[1]), _seconds(times[3]) if len(times) == 4 else 0
     if len(words) < 2:
         raise ValueError("expected WHO and TROUBLE")
-    who, trouble, *rest = words
-    if who == "program" and trouble in PROGRAM and not rest:
-        return Scene(at, span, who, trouble)
-    if who == "list" and trouble in LIST and len(rest) == 1:
+    target, fault, *rest = words
+    if target == "program" and fault in PROGRAM_FAULTS and not rest:
+        return FaultEvent(at_ticks, span_ticks, target, fault)
+    if target == "list" and fault in LIST_FAULTS and len(rest) == 1:
         if rest[0] not in engines:
             raise ValueError(f"no engine {rest[0]!r}")
-        return Scene(at, span, who, trouble, whom=rest[0])
-    if who not in (*engines, "all"):
-        raise ValueError(f"no engine {who!r}")
-    if trouble not in TROUBLES or len(rest) > 1:
-        raise ValueError(f"expected one of {', '.join(TROUBLES)}, found {trouble!r}")
-    figure = float(rest[0]) if rest else 1.0
-    if not 0 < figure <= (1 if trouble in WITH_PART else 1000):
-        raise ValueError(f"{trouble}: {figure} makes no sense")
-    return Scene(at, span, who, trouble, figure)
+        return FaultEvent(at_ticks, span_ticks, target, fault, engine=rest[0])
+    if target not in (*engines, "all"):
+        raise ValueError(f"no engine {target!r}")
+    if fault not in FAULT_KINDS or len(rest) > 1:
+        raise ValueError(f"expected one of {', '.join(FAULT_KINDS)}, found {fault!r}")
+    level = float(rest[0]) if rest else 1.0
+    if not 0 < level <= (1 if fault in FRACTION_FAULTS else 1000):
+        raise ValueError(f"{fault}: {level} makes no sense")
+    return FaultEvent(at_ticks, span_ticks, target, fault, level)
 
 
 def _seconds(text: str) -> int:
--- a/corkgauge/testkit/faults/slow_disk.py
+++ b/corkgauge/testkit/faults/slow_disk.py
@@ -7,7 +7,7 @@
 import sys
 import time
 
-TAKES = 0.1  # seconds, for each write
+WRITE_DELAY_SECONDS = 0.1  # seconds, for each write
 
 if __name__ == "__main__":
     sys.path.insert(
@@ -20,9 +20,9 @@
 
     write = store.write_file
 
-    def slowly(path: str, data: bytes) -> None:
-        time.sleep(TAKES)
+    def write_slowly(path: str, data: bytes) -> None:
+        time.sleep(WRITE_DELAY_SECONDS)
         write(path, data)
 
-    store.write_file = slowly
+    store.write_file = write_slowly
     sys.exit(store.main())
--- a/corkgauge/testkit/fleet/day.py
+++ b/corkgauge/testkit/fleet/day.py
@@ -15,10 +15,10 @@
 from corkgauge.accounting.snapshot_checks import find_decreases, find_imbalances
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.testkit.checkers import rules
-from corkgauge.testkit.emulators.clients import EmulatedClient, Want
+from corkgauge.testkit.emulators.clients import EmulatedClient, RequestProfile
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
 from corkgauge.testkit.emulators.engines import EmulatedEngine
-from corkgauge.testkit.faults.script import Scene
+from corkgauge.testkit.faults.script import FaultEvent
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.scraper import Scraper
@@ -27,18 +27,18 @@
 # promised.
 WORK = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
 WANTS = [
-    Want("lookup", 0.70, 1_500, 8.0),
-    Want("report", 0.10, 3_000, 60.0),
-    Want("load", 0.12, 2_000, 15.0, labelled=True, ordered=True),
-    Want("once", 0.08, 1_500, 10.0),
+    RequestProfile("lookup", 0.70, 1_500, 8.0),
+    RequestProfile("report", 0.10, 3_000, 60.0),
+    RequestProfile("load", 0.12, 2_000, 15.0, has_idempotency_key=True, has_order_key=True),
+    RequestProfile("once", 0.08, 1_500, 10.0),
 ]
 KINDS, HALLS, CORES = ("c8", "c12"), ("hall-a", "hall-b"), {"c8": 8, "c12": 12}
 BUDGET = 3.0, 0.1, 5 * SECOND
-STAKES = rules.Stakes(
-    repeats={"lookup": "pure", "report": "pure", "load": "token", "once": "side_effect"},
-    ordered={"load"},
-    kinds={"report": {"c12"}},
-    extra=BUDGET,
+STAKES = rules.RuleParameters(
+    repeatability={"lookup": "pure", "report": "pure", "load": "token", "once": "side_effect"},
+    ordered_classes={"load"},
+    engine_kinds={"report": {"c12"}},
+    retry_budget=BUDGET,
 )
 
 
@@ -122,7 +122,7 @@
     def __init__(
         self,
         seed: int,
-        scenes: list[Scene] = (),
+        scenes: list[FaultEvent] = (),
         engines: int = 4,
         clients: int = 6,
         rate: float = 100.0,
@@ -134,7 +134,7 @@
         seen: Callable[[Snapshot], None] | None = None,
         group: str = "all",
         retries: bool = False,
-        wants: list[Want] = WANTS,
+        wants: list[RequestProfile] = WANTS,
     ) -> None:
         self.event_loop, self.scenes, self.seed, self.rate = EventLoop(), [*scenes], seed, rate
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
@@ -158,7 +158,7 @@
             for n, name in enumerate(names)
         }
         self.feed = EmulatedDiscovery(self.event_loop)
-        first = self.feed.told([*self.engines.values()], full=True)
+        first = self.feed.publish([*self.engines.values()], full=True)
         self.address = "127.0.0.1", free_port()
         self.program = GatewayProcess(
             self.folder,
@@ -202,14 +202,14 @@
         begun = self.event_loop.now
         self.program.start()
         for scene in self.scenes:
-            self.event_loop.call_later(scene.at, self.begin, scene)
+            self.event_loop.call_later(scene.at_ticks, self.begin, scene)
         self.until(begun + int(seconds * SECOND))
         for client in self.clients:
             client.rate = 1e-6
             client.stopped = True
         self.until(
             self.event_loop.now + int(drain * SECOND),
-            lambda: any(client.open for client in self.clients),
+            lambda: any(client.open_requests for client in self.clients),
         )
         self.until(self.event_loop.now + SECOND // 2)
         if self.scraper is not None:
@@ -230,27 +230,27 @@
 
     # What the script does.
 
-    def begin(self, scene: Scene) -> None:
-        if scene.who == "program":
-            return self.with_program(scene.trouble)
-        if scene.who == "list":
-            engine = self.engines[scene.whom]
-            self.feed.told([engine], "DRAINING" if scene.trouble == "drain" else "DELETED")
-            if scene.span:
-                self.event_loop.call_later(scene.span, self.feed.told, [engine])
+    def begin(self, scene: FaultEvent) -> None:
+        if scene.target == "program":
+            return self.with_program(scene.fault)
+        if scene.target == "list":
+            engine = self.engines[scene.engine]
+            self.feed.publish([engine], "DRAINING" if scene.fault == "drain" else "DELETED")
+            if scene.span_ticks:
+                self.event_loop.call_later(scene.span_ticks, self.feed.publish, [engine])
             return None
         for engine in self.engines.values():
-            if scene.who in ("all", engine.name):
-                engine.begin(scene.trouble, scene.figure)
-                if scene.trouble == "restart":
-                    self.feed.told([engine], "DELETED")
-                self.event_loop.call_later(max(scene.span, 1), self.over, engine)
+            if scene.target in ("all", engine.name):
+                engine.begin_fault(scene.fault, scene.level)
+                if scene.fault == "restart":
+                    self.feed.publish([engine], "DELETED")
+                self.event_loop.call_later(max(scene.span_ticks, 1), self.over, engine)
 
     def over(self, engine: EmulatedEngine) -> None:
-        back = engine.trouble == "restart"
-        engine.end()
+        back = engine.fault == "restart"
+        engine.end_fault()
         if back:
-            self.feed.told([engine])
+            self.feed.publish([engine])
 
     def with_program(self, what: str) -> None:
         program = self.program
@@ -283,16 +283,16 @@
         if self.seen is not None:
             self.seen(cut)
 
-    def broken(self, slack: int = rules.SLACK) -> list[str]:
+    def broken(self, slack: int = rules.TIMING_SLACK_TICKS) -> list[str]:
         """The rules, from the books of the stand-ins."""
         asks = sorted(
-            (ask for client in self.clients for ask in client.book), key=lambda ask: ask.sent
+            (ask for client in self.clients for ask in client.requests), key=lambda ask: ask.sent_at
         )
         runs = sorted(
-            (run for engine in self.engines.values() for run in engine.book),
-            key=lambda run: run.came,
+            (run for engine in self.engines.values() for run in engine.attempts),
+            key=lambda run: run.received_at,
         )
-        return rules.broken(
+        return rules.find_rule_violations(
             asks,
             runs,
             self.feed.changes,
@@ -305,14 +305,14 @@
     def tally(self) -> dict[str, int]:
         said: dict[str, int] = {}
         for client in self.clients:
-            for name, count in client.tally().items():
+            for name, count in client.count_outcomes().items():
                 said[name] = said.get(name, 0) + count
         # What the program held when it was killed outright is owed by nobody; any other without an
         # answer is lost.
         killed = sum(
-            not ask.answers and not ask.excused and rules.at_a_kill(ask, self.program.kills)
+            not ask.answers and not ask.excuse and rules.was_open_at_kill(ask, self.program.kills)
             for client in self.clients
-            for ask in client.book
+            for ask in client.requests
         )
         return {**said, "none": said["none"] - killed, "at_a_kill": killed}
 
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -79,7 +79,9 @@
             self.tops.append(top := top + 1 / (k + 1))
 
     def draw(self) -> int:
-        return min(bisect_right(self.tops, self.chance.part() * self.tops[-1]), len(self.tops) - 1)
+        return min(
+            bisect_right(self.tops, self.chance.uniform() * self.tops[-1]), len(self.tops) - 1
+        )
 
 
 class Alone:
@@ -153,7 +155,7 @@
                 success_times=[],
                 engines=[
                     LearnedEngine(
-                        engine, [1.0 + self.chance.part() / 2 for _ in range(8)], 1.0, -1, []
+                        engine, [1.0 + self.chance.uniform() / 2 for _ in range(8)], 1.0, -1, []
                     )
                     for engine in self.engines
                 ],
@@ -173,14 +175,14 @@
         """So many statements beforehand, each with its gap after the one before, tenths of a ms."""
         said, left = [], 0.0
         for _ in range(count):
-            left += self.chance.wait(SECOND / self.rate)
+            left += self.chance.exponential(SECOND / self.rate)
             gap, left = int(left), left % 1
-            draw, n = self.chance.part(), 0
+            draw, n = self.chance.uniform(), 0
             while n < len(CLASSES) - 1 and draw >= CLASSES[n].part:
                 draw, n = draw - CLASSES[n].part, n + 1
-            work = int(max(self.hold or self.chance.spread(CLASSES[n].work), 1))
+            work = int(max(self.hold or self.chance.lognormal(CLASSES[n].work), 1))
             key = 1 + self.chance.below(KEYS) if CLASSES[n].ordered else 0
-            took = work if self.hold else int(work * (1 + self.chance.part() / 2)) + 2
+            took = work if self.hold else int(work * (1 + self.chance.uniform() / 2)) + 2
             said.append(
                 (
                     gap,
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -73,7 +73,7 @@
         ours = [name for name in names if name in self.wires and name not in self.members]
         for name in ours:
             self.event_loop.call_later(
-                int(self.chance.part() * over * SECOND) + 1, self._start, name
+                int(self.chance.uniform() * over * SECOND) + 1, self._start, name
             )
         return len(ours)
 
@@ -103,7 +103,7 @@
         ours = [name for name in names if name in self.members]
         for name in ours:
             self.event_loop.call_later(
-                int(self.chance.part() * over * SECOND) + 1, self._end, name, again
+                int(self.chance.uniform() * over * SECOND) + 1, self._end, name, again
             )
         return len(ours)
 
--- a/corkgauge/testkit/fleet/hollow_serve.py
+++ b/corkgauge/testkit/fleet/hollow_serve.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
-from corkgauge.testkit.emulators.clients import EmulatedClient, Want
+from corkgauge.testkit.emulators.clients import EmulatedClient, RequestProfile
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
 from corkgauge.testkit.emulators.engines import EmulatedEngine
-from corkgauge.testkit.emulators.protocols import ready_question
+from corkgauge.testkit.emulators.protocols import readiness_query_frame
 from corkgauge.testkit.fleet import hollow_gateway as hollow_one
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 from corkgauge.testkit.fleet.ports import free_port
@@ -24,10 +24,10 @@
     10_000  # of a listener, which stands for many databases: its pace stays that of the work alone
 )
 WANTS = [
-    Want("lookup", 0.66, 3_000, 2.0),
-    Want("report", 0.12, 6_000, 60.0),
-    Want("load", 0.12, 3_000, 10.0, labelled=True, ordered=True),
-    Want("once", 0.10, 3_000, 5.0),
+    RequestProfile("lookup", 0.66, 3_000, 2.0),
+    RequestProfile("report", 0.12, 6_000, 60.0),
+    RequestProfile("load", 0.12, 3_000, 10.0, has_idempotency_key=True, has_order_key=True),
+    RequestProfile("once", 0.10, 3_000, 5.0),
 ]
 
 
@@ -76,7 +76,7 @@
             try:
                 with socket.create_connection(self.address, 0.5) as sock:
                     sock.settimeout(patience)
-                    sock.sendall(ready_question())
+                    sock.sendall(readiness_query_frame())
                     answer = sock.recv(64)
                     if len(answer) >= 10 and answer[9] == 1:
                         return time.monotonic() - begun, self.program.spent()
@@ -106,12 +106,12 @@
         ]
 
     def asked(self) -> int:
-        return sum(len(client.book) for client in self.clients)
+        return sum(len(client.requests) for client in self.clients)
 
     def tally(self) -> dict[str, int]:
         said: dict[str, Any] = {}
         for client in self.clients:
-            for name, count in client.tally().items():
+            for name, count in client.count_outcomes().items():
                 said[name] = said.get(name, 0) + count
         return said
 
--- a/corkgauge/testkit/fleet/maintenance_crew.py
+++ b/corkgauge/testkit/fleet/maintenance_crew.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.checkers.maintenance import Work
+from corkgauge.testkit.checkers.maintenance import MaintenanceRecord
 from corkgauge.testkit.fleet.http_client import ask
 from corkgauge.testkit.fleet.processes import Fault
 from corkgauge.testkit.seeded_random import SeededRandom
@@ -40,7 +40,7 @@
             owner,
         )
         self.lasting, self.told = int(lasting * SECOND), told
-        self.book: list[Work] = []
+        self.book: list[MaintenanceRecord] = []
         self.begun: set[tuple[str, str]] = set()
         self.wishes = 0
         self.answers: dict[
@@ -134,17 +134,19 @@
             if unit["state"] == "out" and key not in self.begun and unit["ask"] in self.asked:
                 self.begun.add(key)
                 self.work(
-                    Work(unit["unit"], unit["ask"], tuple(unit["members"]), self.event_loop.now)
+                    MaintenanceRecord(
+                        unit["unit"], unit["ask"], tuple(unit["members"]), self.event_loop.now
+                    )
                 )
 
-    def work(self, work: Work) -> None:
+    def work(self, work: MaintenanceRecord) -> None:
         """A gateway is ended in order, and started again by the rig; an engine is seen to by hand."""
         self.book.append(work)
         if work.members[0] in self.fleet.gateways:
             self.fleet.befall(Fault(0, self.lasting, "end", work.members))
         self.event_loop.call_later(self.lasting, self.end, work)
 
-    def end(self, work: Work) -> None:
+    def end(self, work: MaintenanceRecord) -> None:
         """The machine runs again, cold; then the crew says so, until somebody has heard. Once, however often."""
         if work.ended >= 0:
             return None
--- a/corkgauge/testkit/fleet/maintenance_day.py
+++ b/corkgauge/testkit/fleet/maintenance_day.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.checkers.maintenance import Limits, wrong
+from corkgauge.testkit.checkers.maintenance import MaintenanceLimits, find_maintenance_violations
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn
 from corkgauge.testkit.seeded_random import SeededRandom
@@ -65,7 +65,7 @@
             each,
             cancels,
         )
-        self.limits = Limits(MOST, 0.5, 0.5, 0.5, {"c12": 1})
+        self.limits = MaintenanceLimits(MOST, 0.5, 0.5, 0.5, {"c12": 1})
         self.ended = False
         self.overruled: set[str] = set()
 
@@ -89,16 +89,18 @@
     def _ask(self) -> None:
         if self.ended:
             return
-        self.fleet.event_loop.call_later(int(self.chance.wait(self.each * SECOND)) + 1, self._ask)
+        self.fleet.event_loop.call_later(
+            int(self.chance.exponential(self.each * SECOND)) + 1, self._ask
+        )
         names = [*self.fleet.engines]
-        if self.chance.within(0.1):
+        if self.chance.happens(0.1):
             id_ = self.crew.ask("hall", ("hall-a", "hall-b")[self.chance.below(2)])
         else:
             some = dict.fromkeys(
                 names[self.chance.below(len(names))] for _ in range(1 + self.chance.below(3))
             )
             id_ = self.crew.ask("engine", *some)
-        if self.chance.within(self.cancels):
+        if self.chance.happens(self.cancels):
             self.fleet.event_loop.call_later(
                 self.chance.below(SECOND) + 1, self.crew.wish, {"do": "cancel", "id": id_}
             )
@@ -110,24 +112,24 @@
             ask.trace
             for n, client in enumerate(fleet.clients)
             if names[n % len(names)] in self.overruled
-            for ask in client.book
+            for ask in client.requests
         }
         engines = {
             name: (each.zone, each.kind, float(each.cores)) for name, each in fleet.engines.items()
         }
         runs = [
-            (run.came, run.engine, f"{run.request_class} {run.trace}")
+            (run.received_at, run.engine, f"{run.request_class} {run.trace}")
             for each in fleet.engines.values()
-            for run in each.book
+            for run in each.attempts
             if run.trace not in excused
         ]
-        found = wrong(crew.book, runs, engines, self.limits, SLACK)
+        found = find_maintenance_violations(crew.book, runs, engines, self.limits, SLACK)
         logs = fleet.logs()
         tally: dict[str, int] = {}
         for client in fleet.clients:
-            for name, count in client.tally().items():
+            for name, count in client.count_outcomes().items():
                 tally[name] = tally.get(name, 0) + count
-        waits = sorted(work.begun - crew.asked[work.ask] for work in crew.book)
+        waits = sorted(work.begun - crew.asked[work.request_id] for work in crew.book)
         return {
             "faults": fleet.befallen,
             "works": len(crew.book),
--- a/corkgauge/testkit/fleet/processes.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -32,11 +32,15 @@
 
 from corkgauge.eventloop.loop import SECOND, EventLoop
 from corkgauge.testkit.checkers import rules
-from corkgauge.testkit.checkers.leases import LeaseChecker, vacancies, verdict
+from corkgauge.testkit.checkers.leases import (
+    LeaseChecker,
+    find_holder_changes,
+    find_lease_violations,
+)
 from corkgauge.testkit.emulators.clients import EmulatedClient
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
 from corkgauge.testkit.emulators.engines import EmulatedEngine
-from corkgauge.testkit.faults.relay import Passage, Way
+from corkgauge.testkit.faults.relay import ConnectionRelay, DatagramRelay
 from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, STAKES, WANTS, WORK, settings
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 from corkgauge.testkit.fleet.parent_process import tied
@@ -161,11 +165,11 @@
         "busy",
     ]
     while at < seconds:
-        sort, span = sorts[chance.below(len(sorts))], 0.1 + chance.part() * (longest - 0.1)
+        sort, span = sorts[chance.below(len(sorts))], 0.1 + chance.uniform() * (longest - 0.1)
         many = 1 + chance.below(max(len(names) // 2, 1)) if sort in ("kill", "part", "stop") else 1
         left = [*names]
         whom = [left.pop(chance.below(len(left))) for _ in range(many)]
-        if sort == "kill" and chance.within(0.1):
+        if sort == "kill" and chance.happens(0.1):
             whom = [*names]
         figure = {"lose": 0.3, "late": 400.0 * longest}.get(sort, 0.0)
         found.append(
@@ -177,7 +181,7 @@
                 figure,
             )
         )
-        at += gap * (0.5 + chance.part())
+        at += gap * (0.5 + chance.uniform())
     return found
 
 
@@ -261,8 +265,8 @@
         )
         self.folder = tempfile.mkdtemp(prefix="corkgauge-", dir=in_memory())
         self.lease, self.off, self.rates, self.cold = lease, off, rates, int(cold * SECOND)
-        share, _, *rest = STAKES.cold
-        self.stakes = replace(STAKES, cold=(share, self.cold, *rest))
+        share, _, *rest = STAKES.slow_start
+        self.stakes = replace(STAKES, slow_start=(share, self.cold, *rest))
         self.options = {
             "period": max(lease / 5, 0.1),
             "margin": round(lease / 10, 3),
@@ -296,12 +300,12 @@
             )
             for n in range(1, engines + 1)
         }
-        self.passages: dict[tuple[str, str], Passage] = {}
+        self.passages: dict[tuple[str, str], ConnectionRelay] = {}
         self.gateways = {f"n{n}": Gateway(self, n) for n in range(1, gateways + 1)}
         names = [*self.gateways]
         self.voters = names[: voters or (gateways if gateways < 4 else 3 if gateways < 5 else 5)]
         self.ways = {
-            (one, other): Way(
+            (one, other): DatagramRelay(
                 self.event_loop, self.gateways[other].listen, SeededRandom(seed * 1000 + 31 * n + m)
             )
             for n, one in enumerate(names)
@@ -311,10 +315,11 @@
         # Danger: what arrives late at the judge would count as done late; so no fault is on its
         # ways.
         self.to_judge = {
-            name: Way(self.event_loop, ("127.0.0.1", 1), SeededRandom(1)) for name in names
+            name: DatagramRelay(self.event_loop, ("127.0.0.1", 1), SeededRandom(1))
+            for name in names
         }
         from_judge = [
-            (name, Way(self.event_loop, each.listen, SeededRandom(1)).address)
+            (name, DatagramRelay(self.event_loop, each.listen, SeededRandom(1)).address)
             for name, each in self.gateways.items()
         ]
         with open(self.key, encoding="ascii") as file:
@@ -349,7 +354,9 @@
         """Each gateway reaches each engine by a passage of its own, so each has a list of its own."""
         feed = EmulatedDiscovery(self.event_loop)
         for engine in self.engines.values():
-            self.passages[name, engine.name] = Passage(self.event_loop, engine.listener.address)
+            self.passages[name, engine.name] = ConnectionRelay(
+                self.event_loop, engine.listener.address
+            )
         return feed
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
@@ -358,7 +365,7 @@
             _Reached(engine, "%s:%d" % self.passages[gateway.name, engine.name].address)
             for engine in self.engines.values()
         ]
-        first = feed.told(reached, full=True)
+        first = feed.publish(reached, full=True)
         stated = settings()
         stated["rules"]["coldUs"] = self.cold * 100
         said = {
@@ -417,13 +424,13 @@
     def listed(self, names: Any, state: str = "SERVING") -> None:
         """Each gateway's feed tells of these engines."""
         for name, feed in self.feeds.items():
-            feed.told([self.reached(name, each) for each in names], state)
+            feed.publish([self.reached(name, each) for each in names], state)
 
     def renewed(self, names: Any) -> None:
         """These engines have just started: cold, with nothing of before."""
         for name in names:
             engine = self.engines[name]
-            engine.listener.drop()
+            engine.listener.close_connections()
             engine.started_ms = self.event_loop.now // 10
         self.listed(names)
 
@@ -468,7 +475,7 @@
         """No more submissions; all that is open ends."""
         for client in self.clients:
             client.stopped = True
-        self.until(seconds, lambda: any(client.open for client in self.clients))
+        self.until(seconds, lambda: any(client.open_requests for client in self.clients))
 
     def close(self) -> None:
         for gateway in self.gateways.values():
@@ -502,7 +509,7 @@
         elif fault.sort == "replay":
             for (_, other), way in self.ways.items():
                 if other in fault.whom:
-                    way.again()
+                    way.replay()
         elif fault.sort == "engine":
             for (_, engine), passage in self.passages.items():
                 if engine in fault.whom:
@@ -517,11 +524,11 @@
     def weather(self, sort: str, figure: float) -> None:
         for way in self.ways.values():
             if sort == "lose":
-                way.loss = figure
+                way.loss_share = figure
             elif sort == "late":
-                way.delay = int(figure * 10)
+                way.max_delay_ticks = int(figure * 10)
             else:
-                way.doubled = figure
+                way.duplicate_share = figure
 
     def trouble(self, gateway: Gateway, fault: Fault) -> None:
         program = gateway.program
@@ -623,37 +630,43 @@
 
     def wrong(self) -> list[str]:
         """The judge's verdict."""
-        return verdict(
+        return find_lease_violations(
             self.judge.acts, {name: each.troubled for name, each in self.gateways.items()}
         )
 
     def changes(self) -> list[tuple[int, int, int, str, str]]:
-        return vacancies(self.judge.acts, "books")
+        return find_holder_changes(self.judge.acts, "books")
 
-    def broken(self, slack: int = rules.SLACK) -> list[str]:
+    def broken(self, slack: int = rules.TIMING_SLACK_TICKS) -> list[str]:
         """The seven rules. What was open at a gateway while it stood still or was killed is owed by nobody."""
         names, asks = [*self.gateways], []
         for n, client in enumerate(self.clients):
             spells = self.gateways[names[n % len(names)]].spells
             asks += [
                 ask
-                for ask in client.book
+                for ask in client.requests
                 if not any(
-                    ask.sent <= until and since <= ask.sent + 10 * ask.want.patience + slack
+                    ask.sent_at <= until
+                    and since <= ask.sent_at + 10 * ask.profile.patience_ms + slack
                     for since, until in spells
                 )
             ]
-        asks.sort(key=lambda ask: ask.sent)
+        asks.sort(key=lambda ask: ask.sent_at)
         mine = {ask.trace for ask in asks}
         runs = sorted(
-            (run for engine in self.engines.values() for run in engine.book if run.trace in mine),
-            key=lambda run: run.came,
+            (
+                run
+                for engine in self.engines.values()
+                for run in engine.attempts
+                if run.trace in mine
+            ),
+            key=lambda run: run.received_at,
         )
         # Each gateway's feed tells the same of engines; the rules are the sum's, over all gateways.
         talking = self.options["works"] is not None or self.options["shared"] is not None
         changes = next(iter(self.feeds.values())).changes if talking else []
         cores = {name: each.cores for name, each in self.engines.items()}
-        return rules.broken(asks, runs, changes, cores, self.stakes, slack)
+        return rules.find_rule_violations(asks, runs, changes, cores, self.stakes, slack)
 
     def logs(self) -> list[str]:
         return [
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -16,9 +16,9 @@
 from corkgauge.policy.gateway import Gateway as Module
 from corkgauge.policy.records import Engine, EngineState
 from corkgauge.testkit.checkers import rules
-from corkgauge.testkit.emulators.clients import Ask, EmulatedClient, Want
+from corkgauge.testkit.emulators.clients import EmulatedClient, RequestProfile, SubmittedRequest
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
-from corkgauge.testkit.emulators.engines import Run
+from corkgauge.testkit.emulators.engines import ReceivedAttempt
 from corkgauge.testkit.emulators.listener import Listener
 from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, WANTS, settings
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
@@ -46,7 +46,7 @@
 class WideFeed(EmulatedDiscovery):
     """Tells each engine's cell too."""
 
-    def told(
+    def publish(
         self, engines: list[Any], state: str = "SERVING", full: bool = False
     ) -> dict[str, Any]:
         self.version += 1
@@ -76,8 +76,8 @@
         self.changes += [
             (self.event_loop.now, each.name, state, each.started_ms) for each in engines
         ]
-        for reader in self.listener.guests:
-            reader.tell()
+        for reader in self.listener.connections:
+            reader.send_events()
         return event
 
 
@@ -98,7 +98,7 @@
         cell: int = 0,
         spoilt: str = "",
         rates: Iterable[float] = (40.0,) * 3,
-        wants: list[Want] = WANTS,
+        wants: list[RequestProfile] = WANTS,
         seed: int = 5,
         cold: float = 15.0,
     ) -> None:
@@ -134,17 +134,19 @@
         """Kinds and cells, before the first list."""
         for n, engine in enumerate(self.engines.values()):
             engine.cell = n // self.cell if self.cell else 0
-            engine.known = self.marks.setdefault(engine.cell, {})
+            engine.executed_keys = self.marks.setdefault(engine.cell, {})
             settled(engine.listener)
             if n < self.few or 0 <= n - len(self.first) < self.few:
                 engine.kind, engine.cores = FEW_KIND, FEW_CORES
         self.stakes = replace(
-            self.stakes, kinds={"report": {FEW_KIND}}, cold=(COLD[0], self.cold, *COLD[1:])
+            self.stakes,
+            engine_kinds={"report": {FEW_KIND}},
+            slow_start=(COLD[0], self.cold, *COLD[1:]),
         )
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
         feed = self.feeds[gateway.name]
-        first = feed.told([self.engines[each] for each in self.first], full=True)
+        first = feed.publish([self.engines[each] for each in self.first], full=True)
         said = {
             "name": gateway.name,
             "listen": "%s:%d" % gateway.address,
@@ -222,7 +224,7 @@
     ) -> None:
         """The feeds of these gateways, or of all, tell of these engines."""
         for gateway in to or self.gateways:
-            self.feeds[gateway].told([self.engines[name] for name in names], state, full)
+            self.feeds[gateway].publish([self.engines[name] for name in names], state, full)
 
     def started(self, names: Iterable[str]) -> None:
         """These have just started; nobody has been told yet."""
@@ -232,34 +234,34 @@
     def close(self) -> None:
         super().close()
         for each in (*self.engines.values(), *self.feeds.values()):
-            each.listener.drop()
+            each.listener.close_connections()
             if each.listener.sock is not None:
                 each.listener.sock.close()
 
     # What was seen.
 
-    def asks_of(self, name: str, since: int = 0) -> list[Ask]:
+    def asks_of(self, name: str, since: int = 0) -> list[SubmittedRequest]:
         """What clients asked of one gateway."""
         where = [*self.gateways].index(name)
         return [
             ask
             for n, client in enumerate(self.clients)
             if n % len(self.gateways) == where
-            for ask in client.book
-            if ask.sent >= since
+            for ask in client.requests
+            if ask.sent_at >= since
         ]
 
-    def runs_of(self, name: str, since: int = 0) -> list[Run]:
+    def runs_of(self, name: str, since: int = 0) -> list[ReceivedAttempt]:
         """What came to engines from one gateway, in the order in which it came."""
         mine = {ask.trace for ask in self.asks_of(name)}
         return sorted(
             (
                 run
                 for engine in self.engines.values()
-                for run in engine.book
-                if run.trace in mine and run.came >= since
+                for run in engine.attempts
+                if run.trace in mine and run.received_at >= since
             ),
-            key=lambda run: run.came,
+            key=lambda run: run.received_at,
         )
 
     def reached_by(self, name: str, since: int = 0) -> set[str]:
@@ -271,23 +273,26 @@
         asks = [
             ask
             for client in self.clients
-            for ask in client.book
-            if since <= ask.sent < until and request_class in ("", ask.want.request_class)
+            for ask in client.requests
+            if since <= ask.sent_at < until and request_class in ("", ask.profile.request_class)
         ]
         return sum(bool(ask.answers) and ask.answers[0][1] == rules.SERVED for ask in asks) / max(
             len(asks), 1
         )
 
-    def broken(self, slack: int = rules.SLACK) -> list[str]:
+    def broken(self, slack: int = rules.TIMING_SLACK_TICKS) -> list[str]:
         """The seven rules. What engines are sent counts over all gateways; a drain binds whom it was told."""
         asks = sorted(
-            (ask for name in self.gateways for ask in self.asks_of(name)), key=lambda ask: ask.sent
+            (ask for name in self.gateways for ask in self.asks_of(name)),
+            key=lambda ask: ask.sent_at,
         )
         runs = {name: self.runs_of(name) for name in self.gateways}
-        whole = sorted((run for each in runs.values() for run in each), key=lambda run: run.came)
+        whole = sorted(
+            (run for each in runs.values() for run in each), key=lambda run: run.received_at
+        )
         cores = {name: each.cores for name, each in self.engines.items()}
         colds = {change for feed in self.feeds.values() for change in feed.changes if change[3]}
-        found = rules.broken(
+        found = rules.find_rule_violations(
             asks,
             whole,
             sorted(
@@ -298,11 +303,13 @@
                 }
             ),
             cores,
-            replace(self.stakes, extra=(0.0, 0.0, 0)),
+            replace(self.stakes, retry_budget=(0.0, 0.0, 0)),
             slack,
         )
         for name, each in runs.items():
             mine = self.asks_of(name)
-            found += rules.drained(each, self.feeds[name].changes, self.stakes.grace + slack)
-            found += rules.rationed(mine, each, self.stakes)
+            found += rules.find_drain_violations(
+                each, self.feeds[name].changes, self.stakes.drain_grace_ticks + slack
+            )
+            found += rules.find_retry_budget_violations(mine, each, self.stakes)
         return found
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -183,12 +183,12 @@
 
 
 def play(fault):
-    from corkgauge.testkit.faults.script import read
+    from corkgauge.testkit.faults.script import parse_script
     from corkgauge.testkit.fleet.day import Day
 
     day = Day(
         11,
-        read(SILENT_ENGINE_SCRIPT, ["e1"]),
+        parse_script(SILENT_ENGINE_SCRIPT, ["e1"]),
         engines=2,
         clients=4,
         rate=60,
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -22,10 +22,10 @@
 from corkgauge.flow_export.elements import FlowDirection
 from corkgauge.flow_export.session import Session
 from corkgauge.testkit.checkers import rules
-from corkgauge.testkit.emulators.clients import Ask
+from corkgauge.testkit.emulators.clients import SubmittedRequest
 from corkgauge.testkit.emulators.collector import EmulatedCollector
-from corkgauge.testkit.emulators.engines import Run
-from corkgauge.testkit.faults.script import Unplayable, read
+from corkgauge.testkit.emulators.engines import ReceivedAttempt
+from corkgauge.testkit.faults.script import ScriptError, parse_script
 from corkgauge.testkit.fleet.day import STAKES, WANTS, Day, settings
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 from corkgauge.testkit.fleet.parent_process import tied
@@ -58,7 +58,7 @@
         row["taken"] for epoch in [play.cuts[-1], *earlier] for row in epoch["offerings"].values()
     )
     written = sum(
-        not ask.excused == "not written" for client in play.clients for ask in client.book
+        not ask.excuse == "not written" for client in play.clients for ask in client.requests
     )
     assert 0 <= written - known < 60  # what came in the last tenth of a second before the kill
 
@@ -183,7 +183,7 @@
     said = [
         (when, code, f"{trace}\t0\te1\n".encode() if code == 1 else b"") for when, code in answers
     ]
-    return Ask(trace, WANTS[want], key, sent, 0, 1, said, excused)
+    return SubmittedRequest(trace, WANTS[want], key, sent, 0, 1, said, excused)
 
 
 def run(
@@ -197,7 +197,7 @@
     ran=True,
     label="",
 ):
-    return Run(engine, kind, trace, request_class, label, came, work, ended, ran)
+    return ReceivedAttempt(engine, kind, trace, request_class, label, came, work, ended, ran)
 
 
 FIRST = (0, "e2", "SERVING", 0)
@@ -247,14 +247,19 @@
     ],
 )
 def test_the_checker_of_the_rules(rule, asks, runs, changes):
-    found = rules.broken(asks, runs, changes, {"e2": 12}, STAKES)
+    found = rules.find_rule_violations(asks, runs, changes, {"e2": 12}, STAKES)
     assert {line.partition(":")[0] for line in found} == ({rule} if rule else set()), found
 
 
 def test_what_a_killed_gateway_held_is_not_owed():
     asks, runs = [ask("t", answers=())], [run("t")]
-    assert rules.broken(asks, runs, [FIRST], {"e2": 12}, STAKES, killed=[5 * SECOND]) != []
-    assert rules.broken(asks, runs, [FIRST], {"e2": 12}, STAKES, killed=[SECOND]) == []
+    assert (
+        rules.find_rule_violations(asks, runs, [FIRST], {"e2": 12}, STAKES, killed=[5 * SECOND])
+        != []
+    )
+    assert (
+        rules.find_rule_violations(asks, runs, [FIRST], {"e2": 12}, STAKES, killed=[SECOND]) == []
+    )
 
 
 @pytest.mark.parametrize(
@@ -271,8 +276,8 @@
     ],
 )
 def test_a_script_that_makes_no_sense_names_its_line(line, wrong):
-    with pytest.raises(Unplayable) as said:
-        read(f"# a comment\n{line}", ["e1"])
+    with pytest.raises(ScriptError) as said:
+        parse_script(f"# a comment\n{line}", ["e1"])
     assert "line 2: " in str(said.value) and wrong in str(said.value)
 
 
@@ -286,7 +291,7 @@
 
 @pytest.mark.parametrize("layout, transport", [("own", "tcp"), ("standard", "udp")])
 def test_flows_of_a_bad_day_add_up_to_the_programs_own_counts(layout, transport):
-    scenes = read(
+    scenes = parse_script(
         "at 1 for 2: e1 silent\nat 2: e2 reset\nat 3 for 2: e1 restart\nat 6: program restart",
         ["e1", "e2"],
     )
@@ -310,7 +315,7 @@
     finally:
         play.close()
     assert (
-        collector.wrong == []
+        collector.errors == []
         and play.wrong == []
         and not any("out of balance" in line for line in log)
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -70,7 +70,7 @@
     assert fleet.held()
     fleet.settle()
     books = fleet.asked(fleet.holder())["books"]["books"]["entries"]
-    served = sum(client.tally()["served"] for client in fleet.clients)
+    served = sum(client.count_outcomes()["served"] for client in fleet.clients)
     assert fleet.broken(2_500) == [] and served > 300
     assert (
         books[-1]["wrong"] == []
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -835,7 +835,7 @@
         site.go_on(1)
     site.hang_up()
     site.go_on(4)
-    assert site.exported_octets() == site.carried() > 1000 and site.collectors[0].wrong == []
+    assert site.exported_octets() == site.carried() > 1000 and site.collectors[0].errors == []
     site.balanced()
     export_buffer = site.exporter.buffers["first"]
     assert (
@@ -885,7 +885,7 @@
     site.collectors[0].open()
     site.go_on(90)
     export_buffer = site.exporter.buffers["first"]
-    assert site.collectors[0].wrong == [] and site.collectors[0].sessions >= 2
+    assert site.collectors[0].errors == [] and site.collectors[0].session_count >= 2
     assert (
         export_buffer.totals.exported_octets
         == export_buffer.pending.measured_octets
@@ -899,7 +899,7 @@
 
 def test_a_collector_that_accepts_and_never_reads(tmp_path):
     site = ExportSite(tmp_path, ("tcp", "udp"))
-    site.collectors[0].deaf = True
+    site.collectors[0].ignores_input = True
     site.harness.socket_host.settings.idle_timeout_ticks = 10**9
     for _ in range(400):
         for n in range(250):  # more than a socket's buffers take
@@ -921,12 +921,12 @@
 
 def test_a_collector_that_resets_at_every_template(tmp_path):
     site = ExportSite(tmp_path, ("tcp",))
-    site.collectors[0].resets_templates = True
+    site.collectors[0].resets_on_template = True
     site.serve(3)
     site.go_on(20)
-    assert 2 <= site.collectors[0].sessions <= 12  # further and further apart
+    assert 2 <= site.collectors[0].session_count <= 12  # further and further apart
     site.balanced()
-    site.collectors[0].resets_templates = False
+    site.collectors[0].resets_on_template = False
     site.go_on(60)
     export_buffer = site.exporter.buffers["first"]
     assert (
@@ -1107,13 +1107,13 @@
     site.go_on(2)
     site.serve(3)
     site.go_on(3)
-    assert site.exported_octets() == site.carried() and site.collectors[0].wrong == []
+    assert site.exported_octets() == site.carried() and site.collectors[0].errors == []
     renewed = certificate(tmp_path, "client", "n1 renewed", ca)  # the same files, while it sends
     assert renewed[3].endswith("client.key")
     site.exporter.reload(site.flow_settings())
     site.serve(3)
     site.go_on(10)
-    assert site.exported_octets() == site.carried() and site.collectors[0].sessions == 2
+    assert site.exported_octets() == site.carried() and site.collectors[0].session_count == 2
     site.balanced()
 
 
--- a/tests/test_maintenance_fleet.py
+++ b/tests/test_maintenance_fleet.py
@@ -9,7 +9,7 @@
 import pytest
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.checkers.maintenance import Limits, wrong
+from corkgauge.testkit.checkers.maintenance import MaintenanceLimits, find_maintenance_violations
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.maintenance_day import MaintenanceDay, aimed, most_at_once
 from corkgauge.testkit.fleet.parent_process import tied
@@ -80,7 +80,7 @@
 
     def wait_for_finished_work(self, count, seconds=30):
         assert self.fleet.until(seconds, lambda: not self.crew.over(count)), (
-            [(work.unit, work.ask, work.ended) for work in self.crew.book],
+            [(work.unit, work.request_id, work.ended) for work in self.crew.book],
             self.crew.seen,
             self.fleet.logs()[-60:],
         )
@@ -101,24 +101,24 @@
         logs = fleet.logs()
         fleet.close()
         runs = [
-            (run.came, run.engine, run.trace)
+            (run.received_at, run.engine, run.trace)
             for engine in fleet.engines.values()
-            for run in engine.book
+            for run in engine.attempts
         ]
         engines = {
             name: (engine.zone, engine.kind, float(engine.cores))
             for name, engine in fleet.engines.items()
         }
-        limits = Limits(
+        limits = MaintenanceLimits(
             self.works["most"], self.works["share"], self.works.get("hall", 0.5), 0.5, {"c12": 1}
         )
         unanswered = (
-            sum(client.tally()["none"] for client in fleet.clients)
+            sum(client.count_outcomes()["none"] for client in fleet.clients)
             if not any(gateway.spells for gateway in fleet.gateways.values())
             else 0
         )
         return [
-            *wrong(crew.book, runs, engines, limits, 1_000),
+            *find_maintenance_violations(crew.book, runs, engines, limits, 1_000),
             *fleet.broken(2_500),
             *fleet.wrong(),
             *[line for line in logs if "exceptions stopped" in line or "Traceback" in line],
@@ -131,7 +131,7 @@
     scenario, finished = Scenario(engines=4), 0
     for number, step in enumerate(("granted", "draining", "out", "returning", "back")):
         engine = scenario.fleet.engines["e2"]
-        engine.begin("slow", 12)  # slow attempts keep the engine draining for a while
+        engine.begin_fault("slow", 12)  # slow attempts keep the engine draining for a while
         request_id = scenario.crew.ask("engine", "e2")
         scenario.wait_for_log(
             f"works: e2 {step}", times=1 + scenario.count_logged(f"works: e2 {step}")
@@ -139,9 +139,9 @@
         scenario.fleet.befall(
             Fault(0, int(1.6 * LEASE_SECONDS * SECOND), fault_kind, (scenario.leader(),))
         )
-        engine.end()
+        engine.end_fault()
         scenario.wait_for_finished_work(number + 1, 40)
-        finished += scenario.crew.book[-1].ask == request_id
+        finished += scenario.crew.book[-1].request_id == request_id
         scenario.fleet.until(2 * LEASE_SECONDS)
     return finished, scenario.close()
 
@@ -182,7 +182,7 @@
     scenario, attempts_during_work = Scenario(lasting=2.5), {}
     for change in "removed", "renamed", "restarted":
         fleet, engine = scenario.fleet, scenario.fleet.engines["e4"]
-        engine.begin("slow", 12)
+        engine.begin_fault("slow", 12)
         scenario.crew.ask("engine", "e4")
         scenario.wait_for_log("works: e4 draining", times=1 + len(attempts_during_work))
         if change == "restarted":
@@ -194,18 +194,18 @@
             for name, feed in fleet.feeds.items():
                 other = fleet.reached(name, "e4")
                 other.name = "e4b"
-                feed.told([other])
-        engine.end()
+                feed.publish([other])
+        engine.end_fault()
         count = len(attempts_during_work) + 1
         assert fleet.until(20, lambda: len(scenario.crew.book) < count), fleet.logs()[-20:]
-        before = len(engine.book)
+        before = len(engine.attempts)
         fleet.until(2)  # the crew is at work
-        attempts_during_work[change] = len(engine.book) - before
+        attempts_during_work[change] = len(engine.attempts) - before
         if change == "renamed":
             for name, feed in fleet.feeds.items():
                 other = fleet.reached(name, "e4")
                 other.name = "e4b"
-                feed.told([other], "DELETED")
+                feed.publish([other], "DELETED")
         fleet.listed(["e4"])
         scenario.wait_for_finished_work(count)
         with open(f"{scenario.fleet.folder}/log-{change}", "w") as file:
@@ -239,13 +239,13 @@
     # This time the gateway learns of the maintenance before it is cut off. Slow attempts keep it
     # from confirming.
     for engine in scenario.fleet.engines.values():
-        engine.begin("slow", 6)
+        engine.begin_fault("slow", 6)
     scenario.crew.ask("engine", "e4", at=leader)
     scenario.wait_for_log("works: e4 granted")
     scenario.fleet.until(5, lambda: not scenario.count_logged("works: e4 draining"))
     scenario.fleet.befall(Fault(0, 60 * SECOND, "cut", (isolated,)))
     for engine in scenario.fleet.engines.values():
-        engine.end()
+        engine.end_fault()
     scenario.fleet.until(14, lambda: len(scenario.crew.book) < 2)
     later = len(scenario.crew.book)
     for way in scenario.fleet.ways.values():
@@ -270,9 +270,9 @@
         scenario.fleet.befall(Fault(0, 500, "kill", (name,)))
         scenario.fleet.until(4)
         served = sum(
-            run.came > scenario.crew.book[0].begun + 2 * SECOND
+            run.received_at > scenario.crew.book[0].begun + 2 * SECOND
             for engine in scenario.fleet.engines.values()
-            for run in engine.book
+            for run in engine.attempts
         )
         scenario.wait_for_finished_work(1)
         outcomes.append((served, scenario.close()))
@@ -282,11 +282,11 @@
 def cancelled_requests():
     """A unit cancelled while it drains is not worked on; one cancelled while out needs `done`."""
     scenario = Scenario(lasting=2.0)
-    scenario.fleet.engines["e2"].begin("slow", 40)
+    scenario.fleet.engines["e2"].begin_fault("slow", 40)
     scenario.crew.ask("engine", "e2", id_="first")
     scenario.wait_for_log("works: e2 draining")
     first_cancel = scenario.run_command({"do": "cancel", "id": "first"})
-    scenario.fleet.engines["e2"].end()
+    scenario.fleet.engines["e2"].end_fault()
     scenario.fleet.until(2)
     worked = len(scenario.crew.book)
     scenario.crew.ask("engine", "e2", id_="second")
@@ -317,11 +317,11 @@
     scenario.fleet.until(10, lambda: not scenario.crew.book)
     scenario.fleet.until(1.0)
     at_once = most_at_once(scenario.crew.book)
-    usual = [(engine, engine.mean) for engine in scenario.fleet.engines.values()]
+    usual = [(engine, engine.mean_work_ms) for engine in scenario.fleet.engines.values()]
     for client in scenario.fleet.clients:
         client.rate *= 3
     for engine, mean in usual:
-        engine.mean = {name: 3 * work for name, work in mean.items()}
+        engine.mean_work_ms = {name: 3 * work for name, work in mean.items()}
     scenario.fleet.until(
         15,
         lambda: not any(is_load_objection(unit["against"]) for unit in scenario.units().values()),
@@ -335,7 +335,7 @@
     for client in scenario.fleet.clients:
         client.rate /= 6
     for engine, mean in usual:
-        engine.mean = mean
+        engine.mean_work_ms = mean
     scenario.crew.lasting = int(1.5 * SECOND)
     for work in [*scenario.crew.book]:
         scenario.crew.end(work)
@@ -402,8 +402,8 @@
     late_requests = [
         request
         for client in scenario.fleet.clients
-        for request in client.book
-        if request.sent > scenario.fleet.begun + 6 * SECOND
+        for request in client.requests
+        if request.sent_at > scenario.fleet.begun + 6 * SECOND
     ]
     return len(late_requests), scenario.close()
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -285,7 +285,7 @@
 def test_losing_a_third_of_all_datagrams_makes_no_member_gone():
     network = Network(10)
     network.run(10)
-    network.is_blocked = lambda *_: network.random.within(0.3)
+    network.is_blocked = lambda *_: network.random.happens(0.3)
     network.run(120)
     gone_changes = [
         change for node in network.nodes.values() for change in node.changes if change[2] == GONE
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -24,7 +24,7 @@
 from corkgauge.recovery.decay import LearnedEngine
 from corkgauge.recovery.log_writer import FRAME_HEADER, RecoveryFiles, list_segments
 from corkgauge.recovery.service import RecoveryService
-from corkgauge.testkit.faults.script import read as read_script
+from corkgauge.testkit.faults.script import parse_script
 from corkgauge.testkit.fleet.day import Day
 from tests.harness import (
     PLATFORM_SETTINGS,
@@ -557,7 +557,7 @@
     )
     day = Day(
         6,
-        read_script(script, ["e1", "e2"]),
+        parse_script(script, ["e1", "e2"]),
         engines=2,
         rate=120,
         scrapes=0,
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -50,7 +50,10 @@
     def served(self, since, until=None):
         until = until or self.fleet.event_loop.now
         asks = [
-            ask for client in self.fleet.clients for ask in client.book if since <= ask.sent < until
+            ask
+            for client in self.fleet.clients
+            for ask in client.requests
+            if since <= ask.sent_at < until
         ]
         return sum(bool(ask.answers) and ask.answers[0][1] == 1 for ask in asks) / max(len(asks), 1)
 
@@ -69,7 +72,7 @@
     scene = Round()
     bad = ("e1", "e4", "e7")
     for name in bad:
-        scene.fleet.engines[name].begin("silent", 0)
+        scene.fleet.engines[name].begin_fault("silent", 0)
     begun, when = scene.fleet.event_loop.now, {}
     while len(when) < 5 and scene.fleet.event_loop.now < begun + 8 * SECOND:
         for line in scene.fleet.logs():
@@ -78,7 +81,7 @@
                 when.setdefault(name, (scene.fleet.event_loop.now - begun) / SECOND)
         scene.fleet.until(0.1)
     for name in bad:
-        scene.fleet.engines[name].end()
+        scene.fleet.engines[name].end_fault()
     ended = scene.fleet.event_loop.now
     scene.fleet.until(6)
     still = {"n1"}
@@ -88,7 +91,9 @@
         scene.fleet.until(1)
         still = scene.doubts("n1") | scene.doubts("n2")
     back = sum(
-        run.came > ended + 3 * SECOND for name in bad for run in scene.fleet.engines[name].book
+        run.received_at > ended + 3 * SECOND
+        for name in bad
+        for run in scene.fleet.engines[name].attempts
     )
     return when, still, back, scene.over()
 
@@ -132,9 +137,9 @@
         passage.cut = False
     healed = fleet.event_loop.now
     fleet.befall(Fault(0, 4 * SECOND, "lose", (), 0.3))
-    fleet.engines["e5"].begin("silent", 0)
+    fleet.engines["e5"].begin_fault("silent", 0)
     fleet.until(3)
-    fleet.engines["e5"].end()
+    fleet.engines["e5"].end_fault()
     fleet.renewed(["e5"])  # what was found of it is of another engine now
     fleet.befall(Fault(0, 500, "kill", ("n4",)))
     fleet.until(4)
@@ -154,10 +159,10 @@
     still = (scene.shows("n1")["octets"] - before) / 4
     before = scene.shows("n1")["octets"]
     for engine in scene.fleet.engines.values():
-        engine.begin("silent", 0)
+        engine.begin_fault("silent", 0)
     scene.fleet.until(2)
     for engine in scene.fleet.engines.values():
-        engine.end()
+        engine.end_fault()
     begun = scene.fleet.event_loop.now
     scene.fleet.until(4)
     loud = (scene.shows("n1")["octets"] - before) / 6
--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -11,13 +11,16 @@
 
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.net.client_protocol import SERVED
-from corkgauge.testkit.emulators.clients import Want
+from corkgauge.testkit.emulators.clients import RequestProfile
 from corkgauge.testkit.fleet.parent_process import tied
 from corkgauge.testkit.fleet.wide_fleet import MISSING, Wide
 
 SLACK = 2_500
-REPORTS = [Want("lookup", 0.60, 1_500, 8.0), Want("report", 0.40, 3_000, 60.0)]
-LOADS = [Want("lookup", 0.40, 1_500, 8.0), Want("load", 0.60, 2_000, 15.0, labelled=True)]
+REPORTS = [RequestProfile("lookup", 0.60, 1_500, 8.0), RequestProfile("report", 0.40, 3_000, 60.0)]
+LOADS = [
+    RequestProfile("lookup", 0.40, 1_500, 8.0),
+    RequestProfile("load", 0.60, 2_000, 15.0, has_idempotency_key=True),
+]
 
 
 def ended(fleet):
@@ -44,11 +47,11 @@
     few = {name for name, each in fleet.engines.items() if each.kind == "x12"}
     victims = sorted(before - few, key=lambda name: (-count[name], name))[:20]
     for name in victims:
-        fleet.engines[name].begin("refuse", 0)
+        fleet.engines[name].begin_fault("refuse", 0)
     gone = fleet.event_loop.now
     fleet.until(4)
     for name in victims:
-        fleet.engines[name].end()
+        fleet.engines[name].end_fault()
     back = fleet.event_loop.now
     fleet.until(
         20,
@@ -129,7 +132,7 @@
     fleet.until(4)
     cold = {name: fleet.reached_by(name, when) & {*new} for name in names}
     early = {
-        name: {run.engine for run in fleet.runs_of(name, when) if run.came < told} & {*new}
+        name: {run.engine for run in fleet.runs_of(name, when) if run.received_at < told} & {*new}
         for name in names
     }
     return {"cold": cold, "early": early, "served": fleet.served(when), "broken": ended(fleet)}
@@ -151,13 +154,13 @@
             )
         )
         for engine in bad:
-            engine.begin("silent", 0)
+            engine.begin_fault("silent", 0)
         fleet.until(0.5)
         for engine in bad:
-            engine.listener.drop(abort=True)
+            engine.listener.close_connections(abort=True)
         fleet.until(2.2)
         for engine in bad:
-            engine.end()
+            engine.end_fault()
         fleet.until(0.3)
     broken, again, alone = ended(fleet), [], []
     for name in fleet.gateways:
@@ -165,11 +168,12 @@
         for run in fleet.runs_of(name):
             runs[run.trace].append(run)
         for ask in fleet.asks_of(name):
-            if ask.want.request_class == "load" and (mine := runs[ask.trace]):
+            if ask.profile.request_class == "load" and (mine := runs[ask.trace]):
                 first = mine[0].engine
                 again += [(cells[first], cells[run.engine], run.engine in held) for run in mine[1:]]
                 if any(
-                    first in bad and since <= mine[0].came < until for bad, since, until in spells
+                    first in bad and since <= mine[0].received_at < until
+                    for bad, since, until in spells
                 ) and not [each for each in wide if each != first and cells[each] == cells[first]]:
                     alone.append(bool(ask.answers) and ask.answers[0][1] == SERVED)
     return {"again": again, "alone": alone, "broken": broken}
