--- a/corkgauge/testkit/emulators/clients.py
+++ b/corkgauge/testkit/emulators/clients.py
@@ -1,7 +1,8 @@
-"""Clients on loopback: each asks at its own pace over one connection, and keeps a book of what it was told.
+"""Emulates clients on loopback that send requests over one connection and record all answers.
 
-Owns what was asked and every answer to it, in the client's own times. Must never ask again for what
-was answered: what the gateway does with one submission is what is looked at.
+Owns the record of the requests and of every answer, with the times that the client measured. Must
+never submit a request again that was answered, because the checkers judge what the gateway does
+with a single submission.
 """
 
 from collections import deque
@@ -20,15 +21,19 @@
 )
 from corkgauge.testkit.seeded_random import SeededRandom
 
-RECONNECT_PAUSE_TICKS = 500  # between two dials
+RECONNECT_PAUSE_TICKS = 500
 OUTCOME_NAMES = {SERVED: "served", REFUSED: "refused", FAILED: "failed"}
-ORDER_KEY_PAUSE_TICKS = 3_000  # between two submissions of one key
+ORDER_KEY_PAUSE_TICKS = 3_000  # between two requests with the same order key
 MAX_OPEN_REQUESTS = 30
 
 
 @dataclass(frozen=True)
 class RequestProfile:
-    """What clients request for: an offering's name, its share of all, patience in ms, estimate of work in ms."""
+    """Describes the requests of one class that clients send.
+
+    `share` is the fraction of all requests, `patience_ms` the time to the deadline, and `work_ms`
+    the estimate of the work that the request states.
+    """
 
     request_class: str
     share: float
@@ -40,22 +45,26 @@
 
 @dataclass(slots=True, eq=False)
 class SubmittedRequest:
-    """One submission, as its client saw it. Times are tenths of a millisecond."""
+    """Records one request as its client saw it; times are in ticks."""
 
     trace: str
     profile: RequestProfile
     order_key: str
     sent_at: int
-    end_offset: int  # where its last byte is among what the connection wrote
+    end_offset: int  # position of the last byte of the request in the output of the connection
     stream: int
-    answers: list[tuple[int, int, bytes]] = field(default_factory=list)
-    excuse: str = ""  # why no answer is owed
+    answers: list[tuple[int, int, bytes]] = field(default_factory=list)  # time, code, body
+    excuse: str = ""  # reason why the gateway need not answer; empty if an answer is required
     idempotency_key: str = ""
 
 
 class EmulatedClient:
-    """One client. `rate` is submissions a second; `cancel_share` the share it takes back, `disconnect_share` the share at
-    which it closes its connection instead.
+    """Sends requests at random intervals over one connection.
+
+    `rate` is the number of requests per second. `cancel_share` is the fraction of the requests that
+    the client cancels, and `disconnect_share` the fraction after which it closes the connection.
+    With `retries`, the client submits a request with an idempotency key again if the connection
+    closed before the answer.
     """
 
     def __init__(
@@ -83,10 +92,11 @@
             SeededRandom(seed),
         )
         self.requests = list[SubmittedRequest]()
+        # Pending: requests with an idempotency key whose connection closed before the answer.
         self.retries, self.pending_retries = (
             retries,
             deque[SubmittedRequest](),
-        )  # labelled ones whose connection went
+        )
         self.open_requests: dict[int, SubmittedRequest] = {}
         self.connection: Any = None
         self.stream, self.is_ready, self.stopped = 0, False, False
@@ -95,7 +105,7 @@
         event_loop.call_later(int(self.chance.exponential(SECOND / rate)), self.submit_request)
 
     def run(self) -> None:
-        """The task that keeps it connected."""
+        """Keep the client connected; the body of a task."""
         while not self.stopped:
             sock, _ = dial(self.event_loop, self.address, SECOND)
             if sock is not None:
@@ -109,6 +119,7 @@
                 self.event_loop.sleep(RECONNECT_PAUSE_TICKS)
 
     def submit_request(self) -> None:
+        """Submit a request of a random profile, unless too many are open, and schedule the next."""
         if self.stopped:
             return
         self.event_loop.call_later(
@@ -127,18 +138,24 @@
             or len(self.open_requests) >= MAX_OPEN_REQUESTS
         ):
             return
-        rested = [
-            key for key, last in self.order_key_times.items() if now > last + ORDER_KEY_PAUSE_TICKS
+        available_keys = [
+            order_key
+            for order_key, last in self.order_key_times.items()
+            if now > last + ORDER_KEY_PAUSE_TICKS
         ]
-        if profile.has_order_key and not rested:
+        if profile.has_order_key and not available_keys:
             return
-        key, label = (
-            rested[0] if profile.has_order_key else "",
+        order_key, idempotency_key = (
+            available_keys[0] if profile.has_order_key else "",
             self.chance.hex_word() * 2 if profile.has_idempotency_key else "",
         )
         if self.pending_retries:
-            before = self.pending_retries.popleft()
-            profile, key, label = before.profile, before.order_key, before.idempotency_key
+            previous = self.pending_retries.popleft()
+            profile, order_key, idempotency_key = (
+                previous.profile,
+                previous.order_key,
+                previous.idempotency_key,
+            )
         self.stream += 1
         fields = {
             "route": profile.request_class,
@@ -148,20 +165,20 @@
             "weight": f"{profile.work_ms:.1f}",
             "est_mb": "8",
         }
-        if label:
-            fields["nonce"] = label
-        if key:
-            fields["entity"], self.order_key_times[key] = key, now
+        if idempotency_key:
+            fields["nonce"] = idempotency_key
+        if order_key:
+            fields["entity"], self.order_key_times[order_key] = order_key, now
         body = b"select * from mart_%d.facts" % self.chance.below(40)
         if connection.send(request_frame(self.stream, fields, body)):
             request = SubmittedRequest(
                 fields["trace"],
                 profile,
-                key,
+                order_key,
                 now,
                 connection.bytes_queued,
                 self.stream,
-                idempotency_key=label,
+                idempotency_key=idempotency_key,
             )
             self.requests.append(request)
             self.open_requests[self.stream] = request
@@ -175,19 +192,25 @@
                 )
 
     def cancel_request(self, request: SubmittedRequest) -> None:
+        """Cancel a request that is still open and has no answer."""
         if not request.answers and self.open_requests.get(request.stream) is request:
             request.excuse = "withdrawn"
             self.connection.send(cancellation_frame(request.stream))
 
     def disconnect(self, connection: Any) -> None:
-        """Danger to be caused: it goes between an answer's first byte and its last, or before any."""
+        """Close the connection at a random moment, also in the middle of an answer.
+
+        The gateway has to handle a client that leaves between the first and the last byte of an
+        answer, or before any byte.
+        """
         for request in self.open_requests.values():
             request.excuse = request.excuse or "hung up"
         connection.close("hangs up")
 
-    # What the machine hears.
+    # Callbacks of the protocol and the connection.
 
     def on_answer(self, stream: int, code: int, body: bytes) -> None:
+        """Record an answer, also a repeated one of a request that is already answered."""
         request = self.open_requests.get(stream)
         if request is None:
             request = next(
@@ -198,16 +221,18 @@
             self.open_requests.pop(stream, None)
 
     def on_ready(self, code: int) -> None:
+        """Note whether the gateway accepts requests."""
         self.is_ready = code == 1
 
     def on_leaving(self) -> None:
+        """Stop sending requests to a gateway that is shutting down."""
         self.is_ready = False
 
     def on_output_drained(self) -> None:
-        pass
+        """Do nothing: the client never waits for its output."""
 
     def on_closed(self, why: str) -> None:
-        """What was not written whole was never taken."""
+        """Excuse requests that were not written completely, and queue retries of the others."""
         for request in self.open_requests.values():
             if request.end_offset > self.connection.bytes_sent:
                 request.excuse = request.excuse or "not written"
@@ -216,13 +241,14 @@
         self.open_requests.clear()
 
     def stop(self) -> None:
+        """Close the connection and send no more requests."""
         self.stopped = True
         if self.connection is not None:
             self.connection.close("done")
 
     def count_outcomes(self) -> dict[str, int]:
-        """How its submissions ended: by code of the first answer, excused, unanswered."""
-        said = {
+        """Count the requests by outcome: code of the first answer, excused, or unanswered."""
+        counts = {
             "asked": len(self.requests),
             "served": 0,
             "refused": 0,
@@ -232,5 +258,5 @@
         }
         for request in self.requests:
             code = request.answers[0][1] if request.answers else 0
-            said[OUTCOME_NAMES.get(code) or ("excused" if request.excuse else "none")] += 1
-        return said
+            counts[OUTCOME_NAMES.get(code) or ("excused" if request.excuse else "none")] += 1
+        return counts
--- a/corkgauge/testkit/emulators/collector.py
+++ b/corkgauge/testkit/emulators/collector.py
@@ -1,6 +1,7 @@
-"""A collector on loopback: it decodes what it is sent, and misbehaves where it is told to.
+"""Emulates a flow collector on loopback that decodes the messages, and misbehaves on request.
 
-Owns one address and what came there. Must never listen anywhere but on 127.0.0.0/8.
+Owns one address and the messages received there. Must never listen on an address outside of
+127.0.0.0/8.
 """
 
 import socket
@@ -20,7 +21,12 @@
 
 
 class EmulatedCollector:
-    """`transport` is udp, tcp or tls (with a server's `context`); `on_message(message, bytes)` gets each one."""
+    """Receives flow messages over UDP, TCP or TLS, and passes each one to `on_message`.
+
+    `transport` is udp, tcp or tls; tls needs the TLS context of a server. Tests may set
+    `ignores_input`, so that the collector accepts connections but never reads from them, and
+    `resets_on_template`, so that it resets a connection on which it receives a template.
+    """
 
     def __init__(
         self,
@@ -50,7 +56,7 @@
             self.address = self.listener.address
 
     def open(self) -> None:
-        """Listen, at the same address as before."""
+        """Listen, on the same address as before."""
         if self.listener is not None:
             return self.listener.open()
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -61,7 +67,7 @@
         self.event_loop.spawn(self._receive_datagrams, self.sock)
 
     def close(self) -> None:
-        """Gone: connections are reset, datagrams refused."""
+        """Stop listening: reset the connections, and let datagrams be refused."""
         if self.listener is not None:
             return self.listener.close(abort=True)
         sock, self.sock = self.sock, None
@@ -83,7 +89,7 @@
                 self.handle_message(decoders[source], data)
 
     def handle_message(self, decoder: Decoder, data: bytes) -> bool:
-        """One message; False where its session is to be reset."""
+        """Decode one message; return False if the session of the message must be reset."""
         try:
             message = decoder.decode(data)
         except MalformedMessageError as problem:
@@ -96,20 +102,21 @@
 
 
 class CollectorConnection:
-    """One connection to it."""
+    """Reads messages from one connection of a flow exporter."""
 
     def __init__(self, collector: EmulatedCollector, sock: Any) -> None:
         self.collector = collector
         collector.session_count += 1
         self.stream, self.decoder = MessageStream(), Decoder()
-        machine = (
+        protocol = (
             PlainProtocol(self, collector.ignores_input)
             if collector.context is None
             else TlsProtocol(self, collector.context)
         )
-        self.connection = make_connection(collector.event_loop, sock, machine, self)
+        self.connection = make_connection(collector.event_loop, sock, protocol, self)
 
     def on_input(self, data: bytes) -> str:
+        """Handle received bytes; return the reason for closing, or an empty string."""
         try:
             for message in self.stream.feed(data):
                 if not self.collector.handle_message(self.decoder, message):
@@ -123,37 +130,40 @@
         return ""
 
     def on_output_drained(self) -> None:
-        pass
+        """Do nothing: the collector never waits for its output."""
 
     def on_closed(self, why: str) -> None:
+        """Remove the connection from the listener."""
         self.collector.listener.remove_connection(self)
 
 
 class PlainProtocol:
-    """A stream as it comes; a ignores_input one never takes what its ring holds."""
+    """Reads a stream without TLS; with `ignores_input`, the input ring is full from the start."""
 
     def __init__(self, owner: CollectorConnection, ignores_input: bool) -> None:
         self.owner, self.complete_frame_count, self.ignores_input = owner, 0, ignores_input
-        allowance = MemoryBudget(2**24)
-        self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(4096, allowance)
+        budget = MemoryBudget(2**24)
+        self.inward, self.outward = RingBuffer(65_536, budget), RingBuffer(4096, budget)
         if ignores_input:
             self.inward.put(bytes(self.inward.free_bytes))
 
     def parse_input(self) -> str:
+        """Pass all received bytes on; return the reason for closing, or an empty string."""
         return "" if self.ignores_input else self.owner.on_input(self.inward.take(len(self.inward)))
 
 
 class TlsProtocol:
-    """A stream under TLS, from the server's side."""
+    """Reads a stream under TLS, as its server."""
 
     def __init__(self, owner: CollectorConnection, context: ssl.SSLContext) -> None:
         self.owner, self.complete_frame_count, self.handshake_done = owner, 0, False
-        allowance = MemoryBudget(2**24)
-        self.inward, self.outward = RingBuffer(65_536, allowance), RingBuffer(65_536, allowance)
+        budget = MemoryBudget(2**24)
+        self.inward, self.outward = RingBuffer(65_536, budget), RingBuffer(65_536, budget)
         self.incoming, self.outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
         self.session = context.wrap_bio(self.incoming, self.outgoing, server_side=True)
 
     def parse_input(self) -> str:
+        """Decrypt all received bytes and pass them on; return the reason for closing, or empty."""
         self.incoming.write(self.inward.take(len(self.inward)))
         why = ""
         try:
@@ -168,6 +178,6 @@
         except (ssl.SSLError, OSError) as problem:
             why = str(problem)
             self.owner.collector.errors.append(f"tls: {getattr(problem, 'reason', problem)}")
-        if said := self.outgoing.read():
-            self.owner.connection.send(said)
+        if output := self.outgoing.read():
+            self.owner.connection.send(output)
         return why
--- a/corkgauge/testkit/emulators/discovery.py
+++ b/corkgauge/testkit/emulators/discovery.py
@@ -1,6 +1,7 @@
-"""The control feed on loopback: numbered events, told to whoever asks, and when each was told.
+"""Emulates the discovery server on loopback, which sends numbered events to its subscribers.
 
-Owns the list as the script makes it. A comment goes each second, as the platform's feed does it.
+Owns the endpoint list, which a test's script changes, and the time of each change. Sends a comment
+each second, as the platform's discovery server does.
 """
 
 import json
@@ -12,7 +13,7 @@
 
 
 class DiscoveryConnection:
-    """A gateway that reads the feed."""
+    """Sends events to one gateway that subscribed to them."""
 
     def __init__(self, feed: "EmulatedDiscovery", sock: Any) -> None:
         self.feed, self.last_number = feed, -1
@@ -21,11 +22,13 @@
         )
 
     def on_events_requested(self, last: int) -> None:
+        """Answer a request for all events after number `last`."""
         self.connection.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         self.last_number = last
         self.send_events()
 
     def send_events(self) -> None:
+        """Send the events that this gateway does not have yet."""
         if self.last_number >= 0:
             for event in self.feed.events:
                 if event["n"] > self.last_number:
@@ -35,14 +38,19 @@
                     )
 
     def on_output_drained(self) -> None:
-        pass
+        """Do nothing: the server never waits for its output."""
 
     def on_closed(self, why: str) -> None:
+        """Remove the connection from the listener."""
         self.feed.listener.remove_connection(self)
 
 
 class EmulatedDiscovery:
-    """`changes` holds when each state of an engine was told: (when, engine, state, started in ms)."""
+    """Publishes the states of engines as events.
+
+    `changes` holds each published state of an engine: time in ticks, name, state, and the engine's
+    start in ms.
+    """
 
     def __init__(self, event_loop: EventLoop) -> None:
         self.event_loop, self.version = event_loop, 0
@@ -53,12 +61,13 @@
 
     @property
     def address(self) -> str:
+        """Host and port, as the gateway's configuration has them."""
         return "%s:%d" % self.listener.address
 
     def publish(
         self, engines: list[Any], state: str = "SERVING", full: bool = False
     ) -> dict[str, Any]:
-        """Engines in a state; the event."""
+        """Publish the state of engines to all subscribers; return the event."""
         self.version += 1
         servers = [
             {
@@ -85,6 +94,7 @@
         return event
 
     def send_comment(self) -> None:
+        """Send a comment to all subscribers, and again each second."""
         for connection in self.listener.connections:
             if connection.last_number >= 0:
                 connection.connection.send(b": \n\n")
--- a/corkgauge/testkit/emulators/engines.py
+++ b/corkgauge/testkit/emulators/engines.py
@@ -1,7 +1,7 @@
-"""Engines on loopback: they run what they are sent, at a pace, with the troubles that a script gives them.
+"""Emulates engines on loopback, which execute attempts at a given speed and with scripted faults.
 
-Owns each engine's book of what came and what became of it. The book is the stand-in's own: nothing
-in it comes from what the gateway says of itself.
+Owns the record of the attempts that each engine received, and of their outcomes. The record is
+independent of the gateway: it contains nothing that the gateway states about its own work.
 """
 
 from dataclasses import dataclass
@@ -13,26 +13,26 @@
 from corkgauge.testkit.emulators.protocols import EmulatedEngineProtocol
 from corkgauge.testkit.seeded_random import SeededRandom
 
-KEY_MEMORY_TICKS = 20 * SECOND  # that a label is known, against repeats
-# Troubles that an engine may be given, each with what its figure means.
+KEY_MEMORY_TICKS = 20 * SECOND  # how long an engine remembers an idempotency key
+# Kinds of faults of an engine, each with the meaning of its level.
 FAULT_KINDS = {
-    "slow": "times as long",
-    "silent": "nothing is answered until it ends, then all that waited",
-    "full": "part refused as full",
-    "error": "part answered with an error",
-    "garble": "part spoilt",
-    "twice": "part answered twice",
-    "midway": "part broken off after the first page, with the connection",
-    "lost": "part never answered",
-    "reset": "connections reset, once",
-    "refuse": "connections refused",
-    "restart": "goes, and comes back cold when it ends",
+    "slow": "factor on the execution time",
+    "silent": "no level; answers are held back until the fault ends",
+    "full": "fraction of attempts refused as full",
+    "error": "fraction of attempts answered with an error",
+    "garble": "fraction of answers with corrupted rows",
+    "twice": "fraction of answers sent twice",
+    "midway": "fraction of answers whose connection closes after the first page",
+    "lost": "fraction of attempts never answered",
+    "reset": "no level; resets the connections once",
+    "refuse": "no level; refuses connections",
+    "restart": "no level; stops, and restarts cold when the fault ends",
 }
 
 
 @dataclass(slots=True, eq=False)
 class ReceivedAttempt:
-    """One hand-off that came whole to an engine. Times are tenths of a millisecond, of the system's clock."""
+    """Records one attempt that an engine received; times are in ticks of the event loop."""
 
     engine: str
     kind: str
@@ -40,15 +40,15 @@
     request_class: str
     idempotency_key: str
     received_at: int
-    work: float  # of one core
-    ended_at: int = -1  # when its answer was written, or it was given up
-    was_executed: bool = True  # False: refused as full, or a repeat that was dropped
+    work: float  # ms of one core
+    ended_at: int = -1  # when the answer was written or the attempt cancelled; -1: still open
+    was_executed: bool = True  # False if refused as full, or skipped as a repetition of a key
     gateway_connection: Any = None
     page_count: int = 1
 
 
 class GatewayConnection:
-    """A gateway's connection."""
+    """Receives commands on one connection of a gateway."""
 
     def __init__(self, engine: "EmulatedEngine", sock: Any) -> None:
         self.engine, self.open_attempts = engine, dict[str, ReceivedAttempt]()
@@ -57,25 +57,34 @@
         )
 
     def on_command(self, parts: list[str]) -> None:
+        """Pass a command to the engine."""
         self.engine.on_command(self, parts)
 
     def on_output_drained(self) -> None:
-        pass
+        """Do nothing: the engine never waits for its output."""
 
     def on_closed(self, why: str) -> None:
+        """End all attempts of the connection, because their results can no longer be sent."""
         self.engine.listener.remove_connection(self)
-        for run in self.open_attempts.values():
-            run.ended_at = self.engine.event_loop.now if run.ended_at < 0 else run.ended_at
+        for attempt in self.open_attempts.values():
+            attempt.ended_at = (
+                self.engine.event_loop.now if attempt.ended_at < 0 else attempt.ended_at
+            )
         self.engine.running_count -= sum(
-            run.was_executed
-            for run in self.open_attempts.values()
-            if run.gateway_connection is self
+            attempt.was_executed
+            for attempt in self.open_attempts.values()
+            if attempt.gateway_connection is self
         )
         self.open_attempts.clear()
 
 
 class EmulatedEngine:
-    """One engine. `mean` holds the mean work of each offering in ms of one core, `cores` how many it has."""
+    """Executes attempts at a speed that depends on the number of cores and of attempts in progress.
+
+    `mean_work_ms` holds the mean work of each request class in ms of one core. `executed_keys`
+    holds each idempotency key with the time of its execution; engines that recognize each other's
+    keys share this dict.
+    """
 
     def __init__(
         self,
@@ -99,18 +108,18 @@
         self.chance, self.attempts = SeededRandom(seed), list[ReceivedAttempt]()
         self.fault, self.fault_level = "", 0.0
         self.started_ms, self.running_count = 0, 0
-        self.held_attempts: list[ReceivedAttempt] = []  # silent: what waits
-        self.executed_keys = (
-            executed_keys  # labels, and when they ran: of the group of engines that drops repeats
-        )
+        # Finished attempts whose answers wait for the end of the fault `silent`.
+        self.held_attempts: list[ReceivedAttempt] = []
+        self.executed_keys = executed_keys
         self.listener = Listener(event_loop, lambda sock: GatewayConnection(self, sock))
 
     @property
     def address(self) -> str:
+        """Host and port, as the endpoint list has them."""
         return "%s:%d" % self.listener.address
 
     def begin_fault(self, fault: str, level: float) -> None:
-        """A trouble of the script begins."""
+        """Start a fault of a script; `FAULT_KINDS` explains the level."""
         self.fault, self.fault_level = fault, level
         if fault == "reset":
             self.listener.close_connections(abort=True)
@@ -118,26 +127,27 @@
             self.listener.close(abort=True)
 
     def end_fault(self) -> None:
-        """The trouble ends; an engine that was silent says all that it kept."""
-        was, self.fault = self.fault, ""
-        if was in ("refuse", "restart"):
-            if was == "restart":
+        """End the current fault; after `silent`, send the answers that were held back."""
+        ended_fault, self.fault = self.fault, ""
+        if ended_fault in ("refuse", "restart"):
+            if ended_fault == "restart":
                 self.started_ms = self.event_loop.now // 10
             self.listener.open()
         held_attempts, self.held_attempts = self.held_attempts, []
-        for run in held_attempts:
-            self.finish_attempt(run)
+        for attempt in held_attempts:
+            self.finish_attempt(attempt)
 
     def on_command(self, gateway_connection: GatewayConnection, parts: list[str]) -> None:
-        word, trace = parts[0], parts[1] if len(parts) > 1 else ""
-        if word == "alive":
+        """Execute a command of a gateway."""
+        verb, trace = parts[0], parts[1] if len(parts) > 1 else ""
+        if verb == "alive":
             if self.fault != "silent":
                 gateway_connection.connection.send(command(trace, "FIT", "-", ""))
-        elif word == "fetch":
+        elif verb == "fetch":
             self.start_attempt(
                 gateway_connection, trace, dict(pair.split("=", 1) for pair in parts[2].split(","))
             )
-        elif word == "more" and trace in gateway_connection.open_attempts:
+        elif verb == "more" and trace in gateway_connection.open_attempts:
             if self.fault != "silent":
                 self.send_answer(
                     gateway_connection,
@@ -146,14 +156,15 @@
                     f"at={parts[2]}",
                     self.page_rows(gateway_connection.open_attempts[trace], int(parts[2])),
                 )
-        elif word in ("abort", "done"):
+        elif verb in ("abort", "done"):
             self.close_attempt(gateway_connection.open_attempts.pop(trace, None))
 
     def start_attempt(
         self, gateway_connection: GatewayConnection, trace: str, fields: dict[str, str]
     ) -> None:
+        """Record an attempt, and schedule the end of the execution unless the engine refuses."""
         now, request_class = self.event_loop.now, fields["sort"]
-        run = ReceivedAttempt(
+        attempt = ReceivedAttempt(
             self.name,
             self.kind,
             trace,
@@ -163,72 +174,87 @@
             self.chance.lognormal(self.mean_work_ms[request_class]),
             gateway_connection=gateway_connection,
         )
-        self.attempts.append(run)
+        self.attempts.append(attempt)
         if (
-            run.idempotency_key
+            attempt.idempotency_key
             and now
-            < self.executed_keys.get(run.idempotency_key, -KEY_MEMORY_TICKS) + KEY_MEMORY_TICKS
+            < self.executed_keys.get(attempt.idempotency_key, -KEY_MEMORY_TICKS) + KEY_MEMORY_TICKS
         ):
-            run.was_executed = False  # a repeat: dropped, and answered as the first was
+            # The key was executed before: do not execute again, but answer like the first time.
+            attempt.was_executed = False
         elif self.is_hit_by("full"):
-            run.was_executed, run.ended_at = False, now
+            attempt.was_executed, attempt.ended_at = False, now
             return self.send_answer(gateway_connection, trace, "WAIT", "-", "")
-        elif run.idempotency_key:
-            self.executed_keys[run.idempotency_key] = now
-        gateway_connection.open_attempts[trace] = run
-        self.running_count += run.was_executed
-        pace = max(1.0, self.running_count / self.cores) * (
+        elif attempt.idempotency_key:
+            self.executed_keys[attempt.idempotency_key] = now
+        gateway_connection.open_attempts[trace] = attempt
+        self.running_count += attempt.was_executed
+        duration_factor = max(1.0, self.running_count / self.cores) * (
             self.fault_level if self.fault == "slow" else 1.0
         )
-        self.event_loop.call_later(int(10 * run.work * pace) + 5, self.finish_attempt, run)
+        self.event_loop.call_later(
+            int(10 * attempt.work * duration_factor) + 5, self.finish_attempt, attempt
+        )
 
     def is_hit_by(self, fault: str) -> bool:
+        """Decide at random whether the current fault, if it is this one, affects an attempt."""
         return self.fault == fault and self.chance.happens(self.fault_level)
 
-    def finish_attempt(self, run: ReceivedAttempt) -> None:
-        """Its work is done: the answer goes, as far as its trouble lets it."""
-        gateway_connection = run.gateway_connection
-        if gateway_connection.open_attempts.get(run.trace) is not run or run.ended_at >= 0:
+    def finish_attempt(self, attempt: ReceivedAttempt) -> None:
+        """Answer an executed attempt, as far as the current fault permits."""
+        gateway_connection = attempt.gateway_connection
+        if (
+            gateway_connection.open_attempts.get(attempt.trace) is not attempt
+            or attempt.ended_at >= 0
+        ):
             return None
         if self.fault == "silent":
-            return self.held_attempts.append(run)
-        run.ended_at = self.event_loop.now
+            return self.held_attempts.append(attempt)
+        attempt.ended_at = self.event_loop.now
         if self.is_hit_by("lost"):
             return None
         if self.is_hit_by("error"):
-            self.close_attempt(gateway_connection.open_attempts.pop(run.trace, None))
-            return self.send_answer(gateway_connection, run.trace, "BROKE", "-", "")
-        run.page_count = 1 + self.chance.below(3)
+            self.close_attempt(gateway_connection.open_attempts.pop(attempt.trace, None))
+            return self.send_answer(gateway_connection, attempt.trace, "BROKE", "-", "")
+        attempt.page_count = 1 + self.chance.below(3)
         if self.is_hit_by("midway"):
             self.send_answer(
                 gateway_connection,
-                run.trace,
+                attempt.trace,
                 "DONE",
-                self.answer_fields(run, 3),
-                self.page_rows(run, 0),
+                self.answer_fields(attempt, 3),
+                self.page_rows(attempt, 0),
             )
             return self.event_loop.call_later(
                 20, gateway_connection.connection.close, "broken off by the script"
             )
-        body = "\x00spoilt" if self.is_hit_by("garble") else self.page_rows(run, 0)
+        body = "\x00spoilt" if self.is_hit_by("garble") else self.page_rows(attempt, 0)
         for _ in range(2 if self.is_hit_by("twice") else 1):
             self.send_answer(
-                gateway_connection, run.trace, "DONE", self.answer_fields(run, run.page_count), body
+                gateway_connection,
+                attempt.trace,
+                "DONE",
+                self.answer_fields(attempt, attempt.page_count),
+                body,
             )
 
-    def answer_fields(self, run: ReceivedAttempt, pages: int) -> str:
+    def answer_fields(self, attempt: ReceivedAttempt, pages: int) -> str:
+        """Return the fields of an answer: number of pages, work, memory and load report."""
         return (
-            f"chunks={pages},spent={run.work:.1f},wanted=8,"
+            f"chunks={pages},spent={attempt.work:.1f},wanted=8,"
             f"l=inflight:{self.running_count};util:{min(self.running_count / self.cores, 1):.2f}"
         )
 
-    def page_rows(self, run: ReceivedAttempt, number: int) -> str:
-        return f"{run.trace}\t{number}\t{self.name}\n"
+    def page_rows(self, attempt: ReceivedAttempt, number: int) -> str:
+        """Return the row of one page; it names the request, the page and the engine."""
+        return f"{attempt.trace}\t{number}\t{self.name}\n"
 
     def send_answer(self, gateway_connection: GatewayConnection, *parts: str) -> None:
+        """Send an answer to the gateway."""
         gateway_connection.connection.send(command(*parts))
 
-    def close_attempt(self, run: ReceivedAttempt | None) -> None:
-        if run is not None:
-            run.ended_at = self.event_loop.now if run.ended_at < 0 else run.ended_at
-            self.running_count -= run.was_executed
+    def close_attempt(self, attempt: ReceivedAttempt | None) -> None:
+        """End an attempt that was cancelled or whose result was read completely."""
+        if attempt is not None:
+            attempt.ended_at = self.event_loop.now if attempt.ended_at < 0 else attempt.ended_at
+            self.running_count -= attempt.was_executed
--- a/corkgauge/testkit/emulators/listener.py
+++ b/corkgauge/testkit/emulators/listener.py
@@ -1,6 +1,7 @@
-"""A listener of a stand-in on loopback, and what it has open.
+"""Accepts connections for the emulators on loopback.
 
-Owns the listening socket and its connections. Must never listen anywhere but on 127.0.0.0/8.
+Owns the listening socket and its connections. Must never listen on an address outside of
+127.0.0.0/8.
 """
 
 import socket
@@ -11,11 +12,14 @@
 from corkgauge.eventloop.connection import StreamConnection
 from corkgauge.eventloop.loop import READ, EventLoop
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time of 0: close sends a reset
 
 
 class Listener:
-    """`make_owner(sock)` makes an owner with a `connection` for each connection that comes."""
+    """Listens on an address and runs its connections.
+
+    `make_owner(sock)` returns an owner with an attribute `connection` for each accepted socket.
+    """
 
     def __init__(
         self,
@@ -29,7 +33,7 @@
         self.open()
 
     def open(self) -> None:
-        """Listen, at the same address as before."""
+        """Listen, on the same address as before."""
         if self.sock is None:
             self.sock = socket.socket()
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -40,14 +44,14 @@
             self.event_loop.spawn(self._accept, self.sock)
 
     def close(self, abort: bool = False) -> None:
-        """Refuse new connections; end those that are there."""
+        """Refuse new connections, and close the open ones."""
         if self.sock is not None:
             sock, self.sock = self.sock, None
             self.event_loop.wake(sock.fileno())
         self.close_connections(abort)
 
     def close_connections(self, abort: bool = False) -> None:
-        """End what is open: closed, or reset."""
+        """Close all open connections; with `abort`, send a reset instead of an end of stream."""
         for owner in [*self.connections]:
             if abort:
                 owner.connection.sock.setsockopt(
@@ -56,6 +60,7 @@
             owner.connection.close("dropped")
 
     def remove_connection(self, owner: Any) -> None:
+        """Forget a connection that has closed."""
         self.connections.pop(owner, None)
 
     def _accept(self, sock: socket.socket) -> None:
@@ -75,4 +80,5 @@
 def make_connection(
     event_loop: EventLoop, sock: Any, protocol: Any, owner: Any
 ) -> StreamConnection:
+    """Return the connection of an accepted or dialed socket; its `run` is the body of a task."""
     return StreamConnection(event_loop, sock, protocol, owner)
