--- a/corkgauge/testkit/checkers/__init__.py
+++ b/corkgauge/testkit/checkers/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers that stand outside of the program under test."""
+"""Checkers that judge the program under test from records made outside of it."""
--- a/corkgauge/testkit/checkers/leases.py
+++ b/corkgauge/testkit/checkers/leases.py
@@ -1,8 +1,9 @@
-"""An outside checker of leases: a member that holds none, and sees each act that arrives.
+"""Checks leases from outside of the instances, as a member that receives their acts.
 
-Owns the record of acts, under which fencing token and when, and the verdict. Must never ask an
-instance what it holds, nor read its log: what arrived is what was done. It takes acts as any member
-does, and refuses a lower fencing token; `guarded` False leaves that out.
+Owns the record of the acts, with fencing token and time, and the search for violations. Must never
+ask an instance which leases it holds or read its log: only an act that arrived counts as done. Like
+any member, the checker refuses acts with a lower fencing token than one seen before, unless
+`checks_fencing` is False.
 """
 
 import contextlib
@@ -24,13 +25,13 @@
     ),
 }
 SEED = 97
-DATAGRAMS_AT_ONCE = 64  # then others have their turn
+MAX_DATAGRAMS_PER_TURN = 64  # then other tasks run
 MAX_DATAGRAM_BYTES = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class Act:
-    """One act, as it arrived; `at` in tenths of a millisecond of the checker's clock."""
+    """Records an act under a lease as it arrived; `at` is in ticks of the checker's clock."""
 
     at: int
     sender: str
@@ -40,7 +41,10 @@
 
 
 class LeaseChecker:
-    """One checker; `members` are name and address of the instances as it reaches them."""
+    """Joins the fleet as a member and records the acts that it receives.
+
+    `members` holds the name and the address of each instance, as the checker reaches it.
+    """
 
     def __init__(
         self,
@@ -49,7 +53,7 @@
         keys: list[bytes],
         members: list[tuple[str, tuple[str, int]]],
         period: int,
-        guarded: bool = True,
+        checks_fencing: bool = True,
     ) -> None:
         self.event_loop = event_loop
         self.name = name
@@ -57,7 +61,7 @@
         self.addresses = dict(members)
         self.acts: list[Act] = []
         self.guard = FencingGuard()
-        self.guarded = guarded
+        self.checks_fencing = checks_fencing
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
@@ -72,13 +76,13 @@
         )
         self.member_list.call_handlers["books"] = self.on_accounts_datagram
         self.member_list.call_handlers["works"] = self.on_maintenance_datagram
-        self.reports = 0  # sent to whoever plans maintenance
+        self.report_count = 0  # reports sent to the leader of the maintenance plan
         event_loop.spawn(self._read)
 
     def _read(self) -> None:
         while True:
             self.event_loop.wait(self.sock.fileno(), READ)
-            for _ in range(DATAGRAMS_AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
                     data = self.sock.recv(MAX_DATAGRAM_BYTES)
                 except BlockingIOError:
@@ -88,11 +92,11 @@
                 self.member_list.handle_datagram(data)
 
     def on_accounts_datagram(self, sender: str, body: Any) -> None:
-        """Record an act under a lease, and answer as a member does that has done nothing."""
+        """Record an act under a lease, and answer like a member without any requests."""
         kind, lease, fencing_token, *fields = body
         if kind not in ("ask", "entry"):
             return
-        admitted = self.guard.admits(lease, fencing_token) or not self.guarded
+        admitted = self.guard.admits(lease, fencing_token) or not self.checks_fencing
         self.acts.append(Act(self.event_loop.now, sender, lease, fencing_token, admitted))
         if not admitted:
             self.member_list.call(sender, "books", ["no", lease, self.guard.highest[lease]])
@@ -101,29 +105,29 @@
             self.member_list.call(sender, "books", answer)
 
     def on_maintenance_datagram(self, sender: str, body: Any) -> None:
-        """Answer whoever plans maintenance: this is an instance that sends nothing anywhere."""
+        """Report to the leader of the maintenance plan that this member has no attempts."""
         if body[0] != "orders":
             return
         _, fencing_token, number, *_, levels = body
-        self.reports += 1
+        self.report_count += 1
         nothing_sent = [False, [*levels], len(levels), {}, [], True]
-        report = ["word", self.reports, fencing_token, number, *nothing_sent]
+        report = ["word", self.report_count, fencing_token, number, *nothing_sent]
         self.member_list.call(sender, "works", report)
 
-    # What the member list needs of its host.
+    # Methods that the member list requires of its host.
 
     @property
     def now(self) -> int:
-        """Tenths of a millisecond."""
+        """Current time in ticks."""
         return self.event_loop.now
 
     def send_datagram(self, name: str, data: bytes) -> None:
-        """Send a datagram; one that cannot be sent is lost."""
+        """Send a datagram; if the send fails, the datagram is lost."""
         with contextlib.suppress(OSError):
             self.sock.sendto(data, self.addresses[name])
 
     def call_later(self, delay: int, method: Any, *what: Any) -> None:
-        """Call a method after so many tenths of a millisecond."""
+        """Call a method after `delay` ticks."""
         self.event_loop.call_later(delay, method, *what)
 
     def random_below(self, below: int) -> int:
@@ -131,18 +135,18 @@
         return self.random.below(below)
 
     def log(self, line: str) -> None:
-        """Lines are not kept."""
+        """Discard the line."""
 
     def on_member_changed(self, member: Member, before: MemberState) -> None:
-        """Who is alive does not matter here."""
+        """Ignore the change: the checker records acts from all members."""
 
 
 def find_lease_violations(acts: list[Act], stops: dict[str, list[int]]) -> list[str]:
-    """Return what must never be, found among acts in the order of arrival.
+    """Return the violations found among acts in the order of their arrival.
 
-    `stops` tells, by instance, when it was stopped or kept from its processor: one act for each of
-    these may be on its way between the look at the clock and its writing, and it is the fencing
-    token that must catch it.
+    `stops` holds, by instance, the times at which it was stopped or deprived of its processor. A
+    stop may fall between the instance's reading of the clock and the sending of an act. So for each
+    stop, one act may arrive after one under a higher fencing token, but it must be refused.
 
     >>> one, two = Act(10, "n1", "d", 5, True), Act(20, "n2", "d", 7, True)
     >>> find_lease_violations([one, two], {}), find_lease_violations(
@@ -159,18 +163,19 @@
     found: list[str] = []
     highest: dict[str, Act] = {}  # by lease
     holders: dict[tuple[str, int], str] = {}  # by lease and fencing token
-    late: Counter[tuple[str, int]] = Counter()  # by instance and fencing token
+    late_counts: Counter[tuple[str, int]] = Counter()  # by instance and fencing token
     for act in acts:
         found += _check_one_holder(act, holders)
-        best = highest.get(act.lease)
-        if best is None or act.fencing_token > best.fencing_token:
+        highest_act = highest.get(act.lease)
+        if highest_act is None or act.fencing_token > highest_act.fencing_token:
             highest[act.lease] = act
-        elif act.fencing_token < best.fencing_token:
-            found += _check_late_act(act, best, late, stops)
+        elif act.fencing_token < highest_act.fencing_token:
+            found += _check_late_act(act, highest_act, late_counts, stops)
     return found
 
 
 def _check_one_holder(act: Act, holders: dict[tuple[str, int], str]) -> list[str]:
+    """Check that only one instance acts under a fencing token of a lease."""
     token = act.fencing_token
     owner = holders.setdefault((act.lease, token), act.sender)
     if owner == act.sender:
@@ -179,30 +184,31 @@
 
 
 def _check_late_act(
-    act: Act, best: Act, late: Counter[tuple[str, int]], stops: dict[str, list[int]]
+    act: Act, highest_act: Act, late_counts: Counter[tuple[str, int]], stops: dict[str, list[int]]
 ) -> list[str]:
-    """Judge an act that arrived after one under a higher fencing token."""
+    """Check an act that arrived after one under a higher fencing token."""
     found = []
     token = act.fencing_token
     if act.admitted:
         found.append(
             f"an act of {act.sender} under fence {token} of {act.lease} was taken, "
-            f"after one under {best.fencing_token}"
+            f"after one under {highest_act.fencing_token}"
         )
-    late[act.sender, token] += 1
+    late_counts[act.sender, token] += 1
     excused = sum(moment <= act.at for moment in stops.get(act.sender, ()))
-    if late[act.sender, token] > excused:
+    if late_counts[act.sender, token] > excused:
         found.append(
             f"{act.sender} acted under fence {token} of {act.lease} at {act.at}, "
-            f"after {best.sender} under {best.fencing_token} at {best.at}"
+            f"after {highest_act.sender} under {highest_act.fencing_token} at {highest_act.at}"
         )
     return found
 
 
 def find_holder_changes(acts: list[Act], lease: str) -> list[tuple[int, int, int, str, str]]:
-    """Return changes of holder as acts show them.
+    """Return the changes of the lease holder that the admitted acts show.
 
-    Of each: when, how long there was no act, the new fencing token, from whom, to whom.
+    A change consists of its time, the ticks since the last act of the previous holder, the new
+    fencing token, the previous and the new holder.
     """
     found = []
     last: Act | None = None
--- a/corkgauge/testkit/checkers/maintenance.py
+++ b/corkgauge/testkit/checkers/maintenance.py
@@ -1,7 +1,7 @@
-"""The maintenance checker: what was worked on, when, what reached machines meanwhile, and whether that may be.
+"""Checks that no engine received attempts during its maintenance, and that the limits were kept.
 
-Stands outside and is free of I/O: never asks a gateway what it holds. The crew's own records, the
-engines' records and the limits are all it knows.
+Free of I/O. Must never ask a gateway for its state: the checker uses only the records of the
+maintenance crew, the records of the engines, and the limits.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,7 +10,10 @@
 
 @dataclass(slots=True, eq=False)
 class MaintenanceRecord:
-    """One unit's work, as the crew did it. Times are tenths of a millisecond of the rig's clock; -1: still on."""
+    """Records the work on one unit, as the maintenance crew did it.
+
+    Times are in ticks of the event loop; `ended` is -1 while the work is in progress.
+    """
 
     unit: str
     request_id: str
@@ -21,8 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceLimits:
-    """What was agreed with the operators: engines at once, parts of all cores, of a zone's, of a kind's, and the kinds
-    of which so many engines must be left for a request class.
+    """Limits the maintenance that may be in progress at once, as agreed with the operators.
+
+    The shares are fractions of the cores of all engines, of a zone, and of an engine kind.
+    `min_engines_by_kind` is the number of engines of a kind that a request class needs.
     """
 
     max_engines: int
@@ -34,22 +39,36 @@
 
 def find_maintenance_violations(
     works: Iterable[MaintenanceRecord],
-    runs: Iterable[tuple[int, str, str]],
+    attempts: Iterable[tuple[int, str, str]],
     engines: Mapping[str, tuple[str, str, float]],
     limits: MaintenanceLimits,
     slack: int = 0,
 ) -> list[str]:
-    """All that must never be. `runs` are attempts as they came: (when, engine, which); `engines` (zone, kind, cores).
+    """Return the violated limits, and the attempts that reached an engine during its maintenance.
+
+    `attempts` holds the time, engine and description of each received attempt, and `engines` the
+    zone, kind and number of cores of each engine. Attempts may arrive until `slack` ticks after the
+    start of the work, because they may have been on their way.
 
     >>> engines = {"e1": ("a", "c8", 8.0), "e2": ("a", "c8", 8.0), "e3": ("b", "c8", 8.0)}
-    >>> works = [MaintenanceRecord("e1", "x", ("e1",), 10, 50), MaintenanceRecord("e2", "y", ("e2",), 30, 60)]
-    >>> find_maintenance_violations(works, [(20, "e1", "t7"), (55, "e1", "t8")], engines, MaintenanceLimits(2))
+    >>> works = [
+    ...     MaintenanceRecord("e1", "x", ("e1",), 10, 50),
+    ...     MaintenanceRecord("e2", "y", ("e2",), 30, 60),
+    ... ]
+    >>> find_maintenance_violations(
+    ...     works, [(20, "e1", "t7"), (55, "e1", "t8")], engines, MaintenanceLimits(2)
+    ... )
     ['t7 came to e1 10 after its work had begun']
     >>> find_maintenance_violations(works, [], engines, MaintenanceLimits(1))
     ['2 engines at work at once (e1 e2), 1 allowed']
     >>> find_maintenance_violations(works, [], engines, MaintenanceLimits(3, max_zone_share=0.5))
     ['hall a: 16 of 16 cores at work at once, 0.5 of them allowed']
-    >>> find_maintenance_violations([*works, MaintenanceRecord("e1", "x", ("e1",), 70, 80)], [], engines, MaintenanceLimits(3))
+    >>> find_maintenance_violations(
+    ...     [*works, MaintenanceRecord("e1", "x", ("e1",), 70, 80)],
+    ...     [],
+    ...     engines,
+    ...     MaintenanceLimits(3),
+    ... )
     ['e1 of x was worked on twice']
     """
     works, found = sorted(works, key=lambda each: each.begun), list[str]()
@@ -71,11 +90,12 @@
     for work in works:
         for tag in work.members:
             by_engine.setdefault(tag, []).append(work)
-    for when, engine, which in runs:
+    for received_at, engine, description in attempts:
         for work in by_engine.get(engine, ()):
-            if work.begun + slack < when and (work.ended < 0 or when < work.ended):
+            if work.begun + slack < received_at and (work.ended < 0 or received_at < work.ended):
                 found.append(
-                    f"{which} came to {engine} {when - work.begun} after its work had begun"
+                    f"{description} came to {engine} {received_at - work.begun} "
+                    "after its work had begun"
                 )
     return [*dict.fromkeys(found)]
 
@@ -83,28 +103,33 @@
 def _find_capacity_violations(
     tags: set[str], engines: Mapping[str, tuple[str, str, float]], limits: MaintenanceLimits
 ) -> list[str]:
+    """Return the limits that maintenance of these engines at once exceeds."""
     found = []
     if len(tags) > limits.max_engines:
         found.append(
-            f"{len(tags)} engines at work at once ({' '.join(sorted(tags))}), {limits.max_engines} allowed"
+            f"{len(tags)} engines at work at once ({' '.join(sorted(tags))}), "
+            f"{limits.max_engines} allowed"
         )
-    for what, at, part in (
+    for label, index, share in (
         ("", None, limits.max_share),
         ("hall ", 0, limits.max_zone_share),
         ("kind ", 1, limits.max_kind_share),
     ):
-        names = {"" if at is None else engines[tag][at] for tag in tags}
+        names = {"" if index is None else engines[tag][index] for tag in tags}
         for name in sorted(names):
-            of = [tag for tag, each in engines.items() if at is None or each[at] == name]
-            gone = [tag for tag in of if tag in tags]
-            cores, whole = (sum(engines[tag][2] for tag in some) for some in (gone, of))
-            if len(gone) > 1 and cores > part * whole + 1e-9:
+            group = [tag for tag, each in engines.items() if index is None or each[index] == name]
+            under_maintenance = [tag for tag in group if tag in tags]
+            cores, total_cores = (
+                sum(engines[tag][2] for tag in some) for some in (under_maintenance, group)
+            )
+            # A single engine may exceed the share of its group.
+            if len(under_maintenance) > 1 and cores > share * total_cores + 1e-9:
                 found.append(
-                    f"{what}{name or 'all'}: {cores:g} of {whole:g} cores at work at once, "
-                    f"{part:g} of them allowed"
+                    f"{label}{name or 'all'}: {cores:g} of {total_cores:g} cores at work at once, "
+                    f"{share:g} of them allowed"
                 )
-    for kind, least in limits.min_engines_by_kind.items():
+    for kind, min_count in limits.min_engines_by_kind.items():
         left = sum(each[1] == kind and tag not in tags for tag, each in engines.items())
-        if left < least:
-            found.append(f"kind {kind}: {left} engines left, {least} at least")
+        if left < min_count:
+            found.append(f"kind {kind}: {left} engines left, expected at least {min_count}")
     return found
--- a/corkgauge/testkit/checkers/rules.py
+++ b/corkgauge/testkit/checkers/rules.py
@@ -1,7 +1,7 @@
-"""The seven rules, checked from what the stand-ins saw themselves.
+"""Checks the seven rules of the gateway from the records of the emulators.
 
-Owns the comparison of the clients', engines' and feed's books. Free of I/O. Must never ask the
-gateway what it did, nor its log. A rule broken is a line that names what broke it.
+Owns the comparison of the records of clients, engines and discovery. Free of I/O. Must never use
+the gateway's own statements or its log. A violation is a line with the rule and the object.
 """
 
 from collections import defaultdict
@@ -14,18 +14,21 @@
 from corkgauge.testkit.emulators.engines import KEY_MEMORY_TICKS, ReceivedAttempt
 
 SIGNAL_DELAY_TICKS = 500  # between a signal and its effect
-TIMING_SLACK_TICKS = (
-    500  # that each time limit is longer on sockets; tests add what their machine needs
-)
+# Added to each time limit because of delays on sockets; tests on slow machines add more.
+TIMING_SLACK_TICKS = 500
 
 
 @dataclass
 class RuleParameters:
-    """What the rules need to know of a deployment: `extra` is floor, share and window of the budget; `kinds`
-    which kinds of engine an offering is bound to; `cold` share, span, multiple and time to fall.
+    """Describes the deployment to the rules.
+
+    `engine_kinds` holds the kinds of engines that a request class may use. `retry_budget` holds the
+    floor, the share of the requests, and the window in ticks; a window of 0 disables the check.
+    `slow_start` holds the share of the cores that an engine has during slow start, the duration in
+    ticks, the multiple of this share that may be sent, and the window in ticks for this multiple.
     """
 
-    repeatability: dict[str, str]  # offering: pure, token, side_effect
+    repeatability: dict[str, str]  # by request class: pure, token or side_effect
     ordered_classes: set[str]
     engine_kinds: dict[str, set[str]]
     retry_budget: tuple[float, float, int]
@@ -34,200 +37,239 @@
 
 
 def find_rule_violations(
-    asks: list[SubmittedRequest],
-    runs: list[ReceivedAttempt],
+    requests: list[SubmittedRequest],
+    attempts: list[ReceivedAttempt],
     changes: list[tuple[int, str, str, int]],
     cores: dict[str, float],
     parameters: RuleParameters,
     slack: int = TIMING_SLACK_TICKS,
     killed: list[int] = (),
 ) -> list[str]:
-    """Every breach found; nothing where all rules are kept. `killed` holds when the gateway was killed
-    outright: what it held then is no longer owed.
+    """Return all violations of the rules.
+
+    `killed` holds the times at which the gateway was killed. Requests that were open then need no
+    answer.
     """
     return [
-        *find_answer_violations(asks, runs, slack, killed),
-        *find_repeat_violations(runs, parameters),
-        *find_drain_violations(runs, changes, parameters.drain_grace_ticks + slack),
-        *find_slow_start_violations(runs, changes, cores, parameters, slack),
-        *find_order_violations(asks, runs, parameters),
-        *find_placement_violations(runs, parameters),
-        *find_retry_budget_violations(asks, runs, parameters),
+        *find_answer_violations(requests, attempts, slack, killed),
+        *find_repeat_violations(attempts, parameters),
+        *find_drain_violations(attempts, changes, parameters.drain_grace_ticks + slack),
+        *find_slow_start_violations(attempts, changes, cores, parameters, slack),
+        *find_order_violations(requests, attempts, parameters),
+        *find_placement_violations(attempts, parameters),
+        *find_retry_budget_violations(requests, attempts, parameters),
     ]
 
 
 def find_answer_violations(
-    asks: list[SubmittedRequest], runs: list[ReceivedAttempt], slack: int, killed: list[int]
+    requests: list[SubmittedRequest], attempts: list[ReceivedAttempt], slack: int, killed: list[int]
 ) -> list[str]:
-    """Exactly one answer, in time, and 'served' only with what an engine made for it."""
-    found, made = [], {run.trace for run in runs}
-    for ask in asks:
-        until = ask.sent_at + 10 * ask.profile.patience_ms + slack
-        if not ask.answers:
-            if not ask.excuse and not was_open_at_kill(ask, killed, slack):
-                found.append(f"lost: {ask.trace} of {ask.profile.request_class} has no answer")
+    """Check that each request got one answer in time, and a result only from its own attempt."""
+    found, executed = [], {attempt.trace for attempt in attempts}
+    for request in requests:
+        until = request.sent_at + 10 * request.profile.patience_ms + slack
+        if not request.answers:
+            if not request.excuse and not was_open_at_kill(request, killed, slack):
+                found.append(
+                    f"lost: {request.trace} of {request.profile.request_class} has no answer"
+                )
             continue
-        when, code, body = ask.answers[0]
-        if len(ask.answers) > 1:
-            found.append(f"lost: {ask.trace} was answered {len(ask.answers)} times")
+        when, code, body = request.answers[0]
+        if len(request.answers) > 1:
+            found.append(f"lost: {request.trace} was answered {len(request.answers)} times")
         if when > until:
-            found.append(f"lost: {ask.trace} was answered {when - until + slack} after its expiry")
+            found.append(
+                f"lost: {request.trace} was answered "
+                f"{when - until + slack} ticks after its deadline"
+            )
         rows = body.decode(errors="replace").splitlines()
         if code == SERVED and (
-            ask.trace not in made
+            request.trace not in executed
             or not rows
-            or any(row.split("\t")[:2] != [ask.trace, str(n)] for n, row in enumerate(rows))
+            or any(row.split("\t")[:2] != [request.trace, str(n)] for n, row in enumerate(rows))
         ):
-            found.append(f"lost: {ask.trace} was served what no engine made for it")
+            found.append(
+                f"lost: {request.trace} was answered with a result "
+                "that no engine returned for the request"
+            )
     return found
 
 
 def was_open_at_kill(
-    ask: SubmittedRequest, killed: list[int], slack: int = TIMING_SLACK_TICKS
+    request: SubmittedRequest, killed: list[int], slack: int = TIMING_SLACK_TICKS
 ) -> bool:
-    """Was the gateway killed outright while this was open, as far as its client can tell?"""
-    until = ask.sent_at + 10 * ask.profile.patience_ms + slack
-    return any(ask.sent_at - SIGNAL_DELAY_TICKS <= moment <= until for moment in killed)
+    """Return whether the gateway may have been killed while this request was open."""
+    until = request.sent_at + 10 * request.profile.patience_ms + slack
+    return any(request.sent_at - SIGNAL_DELAY_TICKS <= moment <= until for moment in killed)
 
 
-def find_repeat_violations(runs: list[ReceivedAttempt], parameters: RuleParameters) -> list[str]:
-    """A labelled one only where its label is known, an irreversible one once."""
+def find_repeat_violations(
+    attempts: list[ReceivedAttempt], parameters: RuleParameters
+) -> list[str]:
+    """Check that keyed requests were executed once per key, and non-idempotent requests once."""
     found, by_trace = [], defaultdict[str, list[ReceivedAttempt]](list)
-    for run in runs:
-        by_trace[run.trace].append(run)
+    for attempt in attempts:
+        by_trace[attempt.trace].append(attempt)
     for trace, several in by_trace.items():
-        ran, sort = (
-            [run for run in several if run.was_executed],
+        executed, repeatability = (
+            [attempt for attempt in several if attempt.was_executed],
             parameters.repeatability.get(several[0].request_class, "pure"),
         )
-        if (sort == "side_effect" and len(ran) > 1) or (sort == "token" and len(ran) > 1):
-            found.append(f"effect: {trace} of {several[0].request_class} ran {len(ran)} times")
-        if sort == "token" and several[-1].received_at > several[0].received_at + KEY_MEMORY_TICKS:
-            found.append(f"effect: {trace} was sent again after its label was forgotten")
-    # Engines of one group drop a repeat by its label; what ran in two ran twice, whoever asked
-    # again.
-    by_label = defaultdict[str, list[ReceivedAttempt]](list)
-    for run in runs:
-        if run.idempotency_key and run.was_executed:
-            by_label[run.idempotency_key].append(run)
+        if (repeatability == "side_effect" and len(executed) > 1) or (
+            repeatability == "token" and len(executed) > 1
+        ):
+            found.append(
+                f"effect: {trace} of {several[0].request_class} was executed {len(executed)} times"
+            )
+        if (
+            repeatability == "token"
+            and several[-1].received_at > several[0].received_at + KEY_MEMORY_TICKS
+        ):
+            found.append(
+                f"effect: {trace} was sent again "
+                "after the engines had forgotten its idempotency key"
+            )
+    # Engines that share their keys skip a repetition of a key. A request that was executed by
+    # engines that do not share keys was executed twice, also if the client submitted it again.
+    by_key = defaultdict[str, list[ReceivedAttempt]](list)
+    for attempt in attempts:
+        if attempt.idempotency_key and attempt.was_executed:
+            by_key[attempt.idempotency_key].append(attempt)
     return found + [
-        f"effect: label {label[:16]} ran at {', '.join(run.engine for run in several)}"
-        for label, several in by_label.items()
-        if len(several) > 1 and len({run.trace for run in several}) > 1
+        f"effect: idempotency key {key[:16]} was executed by "
+        f"{', '.join(attempt.engine for attempt in several)}"
+        for key, several in by_key.items()
+        if len(several) > 1 and len({attempt.trace for attempt in several}) > 1
     ]
 
 
 def find_drain_violations(
-    runs: list[ReceivedAttempt], changes: list[tuple[int, str, str, int]], grace: int
+    attempts: list[ReceivedAttempt], changes: list[tuple[int, str, str, int]], grace: int
 ) -> list[str]:
-    """Nothing new to an engine later than the grace after its drain or departure was told."""
+    """Check that an engine got no attempt more than `grace` ticks after its drain or removal."""
     found = []
-    for run in runs:
+    for attempt in attempts:
         last = max(
             (
                 change
                 for change in changes
-                if change[1] == run.engine and change[0] <= run.received_at
+                if change[1] == attempt.engine and change[0] <= attempt.received_at
             ),
             default=None,
             key=lambda change: change[0],
         )
-        if last and last[2] != "SERVING" and run.received_at > last[0] + grace:
+        if last and last[2] != "SERVING" and attempt.received_at > last[0] + grace:
             found.append(
-                f"drain: {run.trace} came to {run.engine} {run.received_at - last[0]} after it was told"
+                f"drain: {attempt.trace} reached {attempt.engine} "
+                f"{attempt.received_at - last[0]} ticks after its drain or removal was published"
             )
     return found
 
 
 def find_slow_start_violations(
-    runs: list[ReceivedAttempt],
+    attempts: list[ReceivedAttempt],
     changes: list[tuple[int, str, str, int]],
     cores: dict[str, float],
     parameters: RuleParameters,
     slack: int,
 ) -> list[str]:
-    """No more work, in any time that makes it fall, than a multiple of what it can do while cold."""
-    found, (share, span, multiple, fall) = [], parameters.slow_start
+    """Check that no window in slow start holds more work than a multiple of the cold capacity."""
+    found, (share, span_ticks, multiple, window_ticks) = [], parameters.slow_start
     for _, engine, state, started_ms in changes:
         if state != "SERVING" or not started_ms:
             continue
         begin = 10 * started_ms
         sent = [
-            (run.received_at, run.work)
-            for run in runs
-            if run.engine == engine and begin <= run.received_at < begin + span
+            (attempt.received_at, attempt.work)
+            for attempt in attempts
+            if attempt.engine == engine and begin <= attempt.received_at < begin + span_ticks
         ]
-        for came, _ in sent:
-            work = sum(each for when, each in sent if came <= when < came + fall)
-            if work > multiple * share * cores[engine] * fall / 10:
-                found.append(f"cold: {engine} was sent {work:.0f} ms of work within {fall}")
+        for received_at, _ in sent:
+            work = sum(
+                each for when, each in sent if received_at <= when < received_at + window_ticks
+            )
+            if work > multiple * share * cores[engine] * window_ticks / 10:
+                found.append(
+                    f"cold: {engine} received {work:.0f} ms of work "
+                    f"within {window_ticks} ticks of slow start"
+                )
                 break
     return found
 
 
 def find_order_violations(
-    asks: list[SubmittedRequest], runs: list[ReceivedAttempt], parameters: RuleParameters
+    requests: list[SubmittedRequest], attempts: list[ReceivedAttempt], parameters: RuleParameters
 ) -> list[str]:
-    """Of one key, one at a time, in the order taken."""
+    """Check that requests with the same order key were executed one at a time and in order."""
     found, by_trace = [], defaultdict[str, list[ReceivedAttempt]](list)
-    for run in runs:
-        by_trace[run.trace].append(run)
-    lines = defaultdict[str, list[SubmittedRequest]](list)
-    for ask in asks:
-        if ask.profile.request_class in parameters.ordered_classes and ask.order_key:
-            lines[ask.order_key].append(ask)
-    for key, line in lines.items():
-        before: ReceivedAttempt | None = None
-        for ask in line:
-            for run in by_trace[ask.trace]:
+    for attempt in attempts:
+        by_trace[attempt.trace].append(attempt)
+    by_order_key = defaultdict[str, list[SubmittedRequest]](list)
+    for request in requests:
+        if request.profile.request_class in parameters.ordered_classes and request.order_key:
+            by_order_key[request.order_key].append(request)
+    for key, key_requests in by_order_key.items():
+        previous: ReceivedAttempt | None = None
+        for request in key_requests:
+            for attempt in by_trace[request.trace]:
                 if (
-                    before is not None
-                    and run.trace != before.trace
+                    previous is not None
+                    and attempt.trace != previous.trace
                     and (
-                        run.received_at < before.received_at
-                        or 0 <= run.received_at < before.ended_at
+                        attempt.received_at < previous.received_at
+                        or 0 <= attempt.received_at < previous.ended_at
                     )
                 ):
                     found.append(
-                        f"order: {ask.trace} of key {key} began before {before.trace} was over"
+                        f"order: {request.trace} of order key {key} "
+                        f"started before {previous.trace} ended"
                     )
-            before = max(by_trace[ask.trace], key=lambda run: run.received_at, default=before)
+            previous = max(
+                by_trace[request.trace], key=lambda attempt: attempt.received_at, default=previous
+            )
     return found
 
 
-def find_placement_violations(runs: list[ReceivedAttempt], parameters: RuleParameters) -> list[str]:
+def find_placement_violations(
+    attempts: list[ReceivedAttempt], parameters: RuleParameters
+) -> list[str]:
+    """Check that each attempt went to an engine of a kind that its request class may use."""
     return [
-        f"placement: {run.trace} of {run.request_class} came to {run.engine} of kind {run.kind}"
-        for run in runs
-        if run.kind not in parameters.engine_kinds.get(run.request_class, {run.kind})
+        f"placement: {attempt.trace} of {attempt.request_class} "
+        f"was sent to {attempt.engine} of kind {attempt.kind}"
+        for attempt in attempts
+        if attempt.kind not in parameters.engine_kinds.get(attempt.request_class, {attempt.kind})
     ]
 
 
 def find_retry_budget_violations(
-    asks: list[SubmittedRequest], runs: list[ReceivedAttempt], parameters: RuleParameters
+    requests: list[SubmittedRequest], attempts: list[ReceivedAttempt], parameters: RuleParameters
 ) -> list[str]:
-    """Hand-offs beyond each first, in any window that ends with one; 15 in 100 and one are the platform's."""
+    """Check that the retries in each window that ends with a retry fit the retry budget.
+
+    The platform tolerates 15 % above the budget, and one more retry.
+    """
     floor, share, window = parameters.retry_budget
     if not window:
         return []
-    seen, extras = set[str](), list[int]()
-    for run in sorted(runs, key=lambda run: run.received_at):
-        if run.trace in seen:
-            extras.append(run.received_at)
-        seen.add(run.trace)
-    taken, found = sorted(ask.sent_at for ask in asks), []
-    for n, moment in enumerate(extras):
-        many = sum(moment - window < each <= moment for each in extras[: n + 1])
-        room = floor + share * sum(
-            moment - window - TIMING_SLACK_TICKS < each <= moment for each in taken
+    seen, retry_times = set[str](), list[int]()
+    for attempt in sorted(attempts, key=lambda attempt: attempt.received_at):
+        if attempt.trace in seen:
+            retry_times.append(attempt.received_at)
+        seen.add(attempt.trace)
+    sent_times, found = sorted(request.sent_at for request in requests), []
+    for n, moment in enumerate(retry_times):
+        count = sum(moment - window < each <= moment for each in retry_times[: n + 1])
+        allowed = floor + share * sum(
+            moment - window - TIMING_SLACK_TICKS < each <= moment for each in sent_times
         )
-        if many > 1.15 * room + 1:
-            found.append(f"budget: {many} further hand-offs in a window that allows {room:.1f}")
+        if count > 1.15 * allowed + 1:
+            found.append(f"budget: {count} retries in a window that allows {allowed:.1f}")
     return found
 
 
-def summarize_violations(found: list[str], most: int = 10) -> list[Any]:
-    """The first few of each rule.
+def summarize_violations(found: list[str], max_per_rule: int = 10) -> list[Any]:
+    """Return the first violations of each rule, and the number of the omitted ones.
 
     >>> summarize_violations(["a: 1", "a: 2", "b: 1"], 1)
     ['a: 1', 'b: 1', '... and 1 more']
@@ -236,6 +278,6 @@
     for line in found:
         rule = line.partition(":")[0]
         counts[rule] += 1
-        if counts[rule] <= most:
+        if counts[rule] <= max_per_rule:
             kept.append(line)
     return kept + ([f"... and {len(found) - len(kept)} more"] if len(found) > len(kept) else [])
