--- a/corkgauge/testkit/faults/__init__.py
+++ b/corkgauge/testkit/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults that tests inject."""
+"""Faults that tests inject into processes, connections and the clock."""
--- a/corkgauge/testkit/faults/disabled_safeguards.py
+++ b/corkgauge/testkit/faults/disabled_safeguards.py
@@ -1,39 +1,69 @@
-"""The program with one defence left out, or with a clock that runs fast or slow: for showing that the judge
-objects.
-
-`python -m corkgauge.testkit.faults.disabled_safeguards OFF RATE serve ...`: OFF is any of check,
-silence, margin, busy, and of works agreement, confirmation, orders, of the working set cold,
-groups, beyond, few, joined by commas, or none; RATE how fast the clock since boot runs. `midact`
-leaves nothing out: the process stops itself once, between its look at the clock and the act. Nor
-does `slowdisk`: what is kept takes a tenth of a second to be safe. Must never be used for anything
-but that.
+"""Runs the program with disabled safeguards or a wrong clock, to show that the checkers object.
+
+`python -m corkgauge.testkit.faults.disabled_safeguards OFF RATE serve ...`: RATE is the rate of the
+clock since boot, where 1.0 is correct. OFF is `none`, or one or more of these, joined by commas.
+
+Disabled safeguards of leases:
+    check         act under a lease without checking that the lease is still valid
+    silence       voters grant at once after a restart, without a period of silence
+    margin        leases without a safety margin and without an allowance for clock drift
+    busy          voters grant a lease although another candidate still holds a grant
+
+Disabled safeguards of maintenance plans:
+    agreement     one replica is a majority
+    confirmation  units become available for work without quiescence proofs of all gateways
+    orders        participants and replicas do not check the fence
+
+Disabled safeguards of engine selection:
+    cold          no slow start for engines that have just started
+    groups        retries ignore which engines know an idempotency key
+    beyond        no engine outside of the subset is used
+    few           the subset ignores which engine kinds the request classes need
+
+Disabled safeguards of peer health:
+    witnesses     a report of a single gateway is enough, of any weight
+    leases        the granter keeps a transferred permit, and a received one stays usable too long
+
+Faults that disable no safeguard:
+    midact        the process stops itself once, after a clock reading and before an act
+    midorder      the process stops itself once, after a clock reading and before a plan datagram
+    slowdisk      each write of a vote or plan takes a tenth of a second
+    hour          the system clock is set back by an hour, some seconds after the start
+    day           the system clock is a day ahead from the start
+    liar          the gateway reports each engine as silent and a hundred times as slow
+
+Must never be used outside of tests and benchmarks.
 """
 
 import os
 import signal
 import sys
 
-CLOCK_STEP_AFTER_SECONDS = 4.0  # seconds from the start to the step of the date
-ORDERS_BEFORE_STOP_COUNT = 60  # orders that name nothing before the one that it stops in
-ACTS_BEFORE_STOP_COUNT = 40  # acts before the one that it stops in
+CLOCK_STEP_AFTER_SECONDS = 4.0  # from the start to the step of the system clock
+ORDERS_BEFORE_STOP_COUNT = 60  # plan datagrams that name no engine before the stop of `midorder`
+ACTS_BEFORE_STOP_COUNT = 40  # acts before the stop of `midact`
 
 
 def change_clock_rate(rate: float) -> None:
-    """Before anybody has taken the clock by its name."""
-    from corkgauge.eventloop import clock as boot
+    """Change the rate of the clock since boot.
 
-    true, begun = boot.ticks_since_boot, boot.ticks_since_boot()
-    boot.ticks_since_boot = lambda: begun + int((true() - begun) * rate)
+    Must run before other modules import `ticks_since_boot`, because they would keep the true clock.
+    """
+    from corkgauge.eventloop import clock
+
+    original, started_at = clock.ticks_since_boot, clock.ticks_since_boot()
+    clock.ticks_since_boot = lambda: started_at + int((original() - started_at) * rate)
 
 
 def disable_safeguard(off: str) -> None:
+    """Disable the safeguard with this name, or inject the fault; the module describes each name."""
     from corkgauge.leases.candidate import CandidateState, LeaseCandidate
     from corkgauge.leases.voter import Voter
     from corkgauge.leases.voter_configuration import LeaseTiming
 
     if off == "check":
-        # Neither before an act nor at a timer: what was granted once is believed in until a voter
-        # says no.
+        # Validity is checked neither before an act nor by a timer: a lease that was granted once
+        # counts as valid until a voter refuses to renew it.
         LeaseCandidate.may_act = lambda self: self.state == CandidateState.HOLDING
         LeaseCandidate._expire_lease = lambda self: self._set_timer(
             self.timing.renewal_ticks, self._request_grant
@@ -43,57 +73,58 @@
     elif off == "midact":
         from corkgauge.membership.member_list import MemberList
 
-        call, acts = MemberList.call, [0]
+        original_call, act_count = MemberList.call, [0]
 
-        def stopped(self: MemberList, name: str, subject: str, body: list) -> bool:
-            acts[0] += subject == "books" and body[0] == "ask"
-            if acts[0] == ACTS_BEFORE_STOP_COUNT:
-                acts[0] += 1
+        def call_and_stop_at_act(self: MemberList, name: str, subject: str, body: list) -> bool:
+            act_count[0] += subject == "books" and body[0] == "ask"
+            if act_count[0] == ACTS_BEFORE_STOP_COUNT:
+                act_count[0] += 1
                 os.kill(os.getpid(), signal.SIGSTOP)
-            return call(self, name, subject, body)
+            return original_call(self, name, subject, body)
 
-        MemberList.call = stopped
+        MemberList.call = call_and_stop_at_act
     elif off == "hour":
-        # The date is set back by an hour, some seconds after the start; a defence that is in place.
+        # The system clock is set back by an hour, some seconds after the start. The safeguard
+        # against this step stays in place.
         import time
 
         from corkgauge.eventloop import loop as event_loop
 
-        true, begun = time.time_ns, time.monotonic()
-        event_loop.unix_time = lambda: true() // 100_000 - (
-            36_000_000 if time.monotonic() > begun + CLOCK_STEP_AFTER_SECONDS else 0
+        original_time, started_at = time.time_ns, time.monotonic()
+        event_loop.unix_time = lambda: original_time() // 100_000 - (
+            36_000_000 if time.monotonic() > started_at + CLOCK_STEP_AFTER_SECONDS else 0
         )
     elif off == "slowdisk":
-        # Nothing is left out: what is kept takes a while until it is safe.
-        from corkgauge.leases import record_writer as store
-        from corkgauge.testkit.faults import slow_disk as slow_store
+        # No safeguard is disabled; the helper process that writes the records is replaced.
+        from corkgauge.leases import record_writer
+        from corkgauge.testkit.faults import slow_disk
 
-        store.__file__ = slow_store.__file__
+        record_writer.__file__ = slow_disk.__file__
     elif off == "midorder":
-        # Nothing is left out: the process stops itself once, between its look at the clock and an
-        # order's writing.
+        # No safeguard is disabled; the process stops itself once, between its reading of the clock
+        # and the sending of a plan datagram.
         from corkgauge.membership.member_list import MemberList
 
-        call, orders = MemberList.call, [0]
+        original_call, order_count = MemberList.call, [0]
 
-        def halted(self: MemberList, name: str, subject: str, body: list) -> bool:
-            orders[0] += subject == "works" and body[0] == "orders" and not body[-1]
+        def call_and_stop_at_order(self: MemberList, name: str, subject: str, body: list) -> bool:
+            order_count[0] += subject == "works" and body[0] == "orders" and not body[-1]
             if (
-                orders[0] >= ORDERS_BEFORE_STOP_COUNT
+                order_count[0] >= ORDERS_BEFORE_STOP_COUNT
                 and subject == "works"
                 and not name.startswith("judge")
             ):
-                orders[0] = -(10**6)
+                order_count[0] = -(10**6)
                 os.kill(os.getpid(), signal.SIGSTOP)
-            return call(self, name, subject, body)
+            return original_call(self, name, subject, body)
 
-        MemberList.call = halted
+        MemberList.call = call_and_stop_at_order
     elif off == "liar":
-        # It tells of every engine that it is silent and a hundred times as slow.
+        # Reports every engine as silent and a hundred times as slow.
         from corkgauge.peer_health.health_report import Fault
         from corkgauge.peer_health.service import PeerHealthService
 
-        def lies(self: PeerHealthService, now: int) -> None:
+        def record_false_observations(self: PeerHealthService, now: int) -> None:
             for engine_pool in self.socket_host.engine_pools.values():
                 self.reports.serial += 1
                 self.reports.record_own(
@@ -105,75 +136,82 @@
                     8,
                 )
 
-        PeerHealthService._record_own_observations = lies
+        PeerHealthService._record_own_observations = record_false_observations
     elif off == "witnesses":
-        # One word is believed, of whoever it is.
-        from corkgauge.peer_health import aggregation as weighing
+        # One report is enough for a suspicion, from any gateway and zone.
+        from corkgauge.peer_health import aggregation
 
-        weighing.MIN_SUSPICION_WEIGHT, weighing.MIN_REPORTERS = 0.1, 1
-        weighing.OWN_OBSERVATION_TICKS = 0
-        weighing.OTHER_ZONE_WEIGHT = 1.0
-        made = weighing.assess
+        aggregation.MIN_SUSPICION_WEIGHT, aggregation.MIN_REPORTERS = 0.1, 1
+        aggregation.OWN_OBSERVATION_TICKS = 0
+        aggregation.OTHER_ZONE_WEIGHT = 1.0
+        original_assess = aggregation.assess
 
-        def believed(findings, now, started, us, zones, own_sign):
-            return made(findings, now, started, us, dict.fromkeys(zones, ""), -1)
+        def assess_trustfully(reports, now, incarnation, own_name, zones, observed_at):
+            return original_assess(
+                reports, now, incarnation, own_name, dict.fromkeys(zones, ""), -1
+            )
 
-        from corkgauge.peer_health import service as exchange
+        from corkgauge.peer_health import service
 
-        exchange.assess = believed
+        service.assess = assess_trustfully
     elif off == "leases":
-        # A turn that was passed on is not spent here, and one that came is used whenever it is
-        # wanted.
+        # A permit that was transferred is not spent by the granter, and the receiver may use it
+        # at any time.
         from corkgauge.peer_health.permit_transfer import PermitTransfer
         from corkgauge.policy.gateway import Gateway
 
-        passed = Gateway.on_permit_moved
+        original_handler = Gateway.on_permit_moved
         Gateway.on_permit_moved = lambda self, engine, work, when: work > 0 or [
-            passed(self, engine, work, when + 20 * self.slow_start.window_ticks)
+            original_handler(self, engine, work, when + 20 * self.slow_start.window_ticks)
         ]
-        PermitTransfer.accept_permit = lambda self, now, serial, known_for, left: now + left
+        PermitTransfer.accept_permit = (
+            lambda self, now, serial, known_ticks, remaining_ticks: now + remaining_ticks
+        )
     elif off == "cold":
-        # An engine that has just started is sent what any other is.
+        # An engine that has just started gets as much work as any other.
         from corkgauge.policy.slow_start import SlowStart
 
         SlowStart.is_warming_up = lambda self, engine: False
     elif off == "groups":
-        # What may have run is tried again anywhere, whoever knows its label.
+        # Attempts that may have been executed are retried on any engine, also on engines that do
+        # not know the idempotency key.
         from corkgauge.policy.gateway import Gateway
 
-        settings = Gateway.__init__
+        original_gateway_init = Gateway.__init__
 
-        def careless(self: Gateway, host: object, options: object, request_classes: list) -> None:
+        def init_without_key_scopes(
+            self: Gateway, host: object, options: object, request_classes: list
+        ) -> None:
             for each in request_classes:
                 each.key_scope = "all"
-            settings(self, host, options, request_classes)
+            original_gateway_init(self, host, options, request_classes)
 
-        Gateway.__init__ = careless
+        Gateway.__init__ = init_without_key_scopes
     elif off == "beyond":
-        # Nothing is sought outside the working set.
+        # No engine outside of the subset is selected.
         from corkgauge.policy.engine_selection import EngineSelector
 
         EngineSelector.select_outside_subset = lambda self, request, tried: None
     elif off == "few":
-        # The working set is what is first by rank, whatever kinds the offerings need.
+        # The subset consists of the first engines by rank, whatever kinds the request classes need.
         from corkgauge.policy.subsetting import EngineSubset
 
-        gathered = EngineSubset.rebuild
+        original_rebuild = EngineSubset.rebuild
 
-        def bare(self: EngineSubset) -> None:
-            needed, self.request_classes = self.request_classes, []
-            gathered(self)
-            self.request_classes = needed
+        def rebuild_without_kinds(self: EngineSubset) -> None:
+            request_classes, self.request_classes = self.request_classes, []
+            original_rebuild(self)
+            self.request_classes = request_classes
 
-        EngineSubset.rebuild = bare
+        EngineSubset.rebuild = rebuild_without_kinds
     elif off == "day":
-        # Its date is a day ahead, from its start.
+        # The system clock is a day ahead, from the start.
         from corkgauge.eventloop import loop as event_loop
 
-        true = event_loop.unix_time
-        event_loop.unix_time = lambda: true() + 24 * 36_000_000
+        original_time = event_loop.unix_time
+        event_loop.unix_time = lambda: original_time() + 24 * 36_000_000
     elif off == "agreement":
-        # One keeper's word is enough, to take the plan over and to change it.
+        # One replica is enough to take the plan over and to change it.
         from corkgauge.maintenance.plan_proposer import PlanProposer
 
         PlanProposer._majority = lambda self: 1
@@ -182,39 +220,39 @@
 
         UnitProgress.confirmations_required = False
     elif off == "orders":
-        # Neither gateways nor keepers look at the fence.
+        # Neither participants nor replicas check the fence.
         from corkgauge.maintenance.participant import Participant
         from corkgauge.maintenance.plan_replica import PlanReplica
 
         PlanReplica.checks_fence = Participant.checks_fence = False
     elif off in ("silence", "margin"):
-        made = LeaseTiming.__init__
+        original_timing_init = LeaseTiming.__init__
 
-        def spoilt(
-            self: LeaseTiming, lease: int, drift: float, margin: int, longest: int = 0
+        def init_without_safeguard(
+            self: LeaseTiming, lease_ticks: int, drift: float, margin_ticks: int, longest: int = 0
         ) -> None:
-            made(
+            original_timing_init(
                 self,
-                lease,
+                lease_ticks,
                 0.0 if off == "margin" else drift,
-                0 if off == "margin" else margin,
+                0 if off == "margin" else margin_ticks,
                 longest,
             )
             if off == "silence":
                 self.silence_ticks = 0
 
-        LeaseTiming.__init__ = spoilt
+        LeaseTiming.__init__ = init_without_safeguard
     else:
-        raise SystemExit(f"no defence {off!r}")
+        raise SystemExit(f"no safeguard {off!r}; the module's docstring lists all names")
 
 
 if __name__ == "__main__":
-    offs, rate_said = sys.argv[1:3]
+    names, rate = sys.argv[1:3]
     del sys.argv[1:3]
-    change_clock_rate(float(rate_said))
-    for each in offs.split(","):
-        if each != "none":
-            disable_safeguard(each)
+    change_clock_rate(float(rate))
+    for name in names.split(","):
+        if name != "none":
+            disable_safeguard(name)
     from corkgauge.commands import main
 
     sys.exit(main())
--- a/corkgauge/testkit/faults/relay.py
+++ b/corkgauge/testkit/faults/relay.py
@@ -1,8 +1,8 @@
-"""Relays between processes on loopback: each way between two fellows has one, and each gateway's way to an
-engine.
+"""Relays datagrams and connections between processes on loopback, and injects network faults.
 
-Owns what happens to a datagram or a connection on its way: lost, late, doubled, out of order, cut
-one way or both. Must never make up a datagram: what it sends again it has carried before.
+There is one relay for each direction between two members, and one for the connections of each
+gateway to an engine. Owns the loss, delay, duplication and reordering of datagrams, and the
+interruption of either direction. Must never invent a datagram: only relayed ones are sent again.
 """
 
 import socket
@@ -13,13 +13,16 @@
 from corkgauge.eventloop.loop import READ, WRITE, EventLoop
 from corkgauge.testkit.seeded_random import SeededRandom
 
-REPLAYED_DATAGRAM_COUNT = 200  # datagrams that may be played again
+REPLAYED_DATAGRAM_COUNT = 200  # most recent datagrams, kept for a replay
 RECEIVE_BYTES = 65_536
 
 
 class DatagramRelay:
-    """One way, from one fellow to another. `loss_share` and `duplicate_share` are parts of 1, `max_delay_ticks` tenths of a
-    millisecond at most: so what is sent later may come earlier.
+    """Relays datagrams in one direction, from one member to another.
+
+    `loss_share` and `duplicate_share` are fractions of the datagrams. Each datagram is delayed by
+    at most `max_delay_ticks`, so that a later datagram may arrive earlier. All datagrams are lost
+    until the time `cut_until`.
     """
 
     def __init__(
@@ -61,6 +64,7 @@
                 self.send(data)
 
     def send(self, data: bytes) -> None:
+        """Send a datagram to the target; a datagram that cannot be sent counts as lost."""
         self.sent_count += 1
         try:
             self.sock.sendto(data, self.target)
@@ -68,13 +72,13 @@
             self.lost_count += 1
 
     def replay(self) -> None:
-        """All that is remembered, as it was, once more."""
+        """Send the most recent datagrams again, unchanged."""
         for data in [*self.recent]:
             self.send(data)
 
 
 def _is_closed_by_peer(sock: Any) -> bool:
-    """Has the other end closed?"""
+    """Return whether the other end has closed the connection."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -82,7 +86,10 @@
 
 
 class ConnectionRelay:
-    """Connections to one address, carried on to another. While `cut`, nothing passes and nothing is told."""
+    """Relays connections to its address to the target.
+
+    While `cut` is set, no data is relayed, and neither end learns of the interruption.
+    """
 
     def __init__(self, event_loop: EventLoop, target: tuple[str, int]) -> None:
         self.event_loop, self.target, self.cut = event_loop, target, False
@@ -109,7 +116,8 @@
             return near.close()
         ends = [near, far]
         for source, sink in ((near, far), (far, near)):
-            # Each direction waits on a descriptor of its own, as one task parks at one descriptor.
+            # Each direction gets its own descriptors, because only one task may wait at a
+            # descriptor.
             self.event_loop.spawn(
                 self._carry,
                 socket.socket(fileno=socket.dup(source.fileno())),
@@ -128,8 +136,7 @@
                     data = memoryview(source.recv(RECEIVE_BYTES))
                 except BlockingIOError:
                     continue
-                # What was written into the cut by one that gave up meanwhile is lost with its
-                # connection.
+                # Data sent during the cut is lost if its sender closed the connection meanwhile.
                 if not data or (was_cut and _is_closed_by_peer(source)):
                     return
                 while data:
--- a/corkgauge/testkit/faults/script.py
+++ b/corkgauge/testkit/faults/script.py
@@ -1,12 +1,16 @@
-"""Scripts: which trouble befalls whom, when and for how long.
+"""Parses scripts that list the faults of a test with their times, durations and targets.
 
-Owns the language of a script. A line is `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`, `#` begins
-a comment. WHO is an engine, `all`, `program` or `list`:
+Owns the language of the scripts. A line is `at SECOND [for SECONDS]: WHO TROUBLE [FIGURE]`, and `#`
+starts a comment. TROUBLE is the fault, and FIGURE its level. WHO is the target: an engine, `all`
+engines, `program` (the gateway) or `list` (the endpoint list):
 
-    at 2 for 3: e1 silent           the engine answers nothing, then all that waited
-    at 4 for 2: e2 slow 8           eight times as long
-    at 5: program kill              and start again; also `restart` (SIGTERM) and `reload` (SIGHUP)
-    at 6 for 4: list drain e3       drains, then serves again; also `vanish`
+    at 2 for 3: e1 silent           e1 holds its answers back for 3 s, and then sends them
+    at 4 for 2: e2 slow 8           executions take eight times as long
+    at 5: program kill              kill and start the gateway again; also `restart` (SIGTERM) and
+                                    `reload` (SIGHUP, without a new start)
+    at 6 for 4: list drain e3       e3 drains, and serves again after 4 s; `vanish` removes e3
+
+`FAULT_KINDS` in `emulators/engines.py` lists the faults of engines with the meaning of the level.
 """
 
 from dataclasses import dataclass
@@ -23,16 +27,19 @@
     "twice",
     "midway",
     "lost",
-)  # their figure is a part of 1
+)  # their level is a fraction of 1
 
 
 class ScriptError(ValueError):
-    """One line: which line of the script, and what it should say."""
+    """Reports a malformed line of a script; the message has the line's number and what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """Times are tenths of a millisecond from the start."""
+    """Describes one fault of a script; times are in ticks from the start.
+
+    `engine` is the engine whose entry in the endpoint list changes, if the target is `list`.
+    """
 
     at_ticks: int
     span_ticks: int
@@ -43,7 +50,7 @@
 
 
 def parse_script(text: str, engines: list[str]) -> list[FaultEvent]:
-    """A script's scenes, in the order of their time.
+    """Return the faults of a script in the order of their times.
 
     >>> parse_script("at 2 for 3: e1 slow 4  # a comment", ["e1"])
     [FaultEvent(at_ticks=20000, span_ticks=30000, target='e1', fault='slow', level=4.0, engine='')]
@@ -51,20 +58,21 @@
     Traceback (most recent call last):
     corkgauge.testkit.faults.script.ScriptError: line 1: no engine 'e9'
     """
-    scenes = []
+    events = []
     for number, line in enumerate(text.splitlines(), 1):
         line = line.partition("#")[0].strip()
         if line:
             try:
-                scenes.append(_parse_line(line, engines))
+                events.append(_parse_line(line, engines))
             except ValueError as problem:
                 raise ScriptError(f"line {number}: {problem}") from None
-    return sorted(scenes, key=lambda scene: scene.at_ticks)
+    return sorted(events, key=lambda event: event.at_ticks)
 
 
 def _parse_line(line: str, engines: list[str]) -> FaultEvent:
-    head, colon, what = line.partition(":")
-    times, words = head.split(), what.split()
+    """Parse one line without its comment."""
+    times_text, colon, fault_text = line.partition(":")
+    times, words = times_text.split(), fault_text.split()
     if not colon or len(times) not in (2, 4) or times[0] != "at" or times[2:3] not in ([], ["for"]):
         raise ValueError("expected 'at SECOND [for SECONDS]: WHO TROUBLE'")
     at_ticks, span_ticks = _seconds(times[1]), _seconds(times[3]) if len(times) == 4 else 0
@@ -83,12 +91,18 @@
         raise ValueError(f"expected one of {', '.join(FAULT_KINDS)}, found {fault!r}")
     level = float(rest[0]) if rest else 1.0
     if not 0 < level <= (1 if fault in FRACTION_FAULTS else 1000):
-        raise ValueError(f"{fault}: {level} makes no sense")
+        raise ValueError(
+            f"{fault}: {level} makes no sense as a level, "
+            "expected above 0 and at most 1 for a fraction, or 1000 for a factor"
+        )
     return FaultEvent(at_ticks, span_ticks, target, fault, level)
 
 
 def _seconds(text: str) -> int:
+    """Return the ticks of a time in seconds."""
     value = float(text)
     if not 0 <= value < 1e6:
-        raise ValueError(f"a time of {text}")
+        raise ValueError(
+            f"a time of {text} is out of range, expected from 0 to below 1000000 seconds"
+        )
     return int(value * SECOND)
--- a/corkgauge/testkit/faults/slow_disk.py
+++ b/corkgauge/testkit/faults/slow_disk.py
@@ -1,13 +1,14 @@
-"""The helper that writes votes and plans (`leases/record_writer.py`), before a disk that takes a tenth of a second.
+"""Runs the helper that writes votes and plans, `leases/record_writer.py`, with a slow disk.
 
-Owns the delay alone. Must never be used but in place of that helper, by `undefended.py`.
+Owns only the delay of each write. Must never be used except by `disabled_safeguards.py`, in place
+of that helper.
 """
 
 import os
 import sys
 import time
 
-WRITE_DELAY_SECONDS = 0.1  # seconds, for each write
+WRITE_DELAY_SECONDS = 0.1
 
 if __name__ == "__main__":
     sys.path.insert(
@@ -16,13 +17,14 @@
             os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
         ),
     )
-    from corkgauge.leases import record_writer as store
+    from corkgauge.leases import record_writer
 
-    write = store.write_file
+    write_file = record_writer.write_file
 
     def write_slowly(path: str, data: bytes) -> None:
+        """Write the file after a delay."""
         time.sleep(WRITE_DELAY_SECONDS)
-        write(path, data)
+        write_file(path, data)
 
-    store.write_file = write_slowly
-    sys.exit(store.main())
+    record_writer.write_file = write_slowly
+    sys.exit(record_writer.main())
