--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules at their edges."""
+"""Tests the seven rules of the gateway at their limits."""
 
 import pytest
 
@@ -14,17 +14,18 @@
 }
 
 
-@pytest.mark.parametrize("life", [0, 1, 30, 40, 333, SECOND, 5 * SECOND])
+@pytest.mark.parametrize("time_to_deadline", [0, 1, 30, 40, 333, SECOND, 5 * SECOND])
 @pytest.mark.parametrize("engines", [0, 1])
-def test_every_request_ends_once_before_its_deadline(life, engines):
+def test_request_ends_exactly_once_before_its_deadline(time_to_deadline, engines):
     harness = GatewayHarness(engines=engines)
-    request = harness.submit_request(time_to_deadline=life)
-    harness.pass_time(max(life - 20, 0))
+    request = harness.submit_request(time_to_deadline=time_to_deadline)
+    harness.pass_time(max(time_to_deadline - 20, 0))
     assert (
         len(harness.recorded_calls("reject") + harness.recorded_calls("fail")) == 1
         and request.is_finished
     )
-    for attempt in request.attempts:  # its outcome comes after the end and changes nothing
+    # Outcomes that arrive after the end of the request change nothing.
+    for attempt in request.attempts:
         harness.finish_attempt(attempt, AttemptOutcome.TIMED_OUT)
     harness.pass_time(10 * SECOND)
     assert (
@@ -34,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    "repeat, outcome, again, ending",
+    "repeatability, outcome, is_retried, expected_call",
     [
         (Repeatability.IDEMPOTENT, AttemptOutcome.ERROR, True, None),
         (Repeatability.IDEMPOTENT, AttemptOutcome.TIMED_OUT, True, None),
@@ -46,25 +47,27 @@
         (Repeatability.NON_IDEMPOTENT, AttemptOutcome.CANCELLED, False, "fail"),
     ],
 )
-def test_retries_follow_repeatability(repeat, outcome, again, ending):
-    harness = GatewayHarness([{**QUICK_CLASS, "repeatability": repeat, "key_ttl": 20 * SECOND}])
+def test_retries_follow_repeatability(repeatability, outcome, is_retried, expected_call):
+    harness = GatewayHarness(
+        [{**QUICK_CLASS, "repeatability": repeatability, "key_ttl": 20 * SECOND}]
+    )
     request = harness.submit_request()
     harness.finish_attempt(request.attempts[0], outcome)
-    assert (len(request.attempts) == 2) == again
-    assert ending is None or harness.recorded_calls(ending)
+    assert (len(request.attempts) == 2) == is_retried
+    assert expected_call is None or harness.recorded_calls(expected_call)
 
 
 @pytest.mark.parametrize(
-    "group, allowed", [("all", {"e0", "e1", "e2"}), ("zone", {"e0", "e2"}), ("cell", {"e0"})]
+    "key_scope, allowed", [("all", {"e0", "e1", "e2"}), ("zone", {"e0", "e2"}), ("cell", {"e0"})]
 )
-def test_retries_stay_in_the_scope_of_their_key(group, allowed):
+def test_retries_stay_in_the_scope_of_their_idempotency_key(key_scope, allowed):
     harness = GatewayHarness(
         [
             {
                 **QUICK_CLASS,
                 "repeatability": Repeatability.KEYED,
                 "key_ttl": 20 * SECOND,
-                "key_scope": group,
+                "key_scope": key_scope,
             }
         ]
     )
@@ -76,10 +79,10 @@
             harness.finish_attempt(request.attempts[-1], AttemptOutcome.CONNECTION_RESET)
     assert {engine for _, engine in harness.recorded_calls("send_attempt")} <= allowed
     harness.pass_time(5 * SECOND)
-    assert bool(harness.recorded_calls("fail")) == (group != "all")
+    assert bool(harness.recorded_calls("fail")) == (key_scope != "all")
 
 
-def test_retries_stop_when_the_key_has_expired():
+def test_no_retry_after_the_idempotency_key_has_expired():
     harness = GatewayHarness(
         [{**QUICK_CLASS, "repeatability": Repeatability.KEYED, "key_ttl": SECOND}]
     )
@@ -90,33 +93,33 @@
 
 
 @pytest.mark.parametrize("state", [EngineState.DRAINING, EngineState.GONE])
-def test_drains_stop_at_once(state):
+def test_drained_or_removed_engine_gets_no_attempt(state):
     harness = GatewayHarness()
     harness.update_engines(*harness.engines, state=state)
     request = harness.submit_request()
     assert not request.attempts
     harness.update_engines(harness.engines[1])
-    assert [h.engine.host_reference for h in request.attempts] == ["e1"]
+    assert [attempt.engine.host_reference for attempt in request.attempts] == ["e1"]
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.SUCCEEDED, AttemptOutcome.ENGINE_FULL])
-def test_an_engine_in_slow_start_gets_its_part_of_the_work(outcome):
+def test_engine_in_slow_start_gets_at_most_its_share_of_the_work(outcome):
     harness = GatewayHarness(engines=1)
     for _ in range(8):
         harness.finish_attempt(harness.submit_request().attempts[0], took=2000)
     harness.pass_time(2 * SECOND)
     harness.update_engines(harness.engines[0], started=harness.now)
-    part = 8 * 0.85 * 2.0 * 0.3 * SECOND / 2
-    sent = 0
+    allowed_work = 8 * 0.85 * 2.0 * 0.3 * SECOND / 2
+    sent_count = 0
     for _ in range(200):
         request = harness.submit_request()
-        sent += len(request.attempts)
+        sent_count += len(request.attempts)
         if request.attempts:
             harness.finish_attempt(request.attempts[0], outcome, took=2000)
-    assert sent > 0 and sent * 2000 <= part
+    assert sent_count > 0 and sent_count * 2000 <= allowed_work
 
 
-def test_a_new_gateway_does_not_trust_its_own_slow_start_budget():
+def test_new_gateway_sends_nothing_to_an_engine_in_slow_start():
     harness = GatewayHarness(engines=1)
     harness.update_engines(harness.engines[0], started=harness.now - SECOND)
     request = harness.submit_request()
@@ -124,7 +127,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, settle",
+    "outcome, settle_ticks",
     [
         (AttemptOutcome.SUCCEEDED, 0),
         (AttemptOutcome.ERROR, 0),
@@ -132,8 +135,8 @@
         (AttemptOutcome.TIMED_OUT, 3000),
     ],
 )
-def test_order(outcome, settle):
-    harness = GatewayHarness([ORDERED], max_attempts=1, settle_ticks=settle)
+def test_order_key_admits_one_request_at_a_time(outcome, settle_ticks):
+    harness = GatewayHarness([ORDERED], max_attempts=1, settle_ticks=settle_ticks)
     first, second, other = (
         harness.submit_request(order_key=5),
         harness.submit_request(order_key=5),
@@ -141,17 +144,17 @@
     )
     assert first.attempts and not second.attempts and other.attempts
     harness.finish_attempt(first.attempts[0], outcome)
-    assert bool(second.attempts) == (not settle)
-    harness.pass_time(settle)
+    assert bool(second.attempts) == (not settle_ticks)
+    harness.pass_time(settle_ticks)
     assert second.attempts
-    # The next of a key was sent before the end of the one before it was said.
-    said = [(what, tag) for what, tag, _ in harness.calls]
-    assert outcome == AttemptOutcome.SUCCEEDED or said.index(
+    # Guards against the next request of a key being sent before the previous one was rejected.
+    calls = [(name, reference) for name, reference, _ in harness.calls]
+    assert outcome == AttemptOutcome.SUCCEEDED or calls.index(
         ("reject", first.host_reference)
-    ) < said.index(("send_attempt", second.host_reference))
+    ) < calls.index(("send_attempt", second.host_reference))
 
 
-def test_order_waits_for_outcomes_of_the_ended():
+def test_order_key_waits_for_the_outcome_of_a_request_that_has_ended():
     harness = GatewayHarness([ORDERED])
     first = harness.submit_request(order_key=5, time_to_deadline=SECOND)
     harness.pass_time(SECOND)
@@ -161,7 +164,7 @@
     assert second.attempts
 
 
-def test_a_line_rejects_requests_that_can_no_longer_start_in_time():
+def test_key_order_queue_rejects_requests_that_can_no_longer_start_in_time():
     harness = GatewayHarness([ORDERED])
     first, second = harness.submit_request(order_key=5), harness.submit_request(order_key=5)
     harness.pass_time(2 * SECOND)
@@ -171,68 +174,67 @@
     assert third.attempts and not second.attempts
 
 
-def test_placement_holds_when_the_allowed_are_down():
+def test_engine_kinds_of_a_class_hold_while_all_allowed_engines_are_gone():
     harness = GatewayHarness([{**QUICK_CLASS, "engine_kinds": (1,)}, QUICK_CLASS])
     harness.update_engines(harness.engines[1], state=EngineState.GONE)
-    bound, free = harness.submit_request(), harness.submit_request(1)
+    restricted, unrestricted = harness.submit_request(), harness.submit_request(1)
     harness.pass_time(4 * SECOND)
-    assert not bound.attempts and free.attempts and bound.is_finished
+    assert not restricted.attempts and unrestricted.attempts and restricted.is_finished
 
 
 @pytest.mark.parametrize(
-    "taken, floor, share, most", [(10, 3.0, 0.1, 4), (1, 0.0, 0.1, 0), (30, 0.0, 0.5, 15)]
+    "request_count, floor, share, expected_retries",
+    [(10, 3.0, 0.1, 4), (1, 0.0, 0.1, 0), (30, 0.0, 0.5, 15)],
 )
-def test_the_retry_budget_bounds_retries(taken, floor, share, most):
+def test_retry_budget_limits_retries(request_count, floor, share, expected_retries):
     harness = GatewayHarness(retry_floor=floor, retry_share=share, retry_window_ticks=5 * SECOND)
-    for _ in range(taken):
+    for _ in range(request_count):
         harness.finish_attempt(harness.submit_request().attempts[0])
-    requests = [
-        harness.submit_request() for _ in range(taken)
-    ]  # what was never any use buys nothing
+    # These requests do not succeed, so they add nothing to the retry budget.
+    requests = [harness.submit_request() for _ in range(request_count)]
     for request in requests:
         harness.finish_attempt(request.attempts[0], AttemptOutcome.TIMED_OUT)
-    assert sum(len(s.attempts) - 1 for s in requests) == most
+    assert sum(len(each.attempts) - 1 for each in requests) == expected_retries
 
 
-def test_the_key_may_have_expired_by_the_time_a_connection_is_up():
+def test_retry_does_not_start_if_its_key_expired_while_it_waited_for_a_connection():
     harness = GatewayHarness(
         [{**QUICK_CLASS, "repeatability": Repeatability.KEYED, "key_ttl": 2 * SECOND}]
     )
     request = harness.submit_request()
     harness.finish_attempt(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
-    again = request.attempts[1]
-    assert harness.gateway.can_start_attempt(again)
+    retry = request.attempts[1]
+    assert harness.gateway.can_start_attempt(retry)
     harness.now += 2 * SECOND
-    assert not harness.gateway.can_start_attempt(again)
+    assert not harness.gateway.can_start_attempt(retry)
 
 
-@pytest.mark.parametrize("change", ["drain", "anew", "aside", "over"])
-def test_what_an_attempt_depends_on_may_have_changed_by_the_time_a_connection_is_up(change):
+@pytest.mark.parametrize("change", ["drain", "restart", "cordon", "client_left"])
+def test_attempt_does_not_start_if_its_conditions_changed_while_it_waited(change):
     harness = GatewayHarness(engines=1)
     request = harness.submit_request()
     assert harness.gateway.can_start_attempt(request.attempts[0])
     engine = harness.engines[0]
     if change == "drain":
         harness.update_engines(engine, state=EngineState.DRAINING)
-    elif change == "anew":
+    elif change == "restart":
         harness.update_engines(engine, started=harness.now)
-    elif change == "aside":
+    elif change == "cordon":
         harness.gateway.on_engine_cordon(engine, 1)
     else:
         harness.gateway.on_client_left(request)
     assert not harness.gateway.can_start_attempt(request.attempts[0])
 
 
-def test_a_retry_counts_in_the_budget_from_when_it_begins():
+def test_retry_counts_in_the_budget_from_its_start():
     harness = GatewayHarness(retry_floor=2.0, retry_window_ticks=5 * SECOND)
     requests = [harness.submit_request(), harness.submit_request()]
     for request in requests:
         harness.finish_attempt(request.attempts[0], AttemptOutcome.CONNECTION_RESET)
-    begun = harness.now
+    started_at = harness.now
     harness.now += 1_000
     assert harness.gateway.can_start_attempt(requests[0].attempts[1])
-    assert harness.gateway.retry_budget.retry_times == [begun, begun + 1_000]
-    harness.gateway.retry_budget.throttle = (
-        0.5  # a storm: the budget is one by now, and that is used
-    )
+    assert harness.gateway.retry_budget.retry_times == [started_at, started_at + 1_000]
+    # In a retry storm, the throttle lowers the budget to one retry, which is used already.
+    harness.gateway.retry_budget.throttle = 0.5
     assert not harness.gateway.can_start_attempt(requests[1].attempts[1])
