--- a/corkgauge/testkit/emulators/clients.py
+++ b/corkgauge/testkit/emulators/clients.py
@@ -232,7 +232,10 @@
         """Do nothing: the client never waits for its output."""
 
     def on_closed(self, why: str) -> None:
-        """Excuse requests that were not written completely, and queue retries of the others."""
+        """Excuse requests that were not written completely, and queue retries of the others.
+
+        The gateway never accepted a request that it received only in part.
+        """
         for request in self.open_requests.values():
             if request.end_offset > self.connection.bytes_sent:
                 request.excuse = request.excuse or "not written"
--- a/corkgauge/testkit/emulators/engines.py
+++ b/corkgauge/testkit/emulators/engines.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class ReceivedAttempt:
-    """Records one attempt that an engine received; times are in ticks of the event loop."""
+    """Records one attempt that an engine received; times are in ticks of the system clock."""
 
     engine: str
     kind: str
