--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -47,7 +47,7 @@
     from rich.text import Text
 
     from corkgauge.commands import tables
-    from corkgauge.testkit.faults.script import read
+    from corkgauge.testkit.faults.script import parse_script
     from corkgauge.testkit.fleet.day import Day
 
     progress = Progress(
@@ -69,7 +69,11 @@
             )
 
         day = Day(
-            seed, read(FAULT_SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=on_scrape
+            seed,
+            parse_script(FAULT_SCRIPT, ["e1", "e2", "e3", "e4"]),
+            rate=rate,
+            scrapes=4,
+            seen=on_scrape,
         )
         start_ticks = day.event_loop.now
         try:
@@ -103,9 +107,7 @@
 
 
 def _describe_faults(day: object, now_seconds: float) -> str:
-    faults = [
-        f"{engine.name} {engine.trouble}" for engine in day.engines.values() if engine.trouble
-    ]
+    faults = [f"{engine.name} {engine.fault}" for engine in day.engines.values() if engine.fault]
     return f"{now_seconds:5.1f} s  {', '.join(faults) or 'no engine faults':24}"
 
 
@@ -116,8 +118,8 @@
 def _describe_rules(broken_rules: list[str]) -> object:
     from rich.text import Text
 
-    from corkgauge.testkit.checkers.rules import worth_saying
+    from corkgauge.testkit.checkers.rules import summarize_violations
 
     if broken_rules:
-        return Text("\n".join(worth_saying(broken_rules)), style="bold red")
+        return Text("\n".join(summarize_violations(broken_rules)), style="bold red")
     return Text("no rule was broken (7 rules checked)", style="green")
--- a/corkgauge/commands/flows.py
+++ b/corkgauge/commands/flows.py
@@ -143,12 +143,12 @@
         capture_file.close()
     click.echo(
         f"{counts[0]} messages, {counts[1]} records, {counts[2]} missed by sequence number, "
-        f"{len(collector.wrong)} decoding errors",
+        f"{len(collector.errors)} decoding errors",
         err=True,
     )
-    for line in collector.wrong[:5]:
+    for line in collector.errors[:5]:
         click.echo(line, err=True)
-    raise SystemExit(EXIT_FOUND if collector.wrong else 0)
+    raise SystemExit(EXIT_FOUND if collector.errors else 0)
 
 
 def format_row(row: dict[str, Any]) -> str:
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -34,21 +34,21 @@
 def repeat_fault_script(text: str, seconds: float, engines: list[str]) -> list:
     """Return the faults of a script, repeated every `ROUND_SECONDS` for `seconds` seconds."""
     from corkgauge.eventloop.loop import SECOND
-    from corkgauge.testkit.faults.script import Scene, read
+    from corkgauge.testkit.faults.script import FaultEvent, parse_script
 
-    scenes = read(text, engines)
+    scenes = parse_script(text, engines)
     return [
-        Scene(
-            scene.at + round_number * ROUND_SECONDS * SECOND,
-            scene.span,
-            scene.who,
-            scene.trouble,
-            scene.figure,
-            scene.whom,
+        FaultEvent(
+            scene.at_ticks + round_number * ROUND_SECONDS * SECOND,
+            scene.span_ticks,
+            scene.target,
+            scene.fault,
+            scene.level,
+            scene.engine,
         )
         for round_number in range(int(seconds // ROUND_SECONDS) + 1)
         for scene in scenes
-        if scene.at + round_number * ROUND_SECONDS * SECOND < seconds * SECOND
+        if scene.at_ticks + round_number * ROUND_SECONDS * SECOND < seconds * SECOND
     ]
 
 
@@ -90,7 +90,7 @@
     its memory grows by more than 4 MiB.
     """
     from corkgauge.testkit.checkers import rules
-    from corkgauge.testkit.faults.script import Unplayable
+    from corkgauge.testkit.faults.script import ScriptError
     from corkgauge.testkit.fleet.day import Day
 
     engines = [f"e{n}" for n in range(1, 5)]
@@ -98,7 +98,7 @@
         scenes = repeat_fault_script(
             Path(script).read_text() if script else FAULT_SCRIPT, seconds, engines
         )
-    except Unplayable as problem:
+    except ScriptError as problem:
         raise InputError(f"{script}: {problem}") from None
 
     def on_scrape(snapshot: dict) -> None:
@@ -124,7 +124,7 @@
         "scrapes": day.scraped,
         "missed": day.scraper.missed if scrapes else 0,
         "wrong": day.wrong[:20],
-        "broken": rules.worth_saying(broken_rules),
+        "broken": rules.summarize_violations(broken_rules),
         "epochs_closed": closed_epochs,
         "memory_growth": grown_bytes,
         "memory": day.memory[-1] if day.memory else 0,
--- a/corkgauge/testkit/faults/relay.py
+++ b/corkgauge/testkit/faults/relay.py
@@ -1,8 +1,8 @@
-"""Relays between processes on loopback: each way between two fellows has one, and each gateway's way to an
-engine.
+"""Relays datagrams and connections between processes on loopback, and injects network faults.
 
-Owns what happens to a datagram or a connection on its way: lost, late, doubled, out of order, cut
-one way or both. Must never make up a datagram: what it sends again it has carried before.
+There is one relay for each direction between two members, and one for the connections of each
+gateway to an engine. Owns the loss, delay, duplication and reordering of datagrams, and the
+interruption of either direction. Must never invent a datagram: only relayed ones are sent again.
 """
 
 import socket
@@ -13,36 +13,39 @@
 from corkgauge.eventloop.loop import READ, WRITE, EventLoop
 from corkgauge.testkit.seeded_random import SeededRandom
 
-KEPT = 200  # datagrams that may be played again
-PIECE = 65_536
+REPLAYED_DATAGRAM_COUNT = 200  # most recent datagrams, kept for a replay
+RECEIVE_BYTES = 65_536
 
 
-class Way:
-    """One way, from one fellow to another. `loss` and `doubled` are parts of 1, `delay` tenths of a
-    millisecond at most: so what is sent later may come earlier.
+class DatagramRelay:
+    """Relays datagrams in one direction, from one member to another.
+
+    `loss_share` and `duplicate_share` are fractions of the datagrams. Each datagram is delayed by
+    at most `max_delay_ticks`, so that a later datagram may arrive earlier. All datagrams are lost
+    until the time `cut_until`.
     """
 
     def __init__(
         self, event_loop: EventLoop, target: tuple[str, int], chance: SeededRandom
     ) -> None:
         self.event_loop, self.target, self.chance = event_loop, target, chance
-        self.loss = self.doubled = 0.0
-        self.delay = 0
+        self.loss_share = self.duplicate_share = 0.0
+        self.max_delay_ticks = 0
         self.cut_until = 0
-        self.carried = self.lost = 0
-        self.kept: deque[bytes] = deque(maxlen=KEPT)
+        self.sent_count = self.lost_count = 0
+        self.recent: deque[bytes] = deque(maxlen=REPLAYED_DATAGRAM_COUNT)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        event_loop.spawn(self._run)
+        event_loop.spawn(self._relay_datagrams)
 
-    def _run(self) -> None:
+    def _relay_datagrams(self) -> None:
         while True:
             self.event_loop.wait(self.sock.fileno(), READ)
             for _ in range(64):
                 try:
-                    data = self.sock.recv(PIECE)
+                    data = self.sock.recv(RECEIVE_BYTES)
                 except BlockingIOError:
                     break
                 except OSError:
@@ -50,39 +53,43 @@
                 self._carry(data)
 
     def _carry(self, data: bytes) -> None:
-        self.kept.append(data)
-        if self.event_loop.now < self.cut_until or self.chance.within(self.loss):
-            self.lost += 1
+        self.recent.append(data)
+        if self.event_loop.now < self.cut_until or self.chance.happens(self.loss_share):
+            self.lost_count += 1
             return
-        for _ in range(2 if self.chance.within(self.doubled) else 1):
-            if self.delay:
-                self.event_loop.call_later(self.chance.below(self.delay), self.send, data)
+        for _ in range(2 if self.chance.happens(self.duplicate_share) else 1):
+            if self.max_delay_ticks:
+                self.event_loop.call_later(self.chance.below(self.max_delay_ticks), self.send, data)
             else:
                 self.send(data)
 
     def send(self, data: bytes) -> None:
-        self.carried += 1
+        """Send a datagram to the target; a datagram that cannot be sent counts as lost."""
+        self.sent_count += 1
         try:
             self.sock.sendto(data, self.target)
         except OSError:
-            self.lost += 1
+            self.lost_count += 1
 
-    def again(self) -> None:
-        """All that is remembered, as it was, once more."""
-        for data in [*self.kept]:
+    def replay(self) -> None:
+        """Send the most recent datagrams again, unchanged."""
+        for data in [*self.recent]:
             self.send(data)
 
 
-def _ended(sock: Any) -> bool:
-    """Has the other end closed?"""
+def _is_closed_by_peer(sock: Any) -> bool:
+    """Return whether the other end has closed the connection."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return False
 
 
-class Passage:
-    """Connections to one address, carried on to another. While `cut`, nothing passes and nothing is told."""
+class ConnectionRelay:
+    """Relays connections to its address to the target.
+
+    While `cut` is set, no data is relayed, and neither end learns of the interruption.
+    """
 
     def __init__(self, event_loop: EventLoop, target: tuple[str, int]) -> None:
         self.event_loop, self.target, self.cut = event_loop, target, False
@@ -109,7 +116,8 @@
             return near.close()
         ends = [near, far]
         for source, sink in ((near, far), (far, near)):
-            # Each direction waits on a descriptor of its own, as one task parks at one descriptor.
+            # Each direction gets its own descriptors, because only one task may wait at a
+            # descriptor.
             self.event_loop.spawn(
                 self._carry,
                 socket.socket(fileno=socket.dup(source.fileno())),
@@ -125,12 +133,11 @@
                 while self.cut:
                     self.event_loop.sleep(200)
                 try:
-                    data = memoryview(source.recv(PIECE))
+                    data = memoryview(source.recv(RECEIVE_BYTES))
                 except BlockingIOError:
                     continue
-                # What was written into the cut by one that gave up meanwhile is lost with its
-                # connection.
-                if not data or (was_cut and _ended(source)):
+                # Data sent during the cut is lost if its sender closed the connection meanwhile.
+                if not data or (was_cut and _is_closed_by_peer(source)):
                     return
                 while data:
                     try:
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -883,7 +883,9 @@
         site.advance_seconds(1)
     site.close_connections()
     site.advance_seconds(4)
-    assert site.received_octets() == site.carried_octets() > 1000 and site.collectors[0].wrong == []
+    assert (
+        site.received_octets() == site.carried_octets() > 1000 and site.collectors[0].errors == []
+    )
     site.check_balance()
     export_buffer = site.exporter.buffers["first"]
     assert (
@@ -933,7 +935,7 @@
     site.collectors[0].open()
     site.advance_seconds(90)
     export_buffer = site.exporter.buffers["first"]
-    assert site.collectors[0].wrong == [] and site.collectors[0].sessions >= 2
+    assert site.collectors[0].errors == [] and site.collectors[0].session_count >= 2
     assert (
         export_buffer.totals.exported_octets
         == export_buffer.pending.measured_octets
@@ -951,7 +953,7 @@
 
 def test_collector_that_never_reads_is_replaced_by_the_next(tmp_path):
     site = ExportSite(tmp_path, ("tcp", "udp"))
-    site.collectors[0].deaf = True
+    site.collectors[0].ignores_input = True
     site.harness.socket_host.settings.idle_timeout_ticks = 10**9
     for _ in range(400):
         for index in range(250):  # in total more than the socket buffers hold
@@ -973,12 +975,12 @@
 
 def test_collector_that_resets_at_every_template_is_retried_with_growing_backoff(tmp_path):
     site = ExportSite(tmp_path, ("tcp",))
-    site.collectors[0].resets_templates = True
+    site.collectors[0].resets_on_template = True
     site.serve_requests(3)
     site.advance_seconds(20)
-    assert 2 <= site.collectors[0].sessions <= 12  # the backoff grows
+    assert 2 <= site.collectors[0].session_count <= 12  # the backoff grows
     site.check_balance()
-    site.collectors[0].resets_templates = False
+    site.collectors[0].resets_on_template = False
     site.advance_seconds(60)
     export_buffer = site.exporter.buffers["first"]
     assert (
@@ -1170,14 +1172,14 @@
     site.advance_seconds(2)
     site.serve_requests(3)
     site.advance_seconds(3)
-    assert site.received_octets() == site.carried_octets() and site.collectors[0].wrong == []
+    assert site.received_octets() == site.carried_octets() and site.collectors[0].errors == []
     # The files are replaced while the exporter is running.
     renewed = make_certificate(tmp_path, "client", "n1 renewed", ca)
     assert renewed[3].endswith("client.key")
     site.exporter.reload(site.write_settings())
     site.serve_requests(3)
     site.advance_seconds(10)
-    assert site.received_octets() == site.carried_octets() and site.collectors[0].sessions == 2
+    assert site.received_octets() == site.carried_octets() and site.collectors[0].session_count == 2
     site.check_balance()
 
 
