--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 # The users' size, in their words: what is handed to this project, not measured by it.
-SIZE: dict[str, float] = {
+STATED_SIZE: dict[str, float] = {
     "gateways": 870,
     "engines": 1_800,
     "statements": 2_530,
@@ -34,12 +34,14 @@
     "per_database": 1_220,
     "day": 86_400,
 }
-PEAKS = {"mean": 1, "three": 3, "five": 5}  # "several times the mean", worked out for these
-BEFORE = ".before"  # of a key: as it was before the working set
-WITHOUT = ".without-shared"  # of a key: a fleet whose operator file switches findings off
+PEAK_FACTORS = {"mean": 1, "three": 3, "five": 5}  # "several times the mean", worked out for these
+BEFORE_SUFFIX = ".before"  # of a key: as it was before the working set
+WITHOUT_SHARED_SUFFIX = (
+    ".without-shared"  # of a key: a fleet whose operator file switches findings off
+)
 
 
-GROW = (
+SCALED_FIELDS = (
     "gateways",
     "engines",
     "fleet_statements",
@@ -49,16 +51,19 @@
 )
 
 
-class Size(SimpleNamespace):
+class FleetSize(SimpleNamespace):
     """The users' size with `times` as many workload managers and databases; what each has to do stays."""
 
     def __init__(self, times: float = 1.0) -> None:
         super().__init__(
-            **{name: value * (times if name in GROW else 1) for name, value in SIZE.items()}
+            **{
+                name: value * (times if name in SCALED_FIELDS else 1)
+                for name, value in STATED_SIZE.items()
+            }
         )
 
 
-class NotRun(LookupError):
+class NotRunError(LookupError):
     """The key that no run has given yet."""
 
 
@@ -72,16 +77,16 @@
     keys: tuple[str, ...] = ()
 
 
-class Book:
+class RowIndex:
     """The kept rows, read by key and size. `missing` gathers the keys that were asked for and not there."""
 
     def __init__(self, rows: dict[str, dict[str, Any]]) -> None:
-        self.rows, self.missing = rows, set[str]()
+        self.rows, self.missing_keys = rows, set[str]()
 
     def row(self, key: str) -> dict[str, Any]:
         if key not in self.rows:
-            self.missing.add(key)
-            raise NotRun(key)
+            self.missing_keys.add(key)
+            raise NotRunError(key)
         return self.rows[key]
 
     def figure(self, key: str, at: float | None = None) -> Figure:
@@ -99,49 +104,49 @@
         elif "fit" in row:
             value, kind = row["fit"]["base"] + row["fit"]["slope"] * at, "foretold"
         else:
-            raise NotRun(f"{key} at {at:g}")
+            raise NotRunError(f"{key} at {at:g}")
         return Figure(value, row["unit"], kind, (key,))
 
-    def slope(self, key: str) -> Figure:
+    def slope_figure(self, key: str) -> Figure:
         """The cost of one more of what the row goes by."""
         row = self.row(key)
         if "fit" not in row:
-            raise NotRun(f"{key}: a slope")
+            raise NotRunError(f"{key}: a slope")
         return Figure(row["fit"]["slope"], f"{row['unit']} for one more", row["kind"], (key,))
 
-    def work(self, of: "Worked", times: float = 1.0) -> Figure:
+    def evaluate(self, row: "DerivedRow", times: float = 1.0) -> Figure:
         """What a row comes to in a fleet `times` as large. Its kind: of the one figure that it is, unchanged;
         "foretold" where arithmetic joins what runs gave; "paper" where there was no run.
         """
         read: list[Figure] = []
 
-        def ask(key: str, at: float | None = None, slope: bool = False) -> float:
+        def lookup(key: str, at: float | None = None, slope: bool = False) -> float:
             # One that was checked at full size goes before one that is foretold alone; and where
             # the run after the mechanism, or with findings, is missing, the other stands in, under
             # its own name.
             there = (
-                [each for each in (key, key + WITHOUT) if each in self.rows]
-                or [each for each in (key + BEFORE,) if each in self.rows]
+                [each for each in (key, key + WITHOUT_SHARED_SUFFIX) if each in self.rows]
+                or [each for each in (key + BEFORE_SUFFIX,) if each in self.rows]
                 or [key]
             )
             key = next((each for each in there if "checked" in self.rows.get(each, ())), there[0])
-            read.append(self.slope(key) if slope else self.figure(key, at))
+            read.append(self.slope_figure(key) if slope else self.figure(key, at))
             return read[-1].value
 
-        value = float(of.formula(ask, Size(times)))
+        value = float(row.formula(lookup, FleetSize(times)))
         kind = "paper" if not read else "foretold"
         if len(read) == 1 and read[0].value == value:
             kind = read[0].kind
         return Figure(
-            value, of.unit, kind, tuple(dict.fromkeys(key for each in read for key in each.keys))
+            value, row.unit, kind, tuple(dict.fromkeys(key for each in read for key in each.keys))
         )
 
 
-Ask = Callable[..., float]
+Lookup = Callable[..., float]
 
 
 @dataclass(frozen=True)
-class Worked:
+class DerivedRow:
     """One row of the page: `formula` is given `ask(key, at)` and the size of the fleet. `budget` is in the
     row's unit, None: none was stated. `moment`: rest, day, worst; open: a reading of an open word;
     ways: a way that was weighed. `mechanism`: what carries the row, and its file.
@@ -150,14 +155,14 @@
     role: str
     what: str
     unit: str
-    formula: Callable[[Ask, Size], float]
+    formula: Callable[[Lookup, FleetSize], float]
     budget: float | None = None
     moment: str = "day"
     mechanism: str = "none"
 
 
 @dataclass(frozen=True)
-class Missing:
+class MissingMechanism:
     """A mechanism that is not there: the worked-out rows that show it, what it would take (text of the page, with
     tags), whether nothing is served without it, whether there is nothing of it yet. Told where a
     row is over budget.
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -6,16 +6,24 @@
 
 from math import sqrt
 
-from benchmarks.capacity import PEAKS, SIZE, Ask, Missing, Size, Worked
+from benchmarks.capacity import (
+    PEAK_FACTORS,
+    STATED_SIZE,
+    DerivedRow,
+    FleetSize,
+    Lookup,
+    MissingMechanism,
+)
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.maintenance import plan
-from corkgauge.net import discovery_protocol as feed_wire
-from corkgauge.net import platform_frontend as frames
-from corkgauge.peer_health import reports as findings
+from corkgauge.net import discovery_protocol, platform_frontend
+from corkgauge.peer_health import reports as peer_health_reports
 
-TENTH = 0.1  # of all, restarted at a time by a release
-RATE, DAY = SIZE["statements"], SIZE["day"]
-CORE, MEMORY, OCTETS = (SIZE[name] for name in ("core_percent", "memory_mb", "octets"))
+RELEASE_BATCH_FRACTION = 0.1  # of all, restarted at a time by a release
+STATEMENTS_PER_SECOND, DAY_SECONDS = STATED_SIZE["statements"], STATED_SIZE["day"]
+CONTROL_CORE_PERCENT, CONTROL_MEMORY_MB, CONTROL_OCTETS_PER_SECOND = (
+    STATED_SIZE[name] for name in ("core_percent", "memory_mb", "octets")
+)
 SERVING, CONTROL, VOTER, HOLDER = (
     "workload manager, serving",
     "workload manager, control",
@@ -23,682 +31,712 @@
     "holder of a duty",
 )
 PLANNER, FEED, DATABASE, TOOLS = "planner", "list feed", "database", "operator's tools"
-CHOICE = "working set of engines, `corkgauge/policy/gateway.py`"
-HUB, CODEC = "the hub's poll, `corkgauge/eventloop/loop.py`", "frames by hand, `corkgauge/net/`"
-RINGS = "rings that lie empty between requests, `corkgauge/eventloop/ring_buffer.py`"
-RESTART = (
+WORKING_SET_MECHANISM = "working set of engines, `corkgauge/policy/gateway.py`"
+POLL_MECHANISM, FRAME_MECHANISM = (
+    "the hub's poll, `corkgauge/eventloop/loop.py`",
+    "frames by hand, `corkgauge/net/`",
+)
+RING_BUFFER_MECHANISM = (
+    "rings that lie empty between requests, `corkgauge/eventloop/ring_buffer.py`"
+)
+RESTART_MECHANISM = (
     "restart by hand, `corkgauge/daemon/configuration_reload.py` "
     "(`ConfigurationReloader.reload` names what waits)"
 )
-SWIM = "asking one a period, `corkgauge/membership/member_list.py`"
-FINDINGS = "findings of a witness, the last of each, `corkgauge/peer_health/reports.py`"
-LEASES = "leases by votes, `corkgauge/leases/`"
-BOOKS = "the fleet's books, `corkgauge/leases/fleet_accounts.py`"
+MEMBERSHIP_MECHANISM = "asking one a period, `corkgauge/membership/member_list.py`"
+PEER_HEALTH_MECHANISM = (
+    "findings of a witness, the last of each, `corkgauge/peer_health/reports.py`"
+)
+LEASE_MECHANISM = "leases by votes, `corkgauge/leases/`"
+FLEET_ACCOUNTS_MECHANISM = "the fleet's books, `corkgauge/leases/fleet_accounts.py`"
 
 
-def serving(ask: Ask, n: Size, times: float) -> float:
+def serving_core_percent(lookup: Lookup, size: FleetSize, load_factor: float) -> float:
     """Percent of a core that the decisions take."""
-    return ask("alone.decision.engines", n.engines) * n.statements * times / 10
+    return lookup("alone.decision.engines", size.engines) * size.statements * load_factor / 10
 
 
-def busiest(mean: float) -> float:
+def busiest_window_count(mean: float) -> float:
     """Of Poisson's counts with this mean, about the largest among the 864,000 windows of 100 ms of a day."""
     return mean + 4.9 * sqrt(mean)
 
 
-def event(ask: Ask) -> float:
+def octets_per_engine_event(lookup: Lookup) -> float:
     """Octets of one engine in an event of the list."""
-    return ask("settings.list.octets", slope=True)
+    return lookup("settings.list.octets", slope=True)
 
 
-def changes_a_day(n: Size) -> float:
+def list_changes_per_day(size: FleetSize) -> float:
     """Restarts and failures, each told twice (gone, there again)."""
-    return 2 * (n.restarts + n.machine_failures)
+    return 2 * (size.restarts + size.machine_failures)
 
 
-WORKED: dict[str, Worked] = {
+DERIVED_ROWS: dict[str, DerivedRow] = {
     # A workload manager, serving.
-    "serving.decision": Worked(
+    "serving.decision": DerivedRow(
         SERVING,
         "processor of a decision before all engines, against one core for all statements",
         "ms",
-        lambda ask, n: ask("alone.decision.engines", n.engines),
-        1000 / RATE,
+        lambda lookup, size: lookup("alone.decision.engines", size.engines),
+        1000 / STATEMENTS_PER_SECOND,
         "day",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "serving.decisions": Worked(
+    "serving.decisions": DerivedRow(
         SERVING,
         "decisions, mean traffic",
         "% of a core",
-        lambda ask, n: serving(ask, n, 1),
+        lambda lookup, size: serving_core_percent(lookup, size, 1),
         100,
         "day",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "serving.decisions.three": Worked(
+    "serving.decisions.three": DerivedRow(
         SERVING,
         "decisions, three times the mean",
         "% of a core",
-        lambda ask, n: serving(ask, n, PEAKS["three"]),
+        lambda lookup, size: serving_core_percent(lookup, size, PEAK_FACTORS["three"]),
         100,
         "worst",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "serving.decisions.five": Worked(
+    "serving.decisions.five": DerivedRow(
         SERVING,
         "decisions, five times the mean",
         "% of a core",
-        lambda ask, n: serving(ask, n, PEAKS["five"]),
+        lambda lookup, size: serving_core_percent(lookup, size, PEAK_FACTORS["five"]),
         100,
         "worst",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "serving.statement": Worked(
+    "serving.statement": DerivedRow(
         SERVING,
         "a whole statement on sockets, frames read and written, before all engines",
         "ms",
-        lambda ask, n: ask("alone.statement.sockets", n.engines),
-        1000 / RATE,
+        lambda lookup, size: lookup("alone.statement.sockets", size.engines),
+        1000 / STATEMENTS_PER_SECOND,
         "day",
-        f"{CODEC}; {CHOICE}",
+        f"{FRAME_MECHANISM}; {WORKING_SET_MECHANISM}",
     ),
-    "serving.cores": Worked(
+    "serving.cores": DerivedRow(
         SERVING,
         "whole statements, mean traffic",
         "% of a core",
-        lambda ask, n: ask("alone.statement.sockets", n.engines) * n.statements / 10,
+        lambda lookup, size: lookup("alone.statement.sockets", size.engines) * size.statements / 10,
         100,
         "day",
-        f"{CODEC}; {CHOICE}",
+        f"{FRAME_MECHANISM}; {WORKING_SET_MECHANISM}",
     ),
-    "serving.cores.three": Worked(
+    "serving.cores.three": DerivedRow(
         SERVING,
         "whole statements, three times the mean",
         "% of a core",
-        lambda ask, n: ask("alone.statement.sockets", n.engines)
-        * n.statements
-        * PEAKS["three"]
+        lambda lookup, size: lookup("alone.statement.sockets", size.engines)
+        * size.statements
+        * PEAK_FACTORS["three"]
         / 10,
         100,
         "worst",
-        f"{CODEC}; {CHOICE}",
+        f"{FRAME_MECHANISM}; {WORKING_SET_MECHANISM}",
     ),
-    "serving.cores.zone": Worked(
+    "serving.cores.zone": DerivedRow(
         SERVING,
         "whole statements, a zone lost during a release of a tenth, spread over all others",
         "% of a core",
-        lambda ask, n: ask("alone.statement.sockets", n.engines)
-        * n.statements
+        lambda lookup, size: lookup("alone.statement.sockets", size.engines)
+        * size.statements
         / 10
-        / (1 - 1 / n.zones - TENTH),
+        / (1 - 1 / size.zones - RELEASE_BATCH_FRACTION),
         100,
         "worst",
-        f"{CODEC}; {CHOICE}",
+        f"{FRAME_MECHANISM}; {WORKING_SET_MECHANISM}",
     ),
-    "serving.burst": Worked(
+    "serving.burst": DerivedRow(
         SERVING,
         "decisions of the busiest 100 ms of a day, were statements independent: the mean and 4.9 roots of it",
         "ms",
-        lambda ask, n: ask("alone.decision.engines", n.engines) * busiest(n.statements / 10),
+        lambda lookup, size: lookup("alone.decision.engines", size.engines)
+        * busiest_window_count(size.statements / 10),
         100,
         "worst",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "serving.turn": Worked(
+    "serving.turn": DerivedRow(
         SERVING,
         "one turn of the hub over all client connections and one link to each engine",
         "ms",
-        lambda ask, n: ask("alone.turn.descriptors", n.connections + n.engines),
-        1000 / RATE,
+        lambda lookup, size: lookup("alone.turn.descriptors", size.connections + size.engines),
+        1000 / STATEMENTS_PER_SECOND,
         "day",
-        HUB,
+        POLL_MECHANISM,
     ),
-    "serving.memory.clients": Worked(
+    "serving.memory.clients": DerivedRow(
         SERVING,
         "client connections, quiet",
         "MB",
-        lambda ask, n: ask("alone.memory.clients", n.connections) / 1024,
-        MEMORY,
+        lambda lookup, size: lookup("alone.memory.clients", size.connections) / 1024,
+        CONTROL_MEMORY_MB,
         "rest",
-        RINGS,
+        RING_BUFFER_MECHANISM,
     ),
-    "serving.memory.links": Worked(
+    "serving.memory.links": DerivedRow(
         SERVING,
         "one link to each engine of the list, quiet",
         "MB",
-        lambda ask, n: ask("alone.memory.links", n.engines) / 1024,
-        MEMORY,
+        lambda lookup, size: lookup("alone.memory.links", size.engines) / 1024,
+        CONTROL_MEMORY_MB,
         "rest",
-        RINGS,
+        RING_BUFFER_MECHANISM,
     ),
-    "serving.memory.links.set": Worked(
+    "serving.memory.links.set": DerivedRow(
         SERVING,
         "one link to each engine of the largest working set, quiet",
         "MB",
-        lambda ask, n: ask("alone.memory.links", ask("subset.ours.size_most")) / 1024,
-        MEMORY,
+        lambda lookup, size: lookup("alone.memory.links", lookup("subset.ours.size_most")) / 1024,
+        CONTROL_MEMORY_MB,
         "rest",
-        RINGS,
+        RING_BUFFER_MECHANISM,
     ),
-    "serving.memory.open": Worked(
+    "serving.memory.open": DerivedRow(
         SERVING,
         "requests open for two seconds at three times the mean",
         "MB",
-        lambda ask, n: ask("alone.memory.open", 2 * n.statements * PEAKS["three"]) / 1024,
-        MEMORY,
+        lambda lookup, size: lookup(
+            "alone.memory.open", 2 * size.statements * PEAK_FACTORS["three"]
+        )
+        / 1024,
+        CONTROL_MEMORY_MB,
         "worst",
-        RINGS,
+        RING_BUFFER_MECHANISM,
     ),
-    "serving.descriptors": Worked(
+    "serving.descriptors": DerivedRow(
         SERVING,
         "descriptors: clients and a link to each engine; clients get half of `sockets`, links a third",
         "descriptors",
-        lambda ask, n: max(2 * n.connections, 3 * n.engines),
+        lambda lookup, size: max(2 * size.connections, 3 * size.engines),
         None,
         "rest",
         "`limits.sockets`, `corkgauge/net/host.py`",
     ),
-    "serving.change": Worked(
+    "serving.change": DerivedRow(
         SERVING,
         "changes of the list by restarts and failures, decisions anew with them",
         "% of a core",
-        lambda ask, n: ask("alone.decision.change", n.engines) * changes_a_day(n) / DAY / 10,
-        CORE,
+        lambda lookup, size: lookup("alone.decision.change", size.engines)
+        * list_changes_per_day(size)
+        / DAY_SECONDS
+        / 10,
+        CONTROL_CORE_PERCENT,
         "day",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "serving.ready": Worked(
+    "serving.ready": DerivedRow(
         SERVING,
         "start to ready with the whole list, processor",
         "s",
-        lambda ask, n: ask("alone.ready.engines", n.engines),
-        SIZE["change_s"],
+        lambda lookup, size: lookup("alone.ready.engines", size.engines),
+        STATED_SIZE["change_s"],
         "day",
         "`corkgauge/daemon/process.py`",
     ),
-    "serving.ready.tenth": Worked(
+    "serving.ready.tenth": DerivedRow(
         SERVING,
         "start to ready with the whole list, with a tenth of a core",
         "s",
-        lambda ask, n: ask("alone.ready.engines.tenth", n.engines),
-        SIZE["primary_s"],
+        lambda lookup, size: lookup("alone.ready.engines.tenth", size.engines),
+        STATED_SIZE["primary_s"],
         "worst",
         "`corkgauge/daemon/process.py`",
     ),
     # Control of a workload manager, apart from serving.
-    "control.list.memory": Worked(
+    "control.list.memory": DerivedRow(
         CONTROL,
         "the list of engines with what is known of each",
         "MB",
-        lambda ask, n: ask("alone.memory.engines", n.engines) / 1024,
-        MEMORY,
+        lambda lookup, size: lookup("alone.memory.engines", size.engines) / 1024,
+        CONTROL_MEMORY_MB,
         "rest",
         "`corkgauge/policy/records.py` (`View`)",
     ),
-    "control.list.start": Worked(
+    "control.list.start": DerivedRow(
         CONTROL,
         "the whole list, taken in at a start",
         "ms",
-        lambda ask, n: ask("alone.list.start", n.engines),
-        SIZE["change_s"] * 1000,
+        lambda lookup, size: lookup("alone.list.start", size.engines),
+        STATED_SIZE["change_s"] * 1000,
         "day",
         "`corkgauge/net/host.py`",
     ),
-    "control.list.day": Worked(
+    "control.list.day": DerivedRow(
         CONTROL,
         "changes of the list by restarts and failures, read and taken in",
         "% of a core",
-        lambda ask, n: ask("alone.list.change", n.engines) * changes_a_day(n) / DAY / 10,
-        CORE,
+        lambda lookup, size: lookup("alone.list.change", size.engines)
+        * list_changes_per_day(size)
+        / DAY_SECONDS
+        / 10,
+        CONTROL_CORE_PERCENT,
         "day",
         "events of what changed, `corkgauge/net/discovery.py`",
     ),
-    "control.list.octets": Worked(
+    "control.list.octets": DerivedRow(
         CONTROL,
         "events of the list by restarts and failures",
         "octets a second",
-        lambda ask, n: event(ask) * changes_a_day(n) / DAY,
-        OCTETS,
+        lambda lookup, size: octets_per_engine_event(lookup)
+        * list_changes_per_day(size)
+        / DAY_SECONDS,
+        CONTROL_OCTETS_PER_SECOND,
         "day",
         "`corkgauge/net/discovery.py`",
     ),
-    "control.list.zone": Worked(
+    "control.list.zone": DerivedRow(
         CONTROL,
         "the list as a zone of all engines is lost and told within ten seconds",
         "octets a second",
-        lambda ask, n: event(ask) * n.engines / n.zones / 10,
-        OCTETS,
+        lambda lookup, size: octets_per_engine_event(lookup) * size.engines / size.zones / 10,
+        CONTROL_OCTETS_PER_SECOND,
         "worst",
         "`corkgauge/net/discovery.py`",
     ),
-    "control.restart.processor": Worked(
+    "control.restart.processor": DerivedRow(
         CONTROL,
         "configuration by restart, all changes of a day: processor",
         "% of a core",
-        lambda ask, n: ask("settings.restart.processor", n.engines) * n.changes / DAY * 100,
-        CORE,
+        lambda lookup, size: lookup("settings.restart.processor", size.engines)
+        * size.changes
+        / DAY_SECONDS
+        * 100,
+        CONTROL_CORE_PERCENT,
         "day",
-        RESTART,
+        RESTART_MECHANISM,
     ),
-    "control.restart.unready": Worked(
+    "control.restart.unready": DerivedRow(
         CONTROL,
         "configuration by restart: serves nobody, part of the day",
         "%",
-        lambda ask, n: ask("settings.restart.unready", n.engines) * n.changes / DAY * 100,
+        lambda lookup, size: lookup("settings.restart.unready", size.engines)
+        * size.changes
+        / DAY_SECONDS
+        * 100,
         None,
         "day",
-        RESTART,
+        RESTART_MECHANISM,
     ),
-    "control.restart.octets": Worked(
+    "control.restart.octets": DerivedRow(
         CONTROL,
         "configuration by restart: what the restarts of all the others cost each in datagrams, mean",
         "octets a second",
-        lambda ask, n: ask("fleet.restart.octets", n.gateways) * n.changes / DAY,
-        OCTETS,
+        lambda lookup, size: lookup("fleet.restart.octets", size.gateways)
+        * size.changes
+        / DAY_SECONDS,
+        CONTROL_OCTETS_PER_SECOND,
         "day",
-        RESTART,
+        RESTART_MECHANISM,
     ),
-    "control.restart.drain": Worked(
+    "control.restart.drain": DerivedRow(
         CONTROL,
         "configuration by restart: serves nobody new, while what is open may take its time",
         "s",
-        lambda ask, n: ask("settings.restart.unready", n.engines)
-        + frames.MAX_SHUTDOWN_WAIT_TICKS / SECOND,
-        SIZE["change_s"],
+        lambda lookup, size: lookup("settings.restart.unready", size.engines)
+        + platform_frontend.MAX_SHUTDOWN_WAIT_TICKS / SECOND,
+        STATED_SIZE["change_s"],
         "day",
-        RESTART,
+        RESTART_MECHANISM,
     ),
-    "control.restart.connections": Worked(
+    "control.restart.connections": DerivedRow(
         CONTROL,
         "configuration by restart: client connections made anew at all, mean",
         "a second",
-        lambda ask, n: n.fleet_connections * n.changes / DAY,
+        lambda lookup, size: size.fleet_connections * size.changes / DAY_SECONDS,
         None,
         "day",
-        RESTART,
+        RESTART_MECHANISM,
     ),
-    "control.change": Worked(
+    "control.change": DerivedRow(
         CONTROL,
         "a change in force everywhere by restarts of a tenth at a time, ten after each other",
         "s",
-        lambda ask, n: 10 * ask("settings.restart.unready", n.engines),
-        SIZE["change_s"],
+        lambda lookup, size: 10 * lookup("settings.restart.unready", size.engines),
+        STATED_SIZE["change_s"],
         "day",
-        RESTART,
+        RESTART_MECHANISM,
     ),
-    "control.change.octets": Worked(
+    "control.change.octets": DerivedRow(
         CONTROL,
         "configuration as a whole to each at each change, 20 classes, 1,000 tenants",
         "octets a second",
-        lambda ask, n: ask("settings.octets.whole") * n.changes / DAY,
-        OCTETS,
+        lambda lookup, size: lookup("settings.octets.whole") * size.changes / DAY_SECONDS,
+        CONTROL_OCTETS_PER_SECOND,
         "day",
         "none",
     ),
-    "control.change.burst": Worked(
+    "control.change.burst": DerivedRow(
         CONTROL,
         "configuration as a whole to each within the five seconds",
         "octets a second",
-        lambda ask, n: ask("settings.octets.whole") / n.change_s,
-        OCTETS,
+        lambda lookup, size: lookup("settings.octets.whole") / size.change_s,
+        CONTROL_OCTETS_PER_SECOND,
         "worst",
         "none",
     ),
-    "control.change.gossip": Worked(
+    "control.change.gossip": DerivedRow(
         CONTROL,
         "a change as a delta by gossip, fan-out three, a tenth of all datagrams lost: until all have it",
         "s",
-        lambda ask, n: ask("settings.gossip.delta.time.f3.loss10", n.gateways),
-        SIZE["change_s"],
+        lambda lookup, size: lookup("settings.gossip.delta.time.f3.loss10", size.gateways),
+        STATED_SIZE["change_s"],
         "ways",
         "none (simulated)",
     ),
-    "control.change.gossip.octets": Worked(
+    "control.change.gossip.octets": DerivedRow(
         CONTROL,
         "a change as a delta by gossip, fan-out three, a tenth lost: busiest second of one member",
         "octets a second",
-        lambda ask, n: ask("settings.gossip.delta.peak.f3.loss10", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("settings.gossip.delta.peak.f3.loss10", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "ways",
         "none (simulated)",
     ),
     # A member of the fleet: the datagrams of membership, duties, maintenance and findings.
-    "control.rest.octets": Worked(
+    "control.rest.octets": DerivedRow(
         CONTROL,
         "datagrams at rest, sent and received, mean",
         "octets a second",
-        lambda ask, n: ask("fleet.rest.octets", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.rest.octets", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "rest",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.rest.octets.worst": Worked(
+    "control.rest.octets.worst": DerivedRow(
         CONTROL,
         "datagrams at rest, sent and received, the worst member",
         "octets a second",
-        lambda ask, n: ask("fleet.rest.octets.worst", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.rest.octets.worst", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "rest",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.rest.datagrams": Worked(
+    "control.rest.datagrams": DerivedRow(
         CONTROL,
         "datagrams at rest, sent and received, mean",
         "a second",
-        lambda ask, n: ask("fleet.rest.datagrams", n.gateways),
+        lambda lookup, size: lookup("fleet.rest.datagrams", size.gateways),
         None,
         "rest",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.rest.sum": Worked(
+    "control.rest.sum": DerivedRow(
         CONTROL,
         "octets sent at rest, by all",
         "octets a second",
-        lambda ask, n: ask("fleet.rest.octets.sum", n.gateways),
-        SIZE["fleet_octets"],
+        lambda lookup, size: lookup("fleet.rest.octets.sum", size.gateways),
+        STATED_SIZE["fleet_octets"],
         "rest",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.rest.processor": Worked(
+    "control.rest.processor": DerivedRow(
         CONTROL,
         "processor at rest, with the kernel's part, mean",
         "% of a core",
-        lambda ask, n: ask("fleet.rest.processor", n.gateways),
-        CORE,
+        lambda lookup, size: lookup("fleet.rest.processor", size.gateways),
+        CONTROL_CORE_PERCENT,
         "rest",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.rest.processor.worst": Worked(
+    "control.rest.processor.worst": DerivedRow(
         CONTROL,
         "processor at rest, the worst member without a duty",
         "% of a core",
-        lambda ask, n: ask("fleet.rest.processor.worst", n.gateways),
-        CORE,
+        lambda lookup, size: lookup("fleet.rest.processor.worst", size.gateways),
+        CONTROL_CORE_PERCENT,
         "rest",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.rest.memory": Worked(
+    "control.rest.memory": DerivedRow(
         CONTROL,
         "memory of a member, over an empty process",
         "MB",
-        lambda ask, n: ask("fleet.rest.memory", n.gateways),
-        MEMORY,
+        lambda lookup, size: lookup("fleet.rest.memory", size.gateways),
+        CONTROL_MEMORY_MB,
         "rest",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.restarts.octets": Worked(
+    "control.restarts.octets": DerivedRow(
         CONTROL,
         "restarts of a day: what they cost each of the others, mean",
         "octets a second",
-        lambda ask, n: ask("fleet.restart.octets", n.gateways) * n.restarts / DAY / n.gateways,
-        OCTETS,
+        lambda lookup, size: lookup("fleet.restart.octets", size.gateways)
+        * size.restarts
+        / DAY_SECONDS
+        / size.gateways,
+        CONTROL_OCTETS_PER_SECOND,
         "day",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.release.octets": Worked(
+    "control.release.octets": DerivedRow(
         CONTROL,
         "a release: a tenth restarted within ten seconds, mean of thirty seconds",
         "octets a second",
-        lambda ask, n: ask("fleet.release.octets", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.release.octets", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "day",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.release.octets.worst": Worked(
+    "control.release.octets.worst": DerivedRow(
         CONTROL,
         "a release: a tenth restarted within ten seconds, the worst member",
         "octets a second",
-        lambda ask, n: ask("fleet.release.octets.worst", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.release.octets.worst", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.start.octets": Worked(
+    "control.start.octets": DerivedRow(
         CONTROL,
         "all start within a second: first ten seconds, mean",
         "octets a second",
-        lambda ask, n: ask("fleet.start.octets", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.start.octets", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.start.time": Worked(
+    "control.start.time": DerivedRow(
         CONTROL,
         "all start within a second: until all know all",
         "s",
-        lambda ask, n: ask("fleet.start.time", n.gateways),
+        lambda lookup, size: lookup("fleet.start.time", size.gateways),
         None,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.machine.known": Worked(
+    "control.machine.known": DerivedRow(
         CONTROL,
         "a machine lost: until all hold it gone",
         "s",
-        lambda ask, n: ask("fleet.known.time", n.gateways),
+        lambda lookup, size: lookup("fleet.known.time", size.gateways),
         None,
         "day",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.rack.known": Worked(
+    "control.rack.known": DerivedRow(
         CONTROL,
         "a rack lost: until all hold it gone",
         "s",
-        lambda ask, n: ask("fleet.rack.known", n.gateways),
+        lambda lookup, size: lookup("fleet.rack.known", size.gateways),
         None,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.zone.octets": Worked(
+    "control.zone.octets": DerivedRow(
         CONTROL,
         "a zone lost: while it becomes known, mean",
         "octets a second",
-        lambda ask, n: ask("fleet.zone.octets", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.zone.octets", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.zone.known": Worked(
+    "control.zone.known": DerivedRow(
         CONTROL,
         "a zone lost: until all hold it gone",
         "s",
-        lambda ask, n: ask("fleet.zone.known", n.gateways),
+        lambda lookup, size: lookup("fleet.zone.known", size.gateways),
         None,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.zone.release": Worked(
+    "control.zone.release": DerivedRow(
         CONTROL,
         "a zone lost during a release: octets of both at once, mean",
         "octets a second",
-        lambda ask, n: ask("fleet.zone.octets", n.gateways)
-        + ask("fleet.release.octets", n.gateways)
-        - ask("fleet.rest.octets", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.zone.octets", size.gateways)
+        + lookup("fleet.release.octets", size.gateways)
+        - lookup("fleet.rest.octets", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.region.octets": Worked(
+    "control.region.octets": DerivedRow(
         CONTROL,
         "a region healed after a cut: first ten seconds, mean",
         "octets a second",
-        lambda ask, n: ask("fleet.region.octets", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.region.octets", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.region.healed": Worked(
+    "control.region.healed": DerivedRow(
         CONTROL,
         "a region healed after a cut: until all know all",
         "s",
-        lambda ask, n: ask("fleet.region.healed", n.gateways),
+        lambda lookup, size: lookup("fleet.region.healed", size.gateways),
         None,
         "worst",
-        SWIM,
+        MEMBERSHIP_MECHANISM,
     ),
-    "control.findings.memory": Worked(
+    "control.findings.memory": DerivedRow(
         CONTROL,
         "findings of twenty others on every engine",
         "MB",
-        lambda ask, n: ask("fleet.findings.engines", n.engines),
-        MEMORY,
+        lambda lookup, size: lookup("fleet.findings.engines", size.engines),
+        CONTROL_MEMORY_MB,
         "worst",
-        FINDINGS,
+        PEER_HEALTH_MECHANISM,
     ),
-    "control.findings.forget": Worked(
+    "control.findings.forget": DerivedRow(
         CONTROL,
         "findings of twenty others on every engine: looks for old ones, four a second",
         "% of a core",
-        lambda ask, n: ask("fleet.findings.forget", n.engines) * 4 / 10,
-        CORE,
+        lambda lookup, size: lookup("fleet.findings.forget", size.engines) * 4 / 10,
+        CONTROL_CORE_PERCENT,
         "worst",
-        FINDINGS,
+        PEER_HEALTH_MECHANISM,
     ),
-    "control.findings.digest": Worked(
+    "control.findings.digest": DerivedRow(
         CONTROL,
         "findings of twenty others on every engine: comparisons, one in 1.5 s",
         "% of a core",
-        lambda ask, n: ask("fleet.findings.digest", n.engines) / 1.5 / 10,
-        CORE,
+        lambda lookup, size: lookup("fleet.findings.digest", size.engines) / 1.5 / 10,
+        CONTROL_CORE_PERCENT,
         "worst",
-        FINDINGS,
+        PEER_HEALTH_MECHANISM,
     ),
-    "control.findings.merge": Worked(
+    "control.findings.merge": DerivedRow(
         CONTROL,
         "findings of twenty others on every engine: heard a first time, all",
         "ms of processor",
-        lambda ask, n: ask("fleet.findings.merge", n.engines),
+        lambda lookup, size: lookup("fleet.findings.merge", size.engines),
         None,
         "worst",
-        FINDINGS,
+        PEER_HEALTH_MECHANISM,
     ),
     # Voters, holders, planner.
-    "voter.rest.octets": Worked(
+    "voter.rest.octets": DerivedRow(
         VOTER,
         "datagrams at rest, sent and received",
         "octets a second",
-        lambda ask, n: ask("fleet.rest.octets.voter", n.gateways),
-        SIZE["fleet_octets"] / SIZE["machines"],
+        lambda lookup, size: lookup("fleet.rest.octets.voter", size.gateways),
+        STATED_SIZE["fleet_octets"] / STATED_SIZE["machines"],
         "rest",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "voter.rest.datagrams": Worked(
+    "voter.rest.datagrams": DerivedRow(
         VOTER,
         "datagrams at rest, sent and received",
         "a second",
-        lambda ask, n: ask("fleet.rest.datagrams.voter", n.gateways),
+        lambda lookup, size: lookup("fleet.rest.datagrams.voter", size.gateways),
         None,
         "rest",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "voter.rest.processor": Worked(
+    "voter.rest.processor": DerivedRow(
         VOTER,
         "processor at rest, against one core of a machine set aside",
         "% of a core",
-        lambda ask, n: ask("fleet.rest.processor.voter", n.gateways),
+        lambda lookup, size: lookup("fleet.rest.processor.voter", size.gateways),
         100,
         "rest",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "voter.rest.memory": Worked(
+    "voter.rest.memory": DerivedRow(
         VOTER,
         "memory, over an empty process",
         "MB",
-        lambda ask, n: ask("fleet.rest.memory.voter", n.gateways),
-        MEMORY,
+        lambda lookup, size: lookup("fleet.rest.memory.voter", size.gateways),
+        CONTROL_MEMORY_MB,
         "rest",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "voter.handover.burst": Worked(
+    "voter.handover.burst": DerivedRow(
         VOTER,
         "datagrams in the worst 100 ms as the holder's machine is lost",
         "datagrams",
-        lambda ask, n: ask("fleet.handover.lost.burst", n.gateways),
+        lambda lookup, size: lookup("fleet.handover.lost.burst", size.gateways),
         None,
         "worst",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "voter.handover.planned.burst": Worked(
+    "voter.handover.planned.burst": DerivedRow(
         VOTER,
         "datagrams in the worst 100 ms of a planned hand-over",
         "datagrams",
-        lambda ask, n: ask("fleet.handover.planned.burst", n.gateways),
+        lambda lookup, size: lookup("fleet.handover.planned.burst", size.gateways),
         None,
         "day",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "holder.handover.lost": Worked(
+    "holder.handover.lost": DerivedRow(
         HOLDER,
         "its machine lost: nobody holds the duty",
         "s",
-        lambda ask, n: ask("fleet.handover.lost", n.gateways),
-        SIZE["primary_s"],
+        lambda lookup, size: lookup("fleet.handover.lost", size.gateways),
+        STATED_SIZE["primary_s"],
         "worst",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "holder.handover.planned": Worked(
+    "holder.handover.planned": DerivedRow(
         HOLDER,
         "it ends in order: nobody holds the duty",
         "s",
-        lambda ask, n: ask("fleet.handover.planned", n.gateways),
-        SIZE["primary_s"],
+        lambda lookup, size: lookup("fleet.handover.planned", size.gateways),
+        STATED_SIZE["primary_s"],
         "day",
-        LEASES,
+        LEASE_MECHANISM,
     ),
-    "holder.rest.octets": Worked(
+    "holder.rest.octets": DerivedRow(
         HOLDER,
         "datagrams at rest, of the holder that has more",
         "octets a second",
-        lambda ask, n: ask("fleet.rest.octets.holder", n.gateways),
-        OCTETS,
+        lambda lookup, size: lookup("fleet.rest.octets.holder", size.gateways),
+        CONTROL_OCTETS_PER_SECOND,
         "rest",
-        BOOKS,
+        FLEET_ACCOUNTS_MECHANISM,
     ),
-    "holder.rest.processor": Worked(
+    "holder.rest.processor": DerivedRow(
         HOLDER,
         "processor at rest, of the holder that has more",
         "% of a core",
-        lambda ask, n: ask("fleet.rest.processor.holder", n.gateways),
-        CORE,
+        lambda lookup, size: lookup("fleet.rest.processor.holder", size.gateways),
+        CONTROL_CORE_PERCENT,
         "rest",
-        BOOKS,
+        FLEET_ACCOUNTS_MECHANISM,
     ),
-    "holder.books.missing": Worked(
+    "holder.books.missing": DerivedRow(
         HOLDER,
         "members missing in an entry of the fleet's books",
         "members",
-        lambda ask, n: ask("fleet.books.missing", n.gateways),
+        lambda lookup, size: lookup("fleet.books.missing", size.gateways),
         None,
         "day",
-        BOOKS,
+        FLEET_ACCOUNTS_MECHANISM,
     ),
-    "planner.order": Worked(
+    "planner.order": DerivedRow(
         PLANNER,
         "an order of maintenance over all engines, against a second",
         "ms of processor",
-        lambda ask, n: ask("fleet.order.engines", n.engines),
+        lambda lookup, size: lookup("fleet.order.engines", size.engines),
         1000,
         "day",
         "Hall's condition, `corkgauge/maintenance/schedule.py`",
     ),
-    "planner.units": Worked(
+    "planner.units": DerivedRow(
         PLANNER,
         "engines and workload managers in one plan, against `MAX_UNITS`",
         "units",
-        lambda ask, n: n.engines + n.gateways,
+        lambda lookup, size: size.engines + size.gateways,
         plan.MAX_UNITS,
         "day",
         "none; `corkgauge/maintenance/plan.py` refuses more",
     ),
     # What the list feed and the databases see.
     **{
-        f"feed.whole{name}": Worked(
+        f"feed.whole{name}": DerivedRow(
             FEED,
             f"the whole list as one event, {said}, against the longest line that is taken",
             "octets",
-            lambda ask, n, key="settings.list.octets" + name: ask(key, n.engines),
-            feed_wire.MAX_LINE_BYTES,
+            lambda lookup, size, key="settings.list.octets" + name: lookup(key, size.engines),
+            discovery_protocol.MAX_LINE_BYTES,
             "day",
             "one event up to a bound (`corkgauge/net/discovery_protocol.py`); a longer one ends the connection, the list stays",
         )
@@ -708,211 +746,217 @@
             (".compact", "ids of 8 characters, JSON without spaces"),
         )
     },
-    "feed.all": Worked(
+    "feed.all": DerivedRow(
         FEED,
         "the whole list to all workload managers after a restart of all",
         "octets",
-        lambda ask, n: ask("settings.list.octets", n.engines) * n.gateways,
+        lambda lookup, size: lookup("settings.list.octets", size.engines) * size.gateways,
         None,
         "worst",
         "none",
     ),
-    "database.links.all": Worked(
+    "database.links.all": DerivedRow(
         DATABASE,
         "links at each, all pairs, one link each",
         "links",
-        lambda ask, n: n.gateways,
+        lambda lookup, size: size.gateways,
         None,
         "rest",
         "none",
     ),
-    "database.links.set": Worked(
+    "database.links.set": DerivedRow(
         DATABASE,
         "links at the busiest, with the working set",
         "links",
-        lambda ask, n: ask("subset.ours.links_engine"),
+        lambda lookup, size: lookup("subset.ours.links_engine"),
         None,
         "rest",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "database.links.fleet": Worked(
+    "database.links.fleet": DerivedRow(
         DATABASE,
         "warm pairs in the fleet, with the working set",
         "pairs",
-        lambda ask, n: ask("subset.ours.links"),
+        lambda lookup, size: lookup("subset.ours.links"),
         None,
         "rest",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "database.even": Worked(
+    "database.even": DerivedRow(
         DATABASE,
         "sets that hold an engine, worst over mean of its zone and kind, with the working set",
         "times",
-        lambda ask, n: ask("subset.ours.evenness"),
+        lambda lookup, size: lookup("subset.ours.evenness"),
         1.25,
         "rest",
-        CHOICE,
+        WORKING_SET_MECHANISM,
     ),
-    "findings.held": Worked(
+    "findings.held": DerivedRow(
         TOOLS,
         "findings that one witness may have, one an engine, against `MOST_EACH`",
         "findings",
-        lambda ask, n: n.engines,
-        findings.MAX_REPORTS_PER_REPORTER,
+        lambda lookup, size: size.engines,
+        peer_health_reports.MAX_REPORTS_PER_REPORTER,
         "worst",
         "`corkgauge/peer_health/reports.py`",
     ),
     # Ways in which a change of configuration could reach all.
-    "ways.one.whole": Worked(
+    "ways.one.whole": DerivedRow(
         CONTROL,
         "one holder sends the whole to each within the five seconds",
         "octets a second",
-        lambda ask, n: ask("settings.octets.whole") * n.gateways / n.change_s,
-        OCTETS,
+        lambda lookup, size: lookup("settings.octets.whole") * size.gateways / size.change_s,
+        CONTROL_OCTETS_PER_SECOND,
         "ways",
     ),
-    "ways.one.whole.time": Worked(
+    "ways.one.whole.time": DerivedRow(
         CONTROL,
         "one holder sends the whole to each at the rate that control may take",
         "s",
-        lambda ask, n: ask("settings.octets.whole") * n.gateways / n.octets,
-        SIZE["change_s"],
+        lambda lookup, size: lookup("settings.octets.whole") * size.gateways / size.octets,
+        STATED_SIZE["change_s"],
         "ways",
     ),
-    "ways.one.delta": Worked(
+    "ways.one.delta": DerivedRow(
         CONTROL,
         "one holder sends what changed to each within the five seconds",
         "octets a second",
-        lambda ask, n: ask("settings.octets.delta") * n.gateways / n.change_s,
-        OCTETS,
+        lambda lookup, size: lookup("settings.octets.delta") * size.gateways / size.change_s,
+        CONTROL_OCTETS_PER_SECOND,
         "ways",
     ),
-    "ways.three.whole": Worked(
+    "ways.three.whole": DerivedRow(
         VOTER,
         "the three machines send the whole to a third of all each, within the five seconds",
         "octets a second",
-        lambda ask, n: ask("settings.octets.whole") * n.gateways / n.machines / n.change_s,
-        SIZE["fleet_octets"] / SIZE["machines"],
+        lambda lookup, size: lookup("settings.octets.whole")
+        * size.gateways
+        / size.machines
+        / size.change_s,
+        STATED_SIZE["fleet_octets"] / STATED_SIZE["machines"],
         "ways",
     ),
-    "ways.three.delta": Worked(
+    "ways.three.delta": DerivedRow(
         VOTER,
         "the three machines send what changed to a third of all each, within the five seconds",
         "octets a second",
-        lambda ask, n: ask("settings.octets.delta") * n.gateways / n.machines / n.change_s,
-        SIZE["fleet_octets"] / SIZE["machines"],
+        lambda lookup, size: lookup("settings.octets.delta")
+        * size.gateways
+        / size.machines
+        / size.change_s,
+        STATED_SIZE["fleet_octets"] / STATED_SIZE["machines"],
         "ways",
     ),
-    "ways.each.whole": Worked(
+    "ways.each.whole": DerivedRow(
         CONTROL,
         "each takes in one whole a change, within the five seconds, whoever sends",
         "octets a second",
-        lambda ask, n: ask("settings.octets.whole") / n.change_s,
-        OCTETS,
+        lambda lookup, size: lookup("settings.octets.whole") / size.change_s,
+        CONTROL_OCTETS_PER_SECOND,
         "ways",
     ),
     # Open words, both readings.
-    "open.zones.all.gateways": Worked(
+    "open.zones.all.gateways": DerivedRow(
         SERVING,
         "a zone, where five are meant in all: workload managers lost with it",
         "workload managers",
-        lambda ask, n: n.gateways / n.zones,
+        lambda lookup, size: size.gateways / size.zones,
         None,
         "open",
     ),
-    "open.zones.each.gateways": Worked(
+    "open.zones.each.gateways": DerivedRow(
         SERVING,
         "a zone, where five are meant in each region: workload managers lost with it",
         "workload managers",
-        lambda ask, n: n.gateways / n.zones / n.regions,
+        lambda lookup, size: size.gateways / size.zones / size.regions,
         None,
         "open",
     ),
-    "open.zones.all.load": Worked(
+    "open.zones.all.load": DerivedRow(
         SERVING,
         "load of the others after a zone is lost, five in all, shared by all",
         "times",
-        lambda ask, n: 1 / (1 - 1 / n.zones),
+        lambda lookup, size: 1 / (1 - 1 / size.zones),
         None,
         "open",
     ),
-    "open.zones.each.load": Worked(
+    "open.zones.each.load": DerivedRow(
         SERVING,
         "load of the others after a zone is lost, five in each region, shared by all",
         "times",
-        lambda ask, n: 1 / (1 - 1 / n.zones / n.regions),
+        lambda lookup, size: 1 / (1 - 1 / size.zones / size.regions),
         None,
         "open",
     ),
-    "open.zones.all.region": Worked(
+    "open.zones.all.region": DerivedRow(
         SERVING,
         "load of the others within the smaller region alone, five in all (two there), regions cut",
         "times",
-        lambda ask, n: 1 / (1 - 1 / (n.zones // n.regions)),
+        lambda lookup, size: 1 / (1 - 1 / (size.zones // size.regions)),
         None,
         "open",
     ),
-    "open.zones.each.region": Worked(
+    "open.zones.each.region": DerivedRow(
         SERVING,
         "load of the others within a region alone, five in each, regions cut",
         "times",
-        lambda ask, n: 1 / (1 - 1 / n.zones),
+        lambda lookup, size: 1 / (1 - 1 / size.zones),
         None,
         "open",
     ),
-    "open.primary.holder": Worked(
+    "open.primary.holder": DerivedRow(
         HOLDER,
         "primary = who holds a duty of ours: hand-over with all candidates",
         "s",
-        lambda ask, n: ask("fleet.handover.lost", n.gateways),
-        SIZE["primary_s"],
+        lambda lookup, size: lookup("fleet.handover.lost", size.gateways),
+        STATED_SIZE["primary_s"],
         "open",
         "`corkgauge/leases/`",
     ),
-    "open.primary.database": Worked(
+    "open.primary.database": DerivedRow(
         FEED,
         "primary = which database of a group takes writes, as the list tells it: octets to all at each change",
         "octets",
-        lambda ask, n: 2 * event(ask) * n.gateways,
+        lambda lookup, size: 2 * octets_per_engine_event(lookup) * size.gateways,
         None,
         "open",
         "`corkgauge/net/discovery.py`",
     ),
-    "open.memory.control": Worked(
+    "open.memory.control": DerivedRow(
         CONTROL,
         "128 MB for control alone: the list",
         "MB",
-        lambda ask, n: ask("alone.memory.engines", n.engines) / 1024,
-        MEMORY,
+        lambda lookup, size: lookup("alone.memory.engines", size.engines) / 1024,
+        CONTROL_MEMORY_MB,
         "open",
     ),
-    "open.memory.clients": Worked(
+    "open.memory.clients": DerivedRow(
         CONTROL,
         "128 MB with clients' buffers, all quiet: the list, links of the largest set, clients",
         "MB",
-        lambda ask, n: (
-            ask("alone.memory.engines", n.engines)
-            + ask("alone.memory.links", ask("subset.ours.size_most"))
-            + ask("alone.memory.clients", n.connections)
+        lambda lookup, size: (
+            lookup("alone.memory.engines", size.engines)
+            + lookup("alone.memory.links", lookup("subset.ours.size_most"))
+            + lookup("alone.memory.clients", size.connections)
         )
         / 1024,
-        MEMORY,
+        CONTROL_MEMORY_MB,
         "open",
     ),
-    "open.memory.resident": Worked(
+    "open.memory.resident": DerivedRow(
         CONTROL,
         "128 MB for the whole process: resident as it is ready, nobody there yet",
         "MB",
-        lambda ask, n: ask("alone.memory.serve", n.engines),
-        MEMORY,
+        lambda lookup, size: lookup("alone.memory.serve", size.engines),
+        CONTROL_MEMORY_MB,
         "open",
     ),
 }
 
 # What is not there. The page ranks them: what stands before serving first, then what is wholly
 # absent, then by factor.
-MISSING = [
-    Missing(
+MISSING_MECHANISMS = [
+    MissingMechanism(
         "A change of configuration in force everywhere without a restart",
         ("control.change", "control.restart.drain"),
         "settings that a running program takes: classes and limits exchanged between two statements, what "
@@ -924,7 +968,7 @@
         "told everywhere. Wholes by gossip do not fit the octets.",
         absent=True,
     ),
-    Missing(
+    MissingMechanism(
         "A list of engines that comes in pieces, or a bound that follows its size",
         ("feed.whole", "feed.whole.long", "feed.whole.compact"),
         "the reader of the feed took a whole list of {{settings.list.most}}, {{settings.list.most.long:bare}} "
@@ -933,7 +977,7 @@
         "or a list in several events with its end told.",
         serving=True,
     ),
-    Missing(
+    MissingMechanism(
         "A statement that costs less, or several processes before one port",
         (
             "serving.cores",
@@ -951,7 +995,7 @@
         "members, links and cold parts; the platform asks for one process.",
         serving=True,
     ),
-    Missing(
+    MissingMechanism(
         "Books of the fleet that are summed on the way, orders that go out on a change",
         ("holder.rest.octets", "holder.rest.processor"),
         "a holder asks all members in one turn of its loop: that of `works` twice a second, also with an empty "
@@ -961,7 +1005,7 @@
         "alone, asking spread over the period; sums by zone or by a tree of members, each with what is missing "
         "and how old it is.",
     ),
-    Missing(
+    MissingMechanism(
         "Membership that tells less",
         (
             "control.rest.octets",
@@ -976,18 +1020,18 @@
         "a bound of octets a period on words that ride along, what is new first; rolls by digests, not whole; "
         "news of many at once (a zone, a region) as one word.",
     ),
-    Missing(
+    MissingMechanism(
         "Hand-over within the limit with all as candidates",
         ("holder.handover.lost", "holder.handover.planned"),
         "a shorter lease, or a few standing by in order where now all stand for it.",
     ),
-    Missing(
+    MissingMechanism(
         "A plan of maintenance over engines and workload managers together",
         ("planner.units",),
         "the bound of units raised with its pieces and the voters' memory measured, or a plan for each "
         "region.",
     ),
-    Missing(
+    MissingMechanism(
         "Client connections that cost less memory",
         ("open.memory.clients", "serving.memory.clients"),
         "no ring for a connection that lies idle, one made when it is readable; records without an object a "
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -49,10 +49,10 @@
 
 
 if __name__ == "__main__":
-    from benchmarks.scaling import TooLarge
+    from benchmarks.scaling import TrialTooLargeError
 
     try:
         main()
-    except TooLarge as problem:
+    except TrialTooLargeError as problem:
         print(f"scale: {problem}", file=sys.stderr)
         sys.exit(2)
--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -22,7 +22,14 @@
 
 import click
 
-from benchmarks.scaling import TooLarge, bounded, fitted, kept, single, slope
+from benchmarks.scaling import (
+    TrialTooLargeError,
+    build_single_size_row,
+    check_trial_size,
+    fit_slope,
+    measure_slope,
+    save_rows,
+)
 from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.policy.records import EngineState
 from corkgauge.testkit.fleet import profile_sampler as sampled
@@ -52,7 +59,7 @@
         self.quick, self.full, self.engines, self.command = quick, full, engines, command
         self.window = WINDOW // 10 if quick else WINDOW
 
-    def slope(
+    def measure_slope(
         self,
         key: str,
         what: str,
@@ -74,7 +81,7 @@
             "check": clean if self.full and not self.quick else None,
             **more,
         }
-        return slope(
+        return measure_slope(
             key,
             what,
             unit,
@@ -114,7 +121,7 @@
 def by_engines(run: Run) -> list[dict[str, Any]]:
     what = f"{DECISION}, {TABLE_GROUPS} table groups drawn unevenly (1 / k)"
     return [
-        run.slope(
+        run.measure_slope(
             "alone.decision.engines",
             what,
             "ms",
@@ -128,7 +135,7 @@
 
 def by_engines_one_group(run: Run) -> list[dict[str, Any]]:
     return [
-        run.slope(
+        run.measure_slope(
             "alone.decision.engines.one_group",
             f"{DECISION}, one table group",
             "ms",
@@ -142,7 +149,7 @@
 
 def by_tenants(run: Run) -> list[dict[str, Any]]:
     return [
-        run.slope(
+        run.measure_slope(
             "alone.decision.tenants",
             f"{DECISION[: DECISION.rindex(',')]}, tenants drawn unevenly (1 / k), "
             f"{TABLE_GROUPS} table groups, 40 engines",
@@ -157,7 +164,7 @@
 
 def by_open(run: Run) -> list[dict[str, Any]]:
     return [
-        run.slope(
+        run.measure_slope(
             "alone.decision.open",
             f"{DECISION}, 40 engines of {OPEN_CORES} cores, each statement held as "
             "long as gives so many open at once",
@@ -176,7 +183,7 @@
         + f", {TABLE_GROUPS} table groups"
     )
     return [
-        run.slope(
+        run.measure_slope(
             "alone.decision.gateways",
             what,
             "ms",
@@ -204,7 +211,9 @@
         print(f"{key}: {', '.join(f'{each:.2f}' for each in ratios)}", file=sys.stderr, flush=True)
         what = f"a decision before {run.engines} engines over one before 40, in turn; table groups: {groups}"
         rows.append(
-            single(key, what, "times", "engines", run.engines, ratios, "measured", run.command)
+            build_single_size_row(
+                key, what, "times", "engines", run.engines, ratios, "measured", run.command
+            )
         )
     return rows
 
@@ -231,7 +240,11 @@
         f"one engine leaves the list: processor of the module, with what it costs the next statement of each of "
         f"{TABLE_GROUPS} table groups more"
     )
-    return [run.slope("alone.decision.change", what, "ms", "engines", ENGINES, change, run.engines)]
+    return [
+        run.measure_slope(
+            "alone.decision.change", what, "ms", "engines", ENGINES, change, run.engines
+        )
+    ]
 
 
 # On sockets.
@@ -245,7 +258,7 @@
     lasts: float = LASTS,
 ) -> float:
     """Ms a statement, over a window after the links have come up."""
-    bounded(2, 300 + 0.1 * engines)
+    check_trial_size(2, 300 + 0.1 * engines)
     serve = Serve(engines, start=start)
     try:
         serve.ready()
@@ -273,7 +286,7 @@
         f"{SETTLES:.0f} s in which links come up"
     )
     return [
-        run.slope(
+        run.measure_slope(
             "alone.statement.sockets",
             what,
             "ms",
@@ -291,7 +304,7 @@
         "as alone.statement.sockets"
     )
     return [
-        run.slope(
+        run.measure_slope(
             "alone.statement.rate",
             what,
             "ms",
@@ -325,7 +338,7 @@
 
 def by_list(run: Run) -> list[dict[str, Any]]:
     return [
-        run.slope(
+        run.measure_slope(
             "alone.list.start",
             "processor to take in a whole list, as the feed tells it",
             "ms",
@@ -334,7 +347,7 @@
             list_start,
             run.engines,
         ),
-        run.slope(
+        run.measure_slope(
             "alone.list.change",
             "processor to take in an event that one engine has started anew",
             "ms",
@@ -368,7 +381,7 @@
     """Refuse beforehand what would pass the limit on open files, which stays as it is."""
     most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if wanted + 64 > most:
-        raise TooLarge(f"{wanted} descriptors, {most - 64} at most")
+        raise TrialTooLargeError(f"{wanted} descriptors, {most - 64} at most")
 
 
 def memory_of_engines(engines: int) -> float:
@@ -444,7 +457,7 @@
 def by_memory(run: Run) -> list[dict[str, Any]]:
     what = "KB held by the program's own objects (tracemalloc, without the system's buffers): "
     return [
-        run.slope(
+        run.measure_slope(
             "alone.memory.engines",
             what + "a list, no links",
             "KB",
@@ -453,7 +466,7 @@
             memory_of_engines,
             run.engines,
         ),
-        run.slope(
+        run.measure_slope(
             "alone.memory.links",
             what + "links to engines, quiet, each with its two rings",
             "KB",
@@ -462,7 +475,7 @@
             memory_of_links,
             2 * FULL,
         ),
-        run.slope(
+        run.measure_slope(
             "alone.memory.clients",
             what + "client connections, quiet, each with its two rings",
             "KB",
@@ -471,7 +484,7 @@
             memory_of_clients,
             CLIENTS,
         ),
-        run.slope(
+        run.measure_slope(
             "alone.memory.open",
             what + "open requests of 200 bytes, handed off, beside their connections",
             "KB",
@@ -480,7 +493,7 @@
             memory_of_open,
             OPEN,
         ),
-        run.slope(
+        run.measure_slope(
             "alone.memory.tenants",
             what + "the module with 40 engines and four queues a tenant",
             "KB",
@@ -528,7 +541,7 @@
 
 def by_turn(run: Run) -> list[dict[str, Any]]:
     return [
-        run.slope(
+        run.measure_slope(
             "alone.turn.descriptors",
             "processor of one turn of the hub, one of its descriptors readable",
             "ms",
@@ -547,7 +560,7 @@
     resident: dict[int, list[float]] = {}
 
     def ready(engines: int) -> float:
-        bounded(2, 100 + 0.1 * engines)
+        check_trial_size(2, 100 + 0.1 * engines)
         serve = Serve(engines)
         try:
             _, processor = serve.ready()
@@ -556,7 +569,7 @@
         finally:
             serve.close()
 
-    row = run.slope(
+    row = run.measure_slope(
         "alone.ready.engines",
         "start of the serving process until it tells a client that it is ready, "
         "with so many engines in the list that it starts from: processor seconds, what it takes with a "
@@ -581,7 +594,7 @@
             for p in row["points"]
         ],
     }
-    tenth["fit"] = fitted([(p["at"], p["median"]) for p in tenth["points"]])
+    tenth["fit"] = fit_slope([(p["at"], p["median"]) for p in tenth["points"]])
     tenth["foretold"] = {**row["foretold"], "value": 10 * row["foretold"]["value"]}
     tenth.pop("checked", None)  # nothing of it was measured
     rss = {
@@ -602,7 +615,7 @@
         ],
         "command": run.command,
     }
-    rss["fit"] = fitted([(p["at"], p["median"]) for p in rss["points"]])
+    rss["fit"] = fit_slope([(p["at"], p["median"]) for p in rss["points"]])
     return [row, tenth, rss]
 
 
@@ -632,7 +645,7 @@
             entry[1] += calls
         total = sum(own for own, _ in found.values())
         rows.append(
-            single(
+            build_single_size_row(
                 f"alone.profile.{engines}.whole",
                 f"a statement before {engines} engines, without the profiler",
                 "µs",
@@ -653,7 +666,7 @@
                 flush=True,
             )
             rows.append(
-                single(
+                build_single_size_row(
                     f"alone.profile.{engines}.{rank:02d}",
                     f"{name}: its own time, {calls / run.window:.1f} calls a statement",
                     "µs",
@@ -705,7 +718,7 @@
         ("within", within, "with all that it calls"),
     )
     rows = [
-        single(
+        build_single_size_row(
             "alone.profile.sockets.whole",
             "a statement on sockets before 40 engines, without the sampler",
             "µs",
@@ -726,7 +739,7 @@
                 file=sys.stderr,
             )
             rows.append(
-                single(
+                build_single_size_row(
                     f"alone.profile.sockets.{sort}.{rank:02d}",
                     f"{name}: {of}",
                     "µs",
@@ -801,7 +814,7 @@
         if not (parts := [part for part in PARTS if key == part or key.startswith(part + ".")]):
             raise click.UsageError(f"--rows: no {key!r}; there are {', '.join(PARTS)}")
         wanted[max(parts, key=len)] = None
-    bounded(2, 200 + 0.2 * engines)
+    check_trial_size(2, 200 + 0.2 * engines)
     said = " ".join(
         [
             "python benchmarks/scale.py alone",
@@ -818,7 +831,9 @@
         part = PARTS[key](run)
         found += part
         if not quick:
-            kept("alone", part + [{**row, "key": row["key"] + suffix} for row in part if suffix])
+            save_rows(
+                "alone", part + [{**row, "key": row["key"] + suffix} for row in part if suffix]
+            )
     if as_json:
         click.echo(json.dumps(found, indent=1))
     else:
--- a/benchmarks/scale_fleet.py
+++ b/benchmarks/scale_fleet.py
@@ -18,12 +18,19 @@
 import click
 
 from benchmarks.scale_fleet_parts import findings_rows, order_rows
-from benchmarks.scaling import HOME, TooLarge, bounded, kept, single, slope
+from benchmarks.scaling import (
+    CAPACITY_DIRECTORY,
+    TrialTooLargeError,
+    build_single_size_row,
+    check_trial_size,
+    measure_slope,
+    save_rows,
+)
 from corkgauge.testkit.fleet.hollow_fleet import VOTERS, Fleet, Late
 from corkgauge.testkit.fleet.hollow_node import ELEMENTS
 
 FULL = 870
-RUNS = HOME / "fleet.jsonl"
+RUNS = CAPACITY_DIRECTORY / "fleet.jsonl"
 COMMAND = "python benchmarks/scale.py fleet"
 EACH = 44  # members of a process, at every size: what a process spends once is spread alike
 LONGEST = 150.0  # seconds that a change may take until all know it
@@ -450,7 +457,7 @@
     print(line, file=sys.stderr, flush=True)
 
 
-def rows_of(runs: list[dict[str, Any]], full: int = FULL) -> list[dict[str, Any]]:
+def build_rows(runs: list[dict[str, Any]], full: int = FULL) -> list[dict[str, Any]]:
     """A slope where four sizes below `full` or more were played, else one row of the largest. Runs without all elements
     are rows of their own, named after what was left out.
     """
@@ -480,7 +487,7 @@
         smaller = [size for size in sorted(by_size) if size < full]
         if len(smaller) >= 4:
             rows.append(
-                row := slope(
+                row := measure_slope(
                     key,
                     what,
                     unit,
@@ -503,7 +510,9 @@
         else:
             size = max(by_size)
             rows.append(
-                single(key, what, unit, "workload managers", size, by_size[size], "hollow", COMMAND)
+                build_single_size_row(
+                    key, what, unit, "workload managers", size, by_size[size], "hollow", COMMAND
+                )
             )
     return rows
 
@@ -556,9 +565,9 @@
     for size in wanted:
         try:
             processes = -(-size // EACH) + VOTERS + 1
-            bounded(processes, 45 * processes + size * (0.5 + 0.004 * size))
-        except TooLarge as problem:
-            raise TooLarge(f"fleet of {size}: {problem}") from None
+            check_trial_size(processes, 45 * processes + size * (0.5 + 0.004 * size))
+        except TrialTooLargeError as problem:
+            raise TrialTooLargeError(f"fleet of {size}: {problem}") from None
     runs = []
     for size in wanted:
         say(f"{size} workload managers and {VOTERS} voters")
@@ -570,11 +579,11 @@
                     _keep(runs[-1])
     if not quick:
         runs = _kept()
-    rows = rows_of(runs, 20 if quick else FULL)
+    rows = build_rows(runs, 20 if quick else FULL)
     for each in alone:
         rows += ALONE[each]() if not from_runs else []
     if not quick:
-        kept("fleet", rows)
+        save_rows("fleet", rows)
     if as_json:
         click.echo(json.dumps(rows, indent=1))
     else:
--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from benchmarks.scaling import slope
+from benchmarks.scaling import measure_slope
 from corkgauge.maintenance.capacity import (
     CapacitySnapshot,
     DisruptionLimits,
@@ -127,7 +127,7 @@
 def order_rows() -> list[dict[str, Any]]:
     what = f"one choice of the planner, {2 * MAX_CHECKED_UNIT_COUNT} units waiting"
     return [
-        slope(
+        measure_slope(
             "fleet.order.engines",
             what,
             "ms of processor",
@@ -162,7 +162,7 @@
         ),
     ):
         rows.append(
-            slope(
+            measure_slope(
                 key,
                 what,
                 unit,
--- a/benchmarks/scale_page.py
+++ b/benchmarks/scale_page.py
@@ -22,26 +22,36 @@
 
 import click
 
-from benchmarks.capacity import BEFORE, SIZE, Book, Figure, NotRun, Worked
-from benchmarks.capacity_rows import CHOICE, MISSING, WORKED
+from benchmarks.capacity import (
+    BEFORE_SUFFIX,
+    STATED_SIZE,
+    DerivedRow,
+    Figure,
+    NotRunError,
+    RowIndex,
+)
+from benchmarks.capacity_rows import DERIVED_ROWS, MISSING_MECHANISMS, WORKING_SET_MECHANISM
 from benchmarks.scale_settings import FANOUTS
-from benchmarks.scaling import HOME, KINDS, read
+from benchmarks.scaling import CAPACITY_DIRECTORY, ROW_KINDS, load_rows
 
 NOT_RUN = "not run"
-ASIDE = "open", "ways"  # readings of open words, and ways not taken: in tables of their own alone
-TAG = re.compile(r"\{\{([^{}]+)\}\}")
-STEPS = [1.05**step for step in range(95)]  # of a fleet that grows, to a hundred times
-TIGHT = 0.5  # of a budget: what is above stands beside what is over
+SEPARATE_MOMENTS = (
+    "open",
+    "ways",
+)  # readings of open words, and ways not taken: in tables of their own alone
+TAG_PATTERN = re.compile(r"\{\{([^{}]+)\}\}")
+GROWTH_FACTORS = [1.05**step for step in range(95)]  # of a fleet that grows, to a hundred times
+CLOSE_FRACTION = 0.5  # of a budget: what is above stands beside what is over
 
 
-class Unknown(ValueError):
+class UnknownTagError(ValueError):
     """One line: what the text names that cannot be."""
 
 
-def short(value: float) -> str:
+def format_number(value: float) -> str:
     """Three digits at most, without an exponent.
 
-    >>> short(2526.3), short(0.004217), short(18.36), short(99.96), short(0), short(870), short(-0.5)
+    >>> format_number(2526.3), format_number(0.004217), format_number(18.36), format_number(99.96), format_number(0), format_number(870), format_number(-0.5)
     ('2,530', '0.00422', '18.4', '100', '0', '870', '-0.5')
     """
     if not value:
@@ -51,110 +61,112 @@
     return text.rstrip("0").rstrip(".") if "." in text else text
 
 
-def with_unit(value: float, unit: str) -> str:
-    return short(value) + (unit if unit.startswith("%") else f" {unit}")
+def format_with_unit(value: float, unit: str) -> str:
+    return format_number(value) + (unit if unit.startswith("%") else f" {unit}")
 
 
-def said(figure: Figure) -> str:
-    return f"{with_unit(figure.value, figure.unit)} ({figure.kind})"
+def format_figure(figure: Figure) -> str:
+    return f"{format_with_unit(figure.value, figure.unit)} ({figure.kind})"
 
 
-class Page:
+class CapacityPage:
     """The page of these rows and this text."""
 
     def __init__(self, rows: dict[str, dict[str, Any]]) -> None:
-        self.book = Book(rows)
-        self.worked: dict[str, Figure | None] = {}
-        for name, each in WORKED.items():
+        self.row_index = RowIndex(rows)
+        self.derived: dict[str, Figure | None] = {}
+        for name, each in DERIVED_ROWS.items():
             try:
-                self.worked[name] = self.book.work(each)
-            except (NotRun, ZeroDivisionError):
-                self.worked[name] = None
+                self.derived[name] = self.row_index.evaluate(each)
+            except (NotRunError, ZeroDivisionError):
+                self.derived[name] = None
 
-    def made(self, text: str) -> str:
+    def render(self, text: str) -> str:
         """The whole page."""
         head = "<!-- Made by `python benchmarks/scale.py page` from docs/capacity/: edit page.md.in there. -->\n\n"
         # The table of what is missing comes last, when all else has been asked for.
         parts = [
-            self.filled(part)
+            self.fill_tags(part)
             for part in re.split(r"(\{\{table missing\}\})", text)
             if part != "{{table missing}}"
         ]
         if len(parts) > 1:
-            parts.insert(1, self.missing())
+            parts.insert(1, self.missing_runs_text())
         return head + "".join(parts)
 
-    def filled(self, text: str) -> str:
-        return TAG.sub(lambda tag: self.named(tag[1].strip()), text)
+    def fill_tags(self, text: str) -> str:
+        return TAG_PATTERN.sub(lambda tag: self.expand_tag(tag[1].strip()), text)
 
-    def named(self, tag: str) -> str:
+    def expand_tag(self, tag: str) -> str:
         """What stands in place of a tag."""
         if tag.startswith("table "):
             name, *rest = tag.split()[1:]
             if name not in ("roles", "over", "slopes", "options", "grown", "gossip", "next"):
-                raise Unknown(f"{{{{{tag}}}}}: no such table")
+                raise UnknownTagError(f"{{{{{tag}}}}}: no such table")
             return getattr(self, name)(*rest)
         name, _, form = tag.partition(":")
         if name.startswith("size."):
-            if name[5:] not in SIZE:
-                raise Unknown(f"{{{{{tag}}}}}: no such figure of the users' size")
-            return f"{SIZE[name[5:]]:,}"
+            if name[5:] not in STATED_SIZE:
+                raise UnknownTagError(f"{{{{{tag}}}}}: no such figure of the users' size")
+            return f"{STATED_SIZE[name[5:]]:,}"
         if name.startswith("worked."):
-            return self.named_worked(name[7:], form, tag)
+            return self.expand_derived_tag(name[7:], form, tag)
         key, _, at = name.partition("@")
         try:
             if form in ("exponent", "error"):
-                row = self.book.row(key)
+                row = self.row_index.row(key)
                 if form == "exponent":
                     return f"{row['fit']['exponent']:.2f}" if "fit" in row else NOT_RUN
                 return f"{row['checked']['error']:+.0%}" if "checked" in row else NOT_RUN
             figure = (
-                self.book.slope(key)
+                self.row_index.slope_figure(key)
                 if form == "slope"
-                else self.book.figure(key, float(at) if at else None)
+                else self.row_index.figure(key, float(at) if at else None)
             )
-        except NotRun:
+        except NotRunError:
             return NOT_RUN
         if form not in ("", "bare", "slope"):
-            raise Unknown(f"{{{{{tag}}}}}: no such form")
-        return short(figure.value) if form == "bare" else said(figure)
+            raise UnknownTagError(f"{{{{{tag}}}}}: no such form")
+        return format_number(figure.value) if form == "bare" else format_figure(figure)
 
-    def named_worked(self, name: str, form: str, tag: str) -> str:
-        if name not in WORKED:
-            raise Unknown(f"{{{{{tag}}}}}: no such row in capacity_rows.py")
-        figure, budget = self.worked[name], WORKED[name].budget
+    def expand_derived_tag(self, name: str, form: str, tag: str) -> str:
+        if name not in DERIVED_ROWS:
+            raise UnknownTagError(f"{{{{{tag}}}}}: no such row in capacity_rows.py")
+        figure, budget = self.derived[name], DERIVED_ROWS[name].budget
         if form == "factor" and budget is None:
-            raise Unknown(f"{{{{{tag}}}}}: no budget")
+            raise UnknownTagError(f"{{{{{tag}}}}}: no budget")
         if figure is None:
             return NOT_RUN
         if form == "factor":
-            return short(figure.value / budget)
+            return format_number(figure.value / budget)
         if form not in ("", "bare"):
-            raise Unknown(f"{{{{{tag}}}}}: no such form")
-        return short(figure.value) if form == "bare" else said(figure)
+            raise UnknownTagError(f"{{{{{tag}}}}}: no such form")
+        return format_number(figure.value) if form == "bare" else format_figure(figure)
 
     # Tables.
 
     def roles(self, moment: str) -> str:
         """What each role costs at a moment: rest, day, worst, open."""
         rows = []
-        for name, each in WORKED.items():
+        for name, each in DERIVED_ROWS.items():
             if each.moment == moment:
-                figure = self.worked[name]
+                figure = self.derived[name]
                 rows.append(
                     [
                         each.role,
                         each.what,
-                        said(figure) if figure else NOT_RUN,
-                        self.runs(figure),
-                        with_unit(each.budget, each.unit) if each.budget is not None else "-",
-                        self.factor(name),
-                        self.carries(each, figure),
+                        format_figure(figure) if figure else NOT_RUN,
+                        self.describe_runs(figure),
+                        format_with_unit(each.budget, each.unit)
+                        if each.budget is not None
+                        else "-",
+                        self.format_budget_factor(name),
+                        self.describe_mechanism(each, figure),
                     ]
                 )
         if not rows:
-            raise Unknown(f"{{{{table roles {moment}}}}}: no such rows")
-        return table(
+            raise UnknownTagError(f"{{{{table roles {moment}}}}}: no such rows")
+        return format_table(
             [
                 "role",
                 "what",
@@ -167,58 +179,66 @@
             rows,
         )
 
-    def runs(self, figure: Figure | None) -> str:
+    def describe_runs(self, figure: Figure | None) -> str:
         """The keys of the runs, each with its slope where it has one."""
         if figure is None or not figure.keys:
             return "-"
         return ", ".join(
             f"`{key}`"
             + (
-                f" ({short(self.book.rows[key]['fit']['slope'])} a unit of {self.book.rows[key]['by']})"
-                if "fit" in self.book.rows[key]
+                f" ({format_number(self.row_index.rows[key]['fit']['slope'])} a unit of {self.row_index.rows[key]['by']})"
+                if "fit" in self.row_index.rows[key]
                 else ""
             )
             for key in figure.keys
         )
 
     @staticmethod
-    def carries(of: Worked, figure: Figure | None) -> str:
+    def describe_mechanism(row: DerivedRow, figure: Figure | None) -> str:
         """The mechanism; a figure of a run before the working set does not have that yet."""
-        if figure and any(key.endswith(BEFORE) for key in figure.keys):
-            return of.mechanism.replace(CHOICE, f"{CHOICE} (not in this run)")
-        return of.mechanism
+        if figure and any(key.endswith(BEFORE_SUFFIX) for key in figure.keys):
+            return row.mechanism.replace(
+                WORKING_SET_MECHANISM, f"{WORKING_SET_MECHANISM} (not in this run)"
+            )
+        return row.mechanism
 
-    def factor(self, name: str) -> str:
-        figure, budget = self.worked[name], WORKED[name].budget
+    def format_budget_factor(self, name: str) -> str:
+        figure, budget = self.derived[name], DERIVED_ROWS[name].budget
         return (
-            "-" if budget is None else NOT_RUN if figure is None else short(figure.value / budget)
+            "-"
+            if budget is None
+            else NOT_RUN
+            if figure is None
+            else format_number(figure.value / budget)
         )
 
     def over(self) -> str:
         """Every row with a budget, the farthest over it first; what has not run is named below."""
         rows, unknown = [], []
-        for name, each in WORKED.items():
-            if each.budget is not None and each.moment not in ASIDE:
-                if (figure := self.worked[name]) is None:
+        for name, each in DERIVED_ROWS.items():
+            if each.budget is not None and each.moment not in SEPARATE_MOMENTS:
+                if (figure := self.derived[name]) is None:
                     unknown.append(f"{each.role}: {each.what}")
                     continue
                 factor = figure.value / each.budget
-                verdict = "**over**" if factor > 1 else "close" if factor > TIGHT else "within"
+                verdict = (
+                    "**over**" if factor > 1 else "close" if factor > CLOSE_FRACTION else "within"
+                )
                 rows.append(
                     (
                         -factor,
                         [
                             verdict,
-                            short(factor),
+                            format_number(factor),
                             each.role,
                             each.what,
-                            said(figure),
-                            with_unit(each.budget, each.unit),
-                            self.carries(each, figure),
+                            format_figure(figure),
+                            format_with_unit(each.budget, each.unit),
+                            self.describe_mechanism(each, figure),
                         ],
                     )
                 )
-        made = table(
+        made = format_table(
             ["", "factor", "role", "what", "figure", "budget", "carried by"],
             [row for _, row in sorted(rows, key=lambda each: each[0])],
         )
@@ -229,34 +249,39 @@
     def grown(self) -> str:
         """For every row within its budget: how many times as many workload managers and databases pass it."""
         found, flat = [], []
-        for name, each in WORKED.items():
-            figure = self.worked[name]
+        for name, each in DERIVED_ROWS.items():
+            figure = self.derived[name]
             if (
                 each.budget is None
-                or each.moment in ASIDE
+                or each.moment in SEPARATE_MOMENTS
                 or figure is None
                 or figure.value > each.budget
             ):
                 continue
             try:
                 times = next(
-                    (m for m in STEPS if self.book.work(each, m).value > each.budget), None
+                    (
+                        m
+                        for m in GROWTH_FACTORS
+                        if self.row_index.evaluate(each, m).value > each.budget
+                    ),
+                    None,
                 )
-            except NotRun:
+            except NotRunError:
                 times = None  # one size alone was run
             (found if times else flat).append((times, name))
         rows = [
             [
-                short(times),
-                f"{short(times * SIZE['gateways'])} and {short(times * SIZE['engines'])}",
-                WORKED[name].role,
-                WORKED[name].what,
-                WORKED[name].mechanism,
+                format_number(times),
+                f"{format_number(times * STATED_SIZE['gateways'])} and {format_number(times * STATED_SIZE['engines'])}",
+                DERIVED_ROWS[name].role,
+                DERIVED_ROWS[name].what,
+                DERIVED_ROWS[name].mechanism,
             ]
             for times, name in sorted(found)
         ]
         rest = (
-            f"Not before {STEPS[-1]:.0f} times, or without a slope: {len(flat)} rows."
+            f"Not before {GROWTH_FACTORS[-1]:.0f} times, or without a slope: {len(flat)} rows."
             if flat
             else ""
         )
@@ -267,7 +292,7 @@
             "what passes its budget",
             "carried by",
         ]
-        return (table(heads, rows) if rows else NOT_RUN) + f"\n\n{rest}".rstrip()
+        return (format_table(heads, rows) if rows else NOT_RUN) + f"\n\n{rest}".rstrip()
 
     def gossip(self, *losses: str) -> str:
         """A change spread by gossip, by what is sent and fan-out, at the largest number of members that was played."""
@@ -276,12 +301,12 @@
             for fanout in FANOUTS:
                 ends = [f"f{fanout}.loss{loss}" for loss in losses]
                 named = [
-                    self.named(f"settings.gossip.{sort}.{what}.{end}:bare")
+                    self.expand_tag(f"settings.gossip.{sort}.{what}.{end}:bare")
                     for end in ends
                     for what in ("time", "peak", "mean")
                 ]
                 rows.append([sort, str(fanout), *named])
-        return table(
+        return format_table(
             [
                 "sent",
                 "fan-out",
@@ -301,19 +326,19 @@
     def next(self) -> str:
         """What is missing and over its budget, ranked, with its greatest factor and what it would take."""
         ranked = []
-        for each in MISSING:
+        for each in MISSING_MECHANISMS:
             found = {
-                name: figure.value / WORKED[name].budget
+                name: figure.value / DERIVED_ROWS[name].budget
                 for name in each.rows
-                if (figure := self.worked[name])
+                if (figure := self.derived[name])
             }
             if found and max(found.values()) > 1:
                 name = max(found, key=found.get)
                 ranked.append((not each.serving, not each.absent, -found[name], each, name))
         lines = [
-            f"{n}. **{each.title}**: {short(-factor)} times over ({WORKED[name].role}: {WORKED[name].what}, "
-            f"{said(self.worked[name])} against {with_unit(WORKED[name].budget, WORKED[name].unit)})"
-            f"{', wholly absent' if each.absent else ''}. Would take: {self.filled(each.takes)}"
+            f"{n}. **{each.title}**: {format_number(-factor)} times over ({DERIVED_ROWS[name].role}: {DERIVED_ROWS[name].what}, "
+            f"{format_figure(self.derived[name])} against {format_with_unit(DERIVED_ROWS[name].budget, DERIVED_ROWS[name].unit)})"
+            f"{', wholly absent' if each.absent else ''}. Would take: {self.fill_tags(each.takes)}"
             for n, (_, _, factor, each, name) in enumerate(
                 sorted(ranked, key=lambda row: row[:3]), 1
             )
@@ -323,8 +348,8 @@
     def slopes(self, *prefixes: str) -> str:
         """Every kept row of these parts."""
         rows = []
-        for key in sorted(key for key in self.book.rows if key.startswith(prefixes)):
-            row = self.book.rows[key]
+        for key in sorted(key for key in self.row_index.rows if key.startswith(prefixes)):
+            row = self.row_index.rows[key]
             points, fit, checked = row["points"], row.get("fit"), row.get("checked")
             rows.append(
                 [
@@ -333,28 +358,28 @@
                     row["unit"],
                     row["by"],
                     "; ".join(
-                        f"{short(p['at'])}: {short(p['median'])}"
+                        f"{format_number(p['at'])}: {format_number(p['median'])}"
                         + (
-                            f" ({short(p['least'])} to {short(p['most'])})"
+                            f" ({format_number(p['least'])} to {format_number(p['most'])})"
                             if p["least"] != p["most"]
                             else ""
                         )
                         for p in points
                     ),
-                    f"{short(fit['slope'])}, power {fit['exponent']:.2f}" if fit else "-",
-                    f"{short(row['foretold']['value'])} at {short(row['foretold']['at'])}"
+                    f"{format_number(fit['slope'])}, power {fit['exponent']:.2f}" if fit else "-",
+                    f"{format_number(row['foretold']['value'])} at {format_number(row['foretold']['at'])}"
                     if "foretold" in row
                     else "-",
-                    f"{short(checked['value'])} ({checked['kind']}), {checked['error']:+.0%}"
+                    f"{format_number(checked['value'])} ({checked['kind']}), {checked['error']:+.0%}"
                     if checked
                     else "-",
                     row["kind"],
                 ]
             )
         if not rows:
-            self.book.missing.update(prefixes)
+            self.row_index.missing_keys.update(prefixes)
             return f"{NOT_RUN}: nothing of `{', '.join(prefixes)}` was kept."
-        return table(
+        return format_table(
             [
                 "key",
                 "what",
@@ -374,47 +399,50 @@
         figures = list(
             dict.fromkeys(
                 key.rpartition(".")[2]
-                for key in self.book.rows
+                for key in self.row_index.rows
                 if key.rpartition(".")[0] in {f"{prefix}.{each}" for each in names}
             )
         )
         if not figures:
-            self.book.missing.add(prefix + ".")
+            self.row_index.missing_keys.add(prefix + ".")
             return f"{NOT_RUN}: nothing of `{prefix}.` was kept."
         rows = []
         for figure in figures:
-            found = [self.book.rows.get(f"{prefix}.{each}.{figure}") for each in names]
+            found = [self.row_index.rows.get(f"{prefix}.{each}.{figure}") for each in names]
             first = next(row for row in found if row)
             rows.append(
                 [
                     first["what"].partition(": ")[2] or first["what"],
                     first["unit"] or "-",
-                    *(short(row["points"][-1]["median"]) if row else NOT_RUN for row in found),
+                    *(
+                        format_number(row["points"][-1]["median"]) if row else NOT_RUN
+                        for row in found
+                    ),
                     first["kind"],
                 ]
             )
-        return table(["what", "unit", *names, "kind"], rows)
+        return format_table(["what", "unit", *names, "kind"], rows)
 
-    def missing(self) -> str:
-        if not self.book.missing:
+    def missing_runs_text(self) -> str:
+        if not self.row_index.missing_keys:
             return "Every figure that this page names has its run."
         return (
             "Named on this page, and no run has given it yet: "
-            + ", ".join(f"`{key}`" for key in sorted(self.book.missing))
+            + ", ".join(f"`{key}`" for key in sorted(self.row_index.missing_keys))
             + "."
         )
 
 
-def table(heads: list[str], rows: list[list[str]]) -> str:
+def format_table(heads: list[str], rows: list[list[str]]) -> str:
     return "\n".join("| " + " | ".join(row) + " |" for row in [heads, ["---"] * len(heads), *rows])
 
 
-def wrong(row: dict[str, Any]) -> str:
+def find_row_error(row: dict[str, Any]) -> str:
     """What in a kept row does not follow from its own values, in one line; empty: nothing. The fit is worked out anew
     by the standard library, which CI has, where the run itself used numpy.
     """
     key = row.get("key")
-    if row["kind"] not in KINDS:
+    if row["kind"] not in ROW_KINDS:
         return f"{key}: kind {row['kind']!r}"
     for p in row["points"]:
         for name, found in (
@@ -422,7 +450,7 @@
             ("least", min(p["values"])),
             ("most", max(p["values"])),
         ):
-            if not same(p[name], found):
+            if not is_close(p[name], found):
                 return f"{key}: {name} at {p['at']} is {p[name]!r}, its values give {found!r}"
     if "fit" in row:
         slope, base = linear_regression(
@@ -433,13 +461,13 @@
             ("slope", slope, scale / max(p["at"] for p in row["points"])),
             ("base", base, scale),
         ):
-            if not same(row["fit"][name], found, room):
+            if not is_close(row["fit"][name], found, room):
                 return f"{key}: {name} is {row['fit'][name]!r}, its points give {found!r}"
     foretold, checked = row.get("foretold"), row.get("checked")
     if (
         foretold
         and "fit" in row
-        and not same(
+        and not is_close(
             foretold["value"], found := row["fit"]["base"] + row["fit"]["slope"] * foretold["at"]
         )
     ):
@@ -448,19 +476,20 @@
         foretold
         and checked
         and checked["value"]
-        and not same(
-            checked["error"], found := (foretold["value"] - checked["value"]) / checked["value"]
+        and not is_close(
+            checked["error"],
+            found := (foretold["value"] - checked["value"]) / checked["value"],
         )
     ):
         return f"{key}: error {checked['error']!r}, its values give {found!r}"
     return ""
 
 
-def same(one: float, other: float, scale: float = 0.0) -> bool:
+def is_close(one: float, other: float, scale: float = 0.0) -> bool:
     return isclose(one, other, rel_tol=1e-6, abs_tol=1e-6 * scale + 1e-12)
 
 
-def difference(page: str, made: str) -> str:
+def find_first_difference(page: str, made: str) -> str:
     """The first line in which the page is not what the rows give; empty: none."""
     for number, (has, gives) in enumerate(zip_longest(page.splitlines(), made.splitlines()), 1):
         if has != gives:
@@ -468,14 +497,14 @@
     return ""
 
 
-def checked(home: Path, page: Path) -> str:
+def find_page_difference(home: Path, page: Path) -> str:
     """The first difference between the kept rows, the text and the page, or within a row; empty: none."""
-    rows = read(home)
+    rows = load_rows(home)
     for row in rows.values():
-        if problem := wrong(row):
+        if problem := find_row_error(row):
             return f"{row['part']}.json: {problem}"
-    made = Page(rows).made((home / "page.md.in").read_text())
-    found = difference(page.read_text() if page.exists() else "", made)
+    made = CapacityPage(rows).render((home / "page.md.in").read_text())
+    found = find_first_difference(page.read_text() if page.exists() else "", made)
     return found and f"{page.name}: {found}"
 
 
@@ -494,7 +523,7 @@
 @click.option(
     "--home",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    default=HOME,
+    default=CAPACITY_DIRECTORY,
     show_default=False,
     help="Where the rows and the page's text are (docs/capacity).",
 )
@@ -502,7 +531,7 @@
     "--page",
     "page",
     type=click.Path(dir_okay=False, path_type=Path),
-    default=HOME.parent / "CAPACITY.md",
+    default=CAPACITY_DIRECTORY.parent / "CAPACITY.md",
     show_default=False,
     help="The page (docs/CAPACITY.md).",
 )
@@ -513,13 +542,13 @@
     """
     try:
         if check:
-            if problem := checked(home, page):
+            if problem := find_page_difference(home, page):
                 print(f"scale: {problem}", file=sys.stderr)
                 sys.exit(1)
             return
-        made = Page(read(home))
-        text = made.made((home / "page.md.in").read_text())
-    except Unknown as problem:
+        made = CapacityPage(load_rows(home))
+        text = made.render((home / "page.md.in").read_text())
+    except UnknownTagError as problem:
         print(f"scale: page.md.in: {problem}", file=sys.stderr)
         sys.exit(2)
     if as_json:
@@ -532,9 +561,9 @@
                         "unit": figure.unit,
                         "kind": figure.kind,
                         "keys": figure.keys,
-                        "budget": WORKED[name].budget,
+                        "budget": DERIVED_ROWS[name].budget,
                     }
-                    for name, figure in made.worked.items()
+                    for name, figure in made.derived.items()
                 },
                 indent=1,
             )
@@ -542,6 +571,6 @@
         return
     page.write_text(text)
     print(
-        f"{page}: {len(made.book.rows)} rows, {len(made.book.missing)} keys without a run",
+        f"{page}: {len(made.row_index.rows)} rows, {len(made.row_index.missing_keys)} keys without a run",
         file=sys.stderr,
     )
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -20,7 +20,7 @@
 
 import click
 
-from benchmarks.scaling import bounded, kept, single, slope
+from benchmarks.scaling import build_single_size_row, check_trial_size, measure_slope, save_rows
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.ring_buffer import MemoryBudget
 from corkgauge.model.dissemination import spread
@@ -145,7 +145,7 @@
         return octets(configuration(**how)["settings"])
 
     rows = [
-        run.slope(
+        run.measure_slope(
             "settings.octets.classes",
             "settings as JSON, two tenants",
             "octets",
@@ -155,7 +155,7 @@
             256,
             repeats=1,
         ),
-        run.slope(
+        run.measure_slope(
             "settings.octets.tenants",
             "settings as JSON, four classes",
             "octets",
@@ -172,7 +172,7 @@
         (".compact", "ids of 8 characters, JSON without spaces", 8, False),
     ):
         rows += [
-            run.slope(
+            run.measure_slope(
                 "settings.list.octets" + name,
                 f"the whole list as one event, {said}",
                 "octets",
@@ -182,7 +182,7 @@
                 FULL,
                 repeats=1,
             ),
-            single(
+            build_single_size_row(
                 "settings.list.most" + name,
                 f"most engines whose whole list the reader of the feed takes, {said}",
                 "engines",
@@ -195,7 +195,7 @@
         ]
     whole = octets(configuration(0, CLASSES, TENANTS)["settings"])
     return rows + [
-        single(
+        build_single_size_row(
             "settings.octets.whole",
             f"settings of {CLASSES} classes and {TENANTS} tenants, as JSON",
             "octets",
@@ -205,7 +205,7 @@
             "measured",
             COMMAND,
         ),
-        single(
+        build_single_size_row(
             "settings.octets.delta",
             "one class gets another promised time, as a merge patch with its digest",
             "octets",
@@ -299,7 +299,7 @@
     """Seconds of processor of the new process until it serves, and of time from SIGTERM to the old one, which has
     nothing open, until then.
     """
-    bounded(1, 300)
+    check_trial_size(1, 300)
     serve = Served(engines, **how)
     try:
         serve.start()
@@ -313,7 +313,7 @@
 
 def reloaded(engines: int) -> float:
     """Ms of processor of a SIGHUP after which the feed moves, over what the process spends while it is left alone."""
-    bounded(1, 300)
+    check_trial_size(1, 300)
     serve = Served(engines)
     try:
         serve.start()
@@ -350,7 +350,7 @@
 
     what = "SIGTERM with nothing open, start, until the new process serves: "
     rows = [
-        run.slope(
+        run.measure_slope(
             "settings.restart.processor",
             what + "processor of the new process",
             "s",
@@ -362,7 +362,7 @@
     ]
     again = {size: iter(values) for size, values in found.items()}
     rows.append(
-        run.slope(
+        run.measure_slope(
             "settings.restart.unready",
             what + "time in which nobody is served",
             "s",
@@ -373,7 +373,7 @@
         )
     )
     return rows + [
-        run.slope(
+        run.measure_slope(
             "settings.reload.processor",
             "SIGHUP after which the feed alone moves",
             "ms of processor",
@@ -382,7 +382,7 @@
             reloaded,
             FULL,
         ),
-        run.slope(
+        run.measure_slope(
             "settings.taken.classes",
             "a configuration read, checked and stated, without a list",
             "ms of processor",
@@ -391,7 +391,7 @@
             lambda n: taken(classes=n),
             256,
         ),
-        run.slope(
+        run.measure_slope(
             "settings.taken.tenants",
             "a configuration read, checked and stated, without a list",
             "ms of processor",
@@ -428,7 +428,7 @@
 
                 said = f"a change spread by gossip as {sort} of {size} octets, fan-out {fanout}, {loss}% lost: "
                 rows.append(
-                    run.slope(
+                    run.measure_slope(
                         f"settings.gossip.{sort}.time.f{fanout}.loss{loss}",
                         said + "until all have it",
                         "s",
@@ -446,7 +446,7 @@
                 ):
                     turns = {many: iter(seeds) for many, seeds in found.items()}
                     rows.append(
-                        run.slope(
+                        run.measure_slope(
                             f"settings.gossip.{sort}.{name}.f{fanout}.loss{loss}",
                             said + asked,
                             unit,
@@ -467,7 +467,7 @@
     def __init__(self, quick: bool) -> None:
         self.quick = quick
 
-    def slope(
+    def measure_slope(
         self,
         key: str,
         what: str,
@@ -488,7 +488,7 @@
         def check(size: int) -> float:
             return median(measure(size) for _ in range(repeats))
 
-        return slope(
+        return measure_slope(
             key,
             what,
             unit,
@@ -537,7 +537,9 @@
             rows = PARTS[name](Run(quick))
             found += rows
             if not quick:
-                kept("settings", rows)  # what was measured stays, whatever befalls the next part
+                save_rows(
+                    "settings", rows
+                )  # what was measured stays, whatever befalls the next part
     finally:
         signal.signal(signal.SIGTERM, before)
     if as_json:
--- a/benchmarks/scale_subset.py
+++ b/benchmarks/scale_subset.py
@@ -19,7 +19,7 @@
 import click
 import numpy
 
-from benchmarks.scaling import bounded, kept, single, slope
+from benchmarks.scaling import build_single_size_row, check_trial_size, measure_slope, save_rows
 from corkgauge.model import subsets
 
 ZONES = 0.28, 0.24, 0.20, 0.16, 0.12  # of the engines
@@ -46,7 +46,16 @@
     "fair": lambda demand: numpy.maximum(1, demand),
     "busy": lambda demand: numpy.array([subsets.busy(each * UTILISED / LIMIT) for each in demand]),
 }
-NAMES = "all", "chance", "rendezvous", "rounds", "aperture", "tournament", "ours_fair", "ours"
+OPTION_NAMES = (
+    "all",
+    "chance",
+    "rendezvous",
+    "rounds",
+    "aperture",
+    "tournament",
+    "ours_fair",
+    "ours",
+)
 
 
 class Fleet:
@@ -136,7 +145,7 @@
         usual = subsets.wanted(gateways, len(listed), size) / len(listed)
         return numpy.where(held & (ranks > usual * wider[:, None]), NARROW, held)
 
-    def agree(self, size: int) -> None:
+    def check_against_model(self, size: int) -> None:
         """What was made of the tables is what the pure functions say, for some gateways; else the run ends here."""
         names, places = [self.names[n] for n in self.listed], self.by_place(self.listed)
         bars = subsets.bars(self.gateways, places, self.classes, size)
@@ -435,14 +444,14 @@
 ) -> list[dict[str, Any]]:
     """Each figure of each option, a value a fleet."""
     rows = []
-    for option in NAMES:
+    for option in OPTION_NAMES:
         found = [measure(fleet, option, SIZE) for fleet in fleets]
         click.echo(
             f"{option}: {', '.join(f'{key} {value:.3g}' for key, value in [*found[0].items()][:3])}",
             err=True,
         )
         rows += [
-            single(
+            build_single_size_row(
                 f"subset.{option}.{key}",
                 f"{option}: {WHAT[key][0]}",
                 WHAT[key][1],
@@ -490,7 +499,7 @@
         for key, (what, unit, measure) in asked.items():
             turns: Iterable[Fleet] = iter([*fleets] * len(SWEEP))
             rows.append(
-                slope(
+                measure_slope(
                     f"subset.sweep_{how}.{key}",
                     f"ours by size, {how}: {what}",
                     unit,
@@ -505,7 +514,7 @@
                 )
             )
     rows.append(
-        single(
+        build_single_size_row(
             "subset.ours.unnumbered",
             "ours: sets an engine, worst over mean, gateways that know no number",
             "",
@@ -525,7 +534,7 @@
     from rich.table import Table
 
     table, sweep = (
-        Table("figure", *NAMES),
+        Table("figure", *OPTION_NAMES),
         Table("figure, by engines wanted in a set", *map(str, SWEEP)),
     )
     held = {row["key"]: row["points"][0]["median"] for row in rows}
@@ -533,7 +542,7 @@
         if f"subset.all.{key}" in held:
             table.add_row(
                 f"{what} {f'({unit})' if unit else ''}",
-                *(f"{held[f'subset.{option}.{key}']:.3g}" for option in NAMES),
+                *(f"{held[f'subset.{option}.{key}']:.3g}" for option in OPTION_NAMES),
             )
     for row in rows:
         if len(row["points"]) > 1:
@@ -578,12 +587,12 @@
     """
     if quick:
         gateways, engines, seeds = max(gateways // 10, 16), max(engines // 10, 128), 1
-    bounded(1, (seeds * 2.2 + 12) * gateways * engines * 8 / 2**20)
+    check_trial_size(1, (seeds * 2.2 + 12) * gateways * engines * 8 / 2**20)
     said = f"python benchmarks/scale.py subset --gateways {gateways} --engines {engines} --seeds {seeds}"
     fleets = []
     for seed in range(1, seeds + 1):
         fleets.append(Fleet(gateways, engines, seed))
-        fleets[-1].agree(SIZE)
+        fleets[-1].check_against_model(SIZE)
         click.echo(
             f"fleet {seed} of {seeds}: {gateways} gateways before {engines} engines", err=True
         )
@@ -591,5 +600,5 @@
     for part in parts or [part for part in PARTS if not (quick and part == "sizes")]:
         rows += PARTS[part](fleets, f"{said} --part {part}")
     if (gateways, engines) == (870, 1800):
-        kept("subset", rows)
+        save_rows("subset", rows)
     click.echo(json.dumps(rows)) if as_json else printed(rows)
--- a/benchmarks/scaling.py
+++ b/benchmarks/scaling.py
@@ -18,25 +18,25 @@
 from statistics import median
 from typing import Any
 
-HOME = Path(__file__).resolve().parent.parent / "docs" / "capacity"
-KINDS = "measured", "hollow", "simulated", "foretold", "paper"
-MOST_PROCESSES = 300
+CAPACITY_DIRECTORY = Path(__file__).resolve().parent.parent / "docs" / "capacity"
+ROW_KINDS = "measured", "hollow", "simulated", "foretold", "paper"
+MAX_PROCESS_COUNT = 300
 
 
-class TooLarge(ValueError):
+class TrialTooLargeError(ValueError):
     """One line: which bound of a trial would be passed. The command ends with 2."""
 
 
-def bounded(processes: int, memory_mb: float) -> None:
+def check_trial_size(processes: int, memory_mb: float) -> None:
     """Refuse a trial beforehand that would pass 300 processes or half of the machine's memory (MB)."""
     half = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**20 / 2
-    if processes > MOST_PROCESSES:
-        raise TooLarge(f"{processes} processes, {MOST_PROCESSES} at most")
+    if processes > MAX_PROCESS_COUNT:
+        raise TrialTooLargeError(f"{processes} processes, {MAX_PROCESS_COUNT} at most")
     if memory_mb > half:
-        raise TooLarge(f"{memory_mb:.0f} MB, {half:.0f} at most: half of this machine's")
+        raise TrialTooLargeError(f"{memory_mb:.0f} MB, {half:.0f} at most: half of this machine's")
 
 
-def fitted(points: Sequence[tuple[float, float]]) -> dict[str, float]:
+def fit_slope(points: Sequence[tuple[float, float]]) -> dict[str, float]:
     """Least squares of cost in size: base + slope x size; and the exponent of a power law through the same points
     (0: flat, 1: linear), by numpy.
     """
@@ -55,7 +55,7 @@
     }
 
 
-def slope(
+def measure_slope(
     key: str,
     what: str,
     unit: str,
@@ -74,7 +74,7 @@
     before `check(full)` measures it there (kind `checked_as`); the error is (foretold - checked) /
     checked.
     """
-    assert kind in KINDS and checked_as in KINDS and len(sizes) >= 4
+    assert kind in ROW_KINDS and checked_as in ROW_KINDS and len(sizes) >= 4
     points = []
     for size in sizes:
         values = [float(measure(size)) for _ in range(repeats)]
@@ -100,7 +100,7 @@
         "kind": kind,
         "points": points,
         "command": command,
-        "fit": fitted([(p["at"], p["median"]) for p in points]),
+        "fit": fit_slope([(p["at"], p["median"]) for p in points]),
     }
     if full is not None:
         row["foretold"] = {"at": full, "value": row["fit"]["base"] + row["fit"]["slope"] * full}
@@ -117,7 +117,7 @@
     return row
 
 
-def single(
+def build_single_size_row(
     key: str,
     what: str,
     unit: str,
@@ -128,7 +128,7 @@
     command: str = "",
 ) -> dict[str, Any]:
     """A row of one size, without a slope."""
-    assert kind in KINDS
+    assert kind in ROW_KINDS
     return {
         "key": key,
         "what": what,
@@ -148,7 +148,7 @@
     }
 
 
-def kept(part: str, rows: list[dict[str, Any]], home: Path = HOME) -> Path:
+def save_rows(part: str, rows: list[dict[str, Any]], home: Path = CAPACITY_DIRECTORY) -> Path:
     """Write the rows to PART.json beside the page; rows of other keys that it held stay, so that a part can be measured
     in several runs. Written whole or not at all.
     """
@@ -170,7 +170,7 @@
     return file
 
 
-def read(home: Path = HOME) -> dict[str, dict[str, Any]]:
+def load_rows(home: Path = CAPACITY_DIRECTORY) -> dict[str, dict[str, Any]]:
     """All rows that were kept, by key; each with its part under "part"."""
     found = {}
     for file in sorted(home.glob("*.json")):
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -9,8 +9,8 @@
 import pytest
 from click.testing import CliRunner
 
-from benchmarks.scale_fleet import command, rows_of
-from benchmarks.scaling import TooLarge
+from benchmarks.scale_fleet import build_rows, command
+from benchmarks.scaling import TrialTooLargeError
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.testkit.fleet.hollow_fleet import Fleet
 from corkgauge.testkit.fleet.hollow_node import Wire
@@ -128,7 +128,7 @@
 
 def test_a_fleet_too_large_for_one_machine_is_refused_beforehand():
     done = CliRunner().invoke(command, ["--sizes", "30,5000"])
-    assert isinstance(done.exception, TooLarge) and "fleet of 5000" in str(done.exception)
+    assert isinstance(done.exception, TrialTooLargeError) and "fleet of 5000" in str(done.exception)
 
 
 def test_rows_foretell_full_size_from_smaller_sizes_alone_and_tell_the_error():
@@ -141,14 +141,14 @@
         }
         for size, each in ((30, 30.0), (60, 60.0), (100, 100.0), (300, 300.0), (870, 580.0))
     ]
-    (row,) = rows_of(runs, 870)
+    (row,) = build_rows(runs, 870)
     assert [each["at"] for each in row["points"]] == [30, 60, 100, 300]
     assert abs(row["foretold"]["value"] - 1740) < 1e-6 and row["checked"]["value"] == 1160
     assert abs(row["checked"]["error"] - 0.5) < 1e-6
     assert (
-        rows_of([{**each, "processes": 50} for each in runs], 870) == []
+        build_rows([{**each, "processes": 50} for each in runs], 870) == []
     )  # other processes: no part of a slope
-    (row,) = rows_of(runs[:3] + runs[4:], 870)
+    (row,) = build_rows(runs[:3] + runs[4:], 870)
     assert "fit" not in row and row["points"][0]["at"] == 870  # three sizes are no slope
-    (row,) = rows_of([{**each, "elements": ["duties", "works"]} for each in runs], 870)
+    (row,) = build_rows([{**each, "elements": ["duties", "works"]} for each in runs], 870)
     assert row["key"] == "fleet.rest.octets.without-shared"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from click.testing import CliRunner
 
 from benchmarks import scale_page, scale_settings, scaling
-from benchmarks.capacity import Book
+from benchmarks.capacity import RowIndex
 from benchmarks.scale import main
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.loop import SECOND
@@ -42,13 +42,18 @@
 
 def copied(tmp_path):
     """The rows, the text and the page, on a copy."""
-    shutil.copytree(scaling.HOME, tmp_path / "capacity")
-    shutil.copy(scaling.HOME.parent / "CAPACITY.md", tmp_path)
+    shutil.copytree(scaling.CAPACITY_DIRECTORY, tmp_path / "capacity")
+    shutil.copy(scaling.CAPACITY_DIRECTORY.parent / "CAPACITY.md", tmp_path)
     return tmp_path / "capacity", tmp_path / "CAPACITY.md"
 
 
 def test_page_and_rows_agree():
-    assert scale_page.checked(scaling.HOME, scaling.HOME.parent / "CAPACITY.md") == ""
+    assert (
+        scale_page.find_page_difference(
+            scaling.CAPACITY_DIRECTORY, scaling.CAPACITY_DIRECTORY.parent / "CAPACITY.md"
+        )
+        == ""
+    )
 
 
 def test_a_figure_that_is_edited_on_the_page_is_found(tmp_path):
@@ -64,7 +69,7 @@
         scale_page.command, ["--check", "--home", str(home), "--page", str(page)]
     )
     assert ran.exit_code == 1
-    assert f"line {at + 1}:" in scale_page.checked(home, page)
+    assert f"line {at + 1}:" in scale_page.find_page_difference(home, page)
 
 
 ROW = {
@@ -103,12 +108,12 @@
     row = json.loads(json.dumps(ROW))
     if path[0] == "fit":  # that what is foretold no longer follows from it would be found as well
         del row["foretold"], row["checked"]
-    assert scale_page.wrong(row) == ""
+    assert scale_page.find_row_error(row) == ""
     inner = row
     for step in path[:-1]:
         inner = inner[step]
     inner[path[-1]] = value
-    assert scale_page.wrong(row).startswith("alone.decision.engines: ")
+    assert scale_page.find_row_error(row).startswith("alone.decision.engines: ")
 
 
 @pytest.mark.parametrize(
@@ -132,7 +137,7 @@
     ],
 )
 def test_a_figure_is_named_by_key_with_its_kind_and_never_invented(tag, shown):
-    made = scale_page.Page({ROW["key"]: {**ROW, "part": "alone"}}).made(f"said: {tag}.\n")
+    made = scale_page.CapacityPage({ROW["key"]: {**ROW, "part": "alone"}}).render(f"said: {tag}.\n")
     assert made.splitlines()[-1] == f"said: {shown}."
 
 
@@ -157,32 +162,34 @@
 
 
 def test_what_is_missing_is_told_last_whatever_asked_for_it():
-    made = scale_page.Page({}).made("{{table missing}}\n{{alone.never}}\n")
+    made = scale_page.CapacityPage({}).render("{{table missing}}\n{{alone.never}}\n")
     assert "`alone.never`" in made and "`alone.decision.engines`" in made
 
 
 def test_a_run_before_the_mechanism_stands_in_under_its_own_name():
-    page = scale_page.Page(
+    page = scale_page.CapacityPage(
         {ROW["key"] + ".before": {**ROW, "part": "alone", "key": ROW["key"] + ".before"}}
     )
-    assert page.worked["serving.decision"].keys == ("alone.decision.engines.before",)
-    assert page.named("alone.decision.engines") == "not run"
+    assert page.derived["serving.decision"].keys == ("alone.decision.engines.before",)
+    assert page.expand_tag("alone.decision.engines") == "not run"
 
 
 def test_a_wrong_factor_of_unit_is_not_hidden_by_the_largest_size():
     row = {**ROW, "foretold": {"at": 50, "value": 50.0}}
     row.pop("checked")
     assert (
-        Book({"k": row}).figure("k").value == 400.0
+        RowIndex({"k": row}).figure("k").value == 400.0
     )  # the largest size there is, not the one foretold
 
 
 def page_of(**kept):
     """Of rows of one size and value each."""
-    return scale_page.Page(
+    return scale_page.CapacityPage(
         {
             key: {
-                **scaling.single(key, f"{key}: what", "u", "n", at, [value], "hollow"),
+                **scaling.build_single_size_row(
+                    key, f"{key}: what", "u", "n", at, [value], "hollow"
+                ),
                 "part": "p",
             }
             for key, (at, value) in kept.items()
@@ -244,14 +251,14 @@
 
 def test_a_row_within_its_budget_tells_at_which_size_it_passes_it():
     points = [(n, 2.0 + n / 870) for n in (30, 100, 300, 600)]
-    row = scaling.slope(
+    row = scaling.measure_slope(
         "fleet.handover.lost", "w", "s", "n", [n for n, _ in points], dict(points).get, full=870
     )
-    page = scale_page.Page({row["key"]: {**row, "part": "fleet"}})
+    page = scale_page.CapacityPage({row["key"]: {**row, "part": "fleet"}})
     found = [
         line.split(" | ") for line in page.grown().splitlines() if "nobody holds the duty" in line
     ]
-    assert page.worked["holder.handover.lost"].value == pytest.approx(3.0)
+    assert page.derived["holder.handover.lost"].value == pytest.approx(3.0)
     assert len(found) == 1 and 7 <= float(found[0][0].strip("| ")) <= 7 * 1.05  # 2 + m passes 9
 
 
@@ -292,10 +299,10 @@
 
 
 def test_a_quick_run_of_the_settings_keeps_nothing(monkeypatch):
-    monkeypatch.setattr(scale_settings, "kept", lambda *_: pytest.fail("a quick run was kept"))
+    monkeypatch.setattr(scale_settings, "save_rows", lambda *_: pytest.fail("a quick run was kept"))
     ran = CliRunner().invoke(scale_settings.command, ["--quick", "--rows", "sizes", "--json"])
     rows = {row["key"]: row for row in json.loads(ran.stdout)}
-    assert ran.exit_code == 0 and all(scale_page.wrong(row) == "" for row in rows.values())
+    assert ran.exit_code == 0 and all(scale_page.find_row_error(row) == "" for row in rows.values())
     assert rows["settings.list.octets"]["fit"]["exponent"] > 0.9
     assert CliRunner().invoke(scale_settings.command, ["--rows", "never"]).exit_code == 2
 
@@ -315,17 +322,21 @@
 
 @pytest.mark.parametrize(
     "processes, memory, what",
-    [(scaling.MOST_PROCESSES + 1, 1, "processes"), (1, 1e9, "MB"), (scaling.MOST_PROCESSES, 1, "")],
+    [
+        (scaling.MAX_PROCESS_COUNT + 1, 1, "processes"),
+        (1, 1e9, "MB"),
+        (scaling.MAX_PROCESS_COUNT, 1, ""),
+    ],
 )
 def test_a_trial_that_is_too_large_is_refused_beforehand(processes, memory, what):
     if not what:
-        return scaling.bounded(processes, memory)
-    with pytest.raises(scaling.TooLarge, match=what):
-        scaling.bounded(processes, memory)
+        return scaling.check_trial_size(processes, memory)
+    with pytest.raises(scaling.TrialTooLargeError, match=what):
+        scaling.check_trial_size(processes, memory)
 
 
 def test_a_slope_foretells_full_size_and_tells_its_error():
-    row = scaling.slope(
+    row = scaling.measure_slope(
         "k",
         "what",
         "ms",
@@ -339,24 +350,34 @@
         "error"
     ] == pytest.approx(103 / 400)
     assert row["fit"]["slope"] == pytest.approx(0.5) and row["fit"]["r2"] == pytest.approx(1)
-    assert scale_page.wrong(row) == ""
+    assert scale_page.find_row_error(row) == ""
 
 
 @pytest.mark.parametrize(
     "cost, exponent", [(lambda n: 7.0, 0), (lambda n: 2.0 * n, 1), (lambda n: n * n / 9, 2)]
 )
 def test_the_exponent_tells_flat_from_linear(cost, exponent):
-    fit = scaling.fitted([(n, cost(n)) for n in (10, 100, 1_000, 10_000)])
+    fit = scaling.fit_slope([(n, cost(n)) for n in (10, 100, 1_000, 10_000)])
     assert fit["exponent"] == pytest.approx(exponent, abs=0.01)
 
 
 def test_rows_of_other_keys_stay_as_a_part_is_measured_in_several_runs(tmp_path):
-    scaling.kept(
-        "part", [scaling.single("part.one", "w", "s", "n", 1, [3, 1, 2], "paper")], tmp_path
+    scaling.save_rows(
+        "part",
+        [scaling.build_single_size_row("part.one", "w", "s", "n", 1, [3, 1, 2], "paper")],
+        tmp_path,
     )
-    scaling.kept("part", [scaling.single("part.two", "w", "s", "n", 1, [5], "paper")], tmp_path)
-    scaling.kept("part", [scaling.single("part.one", "w", "s", "n", 1, [7], "paper")], tmp_path)
-    rows = scaling.read(tmp_path)
+    scaling.save_rows(
+        "part",
+        [scaling.build_single_size_row("part.two", "w", "s", "n", 1, [5], "paper")],
+        tmp_path,
+    )
+    scaling.save_rows(
+        "part",
+        [scaling.build_single_size_row("part.one", "w", "s", "n", 1, [7], "paper")],
+        tmp_path,
+    )
+    rows = scaling.load_rows(tmp_path)
     assert {key: row["points"][0]["median"] for key, row in rows.items()} == {
         "part.one": 7,
         "part.two": 5,
@@ -365,7 +386,9 @@
 
 
 def test_an_interrupt_in_the_midst_of_a_writing_leaves_what_was(tmp_path, monkeypatch):
-    scaling.kept("part", [scaling.single("first", "w", "s", "n", 1, [1], "paper")], tmp_path)
+    scaling.save_rows(
+        "part", [scaling.build_single_size_row("first", "w", "s", "n", 1, [1], "paper")], tmp_path
+    )
     writes = Path.write_text
 
     def half(file, text):
@@ -374,25 +397,31 @@
 
     monkeypatch.setattr(Path, "write_text", half)
     with pytest.raises(KeyboardInterrupt):
-        scaling.kept("part", [scaling.single("second", "w", "s", "n", 1, [1], "paper")], tmp_path)
-    assert [*scaling.read(tmp_path)] == ["first"]
+        scaling.save_rows(
+            "part",
+            [scaling.build_single_size_row("second", "w", "s", "n", 1, [1], "paper")],
+            tmp_path,
+        )
+    assert [*scaling.load_rows(tmp_path)] == ["first"]
 
 
 INTERRUPTED = """
 import sys
 from pathlib import Path
 from benchmarks import scaling
-rows = [scaling.single("k%d" % n, "w" * 1000, "s", "n", 1, [n], "paper") for n in range(3000)]
+rows = [scaling.build_single_size_row("k%d" % n, "w" * 1000, "s", "n", 1, [n], "paper") for n in range(3000)]
 print("begun", flush=True)
 while True:
-    scaling.kept("part", rows, Path(sys.argv[1]))
+    scaling.save_rows("part", rows, Path(sys.argv[1]))
 """
 
 
 @pytest.mark.parametrize("sign", [signal.SIGINT, signal.SIGKILL])
 def test_an_interrupt_leaves_the_rows_whole(sign, tmp_path):
     """It is ended while it writes without a pause: what lies there is one whole writing or none."""
-    scaling.kept("part", [scaling.single("first", "w", "s", "n", 1, [1], "paper")], tmp_path)
+    scaling.save_rows(
+        "part", [scaling.build_single_size_row("first", "w", "s", "n", 1, [1], "paper")], tmp_path
+    )
     ran = subprocess.Popen(
         [sys.executable, "-c", INTERRUPTED, str(tmp_path)],
         cwd=ROOT,
@@ -411,7 +440,7 @@
     finally:
         ran.kill()
         ran.stdout.close()
-    rows = scaling.read(tmp_path)
+    rows = scaling.load_rows(tmp_path)
     assert len(rows) in (1, 3001) and "first" in rows
 
 
--- a/tests/test_subset_options.py
+++ b/tests/test_subset_options.py
@@ -244,10 +244,12 @@
 def test_quick_run_compares_the_options_and_stores_nothing(monkeypatch):
     from benchmarks import scale_subset
 
-    monkeypatch.setattr(scale_subset, "kept", lambda *_: pytest.fail("a small fleet was kept"))
+    monkeypatch.setattr(scale_subset, "save_rows", lambda *_: pytest.fail("a small fleet was kept"))
     result = CliRunner().invoke(scale_subset.command, ["--quick", "--part", "options", "--json"])
     rows = {row["key"]: row["points"][0]["median"] for row in json.loads(result.stdout)}
-    assert result.exit_code == 0 and {key.split(".")[1] for key in rows} == {*scale_subset.NAMES}
+    assert result.exit_code == 0 and {key.split(".")[1] for key in rows} == {
+        *scale_subset.OPTION_NAMES
+    }
     assert rows["subset.ours.evenness"] <= MAX_UNEVENNESS < rows["subset.rendezvous.evenness"]
     assert (
         rows["subset.ours.good"] == rows["subset.ours.without"] == 0 < rows["subset.rounds.without"]
@@ -258,7 +260,7 @@
     from benchmarks import scale_subset
 
     fleet = scale_subset.Fleet(20, 128, seed=1)
-    fleet.agree(32)
+    fleet.check_against_model(32)
     monkeypatch.setattr(fleet, "ranks", 1 - fleet.ranks)
     with pytest.raises(RuntimeError, match="tournament"):
-        fleet.agree(32)
+        fleet.check_against_model(32)
