--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""Figures worked out from the kept rows: what each role costs at the users' size, and the factor over its budget.
+"""Derives the figures of docs/CAPACITY.md from the stored rows of the benchmark runs.
 
-Owns the users' size, the budgets and every formula of docs/CAPACITY.md. Must never hold a figure
-that a run gives: a formula asks for it by its key, and where no run has given that key yet, what
-hangs on it is "not run".
+This module defines the users' size, the lookup of stored rows and the evaluation of formulas; the
+formulas and budgets are in capacity_rows.py. A measured figure is never written here: a formula
+looks the figure up by its key. A figure that depends on a key without a run is shown as "not run".
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-# The users' size, in their words: what is handed to this project, not measured by it.
+# The users' size as the users stated it: an input of this project, not a measurement.
 STATED_SIZE: dict[str, float] = {
     "gateways": 870,
     "engines": 1_800,
@@ -34,13 +34,14 @@
     "per_database": 1_220,
     "day": 86_400,
 }
-PEAK_FACTORS = {"mean": 1, "three": 3, "five": 5}  # "several times the mean", worked out for these
-BEFORE_SUFFIX = ".before"  # of a key: as it was before the working set
+PEAK_FACTORS = {"mean": 1, "three": 3, "five": 5}  # readings of "several times the mean" traffic
+BEFORE_SUFFIX = ".before"  # of keys measured before working sets of engines existed
 WITHOUT_SHARED_SUFFIX = (
-    ".without-shared"  # of a key: a fleet whose operator file switches findings off
+    ".without-shared"  # of keys of fleets whose operator file disables peer health reports
 )
 
 
+# Fields of the users' size that grow with the fleet.
 SCALED_FIELDS = (
     "gateways",
     "engines",
@@ -52,7 +53,10 @@
 
 
 class FleetSize(SimpleNamespace):
-    """The users' size with `times` as many workload managers and databases; what each has to do stays."""
+    """The users' size, with the number of workload managers and databases multiplied.
+
+    The load of each workload manager stays the same.
+    """
 
     def __init__(self, times: float = 1.0) -> None:
         super().__init__(
@@ -64,12 +68,12 @@
 
 
 class NotRunError(LookupError):
-    """The key that no run has given yet."""
+    """No run has produced the row of this key yet."""
 
 
 @dataclass(frozen=True)
 class Figure:
-    """A value with its unit, its kind (how it was come by) and the keys of the runs that it rests on."""
+    """A value with its unit, kind (see benchmarks/scaling.py) and the keys of its source rows."""
 
     value: float
     unit: str
@@ -78,7 +82,7 @@
 
 
 class RowIndex:
-    """The kept rows, read by key and size. `missing` gathers the keys that were asked for and not there."""
+    """The stored rows by key; `missing_keys` collects the looked-up keys that have no row."""
 
     def __init__(self, rows: dict[str, dict[str, Any]]) -> None:
         self.rows, self.missing_keys = rows, set[str]()
@@ -90,11 +94,12 @@
         return self.rows[key]
 
     def figure(self, key: str, at: float | None = None) -> Figure:
-        """The cost at a size; without one, at the largest that the row tells of. What was measured or checked there
-        goes before what the slope foretells.
+        """Returns the cost at a size, by default the largest size of the row.
+
+        A cost that was measured or checked at the size takes precedence over an extrapolated one.
         """
         row = self.row(key)
-        found = {p["at"]: (p["median"], row["kind"]) for p in row["points"]}
+        found = {point["at"]: (point["median"], row["kind"]) for point in row["points"]}
         if "checked" in row:
             found[row["checked"]["at"]] = row["checked"]["value"], row["checked"]["kind"]
         if at is None:
@@ -108,37 +113,45 @@
         return Figure(value, row["unit"], kind, (key,))
 
     def slope_figure(self, key: str) -> Figure:
-        """The cost of one more of what the row goes by."""
+        """Returns the cost of one more unit of the row's size."""
         row = self.row(key)
         if "fit" not in row:
             raise NotRunError(f"{key}: a slope")
         return Figure(row["fit"]["slope"], f"{row['unit']} for one more", row["kind"], (key,))
 
     def evaluate(self, row: "DerivedRow", times: float = 1.0) -> Figure:
-        """What a row comes to in a fleet `times` as large. Its kind: of the one figure that it is, unchanged;
-        "foretold" where arithmetic joins what runs gave; "paper" where there was no run.
+        """Evaluates a derived row for a fleet `times` as large as the users' size.
+
+        The figure has the kind of its source where it equals a single source figure, "foretold"
+        where it is calculated from several sources, and "paper" where it has no source.
         """
-        read: list[Figure] = []
+        figures: list[Figure] = []
 
         def lookup(key: str, at: float | None = None, slope: bool = False) -> float:
-            # One that was checked at full size goes before one that is foretold alone; and where
-            # the run after the mechanism, or with findings, is missing, the other stands in, under
-            # its own name.
-            there = (
+            # A row that was checked at full size takes precedence over a row that is only
+            # extrapolated. Where there is no run with working sets, or with peer health reports,
+            # the run without them is used, and the figure names the key of that run.
+            stored_keys = (
                 [each for each in (key, key + WITHOUT_SHARED_SUFFIX) if each in self.rows]
                 or [each for each in (key + BEFORE_SUFFIX,) if each in self.rows]
                 or [key]
             )
-            key = next((each for each in there if "checked" in self.rows.get(each, ())), there[0])
-            read.append(self.slope_figure(key) if slope else self.figure(key, at))
-            return read[-1].value
+            key = next(
+                (each for each in stored_keys if "checked" in self.rows.get(each, ())),
+                stored_keys[0],
+            )
+            figures.append(self.slope_figure(key) if slope else self.figure(key, at))
+            return figures[-1].value
 
         value = float(row.formula(lookup, FleetSize(times)))
-        kind = "paper" if not read else "foretold"
-        if len(read) == 1 and read[0].value == value:
-            kind = read[0].kind
+        kind = "paper" if not figures else "foretold"
+        if len(figures) == 1 and figures[0].value == value:
+            kind = figures[0].kind
         return Figure(
-            value, row.unit, kind, tuple(dict.fromkeys(key for each in read for key in each.keys))
+            value,
+            row.unit,
+            kind,
+            tuple(dict.fromkeys(key for each in figures for key in each.keys)),
         )
 
 
@@ -147,9 +160,17 @@
 
 @dataclass(frozen=True)
 class DerivedRow:
-    """One row of the page: `formula` is given `ask(key, at)` and the size of the fleet. `budget` is in the
-    row's unit, None: none was stated. `moment`: rest, day, worst; open: a reading of an open word;
-    ways: a way that was weighed. `mechanism`: what carries the row, and its file.
+    """One row of the page that a formula calculates.
+
+    Attributes:
+        role: Role that bears the cost.
+        what: Description of the cost.
+        unit: Unit of the cost and of the budget.
+        formula: Takes `lookup(key, at)` and the size of the fleet and returns the cost.
+        budget: Largest acceptable cost; None: the users stated none.
+        moment: rest, day or worst; open: a reading of an ambiguous requirement; ways: an
+            alternative that was considered.
+        mechanism: Part of the program that determines the cost, and its file.
     """
 
     role: str
@@ -163,9 +184,14 @@
 
 @dataclass(frozen=True)
 class MissingMechanism:
-    """A mechanism that is not there: the worked-out rows that show it, what it would take (text of the page, with
-    tags), whether nothing is served without it, whether there is nothing of it yet. Told where a
-    row is over budget.
+    """A mechanism that the program lacks; the page lists it where one of its rows is over budget.
+
+    Attributes:
+        title: Title in the list.
+        rows: Names of the derived rows that show the need.
+        takes: What the mechanism would need, as page text with tags.
+        serving: Whether requests cannot be served without the mechanism.
+        absent: Whether no part of the mechanism exists yet.
     """
 
     title: str
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -1,7 +1,6 @@
-"""The rows of docs/CAPACITY.md that are worked out: role by role, with budget and mechanism.
+"""Defines the derived rows of docs/CAPACITY.md: formula, budget and mechanism by role.
 
-Owns the formulas. Must never hold a measured figure: what a run gave is asked for by its key (see
-capacity.py).
+Measured figures are never written here: a formula looks them up by key (see capacity.py).
 """
 
 from math import sqrt
@@ -19,7 +18,7 @@
 from corkgauge.net import discovery_protocol, platform_frontend
 from corkgauge.peer_health import reports as peer_health_reports
 
-RELEASE_BATCH_FRACTION = 0.1  # of all, restarted at a time by a release
+RELEASE_BATCH_FRACTION = 0.1  # of the fleet, restarted at once by a release
 STATEMENTS_PER_SECOND, DAY_SECONDS = STATED_SIZE["statements"], STATED_SIZE["day"]
 CONTROL_CORE_PERCENT, CONTROL_MEMORY_MB, CONTROL_OCTETS_PER_SECOND = (
     STATED_SIZE[name] for name in ("core_percent", "memory_mb", "octets")
@@ -52,27 +51,31 @@
 
 
 def serving_core_percent(lookup: Lookup, size: FleetSize, load_factor: float) -> float:
-    """Percent of a core that the decisions take."""
+    """Returns the percentage of a core that scheduling decisions take."""
     return lookup("alone.decision.engines", size.engines) * size.statements * load_factor / 10
 
 
 def busiest_window_count(mean: float) -> float:
-    """Of Poisson's counts with this mean, about the largest among the 864,000 windows of 100 ms of a day."""
+    """Estimates the largest Poisson count among the 864,000 windows of 100 ms of a day.
+
+    Args:
+        mean: Mean count of a window.
+    """
     return mean + 4.9 * sqrt(mean)
 
 
 def octets_per_engine_event(lookup: Lookup) -> float:
-    """Octets of one engine in an event of the list."""
+    """Returns the octets that one engine takes in an event of the engine list."""
     return lookup("settings.list.octets", slope=True)
 
 
 def list_changes_per_day(size: FleetSize) -> float:
-    """Restarts and failures, each told twice (gone, there again)."""
+    """Counts list changes of a day: each restart or failure causes two, removal and return."""
     return 2 * (size.restarts + size.machine_failures)
 
 
 DERIVED_ROWS: dict[str, DerivedRow] = {
-    # A workload manager, serving.
+    # A workload manager: requests.
     "serving.decision": DerivedRow(
         SERVING,
         "processor of a decision before all engines, against one core for all statements",
@@ -153,7 +156,8 @@
     ),
     "serving.burst": DerivedRow(
         SERVING,
-        "decisions of the busiest 100 ms of a day, were statements independent: the mean and 4.9 roots of it",
+        "decisions of the busiest 100 ms of a day, were statements independent: the mean and 4.9 "
+        "roots of it",
         "ms",
         lambda lookup, size: lookup("alone.decision.engines", size.engines)
         * busiest_window_count(size.statements / 10),
@@ -211,7 +215,8 @@
     ),
     "serving.descriptors": DerivedRow(
         SERVING,
-        "descriptors: clients and a link to each engine; clients get half of `sockets`, links a third",
+        "descriptors: clients and a link to each engine; clients get half of `sockets`, links a "
+        "third",
         "descriptors",
         lambda lookup, size: max(2 * size.connections, 3 * size.engines),
         None,
@@ -248,7 +253,7 @@
         "worst",
         "`corkgauge/daemon/process.py`",
     ),
-    # Control of a workload manager, apart from serving.
+    # A workload manager: control, apart from requests.
     "control.list.memory": DerivedRow(
         CONTROL,
         "the list of engines with what is known of each",
@@ -325,7 +330,8 @@
     ),
     "control.restart.octets": DerivedRow(
         CONTROL,
-        "configuration by restart: what the restarts of all the others cost each in datagrams, mean",
+        "configuration by restart: what the restarts of all the others cost each in datagrams, "
+        "mean",
         "octets a second",
         lambda lookup, size: lookup("fleet.restart.octets", size.gateways)
         * size.changes
@@ -382,7 +388,8 @@
     ),
     "control.change.gossip": DerivedRow(
         CONTROL,
-        "a change as a delta by gossip, fan-out three, a tenth of all datagrams lost: until all have it",
+        "a change as a delta by gossip, fan-out three, a tenth of all datagrams lost: until all "
+        "have it",
         "s",
         lambda lookup, size: lookup("settings.gossip.delta.time.f3.loss10", size.gateways),
         STATED_SIZE["change_s"],
@@ -398,7 +405,7 @@
         "ways",
         "none (simulated)",
     ),
-    # A member of the fleet: the datagrams of membership, duties, maintenance and findings.
+    # A member of the fleet: datagrams of membership, leases, maintenance and peer health reports.
     "control.rest.octets": DerivedRow(
         CONTROL,
         "datagrams at rest, sent and received, mean",
@@ -729,7 +736,7 @@
         "day",
         "none; `corkgauge/maintenance/plan.py` refuses more",
     ),
-    # What the list feed and the databases see.
+    # The engine list feed and the databases.
     **{
         f"feed.whole{name}": DerivedRow(
             FEED,
@@ -738,7 +745,8 @@
             lambda lookup, size, key="settings.list.octets" + name: lookup(key, size.engines),
             discovery_protocol.MAX_LINE_BYTES,
             "day",
-            "one event up to a bound (`corkgauge/net/discovery_protocol.py`); a longer one ends the connection, the list stays",
+            "one event up to a bound (`corkgauge/net/discovery_protocol.py`); a longer one ends "
+            "the connection, the list stays",
         )
         for name, said in (
             ("", "ids of 8 characters"),
@@ -800,7 +808,7 @@
         "worst",
         "`corkgauge/peer_health/reports.py`",
     ),
-    # Ways in which a change of configuration could reach all.
+    # Alternatives for sending a configuration change to all workload managers.
     "ways.one.whole": DerivedRow(
         CONTROL,
         "one holder sends the whole to each within the five seconds",
@@ -855,7 +863,7 @@
         CONTROL_OCTETS_PER_SECOND,
         "ways",
     ),
-    # Open words, both readings.
+    # Ambiguous requirements: both readings.
     "open.zones.all.gateways": DerivedRow(
         SERVING,
         "a zone, where five are meant in all: workload managers lost with it",
@@ -915,7 +923,8 @@
     ),
     "open.primary.database": DerivedRow(
         FEED,
-        "primary = which database of a group takes writes, as the list tells it: octets to all at each change",
+        "primary = which database of a group takes writes, as the list tells it: octets to all "
+        "at each change",
         "octets",
         lambda lookup, size: 2 * octets_per_engine_event(lookup) * size.gateways,
         None,
@@ -953,27 +962,34 @@
     ),
 }
 
-# What is not there. The page ranks them: what stands before serving first, then what is wholly
-# absent, then by factor.
+# Mechanisms that the program lacks. The page ranks first those without which requests cannot be
+# served, then those of which no part exists, then by factor over budget.
 MISSING_MECHANISMS = [
     MissingMechanism(
         "A change of configuration in force everywhere without a restart",
         ("control.change", "control.restart.drain"),
-        "settings that a running program takes: classes and limits exchanged between two statements, what "
-        "holds state kept ({{settings.taken.tenants@2000}} to read and check one of 2,000 tenants); versions "
+        "settings that a running program takes: classes and limits exchanged between two "
+        "statements, what "
+        "holds state kept ({{settings.taken.tenants@2000}} to read and check one of 2,000 "
+        "tenants); versions "
         "with a digest; deltas (JSON merge patch, RFC 7396: {{settings.octets.delta}} against "
         "{{settings.octets.whole}} whole); gossip among the members that there are "
-        "({{worked.control.change.gossip}} until all have it, {{worked.control.change.gossip.octets}} in the "
-        "busiest second of one); a fetch of what was missed, at a start and after a cut; a refusal that is "
+        "({{worked.control.change.gossip}} until all have it, "
+        "{{worked.control.change.gossip.octets}} in the "
+        "busiest second of one); a fetch of what was missed, at a start and after a cut; a "
+        "refusal that is "
         "told everywhere. Wholes by gossip do not fit the octets.",
         absent=True,
     ),
     MissingMechanism(
         "A list of engines that comes in pieces, or a bound that follows its size",
         ("feed.whole", "feed.whole.long", "feed.whole.compact"),
-        "the reader of the feed took a whole list of {{settings.list.most}}, {{settings.list.most.long:bare}} "
-        "with ids of 36 characters, as it was measured; at a longer one it ends the connection, again at each "
-        "try, and a workload manager goes on with the list that it knew. A bound that follows what is stated, "
+        "the reader of the feed took a whole list of {{settings.list.most}}, "
+        "{{settings.list.most.long:bare}} "
+        "with ids of 36 characters, as it was measured; at a longer one it ends the connection, "
+        "again at each "
+        "try, and a workload manager goes on with the list that it knew. A bound that follows "
+        "what is stated, "
         "or a list in several events with its end told.",
         serving=True,
     ),
@@ -987,22 +1003,31 @@
             "serving.decisions.three",
             "serving.decisions.five",
         ),
-        "at the rate that it was measured at (200 a second) turns of the hub and what the module works out "
-        "each 20 ms are shared by few statements; at 1,000 a second one costs {{alone.statement.rate@1000}} "
-        "before 40 engines, which is still over the budget. What it goes to is under 'what remains of a "
-        "statement'. Less of it first: frames, links, the walk of the order. Beyond that several processes on a "
-        "machine that share the port (SO_REUSEPORT), each a workload manager of its own, which multiplies "
+        "at the rate that it was measured at (200 a second) turns of the hub and what the module "
+        "works out "
+        "each 20 ms are shared by few statements; at 1,000 a second one costs "
+        "{{alone.statement.rate@1000}} "
+        "before 40 engines, which is still over the budget. What it goes to is under 'what "
+        "remains of a "
+        "statement'. Less of it first: frames, links, the walk of the order. Beyond that several "
+        "processes on a "
+        "machine that share the port (SO_REUSEPORT), each a workload manager of its own, which "
+        "multiplies "
         "members, links and cold parts; the platform asks for one process.",
         serving=True,
     ),
     MissingMechanism(
         "Books of the fleet that are summed on the way, orders that go out on a change",
         ("holder.rest.octets", "holder.rest.processor"),
-        "a holder asks all members in one turn of its loop: that of `works` twice a second, also with an empty "
+        "a holder asks all members in one turn of its loop: that of `works` twice a second, also "
+        "with an empty "
         "plan (`corkgauge/maintenance/planner.py`, `orders`), that of the books each five seconds "
-        "(`corkgauge/leases/fleet_accounts_collector.py`, `begin`). The answers come together, and beyond some 250 a socket's "
-        "buffer drops them: {{fleet.books.missing.without-shared}} were missing in an entry. Orders on a change "
-        "alone, asking spread over the period; sums by zone or by a tree of members, each with what is missing "
+        "(`corkgauge/leases/fleet_accounts_collector.py`, `begin`). The answers come together, "
+        "and beyond some 250 a socket's "
+        "buffer drops them: {{fleet.books.missing.without-shared}} were missing in an entry. "
+        "Orders on a change "
+        "alone, asking spread over the period; sums by zone or by a tree of members, each with "
+        "what is missing "
         "and how old it is.",
     ),
     MissingMechanism(
@@ -1017,7 +1042,8 @@
             "control.release.octets.worst",
             "control.region.octets",
         ),
-        "a bound of octets a period on words that ride along, what is new first; rolls by digests, not whole; "
+        "a bound of octets a period on words that ride along, what is new first; rolls by "
+        "digests, not whole; "
         "news of many at once (a zone, a region) as one word.",
     ),
     MissingMechanism(
@@ -1028,13 +1054,15 @@
     MissingMechanism(
         "A plan of maintenance over engines and workload managers together",
         ("planner.units",),
-        "the bound of units raised with its pieces and the voters' memory measured, or a plan for each "
+        "the bound of units raised with its pieces and the voters' memory measured, or a plan "
+        "for each "
         "region.",
     ),
     MissingMechanism(
         "Client connections that cost less memory",
         ("open.memory.clients", "serving.memory.clients"),
-        "no ring for a connection that lies idle, one made when it is readable; records without an object a "
+        "no ring for a connection that lies idle, one made when it is readable; records without "
+        "an object a "
         "field.",
     ),
 ]
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,13 +1,14 @@
-"""The size that is coming: what each role costs, by slopes; one command a role.
+"""Measures what each role costs at several sizes and extrapolates to the users' size.
 
     python benchmarks/scale.py alone --help         one workload manager
-    python benchmarks/scale.py fleet --help         several, hollow
+    python benchmarks/scale.py fleet --help         several hollow workload managers
     python benchmarks/scale.py settings --help      a change of configuration
-    python benchmarks/scale.py subset --help        working sets of engines: options side by side
-    python benchmarks/scale.py page                 docs/CAPACITY.md anew from docs/capacity/*.json
+    python benchmarks/scale.py subset --help        comparison of working sets of engines
+    python benchmarks/scale.py page                 docs/CAPACITY.md from docs/capacity/*.json
 
-Each writes docs/capacity/ROLE.json. A size that would pass half of the machine's memory or 300
-processes is refused beforehand, with exit 2. Must never be run beside other work: it measures time.
+The first four subcommands write docs/capacity/ROLE.json. A size that needs more than half of the
+machine's memory or more than 300 processes is rejected before the run, with exit code 2. Run no
+other work on the machine at the same time: the benchmarks measure time.
 """
 
 import importlib
@@ -19,16 +20,16 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 ROLES = {
-    "alone": "One workload manager, alone.",
-    "fleet": "Several, hollow: membership, leases, books, maintenance.",
-    "settings": "A change of configuration, in force everywhere.",
-    "subset": "Working sets of engines: the options side by side.",
-    "page": "docs/CAPACITY.md from the JSON.",
+    "alone": "Measure one workload manager.",
+    "fleet": "Measure several hollow workload managers: membership, leases, accounts, maintenance.",
+    "settings": "Measure a change of configuration that reaches all workload managers.",
+    "subset": "Compare algorithms for working sets of engines.",
+    "page": "Render docs/CAPACITY.md from the JSON files.",
 }
 
 
-class Roles(click.Group):
-    """Each role is a file of its own, benchmarks/scale_ROLE.py, loaded when it is asked for."""
+class RoleGroup(click.Group):
+    """Command group that imports benchmarks/scale_ROLE.py when its role is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return [*ROLES]
@@ -39,13 +40,13 @@
         return importlib.import_module(f"benchmarks.scale_{name}").command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        with formatter.section("Roles"):  # without loading them
+        with formatter.section("Roles"):  # does not import the modules of the roles
             formatter.write_dl([*ROLES.items()])
 
 
-@click.command(cls=Roles, epilog="Example: python benchmarks/scale.py alone --json")
+@click.command(cls=RoleGroup, epilog="Example: python benchmarks/scale.py alone --json")
 def main() -> None:
-    """Slopes of cost for each role, and the page made of them."""
+    """Measure the cost of each role by size, and render the capacity page."""
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale_page.py
+++ b/benchmarks/scale_page.py
@@ -1,14 +1,15 @@
-"""docs/CAPACITY.md, made from the kept rows.
-
-Owns the page's form: the text is docs/capacity/page.md.in, in which a figure or a table is named by
-its key, so that nobody types one. Must never invent: a key without a run is shown as "not run".
-
-In the text: {{size.NAME}} a figure of the users' size as they gave it; {{KEY}} a figure with unit
-and kind, {{KEY@400}} at a size, {{KEY:bare}} the number alone, {{KEY:slope}}, {{KEY:exponent}},
-{{KEY:error}} of what was foretold; {{worked.NAME}} and {{worked.NAME:factor}} what is worked out
-(benchmarks/capacity_rows.py). On a line of its own: {{table roles MOMENT}}, {{table over}}, {{table
-grown}}, {{table next}}, {{table slopes PREFIX...}}, {{table options PREFIX OPTION...}}, {{table
-gossip LOSS...}}, {{table missing}}.
+"""Renders docs/CAPACITY.md from the stored rows and the text of docs/capacity/page.md.in.
+
+The text names figures and tables by key, so that no figure is typed by hand. A key without a run
+is shown as "not run".
+
+Tags in the text: {{size.NAME}} is a figure of the users' size as the users stated it. {{KEY}} is a
+figure with unit and kind; {{KEY@400}} is the figure at a size; {{KEY:bare}} is the number alone;
+{{KEY:slope}}, {{KEY:exponent}} and {{KEY:error}} are the slope, the exponent and the error of the
+extrapolation. {{worked.NAME}} and {{worked.NAME:factor}} are a derived figure and its factor over
+budget (benchmarks/capacity_rows.py). Tags on a separate line: {{table roles MOMENT}}, {{table
+over}}, {{table grown}}, {{table next}}, {{table slopes PREFIX...}}, {{table options PREFIX
+OPTION...}}, {{table gossip LOSS...}}, {{table missing}}.
 """
 
 import json
@@ -38,20 +39,22 @@
 SEPARATE_MOMENTS = (
     "open",
     "ways",
-)  # readings of open words, and ways not taken: in tables of their own alone
+)  # alternatives and readings of ambiguous requirements: only in separate tables
 TAG_PATTERN = re.compile(r"\{\{([^{}]+)\}\}")
-GROWTH_FACTORS = [1.05**step for step in range(95)]  # of a fleet that grows, to a hundred times
-CLOSE_FRACTION = 0.5  # of a budget: what is above stands beside what is over
+GROWTH_FACTORS = [1.05**step for step in range(95)]  # multiples of the users' size, up to a hundred
+CLOSE_FRACTION = 0.5  # of the budget; a cost between this and the budget is shown as "close"
 
 
 class UnknownTagError(ValueError):
-    """One line: what the text names that cannot be."""
+    """A tag of the text names something that does not exist; the message is one line."""
 
 
 def format_number(value: float) -> str:
-    """Three digits at most, without an exponent.
+    """Formats a number with three significant digits at most, without an exponent.
 
-    >>> format_number(2526.3), format_number(0.004217), format_number(18.36), format_number(99.96), format_number(0), format_number(870), format_number(-0.5)
+    >>> format_number(2526.3), format_number(0.004217), format_number(18.36), format_number(
+    ...     99.96
+    ... ), format_number(0), format_number(870), format_number(-0.5)
     ('2,530', '0.00422', '18.4', '100', '0', '870', '-0.5')
     """
     if not value:
@@ -70,7 +73,7 @@
 
 
 class CapacityPage:
-    """The page of these rows and this text."""
+    """Renders the capacity page from rows."""
 
     def __init__(self, rows: dict[str, dict[str, Any]]) -> None:
         self.row_index = RowIndex(rows)
@@ -82,9 +85,12 @@
                 self.derived[name] = None
 
     def render(self, text: str) -> str:
-        """The whole page."""
-        head = "<!-- Made by `python benchmarks/scale.py page` from docs/capacity/: edit page.md.in there. -->\n\n"
-        # The table of what is missing comes last, when all else has been asked for.
+        """Renders the whole page from its text."""
+        head = (
+            "<!-- Made by `python benchmarks/scale.py page` from docs/capacity/: "
+            "edit page.md.in there. -->\n\n"
+        )
+        # The table of missing runs is rendered last: it lists all keys that the page looked up.
         parts = [
             self.fill_tags(part)
             for part in re.split(r"(\{\{table missing\}\})", text)
@@ -98,7 +104,7 @@
         return TAG_PATTERN.sub(lambda tag: self.expand_tag(tag[1].strip()), text)
 
     def expand_tag(self, tag: str) -> str:
-        """What stands in place of a tag."""
+        """Returns the text that replaces a tag."""
         if tag.startswith("table "):
             name, *rest = tag.split()[1:]
             if name not in ("roles", "over", "slopes", "options", "grown", "gossip", "next"):
@@ -146,7 +152,7 @@
     # Tables.
 
     def roles(self, moment: str) -> str:
-        """What each role costs at a moment: rest, day, worst, open."""
+        """Renders the costs of each role at a moment (see `DerivedRow.moment`)."""
         rows = []
         for name, each in DERIVED_ROWS.items():
             if each.moment == moment:
@@ -180,13 +186,14 @@
         )
 
     def describe_runs(self, figure: Figure | None) -> str:
-        """The keys of the runs, each with its slope where it has one."""
+        """Lists the keys of the runs behind a figure, with the slope of each row that has one."""
         if figure is None or not figure.keys:
             return "-"
         return ", ".join(
             f"`{key}`"
             + (
-                f" ({format_number(self.row_index.rows[key]['fit']['slope'])} a unit of {self.row_index.rows[key]['by']})"
+                f" ({format_number(self.row_index.rows[key]['fit']['slope'])} a unit of "
+                f"{self.row_index.rows[key]['by']})"
                 if "fit" in self.row_index.rows[key]
                 else ""
             )
@@ -195,7 +202,7 @@
 
     @staticmethod
     def describe_mechanism(row: DerivedRow, figure: Figure | None) -> str:
-        """The mechanism; a figure of a run before the working set does not have that yet."""
+        """Names the mechanism, and says so where the run predates working sets of engines."""
         if figure and any(key.endswith(BEFORE_SUFFIX) for key in figure.keys):
             return row.mechanism.replace(
                 WORKING_SET_MECHANISM, f"{WORKING_SET_MECHANISM} (not in this run)"
@@ -213,7 +220,7 @@
         )
 
     def over(self) -> str:
-        """Every row with a budget, the farthest over it first; what has not run is named below."""
+        """Renders rows with a budget, highest factor first; rows without a run are listed below."""
         rows, unknown = [], []
         for name, each in DERIVED_ROWS.items():
             if each.budget is not None and each.moment not in SEPARATE_MOMENTS:
@@ -238,16 +245,16 @@
                         ],
                     )
                 )
-        made = format_table(
+        rendered = format_table(
             ["", "factor", "role", "what", "figure", "budget", "carried by"],
             [row for _, row in sorted(rows, key=lambda each: each[0])],
         )
-        return made + (
+        return rendered + (
             f"\n\nWith a budget, and {NOT_RUN}: {'; '.join(unknown)}." if unknown else ""
         )
 
     def grown(self) -> str:
-        """For every row within its budget: how many times as many workload managers and databases pass it."""
+        """Renders how many times the fleet can grow before a row exceeds its budget."""
         found, flat = [], []
         for name, each in DERIVED_ROWS.items():
             figure = self.derived[name]
@@ -268,12 +275,13 @@
                     None,
                 )
             except NotRunError:
-                times = None  # one size alone was run
+                times = None  # a run of a single size
             (found if times else flat).append((times, name))
         rows = [
             [
                 format_number(times),
-                f"{format_number(times * STATED_SIZE['gateways'])} and {format_number(times * STATED_SIZE['engines'])}",
+                f"{format_number(times * STATED_SIZE['gateways'])} and "
+                f"{format_number(times * STATED_SIZE['engines'])}",
                 DERIVED_ROWS[name].role,
                 DERIVED_ROWS[name].what,
                 DERIVED_ROWS[name].mechanism,
@@ -295,7 +303,7 @@
         return (format_table(heads, rows) if rows else NOT_RUN) + f"\n\n{rest}".rstrip()
 
     def gossip(self, *losses: str) -> str:
-        """A change spread by gossip, by what is sent and fan-out, at the largest number of members that was played."""
+        """Renders the simulated spread of a configuration change by gossip at the largest fleet."""
         rows = []
         for sort in "delta", "whole":
             for fanout in FANOUTS:
@@ -324,7 +332,7 @@
         )
 
     def next(self) -> str:
-        """What is missing and over its budget, ranked, with its greatest factor and what it would take."""
+        """Renders the ranked list of missing mechanisms whose rows are over budget."""
         ranked = []
         for each in MISSING_MECHANISMS:
             found = {
@@ -336,8 +344,10 @@
                 name = max(found, key=found.get)
                 ranked.append((not each.serving, not each.absent, -found[name], each, name))
         lines = [
-            f"{n}. **{each.title}**: {format_number(-factor)} times over ({DERIVED_ROWS[name].role}: {DERIVED_ROWS[name].what}, "
-            f"{format_figure(self.derived[name])} against {format_with_unit(DERIVED_ROWS[name].budget, DERIVED_ROWS[name].unit)})"
+            f"{n}. **{each.title}**: {format_number(-factor)} times over "
+            f"({DERIVED_ROWS[name].role}: {DERIVED_ROWS[name].what}, "
+            f"{format_figure(self.derived[name])} against "
+            f"{format_with_unit(DERIVED_ROWS[name].budget, DERIVED_ROWS[name].unit)})"
             f"{', wholly absent' if each.absent else ''}. Would take: {self.fill_tags(each.takes)}"
             for n, (_, _, factor, each, name) in enumerate(
                 sorted(ranked, key=lambda row: row[:3]), 1
@@ -346,7 +356,7 @@
         return "\n".join(lines) or "None that a run shows."
 
     def slopes(self, *prefixes: str) -> str:
-        """Every kept row of these parts."""
+        """Renders all stored rows whose key starts with one of the prefixes."""
         rows = []
         for key in sorted(key for key in self.row_index.rows if key.startswith(prefixes)):
             row = self.row_index.rows[key]
@@ -358,19 +368,21 @@
                     row["unit"],
                     row["by"],
                     "; ".join(
-                        f"{format_number(p['at'])}: {format_number(p['median'])}"
+                        f"{format_number(point['at'])}: {format_number(point['median'])}"
                         + (
-                            f" ({format_number(p['least'])} to {format_number(p['most'])})"
-                            if p["least"] != p["most"]
+                            f" ({format_number(point['least'])} to {format_number(point['most'])})"
+                            if point["least"] != point["most"]
                             else ""
                         )
-                        for p in points
+                        for point in points
                     ),
                     f"{format_number(fit['slope'])}, power {fit['exponent']:.2f}" if fit else "-",
-                    f"{format_number(row['foretold']['value'])} at {format_number(row['foretold']['at'])}"
+                    f"{format_number(row['foretold']['value'])} at "
+                    f"{format_number(row['foretold']['at'])}"
                     if "foretold" in row
                     else "-",
-                    f"{format_number(checked['value'])} ({checked['kind']}), {checked['error']:+.0%}"
+                    f"{format_number(checked['value'])} ({checked['kind']}), "
+                    f"{checked['error']:+.0%}"
                     if checked
                     else "-",
                     row["kind"],
@@ -395,7 +407,12 @@
         )
 
     def options(self, prefix: str, *names: str) -> str:
-        """Options side by side, of rows PREFIX.OPTION.FIGURE of one size; `names` are the options, in this order."""
+        """Renders a comparison of options from the rows PREFIX.OPTION.FIGURE.
+
+        Args:
+            prefix: Prefix of the keys.
+            names: Options, in the order of the columns.
+        """
         figures = list(
             dict.fromkeys(
                 key.rpartition(".")[2]
@@ -438,27 +455,33 @@
 
 
 def find_row_error(row: dict[str, Any]) -> str:
-    """What in a kept row does not follow from its own values, in one line; empty: nothing. The fit is worked out anew
-    by the standard library, which CI has, where the run itself used numpy.
+    """Checks that the derived figures of a stored row follow from its values.
+
+    The fit is recalculated with the standard library, because CI has no numpy, which the run used.
+
+    Returns:
+        One line that describes the first error; empty where there is none.
     """
     key = row.get("key")
     if row["kind"] not in ROW_KINDS:
         return f"{key}: kind {row['kind']!r}"
-    for p in row["points"]:
+    for point in row["points"]:
         for name, found in (
-            ("median", median(p["values"])),
-            ("least", min(p["values"])),
-            ("most", max(p["values"])),
+            ("median", median(point["values"])),
+            ("least", min(point["values"])),
+            ("most", max(point["values"])),
         ):
-            if not is_close(p[name], found):
-                return f"{key}: {name} at {p['at']} is {p[name]!r}, its values give {found!r}"
+            if not is_close(point[name], found):
+                return (
+                    f"{key}: {name} at {point['at']} is {point[name]!r}, its values give {found!r}"
+                )
     if "fit" in row:
         slope, base = linear_regression(
-            [p["at"] for p in row["points"]], [p["median"] for p in row["points"]]
+            [point["at"] for point in row["points"]], [point["median"] for point in row["points"]]
         )
-        scale = max(abs(p["median"]) for p in row["points"])
+        scale = max(abs(point["median"]) for point in row["points"])
         for name, found, room in (
-            ("slope", slope, scale / max(p["at"] for p in row["points"])),
+            ("slope", slope, scale / max(point["at"] for point in row["points"])),
             ("base", base, scale),
         ):
             if not is_close(row["fit"][name], found, room):
@@ -489,22 +512,28 @@
     return isclose(one, other, rel_tol=1e-6, abs_tol=1e-6 * scale + 1e-12)
 
 
-def find_first_difference(page: str, made: str) -> str:
-    """The first line in which the page is not what the rows give; empty: none."""
-    for number, (has, gives) in enumerate(zip_longest(page.splitlines(), made.splitlines()), 1):
-        if has != gives:
-            return f"line {number}: the page has {has!r}, the rows give {gives!r}"
+def find_first_difference(page: str, rendered: str) -> str:
+    """Describes the first line in which the page differs from the rendered text; empty: none."""
+    for number, (page_line, rendered_line) in enumerate(
+        zip_longest(page.splitlines(), rendered.splitlines()), 1
+    ):
+        if page_line != rendered_line:
+            return f"line {number}: the page has {page_line!r}, the rows give {rendered_line!r}"
     return ""
 
 
 def find_page_difference(home: Path, page: Path) -> str:
-    """The first difference between the kept rows, the text and the page, or within a row; empty: none."""
+    """Checks that the rows are consistent and that the page is rendered from rows and text.
+
+    Returns:
+        One line that describes the first error or difference; empty where there is none.
+    """
     rows = load_rows(home)
     for row in rows.values():
         if problem := find_row_error(row):
             return f"{row['part']}.json: {problem}"
-    made = CapacityPage(rows).render((home / "page.md.in").read_text())
-    found = find_first_difference(page.read_text() if page.exists() else "", made)
+    rendered = CapacityPage(rows).render((home / "page.md.in").read_text())
+    found = find_first_difference(page.read_text() if page.exists() else "", rendered)
     return found and f"{page.name}: {found}"
 
 
@@ -512,20 +541,20 @@
 @click.option(
     "--check",
     is_flag=True,
-    help="Write nothing; end with 1 where page and rows differ, and name where.",
+    help="Write nothing; exit with 1 and name the line where page and rows differ.",
 )
 @click.option(
     "--json",
     "as_json",
     is_flag=True,
-    help="What is worked out, as JSON, in place of writing the page.",
+    help="Print the derived figures as JSON instead of writing the page.",
 )
 @click.option(
     "--home",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
     default=CAPACITY_DIRECTORY,
     show_default=False,
-    help="Where the rows and the page's text are (docs/capacity).",
+    help="Directory of the rows and of the page's text (docs/capacity).",
 )
 @click.option(
     "--page",
@@ -533,12 +562,12 @@
     type=click.Path(dir_okay=False, path_type=Path),
     default=CAPACITY_DIRECTORY.parent / "CAPACITY.md",
     show_default=False,
-    help="The page (docs/CAPACITY.md).",
+    help="Path of the page (docs/CAPACITY.md).",
 )
 def command(check: bool, as_json: bool, home: Path, page: Path) -> None:
-    """Make docs/CAPACITY.md anew from docs/capacity/*.json and the text beside them.
+    """Render docs/CAPACITY.md from docs/capacity/*.json and docs/capacity/page.md.in.
 
-    Ends with 0 done, 1 a difference (--check), 2 a text that names what cannot be.
+    Exit codes: 0 success, 1 difference (--check), 2 unknown tag in the text.
     """
     try:
         if check:
@@ -546,8 +575,8 @@
                 print(f"scale: {problem}", file=sys.stderr)
                 sys.exit(1)
             return
-        made = CapacityPage(load_rows(home))
-        text = made.render((home / "page.md.in").read_text())
+        capacity_page = CapacityPage(load_rows(home))
+        text = capacity_page.render((home / "page.md.in").read_text())
     except UnknownTagError as problem:
         print(f"scale: page.md.in: {problem}", file=sys.stderr)
         sys.exit(2)
@@ -563,7 +592,7 @@
                         "keys": figure.keys,
                         "budget": DERIVED_ROWS[name].budget,
                     }
-                    for name, figure in made.derived.items()
+                    for name, figure in capacity_page.derived.items()
                 },
                 indent=1,
             )
@@ -571,6 +600,7 @@
         return
     page.write_text(text)
     print(
-        f"{page}: {len(made.row_index.rows)} rows, {len(made.row_index.missing_keys)} keys without a run",
+        f"{page}: {len(capacity_page.row_index.rows)} rows, "
+        f"{len(capacity_page.row_index.missing_keys)} keys without a run",
         file=sys.stderr,
     )
