--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -1,7 +1,7 @@
-"""One workload manager alone: what a statement, a list, a turn of its hub, its memory and its start cost, by sizes.
+"""Measures one workload manager: statements, engine list, event loop turns, memory and startup.
 
-Owns which sizes are measured and what a row says. Must never be run beside other measurements.
-Processor time throughout: wall time tells of the machine.
+This module defines the measured sizes and the rows. All times are processor time, because wall
+time depends on the load of the machine. Run no other measurement at the same time.
 """
 
 import cProfile
@@ -36,28 +36,27 @@
 from corkgauge.testkit.fleet.hollow_gateway import RATE, TABLE_GROUPS, Alone, Front, busy, listing
 from corkgauge.testkit.fleet.hollow_serve import Serve
 
-FULL, CLIENTS, OPEN = (
+# Full size: engines, and client connections and open requests of one workload manager.
+FULL_ENGINE_COUNT, FULL_CLIENT_CONNECTION_COUNT, FULL_OPEN_REQUEST_COUNT = (
     1_800,
     6_670,
     10_000,
-)  # databases; client connections of one; requests open at one
-WINDOW, WARM = 5_060, 600  # statements measured: two seconds of them, a whole period; before that
-ENGINES = 10, 40, 100, 400, 1_000
-SERVED, SETTLES, LASTS = (
-    200.0,
-    4.0,
-    5.0,
-)  # on sockets: statements a second, seconds before and of a window
-OPEN_CORES = 400  # a database's, where the number of open requests is what is looked at
-PROFILED = 16  # functions of a profile that get a row
+)
+# The measured window is two seconds of statements, a whole feedback period, after the warm-up.
+WINDOW_STATEMENT_COUNT, WARM_UP_STATEMENT_COUNT = 5_060, 600
+ENGINE_COUNTS = 10, 40, 100, 400, 1_000
+# Load on sockets; the links come up in the settling time before the measured window.
+STATEMENTS_PER_SECOND, SETTLE_SECONDS, WINDOW_SECONDS = 200.0, 4.0, 5.0
+OPEN_REQUEST_ENGINE_CORES = 400  # of each engine, for measurements by number of open requests
+PROFILE_ROW_COUNT = 16  # functions of a profile, each with a row
 
 
 class Run:
-    """One run of the command: what it was told, and the form of its rows."""
+    """One run of the command: its options, and how rows are measured."""
 
     def __init__(self, quick: bool, full: bool, engines: int, command: str) -> None:
         self.quick, self.full, self.engines, self.command = quick, full, engines, command
-        self.window = WINDOW // 10 if quick else WINDOW
+        self.window = WINDOW_STATEMENT_COUNT // 10 if quick else WINDOW_STATEMENT_COUNT
 
     def measure_slope(
         self,
@@ -68,18 +67,22 @@
         sizes: tuple[int, ...],
         measure: Callable[[int], float],
         full: int | None,
-        **more: Any,
+        **options: Any,
     ) -> dict[str, Any]:
-        """A row; checked at `full` if so told, by the same measurement. `full` None: nothing is foretold."""
+        """Measures a row by size.
+
+        Where the command runs with --full, the cost at `full` is checked by the same
+        measurement. None as `full` gives no extrapolation.
+        """
 
-        def clean(size: int) -> float:
+        def measure_after_collection(size: int) -> float:
             gc.collect()
             return measure(size)
 
-        more = {
+        options = {
             "checked_as": "measured",
-            "check": clean if self.full and not self.quick else None,
-            **more,
+            "check": measure_after_collection if self.full and not self.quick else None,
+            **options,
         }
         return measure_slope(
             key,
@@ -87,99 +90,106 @@
             unit,
             by,
             sizes,
-            clean,
+            measure_after_collection,
             repeats=1 if self.quick else 3,
             full=full,
             command=self.command,
-            **more,
+            **options,
         )
 
 
-# The module alone.
+# The policy module without sockets.
 
 
-def decision(run: Run, engines: int, **more: Any) -> float:
-    """Ms a statement, over a window of whole periods."""
-    alone = Alone(engines, **more)
-    alone.play(alone.drawn(max(WARM, int(1.2 * alone.hold * alone.rate / 10_000))))
+def measure_decision_ms(run: Run, engines: int, **options: Any) -> float:
+    """Returns ms per statement, over a window of whole feedback periods."""
+    alone = Alone(engines, **options)
+    alone.play(
+        alone.drawn(max(WARM_UP_STATEMENT_COUNT, int(1.2 * alone.hold * alone.rate / 10_000)))
+    )
     statements = alone.drawn(run.window)
     before = alone.refused
     cost = alone.play(statements) * 1000 / run.window
     if alone.refused - before > 0.05 * run.window:
         raise RuntimeError(
-            f"{alone.refused - before} of {run.window} refused before {engines} engines: another load"
+            f"policy refused {alone.refused - before} of {run.window} statements before {engines} "
+            "engines, more than 5%: the load is not comparable"
         )
     return cost
 
 
-DECISION = (
-    "processor of the module a statement, its host's made-up clock with it: taken, handed off, answered; "
+DECISION_TEXT = (
+    "processor of the module a statement, its host's made-up clock with it: taken, handed off, "
+    "answered; "
     f"870 gateways, {RATE:.0f} statements a second, four classes, 20 tenants"
 )
 
 
-def by_engines(run: Run) -> list[dict[str, Any]]:
-    what = f"{DECISION}, {TABLE_GROUPS} table groups drawn unevenly (1 / k)"
+def decision_rows_by_engine_count(run: Run) -> list[dict[str, Any]]:
+    what = f"{DECISION_TEXT}, {TABLE_GROUPS} table groups drawn unevenly (1 / k)"
     return [
         run.measure_slope(
             "alone.decision.engines",
             what,
             "ms",
             "engines",
-            ENGINES,
-            lambda n: decision(run, n),
+            ENGINE_COUNTS,
+            lambda n: measure_decision_ms(run, n),
             run.engines,
         )
     ]
 
 
-def by_engines_one_group(run: Run) -> list[dict[str, Any]]:
+def decision_rows_with_one_table_group(run: Run) -> list[dict[str, Any]]:
     return [
         run.measure_slope(
             "alone.decision.engines.one_group",
-            f"{DECISION}, one table group",
+            f"{DECISION_TEXT}, one table group",
             "ms",
             "engines",
-            ENGINES[:4],
-            lambda n: decision(run, n, groups=1),
+            ENGINE_COUNTS[:4],
+            lambda n: measure_decision_ms(run, n, groups=1),
             run.engines,
         )
     ]
 
 
-def by_tenants(run: Run) -> list[dict[str, Any]]:
+def decision_rows_by_tenant_count(run: Run) -> list[dict[str, Any]]:
     return [
         run.measure_slope(
             "alone.decision.tenants",
-            f"{DECISION[: DECISION.rindex(',')]}, tenants drawn unevenly (1 / k), "
+            f"{DECISION_TEXT[: DECISION_TEXT.rindex(',')]}, tenants drawn unevenly (1 / k), "
             f"{TABLE_GROUPS} table groups, 40 engines",
             "ms",
             "tenants",
             (1, 10, 100, 300),
-            lambda n: decision(run, 40, tenants=n),
+            lambda n: measure_decision_ms(run, 40, tenants=n),
             1_000,
         )
     ]
 
 
-def by_open(run: Run) -> list[dict[str, Any]]:
+def decision_rows_by_open_request_count(run: Run) -> list[dict[str, Any]]:
     return [
         run.measure_slope(
             "alone.decision.open",
-            f"{DECISION}, 40 engines of {OPEN_CORES} cores, each statement held as "
+            f"{DECISION_TEXT}, 40 engines of {OPEN_REQUEST_ENGINE_CORES} cores, each statement "
+            "held as "
             "long as gives so many open at once",
             "ms",
             "open requests",
             (10, 100, 1_000, 3_000),
-            lambda n: decision(run, 40, hold=int(n / RATE * 10_000), cores=OPEN_CORES),
-            OPEN,
+            lambda n: measure_decision_ms(
+                run, 40, hold=int(n / RATE * 10_000), cores=OPEN_REQUEST_ENGINE_CORES
+            ),
+            FULL_OPEN_REQUEST_COUNT,
         )
     ]
 
 
-def by_gateways(run: Run) -> list[dict[str, Any]]:
+def decision_rows_by_gateway_count(run: Run) -> list[dict[str, Any]]:
     what = (
-        DECISION.replace("870 gateways", "so many gateways told, 40 engines")
+        DECISION_TEXT.replace("870 gateways", "so many gateways told, 40 engines")
         + f", {TABLE_GROUPS} table groups"
     )
     return [
@@ -189,27 +199,32 @@
             "ms",
             "gateways told",
             (1, 10, 100, 300),
-            lambda n: decision(run, 40, gateways=n),
+            lambda n: measure_decision_ms(run, 40, gateways=n),
             870,
         )
     ]
 
 
-def by_ratio(run: Run) -> list[dict[str, Any]]:
-    """Paired: what stands beside each other in one run is disturbed alike."""
+def decision_ratio_rows(run: Run) -> list[dict[str, Any]]:
+    """Measures both sizes alternately, so that disturbances of the machine affect both alike."""
     rows = []
     for key, groups, part in (
         ("alone.decision.ratio", TABLE_GROUPS, 1),
         ("alone.decision.ratio.one_group", 1, 5),
     ):
-        brief, ratios = Run(run.quick, run.full, run.engines, run.command), []
-        brief.window = run.window // part
+        short_run, ratios = Run(run.quick, run.full, run.engines, run.command), []
+        short_run.window = run.window // part
         for _ in range(1 if run.quick else 3):
             gc.collect()
-            few = decision(brief, 40, groups=groups)
-            ratios.append(decision(brief, run.engines, groups=groups) / few)
+            cost_of_few_engines = measure_decision_ms(short_run, 40, groups=groups)
+            ratios.append(
+                measure_decision_ms(short_run, run.engines, groups=groups) / cost_of_few_engines
+            )
         print(f"{key}: {', '.join(f'{each:.2f}' for each in ratios)}", file=sys.stderr, flush=True)
-        what = f"a decision before {run.engines} engines over one before 40, in turn; table groups: {groups}"
+        what = (
+            f"a decision before {run.engines} engines over one before 40, in turn; "
+            f"table groups: {groups}"
+        )
         rows.append(
             build_single_size_row(
                 key, what, "times", "engines", run.engines, ratios, "measured", run.command
@@ -218,31 +233,41 @@
     return rows
 
 
-def change(engines: int) -> float:
-    """ms: one engine leaves the list, and the next statement of every table group, less what those cost anyway."""
+def measure_engine_removal_ms(engines: int) -> float:
+    """Returns ms for the removal of an engine, with the next statement of every table group.
+
+    The usual cost of these statements, measured without a removal, is subtracted.
+    """
     alone, spent = Alone(engines), []
-    alone.play(alone.drawn(WARM))
-    for leaves in False, False, True:
+    alone.play(alone.drawn(WARM_UP_STATEMENT_COUNT))
+    for removes_engine in False, False, True:
         statements = alone.drawn(TABLE_GROUPS)
         for group, (_, request) in enumerate(statements):
             request.table_group = float(group)
-        begun = time.process_time()
-        if leaves:
+        started_at = time.process_time()
+        if removes_engine:
             alone.gateway.on_engine_update(alone.engines[engines // 2], EngineState.DRAINING, 0)
             alone.gateway.on_engine_list_complete()
-        told = time.process_time() - begun
-        spent.append(1000 * (told + alone.play(statements)))
+        update_seconds = time.process_time() - started_at
+        spent.append(1000 * (update_seconds + alone.play(statements)))
     return max(spent[2] - spent[1], 0.0)
 
 
-def by_change(run: Run) -> list[dict[str, Any]]:
+def engine_removal_rows(run: Run) -> list[dict[str, Any]]:
     what = (
-        f"one engine leaves the list: processor of the module, with what it costs the next statement of each of "
+        f"one engine leaves the list: processor of the module, with what it costs the next "
+        "statement of each of "
         f"{TABLE_GROUPS} table groups more"
     )
     return [
         run.measure_slope(
-            "alone.decision.change", what, "ms", "engines", ENGINES, change, run.engines
+            "alone.decision.change",
+            what,
+            "ms",
+            "engines",
+            ENGINE_COUNTS,
+            measure_engine_removal_ms,
+            run.engines,
         )
     ]
 
@@ -250,40 +275,48 @@
 # On sockets.
 
 
-def on_sockets(
+def measure_statement_ms(
     run: Run,
     engines: int,
-    rate: float = SERVED,
+    rate: float = STATEMENTS_PER_SECOND,
     start: tuple[str, ...] = ("-m", "corkgauge"),
-    lasts: float = LASTS,
+    window_seconds: float = WINDOW_SECONDS,
 ) -> float:
-    """Ms a statement, over a window after the links have come up."""
+    """Returns ms per statement, over a window after the links to the engines have come up."""
     check_trial_size(2, 300 + 0.1 * engines)
     serve = Serve(engines, start=start)
     try:
         serve.ready()
         serve.until(0.3)
-        rests = serve.program.spent()
+        rest_seconds = serve.program.spent()
         serve.until(1)
-        rests = serve.program.spent() - rests
+        rest_seconds = serve.program.spent() - rest_seconds
         serve.begin(rate)
-        serve.until(SETTLES / (4 if run.quick else 1))
-        begun, asked, lasts = serve.program.spent(), serve.asked(), lasts / (4 if run.quick else 1)
-        serve.until(lasts)
-        spent, asked = serve.program.spent() - begun, serve.asked() - asked
+        serve.until(SETTLE_SECONDS / (4 if run.quick else 1))
+        started_at, requested_count, window_seconds = (
+            serve.program.spent(),
+            serve.asked(),
+            window_seconds / (4 if run.quick else 1),
+        )
+        serve.until(window_seconds)
+        spent, requested_count = serve.program.spent() - started_at, serve.asked() - requested_count
         tally = serve.tally()
         if tally["served"] < 0.95 * (tally["asked"] - tally["none"]):
-            raise RuntimeError(f"another load: {tally}")
-        return 1000 * (spent - lasts * rests) / asked
+            raise RuntimeError(
+                f"less than 95% of the statements were served, the load is not comparable: {tally}"
+            )
+        return 1000 * (spent - window_seconds * rest_seconds) / requested_count
     finally:
         serve.close()
 
 
-def by_sockets(run: Run) -> list[dict[str, Any]]:
+def statement_rows_by_engine_count(run: Run) -> list[dict[str, Any]]:
     what = (
-        f"processor of the serving process a statement, whole, on real frames: {SERVED:.0f} statements a second by "
-        "8 clients, 40 table groups, results of one to three pages; less what it spends at rest; after "
-        f"{SETTLES:.0f} s in which links come up"
+        f"processor of the serving process a statement, whole, on real frames: "
+        f"{STATEMENTS_PER_SECOND:.0f} statements a second by "
+        "8 clients, 40 table groups, results of one to three pages; less what it spends at rest; "
+        "after "
+        f"{SETTLE_SECONDS:.0f} s in which links come up"
     )
     return [
         run.measure_slope(
@@ -291,16 +324,17 @@
             what,
             "ms",
             "engines",
-            ENGINES[:4],
-            lambda n: on_sockets(run, n),
+            ENGINE_COUNTS[:4],
+            lambda n: measure_statement_ms(run, n),
             run.engines,
         )
     ]
 
 
-def by_rate(run: Run) -> list[dict[str, Any]]:
+def statement_rows_by_rate(run: Run) -> list[dict[str, Any]]:
     what = (
-        "processor of the serving process a statement, whole, on real frames, 40 engines, by how many come; else "
+        "processor of the serving process a statement, whole, on real frames, 40 engines, by how "
+        "many come; else "
         "as alone.statement.sockets"
     )
     return [
@@ -310,41 +344,41 @@
             "ms",
             "statements a second",
             (50, 200, 500, 1_000),
-            lambda n: on_sockets(run, 40, n),
+            lambda n: measure_statement_ms(run, 40, n),
             None,
         )
-    ]  # it falls in size: a line says nothing of 2,530
+    ]  # no extrapolation to 2,530: the cost falls with the rate, so a line does not fit
 
 
-# The list.
+# The engine list.
 
 
-def list_start(engines: int) -> float:
-    front, data = Front(0), json.dumps(listing(2, engines))
-    begun = time.process_time()
-    front.told(data)
-    return 1000 * (time.process_time() - begun)
+def measure_whole_list_ms(engines: int) -> float:
+    front, event = Front(0), json.dumps(listing(2, engines))
+    started_at = time.process_time()
+    front.told(event)
+    return 1000 * (time.process_time() - started_at)
 
 
-def list_change(engines: int) -> float:
+def measure_engine_restart_event_ms(engines: int) -> float:
     front, spent = Front(engines), []
     for n in range(5):
-        data = front.changed(n % engines)
-        begun = time.process_time()
-        front.told(data)
-        spent.append(1000 * (time.process_time() - begun))
+        event = front.changed(n % engines)
+        started_at = time.process_time()
+        front.told(event)
+        spent.append(1000 * (time.process_time() - started_at))
     return median(spent)
 
 
-def by_list(run: Run) -> list[dict[str, Any]]:
+def engine_list_rows(run: Run) -> list[dict[str, Any]]:
     return [
         run.measure_slope(
             "alone.list.start",
             "processor to take in a whole list, as the feed tells it",
             "ms",
             "engines",
-            ENGINES,
-            list_start,
+            ENGINE_COUNTS,
+            measure_whole_list_ms,
             run.engines,
         ),
         run.measure_slope(
@@ -352,75 +386,79 @@
             "processor to take in an event that one engine has started anew",
             "ms",
             "engines in the list",
-            ENGINES,
-            list_change,
+            ENGINE_COUNTS,
+            measure_engine_restart_event_ms,
             run.engines,
         ),
     ]
 
 
-# Memory, by tracemalloc: what the program's objects hold; not the system's buffers of sockets.
+# Memory by tracemalloc: objects of the program, without the kernel's socket buffers.
 
 
-def held(make: Callable[[], Callable[[], Any]]) -> float:
-    """KB that what `make()` returns holds more once it was called; its own making is not counted."""
-    grow = make()
+def measure_allocated_kb(make: Callable[[], Callable[[], Any]]) -> float:
+    """Returns the KB that a function allocates.
+
+    Args:
+        make: Prepares the measurement, which is not counted, and returns the function.
+    """
+    allocate = make()
     gc.collect()
     tracemalloc.start()
     try:
-        kept_alive = grow()
+        allocated = allocate()
         gc.collect()
         size = tracemalloc.get_traced_memory()[0] / 1024
     finally:
         tracemalloc.stop()
-    del kept_alive
+    del allocated
     return size
 
 
-def descriptors(wanted: int) -> None:
-    """Refuse beforehand what would pass the limit on open files, which stays as it is."""
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if wanted + 64 > most:
-        raise TrialTooLargeError(f"{wanted} descriptors, {most - 64} at most")
+def check_descriptor_limit(wanted: int) -> None:
+    """Rejects a trial that would exceed the limit on open files, which is not raised."""
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if wanted + 64 > limit:
+        raise TrialTooLargeError(f"{wanted} descriptors, {limit - 64} at most")
 
 
-def memory_of_engines(engines: int) -> float:
-    return held(lambda: lambda: Front(engines))
+def measure_engine_list_kb(engines: int) -> float:
+    return measure_allocated_kb(lambda: lambda: Front(engines))
 
 
-def memory_of_links(links: int) -> float:
-    descriptors(2 * links)
+def measure_links_kb(links: int) -> float:
+    check_descriptor_limit(2 * links)
     front = Front(100)
     try:
 
-        def grow() -> None:
+        def allocate() -> None:
             for n in range(links):
                 front.link(n % 100)
             front.turn()
 
-        return held(lambda: grow)
+        return measure_allocated_kb(lambda: allocate)
     finally:
         front.close()
 
 
-def memory_of_clients(clients: int) -> float:
-    descriptors(2 * clients)
+def measure_client_connections_kb(clients: int) -> float:
+    check_descriptor_limit(2 * clients)
     front = Front(1)
     try:
 
-        def grow() -> None:
+        def allocate() -> None:
             for _ in range(clients):
                 front.client()
             front.turn()
 
-        return held(lambda: grow)
+        return measure_allocated_kb(lambda: allocate)
     finally:
         front.close()
 
 
-def memory_of_open(count: int) -> float:
+def measure_open_requests_kb(count: int) -> float:
     clients, engines = -(-count // 30), 40
-    descriptors(2 * clients + 2 * 10 * engines)
+    check_descriptor_limit(2 * clients + 2 * 10 * engines)
     front = Front(engines, 2_000)
     try:
         for n in range(10 * engines):
@@ -428,33 +466,35 @@
         client_connections = [front.client() for _ in range(clients)]
         front.turn()
 
-        def grow() -> None:
+        def allocate() -> None:
             for n in range(count):
                 front.ask(client_connections[n % clients], 1 + n // clients)
                 if n % 200 == 199:
                     front.turn(2)
             front.turn(8)
 
-        size = held(lambda: grow)
+        size = measure_allocated_kb(lambda: allocate)
         if len(front.socket_host.open_requests) != count:
             raise RuntimeError(
-                f"{len(front.socket_host.open_requests)} open of {count}; counters {dict(front.socket_host.counters)}, "
+                f"{len(front.socket_host.open_requests)} open of {count}; counters "
+                f"{dict(front.socket_host.counters)}, "
                 f"open {[len(each.open) for each in front.socket_host.client_connections]}, "
-                f"unread {[len(each.link.machine.inward) for each in front.socket_host.client_connections]}"
+                f"unread "
+                f"{[len(c.link.machine.inward) for c in front.socket_host.client_connections]}"
             )
         return size
     finally:
         front.close()
 
 
-def memory_of_tenants(tenants: int) -> float:
+def measure_tenants_kb(tenants: int) -> float:
     def make() -> Callable[[], Any]:
         return lambda: Alone(40, tenants=tenants)
 
-    return held(make)
+    return measure_allocated_kb(make)
 
 
-def by_memory(run: Run) -> list[dict[str, Any]]:
+def memory_rows(run: Run) -> list[dict[str, Any]]:
     what = "KB held by the program's own objects (tracemalloc, without the system's buffers): "
     return [
         run.measure_slope(
@@ -462,8 +502,8 @@
             what + "a list, no links",
             "KB",
             "engines",
-            ENGINES,
-            memory_of_engines,
+            ENGINE_COUNTS,
+            measure_engine_list_kb,
             run.engines,
         ),
         run.measure_slope(
@@ -472,8 +512,8 @@
             "KB",
             "links",
             (10, 100, 400, 1_000),
-            memory_of_links,
-            2 * FULL,
+            measure_links_kb,
+            2 * FULL_ENGINE_COUNT,
         ),
         run.measure_slope(
             "alone.memory.clients",
@@ -481,8 +521,8 @@
             "KB",
             "client connections",
             (10, 100, 400, 1_000),
-            memory_of_clients,
-            CLIENTS,
+            measure_client_connections_kb,
+            FULL_CLIENT_CONNECTION_COUNT,
         ),
         run.measure_slope(
             "alone.memory.open",
@@ -490,8 +530,8 @@
             "KB",
             "open requests",
             (10, 100, 1_000, 3_000),
-            memory_of_open,
-            OPEN,
+            measure_open_requests_kb,
+            FULL_OPEN_REQUEST_COUNT,
         ),
         run.measure_slope(
             "alone.memory.tenants",
@@ -499,47 +539,51 @@
             "KB",
             "tenants",
             (1, 10, 100, 300),
-            memory_of_tenants,
+            measure_tenants_kb,
             1_000,
         ),
     ]
 
 
-# A turn of the hub.
+# A turn of the event loop.
 
 
-def turn(run: Run, count: int) -> float:
-    """Ms of a turn that polls so many descriptors, one of which has something to read each time."""
-    descriptors(count + 8)
-    event_loop, (mine, its), (idle, other) = EventLoop(), socket.socketpair(), socket.socketpair()
-    fds = [os.dup(idle.fileno()) for _ in range(count - 1)]
+def measure_event_loop_turn_ms(run: Run, count: int) -> float:
+    """Returns ms per event loop turn that polls `count` descriptors, one of which is readable."""
+    check_descriptor_limit(count + 8)
+    event_loop, (local_socket, remote_socket), (idle_socket, idle_peer_socket) = (
+        EventLoop(),
+        socket.socketpair(),
+        socket.socketpair(),
+    )
+    descriptors = [os.dup(idle_socket.fileno()) for _ in range(count - 1)]
     try:
 
-        def reads() -> None:
-            while its.fileno() >= 0 and event_loop.wait(its.fileno(), READ):
-                its.recv(16)
+        def read_all() -> None:
+            while remote_socket.fileno() >= 0 and event_loop.wait(remote_socket.fileno(), READ):
+                remote_socket.recv(16)
 
-        event_loop.spawn(reads)
-        for fd in fds:
+        event_loop.spawn(read_all)
+        for fd in descriptors:
             event_loop.spawn(event_loop.wait, fd, READ)
         for _ in range(20):
-            mine.send(b"x")
+            local_socket.send(b"x")
             event_loop.turn(0)
         turns = 50 if run.quick else 400
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(turns):
-            mine.send(b"x")
+            local_socket.send(b"x")
             event_loop.turn(0)
-        return 1000 * (time.process_time() - begun) / turns
+        return 1000 * (time.process_time() - started_at) / turns
     finally:
         event_loop.parked.clear()
-        for fd in fds:
+        for fd in descriptors:
             os.close(fd)
-        for each in mine, its, idle, other:
+        for each in local_socket, remote_socket, idle_socket, idle_peer_socket:
             each.close()
 
 
-def by_turn(run: Run) -> list[dict[str, Any]]:
+def event_loop_turn_rows(run: Run) -> list[dict[str, Any]]:
     return [
         run.measure_slope(
             "alone.turn.descriptors",
@@ -547,24 +591,24 @@
             "ms",
             "descriptors polled",
             (10, 100, 1_000, 10_000),
-            lambda n: turn(run, n),
-            CLIENTS + FULL,
+            lambda n: measure_event_loop_turn_ms(run, n),
+            FULL_CLIENT_CONNECTION_COUNT + FULL_ENGINE_COUNT,
         )
     ]
 
 
-# The start.
+# Startup.
 
 
-def by_ready(run: Run) -> list[dict[str, Any]]:
-    resident: dict[int, list[float]] = {}
+def startup_rows(run: Run) -> list[dict[str, Any]]:
+    resident_mb: dict[int, list[float]] = {}
 
     def ready(engines: int) -> float:
         check_trial_size(2, 100 + 0.1 * engines)
         serve = Serve(engines)
         try:
             _, processor = serve.ready()
-            resident.setdefault(engines, []).append(serve.program.memory() / 2**20)
+            resident_mb.setdefault(engines, []).append(serve.program.memory() / 2**20)
             return processor
         finally:
             serve.close()
@@ -572,32 +616,33 @@
     row = run.measure_slope(
         "alone.ready.engines",
         "start of the serving process until it tells a client that it is ready, "
-        "with so many engines in the list that it starts from: processor seconds, what it takes with a "
+        "with so many engines in the list that it starts from: processor seconds, what it takes "
+        "with a "
         "core of its own",
         "s",
         "engines",
-        ENGINES,
+        ENGINE_COUNTS,
         ready,
         run.engines,
     )
-    tenth = {
+    tenth_row = {
         **row,
         "key": "alone.ready.engines.tenth",
         "kind": "paper",
         "what": "the same with a tenth of a core: processor seconds by ten",
         "points": [
             {
-                "at": p["at"],
-                "values": [10 * value for value in p["values"]],
-                **{name: 10 * p[name] for name in ("median", "least", "most")},
+                "at": point["at"],
+                "values": [10 * value for value in point["values"]],
+                **{name: 10 * point[name] for name in ("median", "least", "most")},
             }
-            for p in row["points"]
+            for point in row["points"]
         ],
     }
-    tenth["fit"] = fit_slope([(p["at"], p["median"]) for p in tenth["points"]])
-    tenth["foretold"] = {**row["foretold"], "value": 10 * row["foretold"]["value"]}
-    tenth.pop("checked", None)  # nothing of it was measured
-    rss = {
+    tenth_row["fit"] = fit_slope([(point["at"], point["median"]) for point in tenth_row["points"]])
+    tenth_row["foretold"] = {**row["foretold"], "value": 10 * row["foretold"]["value"]}
+    tenth_row.pop("checked", None)  # calculated, not checked by a run
+    memory_row = {
         "key": "alone.memory.serve",
         "unit": "MB",
         "by": "engines",
@@ -605,45 +650,55 @@
         "what": "resident memory of the serving process as it is ready, no client or link yet",
         "points": [
             {
-                "at": p["at"],
-                "values": resident[p["at"]],
-                "median": median(resident[p["at"]]),
-                "least": min(resident[p["at"]]),
-                "most": max(resident[p["at"]]),
+                "at": point["at"],
+                "values": resident_mb[point["at"]],
+                "median": median(resident_mb[point["at"]]),
+                "least": min(resident_mb[point["at"]]),
+                "most": max(resident_mb[point["at"]]),
             }
-            for p in row["points"]
+            for point in row["points"]
         ],
         "command": run.command,
     }
-    rss["fit"] = fit_slope([(p["at"], p["median"]) for p in rss["points"]])
-    return [row, tenth, rss]
+    memory_row["fit"] = fit_slope(
+        [(point["at"], point["median"]) for point in memory_row["points"]]
+    )
+    return [row, tenth_row, memory_row]
+
 
+# Profiles.
 
-# Where it goes.
 
+def decision_profile_rows(run: Run) -> list[dict[str, Any]]:
+    """Profiles the policy module by function, without sockets.
 
-def by_profile(run: Run) -> list[dict[str, Any]]:
-    """Functions of the module by their own time, as parts (cProfile) of what a statement costs without it."""
+    The profiler (cProfile) gives the share of each function, which is scaled to the cost of a
+    statement without the profiler.
+    """
     rows = []
     for engines in 10, 40:
         gc.collect()
-        whole = median(1000 * decision(run, engines) for _ in range(3))
+        whole_us = median(1000 * measure_decision_ms(run, engines) for _ in range(3))
         alone = Alone(engines)
-        alone.play(alone.drawn(WARM))
+        alone.play(alone.drawn(WARM_UP_STATEMENT_COUNT))
         statements, profile = alone.drawn(run.window), cProfile.Profile()
         profile.runcall(alone.play, statements)
         found: dict[str, list[float]] = {}
-        for (file, _, name), (_, calls, own, _, _) in pstats.Stats(profile).stats.items():
-            place = os.path.basename(file)
-            place = (
-                "the stand-in host" if place == "hollow_one.py" else "" if file == "~" else place
+        for (file, _, name), (_, calls, own_seconds, _, _) in pstats.Stats(profile).stats.items():
+            location = os.path.basename(file)
+            location = (
+                "the stand-in host"
+                if location == "hollow_one.py"
+                else ""
+                if file == "~"
+                else location
             )
             entry = found.setdefault(
-                place if place == "the stand-in host" else f"{place}:{name}", [0.0, 0.0]
+                location if location == "the stand-in host" else f"{location}:{name}", [0.0, 0.0]
             )
-            entry[0] += own
+            entry[0] += own_seconds
             entry[1] += calls
-        total = sum(own for own, _ in found.values())
+        total = sum(own_seconds for own_seconds, _ in found.values())
         rows.append(
             build_single_size_row(
                 f"alone.profile.{engines}.whole",
@@ -651,16 +706,17 @@
                 "µs",
                 "engines",
                 engines,
-                [whole],
+                [whole_us],
                 "measured",
                 run.command,
             )
         )
         ordered = sorted(found.items(), key=lambda each: -each[1][0])
-        for rank, (name, (own, calls)) in enumerate(ordered[:PROFILED], 1):
-            share = own / total
+        for rank, (name, (own_seconds, calls)) in enumerate(ordered[:PROFILE_ROW_COUNT], 1):
+            share = own_seconds / total
             print(
-                f"alone.profile.{engines}: {share:6.1%} {share * whole:7.2f} µs {calls / run.window:7.2f} calls  "
+                f"alone.profile.{engines}: {share:6.1%} {share * whole_us:7.2f} µs "
+                f"{calls / run.window:7.2f} calls  "
                 f"{name}",
                 file=sys.stderr,
                 flush=True,
@@ -672,7 +728,7 @@
                     "µs",
                     "engines",
                     engines,
-                    [share * whole],
+                    [share * whole_us],
                     "measured",
                     run.command,
                 )
@@ -680,27 +736,32 @@
     return rows
 
 
-def by_profile_sockets(run: Run) -> list[dict[str, Any]]:
-    """The serving process before 40 engines under a sampler: parts of what a statement costs without one."""
-    whole = 1000 * median(on_sockets(run, 40) for _ in range(1 if run.quick else 3))
+def socket_profile_rows(run: Run) -> list[dict[str, Any]]:
+    """Profiles the serving process with 40 engines by sampling.
+
+    The samples give shares, which are scaled to the cost of a statement without the sampler.
+    """
+    whole_us = 1000 * median(measure_statement_ms(run, 40) for _ in range(1 if run.quick else 3))
     with tempfile.NamedTemporaryFile(suffix=".stacks") as file:
-        watched = 1000 * on_sockets(
+        sampled_us = 1000 * measure_statement_ms(
             run,
             40,
             start=("-m", "corkgauge.testkit.fleet.profile_sampler", file.name),
-            lasts=4 * LASTS,
+            window_seconds=4 * WINDOW_SECONDS,
         )
-        looks, on_top, within = sampled.read(file.name)
+        sample_count, top_counts, inclusive_counts = sampled.read(file.name)
     print(
-        f"alone.profile.sockets: {whole:.0f} µs a statement, {watched:.0f} watched, {looks} samples",
+        f"alone.profile.sockets: {whole_us:.0f} µs a statement, "
+        f"{sampled_us:.0f} with the sampler, "
+        f"{sample_count} samples",
         file=sys.stderr,
         flush=True,
     )
-    own: Counter[str] = Counter()
-    for name, count in on_top.items():
+    file_counts: Counter[str] = Counter()
+    for name, count in top_counts.items():
         file = name if name.startswith("library") else name.partition(":")[0]
-        own[file] += count
-    for name in [*within]:  # what stands beneath all of it tells nothing
+        file_counts[file] += count
+    for name in [*inclusive_counts]:  # outer frames of every sample carry no information
         if name.startswith(
             (
                 "library",
@@ -711,11 +772,11 @@
                 "eventloop/loop.py:turn",
             )
         ):
-            del within[name]
+            del inclusive_counts[name]
     tables = (
-        ("file", own, "its own time"),
-        ("function", on_top, "its own time"),
-        ("within", within, "with all that it calls"),
+        ("file", file_counts, "its own time"),
+        ("function", top_counts, "its own time"),
+        ("within", inclusive_counts, "with all that it calls"),
     )
     rows = [
         build_single_size_row(
@@ -724,28 +785,29 @@
             "µs",
             "engines",
             40,
-            [whole],
+            [whole_us],
             "measured",
             run.command,
         )
     ]
-    for sort, table, of in tables:
+    for table_name, table, time_kind in tables:
         for rank, (name, count) in enumerate(
-            table.most_common(PROFILED + 16 * (sort == "within")), 1
+            table.most_common(PROFILE_ROW_COUNT + 16 * (table_name == "within")), 1
         ):
-            share = count / looks
+            share = count / sample_count
             print(
-                f"alone.profile.sockets.{sort}: {share:6.1%} {share * whole:7.1f} µs  {name}",
+                f"alone.profile.sockets.{table_name}: {share:6.1%} {share * whole_us:7.1f} µs  "
+                f"{name}",
                 file=sys.stderr,
             )
             rows.append(
                 build_single_size_row(
-                    f"alone.profile.sockets.{sort}.{rank:02d}",
-                    f"{name}: {of}",
+                    f"alone.profile.sockets.{table_name}.{rank:02d}",
+                    f"{name}: {time_kind}",
                     "µs",
                     "engines",
                     40,
-                    [share * whole],
+                    [share * whole_us],
                     "measured",
                     run.command,
                 )
@@ -753,22 +815,22 @@
     return rows
 
 
-PARTS: dict[str, Callable[[Run], list[dict[str, Any]]]] = {
-    "alone.decision.engines": by_engines,
-    "alone.decision.engines.one_group": by_engines_one_group,
-    "alone.decision.tenants": by_tenants,
-    "alone.decision.open": by_open,
-    "alone.decision.gateways": by_gateways,
-    "alone.decision.ratio": by_ratio,
-    "alone.decision.change": by_change,
-    "alone.statement.sockets": by_sockets,
-    "alone.statement.rate": by_rate,
-    "alone.list": by_list,
-    "alone.memory": by_memory,
-    "alone.turn.descriptors": by_turn,
-    "alone.ready.engines": by_ready,
-    "alone.profile": by_profile,
-    "alone.profile.sockets": by_profile_sockets,
+ROW_BUILDERS: dict[str, Callable[[Run], list[dict[str, Any]]]] = {
+    "alone.decision.engines": decision_rows_by_engine_count,
+    "alone.decision.engines.one_group": decision_rows_with_one_table_group,
+    "alone.decision.tenants": decision_rows_by_tenant_count,
+    "alone.decision.open": decision_rows_by_open_request_count,
+    "alone.decision.gateways": decision_rows_by_gateway_count,
+    "alone.decision.ratio": decision_ratio_rows,
+    "alone.decision.change": engine_removal_rows,
+    "alone.statement.sockets": statement_rows_by_engine_count,
+    "alone.statement.rate": statement_rows_by_rate,
+    "alone.list": engine_list_rows,
+    "alone.memory": memory_rows,
+    "alone.turn.descriptors": event_loop_turn_rows,
+    "alone.ready.engines": startup_rows,
+    "alone.profile": decision_profile_rows,
+    "alone.profile.sockets": socket_profile_rows,
 }
 
 
@@ -776,59 +838,64 @@
     epilog="Example: python benchmarks/scale.py alone --rows alone.list,alone.memory --json"
 )
 @click.option(
-    "--json", "as_json", is_flag=True, help="The rows on the standard output, for programs."
+    "--json", "as_json", is_flag=True, help="Print the rows as JSON on the standard output."
 )
 @click.option(
-    "--rows", multiple=True, metavar="KEY...", help=f"Only these, by commas: {', '.join(PARTS)}."
+    "--rows",
+    multiple=True,
+    metavar="KEY...",
+    help=f"Keys to measure, separated by commas: {', '.join(ROW_BUILDERS)}.",
 )
 @click.option(
     "--quick",
     is_flag=True,
-    help="A tenth of the statements, one repeat, no check: nothing is kept.",
+    help="A tenth of the statements, one repeat, no check; nothing is stored.",
 )
 @click.option(
     "--full",
     is_flag=True,
-    help="Measure at full size too, and print the error of what was foretold.",
+    help="Also measure at full size, and print the error of the extrapolation.",
 )
 @click.option(
     "--engines",
-    default=FULL,
+    default=FULL_ENGINE_COUNT,
     show_default=True,
     type=click.IntRange(1),
-    help="Full size, in databases.",
+    help="Full size, in engines.",
 )
 @click.option(
     "--suffix",
     default="",
     metavar="TEXT",
-    help="Keep the rows under keys that end so too, as .before.",
+    help="Also store the rows under keys with this suffix, for example .before.",
 )
 def command(
     as_json: bool, rows: tuple[str, ...], quick: bool, full: bool, engines: int, suffix: str
 ) -> None:
-    """One workload manager, alone: slopes of its cost, kept in docs/capacity/alone.json."""
-    asked = [key for each in rows for key in each.split(",") if key] or [*PARTS]
+    """Measure one workload manager by size; rows are stored in docs/capacity/alone.json."""
+    requested_keys = [key for each in rows for key in each.split(",") if key] or [*ROW_BUILDERS]
     wanted: dict[str, None] = {}
-    for key in asked:  # a row of a part that measures several is measured with the others
-        if not (parts := [part for part in PARTS if key == part or key.startswith(part + ".")]):
-            raise click.UsageError(f"--rows: no {key!r}; there are {', '.join(PARTS)}")
+    for key in requested_keys:  # a function that measures several rows measures them together
+        if not (
+            parts := [part for part in ROW_BUILDERS if key == part or key.startswith(part + ".")]
+        ):
+            raise click.UsageError(f"--rows: no {key!r}; valid keys are {', '.join(ROW_BUILDERS)}")
         wanted[max(parts, key=len)] = None
     check_trial_size(2, 200 + 0.2 * engines)
-    said = " ".join(
+    command_text = " ".join(
         [
             "python benchmarks/scale.py alone",
             *(f"--rows {key}" for key in rows),
             *(["--full"] if full else []),
-            *([f"--engines {engines}"] if engines != FULL else []),
+            *([f"--engines {engines}"] if engines != FULL_ENGINE_COUNT else []),
             *([f"--suffix {suffix}"] if suffix else []),
         ]
     )
-    run, found = Run(quick, full, engines, said), []
-    gc.disable()  # as the program that serves does
+    run, found = Run(quick, full, engines, command_text), []
+    gc.disable()  # as in the serving process
     busy(0.3)
     for key in wanted:
-        part = PARTS[key](run)
+        part = ROW_BUILDERS[key](run)
         found += part
         if not quick:
             save_rows(
@@ -838,5 +905,5 @@
         click.echo(json.dumps(found, indent=1))
     else:
         for row in found:
-            points = "  ".join(f"{p['at']}: {p['median']:.4g}" for p in row["points"])
+            points = "  ".join(f"{point['at']}: {point['median']:.4g}" for point in row["points"])
             click.echo(f"{row['key']} [{row['unit']}] {points}")
--- a/benchmarks/scale_fleet.py
+++ b/benchmarks/scale_fleet.py
@@ -1,9 +1,9 @@
-"""Several workload managers, hollow: what each costs the others, at several sizes, at rest and while much happens.
+"""Measures the mutual cost of several hollow workload managers, at rest and during disturbances.
 
-Owns what is played and which rows are made of it. A run (one size, some phases) is one line of
-docs/capacity/fleet.jsonl; the rows in docs/capacity/fleet.json are made from all runs kept there,
-so that a size can be played by itself. Must never keep a quick run, and never give a row for a
-phase that did not come to its end: that is said instead.
+A run is one fleet size with some phases, stored as one line of docs/capacity/fleet.jsonl. The rows
+in docs/capacity/fleet.json are built from all stored runs, so that each size can be run separately.
+Quick runs are not stored. A phase that does not finish gives no row; the run names the phase in
+its "late" field.
 """
 
 import json
@@ -29,18 +29,20 @@
 from corkgauge.testkit.fleet.hollow_fleet import VOTERS, Fleet, Late
 from corkgauge.testkit.fleet.hollow_node import ELEMENTS
 
-FULL = 870
-RUNS = CAPACITY_DIRECTORY / "fleet.jsonl"
+FULL_GATEWAY_COUNT = 870
+RUNS_FILE = CAPACITY_DIRECTORY / "fleet.jsonl"
 COMMAND = "python benchmarks/scale.py fleet"
-EACH = 44  # members of a process, at every size: what a process spends once is spread alike
-LONGEST = 150.0  # seconds that a change may take until all know it
-BURST = 1000  # tenths of a millisecond
+MEMBERS_PER_PROCESS = (
+    44  # same at every size, so that the fixed cost of a process is spread over as many members
+)
+TIMEOUT_SECONDS = 150.0  # until all members know a change
+BURST_TICKS = 1000
 
-Values = dict[str, list[float]]
+MeasuredValues = dict[str, list[float]]
 
-# Key: what, unit. Rates are a second and member, sent and received, octets of datagrams without
-# their 28 of IP and UDP.
-WHAT = {
+# Key: description and unit of the row. Rates are per second and member, sent and received. Octets
+# of datagrams exclude the 28 octets of IP and UDP headers.
+ROW_TEXTS = {
     "fleet.rest.datagrams": ("datagrams at rest, a workload manager, mean", "a second"),
     "fleet.rest.datagrams.worst": ("datagrams at rest, the worst workload manager", "a second"),
     "fleet.rest.octets": ("octets at rest, a workload manager, mean", "octets a second"),
@@ -148,16 +150,16 @@
 }
 
 
-class Counted:
-    """Two looks at all counters, and what lies between."""
+class CounterDifference:
+    """The difference between two readings of all counters."""
 
     def __init__(
         self, fleet: Fleet, before: list[dict[str, Any]], after: list[dict[str, Any]]
     ) -> None:
         self.fleet, self.before, self.after = fleet, before, after
         self.span = (after[0]["at"] - before[0]["at"]) / 10_000
-        self.old = {name: one for each in before for name, one in each["members"].items()}
-        self.new = {name: one for each in after for name, one in each["members"].items()}
+        self.old = {name: member for each in before for name, member in each["members"].items()}
+        self.new = {name: member for each in after for name, member in each["members"].items()}
         self.both = [name for name in self.new if name in self.old]
 
     def rate(self, name: str, *keys: str) -> float:
@@ -167,7 +169,7 @@
         return [self.rate(name, *keys) for name in names if name in self.old and name in self.new]
 
     def processor(self, crews: slice) -> float:
-        """Of whole processes, % of a core a member."""
+        """Returns the processor time of whole processes, as % of a core per member."""
         pairs = [*zip(self.before, self.after)][crews]
         spent = sum(new["processor"] - old["processor"] for old, new in pairs)
         return 100 * spent / self.span / sum(len(new["members"]) for _, new in pairs)
@@ -188,120 +190,136 @@
         return max(each["lag"] for each in self.after) / 10
 
 
-def counted(fleet: Fleet, seconds: float) -> Counted:
+def count_for_seconds(fleet: Fleet, seconds: float) -> CounterDifference:
     before = fleet.counters()
     time.sleep(seconds)
-    return Counted(fleet, before, fleet.counters())
+    return CounterDifference(fleet, before, fleet.counters())
 
 
-def add(values: Values, key: str, value: float) -> None:
-    assert key in WHAT or key.startswith("fleet.kind."), key
+def add_value(values: MeasuredValues, key: str, value: float) -> None:
+    assert key in ROW_TEXTS or key.startswith("fleet.kind."), key
     values.setdefault(key, []).append(round(value, 4))
 
 
-# Phases. Each takes a fleet that is at rest and leaves it so, but for `start`, which is played
-# alone.
+# Phases. Each phase starts and ends with a fleet at rest, except `start`, which runs alone.
 
 
-def start(fleet: Fleet, values: Values, scale: float) -> None:
+def play_start(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
     begun = time.monotonic()
     fleet.start(over=1.0)
     span = 10 * scale
     time.sleep(span)
     after = fleet.counters()
-    members = [one for each in after for one in each["members"].values()]
-    add(values, "fleet.start.datagrams", mean(each["out"] + each["in"] for each in members) / span)
-    add(
+    members = [member for each in after for member in each["members"].values()]
+    add_value(
+        values, "fleet.start.datagrams", mean(each["out"] + each["in"] for each in members) / span
+    )
+    add_value(
         values,
         "fleet.start.octets",
         mean(each["octets_out"] + each["octets_in"] for each in members) / span,
     )
-    add(values, "fleet.start.dropped", sum(each["dropped"] for each in after) / span)
+    add_value(values, "fleet.start.dropped", sum(each["dropped"] for each in after) / span)
     lag = max(each["lag"] for each in after) / 10
     try:
-        add(values, "fleet.start.time", all_know_all(fleet, begun))
+        add_value(values, "fleet.start.time", seconds_until_all_known(fleet, begun))
     finally:
         after = fleet.counters()
-        add(values, "fleet.start.lag", max([lag, *(each["lag"] / 10 for each in after)]))
-        say(
-            "start: became "
-            + _sums(one["became"] for each in after for one in each["members"].values())
+        add_value(values, "fleet.start.lag", max([lag, *(each["lag"] / 10 for each in after)]))
+        print_progress(
+            "start: members became "
+            + format_sums(member["became"] for each in after for member in each["members"].values())
         )
-    words = [one["words"] for each in after for one in each["members"].values()]
-    add(values, "fleet.start.words", mean(words))
+    words = [member["words"] for each in after for member in each["members"].values()]
+    add_value(values, "fleet.start.words", mean(words))
 
 
-def _sums(counts: Iterable[dict[str, int]]) -> str:
+def format_sums(counts: Iterable[dict[str, int]]) -> str:
     total = Counter[str]()
     for each in counts:
         total.update(each)
     return ", ".join(f"{name} {many}" for name, many in sorted(total.items()))
 
 
-def at_rest(fleet: Fleet, scale: float) -> None:
-    """A fleet that has been up for long, with its duties held."""
+def wait_until_at_rest(fleet: Fleet, scale: float) -> None:
+    """Brings up the fleet in its long-running state and waits until its duties have holders."""
     fleet.at_rest()
-    fleet.until_known(LONGEST)
+    fleet.until_known(TIMEOUT_SECONDS)
     for duty in ("books", "works"):
         if duty in fleet.elements or (duty == "books" and "duties" in fleet.elements):
             fleet.holder(duty, 60)
     time.sleep(8 * scale)
 
 
-def all_know_all(fleet: Fleet, begun: float) -> float:
-    """When the last member came to hold all alive, seconds from `begun`: by what the members noted where that is over,
-    else waited for. Raises as `until_known` does where it takes too long.
+def seconds_until_all_known(fleet: Fleet, begun: float) -> float:
+    """Measures the time until the last member regards all members as alive.
+
+    Uses the times that the members recorded where all members are already known, else waits.
+
+    Args:
+        fleet: The fleet.
+        begun: Start of the measurement, from `time.monotonic()`.
+
+    Returns:
+        Seconds since `begun`.
+
+    Raises:
+        Late: Not all members are known within the time limit of `Fleet.until_known`.
     """
     if fleet.known()[0] != len(fleet.ports):
-        fleet.until_known(LONGEST)
+        fleet.until_known(TIMEOUT_SECONDS)
         return time.monotonic() - begun
     ago = min(part[0] for part in fleet.all("settled") if part)
     return time.monotonic() - ago / 10_000 - begun
 
 
-def rest(fleet: Fleet, values: Values, scale: float) -> None:
+def play_rest(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
     managers, voters = slice(0, fleet.processes), slice(fleet.processes, None)
     fleet.bursts()
     for _ in range(3):
-        found = counted(fleet, 8 * scale)
+        found = count_for_seconds(fleet, 8 * scale)
         held = fleet.holders()
         plain = [name for name in fleet.managers if name not in held]
         for key, keys in (("datagrams", ("out", "in")), ("octets", ("octets_out", "octets_in"))):
-            add(values, f"fleet.rest.{key}", mean(found.rates(fleet.managers, *keys)))
-            add(values, f"fleet.rest.{key}.worst", max(found.rates(plain, *keys)))
-            add(values, f"fleet.rest.{key}.voter", max(found.rates(fleet.voters, *keys)))
-            add(values, f"fleet.rest.{key}.holder", max(found.rates([*held], *keys), default=0.0))
-        add(values, "fleet.rest.octets.sum", sum(found.rates(found.both, "octets_out")))
-        add(values, "fleet.rest.processor", found.processor(managers))
-        add(values, "fleet.rest.processor.worst", max(found.rates(plain, "spent")) / 1e7)
-        add(
+            add_value(values, f"fleet.rest.{key}", mean(found.rates(fleet.managers, *keys)))
+            add_value(values, f"fleet.rest.{key}.worst", max(found.rates(plain, *keys)))
+            add_value(values, f"fleet.rest.{key}.voter", max(found.rates(fleet.voters, *keys)))
+            add_value(
+                values, f"fleet.rest.{key}.holder", max(found.rates([*held], *keys), default=0.0)
+            )
+        add_value(values, "fleet.rest.octets.sum", sum(found.rates(found.both, "octets_out")))
+        add_value(values, "fleet.rest.processor", found.processor(managers))
+        add_value(values, "fleet.rest.processor.worst", max(found.rates(plain, "spent")) / 1e7)
+        add_value(
             values,
             "fleet.rest.processor.holder",
             max(found.rates([*held], "spent"), default=0.0) / 1e7,
         )
-        add(values, "fleet.rest.processor.voter", found.processor(voters))
-        add(values, "fleet.rest.memory", found.memory(managers))
-        add(values, "fleet.rest.memory.voter", found.memory(voters))
-        add(values, "fleet.rest.dropped", found.dropped())
-        add(values, "fleet.rest.dropped.holder", max(found.rates([*held], "dropped"), default=0.0))
-        add(values, "fleet.rest.dropped.voter", max(found.rates(fleet.voters, "dropped")))
-        add(values, "fleet.rest.lag", found.lag())
-        add(values, "fleet.rest.burst.voter", fleet.bursts())
+        add_value(values, "fleet.rest.processor.voter", found.processor(voters))
+        add_value(values, "fleet.rest.memory", found.memory(managers))
+        add_value(values, "fleet.rest.memory.voter", found.memory(voters))
+        add_value(values, "fleet.rest.dropped", found.dropped())
+        add_value(
+            values, "fleet.rest.dropped.holder", max(found.rates([*held], "dropped"), default=0.0)
+        )
+        add_value(values, "fleet.rest.dropped.voter", max(found.rates(fleet.voters, "dropped")))
+        add_value(values, "fleet.rest.lag", found.lag())
+        add_value(values, "fleet.rest.burst.voter", fleet.bursts())
         entries = {
             (each["fence"], each["number"]): each
-            for one in found.new.values()
-            for each in one["books"]
+            for member in found.new.values()
+            for each in member["books"]
         }
         if entries:
-            add(
+            add_value(
                 values,
                 "fleet.books.missing",
                 mean(each["missing_count"] for each in entries.values()),
             )
-        kinds = sorted({kind for one in found.new.values() for kind in one["kinds_out"]})
+        kinds = sorted({kind for member in found.new.values() for kind in member["kinds_out"]})
         for kind in kinds:
             for what, key in (("", "kinds_out"), (".octets", "octets_by")):
-                add(
+                add_value(
                     values,
                     f"fleet.kind.{kind}{what}",
                     mean(
@@ -313,20 +331,22 @@
                 )
 
 
-def lost(fleet: Fleet, values: Values, scale: float) -> None:
-    one = next(name for name in fleet.managers if name not in fleet.holders())
+def play_member_lost(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
+    member = next(name for name in fleet.managers if name not in fleet.holders())
     before = fleet.counters()
-    fleet.lose([one])
-    taken = fleet.until_seen([one], False, LONGEST)
-    found = Counted(fleet, before, fleet.counters())
-    add(values, "fleet.known.time", taken)
-    add(values, "fleet.known.octets", mean(found.rates(found.both, "octets_out", "octets_in")))
-    fleet.start([one])
-    add(values, "fleet.known.back", fleet.until_known(LONGEST))
+    fleet.lose([member])
+    taken = fleet.until_seen([member], False, TIMEOUT_SECONDS)
+    found = CounterDifference(fleet, before, fleet.counters())
+    add_value(values, "fleet.known.time", taken)
+    add_value(
+        values, "fleet.known.octets", mean(found.rates(found.both, "octets_out", "octets_in"))
+    )
+    fleet.start([member])
+    add_value(values, "fleet.known.back", fleet.until_known(TIMEOUT_SECONDS))
     time.sleep(5 * scale)
 
 
-def handover(fleet: Fleet, values: Values, scale: float) -> None:
+def play_handover(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
     for how, times in (("lost", 3), ("planned", 3)):
         for _ in range(times):
             holder = fleet.holder("books")
@@ -338,101 +358,111 @@
             held = [
                 each["at"]
                 for part in fleet.counters()
-                for one in part["members"].values()
-                for each in one["changes"]
+                for member in part["members"].values()
+                for each in member["changes"]
                 if each["duty"] == "books" and each["what"] == "held" and each["at"] > date * 1000
             ]
-            add(values, f"fleet.handover.{how}", min(held) / 1000 - date)
-            add(values, f"fleet.handover.{how}.burst", fleet.bursts())
+            add_value(values, f"fleet.handover.{how}", min(held) / 1000 - date)
+            add_value(values, f"fleet.handover.{how}.burst", fleet.bursts())
             fleet.start([holder])
-            fleet.until_known(LONGEST)
-            time.sleep(6 * scale)  # a lease, so that all have looked again
+            fleet.until_known(TIMEOUT_SECONDS)
+            time.sleep(
+                6 * scale
+            )  # one lease duration, so that all candidates have checked the lease again
 
 
-def release(fleet: Fleet, values: Values, scale: float) -> None:
-    at_rest = counted(fleet, 10 * scale)
+def play_release(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
+    counts_at_rest = count_for_seconds(fleet, 10 * scale)
     held = fleet.holders()
     some = [name for name in fleet.managers if name not in held][::10]
     begun, before = time.monotonic(), fleet.counters()
     fleet.end(some, over=10 * scale, again=1.0)
     time.sleep(30 * scale)
-    found = Counted(fleet, before, fleet.counters())
-    add(values, "fleet.release.octets", mean(found.rates(found.both, "octets_out", "octets_in")))
-    add(
+    found = CounterDifference(fleet, before, fleet.counters())
+    add_value(
+        values, "fleet.release.octets", mean(found.rates(found.both, "octets_out", "octets_in"))
+    )
+    add_value(
         values,
         "fleet.release.octets.worst",
         max(found.rates(found.both, "octets_out", "octets_in")),
     )
     more = sum(found.rates(found.both, "octets_out")) - sum(
-        at_rest.rates(at_rest.both, "octets_out")
+        counts_at_rest.rates(counts_at_rest.both, "octets_out")
     )
-    add(values, "fleet.restart.octets", max(more, 0.0) * found.span / len(some))
-    add(values, "fleet.release.time", all_know_all(fleet, begun))
+    add_value(values, "fleet.restart.octets", max(more, 0.0) * found.span / len(some))
+    add_value(values, "fleet.release.time", seconds_until_all_known(fleet, begun))
 
 
-def rack(fleet: Fleet, values: Values, scale: float) -> None:
+def play_rack_lost(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
     some = fleet.in_rack("z1r0")
     fleet.lose(some)
-    add(values, "fleet.rack.known", fleet.until_seen(some, False, LONGEST))
+    add_value(values, "fleet.rack.known", fleet.until_seen(some, False, TIMEOUT_SECONDS))
     fleet.start(some, over=1.0)
-    add(values, "fleet.rack.back", fleet.until_known(LONGEST))
+    add_value(values, "fleet.rack.back", fleet.until_known(TIMEOUT_SECONDS))
     time.sleep(5 * scale)
 
 
-def zone(fleet: Fleet, values: Values, scale: float) -> None:
+def play_zone_lost(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
     some = fleet.in_zone("z4")
     before = fleet.counters()
     fleet.lose(some)
-    add(values, "fleet.zone.known", fleet.until_seen(some, False, LONGEST))
-    found = Counted(fleet, before, fleet.counters())
-    add(values, "fleet.zone.octets", mean(found.rates(found.both, "octets_out", "octets_in")))
+    add_value(values, "fleet.zone.known", fleet.until_seen(some, False, TIMEOUT_SECONDS))
+    found = CounterDifference(fleet, before, fleet.counters())
+    add_value(values, "fleet.zone.octets", mean(found.rates(found.both, "octets_out", "octets_in")))
     begun, before = time.monotonic(), fleet.counters()
     fleet.start(some, over=1.0)
     time.sleep(10 * scale)
-    found = Counted(fleet, before, fleet.counters())
-    add(values, "fleet.zone.back.octets", mean(found.rates(found.both, "octets_out", "octets_in")))
-    add(values, "fleet.zone.back", all_know_all(fleet, begun))
+    found = CounterDifference(fleet, before, fleet.counters())
+    add_value(
+        values, "fleet.zone.back.octets", mean(found.rates(found.both, "octets_out", "octets_in"))
+    )
+    add_value(values, "fleet.zone.back", seconds_until_all_known(fleet, begun))
 
 
-def region(fleet: Fleet, values: Values, scale: float) -> None:
+def play_region_cut(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
     far = fleet.in_zone("z3", "z4")
     near = [name for name in fleet.ports if name not in far]
     begun = time.monotonic()
     fleet.cut(far)
-    fleet.until_seen(far, False, LONGEST, of=near)
-    fleet.until_seen(near, False, LONGEST, of=far)
-    add(values, "fleet.region.known", time.monotonic() - begun)
+    fleet.until_seen(far, False, TIMEOUT_SECONDS, of=near)
+    fleet.until_seen(near, False, TIMEOUT_SECONDS, of=far)
+    add_value(values, "fleet.region.known", time.monotonic() - begun)
     begun, before = time.monotonic(), fleet.counters()
     fleet.cut([])
     time.sleep(10 * scale)
-    found = Counted(fleet, before, fleet.counters())
-    add(values, "fleet.region.octets", mean(found.rates(found.both, "octets_out", "octets_in")))
-    add(values, "fleet.region.healed", all_know_all(fleet, begun))
-
-
-PHASES: dict[str, Callable[[Fleet, Values, float], None]] = {
-    "start": start,
-    "rest": rest,
-    "lost": lost,
-    "handover": handover,
-    "release": release,
-    "rack": rack,
-    "zone": zone,
-    "region": region,
+    found = CounterDifference(fleet, before, fleet.counters())
+    add_value(
+        values, "fleet.region.octets", mean(found.rates(found.both, "octets_out", "octets_in"))
+    )
+    add_value(values, "fleet.region.healed", seconds_until_all_known(fleet, begun))
+
+
+PHASES: dict[str, Callable[[Fleet, MeasuredValues, float], None]] = {
+    "start": play_start,
+    "rest": play_rest,
+    "lost": play_member_lost,
+    "handover": play_handover,
+    "release": play_release,
+    "rack": play_rack_lost,
+    "zone": play_zone_lost,
+    "region": play_region_cut,
 }
 
-ALONE: dict[str, Callable[[], list[dict[str, Any]]]] = {
+MEASUREMENTS_WITHOUT_FLEET: dict[str, Callable[[], list[dict[str, Any]]]] = {
     "order": order_rows,
     "findings": findings_rows,
 }
 
 
-def played(size: int, phases: list[str], elements: list[str], scale: float = 1.0) -> dict[str, Any]:
-    """One fleet through these phases. A phase that does not come to its end ends the run; it is named."""
-    values: Values = {}
+def run_phases(
+    size: int, phases: list[str], elements: list[str], scale: float = 1.0
+) -> dict[str, Any]:
+    """Runs the phases on one fleet; a phase that does not finish ends the run, which names it."""
+    values: MeasuredValues = {}
     run = {
         "at": size,
-        "processes": -(-size // EACH),
+        "processes": -(-size // MEMBERS_PER_PROCESS),
         "phases": phases,
         "elements": elements,
         "values": values,
@@ -442,43 +472,46 @@
     with Fleet(size, run["processes"], elements) as fleet:
         try:
             if phases != ["start"]:
-                at_rest(fleet, scale)
+                wait_until_at_rest(fleet, scale)
             for phase in phases:
-                say(f"{size}: {phase}")
+                print_progress(f"{size}: {phase}")
                 PHASES[phase](fleet, values, scale)
         except Late as problem:
             run["late"] = f"{phase}: {problem}"
-            say(f"{size}: not come to its end, {run['late']}")
+            print_progress(f"{size}: phase did not finish: {run['late']}")
         run["troubles"] = sum(each["troubles"] for each in fleet.counters())
     return run
 
 
-def say(line: str) -> None:
+def print_progress(line: str) -> None:
     print(line, file=sys.stderr, flush=True)
 
 
-def build_rows(runs: list[dict[str, Any]], full: int = FULL) -> list[dict[str, Any]]:
-    """A slope where four sizes below `full` or more were played, else one row of the largest. Runs without all elements
-    are rows of their own, named after what was left out.
+def build_rows(runs: list[dict[str, Any]], full: int = FULL_GATEWAY_COUNT) -> list[dict[str, Any]]:
+    """Builds the rows from stored runs.
+
+    A key with at least four sizes below `full` gives a row with a slope; other keys give a row of
+    their largest size. Runs that leave out elements of the operator file give separate rows, whose
+    keys name the elements that were left out.
     """
     found: dict[str, dict[int, list[float]]] = {}
     for run in runs:
-        if run["processes"] != -(-run["at"] // EACH) or run.get("trial"):
-            continue  # a trial in another form: kept, but no part of a slope
-        out = [each for each in ELEMENTS if each not in run["elements"]]
+        if run["processes"] != -(-run["at"] // MEMBERS_PER_PROCESS) or run.get("trial"):
+            continue  # stored, but not comparable: another process size, or marked as a trial
+        left_out = [each for each in ELEMENTS if each not in run["elements"]]
         for key, values in run["values"].items():
-            key += "".join(f".without-{each}" for each in out)
+            key += "".join(f".without-{each}" for each in left_out)
             found.setdefault(key, {}).setdefault(run["at"], []).extend(values)
     rows = []
     for key, by_size in sorted(found.items()):
         if key.startswith("fleet.kind.") and not any(map(any, by_size.values())):
-            continue  # nothing of this kind was sent
+            continue  # no member sent a message of this kind
 
         def at(size: int, by: dict[int, list[float]] = by_size) -> float:
             return median(by[size])
 
         name = key.partition(".without-")[0]
-        what, unit = WHAT.get(name) or (
+        what, unit = ROW_TEXTS.get(name) or (
             f"{name.split('.')[2]} at rest, sent by a workload manager, mean",
             "octets a second" if name.endswith(".octets") else "datagrams a second",
         )
@@ -518,79 +551,89 @@
 
 
 @click.command(
-    epilog="Example: python benchmarks/scale.py fleet --sizes 30,60,100,300,870 --rows rest,lost --json"
+    epilog="Example: python benchmarks/scale.py fleet --sizes 30,60,100,300,870 "
+    "--rows rest,lost --json"
 )
 @click.option(
     "--sizes",
     default="30,60,100,300,870",
     show_default=True,
-    help="Workload managers; beside them 3 voters.",
+    help="Numbers of workload managers; each fleet also has 3 voters.",
 )
 @click.option(
     "--rows",
     "phases",
-    default=",".join([*PHASES, *ALONE]),
+    default=",".join([*PHASES, *MEASUREMENTS_WITHOUT_FLEET]),
     show_default=True,
-    help="What is played after the start; order and findings are played without a fleet.",
+    help="Phases to run; order and findings are measured without a fleet.",
 )
 @click.option(
-    "--without", default="", help="Elements of the operator file left out: duties, works, shared."
+    "--without",
+    default="",
+    help="Elements to leave out of the operator file: duties, works, shared.",
 )
 @click.option(
-    "--quick", is_flag=True, help="Small sizes and short spans, in a minute; nothing is kept."
+    "--quick", is_flag=True, help="Small sizes and short phases, about a minute; nothing is stored."
 )
 @click.option(
-    "--from-runs", is_flag=True, help="Play nothing: the rows anew from the runs that were kept."
+    "--from-runs", is_flag=True, help="Run nothing: rebuild the rows from the stored runs."
 )
-@click.option("--json", "as_json", is_flag=True, help="The rows as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the rows as JSON.")
 def command(
     sizes: str, phases: str, without: str, quick: bool, from_runs: bool, as_json: bool
 ) -> None:
-    """Several workload managers, hollow: datagrams, octets, processor and memory by role, and how soon all know."""
+    """Measure hollow workload managers: datagrams, octets, processor, memory, time to agree."""
     chosen = ["start", "rest", "lost"] if quick else [each for each in phases.split(",") if each]
-    alone, chosen = (
-        [each for each in chosen if each in ALONE],
-        [each for each in chosen if each not in ALONE],
+    measured_without_fleet, chosen = (
+        [each for each in chosen if each in MEASUREMENTS_WITHOUT_FLEET],
+        [each for each in chosen if each not in MEASUREMENTS_WITHOUT_FLEET],
     )
-    nothing = from_runs or (alone and not chosen)
-    wanted = (
-        [] if nothing else [8, 10, 14, 20] if quick else [int(each) for each in sizes.split(",")]
+    without_fleet = from_runs or (measured_without_fleet and not chosen)
+    wanted_sizes = (
+        []
+        if without_fleet
+        else [8, 10, 14, 20]
+        if quick
+        else [int(each) for each in sizes.split(",")]
     )
-    wrong = [each for each in chosen if each not in PHASES] + [
+    unknown_names = [each for each in chosen if each not in PHASES] + [
         each for each in without.split(",") if each and each not in ELEMENTS
     ]
-    if wrong:
-        known = f"{', '.join([*PHASES, *ALONE])}; elements are {', '.join(ELEMENTS)}"
-        raise click.BadParameter(f"{wrong[0]!r}: expected some of {known}")
-    for size in wanted:
+    if unknown_names:
+        known = (
+            f"{', '.join([*PHASES, *MEASUREMENTS_WITHOUT_FLEET])}; "
+            f"elements are {', '.join(ELEMENTS)}"
+        )
+        raise click.BadParameter(f"{unknown_names[0]!r}: expected some of {known}")
+    for size in wanted_sizes:
         try:
-            processes = -(-size // EACH) + VOTERS + 1
+            processes = -(-size // MEMBERS_PER_PROCESS) + VOTERS + 1
             check_trial_size(processes, 45 * processes + size * (0.5 + 0.004 * size))
         except TrialTooLargeError as problem:
             raise TrialTooLargeError(f"fleet of {size}: {problem}") from None
     runs = []
-    for size in wanted:
-        say(f"{size} workload managers and {VOTERS} voters")
+    for size in wanted_sizes:
+        print_progress(f"{size} workload managers and {VOTERS} voters")
         elements = [each for each in ELEMENTS if each not in without.split(",")]
         for some in [["start"], [each for each in chosen if each != "start"]]:
             if some and {*some} <= {*chosen}:
-                runs.append(played(size, some, elements, 0.25 if quick else 1))
+                runs.append(run_phases(size, some, elements, 0.25 if quick else 1))
                 if not quick:
-                    _keep(runs[-1])
+                    _append_run(runs[-1])
     if not quick:
-        runs = _kept()
-    rows = build_rows(runs, 20 if quick else FULL)
-    for each in alone:
-        rows += ALONE[each]() if not from_runs else []
+        runs = _load_runs()
+    rows = build_rows(runs, 20 if quick else FULL_GATEWAY_COUNT)
+    for each in measured_without_fleet:
+        rows += MEASUREMENTS_WITHOUT_FLEET[each]() if not from_runs else []
     if not quick:
         save_rows("fleet", rows)
     if as_json:
         click.echo(json.dumps(rows, indent=1))
     else:
-        _table(rows)
+        _print_table(rows)
 
 
-def _table(rows: list[dict[str, Any]]) -> None:
+def _print_table(rows: list[dict[str, Any]]) -> None:
     from rich.console import Console
     from rich.table import Table
 
@@ -609,13 +652,12 @@
     Console(width=180).print(table)
 
 
-def _keep(run: dict[str, Any], file: Path = RUNS) -> None:
+def _append_run(run: dict[str, Any], file: Path = RUNS_FILE) -> None:
     file.parent.mkdir(parents=True, exist_ok=True)
-    with open(
-        file, "ab", buffering=0
-    ) as kept_runs:  # Danger: two commands at once would mix their lines
-        kept_runs.write(json.dumps(run).encode() + b"\n")
+    # A buffered write could mix the lines of two commands that run at the same time.
+    with open(file, "ab", buffering=0) as runs_file:
+        runs_file.write(json.dumps(run).encode() + b"\n")
 
 
-def _kept(file: Path = RUNS) -> list[dict[str, Any]]:
+def _load_runs(file: Path = RUNS_FILE) -> list[dict[str, Any]]:
     return [json.loads(line) for line in file.read_text().splitlines()] if file.exists() else []
--- a/benchmarks/scale_fleet_parts.py
+++ b/benchmarks/scale_fleet_parts.py
@@ -1,8 +1,7 @@
-"""Parts of several workload managers that grow with the engines, each by itself in this process: an order of
-maintenance, findings.
+"""Measures fleet functions whose cost grows with the engines: grant selection and health reports.
 
-Owns the worlds that they are played on. Uses processor time alone. Must never call a figure of one
-part that of a fleet.
+Each function runs separately in this process, on generated data, and its processor time is
+measured. The figures are those of one function, not of a fleet.
 """
 
 import gc
@@ -24,30 +23,33 @@
 from corkgauge.peer_health.health_report import Fault
 from corkgauge.peer_health.reports import HealthReports
 
-SIZES = [30, 100, 300, 900]
-FULL = 1_800
-WITNESSES = 20  # workload managers with a finding on each engine: a bad hour, not the fleet
-ZONES, KINDS = 5, 3
+ENGINE_COUNTS = [30, 100, 300, 900]
+FULL_ENGINE_COUNT = 1_800
+REPORTER_COUNT = 20  # workload managers that report every engine: an incident, not the usual state
+ZONE_COUNT, ENGINE_KIND_COUNT = 5, 3
 COMMAND = "python benchmarks/scale.py fleet --rows order,findings"
 
 
-def spent(method: Callable[[], Any], times: int = 5) -> float:
-    """Milliseconds of processor, the mean of some."""
+def measure_ms(operation: Callable[[], Any], times: int = 5) -> float:
+    """Returns the mean processor time of an operation in milliseconds."""
     gc.collect()
     begun = time.process_time()
     for _ in range(times):
-        method()
+        operation()
     return 1000 * (time.process_time() - begun) / times
 
 
-def ground_of(engines: int) -> CapacitySnapshot:
-    """Engines over zones and kinds, four query classes that need a third of them; limits that let a tenth go."""
+def build_capacity_snapshot(engines: int) -> CapacitySnapshot:
+    """Builds a snapshot with four request classes, which need a third of the capacity together.
+
+    The engines are spread over zones and kinds. The limits allow a tenth of them to be disrupted.
+    """
     facts = {
         f"e{n:05}": EngineFact(
             f"e{n:05}",
-            f"z{n % ZONES}",
-            f"k{n % KINDS}",
-            f"z{n % ZONES}",
+            f"z{n % ZONE_COUNT}",
+            f"k{n % ENGINE_KIND_COUNT}",
+            f"z{n % ZONE_COUNT}",
             8.0,
             EngineCondition.HEALTHY,
         )
@@ -55,7 +57,10 @@
     }
     request_classes = [
         RequestClassDemand(
-            f"class{n}", frozenset(), frozenset({f"k{n % KINDS}"} if n else ()), 0.6 * engines
+            f"class{n}",
+            frozenset(),
+            frozenset({f"k{n % ENGINE_KIND_COUNT}"} if n else ()),
+            0.6 * engines,
         )
         for n in range(4)
     ]
@@ -66,62 +71,62 @@
     )
 
 
-def order_ms(engines: int) -> float:
-    """One turn of the planner's choice, with as many units waiting as it looks at."""
-    ground = ground_of(engines)
+def measure_grant_selection_ms(engines: int) -> float:
+    """Measures one grant selection with up to twice as many waiting units as the planner checks."""
+    snapshot = build_capacity_snapshot(engines)
     waiting = [
         WaitingUnit(f"e{n:05}", (f"e{n:05}",), 600_000, queue_position=n)
         for n in range(min(engines // 2, 2 * MAX_CHECKED_UNIT_COUNT))
     ]
-    assert select_grants(
-        ground, waiting
-    ).granted  # some are let go: not an objection at the first look
-    return spent(lambda: select_grants(ground, waiting))
+    assert (
+        select_grants(snapshot, waiting).granted
+    )  # some units are granted, so that more is measured than a rejection at the first check
+    return measure_ms(lambda: select_grants(snapshot, waiting))
 
 
-def rows_on(engines: int) -> list[list[Any]]:
+def build_report_rows(engines: int) -> list[list[Any]]:
     return [
-        [f"wm{witness:04}", 1, n + 1, 0, f"e{n:05}", 7, Fault.SILENT.value, 0, 0]
-        for witness in range(WITNESSES)
+        [f"wm{reporter:04}", 1, n + 1, 0, f"e{n:05}", 7, Fault.SILENT.value, 0, 0]
+        for reporter in range(REPORTER_COUNT)
         for n in range(engines)
     ]
 
 
-def held(engines: int) -> HealthReports:
-    findings = HealthReports("me", 1)
-    findings.merge(0, rows_on(engines))
-    assert len(findings) == WITNESSES * engines
-    return findings
+def build_health_reports(engines: int) -> HealthReports:
+    health_reports = HealthReports("me", 1)
+    health_reports.merge(0, build_report_rows(engines))
+    assert len(health_reports) == REPORTER_COUNT * engines
+    return health_reports
 
 
-def memory_mb(engines: int) -> float:
-    rows = rows_on(engines)
+def measure_report_memory_mb(engines: int) -> float:
+    rows = build_report_rows(engines)
     gc.collect()
     tracemalloc.start()
-    findings = HealthReports("me", 1)
-    findings.merge(0, rows)
-    grown = tracemalloc.get_traced_memory()[0]
+    health_reports = HealthReports("me", 1)
+    health_reports.merge(0, rows)
+    size_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert len(findings) == WITNESSES * engines
-    return grown / 2**20
+    assert len(health_reports) == REPORTER_COUNT * engines
+    return size_bytes / 2**20
 
 
-def forget_ms(engines: int) -> float:
-    """What a period (0.25 s) spends on looking whether anything is too old, where nothing is."""
-    findings, names = held(engines), [f"wm{n:04}" for n in range(870)]
-    return spent(lambda: findings.drop_expired(1, names))
+def measure_expiry_ms(engines: int) -> float:
+    """Measures the search for expired reports in a period (0.25 s) where none has expired."""
+    health_reports, names = build_health_reports(engines), [f"wm{n:04}" for n in range(870)]
+    return measure_ms(lambda: health_reports.drop_expired(1, names))
 
 
-def merge_ms(engines: int) -> float:
-    """All of it heard a first time."""
-    rows = rows_on(engines)
-    return spent(lambda: HealthReports("me", 1).merge(0, rows), 3)
+def measure_merge_ms(engines: int) -> float:
+    """Measures the merge of all reports into an empty store."""
+    rows = build_report_rows(engines)
+    return measure_ms(lambda: HealthReports("me", 1).merge(0, rows), 3)
 
 
-def digest_ms(engines: int) -> float:
-    """A comparison (each 1.5 s): marks of all that is held."""
-    findings = held(engines)
-    return spent(lambda: findings.digest(1_000, 0))
+def measure_digest_ms(engines: int) -> float:
+    """Measures the digest of all held reports, which each comparison (every 1.5 s) needs."""
+    health_reports = build_health_reports(engines)
+    return measure_ms(lambda: health_reports.digest(1_000, 0))
 
 
 def order_rows() -> list[dict[str, Any]]:
@@ -132,10 +137,10 @@
             what,
             "ms of processor",
             "engines",
-            SIZES,
-            order_ms,
-            full=FULL,
-            check=order_ms,
+            ENGINE_COUNTS,
+            measure_grant_selection_ms,
+            full=FULL_ENGINE_COUNT,
+            check=measure_grant_selection_ms,
             checked_as="measured",
             command=COMMAND,
         )
@@ -143,22 +148,27 @@
 
 
 def findings_rows() -> list[dict[str, Any]]:
-    said = f"findings of {WITNESSES} workload managers on every engine"
+    reports_text = f"findings of {REPORTER_COUNT} workload managers on every engine"
     rows = []
     for key, what, unit, measure in (
-        ("fleet.findings.engines", f"{said}: memory", "MB", memory_mb),
+        ("fleet.findings.engines", f"{reports_text}: memory", "MB", measure_report_memory_mb),
         (
             "fleet.findings.forget",
-            f"{said}: a look for old ones, four a second",
+            f"{reports_text}: a look for old ones, four a second",
+            "ms of processor",
+            measure_expiry_ms,
+        ),
+        (
+            "fleet.findings.merge",
+            f"{reports_text}: heard a first time, all",
             "ms of processor",
-            forget_ms,
+            measure_merge_ms,
         ),
-        ("fleet.findings.merge", f"{said}: heard a first time, all", "ms of processor", merge_ms),
         (
             "fleet.findings.digest",
-            f"{said}: marks for one comparison",
+            f"{reports_text}: marks for one comparison",
             "ms of processor",
-            digest_ms,
+            measure_digest_ms,
         ),
     ):
         rows.append(
@@ -167,9 +177,9 @@
                 what,
                 unit,
                 "engines",
-                SIZES,
+                ENGINE_COUNTS,
                 measure,
-                full=FULL,
+                full=FULL_ENGINE_COUNT,
                 check=measure,
                 checked_as="measured",
                 command=COMMAND,
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -1,8 +1,7 @@
-"""A change of configuration: what it costs today, how large one is, and by which way it could reach all in time.
+"""Measures a change of configuration: its present cost, its size, and ways to distribute it.
 
-Owns the processes that it starts, and which sizes are looked at. Must never leave a process behind,
-and never keep a quick run. A restart is a real `serve` process; gossip is simulated
-(corkgauge/model/dissemination.py).
+A restart is measured with real `serve` processes, all of which end with the command. Gossip is
+simulated (corkgauge/model/dissemination.py). Quick runs are not stored.
 """
 
 import json
@@ -29,15 +28,18 @@
 from corkgauge.testkit.fleet.day import KINDS, settings
 from corkgauge.testkit.fleet.parent_process import tied
 
-FULL, GATEWAYS = 1_800, 870
-ENGINES = 10, 40, 100, 400, 1_000
-MEMBERS = 30, 100, 300, 600
-CLASSES, TENANTS = 20, 1_000  # of the whole that is spread: no users' figure, ours
-FANOUTS, LOSSES = (1, 2, 3, 5), (0, 10, 30)
-SEEDS = 5
+FULL_ENGINE_COUNT, FULL_GATEWAY_COUNT = 1_800, 870
+ENGINE_COUNTS = 10, 40, 100, 400, 1_000
+MEMBER_COUNTS = 30, 100, 300, 600
+CLASS_COUNT, TENANT_COUNT = (
+    20,
+    1_000,
+)  # of the distributed configuration; this project's figures, not stated by the users
+FANOUTS, LOSS_PERCENTAGES = (1, 2, 3, 5), (0, 10, 30)
+SEED_COUNT = 5
 COMMAND = "python benchmarks/scale.py settings"
-PATIENCE = 60.0
-READ = 4_096  # octets that the feed's reader is handed at a time
+TIMEOUT_SECONDS = 60.0
+READ_SIZE_BYTES = 4_096  # size of the chunks passed to the parser of the engine list feed
 
 
 def configuration(
@@ -48,19 +50,19 @@
     listen: str = "127.0.0.1:1",
     id_size: int = 8,
 ) -> dict[str, Any]:
-    """As a platform hands it over: settings of so many classes and tenants, and the list known at the start."""
-    stated = settings()
-    given = stated["profiles"]
-    stated["profiles"] = [
-        {**given[n % len(given)], "name": f"class-{n:03d}"} for n in range(classes)
+    """Builds a configuration as a platform provides it, with the engine list known at startup."""
+    settings_document = settings()
+    profiles = settings_document["profiles"]
+    settings_document["profiles"] = [
+        {**profiles[n % len(profiles)], "name": f"class-{n:03d}"} for n in range(classes)
     ]
-    stated["customers"] = [{"name": f"tenant-{n:05d}"} for n in range(tenants)]
-    stated.update(instances=GATEWAYS, myNumber=17)
+    settings_document["customers"] = [{"name": f"tenant-{n:05d}"} for n in range(tenants)]
+    settings_document.update(instances=FULL_GATEWAY_COUNT, myNumber=17)
     servers = [
         {
             "id": f"e{n:0{id_size - 1}d}",
             "addr": f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:9090",
-            "zone": stated["azs"][n % 2],
+            "zone": settings_document["azs"][n % 2],
             "kind": KINDS[n % 2],
             "cell": n // 8,
             "state": "SERVING",
@@ -77,21 +79,23 @@
         "seed": "7",
         "limits": {"memory_mb": 192, "sockets": 1024},
         "known": {"n": 1, "events": [event]},
-        "settings": stated,
+        "settings": settings_document,
     }
 
 
-def octets(said: Any, spaced: bool = False) -> int:
-    """As JSON, without spaces or with them as most writers leave them."""
-    return len(json.dumps(said, separators=None if spaced else (",", ":")).encode())
+def json_octets(value: Any, spaced: bool = False) -> int:
+    """Returns the size as JSON, compact or with the spaces that most JSON writers insert."""
+    return len(json.dumps(value, separators=None if spaced else (",", ":")).encode())
 
 
-# How large.
+# Size of a configuration.
 
 
-def delta() -> Any:
-    """One class gets another promised time: as a JSON merge patch (RFC 7396) of settings in which classes go by name,
-    with the version that it follows and the digest of what it makes.
+def build_delta() -> Any:
+    """Builds a delta that changes the objective of one request class.
+
+    The change is a JSON merge patch (RFC 7396) of settings that hold classes by name. It carries
+    the version that it applies to and the digest of the result.
     """
     return {
         "version": 4711,
@@ -102,47 +106,51 @@
     }
 
 
-class Taker:
-    """What the feed's reader calls."""
+class EventCounter:
+    """Counts the events that the parser of the feed delivers."""
 
     def __init__(self) -> None:
-        self.took = 0
+        self.event_count = 0
 
     def on_event(self, number: str, data: str) -> str:
-        self.took += 1
+        self.event_count += 1
         return ""
 
 
-def listed(engines: int, id_size: int = 8) -> Any:
-    """The whole list as the feed's one event."""
+def build_list_event(engines: int, id_size: int = 8) -> Any:
+    """Builds the whole engine list as a single event of the feed."""
     return configuration(engines, id_size=id_size)["known"]["events"][0]
 
 
-def is_taken(engines: int, id_size: int, spaced: bool) -> bool:
-    """Does the program's own reader of the feed take the whole list in one event?"""
-    taker = Taker()
-    wire = DiscoveryProtocol(taker, MemoryBudget(2**24))
-    event = json.dumps(listed(engines, id_size), separators=None if spaced else (",", ":"))
-    data = f"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 1\ndata: {event}\n\n".encode()
-    for at in range(0, len(data), READ):
-        wire.inward.put(data[at : at + READ])
-        if wire.parse_input():
+def is_list_accepted(engines: int, id_size: int, spaced: bool) -> bool:
+    """Checks whether the program's parser accepts the whole list as a single event."""
+    event_counter = EventCounter()
+    protocol = DiscoveryProtocol(event_counter, MemoryBudget(2**24))
+    event = json.dumps(
+        build_list_event(engines, id_size), separators=None if spaced else (",", ":")
+    )
+    data = (
+        f"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 1\ndata: {event}\n\n"
+    ).encode()
+    for at in range(0, len(data), READ_SIZE_BYTES):
+        protocol.inward.put(data[at : at + READ_SIZE_BYTES])
+        if protocol.parse_input():
             return False
-    return taker.took == 1
+    return event_counter.event_count == 1
 
 
-def most_taken(id_size: int, spaced: bool) -> int:
-    """Of how many engines a whole list is taken, by halving."""
-    low, high = 0, 20 * FULL
+def find_largest_accepted_list(id_size: int, spaced: bool) -> int:
+    """Finds the largest number of engines in an accepted whole list, by bisection."""
+    low, high = 0, 20 * FULL_ENGINE_COUNT
     while high - low > 1:
         middle = (low + high) // 2
-        low, high = (middle, high) if is_taken(middle, id_size, spaced) else (low, middle)
+        low, high = (middle, high) if is_list_accepted(middle, id_size, spaced) else (low, middle)
     return low
 
 
-def sizes(run: "Run") -> list[dict[str, Any]]:
-    def settings(**how: int) -> int:
-        return octets(configuration(**how)["settings"])
+def measure_sizes(run: "Run") -> list[dict[str, Any]]:
+    def settings(**options: int) -> int:
+        return json_octets(configuration(**options)["settings"])
 
     rows = [
         run.measure_slope(
@@ -166,7 +174,7 @@
             repeats=1,
         ),
     ]
-    for name, said, size, spaced in (
+    for name, text, size, spaced in (
         ("", "ids of 8 characters", 8, True),
         (".long", "ids of 36 characters", 36, True),
         (".compact", "ids of 8 characters, JSON without spaces", 8, False),
@@ -174,33 +182,33 @@
         rows += [
             run.measure_slope(
                 "settings.list.octets" + name,
-                f"the whole list as one event, {said}",
+                f"the whole list as one event, {text}",
                 "octets",
                 "engines",
-                ENGINES,
-                lambda n, size=size, spaced=spaced: octets(listed(n, size), spaced),
-                FULL,
+                ENGINE_COUNTS,
+                lambda n, size=size, spaced=spaced: json_octets(build_list_event(n, size), spaced),
+                FULL_ENGINE_COUNT,
                 repeats=1,
             ),
             build_single_size_row(
                 "settings.list.most" + name,
-                f"most engines whose whole list the reader of the feed takes, {said}",
+                f"most engines whose whole list the reader of the feed takes, {text}",
                 "engines",
                 "characters of an id",
                 size,
-                [most_taken(size, spaced)],
+                [find_largest_accepted_list(size, spaced)],
                 "measured",
                 COMMAND,
             ),
         ]
-    whole = octets(configuration(0, CLASSES, TENANTS)["settings"])
+    whole = json_octets(configuration(0, CLASS_COUNT, TENANT_COUNT)["settings"])
     return rows + [
         build_single_size_row(
             "settings.octets.whole",
-            f"settings of {CLASSES} classes and {TENANTS} tenants, as JSON",
+            f"settings of {CLASS_COUNT} classes and {TENANT_COUNT} tenants, as JSON",
             "octets",
             "classes",
-            CLASSES,
+            CLASS_COUNT,
             [whole],
             "measured",
             COMMAND,
@@ -211,45 +219,46 @@
             "octets",
             "classes",
             1,
-            [octets(delta())],
+            [json_octets(build_delta())],
             "paper",
             COMMAND,
         ),
     ]
 
 
-# What it costs today.
+# Present cost.
 
 
-class Served:
-    """One real process of `serve`, in a folder of its own; killed if this one ends in whichever way."""
+class ServeProcess:
+    """A real `serve` process with a temporary folder; it is killed when this process ends."""
 
     def __init__(self, engines: int, classes: int = 4, tenants: int = 2) -> None:
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
-        self.held = [
+        self.feed_sockets = [
             socket.create_server(("127.0.0.1", 0)) for _ in range(2)
-        ]  # two feeds, at which nobody answers
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.address = free.getsockname()
-        self.said = configuration(engines, classes, tenants, self.at(0), "%s:%d" % self.address)
-        # Danger: what lies at the list's addresses is nobody's on loopback; dials there fail at
-        # once.
-        for n, each in enumerate(self.said["known"]["events"][0]["members"]["servers"]):
+        ]  # two feed addresses without a server
+        with socket.create_server(("127.0.0.1", 0)) as free_socket:
+            self.address = free_socket.getsockname()
+        self.configuration = configuration(
+            engines, classes, tenants, self.feed_address(0), "%s:%d" % self.address
+        )
+        # Nothing listens at these loopback ports, so that connections to engines fail at once.
+        for n, each in enumerate(self.configuration["known"]["events"][0]["members"]["servers"]):
             each["addr"] = f"127.0.0.1:{1 + n % 8}"
         self.process: subprocess.Popen | None = None
-        self.starts = 0
+        self.start_count = 0
 
-    def at(self, number: int) -> str:
-        return "%s:%d" % self.held[number].getsockname()
+    def feed_address(self, number: int) -> str:
+        return "%s:%d" % self.feed_sockets[number].getsockname()
 
     def write(self) -> None:
         with open(f"{self.folder}/config.json", "w", encoding="utf-8") as file:
-            json.dump(self.said, file)
+            json.dump(self.configuration, file)
 
     def start(self) -> None:
-        """Returns when it says that it serves."""
+        """Starts the process and waits until its log says that it serves."""
         self.write()
-        self.starts += 1
+        self.start_count += 1
         with open(f"{self.folder}/log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "corkgauge", "serve"],
@@ -264,87 +273,99 @@
                     "PYTHONDONTWRITEBYTECODE": "1",
                 },
             )
-        self.until(lambda: self.log().count("serving as") == self.starts)
-
-    def until(self, there: Callable[[], Any]) -> None:
-        begun = time.monotonic()
-        while not there():
-            if self.process.poll() is not None or time.monotonic() > begun + PATIENCE:
-                raise RuntimeError(f"serve did not come so far: {self.log()[-300:]}")
+        self.wait_until(lambda: self.log().count("serving as") == self.start_count)
+
+    def wait_until(self, is_done: Callable[[], Any]) -> None:
+        started_at = time.monotonic()
+        while not is_done():
+            if self.process.poll() is not None or time.monotonic() > started_at + TIMEOUT_SECONDS:
+                raise RuntimeError(
+                    "serve ended or did not reach the expected state in time; "
+                    f"end of its log: {self.log()[-300:]}"
+                )
             time.sleep(0.001)
 
     def log(self) -> str:
         with open(f"{self.folder}/log", encoding="utf-8") as file:
             return file.read()
 
-    def spent(self) -> float:
-        """Seconds of processor so far; the program has one thread."""
+    def processor_seconds(self) -> float:
+        """Returns the processor time used so far, in seconds; the program has one thread."""
         with open(f"/proc/{self.process.pid}/schedstat", encoding="ascii") as file:
             return int(file.read().split()[0]) / 1e9
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.process.send_signal(signal.SIGTERM)
-        self.process.wait(PATIENCE)
+        self.process.wait(TIMEOUT_SECONDS)
 
     def close(self) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
-        for each in self.held:
+        for each in self.feed_sockets:
             each.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
-def restarted(engines: int, **how: int) -> tuple[float, float]:
-    """Seconds of processor of the new process until it serves, and of time from SIGTERM to the old one, which has
-    nothing open, until then.
+def measure_restart(engines: int, **options: int) -> tuple[float, float]:
+    """Restarts a process that has no open requests.
+
+    Returns:
+        Processor seconds of the new process until it serves, and wall seconds from SIGTERM to the
+        old process until the new process serves.
     """
     check_trial_size(1, 300)
-    serve = Served(engines, **how)
+    serve = ServeProcess(engines, **options)
     try:
         serve.start()
-        begun = time.monotonic()
-        serve.end()
+        started_at = time.monotonic()
+        serve.stop()
         serve.start()
-        return serve.spent(), time.monotonic() - begun
+        return serve.processor_seconds(), time.monotonic() - started_at
     finally:
         serve.close()
 
 
-def reloaded(engines: int) -> float:
-    """Ms of processor of a SIGHUP after which the feed moves, over what the process spends while it is left alone."""
+def measure_reload_ms(engines: int) -> float:
+    """Returns processor ms of a reload (SIGHUP) that moves the feed, above the cost at rest."""
     check_trial_size(1, 300)
-    serve = Served(engines)
+    serve = ServeProcess(engines)
     try:
         serve.start()
         time.sleep(0.5)
-        rest = serve.spent()
+        idle_seconds = serve.processor_seconds()
         time.sleep(0.5)
-        rest, serve.said["feed"] = serve.spent() - rest, serve.at(1)
+        idle_seconds, serve.configuration["feed"] = (
+            serve.processor_seconds() - idle_seconds,
+            serve.feed_address(1),
+        )
         serve.write()
-        before = serve.spent()
+        before = serve.processor_seconds()
         serve.process.send_signal(signal.SIGHUP)
-        serve.until(lambda: "feed moves" in serve.log())
+        serve.wait_until(lambda: "feed moves" in serve.log())
         time.sleep(0.5)
-        return max(1000 * (serve.spent() - before - rest), 0.0)
+        return max(1000 * (serve.processor_seconds() - before - idle_seconds), 0.0)
     finally:
         serve.close()
 
 
-def taken(**how: int) -> float:
-    """Ms of processor to read, check and state a configuration, without a list: the least that taking one costs."""
-    said = json.dumps(configuration(**how))
-    begun = time.process_time()
+def measure_configuration_load_ms(**options: int) -> float:
+    """Returns processor ms to parse, validate and build a configuration without an engine list.
+
+    This is the minimum cost of applying a configuration.
+    """
+    text = json.dumps(configuration(**options))
+    started_at = time.process_time()
     for _ in range(20):
-        build_settings(PlatformConfig(json.loads(said), ""), UnstartedHost())
-    return 1000 * (time.process_time() - begun) / 20
+        build_settings(PlatformConfig(json.loads(text), ""), UnstartedHost())
+    return 1000 * (time.process_time() - started_at) / 20
 
 
-def today(run: "Run") -> list[dict[str, Any]]:
+def measure_current_cost(run: "Run") -> list[dict[str, Any]]:
     found: dict[int, list[float]] = {}
 
     def processor(engines: int) -> float:
-        spent, unready = restarted(engines)
+        spent, unready = measure_restart(engines)
         found.setdefault(engines, []).append(unready)
         return spent
 
@@ -355,21 +376,21 @@
             what + "processor of the new process",
             "s",
             "engines",
-            ENGINES,
+            ENGINE_COUNTS,
             processor,
-            FULL,
+            FULL_ENGINE_COUNT,
         )
     ]
-    again = {size: iter(values) for size, values in found.items()}
+    values_by_size = {size: iter(values) for size, values in found.items()}
     rows.append(
         run.measure_slope(
             "settings.restart.unready",
             what + "time in which nobody is served",
             "s",
             "engines",
-            ENGINES,
-            lambda n: next(again[n]),
-            FULL,
+            ENGINE_COUNTS,
+            lambda n: next(values_by_size[n]),
+            FULL_ENGINE_COUNT,
         )
     )
     return rows + [
@@ -378,9 +399,9 @@
             "SIGHUP after which the feed alone moves",
             "ms of processor",
             "engines",
-            ENGINES,
-            reloaded,
-            FULL,
+            ENGINE_COUNTS,
+            measure_reload_ms,
+            FULL_ENGINE_COUNT,
         ),
         run.measure_slope(
             "settings.taken.classes",
@@ -388,7 +409,7 @@
             "ms of processor",
             "classes",
             (4, 16, 64, 256),
-            lambda n: taken(classes=n),
+            lambda n: measure_configuration_load_ms(classes=n),
             256,
         ),
         run.measure_slope(
@@ -397,64 +418,70 @@
             "ms of processor",
             "tenants",
             (2, 20, 200, 2_000),
-            lambda n: taken(tenants=n),
+            lambda n: measure_configuration_load_ms(tenants=n),
             2_000,
         ),
     ]
 
 
-# By which way it could reach all.
+# Distribution to all workload managers.
 
 
-def gossip(run: "Run") -> list[dict[str, Any]]:
+def measure_gossip(run: "Run") -> list[dict[str, Any]]:
     rows = []
     sent = {
-        "delta": octets(delta()),
-        "whole": octets(configuration(0, CLASSES, TENANTS)["settings"]),
+        "delta": json_octets(build_delta()),
+        "whole": json_octets(configuration(0, CLASS_COUNT, TENANT_COUNT)["settings"]),
     }
-    for sort, size in sent.items():
+    for payload, size in sent.items():
         for fanout in FANOUTS[2:3] if run.quick else FANOUTS:
-            for loss in LOSSES[1:2] if run.quick else LOSSES:
+            for loss in LOSS_PERCENTAGES[1:2] if run.quick else LOSS_PERCENTAGES:
                 found: dict[int, list[tuple[float, int, float]]] = {}
 
-                def played(many: int) -> float:
-                    seeds = found.setdefault(many, [])
-                    seeds.append(spread(many, size, fanout, loss / 100, len(seeds) + 1))
+                def simulate(members: int) -> float:
+                    seeds = found.setdefault(members, [])
+                    seeds.append(spread(members, size, fanout, loss / 100, len(seeds) + 1))
                     if seeds[-1][0] < 0:
                         raise RuntimeError(
-                            f"{sort}, fan-out {fanout}, {loss}% lost: not all of {many} in a minute"
+                            f"{payload}, fan-out {fanout}, {loss}% lost: the change did not reach "
+                            f"all of {members} members in a minute"
                         )
                     return seeds[-1][0]
 
-                said = f"a change spread by gossip as {sort} of {size} octets, fan-out {fanout}, {loss}% lost: "
+                text = (
+                    f"a change spread by gossip as {payload} of {size} octets, fan-out {fanout}, "
+                    f"{loss}% lost: "
+                )
                 rows.append(
                     run.measure_slope(
-                        f"settings.gossip.{sort}.time.f{fanout}.loss{loss}",
-                        said + "until all have it",
+                        f"settings.gossip.{payload}.time.f{fanout}.loss{loss}",
+                        text + "until all have it",
                         "s",
                         "workload managers",
-                        MEMBERS,
-                        played,
-                        GATEWAYS,
-                        repeats=SEEDS,
+                        MEMBER_COUNTS,
+                        simulate,
+                        FULL_GATEWAY_COUNT,
+                        repeats=SEED_COUNT,
                         kind="simulated",
                     )
                 )
-                for place, name, asked, unit in (
+                for position, name, value_text, unit in (
                     (1, "peak", "sent by the busiest in its busiest second", "octets a second"),
                     (2, "mean", "sent by one until then, mean", "octets"),
                 ):
-                    turns = {many: iter(seeds) for many, seeds in found.items()}
+                    values_by_size = {members: iter(seeds) for members, seeds in found.items()}
                     rows.append(
                         run.measure_slope(
-                            f"settings.gossip.{sort}.{name}.f{fanout}.loss{loss}",
-                            said + asked,
+                            f"settings.gossip.{payload}.{name}.f{fanout}.loss{loss}",
+                            text + value_text,
                             unit,
                             "workload managers",
-                            MEMBERS,
-                            lambda n, place=place, turns=turns: next(turns[n])[place],
-                            GATEWAYS,
-                            repeats=SEEDS,
+                            MEMBER_COUNTS,
+                            lambda n, position=position, values_by_size=values_by_size: next(
+                                values_by_size[n]
+                            )[position],
+                            FULL_GATEWAY_COUNT,
+                            repeats=SEED_COUNT,
                             kind="simulated",
                         )
                     )
@@ -462,7 +489,7 @@
 
 
 class Run:
-    """One run of the command."""
+    """One run of the command, with the number of its repeats."""
 
     def __init__(self, quick: bool) -> None:
         self.quick = quick
@@ -479,10 +506,12 @@
         repeats: int = 3,
         kind: str = "measured",
     ) -> dict[str, Any]:
-        """A row, checked at `full` by the same measure, as often; where `full` is the largest size, nothing is
-        foretold.
+        """Measures a row by size and checks the extrapolation at `full`.
+
+        The check uses the same measurement and the same number of repeats. There is no
+        extrapolation where `full` is not larger than the largest size.
         """
-        beyond = full if full > max(sizes) else None
+        extrapolated_size = full if full > max(sizes) else None
         repeats = 1 if self.quick else repeats
 
         def check(size: int) -> float:
@@ -497,14 +526,14 @@
             measure,
             repeats=repeats,
             kind=kind,
-            full=beyond,
-            check=check if beyond else None,
+            full=extrapolated_size,
+            check=check if extrapolated_size else None,
             checked_as=kind,
             command=COMMAND,
         )
 
 
-PARTS = {"sizes": sizes, "today": today, "gossip": gossip}
+PARTS = {"sizes": measure_sizes, "today": measure_current_cost, "gossip": measure_gossip}
 
 
 @click.command(
@@ -515,31 +544,30 @@
     "wanted",
     default=",".join(PARTS),
     show_default=True,
-    help="Only these parts, by commas.",
+    help="Parts to measure, separated by commas.",
 )
-@click.option("--quick", is_flag=True, help="One repeat, one fan-out: a trial, nothing is kept.")
+@click.option("--quick", is_flag=True, help="One repeat, one fan-out; nothing is stored.")
 @click.option(
-    "--json", "as_json", is_flag=True, help="The rows on the standard output, for programs."
+    "--json", "as_json", is_flag=True, help="Print the rows as JSON on the standard output."
 )
 def command(wanted: str, quick: bool, as_json: bool) -> None:
-    """A change of configuration: its cost today, its size, and the ways to all; kept in docs/capacity/settings.json.
+    """Measure a change of configuration: present cost, size, and ways to distribute it.
 
-    Starts one real process of `serve` after the other; must have the machine to itself.
+    Rows are stored in docs/capacity/settings.json. Starts real `serve` processes, one after the
+    other; run nothing else on the machine at the same time.
     """
     names = [name for name in wanted.split(",") if name]
     if unknown := [name for name in names if name not in PARTS]:
-        raise click.UsageError(f"--rows: no {unknown[0]!r}; there are {', '.join(PARTS)}")
+        raise click.UsageError(f"--rows: no {unknown[0]!r}; valid parts are {', '.join(PARTS)}")
     found = []
-    # Danger: a run that is told to end would leave its folder; so that is as an interrupt.
+    # SIGTERM is handled as an interrupt: its default action would leave the temporary folder.
     before = signal.signal(signal.SIGTERM, signal.default_int_handler)
     try:
         for name in names:
             rows = PARTS[name](Run(quick))
             found += rows
             if not quick:
-                save_rows(
-                    "settings", rows
-                )  # what was measured stays, whatever befalls the next part
+                save_rows("settings", rows)  # stored now, in case the next part fails
     finally:
         signal.signal(signal.SIGTERM, before)
     if as_json:
