--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,7 +1,7 @@
-"""The capacity page against the kept rows; the frame that measures them; and what a decision may touch at size.
+"""Tests of the capacity page, the measurement helpers, and the cost of decisions by fleet size.
 
-The counts stand for time: a loop over all engines reads something of each, so reads are counted,
-and no clock is asked.
+The cost of a decision is measured as the number of attribute reads of engines, without a clock: a
+loop over all engines reads at least one attribute of each.
 """
 
 import json
@@ -29,25 +29,24 @@
 from tests.harness import QUICK_CLASS, GatewayHarness
 
 ROOT = Path(__file__).resolve().parent.parent
-SIZES = 200, 400, 800, 1_800
-GATEWAYS, STATEMENT = 870, 4  # tenths of a millisecond between two statements: 2,500 a second
-GROUPS = 7  # of tables
-GROWS = (
-    1.5  # most that a count at a larger size may be of that at the smallest: flat, but for rounding
-)
+ENGINE_COUNTS = 200, 400, 800, 1_800
+GATEWAY_COUNT, STATEMENT_INTERVAL_TICKS = 870, 4  # 2,500 statements per second
+TABLE_GROUP_COUNT = 7
+# Largest count at a larger size relative to the smallest size: constant, with room for rounding.
+MAX_GROWTH_FACTOR = 1.5
 
 
-# The page.
+# Capacity page.
 
 
-def copied(tmp_path):
-    """The rows, the text and the page, on a copy."""
+def copy_rows_and_page(tmp_path):
+    """Copies the rows, the text and the page to a temporary folder."""
     shutil.copytree(scaling.CAPACITY_DIRECTORY, tmp_path / "capacity")
     shutil.copy(scaling.CAPACITY_DIRECTORY.parent / "CAPACITY.md", tmp_path)
     return tmp_path / "capacity", tmp_path / "CAPACITY.md"
 
 
-def test_page_and_rows_agree():
+def test_page_is_rendered_from_the_stored_rows():
     assert (
         scale_page.find_page_difference(
             scaling.CAPACITY_DIRECTORY, scaling.CAPACITY_DIRECTORY.parent / "CAPACITY.md"
@@ -56,8 +55,8 @@
     )
 
 
-def test_a_figure_that_is_edited_on_the_page_is_found(tmp_path):
-    home, page = copied(tmp_path)
+def test_edited_figure_on_the_page_is_detected(tmp_path):
+    home, page = copy_rows_and_page(tmp_path)
     lines = page.read_text().splitlines()
     at, line = next(
         (n, line) for n, line in enumerate(lines) if line.startswith("|") and "(paper)" in line
@@ -65,14 +64,14 @@
     figure = next(word for word in line.split() if word[0].isdigit())
     lines[at] = line.replace(figure, "9" + figure, 1)
     page.write_text("\n".join(lines) + "\n")
-    ran = CliRunner().invoke(
+    result = CliRunner().invoke(
         scale_page.command, ["--check", "--home", str(home), "--page", str(page)]
     )
-    assert ran.exit_code == 1
+    assert result.exit_code == 1
     assert f"line {at + 1}:" in scale_page.find_page_difference(home, page)
 
 
-ROW = {
+SAMPLE_ROW = {
     "key": "alone.decision.engines",
     "what": "a decision",
     "unit": "ms",
@@ -104,9 +103,9 @@
         (("kind",), "guessed"),
     ],
 )
-def test_a_figure_that_is_edited_in_a_row_is_found(path, value):
-    row = json.loads(json.dumps(ROW))
-    if path[0] == "fit":  # that what is foretold no longer follows from it would be found as well
+def test_edited_figure_in_a_row_is_detected(path, value):
+    row = json.loads(json.dumps(SAMPLE_ROW))
+    if path[0] == "fit":  # a wrong extrapolation would be detected as well
         del row["foretold"], row["checked"]
     assert scale_page.find_row_error(row) == ""
     inner = row
@@ -117,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    "tag, shown",
+    "tag, expected",
     [
         ("{{alone.decision.engines}}", "1,500 ms (hollow)"),
         ("{{alone.decision.engines@100}}", "100 ms (measured)"),
@@ -136,9 +135,11 @@
         ("{{worked.open.zones.all.gateways}}", "174 workload managers (paper)"),
     ],
 )
-def test_a_figure_is_named_by_key_with_its_kind_and_never_invented(tag, shown):
-    made = scale_page.CapacityPage({ROW["key"]: {**ROW, "part": "alone"}}).render(f"said: {tag}.\n")
-    assert made.splitlines()[-1] == f"said: {shown}."
+def test_tag_shows_the_figure_of_its_key_with_kind_or_not_run(tag, expected):
+    rendered = scale_page.CapacityPage({SAMPLE_ROW["key"]: {**SAMPLE_ROW, "part": "alone"}}).render(
+        f"said: {tag}.\n"
+    )
+    assert rendered.splitlines()[-1] == f"said: {expected}."
 
 
 @pytest.mark.parametrize(
@@ -152,38 +153,44 @@
         "{{worked.open.zones.all.gateways:factor}}",
     ],
 )
-def test_a_text_that_names_what_cannot_be_is_refused(tag, tmp_path):
+def test_unknown_tag_is_rejected_and_no_page_is_written(tag, tmp_path):
     (tmp_path / "page.md.in").write_text(tag)
-    (tmp_path / "alone.json").write_text(json.dumps({"part": "alone", "rows": [ROW]}))
-    ran = CliRunner().invoke(
+    (tmp_path / "alone.json").write_text(json.dumps({"part": "alone", "rows": [SAMPLE_ROW]}))
+    result = CliRunner().invoke(
         scale_page.command, ["--home", str(tmp_path), "--page", str(tmp_path / "page.md")]
     )
-    assert ran.exit_code == 2 and not (tmp_path / "page.md").exists()
+    assert result.exit_code == 2 and not (tmp_path / "page.md").exists()
 
 
-def test_what_is_missing_is_told_last_whatever_asked_for_it():
-    made = scale_page.CapacityPage({}).render("{{table missing}}\n{{alone.never}}\n")
-    assert "`alone.never`" in made and "`alone.decision.engines`" in made
+def test_table_of_missing_runs_lists_keys_of_later_tags():
+    rendered = scale_page.CapacityPage({}).render("{{table missing}}\n{{alone.never}}\n")
+    assert "`alone.never`" in rendered and "`alone.decision.engines`" in rendered
 
 
-def test_a_run_before_the_mechanism_stands_in_under_its_own_name():
+def test_derived_row_falls_back_to_the_run_before_working_sets_and_names_its_key():
     page = scale_page.CapacityPage(
-        {ROW["key"] + ".before": {**ROW, "part": "alone", "key": ROW["key"] + ".before"}}
+        {
+            SAMPLE_ROW["key"] + ".before": {
+                **SAMPLE_ROW,
+                "part": "alone",
+                "key": SAMPLE_ROW["key"] + ".before",
+            }
+        }
     )
     assert page.derived["serving.decision"].keys == ("alone.decision.engines.before",)
     assert page.expand_tag("alone.decision.engines") == "not run"
 
 
-def test_a_wrong_factor_of_unit_is_not_hidden_by_the_largest_size():
-    row = {**ROW, "foretold": {"at": 50, "value": 50.0}}
+def test_default_size_is_the_largest_of_points_and_extrapolation():
+    row = {**SAMPLE_ROW, "foretold": {"at": 50, "value": 50.0}}
     row.pop("checked")
     assert (
         RowIndex({"k": row}).figure("k").value == 400.0
-    )  # the largest size there is, not the one foretold
+    )  # the largest measured size, larger than that of the extrapolation
 
 
-def page_of(**kept):
-    """Of rows of one size and value each."""
+def build_page(**kept):
+    """Builds a page from rows with one size and one value each."""
     return scale_page.CapacityPage(
         {
             key: {
@@ -197,8 +204,8 @@
     )
 
 
-def test_what_is_over_budget_comes_first_and_what_has_not_run_is_named():
-    made = page_of(
+def test_budget_table_lists_highest_factor_first_and_rows_without_a_run_below():
+    rendered = build_page(
         **{
             "fleet.handover.lost": (870, 18.0),
             "fleet.rest.octets": (870, 3_600),
@@ -207,7 +214,7 @@
     ).over()
     found = [
         line.split(" | ")[:2] + line.split(" | ")[4:5]
-        for line in made.splitlines()
+        for line in rendered.splitlines()
         if " s (hollow)" in line or "a second (hollow)" in line or "core (hollow)" in line
     ]
     assert found == [
@@ -216,12 +223,12 @@
         ["| within", "0.01", "0.033% of a core (hollow)"],
     ]
     assert (
-        made.splitlines()[-1].startswith("With a budget, and not run: ")
-        and "18 s" not in made.splitlines()[-1]
+        rendered.splitlines()[-1].startswith("With a budget, and not run: ")
+        and "18 s" not in rendered.splitlines()[-1]
     )
 
 
-def test_what_is_missing_is_ranked_serving_first_then_absent_then_by_factor():
+def test_missing_mechanisms_are_ranked_by_serving_then_absent_then_factor():
     kept = {
         "fleet.rest.octets.holder": (870, 70_000),
         "fleet.rest.octets": (870, 7_001),
@@ -230,7 +237,7 @@
         "settings.restart.unready": (1_800, 0.6),
         "settings.list.octets.long": (1_800, 1.01 * feed_wire.MAX_LINE_BYTES),
     }
-    lines = page_of(**kept).next().splitlines()
+    lines = build_page(**kept).next().splitlines()
     titles = (
         "A list of engines",
         "A change of configuration",
@@ -243,13 +250,13 @@
     ] == [True] * 5
     assert len(lines) == 5 and "**: 10 times over (holder of a duty: datagrams" in lines[2]
     assert (
-        page_of(**{**kept, "settings.list.octets.long": (1_800, 1)})
+        build_page(**{**kept, "settings.list.octets.long": (1_800, 1)})
         .next()
         .startswith("1. **A change of conf")
     )
 
 
-def test_a_row_within_its_budget_tells_at_which_size_it_passes_it():
+def test_growth_table_shows_the_size_at_which_a_row_exceeds_its_budget():
     points = [(n, 2.0 + n / 870) for n in (30, 100, 300, 600)]
     row = scaling.measure_slope(
         "fleet.handover.lost", "w", "s", "n", [n for n, _ in points], dict(points).get, full=870
@@ -262,62 +269,70 @@
     assert len(found) == 1 and 7 <= float(found[0][0].strip("| ")) <= 7 * 1.05  # 2 + m passes 9
 
 
-def test_a_figure_of_a_run_before_the_working_set_says_so():
+def test_mechanism_column_marks_a_run_before_working_sets():
     before, after = (
-        page_of(**{key: (1_800, 0.1)}).over() for key in (ROW["key"] + ".before", ROW["key"])
+        build_page(**{key: (1_800, 0.1)}).over()
+        for key in (SAMPLE_ROW["key"] + ".before", SAMPLE_ROW["key"])
     )
     assert "(not in this run)" in before and "(not in this run)" not in after
 
 
-def test_options_stand_side_by_side():
-    made = page_of(
+def test_options_table_compares_options_by_column():
+    rendered = build_page(
         **{
             "subset.one.even": (870, 1.2),
             "subset.two.even": (870, 3.4),
             "subset.two.links": (870, 7),
         }
     ).options("subset", "one", "two")
-    assert made.splitlines()[2:] == [
+    assert rendered.splitlines()[2:] == [
         "| what | u | 1.2 | 3.4 | hollow |",
         "| what | u | not run | 7 | hollow |",
     ]
 
 
-# Configuration.
+# Configuration changes.
 
 
-def test_gossip_reaches_all_and_none_hears_what_no_datagram_brought():
+def test_gossip_reaches_all_members_and_none_if_all_datagrams_are_lost():
     assert 0 < dissemination.spread(60, 400, 2, 0.3, 1)[0] < 20
-    lost = dissemination.Dissemination(60, 400, 2, loss=1.0)
-    assert lost.run(3 * SECOND) == -1 and sum(member.is_complete for member in lost.members) == 1
+    dissemination_without_datagrams = dissemination.Dissemination(60, 400, 2, loss=1.0)
+    assert (
+        dissemination_without_datagrams.run(3 * SECOND) == -1
+        and sum(member.is_complete for member in dissemination_without_datagrams.members) == 1
+    )
 
 
-def test_a_whole_in_pieces_comes_together_from_several():
+def test_chunked_configuration_is_assembled_from_several_members():
     model = dissemination.Dissemination(40, 20 * dissemination.CHUNK_BYTES, 2, loss=0.4, seed=3)
     assert model.run(30 * SECOND) > 0
     assert all(member.chunks == set(range(20)) for member in model.members)
 
 
-def test_a_quick_run_of_the_settings_keeps_nothing(monkeypatch):
-    monkeypatch.setattr(scale_settings, "save_rows", lambda *_: pytest.fail("a quick run was kept"))
-    ran = CliRunner().invoke(scale_settings.command, ["--quick", "--rows", "sizes", "--json"])
-    rows = {row["key"]: row for row in json.loads(ran.stdout)}
-    assert ran.exit_code == 0 and all(scale_page.find_row_error(row) == "" for row in rows.values())
+def test_quick_settings_run_stores_nothing(monkeypatch):
+    monkeypatch.setattr(
+        scale_settings, "save_rows", lambda *_: pytest.fail("a quick run was stored")
+    )
+    result = CliRunner().invoke(scale_settings.command, ["--quick", "--rows", "sizes", "--json"])
+    rows = {row["key"]: row for row in json.loads(result.stdout)}
+    assert result.exit_code == 0 and all(
+        scale_page.find_row_error(row) == "" for row in rows.values()
+    )
     assert rows["settings.list.octets"]["fit"]["exponent"] > 0.9
     assert CliRunner().invoke(scale_settings.command, ["--rows", "never"]).exit_code == 2
 
 
-def test_the_configuration_that_is_measured_is_one_that_serving_takes():
-    post = PlatformConfig(scale_settings.configuration(30, 20, 50), "")
-    settings = build_settings(post, UnstartedHost())
+def test_measured_configuration_is_accepted_by_the_serving_process():
+    platform_config = PlatformConfig(scale_settings.configuration(30, 20, 50), "")
+    settings = build_settings(platform_config, UnstartedHost())
     assert (
         len(settings.request_classes),
         len(settings.tenants),
-        len(post.known_events[0]["members"]["servers"]),
+        len(platform_config.known_events[0]["members"]["servers"]),
     ) == (20, 50, 30)
 
 
-# The frame.
+# Measurement helpers.
 
 
 @pytest.mark.parametrize(
@@ -328,14 +343,14 @@
         (scaling.MAX_PROCESS_COUNT, 1, ""),
     ],
 )
-def test_a_trial_that_is_too_large_is_refused_beforehand(processes, memory, what):
+def test_too_large_trial_is_rejected_before_the_run(processes, memory, what):
     if not what:
         return scaling.check_trial_size(processes, memory)
     with pytest.raises(scaling.TrialTooLargeError, match=what):
         scaling.check_trial_size(processes, memory)
 
 
-def test_a_slope_foretells_full_size_and_tells_its_error():
+def test_slope_row_extrapolates_to_full_size_and_records_the_error():
     row = scaling.measure_slope(
         "k",
         "what",
@@ -356,12 +371,12 @@
 @pytest.mark.parametrize(
     "cost, exponent", [(lambda n: 7.0, 0), (lambda n: 2.0 * n, 1), (lambda n: n * n / 9, 2)]
 )
-def test_the_exponent_tells_flat_from_linear(cost, exponent):
+def test_exponent_distinguishes_constant_linear_and_quadratic_cost(cost, exponent):
     fit = scaling.fit_slope([(n, cost(n)) for n in (10, 100, 1_000, 10_000)])
     assert fit["exponent"] == pytest.approx(exponent, abs=0.01)
 
 
-def test_rows_of_other_keys_stay_as_a_part_is_measured_in_several_runs(tmp_path):
+def test_saving_rows_keeps_stored_rows_with_other_keys(tmp_path):
     scaling.save_rows(
         "part",
         [scaling.build_single_size_row("part.one", "w", "s", "n", 1, [3, 1, 2], "paper")],
@@ -385,17 +400,17 @@
     assert all(row["part"] == "part" for row in rows.values())
 
 
-def test_an_interrupt_in_the_midst_of_a_writing_leaves_what_was(tmp_path, monkeypatch):
+def test_interrupted_write_leaves_the_previous_rows(tmp_path, monkeypatch):
     scaling.save_rows(
         "part", [scaling.build_single_size_row("first", "w", "s", "n", 1, [1], "paper")], tmp_path
     )
-    writes = Path.write_text
+    write_text = Path.write_text
 
-    def half(file, text):
-        writes(file, text[: len(text) // 2])
+    def write_half_and_interrupt(file, text):
+        write_text(file, text[: len(text) // 2])
         raise KeyboardInterrupt
 
-    monkeypatch.setattr(Path, "write_text", half)
+    monkeypatch.setattr(Path, "write_text", write_half_and_interrupt)
     with pytest.raises(KeyboardInterrupt):
         scaling.save_rows(
             "part",
@@ -405,25 +420,28 @@
     assert [*scaling.load_rows(tmp_path)] == ["first"]
 
 
-INTERRUPTED = """
+CONTINUOUS_WRITER_SCRIPT = """
 import sys
 from pathlib import Path
 from benchmarks import scaling
-rows = [scaling.build_single_size_row("k%d" % n, "w" * 1000, "s", "n", 1, [n], "paper") for n in range(3000)]
+rows = [
+    scaling.build_single_size_row("k%d" % n, "w" * 1000, "s", "n", 1, [n], "paper")
+    for n in range(3000)
+]
 print("begun", flush=True)
 while True:
     scaling.save_rows("part", rows, Path(sys.argv[1]))
 """
 
 
-@pytest.mark.parametrize("sign", [signal.SIGINT, signal.SIGKILL])
-def test_an_interrupt_leaves_the_rows_whole(sign, tmp_path):
-    """It is ended while it writes without a pause: what lies there is one whole writing or none."""
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGKILL])
+def test_signal_during_continuous_writes_leaves_complete_rows(signal_number, tmp_path):
+    """A process is ended while it writes continuously: the file holds one complete write."""
     scaling.save_rows(
         "part", [scaling.build_single_size_row("first", "w", "s", "n", 1, [1], "paper")], tmp_path
     )
-    ran = subprocess.Popen(
-        [sys.executable, "-c", INTERRUPTED, str(tmp_path)],
+    process = subprocess.Popen(
+        [sys.executable, "-c", CONTINUOUS_WRITER_SCRIPT, str(tmp_path)],
         cwd=ROOT,
         stdin=subprocess.DEVNULL,
         stdout=subprocess.PIPE,
@@ -431,135 +449,164 @@
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
     try:
-        assert ran.stdout.readline() == b"begun\n"
-        until = time.monotonic() + 2
-        while not (tmp_path / "part.new").exists() and time.monotonic() < until:
-            time.sleep(0)  # until it is in the midst of a writing
-        ran.send_signal(sign)
-        ran.wait(20)
+        assert process.stdout.readline() == b"begun\n"
+        deadline = time.monotonic() + 2
+        while not (tmp_path / "part.new").exists() and time.monotonic() < deadline:
+            time.sleep(0)  # until the process is writing
+        process.send_signal(signal_number)
+        process.wait(20)
     finally:
-        ran.kill()
-        ran.stdout.close()
+        process.kill()
+        process.stdout.close()
     rows = scaling.load_rows(tmp_path)
     assert len(rows) in (1, 3001) and "first" in rows
 
 
 @pytest.mark.parametrize("role", ["page", "settings"])
-def test_each_role_helps_with_an_example(role):
-    ran = CliRunner().invoke(main, [role, "--help"])
-    assert ran.exit_code == 0 and "Example: python benchmarks/scale.py " + role in ran.output
+def test_help_of_each_role_has_an_example(role):
+    result = CliRunner().invoke(main, [role, "--help"])
+    assert result.exit_code == 0 and "Example: python benchmarks/scale.py " + role in result.output
 
 
-# What a decision touches.
+# Attribute reads of a decision.
 
 
-class Counted(Engine):
-    """An engine that counts what is read of it."""
+class ReadCountingEngine(Engine):
+    """An engine that counts reads of its attributes."""
 
     __slots__ = ()
     reads = 0
 
     def __getattribute__(self, name):
-        Counted.reads += 1
+        ReadCountingEngine.reads += 1
         return super().__getattribute__(name)
 
 
-def counted(act):
-    before = Counted.reads
-    act()
-    return Counted.reads - before
+def count_reads(operation):
+    before = ReadCountingEngine.reads
+    operation()
+    return ReadCountingEngine.reads - before
 
 
-def worked(engines):
-    """A gateway of 870 that has worked for a while before so many engines."""
-    yard = GatewayHarness(
+def build_warm_gateway(engines):
+    """Builds a gateway, one of 870, that has already handled statements with `engines` engines."""
+    gateway_harness = GatewayHarness(
         [dict(QUICK_CLASS, name=f"o{n}", priority_weight=1.0 + n) for n in range(2)],
         engines=0,
-        gateway_count=GATEWAYS,
+        gateway_count=GATEWAY_COUNT,
         gateway_number=17,
     )
-    yard.out = []
-    yard.engines = [
-        Counted(f"e{n}", b"e%d" % n, n % 5, n % 2, n // 8, cores=8.0) for n in range(engines)
+    gateway_harness.out = []
+    gateway_harness.engines = [
+        ReadCountingEngine(f"e{n}", b"e%d" % n, n % 5, n % 2, n // 8, cores=8.0)
+        for n in range(engines)
     ]
-    yard.update_engines(*yard.engines)
-    play(yard, 200)
-    return yard
+    gateway_harness.update_engines(*gateway_harness.engines)
+    run_statements(gateway_harness, 200)
+    return gateway_harness
 
 
-def play(yard, statements, each=STATEMENT):
-    """Statements of seven table groups as they come, each answered while the next two are out; the time goes on."""
+def run_statements(gateway_harness, statements, interval=STATEMENT_INTERVAL_TICKS):
+    """Submits statements of seven table groups, one per `interval`, with two of them in flight."""
     for n in range(statements):
-        yard.pass_time(each)
-        yard.out += yard.submit_request(
+        gateway_harness.pass_time(interval)
+        gateway_harness.out += gateway_harness.submit_request(
             n % 2,
-            table_group=float(n % GROUPS),
+            table_group=float(n % TABLE_GROUP_COUNT),
             tenant=n % 3,
             estimated_work=200,
             time_to_deadline=1_000,
         ).attempts
-        while len(yard.out) > 2:
-            yard.finish_attempt(yard.out.pop(0), AttemptOutcome.SUCCEEDED, took=300, work=200)
-
-
-def of_decisions(engines):
-    """Reads a statement, with what its answer and its timers read."""
-    yard, statements = worked(engines), 250
-    return counted(lambda: play(yard, statements)) / statements
-
-
-def of_a_moment(engines):
-    """Reads a statement where each comes after a moment, when figures that stand for one are renewed."""
-    yard, statements = worked(engines), 20
-    return counted(lambda: play(yard, statements, ESTIMATE_VALIDITY_TICKS + STATEMENT)) / statements
+        while len(gateway_harness.out) > 2:
+            gateway_harness.finish_attempt(
+                gateway_harness.out.pop(0), AttemptOutcome.SUCCEEDED, took=300, work=200
+            )
+
+
+def reads_per_statement(engines):
+    """Counts the reads per statement, with those of its answer and its timers."""
+    gateway_harness, statements = build_warm_gateway(engines), 250
+    return count_reads(lambda: run_statements(gateway_harness, statements)) / statements
+
+
+def reads_per_statement_after_estimates_expire(engines):
+    """Counts the reads per statement if cached estimates expire between two statements."""
+    gateway_harness, statements = build_warm_gateway(engines), 20
+    return (
+        count_reads(
+            lambda: run_statements(
+                gateway_harness, statements, ESTIMATE_VALIDITY_TICKS + STATEMENT_INTERVAL_TICKS
+            )
+        )
+        / statements
+    )
 
 
-def of_a_period(engines):
-    """Reads of the feedback and of all timers until the next, without a statement."""
-    yard = worked(engines)
+def reads_per_feedback_interval(engines):
+    """Counts the reads of a feedback interval and its timers, without statements."""
+    gateway_harness = build_warm_gateway(engines)
 
     def period():
-        yard.gateway.on_feedback_interval()
-        yard.pass_time(FEEDBACK_INTERVAL_TICKS - 1)
+        gateway_harness.gateway.on_feedback_interval()
+        gateway_harness.pass_time(FEEDBACK_INTERVAL_TICKS - 1)
 
-    return counted(period)
+    return count_reads(period)
 
 
-def of_new_orders(engines):
-    """Reads of the first statement of each table group after the feedback."""
-    yard = worked(engines)
-    yard.gateway.on_feedback_interval()
-    return counted(lambda: play(yard, GROUPS))
+def reads_of_first_statements_after_feedback(engines):
+    """Counts the reads of the first statement of each table group after the feedback."""
+    gateway_harness = build_warm_gateway(engines)
+    gateway_harness.gateway.on_feedback_interval()
+    return count_reads(lambda: run_statements(gateway_harness, TABLE_GROUP_COUNT))
 
 
-def of_a_change(engines):
-    """Reads as the list tells of one engine that leaves and one that comes."""
-    yard = worked(engines)
-    leaves, comes = yard.engines[engines // 2], Counted("new", b"new", 0, 0, 0, cores=8.0)
+def reads_per_list_change(engines):
+    """Counts the reads of a list change that removes one engine and adds one."""
+    gateway_harness = build_warm_gateway(engines)
+    removed_engine, added_engine = (
+        gateway_harness.engines[engines // 2],
+        ReadCountingEngine("new", b"new", 0, 0, 0, cores=8.0),
+    )
 
     def change():
-        yard.gateway.on_engine_update(leaves, EngineState.GONE, 0)
-        yard.gateway.on_engine_update(comes, EngineState.READY, 0)
-        yard.gateway.on_engine_list_complete()
+        gateway_harness.gateway.on_engine_update(removed_engine, EngineState.GONE, 0)
+        gateway_harness.gateway.on_engine_update(added_engine, EngineState.READY, 0)
+        gateway_harness.gateway.on_engine_list_complete()
 
-    return counted(change)
+    return count_reads(change)
 
 
 @pytest.mark.parametrize(
-    "cost", [of_decisions, of_a_moment, of_a_period, of_new_orders, of_a_change]
+    "cost",
+    [
+        reads_per_statement,
+        reads_per_statement_after_estimates_expire,
+        reads_per_feedback_interval,
+        reads_of_first_statements_after_feedback,
+        reads_per_list_change,
+    ],
 )
-def test_what_is_touched_stays_flat_in_engines(cost):
-    found = {engines: cost(engines) for engines in SIZES}
-    assert all(each <= GROWS * found[SIZES[0]] for each in found.values()), found
+def test_engine_reads_do_not_grow_with_the_number_of_engines(cost):
+    found = {engines: cost(engines) for engines in ENGINE_COUNTS}
+    assert all(each <= MAX_GROWTH_FACTOR * found[ENGINE_COUNTS[0]] for each in found.values()), (
+        found
+    )
 
 
-@pytest.mark.parametrize("cost", [of_decisions, of_a_moment, of_new_orders])
-def test_a_decision_before_all_engines_touches_little_more_than_before_forty(cost):
-    assert cost(SIZES[-1]) <= GROWS * cost(40)
+@pytest.mark.parametrize(
+    "cost",
+    [
+        reads_per_statement,
+        reads_per_statement_after_estimates_expire,
+        reads_of_first_statements_after_feedback,
+    ],
+)
+def test_engine_reads_at_full_size_are_close_to_those_with_40_engines(cost):
+    assert cost(ENGINE_COUNTS[-1]) <= MAX_GROWTH_FACTOR * cost(40)
 
 
-def test_the_count_itself_tells_flat_from_linear():
-    """Danger: a count that misses a loop would pass whatever the decision does."""
-    engines = [Counted(f"e{n}", b"e", 0, 0, 0) for n in range(400)]
-    assert counted(lambda: sum(e.cores for e in engines)) == 400
-    assert counted(lambda: [e.state for e in engines[:40]]) == 40
+def test_read_counter_counts_each_attribute_read():
+    """A counter that misses a loop would let the tests above pass regardless of the decision."""
+    engines = [ReadCountingEngine(f"e{n}", b"e", 0, 0, 0) for n in range(400)]
+    assert count_reads(lambda: sum(e.cores for e in engines)) == 400
+    assert count_reads(lambda: [e.state for e in engines[:40]]) == 40
--- a/tests/test_scale_alone.py
+++ b/tests/test_scale_alone.py
@@ -1,4 +1,8 @@
-"""The stand-ins for one workload manager alone: the same by seed, whole at size, gone with their starter."""
+"""Tests of the stand-ins that the benchmark of one workload manager uses.
+
+The load is reproducible by seed and served completely, and the measured program ends with its
+parent process.
+"""
 
 import os
 import signal
@@ -12,27 +16,27 @@
 from corkgauge.testkit.fleet.hollow_gateway import Alone, Front
 from corkgauge.testkit.fleet.profile_sampler import read
 
-HERE = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
 
-def test_a_load_on_the_module_alone_is_the_same_by_seed_and_all_of_it_is_served():
-    ends = []
+def test_generated_load_is_reproducible_by_seed_and_served_completely():
+    results = []
     for _ in range(2):
         alone = Alone(60)
-        where = []
+        engine_ids = []
         send_attempt = alone.send_attempt
         alone.send_attempt = lambda attempt, allow: (
-            where.append(attempt.engine.host_reference),
+            engine_ids.append(attempt.engine.host_reference),
             send_attempt(attempt, allow),
         )
         alone.play(alone.drawn(400))
         alone.pass_until(alone.now + 20 * SECOND)
-        ends.append((where, alone.now))
+        results.append((engine_ids, alone.now))
         assert (alone.served, alone.refused, alone.open) == (400, 0, 0)
-    assert ends[0] == ends[1] and len({*ends[0][0]}) > 30
+    assert results[0] == results[1] and len({*results[0][0]}) > 30
 
 
-def test_open_requests_before_the_host_are_open_there_and_at_its_links():
+def test_open_requests_of_the_socket_host_are_in_flight_on_its_links():
     front = Front(10, 2_000)
     try:
         for n in range(60):
@@ -52,60 +56,64 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, said",
+    "arguments, expected_text",
     [
         (["--engines", "90000000"], "scale: 18000200 MB,"),
         (["--rows", "alone.nothing"], "no 'alone.nothing'"),
         (["--rows", "alone.turn.descriptors", "--quick"], "descriptors,"),
     ],
 )
-def test_what_is_too_large_or_unknown_ends_with_2_and_says_which(arguments, said):
+def test_too_large_or_unknown_trial_exits_with_2_and_names_the_cause(arguments, expected_text):
     code = (
-        f"import resource, runpy, sys; resource.setrlimit(resource.RLIMIT_NOFILE, (512, 512)); sys.argv = "
-        f"['scale.py', 'alone', *{arguments!r}]; runpy.run_path('benchmarks/scale.py', run_name='__main__')"
+        "import resource, runpy, sys; resource.setrlimit(resource.RLIMIT_NOFILE, (512, 512)); "
+        f"sys.argv = ['scale.py', 'alone', *{arguments!r}]; "
+        "runpy.run_path('benchmarks/scale.py', run_name='__main__')"
+    )
+    result = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, cwd=REPOSITORY_ROOT
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=HERE)
     assert (
-        done.returncode == 2
-        and said in done.stderr.splitlines()[-1]
-        and "Traceback" not in done.stderr
+        result.returncode == 2
+        and expected_text in result.stderr.splitlines()[-1]
+        and "Traceback" not in result.stderr
     )
 
 
-def test_the_program_under_measurement_ends_with_a_starter_that_is_killed():
+def test_measured_program_ends_when_its_parent_is_killed():
     code = (
-        "from corkgauge.testkit.fleet.hollow_serve import Serve; import time; s = Serve(20); s.ready(); "
+        "from corkgauge.testkit.fleet.hollow_serve import Serve; "
+        "import time; s = Serve(20); s.ready(); "
         "print(s.program.process.pid, s.folder, flush=True); time.sleep(60)"
     )
-    starter = subprocess.Popen(
-        [sys.executable, "-c", code], stdout=subprocess.PIPE, text=True, cwd=HERE
+    parent = subprocess.Popen(
+        [sys.executable, "-c", code], stdout=subprocess.PIPE, text=True, cwd=REPOSITORY_ROOT
     )
-    child, folder = starter.stdout.readline().split()
-    assert os.path.exists(f"/proc/{child}")
-    starter.send_signal(signal.SIGKILL)
-    starter.wait()
-    until = time.monotonic() + 20
-    while time.monotonic() < until and running(child):
+    child_pid, folder = parent.stdout.readline().split()
+    assert os.path.exists(f"/proc/{child_pid}")
+    parent.send_signal(signal.SIGKILL)
+    parent.wait()
+    deadline = time.monotonic() + 20
+    while time.monotonic() < deadline and is_running(child_pid):
         time.sleep(0.01)
-    assert not running(child)
+    assert not is_running(child_pid)
     subprocess.run(["rm", "-r", folder], check=True)
 
 
-def running(process):
+def is_running(pid):
     try:
-        with open(f"/proc/{process}/stat") as file:
+        with open(f"/proc/{pid}/stat") as file:
             return file.read().rsplit(")", 1)[1].split()[0] not in "ZX"
     except OSError:
         return False
 
 
-def test_a_sampled_stack_counts_once_on_top_and_once_anywhere(tmp_path):
-    path, ours = tmp_path / "stacks", f"{HERE}/corkgauge/policy/gateway.py"
+def test_sampled_stack_counts_a_function_once_as_innermost_and_once_inclusive(tmp_path):
+    path, gateway_file = tmp_path / "stacks", f"{REPOSITORY_ROOT}/corkgauge/policy/gateway.py"
     stack = (
-        f'Current thread 0x0 (most recent call first):\n  File "{ours}", line 1 in _slow\n'
-        f'  File "{ours}", line 2 in _slow\n  File "/lib/heapq.py", line 3 in merge\n'
+        f'Current thread 0x0 (most recent call first):\n  File "{gateway_file}", line 1 in _slow\n'
+        f'  File "{gateway_file}", line 2 in _slow\n  File "/lib/heapq.py", line 3 in merge\n'
     )
     path.write_text(2 * stack)
-    looks, own, within = read(str(path))
-    assert looks == 2 and own == {"policy/gateway.py:_slow": 2}
-    assert within == {"policy/gateway.py:_slow": 2, "library:heapq.py": 2}
+    sample_count, innermost_counts, inclusive_counts = read(str(path))
+    assert sample_count == 2 and innermost_counts == {"policy/gateway.py:_slow": 2}
+    assert inclusive_counts == {"policy/gateway.py:_slow": 2, "library:heapq.py": 2}
