--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -36,9 +36,8 @@
 }
 PEAK_FACTORS = {"mean": 1, "three": 3, "five": 5}  # readings of "several times the mean" traffic
 BEFORE_SUFFIX = ".before"  # of keys measured before working sets of engines existed
-WITHOUT_SHARED_SUFFIX = (
-    ".without-shared"  # of keys of fleets whose operator file disables peer health reports
-)
+# Of keys of fleets whose operator file disables peer health reports.
+WITHOUT_SHARED_SUFFIX = ".without-shared"
 
 
 # Fields of the users' size that grow with the fleet.
--- a/benchmarks/scale_fleet.py
+++ b/benchmarks/scale_fleet.py
@@ -32,9 +32,8 @@
 FULL_GATEWAY_COUNT = 870
 RUNS_FILE = CAPACITY_DIRECTORY / "fleet.jsonl"
 COMMAND = "python benchmarks/scale.py fleet"
-MEMBERS_PER_PROCESS = (
-    44  # same at every size, so that the fixed cost of a process is spread over as many members
-)
+# Same at every size, so that the fixed cost of a process is spread over as many members.
+MEMBERS_PER_PROCESS = 44
 TIMEOUT_SECONDS = 150.0  # until all members know a change
 BURST_TICKS = 1000
 
@@ -157,13 +156,13 @@
         self, fleet: Fleet, before: list[dict[str, Any]], after: list[dict[str, Any]]
     ) -> None:
         self.fleet, self.before, self.after = fleet, before, after
-        self.span = (after[0]["at"] - before[0]["at"]) / 10_000
+        self.span_seconds = (after[0]["at"] - before[0]["at"]) / 10_000
         self.old = {name: member for each in before for name, member in each["members"].items()}
         self.new = {name: member for each in after for name, member in each["members"].items()}
         self.both = [name for name in self.new if name in self.old]
 
     def rate(self, name: str, *keys: str) -> float:
-        return sum(self.new[name][key] - self.old[name][key] for key in keys) / self.span
+        return sum(self.new[name][key] - self.old[name][key] for key in keys) / self.span_seconds
 
     def rates(self, names: list[str], *keys: str) -> list[float]:
         return [self.rate(name, *keys) for name in names if name in self.old and name in self.new]
@@ -172,7 +171,7 @@
         """Returns the processor time of whole processes, as % of a core per member."""
         pairs = [*zip(self.before, self.after)][crews]
         spent = sum(new["processor"] - old["processor"] for old, new in pairs)
-        return 100 * spent / self.span / sum(len(new["members"]) for _, new in pairs)
+        return 100 * spent / self.span_seconds / sum(len(new["members"]) for _, new in pairs)
 
     def memory(self, crews: slice) -> float:
         some = self.after[crews]
@@ -183,7 +182,7 @@
     def dropped(self) -> float:
         return (
             sum(new["dropped"] - old["dropped"] for old, new in zip(self.before, self.after))
-            / self.span
+            / self.span_seconds
         )
 
     def lag(self) -> float:
@@ -205,24 +204,26 @@
 
 
 def play_start(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
-    begun = time.monotonic()
+    started_at = time.monotonic()
     fleet.start(over=1.0)
-    span = 10 * scale
-    time.sleep(span)
+    span_seconds = 10 * scale
+    time.sleep(span_seconds)
     after = fleet.counters()
     members = [member for each in after for member in each["members"].values()]
     add_value(
-        values, "fleet.start.datagrams", mean(each["out"] + each["in"] for each in members) / span
+        values,
+        "fleet.start.datagrams",
+        mean(each["out"] + each["in"] for each in members) / span_seconds,
     )
     add_value(
         values,
         "fleet.start.octets",
-        mean(each["octets_out"] + each["octets_in"] for each in members) / span,
+        mean(each["octets_out"] + each["octets_in"] for each in members) / span_seconds,
     )
-    add_value(values, "fleet.start.dropped", sum(each["dropped"] for each in after) / span)
+    add_value(values, "fleet.start.dropped", sum(each["dropped"] for each in after) / span_seconds)
     lag = max(each["lag"] for each in after) / 10
     try:
-        add_value(values, "fleet.start.time", seconds_until_all_known(fleet, begun))
+        add_value(values, "fleet.start.time", seconds_until_all_known(fleet, started_at))
     finally:
         after = fleet.counters()
         add_value(values, "fleet.start.lag", max([lag, *(each["lag"] / 10 for each in after)]))
@@ -251,26 +252,26 @@
     time.sleep(8 * scale)
 
 
-def seconds_until_all_known(fleet: Fleet, begun: float) -> float:
+def seconds_until_all_known(fleet: Fleet, started_at: float) -> float:
     """Measures the time until the last member regards all members as alive.
 
     Uses the times that the members recorded where all members are already known, else waits.
 
     Args:
         fleet: The fleet.
-        begun: Start of the measurement, from `time.monotonic()`.
+        started_at: Start of the measurement, from `time.monotonic()`.
 
     Returns:
-        Seconds since `begun`.
+        Seconds since `started_at`.
 
     Raises:
         Late: Not all members are known within the time limit of `Fleet.until_known`.
     """
     if fleet.known()[0] != len(fleet.ports):
         fleet.until_known(TIMEOUT_SECONDS)
-        return time.monotonic() - begun
-    ago = min(part[0] for part in fleet.all("settled") if part)
-    return time.monotonic() - ago / 10_000 - begun
+        return time.monotonic() - started_at
+    ticks_ago = min(part[0] for part in fleet.all("settled") if part)
+    return time.monotonic() - ticks_ago / 10_000 - started_at
 
 
 def play_rest(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
@@ -278,29 +279,39 @@
     fleet.bursts()
     for _ in range(3):
         found = count_for_seconds(fleet, 8 * scale)
-        held = fleet.holders()
-        plain = [name for name in fleet.managers if name not in held]
+        duty_holders = fleet.holders()
+        managers_without_duty = [name for name in fleet.managers if name not in duty_holders]
         for key, keys in (("datagrams", ("out", "in")), ("octets", ("octets_out", "octets_in"))):
             add_value(values, f"fleet.rest.{key}", mean(found.rates(fleet.managers, *keys)))
-            add_value(values, f"fleet.rest.{key}.worst", max(found.rates(plain, *keys)))
+            add_value(
+                values, f"fleet.rest.{key}.worst", max(found.rates(managers_without_duty, *keys))
+            )
             add_value(values, f"fleet.rest.{key}.voter", max(found.rates(fleet.voters, *keys)))
             add_value(
-                values, f"fleet.rest.{key}.holder", max(found.rates([*held], *keys), default=0.0)
+                values,
+                f"fleet.rest.{key}.holder",
+                max(found.rates([*duty_holders], *keys), default=0.0),
             )
         add_value(values, "fleet.rest.octets.sum", sum(found.rates(found.both, "octets_out")))
         add_value(values, "fleet.rest.processor", found.processor(managers))
-        add_value(values, "fleet.rest.processor.worst", max(found.rates(plain, "spent")) / 1e7)
+        add_value(
+            values,
+            "fleet.rest.processor.worst",
+            max(found.rates(managers_without_duty, "spent")) / 1e7,
+        )
         add_value(
             values,
             "fleet.rest.processor.holder",
-            max(found.rates([*held], "spent"), default=0.0) / 1e7,
+            max(found.rates([*duty_holders], "spent"), default=0.0) / 1e7,
         )
         add_value(values, "fleet.rest.processor.voter", found.processor(voters))
         add_value(values, "fleet.rest.memory", found.memory(managers))
         add_value(values, "fleet.rest.memory.voter", found.memory(voters))
         add_value(values, "fleet.rest.dropped", found.dropped())
         add_value(
-            values, "fleet.rest.dropped.holder", max(found.rates([*held], "dropped"), default=0.0)
+            values,
+            "fleet.rest.dropped.holder",
+            max(found.rates([*duty_holders], "dropped"), default=0.0),
         )
         add_value(values, "fleet.rest.dropped.voter", max(found.rates(fleet.voters, "dropped")))
         add_value(values, "fleet.rest.lag", found.lag())
@@ -327,7 +338,7 @@
                         for name in fleet.managers
                         if name in found.old and name in found.new
                     )
-                    / found.span,
+                    / found.span_seconds,
                 )
 
 
@@ -335,9 +346,9 @@
     member = next(name for name in fleet.managers if name not in fleet.holders())
     before = fleet.counters()
     fleet.lose([member])
-    taken = fleet.until_seen([member], False, TIMEOUT_SECONDS)
+    seconds_until_known = fleet.until_seen([member], False, TIMEOUT_SECONDS)
     found = CounterDifference(fleet, before, fleet.counters())
-    add_value(values, "fleet.known.time", taken)
+    add_value(values, "fleet.known.time", seconds_until_known)
     add_value(
         values, "fleet.known.octets", mean(found.rates(found.both, "octets_out", "octets_in"))
     )
@@ -351,32 +362,33 @@
         for _ in range(times):
             holder = fleet.holder("books")
             fleet.bursts()
-            date = time.time()
+            started_at_seconds = time.time()
             fleet.lose([holder]) if how == "lost" else fleet.end([holder])
             time.sleep(0.2)
             fleet.holder("books", 60)
-            held = [
+            held_at_ms = [
                 each["at"]
                 for part in fleet.counters()
                 for member in part["members"].values()
                 for each in member["changes"]
-                if each["duty"] == "books" and each["what"] == "held" and each["at"] > date * 1000
+                if each["duty"] == "books"
+                and each["what"] == "held"
+                and each["at"] > started_at_seconds * 1000
             ]
-            add_value(values, f"fleet.handover.{how}", min(held) / 1000 - date)
+            add_value(values, f"fleet.handover.{how}", min(held_at_ms) / 1000 - started_at_seconds)
             add_value(values, f"fleet.handover.{how}.burst", fleet.bursts())
             fleet.start([holder])
             fleet.until_known(TIMEOUT_SECONDS)
-            time.sleep(
-                6 * scale
-            )  # one lease duration, so that all candidates have checked the lease again
+            # One lease duration, so that all candidates have checked the lease again.
+            time.sleep(6 * scale)
 
 
 def play_release(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
     counts_at_rest = count_for_seconds(fleet, 10 * scale)
-    held = fleet.holders()
-    some = [name for name in fleet.managers if name not in held][::10]
-    begun, before = time.monotonic(), fleet.counters()
-    fleet.end(some, over=10 * scale, again=1.0)
+    duty_holders = fleet.holders()
+    members = [name for name in fleet.managers if name not in duty_holders][::10]
+    started_at, before = time.monotonic(), fleet.counters()
+    fleet.end(members, over=10 * scale, again=1.0)
     time.sleep(30 * scale)
     found = CounterDifference(fleet, before, fleet.counters())
     add_value(
@@ -387,55 +399,59 @@
         "fleet.release.octets.worst",
         max(found.rates(found.both, "octets_out", "octets_in")),
     )
-    more = sum(found.rates(found.both, "octets_out")) - sum(
+    additional_octets_per_second = sum(found.rates(found.both, "octets_out")) - sum(
         counts_at_rest.rates(counts_at_rest.both, "octets_out")
     )
-    add_value(values, "fleet.restart.octets", max(more, 0.0) * found.span / len(some))
-    add_value(values, "fleet.release.time", seconds_until_all_known(fleet, begun))
+    add_value(
+        values,
+        "fleet.restart.octets",
+        max(additional_octets_per_second, 0.0) * found.span_seconds / len(members),
+    )
+    add_value(values, "fleet.release.time", seconds_until_all_known(fleet, started_at))
 
 
 def play_rack_lost(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
-    some = fleet.in_rack("z1r0")
-    fleet.lose(some)
-    add_value(values, "fleet.rack.known", fleet.until_seen(some, False, TIMEOUT_SECONDS))
-    fleet.start(some, over=1.0)
+    members = fleet.in_rack("z1r0")
+    fleet.lose(members)
+    add_value(values, "fleet.rack.known", fleet.until_seen(members, False, TIMEOUT_SECONDS))
+    fleet.start(members, over=1.0)
     add_value(values, "fleet.rack.back", fleet.until_known(TIMEOUT_SECONDS))
     time.sleep(5 * scale)
 
 
 def play_zone_lost(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
-    some = fleet.in_zone("z4")
+    members = fleet.in_zone("z4")
     before = fleet.counters()
-    fleet.lose(some)
-    add_value(values, "fleet.zone.known", fleet.until_seen(some, False, TIMEOUT_SECONDS))
+    fleet.lose(members)
+    add_value(values, "fleet.zone.known", fleet.until_seen(members, False, TIMEOUT_SECONDS))
     found = CounterDifference(fleet, before, fleet.counters())
     add_value(values, "fleet.zone.octets", mean(found.rates(found.both, "octets_out", "octets_in")))
-    begun, before = time.monotonic(), fleet.counters()
-    fleet.start(some, over=1.0)
+    started_at, before = time.monotonic(), fleet.counters()
+    fleet.start(members, over=1.0)
     time.sleep(10 * scale)
     found = CounterDifference(fleet, before, fleet.counters())
     add_value(
         values, "fleet.zone.back.octets", mean(found.rates(found.both, "octets_out", "octets_in"))
     )
-    add_value(values, "fleet.zone.back", seconds_until_all_known(fleet, begun))
+    add_value(values, "fleet.zone.back", seconds_until_all_known(fleet, started_at))
 
 
 def play_region_cut(fleet: Fleet, values: MeasuredValues, scale: float) -> None:
-    far = fleet.in_zone("z3", "z4")
-    near = [name for name in fleet.ports if name not in far]
-    begun = time.monotonic()
-    fleet.cut(far)
-    fleet.until_seen(far, False, TIMEOUT_SECONDS, of=near)
-    fleet.until_seen(near, False, TIMEOUT_SECONDS, of=far)
-    add_value(values, "fleet.region.known", time.monotonic() - begun)
-    begun, before = time.monotonic(), fleet.counters()
+    cut_off_members = fleet.in_zone("z3", "z4")
+    other_members = [name for name in fleet.ports if name not in cut_off_members]
+    started_at = time.monotonic()
+    fleet.cut(cut_off_members)
+    fleet.until_seen(cut_off_members, False, TIMEOUT_SECONDS, of=other_members)
+    fleet.until_seen(other_members, False, TIMEOUT_SECONDS, of=cut_off_members)
+    add_value(values, "fleet.region.known", time.monotonic() - started_at)
+    started_at, before = time.monotonic(), fleet.counters()
     fleet.cut([])
     time.sleep(10 * scale)
     found = CounterDifference(fleet, before, fleet.counters())
     add_value(
         values, "fleet.region.octets", mean(found.rates(found.both, "octets_out", "octets_in"))
     )
-    add_value(values, "fleet.region.healed", seconds_until_all_known(fleet, begun))
+    add_value(values, "fleet.region.healed", seconds_until_all_known(fleet, started_at))
 
 
 PHASES: dict[str, Callable[[Fleet, MeasuredValues, float], None]] = {
--- a/benchmarks/scale_page.py
+++ b/benchmarks/scale_page.py
@@ -36,10 +36,8 @@
 from benchmarks.scaling import CAPACITY_DIRECTORY, ROW_KINDS, load_rows
 
 NOT_RUN = "not run"
-SEPARATE_MOMENTS = (
-    "open",
-    "ways",
-)  # alternatives and readings of ambiguous requirements: only in separate tables
+# Readings of ambiguous requirements, and alternatives: only shown in separate tables.
+SEPARATE_MOMENTS = "open", "ways"
 TAG_PATTERN = re.compile(r"\{\{([^{}]+)\}\}")
 GROWTH_FACTORS = [1.05**step for step in range(95)]  # multiples of the users' size, up to a hundred
 CLOSE_FRACTION = 0.5  # of the budget; a cost between this and the budget is shown as "close"
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -31,10 +31,8 @@
 FULL_ENGINE_COUNT, FULL_GATEWAY_COUNT = 1_800, 870
 ENGINE_COUNTS = 10, 40, 100, 400, 1_000
 MEMBER_COUNTS = 30, 100, 300, 600
-CLASS_COUNT, TENANT_COUNT = (
-    20,
-    1_000,
-)  # of the distributed configuration; this project's figures, not stated by the users
+# Size of the distributed configuration; this project's figures, not stated by the users.
+CLASS_COUNT, TENANT_COUNT = 20, 1_000
 FANOUTS, LOSS_PERCENTAGES = (1, 2, 3, 5), (0, 10, 30)
 SEED_COUNT = 5
 COMMAND = "python benchmarks/scale.py settings"
