--- a/benchmarks/scale_page.py
+++ b/benchmarks/scale_page.py
@@ -1,14 +1,15 @@
-"""docs/CAPACITY.md, made from the kept rows.
-
-Owns the page's form: the text is docs/capacity/page.md.in, in which a figure or a table is named by
-its key, so that nobody types one. Must never invent: a key without a run is shown as "not run".
-
-In the text: {{size.NAME}} a figure of the users' size as they gave it; {{KEY}} a figure with unit
-and kind, {{KEY@400}} at a size, {{KEY:bare}} the number alone, {{KEY:slope}}, {{KEY:exponent}},
-{{KEY:error}} of what was foretold; {{worked.NAME}} and {{worked.NAME:factor}} what is worked out
-(benchmarks/capacity_rows.py). On a line of its own: {{table roles MOMENT}}, {{table over}}, {{table
-grown}}, {{table next}}, {{table slopes PREFIX...}}, {{table options PREFIX OPTION...}}, {{table
-gossip LOSS...}}, {{table missing}}.
+"""Renders docs/CAPACITY.md from the stored rows and the text of docs/capacity/page.md.in.
+
+The text names figures and tables by key, so that no figure is typed by hand. A key without a run
+is shown as "not run".
+
+Tags in the text: {{size.NAME}} is a figure of the users' size as the users stated it. {{KEY}} is a
+figure with unit and kind; {{KEY@400}} is the figure at a size; {{KEY:bare}} is the number alone;
+{{KEY:slope}}, {{KEY:exponent}} and {{KEY:error}} are the slope, the exponent and the error of the
+extrapolation. {{worked.NAME}} and {{worked.NAME:factor}} are a derived figure and its factor over
+budget (benchmarks/capacity_rows.py). Tags on a separate line: {{table roles MOMENT}}, {{table
+over}}, {{table grown}}, {{table next}}, {{table slopes PREFIX...}}, {{table options PREFIX
+OPTION...}}, {{table gossip LOSS...}}, {{table missing}}.
 """
 
 import json
@@ -22,26 +23,36 @@
 
 import click
 
-from benchmarks.capacity import BEFORE, SIZE, Book, Figure, NotRun, Worked
-from benchmarks.capacity_rows import CHOICE, MISSING, WORKED
+from benchmarks.capacity import (
+    BEFORE_SUFFIX,
+    STATED_SIZE,
+    DerivedRow,
+    Figure,
+    NotRunError,
+    RowIndex,
+)
+from benchmarks.capacity_rows import DERIVED_ROWS, MISSING_MECHANISMS, WORKING_SET_MECHANISM
 from benchmarks.scale_settings import FANOUTS
-from benchmarks.scaling import HOME, KINDS, read
+from benchmarks.scaling import CAPACITY_DIRECTORY, ROW_KINDS, load_rows
 
 NOT_RUN = "not run"
-ASIDE = "open", "ways"  # readings of open words, and ways not taken: in tables of their own alone
-TAG = re.compile(r"\{\{([^{}]+)\}\}")
-STEPS = [1.05**step for step in range(95)]  # of a fleet that grows, to a hundred times
-TIGHT = 0.5  # of a budget: what is above stands beside what is over
+# Readings of ambiguous requirements, and alternatives: only shown in separate tables.
+SEPARATE_MOMENTS = "open", "ways"
+TAG_PATTERN = re.compile(r"\{\{([^{}]+)\}\}")
+GROWTH_FACTORS = [1.05**step for step in range(95)]  # multiples of the users' size, up to a hundred
+CLOSE_FRACTION = 0.5  # of the budget; a cost between this and the budget is shown as "close"
 
 
-class Unknown(ValueError):
-    """One line: what the text names that cannot be."""
+class UnknownTagError(ValueError):
+    """A tag of the text names something that does not exist; the message is one line."""
 
 
-def short(value: float) -> str:
-    """Three digits at most, without an exponent.
+def format_number(value: float) -> str:
+    """Formats a number with three significant digits at most, without an exponent.
 
-    >>> short(2526.3), short(0.004217), short(18.36), short(99.96), short(0), short(870), short(-0.5)
+    >>> format_number(2526.3), format_number(0.004217), format_number(18.36), format_number(
+    ...     99.96
+    ... ), format_number(0), format_number(870), format_number(-0.5)
     ('2,530', '0.00422', '18.4', '100', '0', '870', '-0.5')
     """
     if not value:
@@ -51,110 +62,115 @@
     return text.rstrip("0").rstrip(".") if "." in text else text
 
 
-def with_unit(value: float, unit: str) -> str:
-    return short(value) + (unit if unit.startswith("%") else f" {unit}")
+def format_with_unit(value: float, unit: str) -> str:
+    return format_number(value) + (unit if unit.startswith("%") else f" {unit}")
 
 
-def said(figure: Figure) -> str:
-    return f"{with_unit(figure.value, figure.unit)} ({figure.kind})"
+def format_figure(figure: Figure) -> str:
+    return f"{format_with_unit(figure.value, figure.unit)} ({figure.kind})"
 
 
-class Page:
-    """The page of these rows and this text."""
+class CapacityPage:
+    """Renders the capacity page from rows."""
 
     def __init__(self, rows: dict[str, dict[str, Any]]) -> None:
-        self.book = Book(rows)
-        self.worked: dict[str, Figure | None] = {}
-        for name, each in WORKED.items():
+        self.row_index = RowIndex(rows)
+        self.derived: dict[str, Figure | None] = {}
+        for name, each in DERIVED_ROWS.items():
             try:
-                self.worked[name] = self.book.work(each)
-            except (NotRun, ZeroDivisionError):
-                self.worked[name] = None
-
-    def made(self, text: str) -> str:
-        """The whole page."""
-        head = "<!-- Made by `python benchmarks/scale.py page` from docs/capacity/: edit page.md.in there. -->\n\n"
-        # The table of what is missing comes last, when all else has been asked for.
+                self.derived[name] = self.row_index.evaluate(each)
+            except (NotRunError, ZeroDivisionError):
+                self.derived[name] = None
+
+    def render(self, text: str) -> str:
+        """Renders the whole page from its text."""
+        head = (
+            "<!-- Made by `python benchmarks/scale.py page` from docs/capacity/: "
+            "edit page.md.in there. -->\n\n"
+        )
+        # The table of missing runs is rendered last: it lists all keys that the page looked up.
         parts = [
-            self.filled(part)
+            self.fill_tags(part)
             for part in re.split(r"(\{\{table missing\}\})", text)
             if part != "{{table missing}}"
         ]
         if len(parts) > 1:
-            parts.insert(1, self.missing())
+            parts.insert(1, self.missing_runs_text())
         return head + "".join(parts)
 
-    def filled(self, text: str) -> str:
-        return TAG.sub(lambda tag: self.named(tag[1].strip()), text)
+    def fill_tags(self, text: str) -> str:
+        return TAG_PATTERN.sub(lambda tag: self.expand_tag(tag[1].strip()), text)
 
-    def named(self, tag: str) -> str:
-        """What stands in place of a tag."""
+    def expand_tag(self, tag: str) -> str:
+        """Returns the text that replaces a tag."""
         if tag.startswith("table "):
             name, *rest = tag.split()[1:]
             if name not in ("roles", "over", "slopes", "options", "grown", "gossip", "next"):
-                raise Unknown(f"{{{{{tag}}}}}: no such table")
+                raise UnknownTagError(f"{{{{{tag}}}}}: no such table")
             return getattr(self, name)(*rest)
         name, _, form = tag.partition(":")
         if name.startswith("size."):
-            if name[5:] not in SIZE:
-                raise Unknown(f"{{{{{tag}}}}}: no such figure of the users' size")
-            return f"{SIZE[name[5:]]:,}"
+            if name[5:] not in STATED_SIZE:
+                raise UnknownTagError(f"{{{{{tag}}}}}: no such figure of the users' size")
+            return f"{STATED_SIZE[name[5:]]:,}"
         if name.startswith("worked."):
-            return self.named_worked(name[7:], form, tag)
+            return self.expand_derived_tag(name[7:], form, tag)
         key, _, at = name.partition("@")
         try:
             if form in ("exponent", "error"):
-                row = self.book.row(key)
+                row = self.row_index.row(key)
                 if form == "exponent":
                     return f"{row['fit']['exponent']:.2f}" if "fit" in row else NOT_RUN
                 return f"{row['checked']['error']:+.0%}" if "checked" in row else NOT_RUN
             figure = (
-                self.book.slope(key)
+                self.row_index.slope_figure(key)
                 if form == "slope"
-                else self.book.figure(key, float(at) if at else None)
+                else self.row_index.figure(key, float(at) if at else None)
             )
-        except NotRun:
+        except NotRunError:
             return NOT_RUN
         if form not in ("", "bare", "slope"):
-            raise Unknown(f"{{{{{tag}}}}}: no such form")
-        return short(figure.value) if form == "bare" else said(figure)
+            raise UnknownTagError(f"{{{{{tag}}}}}: no such form")
+        return format_number(figure.value) if form == "bare" else format_figure(figure)
 
-    def named_worked(self, name: str, form: str, tag: str) -> str:
-        if name not in WORKED:
-            raise Unknown(f"{{{{{tag}}}}}: no such row in capacity_rows.py")
-        figure, budget = self.worked[name], WORKED[name].budget
+    def expand_derived_tag(self, name: str, form: str, tag: str) -> str:
+        if name not in DERIVED_ROWS:
+            raise UnknownTagError(f"{{{{{tag}}}}}: no such row in capacity_rows.py")
+        figure, budget = self.derived[name], DERIVED_ROWS[name].budget
         if form == "factor" and budget is None:
-            raise Unknown(f"{{{{{tag}}}}}: no budget")
+            raise UnknownTagError(f"{{{{{tag}}}}}: no budget")
         if figure is None:
             return NOT_RUN
         if form == "factor":
-            return short(figure.value / budget)
+            return format_number(figure.value / budget)
         if form not in ("", "bare"):
-            raise Unknown(f"{{{{{tag}}}}}: no such form")
-        return short(figure.value) if form == "bare" else said(figure)
+            raise UnknownTagError(f"{{{{{tag}}}}}: no such form")
+        return format_number(figure.value) if form == "bare" else format_figure(figure)
 
     # Tables.
 
     def roles(self, moment: str) -> str:
-        """What each role costs at a moment: rest, day, worst, open."""
+        """Renders the costs of each role at a moment (see `DerivedRow.moment`)."""
         rows = []
-        for name, each in WORKED.items():
+        for name, each in DERIVED_ROWS.items():
             if each.moment == moment:
-                figure = self.worked[name]
+                figure = self.derived[name]
                 rows.append(
                     [
                         each.role,
                         each.what,
-                        said(figure) if figure else NOT_RUN,
-                        self.runs(figure),
-                        with_unit(each.budget, each.unit) if each.budget is not None else "-",
-                        self.factor(name),
-                        self.carries(each, figure),
+                        format_figure(figure) if figure else NOT_RUN,
+                        self.describe_runs(figure),
+                        format_with_unit(each.budget, each.unit)
+                        if each.budget is not None
+                        else "-",
+                        self.format_budget_factor(name),
+                        self.describe_mechanism(each, figure),
                     ]
                 )
         if not rows:
-            raise Unknown(f"{{{{table roles {moment}}}}}: no such rows")
-        return table(
+            raise UnknownTagError(f"{{{{table roles {moment}}}}}: no such rows")
+        return format_table(
             [
                 "role",
                 "what",
@@ -167,96 +183,111 @@
             rows,
         )
 
-    def runs(self, figure: Figure | None) -> str:
-        """The keys of the runs, each with its slope where it has one."""
+    def describe_runs(self, figure: Figure | None) -> str:
+        """Lists the keys of the runs behind a figure, with the slope of each row that has one."""
         if figure is None or not figure.keys:
             return "-"
         return ", ".join(
             f"`{key}`"
             + (
-                f" ({short(self.book.rows[key]['fit']['slope'])} a unit of {self.book.rows[key]['by']})"
-                if "fit" in self.book.rows[key]
+                f" ({format_number(self.row_index.rows[key]['fit']['slope'])} a unit of "
+                f"{self.row_index.rows[key]['by']})"
+                if "fit" in self.row_index.rows[key]
                 else ""
             )
             for key in figure.keys
         )
 
     @staticmethod
-    def carries(of: Worked, figure: Figure | None) -> str:
-        """The mechanism; a figure of a run before the working set does not have that yet."""
-        if figure and any(key.endswith(BEFORE) for key in figure.keys):
-            return of.mechanism.replace(CHOICE, f"{CHOICE} (not in this run)")
-        return of.mechanism
-
-    def factor(self, name: str) -> str:
-        figure, budget = self.worked[name], WORKED[name].budget
+    def describe_mechanism(row: DerivedRow, figure: Figure | None) -> str:
+        """Names the mechanism, and says so where the run predates working sets of engines."""
+        if figure and any(key.endswith(BEFORE_SUFFIX) for key in figure.keys):
+            return row.mechanism.replace(
+                WORKING_SET_MECHANISM, f"{WORKING_SET_MECHANISM} (not in this run)"
+            )
+        return row.mechanism
+
+    def format_budget_factor(self, name: str) -> str:
+        figure, budget = self.derived[name], DERIVED_ROWS[name].budget
         return (
-            "-" if budget is None else NOT_RUN if figure is None else short(figure.value / budget)
+            "-"
+            if budget is None
+            else NOT_RUN
+            if figure is None
+            else format_number(figure.value / budget)
         )
 
     def over(self) -> str:
-        """Every row with a budget, the farthest over it first; what has not run is named below."""
+        """Renders rows with a budget, highest factor first; rows without a run are listed below."""
         rows, unknown = [], []
-        for name, each in WORKED.items():
-            if each.budget is not None and each.moment not in ASIDE:
-                if (figure := self.worked[name]) is None:
+        for name, each in DERIVED_ROWS.items():
+            if each.budget is not None and each.moment not in SEPARATE_MOMENTS:
+                if (figure := self.derived[name]) is None:
                     unknown.append(f"{each.role}: {each.what}")
                     continue
                 factor = figure.value / each.budget
-                verdict = "**over**" if factor > 1 else "close" if factor > TIGHT else "within"
+                verdict = (
+                    "**over**" if factor > 1 else "close" if factor > CLOSE_FRACTION else "within"
+                )
                 rows.append(
                     (
                         -factor,
                         [
                             verdict,
-                            short(factor),
+                            format_number(factor),
                             each.role,
                             each.what,
-                            said(figure),
-                            with_unit(each.budget, each.unit),
-                            self.carries(each, figure),
+                            format_figure(figure),
+                            format_with_unit(each.budget, each.unit),
+                            self.describe_mechanism(each, figure),
                         ],
                     )
                 )
-        made = table(
+        rendered = format_table(
             ["", "factor", "role", "what", "figure", "budget", "carried by"],
             [row for _, row in sorted(rows, key=lambda each: each[0])],
         )
-        return made + (
+        return rendered + (
             f"\n\nWith a budget, and {NOT_RUN}: {'; '.join(unknown)}." if unknown else ""
         )
 
     def grown(self) -> str:
-        """For every row within its budget: how many times as many workload managers and databases pass it."""
+        """Renders how many times the fleet can grow before a row exceeds its budget."""
         found, flat = [], []
-        for name, each in WORKED.items():
-            figure = self.worked[name]
+        for name, each in DERIVED_ROWS.items():
+            figure = self.derived[name]
             if (
                 each.budget is None
-                or each.moment in ASIDE
+                or each.moment in SEPARATE_MOMENTS
                 or figure is None
                 or figure.value > each.budget
             ):
                 continue
             try:
                 times = next(
-                    (m for m in STEPS if self.book.work(each, m).value > each.budget), None
+                    (
+                        m
+                        for m in GROWTH_FACTORS
+                        if self.row_index.evaluate(each, m).value > each.budget
+                    ),
+                    None,
                 )
-            except NotRun:
-                times = None  # one size alone was run
+            except NotRunError:
+                times = None  # a run of a single size
             (found if times else flat).append((times, name))
         rows = [
             [
-                short(times),
-                f"{short(times * SIZE['gateways'])} and {short(times * SIZE['engines'])}",
-                WORKED[name].role,
-                WORKED[name].what,
-                WORKED[name].mechanism,
+                format_number(times),
+                f"{format_number(times * STATED_SIZE['gateways'])} and "
+                f"{format_number(times * STATED_SIZE['engines'])}",
+                DERIVED_ROWS[name].role,
+                DERIVED_ROWS[name].what,
+                DERIVED_ROWS[name].mechanism,
             ]
             for times, name in sorted(found)
         ]
         rest = (
-            f"Not before {STEPS[-1]:.0f} times, or without a slope: {len(flat)} rows."
+            f"Not before {GROWTH_FACTORS[-1]:.0f} times, or without a slope: {len(flat)} rows."
             if flat
             else ""
         )
@@ -267,21 +298,21 @@
             "what passes its budget",
             "carried by",
         ]
-        return (table(heads, rows) if rows else NOT_RUN) + f"\n\n{rest}".rstrip()
+        return (format_table(heads, rows) if rows else NOT_RUN) + f"\n\n{rest}".rstrip()
 
     def gossip(self, *losses: str) -> str:
-        """A change spread by gossip, by what is sent and fan-out, at the largest number of members that was played."""
+        """Renders the simulated spread of a configuration change by gossip at the largest fleet."""
         rows = []
         for sort in "delta", "whole":
             for fanout in FANOUTS:
                 ends = [f"f{fanout}.loss{loss}" for loss in losses]
                 named = [
-                    self.named(f"settings.gossip.{sort}.{what}.{end}:bare")
+                    self.expand_tag(f"settings.gossip.{sort}.{what}.{end}:bare")
                     for end in ends
                     for what in ("time", "peak", "mean")
                 ]
                 rows.append([sort, str(fanout), *named])
-        return table(
+        return format_table(
             [
                 "sent",
                 "fan-out",
@@ -299,21 +330,23 @@
         )
 
     def next(self) -> str:
-        """What is missing and over its budget, ranked, with its greatest factor and what it would take."""
+        """Renders the ranked list of missing mechanisms whose rows are over budget."""
         ranked = []
-        for each in MISSING:
+        for each in MISSING_MECHANISMS:
             found = {
-                name: figure.value / WORKED[name].budget
+                name: figure.value / DERIVED_ROWS[name].budget
                 for name in each.rows
-                if (figure := self.worked[name])
+                if (figure := self.derived[name])
             }
             if found and max(found.values()) > 1:
                 name = max(found, key=found.get)
                 ranked.append((not each.serving, not each.absent, -found[name], each, name))
         lines = [
-            f"{n}. **{each.title}**: {short(-factor)} times over ({WORKED[name].role}: {WORKED[name].what}, "
-            f"{said(self.worked[name])} against {with_unit(WORKED[name].budget, WORKED[name].unit)})"
-            f"{', wholly absent' if each.absent else ''}. Would take: {self.filled(each.takes)}"
+            f"{n}. **{each.title}**: {format_number(-factor)} times over "
+            f"({DERIVED_ROWS[name].role}: {DERIVED_ROWS[name].what}, "
+            f"{format_figure(self.derived[name])} against "
+            f"{format_with_unit(DERIVED_ROWS[name].budget, DERIVED_ROWS[name].unit)})"
+            f"{', wholly absent' if each.absent else ''}. Would take: {self.fill_tags(each.takes)}"
             for n, (_, _, factor, each, name) in enumerate(
                 sorted(ranked, key=lambda row: row[:3]), 1
             )
@@ -321,10 +354,10 @@
         return "\n".join(lines) or "None that a run shows."
 
     def slopes(self, *prefixes: str) -> str:
-        """Every kept row of these parts."""
+        """Renders all stored rows whose key starts with one of the prefixes."""
         rows = []
-        for key in sorted(key for key in self.book.rows if key.startswith(prefixes)):
-            row = self.book.rows[key]
+        for key in sorted(key for key in self.row_index.rows if key.startswith(prefixes)):
+            row = self.row_index.rows[key]
             points, fit, checked = row["points"], row.get("fit"), row.get("checked")
             rows.append(
                 [
@@ -333,28 +366,30 @@
                     row["unit"],
                     row["by"],
                     "; ".join(
-                        f"{short(p['at'])}: {short(p['median'])}"
+                        f"{format_number(point['at'])}: {format_number(point['median'])}"
                         + (
-                            f" ({short(p['least'])} to {short(p['most'])})"
-                            if p["least"] != p["most"]
+                            f" ({format_number(point['least'])} to {format_number(point['most'])})"
+                            if point["least"] != point["most"]
                             else ""
                         )
-                        for p in points
+                        for point in points
                     ),
-                    f"{short(fit['slope'])}, power {fit['exponent']:.2f}" if fit else "-",
-                    f"{short(row['foretold']['value'])} at {short(row['foretold']['at'])}"
+                    f"{format_number(fit['slope'])}, power {fit['exponent']:.2f}" if fit else "-",
+                    f"{format_number(row['foretold']['value'])} at "
+                    f"{format_number(row['foretold']['at'])}"
                     if "foretold" in row
                     else "-",
-                    f"{short(checked['value'])} ({checked['kind']}), {checked['error']:+.0%}"
+                    f"{format_number(checked['value'])} ({checked['kind']}), "
+                    f"{checked['error']:+.0%}"
                     if checked
                     else "-",
                     row["kind"],
                 ]
             )
         if not rows:
-            self.book.missing.update(prefixes)
+            self.row_index.missing_keys.update(prefixes)
             return f"{NOT_RUN}: nothing of `{', '.join(prefixes)}` was kept."
-        return table(
+        return format_table(
             [
                 "key",
                 "what",
@@ -370,76 +405,90 @@
         )
 
     def options(self, prefix: str, *names: str) -> str:
-        """Options side by side, of rows PREFIX.OPTION.FIGURE of one size; `names` are the options, in this order."""
+        """Renders a comparison of options from the rows PREFIX.OPTION.FIGURE.
+
+        Args:
+            prefix: Prefix of the keys.
+            names: Options, in the order of the columns.
+        """
         figures = list(
             dict.fromkeys(
                 key.rpartition(".")[2]
-                for key in self.book.rows
+                for key in self.row_index.rows
                 if key.rpartition(".")[0] in {f"{prefix}.{each}" for each in names}
             )
         )
         if not figures:
-            self.book.missing.add(prefix + ".")
+            self.row_index.missing_keys.add(prefix + ".")
             return f"{NOT_RUN}: nothing of `{prefix}.` was kept."
         rows = []
         for figure in figures:
-            found = [self.book.rows.get(f"{prefix}.{each}.{figure}") for each in names]
+            found = [self.row_index.rows.get(f"{prefix}.{each}.{figure}") for each in names]
             first = next(row for row in found if row)
             rows.append(
                 [
                     first["what"].partition(": ")[2] or first["what"],
                     first["unit"] or "-",
-                    *(short(row["points"][-1]["median"]) if row else NOT_RUN for row in found),
+                    *(
+                        format_number(row["points"][-1]["median"]) if row else NOT_RUN
+                        for row in found
+                    ),
                     first["kind"],
                 ]
             )
-        return table(["what", "unit", *names, "kind"], rows)
+        return format_table(["what", "unit", *names, "kind"], rows)
 
-    def missing(self) -> str:
-        if not self.book.missing:
+    def missing_runs_text(self) -> str:
+        if not self.row_index.missing_keys:
             return "Every figure that this page names has its run."
         return (
             "Named on this page, and no run has given it yet: "
-            + ", ".join(f"`{key}`" for key in sorted(self.book.missing))
+            + ", ".join(f"`{key}`" for key in sorted(self.row_index.missing_keys))
             + "."
         )
 
 
-def table(heads: list[str], rows: list[list[str]]) -> str:
+def format_table(heads: list[str], rows: list[list[str]]) -> str:
     return "\n".join("| " + " | ".join(row) + " |" for row in [heads, ["---"] * len(heads), *rows])
 
 
-def wrong(row: dict[str, Any]) -> str:
-    """What in a kept row does not follow from its own values, in one line; empty: nothing. The fit is worked out anew
-    by the standard library, which CI has, where the run itself used numpy.
+def find_row_error(row: dict[str, Any]) -> str:
+    """Checks that the derived figures of a stored row follow from its values.
+
+    The fit is recalculated with the standard library, because CI has no numpy, which the run used.
+
+    Returns:
+        One line that describes the first error; empty where there is none.
     """
     key = row.get("key")
-    if row["kind"] not in KINDS:
+    if row["kind"] not in ROW_KINDS:
         return f"{key}: kind {row['kind']!r}"
-    for p in row["points"]:
+    for point in row["points"]:
         for name, found in (
-            ("median", median(p["values"])),
-            ("least", min(p["values"])),
-            ("most", max(p["values"])),
+            ("median", median(point["values"])),
+            ("least", min(point["values"])),
+            ("most", max(point["values"])),
         ):
-            if not same(p[name], found):
-                return f"{key}: {name} at {p['at']} is {p[name]!r}, its values give {found!r}"
+            if not is_close(point[name], found):
+                return (
+                    f"{key}: {name} at {point['at']} is {point[name]!r}, its values give {found!r}"
+                )
     if "fit" in row:
         slope, base = linear_regression(
-            [p["at"] for p in row["points"]], [p["median"] for p in row["points"]]
+            [point["at"] for point in row["points"]], [point["median"] for point in row["points"]]
         )
-        scale = max(abs(p["median"]) for p in row["points"])
+        scale = max(abs(point["median"]) for point in row["points"])
         for name, found, room in (
-            ("slope", slope, scale / max(p["at"] for p in row["points"])),
+            ("slope", slope, scale / max(point["at"] for point in row["points"])),
             ("base", base, scale),
         ):
-            if not same(row["fit"][name], found, room):
+            if not is_close(row["fit"][name], found, room):
                 return f"{key}: {name} is {row['fit'][name]!r}, its points give {found!r}"
     foretold, checked = row.get("foretold"), row.get("checked")
     if (
         foretold
         and "fit" in row
-        and not same(
+        and not is_close(
             foretold["value"], found := row["fit"]["base"] + row["fit"]["slope"] * foretold["at"]
         )
     ):
@@ -448,34 +497,41 @@
         foretold
         and checked
         and checked["value"]
-        and not same(
-            checked["error"], found := (foretold["value"] - checked["value"]) / checked["value"]
+        and not is_close(
+            checked["error"],
+            found := (foretold["value"] - checked["value"]) / checked["value"],
         )
     ):
         return f"{key}: error {checked['error']!r}, its values give {found!r}"
     return ""
 
 
-def same(one: float, other: float, scale: float = 0.0) -> bool:
+def is_close(one: float, other: float, scale: float = 0.0) -> bool:
     return isclose(one, other, rel_tol=1e-6, abs_tol=1e-6 * scale + 1e-12)
 
 
-def difference(page: str, made: str) -> str:
-    """The first line in which the page is not what the rows give; empty: none."""
-    for number, (has, gives) in enumerate(zip_longest(page.splitlines(), made.splitlines()), 1):
-        if has != gives:
-            return f"line {number}: the page has {has!r}, the rows give {gives!r}"
+def find_first_difference(page: str, rendered: str) -> str:
+    """Describes the first line in which the page differs from the rendered text; empty: none."""
+    for number, (page_line, rendered_line) in enumerate(
+        zip_longest(page.splitlines(), rendered.splitlines()), 1
+    ):
+        if page_line != rendered_line:
+            return f"line {number}: the page has {page_line!r}, the rows give {rendered_line!r}"
     return ""
 
 
-def checked(home: Path, page: Path) -> str:
-    """The first difference between the kept rows, the text and the page, or within a row; empty: none."""
-    rows = read(home)
+def find_page_difference(home: Path, page: Path) -> str:
+    """Checks that the rows are consistent and that the page is rendered from rows and text.
+
+    Returns:
+        One line that describes the first error or difference; empty where there is none.
+    """
+    rows = load_rows(home)
     for row in rows.values():
-        if problem := wrong(row):
+        if problem := find_row_error(row):
             return f"{row['part']}.json: {problem}"
-    made = Page(rows).made((home / "page.md.in").read_text())
-    found = difference(page.read_text() if page.exists() else "", made)
+    rendered = CapacityPage(rows).render((home / "page.md.in").read_text())
+    found = find_first_difference(page.read_text() if page.exists() else "", rendered)
     return found and f"{page.name}: {found}"
 
 
@@ -483,43 +539,43 @@
 @click.option(
     "--check",
     is_flag=True,
-    help="Write nothing; end with 1 where page and rows differ, and name where.",
+    help="Write nothing; exit with 1 and name the line where page and rows differ.",
 )
 @click.option(
     "--json",
     "as_json",
     is_flag=True,
-    help="What is worked out, as JSON, in place of writing the page.",
+    help="Print the derived figures as JSON instead of writing the page.",
 )
 @click.option(
     "--home",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    default=HOME,
+    default=CAPACITY_DIRECTORY,
     show_default=False,
-    help="Where the rows and the page's text are (docs/capacity).",
+    help="Directory of the rows and of the page's text (docs/capacity).",
 )
 @click.option(
     "--page",
     "page",
     type=click.Path(dir_okay=False, path_type=Path),
-    default=HOME.parent / "CAPACITY.md",
+    default=CAPACITY_DIRECTORY.parent / "CAPACITY.md",
     show_default=False,
-    help="The page (docs/CAPACITY.md).",
+    help="Path of the page (docs/CAPACITY.md).",
 )
 def command(check: bool, as_json: bool, home: Path, page: Path) -> None:
-    """Make docs/CAPACITY.md anew from docs/capacity/*.json and the text beside them.
+    """Render docs/CAPACITY.md from docs/capacity/*.json and docs/capacity/page.md.in.
 
-    Ends with 0 done, 1 a difference (--check), 2 a text that names what cannot be.
+    Exit codes: 0 success, 1 difference (--check), 2 unknown tag in the text.
     """
     try:
         if check:
-            if problem := checked(home, page):
+            if problem := find_page_difference(home, page):
                 print(f"scale: {problem}", file=sys.stderr)
                 sys.exit(1)
             return
-        made = Page(read(home))
-        text = made.made((home / "page.md.in").read_text())
-    except Unknown as problem:
+        capacity_page = CapacityPage(load_rows(home))
+        text = capacity_page.render((home / "page.md.in").read_text())
+    except UnknownTagError as problem:
         print(f"scale: page.md.in: {problem}", file=sys.stderr)
         sys.exit(2)
     if as_json:
@@ -532,9 +588,9 @@
                         "unit": figure.unit,
                         "kind": figure.kind,
                         "keys": figure.keys,
-                        "budget": WORKED[name].budget,
+                        "budget": DERIVED_ROWS[name].budget,
                     }
-                    for name, figure in made.worked.items()
+                    for name, figure in capacity_page.derived.items()
                 },
                 indent=1,
             )
@@ -542,6 +598,7 @@
         return
     page.write_text(text)
     print(
-        f"{page}: {len(made.book.rows)} rows, {len(made.book.missing)} keys without a run",
+        f"{page}: {len(capacity_page.row_index.rows)} rows, "
+        f"{len(capacity_page.row_index.missing_keys)} keys without a run",
         file=sys.stderr,
     )
