--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -104,13 +104,13 @@
             tuple(unit.members),
             duration_ticks=duration_ticks,
             due_ticks=due_ticks,
-            times_overtaken=_times_passed(unit, plan),
+            times_overtaken=_times_overtaken(unit, plan),
             queue_position=queue_position,
             is_gateway=unit.kind == UnitKind.GATEWAY,
         )
 
 
-def _times_passed(unit: Unit, plan: Plan) -> int:
+def _times_overtaken(unit: Unit, plan: Plan) -> int:
     """Return how many units that were requested later have been granted before this unit."""
     asked_serial = next(
         (
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -54,7 +54,7 @@
     def refresh_cordons(self) -> None:
         """Apply the result of `cordon_of` to each engine and to this gateway."""
 
-    def is_quiet(self, tag: str) -> bool:
+    def has_nothing_open(self, tag: str) -> bool:
         """Whether this gateway has no open attempt at engine `tag`."""
 
     def address_of(self, tag: str) -> str:
@@ -66,7 +66,7 @@
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
         """Write the record and call `then` once the record is durable on disk."""
 
-    def on_engines_closed(self) -> None:
+    def on_record_written(self) -> None:
         """Report to the leader that the record of closed engines is written."""
 
     def log(self, line: str) -> None:
@@ -271,7 +271,7 @@
     def _check_quiet(self) -> None:
         """Close each draining engine at which this gateway has no open attempt any more."""
         draining = self._draining_engines()
-        quiet = [tag for tag in draining if self.host.is_quiet(tag)]
+        quiet = [tag for tag in draining if self.host.has_nothing_open(tag)]
         if quiet:
             self.closed.update(quiet)
             self.host.refresh_cordons()  # must take effect before the engines are confirmed closed
@@ -296,7 +296,7 @@
     def _on_written(self, stamp: Stamp, closed: frozenset[str]) -> None:
         self.stored_stamp = stamp
         self.stored_closed = closed
-        self.host.on_engines_closed()
+        self.host.on_record_written()
 
     # Reports to the leader.
 
--- a/corkgauge/maintenance/schedule.py
+++ b/corkgauge/maintenance/schedule.py
@@ -72,7 +72,7 @@
         self.decision = GrantDecision()
         self.units_checked = 0
         # A unit that was overtaken MAX_OVERTAKEN_COUNT times; later units wait behind it.
-        self.blocked_behind = ""
+        self.blocking_unit = ""
 
     def run(self, waiting: Iterable[WaitingUnit]) -> GrantDecision:
         cores = {tag: engine.cores for tag, engine in self.snapshot.engines.items()}
@@ -106,11 +106,11 @@
         # for seconds.
         if self.units_checked > MAX_CHECKED_UNIT_COUNT:
             return f"{MAX_CHECKED_UNIT_COUNT} units before it are checked first"
-        if self.blocked_behind:
-            return f"behind {self.blocked_behind}, which {MAX_OVERTAKEN_COUNT} later units overtook"
+        if self.blocking_unit:
+            return f"behind {self.blocking_unit}, which {MAX_OVERTAKEN_COUNT} later units overtook"
         wait_reason = self.snapshot.find_wait_reason(unit)
         if not wait_reason:
             self.snapshot.taken_engines.update(unit.members)
         elif unit.times_overtaken >= MAX_OVERTAKEN_COUNT:
-            self.blocked_behind = unit.name
+            self.blocking_unit = unit.name
         return wait_reason
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -255,7 +255,7 @@
                 self.socket_host.gateway.on_engine_cordon(engine, cordon)
         self.lease_service.set_cordoned(self.cordon_for(self.name) > 0)
 
-    def is_quiet(self, tag: str) -> bool:
+    def has_nothing_open(self, tag: str) -> bool:
         """Whether this gateway has no open attempt at engine `tag`.
 
         If `tag` names this gateway: whether this gateway holds no lease.
@@ -269,7 +269,7 @@
         """Return the engine's `host:port` from the endpoint list; empty if it is not listed."""
         return self.fleet.address_of(tag)
 
-    def on_engines_closed(self) -> None:
+    def on_record_written(self) -> None:
         """Report to the leader at once, since a step of the plan may wait for closed engines."""
         leader = self.lease_service.candidates[LEASE_NAME].known_holder
         if leader:
@@ -323,8 +323,8 @@
                 self.pending_commands.on_answer(message.key, message.answer, message.error)
 
     def _on_orders(self, sender: str, orders: messages.Orders) -> None:
-        is_heeded = self.participant.on_orders(orders)
-        if is_heeded:
+        are_current = self.participant.on_orders(orders)
+        if are_current:
             self._send_report(sender)
         else:
             self._send(sender, [messages.PREEMPTED, self.participant.stamp[0]])
--- a/corkgauge/maintenance/unit_progress.py
+++ b/corkgauge/maintenance/unit_progress.py
@@ -12,7 +12,7 @@
 from corkgauge.maintenance.plan_records import Unit, UnitKind, UnitState
 from corkgauge.maintenance.quiescence import DrainingEngines, LeaderClock, find_missing_proof
 
-ANNOUNCEMENT_TICKS = 20_000  # time for gateways to confirm a step before the unit proceeds
+MAX_CONFIRMATION_WAIT_TICKS = 20_000  # time for gateways to confirm a step before the unit proceeds
 LATE_LOG_TICKS = 600_000  # between two log lines about a late unit
 RECOVERY_LOG_DELAY_TICKS = 300_000  # time in RETURNING from which a unit is logged as late
 TICKS_PER_SECOND = 10_000
@@ -80,7 +80,7 @@
         if unit.kind == UnitKind.GATEWAY and unit.members == [self.host.name]:
             self.host.hand_over_lease("its own machine is next in maintenance")
             return "the planner hands its lease over first"
-        if self.leadership.maintenance_time() < unit.since_ticks + ANNOUNCEMENT_TICKS:
+        if self.leadership.maintenance_time() < unit.since_ticks + MAX_CONFIRMATION_WAIT_TICKS:
             unaware = self._unaware_gateways(unit, UnitState.GRANTED)
             if unaware:
                 return f"{_first_names(unaware)} has not confirmed the step yet"
@@ -201,13 +201,13 @@
         if why:
             return why
         unaware = self._unaware_gateways(unit, UnitState.RETURNING)
-        if unaware and now_ticks < unit.since_ticks + ANNOUNCEMENT_TICKS:
+        if unaware and now_ticks < unit.since_ticks + MAX_CONFIRMATION_WAIT_TICKS:
             return f"{_first_names(unaware)} has not confirmed the step yet"
         return ""
 
     def _engines_return_wait_reason(self, unit: Unit, now_ticks: int) -> str:
         engines = self.fleet.engines()
-        warm_at_ticks = unit.since_ticks + max(self.warm_up_ticks, 1)
+        wait_end_ticks = unit.since_ticks + max(self.warm_up_ticks, 1)
         for tag in unit.members:
             fact = engines.get(tag)
             if fact is None or fact.condition == EngineCondition.DEAD:
@@ -215,7 +215,7 @@
             # Cold engines have little capacity. The unit stays in RETURNING and counts as out, so
             # that the next unit waits until the engines are warm.
             is_impaired = fact.condition != EngineCondition.HEALTHY
-            if unit.began_ticks and is_impaired and now_ticks < warm_at_ticks:
+            if unit.began_ticks and is_impaired and now_ticks < wait_end_ticks:
                 return f"{tag} is cold, still warming up"
         return ""
 
--- a/corkgauge/recovery/attempt_log.py
+++ b/corkgauge/recovery/attempt_log.py
@@ -15,7 +15,7 @@
 from corkgauge.recovery.attempt_records import LoggedAttempt, decode_body
 
 MAX_ATTEMPT_COUNT = 100_000  # in memory; the oldest attempts beyond this number are forgotten
-MAX_EXPIRED_COUNT = 1000  # attempts examined in one call
+MAX_EXAMINED_COUNT = 1000  # attempts examined in one call
 
 
 class AttemptLog:
@@ -66,7 +66,7 @@
         attempts = self.by_idempotency_key.get((request_class, idempotency_key), {})
         return [each for each in attempts.values() if now < each.deduplicated_until]
 
-    def expire_attempts(self, now: int, max_attempts: int = MAX_EXPIRED_COUNT) -> None:
+    def expire_attempts(self, now: int, max_attempts: int = MAX_EXAMINED_COUNT) -> None:
         """Forget settled attempts that no engine remembers, among the oldest `max_attempts`."""
         for attempt in list(islice(self.by_serial.values(), max_attempts)):
             if now >= attempt.deduplicated_until and not attempt.is_in_doubt:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -600,13 +600,13 @@
                 }
             )
 
-    def is_quiet(self, tag):
+    def has_nothing_open(self, tag):
         return tag not in self.busy_engines
 
     def address_of(self, tag):
         return self.addresses.get(tag, "")
 
-    def on_engines_closed(self):
+    def on_record_written(self):
         self.events.append("confirmed")
 
 
