--- a/corkgauge/maintenance/capacity.py
+++ b/corkgauge/maintenance/capacity.py
@@ -26,8 +26,8 @@
 class EngineCondition(IntEnum):
     """Condition of an engine for the capacity check.
 
-    IMPAIRED engines recover without maintenance: they are ejected, warming up, or have not been
-    seen healthy yet.
+    IMPAIRED engines recover without maintenance: they are warming up, or ejected by this gateway or
+    by enough others (MIN_EJECTION_REPORTER_COUNT). Engines that are not ready are DEAD.
     """
 
     HEALTHY = 0
@@ -199,7 +199,8 @@
         allowed = self.limits.max_gateways_per_zone
         if out_of_zone >= allowed:
             return (
-                f"{allowed} of hall {zone or '-'} at once, unavailable: {' '.join(sorted(others))}"
+                f"at most {allowed} gateways of hall {zone or '-'} may be out at once; "
+                f"unavailable gateways of all halls: {' '.join(sorted(others))}"
             )
         voters_left = sum(each != name and each not in others for each in self.voters)
         if name in self.voters and voters_left < len(self.voters) // 2 + 1:
@@ -209,7 +210,9 @@
     def _limit_wait_reason(self, out: set[str]) -> str:
         limits = self.limits
         if len(out) > limits.max_engines:
-            return f"{len(out)} would be out, {limits.max_engines} at once at most"
+            return (
+                f"{len(out)} engines would be out or not healthy, the limit is {limits.max_engines}"
+            )
         for limit in (
             _CoresLimit("", limits.max_cores_fraction, lambda engine: ""),
             _CoresLimit("hall ", limits.max_zone_fraction, lambda engine: engine.zone),
@@ -259,11 +262,11 @@
         for name, tags in sorted(groups.items()):
             # Requests that may have run in a group may be retried only in that group, so one of its
             # engines must stay. The only engine of a group may go out once no idempotency key is
-            # open there, which its gateways confirm when they close the engine.
+            # open there, which every gateway confirms when the gateway closes the engine.
             goes_out_whole = all(tag in out for tag in tags)
             was_out_whole = all(tag in before for tag in tags)
             if len(tags) > 1 and goes_out_whole and not was_out_whole:
-                return f"group {name}: none would be left where its marks are known"
+                return f"group {name}: no engine that knows its idempotency keys would be left"
         return ""
 
     def _load_wait_reason(self, out: set[str]) -> str:
--- a/corkgauge/maintenance/chunk_transfer.py
+++ b/corkgauge/maintenance/chunk_transfer.py
@@ -88,6 +88,8 @@
             self.is_finished = True
             packed = b"".join(self.chunks[index] for index in range(self.count))
             self.on_complete(chunk.stamp, packed)
+        # Requests the next missing chunks after the chunk with the highest index so far, and after
+        # each chunk whose index is a multiple of the number of chunks per request.
         elif chunk.index >= max(self.chunks) or not chunk.index % MAX_CHUNKS_PER_REQUEST:
             self._request_missing()
 
@@ -106,7 +108,7 @@
         self.is_finished = True
 
     def _request_missing(self) -> None:
-        """Request the next missing chunks, and again if no chunk arrives before the timeout."""
+        """Request the next missing chunks; again after `retry_ticks` unless requested meanwhile."""
         if self.is_finished:
             return
         missing = [index for index in range(self.count) if index not in self.chunks]
--- a/corkgauge/maintenance/commands.py
+++ b/corkgauge/maintenance/commands.py
@@ -48,7 +48,11 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command accepted here; `answer` and `error` are None until the leader answers."""
+    """A command accepted here.
+
+    `answer` is None until the leader answers. `error` is None until the leader answers or the
+    command expires; an empty `error` means success.
+    """
 
     command: dict[str, Any]
     deadline_ticks: int
@@ -76,7 +80,8 @@
     def handle_http(self, body: bytes) -> dict[str, Any]:
         """Accept the command `{"do": ..., "key": ..., ...}`, or return its result so far.
 
-        Raises ValueError, with a reason for the operator, if the command cannot be accepted.
+        Raises ValueError, with a reason for the operator, if the command cannot be accepted, and
+        AttributeError if the JSON text is not an object.
         """
         command = json.loads(body)
         if len(body) > MAX_COMMAND_BYTES:
@@ -119,8 +124,8 @@
             return
         if self.host.loop_time >= pending.deadline_ticks:
             pending.error = (
-                "no gateway leads maintenance, or its answer was lost; "
-                "the same id may be asked again"
+                "no answer from a leader of maintenance before the command expired; "
+                "send the command again with a new key and the same request id"
             )
             return
         leader = self.host.leader_name()
@@ -190,6 +195,8 @@
             self._answer(each.sender, each.key, each.answer, "")
 
     def _execute(self, command: dict[str, Any], owner: str) -> str:
+        # Names missing in _ACTIONS, which are "known" and the names of other versions, run
+        # `_declare_out`.
         if not owner:
             raise ValueError("expected an owner")
         action = _ACTIONS.get(str(command["do"]), _declare_out)
--- a/corkgauge/maintenance/demand.py
+++ b/corkgauge/maintenance/demand.py
@@ -1,7 +1,7 @@
 """Estimates the fleet's demand, in cores by request class, from the gateways' load reports.
 
-A gateway without a recent report is not assumed to be idle: it counts as the busiest gateway whose
-load is known. Free of I/O.
+A gateway without a recent report is not assumed to be idle: for each request class, the gateway
+counts as the gateway with the highest known load of that class. Free of I/O.
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 MAX_REPORT_AGE_TICKS = 50_000  # older reports are ignored
-PEAK_DECAY_FRACTION = 0.93  # of a peak, kept per report: load that just fell may soon return
+PEAK_DECAY_FRACTION = 0.93  # of a peak, kept per report that names the class
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     >>> demand.record("n1", 0, {"lookup": 3.0})
     >>> tuple(demand.estimate(10, ["n1"]))
     ({'lookup': 3.0}, [])
-    >>> tuple(demand.estimate(10, ["n1", "n2"]))  # n2 counts as the busiest known
+    >>> tuple(demand.estimate(10, ["n1", "n2"]))  # n2 counts like n1
     ({'lookup': 6.0}, ['n2'])
     >>> demand.record("n1", 20, {"lookup": 1.0})
     >>> round(demand.estimate(20, ["n1"]).cores["lookup"], 2)
@@ -45,7 +45,11 @@
         self.reports: dict[str, LoadReport] = {}
 
     def record(self, gateway: str, now_ticks: int, cores: Mapping[str, float]) -> None:
-        """Store a gateway's report; peaks of its earlier reports decay with each report."""
+        """Store a gateway's report; peaks of its earlier reports decay with each report.
+
+        Peaks are kept because load that just fell may soon return. The peak of a request class that
+        the report does not name is dropped.
+        """
         last = self.reports.get(gateway)
         before = {} if last is None else last.cores
         with_peaks = {
@@ -55,7 +59,7 @@
         self.reports[gateway] = LoadReport(now_ticks, with_peaks)
 
     def estimate(self, now_ticks: int, gateways: Iterable[str]) -> FleetDemand:
-        """Sum the demand of the gateways; one of unknown load counts as the busiest known."""
+        """Sum the demand; per class, unknown load counts as the highest known load of a gateway."""
         fresh: list[Mapping[str, float]] = []
         unknown: list[str] = []
         for name in gateways:
--- a/corkgauge/maintenance/grants.py
+++ b/corkgauge/maintenance/grants.py
@@ -17,7 +17,7 @@
 from corkgauge.maintenance.plan_records import TAKEN_STATES, Unit, UnitKind, UnitState
 from corkgauge.maintenance.schedule import GrantDecision, select_grants
 
-MIN_EJECTION_REPORTER_COUNT = 2  # reported ejections that overrule this gateway's view
+MIN_EJECTION_REPORTER_COUNT = 2  # gateways; reports of fewer are ignored
 MAX_EJECTION_REPORT_AGE_TICKS = 50_000  # age from which a reported ejection is ignored
 
 
@@ -43,7 +43,7 @@
             return []
         snapshot = self.snapshot(plan)
         if self._must_wait_for_returns(snapshot, plan):
-            why = "load has grown, units that are out have to return first"
+            why = "load has grown or engines have failed, a unit that is out has to return first"
             decision = GrantDecision(wait_reasons={unit.name: why for unit in waiting})
         else:
             decision = select_grants(snapshot, waiting, self.host.name)
@@ -53,7 +53,8 @@
     def _must_wait_for_returns(self, snapshot: CapacitySnapshot, plan: Plan) -> bool:
         """Whether no unit may go out until another unit has returned.
 
-        This is the case while the demand exceeds what the remaining engines can take.
+        This is the case while the demand exceeds what the remaining engines can take, and some unit
+        is OUT or RETURNING. LATE units do not count.
         """
         if not snapshot.find_overload(snapshot.unavailable_engines()):
             return False
--- a/corkgauge/maintenance/leadership.py
+++ b/corkgauge/maintenance/leadership.py
@@ -62,9 +62,9 @@
         """Return the request classes with the cores that each class needs."""
 
     def idle_since(self, tags: Sequence[str]) -> int:
-        """Return since when all these engines are idle, in ticks since boot.
+        """Return the earliest of the times at which these engines last reported to be idle.
 
-        Returns -1 if some engine is not known to be idle.
+        In ticks since boot; -1 if one of them never reported to be idle.
         """
 
 
--- a/corkgauge/maintenance/messages.py
+++ b/corkgauge/maintenance/messages.py
@@ -54,7 +54,8 @@
         fence: Fence of the orders that the gateway has stored on disk.
         number: Number, under that fence, of the same orders.
         is_blank: Whether the gateway holds no orders, for example after losing its disk.
-        closed: Some of the engines that the gateway has closed: it has nothing open there.
+        closed: Some of the engines that the gateway has closed: it has nothing open there. Can
+            contain the name of the gateway, which then has no lease and is no candidate.
         closed_count: Number of all engines that it has closed.
         loads: Cores needed by request class.
         ejected: Engines that the gateway has ejected.
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Preempted:
-    """Rejects orders: the receiver already holds orders under this higher fence."""
+    """Rejects orders: the sender of this message already holds orders under this higher fence."""
 
     fence: int
 
@@ -107,8 +108,8 @@
 ) -> list[Any]:
     """Encode the body of a report.
 
-    `participant_fields` are the fields from `serial` to `closed_count`. Each load is rounded up to
-    the next hundredth of a core, so that a small load is not reported as none.
+    `participant_fields` are the fields from `serial` to `closed_count`. Each load is truncated to
+    hundredths of a core, plus one hundredth, so that a small load is not reported as none.
 
     >>> encode_report([1, 7, 4, False, ["e1"], 1], {"lookup": 2.5}, [], True)
     ['word', 1, 7, 4, False, ['e1'], 1, {'lookup': 251}, [], True]
@@ -120,7 +121,8 @@
 def decode(body: Any) -> Message | None:
     """Decode the body of a datagram; return None for an unknown kind, sent by a later version.
 
-    Raises TypeError or ValueError if the body is not a list or lacks fields of its kind.
+    Raises TypeError or ValueError if the body is not a list or lacks fields of its kind, IndexError
+    if a rejection of orders has no fence, AttributeError if the loads of a report are not a map.
     """
     kind, *fields = body
     decoder = _DECODERS.get(kind)
--- a/corkgauge/maintenance/operator_requests.py
+++ b/corkgauge/maintenance/operator_requests.py
@@ -112,7 +112,10 @@
         units = [unit for unit in found if unit.name not in plan.units]
         if not units:
             other = next(iter(plan.units.values())).request_id if plan.units else ""
-            raise ValueError(f"all of these units are already in the plan, as {other}")
+            raise ValueError(
+                "all of these units are already in the plan; "
+                f"the first unit of the plan belongs to request {other}"
+            )
         if len(units) + len(plan.units) > MAX_UNITS:
             raise ValueError(f"the plan holds at most {MAX_UNITS} units")
         return units
@@ -140,7 +143,7 @@
                 raise ValueError(f"{unit.name}: the limits never allow it: {objection}")
 
     def cancel_request(self, id_: str, by: str) -> str:
-        """Cancel a request; its units that are out stay out until their owner's `done`."""
+        """Cancel a request; its units that are out stay out until a `done` command."""
         plan = self._plan()
         if id_ not in plan.requests:
             raise ValueError(f"no open request {id_!r}")
@@ -152,8 +155,8 @@
             elif unit.state in (UnitState.GRANTED, UnitState.DRAINING):
                 changes.append(["state", unit.name, UnitState.RETURNING, f"cancelled by {by}"])
         self._propose(changes)
-        # Somebody may be working on a unit that was shown as out, so only its owner's `done`
-        # returns it to service.
+        # Somebody may be working on a unit that was shown as out, so only a `done` command returns
+        # the unit to service.
         out = sorted(unit.name for unit in units if unit.state in (UnitState.OUT, UnitState.LATE))
         return f"cancelled, but for what is out: {' '.join(out)}" if out else "cancelled"
 
@@ -178,7 +181,7 @@
     def set_hold(self, by: str) -> str:
         """Stop granting units, or resume if `by` is empty."""
         self._propose([["hold", by]])
-        return f"held by {by}" if by else "going on"
+        return f"held by {by}" if by else "grants resumed"
 
     def overrule_gateway(self, name: str, gateway: str, by: str) -> str:
         """Let work on a unit begin without this gateway's confirmation."""
@@ -196,7 +199,9 @@
         if not self.leadership.is_plan_lost:
             if self._plan().confirmed_by == f"told by {by}":
                 return "taken"
-            raise ValueError("the plan is known; `known` applies only where it is forgotten")
+            raise ValueError(
+                "voters still have the plan; `known` applies only after most voters lost the plan"
+            )
         self.declare_out(out, f"told by {by}")
         raise ValueError("the new plan is not agreed yet, try again")
 
@@ -206,14 +211,18 @@
             return self.proposer.plan_with_pending()
         if self.leadership.is_plan_lost:
             raise ValueError(
-                "the plan is forgotten; state what is out with `corkgauge maintenance known`"
+                "most voters lost the plan; declare the units that are out with "
+                "`corkgauge maintenance known`"
             )
         raise ValueError("the leader is still taking over the plan, try again")
 
     def _propose(self, changes: Sequence[Sequence[Any]]) -> None:
         now_ticks = self.leadership.maintenance_time()
         if not self.proposer.propose(["time", now_ticks], *changes):
-            raise ValueError("the change does not fit the plan, or too many are pending, try again")
+            raise ValueError(
+                "the plan rejects the change in this state, or too many changes are pending, "
+                "try again"
+            )
 
 
 def units_for_request(
--- a/corkgauge/maintenance/orders.py
+++ b/corkgauge/maintenance/orders.py
@@ -30,4 +30,4 @@
             parts.append({})
             part_bytes = entry_bytes
         parts[-1][tag] = state
-    return [[*stamp, echo, number, len(parts), part] for number, part in enumerate(parts)]
+    return [[*stamp, echo, index, len(parts), part] for index, part in enumerate(parts)]
--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -55,7 +55,10 @@
         """Apply the result of `cordon_of` to each engine and to this gateway."""
 
     def has_nothing_open(self, tag: str) -> bool:
-        """Whether this gateway has no open attempt at engine `tag`."""
+        """Whether this gateway has no open attempt at engine `tag`.
+
+        If `tag` names this gateway: whether this gateway holds no lease and competes for none.
+        """
 
     def address_of(self, tag: str) -> str:
         """Return the engine's `host:port` from the endpoint list; empty if it is not listed."""
@@ -67,7 +70,7 @@
         """Write the record and call `then` once the record is durable on disk."""
 
     def on_record_written(self) -> None:
-        """Report to the leader that the record of closed engines is written."""
+        """Report to the leader the orders and closed engines that are on disk now."""
 
     def log(self, line: str) -> None:
         """Write one line to the program's log."""
--- a/corkgauge/maintenance/plan.py
+++ b/corkgauge/maintenance/plan.py
@@ -11,6 +11,7 @@
     asked > granted > draining > out > returning > back      normal order, each state once
                                  out > late > returning      not returned within the requested time
             granted, draining > returning                    cancelled before the work began
+    asked > back                                             cancelled before the grant
 
 Times in a plan are *maintenance time*: the ticks (tenths of a millisecond) during which a leader
 has held the lease. Maintenance time never decreases, whatever the clocks of machines are set to,
@@ -61,7 +62,7 @@
 
     def __init__(self) -> None:
         self.time_ticks = 0
-        self.confirmed_by = ""  # who declared which units are out at the start; empty: no grants
+        self.confirmed_by = ""  # who declared which units are out at the start; empty: nobody
         self.held_by = ""  # operator who suspended all grants; empty: not suspended
         self.requests: dict[str, MaintenanceRequest] = {}
         self.units: dict[str, Unit] = {}
@@ -71,8 +72,10 @@
     def apply(self, changes: Iterable[Sequence[Any]]) -> None:
         """Apply all changes in order.
 
-        Raises InvalidChangeError at the first invalid change. Earlier changes of the list stay
-        applied, so a proposer must first apply the changes to a copy.
+        Raises InvalidChangeError at the first invalid change; TypeError, ValueError or IndexError
+        if a change has the wrong number or type of arguments, or a state number without a word.
+        Earlier changes of the list stay applied, so a proposer must first apply the changes to a
+        copy.
         """
         for word, *arguments in changes:
             method = _CHANGES.get(word)
--- a/corkgauge/maintenance/plan_display.py
+++ b/corkgauge/maintenance/plan_display.py
@@ -62,6 +62,9 @@
     def report(self, participant: Participant) -> dict[str, Any]:
         """Return the status with the leader's plan, or, elsewhere, with the last fetched copy.
 
+        `fresh` in the result is always True at the leader, also before the takeover of the plan is
+        complete: then the plan shown may be an old copy, or a plan that is not agreed yet.
+
         At other gateways each call also begins to fetch a newer copy. There, `fresh` in the result
         is False if no leader is known, no copy was fetched yet, or the copy is older than the plan
         that this gateway's orders come from.
--- a/corkgauge/maintenance/plan_messages.py
+++ b/corkgauge/maintenance/plan_messages.py
@@ -100,7 +100,8 @@
 class FetchChunks:
     """Requests chunks of the plan by index.
 
-    `stamp` is the stamp of the chunks that the sender already has, None if it has none.
+    At the sender, `stamp` is the stamp of the chunks that the sender already has, None if there are
+    no chunks. After decoding, `stamp` is None.
     """
 
     fence: int
--- a/corkgauge/maintenance/plan_records.py
+++ b/corkgauge/maintenance/plan_records.py
@@ -105,8 +105,9 @@
 class Unit:
     """One unit of a request; `members` are engine references, or the name of one gateway.
 
-    `state` is a UnitState, or an unknown number that a later version stored. `since_ticks` is the
-    maintenance time at which the unit entered the state, `began_ticks` the maintenance time at
+    `state` is a UnitState, or an unknown number that a later version stored; the status report and
+    the error messages of the plan have no word for such a number. `since_ticks` is the maintenance
+    time at which the unit entered the state, `began_ticks` the maintenance time at
     which the unit went out of service (0: not yet). `overruled` names the gateways whose missing
     confirmation an operator has overruled.
     """
--- a/corkgauge/maintenance/plan_replica.py
+++ b/corkgauge/maintenance/plan_replica.py
@@ -5,10 +5,11 @@
 with snapshots in Viewstamped Replication (Liskov and Cowling, 2012).
 
 A replica without a disk restarts *blank*. It reports that it is blank, and counts for no majority
-until a leader has sent the plan again. Since its promises are lost too, a blank replica ignores
-every leader for as long as the lease of an earlier leader may run; Michael, Ports, Sharma and
-Szekeres (2017) show what fails otherwise. Free of I/O: the host sends, writes to disk and provides
-the clock.
+until a leader has sent the plan again. Since its promises are lost too, a blank replica
+ignores every leader for `silent_ticks`, the time for which the lease of an earlier leader may run;
+Michael, Ports, Sharma and Szekeres (2017) show what fails otherwise. With a folder for records the
+service sets this time to 0, also if the record is missing or damaged. Free of I/O: the host sends,
+writes to disk and provides the clock.
 """
 
 from collections import Counter
@@ -80,7 +81,8 @@
     def on_datagram(self, sender: str, body: Sequence[Any]) -> None:
         """Handle a leader's message or a requested chunk.
 
-        A malformed message raises an exception and changes nothing.
+        A malformed message raises an exception. An `Accept` with a malformed change may already
+        have raised the promised fencing token and applied the changes before the malformed one.
         """
         message = decode(body)
         if isinstance(message, FetchChunks):
--- a/corkgauge/maintenance/planner.py
+++ b/corkgauge/maintenance/planner.py
@@ -29,7 +29,7 @@
 
     `round_ticks` is the time between two planning rounds. `grant_ticks` is the duration of a grant
     and `longest_deadline_ticks` the longest time to deadline of any request class, both extended by
-    the clock drift. `warm_up_ticks` is how long a returned engine counts as cold.
+    the clock drift. `warm_up_ticks` limits how long a returning unit waits for impaired engines.
     """
 
     def __init__(
@@ -85,8 +85,9 @@
         """Start to take over the plan under the fencing token `fence`."""
         self.leadership.begin()
         self.proposer.on_lease_gained(fence)
-        # The first round runs at once: if the plan turns out to be lost, the round requests the
-        # reports that a new plan is built from, which costs one datagram per gateway.
+        # Starts the periodic rounds. A round has an effect only once the plan is taken over, or
+        # found to be lost: it then requests the reports that a new plan is built from, which costs
+        # one datagram per gateway.
         self._schedule_round()
 
     def on_lease_lost(self) -> None:
@@ -132,7 +133,12 @@
     # Reports and orders.
 
     def on_report(self, name: str, incarnation: int, report: Report) -> None:
-        """Record a gateway's report and decide again if a unit may have waited for the report."""
+        """Record a gateway's report and act on it.
+
+        Sends the orders again to a gateway that is behind. While the plan is lost, tries to rebuild
+        the plan from the reports. Otherwise schedules a decision if a unit may have waited for the
+        report.
+        """
         known = self.leadership.record_report(name, incarnation, report)
         if known is None:
             return
--- a/corkgauge/maintenance/quiescence.py
+++ b/corkgauge/maintenance/quiescence.py
@@ -1,6 +1,6 @@
 """The quiescence proof: shows that a gateway sends nothing to an engine any more.
 
-The proof is a single rule, free of I/O. A gateway that does not report proves nothing by that.
+The proof is a single rule, free of I/O. A missing report is no proof.
 
     evidence                                  what the evidence proves
     the gateway's report under the orders     the gateway has no open attempt at the engine and
@@ -65,9 +65,9 @@
 class LeaderClock:
     """Times on the leader's clock, in ticks (tenths of a millisecond).
 
-    `leading_since_ticks` is when the leader gained the lease; grants of earlier leaders count from
-    no later time. `grant_ticks` is the duration of a grant and `longest_deadline_ticks` the longest
-    time to deadline, both extended by the clock drift.
+    `leading_since_ticks` is when the leader gained the lease; no grant of an earlier leader counts
+    from a later time. `grant_ticks` is the duration of a grant and `longest_deadline_ticks` the
+    longest time to deadline, both extended by the clock drift.
     """
 
     now_ticks: int
@@ -90,34 +90,36 @@
     >>> doubt(report, "e1", (7, 4), (7, 3), 130)
     ''
     >>> doubt(report, "e2", (7, 4), (7, 3), 130)
-    'has not confirmed; its grant runs for 20 more'
+    'has not confirmed; its grant runs for 20 ticks more'
     >>> doubt(report, "e2", (7, 5), (7, 3), 200)
-    'not heard; what it sent may run for 250 more'
+    'has not confirmed; sent attempts may run for 250 ticks more'
     >>> doubt(report, "e2", (7, 5), (7, 3), 200, idle_since=160)
     ''
     >>> doubt(report, "e2", (7, 5), (7, 5), 9000)
-    'not heard, and does not know of the work'
+    'no report under the orders that announced the maintenance: does not know of the work'
     >>> doubt(None, "e2", (7, 5), (7, 5), 9000, has_ended=True)
     ''
     """
     if has_ended:
         return ""
     if report is None or report.at_ticks < 0:
-        return "never heard"
+        return "never heard from since this leader began"
     if _has_confirmed(report, engines):
         return ""
     if report.is_blank or report.stamp < engines.announced_under:
-        return "not heard, and does not know of the work"
+        return (
+            "no report under the orders that announced the maintenance: does not know of the work"
+        )
     last_grant_ticks = max(report.at_ticks, clock.leading_since_ticks)
     # After this time the gateway sends no new attempts to the engines.
     grant_end_ticks = last_grant_ticks + clock.grant_ticks
     now_ticks = clock.now_ticks
     if now_ticks < grant_end_ticks:
-        return f"has not confirmed; its grant runs for {grant_end_ticks - now_ticks} more"
+        return f"has not confirmed; its grant runs for {grant_end_ticks - now_ticks} ticks more"
     all_ended_ticks = grant_end_ticks + clock.longest_deadline_ticks
     if engines.idle_since_ticks > grant_end_ticks or now_ticks >= all_ended_ticks:
         return ""
-    return f"not heard; what it sent may run for {all_ended_ticks - now_ticks} more"
+    return f"has not confirmed; sent attempts may run for {all_ended_ticks - now_ticks} ticks more"
 
 
 def _has_confirmed(report: GatewayReport, engines: DrainingEngines) -> bool:
--- a/corkgauge/maintenance/schedule.py
+++ b/corkgauge/maintenance/schedule.py
@@ -91,7 +91,7 @@
         wait_reason = self.snapshot.find_wait_reason(unit)
         is_leader = unit.members == (self.leader,)
         if not wait_reason and is_leader and self._is_other_work_left():
-            wait_reason = "the planner itself goes last, after all other maintenance"
+            wait_reason = "the leader's own gateway goes last, after engines and other units"
         if not wait_reason:
             self.snapshot.unavailable_gateways.update(unit.members)
         return wait_reason
@@ -105,7 +105,7 @@
         # Checking each of a thousand units against a thousand engines would block the event loop
         # for seconds.
         if self.units_checked > MAX_CHECKED_UNIT_COUNT:
-            return f"{MAX_CHECKED_UNIT_COUNT} units before it are checked first"
+            return f"{MAX_CHECKED_UNIT_COUNT} units before this unit are checked first"
         if self.blocking_unit:
             return f"behind {self.blocking_unit}, which {MAX_OVERTAKEN_COUNT} later units overtook"
         wait_reason = self.snapshot.find_wait_reason(unit)
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -80,8 +80,10 @@
             self.socket_host.log,
             self.lease_service.settings.folder,
             f"{self.name}.works",
-            "works: what was kept is torn, starting blank until the leader sends plan and orders",
-            "works: nothing is written, nothing is confirmed until a restart; "
+            "works: what was kept is torn: the record file is damaged; "
+            "starting blank until the leader sends plan and orders",
+            "works: nothing is written: the record file failed; "
+            "no promise and no closed engine is confirmed until a restart; "
             "check the disk, then restart",
         )
 
@@ -185,7 +187,7 @@
         self.socket_host.log(line)
 
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Write the record to disk, then call `then`.
+        """Write the records of this gateway to disk, then call `then`; `record` is ignored.
 
         The plan replica and the participant share one file; each write stores the current state of
         both.
@@ -258,7 +260,7 @@
     def has_nothing_open(self, tag: str) -> bool:
         """Whether this gateway has no open attempt at engine `tag`.
 
-        If `tag` names this gateway: whether this gateway holds no lease.
+        If `tag` names this gateway: whether this gateway holds no lease and competes for none.
         """
         if tag == self.name:
             holds_no_lease: bool = self.lease_service.is_idle
@@ -270,7 +272,7 @@
         return self.fleet.address_of(tag)
 
     def on_record_written(self) -> None:
-        """Report to the leader at once, since a step of the plan may wait for closed engines."""
+        """Report to the leader what is on disk now, since a step may wait for the confirmation."""
         leader = self.lease_service.candidates[LEASE_NAME].known_holder
         if leader:
             self._send_report(leader)
--- a/corkgauge/maintenance/status.py
+++ b/corkgauge/maintenance/status.py
@@ -1,7 +1,8 @@
 """Builds the answer to `GET /works`: the plan and this gateway's orders, as JSON for operators.
 
-Operators' programs read the keys, so the keys stay those of the first version. Times are seconds of
-maintenance time.
+Operators' programs read the keys, so the keys stay those of the first version. `time`, `for` and
+`lasting` are seconds, `time` of maintenance time. The rows of `history` contain maintenance times
+in ticks (tenths of a millisecond).
 """
 
 from collections.abc import Mapping
--- a/corkgauge/maintenance/unit_progress.py
+++ b/corkgauge/maintenance/unit_progress.py
@@ -12,9 +12,9 @@
 from corkgauge.maintenance.plan_records import Unit, UnitKind, UnitState
 from corkgauge.maintenance.quiescence import DrainingEngines, LeaderClock, find_missing_proof
 
-MAX_CONFIRMATION_WAIT_TICKS = 20_000  # time for gateways to confirm a step before the unit proceeds
+MAX_CONFIRMATION_WAIT_TICKS = 20_000  # then the unit proceeds without all confirmations
 LATE_LOG_TICKS = 600_000  # between two log lines about a late unit
-RECOVERY_LOG_DELAY_TICKS = 300_000  # time in RETURNING from which a unit is logged as late
+RECOVERY_LOG_DELAY_TICKS = 300_000  # time in RETURNING after which the unit is logged
 TICKS_PER_SECOND = 10_000
 MAX_NAMES_SHOWN = 3
 
@@ -30,8 +30,8 @@
     """Decides each unit's next step.
 
     `grant_ticks` is the duration of a grant and `longest_deadline_ticks` the longest time to
-    deadline of any request class, both extended by the clock drift. `warm_up_ticks` is how long a
-    returned engine counts as cold.
+    deadline of any request class, both extended by the clock drift. `warm_up_ticks` limits how
+    long a returning unit waits for impaired engines.
     """
 
     # Tests set False to show the failure that the quiescence proof prevents.
@@ -55,7 +55,8 @@
     def next_step(self, unit: Unit, plan: Plan) -> Step | None:
         """Return the unit's next step, or None if the unit waits.
 
-        The reason for waiting is stored in `Leadership.wait_reasons`.
+        The reason for waiting is stored in `Leadership.wait_reasons`; an empty reason replaces the
+        earlier reason of a unit in another state, such as ASKED.
         """
         match unit.state:
             case UnitState.GRANTED:
@@ -112,7 +113,10 @@
         return why
 
     def _log_late(self, unit: Unit, why: str) -> None:
-        """Log the late unit, at most once per LATE_LOG_TICKS.
+        """Log a unit in LATE or a late unit in RETURNING, at most once per LATE_LOG_TICKS.
+
+        The time in the line is counted from `began_ticks`. For a unit that was never OUT, that is
+        0, so the time is the whole maintenance time.
 
         A unit that operators overlook keeps counting against the limits and blocks other units.
         """
@@ -139,7 +143,10 @@
     # Quiescence proof.
 
     def missing_proofs(self, unit: Unit) -> dict[str, str]:
-        """Return why gateways may still send to the unit, by gateway name."""
+        """Return why gateways may still send to the unit, by gateway name.
+
+        For a gateway: why the gateway cannot go out yet, under its name.
+        """
         if unit.kind == UnitKind.GATEWAY:
             return self._gateway_missing_proofs(unit)
         leadership = self.leadership
@@ -175,8 +182,9 @@
     def _gateway_missing_proofs(self, unit: Unit) -> dict[str, str]:
         """Return why a gateway cannot go out yet, under its name; empty if the gateway can go out.
 
-        A gateway can go out once its process has ended, or once it holds no lease under the orders
-        to drain.
+        A gateway can go out if its process has ended, if the gateway reported under the orders to
+        drain that it neither holds a lease nor competes for one, if an operator has overruled the
+        gateway, or if the gateway is missing in the member list.
         """
         name = unit.members[0]
         status = self.fleet.gateways().get(name)
@@ -188,7 +196,11 @@
         report = leadership.reports.get(name)
         if report is not None and report.stamp >= drained_under and report.holds_no_lease:
             return {}
-        return {name: "still holds or competes for leases" if status.is_alive else "not heard"}
+        return {
+            name: "still holds or competes for leases"
+            if status.is_alive
+            else "not alive, no report"
+        }
 
     # Return to service.
 
@@ -212,11 +224,12 @@
             fact = engines.get(tag)
             if fact is None or fact.condition == EngineCondition.DEAD:
                 return f"{tag} is not in the list, or not serving"
-            # Cold engines have little capacity. The unit stays in RETURNING and counts as out, so
-            # that the next unit waits until the engines are warm.
+            # Impaired engines are cold, which leaves them little capacity, or ejected. The unit
+            # stays in RETURNING and counts as out, so that the next unit waits until the engines
+            # are healthy, or until `warm_up_ticks` have passed.
             is_impaired = fact.condition != EngineCondition.HEALTHY
             if unit.began_ticks and is_impaired and now_ticks < wait_end_ticks:
-                return f"{tag} is cold, still warming up"
+                return f"{tag} is impaired: warming up, or ejected"
         return ""
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -71,13 +71,13 @@
         self.events.append(line)
 
     def on_plan_taken_over(self):
-        self.events.append("led")
+        self.events.append("taken over")
 
     def on_changes_agreed(self, changes):
         self.events.append(("agreed", changes))
 
     def on_plan_lost(self):
-        self.events.append("forgotten")
+        self.events.append("plan lost")
 
     def on_preempted(self, fence):
         self.events.append(("preempted", fence))
@@ -261,12 +261,12 @@
     )  # a plan older than its promise is ignored
     assert proposer.state != ProposerState.LEADING
     proposer.on_chunk_datagram("k3", [MessageKind.CHUNK, 5, 5, 2, 0, 1, Plan().packed()])
-    assert proposer.state == ProposerState.LEADING and "led" not in host.events
+    assert proposer.state == ProposerState.LEADING and "taken over" not in host.events
     proposer.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
     proposer.on_datagram("k3", [MessageKind.ACCEPTED, 9, 9, 1])
-    assert "led" not in host.events  # two answers of one replica are no majority
+    assert "taken over" not in host.events  # two answers of one replica are no majority
     proposer.on_datagram("k2", [MessageKind.ACCEPTED, 9, 9, 1])
-    assert "led" in host.events
+    assert "taken over" in host.events
 
 
 def test_step_is_agreed_by_a_majority_and_only_while_the_lease_is_held():
@@ -297,7 +297,7 @@
     proposer.on_datagram("k3", [MessageKind.PROMISE, 9, 0, 0, True])
     assert (
         proposer.state == ProposerState.PLAN_LOST
-        and host.events == ["forgotten"]
+        and host.events == ["plan lost"]
         and not proposer.propose(["time", 5])
     )
     declared_plan = Plan()
@@ -305,7 +305,7 @@
     proposer.replace_lost_plan(declared_plan)
     for name in "k2", "k3":
         proposer.on_datagram(name, [MessageKind.ACCEPTED, 9, 9, 1])
-    assert proposer.plan.confirmed_by == "told by ada" and "led" in host.events
+    assert proposer.plan.confirmed_by == "told by ada" and "taken over" in host.events
 
 
 def test_simulated_days_keep_one_history_and_detect_each_disabled_safeguard():
@@ -363,12 +363,12 @@
         (
             capacity_snapshot({"max_engines": 2}, taken_engines={"e0", "e1"}),
             waiting_unit("e2"),
-            "3 would be out, 2 at once",
+            "3 engines would be out or not healthy, the limit is 2",
         ),
         (
             capacity_snapshot({"max_engines": 2}, taken_engines={"e0"}),
             waiting_unit("e2", "e3"),
-            "3 would be out, 2 at once",
+            "3 engines would be out or not healthy, the limit is 2",
         ),
         (
             capacity_snapshot({"max_cores_fraction": 0.25}, taken_engines={"e0", "e1"}),
@@ -439,7 +439,7 @@
                 ],
             ),
             waiting_unit("e1"),
-            "2 would be out",
+            "2 engines would be out",
         ),
         # A dead engine may always be repaired, whatever else is out. An impaired engine may not: it
         # may be healthy again soon.
@@ -463,12 +463,12 @@
                 ],
             ),
             waiting_unit("e1"),
-            "2 would be out",
+            "2 engines would be out",
         ),
         (
             capacity_snapshot(gateways={"n1": "a", "n2": "a"}, unavailable_gateways={"n1"}),
             waiting_unit("n2", is_gateway=True),
-            "1 of hall a at once",
+            "at most 1 gateways of hall a may be out at once; unavailable",
         ),
         (
             capacity_snapshot(
@@ -501,7 +501,9 @@
         }
         return snapshot.find_wait_reason(waiting_unit("e1"))
 
-    assert "none would be left where its marks are known" in objection_with_group("e0", "e1")
+    assert "no engine that knows its idempotency keys would be left" in objection_with_group(
+        "e0", "e1"
+    )
     # An engine alone in its group may go: its gateways report when no keyed request is open there.
     assert objection_with_group("e1") == ""
 
@@ -566,7 +568,7 @@
     snapshot = capacity_snapshot({"max_engines": 2}, gateways={"n1": "a", "n2": "b"})
     decision = select_grants(snapshot, waiting, "n1")
     granted, against = decision.granted, decision.wait_reasons
-    assert granted == ["e2", "e1", "n2"] and "planner itself goes last" in against["n1"]
+    assert granted == ["e2", "e1", "n2"] and "leader's own gateway goes last" in against["n1"]
     large = waiting_unit("e0", "e1", "e2", "e3", times_overtaken=8)
     decision = select_grants(
         capacity_snapshot({"max_engines": 4}, taken_engines={"e7"}), [waiting_unit("e4"), large]
