--- a/corkgauge/recovery/attempt_log.py
+++ b/corkgauge/recovery/attempt_log.py
@@ -3,9 +3,12 @@
 Does no I/O. Callers pass the current time in ticks (tenths of a millisecond) since 1970. The number
 of attempts in memory is bounded, whatever the log contains.
 
-As in any write-ahead log, the record of an attempt is written before the attempt is sent. If the
-process is killed between the two, the log contains an attempt that was never sent, which only makes
-later decisions stricter. In the reverse order, an attempt that ran could be missing from the log.
+As in any write-ahead log, the record of an attempt comes first: the gateway passes the record to
+the log writer before it sends the attempt. If the process is killed between the two, the log
+contains an attempt that was never sent, which only makes later decisions stricter. In the reverse
+order, an attempt that ran could be missing from the log. An attempt that ran can still be missing
+if its record was lost, for example because the pipe to the log writer was full, or in a power
+failure.
 """
 
 from itertools import islice
--- a/corkgauge/recovery/attempt_records.py
+++ b/corkgauge/recovery/attempt_records.py
@@ -3,8 +3,8 @@
 A record consists of the length of its body (4 bytes), the xxHash32 of the body (4 bytes) and the
 body in msgpack; numbers are little-endian. A body is a list: `[1, serial, idempotency key, request
 class, order key, engine, zone, cell, sent at, deduplicated until]` for an attempt that is about to
-be sent, `[2, serial, may have run]` for a finished attempt. The module does no I/O, and reading
-never raises, whatever the bytes.
+be sent, `[2, serial, may have run]` for a finished attempt. The module does no I/O.
+`read_records` never raises, whatever the bytes; `decode_body` raises CorruptedFileError.
 """
 
 from collections.abc import Iterator
@@ -118,6 +118,8 @@
             return
         body = _unpack_body(packed)
         if body is None:
+            # A valid checksum with an invalid body counts as damage in the middle, also in the
+            # last record.
             yield LogRecord(None, position, LogDamage.CORRUPT_MIDDLE)
             return
         position += RECORD_HEADER.size + len(packed)
@@ -151,7 +153,8 @@
     """Classify the damage at a record that is incomplete or corrupted.
 
     A torn write at the end of a log is normal after a kill. Valid records after the damaged one
-    show that the file was corrupted.
+    show that the file was corrupted. They are searched only in the next 2 * MAX_RECORD_BYTES bytes,
+    the size of two records.
     """
     if len(data) - position < RECORD_HEADER.size:
         return LogDamage.TORN_END
--- a/corkgauge/recovery/decay.py
+++ b/corkgauge/recovery/decay.py
@@ -1,8 +1,8 @@
 """Decays learned values by the time between a snapshot and the restart.
 
 Defines the half-life of each value and the default that the value decays towards. Does no I/O and
-reads no clock. Decay never prolongs an ejection beyond its remaining time and never relaxes a rule.
-Durations are in ticks (tenths of a millisecond).
+reads no clock. Decay never prolongs an ejection beyond its remaining time. Durations are in ticks
+(tenths of a millisecond).
 """
 
 from collections.abc import Mapping
--- a/corkgauge/recovery/learned_state.py
+++ b/corkgauge/recovery/learned_state.py
@@ -65,7 +65,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredCounts:
-    """Number of restored engines, request classes and queues with state left after decay."""
+    """Number of restored engines, request classes and queues.
+
+    Counts engines with slowness samples or an ejection left after decay, request classes with
+    samples left after decay, and all queues whose request class still exists.
+    """
 
     engines: int
     request_classes: int
--- a/corkgauge/recovery/log_writer.py
+++ b/corkgauge/recovery/log_writer.py
@@ -185,7 +185,8 @@
 def _read_frame(source: Any) -> tuple[bytes, bytes] | None:
     """Return type and body of the next frame, or None at the end of the input.
 
-    An incomplete frame is discarded: the parent was killed while writing the frame.
+    An incomplete frame is discarded: the parent was killed while writing the frame. A frame of more
+    than MAX_FRAME_BYTES also ends the input.
     """
     header = source.read(FRAME_HEADER.size)
     if len(header) < FRAME_HEADER.size:
@@ -196,6 +197,7 @@
 
 
 def _write_frame(files: RecoveryFiles, frame_type: bytes, body: bytes) -> None:
+    """Write a frame; frames of any other type than SERIALS and SNAPSHOT are appended as records."""
     if frame_type == SERIALS_FRAME:
         files.remove_settled_segments(*SERIALS_BODY.unpack(body))
     elif frame_type == SNAPSHOT_FRAME:
@@ -216,7 +218,9 @@
         try:
             _write_frame(files, *frame)
         except OSError as problem:
-            files.segment = None  # the next records go to a new segment
+            # The next records go to a new segment, as the segment may end with a torn record. This
+            # also happens after a failed snapshot. The file is not closed here.
+            files.segment = None
             if time.monotonic() > reported_at + ERROR_INTERVAL_SECONDS:
                 reported_at = time.monotonic()
                 with contextlib.suppress(OSError):
--- a/corkgauge/recovery/restart.py
+++ b/corkgauge/recovery/restart.py
@@ -51,8 +51,9 @@
             size = os.path.getsize(path)
             if size > bytes_left:
                 self.socket_host.log(
-                    f"recall: {path} has {size} bytes, more than are read; "
-                    "this and all older segments are passed over"
+                    f"recall: {path} has {size} bytes, more than are read beside the newer "
+                    "segments; this and all older segments are passed over, the attempts in them "
+                    "are not known"
                 )
                 break
             bytes_left -= size
--- a/corkgauge/recovery/service.py
+++ b/corkgauge/recovery/service.py
@@ -180,6 +180,7 @@
         next and packed in a third.
         """
         self.attempts.expire_attempts(self.event_loop.now)
+        # Skipped if the host refers to another recovery service or to none.
         if self.socket_host.recovery is self:
             oldest = self.attempts.find_oldest_serial(self.last_serial + 1)
             self._send_frame(SERIALS_FRAME, SERIALS_BODY.pack(oldest, self.last_serial))
@@ -234,7 +235,8 @@
 def _to_earlier_attempt(logged: LoggedAttempt) -> Attempt:
     """Convert a logged attempt to an attempt of the gateway that ended in a connection reset.
 
-    The attempt has no request, because the request was lost with the previous process.
+    The attempt has no request, because the request was lost with the previous process. Its number
+    and durations are unknown and hold placeholder values.
     """
     engine = Engine(logged.engine, b"", logged.zone, 0, logged.cell)
     return Attempt(
--- a/corkgauge/recovery/writer_process.py
+++ b/corkgauge/recovery/writer_process.py
@@ -60,7 +60,7 @@
             )
         except OSError as problem:
             self.log(
-                "recall: log writer not started, nothing is stored until a restart: "
+                "recall: log writer not started, nothing is stored until the gateway is restarted: "
                 f"{problem.strerror}"
             )
             return
@@ -132,7 +132,8 @@
     def flush_frame(self) -> bool:
         """Write the rest of the last frame; return whether the pipe accepted all of the rest.
 
-        No other frame is started before, so that the writer gets each frame complete.
+        No other frame is started until the last frame is complete, so that the writer gets whole
+        frames.
         """
         try:
             while self.unwritten:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize(
     "body", [[1, "x"], [1, 2, 3, 4, 5, 6, 7, 8, 9, 10], [2, [], True], [1, 1, "l", "o", 1, "e"]]
 )
-def test_malformed_records_are_not_replayed(body):
+def test_replaying_a_malformed_record_raises_no_error(body):
     assert not AttemptLog().replay_record(body) or not len(AttemptLog())
 
 
