--- a/tests/harness.py
+++ b/tests/harness.py
@@ -17,7 +17,7 @@
 from corkgauge.policy.options import GatewayOptions
 from corkgauge.policy.records import AttemptOutcome, Engine, EngineState, Request, RequestClass
 
-SECOND = 10_000
+SECOND = 10_000  # ticks
 QUICK_CLASS = dict(
     name="quick",
     latency_objective=SECOND,
@@ -46,7 +46,7 @@
 
 
 class GatewayHarness:
-    """Hosts a gateway on a simulated clock and records every call that the gateway makes.
+    """Hosts a gateway on a simulated clock and records the gateway's calls except `call_later`.
 
     `calls` holds each call as (method, reference of the request, detail); a log line is held as
     ("log", line, None).
@@ -85,6 +85,10 @@
     def finish_attempt(
         self, attempt, outcome=AttemptOutcome.SUCCEEDED, took=None, finished=None, work=2000
     ):
+        """Report the end of an attempt; `took` is its duration in ticks.
+
+        `finished` says whether the client has the final answer of the request.
+        """
         took = self.now - attempt.sent_at if took is None else took
         finished = outcome == AttemptOutcome.SUCCEEDED if finished is None else finished
         self.gateway.on_attempt_finished(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,7 +16,7 @@
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.eventloop.ring_buffer import MemoryBudget, RingBuffer
 from corkgauge.net import client_connection as client_connection_module
-from corkgauge.net import discovery_protocol as discovery_protocol
+from corkgauge.net import discovery_protocol
 from corkgauge.net.client_protocol import ClientProtocol
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.net.engine_protocol import EngineProtocol, command
