--- a/corkgauge/maintenance/participant.py
+++ b/corkgauge/maintenance/participant.py
@@ -54,8 +54,11 @@
     def refresh_cordons(self) -> None:
         """Apply the result of `cordon_of` to each engine and to this gateway."""
 
-    def is_quiet(self, tag: str) -> bool:
-        """Whether this gateway has no open attempt at engine `tag`."""
+    def has_nothing_open(self, tag: str) -> bool:
+        """Whether this gateway has no open attempt at engine `tag`.
+
+        If `tag` names this gateway: whether this gateway holds no lease and competes for none.
+        """
 
     def address_of(self, tag: str) -> str:
         """Return the engine's `host:port` from the endpoint list; empty if it is not listed."""
@@ -66,8 +69,8 @@
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
         """Write the record and call `then` once the record is durable on disk."""
 
-    def on_engines_closed(self) -> None:
-        """Report to the leader that the record of closed engines is written."""
+    def on_record_written(self) -> None:
+        """Report to the leader the orders and closed engines that are on disk now."""
 
     def log(self, line: str) -> None:
         """Write one line to the program's log."""
@@ -271,7 +274,7 @@
     def _check_quiet(self) -> None:
         """Close each draining engine at which this gateway has no open attempt any more."""
         draining = self._draining_engines()
-        quiet = [tag for tag in draining if self.host.is_quiet(tag)]
+        quiet = [tag for tag in draining if self.host.has_nothing_open(tag)]
         if quiet:
             self.closed.update(quiet)
             self.host.refresh_cordons()  # must take effect before the engines are confirmed closed
@@ -296,7 +299,7 @@
     def _on_written(self, stamp: Stamp, closed: frozenset[str]) -> None:
         self.stored_stamp = stamp
         self.stored_closed = closed
-        self.host.on_engines_closed()
+        self.host.on_record_written()
 
     # Reports to the leader.
 
--- a/corkgauge/maintenance/service.py
+++ b/corkgauge/maintenance/service.py
@@ -80,8 +80,10 @@
             self.socket_host.log,
             self.lease_service.settings.folder,
             f"{self.name}.works",
-            "works: what was kept is torn, starting blank until the leader sends plan and orders",
-            "works: nothing is written, nothing is confirmed until a restart; "
+            "works: what was kept is torn: the record file is damaged; "
+            "starting blank until the leader sends plan and orders",
+            "works: nothing is written: the record file failed; "
+            "no promise and no closed engine is confirmed until a restart; "
             "check the disk, then restart",
         )
 
@@ -185,7 +187,7 @@
         self.socket_host.log(line)
 
     def write_record(self, record: Any, then: Callable[..., None], *what: Any) -> None:
-        """Write the record to disk, then call `then`.
+        """Write the records of this gateway to disk, then call `then`; `record` is ignored.
 
         The plan replica and the participant share one file; each write stores the current state of
         both.
@@ -255,10 +257,10 @@
                 self.socket_host.gateway.on_engine_cordon(engine, cordon)
         self.lease_service.set_cordoned(self.cordon_for(self.name) > 0)
 
-    def is_quiet(self, tag: str) -> bool:
+    def has_nothing_open(self, tag: str) -> bool:
         """Whether this gateway has no open attempt at engine `tag`.
 
-        If `tag` names this gateway: whether this gateway holds no lease.
+        If `tag` names this gateway: whether this gateway holds no lease and competes for none.
         """
         if tag == self.name:
             holds_no_lease: bool = self.lease_service.is_idle
@@ -269,8 +271,8 @@
         """Return the engine's `host:port` from the endpoint list; empty if it is not listed."""
         return self.fleet.address_of(tag)
 
-    def on_engines_closed(self) -> None:
-        """Report to the leader at once, since a step of the plan may wait for closed engines."""
+    def on_record_written(self) -> None:
+        """Report to the leader what is on disk now, since a step may wait for the confirmation."""
         leader = self.lease_service.candidates[LEASE_NAME].known_holder
         if leader:
             self._send_report(leader)
@@ -323,8 +325,8 @@
                 self.pending_commands.on_answer(message.key, message.answer, message.error)
 
     def _on_orders(self, sender: str, orders: messages.Orders) -> None:
-        is_heeded = self.participant.on_orders(orders)
-        if is_heeded:
+        are_current = self.participant.on_orders(orders)
+        if are_current:
             self._send_report(sender)
         else:
             self._send(sender, [messages.PREEMPTED, self.participant.stamp[0]])
--- a/corkgauge/recovery/attempt_log.py
+++ b/corkgauge/recovery/attempt_log.py
@@ -3,9 +3,12 @@
 Does no I/O. Callers pass the current time in ticks (tenths of a millisecond) since 1970. The number
 of attempts in memory is bounded, whatever the log contains.
 
-As in any write-ahead log, the record of an attempt is written before the attempt is sent. If the
-process is killed between the two, the log contains an attempt that was never sent, which only makes
-later decisions stricter. In the reverse order, an attempt that ran could be missing from the log.
+As in any write-ahead log, the record of an attempt comes first: the gateway passes the record to
+the log writer before it sends the attempt. If the process is killed between the two, the log
+contains an attempt that was never sent, which only makes later decisions stricter. In the reverse
+order, an attempt that ran could be missing from the log. An attempt that ran can still be missing
+if its record was lost, for example because the pipe to the log writer was full, or in a power
+failure.
 """
 
 from itertools import islice
@@ -15,7 +18,7 @@
 from corkgauge.recovery.attempt_records import LoggedAttempt, decode_body
 
 MAX_ATTEMPT_COUNT = 100_000  # in memory; the oldest attempts beyond this number are forgotten
-MAX_EXPIRED_COUNT = 1000  # attempts examined in one call
+MAX_EXAMINED_COUNT = 1000  # attempts examined in one call
 
 
 class AttemptLog:
@@ -66,7 +69,7 @@
         attempts = self.by_idempotency_key.get((request_class, idempotency_key), {})
         return [each for each in attempts.values() if now < each.deduplicated_until]
 
-    def expire_attempts(self, now: int, max_attempts: int = MAX_EXPIRED_COUNT) -> None:
+    def expire_attempts(self, now: int, max_attempts: int = MAX_EXAMINED_COUNT) -> None:
         """Forget settled attempts that no engine remembers, among the oldest `max_attempts`."""
         for attempt in list(islice(self.by_serial.values(), max_attempts)):
             if now >= attempt.deduplicated_until and not attempt.is_in_doubt:
