--- a/corkgauge/accounting/audited_records.py
+++ b/corkgauge/accounting/audited_records.py
@@ -19,7 +19,7 @@
     def find_attempt_mismatch(self, attempt: Any) -> str:
         """Return how an attempt in flight differs from the gateway's record, or an empty string."""
 
-    def engines(self) -> list[Any]:
+    def list_engines(self) -> list[Any]:
         """Return a copy of the engines."""
 
     def find_engine_mismatch(self, engine: Any) -> tuple[str, str]:
@@ -28,7 +28,7 @@
     def get_engine_name(self, engine: Any) -> str:
         """Return the name of an engine."""
 
-    def connections(self) -> Sequence[tuple[int, int]]:
+    def count_connections(self) -> Sequence[tuple[int, int]]:
         """Return, by side, the number of open connections and the pages received on them."""
 
     def find_other_reference(self, serial: int) -> str:
--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -181,7 +181,7 @@
             yield
 
     def _check_engines_of_gateway(self) -> Iterator[None]:
-        for part in split_into_slices(self.records.engines(), self.slice_engines):
+        for part in split_into_slices(self.records.list_engines(), self.slice_engines):
             for engine in part:
                 name, mismatch = self.records.find_engine_mismatch(engine)
                 if mismatch:
@@ -191,7 +191,7 @@
             yield
 
     def _check_rows_without_engine(self) -> None:
-        listed = {self.records.get_engine_name(engine) for engine in self.records.engines()}
+        listed = {self.records.get_engine_name(engine) for engine in self.records.list_engines()}
         for name in self.ledger.engines.keys() - listed:
             self.discrepancies.record_difference(
                 DiscrepancyKind.ENGINE_MISMATCH,
@@ -212,7 +212,7 @@
 
     def _check_connections(self) -> None:
         pages = 0
-        sides = zip(self.ledger.sides, SIDE_NAMES, self.records.connections(), strict=True)
+        sides = zip(self.ledger.sides, SIDE_NAMES, self.records.count_connections(), strict=True)
         for side, name, (connections_up, pages_received) in sides:
             difference = side.opened - side.closed - connections_up
             self._check_sum(
--- a/corkgauge/accounting/latency_sketches.py
+++ b/corkgauge/accounting/latency_sketches.py
@@ -47,11 +47,11 @@
 class LatencySketches:
     """Records times; each measured time has its own method.
 
-    `error` is the relative error of quantiles. Spans are tenths of a millisecond.
+    `relative_error` is the relative error of quantiles. Spans are tenths of a millisecond.
     """
 
-    def __init__(self, error: float) -> None:
-        self.error = error
+    def __init__(self, relative_error: float) -> None:
+        self.relative_error = relative_error
         self.sketches: dict[Subject, DDSketch] = {}
 
     def record_answered(self, request_class: str, span_ticks: int) -> None:
@@ -83,7 +83,7 @@
     def _get_sketch(self, subject: Subject) -> DDSketch:
         sketch = self.sketches.get(subject)
         if sketch is None:
-            sketch = self.sketches[subject] = DDSketch(self.error)
+            sketch = self.sketches[subject] = DDSketch(self.relative_error)
         return sketch
 
     def _add(self, subject: Subject, span_ticks: int) -> None:
--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -87,7 +87,7 @@
             host.latency_sketches = LatencySketches(config.latency_relative_error)
         self.checkpoint_file = self._open_checkpoint_file(config)
         if self.checkpoint_file is not None:
-            self._write_checkpoint(self.checkpoint_file)
+            self._write_checkpoints_periodically(self.checkpoint_file)
         self.http_listener = self._open_listener(config)
 
     def reload(self, config: AccountingConfig) -> None:
@@ -136,11 +136,13 @@
             self.http_listener.close()
             self.http_listener = None
 
-    def _write_checkpoint(self, checkpoint_file: "CheckpointFile") -> None:
+    def _write_checkpoints_periodically(self, checkpoint_file: "CheckpointFile") -> None:
         """Write the counts where they survive a kill, now and after each checkpoint interval."""
         checkpoint_file.write(self._take_counts())
         self.host.event_loop.call_later(
-            self.config.checkpoint_interval_ticks, self._write_checkpoint, checkpoint_file
+            self.config.checkpoint_interval_ticks,
+            self._write_checkpoints_periodically,
+            checkpoint_file,
         )
 
     def _take_counts(self) -> Snapshot:
--- a/corkgauge/flow_export/pending_records.py
+++ b/corkgauge/flow_export/pending_records.py
@@ -123,8 +123,8 @@
         table = self.ended or self.ongoing
         if table:
             self.merged_record_count += 1
-            oldest = table.pop(next(iter(table)))
-            self._put_aggregate(oldest.to_aggregate())
+            first_queued = table.pop(next(iter(table)))
+            self._put_aggregate(first_queued.to_aggregate())
         elif not self._merge_engine_into_zone():
             self._merge_zone_into_others()
 
--- a/corkgauge/net/live_records.py
+++ b/corkgauge/net/live_records.py
@@ -39,7 +39,7 @@
                 )
         return ""
 
-    def engines(self) -> list[Any]:
+    def list_engines(self) -> list[Any]:
         """Return a copy of the engine pools."""
         return [*self.socket_host.engine_pools.values()]
 
@@ -75,7 +75,7 @@
         """Return an engine's name."""
         return engine_pool.engine.name
 
-    def connections(self) -> Sequence[tuple[int, int]]:
+    def count_connections(self) -> Sequence[tuple[int, int]]:
         """Return, by side, the number of open connections and the pages received on them."""
         links = [
             link
--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -106,7 +106,7 @@
     def find_attempt_mismatch(self, attempt):
         return ""
 
-    def engines(self):
+    def list_engines(self):
         return [*self.engine_rows]
 
     def find_engine_mismatch(self, row):
@@ -115,7 +115,7 @@
     def get_engine_name(self, row):
         return row.name
 
-    def connections(self):
+    def count_connections(self):
         return (0, 0), (0, 0)
 
     def find_other_reference(self, serial):
