--- a/corkgauge/accounting/audited_records.py
+++ b/corkgauge/accounting/audited_records.py
@@ -5,25 +5,35 @@
 
 
 class AuditedRecords(Protocol):
-    """The live records; their owner must not be called in the middle of a change to them."""
+    """The live records; no method may be called while the owner of the records changes them."""
 
     def list_open_entries(self) -> list[Any]:
         """Return a copy of the open requests, each a `RequestEntry`."""
 
     def list_answering_entries(self) -> list[Any]:
-        """Return a copy of the ended requests whose answer is not completely sent."""
+        """Return a copy of the requests with a determined result and an answer not completely sent.
+
+        The ledger still counts these requests as open.
+        """
 
     def list_attempts_in_flight(self) -> list[Any]:
-        """Return a copy of the attempts in flight, each an `AttemptEntry`."""
+        """Return a copy of the attempts without an outcome, each an `AttemptEntry`."""
 
     def find_attempt_mismatch(self, attempt: Any) -> str:
-        """Return how an attempt in flight differs from the gateway's record, or an empty string."""
+        """Return how an attempt in flight differs from the record of `policy.gateway.Gateway`.
+
+        Returns an empty string if both agree.
+        """
 
     def list_engines(self) -> list[Any]:
         """Return a copy of the engines."""
 
     def find_engine_mismatch(self, engine: Any) -> tuple[str, str]:
-        """Return the name of an engine, and how the gateway's counts for the engine differ."""
+        """Return the name of an engine, and how its records are inconsistent.
+
+        The records are those of `policy.gateway.Gateway` and of the socket host; the second text is
+        empty if they agree.
+        """
 
     def get_engine_name(self, engine: Any) -> str:
         """Return the name of an engine."""
--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -2,13 +2,15 @@
 
 Owns the passes over the records and the classification of differences. Free of I/O; uses no clock.
 The auditor must never derive a record from a count of the ledger and must never change either. One
-step checks at most one slice of the records; only their references are copied all at once.
-
-A pass is consistent although requests and attempts change between its slices: each part of a pass
-begins by copying the references of the records and the counts of the ledger in one step, while
-nothing else runs. The summed fields of a record (row and serial number) never change, so the copies
-represent that moment however long the pass takes. Fields that can change are checked record by
-record, against the tables at the time of the check.
+step checks at most one slice of the records. Copying references and counts, and the checks of sums
+at the end of a pass, are not divided into slices.
+
+A pass is consistent although requests and attempts change between its slices: each part that
+compares sums over records (requests, attempts) begins by copying the references of the records and
+the counts of the ledger in one step, while nothing else runs. The summed fields of a record (row
+and serial number) never change, so the copies represent that moment however long the pass takes.
+The other parts copy references only. They check fields that can change record by record, against
+the tables and counts at the time of the check.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -81,7 +83,11 @@
         self.equations: list[Callable[[], Iterable[tuple[str, int, str]]]] = []
 
     def step(self) -> bool:
-        """Check one slice; return whether this step ended the pass."""
+        """Check one slice; return whether this step ended the pass.
+
+        A step that ends a pass also prepares the next pass. The first call only prepares the first
+        pass: it checks nothing, counts as a pass and returns True.
+        """
         for _ in self.running_pass:
             return False
         self.running_pass = self._run_pass()
@@ -172,7 +178,10 @@
             yield
 
     def _check_attempts_of_gateway(self) -> Iterator[None]:
-        """Compare the host's record of each attempt in flight with the gateway's record."""
+        """Compare the socket host's record of each attempt in flight with that of the policy.
+
+        The record of the policy is the one that `policy.gateway.Gateway` keeps.
+        """
         for part in split_into_slices(self.records.list_attempts_in_flight(), self.slice_records):
             for attempt in part:
                 mismatch = self.records.find_attempt_mismatch(attempt)
--- a/corkgauge/accounting/checkpoint.py
+++ b/corkgauge/accounting/checkpoint.py
@@ -6,8 +6,9 @@
 
 A slot is magic (8 bytes), version (2), length of the body (4), generation (8), xxHash64 (8) of the
 preceding fields and the body, and then the body in msgpack; little-endian. The slots are written
-alternately, so that the other slot remains complete if the power fails or the process is killed
-during a write.
+alternately, so that the other slot remains complete if the process is killed during a write. After
+a power failure both slots can be torn, because the operating system may write any part of the
+mapped file to the disk at any time.
 """
 
 from collections.abc import Sequence
@@ -56,7 +57,11 @@
 
 
 class CheckpointError(ValueError):
-    """Raised for a checkpoint that cannot be written or read."""
+    """Raised for a checkpoint that cannot be written or read.
+
+    The message is the size of a body that does not fit into a slot ("12345 bytes"), or the
+    `SlotProblem` of a file without a valid slot. Log lines and errors of the callers contain it.
+    """
 
 
 class Slot(NamedTuple):
--- a/corkgauge/accounting/checkpoint_file.py
+++ b/corkgauge/accounting/checkpoint_file.py
@@ -77,7 +77,11 @@
             self.log(f"figures: {self.path} is foreign ({reason}), a fresh epoch")
 
     def write(self, snapshot: Snapshot) -> None:
-        """Write a snapshot into the older slot; do nothing if there is no file."""
+        """Write a snapshot into the older slot; do nothing if there is no file.
+
+        If the snapshot does not fit into a slot even with all engines in one row, the file is
+        closed and no checkpoint is written until a restart.
+        """
         if self.mapping is None:
             return
         self.generation += 1
@@ -85,7 +89,10 @@
             data = self._encode(snapshot)
         except ValueError as problem:
             self.close()
-            self.log(f"figures not kept: {problem}")
+            self.log(
+                f"figures not kept: the snapshot does not fit into a slot or cannot be encoded "
+                f"({problem}); no checkpoints until a restart"
+            )
             return
         slot_offset = self.generation % 2 * checkpoint.SLOT_BYTES
         body_offset = slot_offset + checkpoint.OVERHEAD_BYTES
@@ -151,5 +158,5 @@
 
 def _describe_error(problem: OSError | ValueError) -> str:
     if isinstance(problem, BlockingIOError):
-        return "in use by another"
+        return "in use by another process; end that process or configure another folder"
     return getattr(problem, "strerror", None) or str(problem)
--- a/corkgauge/accounting/counter_names.py
+++ b/corkgauge/accounting/counter_names.py
@@ -28,7 +28,7 @@
     WITHIN_OBJECTIVE = 0
     """Succeeded within its latency objective."""
     AFTER_OBJECTIVE = 1
-    """Succeeded after its latency objective and before its deadline."""
+    """Succeeded after its latency objective; its deadline is not checked."""
     NO_CAPACITY = 2
     """Rejected on arrival because the limit of open requests was reached."""
     NEVER_SENT = 3
@@ -36,9 +36,9 @@
     AFTER_ATTEMPTS = 4
     """Rejected by the gateway after an attempt; the client can retry safely."""
     AT_DEADLINE = 5
-    """Rejected shortly before its deadline."""
+    """Rejected at most a margin before its deadline, or later."""
     CONNECTION_EVICTED = 6
-    """Its connection was evicted before the gateway was notified of the request."""
+    """The client's connection was evicted before the request reached `policy.gateway.Gateway`."""
     UNUSABLE = 7
     """The request cannot be served by any engine; it is answered on its stream."""
     GIVEN_UP = 8
@@ -128,8 +128,8 @@
     """Return the reason why the gateway ended a request.
 
     `code` is a result code of the client protocol, as in `Term`. Times are tenths of a
-    millisecond. A rejection within `deadline_margin_ticks` before the deadline of the request has
-    the reason `AT_DEADLINE`.
+    millisecond. A rejection at most `deadline_margin_ticks` before the deadline of the request, or
+    later, has the reason `AT_DEADLINE`.
 
     >>> from corkgauge.policy.records import RequestClass
     >>> quick = RequestClass("quick", 10, 0.0, 500, 1.0)
--- a/corkgauge/accounting/discrepancies.py
+++ b/corkgauge/accounting/discrepancies.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_FINDINGS = 256  # findings that are kept; further ones are only counted
+MAX_FINDINGS = 256  # findings that are kept; observations of further ones are only counted
 
 Event = tuple[int, str, int]
 """Time (tenths of a millisecond), event kind, and serial number of the request or attempt."""
@@ -41,9 +41,15 @@
     TERMS_DIFFER = "terms differ"
     """An equation within one row does not hold."""
     ENGINE_MISMATCH = "engine out of step"
-    """The gateway and the host have different attempts in flight at an engine."""
+    """`policy.gateway.Gateway` and the socket host have different attempts in flight at an engine.
+
+    Also recorded if the ledger has a row for an engine that is not listed.
+    """
     SUMS_DIFFER = "books differ"
-    """Sums by request class and by engine, or by connection, differ."""
+    """Sums by request class and by engine, or by connection, differ.
+
+    Also recorded if an equation of another subsystem does not hold.
+    """
     OVER_BUDGET = "over budget"
     """A window has more retries and hedged attempts than the retry budget allows."""
 
@@ -94,7 +100,8 @@
         self.clock = clock
         self.log = log
         self.by_kind_and_row: dict[tuple[str, str], Discrepancy] = {}
-        self.omitted_count = 0  # findings beyond MAX_FINDINGS
+        # Observations of findings beyond MAX_FINDINGS; one such finding counts once in each pass.
+        self.omitted_count = 0
 
     @property
     def has_findings(self) -> bool:
@@ -104,7 +111,11 @@
     def record_difference(
         self, kind: str, row: str, difference: int, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
-        """Record a difference that a pass of the auditor found, replacing the previous one."""
+        """Record a difference that was observed, replacing the previous difference of its finding.
+
+        The finding keeps the events of its first observation. Its detail changes only when a new
+        line is logged.
+        """
         now = self.clock()
         found = self.by_kind_and_row.get((kind, row))
         if found is None:
--- a/corkgauge/accounting/http_listener.py
+++ b/corkgauge/accounting/http_listener.py
@@ -1,7 +1,7 @@
 """Serves the counts over HTTP on a Unix socket or a loopback address, using h11.
 
     GET /metrics    Prometheus text        GET /figures    the snapshot as JSON
-    GET /findings   the discrepancies      POST /clear     clear the findings that an operator saw
+    GET /findings   the discrepancies      POST /clear     clear all findings
     and the routes of other subsystems, described in their own documentation
 
 Owns one listening socket and its few readers. The listener must not block the event loop and must
@@ -154,7 +154,12 @@
     def _read_request(
         self, sock: socket.socket, connection: h11.Connection, timeout_ticks: int
     ) -> HttpRequest | None:
-        """Return the next request, or None after the timeout or if the body is too large."""
+        """Return the next request, or None if no complete request can be received.
+
+        None is returned after the timeout, if the reader closes the connection, and if more data
+        follows once the body exceeds MAX_BODY_BYTES. The last chunk of a body may exceed that
+        limit, because the size is checked before the chunk is added.
+        """
         head: h11.Request | None = None
         body = b""
         deadline = self.event_loop.now + timeout_ticks
--- a/corkgauge/accounting/latency_sketches.py
+++ b/corkgauge/accounting/latency_sketches.py
@@ -14,6 +14,7 @@
 LATENCY = "latency"  # of requests, from acceptance to their answer, by request class
 WAIT = "wait"  # of requests, from acceptance to their first attempt, by request class
 SERVICE = "service"  # of attempts that succeeded, by engine
+# Upper bounds of the buckets of exported histograms.
 HISTOGRAM_BOUNDS_SECONDS = (
     0.001,
     0.0025,
@@ -34,7 +35,10 @@
 SECONDS_PER_TICK = 1e-4
 
 SketchFields = Mapping[str, Any]
-"""A sketch as JSON: `{"what", "whose", "error", "count", "sum", "bins"}`, with bins by key."""
+"""A sketch as a dict that JSON can encode, with bins by key.
+
+The keys are `{"what", "whose", "error", "count", "sum", "bins"}`.
+"""
 
 
 class Subject(NamedTuple):
@@ -77,7 +81,7 @@
             self._get_sketch(Subject(SERVICE, into)).merge(removed)
 
     def fields(self) -> list[dict[str, Any]]:
-        """Return all sketches as JSON, as the functions of this module expect them."""
+        """Return all sketches as dicts, which JSON can encode and the functions below accept."""
         return [_encode(subject, sketch) for subject, sketch in self.sketches.items()]
 
     def _get_sketch(self, subject: Subject) -> DDSketch:
@@ -87,6 +91,7 @@
         return sketch
 
     def _add(self, subject: Subject, span_ticks: int) -> None:
+        # A span of 0 is recorded as 1 tick, because the bins of a sketch do not contain zeros.
         self._get_sketch(subject).add(max(span_ticks, 1))
 
 
--- a/corkgauge/accounting/ledger.py
+++ b/corkgauge/accounting/ledger.py
@@ -2,7 +2,7 @@
 
 Owns the rows and the most recent events. Free of I/O; the caller provides the clock. The ledger
 must never read the live records (the auditor compares both) and must never correct a count. An
-entry costs only a few additions, because the ledger is on the path of every request.
+entry must be cheap, because the ledger is on the path of every request.
 """
 
 from collections import deque
@@ -59,7 +59,7 @@
 
 
 # Events are stored as plain tuples and become a LedgerEvent only when they are shown, because
-# creating a NamedTuple costs a call, and each request makes four events.
+# creating a NamedTuple costs a call, and a request with one attempt makes four events.
 _StoredEvent = tuple[int, str, Row, int]
 
 # Module constants, because a lookup through the enum costs more than all additions of an entry.
@@ -105,7 +105,7 @@
         self.last_request_serial = 0
         self.last_attempt_serial = 0
         self.events = deque[_StoredEvent](maxlen=MAX_EVENTS)
-        self._append_event = self.events.append  # bound once; called four times per request
+        self._append_event = self.events.append  # bound once; called for each event
         self.budget_check: RetryBudgetCheck | None = None
         if budget is not None and budget[2]:
             self.budget_check = RetryBudgetCheck(RetryBudget(*budget))
@@ -113,7 +113,7 @@
     # Requests.
 
     def record_accepted(self, request: RequestEntry) -> None:
-        """Count an accepted request; from now on, the client is owed one final answer."""
+        """Count an accepted request, which must get exactly one final answer."""
         row = request.row
         if request.serial:
             self.on_mistake(DiscrepancyKind.ENTERED_TWICE, row, abs(request.serial))
@@ -278,7 +278,8 @@
         totals = {TERM_NAMES[Term.ACCEPTED]: self.sum_term(Term.ACCEPTED)}
         for term in (Term.SUCCEEDED, Term.REJECTED):
             totals[f"answered {TERM_NAMES[term]}"] = self.sum_term(term)
-        # Requests that clients cancelled or abandoned were not answered by the gateway.
+        # Requests that clients cancelled or abandoned do not count as answered. ANSWER_NOT_READ
+        # counts as answered, because the gateway created the answer.
         answered_failed = (EndReason.UNUSABLE, EndReason.GIVEN_UP, EndReason.ANSWER_NOT_READ)
         totals[f"answered {TERM_NAMES[Term.FAILED]}"] = sum(
             row.reasons[reason]
--- a/corkgauge/accounting/retry_budget_check.py
+++ b/corkgauge/accounting/retry_budget_check.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# Accepted requests are counted per slice of the window, which needs one number for thousands of
-# requests.
+# Accepted requests are counted per slice of the window, so that thousands of requests need only one
+# number.
 WINDOW_SLICE_COUNT = 50
 
 
@@ -67,6 +67,7 @@
         return len(self.extra_attempts) > allowed
 
     def _drop_expired(self, now: int) -> None:
+        """Drop the attempts and slices that are older than the window."""
         window_start = now - self.budget.window_ticks
         while self.extra_attempts and self.extra_attempts[0] <= window_start:
             self.extra_attempts.popleft()
--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -79,6 +79,8 @@
         self.gateway = gateway
         self.config = config
         now = host.event_loop.now
+        # The epoch id is the start in milliseconds (hexadecimal) and a CRC of seed, start in ticks
+        # and gateway.
         suffix = crc32(f"{seed} {now} {gateway}".encode())
         self.epoch = {"id": f"{now // 10:x}-{suffix:08x}", "started": now}
         if config.latency_relative_error:
@@ -91,10 +93,15 @@
         self.http_listener = self._open_listener(config)
 
     def reload(self, config: AccountingConfig) -> None:
-        """Apply a changed element; checkpoint and sketch settings take effect after a restart.
+        """Apply a changed element.
 
-        A changed listener address takes effect at once. Raises ConfigurationError, and changes
-        nothing, if the service cannot listen on the new address.
+        A changed listener address takes effect at once. A changed checkpoint folder or sketch error
+        takes effect after a restart. A changed checkpoint interval takes effect after the next
+        checkpoint, although the log line lists `keep_each` among the settings that need a restart.
+
+        Raises ConfigurationError, and changes nothing, if the service cannot listen on the new
+        address. A change of `readers` alone also raises ConfigurationError, because the new
+        listener cannot be opened on the address while the old listener is open.
         """
         before = self.config
         if (config.listen, config.readers) != (before.listen, before.readers):
@@ -137,7 +144,7 @@
             self.http_listener = None
 
     def _write_checkpoints_periodically(self, checkpoint_file: "CheckpointFile") -> None:
-        """Write the counts where they survive a kill, now and after each checkpoint interval."""
+        """Write a checkpoint, which survives a kill, and schedule the next one."""
         checkpoint_file.write(self._take_counts())
         self.host.event_loop.call_later(
             self.config.checkpoint_interval_ticks,
--- a/corkgauge/accounting/snapshot.py
+++ b/corkgauge/accounting/snapshot.py
@@ -4,9 +4,10 @@
 so its counts are copied in one step.
 
 The keys of a snapshot in JSON are `{"schema", "gateway", "epoch", "at", "offerings", "engines",
-"connections", "budget", "audit", "waits", "earlier"}`, where `at` and `epoch.started` are tenths of
-a millisecond of the system's clock. Instances of several versions read each other's snapshots, so
-the meaning of a key never changes, and a reader ignores unknown keys.
+"connections"}`, where `at` and `epoch.started` are tenths of a millisecond of the system's clock.
+Optional keys are `audit` (added by `add_audit`), and `waits`, `flows` and `earlier` (added by the
+accounting service). Instances of several versions read each other's snapshots, so the meaning of a
+key never changes, and a reader ignores unknown keys.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
--- a/corkgauge/accounting/snapshot_checks.py
+++ b/corkgauge/accounting/snapshot_checks.py
@@ -1,7 +1,7 @@
 """Checks the equations within a snapshot, and finds counts that decreased between two snapshots.
 
 Free of I/O and independent of the state of the program, so recorded snapshots can be checked by any
-program. A snapshot without a required key raises KeyError.
+program. The functions raise KeyError for a snapshot without a required key.
 """
 
 from collections.abc import Iterator, Mapping
@@ -64,10 +64,10 @@
 
 
 def find_decreases(before: Snapshot, after: Snapshot) -> list[str]:
-    """Return the counts that decreased between two snapshots of an epoch; none may decrease.
+    """Return a line for each compared count that decreased between two snapshots of an epoch.
 
-    The rows of removed engines are merged into one row, so only the sums over all engines are
-    compared.
+    No compared count may decrease. The rows of removed engines are merged into one row, so only the
+    sums over all engines are compared. Outcomes and pages of engines are not compared.
     """
     if before["epoch"]["id"] != after["epoch"]["id"]:
         return []
--- a/tests/test_accounting.py
+++ b/tests/test_accounting.py
@@ -25,6 +25,7 @@
 from corkgauge.config.operator_file import read as read_operator
 from corkgauge.config.platform import ConfigurationError
 from corkgauge.eventloop.logging import event_of
+from corkgauge.policy.records import AttemptOutcome
 from tests.harness import SECOND, HostHarness, endpoint_list_event, request_frame, request_id
 
 REQUEST_ID = request_id(1)
@@ -80,7 +81,7 @@
         self.in_flight.append(attempt)
         return attempt
 
-    def finish(self, attempt, outcome=1):
+    def finish(self, attempt, outcome=AttemptOutcome.SUCCEEDED):
         self.in_flight.remove(attempt)
         self.ledger.record_attempt_finished(attempt, outcome)
 
