--- a/corkgauge/flow_export/backoff.py
+++ b/corkgauge/flow_export/backoff.py
@@ -3,9 +3,9 @@
 from struct import pack
 from zlib import crc32
 
-FIRST_BACKOFF_TICKS = 5_000  # half a second, doubled by each further failure
-BACKOFF_LIMIT_TICKS = 600_000  # a minute
-MAX_DOUBLING_COUNT = 16
+FIRST_BACKOFF_TICKS = 5_000  # half a second before jitter, doubled by each further failure
+BACKOFF_LIMIT_TICKS = 600_000  # a minute before jitter
+MAX_DOUBLING_COUNT = 16  # limits the exponent
 
 
 class JitteredBackoff:
@@ -16,7 +16,7 @@
         self.draws = 0
 
     def next_ticks(self, failure_count: int) -> int:
-        """Return the backoff after consecutive failures, with jitter of up to a quarter.
+        """Return the backoff after consecutive failures, with jitter of plus or minus a quarter.
 
         Without the jitter, gateways that lost a collector at the same moment would all reconnect
         at the same moment.
--- a/corkgauge/flow_export/codec.py
+++ b/corkgauge/flow_export/codec.py
@@ -27,10 +27,11 @@
 V9_VERSION = 9
 IPFIX_HEADER = Struct("!HHIII")
 V9_HEADER = Struct("!HHIIII")
-WITHDRAWAL_LIMIT_BYTES = 512
+WITHDRAWAL_LIMIT_BYTES = 512  # always enough for a withdrawal message
 MAX_PADDING_BYTES = 3  # sets are padded to a multiple of four octets
 MAX_NAME_BYTES = 64
-NARROW_COUNTER_LIMIT = 2**32  # octets; exceeds a counter of reduced size (RFC 7011, 6.2)
+# Smallest number of octets that does not fit into a counter of 4 octets (RFC 7011, 6.2).
+NARROW_COUNTER_LIMIT = 2**32
 UINT32_MODULUS = 2**32  # sequence numbers, times and uptimes wrap around
 # By address family. Plain ints save the lookup of an enum member for each record.
 AGGREGATE_TEMPLATE = int(TemplateId.AGGREGATE)
--- a/corkgauge/flow_export/collector_peer.py
+++ b/corkgauge/flow_export/collector_peer.py
@@ -145,8 +145,9 @@
 def should_connect(peer: CollectorPeer, peers: list[CollectorPeer]) -> bool:
     """Return whether to connect to a collector.
 
-    The first collector is always connected. Any other is connected only if no preferred collector
-    has a session or is in its first attempt to connect.
+    A connection to the first collector is always allowed. A connection to any other collector is
+    allowed only if no collector earlier in the list has a session or is in its first attempt to
+    connect. The state of the collector itself is not checked.
     """
     for preferred in peers:
         if preferred is peer:
--- a/corkgauge/flow_export/counter_deltas.py
+++ b/corkgauge/flow_export/counter_deltas.py
@@ -1,6 +1,6 @@
 """Defines the content of a flow record: the octets of a flow since its previous record.
 
-Also merges two records of a flow. Times are whole milliseconds of the system clock.
+A `Delta` is the content of one flow record. Times are whole milliseconds of the system clock.
 """
 
 from dataclasses import dataclass
@@ -43,7 +43,10 @@
         return self.end_reason != FlowEndReason.ACTIVE
 
     def merge(self, later: "Delta") -> None:
-        """Merge a later record of the same flow into this record, without losing octets."""
+        """Merge a later record of the same flow or aggregate into this record.
+
+        No octets are lost. `flow_count` is not merged; for aggregates, the caller adds the counts.
+        """
         self.start_ms = min(self.start_ms, later.start_ms)
         self.end_ms = max(self.end_ms, later.end_ms)
         self.forward_octets += later.forward_octets
--- a/corkgauge/flow_export/decoder.py
+++ b/corkgauge/flow_export/decoder.py
@@ -45,7 +45,7 @@
 
 __all__ = ["DecodedMessage", "Decoder", "MalformedMessageError", "MessageStream"]
 
-MAX_TEMPLATES = 1000  # of all observation domains together
+MAX_TEMPLATES = 1000  # of all observation domains together; also limits the number of domains
 MAX_ELEMENTS = 1000
 MAX_RECORDS_IN_SET = 65_535
 OBSERVATION_DOMAIN_ID = ElementKey(0, 149)
@@ -111,7 +111,8 @@
         if message.version == IPFIX_VERSION:
             step = len(message.records) + len(message.options)
         self.expected_sequence[message.domain] = (message.sequence + step) % UINT32_MODULUS
-        # The oldest domain is removed: an exporter that invents domains would fill the memory.
+        # The domain that was added first is removed, even if it is active: otherwise an exporter
+        # that invents domains would fill the memory.
         if len(self.expected_sequence) > MAX_TEMPLATES:
             del self.expected_sequence[next(iter(self.expected_sequence))]
 
@@ -244,7 +245,10 @@
                 length, position = parse_variable_length(body, position)
             value = body[position : position + length]
             if len(value) != length:
-                raise MalformedMessageError(f"record cut short at octet {position} of its set")
+                raise MalformedMessageError(
+                    f"record cut short: the set ends within the value at octet {position} "
+                    "after the set header"
+                )
             position += length
             element = self.elements.get(key)
             if element is None:
--- a/corkgauge/flow_export/endpoints.py
+++ b/corkgauge/flow_export/endpoints.py
@@ -9,7 +9,8 @@
 class Endpoints(NamedTuple):
     """Address and port of the initiator (source) and of its peer (destination).
 
-    `family` is 4 or 6 with packed addresses, or 0 if the socket has no IP addresses.
+    `family` is 4 or 6 with packed addresses, or 0 if the socket is not connected or has no IP
+    addresses.
     """
 
     family: int
@@ -23,7 +24,10 @@
 
 
 def read_endpoints(sock: socket.socket, direction: int) -> Endpoints:
-    """Return the endpoints of a socket, with family 0 if it has no IP addresses."""
+    """Return the endpoints of a socket.
+
+    The family is 0 if the socket is not connected or has no IP addresses.
+    """
     try:
         local = sock.getsockname()
         remote = sock.getpeername()
--- a/corkgauge/flow_export/export_buffer.py
+++ b/corkgauge/flow_export/export_buffer.py
@@ -4,8 +4,10 @@
 export. Performs no I/O: the export buffer calls `CollectorTransports` and receives the current time
 in ticks, tenths of a millisecond.
 
-In each session, templates are sent before data. The memory for pending records is bounded. Every
-octet is accounted for: measured = exported + held (pending or in flight) + dropped.
+In each session, templates are passed to the transport before data. A template message for which
+the transport has no room is lost until the next refresh, which only datagrams have; data is sent
+nevertheless. The memory for pending records is bounded. Every octet is accounted for:
+measured = exported + held (pending or in flight) + dropped.
 
 The states of a collector are down -> opening -> trial -> up. During the trial, the templates have
 been sent and no data: an unreachable UDP collector is noticed only by an ICMP error, which arrives
@@ -176,6 +178,9 @@
         # Bytes that were written to the operating system may be lost with the connection or may
         # have arrived. Sent again, they could be counted twice, so these octets stay exported and
         # are reported as uncertain.
+        #
+        # Under TLS, `unacknowledged_bytes` counts encrypted bytes and `written_bytes` counts bytes
+        # before encryption, so more messages than necessary are reported as uncertain.
         acknowledged_bytes = peer.written_bytes - unacknowledged_bytes
         self.totals.uncertain_octets += sum(
             message.octets
@@ -186,9 +191,9 @@
         peer.clear_in_flight()
 
     def _stop_export_to(self, peer: CollectorPeer, now: int) -> None:
-        """Stop sending to a collector: count written messages as exported and requeue the others.
+        """Stop sending to a collector: confirm the written messages and requeue the others.
 
-        All datagrams in flight count as written.
+        All datagrams in flight are confirmed, although it is not known whether they arrived.
         """
         confirm_time = now
         if peer.is_datagram:
@@ -239,8 +244,9 @@
     def _select_active(self, now: int) -> None:
         """Select the first collector that is up.
 
-        A collector that fails again and again is selected after each recovery, so that half of the
-        records of an outage could be sent to this collector; its growing backoff limits this.
+        A collector that fails and recovers repeatedly is selected after each recovery. Up to half
+        of the records of an outage could then be sent to this collector; its growing backoff makes
+        these selections rarer.
         """
         preferred = next((peer for peer in self.peers if peer.state is CollectorState.UP), None)
         if preferred is self.active:
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -92,6 +92,8 @@
         # Collectors.
         self.collectors: dict[CollectorPeer, ConfiguredCollector] = {}
         self.transports: dict[CollectorPeer, Transport] = {}
+        # By the address of the collector. In the mode `first`, the only buffer is named "first",
+        # and log lines then show that name as the name of the collector.
         self.buffers: dict[str, ExportBuffer] = {}
 
         self._configure(settings, read_collectors(settings))
@@ -196,7 +198,10 @@
         return ExportBuffer(self, layout, self.domain, peers, pending, self.seed, self.started_at)
 
     def _remove_buffer(self, name: str, buffer: ExportBuffer, layout: Layout) -> None:
-        """Disconnect from a collector that is no longer configured and drop its pending records."""
+        """Disconnect the collectors of a buffer and drop its pending records.
+
+        A buffer is removed if its collector is no longer configured or if the mode changed.
+        """
         buffer.reconfigure([], layout, self.event_loop.now)
         self.socket_host.log(
             f"collector {name} left, {buffer.pending.octets} octets were held for it"
--- a/corkgauge/flow_export/message_parsing.py
+++ b/corkgauge/flow_export/message_parsing.py
@@ -58,7 +58,10 @@
 def parse_header(data: bytes) -> Header:
     """Parse the header of an IPFIX (RFC 7011, 3.1) or NetFlow v9 message (RFC 3954, 5.1)."""
     if len(data) < 2:
-        raise MalformedMessageError("expected a message of at least two octets, found less")
+        raise MalformedMessageError(
+            "found less than 2 octets, "
+            "expected the header of an IPFIX (16 octets) or NetFlow v9 message (20 octets)"
+        )
     version = int.from_bytes(data[:2], "big")
     if version == IPFIX_VERSION and len(data) >= IPFIX_HEADER.size:
         _, length, export_seconds, sequence, domain = IPFIX_HEADER.unpack_from(data)
@@ -73,7 +76,8 @@
         message = DecodedMessage(version, domain, sequence, export_seconds, uptime_ms)
         return Header(message, V9_HEADER.size, count)
     raise MalformedMessageError(
-        f"found version {version} in {len(data)} octets, expected 10 or 9 with a whole header"
+        f"found version {version} in a message of {len(data)} octets, "
+        "expected version 10 with a header of 16 octets, or version 9 with a header of 20 octets"
     )
 
 
@@ -99,13 +103,18 @@
     fields = []
     for _ in range(count):
         if start + FIELD_SPECIFIER.size > len(body):
-            raise MalformedMessageError("template cut short: expected a field specifier")
+            raise MalformedMessageError(
+                "template cut short: the set ends before the end of a field specifier (4 octets)"
+            )
         number, length = FIELD_SPECIFIER.unpack_from(body, start)
         start += FIELD_SPECIFIER.size
         enterprise = 0
         if number & ENTERPRISE_BIT and not is_v9:
             if start + ENTERPRISE_NUMBER_FIELD.size > len(body):
-                raise MalformedMessageError("template cut short: expected an enterprise number")
+                raise MalformedMessageError(
+                    "template cut short: the set ends before the end of an enterprise number "
+                    "(4 octets)"
+                )
             (enterprise,) = ENTERPRISE_NUMBER_FIELD.unpack_from(body, start)
             number &= ELEMENT_NUMBER_MASK
             start += ENTERPRISE_NUMBER_FIELD.size
@@ -121,11 +130,17 @@
 def parse_variable_length(body: bytes, start: int) -> FieldLength:
     """Parse the length of a value of variable length (RFC 7011, 7)."""
     if start >= len(body):
-        raise MalformedMessageError(f"record cut short at octet {start} of its set")
+        raise MalformedMessageError(
+            f"record cut short: the set ends within the length of a value at octet {start} "
+            "after the set header"
+        )
     if body[start] < LONG_LENGTH_MARKER:
         return FieldLength(body[start], start + 1)
     if start + 3 > len(body):
-        raise MalformedMessageError(f"record cut short at octet {start} of its set")
+        raise MalformedMessageError(
+            f"record cut short: the set ends within the length of a value at octet {start} "
+            "after the set header"
+        )
     return FieldLength(int.from_bytes(body[start + 1 : start + 3], "big"), start + 3)
 
 
@@ -138,7 +153,10 @@
 
 
 def decode_value(value_type: ValueType, value: bytes) -> Any:
-    r"""Decode the value of a field; a value of unknown type is returned as bytes.
+    r"""Decode the value of a field.
+
+    A value of unknown type, and an address that has neither 4 nor 16 octets, is returned as bytes.
+
 
     >>> decode_value(ValueType.UNSIGNED, b"\1\0")
     256
--- a/corkgauge/flow_export/meter.py
+++ b/corkgauge/flow_export/meter.py
@@ -80,9 +80,11 @@
     """Creates the records of all connections.
 
     Args:
-        on_delta: called with each record.
+        on_delta: called with each flow record, a `Delta`.
         active_ticks: active timeout, after which a continuing flow is reported.
-        idle_ticks: idle timeout, after which a flow without new octets has ended.
+        idle_ticks: idle timeout, the longest scheduled time between two checks of a flow. A flow
+            with unreported octets, but without octets since the previous check, is reported as
+            ended (IDLE). This timeout does not end a flow whose octets were all reported.
         now: the current time, in ticks.
     """
 
--- a/corkgauge/flow_export/pending_records.py
+++ b/corkgauge/flow_export/pending_records.py
@@ -4,9 +4,10 @@
 and uses no clock.
 
 Deltas of the same flow are always merged into one. Above the limit, flows that have ended are
-aggregated by direction, zone and engine, the oldest first, and then flows that continue. If there
-are still too many records, engines are merged within their zone, and then zones into one. Octets
-are therefore dropped only with the whole queue, when its collector is no longer configured.
+aggregated by direction, zone and engine, the first queued first, and then flows that continue. If
+there are still too many records, engines are merged within their zone, and then zones into one.
+Octets are therefore dropped only with the whole queue, when its export buffer is removed: the
+collector is no longer configured, or the mode (`first` or `all`) has changed.
 """
 
 from typing import NamedTuple
@@ -35,15 +36,15 @@
 
     def __init__(self, memory_bytes: int) -> None:
         self.max_records = max(memory_bytes // DELTA_MEMORY_BYTES, MIN_RECORDS)
-        # By flow id, oldest first.
+        # By flow id, in the order of queueing; requeued and merged records are last.
         self.ended: dict[int, Delta] = {}
         self.ongoing: dict[int, Delta] = {}
         self.aggregates: dict[AggregateKey, Delta] = {}
         self.octets = 0  # pending in this queue
         self.measured_octets = 0
         self.dropped_octets = 0
-        self.dropped_flows = 0
-        self.merged_record_count = 0  # merged into aggregates
+        self.dropped_flows = 0  # sum of `flow_count` of the dropped records
+        self.merged_record_count = 0  # merged into aggregates; one flow may count several times
 
     def __len__(self) -> int:
         return len(self.ended) + len(self.ongoing) + len(self.aggregates)
@@ -61,8 +62,8 @@
     def pop_next(self) -> Delta | None:
         """Remove and return the next delta to export, or None if the queue is empty.
 
-        The order is: ended flows, oldest first, because no later record will report them; then
-        aggregates; then continuing flows, whose next record would also report their octets.
+        The order is: ended flows, first queued first, because no later record will report them;
+        then aggregates; then continuing flows, whose next record would also report their octets.
         """
         if self.ended:
             delta = self.ended.pop(next(iter(self.ended)))
@@ -76,7 +77,7 @@
         return delta
 
     def drop_all(self) -> None:
-        """Drop and count all records, because their collector is no longer configured."""
+        """Drop and count all records, because the export buffer of this queue is removed."""
         delta = self.pop_next()
         while delta is not None:
             self.dropped_octets += delta.octets
@@ -129,7 +130,7 @@
             self._merge_zone_into_others()
 
     def _merge_engine_into_zone(self) -> bool:
-        """Merge the oldest aggregate of an engine into its zone; returns False if there is none."""
+        """Merge the first aggregate of an engine into its zone; returns False if there is none."""
         for key, delta in self.aggregates.items():
             if key.engine != MERGED_NAME:
                 del self.aggregates[key]
@@ -139,7 +140,7 @@
         return False
 
     def _merge_zone_into_others(self) -> None:
-        """Merge the oldest aggregate of a zone into that of all zones."""
+        """Merge the first aggregate of a zone into that of all zones."""
         for key, delta in self.aggregates.items():
             if key.zone != MERGED_NAME:
                 del self.aggregates[key]
--- a/corkgauge/flow_export/report_rows.py
+++ b/corkgauge/flow_export/report_rows.py
@@ -1,6 +1,11 @@
 """Converts decoded records of all layouts to uniform rows, and sums octets by engine and minute.
 
 Defines the columns of reports and files. Performs no I/O.
+
+In layout `standard`, the reverse direction of a connection is a separate record with the opposite
+flowDirection. The reverse record of an engine connection is therefore listed with side `client`,
+and `octets_by_span` leaves out the octets received from engines. The reverse record of a client
+connection is listed with side `engine`, and `octets_by_span` lists the client under its address.
 """
 
 from collections import defaultdict
@@ -46,6 +51,7 @@
     for record in message.records:
         start_ms, end_ms = _times_of(record, uptime_began_ms)
         reverse = record.get("reverseOctetDeltaCount", record.get("postOctetDeltaCount", 0))
+        # Records of aggregates have no end reason.
         end_reason = record.get("flowEndReason", FlowEndReason.LACK_OF_RESOURCES)
         yield {
             "gateway": record.get("gatewayName", ""),
@@ -67,7 +73,7 @@
 
 
 def _times_of(record: Record, uptime_began_ms: int) -> tuple[int, int]:
-    """Return start and end of a record; in NetFlow v9 they are relative to the uptime."""
+    """Return start and end of a record; in NetFlow v9 they are relative to the start of uptime."""
     if "flowStartSysUpTime" in record:
         return (
             uptime_began_ms + record["flowStartSysUpTime"],
@@ -77,6 +83,7 @@
 
 
 def _side_of(record: Record) -> str:
+    """Return the side by the flowDirection of the record, which reverse records have inverted."""
     return "engine" if record.get("flowDirection") == FlowDirection.EGRESS else "client"
 
 
--- a/corkgauge/flow_export/session.py
+++ b/corkgauge/flow_export/session.py
@@ -106,7 +106,11 @@
         return DataMessage(self._finish(message, now_ms), deltas, delta)
 
     def revert_sequence(self) -> None:
-        """Reuse the sequence number of the last message, which was not sent."""
+        """Reuse the sequence number of the last message created, which was not sent.
+
+        If several template messages were created at once, a failure to send an earlier one also
+        restores only the number of the last one.
+        """
         self.sequence = self.previous_sequence
 
     def make_withdrawal_message(self, now_ms: int) -> bytes:
--- a/corkgauge/flow_export/templates.py
+++ b/corkgauge/flow_export/templates.py
@@ -38,7 +38,8 @@
 class TemplateId(IntEnum):
     """Ids of the exported templates.
 
-    Flow templates differ by address family and by narrow or wide octet counters.
+    Flow templates differ by address family and by narrow or wide octet counters. Layout `netflow9`
+    has no wide flow templates: FLOW_IPV4 and FLOW_IPV6 have counters of 8 octets there.
     """
 
     FLOW_IPV4 = 256
--- a/corkgauge/flow_export/timer_wheel.py
+++ b/corkgauge/flow_export/timer_wheel.py
@@ -1,8 +1,8 @@
 """A timer wheel for the timeouts of flows (Varghese and Lauck, 1987).
 
-An entry has an attribute `due`, in the unit of the wheel, and is in one slot. The cost of adding,
-moving and removing an entry does not depend on the number of entries. An entry that is due after
-more than one turn of the wheel is skipped until then. Reads no clock.
+An entry has an attribute `due`, in the unit of the wheel, and is in one slot. The cost of adding
+and removing an entry does not depend on the number of entries. An entry that is due after more than
+one turn of the wheel is skipped until then. Reads no clock.
 """
 
 from collections.abc import Iterator
@@ -29,7 +29,10 @@
         return self.count
 
     def put(self, entry: Any, due: int) -> None:
-        """Add an entry, which is due in the slot after the current slot at the earliest."""
+        """Add an entry that the wheel does not contain.
+
+        The entry is due in the slot after the current slot at the earliest.
+        """
         entry.due = max(due, (self.current_slot + 1) * self.slot_span)
         self._slot_of(entry)[entry] = None
         self.count += 1
@@ -39,7 +42,10 @@
         self._discard(self._slot_of(entry), entry)
 
     def advance(self, now: int) -> Iterator[Any]:
-        """Yield all entries due by `now`; a yielded entry was removed and may be added again."""
+        """Yield all entries due up to the end of the slot of `now`, so up to `slot_span` early.
+
+        A yielded entry was removed and may be added again.
+        """
         target_slot = now // self.slot_span
         # After a long pause each slot is checked once, not once per turn.
         first_slot = max(self.current_slot + 1, target_slot - len(self.slots) + 1)
--- a/corkgauge/flow_export/tls.py
+++ b/corkgauge/flow_export/tls.py
@@ -1,7 +1,7 @@
 """TLS client sessions with collectors, as a protocol machine without a socket.
 
 Runs one TLS session of the standard library's `ssl` over two ring buffers. Rejects a collector
-whose certificate is not valid for its name, and a key file that other users may read.
+whose certificate is not valid for its name, and a key file that other users may access.
 """
 
 import os
@@ -63,14 +63,17 @@
 
 
 def _check_key_mode(key: str) -> None:
-    """Raise an error if other users may read the key, as they could impersonate this gateway."""
+    """Raise an error if other users have any access to the key file.
+
+    Users who can read the key could impersonate this gateway.
+    """
     try:
         mode = os.stat(key).st_mode
     except OSError as problem:
         raise TlsConfigurationError(f"{key}: {_describe_error(problem)}") from None
     if mode & FORBIDDEN_KEY_MODE:
         raise TlsConfigurationError(
-            f"{key}: expected a key that its owner alone may read, found {mode & 0o777:o}"
+            f"{key}: found mode {mode & 0o777:o}, expected no access by group or others (chmod 600)"
         )
 
 
@@ -125,7 +128,11 @@
             return f"tls: {_describe_error(problem)}"
 
     def write(self, data: bytes) -> bool:
-        """Encrypt and send a whole message; returns False, with nothing sent, without room."""
+        """Encrypt and send a whole message.
+
+        Returns False, with nothing sent, if there is no room or if TLS failed. A failure of TLS
+        does not close the connection here.
+        """
         if not self.outward.reserve(len(self.outward) + len(data) + MAX_RECORD_BYTES):
             return False
         try:
--- a/corkgauge/flow_export/transports.py
+++ b/corkgauge/flow_export/transports.py
@@ -21,10 +21,11 @@
 
 OUTWARD_BUFFER_BYTES = 131_072  # for messages of a stream that wait for the socket
 DISCARD_BUFFER_BYTES = 4096  # for input from a collector, which is discarded
+# For both ring buffers of a stream; under TLS they are larger (see `tls`).
 STREAM_MEMORY_BYTES = 4 * OUTWARD_BUFFER_BYTES
 DIAL_TIMEOUT_TICKS = 2 * TICKS_PER_SECOND
 CLOSE_TIMEOUT_TICKS = TICKS_PER_SECOND  # limit for writing the ring buffer of a closing stream
-CLOSE_CHECK_TICKS = 50
+CLOSE_CHECK_TICKS = 50  # 5 ms between checks of the ring buffer of a closing stream
 
 
 class Transport(Protocol):
@@ -44,7 +45,7 @@
 
 
 class DatagramTransport:
-    """A connected UDP socket, whose next call reports a received ICMP error."""
+    """A connected UDP socket; the next system call on the socket reports a received ICMP error."""
 
     def __init__(
         self,
@@ -222,6 +223,7 @@
     def report_progress(self) -> None:
         """Notify the buffer of the bytes written, and store the length of the send queue.
 
+        Under TLS, the buffer is not notified here: only `on_output_drained` confirms messages.
         Bytes in the send queue of the operating system may be lost if the connection breaks.
         """
         connection = self.connection
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -1204,7 +1204,9 @@
 def test_key_file_readable_by_others_is_rejected(tmp_path):
     ca = make_certificate(tmp_path, "ca", "ca")
     client = make_certificate(tmp_path, "client", "n1", ca, key_mode=0o644)
-    with pytest.raises(TlsConfigurationError, match="its owner alone may read, found 644"):
+    with pytest.raises(
+        TlsConfigurationError, match=r"found mode 644, expected no access by group or others"
+    ):
         client_context(ca[2], client[2], client[3])
     with pytest.raises(TlsConfigurationError, match=r"nothing\.crt"):
         client_context(str(tmp_path / "nothing.crt"), "", "")
