--- a/corkgauge/flow_export/decoder.py
+++ b/corkgauge/flow_export/decoder.py
@@ -246,8 +246,8 @@
             value = body[position : position + length]
             if len(value) != length:
                 raise MalformedMessageError(
-                    f"record cut short: the set ends within the value at octet {position} "
-                    "after the set header"
+                    f"record cut short: the set ends before the end of the value at octet "
+                    f"{position} after the set header"
                 )
             position += length
             element = self.elements.get(key)
--- a/corkgauge/flow_export/message_parsing.py
+++ b/corkgauge/flow_export/message_parsing.py
@@ -131,14 +131,14 @@
     """Parse the length of a value of variable length (RFC 7011, 7)."""
     if start >= len(body):
         raise MalformedMessageError(
-            f"record cut short: the set ends within the length of a value at octet {start} "
+            f"record cut short: the set ends before the end of the length at octet {start} "
             "after the set header"
         )
     if body[start] < LONG_LENGTH_MARKER:
         return FieldLength(body[start], start + 1)
     if start + 3 > len(body):
         raise MalformedMessageError(
-            f"record cut short: the set ends within the length of a value at octet {start} "
+            f"record cut short: the set ends before the end of the length at octet {start} "
             "after the set header"
         )
     return FieldLength(int.from_bytes(body[start + 1 : start + 3], "big"), start + 3)
