--- a/corkgauge/accounting/auditor.py
+++ b/corkgauge/accounting/auditor.py
@@ -2,13 +2,15 @@
 
 Owns the passes over the records and the classification of differences. Free of I/O; uses no clock.
 The auditor must never derive a record from a count of the ledger and must never change either. One
-step checks at most one slice of the records; only their references are copied all at once.
-
-A pass is consistent although requests and attempts change between its slices: each part of a pass
-begins by copying the references of the records and the counts of the ledger in one step, while
-nothing else runs. The summed fields of a record (row and serial number) never change, so the copies
-represent that moment however long the pass takes. Fields that can change are checked record by
-record, against the tables at the time of the check.
+step checks at most one slice of the records. Copying references and counts, and the checks of sums
+at the end of a pass, are not divided into slices.
+
+A pass is consistent although requests and attempts change between its slices: each part that
+compares sums over records (requests, attempts) begins by copying the references of the records and
+the counts of the ledger in one step, while nothing else runs. The summed fields of a record (row
+and serial number) never change, so the copies represent that moment however long the pass takes.
+The other parts copy references only. They check fields that can change record by record, against
+the tables and counts at the time of the check.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -81,7 +83,11 @@
         self.equations: list[Callable[[], Iterable[tuple[str, int, str]]]] = []
 
     def step(self) -> bool:
-        """Check one slice; return whether this step ended the pass."""
+        """Check one slice; return whether this step ended the pass.
+
+        A step that ends a pass also prepares the next pass. The first call only prepares the first
+        pass: it checks nothing, counts as a pass and returns True.
+        """
         for _ in self.running_pass:
             return False
         self.running_pass = self._run_pass()
@@ -110,7 +116,7 @@
 
     def _check_requests(self) -> Iterator[None]:
         expected = copy_open_counts(self.ledger.request_classes.values())
-        entries = [*self.records.open_entries(), *self.records.answering_entries()]
+        entries = [*self.records.list_open_entries(), *self.records.list_answering_entries()]
         yield
         tallies: Tallies = {}
         yield from self._tally(entries, _get_row_of_request, tallies)
@@ -120,7 +126,7 @@
     def _check_attempts(self) -> Iterator[None]:
         expected_by_engine = copy_in_flight_counts(self.ledger.list_engine_rows())
         expected_by_class = copy_in_flight_counts(self.ledger.request_classes.values())
-        attempts = self.records.attempts_in_flight()
+        attempts = self.records.list_attempts_in_flight()
         yield
         tallies: Tallies = {}
         yield from self._tally(attempts, _get_engine_row_of_attempt, tallies)
@@ -172,8 +178,11 @@
             yield
 
     def _check_attempts_of_gateway(self) -> Iterator[None]:
-        """Compare the host's record of each attempt in flight with the gateway's record."""
-        for part in split_into_slices(self.records.attempts_in_flight(), self.slice_records):
+        """Compare the socket host's record of each attempt in flight with that of the policy.
+
+        The record of the policy is the one that `policy.gateway.Gateway` keeps.
+        """
+        for part in split_into_slices(self.records.list_attempts_in_flight(), self.slice_records):
             for attempt in part:
                 mismatch = self.records.find_attempt_mismatch(attempt)
                 if mismatch:
@@ -181,7 +190,7 @@
             yield
 
     def _check_engines_of_gateway(self) -> Iterator[None]:
-        for part in split_into_slices(self.records.engines(), self.slice_engines):
+        for part in split_into_slices(self.records.list_engines(), self.slice_engines):
             for engine in part:
                 name, mismatch = self.records.find_engine_mismatch(engine)
                 if mismatch:
@@ -191,7 +200,7 @@
             yield
 
     def _check_rows_without_engine(self) -> None:
-        listed = {self.records.engine_name(engine) for engine in self.records.engines()}
+        listed = {self.records.get_engine_name(engine) for engine in self.records.list_engines()}
         for name in self.ledger.engines.keys() - listed:
             self.discrepancies.record_difference(
                 DiscrepancyKind.ENGINE_MISMATCH,
@@ -212,7 +221,7 @@
 
     def _check_connections(self) -> None:
         pages = 0
-        sides = zip(self.ledger.sides, SIDE_NAMES, self.records.connections(), strict=True)
+        sides = zip(self.ledger.sides, SIDE_NAMES, self.records.count_connections(), strict=True)
         for side, name, (connections_up, pages_received) in sides:
             difference = side.opened - side.closed - connections_up
             self._check_sum(
@@ -238,21 +247,21 @@
     def _compare(
         self, expected: ExpectedTally, tallies: Tallies, classify: DifferenceClassifier
     ) -> None:
-        row, expected_count, expected_serials = expected
+        row, expected_count, expected_serial_sum = expected
         tally = tallies.get(row, _NO_RECORDS)
         difference = expected_count - tally.count
-        serials = expected_serials - tally.serials
-        if not difference and not serials:
+        serial_difference = expected_serial_sum - tally.serial_sum
+        if not difference and not serial_difference:
             return
         # A single request or attempt explains a difference of one, and the difference of the serial
         # sums is then its serial number. A live record that was never counted has serial number 0.
         if abs(difference) == 1:
-            serial = serials * difference
+            serial = serial_difference * difference
             if serial > 0 or (serial == 0 and difference < 0):
                 kind = classify(row, difference, serial)
                 self._record(kind, row, difference, f"serial {serial}", serial)
                 return
-        detail = f"serials differ by {serials}"
+        detail = f"serials differ by {serial_difference}"
         self._record(DiscrepancyKind.COUNT_ALTERED, row, difference, detail)
 
     def _classify_request(self, row: Row, difference: int, serial: int) -> DiscrepancyKind:
--- a/corkgauge/accounting/checkpoint.py
+++ b/corkgauge/accounting/checkpoint.py
@@ -6,8 +6,9 @@
 
 A slot is magic (8 bytes), version (2), length of the body (4), generation (8), xxHash64 (8) of the
 preceding fields and the body, and then the body in msgpack; little-endian. The slots are written
-alternately, so that the other slot remains complete if the power fails or the process is killed
-during a write.
+alternately, so that the other slot remains complete if the process is killed during a write. After
+a power failure both slots can be torn, because the operating system may write any part of the
+mapped file to the disk at any time.
 """
 
 from collections.abc import Sequence
@@ -56,7 +57,11 @@
 
 
 class CheckpointError(ValueError):
-    """Raised for a checkpoint that cannot be written or read."""
+    """Raised for a checkpoint that cannot be written or read.
+
+    The message is the size of a body that does not fit into a slot ("12345 bytes"), or the
+    `SlotProblem` of a file without a valid slot. Log lines and errors of the callers contain it.
+    """
 
 
 class Slot(NamedTuple):
@@ -106,7 +111,7 @@
     return Slot(generation, body, problem)
 
 
-def latest_slot(data: bytes) -> Slot:
+def find_latest_slot(data: bytes) -> Slot:
     """Return the newer valid slot of a file, or a slot with the problem if none is valid."""
     slots = [decode_slot(data[at : at + SLOT_BYTES]) for at in (0, SLOT_BYTES)]
     valid = [slot for slot in slots if slot.problem is None]
@@ -145,7 +150,7 @@
     Raises CheckpointError with the problem if there is no valid slot, and KeyError, TypeError or
     ValueError if the body has another structure.
     """
-    slot = latest_slot(data)
+    slot = find_latest_slot(data)
     if slot.problem is not None:
         raise CheckpointError(slot.problem)
     snapshot = slot.body["cut"]
--- a/corkgauge/accounting/discrepancies.py
+++ b/corkgauge/accounting/discrepancies.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_FINDINGS = 256  # findings that are kept; further ones are only counted
+MAX_FINDINGS = 256  # findings that are kept; observations of further ones are only counted
 
 Event = tuple[int, str, int]
 """Time (tenths of a millisecond), event kind, and serial number of the request or attempt."""
@@ -41,15 +41,21 @@
     TERMS_DIFFER = "terms differ"
     """An equation within one row does not hold."""
     ENGINE_MISMATCH = "engine out of step"
-    """The gateway and the host have different attempts in flight at an engine."""
+    """`policy.gateway.Gateway` and the socket host have different attempts in flight at an engine.
+
+    Also recorded if the ledger has a row for an engine that is not listed.
+    """
     SUMS_DIFFER = "books differ"
-    """Sums by request class and by engine, or by connection, differ."""
+    """Sums by request class and by engine, or by connection, differ.
+
+    Also recorded if an equation of another subsystem does not hold.
+    """
     OVER_BUDGET = "over budget"
     """A window has more retries and hedged attempts than the retry budget allows."""
 
 
 # Mistakes that make the counts lower than the records; their differences are negative.
-COUNTS_HOLD_LESS = frozenset(
+KINDS_WITH_NEGATIVE_DIFFERENCE = frozenset(
     {
         DiscrepancyKind.CLOSED_TWICE,
         DiscrepancyKind.ATTEMPT_CLOSED_TWICE,
@@ -94,7 +100,8 @@
         self.clock = clock
         self.log = log
         self.by_kind_and_row: dict[tuple[str, str], Discrepancy] = {}
-        self.omitted_count = 0  # findings beyond MAX_FINDINGS
+        # Observations of findings beyond MAX_FINDINGS; one such finding counts once in each pass.
+        self.omitted_count = 0
 
     @property
     def has_findings(self) -> bool:
@@ -104,7 +111,11 @@
     def record_difference(
         self, kind: str, row: str, difference: int, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
-        """Record a difference that a pass of the auditor found, replacing the previous one."""
+        """Record a difference that was observed, replacing the previous difference of its finding.
+
+        The finding keeps the events of its first observation. Its detail changes only when a new
+        line is logged.
+        """
         now = self.clock()
         found = self.by_kind_and_row.get((kind, row))
         if found is None:
@@ -129,7 +140,7 @@
         self, kind: str, row: str, detail: str = "", events: Sequence[Event] = ()
     ) -> None:
         """Record a wrong ledger entry, which changes the difference of its finding by 1 or -1."""
-        difference = -1 if kind in COUNTS_HOLD_LESS else 1
+        difference = -1 if kind in KINDS_WITH_NEGATIVE_DIFFERENCE else 1
         found = self.by_kind_and_row.get((kind, row))
         if found is not None:
             difference += found.difference
--- a/corkgauge/accounting/http_listener.py
+++ b/corkgauge/accounting/http_listener.py
@@ -1,7 +1,7 @@
 """Serves the counts over HTTP on a Unix socket or a loopback address, using h11.
 
     GET /metrics    Prometheus text        GET /figures    the snapshot as JSON
-    GET /findings   the discrepancies      POST /clear     clear the findings that an operator saw
+    GET /findings   the discrepancies      POST /clear     clear all findings
     and the routes of other subsystems, described in their own documentation
 
 Owns one listening socket and its few readers. The listener must not block the event loop and must
@@ -20,7 +20,7 @@
 
 import h11
 
-from corkgauge.accounting.json_text import join_chunks, json_chunks
+from corkgauge.accounting.json_text import encode_json_chunks, join_chunks
 from corkgauge.accounting.snapshot import Snapshot
 from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 
@@ -154,7 +154,12 @@
     def _read_request(
         self, sock: socket.socket, connection: h11.Connection, timeout_ticks: int
     ) -> HttpRequest | None:
-        """Return the next request, or None after the timeout or if the body is too large."""
+        """Return the next request, or None if no complete request can be received.
+
+        None is returned after the timeout, if the reader closes the connection, and if more data
+        follows once the body exceeds MAX_BODY_BYTES. The last chunk of a body may exceed that
+        limit, because the size is checked before the chunk is added.
+        """
         head: h11.Request | None = None
         body = b""
         deadline = self.event_loop.now + timeout_ticks
@@ -179,10 +184,10 @@
                 # The metrics library is loaded on the first scrape only, because it needs memory.
                 from corkgauge.accounting import exposition
 
-                chunks = exposition.text_chunks(self.take_snapshot())
+                chunks = exposition.render_text_chunks(self.take_snapshot())
                 return HttpResponse(200, exposition.CONTENT_TYPE, chunks)
             case b"GET", b"/figures":
-                return HttpResponse(200, JSON_TYPE, json_chunks(self.take_snapshot()))
+                return HttpResponse(200, JSON_TYPE, encode_json_chunks(self.take_snapshot()))
             case b"GET", b"/findings":
                 return _json_response(200, self.take_snapshot()["audit"])
             case b"POST", b"/clear":
--- a/corkgauge/accounting/latency_sketches.py
+++ b/corkgauge/accounting/latency_sketches.py
@@ -14,7 +14,8 @@
 LATENCY = "latency"  # of requests, from acceptance to their answer, by request class
 WAIT = "wait"  # of requests, from acceptance to their first attempt, by request class
 SERVICE = "service"  # of attempts that succeeded, by engine
-BOUNDS_SECONDS = (
+# Upper bounds of the buckets of exported histograms.
+HISTOGRAM_BOUNDS_SECONDS = (
     0.001,
     0.0025,
     0.005,
@@ -34,7 +35,10 @@
 SECONDS_PER_TICK = 1e-4
 
 SketchFields = Mapping[str, Any]
-"""A sketch as JSON: `{"what", "whose", "error", "count", "sum", "bins"}`, with bins by key."""
+"""A sketch as a dict that JSON can encode, with bins by key.
+
+The keys are `{"what", "whose", "error", "count", "sum", "bins"}`.
+"""
 
 
 class Subject(NamedTuple):
@@ -47,11 +51,11 @@
 class LatencySketches:
     """Records times; each measured time has its own method.
 
-    `error` is the relative error of quantiles. Spans are tenths of a millisecond.
+    `relative_error` is the relative error of quantiles. Spans are tenths of a millisecond.
     """
 
-    def __init__(self, error: float) -> None:
-        self.error = error
+    def __init__(self, relative_error: float) -> None:
+        self.relative_error = relative_error
         self.sketches: dict[Subject, DDSketch] = {}
 
     def record_answered(self, request_class: str, span_ticks: int) -> None:
@@ -77,20 +81,21 @@
             self._get_sketch(Subject(SERVICE, into)).merge(removed)
 
     def fields(self) -> list[dict[str, Any]]:
-        """Return all sketches as JSON, as the functions of this module expect them."""
+        """Return all sketches as dicts, which JSON can encode and the functions below accept."""
         return [_encode(subject, sketch) for subject, sketch in self.sketches.items()]
 
     def _get_sketch(self, subject: Subject) -> DDSketch:
         sketch = self.sketches.get(subject)
         if sketch is None:
-            sketch = self.sketches[subject] = DDSketch(self.error)
+            sketch = self.sketches[subject] = DDSketch(self.relative_error)
         return sketch
 
     def _add(self, subject: Subject, span_ticks: int) -> None:
+        # A span of 0 is recorded as 1 tick, because the bins of a sketch do not contain zeros.
         self._get_sketch(subject).add(max(span_ticks, 1))
 
 
-def merge_sketches(several: Iterable[SketchFields]) -> dict[str, Any]:
+def merge_sketches(sketches: Iterable[SketchFields]) -> dict[str, Any]:
     """Merge sketches of one subject.
 
     >>> one, other = LatencySketches(0.02), LatencySketches(0.02)
@@ -99,7 +104,7 @@
     >>> both["count"], abs(quantile(both, 0.5) - 0.05) < 0.002
     (999, True)
     """
-    first, *others = several
+    first, *others = sketches
     sketch = _decode(first)
     for other in others:
         sketch.merge(_decode(other))
@@ -127,7 +132,7 @@
     found = list[tuple[str, float]]()
     next_bin = 0
     count = 0
-    for bound in BOUNDS_SECONDS:
+    for bound in HISTOGRAM_BOUNDS_SECONDS:
         while next_bin < len(bins) and bins[next_bin][0] <= bound:
             count += bins[next_bin][1]
             next_bin += 1
--- a/corkgauge/accounting/service.py
+++ b/corkgauge/accounting/service.py
@@ -79,6 +79,8 @@
         self.gateway = gateway
         self.config = config
         now = host.event_loop.now
+        # The epoch id is the start in milliseconds (hexadecimal) and a CRC of seed, start in ticks
+        # and gateway.
         suffix = crc32(f"{seed} {now} {gateway}".encode())
         self.epoch = {"id": f"{now // 10:x}-{suffix:08x}", "started": now}
         if config.latency_relative_error:
@@ -87,14 +89,19 @@
             host.latency_sketches = LatencySketches(config.latency_relative_error)
         self.checkpoint_file = self._open_checkpoint_file(config)
         if self.checkpoint_file is not None:
-            self._write_checkpoint(self.checkpoint_file)
+            self._write_checkpoints_periodically(self.checkpoint_file)
         self.http_listener = self._open_listener(config)
 
     def reload(self, config: AccountingConfig) -> None:
-        """Apply a changed element; checkpoint and sketch settings take effect after a restart.
+        """Apply a changed element.
 
-        A changed listener address takes effect at once. Raises ConfigurationError, and changes
-        nothing, if the service cannot listen on the new address.
+        A changed listener address takes effect at once. A changed checkpoint folder or sketch error
+        takes effect after a restart. A changed checkpoint interval takes effect after the next
+        checkpoint, although the log line lists `keep_each` among the settings that need a restart.
+
+        Raises ConfigurationError, and changes nothing, if the service cannot listen on the new
+        address. A change of `readers` alone also raises ConfigurationError, because the new
+        listener cannot be opened on the address while the old listener is open.
         """
         before = self.config
         if (config.listen, config.readers) != (before.listen, before.readers):
@@ -136,11 +143,13 @@
             self.http_listener.close()
             self.http_listener = None
 
-    def _write_checkpoint(self, checkpoint_file: "CheckpointFile") -> None:
-        """Write the counts where they survive a kill, now and after each checkpoint interval."""
+    def _write_checkpoints_periodically(self, checkpoint_file: "CheckpointFile") -> None:
+        """Write a checkpoint, which survives a kill, and schedule the next one."""
         checkpoint_file.write(self._take_counts())
         self.host.event_loop.call_later(
-            self.config.checkpoint_interval_ticks, self._write_checkpoint, checkpoint_file
+            self.config.checkpoint_interval_ticks,
+            self._write_checkpoints_periodically,
+            checkpoint_file,
         )
 
     def _take_counts(self) -> Snapshot:
--- a/corkgauge/flow_export/exporter.py
+++ b/corkgauge/flow_export/exporter.py
@@ -92,11 +92,13 @@
         # Collectors.
         self.collectors: dict[CollectorPeer, ConfiguredCollector] = {}
         self.transports: dict[CollectorPeer, Transport] = {}
+        # By the address of the collector. In the mode `first`, the only buffer is named "first",
+        # and log lines then show that name as the name of the collector.
         self.buffers: dict[str, ExportBuffer] = {}
 
         self._configure(settings, read_collectors(settings))
         socket_host.flow_export = self
-        socket_host.auditor.equations.append(self.balance_checks)
+        socket_host.auditor.equations.append(self.get_balance_checks)
         self.event_loop.call_later(CHECK_PERIOD_TICKS, self.on_timer)
 
     # Callbacks of the socket host and of the event loop.
@@ -196,7 +198,10 @@
         return ExportBuffer(self, layout, self.domain, peers, pending, self.seed, self.started_at)
 
     def _remove_buffer(self, name: str, buffer: ExportBuffer, layout: Layout) -> None:
-        """Disconnect from a collector that is no longer configured and drop its pending records."""
+        """Disconnect the collectors of a buffer and drop its pending records.
+
+        A buffer is removed if its collector is no longer configured or if the mode changed.
+        """
         buffer.reconfigure([], layout, self.event_loop.now)
         self.socket_host.log(
             f"collector {name} left, {buffer.pending.octets} octets were held for it"
@@ -234,7 +239,7 @@
 
     # Totals.
 
-    def balance_checks(self) -> list[BalanceCheck]:
+    def get_balance_checks(self) -> list[BalanceCheck]:
         """Return the equations of flow export for the auditor."""
         checks = [
             BalanceCheck(
@@ -274,7 +279,7 @@
             "dropped": pending.dropped_octets,
             "unsure": totals.uncertain_octets,
             "repeated": totals.repeated_octets,
-            "merged": pending.merged_flows,
+            "merged": pending.merged_record_count,
             "messages": totals.sent_messages,
             "records": totals.exported_records,
             "flows": len(self.meter.flows),
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -515,9 +515,11 @@
     assert (
         pending.dropped_octets == 0
         and pending.measured_octets == pending.octets
-        and pending.merged_flows >= 480
+        and pending.merged_record_count >= 480
+    )
+    assert (
+        sum(each.flow_count for each in pending.aggregates.values()) == pending.merged_record_count
     )
-    assert sum(each.flow_count for each in pending.aggregates.values()) == pending.merged_flows
     for flow_id in range(500):
         pending.add(make_delta(flow_id, engine=f"other{flow_id}", zone=f"hall{flow_id % 40}"))
     assert (
@@ -1204,7 +1206,9 @@
 def test_key_file_readable_by_others_is_rejected(tmp_path):
     ca = make_certificate(tmp_path, "ca", "ca")
     client = make_certificate(tmp_path, "client", "n1", ca, key_mode=0o644)
-    with pytest.raises(TlsConfigurationError, match="its owner alone may read, found 644"):
+    with pytest.raises(
+        TlsConfigurationError, match=r"found mode 644, expected no access by group or others"
+    ):
         client_context(ca[2], client[2], client[3])
     with pytest.raises(TlsConfigurationError, match=r"nothing\.crt"):
         client_context(str(tmp_path / "nothing.crt"), "", "")
