--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -94,18 +94,18 @@
     fleet = Fleet(7, 3, lease=lease, each=0.05, period=0.3)
     try:
         fleet.start()
-        fleet.held(10)
-        fleet.weather("lose", loss)
+        fleet.wait_for_lease_action(10)
+        fleet.set_network_fault("lose", loss)
         for _ in range(times):
             fleet.until(2.2 * lease + 0.5)
-            if not fleet.held(10):
+            if not fleet.wait_for_lease_action(10):
                 break
-            before, changes = fleet.holder(), len(fleet.changes())
-            fleet.befall(Fault(0, int(2.5 * lease * SECOND), sort, (before,)))
+            before, changes = fleet.holder(), len(fleet.find_holder_changes())
+            fleet.apply_fault(Fault(0, int(2.5 * lease * SECOND), sort, (before,)))
             if fleet.until(8 * lease + 3, lambda: fleet.holder() == before):
-                spans.append(fleet.changes()[changes][1] / SECOND)
+                spans.append(fleet.find_holder_changes()[changes][1] / SECOND)
             fleet.until(2.5 * lease)
-        return spans, fleet.wrong()
+        return spans, fleet.find_lease_violations()
     finally:
         fleet.close()
 
@@ -165,16 +165,16 @@
     fleet = Fleet(9, 5, lease=1.0, each=0.05)
     try:
         fleet.start()
-        fleet.held(10)
-        fleet.weather("lose", loss)
-        before, begun = len(fleet.changes()), fleet.event_loop.now
+        fleet.wait_for_lease_action(10)
+        fleet.set_network_fault("lose", loss)
+        before, begun = len(fleet.find_holder_changes()), fleet.event_loop.now
         fleet.until(seconds)
         hours = (fleet.event_loop.now - begun) / SECOND / 3600
-        many = len(fleet.changes()) - before
+        many = len(fleet.find_holder_changes()) - before
         gone = sum(" gone, was" in line for line in fleet.logs())
         return (
             f"loss {loss}: {many} hand-overs in {hours * 3600:.0f} s, {many / hours:.0f} an hour at a lease of "
-            f"1 s; fellows held gone {gone}; objections {len(fleet.wrong())}"
+            f"1 s; fellows held gone {gone}; objections {len(fleet.find_lease_violations())}"
         )
     finally:
         fleet.close()
@@ -288,7 +288,8 @@
 
     def seen(name, state):
         return sum(
-            each["state"] == state for each in fleet.asked(name, "/fellows")["fellows"].values()
+            each["state"] == state
+            for each in fleet.query_gateway(name, "/fellows")["fellows"].values()
         )
 
     try:
@@ -300,24 +301,25 @@
             f"30 processes: all see 30 others (the judge among them) {(fleet.event_loop.now - fleet.begun) / SECOND:.1f} s "
             "after the first start"
         )
-        before = [fleet.asked(name, "/fellows")["counters"]["sent"] for name in names[:5]]
+        before = [fleet.query_gateway(name, "/fellows")["counters"]["sent"] for name in names[:5]]
         begun = fleet.event_loop.now
         fleet.until(10)
-        after = [fleet.asked(name, "/fellows")["counters"]["sent"] for name in names[:5]]
+        after = [fleet.query_gateway(name, "/fellows")["counters"]["sent"] for name in names[:5]]
         print(
             f"letters of fellows and duties a second and gateway, five of them: "
             f"{[round((b - a) / ((fleet.event_loop.now - begun) / SECOND), 1) for a, b in zip(before, after)]}"
         )
-        fleet.befall(Fault(0, 60 * SECOND, "kill", (dead,)))
+        fleet.apply_fault(Fault(0, 60 * SECOND, "kill", (dead,)))
         begun = fleet.event_loop.now
         while any(
-            fleet.asked(name, "/fellows")["fellows"][dead]["state"] != "gone" for name in names[:3]
+            fleet.query_gateway(name, "/fellows")["fellows"][dead]["state"] != "gone"
+            for name in names[:3]
         ):
             fleet.until(0.2)
         print(
             f"three that were asked all hold a killed one gone {(fleet.event_loop.now - begun) / SECOND:.1f} s after"
         )
-        print(f"objections {len(fleet.wrong())}, holder {fleet.holder()}")
+        print(f"objections {len(fleet.find_lease_violations())}, holder {fleet.holder()}")
     finally:
         fleet.close()
 
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -163,9 +163,9 @@
 
 
 def one_load(tree, seconds, rate, operator):
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
-    play = Day(
+    play = GatewayScenario(
         5,
         (),
         rate=rate,
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -180,9 +180,9 @@
 
 def one_load(sort, seconds, rate):
     from corkgauge.testkit.emulators.collector import EmulatedCollector
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
-    play = Day(5, (), rate=rate, scrapes=0, gives_up=0.0, hangs_up=0.01, operator="")
+    play = GatewayScenario(5, (), rate=rate, scrapes=0, gives_up=0.0, hangs_up=0.01, operator="")
     heard = []
     if sort != "none":
         transport = "tcp" if sort == "deaf" else "udp"
@@ -259,9 +259,9 @@
     from corkgauge.flow_export.report_rows import rows_of
     from corkgauge.testkit.emulators.collector import EmulatedCollector
     from corkgauge.testkit.faults.script import read
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
-    play = Day(
+    play = GatewayScenario(
         5,
         read("at 10 for 10: e1 slow 30\nat 10 for 10: e2 slow 30", ["e1", "e2", "e3", "e4"]),
         rate=250,
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -52,7 +52,7 @@
 
     def declare_known(self) -> None:
         """Tell the fleet that nothing is out, as an operator does after a first start."""
-        command = self.crew.wish({"do": "known", "out": []}, "")
+        command = self.crew.send_command({"do": "known", "out": []}, "")
         self._wait_for("the first answer", lambda: command in self.crew.answers)
 
     def hand_over_lease(self) -> None:
@@ -60,24 +60,24 @@
         for _ in range(4):
             before = self.fleet.holder()
             version = "other" if before in self.other_version else "this"
-            self.fleet.befall(Fault(0, CUT, "cut", (before,)))
+            self.fleet.apply_fault(Fault(0, CUT, "cut", (before,)))
             self._wait_for("another holder", lambda was=before: self.fleet.holder() != was)
             print(f"lease: from {before} ({version} version) to {self.fleet.holder()}")
             self.fleet.until(3 * LEASE)
 
     def work_off(self, engine: str, number: int) -> None:
         """One maintenance request, while its planner is cut off."""
-        self.crew.ask("engine", engine)
-        self._wait_for("a planner", lambda: bool(self.crew.seen.get("holder")))
-        planner = self.crew.seen["holder"]
-        self.fleet.befall(Fault(0, CUT, "cut", (planner,)))
-        self._wait_for("the work's end", lambda: bool(self.crew.over(number)), 60)
+        self.crew.request_maintenance("engine", engine)
+        self._wait_for("a planner", lambda: bool(self.crew.last_plan.get("holder")))
+        planner = self.crew.last_plan["holder"]
+        self.fleet.apply_fault(Fault(0, CUT, "cut", (planner,)))
+        self._wait_for("the work's end", lambda: bool(self.crew.has_finished(number)), 60)
         print(f"maintenance: {engine} worked off, its planner {planner} cut off meanwhile")
 
     def kill_one_of_each(self) -> None:
         """Kill a gateway of each version; the fleet's rig starts them again."""
         for name in (self.other_version[0], [*self.fleet.gateways][0]):
-            self.fleet.befall(Fault(0, 0, "kill", (name,)))
+            self.fleet.apply_fault(Fault(0, 0, "kill", (name,)))
             self.fleet.until(3 * LEASE)
             print(f"killed and started again: {name}")
 
@@ -86,7 +86,7 @@
         return [
             f"{name}: {counter} {count}"
             for name in self.fleet.gateways
-            for counter, count in self.fleet.asked(name, "/fellows")["counters"].items()
+            for counter, count in self.fleet.query_gateway(name, "/fellows")["counters"].items()
             if counter.startswith("letters ") and counter not in EXPECTED_COUNTERS
         ]
 
@@ -109,8 +109,8 @@
         bad_lines = ("exceptions stopped", "Traceback", "unreadable", "not read")
         return [
             *wrong(self.crew.book, runs, engines, limits, 1_000),
-            *self.fleet.broken(RULE_SLACK),
-            *self.fleet.wrong(),
+            *self.fleet.find_rule_violations(RULE_SLACK),
+            *self.fleet.find_lease_violations(),
             *[line for line in logs if any(bad in line for bad in bad_lines)],
         ]
 
--- a/benchmarks/recall.py
+++ b/benchmarks/recall.py
@@ -27,7 +27,7 @@
 from corkgauge.eventloop.loop import SECOND  # noqa: E402
 from corkgauge.testkit.emulators.clients import Want  # noqa: E402
 from corkgauge.testkit.faults.script import read  # noqa: E402
-from corkgauge.testkit.fleet.day import Day  # noqa: E402
+from corkgauge.testkit.fleet.day import GatewayScenario  # noqa: E402
 from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
 
 NAMES = [f"e{n}" for n in range(1, 7)]
@@ -48,10 +48,16 @@
 def kills_of(count, seed):
     """One lane: killed each 0.5 s. Starts, those that recalled, and lines that should not be."""
     script = "".join(f"at {1 + 0.5 * n:.2f}: program kill\n" for n in range(count))
-    play = Day(seed, read(script, NAMES), engines=6, rate=150, scrapes=0, operator=operator(True))
+    play = GatewayScenario(
+        seed, read(script, NAMES), engines=6, rate=150, scrapes=0, operator=operator(True)
+    )
     try:
         play.run(1.5 + 0.5 * count, drain=1.0)
-        log, killed, broken = play.program.log(), len(play.program.kills), play.broken(2500)
+        log, killed, broken = (
+            play.program.log(),
+            len(play.program.kills),
+            play.find_rule_violations(2500),
+        )
     finally:
         play.close()
     return (
@@ -80,7 +86,7 @@
     script = "at 0.1 for 20: all slow 12\n" + "".join(
         f"at {n}: program kill\n" for n in range(1, 11)
     )
-    play = Day(
+    play = GatewayScenario(
         seed,
         read(script, NAMES),
         engines=6,
@@ -89,12 +95,12 @@
         operator=operator(recall),
         group="zone",
         retries=True,
-        wants=LOADS,
+        request_types=LOADS,
         clients=12,
     )
     try:
         play.run(11, drain=3.0)
-        broken = play.broken(2500)
+        broken = play.find_rule_violations(2500)
         again = sum(len(labels) > 1 for labels in retried(play).values())
     finally:
         play.close()
@@ -130,7 +136,7 @@
     troubles = "at 0.1 for 30: e1 slow 10\nat 0.1 for 30: e4 silent\n"
     if wrong:  # until the restart only: then all engines are others
         troubles = "at 0.1 for 7.9: e1 slow 10\nat 0.1 for 7.9: e4 silent\n"
-    play = Day(
+    play = GatewayScenario(
         seed,
         read(troubles + "at 8: program kill", NAMES),
         engines=6,
@@ -175,7 +181,7 @@
 
 
 def cost_of(sort):
-    play = Day(
+    play = GatewayScenario(
         5,
         (),
         engines=6,
@@ -183,7 +189,7 @@
         scrapes=0,
         gives_up=0.0,
         hangs_up=0.0,
-        wants=LOADS,
+        request_types=LOADS,
         clients=24,
         operator=operator(sort != "off", sort),
     )
@@ -252,12 +258,12 @@
         if which == "replaced":
             for name in ("e1", "e3", "e4", "e6"):  # the list names the same machines anew
                 for gateway, feed in fleet.feeds.items():
-                    other = fleet.reached(gateway, name)
+                    other = fleet.engine_for_gateway(gateway, name)
                     other.name = name + "b"
                     feed.told([other])
-                    feed.told([fleet.reached(gateway, name)], "DELETED")
+                    feed.told([fleet.engine_for_gateway(gateway, name)], "DELETED")
         begun = fleet.event_loop.now
-        fleet.befall(Fault(0, 500, "kill", whom))
+        fleet.apply_fault(Fault(0, 500, "kill", whom))
         fleet.until(6)
         over = fleet.event_loop.now
         fleet.settle()
--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -26,8 +26,15 @@
 from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.policy.records import EngineState
 from corkgauge.testkit.fleet import profile_sampler as sampled
-from corkgauge.testkit.fleet.hollow_gateway import RATE, TABLE_GROUPS, Alone, Front, busy, listing
-from corkgauge.testkit.fleet.hollow_serve import Serve
+from corkgauge.testkit.fleet.hollow_gateway import (
+    REQUESTS_PER_SECOND,
+    TABLE_GROUP_COUNT,
+    SocketPairFrontEnd,
+    StandaloneGatewayHost,
+    burn_cpu,
+    engine_list_event,
+)
+from corkgauge.testkit.fleet.hollow_serve import HollowServeProcess
 
 FULL, CLIENTS, OPEN = (
     1_800,
@@ -93,9 +100,9 @@
 
 def decision(run: Run, engines: int, **more: Any) -> float:
     """Ms a statement, over a window of whole periods."""
-    alone = Alone(engines, **more)
-    alone.play(alone.drawn(max(WARM, int(1.2 * alone.hold * alone.rate / 10_000))))
-    statements = alone.drawn(run.window)
+    alone = StandaloneGatewayHost(engines, **more)
+    alone.play(alone.draw_requests(max(WARM, int(1.2 * alone.hold * alone.rate / 10_000))))
+    statements = alone.draw_requests(run.window)
     before = alone.refused
     cost = alone.play(statements) * 1000 / run.window
     if alone.refused - before > 0.05 * run.window:
@@ -107,12 +114,12 @@
 
 DECISION = (
     "processor of the module a statement, its host's made-up clock with it: taken, handed off, answered; "
-    f"870 gateways, {RATE:.0f} statements a second, four classes, 20 tenants"
+    f"870 gateways, {REQUESTS_PER_SECOND:.0f} statements a second, four classes, 20 tenants"
 )
 
 
 def by_engines(run: Run) -> list[dict[str, Any]]:
-    what = f"{DECISION}, {TABLE_GROUPS} table groups drawn unevenly (1 / k)"
+    what = f"{DECISION}, {TABLE_GROUP_COUNT} table groups drawn unevenly (1 / k)"
     return [
         run.slope(
             "alone.decision.engines",
@@ -145,7 +152,7 @@
         run.slope(
             "alone.decision.tenants",
             f"{DECISION[: DECISION.rindex(',')]}, tenants drawn unevenly (1 / k), "
-            f"{TABLE_GROUPS} table groups, 40 engines",
+            f"{TABLE_GROUP_COUNT} table groups, 40 engines",
             "ms",
             "tenants",
             (1, 10, 100, 300),
@@ -164,7 +171,9 @@
             "ms",
             "open requests",
             (10, 100, 1_000, 3_000),
-            lambda n: decision(run, 40, hold=int(n / RATE * 10_000), cores=OPEN_CORES),
+            lambda n: decision(
+                run, 40, hold=int(n / REQUESTS_PER_SECOND * 10_000), cores=OPEN_CORES
+            ),
             OPEN,
         )
     ]
@@ -173,7 +182,7 @@
 def by_gateways(run: Run) -> list[dict[str, Any]]:
     what = (
         DECISION.replace("870 gateways", "so many gateways told, 40 engines")
-        + f", {TABLE_GROUPS} table groups"
+        + f", {TABLE_GROUP_COUNT} table groups"
     )
     return [
         run.slope(
@@ -192,7 +201,7 @@
     """Paired: what stands beside each other in one run is disturbed alike."""
     rows = []
     for key, groups, part in (
-        ("alone.decision.ratio", TABLE_GROUPS, 1),
+        ("alone.decision.ratio", TABLE_GROUP_COUNT, 1),
         ("alone.decision.ratio.one_group", 1, 5),
     ):
         brief, ratios = Run(run.quick, run.full, run.engines, run.command), []
@@ -211,10 +220,10 @@
 
 def change(engines: int) -> float:
     """ms: one engine leaves the list, and the next statement of every table group, less what those cost anyway."""
-    alone, spent = Alone(engines), []
-    alone.play(alone.drawn(WARM))
+    alone, spent = StandaloneGatewayHost(engines), []
+    alone.play(alone.draw_requests(WARM))
     for leaves in False, False, True:
-        statements = alone.drawn(TABLE_GROUPS)
+        statements = alone.draw_requests(TABLE_GROUP_COUNT)
         for group, (_, request) in enumerate(statements):
             request.table_group = float(group)
         begun = time.process_time()
@@ -229,7 +238,7 @@
 def by_change(run: Run) -> list[dict[str, Any]]:
     what = (
         f"one engine leaves the list: processor of the module, with what it costs the next statement of each of "
-        f"{TABLE_GROUPS} table groups more"
+        f"{TABLE_GROUP_COUNT} table groups more"
     )
     return [run.slope("alone.decision.change", what, "ms", "engines", ENGINES, change, run.engines)]
 
@@ -246,18 +255,22 @@
 ) -> float:
     """Ms a statement, over a window after the links have come up."""
     bounded(2, 300 + 0.1 * engines)
-    serve = Serve(engines, start=start)
+    serve = HollowServeProcess(engines, start=start)
     try:
-        serve.ready()
+        serve.start_and_wait()
         serve.until(0.3)
-        rests = serve.program.spent()
+        rests = serve.program.cpu_seconds()
         serve.until(1)
-        rests = serve.program.spent() - rests
-        serve.begin(rate)
+        rests = serve.program.cpu_seconds() - rests
+        serve.start_clients(rate)
         serve.until(SETTLES / (4 if run.quick else 1))
-        begun, asked, lasts = serve.program.spent(), serve.asked(), lasts / (4 if run.quick else 1)
+        begun, asked, lasts = (
+            serve.program.cpu_seconds(),
+            serve.sent_request_count(),
+            lasts / (4 if run.quick else 1),
+        )
         serve.until(lasts)
-        spent, asked = serve.program.spent() - begun, serve.asked() - asked
+        spent, asked = serve.program.cpu_seconds() - begun, serve.sent_request_count() - asked
         tally = serve.tally()
         if tally["served"] < 0.95 * (tally["asked"] - tally["none"]):
             raise RuntimeError(f"another load: {tally}")
@@ -307,18 +320,18 @@
 
 
 def list_start(engines: int) -> float:
-    front, data = Front(0), json.dumps(listing(2, engines))
+    front, data = SocketPairFrontEnd(0), json.dumps(engine_list_event(2, engines))
     begun = time.process_time()
-    front.told(data)
+    front.apply_list_event(data)
     return 1000 * (time.process_time() - begun)
 
 
 def list_change(engines: int) -> float:
-    front, spent = Front(engines), []
+    front, spent = SocketPairFrontEnd(engines), []
     for n in range(5):
-        data = front.changed(n % engines)
+        data = front.next_restart_event(n % engines)
         begun = time.process_time()
-        front.told(data)
+        front.apply_list_event(data)
         spent.append(1000 * (time.process_time() - begun))
     return median(spent)
 
@@ -372,17 +385,17 @@
 
 
 def memory_of_engines(engines: int) -> float:
-    return held(lambda: lambda: Front(engines))
+    return held(lambda: lambda: SocketPairFrontEnd(engines))
 
 
 def memory_of_links(links: int) -> float:
     descriptors(2 * links)
-    front = Front(100)
+    front = SocketPairFrontEnd(100)
     try:
 
         def grow() -> None:
             for n in range(links):
-                front.link(n % 100)
+                front.add_engine_connection(n % 100)
             front.turn()
 
         return held(lambda: grow)
@@ -392,7 +405,7 @@
 
 def memory_of_clients(clients: int) -> float:
     descriptors(2 * clients)
-    front = Front(1)
+    front = SocketPairFrontEnd(1)
     try:
 
         def grow() -> None:
@@ -408,16 +421,16 @@
 def memory_of_open(count: int) -> float:
     clients, engines = -(-count // 30), 40
     descriptors(2 * clients + 2 * 10 * engines)
-    front = Front(engines, 2_000)
+    front = SocketPairFrontEnd(engines, 2_000)
     try:
         for n in range(10 * engines):
-            front.link(n % engines)
+            front.add_engine_connection(n % engines)
         client_connections = [front.client() for _ in range(clients)]
         front.turn()
 
         def grow() -> None:
             for n in range(count):
-                front.ask(client_connections[n % clients], 1 + n // clients)
+                front.send_request(client_connections[n % clients], 1 + n // clients)
                 if n % 200 == 199:
                     front.turn(2)
             front.turn(8)
@@ -436,7 +449,7 @@
 
 def memory_of_tenants(tenants: int) -> float:
     def make() -> Callable[[], Any]:
-        return lambda: Alone(40, tenants=tenants)
+        return lambda: StandaloneGatewayHost(40, tenants=tenants)
 
     return held(make)
 
@@ -548,9 +561,9 @@
 
     def ready(engines: int) -> float:
         bounded(2, 100 + 0.1 * engines)
-        serve = Serve(engines)
+        serve = HollowServeProcess(engines)
         try:
-            _, processor = serve.ready()
+            _, processor = serve.start_and_wait()
             resident.setdefault(engines, []).append(serve.program.memory() / 2**20)
             return processor
         finally:
@@ -615,9 +628,9 @@
     for engines in 10, 40:
         gc.collect()
         whole = median(1000 * decision(run, engines) for _ in range(3))
-        alone = Alone(engines)
-        alone.play(alone.drawn(WARM))
-        statements, profile = alone.drawn(run.window), cProfile.Profile()
+        alone = StandaloneGatewayHost(engines)
+        alone.play(alone.draw_requests(WARM))
+        statements, profile = alone.draw_requests(run.window), cProfile.Profile()
         profile.runcall(alone.play, statements)
         found: dict[str, list[float]] = {}
         for (file, _, name), (_, calls, own, _, _) in pstats.Stats(profile).stats.items():
@@ -677,7 +690,7 @@
             start=("-m", "corkgauge.testkit.fleet.profile_sampler", file.name),
             lasts=4 * LASTS,
         )
-        looks, on_top, within = sampled.read(file.name)
+        looks, on_top, within = sampled.read_samples(file.name)
     print(
         f"alone.profile.sockets: {whole:.0f} µs a statement, {watched:.0f} watched, {looks} samples",
         file=sys.stderr,
@@ -813,7 +826,7 @@
     )
     run, found = Run(quick, full, engines, said), []
     gc.disable()  # as the program that serves does
-    busy(0.3)
+    burn_cpu(0.3)
     for key in wanted:
         part = PARTS[key](run)
         found += part
--- a/benchmarks/scale_fleet.py
+++ b/benchmarks/scale_fleet.py
@@ -19,7 +19,7 @@
 
 from benchmarks.scale_fleet_parts import findings_rows, order_rows
 from benchmarks.scaling import HOME, TooLarge, bounded, kept, single, slope
-from corkgauge.testkit.fleet.hollow_fleet import VOTERS, Fleet, Late
+from corkgauge.testkit.fleet.hollow_fleet import VOTER_COUNT, Fleet, FleetTimeoutError
 from corkgauge.testkit.fleet.hollow_node import ELEMENTS
 
 FULL = 870
@@ -233,7 +233,7 @@
 
 def at_rest(fleet: Fleet, scale: float) -> None:
     """A fleet that has been up for long, with its duties held."""
-    fleet.at_rest()
+    fleet.start_at_rest()
     fleet.until_known(LONGEST)
     for duty in ("books", "works"):
         if duty in fleet.elements or (duty == "books" and "duties" in fleet.elements):
@@ -439,7 +439,7 @@
             for phase in phases:
                 say(f"{size}: {phase}")
                 PHASES[phase](fleet, values, scale)
-        except Late as problem:
+        except FleetTimeoutError as problem:
             run["late"] = f"{phase}: {problem}"
             say(f"{size}: not come to its end, {run['late']}")
         run["troubles"] = sum(each["troubles"] for each in fleet.counters())
@@ -555,13 +555,13 @@
         raise click.BadParameter(f"{wrong[0]!r}: expected some of {known}")
     for size in wanted:
         try:
-            processes = -(-size // EACH) + VOTERS + 1
+            processes = -(-size // EACH) + VOTER_COUNT + 1
             bounded(processes, 45 * processes + size * (0.5 + 0.004 * size))
         except TooLarge as problem:
             raise TooLarge(f"fleet of {size}: {problem}") from None
     runs = []
     for size in wanted:
-        say(f"{size} workload managers and {VOTERS} voters")
+        say(f"{size} workload managers and {VOTER_COUNT} voters")
         elements = [each for each in ELEMENTS if each not in without.split(",")]
         for some in [["start"], [each for each in chosen if each != "start"]]:
             if some and {*some} <= {*chosen}:
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -26,8 +26,8 @@
 from corkgauge.model.dissemination import spread
 from corkgauge.net.discovery_protocol import DiscoveryProtocol
 from corkgauge.net.host import UnstartedHost, build_settings
-from corkgauge.testkit.fleet.day import KINDS, settings
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.day import ENGINE_KINDS, settings
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 
 FULL, GATEWAYS = 1_800, 870
 ENGINES = 10, 40, 100, 400, 1_000
@@ -61,7 +61,7 @@
             "id": f"e{n:0{id_size - 1}d}",
             "addr": f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:9090",
             "zone": stated["azs"][n % 2],
-            "kind": KINDS[n % 2],
+            "kind": ENGINE_KINDS[n % 2],
             "cell": n // 8,
             "state": "SERVING",
             "weight": 1,
@@ -256,7 +256,7 @@
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
-                preexec_fn=tied(os.getpid()),
+                preexec_fn=kill_with_parent(os.getpid()),
                 env={
                     **os.environ,
                     "EDGE_CONFIG": f"{self.folder}/config.json",
--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -19,7 +19,7 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.model.gossip import measured
 from corkgauge.peer_health.reports import HealthReports
-from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn
+from corkgauge.testkit.fleet.processes import Fault, Fleet, draw_random_faults
 from corkgauge.testkit.seeded_random import SeededRandom
 
 WORTH = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
@@ -63,12 +63,12 @@
         for name in bad:
             fleet.engines[name].begin(trouble, TROUBLES[trouble])
         if how == "known":
-            fleet.listed(bad, "DELETED")
+            fleet.publish_engines(bad, "DELETED")
         fleet.until(8)
         for name in bad:
             fleet.engines[name].end()
         if how == "known":
-            fleet.listed(bad)
+            fleet.publish_engines(bad)
         fleet.until(4)
         over = fleet.event_loop.now
         fleet.settle()
@@ -77,7 +77,14 @@
             for name in bad
             for run in fleet.engines[name].book
         )
-        return how, trouble, many, 1 - earned(fleet, begun, over), tried, fleet.broken(2_500)[:2]
+        return (
+            how,
+            trouble,
+            many,
+            1 - earned(fleet, begun, over),
+            tried,
+            fleet.find_rule_violations(2_500)[:2],
+        )
     finally:
         fleet.close()
 
@@ -134,7 +141,7 @@
     fleet = Fleet(seed, 5, engines=12, lease=2.0, clients=15, rate=150.0, shared=shared)
     if how == "liars":
         for name in "n1", "n3":
-            fleet.gateways[name].program.start_with = (
+            fleet.gateways[name].program.python_arguments = (
                 "-m",
                 "corkgauge.testkit.faults.disabled_safeguards",
                 "liar",
@@ -145,11 +152,11 @@
         fleet.until(5)
         begun = fleet.event_loop.now
         if how == "cut":
-            fleet.befall(Fault(0, 6 * SECOND, "part", ("n1", "n2")))
+            fleet.apply_fault(Fault(0, 6 * SECOND, "part", ("n1", "n2")))
         fleet.until(12)
         over = fleet.event_loop.now
         fleet.settle()
-        return how, 1 - earned(fleet, begun, over), fleet.broken(2_500)[:2]
+        return how, 1 - earned(fleet, begun, over), fleet.find_rule_violations(2_500)[:2]
     finally:
         fleet.close()
 
@@ -218,7 +225,7 @@
         clients=6,
         rate=250.0,
         shared=SHARED,
-        faults=drawn(seed, names, seconds, 0.4, 2.0),
+        faults=draw_random_faults(seed, names, seconds, 0.4, 2.0),
         off="leases" if off else "none",
     )
     chance, worst = SeededRandom(seed), 0.0
@@ -227,7 +234,7 @@
     def renew():
         some = [f"e{1 + chance.below(12)}" for _ in range(4)]
         some = [*dict.fromkeys(some)]
-        fleet.renewed(some)
+        fleet.restart_engines(some)
         renewals.append((fleet.event_loop.now, some))
         fleet.event_loop.call_later(5 * SECOND, renew)
 
@@ -235,7 +242,7 @@
         fleet.start()
         fleet.event_loop.call_later(4 * SECOND, renew)
         fleet.until(seconds)
-        share, span, multiple, fall = fleet.stakes.cold
+        share, span, multiple, fall = fleet.rule_expectations.cold
         for begun, some in renewals:
             for name in some:
                 sent = [
@@ -251,10 +258,10 @@
         passed = 0
         for name in names:
             try:
-                passed += fleet.asked(name, "/shared")["counters"].get("turns passed on", 0)
+                passed += fleet.query_gateway(name, "/shared")["counters"].get("turns passed on", 0)
             except OSError:
                 pass
-        return off, fleet.befallen, worst, passed
+        return off, fleet.applied_fault_count, worst, passed
     finally:
         fleet.close()
 
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -31,7 +31,11 @@
 from corkgauge.model.plan_consensus import PlanWorld, plan_day
 from corkgauge.model.rolling_maintenance import POLICIES, Night
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
-from corkgauge.testkit.fleet.maintenance_day import AIMS, MaintenanceDay, aimed
+from corkgauge.testkit.fleet.maintenance_day import (
+    SAFEGUARDS,
+    MaintenanceScenario,
+    run_safeguard_scenario,
+)
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 from corkgauge.testkit.seeded_random import SeededRandom
 
@@ -45,7 +49,7 @@
 
 def day(job):
     gateways, engines, seconds, seed = job
-    return MaintenanceDay(seed, gateways, engines, seconds, gap=0.4, each=1.0).run()
+    return MaintenanceScenario(seed, gateways, engines, seconds, gap=0.4, each=1.0).run()
 
 
 def drills(said):
@@ -69,7 +73,7 @@
         flush=True,
     )
     with ProcessPoolExecutor(6) as pool:
-        jobs = [(at, off) for at in AIMS for off in (False, True)]
+        jobs = [(at, off) for at in SAFEGUARDS for off in (False, True)]
         for (at, off), wrong in zip(jobs, pool.map(_aimed, jobs)):
             print(
                 f"{'without' if off else 'with'} {at}: {len(wrong)} objections{': ' + wrong[0] if wrong else ''}"
@@ -77,7 +81,7 @@
 
 
 def _aimed(job):
-    return aimed(*job, 5, 3)
+    return run_safeguard_scenario(*job, 5, 3)
 
 
 class Hard(MaintenanceCrew):
@@ -107,13 +111,13 @@
     names = [*fleet.engines]
     try:
         fleet.start()
-        crew.wish({"do": "known", "out": []})
+        crew.send_command({"do": "known", "out": []})
         fleet.until(6)
         begun = fleet.event_loop.now
         if policy == "works":
             for zone in "hall-a", "hall-b":
-                crew.ask("hall", zone)
-            fleet.until(90, lambda: not crew.over(24))
+                crew.request_maintenance("hall", zone)
+            fleet.until(90, lambda: not crew.has_finished(24))
         elif policy != "none":
             from corkgauge.testkit.checkers.maintenance import Work
 
@@ -126,7 +130,7 @@
             def next_of(queue):
                 if queue:
                     work = Work(queue[0], "x", (queue.pop(0),), fleet.event_loop.now)
-                    crew.wish = lambda *_: fleet.event_loop.call_later(
+                    crew.send_command = lambda *_: fleet.event_loop.call_later(
                         int(0.2 * SECOND), next_of, queue
                     )
                     crew.work(work)
@@ -166,7 +170,7 @@
             "lost": 1 - earned / possible,
             "seconds": (over - begun) / SECOND,
             "worst": worst,
-            "rules": fleet.broken(2_500)[:3],
+            "rules": fleet.find_rule_violations(2_500)[:3],
             "works": len(crew.book),
         }
     finally:
@@ -293,8 +297,8 @@
         fleet.start()
         fleet.until(3)
         if kind == "lost":
-            fleet.befall(Fault(0, 3600 * SECOND, "cut", (*fleet.gateways,)))
-            for way in fleet.to_judge.values():
+            fleet.apply_fault(Fault(0, 3600 * SECOND, "cut", (*fleet.gateways,)))
+            for way in fleet.checker_relays.values():
                 way.cut_until = fleet.event_loop.now + 3600 * SECOND
         begun, before = (
             fleet.event_loop.now,
@@ -320,7 +324,7 @@
             sum(good) / len(good),
             quantile(took, 0.99) / 10,
             used / len(good) * 1000,
-            fleet.broken(2_500),
+            fleet.find_rule_violations(2_500),
         )
     finally:
         fleet.close()
@@ -365,23 +369,25 @@
     out, back, led = [], [], []
     try:
         fleet.start()
-        crew.wish({"do": "known", "out": []})
+        crew.send_command({"do": "known", "out": []})
         fleet.until(4)
         for n in range(times):
             many = len(crew.book)
-            id_ = crew.ask("engine", f"e{1 + n % 6}")
+            id_ = crew.request_maintenance("engine", f"e{1 + n % 6}")
             if not fleet.until(20, lambda: len(crew.book) == many):
                 continue
-            out.append((crew.book[-1].begun - crew.asked[id_]) / SECOND)
+            out.append((crew.book[-1].begun - crew.requested_at[id_]) / SECOND)
             fleet.until(20, lambda: crew.book[-1].ended < 0)
-            fleet.until(20, lambda: bool(crew.seen.get("units", [1])))
+            fleet.until(20, lambda: bool(crew.last_plan.get("units", [1])))
             back.append((fleet.event_loop.now - crew.book[-1].ended) / SECOND)
             if n % 3 == 2:
-                planner, begun = crew.seen["holder"], fleet.event_loop.now
-                fleet.befall(Fault(0, 3 * SECOND, "kill", (planner,)))
-                crew.seen = {}
+                planner, begun = crew.last_plan["holder"], fleet.event_loop.now
+                fleet.apply_fault(Fault(0, 3 * SECOND, "kill", (planner,)))
+                crew.last_plan = {}
                 fleet.until(
-                    15, lambda: crew.seen.get("state") != "leading" and not crew.seen.get("fresh")
+                    15,
+                    lambda: crew.last_plan.get("state") != "leading"
+                    and not crew.last_plan.get("fresh"),
                 )
                 led.append((fleet.event_loop.now - begun) / SECOND)
                 fleet.until(4)
@@ -423,10 +429,10 @@
     names = ["e1", "e2", "e3", "e4"]
     try:
         fleet.start()
-        crew.wish({"do": "known", "out": []})
+        crew.send_command({"do": "known", "out": []})
         fleet.until(5)
         if together == "works":
-            crew.ask("engine", *names)
+            crew.request_maintenance("engine", *names)
             fleet.until(20, lambda: len([work for work in crew.book if work.ended >= 0]) < 4)
         else:
             for name in names:
@@ -434,12 +440,12 @@
             fleet.until(1.0)
             for name in names:
                 fleet.engines[name].end()
-            fleet.renewed(names)
+            fleet.restart_engines(names)
         begun = fleet.event_loop.now
         fleet.until(9)
         crew.stopped = True
         fleet.settle()
-        share, _, multiple, fall = fleet.stakes.cold
+        share, _, multiple, fall = fleet.rule_expectations.cold
         worst = 0.0
         for name in names:
             sent = [
@@ -452,7 +458,7 @@
                 worst = max(
                     worst, work / (multiple * share * fleet.engines[name].cores * fall / 10)
                 )
-        return together, worst, fleet.broken(2_500)
+        return together, worst, fleet.find_rule_violations(2_500)
     finally:
         fleet.close()
 
--- a/corkgauge/commands/chaos.py
+++ b/corkgauge/commands/chaos.py
@@ -42,9 +42,11 @@
     \b
     corkgauge chaos draw --seconds 60 --gap 0.5 > day.txt
     """
-    from corkgauge.testkit.fleet.processes import drawn
+    from corkgauge.testkit.fleet.processes import draw_random_faults
 
-    for fault in drawn(seed, [f"n{n}" for n in range(1, gateways + 1)], seconds, gap, longest):
+    for fault in draw_random_faults(
+        seed, [f"n{n}" for n in range(1, gateways + 1)], seconds, gap, longest
+    ):
         print(fault.line())
 
 
@@ -108,17 +110,22 @@
     corkgauge chaos run --gateways 5 --seconds 60 --gap 0.5
     Ends with 1 if the checker objects, or a rule was broken for a client.
     """
-    from corkgauge.testkit.fleet.processes import Fleet, Unplayable, drawn, read
+    from corkgauge.testkit.fleet.processes import (
+        FaultScriptError,
+        Fleet,
+        draw_random_faults,
+        parse_fault_script,
+    )
 
     names = [f"n{n}" for n in range(1, gateways + 1)]
     try:
         faults = (
-            read(Path(script).read_text(), names, ["e1", "e2"])
+            parse_fault_script(Path(script).read_text(), names, ["e1", "e2"])
             if script
-            else drawn(seed, names, seconds, gap, 3 * lease)
+            else draw_random_faults(seed, names, seconds, gap, 3 * lease)
         )
         rated = tuple(float(each) for each in rates.split(",")) if rates else ()
-    except (Unplayable, ValueError) as problem:
+    except (FaultScriptError, ValueError) as problem:
         raise InputError(f"{script or '--rates'}: {problem}") from None
     fleet = Fleet(
         seed,
@@ -150,15 +157,15 @@
 
 def report(fleet: object) -> dict:
     """What a run came to; spans without a holder in seconds."""
-    changes = fleet.changes()
+    changes = fleet.find_holder_changes()
     spans = sorted(span / 10_000 for _, span, *_ in changes)
     return {
-        "faults": fleet.befallen,
-        "acts": len(fleet.judge.acts),
-        "acts_refused": sum(not act.admitted for act in fleet.judge.acts),
+        "faults": fleet.applied_fault_count,
+        "acts": len(fleet.lease_checker.acts),
+        "acts_refused": sum(not act.admitted for act in fleet.lease_checker.acts),
         "hand_overs": len(changes),
         "without_holder": [spans[len(spans) // 2], spans[-1]] if spans else [],
         "exceptions": sum("exceptions stopped" in line for line in fleet.logs()),
-        "rules": fleet.broken(2_500)[:10] if fleet.clients else [],
-        "wrong": fleet.wrong(),
+        "rules": fleet.find_rule_violations(2_500)[:10] if fleet.clients else [],
+        "wrong": fleet.find_lease_violations(),
     }
--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -48,7 +48,7 @@
 
     from corkgauge.commands import tables
     from corkgauge.testkit.faults.script import read
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
     progress = Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:.0f}%")
@@ -62,18 +62,25 @@
             progress.update(bar, completed=min(now, seconds), description=_now(play, now))
             live.update(Group(progress, tables.request_classes(cut), tables.engines(cut)))
 
-        play = Day(seed, read(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen)
+        play = GatewayScenario(
+            seed, read(SCRIPT, ["e1", "e2", "e3", "e4"]), rate=rate, scrapes=4, seen=seen
+        )
         begun = play.event_loop.now
         try:
             play.run(seconds)
             log = play.program.log()
         finally:
             play.close()
-    broken, last = play.broken(), play.cuts[-1] if play.cuts else None
+    broken, last = play.find_rule_violations(), play.snapshots[-1] if play.snapshots else None
     if as_json:
         print(
             json.dumps(
-                {"clients": play.tally(), "broken": broken, "wrong": play.wrong, "figures": last}
+                {
+                    "clients": play.tally(),
+                    "broken": broken,
+                    "wrong": play.snapshot_errors,
+                    "figures": last,
+                }
             )
         )
     elif last is None:
@@ -82,7 +89,7 @@
         console.print(
             tables.whole(last, Text(f"what the clients saw: {_clients(play)}"), _rules(broken))
         )
-    raise SystemExit(FOUND if broken or play.wrong or last is None else 0)
+    raise SystemExit(FOUND if broken or play.snapshot_errors or last is None else 0)
 
 
 def _now(play: object, now: float) -> str:
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -93,7 +93,7 @@
     """
     from corkgauge.testkit.checkers import rules
     from corkgauge.testkit.faults.script import Unplayable
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
     engines = [f"e{n}" for n in range(1, 5)]
     try:
@@ -102,27 +102,27 @@
         raise InputError(f"{script}: {problem}") from None
 
     def seen(cut: dict) -> None:
-        if not as_json and play.scraped % 100 == 0:
+        if not as_json and play.scrape_count % 100 == 0:
             taken = sum(row["taken"] for row in cut["offerings"].values())
             click.echo(
                 f"{(play.event_loop.now - begun) / 10_000:7.1f} s  epoch {cut['epoch']['id']}  "
-                f"taken {taken:8}  scrapes {play.scraped}, wrong {len(play.wrong)}",
+                f"taken {taken:8}  scrapes {play.scrape_count}, wrong {len(play.snapshot_errors)}",
                 err=True,
             )
 
-    play = Day(seed, scenes, rate=rate, scrapes=scrapes, seen=seen)
+    play = GatewayScenario(seed, scenes, rate=rate, scrapes=scrapes, seen=seen)
     begun = play.event_loop.now
     try:
         play.run(seconds)
         log, epochs = play.program.log(), _epochs(play)
     finally:
         play.close()
-    broken, grown = play.broken(), growth(play.memory)
+    broken, grown = play.find_rule_violations(), growth(play.memory)
     said = {
         "clients": play.tally(),
-        "scrapes": play.scraped,
+        "scrapes": play.scrape_count,
         "missed": play.scraper.missed if scrapes else 0,
-        "wrong": play.wrong[:20],
+        "wrong": play.snapshot_errors[:20],
         "broken": rules.worth_saying(broken),
         "epochs_closed": epochs,
         "memory_growth": grown,
@@ -135,7 +135,9 @@
     else:
         for name, value in said.items():
             click.echo(f"{name:18} {value}")
-    raise SystemExit(FOUND if play.wrong or broken or grown > GROWTH or said["exceptions"] else 0)
+    raise SystemExit(
+        FOUND if play.snapshot_errors or broken or grown > GROWTH or said["exceptions"] else 0
+    )
 
 
 def _epochs(play: object) -> int:
--- a/corkgauge/testkit/fleet/day.py
+++ b/corkgauge/testkit/fleet/day.py
@@ -25,20 +25,20 @@
 
 # The deployment that is played: offerings with their mean work (ms of one core) and what is
 # promised.
-WORK = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
-WANTS = [
+MEAN_WORK_MS = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
+REQUEST_TYPES = [
     Want("lookup", 0.70, 1_500, 8.0),
     Want("report", 0.10, 3_000, 60.0),
     Want("load", 0.12, 2_000, 15.0, labelled=True, ordered=True),
     Want("once", 0.08, 1_500, 10.0),
 ]
-KINDS, HALLS, CORES = ("c8", "c12"), ("hall-a", "hall-b"), {"c8": 8, "c12": 12}
-BUDGET = 3.0, 0.1, 5 * SECOND
-STAKES = rules.Stakes(
+ENGINE_KINDS, ZONE_NAMES, CORES_BY_KIND = ("c8", "c12"), ("hall-a", "hall-b"), {"c8": 8, "c12": 12}
+RETRY_BUDGET = 3.0, 0.1, 5 * SECOND
+RULE_EXPECTATIONS = rules.Stakes(
     repeats={"lookup": "pure", "report": "pure", "load": "token", "once": "side_effect"},
     ordered={"load"},
     kinds={"report": {"c12"}},
-    extra=BUDGET,
+    extra=RETRY_BUDGET,
 )
 
 
@@ -72,10 +72,10 @@
             profile("once", 300, 1_500, 2.0, effect="side_effect"),
         ],
         "customers": [{"name": "acme"}, {"name": "bolt"}],
-        "azs": [*HALLS],
-        "kinds": [*KINDS],
+        "azs": [*ZONE_NAMES],
+        "kinds": [*ENGINE_KINDS],
         "extra": {
-            "coresByKind": [CORES[kind] for kind in KINDS],
+            "coresByKind": [CORES_BY_KIND[kind] for kind in ENGINE_KINDS],
             "sizeMb": [4000, 6000],
             "mostGrant": 0.5,
             "takesGrants": True,
@@ -94,9 +94,9 @@
             "coldUs": 15_000_000,
             "fallMultiple": 3.0,
             "fallUs": 1_500_000,
-            "extraFloor": BUDGET[0],
-            "extraPerRequest": BUDGET[1],
-            "budgetSpanUs": BUDGET[2] * 100,
+            "extraFloor": RETRY_BUDGET[0],
+            "extraPerRequest": RETRY_BUDGET[1],
+            "budgetSpanUs": RETRY_BUDGET[2] * 100,
             "settleAfterDoubtUs": 300_000,
         },
         "periodUs": 1000,
@@ -105,7 +105,7 @@
     }
 
 
-FIGURES = """<?xml version="1.0"?>
+OPERATOR_FILE = """<?xml version="1.0"?>
 <operator version="1">
   <figures>
     <listen unix="{folder}/figures.sock"/>
@@ -116,7 +116,7 @@
 """
 
 
-class Day:
+class GatewayScenario:
     """The cast on one hub; `run` plays. `operator` may name `{folder}`."""
 
     def __init__(
@@ -129,31 +129,31 @@
         scrapes: float = 10.0,
         gives_up: float = 0.01,
         hangs_up: float = 0.003,
-        operator: str = FIGURES,
+        operator: str = OPERATOR_FILE,
         start: tuple[str, ...] = ("-m", "corkgauge"),
         seen: Callable[[Snapshot], None] | None = None,
         group: str = "all",
         retries: bool = False,
-        wants: list[Want] = WANTS,
+        request_types: list[Want] = REQUEST_TYPES,
     ) -> None:
         self.event_loop, self.scenes, self.seed, self.rate = EventLoop(), [*scenes], seed, rate
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
         known: dict[str, dict[str, int]] = {
-            zone: {} for zone in HALLS
+            zone: {} for zone in ZONE_NAMES
         }  # labels, by group of engines
         if group == "all":
-            known = dict.fromkeys(HALLS, {})
+            known = dict.fromkeys(ZONE_NAMES, {})
         names = [f"e{n}" for n in range(1, engines + 1)]
         self.engines = {
             name: EmulatedEngine(
                 self.event_loop,
                 name,
-                KINDS[n % 2],
-                HALLS[n // 2 % 2],
-                CORES[KINDS[n % 2]],
-                WORK,
+                ENGINE_KINDS[n % 2],
+                ZONE_NAMES[n // 2 % 2],
+                CORES_BY_KIND[ENGINE_KINDS[n % 2]],
+                MEAN_WORK_MS,
                 seed * 100 + n,
-                known[HALLS[n // 2 % 2]],
+                known[ZONE_NAMES[n // 2 % 2]],
             )
             for n, name in enumerate(names)
         }
@@ -178,7 +178,7 @@
             EmulatedClient(
                 self.event_loop,
                 self.address,
-                wants,
+                request_types,
                 ("acme", "bolt")[n % 2],
                 rate / clients,
                 seed * 1000 + n,
@@ -188,13 +188,16 @@
             )
             for n in range(clients)
         ]
-        self.cuts: list[Snapshot] = []  # the last few
-        self.scraped, self.wrong, self.memory = 0, list[str](), list[int]()
+        self.snapshots: list[Snapshot] = []  # the last few
+        self.scrape_count, self.snapshot_errors, self.memory = 0, list[str](), list[int]()
         self.seen = seen
         self.scraper: Scraper | None = None
         if scrapes:
             self.scraper = Scraper(
-                self.event_loop, f"{self.folder}/figures.sock", int(SECOND / scrapes), self.scrape
+                self.event_loop,
+                f"{self.folder}/figures.sock",
+                int(SECOND / scrapes),
+                self.on_snapshot,
             )
 
     def run(self, seconds: float, drain: float = 4.0) -> None:
@@ -202,7 +205,7 @@
         begun = self.event_loop.now
         self.program.start()
         for scene in self.scenes:
-            self.event_loop.call_later(scene.at, self.begin, scene)
+            self.event_loop.call_later(scene.at, self.apply_event, scene)
         self.until(begun + int(seconds * SECOND))
         for client in self.clients:
             client.rate = 1e-6
@@ -215,8 +218,8 @@
         if self.scraper is not None:
             self.scraper.stopped = True
             self.until(self.event_loop.now + SECOND // 5)
-        self.program.tell(signal.SIGTERM)
-        self.until(self.event_loop.now + 8 * SECOND, self.program.running)
+        self.program.send_signal(signal.SIGTERM)
+        self.until(self.event_loop.now + 8 * SECOND, self.program.is_running)
 
     def until(self, when: int, while_: Callable[[], Any] = lambda: True) -> None:
         while self.event_loop.now < when and while_():
@@ -224,15 +227,15 @@
 
     def close(self) -> None:
         """End the program, if it still runs, and forget its folder."""
-        if self.program.running():
+        if self.program.is_running():
             self.program.end(1.0)
         shutil.rmtree(self.folder, ignore_errors=True)
 
     # What the script does.
 
-    def begin(self, scene: Scene) -> None:
+    def apply_event(self, scene: Scene) -> None:
         if scene.who == "program":
-            return self.with_program(scene.trouble)
+            return self.apply_gateway_event(scene.trouble)
         if scene.who == "list":
             engine = self.engines[scene.whom]
             self.feed.told([engine], "DRAINING" if scene.trouble == "drain" else "DELETED")
@@ -244,46 +247,46 @@
                 engine.begin(scene.trouble, scene.figure)
                 if scene.trouble == "restart":
                     self.feed.told([engine], "DELETED")
-                self.event_loop.call_later(max(scene.span, 1), self.over, engine)
+                self.event_loop.call_later(max(scene.span, 1), self.end_engine_fault, engine)
 
-    def over(self, engine: EmulatedEngine) -> None:
+    def end_engine_fault(self, engine: EmulatedEngine) -> None:
         back = engine.trouble == "restart"
         engine.end()
         if back:
             self.feed.told([engine])
 
-    def with_program(self, what: str) -> None:
+    def apply_gateway_event(self, what: str) -> None:
         program = self.program
         if what == "reload":
-            return program.tell(signal.SIGHUP)
+            return program.send_signal(signal.SIGHUP)
         if what == "kill":
             program.kills.append(self.event_loop.now)
-            program.tell(signal.SIGKILL)
+            program.send_signal(signal.SIGKILL)
         else:
-            program.tell(signal.SIGTERM)
-        self.event_loop.call_later(SECOND // 20, self.again)
+            program.send_signal(signal.SIGTERM)
+        self.event_loop.call_later(SECOND // 20, self.restart_gateway)
 
-    def again(self) -> None:
+    def restart_gateway(self) -> None:
         """Started anew once it has ended, with the list as it stands."""
-        if self.program.running():
-            return self.event_loop.call_later(SECOND // 20, self.again)
-        self.program.said["known"] = {"n": self.feed.version, "events": self.feed.events}
+        if self.program.is_running():
+            return self.event_loop.call_later(SECOND // 20, self.restart_gateway)
+        self.program.configuration["known"] = {"n": self.feed.version, "events": self.feed.events}
         self.program.start()
 
     # What was seen.
 
-    def scrape(self, cut: Snapshot) -> None:
-        self.scraped += 1
+    def on_snapshot(self, cut: Snapshot) -> None:
+        self.scrape_count += 1
         wrong = find_imbalances(cut)
-        if self.cuts:
-            wrong += find_decreases(self.cuts[-1], cut)
-        self.wrong += [f"scrape {self.scraped}: {each}" for each in wrong]
-        self.cuts = [*self.cuts[-20:], cut]
+        if self.snapshots:
+            wrong += find_decreases(self.snapshots[-1], cut)
+        self.snapshot_errors += [f"scrape {self.scrape_count}: {each}" for each in wrong]
+        self.snapshots = [*self.snapshots[-20:], cut]
         self.memory.append(self.program.memory())
         if self.seen is not None:
             self.seen(cut)
 
-    def broken(self, slack: int = rules.SLACK) -> list[str]:
+    def find_rule_violations(self, slack: int = rules.SLACK) -> list[str]:
         """The rules, from the books of the stand-ins."""
         asks = sorted(
             (ask for client in self.clients for ask in client.book), key=lambda ask: ask.sent
@@ -297,7 +300,7 @@
             runs,
             self.feed.changes,
             {name: each.cores for name, each in self.engines.items()},
-            STAKES,
+            RULE_EXPECTATIONS,
             slack,
             self.program.kills,
         )
@@ -316,6 +319,6 @@
         )
         return {**said, "none": said["none"] - killed, "at_a_kill": killed}
 
-    def kept(self) -> str:
+    def checkpoint_path(self) -> str:
         """The path of the file of figures."""
         return os.path.join(self.folder, "kept", "n1.figures")
--- a/corkgauge/testkit/fleet/gateway_process.py
+++ b/corkgauge/testkit/fleet/gateway_process.py
@@ -11,7 +11,7 @@
 import sys
 from typing import Any
 
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 
 
 class GatewayProcess:
@@ -22,13 +22,18 @@
     def __init__(
         self,
         folder: str,
-        said: dict[str, Any],
+        configuration: dict[str, Any],
         operator: str = "",
         start: tuple[str, ...] = ("-m", "corkgauge"),
         log_form: str = "plain",
         tree: str | None = None,
     ) -> None:
-        self.folder, self.said, self.start_with, self.tree = folder, said, start, tree
+        self.folder, self.configuration, self.python_arguments, self.tree = (
+            folder,
+            configuration,
+            start,
+            tree,
+        )
         self.config, self.log_path = (os.path.join(folder, name) for name in ("config.json", "log"))
         self.arguments = ["serve", "--log", log_form]
         if operator:
@@ -41,15 +46,15 @@
 
     def start(self) -> None:
         with open(self.config, "w", encoding="utf-8") as file:
-            json.dump(self.said, file)
+            json.dump(self.configuration, file)
         with open(self.log_path, "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.start_with, *self.arguments],
+                [sys.executable, *self.python_arguments, *self.arguments],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
                 cwd=self.tree,
-                preexec_fn=tied(os.getpid()),
+                preexec_fn=kill_with_parent(os.getpid()),
                 env={
                     **os.environ,
                     "EDGE_CONFIG": self.config,
@@ -58,16 +63,16 @@
                 },
             )
 
-    def tell(self, sign: int) -> None:
+    def send_signal(self, sign: int) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(sign)
 
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
     def end(self, patience: float = 8.0) -> int:
         """SIGTERM, and SIGKILL after `patience` seconds: its exit code."""
-        self.tell(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         try:
             return self.process.wait(patience)
         except subprocess.TimeoutExpired:
--- a/corkgauge/testkit/fleet/hollow_fleet.py
+++ b/corkgauge/testkit/fleet/hollow_fleet.py
@@ -17,18 +17,18 @@
 from typing import Any
 
 from corkgauge.testkit.fleet.hollow_node import ELEMENTS
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 
-ZONES, RACK, VOTERS = 5, 20, 3
+ZONE_COUNT, RACK_SIZE, VOTER_COUNT = 5, 20, 3
 FIRST_REGION = "z0", "z1", "z2"  # the other zones are the second region
-LOOK = 0.1  # seconds between two looks at what all know
+POLL_SECONDS = 0.1  # seconds between two looks at what all know
 
 
-class Late(RuntimeError):
+class FleetTimeoutError(RuntimeError):
     """It did not come about in the time given; the message says what, and how far it had come."""
 
 
-class Crew:
+class HollowProcess:
     """One process, by its pipes."""
 
     def __init__(self) -> None:
@@ -36,17 +36,17 @@
             [sys.executable, "-m", "corkgauge.testkit.fleet.hollow_process"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
-            preexec_fn=tied(os.getpid()),
+            preexec_fn=kill_with_parent(os.getpid()),
         )
 
-    def say(self, order: bytes) -> None:
+    def send_order(self, order: bytes) -> None:
         self.process.stdin.write(order)
         self.process.stdin.flush()
 
-    def hear(self) -> Any:
+    def read_answer(self) -> Any:
         line = self.process.stdout.readline()
         if not line:
-            raise Late(f"a process of the fleet has ended ({self.process.wait()})")
+            raise FleetTimeoutError(f"a process of the fleet has ended ({self.process.wait()})")
         return json.loads(line)
 
 
@@ -62,26 +62,29 @@
 
     def __init__(self, many: int, processes: int = 20, elements: Sequence[str] = ELEMENTS) -> None:
         self.managers = [f"wm{n:04d}" for n in range(many)]
-        self.voters = [f"voter{n}" for n in range(VOTERS)]
-        self.zone = {name: f"z{n % ZONES}" for n, name in enumerate(self.managers)}
+        self.voters = [f"voter{n}" for n in range(VOTER_COUNT)]
+        self.zone = {name: f"z{n % ZONE_COUNT}" for n, name in enumerate(self.managers)}
         self.zone |= {name: f"z{n}" for n, name in enumerate(self.voters)}
         self.rack = {
-            name: f"{self.zone[name]}r{n // ZONES // RACK}" for n, name in enumerate(self.managers)
+            name: f"{self.zone[name]}r{n // ZONE_COUNT // RACK_SIZE}"
+            for n, name in enumerate(self.managers)
         }
-        self.elements, self.crews = elements, list[Crew]()
+        self.elements, self.hollow_processes = elements, list[HollowProcess]()
         self.processes = min(processes, many)
 
     def __enter__(self) -> "Fleet":
-        self.crews = [Crew() for _ in range(self.processes + VOTERS)]
+        self.hollow_processes = [HollowProcess() for _ in range(self.processes + VOTER_COUNT)]
         try:
             parts = [self.managers[n :: self.processes] for n in range(self.processes)]
             parts += [[name] for name in self.voters]
             number = {name: n for n, name in enumerate([*self.managers, *self.voters])}
-            for crew, names in zip(self.crews, parts):
-                crew.say(_line("bind", names=names, numbers=[number[name] for name in names]))
+            for hollow_process, names in zip(self.hollow_processes, parts):
+                hollow_process.send_order(
+                    _line("bind", names=names, numbers=[number[name] for name in names])
+                )
             self.ports: dict[str, int] = {}
-            for crew in self.crews:
-                self.ports |= crew.hear()
+            for hollow_process in self.hollow_processes:
+                self.ports |= hollow_process.read_answer()
             roster = json.dumps([[name, self.ports[name], self.zone[name]] for name in number])
             self.all("roster", roster=roster, voters=self.voters, elements=[*self.elements])
         except BaseException:
@@ -90,26 +93,26 @@
         return self
 
     def __exit__(self, *_: Any) -> None:
-        for crew in self.crews:
-            crew.process.kill()
-        for crew in self.crews:
-            crew.process.wait()
-            crew.process.stdin.close()
-            crew.process.stdout.close()
+        for hollow_process in self.hollow_processes:
+            hollow_process.process.kill()
+        for hollow_process in self.hollow_processes:
+            hollow_process.process.wait()
+            hollow_process.process.stdin.close()
+            hollow_process.process.stdout.close()
 
     def all(self, do: str, **what: Any) -> list[Any]:
         """The same order to every process; their answers. All are asked before any is heard."""
         order = _line(do, **what)
-        for crew in self.crews:
-            crew.say(order)
-        return [crew.hear() for crew in self.crews]
+        for hollow_process in self.hollow_processes:
+            hollow_process.send_order(order)
+        return [hollow_process.read_answer() for hollow_process in self.hollow_processes]
 
     # What happens to it.
 
     def start(self, names: Sequence[str] | None = None, over: float = 0.0) -> None:
         self.all("start", names=[*(names or self.ports)], over=over)
 
-    def at_rest(self, most: float = 30.0) -> None:
+    def start_at_rest(self, most: float = 30.0) -> None:
         """Start all, and have each told of all by us: at 870 the news of a start of all is passed on for minutes, and
         what is asked of a fleet at rest need not wait for that.
         """
@@ -151,25 +154,25 @@
         ]
 
     def until(self, what: str, seen: Callable[[], list[int]], most: float) -> float:
-        """Seconds until as many as there are see it; Late after `most`."""
+        """Seconds until as many as there are see it; FleetTimeoutError after `most`."""
         begun, found = time.monotonic(), [0, 0]
         while time.monotonic() < begun + most:
             found = seen()
             if found[0] == found[1] > 0:
                 return time.monotonic() - begun
-            time.sleep(LOOK)
-        raise Late(f"{what}: {found[0]} of {found[1]} after {most:g} s")
+            time.sleep(POLL_SECONDS)
+        raise FleetTimeoutError(f"{what}: {found[0]} of {found[1]} after {most:g} s")
 
     def until_known(self, most: float) -> float:
         whole = len(self.ports)
         try:
             return self.until("all know all", lambda: [self.known()[0], whole], most)
-        except Late as problem:
+        except FleetTimeoutError as problem:
             missed = Counter[str]()
             for part in self.all("missed"):
                 missed.update(part)
             said = ", ".join(f"{name} by {many}" for name, many in missed.most_common(6))
-            raise Late(f"{problem}; held {said or 'all by now'}") from None
+            raise FleetTimeoutError(f"{problem}; held {said or 'all by now'}") from None
 
     def until_seen(
         self, names: Sequence[str], alive: bool, most: float, of: Sequence[str] | None = None
@@ -187,8 +190,8 @@
             for name, held in self.holders().items():
                 if duty in held:
                     return name
-            time.sleep(LOOK)
-        raise Late(f"nobody holds {duty} after {most:g} s")
+            time.sleep(POLL_SECONDS)
+        raise FleetTimeoutError(f"nobody holds {duty} after {most:g} s")
 
     def bursts(self, span: int = 1000) -> int:
         """Most datagrams at any voter within so many tenths of a millisecond, since this was asked last."""
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -39,38 +39,38 @@
 from corkgauge.testkit.emulators.protocols import request_frame
 from corkgauge.testkit.seeded_random import SeededRandom
 
-GATEWAYS, RATE, PERIOD = (
+GATEWAY_COUNT, REQUESTS_PER_SECOND, FEEDBACK_PERIOD_TICKS = (
     870,
     2530.0,
     2 * SECOND,
 )  # of the fleet; statements a second at one; of the feedback
-ZONES, KINDS = 5, 3
-TABLE_GROUPS, TENANTS, KEYS = 200, 20, 2_000
+ZONE_COUNT, ENGINE_KIND_COUNT = 5, 3
+TABLE_GROUP_COUNT, TENANT_COUNT, ORDER_KEY_COUNT = 200, 20, 2_000
 
 
 @dataclass(frozen=True)
-class Class:
+class ClassProfile:
     """A query class: its part of all statements, work of one in tenths of a ms, patience and latency target."""
 
     name: str
-    part: float
-    work: int
-    life: int
-    aim: int
-    repeat: int = 0
+    fraction: float
+    work_ticks: int
+    deadline_ticks: int
+    latency_target_ticks: int
+    repeatability: int = 0
     ordered: bool = False
     kinds: tuple[int, ...] = ()
 
 
 CLASSES = (
-    Class("lookup", 0.66, 20, 5 * SECOND, SECOND),
-    Class("report", 0.12, 600, 10 * SECOND, 2 * SECOND, kinds=(2,)),
-    Class("load", 0.12, 100, 5 * SECOND, SECOND, Repeatability.KEYED, True),
-    Class("once", 0.10, 50, 5 * SECOND, SECOND, Repeatability.NON_IDEMPOTENT),
+    ClassProfile("lookup", 0.66, 20, 5 * SECOND, SECOND),
+    ClassProfile("report", 0.12, 600, 10 * SECOND, 2 * SECOND, kinds=(2,)),
+    ClassProfile("load", 0.12, 100, 5 * SECOND, SECOND, Repeatability.KEYED, True),
+    ClassProfile("once", 0.10, 50, 5 * SECOND, SECOND, Repeatability.NON_IDEMPOTENT),
 )
 
 
-class Uneven:
+class ZipfDistribution:
     """Numbers 0 to n - 1, the k-th as often as 1 / k."""
 
     def __init__(self, chance: SeededRandom, n: int) -> None:
@@ -82,7 +82,7 @@
         return min(bisect_right(self.tops, self.chance.part() * self.tops[-1]), len(self.tops) - 1)
 
 
-class Alone:
+class StandaloneGatewayHost:
     """The host protocol of a gateway that is alone. A database answers each attempt after its work and up to half as
     much again; nothing else happens. `hold`: all statements take so long (tenths of a ms), whatever
     their class.
@@ -91,27 +91,30 @@
     def __init__(
         self,
         engines: int,
-        groups: int = TABLE_GROUPS,
-        tenants: int = TENANTS,
-        rate: float = RATE,
+        groups: int = TABLE_GROUP_COUNT,
+        tenants: int = TENANT_COUNT,
+        rate: float = REQUESTS_PER_SECOND,
         cores: float = 8.0,
         hold: int = 0,
-        gateways: int = GATEWAYS,
+        gateways: int = GATEWAY_COUNT,
         seed: int = 7,
     ) -> None:
         self.now, self.lag, self.serial, self.wakes = 100 * SECOND, 0, 0, list[tuple]()
         self.taken = self.served = self.refused = self.lasted = self.open = 0
         self.rate, self.hold, self.chance = rate, hold, SeededRandom(seed)
-        self.groups, self.tenants = Uneven(self.chance, groups), Uneven(self.chance, tenants)
+        self.groups, self.tenants = (
+            ZipfDistribution(self.chance, groups),
+            ZipfDistribution(self.chance, tenants),
+        )
         self.request_classes = [
             RequestClass(
                 each.name,
-                each.aim,
+                each.latency_target_ticks,
                 1.0,
-                max(each.life, 8 * hold),
+                max(each.deadline_ticks, 8 * hold),
                 1.0,
-                each.repeat,
-                key_ttl=20 * SECOND * (each.repeat == Repeatability.KEYED),
+                each.repeatability,
+                key_ttl=20 * SECOND * (each.repeatability == Repeatability.KEYED),
                 ordered=each.ordered,
                 engine_kinds=each.kinds,
             )
@@ -137,7 +140,15 @@
         )
         self.gateway = Gateway(self, options, self.request_classes)
         self.engines = [
-            Engine(f"db{n}", b"db%d" % n, n % ZONES, n % KINDS, n, cores=cores, name=f"db{n}")
+            Engine(
+                f"db{n}",
+                b"db%d" % n,
+                n % ZONE_COUNT,
+                n % ENGINE_KIND_COUNT,
+                n,
+                cores=cores,
+                name=f"db{n}",
+            )
             for n in range(engines)
         ]
         for engine in self.engines:
@@ -158,7 +169,9 @@
                     for engine in self.engines
                 ],
                 request_classes=[
-                    LearnedClass(request_class, [(1.0, 0.0, float(self.hold or each.work))] * 48)
+                    LearnedClass(
+                        request_class, [(1.0, 0.0, float(self.hold or each.work_ticks))] * 48
+                    )
                     for request_class, each in zip(self.request_classes, CLASSES)
                 ],
                 shares=[
@@ -169,17 +182,17 @@
             )
         )
 
-    def drawn(self, count: int) -> list[tuple[int, Request]]:
+    def draw_requests(self, count: int) -> list[tuple[int, Request]]:
         """So many statements beforehand, each with its gap after the one before, tenths of a ms."""
         said, left = [], 0.0
         for _ in range(count):
             left += self.chance.wait(SECOND / self.rate)
             gap, left = int(left), left % 1
             draw, n = self.chance.part(), 0
-            while n < len(CLASSES) - 1 and draw >= CLASSES[n].part:
-                draw, n = draw - CLASSES[n].part, n + 1
-            work = int(max(self.hold or self.chance.spread(CLASSES[n].work), 1))
-            key = 1 + self.chance.below(KEYS) if CLASSES[n].ordered else 0
+            while n < len(CLASSES) - 1 and draw >= CLASSES[n].fraction:
+                draw, n = draw - CLASSES[n].fraction, n + 1
+            work = int(max(self.hold or self.chance.spread(CLASSES[n].work_ticks), 1))
+            key = 1 + self.chance.below(ORDER_KEY_COUNT) if CLASSES[n].ordered else 0
             took = work if self.hold else int(work * (1 + self.chance.part() / 2)) + 2
             said.append(
                 (
@@ -202,22 +215,22 @@
         """Seconds of processor time from the first of them until one gap after the last."""
         begun, taken = process_time(), self.gateway.on_request
         for gap, request in statements:
-            self.pass_until(self.now + gap)
+            self.advance_to(self.now + gap)
             request.accepted_at = self.now
             self.taken += 1
             self.open += 1
             taken(request)
-        self.pass_until(self.now + 1)
+        self.advance_to(self.now + 1)
         return process_time() - begun
 
-    def pass_until(self, until: int) -> None:
+    def advance_to(self, until: int) -> None:
         wakes = self.wakes
         while wakes and wakes[0][0] <= until:
             self.now, _, method, what = heappop(wakes)
             method(*what)
         self.now = until
 
-    def answered(self, attempt: Attempt, work: int) -> None:
+    def on_engine_answer(self, attempt: Attempt, work: int) -> None:
         """Its database is done with an attempt."""
         self.served += not attempt.request.is_finished
         self.open -= not attempt.request.is_finished
@@ -229,7 +242,7 @@
 
     def send_attempt(self, attempt: Attempt, allow: int) -> None:
         took, work = attempt.request.host_reference
-        self.call_later(took, self.answered, attempt, work)
+        self.call_later(took, self.on_engine_answer, attempt, work)
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
         pass
@@ -265,7 +278,7 @@
 # The host with its links, clients and list, on a clock that stands still unless it is moved.
 
 
-def listing(
+def engine_list_event(
     number: int,
     engines: int,
     first: int = 0,
@@ -283,8 +296,8 @@
                 {
                     "id": f"db{n}",
                     "addr": address(n),
-                    "zone": f"zone-{n % ZONES}",
-                    "kind": f"k{n % KINDS}",
+                    "zone": f"zone-{n % ZONE_COUNT}",
+                    "kind": f"k{n % ENGINE_KIND_COUNT}",
                     "cell": n,
                     "state": "SERVING",
                     "weight": 1,
@@ -296,30 +309,30 @@
     }
 
 
-def settings(cores: int = 8, instances: int = GATEWAYS) -> dict[str, Any]:
+def settings(cores: int = 8, instances: int = GATEWAY_COUNT) -> dict[str, Any]:
     """What operators state, with the classes above."""
     repeats = "pure", "token", "side_effect"
     return {
         "profiles": [
             {
                 "name": each.name,
-                "objectiveUs": each.aim * 100,
+                "objectiveUs": each.latency_target_ticks * 100,
                 "aimStretch": 1.0,
-                "deadlineUs": each.life * 100,
+                "deadlineUs": each.deadline_ticks * 100,
                 "worth": 1.0,
-                "effect": repeats[each.repeat],
+                "effect": repeats[each.repeatability],
                 "fifoByKey": each.ordered,
                 "keyTtlUs": 20_000_000,
                 "servedOn": [*each.kinds],
             }
             for each in CLASSES
         ],
-        "customers": [{"name": f"t{n}"} for n in range(TENANTS)],
-        "azs": [f"zone-{n}" for n in range(ZONES)],
-        "kinds": [f"k{n}" for n in range(KINDS)],
+        "customers": [{"name": f"t{n}"} for n in range(TENANT_COUNT)],
+        "azs": [f"zone-{n}" for n in range(ZONE_COUNT)],
+        "kinds": [f"k{n}" for n in range(ENGINE_KIND_COUNT)],
         "extra": {
-            "coresByKind": [cores] * KINDS,
-            "sizeMb": [4000] * KINDS,
+            "coresByKind": [cores] * ENGINE_KIND_COUNT,
+            "sizeMb": [4000] * ENGINE_KIND_COUNT,
             "mostGrant": 0.5,
             "takesGrants": True,
             "takesPriority": True,
@@ -363,19 +376,19 @@
         "feed": feed,
         "seed": "7",
         "limits": {"memory_mb": 1024, "sockets": sockets},
-        "known": {"n": 1, "events": [known or listing(1, engines)]},
+        "known": {"n": 1, "events": [known or engine_list_event(1, engines)]},
         "settings": settings(cores),
     }
 
 
-class Front:
+class SocketPairFrontEnd:
     """The program's host on a clock of its own; clients and databases are the other ends of socket pairs, which say
     nothing unless they are made to.
     """
 
     def __init__(self, engines: int, cores: int = 8) -> None:
         self.time, self.others, self.names = 10**9, list[socket.socket](), 0
-        self.event_loop = EventLoop(clock=lambda: self.time, on_exception=self.troubled)
+        self.event_loop = EventLoop(clock=lambda: self.time, on_exception=self.on_exception)
         said = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
         self.socket_host = PlatformFrontEnd(
             self.event_loop, PlatformConfig(said, ""), lambda line: None
@@ -383,22 +396,24 @@
         self.number = 1
         self.turn()
 
-    def troubled(self) -> None:
+    def on_exception(self) -> None:
         raise  # what a turn met, on to whoever measures
 
     def turn(self, rounds: int = 4) -> None:
         for _ in range(rounds):
             self.event_loop.turn(0)
 
-    def told(self, data: str) -> None:
+    def apply_list_event(self, data: str) -> None:
         """An event of the feed, as it is read."""
         self.number += 1
         if wrong := self.socket_host.on_discovery_event(str(self.number), data):
             raise ValueError(wrong)
 
-    def changed(self, engine: int) -> str:
+    def next_restart_event(self, engine: int) -> str:
         """The next event: one engine has started anew, a moment ago; as JSON."""
-        return json.dumps(listing(self.number + 1, 1, engine, False, self.time // 10 - 1000))
+        return json.dumps(
+            engine_list_event(self.number + 1, 1, engine, False, self.time // 10 - 1000)
+        )
 
     def client(self) -> socket.socket:
         mine, its = socket.socketpair()
@@ -407,7 +422,7 @@
         self.others.append(mine)
         return mine
 
-    def link(self, engine: int) -> None:
+    def add_engine_connection(self, engine: int) -> None:
         """One more link to an engine, as if it had just been dialled."""
         mine, its = socket.socketpair()
         engine_pool = self.socket_host.engine_pools[f"db{engine}"]
@@ -418,7 +433,7 @@
         mine.setblocking(False)
         self.others.append(mine)
 
-    def ask(self, client: socket.socket, stream: int) -> None:
+    def send_request(self, client: socket.socket, stream: int) -> None:
         """A statement of the first class, 200 bytes long."""
         self.names += 1
         client.send(
@@ -432,7 +447,8 @@
                     "weight": "2.0",
                     "est_mb": "8",
                 },
-                b"select * from mart_%d.facts where " % (self.names % TABLE_GROUPS) + b"x" * 160,
+                b"select * from mart_%d.facts where " % (self.names % TABLE_GROUP_COUNT)
+                + b"x" * 160,
             )
         )
 
@@ -443,7 +459,7 @@
         self.turn()
 
 
-def busy(seconds: float) -> float:
+def burn_cpu(seconds: float) -> float:
     """Processor time spent at nothing, to warm a core up before a short measurement; seconds."""
     begun, at = process_time(), 0.0
     while process_time() - begun < seconds:
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -32,13 +32,13 @@
 from corkgauge.testkit.fleet.day import settings
 
 KEY = b"hollow workload managers, no secret"
-SORTS = "hello", "back", "ask", "answer", "ask_for", "deaf", "ask_all", "tell", "call"
+MESSAGE_KINDS = "hello", "back", "ask", "answer", "ask_for", "deaf", "ask_all", "tell", "call"
 SO_TIMESTAMPNS = 35  # asm-generic/socket.h: when the kernel had a datagram, socket(7)
-NOTED = 200_000  # arrivals that a voter's wire remembers
+MAX_RECORDED_ARRIVALS = 200_000  # arrivals that a voter's wire remembers
 ELEMENTS = "duties", "works", "shared"
 
 
-class Wire:
+class CountingSocket:
     """A member's bound socket, with a count of what passes and a filter on whom it reaches. It outlives the member, so
     that a restart finds the same port; `noted` keeps when each datagram came, tenths of a
     millisecond of the date.
@@ -49,17 +49,17 @@
         self.sock.setblocking(False)
         self.sock.bind(("127.0.0.1", 0))
         self.port = self.sock.getsockname()[1]
-        self.out, self.octets_out, self.got, self.octets_in, self.held_back = 0, 0, 0, 0, 0
-        self.noted: deque[int] | None = None
+        self.out, self.octets_out, self.got, self.octets_in, self.withheld = 0, 0, 0, 0, 0
+        self.arrival_times: deque[int] | None = None
         self.group, self.groups = (
             0,
             dict[int, int](),
         )  # of this port; of those ports that are in another group
 
-    def note(self) -> None:
+    def record_arrivals(self) -> None:
         """From now on it keeps when the kernel had each datagram."""
         self.sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
-        self.noted = deque(maxlen=NOTED)
+        self.arrival_times = deque(maxlen=MAX_RECORDED_ARRIVALS)
 
     def fileno(self) -> int:
         return self.sock.fileno()
@@ -67,7 +67,7 @@
     def close(self) -> None:
         """The member has ended; the port stays ours."""
 
-    def drained(self) -> None:
+    def discard_received(self) -> None:
         """Danger: what came while nobody was there would meet the next start of the member."""
         try:
             while True:
@@ -76,38 +76,38 @@
             pass
 
     def recv(self, most: int) -> bytes:
-        if self.noted is None:
+        if self.arrival_times is None:
             data = self.sock.recv(most)
         else:
             data, beside, *_ = self.sock.recvmsg(most, 64)
             for _, _, stamp in beside:
                 seconds, rest = unpack_from("qq", stamp)
-                self.noted.append(seconds * SECOND + rest // 100_000)
+                self.arrival_times.append(seconds * SECOND + rest // 100_000)
         self.got += 1
         self.octets_in += len(data)
         return data
 
     def sendto(self, data: bytes, where: tuple[str, int]) -> None:
         if self.groups.get(where[1], 0) != self.group:
-            self.held_back += 1
+            self.withheld += 1
             return
         self.out += 1
         self.octets_out += len(data)
         self.sock.sendto(data, where)
 
-    def worst(self, span: int) -> int:
+    def take_max_burst(self, span: int) -> int:
         """Most datagrams that came within `span` tenths of a millisecond, of those noted; and forgets them."""
-        most, first, noted = 0, 0, sorted(self.noted or ())
+        most, first, noted = 0, 0, sorted(self.arrival_times or ())
         for n, when in enumerate(noted):
             while noted[first] <= when - span:
                 first += 1
             most = max(most, n + 1 - first)
-        if self.noted is not None:
-            self.noted.clear()
+        if self.arrival_times is not None:
+            self.arrival_times.clear()
         return most
 
 
-class Beat:
+class MemberEventLoop:
     """A hub as one member sees it: once the member is lost none of its timers runs, and the processor time of what
     does run is added up (nanoseconds).
     """
@@ -145,7 +145,7 @@
     def wake(self, fd: int, events: int = 0) -> None:
         self.event_loop.wake(fd, events)
 
-    def troubled(self) -> None:
+    def on_exception(self) -> None:
         self.event_loop.on_exception()
 
 
@@ -153,9 +153,13 @@
     """What a serving host is to the subsystems of several processes, with nothing to serve."""
 
     def __init__(
-        self, beat: Beat, wire: Wire, platform_config: Any, log: Callable[[str], None]
+        self,
+        member_event_loop: MemberEventLoop,
+        wire: CountingSocket,
+        platform_config: Any,
+        log: Callable[[str], None],
     ) -> None:
-        self.event_loop, self.wire, self.log, self.routes = beat, wire, log, {}
+        self.event_loop, self.wire, self.log, self.routes = member_event_loop, wire, log, {}
         self.engine_pools: dict[str, Any] = {}
         self.open_requests: dict[str, Any] = {}
         self.maintenance: Any = None
@@ -163,7 +167,7 @@
         self.gateway = self.settings.gateway
         self.request_classes = {each.name: each for each in self.settings.request_classes}
         self.ledger = RequestLedger(
-            self.request_classes, lambda: beat.now, self.settings.retry_budget
+            self.request_classes, lambda: member_event_loop.now, self.settings.retry_budget
         )
 
     @property
@@ -193,14 +197,14 @@
         super().on_member_changed(member, before)
 
 
-class SetAside(LeaseService):
+class VoterOnlyLeaseService(LeaseService):
     """On a machine set aside: it votes, and stands for nothing."""
 
     def is_wanted(self, lease: str) -> bool:
         return False
 
 
-class Member:
+class HollowMember:
     """One hollow workload manager, or one voter on a machine set aside. `roster` is JSON, [[name, port, zone], ...];
     `elements` of those that an operator file may have.
     """
@@ -209,14 +213,14 @@
         self,
         event_loop: EventLoop,
         name: str,
-        wire: Wire,
+        wire: CountingSocket,
         roster: str,
         voters: tuple[str, ...],
         number: int,
         elements: tuple[str, ...] = ELEMENTS,
         lines: Callable[[str], None] | None = None,
     ) -> None:
-        self.name, self.wire, self.beat = name, wire, Beat(event_loop)
+        self.name, self.wire, self.member_event_loop = name, wire, MemberEventLoop(event_loop)
         self.kinds_out, self.octets_by, self.kinds_in = (
             Counter[str](),
             Counter[str](),
@@ -227,21 +231,23 @@
         members = tuple(
             (each, ("127.0.0.1", port), zone) for each, port, zone in json.loads(roster)
         )
-        wire.drained()
+        wire.discard_received()
         platform_config = SimpleNamespace(
             name=name,
             seed=number * 7919 + event_loop.now % 7919,
             settings=settings() | {"instances": max(len(members) - len(voters), 1), "myNumber": 0},
         )
-        socket_host = HollowHost(self.beat, wire, platform_config, lines or (lambda line: None))
+        socket_host = HollowHost(
+            self.member_event_loop, wire, platform_config, lines or (lambda line: None)
+        )
         self.membership = HollowMembership(
             socket_host, platform_config, MembershipConfig((KEY,), members, None, SECOND // 2)
         )
         member_list = self.membership.member_list
-        self._counted(member_list.codec)
-        self.office: LeaseService | None = None
-        self.yard: MaintenanceService | None = None
-        self.exchange: PeerHealthService | None = None
+        self._count_messages(member_list.codec)
+        self.lease_service: LeaseService | None = None
+        self.maintenance_service: MaintenanceService | None = None
+        self.peer_health_service: PeerHealthService | None = None
         if "duties" in elements:  # spans as an operator file that names none has them
             said = LeaseConfig(
                 1,
@@ -253,34 +259,34 @@
                 0.01,
                 "",
             )
-            self.office = (SetAside if name in voters else LeaseService)(
+            self.lease_service = (VoterOnlyLeaseService if name in voters else LeaseService)(
                 socket_host, platform_config, said, self.membership
             )
-        if "works" in elements and self.office is not None:
-            self.yard = MaintenanceService(
+        if "works" in elements and self.lease_service is not None:
+            self.maintenance_service = MaintenanceService(
                 socket_host,
                 platform_config,
                 MaintenanceConfig(
                     (4, 0.25, 0.5, 0.5, 0.7, 1, 1), (), SECOND // 2, 5 * SECOND, SECOND
                 ),
                 self.membership,
-                self.office,
+                self.lease_service,
             )
         if "shared" in elements:
-            self.exchange = PeerHealthService(
+            self.peer_health_service = PeerHealthService(
                 socket_host, platform_config, PeerHealthConfig(SECOND // 4, 8_000), self.membership
             )
-        if name in voters and self.office is not None:
-            for holder in self.office.candidates.values():
+        if name in voters and self.lease_service is not None:
+            for holder in self.lease_service.candidates.values():
                 holder.set_wanted(False)
 
-    def _counted(self, codec: Any) -> None:
+    def _count_messages(self, codec: Any) -> None:
         """By sort, and by subject where another subsystem sends."""
         write, opened = codec.encode, codec.decode
 
         def written(to: str, sort: int, body: Any, known_as: int = 0) -> bytes:
             data = write(to, sort, body, known_as)
-            kind = body[0] if SORTS[sort] == "call" else SORTS[sort]
+            kind = body[0] if MESSAGE_KINDS[sort] == "call" else MESSAGE_KINDS[sort]
             self.kinds_out[kind] += 1
             self.octets_by[kind] += len(data)
             return data
@@ -289,24 +295,26 @@
             found = opened(data, now)
             if found is not None:
                 sort, body = found[1:]
-                self.kinds_in[body[0] if SORTS[sort] == "call" else SORTS[sort]] += 1
+                self.kinds_in[
+                    body[0] if MESSAGE_KINDS[sort] == "call" else MESSAGE_KINDS[sort]
+                ] += 1
             return found
 
         codec.encode, codec.decode = written, read
 
     def end(self) -> None:
         """In order, as a restart of the program does: duties are handed over, a few are told."""
-        if self.office is not None:
-            self.office.leave()
-            self.office.end()
+        if self.lease_service is not None:
+            self.lease_service.leave()
+            self.lease_service.end()
         self.membership.end()
         self.lose()
 
     def lose(self) -> None:
         """The machine is gone: nothing more is said, nothing is done."""
-        self.beat.lost = True
+        self.member_event_loop.lost = True
         self.membership.sock = None
-        self.beat.wake(self.wire.fileno())
+        self.member_event_loop.wake(self.wire.fileno())
 
     def told(self, starts: dict[str, int]) -> None:
         """All members' starts at once, with nothing left to pass on: as hours after the start of all."""
@@ -335,8 +343,8 @@
     def duties(self) -> list[str]:
         return (
             []
-            if self.office is None
-            else [each.lease for each in self.office.candidates.values() if each.may_act()]
+            if self.lease_service is None
+            else [each.lease for each in self.lease_service.candidates.values() if each.may_act()]
         )
 
     def counters(self) -> dict[str, Any]:
@@ -346,9 +354,9 @@
             "octets_out": wire.octets_out,
             "in": wire.got,
             "octets_in": wire.octets_in,
-            "held_back": wire.held_back,
+            "held_back": wire.withheld,
             "words": len(member_list.gossip.updates),
-            "spent": self.beat.spent,
+            "spent": self.member_event_loop.spent,
             "unknown": self.unknown(),
             "duties": self.duties(),
             "kinds_out": dict(self.kinds_out),
@@ -359,13 +367,15 @@
             "health": member_list.local.health,
             "late": member_list.counts["late ourselves"],
             "unsent": self.membership.unsent,
-            "overloaded": self.office is not None and self.office.is_overloaded,
-            "changes": [] if self.office is None else self.office.changes[-20:],
+            "overloaded": self.lease_service is not None and self.lease_service.is_overloaded,
+            "changes": [] if self.lease_service is None else self.lease_service.changes[-20:],
             "books": self._books(),
         }
 
     def _books(self) -> list[dict[str, Any]]:
-        clerk = self.office.collectors.get("books") if self.office is not None else None
+        clerk = (
+            self.lease_service.collectors.get("books") if self.lease_service is not None else None
+        )
         return (
             []
             if clerk is None
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -18,26 +18,32 @@
 
 from corkgauge.eventloop.loop import READ, SECOND, EventLoop
 from corkgauge.membership.member_list import ALIVE
-from corkgauge.testkit.fleet.hollow_node import ELEMENTS, Member, Wire, dropped, resident_mb
+from corkgauge.testkit.fleet.hollow_node import (
+    ELEMENTS,
+    CountingSocket,
+    HollowMember,
+    dropped,
+    resident_mb,
+)
 from corkgauge.testkit.seeded_random import SeededRandom
 
-LONGEST = 2**16  # octets that are read of an order at a time
+READ_SIZE_BYTES = 2**16  # octets that are read of an order at a time
 
 
-class Crew:
+class HollowProcessServer:
     def __init__(self, event_loop: EventLoop) -> None:
-        self.event_loop, self.troubles = event_loop, 0
-        self.wires: dict[str, Wire] = {}
-        self.members: dict[str, Member] = {}
+        self.event_loop, self.exception_count = event_loop, 0
+        self.sockets: dict[str, CountingSocket] = {}
+        self.members: dict[str, HollowMember] = {}
         self.numbers: dict[str, int] = {}
         self.roster, self.voters, self.elements = "[]", (), ELEMENTS
         self.empty = 0.0  # MB, of this process before it held a member
         self.chance = SeededRandom(os.getpid())
-        event_loop.on_exception = self.troubled
+        event_loop.on_exception = self.on_exception
 
-    def troubled(self) -> None:
-        self.troubles += 1
-        if self.troubles <= 3:
+    def on_exception(self) -> None:
+        self.exception_count += 1
+        if self.exception_count <= 3:
             traceback.print_exc()
 
     def listen(self) -> None:
@@ -45,7 +51,7 @@
         held = b""
         while True:
             self.event_loop.wait(0, READ)
-            data = os.read(0, LONGEST)
+            data = os.read(0, READ_SIZE_BYTES)
             if not data:
                 os._exit(0)
             *lines, held = (held + data).split(b"\n")
@@ -57,20 +63,20 @@
 
     def do_bind(self, names: list[str], numbers: list[int]) -> dict[str, Any]:
         self.numbers = dict(zip(names, numbers))
-        self.wires = {name: Wire() for name in names}
+        self.sockets = {name: CountingSocket() for name in names}
         gc.collect()
         self.empty = resident_mb()
-        return {name: wire.port for name, wire in self.wires.items()}
+        return {name: wire.port for name, wire in self.sockets.items()}
 
     def do_roster(self, roster: str, voters: list[str], elements: list[str]) -> None:
         self.roster, self.voters, self.elements = roster, tuple(voters), tuple(elements)
         for name in voters:
-            if name in self.wires:
-                self.wires[name].note()
+            if name in self.sockets:
+                self.sockets[name].record_arrivals()
 
     def do_start(self, names: list[str], over: float = 0.0) -> int:
         """These of ours, by chance over so many seconds; those that run are let be."""
-        ours = [name for name in names if name in self.wires and name not in self.members]
+        ours = [name for name in names if name in self.sockets and name not in self.members]
         for name in ours:
             self.event_loop.call_later(
                 int(self.chance.part() * over * SECOND) + 1, self._start, name
@@ -78,10 +84,10 @@
         return len(ours)
 
     def _start(self, name: str) -> None:
-        self.members[name] = Member(
+        self.members[name] = HollowMember(
             self.event_loop,
             name,
-            self.wires[name],
+            self.sockets[name],
             self.roster,
             self.voters,
             self.numbers[name],
@@ -121,7 +127,7 @@
     def do_group(self, ports: dict[str, int]) -> None:
         """Datagrams pass within a group only; ports that are not named are in group 0."""
         groups = {int(port): group for port, group in ports.items()}
-        for wire in self.wires.values():
+        for wire in self.sockets.values():
             wire.groups, wire.group = groups, groups.get(wire.port, 0)
 
     def do_view(self, names: list[str], alive: bool, of: list[str] | None = None) -> list[int]:
@@ -161,7 +167,9 @@
     def do_bursts(self, span: int) -> dict[str, int]:
         """At voters: most datagrams within so many tenths of a millisecond since this was asked last."""
         return {
-            name: wire.worst(span) for name, wire in self.wires.items() if wire.noted is not None
+            name: wire.take_max_burst(span)
+            for name, wire in self.sockets.items()
+            if wire.arrival_times is not None
         }
 
     def do_counters(self) -> dict[str, Any]:
@@ -173,8 +181,8 @@
             "resident": resident_mb(),
             "empty": self.empty,
             "lag": lag,
-            "troubles": self.troubles,
-            "dropped": sum(full.get(wire.port, 0) for wire in self.wires.values()),
+            "troubles": self.exception_count,
+            "dropped": sum(full.get(wire.port, 0) for wire in self.sockets.values()),
             "members": {
                 name: {**each.counters(), "dropped": full.get(each.wire.port, 0)}
                 for name, each in self.members.items()
@@ -187,7 +195,7 @@
 
 def main() -> None:
     event_loop = EventLoop()
-    crew = Crew(event_loop)
+    crew = HollowProcessServer(event_loop)
     event_loop.spawn(crew.listen)
     event_loop.run()
 
--- a/corkgauge/testkit/fleet/http_client.py
+++ b/corkgauge/testkit/fleet/http_client.py
@@ -12,10 +12,10 @@
 
 from corkgauge.eventloop.loop import READ, SECOND, WRITE, EventLoop
 
-PATIENCE = 2 * SECOND
+TIMEOUT_TICKS = 2 * SECOND
 
 
-def exchange(
+def send_request(
     event_loop: EventLoop,
     sock: socket.socket,
     client: h11.Connection,
@@ -32,8 +32,8 @@
         try:
             view = view[sock.send(view) :]
         except BlockingIOError:
-            event_loop.wait(sock.fileno(), WRITE, event_loop.now + PATIENCE)
-    body, status, until = b"", 0, event_loop.now + PATIENCE
+            event_loop.wait(sock.fileno(), WRITE, event_loop.now + TIMEOUT_TICKS)
+    body, status, until = b"", 0, event_loop.now + TIMEOUT_TICKS
     while True:
         event = client.next_event()
         if event is h11.NEED_DATA:
@@ -50,22 +50,22 @@
             raise OSError("closed")
 
 
-def ask(
-    event_loop: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]
+def query_endpoint(
+    event_loop: EventLoop, path: str, target: str, body: Any, on_answer: Callable[[Any], None]
 ) -> None:
-    """In a task of its own: `heard` gets what the door answers, or None where nothing sensible comes."""
-    event_loop.spawn(_ask, event_loop, path, target, body, heard)
+    """In a task of its own: `on_answer` gets what the door answers, or None where nothing sensible comes."""
+    event_loop.spawn(_run_query, event_loop, path, target, body, on_answer)
 
 
-def _ask(
-    event_loop: EventLoop, path: str, target: str, body: Any, heard: Callable[[Any], None]
+def _run_query(
+    event_loop: EventLoop, path: str, target: str, body: Any, on_answer: Callable[[Any], None]
 ) -> None:
     sock = socket.socket(socket.AF_UNIX)
     sock.setblocking(False)
     said = None
     try:
         if not sock.connect_ex(path):
-            status, data = exchange(
+            status, data = send_request(
                 event_loop,
                 sock,
                 h11.Connection(h11.CLIENT),
@@ -78,4 +78,4 @@
         pass
     finally:
         sock.close()
-    heard(said)
+    on_answer(said)
--- a/corkgauge/testkit/fleet/maintenance_day.py
+++ b/corkgauge/testkit/fleet/maintenance_day.py
@@ -9,16 +9,16 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.testkit.checkers.maintenance import Limits, wrong
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
-from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn
+from corkgauge.testkit.fleet.processes import Fault, Fleet, draw_random_faults
 from corkgauge.testkit.seeded_random import SeededRandom
 
-MOST = 3
-SLACK = (
+MAX_ENGINES_OUT = 3
+HANDOFF_SLACK_TICKS = (
     1_000  # tenths of a millisecond that a hand-off may have been on its way when a door told `out`
 )
 
 
-class MaintenanceDay:
+class MaintenanceScenario:
     """`fleet` plays; asks come about every `each` seconds, some are cancelled."""
 
     def __init__(
@@ -39,12 +39,12 @@
     ) -> None:
         names = [f"n{n}" for n in range(1, gateways + 1)]
         if faults is None:
-            faults = drawn(seed, names, seconds, gap, longest)
+            faults = draw_random_faults(seed, names, seconds, gap, longest)
         works = {
             "each": 0.2,
             "grant": 1.0,
             "patience": 0.5,
-            "most": MOST,
+            "most": MAX_ENGINES_OUT,
             "share": 0.5,
             "room": 0.9,
         }
@@ -65,7 +65,7 @@
             each,
             cancels,
         )
-        self.limits = Limits(MOST, 0.5, 0.5, 0.5, {"c12": 1})
+        self.limits = Limits(MAX_ENGINES_OUT, 0.5, 0.5, 0.5, {"c12": 1})
         self.ended = False
         self.overruled: set[str] = set()
 
@@ -74,12 +74,12 @@
         fleet = self.fleet
         try:
             fleet.start()
-            self.crew.wish({"do": "known", "out": []})
+            self.crew.send_command({"do": "known", "out": []})
             fleet.event_loop.call_later(2 * SECOND, self._ask)
             fleet.until(self.seconds)
             self.ended = True
             # Once nothing befalls anybody, all that was asked goes through.
-            calm = fleet.until(40, lambda: bool(self.crew.seen.get("units", [1])))
+            calm = fleet.until(40, lambda: bool(self.crew.last_plan.get("units", [1])))
             self.crew.stopped = True
             fleet.settle()
             return self.report(calm)
@@ -92,15 +92,15 @@
         self.fleet.event_loop.call_later(int(self.chance.wait(self.each * SECOND)) + 1, self._ask)
         names = [*self.fleet.engines]
         if self.chance.within(0.1):
-            id_ = self.crew.ask("hall", ("hall-a", "hall-b")[self.chance.below(2)])
+            id_ = self.crew.request_maintenance("hall", ("hall-a", "hall-b")[self.chance.below(2)])
         else:
             some = dict.fromkeys(
                 names[self.chance.below(len(names))] for _ in range(1 + self.chance.below(3))
             )
-            id_ = self.crew.ask("engine", *some)
+            id_ = self.crew.request_maintenance("engine", *some)
         if self.chance.within(self.cancels):
             self.fleet.event_loop.call_later(
-                self.chance.below(SECOND) + 1, self.crew.wish, {"do": "cancel", "id": id_}
+                self.chance.below(SECOND) + 1, self.crew.send_command, {"do": "cancel", "id": id_}
             )
 
     def report(self, calm: bool) -> dict[str, Any]:
@@ -121,17 +121,17 @@
             for run in each.book
             if run.trace not in excused
         ]
-        found = wrong(crew.book, runs, engines, self.limits, SLACK)
+        found = wrong(crew.book, runs, engines, self.limits, HANDOFF_SLACK_TICKS)
         logs = fleet.logs()
         tally: dict[str, int] = {}
         for client in fleet.clients:
             for name, count in client.tally().items():
                 tally[name] = tally.get(name, 0) + count
-        waits = sorted(work.begun - crew.asked[work.ask] for work in crew.book)
+        waits = sorted(work.begun - crew.requested_at[work.ask] for work in crew.book)
         return {
-            "faults": fleet.befallen,
+            "faults": fleet.applied_fault_count,
             "works": len(crew.book),
-            "asks": len(crew.asked),
+            "asks": len(crew.requested_at),
             "most_at_once": most_at_once(crew.book),
             "calm_at_the_end": calm,
             "to_out_s": [waits[int(part * (len(waits) - 1))] / SECOND for part in (0.5, 0.99)]
@@ -139,9 +139,9 @@
             else [],
             "exceptions": sum("exceptions stopped" in line for line in logs),
             "clients": tally,
-            "rules": fleet.broken(2_500),
+            "rules": fleet.find_rule_violations(2_500),
             "wrong": found,
-            "duties": fleet.wrong(),
+            "duties": fleet.find_lease_violations(),
         }
 
 
@@ -160,14 +160,21 @@
     )
 
 
-AIMS = "agreement", "confirmation", "orders"
+SAFEGUARDS = "agreement", "confirmation", "orders"
 
 
-def aimed(at: str, off: bool, seed: int = 4, rounds: int = 5) -> list[str]:
+def run_safeguard_scenario(at: str, off: bool, seed: int = 4, rounds: int = 5) -> list[str]:
     """A day made to show what one defence is for, with it or with it left out: what the inspector found."""
     spoilt = [at] * off + ["midorder"] * (at == "orders")
-    works = {"each": 0.5, "grant": 2.0, "patience": 0.5, "most": MOST, "share": 0.5, "room": 0.9}
-    day = MaintenanceDay(
+    works = {
+        "each": 0.5,
+        "grant": 2.0,
+        "patience": 0.5,
+        "most": MAX_ENGINES_OUT,
+        "share": 0.5,
+        "room": 0.9,
+    }
+    day = MaintenanceScenario(
         seed,
         engines=6,
         off=",".join(spoilt) or "none",
@@ -180,13 +187,13 @@
     crew.lasting = (4 if at == "orders" else 2) * SECOND
     try:
         fleet.start()
-        crew.wish({"do": "known", "out": []})
-        fleet.until(10, lambda: not crew.seen.get("known"))
+        crew.send_command({"do": "known", "out": []})
+        fleet.until(10, lambda: not crew.last_plan.get("known"))
         for n in range(rounds):
             {
-                "agreement": _steps_are_lost,
-                "confirmation": _one_hears_nothing,
-                "orders": _an_order_comes_late,
+                "agreement": _lose_plan_steps,
+                "confirmation": _isolate_one_gateway,
+                "orders": _delay_an_order,
             }[at](day, f"e{1 + n % 6}")
         crew.stopped = True
         return day.report(True)["wrong"]
@@ -194,70 +201,72 @@
         fleet.close()
 
 
-def _asked(day: MaintenanceDay, engine: str, seconds: float) -> bool:
+def _request_engine(day: MaintenanceScenario, engine: str, seconds: float) -> bool:
     """Has the crew begun to work on it?"""
     before = len(day.crew.book)
-    day.crew.ask("engine", engine)
+    day.crew.request_maintenance("engine", engine)
     return day.fleet.until(seconds, lambda: len(day.crew.book) == before)
 
 
-def _one_hears_nothing(day: MaintenanceDay, engine: str) -> None:
+def _isolate_one_gateway(day: MaintenanceScenario, engine: str) -> None:
     """A gateway is cut off from its fellows, and sends on: until the work has begun without it, and some time more;
     or, as it must not begin, for all that time.
     """
-    day.fleet.until(10, lambda: not day.crew.seen.get("holder"))
-    planner = day.crew.seen.get("holder") or "n1"
+    day.fleet.until(10, lambda: not day.crew.last_plan.get("holder"))
+    planner = day.crew.last_plan.get("holder") or "n1"
     other = next(name for name in day.fleet.gateways if name != planner)
-    day.fleet.befall(Fault(0, 60 * SECOND, "cut", (other,)))
+    day.fleet.apply_fault(Fault(0, 60 * SECOND, "cut", (other,)))
     day.fleet.until(0.05)
-    _asked(day, engine, 6)
+    _request_engine(day, engine, 6)
     day.fleet.until(1)
-    for way in day.fleet.ways.values():
+    for way in day.fleet.datagram_relays.values():
         way.cut_until = 0
     day.fleet.until(3)
 
 
-def _steps_are_lost(day: MaintenanceDay, engine: str) -> None:
+def _lose_plan_steps(day: MaintenanceScenario, engine: str) -> None:
     """Steps are lost on their way to keepers, while orders are told again; then the planner stands still."""
-    day.fleet.weather("lose", 0.6)
-    if _asked(day, engine, 10):
-        day.fleet.befall(Fault(0, 2 * SECOND, "stop", (day.crew.seen.get("holder") or "n1",)))
-    day.fleet.weather("lose", 0.0)
+    day.fleet.set_network_fault("lose", 0.6)
+    if _request_engine(day, engine, 10):
+        day.fleet.apply_fault(
+            Fault(0, 2 * SECOND, "stop", (day.crew.last_plan.get("holder") or "n1",))
+        )
+    day.fleet.set_network_fault("lose", 0.0)
     day.fleet.until(3)
 
 
-def _an_order_comes_late(day: MaintenanceDay, engine: str) -> None:
+def _delay_an_order(day: MaintenanceScenario, engine: str) -> None:
     """The planner stands still between its look at the clock and the writing of an order, and goes on once its
     successor has taken a machine out.
     """
     fleet = day.fleet
-    if not fleet.until(12, lambda: not fleet.halted()):
+    if not fleet.until(12, lambda: not fleet.find_suspended_gateways()):
         return
-    for name in fleet.halted():
-        fleet.gateways[name].troubled.append(fleet.event_loop.now)
-        fleet.gateways[name].spells.append(
+    for name in fleet.find_suspended_gateways():
+        fleet.gateways[name].disturbed_at.append(fleet.event_loop.now)
+        fleet.gateways[name].unresponsive_spans.append(
             (fleet.event_loop.now, fleet.event_loop.now + 20 * SECOND)
         )
     # It cannot confirm while it stands still: an operator saw to that.
-    stopped = fleet.halted()
-    day.crew.ask("engine", engine)
+    stopped = fleet.find_suspended_gateways()
+    day.crew.request_maintenance("engine", engine)
     fleet.until(
         12,
-        lambda: day.crew.seen.get("holder") in stopped
+        lambda: day.crew.last_plan.get("holder") in stopped
         or not any(
             unit["unit"] == engine and unit["state"] == "draining"
-            for unit in day.crew.seen.get("units", ())
+            for unit in day.crew.last_plan.get("units", ())
         ),
     )
     before = len(day.crew.book)
     day.overruled.update(stopped)
     for name in stopped:
-        day.crew.wish({"do": "overrule", "unit": engine, "gateway": name})
+        day.crew.send_command({"do": "overrule", "unit": engine, "gateway": name})
     fleet.until(8, lambda: len(day.crew.book) == before)
     fleet.until(0.3)
     # Else whoever took it would be told better within milliseconds.
-    fleet.weather("late", 900.0)
+    fleet.set_network_fault("late", 900.0)
     for name in stopped:
-        fleet.gateways[name].program.tell(signal.SIGCONT)
+        fleet.gateways[name].program.send_signal(signal.SIGCONT)
     fleet.until(3)
-    fleet.weather("late", 0.0)
+    fleet.set_network_fault("late", 0.0)
--- a/corkgauge/testkit/fleet/parent_process.py
+++ b/corkgauge/testkit/fleet/parent_process.py
@@ -13,14 +13,14 @@
 PR_SET_PDEATHSIG = 1  # prctl(2): the signal that a process gets when its parent ends
 
 
-def tied(parent: int) -> Callable[[], None]:
+def kill_with_parent(parent: int) -> Callable[[], None]:
     """What a child runs between fork and exec (`preexec_fn`), or as the first thing in a worker of a pool: it is
     killed when `parent`, the process id of its starter, ends in whichever way.
     """
 
-    def tie() -> None:
+    def request_parent_death_signal() -> None:
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
         if os.getppid() != parent:  # Danger: the parent may have ended before the call
             os._exit(1)
 
-    return tie
+    return request_parent_death_signal
--- a/corkgauge/testkit/fleet/ports.py
+++ b/corkgauge/testkit/fleet/ports.py
@@ -7,32 +7,32 @@
 import secrets
 import socket
 
-LOWEST, HIGHEST = (
+MIN_PORT, MAX_PORT = (
     10_240,
     32_768,
 )  # of those that are chosen; systems hand out higher ones, as they come
-RANGE = "/proc/sys/net/ipv4/ip_local_port_range"
+PORT_RANGE_PATH = "/proc/sys/net/ipv4/ip_local_port_range"
 
 
-def highest(path: str = RANGE) -> int:
+def port_range_end(path: str = PORT_RANGE_PATH) -> int:
     """Below it lie the ports that are chosen: where this system begins to hand them out, if that leaves a thousand."""
     try:
         with open(path, encoding="ascii") as file:
             lowest = int(file.read().split()[0])
     except (OSError, ValueError, IndexError):
-        return HIGHEST
-    return min(lowest, HIGHEST) if lowest >= LOWEST + 1_000 else HIGHEST
+        return MAX_PORT
+    return min(lowest, MAX_PORT) if lowest >= MIN_PORT + 1_000 else MAX_PORT
 
 
-class Reserved:
+class ReservedPort:
     """One port, for TCP or UDP by `sort`, until `end` or the end of this process. `release` lets a process of the
     rig's listen there.
     """
 
     def __init__(self, sort: int) -> None:
-        top = highest()
+        top = port_range_end()
         while True:
-            port = LOWEST + secrets.randbelow(top - LOWEST)
+            port = MIN_PORT + secrets.randbelow(top - MIN_PORT)
             self.mark, self.sock = (
                 socket.socket(socket.AF_UNIX),
                 socket.socket(socket.AF_INET, sort),
@@ -58,11 +58,11 @@
         self.mark.close()
 
 
-KEPT: list[Reserved] = []
+RESERVED_PORTS: list[ReservedPort] = []
 
 
 def free_port() -> int:
     """A TCP port that is this process's to give, until it ends."""
-    KEPT.append(Reserved(socket.SOCK_STREAM))
-    KEPT[-1].release()
-    return KEPT[-1].address[1]
+    RESERVED_PORTS.append(ReservedPort(socket.SOCK_STREAM))
+    RESERVED_PORTS[-1].release()
+    return RESERVED_PORTS[-1].address[1]
--- a/corkgauge/testkit/fleet/processes.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -37,14 +37,22 @@
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
 from corkgauge.testkit.emulators.engines import EmulatedEngine
 from corkgauge.testkit.faults.relay import Passage, Way
-from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, STAKES, WANTS, WORK, settings
+from corkgauge.testkit.fleet.day import (
+    CORES_BY_KIND,
+    ENGINE_KINDS,
+    MEAN_WORK_MS,
+    REQUEST_TYPES,
+    RULE_EXPECTATIONS,
+    ZONE_NAMES,
+    settings,
+)
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
-from corkgauge.testkit.fleet.parent_process import tied
-from corkgauge.testkit.fleet.ports import Reserved
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
+from corkgauge.testkit.fleet.ports import ReservedPort
 from corkgauge.testkit.seeded_random import SeededRandom
 
-JUDGE = "judge"
-SORTS = (
+LEASE_CHECKER_NAME = "judge"
+FAULT_KINDS = (
     "stop",
     "kill",
     "end",
@@ -60,16 +68,18 @@
     "yield",
     "engine",
 )
-WITH_FIGURE = "lose", "late", "double"
-RECOVERS = 2 * SECOND  # until a gateway that stood still, or was killed, answers in time again
-AGAIN = 500  # tenths of a millisecond until what ended is started again
-MEMORY, ROOM = (
+AMOUNT_KINDS = "lose", "late", "double"
+RECOVERY_TICKS = (
+    2 * SECOND
+)  # until a gateway that stood still, or was killed, answers in time again
+RESTART_DELAY_TICKS = 500  # tenths of a millisecond until what ended is started again
+SHARED_MEMORY_FOLDER, MIN_FREE_BYTES = (
     "/dev/shm",
     256 << 20,
 )  # where files take no disk; octets free there, below which it is not used
 
 
-class Unplayable(ValueError):
+class FaultScriptError(ValueError):
     """One line: which line of the script, and what it should say."""
 
 
@@ -78,38 +88,40 @@
     """Times are tenths of a millisecond from the start."""
 
     at: int
-    span: int
-    sort: str
-    whom: tuple[str, ...] = ()
-    figure: float = 0.0
+    duration: int
+    kind: str
+    targets: tuple[str, ...] = ()
+    amount: float = 0.0
 
     def line(self) -> str:
         """As a script has it."""
-        what = f"{self.figure:g}" if self.sort in WITH_FIGURE else " ".join(self.whom)
-        return f"at {self.at / SECOND:g} for {self.span / SECOND:g}: {self.sort} {what}".rstrip()
+        what = f"{self.amount:g}" if self.kind in AMOUNT_KINDS else " ".join(self.targets)
+        return (
+            f"at {self.at / SECOND:g} for {self.duration / SECOND:g}: {self.kind} {what}".rstrip()
+        )
 
 
-def read(text: str, names: list[str], engines: list[str]) -> list[Fault]:
+def parse_fault_script(text: str, names: list[str], engines: list[str]) -> list[Fault]:
     """A script's faults in the order of their time.
 
-    >>> read("at 2 for 3: part n1 n2  # halves", ["n1", "n2", "n3"], [])
-    [Fault(at=20000, span=30000, sort='part', whom=('n1', 'n2'), figure=0.0)]
-    >>> read("at 2: stop n9", ["n1"], [])
+    >>> parse_fault_script("at 2 for 3: part n1 n2  # halves", ["n1", "n2", "n3"], [])
+    [Fault(at=20000, duration=30000, kind='part', targets=('n1', 'n2'), amount=0.0)]
+    >>> parse_fault_script("at 2: stop n9", ["n1"], [])
     Traceback (most recent call last):
-    corkgauge.testkit.fleet.processes.Unplayable: line 1: no gateway 'n9'
+    corkgauge.testkit.fleet.processes.FaultScriptError: line 1: no gateway 'n9'
     """
     found = []
     for number, line in enumerate(text.splitlines(), 1):
         line = line.partition("#")[0].strip()
         try:
             if line:
-                found.append(_fault(line, names, engines))
+                found.append(_parse_fault(line, names, engines))
         except ValueError as problem:
-            raise Unplayable(f"line {number}: {problem}") from None
+            raise FaultScriptError(f"line {number}: {problem}") from None
     return sorted(found, key=lambda fault: fault.at)
 
 
-def _fault(line: str, names: list[str], engines: list[str]) -> Fault:
+def _parse_fault(line: str, names: list[str], engines: list[str]) -> Fault:
     head, colon, what = line.partition(":")
     times, words = head.split(), what.split()
     if (
@@ -126,9 +138,9 @@
     sort, *whom = words
     if at < 0 or span < 0:
         raise ValueError("a time below 0")
-    if sort not in SORTS:
-        raise ValueError(f"expected one of {', '.join(SORTS)}, found {sort!r}")
-    if sort in WITH_FIGURE:
+    if sort not in FAULT_KINDS:
+        raise ValueError(f"expected one of {', '.join(FAULT_KINDS)}, found {sort!r}")
+    if sort in AMOUNT_KINDS:
         if len(whom) != 1 or float(whom[0]) < 0 or (sort != "late" and float(whom[0]) > 1):
             raise ValueError(f"{sort}: expected a figure")
         return Fault(at, span, sort, (), float(whom[0]))
@@ -142,7 +154,9 @@
     return Fault(at, span, sort, tuple(whom))
 
 
-def drawn(seed: int, names: list[str], seconds: float, gap: float, longest: float) -> list[Fault]:
+def draw_random_faults(
+    seed: int, names: list[str], seconds: float, gap: float, longest: float
+) -> list[Fault]:
     """Faults by chance, about one each `gap` seconds, of all sorts, none longer than `longest` seconds."""
     chance, at, found = SeededRandom(seed), 2.0, []
     sorts = [
@@ -173,7 +187,7 @@
                 int(at * SECOND),
                 int(span * SECOND),
                 sort,
-                () if sort in (*WITH_FIGURE, "yield") else tuple(sorted(whom)),
+                () if sort in (*AMOUNT_KINDS, "yield") else tuple(sorted(whom)),
                 figure,
             )
         )
@@ -181,7 +195,7 @@
     return found
 
 
-OPERATOR = """<?xml version="1.0"?>
+OPERATOR_FILE = """<?xml version="1.0"?>
 <operator version="1">
   <figures><listen unix="{folder}/figures.sock"/></figures>
   <fellows period="{period}" listen="{listen}">
@@ -197,7 +211,7 @@
 """
 
 
-def in_memory(place: str = MEMORY, room: int = ROOM) -> str | None:
+def find_memory_folder(place: str = SHARED_MEMORY_FOLDER, room: int = MIN_FREE_BYTES) -> str | None:
     """Danger: a gateway says nothing that is not safe on disk, and a disk that others keep busy takes seconds for it
     (15 s were seen): a scene's verdict would be the disk's. Processes are killed here, never the
     machine, so memory keeps what a disk would; what the program does with a slow one is forced by
@@ -218,18 +232,18 @@
     """One process, and where it is reached."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
-        self.fleet, self.name, self.zone = fleet, f"n{number}", HALLS[number % 2]
+        self.fleet, self.name, self.zone = fleet, f"n{number}", ZONE_NAMES[number % 2]
         self.folder = os.path.join(fleet.folder, self.name)
         os.mkdir(self.folder)
-        self.reserved = [Reserved(sort) for sort in (socket.SOCK_STREAM, socket.SOCK_DGRAM)]
+        self.reserved = [ReservedPort(sort) for sort in (socket.SOCK_STREAM, socket.SOCK_DGRAM)]
         self.address, self.listen = (each.address for each in self.reserved)
         self.program: Any = None
-        self.burner: subprocess.Popen | None = None
-        self.troubled: list[int] = []  # when it was stopped, killed or kept from its processor
-        self.spells: list[
+        self.cpu_load_process: subprocess.Popen | None = None
+        self.disturbed_at: list[int] = []  # when it was stopped, killed or kept from its processor
+        self.unresponsive_spans: list[
             tuple[int, int]
         ] = []  # from then until then it could answer nobody in time
-        self.until = 0  # it stands still, or is down, until then
+        self.disturbed_until = 0  # it stands still, or is down, until then
 
 
 class Fleet:
@@ -259,10 +273,10 @@
             SeededRandom(seed),
             [*faults],
         )
-        self.folder = tempfile.mkdtemp(prefix="corkgauge-", dir=in_memory())
+        self.folder = tempfile.mkdtemp(prefix="corkgauge-", dir=find_memory_folder())
         self.lease, self.off, self.rates, self.cold = lease, off, rates, int(cold * SECOND)
-        share, _, *rest = STAKES.cold
-        self.stakes = replace(STAKES, cold=(share, self.cold, *rest))
+        share, _, *rest = RULE_EXPECTATIONS.cold
+        self.rule_expectations = replace(RULE_EXPECTATIONS, cold=(share, self.cold, *rest))
         self.options = {
             "period": max(lease / 5, 0.1),
             "margin": round(lease / 10, 3),
@@ -287,20 +301,20 @@
             f"e{n}": EmulatedEngine(
                 self.event_loop,
                 f"e{n}",
-                KINDS[n % 2],
-                HALLS[n // 2 % 2],
-                CORES[KINDS[n % 2]],
-                WORK,
+                ENGINE_KINDS[n % 2],
+                ZONE_NAMES[n // 2 % 2],
+                CORES_BY_KIND[ENGINE_KINDS[n % 2]],
+                MEAN_WORK_MS,
                 seed * 100 + n,
                 known,
             )
             for n in range(1, engines + 1)
         }
-        self.passages: dict[tuple[str, str], Passage] = {}
+        self.engine_relays: dict[tuple[str, str], Passage] = {}
         self.gateways = {f"n{n}": Gateway(self, n) for n in range(1, gateways + 1)}
         names = [*self.gateways]
         self.voters = names[: voters or (gateways if gateways < 4 else 3 if gateways < 5 else 5)]
-        self.ways = {
+        self.datagram_relays = {
             (one, other): Way(
                 self.event_loop, self.gateways[other].listen, SeededRandom(seed * 1000 + 31 * n + m)
             )
@@ -310,7 +324,7 @@
         }
         # Danger: what arrives late at the judge would count as done late; so no fault is on its
         # ways.
-        self.to_judge = {
+        self.checker_relays = {
             name: Way(self.event_loop, ("127.0.0.1", 1), SeededRandom(1)) for name in names
         }
         from_judge = [
@@ -319,16 +333,16 @@
         ]
         with open(self.key, encoding="ascii") as file:
             secret = bytes.fromhex(file.read())
-        self.judge = LeaseChecker(
+        self.lease_checker = LeaseChecker(
             self.event_loop,
-            JUDGE,
+            LEASE_CHECKER_NAME,
             [secret],
             from_judge,
             int(self.options["period"] * SECOND),
             guarded,
         )
-        for way in self.to_judge.values():
-            way.target = self.judge.address
+        for way in self.checker_relays.values():
+            way.target = self.lease_checker.address
         self.feeds = {name: self._feed(name) for name in names}
         for number, gateway in enumerate(self.gateways.values()):
             gateway.program = self._program(gateway, number)
@@ -336,26 +350,28 @@
             EmulatedClient(
                 self.event_loop,
                 self.gateways[names[n % len(names)]].address,
-                WANTS,
+                REQUEST_TYPES,
                 ("acme", "bolt")[n % 2],
                 rate / clients,
                 seed * 1000 + n,
             )
             for n in range(clients)
         ]
-        self.befallen = 0
+        self.applied_fault_count = 0
 
     def _feed(self, name: str) -> EmulatedDiscovery:
         """Each gateway reaches each engine by a passage of its own, so each has a list of its own."""
         feed = EmulatedDiscovery(self.event_loop)
         for engine in self.engines.values():
-            self.passages[name, engine.name] = Passage(self.event_loop, engine.listener.address)
+            self.engine_relays[name, engine.name] = Passage(
+                self.event_loop, engine.listener.address
+            )
         return feed
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
         feed = self.feeds[gateway.name]
         reached = [
-            _Reached(engine, "%s:%d" % self.passages[gateway.name, engine.name].address)
+            _RelayedEngine(engine, "%s:%d" % self.engine_relays[gateway.name, engine.name].address)
             for engine in self.engines.values()
         ]
         first = feed.told(reached, full=True)
@@ -376,16 +392,19 @@
             if self.off == "none" and rate == 1.0
             else ("-m", "corkgauge.testkit.faults.disabled_safeguards", self.off, str(rate))
         )
-        return GatewayProcess(gateway.folder, said, self.operator(gateway), start)
+        return GatewayProcess(gateway.folder, said, self.render_operator_file(gateway), start)
 
-    def operator(self, gateway: Gateway, **options: Any) -> str:
+    def render_operator_file(self, gateway: Gateway, **options: Any) -> str:
         """The operator file of one gateway: it reaches each fellow by the relay of that way."""
         options = {**self.options, "voters": " ".join(self.voters), **options}
         lines = [
-            f'    <fellow name="{JUDGE}" address="%s:%d"/>' % self.to_judge[gateway.name].address
+            f'    <fellow name="{LEASE_CHECKER_NAME}" address="%s:%d"/>'
+            % self.checker_relays[gateway.name].address
         ]
         for name, each in self.gateways.items():
-            where = each.listen if each is gateway else self.ways[gateway.name, name].address
+            where = (
+                each.listen if each is gateway else self.datagram_relays[gateway.name, name].address
+            )
             lines.append(
                 f'    <fellow name="{name}" address="{where[0]}:{where[1]}" hall="{each.zone}"/>'
             )
@@ -400,7 +419,7 @@
                 )
             )
         votes = f' folder="{gateway.folder}/votes"' if options["disk"] else ""
-        return OPERATOR.format(
+        return OPERATOR_FILE.format(
             folder=gateway.folder,
             key=options.pop("key", self.key),
             lease=self.lease,
@@ -410,22 +429,24 @@
             **options,
         )
 
-    def reached(self, gateway: str, engine: str) -> "_Reached":
+    def engine_for_gateway(self, gateway: str, engine: str) -> "_RelayedEngine":
         """An engine as the list tells it to one gateway."""
-        return _Reached(self.engines[engine], "%s:%d" % self.passages[gateway, engine].address)
+        return _RelayedEngine(
+            self.engines[engine], "%s:%d" % self.engine_relays[gateway, engine].address
+        )
 
-    def listed(self, names: Any, state: str = "SERVING") -> None:
+    def publish_engines(self, names: Any, state: str = "SERVING") -> None:
         """Each gateway's feed tells of these engines."""
         for name, feed in self.feeds.items():
-            feed.told([self.reached(name, each) for each in names], state)
+            feed.told([self.engine_for_gateway(name, each) for each in names], state)
 
-    def renewed(self, names: Any) -> None:
+    def restart_engines(self, names: Any) -> None:
         """These engines have just started: cold, with nothing of before."""
         for name in names:
             engine = self.engines[name]
             engine.listener.drop()
             engine.started_ms = self.event_loop.now // 10
-        self.listed(names)
+        self.publish_engines(names)
 
     # Playing.
 
@@ -437,7 +458,7 @@
             gateway.program.start()
         self.begun = self.event_loop.now
         for fault in self.faults:
-            self.event_loop.call_later(max(fault.at, 1), self.befall, fault)
+            self.event_loop.call_later(max(fault.at, 1), self.apply_fault, fault)
 
     def until(self, seconds: float, while_: Any = lambda: True) -> bool:
         """Go on for so long, or until something no longer holds; did it stop holding?"""
@@ -448,16 +469,16 @@
             self.event_loop.turn(min((when - self.event_loop.now) / 10, 20))
         return not while_()
 
-    def held(self, seconds: float = 10.0, duty: str = "books") -> bool:
+    def wait_for_lease_action(self, seconds: float = 10.0, duty: str = "books") -> bool:
         """Until somebody's act has arrived since now."""
-        since = len(self.judge.acts)
+        since = len(self.lease_checker.acts)
         return self.until(
-            seconds, lambda: not any(act.lease == duty for act in self.judge.acts[since:])
+            seconds, lambda: not any(act.lease == duty for act in self.lease_checker.acts[since:])
         )
 
     def holder(self) -> str:
         """Who acted last."""
-        return self.judge.acts[-1].sender if self.judge.acts else ""
+        return self.lease_checker.acts[-1].sender if self.lease_checker.acts else ""
 
     def run(self, seconds: float) -> None:
         self.start()
@@ -472,10 +493,10 @@
 
     def close(self) -> None:
         for gateway in self.gateways.values():
-            self._burn(gateway, False)
-            if gateway.program.running():
-                gateway.program.tell(signal.SIGCONT)
-                gateway.program.tell(signal.SIGKILL)
+            self._set_cpu_load(gateway, False)
+            if gateway.program.is_running():
+                gateway.program.send_signal(signal.SIGCONT)
+                gateway.program.send_signal(signal.SIGKILL)
                 gateway.program.process.wait()
             for each in gateway.reserved:
                 each.end()
@@ -483,39 +504,43 @@
 
     # Faults.
 
-    def befall(self, fault: Fault) -> None:
-        self.befallen += 1
-        until = self.event_loop.now + fault.span
-        if fault.sort in ("cut", "deaf", "mute"):
-            for one, other in self.ways:
-                if (fault.sort != "deaf" and one in fault.whom) or (
-                    fault.sort != "mute" and other in fault.whom
+    def apply_fault(self, fault: Fault) -> None:
+        self.applied_fault_count += 1
+        until = self.event_loop.now + fault.duration
+        if fault.kind in ("cut", "deaf", "mute"):
+            for one, other in self.datagram_relays:
+                if (fault.kind != "deaf" and one in fault.targets) or (
+                    fault.kind != "mute" and other in fault.targets
                 ):
-                    self.ways[one, other].cut_until = until
-        elif fault.sort == "part":
-            for one, other in self.ways:
-                if (one in fault.whom) != (other in fault.whom):
-                    self.ways[one, other].cut_until = until
-        elif fault.sort in WITH_FIGURE:
-            self.weather(fault.sort, fault.figure)
-            self.event_loop.call_later(max(fault.span, 1), self.weather, fault.sort, 0.0)
-        elif fault.sort == "replay":
-            for (_, other), way in self.ways.items():
-                if other in fault.whom:
+                    self.datagram_relays[one, other].cut_until = until
+        elif fault.kind == "part":
+            for one, other in self.datagram_relays:
+                if (one in fault.targets) != (other in fault.targets):
+                    self.datagram_relays[one, other].cut_until = until
+        elif fault.kind in AMOUNT_KINDS:
+            self.set_network_fault(fault.kind, fault.amount)
+            self.event_loop.call_later(
+                max(fault.duration, 1), self.set_network_fault, fault.kind, 0.0
+            )
+        elif fault.kind == "replay":
+            for (_, other), way in self.datagram_relays.items():
+                if other in fault.targets:
                     way.again()
-        elif fault.sort == "engine":
-            for (_, engine), passage in self.passages.items():
-                if engine in fault.whom:
+        elif fault.kind == "engine":
+            for (_, engine), passage in self.engine_relays.items():
+                if engine in fault.targets:
                     passage.cut = True
-                    self.event_loop.call_later(max(fault.span, 1), setattr, passage, "cut", False)
-        elif fault.sort == "yield":
-            self.ask_yield()
+                    self.event_loop.call_later(
+                        max(fault.duration, 1), setattr, passage, "cut", False
+                    )
+        elif fault.kind == "yield":
+            self.request_lease_yield()
         else:
-            for name in fault.whom:
-                self.trouble(self.gateways[name], fault)
+            for name in fault.targets:
+                self.disturb_gateway(self.gateways[name], fault)
 
-    def weather(self, sort: str, figure: float) -> None:
-        for way in self.ways.values():
+    def set_network_fault(self, sort: str, figure: float) -> None:
+        for way in self.datagram_relays.values():
             if sort == "lose":
                 way.loss = figure
             elif sort == "late":
@@ -523,51 +548,55 @@
             else:
                 way.doubled = figure
 
-    def trouble(self, gateway: Gateway, fault: Fault) -> None:
+    def disturb_gateway(self, gateway: Gateway, fault: Fault) -> None:
         program = gateway.program
-        if self.event_loop.now < gateway.until or not program.running():
+        if self.event_loop.now < gateway.disturbed_until or not program.is_running():
             return  # something befell it already
-        gateway.troubled.append(self.event_loop.now)
-        gateway.until = self.event_loop.now + max(fault.span, AGAIN)
-        gateway.spells.append((self.event_loop.now, gateway.until + RECOVERS))
-        if fault.sort == "stop":
-            program.tell(signal.SIGSTOP)
-            self.event_loop.call_later(max(fault.span, 1), program.tell, signal.SIGCONT)
-        elif fault.sort == "busy":
-            self._burn(gateway, True)
-            self.event_loop.call_later(max(fault.span, 1), self._burn, gateway, False)
+        gateway.disturbed_at.append(self.event_loop.now)
+        gateway.disturbed_until = self.event_loop.now + max(fault.duration, RESTART_DELAY_TICKS)
+        gateway.unresponsive_spans.append(
+            (self.event_loop.now, gateway.disturbed_until + RECOVERY_TICKS)
+        )
+        if fault.kind == "stop":
+            program.send_signal(signal.SIGSTOP)
+            self.event_loop.call_later(max(fault.duration, 1), program.send_signal, signal.SIGCONT)
+        elif fault.kind == "busy":
+            self._set_cpu_load(gateway, True)
+            self.event_loop.call_later(max(fault.duration, 1), self._set_cpu_load, gateway, False)
         else:
-            program.tell(signal.SIGKILL if fault.sort == "kill" else signal.SIGTERM)
-            self.event_loop.call_later(max(fault.span, AGAIN), self.again, gateway)
+            program.send_signal(signal.SIGKILL if fault.kind == "kill" else signal.SIGTERM)
+            self.event_loop.call_later(
+                max(fault.duration, RESTART_DELAY_TICKS), self.restart_gateway, gateway
+            )
 
-    def again(self, gateway: Gateway) -> None:
-        if gateway.program.running():
-            return self.event_loop.call_later(AGAIN, self.again, gateway)
+    def restart_gateway(self, gateway: Gateway) -> None:
+        if gateway.program.is_running():
+            return self.event_loop.call_later(RESTART_DELAY_TICKS, self.restart_gateway, gateway)
         feed = self.feeds[gateway.name]
-        gateway.program.said["known"] = {"n": feed.version, "events": feed.events}
+        gateway.program.configuration["known"] = {"n": feed.version, "events": feed.events}
         gateway.program.start()
 
-    def _burn(self, gateway: Gateway, on: bool) -> None:
+    def _set_cpu_load(self, gateway: Gateway, on: bool) -> None:
         """A process of ours on the same processor, at the same priority."""
-        if gateway.burner is not None:
-            gateway.burner.kill()
-            gateway.burner.wait()
-            gateway.burner = None
-        if on and gateway.program.running():
+        if gateway.cpu_load_process is not None:
+            gateway.cpu_load_process.kill()
+            gateway.cpu_load_process.wait()
+            gateway.cpu_load_process = None
+        if on and gateway.program.is_running():
             core = [*os.sched_getaffinity(0)][-1]
             os.sched_setaffinity(gateway.program.process.pid, {core})
-            gateway.burner = subprocess.Popen(
-                [sys.executable, "-c", "while True: pass"], preexec_fn=tied(os.getpid())
+            gateway.cpu_load_process = subprocess.Popen(
+                [sys.executable, "-c", "while True: pass"], preexec_fn=kill_with_parent(os.getpid())
             )
-            os.sched_setaffinity(gateway.burner.pid, {core})
-        elif gateway.program.running():
+            os.sched_setaffinity(gateway.cpu_load_process.pid, {core})
+        elif gateway.program.is_running():
             os.sched_setaffinity(gateway.program.process.pid, os.sched_getaffinity(0))
 
-    def halted(self) -> list[str]:
+    def find_suspended_gateways(self) -> list[str]:
         """Gateways whose process stands still, as the system tells it."""
         found = []
         for name, gateway in self.gateways.items():
-            if gateway.program.running():
+            if gateway.program.is_running():
                 with open(
                     f"/proc/{gateway.program.process.pid}/stat", encoding="ascii", errors="replace"
                 ) as file:
@@ -575,12 +604,12 @@
                         found.append(name)
         return found
 
-    def ask_yield(self) -> None:
+    def request_lease_yield(self) -> None:
         """Whoever acted last is told to give its duty up, at its own door. Blocks for a moment."""
         from corkgauge.accounting.client import request_json
 
         name = self.holder()
-        if name and self.event_loop.now >= self.gateways[name].until:
+        if name and self.event_loop.now >= self.gateways[name].disturbed_until:
             try:
                 request_json(
                     f"{self.gateways[name].folder}/figures.sock",
@@ -592,7 +621,7 @@
             except (OSError, ValueError):
                 pass
 
-    def asked(self, name: str, target: str = "/duties", body: Any = None) -> Any:
+    def query_gateway(self, name: str, target: str = "/duties", body: Any = None) -> Any:
         """What a gateway tells at its door, asked while the hub goes on: its clients may be answered
         meanwhile.
         """
@@ -611,7 +640,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
-            preexec_fn=tied(os.getpid()),
+            preexec_fn=kill_with_parent(os.getpid()),
         )
         self.until(10, lambda: process.poll() is None)
         out, wrong = process.communicate()
@@ -621,20 +650,21 @@
 
     # What was seen.
 
-    def wrong(self) -> list[str]:
+    def find_lease_violations(self) -> list[str]:
         """The judge's verdict."""
         return verdict(
-            self.judge.acts, {name: each.troubled for name, each in self.gateways.items()}
+            self.lease_checker.acts,
+            {name: each.disturbed_at for name, each in self.gateways.items()},
         )
 
-    def changes(self) -> list[tuple[int, int, int, str, str]]:
-        return vacancies(self.judge.acts, "books")
+    def find_holder_changes(self) -> list[tuple[int, int, int, str, str]]:
+        return vacancies(self.lease_checker.acts, "books")
 
-    def broken(self, slack: int = rules.SLACK) -> list[str]:
+    def find_rule_violations(self, slack: int = rules.SLACK) -> list[str]:
         """The seven rules. What was open at a gateway while it stood still or was killed is owed by nobody."""
         names, asks = [*self.gateways], []
         for n, client in enumerate(self.clients):
-            spells = self.gateways[names[n % len(names)]].spells
+            spells = self.gateways[names[n % len(names)]].unresponsive_spans
             asks += [
                 ask
                 for ask in client.book
@@ -653,7 +683,7 @@
         talking = self.options["works"] is not None or self.options["shared"] is not None
         changes = next(iter(self.feeds.values())).changes if talking else []
         cores = {name: each.cores for name, each in self.engines.items()}
-        return rules.broken(asks, runs, changes, cores, self.stakes, slack)
+        return rules.broken(asks, runs, changes, cores, self.rule_expectations, slack)
 
     def logs(self) -> list[str]:
         return [
@@ -661,7 +691,7 @@
         ]
 
 
-class _Reached:
+class _RelayedEngine:
     """An engine as one gateway reaches it."""
 
     def __init__(self, engine: EmulatedEngine, address: str) -> None:
--- a/corkgauge/testkit/fleet/scraper.py
+++ b/corkgauge/testkit/fleet/scraper.py
@@ -11,16 +11,21 @@
 import h11
 
 from corkgauge.eventloop.loop import EventLoop
-from corkgauge.testkit.fleet.http_client import exchange
+from corkgauge.testkit.fleet.http_client import send_request
 
 
 class Scraper:
-    """Calls `heard(cut)` for each cut; asks every `each` tenths of a millisecond, over one connection."""
+    """Calls `on_snapshot(cut)` for interval cut; asks every `interval` tenths of a millisecond, over one connection."""
 
     def __init__(
-        self, event_loop: EventLoop, path: str, each: int, heard: Callable[[Any], None]
+        self, event_loop: EventLoop, path: str, interval: int, on_snapshot: Callable[[Any], None]
     ) -> None:
-        self.event_loop, self.path, self.each, self.heard = event_loop, path, each, heard
+        self.event_loop, self.path, self.interval, self.on_snapshot = (
+            event_loop,
+            path,
+            interval,
+            on_snapshot,
+        )
         self.stopped, self.missed = False, 0
         event_loop.spawn(self.run)
 
@@ -33,16 +38,16 @@
                     client = h11.Connection(h11.CLIENT)
                     while not self.stopped:
                         begun = self.event_loop.now
-                        self.heard(
+                        self.on_snapshot(
                             json.loads(
-                                exchange(self.event_loop, sock, client, "GET", "/figures")[1]
+                                send_request(self.event_loop, sock, client, "GET", "/figures")[1]
                             )
                         )
                         client.start_next_cycle()
-                        self.event_loop.sleep(max(self.each - (self.event_loop.now - begun), 1))
+                        self.event_loop.sleep(max(self.interval - (self.event_loop.now - begun), 1))
             except (OSError, ValueError, h11.ProtocolError):
                 self.missed += 1
             finally:
                 sock.close()
             if not self.stopped:
-                self.event_loop.sleep(self.each)
+                self.event_loop.sleep(self.interval)
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -13,28 +13,34 @@
 from corkgauge.config.settings import Settings
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.net.host import UnstartedHost
-from corkgauge.policy.gateway import Gateway as Module
+from corkgauge.policy.gateway import Gateway as PolicyGateway
 from corkgauge.policy.records import Engine, EngineState
 from corkgauge.testkit.checkers import rules
 from corkgauge.testkit.emulators.clients import Ask, EmulatedClient, Want
 from corkgauge.testkit.emulators.discovery import EmulatedDiscovery
 from corkgauge.testkit.emulators.engines import Run
 from corkgauge.testkit.emulators.listener import Listener
-from corkgauge.testkit.fleet.day import CORES, HALLS, KINDS, WANTS, settings
+from corkgauge.testkit.fleet.day import (
+    CORES_BY_KIND,
+    ENGINE_KINDS,
+    REQUEST_TYPES,
+    ZONE_NAMES,
+    settings,
+)
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
 from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.processes import Fleet, Gateway
 
-FEW_KIND, FEW_CORES = "x12", 12  # a kind that few engines are of; reports run on it alone
-COLD = (
+RARE_KIND, RARE_KIND_CORES = "x12", 12  # a kind that few engines are of; reports run on it alone
+SLOW_START = (
     0.05,
     1.0,
     SECOND + SECOND // 2,
 )  # share, multiple and time to fall of an engine that has just started
-MISSING = -1  # a gateway whose settings name no number
+NO_GATEWAY_NUMBER = -1  # a gateway whose settings name no number
 
 
-def settled(listener: Listener) -> None:
+def move_to_reserved_port(listener: Listener) -> None:
     """Danger: a port that the system hands out may go to an outgoing connection, or to another rig, while its engine is
     gone; so engines have ports that other rigs heed.
     """
@@ -43,7 +49,7 @@
     listener.open()
 
 
-class WideFeed(EmulatedDiscovery):
+class CellDiscovery(EmulatedDiscovery):
     """Tells each engine's cell too."""
 
     def told(
@@ -81,7 +87,7 @@
         return event
 
 
-class Wide(Fleet):
+class WideFleet(Fleet):
     """`numbers` are those of the gateways that run, of `told`; `listed` the engines of the first list and `more` those
     beyond it; the first `few` of both are of a kind of their own; `cell` engines make a cell, which
     knows its repeats by itself. `spoilt` names what is left out of all. `rates` are submissions a
@@ -98,7 +104,7 @@
         cell: int = 0,
         spoilt: str = "",
         rates: Iterable[float] = (40.0,) * 3,
-        wants: list[Want] = WANTS,
+        request_types: list[Want] = REQUEST_TYPES,
         seed: int = 5,
         cold: float = 15.0,
     ) -> None:
@@ -117,7 +123,7 @@
             EmulatedClient(
                 self.event_loop,
                 self.gateways[names[n % len(names)]].address,
-                wants,
+                request_types,
                 ("acme", "bolt")[n % 2],
                 rate,
                 seed * 1000 + n,
@@ -125,21 +131,23 @@
             for n, rate in enumerate(rates)
         ]
 
-    def _feed(self, name: str) -> WideFeed:
+    def _feed(self, name: str) -> CellDiscovery:
         if not self.marks:
-            self._arrange()
-        return WideFeed(self.event_loop)
+            self._assign_kinds_and_cells()
+        return CellDiscovery(self.event_loop)
 
-    def _arrange(self) -> None:
+    def _assign_kinds_and_cells(self) -> None:
         """Kinds and cells, before the first list."""
         for n, engine in enumerate(self.engines.values()):
             engine.cell = n // self.cell if self.cell else 0
             engine.known = self.marks.setdefault(engine.cell, {})
-            settled(engine.listener)
+            move_to_reserved_port(engine.listener)
             if n < self.few or 0 <= n - len(self.first) < self.few:
-                engine.kind, engine.cores = FEW_KIND, FEW_CORES
-        self.stakes = replace(
-            self.stakes, kinds={"report": {FEW_KIND}}, cold=(COLD[0], self.cold, *COLD[1:])
+                engine.kind, engine.cores = RARE_KIND, RARE_KIND_CORES
+        self.rule_expectations = replace(
+            self.rule_expectations,
+            kinds={"report": {RARE_KIND}},
+            cold=(SLOW_START[0], self.cold, *SLOW_START[1:]),
         )
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
@@ -164,18 +172,21 @@
     def settings(self, number: int) -> dict[str, Any]:
         """What the gateway at this place of the cast is told."""
         said = settings("cell" if self.cell else "all")
-        said["profiles"][1]["servedOn"] = [len(KINDS)]
-        said["kinds"] = [*KINDS, FEW_KIND]
-        said["extra"]["coresByKind"] = [*(CORES[kind] for kind in KINDS), FEW_CORES]
+        said["profiles"][1]["servedOn"] = [len(ENGINE_KINDS)]
+        said["kinds"] = [*ENGINE_KINDS, RARE_KIND]
+        said["extra"]["coresByKind"] = [
+            *(CORES_BY_KIND[kind] for kind in ENGINE_KINDS),
+            RARE_KIND_CORES,
+        ]
         said["extra"]["sizeMb"] = [4000, 6000, 6000]
         said["rules"] |= {
             "coldUs": self.cold * 100,
-            "coldShare": COLD[0],
-            "fallMultiple": COLD[1],
-            "fallUs": COLD[2] * 100,
+            "coldShare": SLOW_START[0],
+            "fallMultiple": SLOW_START[1],
+            "fallUs": SLOW_START[2] * 100,
         }
         said["instances"], said["myNumber"] = self.told, self.numbers[number]
-        if self.numbers[number] == MISSING:
+        if self.numbers[number] == NO_GATEWAY_NUMBER:
             del said["myNumber"]
         return said
 
@@ -185,12 +196,12 @@
         """
         number = [*self.gateways].index(name)
         settings = Settings(self.settings(number), UnstartedHost(), self.seed * 100 + number, name)
-        module: Module = settings.gateway
+        module: PolicyGateway = settings.gateway
         for tag, (zone, kind, cell, started) in self.listing(name).items():
             engine = Engine(
                 tag,
                 tag.encode(),
-                HALLS.index(zone),
+                ZONE_NAMES.index(zone),
                 settings.engine_kinds.index(kind),
                 cell,
                 name=tag,
@@ -213,7 +224,7 @@
                     found[each["id"]] = each["zone"], each["kind"], each["cell"], each["started_ms"]
         return found
 
-    def tell(
+    def publish_list(
         self,
         names: Iterable[str],
         state: str = "SERVING",
@@ -224,7 +235,7 @@
         for gateway in to or self.gateways:
             self.feeds[gateway].told([self.engines[name] for name in names], state, full)
 
-    def started(self, names: Iterable[str]) -> None:
+    def mark_started(self, names: Iterable[str]) -> None:
         """These have just started; nobody has been told yet."""
         for name in names:
             self.engines[name].started_ms = self.event_loop.now // 10
@@ -238,7 +249,7 @@
 
     # What was seen.
 
-    def asks_of(self, name: str, since: int = 0) -> list[Ask]:
+    def requests_to(self, name: str, since: int = 0) -> list[Ask]:
         """What clients asked of one gateway."""
         where = [*self.gateways].index(name)
         return [
@@ -249,9 +260,9 @@
             if ask.sent >= since
         ]
 
-    def runs_of(self, name: str, since: int = 0) -> list[Run]:
+    def attempts_from(self, name: str, since: int = 0) -> list[Run]:
         """What came to engines from one gateway, in the order in which it came."""
-        mine = {ask.trace for ask in self.asks_of(name)}
+        mine = {ask.trace for ask in self.requests_to(name)}
         return sorted(
             (
                 run
@@ -262,11 +273,11 @@
             key=lambda run: run.came,
         )
 
-    def reached_by(self, name: str, since: int = 0) -> set[str]:
+    def engines_reached_from(self, name: str, since: int = 0) -> set[str]:
         """Engines that something of one gateway's came to."""
-        return {run.engine for run in self.runs_of(name, since)}
+        return {run.engine for run in self.attempts_from(name, since)}
 
-    def served(self, since: int = 0, until: int = 2**62, request_class: str = "") -> float:
+    def served_fraction(self, since: int = 0, until: int = 2**62, request_class: str = "") -> float:
         """Part of what was asked that was served."""
         asks = [
             ask
@@ -278,12 +289,13 @@
             len(asks), 1
         )
 
-    def broken(self, slack: int = rules.SLACK) -> list[str]:
+    def find_rule_violations(self, slack: int = rules.SLACK) -> list[str]:
         """The seven rules. What engines are sent counts over all gateways; a drain binds whom it was told."""
         asks = sorted(
-            (ask for name in self.gateways for ask in self.asks_of(name)), key=lambda ask: ask.sent
+            (ask for name in self.gateways for ask in self.requests_to(name)),
+            key=lambda ask: ask.sent,
         )
-        runs = {name: self.runs_of(name) for name in self.gateways}
+        runs = {name: self.attempts_from(name) for name in self.gateways}
         whole = sorted((run for each in runs.values() for run in each), key=lambda run: run.came)
         cores = {name: each.cores for name, each in self.engines.items()}
         colds = {change for feed in self.feeds.values() for change in feed.changes if change[3]}
@@ -298,11 +310,13 @@
                 }
             ),
             cores,
-            replace(self.stakes, extra=(0.0, 0.0, 0)),
+            replace(self.rule_expectations, extra=(0.0, 0.0, 0)),
             slack,
         )
         for name, each in runs.items():
-            mine = self.asks_of(name)
-            found += rules.drained(each, self.feeds[name].changes, self.stakes.grace + slack)
-            found += rules.rationed(mine, each, self.stakes)
+            mine = self.requests_to(name)
+            found += rules.drained(
+                each, self.feeds[name].changes, self.rule_expectations.grace + slack
+            )
+            found += rules.rationed(mine, each, self.rule_expectations)
         return found
--- a/tests/corrupted_files.py
+++ b/tests/corrupted_files.py
@@ -184,9 +184,9 @@
 
 def play(fault):
     from corkgauge.testkit.faults.script import read
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
-    day = Day(
+    day = GatewayScenario(
         11,
         read(SILENT_ENGINE_SCRIPT, ["e1"]),
         engines=2,
@@ -206,7 +206,7 @@
             {
                 "damaged": [line for line in log if line.startswith("damaged")],
                 "found": [line for line in log if "figures out of balance" in line],
-                "findings": day.cuts[-1]["audit"]["findings"],
+                "findings": day.snapshots[-1]["audit"]["findings"],
                 "log": log[-20:],
             }
         )
--- a/tests/test_connection_races.py
+++ b/tests/test_connection_races.py
@@ -22,7 +22,7 @@
 from corkgauge.net.engine_connection import EngineConnection
 from corkgauge.net.engine_pool import EnginePool
 from corkgauge.policy.records import AttemptOutcome
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 from corkgauge.testkit.fleet.ports import free_port
 from tests.harness import (
     PLATFORM_SETTINGS,
@@ -602,7 +602,7 @@
         [sys.executable, "-c", code],
         stderr=subprocess.PIPE,
         text=True,
-        preexec_fn=tied(os.getpid()),
+        preexec_fn=kill_with_parent(os.getpid()),
         env={
             **os.environ,
             "EDGE_CONFIG": str(tmp_path / "c.json"),
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -26,9 +26,9 @@
 from corkgauge.testkit.emulators.collector import EmulatedCollector
 from corkgauge.testkit.emulators.engines import Run
 from corkgauge.testkit.faults.script import Unplayable, read
-from corkgauge.testkit.fleet.day import STAKES, WANTS, Day, settings
+from corkgauge.testkit.fleet.day import REQUEST_TYPES, RULE_EXPECTATIONS, GatewayScenario, settings
 from corkgauge.testkit.fleet.gateway_process import GatewayProcess
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 from corkgauge.testkit.fleet.ports import free_port
 from tests.corrupted_files import ALL_FAULTS, CALL_FAULTS, RECORD_FAULTS
 
@@ -37,25 +37,27 @@
 
 
 def test_every_scrape_of_a_bad_day_balances_through_a_kill_and_a_restart():
-    play = Day(3, scenes_of(SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12)
+    play = GatewayScenario(3, scenes_of(SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12)
     try:
         play.run(26)
         log = play.program.log()
         end = [line for line in log if "ended; counters" in line]
     finally:
         play.close()
-    assert play.wrong == [] and play.scraped > 200
-    assert play.broken(SLACK) == []
+    assert play.snapshot_errors == [] and play.scrape_count > 200
+    assert play.find_rule_violations(SLACK) == []
     assert not [line for line in log if "exceptions" in line or "out of balance" in line]
     closed = [line for line in log if "figures: epoch" in line and "closed" in line]
     assert len(closed) == 2 and "cut_off=0" in closed[1]  # killed, and restarted in order
-    earlier = play.cuts[-1]["earlier"]
+    earlier = play.snapshots[-1]["earlier"]
     assert [epoch["epoch"]["id"] for epoch in earlier] == [
         line.split("epoch ")[1].split()[0] for line in reversed(closed)
     ]
     assert len(end) == 2 and play.tally()["served"] > 2000
     known = sum(
-        row["taken"] for epoch in [play.cuts[-1], *earlier] for row in epoch["offerings"].values()
+        row["taken"]
+        for epoch in [play.snapshots[-1], *earlier]
+        for row in epoch["offerings"].values()
     )
     written = sum(
         not ask.excused == "not written" for client in play.clients for ask in client.book
@@ -74,7 +76,7 @@
                 [sys.executable, f"{HERE}/corrupted_files.py", "play", what],
                 stdout=subprocess.PIPE,
                 text=True,
-                preexec_fn=tied(os.getpid()),
+                preexec_fn=kill_with_parent(os.getpid()),
             )
         for what, process in [*running.items()]:
             if process.poll() is not None:
@@ -142,8 +144,8 @@
     program = started(tmp_path, operator=good, log_form="json")
     assert heard(program, '"event": "serving"')
     (tmp_path / "operator.xml").write_text("<operator")
-    program.tell(signal.SIGHUP)
-    assert heard(program, '"event": "operator_file_not_taken"') and program.running()
+    program.send_signal(signal.SIGHUP)
+    assert heard(program, '"event": "operator_file_not_taken"') and program.is_running()
     assert program.end() == 0
     events = [json.loads(line) for line in program.log() if line.startswith("{")]
     assert events[-1]["event"] == "ended" and events[-1]["worst_lag"] >= 0
@@ -183,7 +185,7 @@
     said = [
         (when, code, f"{trace}\t0\te1\n".encode() if code == 1 else b"") for when, code in answers
     ]
-    return Ask(trace, WANTS[want], key, sent, 0, 1, said, excused)
+    return Ask(trace, REQUEST_TYPES[want], key, sent, 0, 1, said, excused)
 
 
 def run(
@@ -247,14 +249,16 @@
     ],
 )
 def test_the_checker_of_the_rules(rule, asks, runs, changes):
-    found = rules.broken(asks, runs, changes, {"e2": 12}, STAKES)
+    found = rules.broken(asks, runs, changes, {"e2": 12}, RULE_EXPECTATIONS)
     assert {line.partition(":")[0] for line in found} == ({rule} if rule else set()), found
 
 
 def test_what_a_killed_gateway_held_is_not_owed():
     asks, runs = [ask("t", answers=())], [run("t")]
-    assert rules.broken(asks, runs, [FIRST], {"e2": 12}, STAKES, killed=[5 * SECOND]) != []
-    assert rules.broken(asks, runs, [FIRST], {"e2": 12}, STAKES, killed=[SECOND]) == []
+    assert (
+        rules.broken(asks, runs, [FIRST], {"e2": 12}, RULE_EXPECTATIONS, killed=[5 * SECOND]) != []
+    )
+    assert rules.broken(asks, runs, [FIRST], {"e2": 12}, RULE_EXPECTATIONS, killed=[SECOND]) == []
 
 
 @pytest.mark.parametrize(
@@ -290,7 +294,10 @@
         "at 1 for 2: e1 silent\nat 2: e2 reset\nat 3 for 2: e1 restart\nat 6: program restart",
         ["e1", "e2"],
     )
-    play, heard = Day(4, scenes, engines=2, rate=80, scrapes=5, hangs_up=0.01, operator=""), []
+    play, heard = (
+        GatewayScenario(4, scenes, engines=2, rate=80, scrapes=5, hangs_up=0.01, operator=""),
+        [],
+    )
     collector = EmulatedCollector(
         play.event_loop, transport, lambda message, data: heard.append((message, data))
     )
@@ -305,13 +312,13 @@
     try:
         play.run(9, drain=2)
         play.until(play.event_loop.now + SECOND // 5)
-        kept, log = read_checkpoint_file(play.kept()), play.program.log()
-        last = play.cuts[-1]["flows"]["first"]
+        kept, log = read_checkpoint_file(play.checkpoint_path()), play.program.log()
+        last = play.snapshots[-1]["flows"]["first"]
     finally:
         play.close()
     assert (
         collector.wrong == []
-        and play.wrong == []
+        and play.snapshot_errors == []
         and not any("out of balance" in line for line in log)
     )
     carried = [
@@ -360,7 +367,7 @@
         stderr=subprocess.PIPE,
         text=True,
         cwd=os.path.dirname(HERE),
-        preexec_fn=tied(os.getpid()),
+        preexec_fn=kill_with_parent(os.getpid()),
     )
     assert "listening" in listener.stderr.readline()
     session = Session(Layout("own", "n1"), 7, 1400, 0)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -13,7 +13,7 @@
 from benchmarks.scaling import TooLarge
 from corkgauge.eventloop.loop import EventLoop
 from corkgauge.testkit.fleet.hollow_fleet import Fleet
-from corkgauge.testkit.fleet.hollow_node import Wire
+from corkgauge.testkit.fleet.hollow_node import CountingSocket
 
 HOME = Path(__file__).resolve().parent.parent
 MOST = 60  # seconds until something must have been seen; waited for, not slept
@@ -72,7 +72,7 @@
     said = (
         "import os, signal\nfrom corkgauge.testkit.fleet.hollow_fleet import Fleet\n"
         "fleet = Fleet(2, 2).__enter__()\nfleet.start()\n"
-        "print(*(crew.process.pid for crew in fleet.crews), flush=True)\nos.kill(os.getpid(), signal.SIGKILL)\n"
+        "print(*(hollow_process.process.pid for hollow_process in fleet.hollow_processes), flush=True)\nos.kill(os.getpid(), signal.SIGKILL)\n"
     )
     done = subprocess.run(
         [sys.executable, "-c", said], cwd=HOME, capture_output=True, text=True, timeout=MOST
@@ -94,23 +94,23 @@
 
 
 def test_a_wire_counts_what_passes_and_holds_back_what_crosses_a_cut():
-    one, other, event_loop = Wire(), Wire(), EventLoop()
-    other.note()
+    one, other, event_loop = CountingSocket(), CountingSocket(), EventLoop()
+    other.record_arrivals()
     one.sendto(b"four", ("127.0.0.1", other.port))
     one.sendto(b"more", ("127.0.0.1", other.port))
     one.groups = {other.port: 1}
     one.sendto(b"lost", ("127.0.0.1", other.port))
-    assert (one.out, one.octets_out, one.held_back) == (2, 8, 1)
+    assert (one.out, one.octets_out, one.withheld) == (2, 8, 1)
     assert [other.recv(99), other.recv(99)] == [b"four", b"more"]
     assert (other.got, other.octets_in) == (2, 8)
     assert (
-        abs(other.noted[0] - event_loop.clock()) < 600_000
+        abs(other.arrival_times[0] - event_loop.clock()) < 600_000
     )  # tenths of a millisecond of the date, as a hub has it
-    assert other.worst(600_000) == 2 and other.worst(600_000) == 0
+    assert other.take_max_burst(600_000) == 2 and other.take_max_burst(600_000) == 0
     with pytest.raises(BlockingIOError):
         other.recv(99)
     one.sendto(b"kept", ("127.0.0.1", one.port + 0))
-    one.drained()
+    one.discard_received()
     with pytest.raises(BlockingIOError):
         one.recv(99)
 
@@ -120,10 +120,10 @@
     [([], 0), ([5], 1), ([0, 99, 100], 2), ([0, 50, 99, 150, 199], 3), ([300, 0, 10], 2)],
 )
 def test_the_worst_span_of_arrivals(noted, most):
-    wire = Wire()
-    wire.note()
-    wire.noted.extend(noted)
-    assert wire.worst(100) == most
+    wire = CountingSocket()
+    wire.record_arrivals()
+    wire.arrival_times.extend(noted)
+    assert wire.take_max_burst(100) == most
 
 
 def test_a_fleet_too_large_for_one_machine_is_refused_beforehand():
--- a/tests/test_maintenance_fleet.py
+++ b/tests/test_maintenance_fleet.py
@@ -11,8 +11,12 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.testkit.checkers.maintenance import Limits, wrong
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
-from corkgauge.testkit.fleet.maintenance_day import MaintenanceDay, aimed, most_at_once
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.maintenance_day import (
+    MaintenanceScenario,
+    most_at_once,
+    run_safeguard_scenario,
+)
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 
 LEASE_SECONDS = 0.8
@@ -58,7 +62,7 @@
 
     def run_command(self, command, at="", seconds=20):
         """Send an operator's command and return its (answer, error)."""
-        key = self.crew.wish(command, at)
+        key = self.crew.send_command(command, at)
         assert self.fleet.until(seconds, lambda: key not in self.crew.answers), (
             command,
             self.fleet.logs()[-20:],
@@ -67,21 +71,21 @@
 
     def leader(self, seconds=15):
         """Return the name of the maintenance leader, as soon as a gateway reports it."""
-        assert self.fleet.until(seconds, lambda: not self.crew.seen.get("holder")), (
+        assert self.fleet.until(seconds, lambda: not self.crew.last_plan.get("holder")), (
             self.fleet.logs()[-20:]
         )
-        return self.crew.seen["holder"]
+        return self.crew.last_plan["holder"]
 
     def units(self):
-        return {unit["unit"]: unit for unit in self.crew.seen.get("units", ())}
+        return {unit["unit"]: unit for unit in self.crew.last_plan.get("units", ())}
 
     def reaches_state(self, unit, state, seconds=15):
         return self.fleet.until(seconds, lambda: self.units().get(unit, {}).get("state") != state)
 
     def wait_for_finished_work(self, count, seconds=30):
-        assert self.fleet.until(seconds, lambda: not self.crew.over(count)), (
+        assert self.fleet.until(seconds, lambda: not self.crew.has_finished(count)), (
             [(work.unit, work.ask, work.ended) for work in self.crew.book],
-            self.crew.seen,
+            self.crew.last_plan,
             self.fleet.logs()[-60:],
         )
 
@@ -114,13 +118,13 @@
         )
         unanswered = (
             sum(client.tally()["none"] for client in fleet.clients)
-            if not any(gateway.spells for gateway in fleet.gateways.values())
+            if not any(gateway.unresponsive_spans for gateway in fleet.gateways.values())
             else 0
         )
         return [
             *wrong(crew.book, runs, engines, limits, 1_000),
-            *fleet.broken(2_500),
-            *fleet.wrong(),
+            *fleet.find_rule_violations(2_500),
+            *fleet.find_lease_violations(),
             *[line for line in logs if "exceptions stopped" in line or "Traceback" in line],
             *([f"{unanswered} without an answer"] if unanswered else []),
         ], logs
@@ -132,11 +136,11 @@
     for number, step in enumerate(("granted", "draining", "out", "returning", "back")):
         engine = scenario.fleet.engines["e2"]
         engine.begin("slow", 12)  # slow attempts keep the engine draining for a while
-        request_id = scenario.crew.ask("engine", "e2")
+        request_id = scenario.crew.request_maintenance("engine", "e2")
         scenario.wait_for_log(
             f"works: e2 {step}", times=1 + scenario.count_logged(f"works: e2 {step}")
         )
-        scenario.fleet.befall(
+        scenario.fleet.apply_fault(
             Fault(0, int(1.6 * LEASE_SECONDS * SECOND), fault_kind, (scenario.leader(),))
         )
         engine.end()
@@ -149,10 +153,10 @@
 def conflicting_requests():
     """Each of two requests, on both sides of a partition, takes the other's last c12 engine."""
     scenario = Scenario(engines=4, gateways=3, works={"most": 3})
-    scenario.fleet.befall(Fault(0, 4 * SECOND, "part", ("n1",)))
+    scenario.fleet.apply_fault(Fault(0, 4 * SECOND, "part", ("n1",)))
     # The isolated gateway cannot lead, and forwards the request until a leader is reachable.
-    scenario.crew.ask("engine", "e1", at="n1")
-    scenario.crew.ask("engine", "e3", at="n2")
+    scenario.crew.request_maintenance("engine", "e1", at="n1")
+    scenario.crew.request_maintenance("engine", "e3", at="n2")
     scenario.fleet.until(3.5)
     during = [work.unit for work in scenario.crew.book]
     scenario.wait_for_finished_work(2)
@@ -162,17 +166,17 @@
 def engine_death():
     """An engine dies outside of maintenance while another is granted, and counts in the limits."""
     scenario = Scenario(lasting=2.0)
-    scenario.crew.ask("engine", "e2")
+    scenario.crew.request_maintenance("engine", "e2")
     scenario.wait_for_log("works: e2 granted")
-    scenario.fleet.befall(Fault(0, 6 * SECOND, "engine", ("e3",)))
-    scenario.fleet.listed(["e3"], "DELETED")
+    scenario.fleet.apply_fault(Fault(0, 6 * SECOND, "engine", ("e3",)))
+    scenario.fleet.publish_engines(["e3"], "DELETED")
     scenario.fleet.until(1)
-    scenario.crew.ask("engine", "e5")
+    scenario.crew.request_maintenance("engine", "e5")
     assert scenario.reaches_state("e5", "asked")
     scenario.fleet.until(5, lambda: not scenario.units().get("e5", {}).get("against"))
     objection = scenario.units()["e5"]["against"]
     scenario.fleet.until(3)
-    scenario.fleet.listed(["e3"])
+    scenario.fleet.publish_engines(["e3"])
     scenario.wait_for_finished_work(2)
     return objection, scenario.close()
 
@@ -183,16 +187,16 @@
     for change in "removed", "renamed", "restarted":
         fleet, engine = scenario.fleet, scenario.fleet.engines["e4"]
         engine.begin("slow", 12)
-        scenario.crew.ask("engine", "e4")
+        scenario.crew.request_maintenance("engine", "e4")
         scenario.wait_for_log("works: e4 draining", times=1 + len(attempts_during_work))
         if change == "restarted":
             engine.started_ms = fleet.event_loop.now // 10
-            fleet.listed(["e4"])
+            fleet.publish_engines(["e4"])
         else:
-            fleet.listed(["e4"], "DELETED")
+            fleet.publish_engines(["e4"], "DELETED")
         if change == "renamed":
             for name, feed in fleet.feeds.items():
-                other = fleet.reached(name, "e4")
+                other = fleet.engine_for_gateway(name, "e4")
                 other.name = "e4b"
                 feed.told([other])
         engine.end()
@@ -203,10 +207,10 @@
         attempts_during_work[change] = len(engine.book) - before
         if change == "renamed":
             for name, feed in fleet.feeds.items():
-                other = fleet.reached(name, "e4")
+                other = fleet.engine_for_gateway(name, "e4")
                 other.name = "e4b"
                 feed.told([other], "DELETED")
-        fleet.listed(["e4"])
+        fleet.publish_engines(["e4"])
         scenario.wait_for_finished_work(count)
         with open(f"{scenario.fleet.folder}/log-{change}", "w") as file:
             file.write(change)
@@ -223,16 +227,16 @@
     scenario = Scenario(gateways=4)
     leader = scenario.leader()
     isolated = next(name for name in ("n4", "n3") if name != leader)
-    scenario.fleet.befall(Fault(0, 60 * SECOND, "cut", (isolated,)))
+    scenario.fleet.apply_fault(Fault(0, 60 * SECOND, "cut", (isolated,)))
     scenario.fleet.until(0.1)
-    scenario.crew.ask("engine", "e2", at=leader)
+    scenario.crew.request_maintenance("engine", "e2", at=leader)
     assert scenario.reaches_state("e2", "draining"), scenario.units()
     scenario.fleet.until(7)
     objection, begun = scenario.units().get("e2", {}).get("against", ""), len(scenario.crew.book)
     outcome = scenario.run_command({"do": "overrule", "unit": "e2", "gateway": isolated}, leader)
     scenario.fleet.until(8, lambda: not scenario.crew.book)
     overruled = len(scenario.crew.book)
-    for way in scenario.fleet.ways.values():
+    for way in scenario.fleet.datagram_relays.values():
         way.cut_until = 0
     scenario.wait_for_finished_work(1)
     scenario.fleet.until(2)
@@ -240,15 +244,15 @@
     # from confirming.
     for engine in scenario.fleet.engines.values():
         engine.begin("slow", 6)
-    scenario.crew.ask("engine", "e4", at=leader)
+    scenario.crew.request_maintenance("engine", "e4", at=leader)
     scenario.wait_for_log("works: e4 granted")
     scenario.fleet.until(5, lambda: not scenario.count_logged("works: e4 draining"))
-    scenario.fleet.befall(Fault(0, 60 * SECOND, "cut", (isolated,)))
+    scenario.fleet.apply_fault(Fault(0, 60 * SECOND, "cut", (isolated,)))
     for engine in scenario.fleet.engines.values():
         engine.end()
     scenario.fleet.until(14, lambda: len(scenario.crew.book) < 2)
     later = len(scenario.crew.book)
-    for way in scenario.fleet.ways.values():
+    for way in scenario.fleet.datagram_relays.values():
         way.cut_until = 0
     scenario.wait_for_finished_work(2)
     return objection, begun, outcome, overruled, later, scenario.close()
@@ -262,12 +266,12 @@
     outcomes = []
     for disk in False, True:
         scenario = Scenario(disk=disk, lasting=6.0)
-        scenario.crew.ask("engine", "e2")
+        scenario.crew.request_maintenance("engine", "e2")
         assert scenario.fleet.until(15, lambda: not scenario.crew.book)
         name = next(gateway for gateway in ("n1", "n2", "n3") if gateway != scenario.leader())
         if disk:
-            scenario.fleet.befall(Fault(0, 4 * SECOND, "cut", (name,)))
-        scenario.fleet.befall(Fault(0, 500, "kill", (name,)))
+            scenario.fleet.apply_fault(Fault(0, 4 * SECOND, "cut", (name,)))
+        scenario.fleet.apply_fault(Fault(0, 500, "kill", (name,)))
         scenario.fleet.until(4)
         served = sum(
             run.came > scenario.crew.book[0].begun + 2 * SECOND
@@ -283,13 +287,13 @@
     """A unit cancelled while it drains is not worked on; one cancelled while out needs `done`."""
     scenario = Scenario(lasting=2.0)
     scenario.fleet.engines["e2"].begin("slow", 40)
-    scenario.crew.ask("engine", "e2", id_="first")
+    scenario.crew.request_maintenance("engine", "e2", id_="first")
     scenario.wait_for_log("works: e2 draining")
     first_cancel = scenario.run_command({"do": "cancel", "id": "first"})
     scenario.fleet.engines["e2"].end()
     scenario.fleet.until(2)
     worked = len(scenario.crew.book)
-    scenario.crew.ask("engine", "e2", id_="second")
+    scenario.crew.request_maintenance("engine", "e2", id_="second")
     assert scenario.fleet.until(10, lambda: not scenario.crew.book)
     second_cancel = scenario.run_command({"do": "cancel", "id": "second"})
     state = scenario.units().get("e2", {}).get("state")
@@ -313,7 +317,7 @@
         engines=12, lasting=60.0, works={"most": 6, "share": 0.5, "room": 0.03}, rate=150.0
     )
     scenario.fleet.until(6)
-    scenario.crew.ask("hall", "hall-a")
+    scenario.crew.request_maintenance("hall", "hall-a")
     scenario.fleet.until(10, lambda: not scenario.crew.book)
     scenario.fleet.until(1.0)
     at_once = most_at_once(scenario.crew.book)
@@ -351,12 +355,12 @@
 def rolling_maintenance():
     """Maintenance of all engines and all gateways, including the leader."""
     scenario = Scenario(works={"most": 2})
-    scenario.crew.ask("hall", "hall-a")
-    scenario.crew.ask("hall", "hall-b")
-    scenario.crew.ask("gateway", "n1", "n2", "n3")
+    scenario.crew.request_maintenance("hall", "hall-a")
+    scenario.crew.request_maintenance("hall", "hall-b")
+    scenario.crew.request_maintenance("gateway", "n1", "n2", "n3")
     scenario.wait_for_finished_work(9, 60)
     units = [work.unit for work in scenario.crew.book]
-    history = scenario.crew.seen["history"]
+    history = scenario.crew.last_plan["history"]
     return units, history, scenario.close()
 
 
@@ -369,10 +373,10 @@
     results = []
     for disk in True, False:
         scenario = Scenario(disk=disk, lasting=60.0)
-        scenario.crew.ask("engine", "e1", "e2")
+        scenario.crew.request_maintenance("engine", "e1", "e2")
         assert scenario.fleet.until(15, lambda: len(scenario.crew.book) < 2)
-        scenario.fleet.befall(Fault(0, 800, "kill", ("n1", "n2", "n3")))
-        scenario.crew.seen = {}
+        scenario.fleet.apply_fault(Fault(0, 800, "kill", ("n1", "n2", "n3")))
+        scenario.crew.last_plan = {}
         scenario.fleet.until(6)
         if not disk:
             forgotten = any("the plan is forgotten" in line for line in scenario.fleet.logs()[5:])
@@ -396,7 +400,7 @@
     scenario = Scenario(off="hour")
     scenario.fleet.until(3)
     for name in "e1", "e2", "e3", "e4":
-        scenario.crew.ask("engine", name)
+        scenario.crew.request_maintenance("engine", name)
     scenario.wait_for_finished_work(4)
     scenario.fleet.until(2)
     late_requests = [
@@ -414,17 +418,19 @@
     0.1 s is also how long the first round of an election waits for answers.
     """
     scenario = Scenario(off="slowdisk")
-    scenario.crew.ask("engine", "e1")
+    scenario.crew.request_maintenance("engine", "e1")
     scenario.wait_for_log("works: e1 draining")
-    scenario.fleet.befall(Fault(0, int(1.6 * LEASE_SECONDS * SECOND), "kill", (scenario.leader(),)))
+    scenario.fleet.apply_fault(
+        Fault(0, int(1.6 * LEASE_SECONDS * SECOND), "kill", (scenario.leader(),))
+    )
     scenario.wait_for_finished_work(1, 40)
-    scenario.crew.ask("engine", "e2")
+    scenario.crew.request_maintenance("engine", "e2")
     scenario.wait_for_finished_work(2, 40)
     return [work.unit for work in scenario.crew.book], scenario.close()
 
 
 def day_of_random_faults():
-    return MaintenanceDay(4, seconds=20).run()
+    return MaintenanceScenario(4, seconds=20).run()
 
 
 SCENARIOS = {
@@ -447,7 +453,10 @@
 
 # The checker always detects a disabled confirmation here. It detects the other two safeguards, if
 # disabled, only by chance: `benchmarks/works.py drills` repeats scenarios until it does.
-SCENARIOS |= {("confirmation", off): (aimed, "confirmation", off, 4, 2) for off in (True, False)}
+SCENARIOS |= {
+    ("confirmation", off): (run_safeguard_scenario, "confirmation", off, 4, 2)
+    for off in (True, False)
+}
 SCENARIOS["day"] = (day_of_random_faults,)
 
 
@@ -467,7 +476,7 @@
     Not more than there are cores: the processes mostly wait, but are busy while they start.
     """
     with ProcessPoolExecutor(
-        min(len(os.sched_getaffinity(0)), 6), initializer=tied(os.getpid())
+        min(len(os.sched_getaffinity(0)), 6), initializer=kill_with_parent(os.getpid())
     ) as pool:
         yield {name: pool.submit(run_scenario, *scenario) for name, scenario in SCENARIOS.items()}
 
@@ -585,7 +594,7 @@
             [sys.executable, "-m", "corkgauge", *words],
             stdout=subprocess.PIPE,
             text=True,
-            preexec_fn=tied(os.getpid()),
+            preexec_fn=kill_with_parent(os.getpid()),
         )
         scenario.fleet.until(20, lambda: process.poll() is None)
         return process.communicate()[0], process.returncode
--- a/tests/test_parent.py
+++ b/tests/test_parent.py
@@ -13,20 +13,20 @@
 import os, signal, sys, time
 from concurrent.futures import ProcessPoolExecutor
 from corkgauge.testkit.fleet.processes import Fault, Fleet
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 
 def worked():
     fleet = Fleet(gateways=2, lease=0.8, disk=True)
     fleet.start()
     assert fleet.until(20, lambda: sum("serving as" in line for line in fleet.logs()) < 2), fleet.logs()
-    fleet.befall(Fault(0, 600_000, "busy", ("n1",)))
-    fleet.befall(Fault(0, 600_000, "stop", ("n2",)))
-    assert fleet.until(10, lambda: fleet.halted() != ["n2"])
+    fleet.apply_fault(Fault(0, 600_000, "busy", ("n1",)))
+    fleet.apply_fault(Fault(0, 600_000, "stop", ("n2",)))
+    assert fleet.until(10, lambda: fleet.find_suspended_gateways() != ["n2"])
     print(fleet.folder, flush=True)
     time.sleep(600)
 
 if __name__ == "__main__":
-    with ProcessPoolExecutor(1, initializer=tied(os.getpid())) as pool:
+    with ProcessPoolExecutor(1, initializer=kill_with_parent(os.getpid())) as pool:
         pool.submit(worked).result()
 """
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -25,7 +25,7 @@
 from corkgauge.recovery.log_writer import FRAME_HEADER, RecoveryFiles, list_segments
 from corkgauge.recovery.service import RecoveryService
 from corkgauge.testkit.faults.script import read as read_script
-from corkgauge.testkit.fleet.day import Day
+from corkgauge.testkit.fleet.day import GatewayScenario
 from tests.harness import (
     PLATFORM_SETTINGS,
     SECOND,
@@ -555,7 +555,7 @@
     script = "at 0.1 for 20: all slow 10\n" + "".join(
         f"at {1 + 0.6 * n}: program kill\n" for n in range(8)
     )
-    day = Day(
+    day = GatewayScenario(
         6,
         read_script(script, ["e1", "e2"]),
         engines=2,
@@ -574,7 +574,7 @@
         line for line in log if "passed over" in line or "exceptions" in line
     ]
     assert sum("recall: engines=" in line for line in log) >= 7
-    assert day.broken(2500) == []
+    assert day.find_rule_violations(2500) == []
 
 
 def test_outcome_that_proves_an_attempt_never_ran_frees_its_key():
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -6,7 +6,7 @@
 import pytest
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 
 SHARED = {"each": 0.2, "octets": 8000}
@@ -31,7 +31,7 @@
             }
         )
         for name, off in (spoilt or {}).items():
-            self.fleet.gateways[name].program.start_with = (
+            self.fleet.gateways[name].program.python_arguments = (
                 "-m",
                 "corkgauge.testkit.faults.disabled_safeguards",
                 off,
@@ -42,7 +42,7 @@
         self.fleet.until(4)
 
     def shows(self, name):
-        return self.fleet.asked(name, "/shared")
+        return self.fleet.query_gateway(name, "/shared")
 
     def doubts(self, name):
         return {tag for tag, said in self.shows(name)["engines"].items() if said["doubted"]}
@@ -59,7 +59,7 @@
         logs = self.fleet.logs()
         self.fleet.close()
         return [
-            *self.fleet.broken(2_500),
+            *self.fleet.find_rule_violations(2_500),
             *[line for line in logs if "exceptions stopped" in line],
         ], logs
 
@@ -122,24 +122,24 @@
     """
     scene = Round({"n2": "day"})
     fleet = scene.fleet
-    fleet.befall(Fault(0, 4 * SECOND, "part", ("n1", "n2")))
+    fleet.apply_fault(Fault(0, 4 * SECOND, "part", ("n1", "n2")))
     for far in ("n3", "n4", "n5"):  # e2 is lost for one half alone, e3 for the other
-        fleet.passages[far, "e2"].cut = True
+        fleet.engine_relays[far, "e2"].cut = True
     for near in ("n1", "n2"):
-        fleet.passages[near, "e3"].cut = True
+        fleet.engine_relays[near, "e3"].cut = True
     fleet.until(4)
-    for passage in fleet.passages.values():
+    for passage in fleet.engine_relays.values():
         passage.cut = False
     healed = fleet.event_loop.now
-    fleet.befall(Fault(0, 4 * SECOND, "lose", (), 0.3))
+    fleet.apply_fault(Fault(0, 4 * SECOND, "lose", (), 0.3))
     fleet.engines["e5"].begin("silent", 0)
     fleet.until(3)
     fleet.engines["e5"].end()
-    fleet.renewed(["e5"])  # what was found of it is of another engine now
-    fleet.befall(Fault(0, 500, "kill", ("n4",)))
+    fleet.restart_engines(["e5"])  # what was found of it is of another engine now
+    fleet.apply_fault(Fault(0, 500, "kill", ("n4",)))
     fleet.until(4)
     doubts = {name: scene.doubts(name) & {"e2", "e3", "e5"} for name in ("n1", "n3", "n5")}
-    fleet.befall(Fault(0, 500, "kill", (*fleet.gateways,)))
+    fleet.apply_fault(Fault(0, 500, "kill", (*fleet.gateways,)))
     fleet.until(5)
     calm = scene.served(fleet.event_loop.now - 2 * SECOND)
     return doubts, calm, scene.served(healed, healed + 2 * SECOND), scene.over()
@@ -168,7 +168,7 @@
     """Many engines return cold under load, some gateways idle: the sum of what each is sent keeps the cold rule."""
     spoilt = {f"n{n}": "leases" for n in range(1, 9)} if off else {}
     scene = Round(spoilt, gateways=8, clients=2, rate=160.0, cold=8.0)
-    scene.fleet.renewed(["e1", "e2", "e3", "e4", "e5", "e6"])
+    scene.fleet.restart_engines(["e1", "e2", "e3", "e4", "e5", "e6"])
     scene.fleet.until(9)
     told = [scene.shows(name)["counters"] for name in ("n1", "n2", "n3", "n8")]
     return (
@@ -200,7 +200,7 @@
 @pytest.fixture(scope="module")
 def scenes():
     """Side by side, but for the calm one: on a machine that is full no fleet is calm, and its figure is of the load."""
-    with ProcessPoolExecutor(6, initializer=tied(os.getpid())) as pool:
+    with ProcessPoolExecutor(6, initializer=kill_with_parent(os.getpid())) as pool:
         others = {
             name: pool.submit(staged, *what) for name, what in SCENES.items() if name != "quiet"
         }
--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -12,8 +12,8 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.net.client_protocol import SERVED
 from corkgauge.testkit.emulators.clients import Want
-from corkgauge.testkit.fleet.parent_process import tied
-from corkgauge.testkit.fleet.wide_fleet import MISSING, Wide
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
+from corkgauge.testkit.fleet.wide_fleet import NO_GATEWAY_NUMBER, WideFleet
 
 SLACK = 2_500
 REPORTS = [Want("lookup", 0.60, 1_500, 8.0), Want("report", 0.40, 3_000, 60.0)]
@@ -23,7 +23,7 @@
 def ended(fleet):
     """What the judge found, and what any process raised or found out of balance."""
     fleet.settle()
-    return fleet.broken(SLACK) + [
+    return fleet.find_rule_violations(SLACK) + [
         line
         for line in fleet.logs()
         if "exceptions stopped" in line or "out of balance" in line or "Traceback" in line
@@ -38,8 +38,8 @@
     """Some engines of a gateway's set are gone for four seconds, and come back."""
     fleet.until(4)
     held, next_ = fleet.working_set("n1"), fleet.working_set("n1", 1.5)
-    before, count = fleet.reached_by("n1"), defaultdict(int)
-    for run in fleet.runs_of("n1"):
+    before, count = fleet.engines_reached_from("n1"), defaultdict(int)
+    for run in fleet.attempts_from("n1"):
         count[run.engine] += 1
     few = {name for name, each in fleet.engines.items() if each.kind == "x12"}
     victims = sorted(before - few, key=lambda name: (-count[name], name))[:20]
@@ -58,7 +58,8 @@
     # The line comes once less than a sixth of the set is distrusted; each engine that still is keeps
     # the set wider until it has answered once, after an ejection of some seconds.
     fleet.until(
-        LAST_TO_ANSWER, lambda: not fleet.reached_by("n1", fleet.event_loop.now - QUIET) <= held
+        LAST_TO_ANSWER,
+        lambda: not fleet.engines_reached_from("n1", fleet.event_loop.now - QUIET) <= held,
     )
     settled = fleet.event_loop.now
     fleet.until(2)
@@ -67,14 +68,14 @@
         "next": next_,
         "before": before,
         "victims": {*victims},
-        "meanwhile": fleet.reached_by("n1", gone),
-        "after": fleet.reached_by("n1", settled + SECOND // 2),
+        "meanwhile": fleet.engines_reached_from("n1", gone),
+        "after": fleet.engines_reached_from("n1", settled + SECOND // 2),
         "wider": [line for line in fleet.logs() if line.startswith("n1") and "set wider" in line],
         "narrow": [
             line for line in fleet.logs() if line.startswith("n1") and "set as before" in line
         ],
-        "given back": {run.engine for run in fleet.runs_of("n1", back)} & {*victims},
-        "served": fleet.served(gone, settled),
+        "given back": {run.engine for run in fleet.attempts_from("n1", back)} & {*victims},
+        "served": fleet.served_fraction(gone, settled),
         "settled": (settled - back) / SECOND,
         "broken": ended(fleet),
     }
@@ -85,21 +86,23 @@
     number and one a number beyond all that are told.
     """
     fleet.until(4)
-    first = {name: (fleet.working_set(name), fleet.reached_by(name)) for name in fleet.gateways}
-    reports = fleet.served(request_class="report")
+    first = {
+        name: (fleet.working_set(name), fleet.engines_reached_from(name)) for name in fleet.gateways
+    }
+    reports = fleet.served_fraction(request_class="report")
     kept, new = fleet.first[150:], [name for name in fleet.engines if name not in fleet.first]
-    fleet.tell(kept + new, full=True)
+    fleet.publish_list(kept + new, full=True)
     when = fleet.event_loop.now
     fleet.until(5)
     second = {
-        name: (fleet.working_set(name), fleet.reached_by(name, when + SECOND))
+        name: (fleet.working_set(name), fleet.engines_reached_from(name, when + SECOND))
         for name in fleet.gateways
     }
     return {
         "first": first,
         "second": second,
-        "reports": (reports, fleet.served(when, request_class="report")),
-        "served": fleet.served(when),
+        "reports": (reports, fleet.served_fraction(when, request_class="report")),
+        "served": fleet.served_fraction(when),
         "new": {*new},
         "kept": {*kept},
         "broken": ended(fleet),
@@ -110,7 +113,7 @@
     """A kind of one engine: how many reports were served."""
     fleet.until(4)
     fleet.settle()
-    return fleet.served(request_class="report"), fleet.broken(SLACK)
+    return fleet.served_fraction(request_class="report"), fleet.find_rule_violations(SLACK)
 
 
 def ages(fleet):
@@ -120,19 +123,24 @@
     fleet.until(3)
     new = [name for name in fleet.engines if name not in fleet.first]
     listed, names = fleet.first[2:4] + fleet.first[len(new) :] + new, [*fleet.gateways]
-    fleet.started(new)
+    fleet.mark_started(new)
     when = fleet.event_loop.now
-    fleet.tell(listed, full=True, to=names[1::2])
+    fleet.publish_list(listed, full=True, to=names[1::2])
     fleet.until(4)
     told = fleet.event_loop.now
-    fleet.tell(listed, full=True, to=names[::2])
+    fleet.publish_list(listed, full=True, to=names[::2])
     fleet.until(4)
-    cold = {name: fleet.reached_by(name, when) & {*new} for name in names}
+    cold = {name: fleet.engines_reached_from(name, when) & {*new} for name in names}
     early = {
-        name: {run.engine for run in fleet.runs_of(name, when) if run.came < told} & {*new}
+        name: {run.engine for run in fleet.attempts_from(name, when) if run.came < told} & {*new}
         for name in names
     }
-    return {"cold": cold, "early": early, "served": fleet.served(when), "broken": ended(fleet)}
+    return {
+        "cold": cold,
+        "early": early,
+        "served": fleet.served_fraction(when),
+        "broken": ended(fleet),
+    }
 
 
 def repeats(fleet):
@@ -162,9 +170,9 @@
     broken, again, alone = ended(fleet), [], []
     for name in fleet.gateways:
         held, wide, runs = fleet.working_set(name), fleet.working_set(name, 1.5), defaultdict(list)
-        for run in fleet.runs_of(name):
+        for run in fleet.attempts_from(name):
             runs[run.trace].append(run)
-        for ask in fleet.asks_of(name):
+        for ask in fleet.requests_to(name):
             if ask.want.request_class == "load" and (mine := runs[ask.trace]):
                 first = mine[0].engine
                 again += [(cells[first], cells[run.engine], run.engine in held) for run in mine[1:]]
@@ -176,19 +184,33 @@
 
 
 FAR = (2, 13, 24, 35, 46, 57)
-CELLS = {"numbers": (7, 23, 41), "cell": 3, "wants": LOADS, "rates": (100.0,) * 3}
+CELLS = {"numbers": (7, 23, 41), "cell": 3, "request_types": LOADS, "rates": (100.0,) * 3}
 SCENES = {
     "killed": (killed, {"numbers": (7, 23, 41), "rates": (250.0, 25.0, 25.0)}),
     "replaced": (
         replaced,
-        {"numbers": (3, 200, MISSING, MISSING), "rates": (50.0,) * 4, "few": 1, "more": 150},
+        {
+            "numbers": (3, 200, NO_GATEWAY_NUMBER, NO_GATEWAY_NUMBER),
+            "rates": (50.0,) * 4,
+            "few": 1,
+            "more": 150,
+        },
+    ),
+    "only": (only, {"numbers": (3, 20, 44), "few": 1, "request_types": REPORTS}),
+    "only, any kind": (
+        only,
+        {"numbers": (3, 20, 44), "few": 1, "request_types": REPORTS, "spoilt": "few"},
     ),
-    "only": (only, {"numbers": (3, 20, 44), "few": 1, "wants": REPORTS}),
-    "only, any kind": (only, {"numbers": (3, 20, 44), "few": 1, "wants": REPORTS, "spoilt": "few"}),
-    "ages": (ages, {"numbers": FAR, "rates": (40.0,) * 6, "more": 100, "wants": REPORTS}),
+    "ages": (ages, {"numbers": FAR, "rates": (40.0,) * 6, "more": 100, "request_types": REPORTS}),
     "ages, no cold": (
         ages,
-        {"numbers": FAR, "rates": (40.0,) * 6, "more": 100, "wants": REPORTS, "spoilt": "cold"},
+        {
+            "numbers": FAR,
+            "rates": (40.0,) * 6,
+            "more": 100,
+            "request_types": REPORTS,
+            "spoilt": "cold",
+        },
     ),
     "repeats": (repeats, CELLS),
     "repeats, anywhere": (repeats, {**CELLS, "spoilt": "groups"}),
@@ -199,7 +221,7 @@
 def staged(scene):
     """Whatever goes wrong, no process stays."""
     method, cast = SCENES[scene]
-    fleet = Wide(**cast)
+    fleet = WideFleet(**cast)
     try:
         fleet.start()
         return method(fleet)
@@ -212,7 +234,7 @@
     # Danger: three hundred engines on one hub and its gateways take two cores; with less, answers
     # are late by the rig.
     with ProcessPoolExecutor(
-        max(1, min(4, len(os.sched_getaffinity(0)) // 2)), initializer=tied(os.getpid())
+        max(1, min(4, len(os.sched_getaffinity(0)) // 2)), initializer=kill_with_parent(os.getpid())
     ) as pool:
         yield {scene: pool.submit(staged, scene) for scene in SCENES}
 
