--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
         "test_fleet",
         "test_hollow",
         "test_maintenance_fleet",
-        "test_shared_fleet",
+        "test_peer_health_fleet",
         "test_subset_fleet",
     }
 )
