--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -47,7 +47,7 @@
         self.other_version = [*self.fleet.gateways][1::2]
         for name in self.other_version:
             self.fleet.gateways[name].program.tree = tree
-        self.crew = MaintenanceCrew(self.fleet, lasting=0.3)
+        self.crew = MaintenanceCrew(self.fleet, work_seconds=0.3)
         self.fleet.start()
 
     def declare_known(self) -> None:
--- a/benchmarks/works.py
+++ b/benchmarks/works.py
@@ -107,7 +107,7 @@
     fleet = Fleet(
         seed, 5, engines=24, lease=1.0, cold=1.0, clients=15, rate=900.0, disk=False, works=works
     )
-    crew = Hard(fleet, lasting=1.5, seed=seed)
+    crew = Hard(fleet, work_seconds=1.5, seed=seed)
     names = [*fleet.engines]
     try:
         fleet.start()
@@ -365,7 +365,7 @@
         disk=bool(seed % 2),
         works=works,
     )
-    crew = MaintenanceCrew(fleet, lasting=0.1, seed=seed)
+    crew = MaintenanceCrew(fleet, work_seconds=0.1, seed=seed)
     out, back, led = [], [], []
     try:
         fleet.start()
@@ -425,7 +425,7 @@
         "kind": 1.0,
     }
     fleet = Fleet(seed, 5, engines=12, lease=1.0, cold=8.0, clients=15, rate=700.0, works=works)
-    crew = Hard(fleet, lasting=1.0, seed=seed)
+    crew = Hard(fleet, work_seconds=1.0, seed=seed)
     names = ["e1", "e2", "e3", "e4"]
     try:
         fleet.start()
--- a/corkgauge/testkit/fleet/maintenance_crew.py
+++ b/corkgauge/testkit/fleet/maintenance_crew.py
@@ -21,15 +21,15 @@
 
 
 class MaintenanceCrew:
-    """`fleet` is the rig; `lasting` seconds that one unit's work takes by the crew's own clock, `told` what it says it
+    """`fleet` is the rig; `work_seconds` seconds that one unit's work takes by the crew's own clock, `announced_seconds` what it says it
     takes. Its doors are those of all gateways, one after the other by chance.
     """
 
     def __init__(
         self,
         fleet: Any,
-        lasting: float = 0.5,
-        told: float = 60.0,
+        work_seconds: float = 0.5,
+        announced_seconds: float = 60.0,
         seed: int = 5,
         owner: str = "crew",
     ) -> None:
@@ -39,7 +39,7 @@
             SeededRandom(seed),
             owner,
         )
-        self.lasting, self.told = int(lasting * SECOND), told
+        self.work_ticks, self.announced_seconds = int(work_seconds * SECOND), announced_seconds
         self.book: list[Work] = []
         self.begun: set[tuple[str, str]] = set()
         self.command_count = 0
@@ -67,7 +67,7 @@
                 "names": [*names],
                 "reason": "drill",
                 "within": int(within * SECOND),
-                "lasting": int(self.told * SECOND),
+                "lasting": int(self.announced_seconds * SECOND),
             },
             at,
         )
@@ -149,8 +149,8 @@
         """A gateway is ended in order, and started again by the rig; an engine is seen to by hand."""
         self.book.append(work)
         if work.members[0] in self.fleet.gateways:
-            self.fleet.apply_fault(Fault(0, self.lasting, "end", work.members))
-        self.event_loop.call_later(self.lasting, self.end, work)
+            self.fleet.apply_fault(Fault(0, self.work_ticks, "end", work.members))
+        self.event_loop.call_later(self.work_ticks, self.end, work)
 
     def end(self, work: Work) -> None:
         """The machine runs again, cold; then the crew says so, until somebody has heard. Once, however often."""
--- a/corkgauge/testkit/fleet/maintenance_day.py
+++ b/corkgauge/testkit/fleet/maintenance_day.py
@@ -58,7 +58,7 @@
             rate=rate,
             **{"lease": 0.8, "cold": 0.5, "disk": True, "works": works, **more},
         )
-        self.crew = MaintenanceCrew(self.fleet, lasting=0.3, seed=seed)
+        self.crew = MaintenanceCrew(self.fleet, work_seconds=0.3, seed=seed)
         self.chance, self.seconds, self.each, self.cancels = (
             SeededRandom(seed + 7),
             seconds,
@@ -184,7 +184,7 @@
         works=works,
     )
     fleet, crew = day.fleet, day.crew
-    crew.lasting = (4 if at == "orders" else 2) * SECOND
+    crew.work_ticks = (4 if at == "orders" else 2) * SECOND
     try:
         fleet.start()
         crew.send_command({"do": "known", "out": []})
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -88,36 +88,47 @@
 
 
 class WideFleet(Fleet):
-    """`numbers` are those of the gateways that run, of `told`; `listed` the engines of the first list and `more` those
-    beyond it; the first `few` of both are of a kind of their own; `cell` engines make a cell, which
-    knows its repeats by itself. `spoilt` names what is left out of all. `rates` are submissions a
+    """`gateway_numbers` are those of the gateways that run, of `gateway_count`; `listed_engine_count` the engines of the first list and `unlisted_engine_count` those
+    beyond it; the first `rare_kind_count` of both are of a kind of their own; `cell_size` engines make a cell_size, which
+    knows its repeats by itself. `disabled_safeguards` names what is left out of all. `rates` are submissions a
     second, a client each, to the gateways in turn.
     """
 
     def __init__(
         self,
-        numbers: Iterable[int],
-        told: int = 60,
-        listed: int = 300,
-        more: int = 0,
-        few: int = 4,
-        cell: int = 0,
-        spoilt: str = "",
+        gateway_numbers: Iterable[int],
+        gateway_count: int = 60,
+        listed_engine_count: int = 300,
+        unlisted_engine_count: int = 0,
+        rare_kind_count: int = 4,
+        cell_size: int = 0,
+        disabled_safeguards: str = "",
         rates: Iterable[float] = (40.0,) * 3,
         request_types: list[Want] = REQUEST_TYPES,
         seed: int = 5,
         cold: float = 15.0,
     ) -> None:
-        self.numbers, self.told, self.few, self.cell, self.spoilt = (
-            [*numbers],
-            told,
-            few,
-            cell,
-            spoilt,
+        (
+            self.gateway_numbers,
+            self.gateway_count,
+            self.rare_kind_count,
+            self.cell_size,
+            self.disabled_safeguards,
+        ) = (
+            [*gateway_numbers],
+            gateway_count,
+            rare_kind_count,
+            cell_size,
+            disabled_safeguards,
+        )
+        self.initial_engines = [f"e{n}" for n in range(1, listed_engine_count + 1)]
+        self.known_labels: dict[int, dict[str, int]] = {}  # labels that have run, by cell_size
+        super().__init__(
+            seed=seed,
+            gateways=len(self.gateway_numbers),
+            engines=listed_engine_count + unlisted_engine_count,
+            cold=cold,
         )
-        self.first = [f"e{n}" for n in range(1, listed + 1)]
-        self.marks: dict[int, dict[str, int]] = {}  # labels that have run, by cell
-        super().__init__(seed=seed, gateways=len(self.numbers), engines=listed + more, cold=cold)
         names = [*self.gateways]
         self.clients = [
             EmulatedClient(
@@ -132,17 +143,20 @@
         ]
 
     def _feed(self, name: str) -> CellDiscovery:
-        if not self.marks:
+        if not self.known_labels:
             self._assign_kinds_and_cells()
         return CellDiscovery(self.event_loop)
 
     def _assign_kinds_and_cells(self) -> None:
         """Kinds and cells, before the first list."""
         for n, engine in enumerate(self.engines.values()):
-            engine.cell = n // self.cell if self.cell else 0
-            engine.known = self.marks.setdefault(engine.cell, {})
+            engine.cell = n // self.cell_size if self.cell_size else 0
+            engine.known = self.known_labels.setdefault(engine.cell, {})
             move_to_reserved_port(engine.listener)
-            if n < self.few or 0 <= n - len(self.first) < self.few:
+            if (
+                n < self.rare_kind_count
+                or 0 <= n - len(self.initial_engines) < self.rare_kind_count
+            ):
                 engine.kind, engine.cores = RARE_KIND, RARE_KIND_CORES
         self.rule_expectations = replace(
             self.rule_expectations,
@@ -152,7 +166,7 @@
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
         feed = self.feeds[gateway.name]
-        first = feed.told([self.engines[each] for each in self.first], full=True)
+        first = feed.told([self.engines[each] for each in self.initial_engines], full=True)
         said = {
             "name": gateway.name,
             "listen": "%s:%d" % gateway.address,
@@ -163,15 +177,15 @@
             "settings": self.settings(number),
         }
         start = (
-            ("-m", "corkgauge.testkit.faults.disabled_safeguards", self.spoilt, "1.0")
-            if self.spoilt
+            ("-m", "corkgauge.testkit.faults.disabled_safeguards", self.disabled_safeguards, "1.0")
+            if self.disabled_safeguards
             else ("-m", "corkgauge")
         )
         return GatewayProcess(gateway.folder, said, "", start)
 
     def settings(self, number: int) -> dict[str, Any]:
         """What the gateway at this place of the cast is told."""
-        said = settings("cell" if self.cell else "all")
+        said = settings("cell" if self.cell_size else "all")
         said["profiles"][1]["servedOn"] = [len(ENGINE_KINDS)]
         said["kinds"] = [*ENGINE_KINDS, RARE_KIND]
         said["extra"]["coresByKind"] = [
@@ -185,8 +199,8 @@
             "fallMultiple": SLOW_START[1],
             "fallUs": SLOW_START[2] * 100,
         }
-        said["instances"], said["myNumber"] = self.told, self.numbers[number]
-        if self.numbers[number] == NO_GATEWAY_NUMBER:
+        said["instances"], said["myNumber"] = self.gateway_count, self.gateway_numbers[number]
+        if self.gateway_numbers[number] == NO_GATEWAY_NUMBER:
             del said["myNumber"]
         return said
 
--- a/tests/test_maintenance_fleet.py
+++ b/tests/test_maintenance_fleet.py
@@ -54,7 +54,7 @@
                 **fleet_options,
             }
         )
-        self.crew = MaintenanceCrew(self.fleet, lasting=lasting)
+        self.crew = MaintenanceCrew(self.fleet, work_seconds=lasting)
         OPEN_SCENARIOS.append(self)
         self.fleet.start()
         if declares_known:
@@ -340,7 +340,7 @@
         client.rate /= 6
     for engine, mean in usual:
         engine.mean = mean
-    scenario.crew.lasting = int(1.5 * SECOND)
+    scenario.crew.work_ticks = int(1.5 * SECOND)
     for work in [*scenario.crew.book]:
         scenario.crew.end(work)
     scenario.wait_for_finished_work(6, 60)
--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -90,7 +90,10 @@
         name: (fleet.working_set(name), fleet.engines_reached_from(name)) for name in fleet.gateways
     }
     reports = fleet.served_fraction(request_class="report")
-    kept, new = fleet.first[150:], [name for name in fleet.engines if name not in fleet.first]
+    kept, new = (
+        fleet.initial_engines[150:],
+        [name for name in fleet.engines if name not in fleet.initial_engines],
+    )
     fleet.publish_list(kept + new, full=True)
     when = fleet.event_loop.now
     fleet.until(5)
@@ -121,8 +124,11 @@
     started; the others hear it four seconds later.
     """
     fleet.until(3)
-    new = [name for name in fleet.engines if name not in fleet.first]
-    listed, names = fleet.first[2:4] + fleet.first[len(new) :] + new, [*fleet.gateways]
+    new = [name for name in fleet.engines if name not in fleet.initial_engines]
+    listed, names = (
+        fleet.initial_engines[2:4] + fleet.initial_engines[len(new) :] + new,
+        [*fleet.gateways],
+    )
     fleet.mark_started(new)
     when = fleet.event_loop.now
     fleet.publish_list(listed, full=True, to=names[1::2])
@@ -184,37 +190,58 @@
 
 
 FAR = (2, 13, 24, 35, 46, 57)
-CELLS = {"numbers": (7, 23, 41), "cell": 3, "request_types": LOADS, "rates": (100.0,) * 3}
+CELLS = {
+    "gateway_numbers": (7, 23, 41),
+    "cell_size": 3,
+    "request_types": LOADS,
+    "rates": (100.0,) * 3,
+}
 SCENES = {
-    "killed": (killed, {"numbers": (7, 23, 41), "rates": (250.0, 25.0, 25.0)}),
+    "killed": (killed, {"gateway_numbers": (7, 23, 41), "rates": (250.0, 25.0, 25.0)}),
     "replaced": (
         replaced,
         {
-            "numbers": (3, 200, NO_GATEWAY_NUMBER, NO_GATEWAY_NUMBER),
+            "gateway_numbers": (3, 200, NO_GATEWAY_NUMBER, NO_GATEWAY_NUMBER),
             "rates": (50.0,) * 4,
-            "few": 1,
-            "more": 150,
+            "rare_kind_count": 1,
+            "unlisted_engine_count": 150,
         },
     ),
-    "only": (only, {"numbers": (3, 20, 44), "few": 1, "request_types": REPORTS}),
+    "only": (
+        only,
+        {"gateway_numbers": (3, 20, 44), "rare_kind_count": 1, "request_types": REPORTS},
+    ),
     "only, any kind": (
         only,
-        {"numbers": (3, 20, 44), "few": 1, "request_types": REPORTS, "spoilt": "few"},
+        {
+            "gateway_numbers": (3, 20, 44),
+            "rare_kind_count": 1,
+            "request_types": REPORTS,
+            "disabled_safeguards": "few",
+        },
+    ),
+    "ages": (
+        ages,
+        {
+            "gateway_numbers": FAR,
+            "rates": (40.0,) * 6,
+            "unlisted_engine_count": 100,
+            "request_types": REPORTS,
+        },
     ),
-    "ages": (ages, {"numbers": FAR, "rates": (40.0,) * 6, "more": 100, "request_types": REPORTS}),
     "ages, no cold": (
         ages,
         {
-            "numbers": FAR,
+            "gateway_numbers": FAR,
             "rates": (40.0,) * 6,
-            "more": 100,
+            "unlisted_engine_count": 100,
             "request_types": REPORTS,
-            "spoilt": "cold",
+            "disabled_safeguards": "cold",
         },
     ),
     "repeats": (repeats, CELLS),
-    "repeats, anywhere": (repeats, {**CELLS, "spoilt": "groups"}),
-    "repeats, in the set": (repeats, {**CELLS, "spoilt": "beyond"}),
+    "repeats, anywhere": (repeats, {**CELLS, "disabled_safeguards": "groups"}),
+    "repeats, in the set": (repeats, {**CELLS, "disabled_safeguards": "beyond"}),
 }
 
 
