--- a/corkgauge/testkit/fleet/day.py
+++ b/corkgauge/testkit/fleet/day.py
@@ -1,7 +1,7 @@
-"""A short day on loopback: the real program between stand-in engines, feed and clients, with a script.
+"""Runs one gateway process with emulated engines, endpoint list and clients, under a fault script.
 
-Owns the cast, the deployment that it plays and what it saw. Must never send to any address but
-loopback ones.
+Owns the gateway process, the emulators, the settings of the emulated deployment and the observed
+results. Sends to loopback addresses only.
 """
 
 import os
@@ -23,8 +23,8 @@
 from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.scraper import Scraper
 
-# The deployment that is played: offerings with their mean work (ms of one core) and what is
-# promised.
+# The emulated deployment: request classes with their mean work, in ms of one core, and what the
+# rules require of them.
 MEAN_WORK_MS = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
 REQUEST_TYPES = [
     Want("lookup", 0.70, 1_500, 8.0),
@@ -33,7 +33,7 @@
     Want("once", 0.08, 1_500, 10.0),
 ]
 ENGINE_KINDS, ZONE_NAMES, CORES_BY_KIND = ("c8", "c12"), ("hall-a", "hall-b"), {"c8": 8, "c12": 12}
-RETRY_BUDGET = 3.0, 0.1, 5 * SECOND
+RETRY_BUDGET = 3.0, 0.1, 5 * SECOND  # floor, share of requests, window in ticks
 RULE_EXPECTATIONS = rules.Stakes(
     repeats={"lookup": "pure", "report": "pure", "load": "token", "once": "side_effect"},
     ordered={"load"},
@@ -43,14 +43,19 @@
 
 
 def settings(group: str = "all") -> dict[str, Any]:
-    """What operators state, in the form of the platform."""
+    """Return the operators' settings, in the form of the platform's configuration.
 
-    def profile(name: str, aim: int, life: int, worth: float, **more: Any) -> dict[str, Any]:
+    With the group "all" every engine is in one table group; "zone" and "cell" make one group each.
+    """
+
+    def profile(
+        name: str, latency_target_ms: int, deadline_ms: int, worth: float, **more: Any
+    ) -> dict[str, Any]:
         return {
             "name": name,
-            "objectiveUs": aim * 1000,
+            "objectiveUs": latency_target_ms * 1000,
             "aimStretch": 2.0,
-            "deadlineUs": life * 1000,
+            "deadlineUs": deadline_ms * 1000,
             "worth": worth,
             **more,
         }
@@ -117,7 +122,24 @@
 
 
 class GatewayScenario:
-    """The cast on one hub; `run` plays. `operator` may name `{folder}`."""
+    """Runs a gateway process, emulated engines and clients on one event loop, with scripted faults.
+
+    Args:
+        seed: The seed of all random numbers.
+        scenes: The events of the fault script.
+        engines: The number of emulated engines.
+        clients: The number of emulated clients.
+        rate: Requests per second of all clients together.
+        scrapes: Snapshots requested per second; 0 for none.
+        gives_up: The fraction of requests that a client cancels.
+        hangs_up: The fraction of requests after which a client closes its connection.
+        operator: The text of the operator file; `{folder}` in it is replaced by the folder.
+        start: The arguments of the Python interpreter that start the program.
+        seen: Called with each snapshot.
+        group: How engines are grouped for idempotency keys: "all", "zone" or "cell".
+        retries: Whether clients repeat a request with an idempotency key whose connection broke.
+        request_types: The requests that clients send.
+    """
 
     def __init__(
         self,
@@ -140,7 +162,7 @@
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
         known: dict[str, dict[str, int]] = {
             zone: {} for zone in ZONE_NAMES
-        }  # labels, by group of engines
+        }  # idempotency keys known to the engines, by table group
         if group == "all":
             known = dict.fromkeys(ZONE_NAMES, {})
         names = [f"e{n}" for n in range(1, engines + 1)]
@@ -188,7 +210,7 @@
             )
             for n in range(clients)
         ]
-        self.snapshots: list[Snapshot] = []  # the last few
+        self.snapshots: list[Snapshot] = []  # the latest 21
         self.scrape_count, self.snapshot_errors, self.memory = 0, list[str](), list[int]()
         self.seen = seen
         self.scraper: Scraper | None = None
@@ -201,12 +223,12 @@
             )
 
     def run(self, seconds: float, drain: float = 4.0) -> None:
-        """Play so long, then let all that is open end, and end the program."""
-        begun = self.event_loop.now
+        """Run for a time, wait up to `drain` seconds for open requests, and end the gateway."""
+        started_at = self.event_loop.now
         self.program.start()
         for scene in self.scenes:
             self.event_loop.call_later(scene.at, self.apply_event, scene)
-        self.until(begun + int(seconds * SECOND))
+        self.until(started_at + int(seconds * SECOND))
         for client in self.clients:
             client.rate = 1e-6
             client.stopped = True
@@ -222,18 +244,20 @@
         self.until(self.event_loop.now + 8 * SECOND, self.program.is_running)
 
     def until(self, when: int, while_: Callable[[], Any] = lambda: True) -> None:
+        """Run the event loop until a time, or until `while_` returns a false value."""
         while self.event_loop.now < when and while_():
             self.event_loop.turn(min((when - self.event_loop.now) / 10, 20))
 
     def close(self) -> None:
-        """End the program, if it still runs, and forget its folder."""
+        """End the gateway process, if it still runs, and delete its folder."""
         if self.program.is_running():
             self.program.end(1.0)
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # What the script does.
+    # Events of the script.
 
     def apply_event(self, scene: Scene) -> None:
+        """Apply an event to the gateway process, the endpoint list or the engines that it names."""
         if scene.who == "program":
             return self.apply_gateway_event(scene.trouble)
         if scene.who == "list":
@@ -250,16 +274,18 @@
                 self.event_loop.call_later(max(scene.span, 1), self.end_engine_fault, engine)
 
     def end_engine_fault(self, engine: EmulatedEngine) -> None:
-        back = engine.trouble == "restart"
+        """End the fault of an engine; an engine that was restarting is put on the list again."""
+        was_restarting = engine.trouble == "restart"
         engine.end()
-        if back:
+        if was_restarting:
             self.feed.told([engine])
 
-    def apply_gateway_event(self, what: str) -> None:
+    def apply_gateway_event(self, event: str) -> None:
+        """Make the gateway reload its configuration, or kill or end it and start it again."""
         program = self.program
-        if what == "reload":
+        if event == "reload":
             return program.send_signal(signal.SIGHUP)
-        if what == "kill":
+        if event == "kill":
             program.kills.append(self.event_loop.now)
             program.send_signal(signal.SIGKILL)
         else:
@@ -267,37 +293,39 @@
         self.event_loop.call_later(SECOND // 20, self.restart_gateway)
 
     def restart_gateway(self) -> None:
-        """Started anew once it has ended, with the list as it stands."""
+        """Start the gateway again with the current endpoint list, once it has ended."""
         if self.program.is_running():
             return self.event_loop.call_later(SECOND // 20, self.restart_gateway)
         self.program.configuration["known"] = {"n": self.feed.version, "events": self.feed.events}
         self.program.start()
 
-    # What was seen.
+    # Results.
 
-    def on_snapshot(self, cut: Snapshot) -> None:
+    def on_snapshot(self, snapshot: Snapshot) -> None:
+        """Check the balances of a snapshot, and that no counter fell since the previous one."""
         self.scrape_count += 1
-        wrong = find_imbalances(cut)
+        errors = find_imbalances(snapshot)
         if self.snapshots:
-            wrong += find_decreases(self.snapshots[-1], cut)
-        self.snapshot_errors += [f"scrape {self.scrape_count}: {each}" for each in wrong]
-        self.snapshots = [*self.snapshots[-20:], cut]
+            errors += find_decreases(self.snapshots[-1], snapshot)
+        self.snapshot_errors += [f"scrape {self.scrape_count}: {each}" for each in errors]
+        self.snapshots = [*self.snapshots[-20:], snapshot]
         self.memory.append(self.program.memory())
         if self.seen is not None:
-            self.seen(cut)
+            self.seen(snapshot)
 
     def find_rule_violations(self, slack: int = rules.SLACK) -> list[str]:
-        """The rules, from the books of the stand-ins."""
-        asks = sorted(
-            (ask for client in self.clients for ask in client.book), key=lambda ask: ask.sent
+        """Check the rules against the records of the emulated clients and engines."""
+        requests = sorted(
+            (request for client in self.clients for request in client.book),
+            key=lambda request: request.sent,
         )
-        runs = sorted(
-            (run for engine in self.engines.values() for run in engine.book),
-            key=lambda run: run.came,
+        attempts = sorted(
+            (attempt for engine in self.engines.values() for attempt in engine.book),
+            key=lambda attempt: attempt.came,
         )
         return rules.broken(
-            asks,
-            runs,
+            requests,
+            attempts,
             self.feed.changes,
             {name: each.cores for name, each in self.engines.items()},
             RULE_EXPECTATIONS,
@@ -306,19 +334,22 @@
         )
 
     def tally(self) -> dict[str, int]:
-        said: dict[str, int] = {}
+        """Count the requests of all clients by how they ended."""
+        counts: dict[str, int] = {}
         for client in self.clients:
             for name, count in client.tally().items():
-                said[name] = said.get(name, 0) + count
-        # What the program held when it was killed outright is owed by nobody; any other without an
-        # answer is lost.
+                counts[name] = counts.get(name, 0) + count
+        # A request that was open when the gateway was killed needs no answer; any other request
+        # without an answer is lost.
         killed = sum(
-            not ask.answers and not ask.excused and rules.at_a_kill(ask, self.program.kills)
+            not request.answers
+            and not request.excused
+            and rules.at_a_kill(request, self.program.kills)
             for client in self.clients
-            for ask in client.book
+            for request in client.book
         )
-        return {**said, "none": said["none"] - killed, "at_a_kill": killed}
+        return {**counts, "none": counts["none"] - killed, "at_a_kill": killed}
 
     def checkpoint_path(self) -> str:
-        """The path of the file of figures."""
+        """Return the path of the gateway's checkpoint file."""
         return os.path.join(self.folder, "kept", "n1.figures")
--- a/corkgauge/testkit/fleet/gateway_process.py
+++ b/corkgauge/testkit/fleet/gateway_process.py
@@ -1,7 +1,7 @@
-"""The real program, started for the stand-ins to play with.
+"""Runs the program's `serve` command in a child process, for tests and benchmarks.
 
-Owns one child process, its files and its log. Ends only what it started; the child ends with
-whoever started it.
+Owns one child process, its files and its log. Ends only the process that it started; the child ends
+with its parent.
 """
 
 import json
@@ -15,8 +15,15 @@
 
 
 class GatewayProcess:
-    """`serve` in a process of its own, in a folder of its own. `start` is what is run in place of
-    `-m corkgauge`; `tree` another checkout to run it in.
+    """Runs `serve` in a child process, with its files in a folder.
+
+    Args:
+        folder: The folder for the configuration, the operator file and the log.
+        configuration: The configuration, written as JSON at each start.
+        operator: The text of the operator file; without one the program runs without it.
+        start: The arguments of the Python interpreter that start the program.
+        log_form: The format of the log, "plain" or "json".
+        tree: A checkout to run the program from, if not the current folder.
     """
 
     def __init__(
@@ -42,9 +49,10 @@
                 file.write(operator)
             self.arguments += ["--operator", path]
         self.process: subprocess.Popen | None = None
-        self.kills: list[int] = []
+        self.kills: list[int] = []  # when the process was killed, in ticks of the event loop
 
     def start(self) -> None:
+        """Write the configuration and start the process; its output is appended to the log."""
         with open(self.config, "w", encoding="utf-8") as file:
             json.dump(self.configuration, file)
         with open(self.log_path, "ab") as log:
@@ -63,15 +71,17 @@
                 },
             )
 
-    def send_signal(self, sign: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
+        """Send a signal to the process, if it runs."""
         if self.process is not None and self.process.poll() is None:
-            self.process.send_signal(sign)
+            self.process.send_signal(signal_number)
 
     def is_running(self) -> bool:
+        """Return whether the process was started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
     def end(self, patience: float = 8.0) -> int:
-        """SIGTERM, and SIGKILL after `patience` seconds: its exit code."""
+        """Send SIGTERM, and SIGKILL after `patience` seconds; return the exit code."""
         self.send_signal(signal.SIGTERM)
         try:
             return self.process.wait(patience)
@@ -80,7 +90,7 @@
             return self.process.wait()
 
     def memory(self) -> int:
-        """Bytes resident."""
+        """Return the resident memory in bytes, 0 if the process has ended."""
         try:
             with open(f"/proc/{self.process.pid}/statm", "rb") as file:
                 return int(file.read().split()[1]) * 4096
@@ -88,7 +98,7 @@
             return 0
 
     def processor_time(self) -> float:
-        """Seconds of processor time so far."""
+        """Return the seconds of processor time used so far, 0 if the process has ended."""
         try:
             with open(f"/proc/{self.process.pid}/stat", "rb") as file:
                 fields = file.read().rsplit(b")", 1)[1].split()
@@ -97,5 +107,6 @@
             return 0.0
 
     def log(self) -> list[str]:
+        """Return the lines of the log."""
         with open(self.log_path, encoding="utf-8", errors="replace") as file:
             return file.read().splitlines()
--- a/corkgauge/testkit/fleet/parent_process.py
+++ b/corkgauge/testkit/fleet/parent_process.py
@@ -1,7 +1,7 @@
-"""Processes that end with the one that started them.
+"""Makes child processes end with their parent.
 
-Owns one call of the system's. Must never be used by a serving program: it is for rigs, whose
-processes would otherwise stay when a rig is killed, and disturb the next.
+For tests and benchmarks only, never for a serving program: without this, the child processes of a
+test that is killed keep running and disturb the next test.
 """
 
 import ctypes
@@ -14,13 +14,16 @@
 
 
 def kill_with_parent(parent: int) -> Callable[[], None]:
-    """What a child runs between fork and exec (`preexec_fn`), or as the first thing in a worker of a pool: it is
-    killed when `parent`, the process id of its starter, ends in whichever way.
+    """Return a function after whose call the calling process is killed when `parent` ends.
+
+    Use the function as the `preexec_fn` of a child, or as the initializer of a pool's workers.
+    `parent` is the process id of the parent; however that process ends, the kernel sends SIGKILL.
     """
 
     def request_parent_death_signal() -> None:
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-        if os.getppid() != parent:  # Danger: the parent may have ended before the call
+        # No signal follows if the parent ended before the call of prctl.
+        if os.getppid() != parent:
             os._exit(1)
 
     return request_parent_death_signal
--- a/corkgauge/testkit/fleet/ports.py
+++ b/corkgauge/testkit/fleet/ports.py
@@ -1,7 +1,7 @@
-"""Ports on loopback that no other rig takes, also while nobody listens there.
+"""Reserves loopback ports, which no other test takes even while nothing listens on them.
 
-Owns the choice of a port and the mark that it is taken. Must never choose one that the system hands
-out to outgoing connections where that can be helped, and never one that another rig has marked.
+Owns the choice of a port and the mark that the port is reserved. Never chooses a port that another
+test has reserved and, where the range allows, none that the kernel assigns to outgoing connections.
 """
 
 import secrets
@@ -10,12 +10,16 @@
 MIN_PORT, MAX_PORT = (
     10_240,
     32_768,
-)  # of those that are chosen; systems hand out higher ones, as they come
+)  # range of ports to choose from; kernels usually assign higher ones to outgoing connections
 PORT_RANGE_PATH = "/proc/sys/net/ipv4/ip_local_port_range"
 
 
 def port_range_end(path: str = PORT_RANGE_PATH) -> int:
-    """Below it lie the ports that are chosen: where this system begins to hand them out, if that leaves a thousand."""
+    """Return the end of the range of ports to choose from.
+
+    This is the first port that the kernel assigns to outgoing connections, or MAX_PORT if that is
+    lower, if the range would hold fewer than 1,000 ports, or if the kernel's range is unknown.
+    """
     try:
         with open(path, encoding="ascii") as file:
             lowest = int(file.read().split()[0])
@@ -25,24 +29,25 @@
 
 
 class ReservedPort:
-    """One port, for TCP or UDP by `sort`, until `end` or the end of this process. `release` lets a process of the
-    rig's listen there.
+    """A reserved port for TCP or UDP, until `end` or the end of this process.
+
+    `release` closes the socket, so that another process of the same test can listen on the port.
     """
 
-    def __init__(self, sort: int) -> None:
-        top = port_range_end()
+    def __init__(self, socket_type: int) -> None:
+        end = port_range_end()
         while True:
-            port = MIN_PORT + secrets.randbelow(top - MIN_PORT)
+            port = MIN_PORT + secrets.randbelow(end - MIN_PORT)
             self.mark, self.sock = (
                 socket.socket(socket.AF_UNIX),
-                socket.socket(socket.AF_INET, sort),
+                socket.socket(socket.AF_INET, socket_type),
             )
             try:
-                # Danger: between our release and the listening of the process that we start, and
-                # whenever that is down, another rig would find the port free. A name without a file
-                # goes with its process.
+                # Without this mark, another test would find the port free after `release`, until
+                # the started process listens and whenever that process is down. The mark is a name
+                # in the abstract socket namespace, which vanishes with this process.
                 self.mark.bind(
-                    f"\0corkgauge {'udp' if sort == socket.SOCK_DGRAM else 'tcp'} {port}"
+                    f"\0corkgauge {'udp' if socket_type == socket.SOCK_DGRAM else 'tcp'} {port}"
                 )
                 self.sock.bind(("127.0.0.1", port))
                 break
@@ -51,9 +56,11 @@
         self.address: tuple[str, int] = self.sock.getsockname()
 
     def release(self) -> None:
+        """Close the socket and keep the reservation, so that a child process can listen."""
         self.sock.close()
 
     def end(self) -> None:
+        """Close the socket and end the reservation."""
         self.sock.close()
         self.mark.close()
 
@@ -62,7 +69,7 @@
 
 
 def free_port() -> int:
-    """A TCP port that is this process's to give, until it ends."""
+    """Reserve a TCP port until the end of this process, and return its number."""
     RESERVED_PORTS.append(ReservedPort(socket.SOCK_STREAM))
     RESERVED_PORTS[-1].release()
     return RESERVED_PORTS[-1].address[1]
--- a/corkgauge/testkit/fleet/processes.py
+++ b/corkgauge/testkit/fleet/processes.py
@@ -1,21 +1,26 @@
-"""Several processes of the program on loopback, what stands around them, and faults between them by a script.
-
-Owns the cast of a drill: gateways in processes of their own, a relay each way between two fellows,
-engines, feed, clients, the judge. Must never send to any address but loopback ones, and ends only
-what it started.
-
-A script's line is `at SECOND [for SECONDS]: SORT WHOM ...`; WHOM are gateways, or `all`:
-
-    at 2 for 3: stop n1             SIGSTOP, then SIGCONT
-    at 2: kill n1 n2                SIGKILL, and started again after a moment; `for` sets how long after
-    at 2: end n1                    SIGTERM, and started again
-    at 2 for 3: cut n1              from all others, both ways; `deaf` hears nothing, `mute` is not heard
-    at 2 for 3: part n1 n2          these on one side, all others on the other
-    at 2 for 3: lose 0.3            of all datagrams between fellows; also `late 500` (ms), `double 0.2`
-    at 2: replay n1                 what was written to it comes again, as it was
-    at 2 for 2: busy n1             its processor is shared with a process that never rests
-    at 2: yield                     the holder is told to give its duty up
-    at 2 for 3: engine e1           no gateway reaches it, and nothing is told
+"""Runs a fleet of gateway processes on loopback and injects faults from a script.
+
+Owns the gateway processes, the datagram relays between each two members, the emulated engines,
+endpoint lists and clients, and the lease checker. Sends to loopback addresses only, and ends only
+processes that it started.
+
+A line of a fault script is `at SECOND [for SECONDS]: KIND TARGET ...`. Targets are names of
+gateways (for the kind `engine`: of engines), or `all`. The kinds are:
+
+    at 2 for 3: stop n1       suspends the process (SIGSTOP) for 3 seconds, then sends SIGCONT
+    at 2: kill n1 n2          ends the processes with SIGKILL and starts them again after 50 ms, or
+                              after the time given by `for` if that is longer
+    at 2: end n1              the same with SIGTERM
+    at 2 for 3: cut n1        drops all datagrams between n1 and the other members, in both
+                              directions; `deaf` drops only those to n1, `mute` only those from n1
+    at 2 for 3: part n1 n2    drops all datagrams between these gateways and all others
+    at 2 for 3: lose 0.3      drops this fraction of all datagrams between members; `late 500`
+                              delays each by up to 500 ms, `double 0.2` sends this fraction twice
+    at 2: replay n1           sends the latest datagrams to n1 once more, unchanged
+    at 2 for 2: busy n1       runs a busy loop on the processor of n1
+    at 2: yield               asks the lease holder to give the lease up
+    at 2 for 3: engine e1     lets no data pass between the gateways and e1, which stays on the
+                              endpoint lists
 """
 
 import json
@@ -69,23 +74,20 @@
     "engine",
 )
 AMOUNT_KINDS = "lose", "late", "double"
-RECOVERY_TICKS = (
-    2 * SECOND
-)  # until a gateway that stood still, or was killed, answers in time again
-RESTART_DELAY_TICKS = 500  # tenths of a millisecond until what ended is started again
-SHARED_MEMORY_FOLDER, MIN_FREE_BYTES = (
-    "/dev/shm",
-    256 << 20,
-)  # where files take no disk; octets free there, below which it is not used
+# A gateway that was suspended or killed may answer late for this long after it runs again.
+RECOVERY_TICKS = 2 * SECOND
+RESTART_DELAY_TICKS = 500  # minimum time between the end of a process and its restart
+# Folder whose files are kept in memory, used only while this much of it is free.
+SHARED_MEMORY_FOLDER, MIN_FREE_BYTES = "/dev/shm", 256 << 20
 
 
 class FaultScriptError(ValueError):
-    """One line: which line of the script, and what it should say."""
+    """A fault script is invalid; the message names the line and what was expected there."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Times are tenths of a millisecond from the start."""
+    """A fault of a script; `at` counts from the start of the fleet, times are ticks."""
 
     at: int
     duration: int
@@ -94,7 +96,7 @@
     amount: float = 0.0
 
     def line(self) -> str:
-        """As a script has it."""
+        """Return the fault as a line of a fault script."""
         what = f"{self.amount:g}" if self.kind in AMOUNT_KINDS else " ".join(self.targets)
         return (
             f"at {self.at / SECOND:g} for {self.duration / SECOND:g}: {self.kind} {what}".rstrip()
@@ -102,7 +104,7 @@
 
 
 def parse_fault_script(text: str, names: list[str], engines: list[str]) -> list[Fault]:
-    """A script's faults in the order of their time.
+    """Parse a fault script and return its faults in order of time.
 
     >>> parse_fault_script("at 2 for 3: part n1 n2  # halves", ["n1", "n2", "n3"], [])
     [Fault(at=20000, duration=30000, kind='part', targets=('n1', 'n2'), amount=0.0)]
@@ -122,8 +124,8 @@
 
 
 def _parse_fault(line: str, names: list[str], engines: list[str]) -> Fault:
-    head, colon, what = line.partition(":")
-    times, words = head.split(), what.split()
+    head, colon, description = line.partition(":")
+    times, words = head.split(), description.split()
     if (
         not colon
         or len(times) not in (2, 4)
@@ -131,35 +133,43 @@
         or times[2:3] not in ([], ["for"])
         or not words
     ):
-        raise ValueError("expected 'at SECOND [for SECONDS]: SORT WHOM'")
-    at, span = (
+        raise ValueError("expected 'at SECOND [for SECONDS]: KIND TARGET ...'")
+    at, duration = (
         int(float(each) * SECOND) for each in (times[1], times[3] if len(times) == 4 else "0")
     )
-    sort, *whom = words
-    if at < 0 or span < 0:
-        raise ValueError("a time below 0")
-    if sort not in FAULT_KINDS:
-        raise ValueError(f"expected one of {', '.join(FAULT_KINDS)}, found {sort!r}")
-    if sort in AMOUNT_KINDS:
-        if len(whom) != 1 or float(whom[0]) < 0 or (sort != "late" and float(whom[0]) > 1):
-            raise ValueError(f"{sort}: expected a figure")
-        return Fault(at, span, sort, (), float(whom[0]))
-    if whom == ["all"]:
-        whom = [*(engines if sort == "engine" else names)]
-    for each in whom:
-        if each not in (engines if sort == "engine" else names):
-            raise ValueError(f"no {'engine' if sort == 'engine' else 'gateway'} {each!r}")
-    if not whom and sort != "yield":
-        raise ValueError(f"{sort}: whom?")
-    return Fault(at, span, sort, tuple(whom))
+    kind, *targets = words
+    if at < 0 or duration < 0:
+        raise ValueError("expected times of at least 0 seconds, found a negative time")
+    if kind not in FAULT_KINDS:
+        raise ValueError(f"expected one of {', '.join(FAULT_KINDS)}, found {kind!r}")
+    if kind in AMOUNT_KINDS:
+        if len(targets) != 1 or float(targets[0]) < 0 or (kind != "late" and float(targets[0]) > 1):
+            raise ValueError(f"{kind}: expected a number from 0 to 1 (for late: of milliseconds)")
+        return Fault(at, duration, kind, (), float(targets[0]))
+    if targets == ["all"]:
+        targets = [*(engines if kind == "engine" else names)]
+    for each in targets:
+        if each not in (engines if kind == "engine" else names):
+            raise ValueError(f"no {'engine' if kind == 'engine' else 'gateway'} {each!r}")
+    if not targets and kind != "yield":
+        raise ValueError(f"{kind}: expected one or more targets, or 'all'; found none")
+    return Fault(at, duration, kind, tuple(targets))
 
 
 def draw_random_faults(
     seed: int, names: list[str], seconds: float, gap: float, longest: float
 ) -> list[Fault]:
-    """Faults by chance, about one each `gap` seconds, of all sorts, none longer than `longest` seconds."""
-    chance, at, found = SeededRandom(seed), 2.0, []
-    sorts = [
+    """Draw random faults of all kinds but `engine` and `double`.
+
+    Args:
+        seed: The seed of the random numbers.
+        names: The gateways.
+        seconds: Faults begin between 2 seconds after the start and this time.
+        gap: The mean time between two faults, in seconds.
+        longest: The longest duration of a fault, in seconds.
+    """
+    random, at, faults = SeededRandom(seed), 2.0, []
+    kinds = [
         "stop",
         "stop",
         "kill",
@@ -175,24 +185,26 @@
         "busy",
     ]
     while at < seconds:
-        sort, span = sorts[chance.below(len(sorts))], 0.1 + chance.part() * (longest - 0.1)
-        many = 1 + chance.below(max(len(names) // 2, 1)) if sort in ("kill", "part", "stop") else 1
-        left = [*names]
-        whom = [left.pop(chance.below(len(left))) for _ in range(many)]
-        if sort == "kill" and chance.within(0.1):
-            whom = [*names]
-        figure = {"lose": 0.3, "late": 400.0 * longest}.get(sort, 0.0)
-        found.append(
+        kind, duration = kinds[random.below(len(kinds))], 0.1 + random.part() * (longest - 0.1)
+        target_count = (
+            1 + random.below(max(len(names) // 2, 1)) if kind in ("kill", "part", "stop") else 1
+        )
+        remaining = [*names]
+        targets = [remaining.pop(random.below(len(remaining))) for _ in range(target_count)]
+        if kind == "kill" and random.within(0.1):
+            targets = [*names]
+        amount = {"lose": 0.3, "late": 400.0 * longest}.get(kind, 0.0)
+        faults.append(
             Fault(
                 int(at * SECOND),
-                int(span * SECOND),
-                sort,
-                () if sort in (*AMOUNT_KINDS, "yield") else tuple(sorted(whom)),
-                figure,
+                int(duration * SECOND),
+                kind,
+                () if kind in (*AMOUNT_KINDS, "yield") else tuple(sorted(targets)),
+                amount,
             )
         )
-        at += gap * (0.5 + chance.part())
-    return found
+        at += gap * (0.5 + random.part())
+    return faults
 
 
 OPERATOR_FILE = """<?xml version="1.0"?>
@@ -211,25 +223,30 @@
 """
 
 
-def find_memory_folder(place: str = SHARED_MEMORY_FOLDER, room: int = MIN_FREE_BYTES) -> str | None:
-    """Danger: a gateway says nothing that is not safe on disk, and a disk that others keep busy takes seconds for it
-    (15 s were seen): a scene's verdict would be the disk's. Processes are killed here, never the
-    machine, so memory keeps what a disk would; what the program does with a slow one is forced by
-    `slowdisk` (undefended.py). None: where files usually go.
+def find_memory_folder(
+    folder: str = SHARED_MEMORY_FOLDER, min_free_bytes: int = MIN_FREE_BYTES
+) -> str | None:
+    """Return the folder for files of a fleet that is kept in memory, or None for the default one.
+
+    A gateway sends nothing before the records that it rests on are durable, and on a busy disk a
+    write takes seconds (15 s were measured), so that the result of a test would depend on the disk.
+    Tests kill processes, never the machine, so files in memory survive as they would on disk. The
+    fault `slowdisk` of disabled_safeguards.py tests the behaviour of the program with a slow disk.
     """
     try:
-        free = os.statvfs(place)
+        file_system = os.statvfs(folder)
     except OSError:
         return None
     return (
-        place
-        if free.f_bavail * free.f_frsize >= room and os.access(place, os.W_OK | os.X_OK)
+        folder
+        if file_system.f_bavail * file_system.f_frsize >= min_free_bytes
+        and os.access(folder, os.W_OK | os.X_OK)
         else None
     )
 
 
 class Gateway:
-    """One process, and where it is reached."""
+    """A gateway process, its addresses and the times at which faults disturbed it."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
         self.fleet, self.name, self.zone = fleet, f"n{number}", ZONE_NAMES[number % 2]
@@ -239,16 +256,30 @@
         self.address, self.listen = (each.address for each in self.reserved)
         self.program: Any = None
         self.cpu_load_process: subprocess.Popen | None = None
-        self.disturbed_at: list[int] = []  # when it was stopped, killed or kept from its processor
-        self.unresponsive_spans: list[
-            tuple[int, int]
-        ] = []  # from then until then it could answer nobody in time
-        self.disturbed_until = 0  # it stands still, or is down, until then
+        # When the process was suspended, ended or slowed down by a busy loop.
+        self.disturbed_at: list[int] = []
+        # First and last time of each interval in which the gateway may fail to answer in time.
+        self.unresponsive_spans: list[tuple[int, int]] = []
+        self.disturbed_until = 0  # end of the latest disturbance
 
 
 class Fleet:
-    """`gateways` processes; `off` and `rates` spoil defences and clocks; `options` go into the operator
-    file.
+    """Runs gateway processes with emulated engines, clients and endpoint lists on one event loop.
+
+    Args:
+        seed: The seed of all random numbers.
+        gateways: The number of gateway processes.
+        voters: The number of voters among them; by default all of up to 3 gateways, 3 of 4, else 5.
+        lease: The term of a lease, in seconds.
+        faults: Faults to inject, in order of time.
+        clients: The number of emulated clients.
+        rate: Requests per second of all clients together.
+        engines: The number of emulated engines.
+        off: The safeguards that the gateways disable, separated by commas.
+        rates: Factors by which the clocks of the gateways run fast, used in turn.
+        guarded: Whether the lease checker rejects acts with an outdated fencing token.
+        cold: The slow-start time of an engine, in seconds.
+        **options: Values of the operator file.
     """
 
     def __init__(
@@ -296,7 +327,7 @@
             file.write(secrets.token_hex(32))
         known: dict[
             str, int
-        ] = {}  # labels: all engines of the played deployment remember them together
+        ] = {}  # idempotency keys, known to all engines: they are one table group
         self.engines = {
             f"e{n}": EmulatedEngine(
                 self.event_loop,
@@ -322,8 +353,8 @@
             for m, other in enumerate(names)
             if one != other
         }
-        # Danger: what arrives late at the judge would count as done late; so no fault is on its
-        # ways.
+        # No faults are injected on the relays to the lease checker: it dates an act by the arrival
+        # of its datagram, so a delayed datagram would count as an act after the end of the lease.
         self.checker_relays = {
             name: Way(self.event_loop, ("127.0.0.1", 1), SeededRandom(1)) for name in names
         }
@@ -360,7 +391,11 @@
         self.applied_fault_count = 0
 
     def _feed(self, name: str) -> EmulatedDiscovery:
-        """Each gateway reaches each engine by a passage of its own, so each has a list of its own."""
+        """Create the endpoint list of a gateway, and its relays to all engines.
+
+        Each gateway has one relay per engine, so the addresses on its list differ from those on
+        the lists of other gateways.
+        """
         feed = EmulatedDiscovery(self.event_loop)
         for engine in self.engines.values():
             self.engine_relays[name, engine.name] = Passage(
@@ -369,22 +404,22 @@
         return feed
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
-        feed = self.feeds[gateway.name]
+        discovery = self.feeds[gateway.name]
         reached = [
             _RelayedEngine(engine, "%s:%d" % self.engine_relays[gateway.name, engine.name].address)
             for engine in self.engines.values()
         ]
-        first = feed.told(reached, full=True)
-        stated = settings()
-        stated["rules"]["coldUs"] = self.cold * 100
-        said = {
+        first = discovery.told(reached, full=True)
+        platform_settings = settings()
+        platform_settings["rules"]["coldUs"] = self.cold * 100
+        configuration = {
             "name": gateway.name,
             "listen": "%s:%d" % gateway.address,
-            "feed": feed.address,
+            "feed": discovery.address,
             "seed": f"{self.seed * 100 + number:x}",
             "limits": {"memory_mb": 96, "sockets": 512},
             "known": {"n": 1, "events": [first]},
-            "settings": {**stated, "instances": len(self.gateways), "myNumber": number},
+            "settings": {**platform_settings, "instances": len(self.gateways), "myNumber": number},
         }
         rate = self.rates[number % len(self.rates)] if self.rates else 1.0
         start = (
@@ -392,21 +427,24 @@
             if self.off == "none" and rate == 1.0
             else ("-m", "corkgauge.testkit.faults.disabled_safeguards", self.off, str(rate))
         )
-        return GatewayProcess(gateway.folder, said, self.render_operator_file(gateway), start)
+        return GatewayProcess(
+            gateway.folder, configuration, self.render_operator_file(gateway), start
+        )
 
     def render_operator_file(self, gateway: Gateway, **options: Any) -> str:
-        """The operator file of one gateway: it reaches each fellow by the relay of that way."""
+        """Return the operator file of a gateway, with the addresses of its relays to members."""
         options = {**self.options, "voters": " ".join(self.voters), **options}
-        lines = [
+        member_elements = [
             f'    <fellow name="{LEASE_CHECKER_NAME}" address="%s:%d"/>'
             % self.checker_relays[gateway.name].address
         ]
         for name, each in self.gateways.items():
-            where = (
+            address = (
                 each.listen if each is gateway else self.datagram_relays[gateway.name, name].address
             )
-            lines.append(
-                f'    <fellow name="{name}" address="{where[0]}:{where[1]}" hall="{each.zone}"/>'
+            member_elements.append(
+                f'    <fellow name="{name}" address="{address[0]}:{address[1]}"'
+                f' hall="{each.zone}"/>'
             )
         if options["recall"] is not None:
             options["recall"] = {"folder": f"{gateway.folder}/recall", **options["recall"]}
@@ -418,39 +456,40 @@
                     name, " ".join(f'{key}="{value}"' for key, value in options[name].items())
                 )
             )
-        votes = f' folder="{gateway.folder}/votes"' if options["disk"] else ""
+        votes_attribute = f' folder="{gateway.folder}/votes"' if options["disk"] else ""
         return OPERATOR_FILE.format(
             folder=gateway.folder,
             key=options.pop("key", self.key),
             lease=self.lease,
             listen="%s:%d" % gateway.listen,
-            members="\n".join(lines),
-            folder_of_votes=votes,
+            members="\n".join(member_elements),
+            folder_of_votes=votes_attribute,
             **options,
         )
 
     def engine_for_gateway(self, gateway: str, engine: str) -> "_RelayedEngine":
-        """An engine as the list tells it to one gateway."""
+        """Return an engine as it is on the endpoint list of one gateway."""
         return _RelayedEngine(
             self.engines[engine], "%s:%d" % self.engine_relays[gateway, engine].address
         )
 
     def publish_engines(self, names: Any, state: str = "SERVING") -> None:
-        """Each gateway's feed tells of these engines."""
+        """Publish a state of these engines on the endpoint lists of all gateways."""
         for name, feed in self.feeds.items():
             feed.told([self.engine_for_gateway(name, each) for each in names], state)
 
     def restart_engines(self, names: Any) -> None:
-        """These engines have just started: cold, with nothing of before."""
+        """Restart these engines: drop their connections and publish a new start time."""
         for name in names:
             engine = self.engines[name]
             engine.listener.drop()
             engine.started_ms = self.event_loop.now // 10
         self.publish_engines(names)
 
-    # Playing.
+    # Running the fleet.
 
     def start(self) -> None:
+        """Start all gateways, and schedule the faults of the script."""
         for gateway in self.gateways.values():
             for each in gateway.reserved:
                 each.release()
@@ -461,37 +500,40 @@
             self.event_loop.call_later(max(fault.at, 1), self.apply_fault, fault)
 
     def until(self, seconds: float, while_: Any = lambda: True) -> bool:
-        """Go on for so long, or until something no longer holds; did it stop holding?"""
-        when = self.event_loop.now + int(seconds * SECOND)
-        while self.event_loop.now < when:
+        """Run the event loop for a time, or until `while_` is false; return whether it is false."""
+        deadline = self.event_loop.now + int(seconds * SECOND)
+        while self.event_loop.now < deadline:
             if not while_():
                 return True
-            self.event_loop.turn(min((when - self.event_loop.now) / 10, 20))
+            self.event_loop.turn(min((deadline - self.event_loop.now) / 10, 20))
         return not while_()
 
     def wait_for_lease_action(self, seconds: float = 10.0, duty: str = "books") -> bool:
-        """Until somebody's act has arrived since now."""
-        since = len(self.lease_checker.acts)
+        """Wait until an act under a lease arrives at the lease checker; return whether one did."""
+        first_new = len(self.lease_checker.acts)
         return self.until(
-            seconds, lambda: not any(act.lease == duty for act in self.lease_checker.acts[since:])
+            seconds,
+            lambda: not any(act.lease == duty for act in self.lease_checker.acts[first_new:]),
         )
 
     def holder(self) -> str:
-        """Who acted last."""
+        """Return the gateway of the latest act under any lease, empty before the first act."""
         return self.lease_checker.acts[-1].sender if self.lease_checker.acts else ""
 
     def run(self, seconds: float) -> None:
+        """Start the fleet, run it for a time and let open requests end."""
         self.start()
         self.until(seconds)
         self.settle()
 
     def settle(self, seconds: float = 3.5) -> None:
-        """No more submissions; all that is open ends."""
+        """Stop the clients, and wait until their open requests have ended."""
         for client in self.clients:
             client.stopped = True
         self.until(seconds, lambda: any(client.open for client in self.clients))
 
     def close(self) -> None:
+        """End all processes of the fleet, release its ports and delete its files."""
         for gateway in self.gateways.values():
             self._set_cpu_load(gateway, False)
             if gateway.program.is_running():
@@ -505,33 +547,34 @@
     # Faults.
 
     def apply_fault(self, fault: Fault) -> None:
+        """Inject a fault now, and schedule its end."""
         self.applied_fault_count += 1
-        until = self.event_loop.now + fault.duration
+        ends_at = self.event_loop.now + fault.duration
         if fault.kind in ("cut", "deaf", "mute"):
-            for one, other in self.datagram_relays:
-                if (fault.kind != "deaf" and one in fault.targets) or (
-                    fault.kind != "mute" and other in fault.targets
+            for sender, receiver in self.datagram_relays:
+                if (fault.kind != "deaf" and sender in fault.targets) or (
+                    fault.kind != "mute" and receiver in fault.targets
                 ):
-                    self.datagram_relays[one, other].cut_until = until
+                    self.datagram_relays[sender, receiver].cut_until = ends_at
         elif fault.kind == "part":
-            for one, other in self.datagram_relays:
-                if (one in fault.targets) != (other in fault.targets):
-                    self.datagram_relays[one, other].cut_until = until
+            for sender, receiver in self.datagram_relays:
+                if (sender in fault.targets) != (receiver in fault.targets):
+                    self.datagram_relays[sender, receiver].cut_until = ends_at
         elif fault.kind in AMOUNT_KINDS:
             self.set_network_fault(fault.kind, fault.amount)
             self.event_loop.call_later(
                 max(fault.duration, 1), self.set_network_fault, fault.kind, 0.0
             )
         elif fault.kind == "replay":
-            for (_, other), way in self.datagram_relays.items():
-                if other in fault.targets:
-                    way.again()
+            for (_, receiver), relay in self.datagram_relays.items():
+                if receiver in fault.targets:
+                    relay.again()
         elif fault.kind == "engine":
-            for (_, engine), passage in self.engine_relays.items():
+            for (_, engine), engine_relay in self.engine_relays.items():
                 if engine in fault.targets:
-                    passage.cut = True
+                    engine_relay.cut = True
                     self.event_loop.call_later(
-                        max(fault.duration, 1), setattr, passage, "cut", False
+                        max(fault.duration, 1), setattr, engine_relay, "cut", False
                     )
         elif fault.kind == "yield":
             self.request_lease_yield()
@@ -539,19 +582,21 @@
             for name in fault.targets:
                 self.disturb_gateway(self.gateways[name], fault)
 
-    def set_network_fault(self, sort: str, figure: float) -> None:
-        for way in self.datagram_relays.values():
-            if sort == "lose":
-                way.loss = figure
-            elif sort == "late":
-                way.delay = int(figure * 10)
+    def set_network_fault(self, kind: str, amount: float) -> None:
+        """Set the loss, delay (ms) or duplication of datagrams between all members; 0 ends it."""
+        for relay in self.datagram_relays.values():
+            if kind == "lose":
+                relay.loss = amount
+            elif kind == "late":
+                relay.delay = int(amount * 10)
             else:
-                way.doubled = figure
+                relay.doubled = amount
 
     def disturb_gateway(self, gateway: Gateway, fault: Fault) -> None:
+        """Suspend, end or slow down the process of a gateway, unless a fault already did."""
         program = gateway.program
         if self.event_loop.now < gateway.disturbed_until or not program.is_running():
-            return  # something befell it already
+            return  # a previous fault has not ended
         gateway.disturbed_at.append(self.event_loop.now)
         gateway.disturbed_until = self.event_loop.now + max(fault.duration, RESTART_DELAY_TICKS)
         gateway.unresponsive_spans.append(
@@ -570,14 +615,18 @@
             )
 
     def restart_gateway(self, gateway: Gateway) -> None:
+        """Start a gateway again with its current endpoint list, once its process has ended."""
         if gateway.program.is_running():
             return self.event_loop.call_later(RESTART_DELAY_TICKS, self.restart_gateway, gateway)
-        feed = self.feeds[gateway.name]
-        gateway.program.configuration["known"] = {"n": feed.version, "events": feed.events}
+        discovery = self.feeds[gateway.name]
+        gateway.program.configuration["known"] = {
+            "n": discovery.version,
+            "events": discovery.events,
+        }
         gateway.program.start()
 
     def _set_cpu_load(self, gateway: Gateway, on: bool) -> None:
-        """A process of ours on the same processor, at the same priority."""
+        """Start or end a busy loop on the same processor as a gateway, at the same priority."""
         if gateway.cpu_load_process is not None:
             gateway.cpu_load_process.kill()
             gateway.cpu_load_process.wait()
@@ -593,7 +642,7 @@
             os.sched_setaffinity(gateway.program.process.pid, os.sched_getaffinity(0))
 
     def find_suspended_gateways(self) -> list[str]:
-        """Gateways whose process stands still, as the system tells it."""
+        """Return the gateways whose process is suspended (proc(5), state T)."""
         found = []
         for name, gateway in self.gateways.items():
             if gateway.program.is_running():
@@ -605,7 +654,10 @@
         return found
 
     def request_lease_yield(self) -> None:
-        """Whoever acted last is told to give its duty up, at its own door. Blocks for a moment."""
+        """Ask the lease holder, through its operator socket, to give the lease up.
+
+        Blocks the event loop for up to 0.3 seconds.
+        """
         from corkgauge.accounting.client import request_json
 
         name = self.holder()
@@ -622,14 +674,17 @@
                 pass
 
     def query_gateway(self, name: str, target: str = "/duties", body: Any = None) -> Any:
-        """What a gateway tells at its door, asked while the hub goes on: its clients may be answered
-        meanwhile.
+        """Return the answer of a gateway's operator socket.
+
+        A child process sends the request, so that the event loop keeps serving the emulated clients
+        and engines meanwhile.
         """
         command = [
             sys.executable,
             "-c",
-            "import sys, json; from corkgauge.accounting.client import request_json; print(json.dumps("
-            "request_json(sys.argv[1], sys.argv[2], sys.argv[3], 5.0, json.loads(sys.argv[4]))))",
+            "import sys, json; from corkgauge.accounting.client import request_json; "
+            "print(json.dumps(request_json(sys.argv[1], sys.argv[2], "
+            "sys.argv[3], 5.0, json.loads(sys.argv[4]))))",
             f"{self.gateways[name].folder}/figures.sock",
             target,
             "POST" if body else "GET",
@@ -643,56 +698,69 @@
             preexec_fn=kill_with_parent(os.getpid()),
         )
         self.until(10, lambda: process.poll() is None)
-        out, wrong = process.communicate()
+        output, error_output = process.communicate()
         if process.returncode:
-            raise OSError(wrong.strip().splitlines()[-1] if wrong.strip() else "no answer")
-        return json.loads(out)
+            raise OSError(
+                error_output.strip().splitlines()[-1] if error_output.strip() else "no answer"
+            )
+        return json.loads(output)
 
-    # What was seen.
+    # Results.
 
     def find_lease_violations(self) -> list[str]:
-        """The judge's verdict."""
+        """Return the violations of the lease rules that the lease checker found."""
         return verdict(
             self.lease_checker.acts,
             {name: each.disturbed_at for name, each in self.gateways.items()},
         )
 
     def find_holder_changes(self) -> list[tuple[int, int, int, str, str]]:
+        """Return the changes of the holder of the lease `books`, as `vacancies` describes them."""
         return vacancies(self.lease_checker.acts, "books")
 
     def find_rule_violations(self, slack: int = rules.SLACK) -> list[str]:
-        """The seven rules. What was open at a gateway while it stood still or was killed is owed by nobody."""
-        names, asks = [*self.gateways], []
+        """Check the seven rules, and return the violations.
+
+        Requests that were open at a gateway while a fault disturbed it are not checked.
+        """
+        names, requests = [*self.gateways], []
         for n, client in enumerate(self.clients):
-            spells = self.gateways[names[n % len(names)]].unresponsive_spans
-            asks += [
-                ask
-                for ask in client.book
+            spans = self.gateways[names[n % len(names)]].unresponsive_spans
+            requests += [
+                request
+                for request in client.book
                 if not any(
-                    ask.sent <= until and since <= ask.sent + 10 * ask.want.patience + slack
-                    for since, until in spells
+                    request.sent <= end
+                    and start <= request.sent + 10 * request.want.patience + slack
+                    for start, end in spans
                 )
             ]
-        asks.sort(key=lambda ask: ask.sent)
-        mine = {ask.trace for ask in asks}
-        runs = sorted(
-            (run for engine in self.engines.values() for run in engine.book if run.trace in mine),
-            key=lambda run: run.came,
+        requests.sort(key=lambda request: request.sent)
+        checked_traces = {request.trace for request in requests}
+        attempts = sorted(
+            (
+                attempt
+                for engine in self.engines.values()
+                for attempt in engine.book
+                if attempt.trace in checked_traces
+            ),
+            key=lambda attempt: attempt.came,
         )
-        # Each gateway's feed tells the same of engines; the rules are the sum's, over all gateways.
-        talking = self.options["works"] is not None or self.options["shared"] is not None
-        changes = next(iter(self.feeds.values())).changes if talking else []
+        # All endpoint lists publish the same changes; the rules hold for all gateways together.
+        publishes_changes = self.options["works"] is not None or self.options["shared"] is not None
+        changes = next(iter(self.feeds.values())).changes if publishes_changes else []
         cores = {name: each.cores for name, each in self.engines.items()}
-        return rules.broken(asks, runs, changes, cores, self.rule_expectations, slack)
+        return rules.broken(requests, attempts, changes, cores, self.rule_expectations, slack)
 
     def logs(self) -> list[str]:
+        """Return the log lines of all gateways, each after the name of its gateway."""
         return [
             f"{name} {line}" for name, each in self.gateways.items() for line in each.program.log()
         ]
 
 
 class _RelayedEngine:
-    """An engine as one gateway reaches it."""
+    """An engine at the address of the relay by which one gateway reaches it."""
 
     def __init__(self, engine: EmulatedEngine, address: str) -> None:
         self.name, self.address, self.zone, self.kind = (
