--- a/corkgauge/testkit/fleet/http_client.py
+++ b/corkgauge/testkit/fleet/http_client.py
@@ -1,6 +1,6 @@
-"""Asking a gateway's door from a hub: one exchange at a time, over a Unix socket.
+"""Sends HTTP requests to a gateway's operator socket from a task of an event loop.
 
-Owns the exchange. Must never wait but in the hub.
+Waits only in the event loop.
 """
 
 import json
@@ -21,24 +21,28 @@
     client: h11.Connection,
     method: str,
     target: str,
-    said: bytes = b"",
+    request_body: bytes = b"",
 ) -> tuple[int, bytes]:
-    """Status and body of one answer. OSError where none comes. To be called from a task of the hub."""
-    headers = [("Host", "figures"), ("Content-Length", str(len(said)))]
+    """Send a request and return the status and body of the answer; call this from a task.
+
+    Raises:
+        OSError: The connection was closed, or the answer did not arrive in time.
+    """
+    headers = [("Host", "figures"), ("Content-Length", str(len(request_body)))]
     data = client.send(h11.Request(method=method, target=target, headers=headers)) or b""
-    data += (client.send(h11.Data(data=said)) or b"") if said else b""
+    data += (client.send(h11.Data(data=request_body)) or b"") if request_body else b""
     view = memoryview(data + (client.send(h11.EndOfMessage()) or b""))
     while view:
         try:
             view = view[sock.send(view) :]
         except BlockingIOError:
             event_loop.wait(sock.fileno(), WRITE, event_loop.now + TIMEOUT_TICKS)
-    body, status, until = b"", 0, event_loop.now + TIMEOUT_TICKS
+    body, status, deadline = b"", 0, event_loop.now + TIMEOUT_TICKS
     while True:
         event = client.next_event()
         if event is h11.NEED_DATA:
-            if not event_loop.wait(sock.fileno(), READ, until):
-                raise OSError("no answer")
+            if not event_loop.wait(sock.fileno(), READ, deadline):
+                raise OSError("the gateway's operator socket sent no answer within 2 s")
             client.receive_data(sock.recv(65_536))
         elif isinstance(event, h11.Response):
             status = event.status_code
@@ -47,13 +51,16 @@
         elif isinstance(event, h11.EndOfMessage):
             return status, body
         elif isinstance(event, h11.ConnectionClosed):
-            raise OSError("closed")
+            raise OSError("the gateway closed the connection before the end of its answer")
 
 
 def query_endpoint(
     event_loop: EventLoop, path: str, target: str, body: Any, on_answer: Callable[[Any], None]
 ) -> None:
-    """In a task of its own: `on_answer` gets what the door answers, or None where nothing sensible comes."""
+    """Start a task that sends a request, and calls `on_answer` with the decoded JSON answer.
+
+    `on_answer` gets None if no answer with the status 200 or 400 and valid JSON arrives.
+    """
     event_loop.spawn(_run_query, event_loop, path, target, body, on_answer)
 
 
@@ -62,7 +69,7 @@
 ) -> None:
     sock = socket.socket(socket.AF_UNIX)
     sock.setblocking(False)
-    said = None
+    answer = None
     try:
         if not sock.connect_ex(path):
             status, data = send_request(
@@ -73,9 +80,9 @@
                 target,
                 b"" if body is None else json.dumps(body).encode(),
             )
-            said = json.loads(data) if status in (200, 400) else None
+            answer = json.loads(data) if status in (200, 400) else None
     except (OSError, ValueError, h11.ProtocolError):
         pass
     finally:
         sock.close()
-    on_answer(said)
+    on_answer(answer)
--- a/corkgauge/testkit/fleet/maintenance_crew.py
+++ b/corkgauge/testkit/fleet/maintenance_crew.py
@@ -1,8 +1,8 @@
-"""An operators' crew on loopback: it asks for machines at gateways' doors, works on what it is told is out, and says
-when that is done.
+"""Emulates an operators' crew that requests maintenance and works on the units that are out.
 
-Owns what was asked and the book of work. Must never touch a machine before a door has told that it
-is out; while it works the engine's stand-in stays up, so that whatever reaches it is seen.
+Sends commands to the operator sockets of gateways, and reads the maintenance plan there. Owns the
+requests and the records of work. Never works on a unit before a gateway reports that unit as out.
+An emulated engine keeps running during the work, so that attempts that reach it are recorded.
 """
 
 from collections.abc import Callable
@@ -17,12 +17,18 @@
 POLL_TICKS, RETRY_TICKS = (
     1_500,
     3_000,
-)  # tenths of a millisecond between two looks at a door; until a wish is told again
+)  # between two requests for the plan; until an unanswered command is sent again
 
 
 class MaintenanceCrew:
-    """`fleet` is the rig; `work_seconds` seconds that one unit's work takes by the crew's own clock, `announced_seconds` what it says it
-    takes. Its doors are those of all gateways, one after the other by chance.
+    """Requests maintenance and works on units; sends to gateways drawn at random.
+
+    Args:
+        fleet: The fleet of gateways and engines.
+        work_seconds: The duration of the work on a unit, by the crew's clock.
+        announced_seconds: The duration that the crew states in its requests.
+        seed: The seed of the random numbers.
+        owner: The name of the crew in its commands.
     """
 
     def __init__(
@@ -43,20 +49,22 @@
         self.book: list[Work] = []
         self.begun: set[tuple[str, str]] = set()
         self.command_count = 0
-        self.answers: dict[
-            str, tuple[str, str]
-        ] = {}  # by wish: what it was told, and what was wrong
-        self.last_plan: dict[str, Any] = {}  # the last that a door told
+        self.answers: dict[str, tuple[str, str]] = {}  # by command key: the answer, and the error
+        self.last_plan: dict[str, Any] = {}  # the latest plan that a gateway reported
         self.stopped = False
-        self.requested_at: dict[str, int] = {}  # by ask: when
+        self.requested_at: dict[str, int] = {}  # by request id: when the request was sent
         self.event_loop.call_later(POLL_TICKS, self.poll_plan)
 
-    # Wishes.
+    # Commands.
 
     def request_maintenance(
         self, kind: str, *names: str, id_: str = "", within: float = 0.0, at: str = ""
     ) -> str:
-        """Its id. `at` names the gateway that is asked, and only that."""
+        """Request maintenance of units, and return the id of the request.
+
+        `at` names a gateway that alone gets the command; by default gateways are drawn at random.
+        `within` is the time, in seconds, by which the maintenance is wanted; 0 for none.
+        """
         id_ = id_ or f"{self.owner}{len(self.requested_at) + 1}"
         self.requested_at.setdefault(id_, self.event_loop.now)
         self.send_command(
@@ -74,50 +82,70 @@
         return id_
 
     def send_command(
-        self, said: dict[str, Any], at: str = "", heard: Callable[[str, str], None] | None = None
+        self,
+        command: dict[str, Any],
+        at: str = "",
+        on_answer: Callable[[str, str], None] | None = None,
     ) -> str:
-        """Told at a door, with a key of its own, and at another one where no answer comes."""
+        """Send a command under a new key to a gateway, and to others until one answers.
+
+        Returns the key, under which the answer is stored in `answers`.
+        """
         self.command_count += 1
-        key = f"{self.owner}-{said['do']}-{self.command_count}"
-        self._send_until_answered(key, {**said, "owner": self.owner}, at, at, 0, heard)
+        key = f"{self.owner}-{command['do']}-{self.command_count}"
+        self._send_until_answered(key, {**command, "owner": self.owner}, at, at, 0, on_answer)
         return key
 
     def _send_until_answered(
-        self, key: str, said: dict[str, Any], at: str, door: str, tries: int, heard: Any
+        self,
+        key: str,
+        command: dict[str, Any],
+        at: str,
+        gateway: str,
+        attempt_count: int,
+        on_answer: Any,
     ) -> None:
         if self.stopped or key in self.answers:
             return
-        # The same wish at another door has another key there; asks have ids, and the rest may come
-        # twice.
-        door = at or (door if door and tries % 8 else self._random_gateway())
+        # The key differs by gateway. A repeated request is recognized by its id, and executing any
+        # other command twice does no harm.
+        gateway = at or (gateway if gateway and attempt_count % 8 else self._random_gateway())
         query_endpoint(
             self.event_loop,
-            f"{self.fleet.gateways[door].folder}/figures.sock",
+            f"{self.fleet.gateways[gateway].folder}/figures.sock",
             "/works",
-            {**said, "key": f"{key}@{door}@{tries // 8}"},
-            lambda told: self._on_command_answer(key, told, heard),
+            {**command, "key": f"{key}@{gateway}@{attempt_count // 8}"},
+            lambda answer: self._on_command_answer(key, answer, on_answer),
         )
         self.event_loop.call_later(
-            RETRY_TICKS, self._send_until_answered, key, said, at, door, tries + 1, heard
+            RETRY_TICKS,
+            self._send_until_answered,
+            key,
+            command,
+            at,
+            gateway,
+            attempt_count + 1,
+            on_answer,
         )
 
-    def _on_command_answer(self, key: str, told: Any, heard: Any) -> None:
-        if told is None or key in self.answers:
+    def _on_command_answer(self, key: str, response: Any, on_answer: Any) -> None:
+        if response is None or key in self.answers:
             return
-        answer, wrong = told.get("answer"), told.get("wrong")
-        if (answer is None and wrong is None) or (wrong and "may be asked again" in wrong):
+        answer, error = response.get("answer"), response.get("wrong")
+        if (answer is None and error is None) or (error and "may be asked again" in error):
             return
-        self.answers[key] = str(answer), str(wrong or "")
-        if heard is not None:
-            heard(str(answer), str(wrong or ""))
+        self.answers[key] = str(answer), str(error or "")
+        if on_answer is not None:
+            on_answer(str(answer), str(error or ""))
 
     def _random_gateway(self) -> str:
         names = [*self.fleet.gateways]
         return names[self.chance.below(len(names))]
 
-    # Looking, and working.
+    # Reading the plan, and working.
 
     def poll_plan(self) -> None:
+        """Request the maintenance plan from a gateway, until `stopped` is set."""
         if not self.stopped:
             self.event_loop.call_later(POLL_TICKS, self.poll_plan)
             query_endpoint(
@@ -128,12 +156,12 @@
                 self._on_plan,
             )
 
-    def _on_plan(self, told: Any) -> None:
-        if not isinstance(told, dict) or "units" not in told:
+    def _on_plan(self, plan: Any) -> None:
+        if not isinstance(plan, dict) or "units" not in plan:
             return
-        if told["fresh"]:
-            self.last_plan = told
-        for unit in told["units"]:
+        if plan["fresh"]:
+            self.last_plan = plan
+        for unit in plan["units"]:
             key = unit["unit"], unit["ask"]
             if (
                 unit["state"] == "out"
@@ -146,14 +174,17 @@
                 )
 
     def work(self, work: Work) -> None:
-        """A gateway is ended in order, and started again by the rig; an engine is seen to by hand."""
+        """Begin the work on a unit: a gateway is ended and restarted; an engine keeps running."""
         self.book.append(work)
         if work.members[0] in self.fleet.gateways:
             self.fleet.apply_fault(Fault(0, self.work_ticks, "end", work.members))
         self.event_loop.call_later(self.work_ticks, self.end, work)
 
     def end(self, work: Work) -> None:
-        """The machine runs again, cold; then the crew says so, until somebody has heard. Once, however often."""
+        """Restart a unit after its work, and report the work as done.
+
+        Does nothing for work that has ended already.
+        """
         if work.ended >= 0:
             return None
         if (
@@ -166,10 +197,10 @@
         work.ended = self.event_loop.now
         self.send_command({"do": "done", "names": [work.unit]})
 
-    # What became of it.
+    # Results.
 
-    def has_finished(self, many: int) -> bool:
-        """Have so many units been worked on, and is nothing left in the plan?"""
+    def has_finished(self, unit_count: int) -> bool:
+        """Return whether the work on `unit_count` units has ended and the plan holds no unit."""
         return len(
             [work for work in self.book if work.ended >= 0]
-        ) >= many and not self.last_plan.get("units", [1])
+        ) >= unit_count and not self.last_plan.get("units", [1])
--- a/corkgauge/testkit/fleet/maintenance_day.py
+++ b/corkgauge/testkit/fleet/maintenance_day.py
@@ -1,6 +1,7 @@
-"""A day of works under faults: several processes of the program, a crew that asks and works, an inspector outside.
+"""Runs rolling maintenance on a fleet under faults, and checks it with the maintenance checker.
 
-Owns what is asked and when, by a seed. Must never tell a gateway anything but at its door.
+Owns the times and units of the maintenance requests, drawn by a seed. Sends commands to gateways
+through their operator sockets only.
 """
 
 import signal
@@ -13,13 +14,28 @@
 from corkgauge.testkit.seeded_random import SeededRandom
 
 MAX_ENGINES_OUT = 3
-HANDOFF_SLACK_TICKS = (
-    1_000  # tenths of a millisecond that a hand-off may have been on its way when a door told `out`
-)
+# An attempt that was sent before a gateway reported an engine as out may arrive this much later.
+HANDOFF_SLACK_TICKS = 1_000
 
 
 class MaintenanceScenario:
-    """`fleet` plays; asks come about every `each` seconds, some are cancelled."""
+    """Runs a fleet and a crew that requests maintenance at random times, under random faults.
+
+    Args:
+        seed: The seed of all random numbers.
+        gateways: The number of gateway processes.
+        engines: The number of emulated engines.
+        seconds: The time during which maintenance is requested and faults are injected.
+        gap: The mean time between two faults, in seconds.
+        longest: The longest duration of a fault, in seconds.
+        each: The mean time between two requests, in seconds.
+        off: The safeguards that the gateways disable, separated by commas.
+        clients: The number of emulated clients.
+        rate: Requests per second of all clients together.
+        faults: Faults to inject, instead of random ones.
+        cancels: The fraction of maintenance requests that the crew cancels.
+        **more: Further parameters of the fleet.
+    """
 
     def __init__(
         self,
@@ -70,7 +86,7 @@
         self.overruled: set[str] = set()
 
     def run(self) -> dict[str, Any]:
-        """What the day came to."""
+        """Run the scenario, close the fleet and return the report."""
         fleet = self.fleet
         try:
             fleet.start()
@@ -78,11 +94,11 @@
             fleet.event_loop.call_later(2 * SECOND, self._ask)
             fleet.until(self.seconds)
             self.ended = True
-            # Once nothing befalls anybody, all that was asked goes through.
-            calm = fleet.until(40, lambda: bool(self.crew.last_plan.get("units", [1])))
+            # Without faults, all requested maintenance must finish.
+            plan_is_empty = fleet.until(40, lambda: bool(self.crew.last_plan.get("units", [1])))
             self.crew.stopped = True
             fleet.settle()
-            return self.report(calm)
+            return self.report(plan_is_empty)
         finally:
             fleet.close()
 
@@ -92,61 +108,69 @@
         self.fleet.event_loop.call_later(int(self.chance.wait(self.each * SECOND)) + 1, self._ask)
         names = [*self.fleet.engines]
         if self.chance.within(0.1):
-            id_ = self.crew.request_maintenance("hall", ("hall-a", "hall-b")[self.chance.below(2)])
+            request_id = self.crew.request_maintenance(
+                "hall", ("hall-a", "hall-b")[self.chance.below(2)]
+            )
         else:
-            some = dict.fromkeys(
+            engine_names = dict.fromkeys(
                 names[self.chance.below(len(names))] for _ in range(1 + self.chance.below(3))
             )
-            id_ = self.crew.request_maintenance("engine", *some)
+            request_id = self.crew.request_maintenance("engine", *engine_names)
         if self.chance.within(self.cancels):
             self.fleet.event_loop.call_later(
-                self.chance.below(SECOND) + 1, self.crew.send_command, {"do": "cancel", "id": id_}
+                self.chance.below(SECOND) + 1,
+                self.crew.send_command,
+                {"do": "cancel", "id": request_id},
             )
 
-    def report(self, calm: bool) -> dict[str, Any]:
+    def report(self, plan_is_empty: bool) -> dict[str, Any]:
+        """Check the rules and return the counts of the run and all violations."""
         fleet, crew, names = self.fleet, self.crew, [*self.fleet.gateways]
-        # What a gateway sent that an operator overruled is his word, not the works'.
-        excused = {
-            ask.trace
+        # An operator who overruled the missing proof of a gateway vouched for its attempts.
+        excused_traces = {
+            request.trace
             for n, client in enumerate(fleet.clients)
             if names[n % len(names)] in self.overruled
-            for ask in client.book
+            for request in client.book
         }
         engines = {
             name: (each.zone, each.kind, float(each.cores)) for name, each in fleet.engines.items()
         }
-        runs = [
-            (run.came, run.engine, f"{run.request_class} {run.trace}")
+        attempts = [
+            (attempt.came, attempt.engine, f"{attempt.request_class} {attempt.trace}")
             for each in fleet.engines.values()
-            for run in each.book
-            if run.trace not in excused
+            for attempt in each.book
+            if attempt.trace not in excused_traces
         ]
-        found = wrong(crew.book, runs, engines, self.limits, HANDOFF_SLACK_TICKS)
+        violations = wrong(crew.book, attempts, engines, self.limits, HANDOFF_SLACK_TICKS)
         logs = fleet.logs()
         tally: dict[str, int] = {}
         for client in fleet.clients:
             for name, count in client.tally().items():
                 tally[name] = tally.get(name, 0) + count
-        waits = sorted(work.begun - crew.requested_at[work.ask] for work in crew.book)
+        wait_ticks = sorted(work.begun - crew.requested_at[work.ask] for work in crew.book)
         return {
             "faults": fleet.applied_fault_count,
             "works": len(crew.book),
             "asks": len(crew.requested_at),
             "most_at_once": most_at_once(crew.book),
-            "calm_at_the_end": calm,
-            "to_out_s": [waits[int(part * (len(waits) - 1))] / SECOND for part in (0.5, 0.99)]
-            if waits
+            "calm_at_the_end": plan_is_empty,
+            "to_out_s": [
+                wait_ticks[int(quantile * (len(wait_ticks) - 1))] / SECOND
+                for quantile in (0.5, 0.99)
+            ]
+            if wait_ticks
             else [],
             "exceptions": sum("exceptions stopped" in line for line in logs),
             "clients": tally,
             "rules": fleet.find_rule_violations(2_500),
-            "wrong": found,
+            "wrong": violations,
             "duties": fleet.find_lease_violations(),
         }
 
 
 def most_at_once(book: list[Any]) -> int:
-    """Members of units that were at work at one moment."""
+    """Return the largest number of members whose units were out at the same time."""
     return max(
         (
             sum(
@@ -164,8 +188,11 @@
 
 
 def run_safeguard_scenario(at: str, off: bool, seed: int = 4, rounds: int = 5) -> list[str]:
-    """A day made to show what one defence is for, with it or with it left out: what the inspector found."""
-    spoilt = [at] * off + ["midorder"] * (at == "orders")
+    """Run a scenario that needs the safeguard `at`; return the checker's findings.
+
+    With `off` the safeguard is disabled, and the checker should find violations.
+    """
+    disabled = [at] * off + ["midorder"] * (at == "orders")
     works = {
         "each": 0.5,
         "grant": 2.0,
@@ -174,16 +201,16 @@
         "share": 0.5,
         "room": 0.9,
     }
-    day = MaintenanceScenario(
+    scenario = MaintenanceScenario(
         seed,
         engines=6,
-        off=",".join(spoilt) or "none",
+        off=",".join(disabled) or "none",
         faults=[],
         clients=3,
         rate=150.0,
         works=works,
     )
-    fleet, crew = day.fleet, day.crew
+    fleet, crew = scenario.fleet, scenario.crew
     crew.work_ticks = (4 if at == "orders" else 2) * SECOND
     try:
         fleet.start()
@@ -194,52 +221,56 @@
                 "agreement": _lose_plan_steps,
                 "confirmation": _isolate_one_gateway,
                 "orders": _delay_an_order,
-            }[at](day, f"e{1 + n % 6}")
+            }[at](scenario, f"e{1 + n % 6}")
         crew.stopped = True
-        return day.report(True)["wrong"]
+        return scenario.report(True)["wrong"]
     finally:
         fleet.close()
 
 
-def _request_engine(day: MaintenanceScenario, engine: str, seconds: float) -> bool:
-    """Has the crew begun to work on it?"""
-    before = len(day.crew.book)
-    day.crew.request_maintenance("engine", engine)
-    return day.fleet.until(seconds, lambda: len(day.crew.book) == before)
+def _request_engine(scenario: MaintenanceScenario, engine: str, seconds: float) -> bool:
+    """Request maintenance of an engine; return whether the work begins within a time."""
+    count_before = len(scenario.crew.book)
+    scenario.crew.request_maintenance("engine", engine)
+    return scenario.fleet.until(seconds, lambda: len(scenario.crew.book) == count_before)
+
 
+def _isolate_one_gateway(scenario: MaintenanceScenario, engine: str) -> None:
+    """Cut a gateway, which keeps sending attempts, off from the other members.
 
-def _isolate_one_gateway(day: MaintenanceScenario, engine: str) -> None:
-    """A gateway is cut off from its fellows, and sends on: until the work has begun without it, and some time more;
-    or, as it must not begin, for all that time.
+    The cut lasts until shortly after the work has begun without that gateway. With the safeguard
+    the work must not begin, and the cut lasts the whole time.
     """
-    day.fleet.until(10, lambda: not day.crew.last_plan.get("holder"))
-    planner = day.crew.last_plan.get("holder") or "n1"
-    other = next(name for name in day.fleet.gateways if name != planner)
-    day.fleet.apply_fault(Fault(0, 60 * SECOND, "cut", (other,)))
-    day.fleet.until(0.05)
-    _request_engine(day, engine, 6)
-    day.fleet.until(1)
-    for way in day.fleet.datagram_relays.values():
-        way.cut_until = 0
-    day.fleet.until(3)
+    scenario.fleet.until(10, lambda: not scenario.crew.last_plan.get("holder"))
+    leader = scenario.crew.last_plan.get("holder") or "n1"
+    isolated = next(name for name in scenario.fleet.gateways if name != leader)
+    scenario.fleet.apply_fault(Fault(0, 60 * SECOND, "cut", (isolated,)))
+    scenario.fleet.until(0.05)
+    _request_engine(scenario, engine, 6)
+    scenario.fleet.until(1)
+    for relay in scenario.fleet.datagram_relays.values():
+        relay.cut_until = 0
+    scenario.fleet.until(3)
 
 
-def _lose_plan_steps(day: MaintenanceScenario, engine: str) -> None:
-    """Steps are lost on their way to keepers, while orders are told again; then the planner stands still."""
-    day.fleet.set_network_fault("lose", 0.6)
-    if _request_engine(day, engine, 10):
-        day.fleet.apply_fault(
-            Fault(0, 2 * SECOND, "stop", (day.crew.last_plan.get("holder") or "n1",))
+def _lose_plan_steps(scenario: MaintenanceScenario, engine: str) -> None:
+    """Lose plan changes on the way to replicas while orders are repeated; suspend the leader."""
+    scenario.fleet.set_network_fault("lose", 0.6)
+    if _request_engine(scenario, engine, 10):
+        scenario.fleet.apply_fault(
+            Fault(0, 2 * SECOND, "stop", (scenario.crew.last_plan.get("holder") or "n1",))
         )
-    day.fleet.set_network_fault("lose", 0.0)
-    day.fleet.until(3)
+    scenario.fleet.set_network_fault("lose", 0.0)
+    scenario.fleet.until(3)
+
 
+def _delay_an_order(scenario: MaintenanceScenario, engine: str) -> None:
+    """Delay an order of a leader beyond the end of its lease.
 
-def _delay_an_order(day: MaintenanceScenario, engine: str) -> None:
-    """The planner stands still between its look at the clock and the writing of an order, and goes on once its
-    successor has taken a machine out.
+    The leader is suspended between its reading of the clock and the writing of an order, and
+    resumed once its successor has taken the unit out.
     """
-    fleet = day.fleet
+    fleet = scenario.fleet
     if not fleet.until(12, lambda: not fleet.find_suspended_gateways()):
         return
     for name in fleet.find_suspended_gateways():
@@ -247,24 +278,24 @@
         fleet.gateways[name].unresponsive_spans.append(
             (fleet.event_loop.now, fleet.event_loop.now + 20 * SECOND)
         )
-    # It cannot confirm while it stands still: an operator saw to that.
+    # A suspended gateway cannot confirm that it sends nothing, so an operator overrules it below.
     stopped = fleet.find_suspended_gateways()
-    day.crew.request_maintenance("engine", engine)
+    scenario.crew.request_maintenance("engine", engine)
     fleet.until(
         12,
-        lambda: day.crew.last_plan.get("holder") in stopped
+        lambda: scenario.crew.last_plan.get("holder") in stopped
         or not any(
             unit["unit"] == engine and unit["state"] == "draining"
-            for unit in day.crew.last_plan.get("units", ())
+            for unit in scenario.crew.last_plan.get("units", ())
         ),
     )
-    before = len(day.crew.book)
-    day.overruled.update(stopped)
+    count_before = len(scenario.crew.book)
+    scenario.overruled.update(stopped)
     for name in stopped:
-        day.crew.send_command({"do": "overrule", "unit": engine, "gateway": name})
-    fleet.until(8, lambda: len(day.crew.book) == before)
+        scenario.crew.send_command({"do": "overrule", "unit": engine, "gateway": name})
+    fleet.until(8, lambda: len(scenario.crew.book) == count_before)
     fleet.until(0.3)
-    # Else whoever took it would be told better within milliseconds.
+    # Without this delay, the gateway that took the late order would be corrected within ms.
     fleet.set_network_fault("late", 900.0)
     for name in stopped:
         fleet.gateways[name].program.send_signal(signal.SIGCONT)
--- a/corkgauge/testkit/fleet/scraper.py
+++ b/corkgauge/testkit/fleet/scraper.py
@@ -1,6 +1,6 @@
-"""Asks a gateway's door for cuts, many times a second, from a hub.
+"""Requests snapshots from a gateway's operator socket, many times a second.
 
-Owns one connection and the cuts it got. Must never wait but in the hub.
+Owns one connection. Waits only in the event loop.
 """
 
 import json
@@ -15,7 +15,10 @@
 
 
 class Scraper:
-    """Calls `on_snapshot(cut)` for interval cut; asks every `interval` tenths of a millisecond, over one connection."""
+    """Requests a snapshot every `interval` ticks, and calls `on_snapshot` with each.
+
+    All requests use one connection; after a failed request, counted in `missed`, a new one is made.
+    """
 
     def __init__(
         self, event_loop: EventLoop, path: str, interval: int, on_snapshot: Callable[[Any], None]
@@ -30,6 +33,7 @@
         event_loop.spawn(self.run)
 
     def run(self) -> None:
+        """Request snapshots until `stopped` is set."""
         while not self.stopped:
             sock = socket.socket(socket.AF_UNIX)
             sock.setblocking(False)
@@ -37,14 +41,16 @@
                 if not sock.connect_ex(self.path):
                     client = h11.Connection(h11.CLIENT)
                     while not self.stopped:
-                        begun = self.event_loop.now
+                        started_at = self.event_loop.now
                         self.on_snapshot(
                             json.loads(
                                 send_request(self.event_loop, sock, client, "GET", "/figures")[1]
                             )
                         )
                         client.start_next_cycle()
-                        self.event_loop.sleep(max(self.interval - (self.event_loop.now - begun), 1))
+                        self.event_loop.sleep(
+                            max(self.interval - (self.event_loop.now - started_at), 1)
+                        )
             except (OSError, ValueError, h11.ProtocolError):
                 self.missed += 1
             finally:
--- a/corkgauge/testkit/fleet/wide_fleet.py
+++ b/corkgauge/testkit/fleet/wide_fleet.py
@@ -1,9 +1,9 @@
-"""Several processes of the program before a list that is longer than a working set; engines are all stand-ins.
+"""Runs some gateways of a large fleet with an endpoint list that is longer than their subsets.
 
-Owns the cast: some gateways of the many that are told (`instances`), engines on one hub, a feed for
-each gateway, so that their lists may be of different age. Foretells each gateway's working set by
-the very module, in this process; what is judged is what the engines saw. Must never send to any
-address but loopback ones.
+Owns the gateway processes, of which there are fewer than the settings state (`instances`), the
+emulated engines on one event loop, and one endpoint list per gateway, so that the lists can be of
+different versions. Computes the expected subset of each gateway with the policy module in this
+process; the checks use the attempts that the engines received. Sends to loopback addresses only.
 """
 
 from collections.abc import Iterable, Mapping
@@ -31,18 +31,20 @@
 from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.processes import Fleet, Gateway
 
-RARE_KIND, RARE_KIND_CORES = "x12", 12  # a kind that few engines are of; reports run on it alone
+RARE_KIND, RARE_KIND_CORES = "x12", 12  # an engine kind of few engines, required by reports
 SLOW_START = (
     0.05,
     1.0,
     SECOND + SECOND // 2,
-)  # share, multiple and time to fall of an engine that has just started
-NO_GATEWAY_NUMBER = -1  # a gateway whose settings name no number
+)  # slow-start share, overload multiple, and overload window in ticks
+NO_GATEWAY_NUMBER = -1  # for a gateway whose settings contain no gateway number
 
 
 def move_to_reserved_port(listener: Listener) -> None:
-    """Danger: a port that the system hands out may go to an outgoing connection, or to another rig, while its engine is
-    gone; so engines have ports that other rigs heed.
+    """Move the listener of an engine to a reserved port.
+
+    The kernel may give any other port to an outgoing connection or to another test while the engine
+    is down.
     """
     listener.close()
     listener.address = "127.0.0.1", free_port()
@@ -50,11 +52,12 @@
 
 
 class CellDiscovery(EmulatedDiscovery):
-    """Tells each engine's cell too."""
+    """An endpoint list that also states the cell of each engine."""
 
     def told(
         self, engines: list[Any], state: str = "SERVING", full: bool = False
     ) -> dict[str, Any]:
+        """Publish a state of engines; a full list removes all engines that are not named."""
         self.version += 1
         servers = [
             {
@@ -74,10 +77,10 @@
             "members": {"version": self.version, "full": full, "servers": servers},
         }
         if full:
-            named = {each.name for each in engines}
-            for _, name, was, started in [*self.changes]:
-                if was == "SERVING" and name not in named:
-                    self.changes.append((self.event_loop.now, name, "DELETED", started))
+            listed_names = {each.name for each in engines}
+            for _, name, previous_state, started_ms in [*self.changes]:
+                if previous_state == "SERVING" and name not in listed_names:
+                    self.changes.append((self.event_loop.now, name, "DELETED", started_ms))
         self.events.append(event)
         self.changes += [
             (self.event_loop.now, each.name, state, each.started_ms) for each in engines
@@ -88,10 +91,22 @@
 
 
 class WideFleet(Fleet):
-    """`gateway_numbers` are those of the gateways that run, of `gateway_count`; `listed_engine_count` the engines of the first list and `unlisted_engine_count` those
-    beyond it; the first `rare_kind_count` of both are of a kind of their own; `cell_size` engines make a cell_size, which
-    knows its repeats by itself. `disabled_safeguards` names what is left out of all. `rates` are submissions a
-    second, a client each, to the gateways in turn.
+    """Runs gateways, emulated engines and clients with a list that is longer than a subset.
+
+    Args:
+        gateway_numbers: The gateway numbers of the gateways that run.
+        gateway_count: The number of gateways stated in the settings.
+        listed_engine_count: The number of engines on the first endpoint list.
+        unlisted_engine_count: The number of further engines.
+        rare_kind_count: The number of engines of the rare kind, among the listed engines and again
+            among the further ones.
+        cell_size: The number of engines in a cell; each cell knows only the idempotency keys that
+            its engines received. With 0 all engines are in one cell.
+        disabled_safeguards: The safeguards that all gateways disable, separated by commas.
+        rates: Requests per second of each client; clients are spread over the gateways in turn.
+        request_types: The requests that clients send.
+        seed: The seed of all random numbers.
+        cold: The slow-start time of an engine, in seconds.
     """
 
     def __init__(
@@ -122,7 +137,9 @@
             disabled_safeguards,
         )
         self.initial_engines = [f"e{n}" for n in range(1, listed_engine_count + 1)]
-        self.known_labels: dict[int, dict[str, int]] = {}  # labels that have run, by cell_size
+        self.known_labels: dict[
+            int, dict[str, int]
+        ] = {}  # idempotency keys known to the engines, by cell
         super().__init__(
             seed=seed,
             gateways=len(self.gateway_numbers),
@@ -148,7 +165,7 @@
         return CellDiscovery(self.event_loop)
 
     def _assign_kinds_and_cells(self) -> None:
-        """Kinds and cells, before the first list."""
+        """Assign kinds and cells to the engines, before the first endpoint list is published."""
         for n, engine in enumerate(self.engines.values()):
             engine.cell = n // self.cell_size if self.cell_size else 0
             engine.known = self.known_labels.setdefault(engine.cell, {})
@@ -165,12 +182,12 @@
         )
 
     def _program(self, gateway: Gateway, number: int) -> GatewayProcess:
-        feed = self.feeds[gateway.name]
-        first = feed.told([self.engines[each] for each in self.initial_engines], full=True)
-        said = {
+        discovery = self.feeds[gateway.name]
+        first = discovery.told([self.engines[each] for each in self.initial_engines], full=True)
+        configuration = {
             "name": gateway.name,
             "listen": "%s:%d" % gateway.address,
-            "feed": feed.address,
+            "feed": discovery.address,
             "seed": f"{self.seed * 100 + number:x}",
             "limits": {"memory_mb": 96, "sockets": 512},
             "known": {"n": 1, "events": [first]},
@@ -181,53 +198,59 @@
             if self.disabled_safeguards
             else ("-m", "corkgauge")
         )
-        return GatewayProcess(gateway.folder, said, "", start)
+        return GatewayProcess(gateway.folder, configuration, "", start)
 
     def settings(self, number: int) -> dict[str, Any]:
-        """What the gateway at this place of the cast is told."""
-        said = settings("cell" if self.cell_size else "all")
-        said["profiles"][1]["servedOn"] = [len(ENGINE_KINDS)]
-        said["kinds"] = [*ENGINE_KINDS, RARE_KIND]
-        said["extra"]["coresByKind"] = [
+        """Return the settings of the gateway at this position in the fleet."""
+        platform_settings = settings("cell" if self.cell_size else "all")
+        platform_settings["profiles"][1]["servedOn"] = [len(ENGINE_KINDS)]
+        platform_settings["kinds"] = [*ENGINE_KINDS, RARE_KIND]
+        platform_settings["extra"]["coresByKind"] = [
             *(CORES_BY_KIND[kind] for kind in ENGINE_KINDS),
             RARE_KIND_CORES,
         ]
-        said["extra"]["sizeMb"] = [4000, 6000, 6000]
-        said["rules"] |= {
+        platform_settings["extra"]["sizeMb"] = [4000, 6000, 6000]
+        platform_settings["rules"] |= {
             "coldUs": self.cold * 100,
             "coldShare": SLOW_START[0],
             "fallMultiple": SLOW_START[1],
             "fallUs": SLOW_START[2] * 100,
         }
-        said["instances"], said["myNumber"] = self.gateway_count, self.gateway_numbers[number]
+        platform_settings["instances"], platform_settings["myNumber"] = (
+            self.gateway_count,
+            self.gateway_numbers[number],
+        )
         if self.gateway_numbers[number] == NO_GATEWAY_NUMBER:
-            del said["myNumber"]
-        return said
+            del platform_settings["myNumber"]
+        return platform_settings
+
+    def working_set(self, name: str, growth: float = 1.0) -> set[str]:
+        """Compute the subset that a gateway must hold by its latest endpoint list.
 
-    def working_set(self, name: str, wider: float = 1.0) -> set[str]:
-        """Foretold: what this gateway holds by the last list that its feed has told, while nothing fails; or with its
-        set so much wider.
+        The subset is the one without failures, or, with `growth`, larger by this factor.
         """
-        number = [*self.gateways].index(name)
-        settings = Settings(self.settings(number), UnstartedHost(), self.seed * 100 + number, name)
+        position = [*self.gateways].index(name)
+        settings = Settings(
+            self.settings(position), UnstartedHost(), self.seed * 100 + position, name
+        )
         module: PolicyGateway = settings.gateway
-        for tag, (zone, kind, cell, started) in self.listing(name).items():
+        for engine_name, (zone, kind, cell, started_ms) in self.listing(name).items():
             engine = Engine(
-                tag,
-                tag.encode(),
+                engine_name,
+                engine_name.encode(),
                 ZONE_NAMES.index(zone),
                 settings.engine_kinds.index(kind),
                 cell,
-                name=tag,
+                name=engine_name,
             )
             settings.place_engine(engine, engine.zone, engine.kind, cell)
-            module.on_engine_update(engine, EngineState.READY, started * 10)
-        module.subset.failure_growth = wider
+            module.on_engine_update(engine, EngineState.READY, started_ms * 10)
+        module.subset.failure_growth = growth
         module.on_engine_list_complete()
         return {engine.name for engine in module.engines}
 
     def listing(self, name: str) -> Mapping[str, tuple[str, str, int, int]]:
-        """The engines that serve, by the last that this gateway's feed told."""
+        """Return zone, kind, cell and start time of each engine on a gateway's endpoint list."""
         found: dict[str, tuple[str, str, int, int]] = {}
         for event in self.feeds[name].events:
             if event["members"]["full"]:
@@ -243,83 +266,91 @@
         names: Iterable[str],
         state: str = "SERVING",
         full: bool = False,
-        to: Iterable[str] = (),
+        gateways: Iterable[str] = (),
     ) -> None:
-        """The feeds of these gateways, or of all, tell of these engines."""
-        for gateway in to or self.gateways:
+        """Publish a state of engines on the endpoint lists of these gateways, or of all."""
+        for gateway in gateways or self.gateways:
             self.feeds[gateway].told([self.engines[name] for name in names], state, full)
 
     def mark_started(self, names: Iterable[str]) -> None:
-        """These have just started; nobody has been told yet."""
+        """Set the start time of engines to now, without publishing it."""
         for name in names:
             self.engines[name].started_ms = self.event_loop.now // 10
 
     def close(self) -> None:
+        """End all processes, and close the sockets of engines and endpoint lists."""
         super().close()
         for each in (*self.engines.values(), *self.feeds.values()):
             each.listener.drop()
             if each.listener.sock is not None:
                 each.listener.sock.close()
 
-    # What was seen.
+    # Results.
 
     def requests_to(self, name: str, since: int = 0) -> list[Ask]:
-        """What clients asked of one gateway."""
-        where = [*self.gateways].index(name)
+        """Return the requests that clients sent to one gateway since a time."""
+        position = [*self.gateways].index(name)
         return [
-            ask
+            request
             for n, client in enumerate(self.clients)
-            if n % len(self.gateways) == where
-            for ask in client.book
-            if ask.sent >= since
+            if n % len(self.gateways) == position
+            for request in client.book
+            if request.sent >= since
         ]
 
     def attempts_from(self, name: str, since: int = 0) -> list[Run]:
-        """What came to engines from one gateway, in the order in which it came."""
-        mine = {ask.trace for ask in self.requests_to(name)}
+        """Return the attempts that engines received from one gateway, in order of arrival."""
+        traces = {request.trace for request in self.requests_to(name)}
         return sorted(
             (
-                run
+                attempt
                 for engine in self.engines.values()
-                for run in engine.book
-                if run.trace in mine and run.came >= since
+                for attempt in engine.book
+                if attempt.trace in traces and attempt.came >= since
             ),
-            key=lambda run: run.came,
+            key=lambda attempt: attempt.came,
         )
 
     def engines_reached_from(self, name: str, since: int = 0) -> set[str]:
-        """Engines that something of one gateway's came to."""
-        return {run.engine for run in self.attempts_from(name, since)}
+        """Return the engines that received an attempt from one gateway."""
+        return {attempt.engine for attempt in self.attempts_from(name, since)}
 
     def served_fraction(self, since: int = 0, until: int = 2**62, request_class: str = "") -> float:
-        """Part of what was asked that was served."""
-        asks = [
-            ask
+        """Return the fraction of requests sent in a time that were served."""
+        requests = [
+            request
             for client in self.clients
-            for ask in client.book
-            if since <= ask.sent < until and request_class in ("", ask.want.request_class)
+            for request in client.book
+            if since <= request.sent < until and request_class in ("", request.want.request_class)
         ]
-        return sum(bool(ask.answers) and ask.answers[0][1] == rules.SERVED for ask in asks) / max(
-            len(asks), 1
-        )
+        return sum(
+            bool(request.answers) and request.answers[0][1] == rules.SERVED for request in requests
+        ) / max(len(requests), 1)
 
     def find_rule_violations(self, slack: int = rules.SLACK) -> list[str]:
-        """The seven rules. What engines are sent counts over all gateways; a drain binds whom it was told."""
-        asks = sorted(
-            (ask for name in self.gateways for ask in self.requests_to(name)),
-            key=lambda ask: ask.sent,
+        """Check the seven rules, and return the violations.
+
+        Slow start is checked over the attempts of all gateways together; draining and the retry
+        budget are checked for each gateway, draining against its own endpoint list.
+        """
+        requests = sorted(
+            (request for name in self.gateways for request in self.requests_to(name)),
+            key=lambda request: request.sent,
+        )
+        attempts_by_gateway = {name: self.attempts_from(name) for name in self.gateways}
+        attempts = sorted(
+            (attempt for each in attempts_by_gateway.values() for attempt in each),
+            key=lambda attempt: attempt.came,
         )
-        runs = {name: self.attempts_from(name) for name in self.gateways}
-        whole = sorted((run for each in runs.values() for run in each), key=lambda run: run.came)
         cores = {name: each.cores for name, each in self.engines.items()}
-        colds = {change for feed in self.feeds.values() for change in feed.changes if change[3]}
-        found = rules.broken(
-            asks,
-            whole,
+        restarts = {change for feed in self.feeds.values() for change in feed.changes if change[3]}
+        violations = rules.broken(
+            requests,
+            attempts,
             sorted(
                 {
-                    (10 * started, engine, state, started)
-                    for _, engine, state, started in colds
+                    (10 * start_ms, engine, state, start_ms)
+                    for _, engine, state, start_ms in restarts
                     if state == "SERVING"
                 }
             ),
@@ -327,10 +358,10 @@
             replace(self.rule_expectations, extra=(0.0, 0.0, 0)),
             slack,
         )
-        for name, each in runs.items():
-            mine = self.requests_to(name)
-            found += rules.drained(
+        for name, each in attempts_by_gateway.items():
+            requests_of_gateway = self.requests_to(name)
+            violations += rules.drained(
                 each, self.feeds[name].changes, self.rule_expectations.grace + slack
             )
-            found += rules.rationed(mine, each, self.rule_expectations)
-        return found
+            violations += rules.rationed(requests_of_gateway, each, self.rule_expectations)
+        return violations
