--- a/corkgauge/testkit/fleet/hollow_fleet.py
+++ b/corkgauge/testkit/fleet/hollow_fleet.py
@@ -1,10 +1,11 @@
-"""A fleet of hollow members in a few processes: started, cut, lost, healed and counted from one place.
+"""Runs a fleet of hollow members in a few processes and controls them from one place.
 
-Owns the processes, who stands where, and what is asked of all of them at once. Must never leave a
-process behind, and never look into a member but by its counters.
+A hollow member runs the subsystems of a gateway that talk to other gateways, and serves no
+requests. Owns the processes and the zone and rack of each member. Leaves no process behind, and
+reads the state of members only through their counters.
 
-Five zones in two regions (three and two), racks of 20 within a zone, three voters on machines set
-aside: a process each that votes and stands for nothing.
+The fleet has five zones in two regions (of three and two zones) and racks of 20 members. Three
+voters run on dedicated machines, here each in its own process; a voter is never a candidate.
 """
 
 import json
@@ -21,15 +22,15 @@
 
 ZONE_COUNT, RACK_SIZE, VOTER_COUNT = 5, 20, 3
 FIRST_REGION = "z0", "z1", "z2"  # the other zones are the second region
-POLL_SECONDS = 0.1  # seconds between two looks at what all know
+POLL_SECONDS = 0.1  # between two queries of all processes
 
 
 class FleetTimeoutError(RuntimeError):
-    """It did not come about in the time given; the message says what, and how far it had come."""
+    """The fleet did not reach an expected state in time; the message names the state reached."""
 
 
 class HollowProcess:
-    """One process, by its pipes."""
+    """A child process of hollow members, controlled over its standard input and output."""
 
     def __init__(self) -> None:
         self.process = subprocess.Popen(
@@ -40,18 +41,25 @@
         )
 
     def send_order(self, order: bytes) -> None:
+        """Send an order, a line of JSON."""
         self.process.stdin.write(order)
         self.process.stdin.flush()
 
     def read_answer(self) -> Any:
+        """Wait for the answer to the earliest unanswered order and return it."""
         line = self.process.stdout.readline()
         if not line:
-            raise FleetTimeoutError(f"a process of the fleet has ended ({self.process.wait()})")
+            raise FleetTimeoutError(
+                f"a process of the fleet ended with exit code {self.process.wait()}; "
+                "see its standard error output"
+            )
         return json.loads(line)
 
 
 class Fleet:
-    """`many` workload managers in `processes`, and the voters. A context: at its end nothing of it is left.
+    """Runs `many` hollow members in `processes`, and the voters; a context manager.
+
+    All processes are killed at the end of the context.
 
     >>> with Fleet(4, 2) as fleet:
     ...     fleet.start()
@@ -77,15 +85,15 @@
         try:
             parts = [self.managers[n :: self.processes] for n in range(self.processes)]
             parts += [[name] for name in self.voters]
-            number = {name: n for n, name in enumerate([*self.managers, *self.voters])}
+            numbers = {name: n for n, name in enumerate([*self.managers, *self.voters])}
             for hollow_process, names in zip(self.hollow_processes, parts):
                 hollow_process.send_order(
-                    _line("bind", names=names, numbers=[number[name] for name in names])
+                    _line("bind", names=names, numbers=[numbers[name] for name in names])
                 )
             self.ports: dict[str, int] = {}
             for hollow_process in self.hollow_processes:
                 self.ports |= hollow_process.read_answer()
-            roster = json.dumps([[name, self.ports[name], self.zone[name]] for name in number])
+            roster = json.dumps([[name, self.ports[name], self.zone[name]] for name in numbers])
             self.all("roster", roster=roster, voters=self.voters, elements=[*self.elements])
         except BaseException:
             self.__exit__()
@@ -100,52 +108,67 @@
             hollow_process.process.stdin.close()
             hollow_process.process.stdout.close()
 
-    def all(self, do: str, **what: Any) -> list[Any]:
-        """The same order to every process; their answers. All are asked before any is heard."""
-        order = _line(do, **what)
+    def all(self, do: str, **arguments: Any) -> list[Any]:
+        """Send the same order to every process, then collect all answers."""
+        order = _line(do, **arguments)
         for hollow_process in self.hollow_processes:
             hollow_process.send_order(order)
         return [hollow_process.read_answer() for hollow_process in self.hollow_processes]
 
-    # What happens to it.
+    # Controlling members.
 
     def start(self, names: Sequence[str] | None = None, over: float = 0.0) -> None:
+        """Start these members, or all, at random times within `over` seconds."""
         self.all("start", names=[*(names or self.ports)], over=over)
 
     def start_at_rest(self, most: float = 30.0) -> None:
-        """Start all, and have each told of all by us: at 870 the news of a start of all is passed on for minutes, and
-        what is asked of a fleet at rest need not wait for that.
+        """Start all members and tell each the incarnations of all others.
+
+        With 870 members, gossip about the start of all takes minutes; a measurement of a fleet at
+        rest does not need to wait for that.
         """
         self.start(over=1.0)
         self.until("all are started", lambda: [len(self.starts()), len(self.ports)], most)
         self.all("told", starts=self.starts())
 
     def starts(self) -> dict[str, int]:
+        """Return the incarnation of each running member."""
         return {name: each for part in self.all("starts") for name, each in part.items()}
 
     def end(self, names: Sequence[str], over: float = 0.0, again: float = -1.0) -> None:
+        """End these members in order, at random times within `over` seconds.
+
+        Each is started again `again` seconds after its end; with a negative value, never.
+        """
         self.all("end", names=[*names], over=over, again=again)
 
     def lose(self, names: Sequence[str]) -> None:
+        """Stop these members at once, as if their machines failed."""
         self.all("lose", names=[*names])
 
     def cut(self, names: Sequence[str]) -> None:
-        """These from all others, both ways; none: healed."""
+        """Drop all datagrams between these members and all others; no names end the cut."""
         self.all("group", ports={self.ports[name]: 1 for name in names})
 
     def in_zone(self, *zones: str) -> list[str]:
+        """Return the members, without voters, in these zones."""
         return [name for name in self.managers if self.zone[name] in zones]
 
     def in_rack(self, rack: str) -> list[str]:
+        """Return the members, without voters, in this rack."""
         return [name for name in self.managers if self.rack[name] == rack]
 
-    # What is known of it.
+    # Observing members.
 
     def known(self) -> list[int]:
-        """Members that hold all alive; of how many."""
+        """Return how many members hold all others alive, and how many members run."""
         return [sum(column) for column in zip(*self.all("known"))]
 
     def view(self, names: Sequence[str], alive: bool, of: Sequence[str] | None = None) -> list[int]:
+        """Return how many members hold all these names alive (or all gone), and of how many.
+
+        `of` restricts the members that are counted.
+        """
         return [
             sum(column)
             for column in zip(
@@ -154,52 +177,70 @@
         ]
 
     def until(self, what: str, seen: Callable[[], list[int]], most: float) -> float:
-        """Seconds until as many as there are see it; FleetTimeoutError after `most`."""
-        begun, found = time.monotonic(), [0, 0]
-        while time.monotonic() < begun + most:
-            found = seen()
-            if found[0] == found[1] > 0:
-                return time.monotonic() - begun
+        """Wait until all members reach a state, and return the seconds that this took.
+
+        Args:
+            what: The state, for the message of the error.
+            seen: Returns how many members are in the state, and how many there are.
+            most: The time limit in seconds.
+
+        Raises:
+            FleetTimeoutError: The time limit was exceeded.
+        """
+        started_at, counts = time.monotonic(), [0, 0]
+        while time.monotonic() < started_at + most:
+            counts = seen()
+            if counts[0] == counts[1] > 0:
+                return time.monotonic() - started_at
             time.sleep(POLL_SECONDS)
-        raise FleetTimeoutError(f"{what}: {found[0]} of {found[1]} after {most:g} s")
+        raise FleetTimeoutError(f"{what}: {counts[0]} of {counts[1]} members after {most:g} s")
 
     def until_known(self, most: float) -> float:
-        whole = len(self.ports)
+        """Wait until all members hold all others alive; return the seconds that this took."""
+        member_count = len(self.ports)
         try:
-            return self.until("all know all", lambda: [self.known()[0], whole], most)
+            return self.until("all know all", lambda: [self.known()[0], member_count], most)
         except FleetTimeoutError as problem:
             missed = Counter[str]()
             for part in self.all("missed"):
                 missed.update(part)
-            said = ", ".join(f"{name} by {many}" for name, many in missed.most_common(6))
-            raise FleetTimeoutError(f"{problem}; held {said or 'all by now'}") from None
+            states = ", ".join(
+                f"{name} by {holder_count}" for name, holder_count in missed.most_common(6)
+            )
+            raise FleetTimeoutError(f"{problem}; not alive: {states or 'none any more'}") from None
 
     def until_seen(
         self, names: Sequence[str], alive: bool, most: float, of: Sequence[str] | None = None
     ) -> float:
+        """Wait until all members, or those in `of`, hold these names alive (or gone)."""
         what = f"{len(names)} seen {'alive' if alive else 'gone'}"
         return self.until(what, lambda: self.view(names, alive, of), most)
 
     def holders(self) -> dict[str, list[str]]:
+        """Return the leases that each member holds, for members that hold any."""
         return {name: held for part in self.all("holders") for name, held in part.items()}
 
     def holder(self, duty: str, most: float = 30.0) -> str:
-        """Who holds it, once somebody does."""
-        begun = time.monotonic()
-        while time.monotonic() < begun + most:
+        """Wait until a member holds the lease, and return its name."""
+        started_at = time.monotonic()
+        while time.monotonic() < started_at + most:
             for name, held in self.holders().items():
                 if duty in held:
                     return name
             time.sleep(POLL_SECONDS)
-        raise FleetTimeoutError(f"nobody holds {duty} after {most:g} s")
+        raise FleetTimeoutError(f"no member holds the lease {duty} after {most:g} s")
 
     def bursts(self, span: int = 1000) -> int:
-        """Most datagrams at any voter within so many tenths of a millisecond, since this was asked last."""
+        """Return the most datagrams that any voter received within `span` ticks.
+
+        Counts datagrams since the previous call.
+        """
         return max(most for part in self.all("bursts", span=span) for most in part.values())
 
     def counters(self) -> list[dict[str, Any]]:
+        """Return the counters of each process and its members."""
         return self.all("counters")
 
 
-def _line(do: str, **what: Any) -> bytes:
-    return json.dumps({"do": do, **what}).encode() + b"\n"
+def _line(do: str, **arguments: Any) -> bytes:
+    return json.dumps({"do": do, **arguments}).encode() + b"\n"
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -1,8 +1,8 @@
-"""One workload manager on a made-up host and clock: the module alone, and the host without a network.
+"""Runs a gateway in simulated time: the policy module alone, or the host without a network.
 
-Owns virtual time, an open load of statements and what databases answer to it. Must never decide
-anything, draw from anything but its seed, or open a connection to anything but the other end of a
-socket pair.
+Owns the simulated time, the generated requests and the answers of the engines. Makes no decisions
+of its own, draws all random numbers from its seed, and connects to the other ends of socket pairs
+only.
 """
 
 import json
@@ -43,14 +43,14 @@
     870,
     2530.0,
     2 * SECOND,
-)  # of the fleet; statements a second at one; of the feedback
+)  # of the fleet; at one gateway; of the periodic feedback
 ZONE_COUNT, ENGINE_KIND_COUNT = 5, 3
 TABLE_GROUP_COUNT, TENANT_COUNT, ORDER_KEY_COUNT = 200, 20, 2_000
 
 
 @dataclass(frozen=True)
 class ClassProfile:
-    """A query class: its part of all statements, work of one in tenths of a ms, patience and latency target."""
+    """A request class of the generated load; `fraction` is its share of all requests."""
 
     name: str
     fraction: float
@@ -71,21 +71,35 @@
 
 
 class ZipfDistribution:
-    """Numbers 0 to n - 1, the k-th as often as 1 / k."""
+    """Draws numbers from 0 to n - 1, the k-th with a frequency proportional to 1 / k."""
 
     def __init__(self, chance: SeededRandom, n: int) -> None:
-        self.chance, self.tops, top = chance, list[float](), 0.0
+        self.chance, self.cumulative_weights, sum_ = chance, list[float](), 0.0
         for k in range(n):
-            self.tops.append(top := top + 1 / (k + 1))
+            self.cumulative_weights.append(sum_ := sum_ + 1 / (k + 1))
 
     def draw(self) -> int:
-        return min(bisect_right(self.tops, self.chance.part() * self.tops[-1]), len(self.tops) - 1)
+        """Return the next random number."""
+        return min(
+            bisect_right(self.cumulative_weights, self.chance.part() * self.cumulative_weights[-1]),
+            len(self.cumulative_weights) - 1,
+        )
 
 
 class StandaloneGatewayHost:
-    """The host protocol of a gateway that is alone. A database answers each attempt after its work and up to half as
-    much again; nothing else happens. `hold`: all statements take so long (tenths of a ms), whatever
-    their class.
+    """The host of one gateway in simulated time, with generated requests and emulated engines.
+
+    An engine answers each attempt after the time of its work and a random part of up to half of it.
+
+    Args:
+        engines: The number of engines.
+        groups: The number of table groups.
+        tenants: The number of tenants.
+        rate: Requests per second.
+        cores: The cores of each engine.
+        hold: The duration of every request in ticks, whatever its class; 0 for that of its class.
+        gateways: The number of gateways of the fleet.
+        seed: The seed of all random numbers.
     """
 
     def __init__(
@@ -99,7 +113,7 @@
         gateways: int = GATEWAY_COUNT,
         seed: int = 7,
     ) -> None:
-        self.now, self.lag, self.serial, self.wakes = 100 * SECOND, 0, 0, list[tuple]()
+        self.now, self.lag, self.serial, self.timers = 100 * SECOND, 0, 0, list[tuple]()
         self.taken = self.served = self.refused = self.lasted = self.open = 0
         self.rate, self.hold, self.chance = rate, hold, SeededRandom(seed)
         self.groups, self.tenants = (
@@ -154,8 +168,8 @@
         for engine in self.engines:
             self.gateway.on_engine_update(engine, EngineState.READY, 0)
         self.gateway.on_engine_list_complete()
-        # As a gateway that has served for long: each of its figures has its samples, each tenant's
-        # queue is there.
+        # Restore the state of a gateway that has served for long, with samples for every estimate
+        # and a queue for every tenant.
         self.gateway.restore_learned_state(
             LearnedState(
                 price=0.0,
@@ -183,22 +197,22 @@
         )
 
     def draw_requests(self, count: int) -> list[tuple[int, Request]]:
-        """So many statements beforehand, each with its gap after the one before, tenths of a ms."""
-        said, left = [], 0.0
+        """Draw requests in advance, each with its gap in ticks after the previous one."""
+        requests, remainder = [], 0.0
         for _ in range(count):
-            left += self.chance.wait(SECOND / self.rate)
-            gap, left = int(left), left % 1
+            remainder += self.chance.wait(SECOND / self.rate)
+            gap, remainder = int(remainder), remainder % 1
             draw, n = self.chance.part(), 0
             while n < len(CLASSES) - 1 and draw >= CLASSES[n].fraction:
                 draw, n = draw - CLASSES[n].fraction, n + 1
             work = int(max(self.hold or self.chance.spread(CLASSES[n].work_ticks), 1))
             key = 1 + self.chance.below(ORDER_KEY_COUNT) if CLASSES[n].ordered else 0
-            took = work if self.hold else int(work * (1 + self.chance.part() / 2)) + 2
-            said.append(
+            duration = work if self.hold else int(work * (1 + self.chance.part() / 2)) + 2
+            requests.append(
                 (
                     gap,
                     Request(
-                        (took, work),
+                        (duration, work),
                         self.request_classes[n],
                         self.tenants.draw(),
                         float(self.groups.draw()),
@@ -209,29 +223,30 @@
                     ),
                 )
             )
-        return said
+        return requests
 
-    def play(self, statements: list[tuple[int, Request]]) -> float:
-        """Seconds of processor time from the first of them until one gap after the last."""
-        begun, taken = process_time(), self.gateway.on_request
-        for gap, request in statements:
+    def play(self, requests: list[tuple[int, Request]]) -> float:
+        """Run drawn requests; return the processor seconds from the first until after the last."""
+        started_at, on_request = process_time(), self.gateway.on_request
+        for gap, request in requests:
             self.advance_to(self.now + gap)
             request.accepted_at = self.now
             self.taken += 1
             self.open += 1
-            taken(request)
+            on_request(request)
         self.advance_to(self.now + 1)
-        return process_time() - begun
+        return process_time() - started_at
 
     def advance_to(self, until: int) -> None:
-        wakes = self.wakes
-        while wakes and wakes[0][0] <= until:
-            self.now, _, method, what = heappop(wakes)
-            method(*what)
+        """Advance the simulated time, and run the timers that are due."""
+        timers = self.timers
+        while timers and timers[0][0] <= until:
+            self.now, _, method, arguments = heappop(timers)
+            method(*arguments)
         self.now = until
 
     def on_engine_answer(self, attempt: Attempt, work: int) -> None:
-        """Its database is done with an attempt."""
+        """Report the success of an attempt to the gateway."""
         self.served += not attempt.request.is_finished
         self.open -= not attempt.request.is_finished
         self.gateway.on_attempt_finished(
@@ -241,20 +256,24 @@
     # The host protocol.
 
     def send_attempt(self, attempt: Attempt, allow: int) -> None:
-        took, work = attempt.request.host_reference
-        self.call_later(took, self.on_engine_answer, attempt, work)
+        """Schedule the answer of the engine."""
+        duration, work = attempt.request.host_reference
+        self.call_later(duration, self.on_engine_answer, attempt, work)
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
-        pass
+        """Do nothing: emulated engines ignore resources."""
 
     def reject(self, request: Request, retry_after: int) -> None:
+        """Count a rejected request."""
         self.refused += 1
         self.open -= 1
 
     def fail(self, request: Request) -> None:
+        """Count a failed request as rejected."""
         self.reject(request, 0)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Confirm the cancellation of an attempt one tick later."""
         self.call_later(
             1,
             self.gateway.on_attempt_finished,
@@ -267,15 +286,16 @@
             -1.0,
         )
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method after `delay` ticks of simulated time."""
         self.serial += 1
-        heappush(self.wakes, (self.now + max(delay, 1), self.serial, method, what))
+        heappush(self.timers, (self.now + max(delay, 1), self.serial, method, arguments))
 
     def log(self, line: str) -> None:
-        pass
+        """Discard a log line."""
 
 
-# The host with its links, clients and list, on a clock that stands still unless it is moved.
+# The host with connections, clients and an endpoint list, on a clock that tests advance.
 
 
 def engine_list_event(
@@ -286,7 +306,10 @@
     started: int = 0,
     address: Callable[[int], str] = lambda n: f"127.0.0.1:{10_000 + n}",
 ) -> dict[str, Any]:
-    """An event of the feed: engines `first` and on of a list, 5 zones, 3 kinds, as the platform writes it."""
+    """Return a watch event of the endpoint list, in the form of the platform.
+
+    The event names `engines` engines from number `first` on, in 5 zones and of 3 kinds.
+    """
     return {
         "n": number,
         "members": {
@@ -310,7 +333,7 @@
 
 
 def settings(cores: int = 8, instances: int = GATEWAY_COUNT) -> dict[str, Any]:
-    """What operators state, with the classes above."""
+    """Return operators' settings with the request classes above."""
     repeats = "pure", "token", "side_effect"
     return {
         "profiles": [
@@ -365,76 +388,83 @@
     engines: int,
     listen: str,
     feed: str,
-    known: dict[str, Any] | None = None,
+    initial_event: dict[str, Any] | None = None,
     cores: int = 8,
     sockets: int = 16_384,
 ) -> dict[str, Any]:
-    """A whole configuration with `engines` in the list that it starts from, or `known`, an event."""
+    """Return a configuration with an initial endpoint list.
+
+    The list has `engines` engines, or the contents of the watch event `initial_event`.
+    """
     return {
         "name": "n7",
         "listen": listen,
         "feed": feed,
         "seed": "7",
         "limits": {"memory_mb": 1024, "sockets": sockets},
-        "known": {"n": 1, "events": [known or engine_list_event(1, engines)]},
+        "known": {"n": 1, "events": [initial_event or engine_list_event(1, engines)]},
         "settings": settings(cores),
     }
 
 
 class SocketPairFrontEnd:
-    """The program's host on a clock of its own; clients and databases are the other ends of socket pairs, which say
-    nothing unless they are made to.
+    """Runs the program's host on a simulated clock, with socket pairs to clients and engines.
+
+    Clients and engines send nothing unless a test makes them.
     """
 
     def __init__(self, engines: int, cores: int = 8) -> None:
         self.time, self.others, self.names = 10**9, list[socket.socket](), 0
         self.event_loop = EventLoop(clock=lambda: self.time, on_exception=self.on_exception)
-        said = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
+        platform_configuration = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
         self.socket_host = PlatformFrontEnd(
-            self.event_loop, PlatformConfig(said, ""), lambda line: None
+            self.event_loop, PlatformConfig(platform_configuration, ""), lambda line: None
         )
         self.number = 1
         self.turn()
 
     def on_exception(self) -> None:
-        raise  # what a turn met, on to whoever measures
+        """Raise the current exception again, so that the test or benchmark fails."""
+        raise
 
     def turn(self, rounds: int = 4) -> None:
+        """Run some turns of the event loop."""
         for _ in range(rounds):
             self.event_loop.turn(0)
 
     def apply_list_event(self, data: str) -> None:
-        """An event of the feed, as it is read."""
+        """Apply a watch event of the endpoint list, given as JSON."""
         self.number += 1
-        if wrong := self.socket_host.on_discovery_event(str(self.number), data):
-            raise ValueError(wrong)
+        if error := self.socket_host.on_discovery_event(str(self.number), data):
+            raise ValueError(error)
 
     def next_restart_event(self, engine: int) -> str:
-        """The next event: one engine has started anew, a moment ago; as JSON."""
+        """Return the next watch event, as JSON: one engine was restarted 100 ms ago."""
         return json.dumps(
             engine_list_event(self.number + 1, 1, engine, False, self.time // 10 - 1000)
         )
 
     def client(self) -> socket.socket:
-        mine, its = socket.socketpair()
-        self.socket_host.add_client(its)
-        mine.setblocking(False)
-        self.others.append(mine)
-        return mine
+        """Connect a client, and return its socket."""
+        local_end, host_end = socket.socketpair()
+        self.socket_host.add_client(host_end)
+        local_end.setblocking(False)
+        self.others.append(local_end)
+        return local_end
 
     def add_engine_connection(self, engine: int) -> None:
-        """One more link to an engine, as if it had just been dialled."""
-        mine, its = socket.socketpair()
+        """Add a connection to an engine, as if the gateway had just connected."""
+        local_end, host_end = socket.socketpair()
         engine_pool = self.socket_host.engine_pools[f"db{engine}"]
-        link = EngineConnection(engine_pool, its)
-        engine_pool.links.append(link)
-        self.event_loop.spawn(link.link.run)
-        link.check_idle()
-        mine.setblocking(False)
-        self.others.append(mine)
+        connection = EngineConnection(engine_pool, host_end)
+        engine_pool.links.append(connection)
+        self.event_loop.spawn(connection.link.run)
+        connection.check_idle()
+        local_end.setblocking(False)
+        self.others.append(local_end)
 
     def send_request(self, client: socket.socket, stream: int) -> None:
-        """A statement of the first class, 200 bytes long."""
+        """Send a request of the first request class, with a statement of 200 bytes."""
         self.names += 1
         client.send(
             request_frame(
@@ -453,6 +483,7 @@
         )
 
     def close(self) -> None:
+        """Close all clients and engine connections."""
         for each in self.others:
             each.close()
         self.turn()
@@ -460,8 +491,8 @@
 
 
 def burn_cpu(seconds: float) -> float:
-    """Processor time spent at nothing, to warm a core up before a short measurement; seconds."""
-    begun, at = process_time(), 0.0
-    while process_time() - begun < seconds:
-        at = sin(at)
-    return at
+    """Use processor time, to bring a core to full speed before a short measurement."""
+    started_at, value = process_time(), 0.0
+    while process_time() - started_at < seconds:
+        value = sin(value)
+    return value
--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -1,9 +1,9 @@
-"""Hollow workload managers: what several of them are to each other, without what serves.
+"""Runs hollow members: gateways with their fleet subsystems, without serving requests.
 
-Owns one member's sealed datagrams on a loopback socket, its timers and its counters. The objects
-are those of service (Society, Office, Yard, Exchange); the house beside them has no clients, no
-queues and no links to engines. Must never decide anything for them, never stretch a span of theirs,
-and never send to any address but loopback ones.
+Owns one member's authenticated datagrams on a loopback socket, its timers and its counters. The
+subsystems are those of the program (membership, leases, maintenance and peer health); the host has
+no clients, no queues and no connections to engines. Never decides anything for the subsystems,
+never changes a time limit of theirs, and sends to loopback addresses only.
 """
 
 import json
@@ -33,15 +33,16 @@
 
 KEY = b"hollow workload managers, no secret"
 MESSAGE_KINDS = "hello", "back", "ask", "answer", "ask_for", "deaf", "ask_all", "tell", "call"
-SO_TIMESTAMPNS = 35  # asm-generic/socket.h: when the kernel had a datagram, socket(7)
-MAX_RECORDED_ARRIVALS = 200_000  # arrivals that a voter's wire remembers
+SO_TIMESTAMPNS = 35  # asm-generic/socket.h: socket option for receive times, socket(7)
+MAX_RECORDED_ARRIVALS = 200_000  # per socket; older ones are dropped
 ELEMENTS = "duties", "works", "shared"
 
 
 class CountingSocket:
-    """A member's bound socket, with a count of what passes and a filter on whom it reaches. It outlives the member, so
-    that a restart finds the same port; `noted` keeps when each datagram came, tenths of a
-    millisecond of the date.
+    """A member's bound socket, which counts datagrams and drops those to other groups of ports.
+
+    The socket outlives the member, so that a restarted member uses the same port. `arrival_times`
+    holds the receive time of each datagram, in ticks of the wall clock.
     """
 
     def __init__(self) -> None:
@@ -54,52 +55,58 @@
         self.group, self.groups = (
             0,
             dict[int, int](),
-        )  # of this port; of those ports that are in another group
+        )  # group of this port, and groups of the ports that are not in group 0
 
     def record_arrivals(self) -> None:
-        """From now on it keeps when the kernel had each datagram."""
+        """Start recording when the kernel receives each datagram."""
         self.sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
         self.arrival_times = deque(maxlen=MAX_RECORDED_ARRIVALS)
 
     def fileno(self) -> int:
+        """Return the file descriptor of the socket."""
         return self.sock.fileno()
 
     def close(self) -> None:
-        """The member has ended; the port stays ours."""
+        """Do nothing: the socket stays open when its member ends, to keep the port."""
 
     def discard_received(self) -> None:
-        """Danger: what came while nobody was there would meet the next start of the member."""
+        """Discard datagrams that arrived while no member ran.
+
+        Otherwise a restarted member would process them.
+        """
         try:
             while True:
                 self.sock.recv(1)
         except BlockingIOError:
             pass
 
-    def recv(self, most: int) -> bytes:
+    def recv(self, max_bytes: int) -> bytes:
+        """Receive and count a datagram."""
         if self.arrival_times is None:
-            data = self.sock.recv(most)
+            data = self.sock.recv(max_bytes)
         else:
-            data, beside, *_ = self.sock.recvmsg(most, 64)
-            for _, _, stamp in beside:
-                seconds, rest = unpack_from("qq", stamp)
-                self.arrival_times.append(seconds * SECOND + rest // 100_000)
+            data, ancillary_data, *_ = self.sock.recvmsg(max_bytes, 64)
+            for _, _, timestamp in ancillary_data:
+                seconds, nanoseconds = unpack_from("qq", timestamp)
+                self.arrival_times.append(seconds * SECOND + nanoseconds // 100_000)
         self.got += 1
         self.octets_in += len(data)
         return data
 
-    def sendto(self, data: bytes, where: tuple[str, int]) -> None:
-        if self.groups.get(where[1], 0) != self.group:
+    def sendto(self, data: bytes, address: tuple[str, int]) -> None:
+        """Send and count a datagram, unless the port belongs to another group."""
+        if self.groups.get(address[1], 0) != self.group:
             self.withheld += 1
             return
         self.out += 1
         self.octets_out += len(data)
-        self.sock.sendto(data, where)
+        self.sock.sendto(data, address)
 
     def take_max_burst(self, span: int) -> int:
-        """Most datagrams that came within `span` tenths of a millisecond, of those noted; and forgets them."""
-        most, first, noted = 0, 0, sorted(self.arrival_times or ())
-        for n, when in enumerate(noted):
-            while noted[first] <= when - span:
+        """Return the most recorded datagrams within `span` ticks, and clear the record."""
+        most, first, times = 0, 0, sorted(self.arrival_times or ())
+        for n, arrival in enumerate(times):
+            while times[first] <= arrival - span:
                 first += 1
             most = max(most, n + 1 - first)
         if self.arrival_times is not None:
@@ -108,58 +115,71 @@
 
 
 class MemberEventLoop:
-    """A hub as one member sees it: once the member is lost none of its timers runs, and the processor time of what
-    does run is added up (nanoseconds).
+    """The event loop as one member uses it.
+
+    No timer of the member runs once it is lost. `spent` sums the processor time of the member's
+    timers and tasks, in nanoseconds.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
-        self.event_loop, self.lost, self.spent, self.mark = event_loop, False, 0, 0
+        self.event_loop, self.lost, self.spent, self.running_since = event_loop, False, 0, 0
         self.date, self.clock_offset = event_loop.date, event_loop.clock_offset
 
     @property
     def now(self) -> int:
+        """Return the time of the event loop, in ticks."""
         return self.event_loop.now
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.event_loop.call_later(delay, self._run, method, what)
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method after `delay` ticks, unless the member is lost by that time."""
+        self.event_loop.call_later(delay, self._run, method, arguments)
 
-    def _run(self, method: Callable[..., None], what: tuple) -> None:
+    def _run(self, method: Callable[..., None], arguments: tuple) -> None:
         if self.lost:
             return
-        begun = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         try:
-            method(*what)
+            method(*arguments)
         finally:
-            self.spent += time.thread_time_ns() - begun
+            self.spent += time.thread_time_ns() - started_at
 
-    def spawn(self, method: Callable[..., None], *what: Any) -> None:
-        self.mark = time.thread_time_ns()
-        self.event_loop.spawn(method, *what)
+    def spawn(self, method: Callable[..., None], *arguments: Any) -> None:
+        """Start a task of the member."""
+        self.running_since = time.thread_time_ns()
+        self.event_loop.spawn(method, *arguments)
 
     def wait(self, fd: int, mask: int, until: int | None = None) -> int:
-        self.spent += time.thread_time_ns() - self.mark if self.mark else 0
+        """Park the task until the descriptor is ready; adds the time it ran before to `spent`."""
+        self.spent += time.thread_time_ns() - self.running_since if self.running_since else 0
         found = self.event_loop.wait(fd, mask, until)
-        self.mark = time.thread_time_ns()
+        self.running_since = time.thread_time_ns()
         return found
 
     def wake(self, fd: int, events: int = 0) -> None:
+        """Resume the task that waits for this descriptor."""
         self.event_loop.wake(fd, events)
 
     def on_exception(self) -> None:
+        """Report the current exception to the event loop."""
         self.event_loop.on_exception()
 
 
 class HollowHost:
-    """What a serving host is to the subsystems of several processes, with nothing to serve."""
+    """The host of the fleet subsystems of a member that serves no requests."""
 
     def __init__(
         self,
         member_event_loop: MemberEventLoop,
-        wire: CountingSocket,
+        counting_socket: CountingSocket,
         platform_config: Any,
         log: Callable[[str], None],
     ) -> None:
-        self.event_loop, self.wire, self.log, self.routes = member_event_loop, wire, log, {}
+        self.event_loop, self.counting_socket, self.log, self.routes = (
+            member_event_loop,
+            counting_socket,
+            log,
+            {},
+        )
         self.engine_pools: dict[str, Any] = {}
         self.open_requests: dict[str, Any] = {}
         self.maintenance: Any = None
@@ -172,73 +192,92 @@
 
     @property
     def now(self) -> int:
+        """Return the time of the event loop, in ticks."""
         return self.event_loop.now
 
     lag = 0
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """The module's own timers: nothing is served, so nothing of it runs."""
+        """Do nothing: without requests, the timers of the policy module are not needed."""
 
 
 class HollowMembership(MembershipService):
-    """The society of service, on a socket that was bound before; who became what is noted."""
+    """The program's membership service on an existing socket; counts the changes of states."""
 
-    def _bind(self, said: MembershipConfig) -> None:
-        self.sock = self.socket_host.wire
+    def _bind(self, config: MembershipConfig) -> None:
+        self.sock = self.socket_host.counting_socket
         self.became = Counter[str]()
-        self.short = len(said.members) - 1  # members that it does not hold alive
-        self.settled = 0  # when that came to be none
+        self.short = len(config.members) - 1  # members not held alive
+        self.settled = 0  # when the last of them became alive
 
-    def on_member_changed(self, member: Member, before: MemberState) -> None:
-        self.became[f"{before.label} {member.state.label}"] += 1
-        self.short += (before == ALIVE) - (member.state == ALIVE)
+    def on_member_changed(self, member: Member, previous_state: MemberState) -> None:
+        """Count a change of a member's state, and pass it on."""
+        self.became[f"{previous_state.label} {member.state.label}"] += 1
+        self.short += (previous_state == ALIVE) - (member.state == ALIVE)
         if not self.short:
             self.settled = self.event_loop.now
-        super().on_member_changed(member, before)
+        super().on_member_changed(member, previous_state)
 
 
 class VoterOnlyLeaseService(LeaseService):
-    """On a machine set aside: it votes, and stands for nothing."""
+    """The lease service of a dedicated voter, which is never a candidate."""
 
     def is_wanted(self, lease: str) -> bool:
+        """Return False: this member wants no lease."""
         return False
 
 
 class HollowMember:
-    """One hollow workload manager, or one voter on a machine set aside. `roster` is JSON, [[name, port, zone], ...];
-    `elements` of those that an operator file may have.
+    """A hollow member, or a dedicated voter.
+
+    Args:
+        event_loop: The event loop, shared by the members of a process.
+        name: The name of the member.
+        counting_socket: The socket of the member.
+        roster: All members, as the JSON text of [[name, port, zone], ...].
+        voters: The names of the voters.
+        number: A number of the member, for the seeds of random numbers.
+        elements: The subsystems to run, as elements of the operator file.
+        on_log_line: Called with each log line.
     """
 
     def __init__(
         self,
         event_loop: EventLoop,
         name: str,
-        wire: CountingSocket,
+        counting_socket: CountingSocket,
         roster: str,
         voters: tuple[str, ...],
         number: int,
         elements: tuple[str, ...] = ELEMENTS,
-        lines: Callable[[str], None] | None = None,
+        on_log_line: Callable[[str], None] | None = None,
     ) -> None:
-        self.name, self.wire, self.member_event_loop = name, wire, MemberEventLoop(event_loop)
+        self.name, self.counting_socket, self.member_event_loop = (
+            name,
+            counting_socket,
+            MemberEventLoop(event_loop),
+        )
         self.kinds_out, self.octets_by, self.kinds_in = (
             Counter[str](),
             Counter[str](),
             Counter[str](),
         )
         self.changes: list[dict[str, Any]] = []
-        # Read anew for each: in service each process holds its own roster.
+        # Decoded for each member, because in operation each process holds its own roster.
         members = tuple(
             (each, ("127.0.0.1", port), zone) for each, port, zone in json.loads(roster)
         )
-        wire.discard_received()
+        counting_socket.discard_received()
         platform_config = SimpleNamespace(
             name=name,
             seed=number * 7919 + event_loop.now % 7919,
             settings=settings() | {"instances": max(len(members) - len(voters), 1), "myNumber": 0},
         )
         socket_host = HollowHost(
-            self.member_event_loop, wire, platform_config, lines or (lambda line: None)
+            self.member_event_loop,
+            counting_socket,
+            platform_config,
+            on_log_line or (lambda line: None),
         )
         self.membership = HollowMembership(
             socket_host, platform_config, MembershipConfig((KEY,), members, None, SECOND // 2)
@@ -248,8 +287,8 @@
         self.lease_service: LeaseService | None = None
         self.maintenance_service: MaintenanceService | None = None
         self.peer_health_service: PeerHealthService | None = None
-        if "duties" in elements:  # spans as an operator file that names none has them
-            said = LeaseConfig(
+        if "duties" in elements:  # with the default times of an operator file
+            lease_config = LeaseConfig(
                 1,
                 voters,
                 (("books", "books", 5 * SECOND),),
@@ -260,7 +299,7 @@
                 "",
             )
             self.lease_service = (VoterOnlyLeaseService if name in voters else LeaseService)(
-                socket_host, platform_config, said, self.membership
+                socket_host, platform_config, lease_config, self.membership
             )
         if "works" in elements and self.lease_service is not None:
             self.maintenance_service = MaintenanceService(
@@ -281,29 +320,29 @@
                 holder.set_wanted(False)
 
     def _count_messages(self, codec: Any) -> None:
-        """By sort, and by subject where another subsystem sends."""
-        write, opened = codec.encode, codec.decode
+        """Count datagrams by kind, and calls of subsystems by their subject."""
+        encode, decode = codec.encode, codec.decode
 
-        def written(to: str, sort: int, body: Any, known_as: int = 0) -> bytes:
-            data = write(to, sort, body, known_as)
-            kind = body[0] if MESSAGE_KINDS[sort] == "call" else MESSAGE_KINDS[sort]
+        def counting_encode(to: str, kind_number: int, body: Any, known_as: int = 0) -> bytes:
+            data = encode(to, kind_number, body, known_as)
+            kind = body[0] if MESSAGE_KINDS[kind_number] == "call" else MESSAGE_KINDS[kind_number]
             self.kinds_out[kind] += 1
             self.octets_by[kind] += len(data)
             return data
 
-        def read(data: bytes, now: int) -> Any:
-            found = opened(data, now)
-            if found is not None:
-                sort, body = found[1:]
+        def counting_decode(data: bytes, now: int) -> Any:
+            message = decode(data, now)
+            if message is not None:
+                kind_number, body = message[1:]
                 self.kinds_in[
-                    body[0] if MESSAGE_KINDS[sort] == "call" else MESSAGE_KINDS[sort]
+                    body[0] if MESSAGE_KINDS[kind_number] == "call" else MESSAGE_KINDS[kind_number]
                 ] += 1
-            return found
+            return message
 
-        codec.encode, codec.decode = written, read
+        codec.encode, codec.decode = counting_encode, counting_decode
 
     def end(self) -> None:
-        """In order, as a restart of the program does: duties are handed over, a few are told."""
+        """End as at a restart of the program: hand leases over, and notify some members."""
         if self.lease_service is not None:
             self.lease_service.leave()
             self.lease_service.end()
@@ -311,28 +350,34 @@
         self.lose()
 
     def lose(self) -> None:
-        """The machine is gone: nothing more is said, nothing is done."""
+        """Stop at once, as if the machine failed: send nothing more, and run no timers."""
         self.member_event_loop.lost = True
         self.membership.sock = None
-        self.member_event_loop.wake(self.wire.fileno())
+        self.member_event_loop.wake(self.counting_socket.fileno())
 
-    def told(self, starts: dict[str, int]) -> None:
-        """All members' starts at once, with nothing left to pass on: as hours after the start of all."""
+    def told(self, incarnations: dict[str, int]) -> None:
+        """Learn the incarnations of all members, with no gossip left to send.
+
+        This is the state of a fleet some hours after the start of all members.
+        """
         member_list = self.membership.member_list
-        for name, start in starts.items():
+        for name, incarnation in incarnations.items():
             if name != self.name:
-                member_list.codec.learn_incarnation(name, start)
+                member_list.codec.learn_incarnation(name, incarnation)
         member_list.local.has_joined = True
         member_list.gossip.updates.clear()
 
-    # What a coordinator may ask.
+    # Queries of the process.
 
     def unknown(self) -> int:
-        """Members that it does not hold alive."""
+        """Return the number of members that are not held alive."""
         return self.membership.short
 
     def holds(self, names: list[str], alive: bool) -> bool:
-        """Are all of these, but ourselves, alive (or none of them, not even suspected) by its view?"""
+        """Return whether this member holds all these others alive, or all gone.
+
+        A member counts as gone if it is neither alive, suspected nor unknown.
+        """
         members = self.membership.member_list.members
         if alive:
             return all(members[name].state == ALIVE for name in names if name in members)
@@ -341,6 +386,7 @@
         )
 
     def duties(self) -> list[str]:
+        """Return the leases under which this member may act now."""
         return (
             []
             if self.lease_service is None
@@ -348,13 +394,14 @@
         )
 
     def counters(self) -> dict[str, Any]:
-        wire, member_list = self.wire, self.membership.member_list
+        """Return the counters of this member."""
+        counting_socket, member_list = self.counting_socket, self.membership.member_list
         return {
-            "out": wire.out,
-            "octets_out": wire.octets_out,
-            "in": wire.got,
-            "octets_in": wire.octets_in,
-            "held_back": wire.withheld,
+            "out": counting_socket.out,
+            "octets_out": counting_socket.octets_out,
+            "in": counting_socket.got,
+            "octets_in": counting_socket.octets_in,
+            "held_back": counting_socket.withheld,
             "words": len(member_list.gossip.updates),
             "spent": self.member_event_loop.spent,
             "unknown": self.unknown(),
@@ -373,30 +420,30 @@
         }
 
     def _books(self) -> list[dict[str, Any]]:
-        clerk = (
+        collector = (
             self.lease_service.collectors.get("books") if self.lease_service is not None else None
         )
         return (
             []
-            if clerk is None
+            if collector is None
             else [
                 {
                     key: entry[key]
                     for key in ("fence", "number", "gateways", "missing_count", "wrong", "at")
                 }
-                for entry in [*clerk.history.entries][-3:]
+                for entry in [*collector.history.entries][-3:]
             ]
         )
 
 
 def resident_mb() -> float:
-    """Of this process, MB (proc(5), statm)."""
+    """Return the resident memory of this process in MB (proc(5), statm)."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * 4096 / 2**20
 
 
 def dropped() -> dict[int, int]:
-    """By port: datagrams that found a full buffer (proc(5), net/udp, last column)."""
+    """Return the datagrams dropped for a full buffer by port (proc(5), net/udp, last column)."""
     with open("/proc/net/udp") as file:
         rows = [line.split() for line in file.readlines()[1:]]
     return {int(row[1].rpartition(":")[2], 16): int(row[12]) for row in rows}
--- a/corkgauge/testkit/fleet/hollow_serve.py
+++ b/corkgauge/testkit/fleet/hollow_serve.py
@@ -1,7 +1,7 @@
-"""The real program before many databases that are one process: a list of any length, a few listeners behind it.
+"""Runs the program with an endpoint list of any length, whose engines share a few listeners.
 
-Owns one child process and the cast around it: stand-in databases that share their listeners, a
-feed, clients. Must never send to any address but loopback ones; its child ends with it.
+Owns one child process, the emulated engines, which share their listeners, the endpoint list and the
+clients. Sends to loopback addresses only; the child process ends with this one.
 """
 
 import shutil
@@ -20,9 +20,8 @@
 from corkgauge.testkit.fleet.ports import free_port
 
 LISTENER_COUNT, CLIENT_COUNT = 8, 8
-CORES_PER_LISTENER = (
-    10_000  # of a listener, which stands for many databases: its pace stays that of the work alone
-)
+# A listener stands for many engines: with this many cores an attempt never waits for a core.
+CORES_PER_LISTENER = 10_000
 REQUEST_TYPES = [
     Want("lookup", 0.66, 3_000, 2.0),
     Want("report", 0.12, 6_000, 60.0),
@@ -32,16 +31,19 @@
 
 
 class MeasuredGatewayProcess(GatewayProcess):
-    """`serve`, and how much of a processor it has had."""
+    """A gateway process whose processor time is read with nanosecond resolution."""
 
     def cpu_seconds(self) -> float:
-        """Seconds of processor time so far, to the nanosecond; the program has one thread."""
+        """Return the seconds of processor time used so far, to the nanosecond.
+
+        The file counts the main thread only, and the program has one thread.
+        """
         with open(f"/proc/{self.process.pid}/schedstat", "rb") as file:
             return int(file.read().split()[0]) / 1e9
 
 
 class HollowServeProcess:
-    """The program with `engines` in the list that it starts from."""
+    """Runs the program with `engines` engines on its initial endpoint list."""
 
     def __init__(
         self, engines: int, seed: int = 7, start: tuple[str, ...] = ("-m", "corkgauge")
@@ -76,30 +78,37 @@
         self.clients: list[EmulatedClient] = []
 
     def start_and_wait(self, patience: float = 60.0) -> tuple[float, float]:
-        """Start it: wall and processor seconds until it tells a client that it is ready."""
-        begun = time.monotonic()
+        """Start the program; return the wall and processor seconds until it reports ready.
+
+        Raises:
+            RuntimeError: The program ended or was not ready in time.
+        """
+        started_at = time.monotonic()
         self.program.start()
-        while time.monotonic() < begun + patience and self.program.is_running():
+        while time.monotonic() < started_at + patience and self.program.is_running():
             try:
                 with socket.create_connection(self.address, 0.5) as sock:
                     sock.settimeout(patience)
                     sock.sendall(ready_question())
                     answer = sock.recv(64)
                     if len(answer) >= 10 and answer[9] == 1:
-                        return time.monotonic() - begun, self.program.cpu_seconds()
+                        return time.monotonic() - started_at, self.program.cpu_seconds()
             except OSError:
                 pass
             time.sleep(0.002)
-        raise RuntimeError("never ready: " + " | ".join(self.program.log()[-3:]))
+        raise RuntimeError(
+            "the gateway did not report ready; last log lines: "
+            + " | ".join(self.program.log()[-3:])
+        )
 
     def until(self, seconds: float) -> None:
-        """Play the cast's part for so long."""
-        until = self.event_loop.now + int(seconds * SECOND)
-        while self.event_loop.now < until:
-            self.event_loop.turn(min((until - self.event_loop.now) / 10, 20))
+        """Run the event loop of the emulated engines and clients for a time."""
+        deadline = self.event_loop.now + int(seconds * SECOND)
+        while self.event_loop.now < deadline:
+            self.event_loop.turn(min((deadline - self.event_loop.now) / 10, 20))
 
     def start_clients(self, rate: float) -> None:
-        """Clients come and ask, so many statements a second in all."""
+        """Start the clients, which together send `rate` requests per second."""
         self.clients = [
             EmulatedClient(
                 self.event_loop,
@@ -113,16 +122,19 @@
         ]
 
     def sent_request_count(self) -> int:
+        """Return the number of requests that the clients sent."""
         return sum(len(client.book) for client in self.clients)
 
     def tally(self) -> dict[str, int]:
-        said: dict[str, Any] = {}
+        """Count the requests of all clients by how they ended."""
+        counts: dict[str, Any] = {}
         for client in self.clients:
             for name, count in client.tally().items():
-                said[name] = said.get(name, 0) + count
-        return said
+                counts[name] = counts.get(name, 0) + count
+        return counts
 
     def close(self) -> None:
+        """End the program and the emulators, and delete the folder."""
         for client in self.clients:
             client.stop()
         self.until(0.05)
