--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -1,4 +1,4 @@
-"""Short days of the real program on loopback: scrapes that balance, rules kept, damage found where it is."""
+"""One gateway process on loopback under faults: snapshots, rules, audits and flow export."""
 
 import json
 import os
@@ -33,75 +33,86 @@
 from tests.corrupted_files import ALL_FAULTS, CALL_FAULTS, RECORD_FAULTS
 
 HERE = os.path.dirname(__file__)
-SLACK = 2500  # a busy machine may keep any process from its processor for a while
+SLACK_TICKS = 2500  # a busy machine may delay any process by this time
 
 
-def test_every_scrape_of_a_bad_day_balances_through_a_kill_and_a_restart():
-    play = GatewayScenario(3, scenes_of(SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12)
+def test_all_snapshots_balance_under_faults_through_a_kill_and_a_restart():
+    scenario = GatewayScenario(
+        3, scenes_of(SCRIPT, 26, ["e1", "e2", "e3", "e4"]), rate=150, scrapes=12
+    )
     try:
-        play.run(26)
-        log = play.program.log()
-        end = [line for line in log if "ended; counters" in line]
+        scenario.run(26)
+        log = scenario.program.log()
+        end_lines = [line for line in log if "ended; counters" in line]
     finally:
-        play.close()
-    assert play.snapshot_errors == [] and play.scrape_count > 200
-    assert play.find_rule_violations(SLACK) == []
+        scenario.close()
+    assert scenario.snapshot_errors == [] and scenario.scrape_count > 200
+    assert scenario.find_rule_violations(SLACK_TICKS) == []
     assert not [line for line in log if "exceptions" in line or "out of balance" in line]
-    closed = [line for line in log if "figures: epoch" in line and "closed" in line]
-    assert len(closed) == 2 and "cut_off=0" in closed[1]  # killed, and restarted in order
-    earlier = play.snapshots[-1]["earlier"]
+    closed_epoch_lines = [line for line in log if "figures: epoch" in line and "closed" in line]
+    # The kill and the restart each closed an epoch.
+    assert len(closed_epoch_lines) == 2 and "cut_off=0" in closed_epoch_lines[1]
+    earlier = scenario.snapshots[-1]["earlier"]
     assert [epoch["epoch"]["id"] for epoch in earlier] == [
-        line.split("epoch ")[1].split()[0] for line in reversed(closed)
+        line.split("epoch ")[1].split()[0] for line in reversed(closed_epoch_lines)
     ]
-    assert len(end) == 2 and play.tally()["served"] > 2000
-    known = sum(
+    assert len(end_lines) == 2 and scenario.tally()["served"] > 2000
+    counted_requests = sum(
         row["taken"]
-        for epoch in [play.snapshots[-1], *earlier]
+        for epoch in [scenario.snapshots[-1], *earlier]
         for row in epoch["offerings"].values()
     )
-    written = sum(
-        not ask.excused == "not written" for client in play.clients for ask in client.book
+    sent_requests = sum(
+        not request.excused == "not written"
+        for client in scenario.clients
+        for request in client.book
     )
-    assert 0 <= written - known < 60  # what came in the last tenth of a second before the kill
+    # Requests of the last 0.1 s before the kill are missing, as no checkpoint followed them.
+    assert 0 <= sent_requests - counted_requests < 60
 
 
 @pytest.fixture(scope="module")
-def damages():
-    """Every damage, a few at once."""
-    left, running, said = [*ALL_FAULTS], {}, {}
+def corruption_results():
+    """Inject every corruption into a gateway process of its own, five at a time."""
+    left, running, results = [*ALL_FAULTS], {}, {}
     while left or running:
         while left and len(running) < 5:
-            what = left.pop()
-            running[what] = subprocess.Popen(
-                [sys.executable, f"{HERE}/corrupted_files.py", "play", what],
+            fault = left.pop()
+            running[fault] = subprocess.Popen(
+                [sys.executable, f"{HERE}/corrupted_files.py", "play", fault],
                 stdout=subprocess.PIPE,
                 text=True,
                 preexec_fn=kill_with_parent(os.getpid()),
             )
-        for what, process in [*running.items()]:
+        for fault, process in [*running.items()]:
             if process.poll() is not None:
-                said[what] = json.loads(running.pop(what).stdout.read())
+                results[fault] = json.loads(running.pop(fault).stdout.read())
         time.sleep(0.05)
-    return said
+    return results
 
 
-def moment(line):
+def log_time(line):
+    """Return the Unix time of a log line."""
     return time.mktime(time.strptime(line[:19], "%Y-%m-%d %H:%M:%S")) + float(line[19:23])
 
 
-@pytest.mark.parametrize("what", ALL_FAULTS)
-def test_damage_to_any_entry_is_found_within_five_seconds_at_its_place(damages, what):
-    kind = CALL_FAULTS[what][2] if what in CALL_FAULTS else RECORD_FAULTS[what]
-    damaged = damages[what]["damaged"]
-    assert len(damaged) == 1, damages[what]["log"]
-    _, when, row = damaged[0].split(" ", 2)
-    found = [line for line in damages[what]["found"] if f": {row} {kind} " in line]
-    assert found, (row, kind, damages[what]["found"])
-    assert -0.01 <= moment(found[0]) - float(when) < 5
-    assert any(each["kind"] == kind and each["row"] == row for each in damages[what]["findings"])
+@pytest.mark.parametrize("fault", ALL_FAULTS)
+def test_a_corrupted_entry_is_reported_at_its_row_within_five_seconds(corruption_results, fault):
+    kind = CALL_FAULTS[fault][2] if fault in CALL_FAULTS else RECORD_FAULTS[fault]
+    damaged = corruption_results[fault]["damaged"]
+    assert len(damaged) == 1, corruption_results[fault]["log"]
+    _, corrupted_at, row = damaged[0].split(" ", 2)
+    found = [line for line in corruption_results[fault]["found"] if f": {row} {kind} " in line]
+    assert found, (row, kind, corruption_results[fault]["found"])
+    assert -0.01 <= log_time(found[0]) - float(corrupted_at) < 5
+    assert any(
+        each["kind"] == kind and each["row"] == row
+        for each in corruption_results[fault]["findings"]
+    )
 
 
-def started(folder, *arguments, said=None, **more):
+def start_gateway(folder, *arguments, configuration=None, **options):
+    """Start a gateway process with a minimal configuration."""
     port = free_port()
     program = GatewayProcess(
         str(folder),
@@ -110,24 +121,25 @@
             "listen": f"127.0.0.1:{port}",
             "feed": "127.0.0.1:1",
             "settings": settings(),
-            **(said or {}),
+            **(configuration or {}),
         },
-        **more,
+        **options,
     )
     program.start()
     return program
 
 
-def heard(program, text, patience=5.0):
-    until = time.time() + patience
-    while time.time() < until:
+def has_logged(program, text, timeout_seconds=5.0):
+    """Wait until the program logs a line with this text; return whether it does."""
+    deadline = time.time() + timeout_seconds
+    while time.time() < deadline:
         if any(text in line for line in program.log()):
             return True
         time.sleep(0.02)
     return False
 
 
-def test_nothing_of_the_figures_door_is_loaded_without_an_operator_file(tmp_path):
+def test_operator_libraries_are_not_imported_without_an_operator_file(tmp_path):
     code = (
         "import sys; from corkgauge.commands.serve import command; from corkgauge.daemon import process as daemon; "
         "print([name for name in sys.modules if name.split('.')[0] in ('lxml', 'h11', 'xxhash', "
@@ -139,13 +151,15 @@
     )
 
 
-def test_an_operator_file_that_is_faulty_at_a_start_and_at_sighup(tmp_path):
-    good = f'<operator version="1"><figures><listen unix="{tmp_path}/s"/></figures></operator>'
-    program = started(tmp_path, operator=good, log_form="json")
-    assert heard(program, '"event": "serving"')
+def test_an_invalid_operator_file_is_refused_at_sighup_and_at_start(tmp_path):
+    valid_file = (
+        f'<operator version="1"><figures><listen unix="{tmp_path}/s"/></figures></operator>'
+    )
+    program = start_gateway(tmp_path, operator=valid_file, log_form="json")
+    assert has_logged(program, '"event": "serving"')
     (tmp_path / "operator.xml").write_text("<operator")
     program.send_signal(signal.SIGHUP)
-    assert heard(program, '"event": "operator_file_not_taken"') and program.is_running()
+    assert has_logged(program, '"event": "operator_file_not_taken"') and program.is_running()
     assert program.end() == 0
     events = [json.loads(line) for line in program.log() if line.startswith("{")]
     assert events[-1]["event"] == "ended" and events[-1]["worst_lag"] >= 0
@@ -153,42 +167,44 @@
     assert program.process.wait(10) == 2 and "operator.xml:1:" in program.log()[-1]
 
 
-def test_a_folder_that_cannot_be_had_costs_one_line(tmp_path):
+def test_a_checkpoint_folder_that_cannot_be_created_is_logged_and_not_fatal(tmp_path):
     (tmp_path / "file").write_text("")
     operator = (
         f'<operator version="1"><figures><keep folder="{tmp_path}/file/x"/></figures></operator>'
     )
-    program = started(tmp_path, operator=operator)
-    assert heard(program, "figures not kept") and heard(program, "serving as n1")
+    program = start_gateway(tmp_path, operator=operator)
+    assert has_logged(program, "figures not kept") and has_logged(program, "serving as n1")
     assert program.end() == 0
 
 
-def test_the_soak_command_says_what_it_found(tmp_path):
+def test_the_soak_command_reports_its_results_and_invalid_scripts(tmp_path):
     script = tmp_path / "script"
     script.write_text("at 1 for 1: e1 slow 3")
-    said = CliRunner().invoke(group, ["soak", "--seconds", "3", "--script", str(script), "--json"])
-    found = json.loads(said.stdout)
-    assert said.exit_code == 0 and found["scrapes"] > 20 and found["clients"]["served"] > 100
+    result = CliRunner().invoke(
+        group, ["soak", "--seconds", "3", "--script", str(script), "--json"]
+    )
+    report = json.loads(result.stdout)
+    assert result.exit_code == 0 and report["scrapes"] > 20 and report["clients"]["served"] > 100
     script.write_text("at 1: e9 silent")
-    said = CliRunner().invoke(group, ["soak", "--script", str(script)])
-    assert said.exit_code == 2 and "script: line 1: no engine 'e9'" in said.stderr
+    result = CliRunner().invoke(group, ["soak", "--script", str(script)])
+    assert result.exit_code == 2 and "script: line 1: no engine 'e9'" in result.stderr
 
 
-def test_growth_is_seen_within_the_last_epoch():
+def test_memory_growth_counts_the_last_epoch_only():
     assert growth([100] * 40 + [50] * 60) == 0 and growth([*range(1000, 1100)]) > 50
 
 
-# The checker of the rules finds what breaks them.
+# The rule checker reports violations.
 
 
-def ask(trace, sent=0, want=0, answers=((100, 1),), key="", excused=""):
-    said = [
+def make_request(trace, sent=0, want=0, answers=((100, 1),), key="", excused=""):
+    encoded_answers = [
         (when, code, f"{trace}\t0\te1\n".encode() if code == 1 else b"") for when, code in answers
     ]
-    return Ask(trace, REQUEST_TYPES[want], key, sent, 0, 1, said, excused)
+    return Ask(trace, REQUEST_TYPES[want], key, sent, 0, 1, encoded_answers, excused)
 
 
-def run(
+def make_attempt(
     trace,
     came=10,
     engine="e2",
@@ -202,67 +218,96 @@
     return Run(engine, kind, trace, request_class, label, came, work, ended, ran)
 
 
-FIRST = (0, "e2", "SERVING", 0)
+INITIAL_CHANGE = (0, "e2", "SERVING", 0)
 
 
 @pytest.mark.parametrize(
-    "rule, asks, runs, changes",
+    "rule, requests, attempts, changes",
     [
-        ("", [ask("t")], [run("t")], [FIRST]),
-        ("lost", [ask("t", answers=())], [run("t")], [FIRST]),
-        ("", [ask("t", answers=(), excused="withdrawn")], [run("t")], [FIRST]),
-        ("lost", [ask("t", answers=((1, 2), (2, 2)))], [], [FIRST]),
-        ("lost", [ask("t", answers=((30_000, 2),))], [], [FIRST]),
-        ("lost", [ask("t")], [], [FIRST]),
+        ("", [make_request("t")], [make_attempt("t")], [INITIAL_CHANGE]),
+        ("lost", [make_request("t", answers=())], [make_attempt("t")], [INITIAL_CHANGE]),
+        (
+            "",
+            [make_request("t", answers=(), excused="withdrawn")],
+            [make_attempt("t")],
+            [INITIAL_CHANGE],
+        ),
+        ("lost", [make_request("t", answers=((1, 2), (2, 2)))], [], [INITIAL_CHANGE]),
+        ("lost", [make_request("t", answers=((30_000, 2),))], [], [INITIAL_CHANGE]),
+        ("lost", [make_request("t")], [], [INITIAL_CHANGE]),
         (
             "effect",
-            [ask("t", want=3)],
-            [run("t", request_class="once"), run("t", request_class="once")],
-            [FIRST],
+            [make_request("t", want=3)],
+            [make_attempt("t", request_class="once"), make_attempt("t", request_class="once")],
+            [INITIAL_CHANGE],
         ),
         (
             "",
-            [ask("t", want=3)],
-            [run("t", request_class="once", ran=False), run("t", request_class="once")],
-            [FIRST],
+            [make_request("t", want=3)],
+            [
+                make_attempt("t", request_class="once", ran=False),
+                make_attempt("t", request_class="once"),
+            ],
+            [INITIAL_CHANGE],
+        ),
+        (
+            "drain",
+            [make_request("t")],
+            [make_attempt("t", came=9_000)],
+            [INITIAL_CHANGE, (100, "e2", "DRAINING", 0)],
         ),
-        ("drain", [ask("t")], [run("t", came=9_000)], [FIRST, (100, "e2", "DRAINING", 0)]),
         (
             "cold",
-            [ask("t", sent=1)],
-            [run(f"t{n}" if n else "t", came=20 + n, work=4000.0) for n in range(9)],
-            [FIRST, (10, "e2", "SERVING", 1)],
+            [make_request("t", sent=1)],
+            [make_attempt(f"t{n}" if n else "t", came=20 + n, work=4000.0) for n in range(9)],
+            [INITIAL_CHANGE, (10, "e2", "SERVING", 1)],
         ),
         (
             "order",
-            [ask("a", want=2, key="k"), ask("b", sent=5, want=2, key="k")],
-            [run("a", request_class="load"), run("b", came=50, request_class="load")],
-            [FIRST],
+            [make_request("a", want=2, key="k"), make_request("b", sent=5, want=2, key="k")],
+            [
+                make_attempt("a", request_class="load"),
+                make_attempt("b", came=50, request_class="load"),
+            ],
+            [INITIAL_CHANGE],
+        ),
+        (
+            "placement",
+            [make_request("t", want=1)],
+            [make_attempt("t", request_class="report", kind="c8")],
+            [INITIAL_CHANGE],
         ),
-        ("placement", [ask("t", want=1)], [run("t", request_class="report", kind="c8")], [FIRST]),
         (
             "budget",
-            [ask(f"t{n}") for n in range(8)],
-            [run(f"t{n}", came=n + k) for n in range(8) for k in (0, 50)],
-            [FIRST],
+            [make_request(f"t{n}") for n in range(8)],
+            [make_attempt(f"t{n}", came=n + k) for n in range(8) for k in (0, 50)],
+            [INITIAL_CHANGE],
         ),
     ],
 )
-def test_the_checker_of_the_rules(rule, asks, runs, changes):
-    found = rules.broken(asks, runs, changes, {"e2": 12}, RULE_EXPECTATIONS)
+def test_the_rule_checker_reports_each_violated_rule(rule, requests, attempts, changes):
+    found = rules.broken(requests, attempts, changes, {"e2": 12}, RULE_EXPECTATIONS)
     assert {line.partition(":")[0] for line in found} == ({rule} if rule else set()), found
 
 
-def test_what_a_killed_gateway_held_is_not_owed():
-    asks, runs = [ask("t", answers=())], [run("t")]
+def test_requests_open_when_a_gateway_is_killed_need_no_answer():
+    requests, attempts = [make_request("t", answers=())], [make_attempt("t")]
+    assert (
+        rules.broken(
+            requests, attempts, [INITIAL_CHANGE], {"e2": 12}, RULE_EXPECTATIONS, killed=[5 * SECOND]
+        )
+        != []
+    )
     assert (
-        rules.broken(asks, runs, [FIRST], {"e2": 12}, RULE_EXPECTATIONS, killed=[5 * SECOND]) != []
+        rules.broken(
+            requests, attempts, [INITIAL_CHANGE], {"e2": 12}, RULE_EXPECTATIONS, killed=[SECOND]
+        )
+        == []
     )
-    assert rules.broken(asks, runs, [FIRST], {"e2": 12}, RULE_EXPECTATIONS, killed=[SECOND]) == []
 
 
 @pytest.mark.parametrize(
-    "line, wrong",
+    "line, message",
     [
         ("e1 silent", "expected 'at SECOND"),
         ("at x: e1 silent", "could not convert"),
@@ -274,78 +319,82 @@
         ("at 1: program sing", "no engine 'program'"),
     ],
 )
-def test_a_script_that_makes_no_sense_names_its_line(line, wrong):
-    with pytest.raises(Unplayable) as said:
+def test_an_invalid_script_is_rejected_with_its_line_number(line, message):
+    with pytest.raises(Unplayable) as raised:
         read(f"# a comment\n{line}", ["e1"])
-    assert "line 2: " in str(said.value) and wrong in str(said.value)
+    assert "line 2: " in str(raised.value) and message in str(raised.value)
 
 
-# Flow export of the real program.
+# Flow export of the gateway process.
 
-FLOWS = """<operator version="1"><figures><listen unix="{folder}/figures.sock"/>
+FLOW_OPERATOR_FILE = """<operator version="1"><figures><listen unix="{folder}/figures.sock"/>
 <keep folder="{folder}/kept" each="0.1"/></figures>
 <flows layout="%s" active="2" idle="1"><collector address="127.0.0.1:%d" transport="%s"/></flows>
 </operator>"""
 
 
 @pytest.mark.parametrize("layout, transport", [("own", "tcp"), ("standard", "udp")])
-def test_flows_of_a_bad_day_add_up_to_the_programs_own_counts(layout, transport):
+def test_exported_octets_match_the_counters_under_faults(layout, transport):
     scenes = read(
         "at 1 for 2: e1 silent\nat 2: e2 reset\nat 3 for 2: e1 restart\nat 6: program restart",
         ["e1", "e2"],
     )
-    play, heard = (
+    scenario, received = (
         GatewayScenario(4, scenes, engines=2, rate=80, scrapes=5, hangs_up=0.01, operator=""),
         [],
     )
     collector = EmulatedCollector(
-        play.event_loop, transport, lambda message, data: heard.append((message, data))
+        scenario.event_loop, transport, lambda message, data: received.append((message, data))
     )
-    path = os.path.join(play.folder, "operator.xml")
+    path = os.path.join(scenario.folder, "operator.xml")
     with open(path, "w", encoding="utf-8") as file:
         file.write(
-            (FLOWS % (layout, collector.address[1], transport)).replace("{folder}", play.folder)
+            (FLOW_OPERATOR_FILE % (layout, collector.address[1], transport)).replace(
+                "{folder}", scenario.folder
+            )
         )
-    play.program.arguments += ["--operator", path]
-    play.event_loop.call_later(int(3.5 * SECOND), collector.close)
-    play.event_loop.call_later(int(4.5 * SECOND), collector.open)
+    scenario.program.arguments += ["--operator", path]
+    scenario.event_loop.call_later(int(3.5 * SECOND), collector.close)
+    scenario.event_loop.call_later(int(4.5 * SECOND), collector.open)
     try:
-        play.run(9, drain=2)
-        play.until(play.event_loop.now + SECOND // 5)
-        kept, log = read_checkpoint_file(play.checkpoint_path()), play.program.log()
-        last = play.snapshots[-1]["flows"]["first"]
+        scenario.run(9, drain=2)
+        scenario.until(scenario.event_loop.now + SECOND // 5)
+        checkpoint, log = read_checkpoint_file(scenario.checkpoint_path()), scenario.program.log()
+        last = scenario.snapshots[-1]["flows"]["first"]
     finally:
-        play.close()
+        scenario.close()
     assert (
         collector.wrong == []
-        and play.snapshot_errors == []
+        and scenario.snapshot_errors == []
         and not any("out of balance" in line for line in log)
     )
-    carried = [
+    counted_octets = [
         sum(row["received"] + row["sent"] for row in epoch["connections"].values())
-        for epoch in (*kept["earlier"], kept["cut"])
+        for epoch in (*checkpoint["earlier"], checkpoint["cut"])
     ]
-    told = sum(
+    exported_octets = sum(
         record["octetDeltaCount"] + record.get("reverseOctetDeltaCount", 0)
-        for message, _ in heard
+        for message, _ in received
         for record in message.records
     )
-    assert len(carried) == 2 and last["dropped"] == 0
-    assert abs(told - sum(carried)) <= 0.01 * sum(carried)
-    first = [message for message, _ in heard if message.sequence == 0 and message.templates]
-    # at a start, after the outage
-    assert len(first) >= 3 and len({message.domain for message, _ in heard}) == 1
+    assert len(counted_octets) == 2 and last["dropped"] == 0
+    assert abs(exported_octets - sum(counted_octets)) <= 0.01 * sum(counted_octets)
+    first_messages = [
+        message for message, _ in received if message.sequence == 0 and message.templates
+    ]
+    # Sessions begin at both starts and after the outage of the collector.
+    assert len(first_messages) >= 3 and len({message.domain for message, _ in received}) == 1
     if layout == "standard":
         templates = {"netflow": {}, "ipfix": {}}
-        theirs = sum(
+        octets_by_reference_decoder = sum(
             flow.data.get("octetDeltaCount", 0)
-            for _, data in heard
+            for _, data in received
             for flow in parse_packet(data.hex(), templates).flows
         )
-        assert theirs == told
+        assert octets_by_reference_decoder == exported_octets
 
 
-def test_a_collector_of_ones_own_writes_and_reports(tmp_path):
+def test_the_listen_command_writes_rows_that_the_report_command_reads(tmp_path):
     rows = tmp_path / "rows.json"
     port = free_port()
     listener = subprocess.Popen(
@@ -397,16 +446,16 @@
         ):
             sock.sendto(data, ("127.0.0.1", port))
     assert listener.wait(20) == 0
-    run = CliRunner().invoke
-    said = run(group, ["flows", "report", str(rows), "--json", "--span", "10"])
+    invoke_command = CliRunner().invoke
+    report = invoke_command(group, ["flows", "report", str(rows), "--json", "--span", "10"])
     assert [
         (each["engine"], sum(span["there"] for span in each["spans"]))
-        for each in json.loads(said.output)
+        for each in json.loads(report.output)
     ] == [("e0", 100), ("e1", 100)]
-    assert run(group, ["flows", "report", str(rows)]).exit_code == 0
-    dumped = run(group, ["flows", "dump", str(tmp_path / "capture")])
-    assert dumped.exit_code == 0 and dumped.output.count("engineId=e1") == 10
+    assert invoke_command(group, ["flows", "report", str(rows)]).exit_code == 0
+    dump = invoke_command(group, ["flows", "dump", str(tmp_path / "capture")])
+    assert dump.exit_code == 0 and dump.output.count("engineId=e1") == 10
     rows.write_text("{}\n")
-    assert run(group, ["flows", "report", str(rows)]).exit_code == 2
+    assert invoke_command(group, ["flows", "report", str(rows)]).exit_code == 2
     (tmp_path / "capture").write_bytes(b"\0\0\0\4nope")
-    assert run(group, ["flows", "dump", str(tmp_path / "capture")]).exit_code == 1
+    assert invoke_command(group, ["flows", "dump", str(tmp_path / "capture")]).exit_code == 1
--- a/tests/test_parent.py
+++ b/tests/test_parent.py
@@ -1,4 +1,4 @@
-"""No process of a rig outlives the one that started it, however that ends."""
+"""All processes of a fleet end when the process that started the fleet is killed."""
 
 import os
 import shutil
@@ -7,9 +7,9 @@
 import sys
 import time
 
-# A rig as the scenes' tests have it: a pool's worker, in it a fleet whose gateways keep votes on
-# disk; one of them stands still, one shares its processor with a burner.
-RIG = """
+# As in the fleet tests, a worker of a pool runs a fleet whose gateways keep votes on disk. One
+# gateway is suspended, and one shares its processor with a busy loop.
+FLEET_SCRIPT = """
 import os, signal, sys, time
 from concurrent.futures import ProcessPoolExecutor
 from corkgauge.testkit.fleet.processes import Fault, Fleet
@@ -32,7 +32,7 @@
 
 
 def processes():
-    """By process id: its parent's, when it started, how it stands; those that only wait to be reaped are no more."""
+    """Return the parent, start time and state of each process by id, without zombies."""
     found = {}
     for pid in filter(str.isdigit, os.listdir("/proc")):
         try:
@@ -46,42 +46,44 @@
 
 
 def descendants(root):
-    """Process id, start and state of each that descends from this one."""
-    found, known, left = [], processes(), [root]
-    while left:
-        parent = left.pop()
-        for pid, (above, start, state) in known.items():
-            if above == parent:
-                left.append(pid)
+    """Return process id, start time and state of each descendant of a process."""
+    found, known, pending = [], processes(), [root]
+    while pending:
+        parent = pending.pop()
+        for pid, (parent_pid, start, state) in known.items():
+            if parent_pid == parent:
+                pending.append(pid)
                 found.append((pid, start, state))
     return found
 
 
-def test_a_rig_that_is_killed_outright_leaves_no_process_behind(tmp_path):
+def test_a_killed_starter_of_a_fleet_leaves_no_process_behind(tmp_path):
     script = tmp_path / "rig.py"
-    script.write_text(RIG)
+    script.write_text(FLEET_SCRIPT)
     with subprocess.Popen(
         [sys.executable, str(script)],
         stdout=subprocess.PIPE,
         text=True,
         env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
-    ) as rig:
+    ) as starter:
         try:
-            folder = rig.stdout.readline().strip()
+            folder = starter.stdout.readline().strip()
             assert os.path.isdir(folder)
-            # The worker, two gateways, a burner, and what writes each gateway's votes.
-            begun = descendants(rig.pid)
-            assert len(begun) >= 6 and b"T" in [state for *_, state in begun]
-            rig.send_signal(signal.SIGKILL)
-            until, left = time.monotonic() + 10, begun
-            while left and time.monotonic() < until:
+            # The worker, two gateways, the busy loop, and the writer of each gateway's votes.
+            started = descendants(starter.pid)
+            assert len(started) >= 6 and b"T" in [state for *_, state in started]
+            starter.send_signal(signal.SIGKILL)
+            deadline, remaining = time.monotonic() + 10, started
+            while remaining and time.monotonic() < deadline:
                 time.sleep(0.02)
-                now = processes()
-                left = [pid for pid, start, _ in begun if pid in now and now[pid][1] == start]
-            stayed = [*left]
-            for pid in left:  # a red test leaves nothing either
+                running = processes()
+                remaining = [
+                    pid for pid, start, _ in started if pid in running and running[pid][1] == start
+                ]
+            survivors = [*remaining]
+            for pid in remaining:  # a failed test leaves no process either
                 os.kill(pid, signal.SIGKILL)
-            assert stayed == []
+            assert survivors == []
             shutil.rmtree(folder)
         finally:
-            rig.kill()
+            starter.kill()
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that rigs choose: no two the same one, whatever listens there at the moment."""
+"""Reserved ports: never chosen twice, whether or not a process listens on them."""
 
 import socket
 
@@ -14,31 +14,31 @@
 )
 
 
-@pytest.mark.parametrize("sort", [socket.SOCK_STREAM, socket.SOCK_DGRAM])
-def test_a_port_that_was_released_goes_to_nobody_else_until_its_end(monkeypatch, sort):
+@pytest.mark.parametrize("socket_type", [socket.SOCK_STREAM, socket.SOCK_DGRAM])
+def test_a_released_port_stays_reserved_until_its_end(monkeypatch, socket_type):
     drawn = []
 
-    def draws(numbers):
-        """The next draws, one after the other."""
+    def set_draws(numbers):
+        """Set the next random numbers."""
         drawn[:] = numbers
         monkeypatch.setattr(ports.secrets, "randbelow", lambda below: drawn.pop(0))
 
-    one = ReservedPort(sort)
-    number = one.address[1] - MIN_PORT
-    others = [n for n in range(1, 900) if n != number]
-    one.release()  # nobody listens there, and it is taken all the same
-    draws([number, *others])
-    two = ReservedPort(sort)
-    assert two.address[1] - MIN_PORT in others and drawn[0] != others[0]
-    one.end()
-    draws([number])
-    three = ReservedPort(sort)
-    assert three.address == one.address
-    for each in two, three:
+    first = ReservedPort(socket_type)
+    first_number = first.address[1] - MIN_PORT
+    other_numbers = [n for n in range(1, 900) if n != first_number]
+    first.release()  # no process listens on the port, and it is still reserved
+    set_draws([first_number, *other_numbers])
+    second = ReservedPort(socket_type)
+    assert second.address[1] - MIN_PORT in other_numbers and drawn[0] != other_numbers[0]
+    first.end()
+    set_draws([first_number])
+    third = ReservedPort(socket_type)
+    assert third.address == first.address
+    for each in second, third:
         each.end()
 
 
-def test_a_port_where_somebody_listens_is_not_chosen(monkeypatch):
+def test_a_port_in_use_is_not_chosen(monkeypatch):
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         drawn = [sock.getsockname()[1] - MIN_PORT, 5, 6, 7, 8]
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, found",
+    "port_range, expected",
     [
         ("32768\t60999\n", 32_768),
         ("16000 65535\n", 16_000),
@@ -56,9 +56,9 @@
         ("", MAX_PORT),
     ],
 )
-def test_ports_that_the_system_hands_out_are_left_to_it_where_that_leaves_enough(
-    tmp_path, said, found
+def test_ports_assigned_by_the_kernel_are_avoided_where_enough_others_exist(
+    tmp_path, port_range, expected
 ):
-    (tmp_path / "range").write_text(said)
-    assert port_range_end(str(tmp_path / "range")) == found
+    (tmp_path / "range").write_text(port_range)
+    assert port_range_end(str(tmp_path / "range")) == expected
     assert port_range_end(str(tmp_path / "none")) == MAX_PORT
