--- a/corkgauge/testkit/fleet/hollow_node.py
+++ b/corkgauge/testkit/fleet/hollow_node.py
@@ -197,7 +197,7 @@
 
     lag = 0
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
         """Do nothing: without requests, the timers of the policy module are not needed."""
 
 
@@ -207,15 +207,15 @@
     def _bind(self, config: MembershipConfig) -> None:
         self.sock = self.socket_host.counting_socket
         self.became = Counter[str]()
-        self.short = len(config.members) - 1  # members not held alive
-        self.settled = 0  # when the last of them became alive
+        self.not_alive_count = len(config.members) - 1  # members not held alive
+        self.all_alive_since = 0  # when the last of them became alive
 
     def on_member_changed(self, member: Member, previous_state: MemberState) -> None:
         """Count a change of a member's state, and pass it on."""
         self.became[f"{previous_state.label} {member.state.label}"] += 1
-        self.short += (previous_state == ALIVE) - (member.state == ALIVE)
-        if not self.short:
-            self.settled = self.event_loop.now
+        self.not_alive_count += (previous_state == ALIVE) - (member.state == ALIVE)
+        if not self.not_alive_count:
+            self.all_alive_since = self.event_loop.now
         super().on_member_changed(member, previous_state)
 
 
@@ -355,7 +355,7 @@
         self.membership.sock = None
         self.member_event_loop.wake(self.counting_socket.fileno())
 
-    def told(self, incarnations: dict[str, int]) -> None:
+    def learn_incarnations(self, incarnations: dict[str, int]) -> None:
         """Learn the incarnations of all members, with no gossip left to send.
 
         This is the state of a fleet some hours after the start of all members.
@@ -371,7 +371,7 @@
 
     def unknown(self) -> int:
         """Return the number of members that are not held alive."""
-        return self.membership.short
+        return self.membership.not_alive_count
 
     def holds(self, names: list[str], alive: bool) -> bool:
         """Return whether this member holds all these others alive, or all gone.
--- a/corkgauge/testkit/fleet/hollow_process.py
+++ b/corkgauge/testkit/fleet/hollow_process.py
@@ -110,7 +110,7 @@
     def do_told(self, starts: dict[str, int]) -> None:
         """Tell each running member the incarnations of all members."""
         for each in self.members.values():
-            each.told(starts)
+            each.learn_incarnations(starts)
 
     def do_end(self, names: list[str], over: float = 0.0, again: float = -1.0) -> int:
         """End the named members in order, at random times within `over` seconds.
@@ -178,7 +178,10 @@
         Returns an empty list without members.
         """
         return (
-            [self.event_loop.now - max(each.membership.settled for each in self.members.values())]
+            [
+                self.event_loop.now
+                - max(each.membership.all_alive_since for each in self.members.values())
+            ]
             if self.members
             else []
         )
--- a/corkgauge/testkit/fleet/maintenance_crew.py
+++ b/corkgauge/testkit/fleet/maintenance_crew.py
@@ -47,7 +47,7 @@
         )
         self.work_ticks, self.announced_seconds = int(work_seconds * SECOND), announced_seconds
         self.book: list[Work] = []
-        self.begun: set[tuple[str, str]] = set()
+        self.started_units: set[tuple[str, str]] = set()
         self.command_count = 0
         self.answers: dict[str, tuple[str, str]] = {}  # by command key: the answer, and the error
         self.last_plan: dict[str, Any] = {}  # the latest plan that a gateway reported
@@ -165,10 +165,10 @@
             key = unit["unit"], unit["ask"]
             if (
                 unit["state"] == "out"
-                and key not in self.begun
+                and key not in self.started_units
                 and unit["ask"] in self.requested_at
             ):
-                self.begun.add(key)
+                self.started_units.add(key)
                 self.work(
                     Work(unit["unit"], unit["ask"], tuple(unit["members"]), self.event_loop.now)
                 )
