--- a/tests/test_subset_fleet.py
+++ b/tests/test_subset_fleet.py
@@ -141,10 +141,10 @@
     )
     fleet.mark_started(new)
     first_published_at = fleet.event_loop.now
-    fleet.publish_list(listed, full=True, to=names[1::2])
+    fleet.publish_list(listed, full=True, gateways=names[1::2])
     fleet.until(4)
     then_published_at = fleet.event_loop.now
-    fleet.publish_list(listed, full=True, to=names[::2])
+    fleet.publish_list(listed, full=True, gateways=names[::2])
     fleet.until(4)
     reached = {
         name: fleet.engines_reached_from(name, first_published_at) & {*new} for name in names
