--- a/benchmarks/scale_alone.py
+++ b/benchmarks/scale_alone.py
@@ -33,8 +33,15 @@
 from corkgauge.eventloop.loop import READ, EventLoop
 from corkgauge.policy.records import EngineState
 from corkgauge.testkit.fleet import profile_sampler as sampled
-from corkgauge.testkit.fleet.hollow_gateway import RATE, TABLE_GROUPS, Alone, Front, busy, listing
-from corkgauge.testkit.fleet.hollow_serve import Serve
+from corkgauge.testkit.fleet.hollow_gateway import (
+    REQUESTS_PER_SECOND,
+    TABLE_GROUP_COUNT,
+    SocketPairFrontEnd,
+    StandaloneGatewayHost,
+    burn_cpu,
+    engine_list_event,
+)
+from corkgauge.testkit.fleet.hollow_serve import HollowServeProcess
 
 # Full size: engines, and client connections and open requests of one workload manager.
 FULL_ENGINE_COUNT, FULL_CLIENT_CONNECTION_COUNT, FULL_OPEN_REQUEST_COUNT = (
@@ -103,11 +110,13 @@
 
 def measure_decision_ms(run: Run, engines: int, **options: Any) -> float:
     """Returns ms per statement, over a window of whole feedback periods."""
-    alone = Alone(engines, **options)
+    alone = StandaloneGatewayHost(engines, **options)
     alone.play(
-        alone.drawn(max(WARM_UP_STATEMENT_COUNT, int(1.2 * alone.hold * alone.rate / 10_000)))
+        alone.draw_requests(
+            max(WARM_UP_STATEMENT_COUNT, int(1.2 * alone.hold * alone.rate / 10_000))
+        )
     )
-    statements = alone.drawn(run.window)
+    statements = alone.draw_requests(run.window)
     before = alone.refused
     cost = alone.play(statements) * 1000 / run.window
     if alone.refused - before > 0.05 * run.window:
@@ -121,12 +130,12 @@
 DECISION_TEXT = (
     "processor of the module a statement, its host's made-up clock with it: taken, handed off, "
     "answered; "
-    f"870 gateways, {RATE:.0f} statements a second, four classes, 20 tenants"
+    f"870 gateways, {REQUESTS_PER_SECOND:.0f} statements a second, four classes, 20 tenants"
 )
 
 
 def decision_rows_by_engine_count(run: Run) -> list[dict[str, Any]]:
-    what = f"{DECISION_TEXT}, {TABLE_GROUPS} table groups drawn unevenly (1 / k)"
+    what = f"{DECISION_TEXT}, {TABLE_GROUP_COUNT} table groups drawn unevenly (1 / k)"
     return [
         run.measure_slope(
             "alone.decision.engines",
@@ -159,7 +168,7 @@
         run.measure_slope(
             "alone.decision.tenants",
             f"{DECISION_TEXT[: DECISION_TEXT.rindex(',')]}, tenants drawn unevenly (1 / k), "
-            f"{TABLE_GROUPS} table groups, 40 engines",
+            f"{TABLE_GROUP_COUNT} table groups, 40 engines",
             "ms",
             "tenants",
             (1, 10, 100, 300),
@@ -180,7 +189,7 @@
             "open requests",
             (10, 100, 1_000, 3_000),
             lambda n: measure_decision_ms(
-                run, 40, hold=int(n / RATE * 10_000), cores=OPEN_REQUEST_ENGINE_CORES
+                run, 40, hold=int(n / REQUESTS_PER_SECOND * 10_000), cores=OPEN_REQUEST_ENGINE_CORES
             ),
             FULL_OPEN_REQUEST_COUNT,
         )
@@ -190,7 +199,7 @@
 def decision_rows_by_gateway_count(run: Run) -> list[dict[str, Any]]:
     what = (
         DECISION_TEXT.replace("870 gateways", "so many gateways told, 40 engines")
-        + f", {TABLE_GROUPS} table groups"
+        + f", {TABLE_GROUP_COUNT} table groups"
     )
     return [
         run.measure_slope(
@@ -209,7 +218,7 @@
     """Measures both sizes alternately, so that disturbances of the machine affect both alike."""
     rows = []
     for key, groups, part in (
-        ("alone.decision.ratio", TABLE_GROUPS, 1),
+        ("alone.decision.ratio", TABLE_GROUP_COUNT, 1),
         ("alone.decision.ratio.one_group", 1, 5),
     ):
         short_run, ratios = Run(run.quick, run.full, run.engines, run.command), []
@@ -238,10 +247,10 @@
 
     The usual cost of these statements, measured without a removal, is subtracted.
     """
-    alone, spent = Alone(engines), []
-    alone.play(alone.drawn(WARM_UP_STATEMENT_COUNT))
+    alone, spent = StandaloneGatewayHost(engines), []
+    alone.play(alone.draw_requests(WARM_UP_STATEMENT_COUNT))
     for removes_engine in False, False, True:
-        statements = alone.drawn(TABLE_GROUPS)
+        statements = alone.draw_requests(TABLE_GROUP_COUNT)
         for group, (_, request) in enumerate(statements):
             request.table_group = float(group)
         started_at = time.process_time()
@@ -257,7 +266,7 @@
     what = (
         f"one engine leaves the list: processor of the module, with what it costs the next "
         "statement of each of "
-        f"{TABLE_GROUPS} table groups more"
+        f"{TABLE_GROUP_COUNT} table groups more"
     )
     return [
         run.measure_slope(
@@ -284,22 +293,25 @@
 ) -> float:
     """Returns ms per statement, over a window after the links to the engines have come up."""
     check_trial_size(2, 300 + 0.1 * engines)
-    serve = Serve(engines, start=start)
+    serve = HollowServeProcess(engines, start=start)
     try:
-        serve.ready()
+        serve.start_and_wait()
         serve.until(0.3)
-        rest_seconds = serve.program.spent()
+        rest_seconds = serve.program.cpu_seconds()
         serve.until(1)
-        rest_seconds = serve.program.spent() - rest_seconds
-        serve.begin(rate)
+        rest_seconds = serve.program.cpu_seconds() - rest_seconds
+        serve.start_clients(rate)
         serve.until(SETTLE_SECONDS / (4 if run.quick else 1))
         started_at, requested_count, window_seconds = (
-            serve.program.spent(),
-            serve.asked(),
+            serve.program.cpu_seconds(),
+            serve.sent_request_count(),
             window_seconds / (4 if run.quick else 1),
         )
         serve.until(window_seconds)
-        spent, requested_count = serve.program.spent() - started_at, serve.asked() - requested_count
+        spent, requested_count = (
+            serve.program.cpu_seconds() - started_at,
+            serve.sent_request_count() - requested_count,
+        )
         tally = serve.tally()
         if tally["served"] < 0.95 * (tally["asked"] - tally["none"]):
             raise RuntimeError(
@@ -354,18 +366,18 @@
 
 
 def measure_whole_list_ms(engines: int) -> float:
-    front, event = Front(0), json.dumps(listing(2, engines))
+    front, event = SocketPairFrontEnd(0), json.dumps(engine_list_event(2, engines))
     started_at = time.process_time()
-    front.told(event)
+    front.apply_list_event(event)
     return 1000 * (time.process_time() - started_at)
 
 
 def measure_engine_restart_event_ms(engines: int) -> float:
-    front, spent = Front(engines), []
+    front, spent = SocketPairFrontEnd(engines), []
     for n in range(5):
-        event = front.changed(n % engines)
+        event = front.next_restart_event(n % engines)
         started_at = time.process_time()
-        front.told(event)
+        front.apply_list_event(event)
         spent.append(1000 * (time.process_time() - started_at))
     return median(spent)
 
@@ -423,17 +435,17 @@
 
 
 def measure_engine_list_kb(engines: int) -> float:
-    return measure_allocated_kb(lambda: lambda: Front(engines))
+    return measure_allocated_kb(lambda: lambda: SocketPairFrontEnd(engines))
 
 
 def measure_links_kb(links: int) -> float:
     check_descriptor_limit(2 * links)
-    front = Front(100)
+    front = SocketPairFrontEnd(100)
     try:
 
         def allocate() -> None:
             for n in range(links):
-                front.link(n % 100)
+                front.add_engine_connection(n % 100)
             front.turn()
 
         return measure_allocated_kb(lambda: allocate)
@@ -443,7 +455,7 @@
 
 def measure_client_connections_kb(clients: int) -> float:
     check_descriptor_limit(2 * clients)
-    front = Front(1)
+    front = SocketPairFrontEnd(1)
     try:
 
         def allocate() -> None:
@@ -459,16 +471,16 @@
 def measure_open_requests_kb(count: int) -> float:
     clients, engines = -(-count // 30), 40
     check_descriptor_limit(2 * clients + 2 * 10 * engines)
-    front = Front(engines, 2_000)
+    front = SocketPairFrontEnd(engines, 2_000)
     try:
         for n in range(10 * engines):
-            front.link(n % engines)
+            front.add_engine_connection(n % engines)
         client_connections = [front.client() for _ in range(clients)]
         front.turn()
 
         def allocate() -> None:
             for n in range(count):
-                front.ask(client_connections[n % clients], 1 + n // clients)
+                front.send_request(client_connections[n % clients], 1 + n // clients)
                 if n % 200 == 199:
                     front.turn(2)
             front.turn(8)
@@ -489,7 +501,7 @@
 
 def measure_tenants_kb(tenants: int) -> float:
     def make() -> Callable[[], Any]:
-        return lambda: Alone(40, tenants=tenants)
+        return lambda: StandaloneGatewayHost(40, tenants=tenants)
 
     return measure_allocated_kb(make)
 
@@ -605,9 +617,9 @@
 
     def ready(engines: int) -> float:
         check_trial_size(2, 100 + 0.1 * engines)
-        serve = Serve(engines)
+        serve = HollowServeProcess(engines)
         try:
-            _, processor = serve.ready()
+            _, processor = serve.start_and_wait()
             resident_mb.setdefault(engines, []).append(serve.program.memory() / 2**20)
             return processor
         finally:
@@ -679,9 +691,9 @@
     for engines in 10, 40:
         gc.collect()
         whole_us = median(1000 * measure_decision_ms(run, engines) for _ in range(3))
-        alone = Alone(engines)
-        alone.play(alone.drawn(WARM_UP_STATEMENT_COUNT))
-        statements, profile = alone.drawn(run.window), cProfile.Profile()
+        alone = StandaloneGatewayHost(engines)
+        alone.play(alone.draw_requests(WARM_UP_STATEMENT_COUNT))
+        statements, profile = alone.draw_requests(run.window), cProfile.Profile()
         profile.runcall(alone.play, statements)
         found: dict[str, list[float]] = {}
         for (file, _, name), (_, calls, own_seconds, _, _) in pstats.Stats(profile).stats.items():
@@ -749,7 +761,7 @@
             start=("-m", "corkgauge.testkit.fleet.profile_sampler", file.name),
             window_seconds=4 * WINDOW_SECONDS,
         )
-        sample_count, top_counts, inclusive_counts = sampled.read(file.name)
+        sample_count, top_counts, inclusive_counts = sampled.read_samples(file.name)
     print(
         f"alone.profile.sockets: {whole_us:.0f} µs a statement, "
         f"{sampled_us:.0f} with the sampler, "
@@ -893,7 +905,7 @@
     )
     run, found = Run(quick, full, engines, command_text), []
     gc.disable()  # as in the serving process
-    busy(0.3)
+    burn_cpu(0.3)
     for key in wanted:
         part = ROW_BUILDERS[key](run)
         found += part
--- a/benchmarks/scale_fleet.py
+++ b/benchmarks/scale_fleet.py
@@ -26,7 +26,7 @@
     measure_slope,
     save_rows,
 )
-from corkgauge.testkit.fleet.hollow_fleet import VOTERS, Fleet, Late
+from corkgauge.testkit.fleet.hollow_fleet import VOTER_COUNT, Fleet, FleetTimeoutError
 from corkgauge.testkit.fleet.hollow_node import ELEMENTS
 
 FULL_GATEWAY_COUNT = 870
@@ -244,7 +244,7 @@
 
 def wait_until_at_rest(fleet: Fleet, scale: float) -> None:
     """Brings up the fleet in its long-running state and waits until its duties have holders."""
-    fleet.at_rest()
+    fleet.start_at_rest()
     fleet.until_known(TIMEOUT_SECONDS)
     for duty in ("books", "works"):
         if duty in fleet.elements or (duty == "books" and "duties" in fleet.elements):
@@ -492,7 +492,7 @@
             for phase in phases:
                 print_progress(f"{size}: {phase}")
                 PHASES[phase](fleet, values, scale)
-        except Late as problem:
+        except FleetTimeoutError as problem:
             run["late"] = f"{phase}: {problem}"
             print_progress(f"{size}: phase did not finish: {run['late']}")
         run["troubles"] = sum(each["troubles"] for each in fleet.counters())
@@ -623,13 +623,13 @@
         raise click.BadParameter(f"{unknown_names[0]!r}: expected some of {known}")
     for size in wanted_sizes:
         try:
-            processes = -(-size // MEMBERS_PER_PROCESS) + VOTERS + 1
+            processes = -(-size // MEMBERS_PER_PROCESS) + VOTER_COUNT + 1
             check_trial_size(processes, 45 * processes + size * (0.5 + 0.004 * size))
         except TrialTooLargeError as problem:
             raise TrialTooLargeError(f"fleet of {size}: {problem}") from None
     runs = []
     for size in wanted_sizes:
-        print_progress(f"{size} workload managers and {VOTERS} voters")
+        print_progress(f"{size} workload managers and {VOTER_COUNT} voters")
         elements = [each for each in ELEMENTS if each not in without.split(",")]
         for some in [["start"], [each for each in chosen if each != "start"]]:
             if some and {*some} <= {*chosen}:
--- a/corkgauge/commands/demo.py
+++ b/corkgauge/commands/demo.py
@@ -48,7 +48,7 @@
 
     from corkgauge.commands import tables
     from corkgauge.testkit.faults.script import parse_script
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
     progress = Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:.0f}%")
@@ -68,7 +68,7 @@
                 Group(progress, tables.request_class_table(snapshot), tables.engine_table(snapshot))
             )
 
-        day = Day(
+        day = GatewayScenario(
             seed,
             parse_script(FAULT_SCRIPT, ["e1", "e2", "e3", "e4"]),
             rate=rate,
@@ -81,14 +81,17 @@
             log = day.program.log()
         finally:
             day.close()
-    broken_rules, last_snapshot = day.broken(), day.cuts[-1] if day.cuts else None
+    broken_rules, last_snapshot = (
+        day.find_rule_violations(),
+        day.snapshots[-1] if day.snapshots else None,
+    )
     if as_json:
         print(
             json.dumps(
                 {
                     "clients": day.tally(),
                     "broken": broken_rules,
-                    "wrong": day.wrong,
+                    "wrong": day.snapshot_errors,
                     "figures": last_snapshot,
                 }
             )
@@ -103,7 +106,9 @@
                 _describe_rules(broken_rules),
             )
         )
-    raise SystemExit(EXIT_FOUND if broken_rules or day.wrong or last_snapshot is None else 0)
+    raise SystemExit(
+        EXIT_FOUND if broken_rules or day.snapshot_errors or last_snapshot is None else 0
+    )
 
 
 def _describe_faults(day: object, now_seconds: float) -> str:
--- a/corkgauge/commands/soak.py
+++ b/corkgauge/commands/soak.py
@@ -91,7 +91,7 @@
     """
     from corkgauge.testkit.checkers import rules
     from corkgauge.testkit.faults.script import ScriptError
-    from corkgauge.testkit.fleet.day import Day
+    from corkgauge.testkit.fleet.day import GatewayScenario
 
     engines = [f"e{n}" for n in range(1, 5)]
     try:
@@ -102,28 +102,28 @@
         raise InputError(f"{script}: {problem}") from None
 
     def on_scrape(snapshot: dict) -> None:
-        if not as_json and day.scraped % 100 == 0:
+        if not as_json and day.scrape_count % 100 == 0:
             taken = sum(row["taken"] for row in snapshot["offerings"].values())
             click.echo(
                 f"{(day.event_loop.now - start_ticks) / 10_000:7.1f} s  "
                 f"epoch {snapshot['epoch']['id']}  "
-                f"taken {taken:8}  snapshots {day.scraped}, errors {len(day.wrong)}",
+                f"taken {taken:8}  snapshots {day.scrape_count}, errors {len(day.snapshot_errors)}",
                 err=True,
             )
 
-    day = Day(seed, scenes, rate=rate, scrapes=scrapes, seen=on_scrape)
+    day = GatewayScenario(seed, scenes, rate=rate, scrapes=scrapes, seen=on_scrape)
     start_ticks = day.event_loop.now
     try:
         day.run(seconds)
         log, closed_epochs = day.program.log(), _count_closed_epochs(day)
     finally:
         day.close()
-    broken_rules, grown_bytes = day.broken(), measure_memory_growth(day.memory)
+    broken_rules, grown_bytes = day.find_rule_violations(), measure_memory_growth(day.memory)
     result = {
         "clients": day.tally(),
-        "scrapes": day.scraped,
+        "scrapes": day.scrape_count,
         "missed": day.scraper.missed if scrapes else 0,
-        "wrong": day.wrong[:20],
+        "wrong": day.snapshot_errors[:20],
         "broken": rules.summarize_violations(broken_rules),
         "epochs_closed": closed_epochs,
         "memory_growth": grown_bytes,
@@ -138,7 +138,7 @@
             click.echo(f"{name:18} {value}")
     raise SystemExit(
         EXIT_FOUND
-        if day.wrong
+        if day.snapshot_errors
         or broken_rules
         or grown_bytes > MAX_MEMORY_GROWTH_BYTES
         or result["exceptions"]
--- a/corkgauge/testkit/fleet/day.py
+++ b/corkgauge/testkit/fleet/day.py
@@ -1,7 +1,7 @@
-"""A short day on loopback: the real program between stand-in engines, feed and clients, with a script.
+"""Runs one gateway process with emulated engines, endpoint list and clients, under a fault script.
 
-Owns the cast, the deployment that it plays and what it saw. Must never send to any address but
-loopback ones.
+Owns the gateway process, the emulators, the settings of the emulated deployment and the observed
+results. Sends to loopback addresses only.
 """
 
 import os
@@ -23,34 +23,39 @@
 from corkgauge.testkit.fleet.ports import free_port
 from corkgauge.testkit.fleet.scraper import Scraper
 
-# The deployment that is played: offerings with their mean work (ms of one core) and what is
-# promised.
-WORK = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
-WANTS = [
+# The emulated deployment: request classes with their mean work, in ms of one core, and what the
+# rules require of them.
+MEAN_WORK_MS = {"lookup": 8.0, "report": 60.0, "load": 15.0, "once": 10.0}
+REQUEST_TYPES = [
     RequestProfile("lookup", 0.70, 1_500, 8.0),
     RequestProfile("report", 0.10, 3_000, 60.0),
     RequestProfile("load", 0.12, 2_000, 15.0, has_idempotency_key=True, has_order_key=True),
     RequestProfile("once", 0.08, 1_500, 10.0),
 ]
-KINDS, HALLS, CORES = ("c8", "c12"), ("hall-a", "hall-b"), {"c8": 8, "c12": 12}
-BUDGET = 3.0, 0.1, 5 * SECOND
-STAKES = rules.RuleParameters(
+ENGINE_KINDS, ZONE_NAMES, CORES_BY_KIND = ("c8", "c12"), ("hall-a", "hall-b"), {"c8": 8, "c12": 12}
+RETRY_BUDGET = 3.0, 0.1, 5 * SECOND  # floor, share of requests, window in ticks
+RULE_EXPECTATIONS = rules.RuleParameters(
     repeatability={"lookup": "pure", "report": "pure", "load": "token", "once": "side_effect"},
     ordered_classes={"load"},
     engine_kinds={"report": {"c12"}},
-    retry_budget=BUDGET,
+    retry_budget=RETRY_BUDGET,
 )
 
 
 def settings(group: str = "all") -> dict[str, Any]:
-    """What operators state, in the form of the platform."""
+    """Return the operators' settings, in the form of the platform's configuration.
 
-    def profile(name: str, aim: int, life: int, worth: float, **more: Any) -> dict[str, Any]:
+    With the group "all" every engine is in one table group; "zone" and "cell" make one group each.
+    """
+
+    def profile(
+        name: str, latency_target_ms: int, deadline_ms: int, worth: float, **more: Any
+    ) -> dict[str, Any]:
         return {
             "name": name,
-            "objectiveUs": aim * 1000,
+            "objectiveUs": latency_target_ms * 1000,
             "aimStretch": 2.0,
-            "deadlineUs": life * 1000,
+            "deadlineUs": deadline_ms * 1000,
             "worth": worth,
             **more,
         }
@@ -72,10 +77,10 @@
             profile("once", 300, 1_500, 2.0, effect="side_effect"),
         ],
         "customers": [{"name": "acme"}, {"name": "bolt"}],
-        "azs": [*HALLS],
-        "kinds": [*KINDS],
+        "azs": [*ZONE_NAMES],
+        "kinds": [*ENGINE_KINDS],
         "extra": {
-            "coresByKind": [CORES[kind] for kind in KINDS],
+            "coresByKind": [CORES_BY_KIND[kind] for kind in ENGINE_KINDS],
             "sizeMb": [4000, 6000],
             "mostGrant": 0.5,
             "takesGrants": True,
@@ -94,9 +99,9 @@
             "coldUs": 15_000_000,
             "fallMultiple": 3.0,
             "fallUs": 1_500_000,
-            "extraFloor": BUDGET[0],
-            "extraPerRequest": BUDGET[1],
-            "budgetSpanUs": BUDGET[2] * 100,
+            "extraFloor": RETRY_BUDGET[0],
+            "extraPerRequest": RETRY_BUDGET[1],
+            "budgetSpanUs": RETRY_BUDGET[2] * 100,
             "settleAfterDoubtUs": 300_000,
         },
         "periodUs": 1000,
@@ -105,7 +110,7 @@
     }
 
 
-FIGURES = """<?xml version="1.0"?>
+OPERATOR_FILE = """<?xml version="1.0"?>
 <operator version="1">
   <figures>
     <listen unix="{folder}/figures.sock"/>
@@ -116,8 +121,25 @@
 """
 
 
-class Day:
-    """The cast on one hub; `run` plays. `operator` may name `{folder}`."""
+class GatewayScenario:
+    """Runs a gateway process, emulated engines and clients on one event loop, with scripted faults.
+
+    Args:
+        seed: The seed of all random numbers.
+        scenes: The events of the fault script.
+        engines: The number of emulated engines.
+        clients: The number of emulated clients.
+        rate: Requests per second of all clients together.
+        scrapes: Snapshots requested per second; 0 for none.
+        gives_up: The fraction of requests that a client cancels.
+        hangs_up: The fraction of requests after which a client closes its connection.
+        operator: The text of the operator file; `{folder}` in it is replaced by the folder.
+        start: The arguments of the Python interpreter that start the program.
+        seen: Called with each snapshot.
+        group: How engines are grouped for idempotency keys: "all", "zone" or "cell".
+        retries: Whether clients repeat a request with an idempotency key whose connection broke.
+        request_types: The requests that clients send.
+    """
 
     def __init__(
         self,
@@ -129,31 +151,31 @@
         scrapes: float = 10.0,
         gives_up: float = 0.01,
         hangs_up: float = 0.003,
-        operator: str = FIGURES,
+        operator: str = OPERATOR_FILE,
         start: tuple[str, ...] = ("-m", "corkgauge"),
         seen: Callable[[Snapshot], None] | None = None,
         group: str = "all",
         retries: bool = False,
-        wants: list[RequestProfile] = WANTS,
+        request_types: list[RequestProfile] = REQUEST_TYPES,
     ) -> None:
         self.event_loop, self.scenes, self.seed, self.rate = EventLoop(), [*scenes], seed, rate
         self.folder = tempfile.mkdtemp(prefix="corkgauge-")
         known: dict[str, dict[str, int]] = {
-            zone: {} for zone in HALLS
-        }  # labels, by group of engines
+            zone: {} for zone in ZONE_NAMES
+        }  # idempotency keys known to the engines, by table group
         if group == "all":
-            known = dict.fromkeys(HALLS, {})
+            known = dict.fromkeys(ZONE_NAMES, {})
         names = [f"e{n}" for n in range(1, engines + 1)]
         self.engines = {
             name: EmulatedEngine(
                 self.event_loop,
                 name,
-                KINDS[n % 2],
-                HALLS[n // 2 % 2],
-                CORES[KINDS[n % 2]],
-                WORK,
+                ENGINE_KINDS[n % 2],
+                ZONE_NAMES[n // 2 % 2],
+                CORES_BY_KIND[ENGINE_KINDS[n % 2]],
+                MEAN_WORK_MS,
                 seed * 100 + n,
-                known[HALLS[n // 2 % 2]],
+                known[ZONE_NAMES[n // 2 % 2]],
             )
             for n, name in enumerate(names)
         }
@@ -178,7 +200,7 @@
             EmulatedClient(
                 self.event_loop,
                 self.address,
-                wants,
+                request_types,
                 ("acme", "bolt")[n % 2],
                 rate / clients,
                 seed * 1000 + n,
@@ -188,22 +210,25 @@
             )
             for n in range(clients)
         ]
-        self.cuts: list[Snapshot] = []  # the last few
-        self.scraped, self.wrong, self.memory = 0, list[str](), list[int]()
+        self.snapshots: list[Snapshot] = []  # the latest 21
+        self.scrape_count, self.snapshot_errors, self.memory = 0, list[str](), list[int]()
         self.seen = seen
         self.scraper: Scraper | None = None
         if scrapes:
             self.scraper = Scraper(
-                self.event_loop, f"{self.folder}/figures.sock", int(SECOND / scrapes), self.scrape
+                self.event_loop,
+                f"{self.folder}/figures.sock",
+                int(SECOND / scrapes),
+                self.on_snapshot,
             )
 
     def run(self, seconds: float, drain: float = 4.0) -> None:
-        """Play so long, then let all that is open end, and end the program."""
-        begun = self.event_loop.now
+        """Run for a time, wait up to `drain` seconds for open requests, and end the gateway."""
+        started_at = self.event_loop.now
         self.program.start()
         for scene in self.scenes:
-            self.event_loop.call_later(scene.at_ticks, self.begin, scene)
-        self.until(begun + int(seconds * SECOND))
+            self.event_loop.call_later(scene.at_ticks, self.apply_event, scene)
+        self.until(started_at + int(seconds * SECOND))
         for client in self.clients:
             client.rate = 1e-6
             client.stopped = True
@@ -215,24 +240,26 @@
         if self.scraper is not None:
             self.scraper.stopped = True
             self.until(self.event_loop.now + SECOND // 5)
-        self.program.tell(signal.SIGTERM)
-        self.until(self.event_loop.now + 8 * SECOND, self.program.running)
+        self.program.send_signal(signal.SIGTERM)
+        self.until(self.event_loop.now + 8 * SECOND, self.program.is_running)
 
     def until(self, when: int, while_: Callable[[], Any] = lambda: True) -> None:
+        """Run the event loop until a time, or until `while_` returns a false value."""
         while self.event_loop.now < when and while_():
             self.event_loop.turn(min((when - self.event_loop.now) / 10, 20))
 
     def close(self) -> None:
-        """End the program, if it still runs, and forget its folder."""
-        if self.program.running():
+        """End the gateway process, if it still runs, and delete its folder."""
+        if self.program.is_running():
             self.program.end(1.0)
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # What the script does.
+    # Events of the script.
 
-    def begin(self, scene: FaultEvent) -> None:
+    def apply_event(self, scene: FaultEvent) -> None:
+        """Apply an event to the gateway process, the endpoint list or the engines that it names."""
         if scene.target == "program":
-            return self.with_program(scene.fault)
+            return self.apply_gateway_event(scene.fault)
         if scene.target == "list":
             engine = self.engines[scene.engine]
             self.feed.publish([engine], "DRAINING" if scene.fault == "drain" else "DELETED")
@@ -244,78 +271,85 @@
                 engine.begin_fault(scene.fault, scene.level)
                 if scene.fault == "restart":
                     self.feed.publish([engine], "DELETED")
-                self.event_loop.call_later(max(scene.span_ticks, 1), self.over, engine)
+                self.event_loop.call_later(max(scene.span_ticks, 1), self.end_engine_fault, engine)
 
-    def over(self, engine: EmulatedEngine) -> None:
-        back = engine.fault == "restart"
+    def end_engine_fault(self, engine: EmulatedEngine) -> None:
+        """End the fault of an engine; an engine that was restarting is put on the list again."""
+        was_restarting = engine.fault == "restart"
         engine.end_fault()
-        if back:
+        if was_restarting:
             self.feed.publish([engine])
 
-    def with_program(self, what: str) -> None:
+    def apply_gateway_event(self, event: str) -> None:
+        """Make the gateway reload its configuration, or kill or end it and start it again."""
         program = self.program
-        if what == "reload":
-            return program.tell(signal.SIGHUP)
-        if what == "kill":
+        if event == "reload":
+            return program.send_signal(signal.SIGHUP)
+        if event == "kill":
             program.kills.append(self.event_loop.now)
-            program.tell(signal.SIGKILL)
+            program.send_signal(signal.SIGKILL)
         else:
-            program.tell(signal.SIGTERM)
-        self.event_loop.call_later(SECOND // 20, self.again)
+            program.send_signal(signal.SIGTERM)
+        self.event_loop.call_later(SECOND // 20, self.restart_gateway)
 
-    def again(self) -> None:
-        """Started anew once it has ended, with the list as it stands."""
-        if self.program.running():
-            return self.event_loop.call_later(SECOND // 20, self.again)
-        self.program.said["known"] = {"n": self.feed.version, "events": self.feed.events}
+    def restart_gateway(self) -> None:
+        """Start the gateway again with the current endpoint list, once it has ended."""
+        if self.program.is_running():
+            return self.event_loop.call_later(SECOND // 20, self.restart_gateway)
+        self.program.configuration["known"] = {"n": self.feed.version, "events": self.feed.events}
         self.program.start()
 
-    # What was seen.
+    # Results.
 
-    def scrape(self, cut: Snapshot) -> None:
-        self.scraped += 1
-        wrong = find_imbalances(cut)
-        if self.cuts:
-            wrong += find_decreases(self.cuts[-1], cut)
-        self.wrong += [f"scrape {self.scraped}: {each}" for each in wrong]
-        self.cuts = [*self.cuts[-20:], cut]
+    def on_snapshot(self, snapshot: Snapshot) -> None:
+        """Check the balances of a snapshot, and that no counter fell since the previous one."""
+        self.scrape_count += 1
+        errors = find_imbalances(snapshot)
+        if self.snapshots:
+            errors += find_decreases(self.snapshots[-1], snapshot)
+        self.snapshot_errors += [f"scrape {self.scrape_count}: {each}" for each in errors]
+        self.snapshots = [*self.snapshots[-20:], snapshot]
         self.memory.append(self.program.memory())
         if self.seen is not None:
-            self.seen(cut)
+            self.seen(snapshot)
 
-    def broken(self, slack: int = rules.TIMING_SLACK_TICKS) -> list[str]:
-        """The rules, from the books of the stand-ins."""
-        asks = sorted(
-            (ask for client in self.clients for ask in client.requests), key=lambda ask: ask.sent_at
+    def find_rule_violations(self, slack: int = rules.TIMING_SLACK_TICKS) -> list[str]:
+        """Check the rules against the records of the emulated clients and engines."""
+        requests = sorted(
+            (request for client in self.clients for request in client.requests),
+            key=lambda request: request.sent_at,
         )
-        runs = sorted(
-            (run for engine in self.engines.values() for run in engine.attempts),
-            key=lambda run: run.received_at,
+        attempts = sorted(
+            (attempt for engine in self.engines.values() for attempt in engine.attempts),
+            key=lambda attempt: attempt.received_at,
         )
         return rules.find_rule_violations(
-            asks,
-            runs,
+            requests,
+            attempts,
             self.feed.changes,
             {name: each.cores for name, each in self.engines.items()},
-            STAKES,
+            RULE_EXPECTATIONS,
             slack,
             self.program.kills,
         )
 
     def tally(self) -> dict[str, int]:
-        said: dict[str, int] = {}
+        """Count the requests of all clients by how they ended."""
+        counts: dict[str, int] = {}
         for client in self.clients:
             for name, count in client.count_outcomes().items():
-                said[name] = said.get(name, 0) + count
-        # What the program held when it was killed outright is owed by nobody; any other without an
-        # answer is lost.
+                counts[name] = counts.get(name, 0) + count
+        # A request that was open when the gateway was killed needs no answer; any other request
+        # without an answer is lost.
         killed = sum(
-            not ask.answers and not ask.excuse and rules.was_open_at_kill(ask, self.program.kills)
+            not request.answers
+            and not request.excuse
+            and rules.was_open_at_kill(request, self.program.kills)
             for client in self.clients
-            for ask in client.requests
+            for request in client.requests
         )
-        return {**said, "none": said["none"] - killed, "at_a_kill": killed}
+        return {**counts, "none": counts["none"] - killed, "at_a_kill": killed}
 
-    def kept(self) -> str:
-        """The path of the file of figures."""
+    def checkpoint_path(self) -> str:
+        """Return the path of the gateway's checkpoint file."""
         return os.path.join(self.folder, "kept", "n1.figures")
--- a/corkgauge/testkit/fleet/gateway_process.py
+++ b/corkgauge/testkit/fleet/gateway_process.py
@@ -1,7 +1,7 @@
-"""The real program, started for the stand-ins to play with.
+"""Runs the program's `serve` command in a child process, for tests and benchmarks.
 
-Owns one child process, its files and its log. Ends only what it started; the child ends with
-whoever started it.
+Owns one child process, its files and its log. Ends only the process that it started; the child ends
+with its parent.
 """
 
 import json
@@ -11,24 +11,36 @@
 import sys
 from typing import Any
 
-from corkgauge.testkit.fleet.parent_process import tied
+from corkgauge.testkit.fleet.parent_process import kill_with_parent
 
 
 class GatewayProcess:
-    """`serve` in a process of its own, in a folder of its own. `start` is what is run in place of
-    `-m corkgauge`; `tree` another checkout to run it in.
+    """Runs `serve` in a child process, with its files in a folder.
+
+    Args:
+        folder: The folder for the configuration, the operator file and the log.
+        configuration: The configuration, written as JSON at each start.
+        operator: The text of the operator file; without one the program runs without it.
+        start: The arguments of the Python interpreter that start the program.
+        log_form: The format of the log, "plain" or "json".
+        tree: A checkout to run the program from, if not the current folder.
     """
 
     def __init__(
         self,
         folder: str,
-        said: dict[str, Any],
+        configuration: dict[str, Any],
         operator: str = "",
         start: tuple[str, ...] = ("-m", "corkgauge"),
         log_form: str = "plain",
         tree: str | None = None,
     ) -> None:
-        self.folder, self.said, self.start_with, self.tree = folder, said, start, tree
+        self.folder, self.configuration, self.python_arguments, self.tree = (
+            folder,
+            configuration,
+            start,
+            tree,
+        )
         self.config, self.log_path = (os.path.join(folder, name) for name in ("config.json", "log"))
         self.arguments = ["serve", "--log", log_form]
         if operator:
@@ -37,19 +49,20 @@
                 file.write(operator)
             self.arguments += ["--operator", path]
         self.process: subprocess.Popen | None = None
-        self.kills: list[int] = []
+        self.kills: list[int] = []  # when the process was killed, in ticks of the event loop
 
     def start(self) -> None:
+        """Write the configuration and start the process; its output is appended to the log."""
         with open(self.config, "w", encoding="utf-8") as file:
-            json.dump(self.said, file)
+            json.dump(self.configuration, file)
         with open(self.log_path, "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.start_with, *self.arguments],
+                [sys.executable, *self.python_arguments, *self.arguments],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
                 cwd=self.tree,
-                preexec_fn=tied(os.getpid()),
+                preexec_fn=kill_with_parent(os.getpid()),
                 env={
                     **os.environ,
                     "EDGE_CONFIG": self.config,
@@ -58,16 +71,18 @@
                 },
             )
 
-    def tell(self, sign: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
+        """Send a signal to the process, if it runs."""
         if self.process is not None and self.process.poll() is None:
-            self.process.send_signal(sign)
+            self.process.send_signal(signal_number)
 
-    def running(self) -> bool:
+    def is_running(self) -> bool:
+        """Return whether the process was started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
     def end(self, patience: float = 8.0) -> int:
-        """SIGTERM, and SIGKILL after `patience` seconds: its exit code."""
-        self.tell(signal.SIGTERM)
+        """Send SIGTERM, and SIGKILL after `patience` seconds; return the exit code."""
+        self.send_signal(signal.SIGTERM)
         try:
             return self.process.wait(patience)
         except subprocess.TimeoutExpired:
@@ -75,7 +90,7 @@
             return self.process.wait()
 
     def memory(self) -> int:
-        """Bytes resident."""
+        """Return the resident memory in bytes, 0 if the process has ended."""
         try:
             with open(f"/proc/{self.process.pid}/statm", "rb") as file:
                 return int(file.read().split()[1]) * 4096
@@ -83,7 +98,7 @@
             return 0
 
     def processor_time(self) -> float:
-        """Seconds of processor time so far."""
+        """Return the seconds of processor time used so far, 0 if the process has ended."""
         try:
             with open(f"/proc/{self.process.pid}/stat", "rb") as file:
                 fields = file.read().rsplit(b")", 1)[1].split()
@@ -92,5 +107,6 @@
             return 0.0
 
     def log(self) -> list[str]:
+        """Return the lines of the log."""
         with open(self.log_path, encoding="utf-8", errors="replace") as file:
             return file.read().splitlines()
--- a/corkgauge/testkit/fleet/hollow_gateway.py
+++ b/corkgauge/testkit/fleet/hollow_gateway.py
@@ -1,8 +1,8 @@
-"""One workload manager on a made-up host and clock: the module alone, and the host without a network.
+"""Runs a gateway in simulated time: the policy module alone, or the host without a network.
 
-Owns virtual time, an open load of statements and what databases answer to it. Must never decide
-anything, draw from anything but its seed, or open a connection to anything but the other end of a
-socket pair.
+Owns the simulated time, the generated requests and the answers of the engines. Makes no decisions
+of its own, draws all random numbers from its seed, and connects to the other ends of socket pairs
+only.
 """
 
 import json
@@ -39,81 +39,98 @@
 from corkgauge.testkit.emulators.protocols import request_frame
 from corkgauge.testkit.seeded_random import SeededRandom
 
-GATEWAYS, RATE, PERIOD = (
+GATEWAY_COUNT, REQUESTS_PER_SECOND, FEEDBACK_PERIOD_TICKS = (
     870,
     2530.0,
     2 * SECOND,
-)  # of the fleet; statements a second at one; of the feedback
-ZONES, KINDS = 5, 3
-TABLE_GROUPS, TENANTS, KEYS = 200, 20, 2_000
+)  # of the fleet; at one gateway; of the periodic feedback
+ZONE_COUNT, ENGINE_KIND_COUNT = 5, 3
+TABLE_GROUP_COUNT, TENANT_COUNT, ORDER_KEY_COUNT = 200, 20, 2_000
 
 
 @dataclass(frozen=True)
-class Class:
-    """A query class: its part of all statements, work of one in tenths of a ms, patience and latency target."""
+class ClassProfile:
+    """A request class of the generated load; `fraction` is its share of all requests."""
 
     name: str
-    part: float
-    work: int
-    life: int
-    aim: int
-    repeat: int = 0
+    fraction: float
+    work_ticks: int
+    deadline_ticks: int
+    latency_target_ticks: int
+    repeatability: int = 0
     ordered: bool = False
     kinds: tuple[int, ...] = ()
 
 
 CLASSES = (
-    Class("lookup", 0.66, 20, 5 * SECOND, SECOND),
-    Class("report", 0.12, 600, 10 * SECOND, 2 * SECOND, kinds=(2,)),
-    Class("load", 0.12, 100, 5 * SECOND, SECOND, Repeatability.KEYED, True),
-    Class("once", 0.10, 50, 5 * SECOND, SECOND, Repeatability.NON_IDEMPOTENT),
+    ClassProfile("lookup", 0.66, 20, 5 * SECOND, SECOND),
+    ClassProfile("report", 0.12, 600, 10 * SECOND, 2 * SECOND, kinds=(2,)),
+    ClassProfile("load", 0.12, 100, 5 * SECOND, SECOND, Repeatability.KEYED, True),
+    ClassProfile("once", 0.10, 50, 5 * SECOND, SECOND, Repeatability.NON_IDEMPOTENT),
 )
 
 
-class Uneven:
-    """Numbers 0 to n - 1, the k-th as often as 1 / k."""
+class ZipfDistribution:
+    """Draws numbers from 0 to n - 1, the k-th with a frequency proportional to 1 / k."""
 
     def __init__(self, chance: SeededRandom, n: int) -> None:
-        self.chance, self.tops, top = chance, list[float](), 0.0
+        self.chance, self.cumulative_weights, sum_ = chance, list[float](), 0.0
         for k in range(n):
-            self.tops.append(top := top + 1 / (k + 1))
+            self.cumulative_weights.append(sum_ := sum_ + 1 / (k + 1))
 
     def draw(self) -> int:
+        """Return the next random number."""
         return min(
-            bisect_right(self.tops, self.chance.uniform() * self.tops[-1]), len(self.tops) - 1
+            bisect_right(
+                self.cumulative_weights, self.chance.uniform() * self.cumulative_weights[-1]
+            ),
+            len(self.cumulative_weights) - 1,
         )
 
 
-class Alone:
-    """The host protocol of a gateway that is alone. A database answers each attempt after its work and up to half as
-    much again; nothing else happens. `hold`: all statements take so long (tenths of a ms), whatever
-    their class.
+class StandaloneGatewayHost:
+    """The host of one gateway in simulated time, with generated requests and emulated engines.
+
+    An engine answers each attempt after the time of its work and a random part of up to half of it.
+
+    Args:
+        engines: The number of engines.
+        groups: The number of table groups.
+        tenants: The number of tenants.
+        rate: Requests per second.
+        cores: The cores of each engine.
+        hold: The duration of every request in ticks, whatever its class; 0 for that of its class.
+        gateways: The number of gateways of the fleet.
+        seed: The seed of all random numbers.
     """
 
     def __init__(
         self,
         engines: int,
-        groups: int = TABLE_GROUPS,
-        tenants: int = TENANTS,
-        rate: float = RATE,
+        groups: int = TABLE_GROUP_COUNT,
+        tenants: int = TENANT_COUNT,
+        rate: float = REQUESTS_PER_SECOND,
         cores: float = 8.0,
         hold: int = 0,
-        gateways: int = GATEWAYS,
+        gateways: int = GATEWAY_COUNT,
         seed: int = 7,
     ) -> None:
-        self.now, self.lag, self.serial, self.wakes = 100 * SECOND, 0, 0, list[tuple]()
+        self.now, self.lag, self.serial, self.timers = 100 * SECOND, 0, 0, list[tuple]()
         self.taken = self.served = self.refused = self.lasted = self.open = 0
         self.rate, self.hold, self.chance = rate, hold, SeededRandom(seed)
-        self.groups, self.tenants = Uneven(self.chance, groups), Uneven(self.chance, tenants)
+        self.groups, self.tenants = (
+            ZipfDistribution(self.chance, groups),
+            ZipfDistribution(self.chance, tenants),
+        )
         self.request_classes = [
             RequestClass(
                 each.name,
-                each.aim,
+                each.latency_target_ticks,
                 1.0,
-                max(each.life, 8 * hold),
+                max(each.deadline_ticks, 8 * hold),
                 1.0,
-                each.repeat,
-                key_ttl=20 * SECOND * (each.repeat == Repeatability.KEYED),
+                each.repeatability,
+                key_ttl=20 * SECOND * (each.repeatability == Repeatability.KEYED),
                 ordered=each.ordered,
                 engine_kinds=each.kinds,
             )
@@ -139,14 +156,22 @@
         )
         self.gateway = Gateway(self, options, self.request_classes)
         self.engines = [
-            Engine(f"db{n}", b"db%d" % n, n % ZONES, n % KINDS, n, cores=cores, name=f"db{n}")
+            Engine(
+                f"db{n}",
+                b"db%d" % n,
+                n % ZONE_COUNT,
+                n % ENGINE_KIND_COUNT,
+                n,
+                cores=cores,
+                name=f"db{n}",
+            )
             for n in range(engines)
         ]
         for engine in self.engines:
             self.gateway.on_engine_update(engine, EngineState.READY, 0)
         self.gateway.on_engine_list_complete()
-        # As a gateway that has served for long: each of its figures has its samples, each tenant's
-        # queue is there.
+        # Restore the state of a gateway that has served for long, with samples for every estimate
+        # and a queue for every tenant.
         self.gateway.restore_learned_state(
             LearnedState(
                 price=0.0,
@@ -160,7 +185,9 @@
                     for engine in self.engines
                 ],
                 request_classes=[
-                    LearnedClass(request_class, [(1.0, 0.0, float(self.hold or each.work))] * 48)
+                    LearnedClass(
+                        request_class, [(1.0, 0.0, float(self.hold or each.work_ticks))] * 48
+                    )
                     for request_class, each in zip(self.request_classes, CLASSES)
                 ],
                 shares=[
@@ -171,23 +198,23 @@
             )
         )
 
-    def drawn(self, count: int) -> list[tuple[int, Request]]:
-        """So many statements beforehand, each with its gap after the one before, tenths of a ms."""
-        said, left = [], 0.0
+    def draw_requests(self, count: int) -> list[tuple[int, Request]]:
+        """Draw requests in advance, each with its gap in ticks after the previous one."""
+        requests, remainder = [], 0.0
         for _ in range(count):
-            left += self.chance.exponential(SECOND / self.rate)
-            gap, left = int(left), left % 1
+            remainder += self.chance.exponential(SECOND / self.rate)
+            gap, remainder = int(remainder), remainder % 1
             draw, n = self.chance.uniform(), 0
-            while n < len(CLASSES) - 1 and draw >= CLASSES[n].part:
-                draw, n = draw - CLASSES[n].part, n + 1
-            work = int(max(self.hold or self.chance.lognormal(CLASSES[n].work), 1))
-            key = 1 + self.chance.below(KEYS) if CLASSES[n].ordered else 0
-            took = work if self.hold else int(work * (1 + self.chance.uniform() / 2)) + 2
-            said.append(
+            while n < len(CLASSES) - 1 and draw >= CLASSES[n].fraction:
+                draw, n = draw - CLASSES[n].fraction, n + 1
+            work = int(max(self.hold or self.chance.lognormal(CLASSES[n].work_ticks), 1))
+            key = 1 + self.chance.below(ORDER_KEY_COUNT) if CLASSES[n].ordered else 0
+            duration = work if self.hold else int(work * (1 + self.chance.uniform() / 2)) + 2
+            requests.append(
                 (
                     gap,
                     Request(
-                        (took, work),
+                        (duration, work),
                         self.request_classes[n],
                         self.tenants.draw(),
                         float(self.groups.draw()),
@@ -198,29 +225,30 @@
                     ),
                 )
             )
-        return said
+        return requests
 
-    def play(self, statements: list[tuple[int, Request]]) -> float:
-        """Seconds of processor time from the first of them until one gap after the last."""
-        begun, taken = process_time(), self.gateway.on_request
-        for gap, request in statements:
-            self.pass_until(self.now + gap)
+    def play(self, requests: list[tuple[int, Request]]) -> float:
+        """Run drawn requests; return the processor seconds from the first until after the last."""
+        started_at, on_request = process_time(), self.gateway.on_request
+        for gap, request in requests:
+            self.advance_to(self.now + gap)
             request.accepted_at = self.now
             self.taken += 1
             self.open += 1
-            taken(request)
-        self.pass_until(self.now + 1)
-        return process_time() - begun
-
-    def pass_until(self, until: int) -> None:
-        wakes = self.wakes
-        while wakes and wakes[0][0] <= until:
-            self.now, _, method, what = heappop(wakes)
-            method(*what)
+            on_request(request)
+        self.advance_to(self.now + 1)
+        return process_time() - started_at
+
+    def advance_to(self, until: int) -> None:
+        """Advance the simulated time, and run the timers that are due."""
+        timers = self.timers
+        while timers and timers[0][0] <= until:
+            self.now, _, method, arguments = heappop(timers)
+            method(*arguments)
         self.now = until
 
-    def answered(self, attempt: Attempt, work: int) -> None:
-        """Its database is done with an attempt."""
+    def on_engine_answer(self, attempt: Attempt, work: int) -> None:
+        """Report the success of an attempt to the gateway."""
         self.served += not attempt.request.is_finished
         self.open -= not attempt.request.is_finished
         self.gateway.on_attempt_finished(
@@ -230,20 +258,24 @@
     # The host protocol.
 
     def send_attempt(self, attempt: Attempt, allow: int) -> None:
-        took, work = attempt.request.host_reference
-        self.call_later(took, self.answered, attempt, work)
+        """Schedule the answer of the engine."""
+        duration, work = attempt.request.host_reference
+        self.call_later(duration, self.on_engine_answer, attempt, work)
 
     def set_resources(self, request: Request, memory: float, priority: int) -> None:
-        pass
+        """Do nothing: emulated engines ignore resources."""
 
     def reject(self, request: Request, retry_after: int) -> None:
+        """Count a rejected request."""
         self.refused += 1
         self.open -= 1
 
     def fail(self, request: Request) -> None:
+        """Count a failed request as rejected."""
         self.reject(request, 0)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Confirm the cancellation of an attempt one tick later."""
         self.call_later(
             1,
             self.gateway.on_attempt_finished,
@@ -256,18 +288,19 @@
             -1.0,
         )
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method after `delay` ticks of simulated time."""
         self.serial += 1
-        heappush(self.wakes, (self.now + max(delay, 1), self.serial, method, what))
+        heappush(self.timers, (self.now + max(delay, 1), self.serial, method, arguments))
 
     def log(self, line: str) -> None:
-        pass
+        """Discard a log line."""
 
 
-# The host with its links, clients and list, on a clock that stands still unless it is moved.
+# The host with connections, clients and an endpoint list, on a clock that tests advance.
 
 
-def listing(
+def engine_list_event(
     number: int,
     engines: int,
     first: int = 0,
@@ -275,7 +308,10 @@
     started: int = 0,
     address: Callable[[int], str] = lambda n: f"127.0.0.1:{10_000 + n}",
 ) -> dict[str, Any]:
-    """An event of the feed: engines `first` and on of a list, 5 zones, 3 kinds, as the platform writes it."""
+    """Return a watch event of the endpoint list, in the form of the platform.
+
+    The event names `engines` engines from number `first` on, in 5 zones and of 3 kinds.
+    """
     return {
         "n": number,
         "members": {
@@ -285,8 +321,8 @@
                 {
                     "id": f"db{n}",
                     "addr": address(n),
-                    "zone": f"zone-{n % ZONES}",
-                    "kind": f"k{n % KINDS}",
+                    "zone": f"zone-{n % ZONE_COUNT}",
+                    "kind": f"k{n % ENGINE_KIND_COUNT}",
                     "cell": n,
                     "state": "SERVING",
                     "weight": 1,
@@ -298,30 +334,30 @@
     }
 
 
-def settings(cores: int = 8, instances: int = GATEWAYS) -> dict[str, Any]:
-    """What operators state, with the classes above."""
+def settings(cores: int = 8, instances: int = GATEWAY_COUNT) -> dict[str, Any]:
+    """Return operators' settings with the request classes above."""
     repeats = "pure", "token", "side_effect"
     return {
         "profiles": [
             {
                 "name": each.name,
-                "objectiveUs": each.aim * 100,
+                "objectiveUs": each.latency_target_ticks * 100,
                 "aimStretch": 1.0,
-                "deadlineUs": each.life * 100,
+                "deadlineUs": each.deadline_ticks * 100,
                 "worth": 1.0,
-                "effect": repeats[each.repeat],
+                "effect": repeats[each.repeatability],
                 "fifoByKey": each.ordered,
                 "keyTtlUs": 20_000_000,
                 "servedOn": [*each.kinds],
             }
             for each in CLASSES
         ],
-        "customers": [{"name": f"t{n}"} for n in range(TENANTS)],
-        "azs": [f"zone-{n}" for n in range(ZONES)],
-        "kinds": [f"k{n}" for n in range(KINDS)],
+        "customers": [{"name": f"t{n}"} for n in range(TENANT_COUNT)],
+        "azs": [f"zone-{n}" for n in range(ZONE_COUNT)],
+        "kinds": [f"k{n}" for n in range(ENGINE_KIND_COUNT)],
         "extra": {
-            "coresByKind": [cores] * KINDS,
-            "sizeMb": [4000] * KINDS,
+            "coresByKind": [cores] * ENGINE_KIND_COUNT,
+            "sizeMb": [4000] * ENGINE_KIND_COUNT,
             "mostGrant": 0.5,
             "takesGrants": True,
             "takesPriority": True,
@@ -354,74 +390,83 @@
     engines: int,
     listen: str,
     feed: str,
-    known: dict[str, Any] | None = None,
+    initial_event: dict[str, Any] | None = None,
     cores: int = 8,
     sockets: int = 16_384,
 ) -> dict[str, Any]:
-    """A whole configuration with `engines` in the list that it starts from, or `known`, an event."""
+    """Return a configuration with an initial endpoint list.
+
+    The list has `engines` engines, or the contents of the watch event `initial_event`.
+    """
     return {
         "name": "n7",
         "listen": listen,
         "feed": feed,
         "seed": "7",
         "limits": {"memory_mb": 1024, "sockets": sockets},
-        "known": {"n": 1, "events": [known or listing(1, engines)]},
+        "known": {"n": 1, "events": [initial_event or engine_list_event(1, engines)]},
         "settings": settings(cores),
     }
 
 
-class Front:
-    """The program's host on a clock of its own; clients and databases are the other ends of socket pairs, which say
-    nothing unless they are made to.
+class SocketPairFrontEnd:
+    """Runs the program's host on a simulated clock, with socket pairs to clients and engines.
+
+    Clients and engines send nothing unless a test makes them.
     """
 
     def __init__(self, engines: int, cores: int = 8) -> None:
         self.time, self.others, self.names = 10**9, list[socket.socket](), 0
-        self.event_loop = EventLoop(clock=lambda: self.time, on_exception=self.troubled)
-        said = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
+        self.event_loop = EventLoop(clock=lambda: self.time, on_exception=self.on_exception)
+        platform_configuration = configuration(engines, "127.0.0.1:1", "127.0.0.1:2", cores=cores)
         self.socket_host = PlatformFrontEnd(
-            self.event_loop, PlatformConfig(said, ""), lambda line: None
+            self.event_loop, PlatformConfig(platform_configuration, ""), lambda line: None
         )
         self.number = 1
         self.turn()
 
-    def troubled(self) -> None:
-        raise  # what a turn met, on to whoever measures
+    def on_exception(self) -> None:
+        """Raise the current exception again, so that the test or benchmark fails."""
+        raise
 
     def turn(self, rounds: int = 4) -> None:
+        """Run some turns of the event loop."""
         for _ in range(rounds):
             self.event_loop.turn(0)
 
-    def told(self, data: str) -> None:
-        """An event of the feed, as it is read."""
+    def apply_list_event(self, data: str) -> None:
+        """Apply a watch event of the endpoint list, given as JSON."""
         self.number += 1
-        if wrong := self.socket_host.on_discovery_event(str(self.number), data):
-            raise ValueError(wrong)
+        if error := self.socket_host.on_discovery_event(str(self.number), data):
+            raise ValueError(error)
 
-    def changed(self, engine: int) -> str:
-        """The next event: one engine has started anew, a moment ago; as JSON."""
-        return json.dumps(listing(self.number + 1, 1, engine, False, self.time // 10 - 1000))
+    def next_restart_event(self, engine: int) -> str:
+        """Return the next watch event, as JSON: one engine was restarted 100 ms ago."""
+        return json.dumps(
+            engine_list_event(self.number + 1, 1, engine, False, self.time // 10 - 1000)
+        )
 
     def client(self) -> socket.socket:
-        mine, its = socket.socketpair()
-        self.socket_host.add_client(its)
-        mine.setblocking(False)
-        self.others.append(mine)
-        return mine
-
-    def link(self, engine: int) -> None:
-        """One more link to an engine, as if it had just been dialled."""
-        mine, its = socket.socketpair()
+        """Connect a client, and return its socket."""
+        local_end, host_end = socket.socketpair()
+        self.socket_host.add_client(host_end)
+        local_end.setblocking(False)
+        self.others.append(local_end)
+        return local_end
+
+    def add_engine_connection(self, engine: int) -> None:
+        """Add a connection to an engine, as if the gateway had just connected."""
+        local_end, host_end = socket.socketpair()
         engine_pool = self.socket_host.engine_pools[f"db{engine}"]
-        link = EngineConnection(engine_pool, its)
-        engine_pool.links.append(link)
-        self.event_loop.spawn(link.link.run)
-        link.check_idle()
-        mine.setblocking(False)
-        self.others.append(mine)
-
-    def ask(self, client: socket.socket, stream: int) -> None:
-        """A statement of the first class, 200 bytes long."""
+        connection = EngineConnection(engine_pool, host_end)
+        engine_pool.links.append(connection)
+        self.event_loop.spawn(connection.link.run)
+        connection.check_idle()
+        local_end.setblocking(False)
+        self.others.append(local_end)
+
+    def send_request(self, client: socket.socket, stream: int) -> None:
+        """Send a request of the first request class, with a statement of 200 bytes."""
         self.names += 1
         client.send(
             request_frame(
@@ -434,20 +479,22 @@
                     "weight": "2.0",
                     "est_mb": "8",
                 },
-                b"select * from mart_%d.facts where " % (self.names % TABLE_GROUPS) + b"x" * 160,
+                b"select * from mart_%d.facts where " % (self.names % TABLE_GROUP_COUNT)
+                + b"x" * 160,
             )
         )
 
     def close(self) -> None:
+        """Close all clients and engine connections."""
         for each in self.others:
             each.close()
         self.turn()
         self.turn()
 
 
-def busy(seconds: float) -> float:
-    """Processor time spent at nothing, to warm a core up before a short measurement; seconds."""
-    begun, at = process_time(), 0.0
-    while process_time() - begun < seconds:
-        at = sin(at)
-    return at
+def burn_cpu(seconds: float) -> float:
+    """Use processor time, to bring a core to full speed before a short measurement."""
+    started_at, value = process_time(), 0.0
+    while process_time() - started_at < seconds:
+        value = sin(value)
+    return value
--- a/tests/test_scale_alone.py
+++ b/tests/test_scale_alone.py
@@ -13,8 +13,8 @@
 import pytest
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.testkit.fleet.hollow_gateway import Alone, Front
-from corkgauge.testkit.fleet.profile_sampler import read
+from corkgauge.testkit.fleet.hollow_gateway import SocketPairFrontEnd, StandaloneGatewayHost
+from corkgauge.testkit.fleet.profile_sampler import read_samples
 
 REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
@@ -22,34 +22,34 @@
 def test_generated_load_is_reproducible_by_seed_and_served_completely():
     results = []
     for _ in range(2):
-        alone = Alone(60)
+        alone = StandaloneGatewayHost(60)
         engine_ids = []
         send_attempt = alone.send_attempt
         alone.send_attempt = lambda attempt, allow: (
             engine_ids.append(attempt.engine.host_reference),
             send_attempt(attempt, allow),
         )
-        alone.play(alone.drawn(400))
-        alone.pass_until(alone.now + 20 * SECOND)
+        alone.play(alone.draw_requests(400))
+        alone.advance_to(alone.now + 20 * SECOND)
         results.append((engine_ids, alone.now))
         assert (alone.served, alone.refused, alone.open) == (400, 0, 0)
     assert results[0] == results[1] and len({*results[0][0]}) > 30
 
 
 def test_open_requests_of_the_socket_host_are_in_flight_on_its_links():
-    front = Front(10, 2_000)
+    front = SocketPairFrontEnd(10, 2_000)
     try:
         for n in range(60):
-            front.link(n % 10)
+            front.add_engine_connection(n % 10)
         clients = [front.client() for _ in range(10)]
         front.turn()
         for n in range(200):
-            front.ask(clients[n % 10], 1 + n // 10)
+            front.send_request(clients[n % 10], 1 + n // 10)
         front.turn(8)
         assert (
             len(front.socket_host.open_requests) == len(front.socket_host.in_flight_attempts) == 200
         )
-        front.told(front.changed(3))
+        front.apply_list_event(front.next_restart_event(3))
         assert front.socket_host.engine_pools["db3"].engine.incarnation > 0
     finally:
         front.close()
@@ -81,8 +81,8 @@
 
 def test_measured_program_ends_when_its_parent_is_killed():
     code = (
-        "from corkgauge.testkit.fleet.hollow_serve import Serve; "
-        "import time; s = Serve(20); s.ready(); "
+        "from corkgauge.testkit.fleet.hollow_serve import HollowServeProcess; "
+        "import time; s = HollowServeProcess(20); s.start_and_wait(); "
         "print(s.program.process.pid, s.folder, flush=True); time.sleep(60)"
     )
     parent = subprocess.Popen(
@@ -114,6 +114,6 @@
         f'  File "{gateway_file}", line 2 in _slow\n  File "/lib/heapq.py", line 3 in merge\n'
     )
     path.write_text(2 * stack)
-    sample_count, innermost_counts, inclusive_counts = read(str(path))
+    sample_count, innermost_counts, inclusive_counts = read_samples(str(path))
     assert sample_count == 2 and innermost_counts == {"policy/gateway.py:_slow": 2}
     assert inclusive_counts == {"policy/gateway.py:_slow": 2, "library:heapq.py": 2}
