--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -1,10 +1,10 @@
 """What the figures cost: by hand, on an idle machine.
 
-    python benchmarks/figures.py pass                 the second book at 10,000 open, step by step
-    python benchmarks/figures.py scrape               a scrape of 1,000 engines, piece by piece
-    python benchmarks/figures.py sketches             sketches of the registry, by memory and cost of an entry
-    python benchmarks/figures.py load --base REV      the real program, now and as it was, in turn
-    python benchmarks/figures.py start --base REV     memory after the start
+    python benchmarks/accounting.py pass                 the second book at 10,000 open, step by step
+    python benchmarks/accounting.py scrape               a scrape of 1,000 engines, piece by piece
+    python benchmarks/accounting.py sketches             sketches of the registry, by memory and cost of an entry
+    python benchmarks/accounting.py load --base REV      the real program, now and as it was, in turn
+    python benchmarks/accounting.py start --base REV     memory after the start
 
 The figures of `load` and `start` are socket figures of this machine against its own stand-ins.
 """
--- a/benchmarks/flow_export.py
+++ b/benchmarks/flow_export.py
@@ -1,10 +1,10 @@
 """What flow export costs: by hand, on an idle machine.
 
-    python benchmarks/flows.py encode     records a second and octets a record, beside a struct loop by field
-    python benchmarks/flows.py wheel      the timing wheel beside a heap, at 10,000 and 100,000 flows
-    python benchmarks/flows.py held       a collector down while 10,000 connections end in one second
-    python benchmarks/flows.py load       the real program: no export; a live, a dead, a deaf collector
-    python benchmarks/flows.py hall FILE  rows of a day on which one hall's engines slow down
+    python benchmarks/flow_export.py encode     records a second and octets a record, beside a struct loop by field
+    python benchmarks/flow_export.py wheel      the timing wheel beside a heap, at 10,000 and 100,000 flows
+    python benchmarks/flow_export.py held       a collector down while 10,000 connections end in one second
+    python benchmarks/flow_export.py load       the real program: no export; a live, a dead, a deaf collector
+    python benchmarks/flow_export.py hall FILE  rows of a day on which one hall's engines slow down
 
 The figures of `load` are socket figures of this machine against its own stand-ins.
 """
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,13 +1,13 @@
 """Duties under faults: two at once never, hand-overs, false ones, cost; on real processes, and simulated.
 
-python benchmarks/duties.py drills [--faults 1000]      3, 5 and 9 processes; then each defence left
-out python benchmarks/duties.py handover [--plot FILE]      time without a holder after a kill,
-stop, cut, planned end python benchmarks/duties.py false                       hand-overs that
-nothing caused, at 0, 10, 30 in 100 lost python benchmarks/duties.py cost
-processor and 99th percentile with and without, paired python benchmarks/duties.py days [--runs
-100000]        simulated days with drifting clocks python benchmarks/duties.py explore [--depth 14]
-every order of events, to a depth python benchmarks/duties.py scale                       fellows:
-simulated, the same objects python benchmarks/duties.py sockets                     thirty processes
+python benchmarks/leases.py drills [--faults 1000]      3, 5 and 9 processes; then each defence left
+out python benchmarks/leases.py handover [--plot FILE]      time without a holder after a kill,
+stop, cut, planned end python benchmarks/leases.py false                       hand-overs that
+nothing caused, at 0, 10, 30 in 100 lost python benchmarks/leases.py cost
+processor and 99th percentile with and without, paired python benchmarks/leases.py days [--runs
+100000]        simulated days with drifting clocks python benchmarks/leases.py explore [--depth 14]
+every order of events, to a depth python benchmarks/leases.py scale                       fellows:
+simulated, the same objects python benchmarks/leases.py sockets                     thirty processes
 """
 
 import argparse
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -1,13 +1,13 @@
 """Machines taken out for work, under faults: on real processes, and simulated with the same objects.
 
-python benchmarks/works.py drills [--faults 1000]   3, 5 and 9 processes, 12 to 24 engines; each
-defence left out python benchmarks/works.py night [--plot FILE]      a whole fleet taken through
-work, on sockets, paired by seed python benchmarks/works.py sizes [--plot FILE]      the same,
-simulated at 24, 80, 200 and 1,000 engines python benchmarks/works.py alone
-serving with every fellow lost, and without works, paired python benchmarks/works.py times
-from ask to out and to back, and after the planner's death python benchmarks/works.py cold
-work sent to four engines that return at once, summed python benchmarks/works.py days [--runs 20000]
-simulated days of the agreement python benchmarks/works.py order                    against the best
+python benchmarks/maintenance.py drills [--faults 1000]   3, 5 and 9 processes, 12 to 24 engines; each
+defence left out python benchmarks/maintenance.py night [--plot FILE]      a whole fleet taken through
+work, on sockets, paired by seed python benchmarks/maintenance.py sizes [--plot FILE]      the same,
+simulated at 24, 80, 200 and 1,000 engines python benchmarks/maintenance.py alone
+serving with every fellow lost, and without works, paired python benchmarks/maintenance.py times
+from ask to out and to back, and after the planner's death python benchmarks/maintenance.py cold
+work sent to four engines that return at once, summed python benchmarks/maintenance.py days [--runs 20000]
+simulated days of the agreement python benchmarks/maintenance.py order                    against the best
 of all orders, on small fleets
 """
 
--- a/benchmarks/peer_health.py
+++ b/benchmarks/peer_health.py
@@ -1,10 +1,10 @@
 """Findings shared among gateways: what they earn, how fast they spread, what they cost.
 
-python benchmarks/shared.py fail [--times 3]    engines fail, on sockets, paired by seed: shared,
-not, known at once python benchmarks/shared.py spread              simulated with the same objects:
-3 to 200 gateways python benchmarks/shared.py lies                liars, and cuts, on sockets,
-against nothing shared python benchmarks/shared.py merge               a thousand findings merged,
-against a plain list python benchmarks/shared.py sums [--faults 200] work sent to cold engines over
+python benchmarks/peer_health.py fail [--times 3]    engines fail, on sockets, paired by seed: shared,
+not, known at once python benchmarks/peer_health.py spread              simulated with the same objects:
+3 to 200 gateways python benchmarks/peer_health.py lies                liars, and cuts, on sockets,
+against nothing shared python benchmarks/peer_health.py merge               a thousand findings merged,
+against a plain list python benchmarks/peer_health.py sums [--faults 200] work sent to cold engines over
 faults, against the rule
 """
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,14 +1,14 @@
 """What memory over a restart is worth and costs: by hand, on an idle machine.
 
-    python benchmarks/recall.py kills --count 500     the real program killed so often mid-write, under load
-    python benchmarks/recall.py labels                labelled ones sent outside their group after kills, with
+    python benchmarks/recovery.py kills --count 500     the real program killed so often mid-write, under load
+    python benchmarks/recovery.py labels                labelled ones sent outside their group after kills, with
                                                       the log of open effects and without
-    python benchmarks/recall.py gain --runs 10        a restart while one engine is ten times slow, one silent
-    python benchmarks/recall.py wrong --runs 10       the same, where all that was remembered is wrong
-    python benchmarks/recall.py cost --runs 4         serving without it, with it, and synced for power cuts
-    python benchmarks/recall.py fleet --runs 10       one of three gateways restarts; all of a fleet whose engines were
+    python benchmarks/recovery.py gain --runs 10        a restart while one engine is ten times slow, one silent
+    python benchmarks/recovery.py wrong --runs 10       the same, where all that was remembered is wrong
+    python benchmarks/recovery.py cost --runs 4         serving without it, with it, and synced for power cuts
+    python benchmarks/recovery.py fleet --runs 10       one of three gateways restarts; all of a fleet whose engines were
                                                       replaced under new ids: cold against recalled, paired by seed
-    python benchmarks/recall.py start                 time of a start with 1,000 engines remembered
+    python benchmarks/recovery.py start                 time of a start with 1,000 engines remembered
 
 Socket figures of this machine against its own stand-ins.
 """
