--- a/benchmarks/decision_trace.py
+++ b/benchmarks/decision_trace.py
@@ -420,7 +420,12 @@
     ),
     Scenario("all-of-1800", 1_800, 1, 3, 600, 4_000, cancels=True, hedges=True, zones=6),
 )
-SHORT = ("three-engines", "three-engines-of-200-gateways", "forty-engines", "subset-by-base")
+SHORT_SCENARIOS = (
+    "three-engines",
+    "three-engines-of-200-gateways",
+    "forty-engines",
+    "subset-by-base",
+)
 
 
 class Trace:
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -21,7 +21,7 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.model.leases import World, drawn
+from corkgauge.model.leases import World, draw_scenario
 from corkgauge.model.model_checker import explore
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 
@@ -229,13 +229,15 @@
 def some_days(first, many):
     wrong, held, acts, refused = [], 0, 0, 0
     for seed in range(first, first + many):
-        day = drawn(seed, (3, 5)[seed % 2], disk=seed % 3 == 0, drift=(0.01, 0.05)[seed % 5 == 0])
+        day = draw_scenario(
+            seed, (3, 5)[seed % 2], disk=seed % 3 == 0, drift=(0.01, 0.05)[seed % 5 == 0]
+        )
         world = World(day)
         wrong += [(seed, line) for line in world.run()]
         held, acts, refused = (
             held + len(world.handovers),
-            acts + world.acts,
-            refused + world.refused,
+            acts + world.action_count,
+            refused + world.refused_count,
         )
     return wrong, held, acts, refused
 
@@ -264,17 +266,17 @@
         for (depth, held, off, _), (one, took) in zip(jobs, pool.map(explored, jobs)):
             print(
                 f"from {'a holder' if held else 'the start'}{', without ' + off if off else ''}: depth "
-                f"{len(one.by_depth) - 1}, {one.states} states ({one.held} with a holder), {took:.0f} s: "
-                f"{'; '.join(one.found) or 'nothing found'}",
+                f"{len(one.by_depth) - 1}, {one.state_count} states ({one.states_with_holder} with a holder), {took:.0f} s: "
+                f"{'; '.join(one.counterexample) or 'nothing found'}",
                 flush=True,
             )
 
 
 def scale(said):
-    from corkgauge.model.membership import measured
+    from corkgauge.model.membership import measure_membership
 
     for many in (3, 30, 200, 1000):
-        print(measured(many), flush=True)
+        print(measure_membership(many), flush=True)
 
 
 def sockets(said):
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -28,7 +28,7 @@
     WaitingUnit,
 )
 from corkgauge.maintenance.schedule import select_grants
-from corkgauge.model.plan_consensus import PlanWorld, plan_day
+from corkgauge.model.plan_consensus import PlanWorld, draw_plan_scenario
 from corkgauge.model.rolling_maintenance import POLICIES, Night
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.maintenance_day import AIMS, MaintenanceDay, aimed
@@ -470,9 +470,13 @@
 def some_days(first, many):
     bad, steps, over, late = [], 0, 0, 0
     for seed in range(first, first + many):
-        world = PlanWorld(plan_day(seed))
+        world = PlanWorld(draw_plan_scenario(seed))
         bad += [(seed, line) for line in world.run()]
-        steps, over, late = steps + world.steps, over + world.taken_over, late + world.late
+        steps, over, late = (
+            steps + world.agreed_step_count,
+            over + world.takeover_count,
+            late + world.late_notice_count,
+        )
     return bad, steps, over, late
 
 
--- a/benchmarks/peer_health.py
+++ b/benchmarks/peer_health.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 from corkgauge.eventloop.loop import SECOND
-from corkgauge.model.gossip import measured
+from corkgauge.model.gossip import measure_report_spread
 from corkgauge.peer_health.reports import HealthReports
 from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn
 from corkgauge.testkit.seeded_random import SeededRandom
@@ -125,7 +125,7 @@
 
 
 def _measured(job):
-    return measured(*job)
+    return measure_report_spread(*job)
 
 
 def lying(job):
--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -23,7 +23,7 @@
 from benchmarks.scaling import bounded, kept, single, slope
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.ring_buffer import MemoryBudget
-from corkgauge.model.dissemination import spread
+from corkgauge.model.dissemination import measure_dissemination
 from corkgauge.net.discovery_protocol import DiscoveryProtocol
 from corkgauge.net.host import UnstartedHost, build_settings
 from corkgauge.testkit.fleet.day import KINDS, settings
@@ -419,7 +419,9 @@
 
                 def played(many: int) -> float:
                     seeds = found.setdefault(many, [])
-                    seeds.append(spread(many, size, fanout, loss / 100, len(seeds) + 1))
+                    seeds.append(
+                        measure_dissemination(many, size, fanout, loss / 100, len(seeds) + 1)
+                    )
                     if seeds[-1][0] < 0:
                         raise RuntimeError(
                             f"{sort}, fan-out {fanout}, {loss}% lost: not all of {many} in a minute"
--- a/benchmarks/scale_subset.py
+++ b/benchmarks/scale_subset.py
@@ -44,7 +44,9 @@
 WIDER: dict[str, Callable[[Any], Any]] = {
     "alike": lambda demand: numpy.ones_like(demand),
     "fair": lambda demand: numpy.maximum(1, demand),
-    "busy": lambda demand: numpy.array([subsets.busy(each * UTILISED / LIMIT) for each in demand]),
+    "busy": lambda demand: numpy.array(
+        [subsets.load_growth_factor(each * UTILISED / LIMIT) for each in demand]
+    ),
 }
 NAMES = "all", "chance", "rendezvous", "rounds", "aperture", "tournament", "ours_fair", "ours"
 
@@ -56,7 +58,7 @@
         self.gateways, self.engines, self.seed = gateways, engines, seed
         self.chance = random.Random(seed)
         spare = engines // 10 + 1
-        self.names = [subsets.mixed(seed, n, 1) for n in range(engines + spare)]
+        self.names = [subsets.mix_hash(seed, n, 1) for n in range(engines + spare)]
         self.column = {name: n for n, name in enumerate(self.names)}
         shares = [
             (zone * part, (z, k))
@@ -81,9 +83,11 @@
         self.demand[draws.choice(gateways, max(gateways // 109, 1), replace=False)] = HOT
         self.demand /= self.demand[:gateways].mean()
         rows = range(gateways + 1)
-        self.ranks = numpy.array([[subsets.rank(g, name) for name in self.names] for g in rows])
+        self.ranks = numpy.array(
+            [[subsets.engine_rank(g, name) for name in self.names] for g in rows]
+        )
         self.hashes = numpy.array(
-            [[subsets.mixed(g, name) for name in self.names] for g in rows], dtype=numpy.uint64
+            [[subsets.mix_hash(g, name) for name in self.names] for g in rows], dtype=numpy.uint64
         )
         self.listed = numpy.arange(engines)
 
@@ -99,14 +103,14 @@
         elif option == "rounds":
             names, parts = [self.names[n] for n in listed], max(len(listed) // size, 1)
             for turn in range(-(-gateways // parts)):
-                columns = [self.column[name] for name in subsets.dealt(turn, names)]
+                columns = [self.column[name] for name in subsets.shuffle_for_round(turn, names)]
                 for part in range(min(parts, gateways - turn * parts)):
                     found[turn * parts + part, columns[part * size : (part + 1) * size]] = 1.0
         else:
             names = [self.names[n] for n in listed]
             for g in range(gateways):
                 chosen = (
-                    subsets.overlap(g, gateways, names, size)
+                    subsets.aperture_overlap(g, gateways, names, size)
                     if option == "aperture"
                     else dict.fromkeys(subsets.OPTIONS[option](g, gateways, names, size), 1.0)
                 )
@@ -124,22 +128,22 @@
         if option == "tournament":
             return ranks <= size / len(listed)
         places = self.by_place(listed)
-        bars = subsets.bars(gateways, places, self.classes, size)
+        bars = subsets.rank_limits(gateways, places, self.classes, size)
         wider = WIDER["fair" if option == "ours_fair" else "busy"](self.demand[:gateways])
         held = ranks <= numpy.array([bars[self.place[n]] for n in listed]) * wider[:, None]
         for reach in self.classes:
             able = numpy.array([i for i, n in enumerate(listed) if self.place[n] in reach])
-            for g in numpy.nonzero(held[:, able].sum(axis=1) < subsets.FEW)[0]:
-                held[g, able[numpy.argsort(ranks[g, able])[: subsets.FEW]]] = True
+            for g in numpy.nonzero(held[:, able].sum(axis=1) < subsets.MIN_ENGINES_PER_CLASS)[0]:
+                held[g, able[numpy.argsort(ranks[g, able])[: subsets.MIN_ENGINES_PER_CLASS]]] = True
         # What is held for a class that has few serves that class alone: a narrow place is in many
         # sets.
-        usual = subsets.wanted(gateways, len(listed), size) / len(listed)
+        usual = subsets.target_subset_size(gateways, len(listed), size) / len(listed)
         return numpy.where(held & (ranks > usual * wider[:, None]), NARROW, held)
 
     def agree(self, size: int) -> None:
         """What was made of the tables is what the pure functions say, for some gateways; else the run ends here."""
         names, places = [self.names[n] for n in self.listed], self.by_place(self.listed)
-        bars = subsets.bars(self.gateways, places, self.classes, size)
+        bars = subsets.rank_limits(self.gateways, places, self.classes, size)
         some = self.chance.sample(range(self.gateways), min(self.gateways, 6))
         for option in ("rendezvous", "rounds", "tournament", "ours_fair", "ours"):
             made = self.weights(option, size)
@@ -148,7 +152,7 @@
                 said = (
                     subsets.OPTIONS[option](g, self.gateways, names, size)
                     if option in subsets.OPTIONS
-                    else (subsets.ours(g, places, bars, self.classes, wider))
+                    else (subsets.select_subset(g, places, bars, self.classes, wider))
                 )
                 if said != sorted(self.names[n] for n in numpy.nonzero(made[g])[0]):
                     raise RuntimeError(
@@ -211,9 +215,10 @@
     """Evenness of ours, bare, where gateways know no number among all and take one by hash of their names."""
     found = numpy.zeros(fleet.engines)
     for gateway in range(fleet.gateways):
-        number = subsets.mixed(fleet.seed, gateway, 5)
+        number = subsets.mix_hash(fleet.seed, gateway, 5)
         found += [
-            subsets.rank(number, fleet.names[n]) <= size / fleet.engines for n in fleet.listed
+            subsets.engine_rank(number, fleet.names[n]) <= size / fleet.engines
+            for n in fleet.listed
         ]
     return worst(found)
 
@@ -277,7 +282,7 @@
     if option == "all":
         expected[:] = many
     elif option.startswith("ours"):
-        bars = subsets.bars(many, fleet.by_place(listed), fleet.classes, size)
+        bars = subsets.rank_limits(many, fleet.by_place(listed), fleet.classes, size)
         expected = many * numpy.array([bars[place] for place in fleet.place])
     found = {}
     for how, parts in (
@@ -352,7 +357,7 @@
     """
     names, places = [fleet.names[n] for n in fleet.listed], fleet.by_place(fleet.listed)
     bars, gateways = (
-        subsets.bars(fleet.gateways, places, fleet.classes, size),
+        subsets.rank_limits(fleet.gateways, places, fleet.classes, size),
         range(0, fleet.gateways, 29),
     )
 
@@ -363,14 +368,14 @@
         return (time.process_time() - begun) * 1000 / len(gateways)
 
     if option.startswith("ours"):
-        build = spent(lambda g: subsets.ours(g, places, bars, fleet.classes))
+        build = spent(lambda g: subsets.select_subset(g, places, bars, fleet.classes))
     else:
         build = spent(lambda g: subsets.OPTIONS[option](g, fleet.gateways, names, size))
     pair = {
-        "rendezvous": subsets.mixed,
-        "tournament": subsets.rank,
-        "ours_fair": subsets.rank,
-        "ours": subsets.rank,
+        "rendezvous": subsets.mix_hash,
+        "tournament": subsets.engine_rank,
+        "ours_fair": subsets.engine_rank,
+        "ours": subsets.engine_rank,
     }
     change = (
         spent(lambda g: [pair[option](g, name) for name in names[:100]]) / 100
--- a/corkgauge/model/dissemination.py
+++ b/corkgauge/model/dissemination.py
@@ -206,7 +206,7 @@
             self._send(sender, receiver, Chunk(index))
 
 
-def spread(
+def measure_dissemination(
     member_count: int,
     change_bytes: int,
     fanout: int,
@@ -219,10 +219,10 @@
     Seconds until all have the change (-1: not in `until`), octets that the busiest member sent in
     its busiest second, and octets that a member sent in all until then, on average.
 
-    >>> taken, peak, mean = spread(30, 400, 3, 0.0, 1)
+    >>> taken, peak, mean = measure_dissemination(30, 400, 3, 0.0, 1)
     >>> 0 < taken < 3 and peak >= mean > 0
     True
-    >>> spread(30, 400, 3, 0.0, 1) == (taken, peak, mean)
+    >>> measure_dissemination(30, 400, 3, 0.0, 1) == (taken, peak, mean)
     True
     """
     model = Dissemination(member_count, change_bytes, fanout, loss, seed)
--- a/corkgauge/model/gossip.py
+++ b/corkgauge/model/gossip.py
@@ -144,7 +144,7 @@
         return self.names[self.random.below(len(self.names))]
 
 
-def measured(
+def measure_report_spread(
     member_count: int,
     engine_count: int,
     silent_count: int,
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -18,78 +18,78 @@
 from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 from corkgauge.testkit.seeded_random import SeededRandom
 
-LEASE = 10_000
-DRIFT = 0.01  # of clocks, at most
-MARGIN = 300
-ACT_PERIOD = LEASE // 20
-DUPLICATED = 0.02  # of datagrams
-MUCH_DELAYED = 0.1  # of datagrams: ten times as late
-STOPPED_IN_ACT = 0.05  # of acts: a stop between the look at the clock and the act
+LEASE_TICKS = 10_000
+MAX_DRIFT_FRACTION = 0.01  # of clocks, at most
+MARGIN_TICKS = 300
+ACTION_PERIOD_TICKS = LEASE_TICKS // 20
+DUPLICATE_FRACTION = 0.02  # of datagrams
+LONG_DELAY_FRACTION = 0.1  # of datagrams: ten times as late
+STOP_DURING_ACTION_FRACTION = 0.05  # of acts: a stop between the look at the clock and the act
 LEASE_NAME = "books"
-FAULTS = "stop", "restart", "cut", "deaf", "mute", "yield", "all", "wild"
+ALL_FAULT_KINDS = "stop", "restart", "cut", "deaf", "mute", "yield", "all", "wild"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """What befalls whom, from when, how long: a script is a list of these."""
 
-    at: int
-    sort: str
-    whom: int
-    span: int
+    starts_at: int
+    kind: str
+    node_number: int
+    duration_ticks: int
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
+class Scenario:
     """One simulated run; the same figures give the same run.
 
     `off` names safeguards that are left out: silence, drift, check, fence, busy.
     """
 
     seed: int
-    nodes: int = 3
-    voters: int = 3
-    length: int = 30 * LEASE
+    node_count: int = 3
+    voter_count: int = 3
+    duration_ticks: int = 30 * LEASE_TICKS
     loss: float = 0.1
     delay: int = 300  # of a datagram, at most; a tenth of them take ten times that
-    drift: float = DRIFT  # of clocks, at most
+    drift: float = MAX_DRIFT_FRACTION  # of clocks, at most
     faults: tuple[Fault, ...] = ()
-    off: tuple[str, ...] = ()
+    disabled: tuple[str, ...] = ()
     disk: bool = False
 
 
-def drawn(
+def draw_scenario(
     seed: int,
-    nodes: int = 3,
-    many: int = 6,
-    off: tuple[str, ...] = (),
+    node_count: int = 3,
+    fault_count: int = 6,
+    disabled: tuple[str, ...] = (),
     disk: bool = False,
-    drift: float = DRIFT,
-    sorts: tuple[str, ...] = FAULTS,
-) -> Day:
+    drift: float = MAX_DRIFT_FRACTION,
+    kinds: tuple[str, ...] = ALL_FAULT_KINDS,
+) -> Scenario:
     """Return a day with faults by chance, of these sorts."""
-    chance = SeededRandom(seed)
-    length = 12 * LEASE
+    random = SeededRandom(seed)
+    duration_ticks = 12 * LEASE_TICKS
     faults = [
         Fault(
-            chance.below(length),
-            sorts[chance.below(len(sorts))],
-            chance.below(nodes),
-            chance.below(3 * LEASE),
+            random.below(duration_ticks),
+            kinds[random.below(len(kinds))],
+            random.below(node_count),
+            random.below(3 * LEASE_TICKS),
         )
-        for _ in range(many)
+        for _ in range(fault_count)
     ]
-    faults.sort(key=lambda fault: fault.at)
-    return Day(
+    faults.sort(key=lambda fault: fault.starts_at)
+    return Scenario(
         seed,
-        nodes,
-        min(nodes, 3 if seed % 2 else 5),
-        length,
-        (0.0, 0.1, 0.3)[chance.below(3)],
-        (50, 300, 2_000)[chance.below(3)],
+        node_count,
+        min(node_count, 3 if seed % 2 else 5),
+        duration_ticks,
+        (0.0, 0.1, 0.3)[random.below(3)],
+        (50, 300, 2_000)[random.below(3)],
         drift,
         tuple(faults),
-        off,
+        disabled,
         disk,
     )
 
@@ -101,68 +101,72 @@
         self.world = world
         self.number = number
         self.name = f"n{number}"
-        chance = world.chance
+        random = world.random
         # Boot clocks differ by hours, and run fast or slow by as much as is assumed.
-        self.rate = 1 + world.day.drift * (chance.below(2001) - 1000) / 1000
-        self.offset = chance.below(10**7)
-        self.skew = chance.below(10**7)  # of its date, in ms
-        self.start = 1  # its incarnation
+        self.clock_rate = 1 + world.scenario.drift * (random.below(2001) - 1000) / 1000
+        self.clock_offset = random.below(10**7)
+        self.date_offset_ms = random.below(10**7)  # of its date, in ms
+        self.incarnation = 1  # its incarnation
         self.stopped_until = 0
-        self.stored: Any = None  # votes on its disk
-        self.reach = {"in": 0, "out": 0}  # cut off until then
-        self.begin()
+        self.stored_record: Any = None  # votes on its disk
+        self.cut_until = {"in": 0, "out": 0}  # cut off until then
+        self.start_process()
 
     @property
     def now(self) -> int:
         """Tenths of a millisecond on its own clock."""
-        return self.offset + int(self.world.time * self.rate)
+        return self.clock_offset + int(self.world.time * self.clock_rate)
 
     @property
     def date(self) -> int:
         """Milliseconds, as it believes."""
-        return self.skew + self.world.time // 10
+        return self.date_offset_ms + self.world.time // 10
 
-    def begin(self) -> None:
+    def start_process(self) -> None:
         """Start: nothing is known but what a disk kept."""
         world = self.world
-        off = world.day.off
-        drift = world.day.drift
-        margin = MARGIN
-        if "drift" in off:
+        disabled = world.scenario.disabled
+        drift = world.scenario.drift
+        margin = MARGIN_TICKS
+        if "drift" in disabled:
             drift = 0.0
             margin = 0
-        timing = LeaseTiming(LEASE, drift, margin)
-        if "silence" in off:
+        timing = LeaseTiming(LEASE_TICKS, drift, margin)
+        if "silence" in disabled:
             timing.silence_ticks = 0
-        stored = self.stored if world.day.disk else None
-        self.voter = Voter(self, self.name, world.roll, timing, stored)
-        if world.time == 0 and not world.day.disk:
+        stored_record = self.stored_record if world.scenario.disk else None
+        self.voter = Voter(self, self.name, world.voter_configuration, timing, stored_record)
+        if world.time == 0 and not world.scenario.disk:
             self.voter.silent_until = 0  # the fleet's first start ever: there is nothing to forget
-        if "busy" in off:
+        if "busy" in disabled:
             self.voter._blocked_ticks = lambda vote, candidate: 0  # type: ignore[method-assign]
-        self.holder = LeaseCandidate(self, LEASE_NAME, self.name, world.roll, timing)
-        if "check" in off:
-            holder = self.holder
+        self.candidate = LeaseCandidate(
+            self, LEASE_NAME, self.name, world.voter_configuration, timing
+        )
+        if "check" in disabled:
+            holder = self.candidate
             holder.may_act = lambda: holder.state is CandidateState.HOLDING  # type: ignore[method-assign]
 
     # The machines' host.
 
     def send(self, name: str, body: list[Any]) -> None:
         """Send a datagram to a process."""
-        self.world.carry(self, self.world.nodes[int(name[1:])], body)
+        self.world.send_datagram(self, self.world.nodes[int(name[1:])], body)
 
     def call_later(self, delay: int, method: Any, *what: Any) -> None:
         """Set a timer on its own clock."""
-        self.world.call_later(int(delay / self.rate) + 1, self.woken, self.start, method, what)
+        self.world.call_later(
+            int(delay / self.clock_rate) + 1, self.run_timer, self.incarnation, method, what
+        )
 
-    def woken(self, start: int, method: Any, what: tuple[Any, ...]) -> None:
+    def run_timer(self, incarnation: int, method: Any, what: tuple[Any, ...]) -> None:
         """Call what a timer was set for, unless it has restarted since."""
-        if start == self.start:
+        if incarnation == self.incarnation:
             method(*what)
 
     def random_below(self, below: int) -> int:
         """Return a number from 0 to `below` - 1."""
-        return self.world.chance.below(below)
+        return self.world.random.below(below)
 
     def rank_of(self, lease: str) -> int:
         """Return its number."""
@@ -170,22 +174,29 @@
 
     def persist(self, record: dict[str, Any], then: Any, *what: Any) -> None:
         """Call `then` once the record is on its disk, if it has one."""
-        if not self.world.day.disk:
+        if not self.world.scenario.disk:
             then(*what)
             return
         self.world.call_later(
-            20 + self.world.chance.below(200), self.safe, self.start, record, then, what
+            20 + self.world.random.below(200),
+            self.on_record_stored,
+            self.incarnation,
+            record,
+            then,
+            what,
         )
 
-    def safe(self, start: int, record: dict[str, Any], then: Any, what: tuple[Any, ...]) -> None:
+    def on_record_stored(
+        self, incarnation: int, record: dict[str, Any], then: Any, what: tuple[Any, ...]
+    ) -> None:
         """Note that a record is on the disk."""
-        if start == self.start:
-            self.stored = record
+        if incarnation == self.incarnation:
+            self.stored_record = record
             then(*what)
 
     def on_lease_gained(self, holder: LeaseCandidate) -> None:
         """Notify the world."""
-        self.world.gained(self)
+        self.world.on_holder_changed(self)
 
     def on_lease_lost(self, holder: LeaseCandidate, why: str) -> None:
         """Nothing to do: each act looks at the lease."""
@@ -201,170 +212,191 @@
 
     # What comes to it.
 
-    def heard(self, sender: "Node", start: int, known_as: int, body: list[Any]) -> None:
+    def handle_datagram(
+        self, sender: "Node", incarnation: int, recipient_incarnation: int, body: list[Any]
+    ) -> None:
         """Take a datagram, unless it was written to an earlier incarnation."""
-        if known_as != self.start:
+        if recipient_incarnation != self.incarnation:
             return  # the membership's own rule
         if decode_routing(body).is_for_candidate:
-            self.holder.on_datagram(sender.name, body)
+            self.candidate.on_datagram(sender.name, body)
         else:
-            self.voter.on_datagram(sender.name, start, body)
+            self.voter.on_datagram(sender.name, incarnation, body)
 
     def act(self) -> None:
         """Do something under the lease, now and then."""
         world = self.world
-        world.call_later(ACT_PERIOD, self.act)
-        if self.holder.may_act():
-            world.acted(self, self.holder.fencing_token)
+        world.call_later(ACTION_PERIOD_TICKS, self.act)
+        if self.candidate.may_act():
+            world.on_action(self, self.candidate.fencing_token)
 
 
 class World:
     """One simulated day: `run` returns what the judge found; nothing where all was well."""
 
-    def __init__(self, day: Day) -> None:
-        self.day = day
-        self.chance = SeededRandom(day.seed)
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
+        self.random = SeededRandom(scenario.seed)
         self.time = 0  # the true one
-        self.serial = 0  # of events, so that those of one moment keep their order
+        self.event_serial = 0  # of events, so that those of one moment keep their order
         self.events: list[tuple[Any, ...]] = []
-        self.found: list[str] = []
+        self.violations: list[str] = []
         self.handovers: list[tuple[int, int]] = []  # when, after how long without a holder
-        self.guard = FencingGuard()
-        self.acts = 0
-        self.refused = 0
-        self.last = 0  # the highest fencing token of an act that was taken
-        self.roll = VoterConfiguration(1, [f"n{n}" for n in range(day.voters)], LEASE)
+        self.fencing_guard = FencingGuard()
+        self.action_count = 0
+        self.refused_count = 0
+        self.last_token = 0  # the highest fencing token of an act that was taken
+        self.voter_configuration = VoterConfiguration(
+            1, [f"n{n}" for n in range(scenario.voter_count)], LEASE_TICKS
+        )
         self.nodes: list[Node] = []
-        for number in range(day.nodes):
-            self.nodes.append(self.node(number))
+        for number in range(scenario.node_count):
+            self.nodes.append(self.create_node(number))
         for node in self.nodes:
-            self.call_later(1 + self.chance.below(ACT_PERIOD), node.act)
-        for fault in day.faults:
-            self.call_later(max(fault.at, 1), self.befall, fault)
+            self.call_later(1 + self.random.below(ACTION_PERIOD_TICKS), node.act)
+        for fault in scenario.faults:
+            self.call_later(max(fault.starts_at, 1), self.apply_fault, fault)
 
-    def node(self, number: int) -> Node:
+    def create_node(self, number: int) -> Node:
         """Return a process; other models have their own."""
         return Node(self, number)
 
     def call_later(self, delay: int, method: Any, *what: Any) -> None:
         """Call a method in true time; one of a process that stands still waits."""
-        self.serial += 1
+        self.event_serial += 1
         owner = getattr(method, "__self__", None)
-        heappush(self.events, (self.time + max(delay, 1), self.serial, owner, method, what))
+        heappush(self.events, (self.time + max(delay, 1), self.event_serial, owner, method, what))
 
     def run(self) -> list[str]:
         """Play the day; return what the judge found."""
-        while self.events and not self.found:
+        while self.events and not self.violations:
             self.time, _, owner, method, what = heappop(self.events)
-            if self.time > self.day.length:
+            if self.time > self.scenario.duration_ticks:
                 break
             if isinstance(owner, Node) and owner.stopped_until > self.time:
                 # It stands still: what was due comes when it goes on.
-                self.serial += 1
-                heappush(self.events, (owner.stopped_until, self.serial, owner, method, what))
+                self.event_serial += 1
+                heappush(self.events, (owner.stopped_until, self.event_serial, owner, method, what))
                 continue
             method(*what)
             self._judge()
-        return self.found
+        return self.violations
 
     def _judge(self) -> None:
         """Look whether two hold the lease at once, in true time."""
-        able = [node for node in self.nodes if node.holder.may_act()]
-        if len(able) > 1:
-            self.found.append(
-                f"{self.time}: {' and '.join(node.name for node in able)} hold at once"
+        active_nodes = [node for node in self.nodes if node.candidate.may_act()]
+        if len(active_nodes) > 1:
+            self.violations.append(
+                f"{self.time}: {' and '.join(node.name for node in active_nodes)} hold at once"
             )
 
-    def acted(self, node: Node, fence: int) -> None:
+    def on_action(self, node: Node, fencing_token: int) -> None:
         """Let an act arrive, at once or after a stop that came within it."""
-        self.acts += 1
-        if self.chance.within(STOPPED_IN_ACT):  # stopped between the look and the act
-            node.stopped_until = self.time + self.chance.below(3 * LEASE)
-            self.call_later(node.stopped_until - self.time + 1, self.arrive, fence)
+        self.action_count += 1
+        if self.random.within(STOP_DURING_ACTION_FRACTION):  # stopped between the look and the act
+            node.stopped_until = self.time + self.random.below(3 * LEASE_TICKS)
+            self.call_later(node.stopped_until - self.time + 1, self.check_action, fencing_token)
         else:
-            self.arrive(fence)
+            self.check_action(fencing_token)
 
-    def arrive(self, fence: int) -> None:
+    def check_action(self, fencing_token: int) -> None:
         """Judge an act as it arrives."""
-        is_guarded = "fence" not in self.day.off
-        admitted = not is_guarded or self.guard.admits(LEASE_NAME, fence)
+        is_guarded = "fence" not in self.scenario.disabled
+        admitted = not is_guarded or self.fencing_guard.admits(LEASE_NAME, fencing_token)
         if not admitted:
-            self.refused += 1
-        elif fence < self.last:
-            self.found.append(
-                f"{self.time}: an act under fence {fence} after one under {self.last}"
+            self.refused_count += 1
+        elif fencing_token < self.last_token:
+            self.violations.append(
+                f"{self.time}: an act under fence {fencing_token} after one under {self.last_token}"
             )
         if admitted:
-            self.last = max(self.last, fence)
+            self.last_token = max(self.last_token, fencing_token)
 
-    def gained(self, node: Node) -> None:
+    def on_holder_changed(self, node: Node) -> None:
         """Note a change of holder."""
         self.handovers.append((self.time, node.number))
 
-    def carry(self, sender: Node, to: Node, body: list[Any]) -> None:
+    def send_datagram(self, sender: Node, recipient: Node, body: list[Any]) -> None:
         """Put a datagram on its way, or lose it."""
-        if sender is not to and (
-            self.chance.within(self.day.loss) or sender.reach["out"] > self.time
+        if sender is not recipient and (
+            self.random.within(self.scenario.loss) or sender.cut_until["out"] > self.time
         ):
             return
         copies = 1
-        if sender is not to and self.chance.within(DUPLICATED):
+        if sender is not recipient and self.random.within(DUPLICATE_FRACTION):
             copies = 2
         for _ in range(copies):
             delay = self._draw_delay()
-            if sender is to:
+            if sender is recipient:
                 delay = 1
-            self.call_later(delay, self.arrived, sender, sender.start, to, to.start, body)
+            self.call_later(
+                delay,
+                self.deliver,
+                sender,
+                sender.incarnation,
+                recipient,
+                recipient.incarnation,
+                body,
+            )
 
     def _draw_delay(self) -> int:
-        delay = self.chance.below(self.day.delay)
-        if self.chance.within(MUCH_DELAYED):
+        delay = self.random.below(self.scenario.delay)
+        if self.random.within(LONG_DELAY_FRACTION):
             delay *= 10
         return 1 + delay
 
-    def arrived(self, sender: Node, start: int, to: Node, known_as: int, body: list[Any]) -> None:
+    def deliver(
+        self,
+        sender: Node,
+        incarnation: int,
+        recipient: Node,
+        recipient_incarnation: int,
+        body: list[Any],
+    ) -> None:
         """Hand a datagram over, unless its recipient is cut off."""
-        if sender is to or to.reach["in"] <= self.time:
-            self.call_later(1, to.heard, sender, start, known_as, body)
+        if sender is recipient or recipient.cut_until["in"] <= self.time:
+            self.call_later(
+                1, recipient.handle_datagram, sender, incarnation, recipient_incarnation, body
+            )
 
     # Faults.
 
-    def befall(self, fault: Fault) -> None:
+    def apply_fault(self, fault: Fault) -> None:
         """Let a fault begin."""
-        node = self.nodes[fault.whom % len(self.nodes)]
-        until = self.time + fault.span
-        if fault.sort == "stop":
+        node = self.nodes[fault.node_number % len(self.nodes)]
+        until = self.time + fault.duration_ticks
+        if fault.kind == "stop":
             node.stopped_until = max(node.stopped_until, until)
-        elif fault.sort == "restart":
-            self.restart(node)
-        elif fault.sort == "all":
+        elif fault.kind == "restart":
+            self.restart_node(node)
+        elif fault.kind == "all":
             for each in self.nodes:
-                self.restart(each)
-        elif fault.sort in ("cut", "deaf"):
-            node.reach["in"] = until
-        elif fault.sort == "wild":
-            node.holder.highest_ballot = 2**50 + self.chance.below(1000)
-        if fault.sort in ("cut", "mute"):
-            node.reach["out"] = until
-        if fault.sort == "yield":
-            node.holder.release("told")
-
-    def restart(self, node: Node) -> None:
+                self.restart_node(each)
+        elif fault.kind in ("cut", "deaf"):
+            node.cut_until["in"] = until
+        elif fault.kind == "wild":
+            node.candidate.highest_ballot = 2**50 + self.random.below(1000)
+        if fault.kind in ("cut", "mute"):
+            node.cut_until["out"] = until
+        if fault.kind == "yield":
+            node.candidate.release("told")
+
+    def restart_node(self, node: Node) -> None:
         """Let a process start anew, at once."""
-        node.start += 1
+        node.incarnation += 1
         node.stopped_until = 0
-        node.begin()
+        node.start_process()
 
 
-def shortest(day: Day) -> Day:
+def minimize_scenario(scenario: Scenario) -> Scenario:
     """Return the day with the fewest faults that still show what it shows."""
-    faults = [*day.faults]
-    for fault in day.faults:
+    faults = [*scenario.faults]
+    for fault in scenario.faults:
         fewer = [each for each in faults if each is not fault]
-        if World(_with(day, fewer)).run():
+        if World(_with(scenario, fewer)).run():
             faults = fewer
-    return _with(day, faults)
+    return _with(scenario, faults)
 
 
-def _with(day: Day, faults: list[Fault]) -> Day:
-    return replace(day, faults=tuple(faults))
+def _with(scenario: Scenario, faults: list[Fault]) -> Scenario:
+    return replace(scenario, faults=tuple(faults))
--- a/corkgauge/model/membership.py
+++ b/corkgauge/model/membership.py
@@ -149,7 +149,7 @@
     octets: int
 
 
-def measured(node_count: int) -> dict[str, Any]:
+def measure_membership(node_count: int) -> dict[str, Any]:
     """Run all from their start until one that failed is known to have; return what was seen.
 
     Time to a common view after all start at once, and after one fails; datagrams and octets a
--- a/corkgauge/model/model_checker.py
+++ b/corkgauge/model/model_checker.py
@@ -24,17 +24,21 @@
 
     def __init__(self) -> None:
         self.by_depth: list[int] = []
-        self.held = 0  # states in which somebody holds the lease
-        self.found: list[str] = []
+        self.states_with_holder = 0  # states in which somebody holds the lease
+        self.counterexample: list[str] = []
 
     @property
-    def states(self) -> int:
+    def state_count(self) -> int:
         """How many were reached."""
         return sum(self.by_depth)
 
 
 def explore(
-    depth: int, restarts: int = 1, disabled: str = "", held: bool = False, most: int = 10**9
+    depth: int,
+    restarts: int = 1,
+    disabled: str = "",
+    start_with_holder: bool = False,
+    max_states: int = 10**9,
 ) -> Exploration:
     """Breadth first; stops at what must never be, or past so many states.
 
@@ -43,14 +47,14 @@
     """
     exploration = Exploration()
     first = World(restarts, disabled)
-    if held:
+    if start_with_holder:
         first = _first_holder(first)
     seen = {hash(signature_of(first))}
     edge: list[tuple[World, Path | None]] = [(first, None)]
     for _ in range(depth + 1):
         exploration.by_depth.append(len(edge))
-        edge = _explore_edge(exploration, deque(edge), seen, most)
-        if exploration.found or len(seen) > most:
+        edge = _explore_edge(exploration, deque(edge), seen, max_states)
+        if exploration.counterexample or len(seen) > max_states:
             break
     return exploration
 
@@ -66,14 +70,14 @@
     exploration: Exploration,
     edge: deque[tuple[World, Path | None]],
     seen: set[int],
-    most: int,
+    max_states: int,
 ) -> list[tuple[World, Path | None]]:
     """Take one step from each state of the edge: the states reached first."""
     reached: list[tuple[World, Path | None]] = []
     while edge:
         world, path = edge.popleft()  # a world that is done with is let go: they are large
         world.enter()
-        exploration.held += any(
+        exploration.states_with_holder += any(
             candidate.state is CandidateState.HOLDING for candidate in world.candidates.values()
         )
         for step, new in world.steps():
@@ -84,10 +88,10 @@
             seen.add(signature)
             violation = new.find_violation()
             if violation:
-                exploration.found = [*_steps_of(path), step, violation]
+                exploration.counterexample = [*_steps_of(path), step, violation]
                 return reached
             reached.append((new, Path(path, step)))
-            if len(seen) > most:
+            if len(seen) > max_states:
                 return reached
     return reached
 
--- a/fuzz/decoder.py
+++ b/fuzz/decoder.py
@@ -23,11 +23,11 @@
 EDGES = 0, 1, 2, 3, 4, 9, 10, 16, 127, 128, 255
 
 
-def seeds() -> list[bytes]:
+def load_seeds() -> list[bytes]:
     return [path.read_bytes() for path in sorted(SEEDS.glob("*.bin"))]
 
 
-def changed(data: bytes, others: list[bytes], chance: Random) -> bytes:
+def mutate(data: bytes, others: list[bytes], chance: Random) -> bytes:
     """Octets set, pieces cut, doubled or taken from another, often with lengths put right."""
     bad = bytearray(data)
     for _ in range(chance.randint(1, 6)):
@@ -52,7 +52,7 @@
     return bytes(bad)
 
 
-def one(decoder: Decoder, data: bytes) -> bool:
+def is_decodable(decoder: Decoder, data: bytes) -> bool:
     """Was it read? Anything but `Malformed` comes out."""
     try:
         decoder.decode(data)
@@ -68,14 +68,14 @@
     said.add_argument("--seconds", type=float, default=10.0)
     said.add_argument("--seed", type=int, default=1)
     asked = said.parse_args()
-    chance, known, decoder = Random(asked.seed), seeds(), Decoder()
+    chance, known, decoder = Random(asked.seed), load_seeds(), Decoder()
     count = read = 0
     until = time.monotonic() + asked.seconds
     while time.monotonic() < until:
         for _ in range(500):
-            data = changed(chance.choice(known), known, chance)
+            data = mutate(chance.choice(known), known, chance)
             try:
-                read += one(decoder, data)
+                read += is_decodable(decoder, data)
                 MessageStream().feed(data)
             except MalformedMessageError:
                 pass
--- a/tests/test_decision_trace.py
+++ b/tests/test_decision_trace.py
@@ -16,9 +16,11 @@
 
 
 def test_short_trace_equals_the_recorded_hashes():
-    hashes = decision_trace.trace_hashes(RECORDED["seed"], decision_trace.SHORT)
+    hashes = decision_trace.trace_hashes(RECORDED["seed"], decision_trace.SHORT_SCENARIOS)
 
-    assert hashes == {name: RECORDED["scenarios"][name] for name in decision_trace.SHORT}, (
+    assert hashes == {
+        name: RECORDED["scenarios"][name] for name in decision_trace.SHORT_SCENARIOS
+    }, (
         f"decisions differ (floats added as {decision_trace.float_sum()} here, "
         f"{RECORDED['float_sum']} in the record)"
     )
--- a/tests/test_flow_export.py
+++ b/tests/test_flow_export.py
@@ -36,7 +36,7 @@
 from corkgauge.flow_export.timer_wheel import TimerWheel
 from corkgauge.flow_export.tls import TlsConfigurationError, client_context
 from corkgauge.testkit.emulators.collector import EmulatedCollector
-from fuzz.decoder import changed, one, seeds
+from fuzz.decoder import is_decodable, load_seeds, mutate
 from tests.harness import HostHarness, endpoint_list_event, request_frame, request_id
 
 TICKS_PER_SECOND = 10_000
@@ -1254,8 +1254,8 @@
     ids=lambda path: path.stem,
 )
 def test_fuzzer_seeds_raise_only_malformed_message_errors(path):
-    random, known_seeds, decoder = Random(3), seeds(), Decoder()
-    one(decoder, path.read_bytes())
+    random, known_seeds, decoder = Random(3), load_seeds(), Decoder()
+    is_decodable(decoder, path.read_bytes())
     for _ in range(200):
-        one(decoder, changed(path.read_bytes(), known_seeds, random))
+        is_decodable(decoder, mutate(path.read_bytes(), known_seeds, random))
     assert len(decoder.templates) <= 1000 and len(decoder.expected_sequence) <= 1001
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -17,7 +17,13 @@
 from corkgauge.leases.messages import MessageKind
 from corkgauge.leases.voter import Voter
 from corkgauge.leases.voter_configuration import LeaseTiming, UnsafeChangeError, VoterConfiguration
-from corkgauge.model.leases import FAULTS, LEASE, World, drawn, shortest
+from corkgauge.model.leases import (
+    ALL_FAULT_KINDS,
+    LEASE_TICKS,
+    World,
+    draw_scenario,
+    minimize_scenario,
+)
 from corkgauge.model.model_checker import explore
 
 SECOND = 10_000
@@ -395,16 +401,20 @@
 
 
 def test_model_checker_finds_no_violation_near_start_and_around_holder():
-    near_start, around_holder = explore(9), explore(5, held=True)
-    assert not near_start.found and not around_holder.found and around_holder.held > 100
-    assert near_start.states > 700 and around_holder.states > 500
+    near_start, around_holder = explore(9), explore(5, start_with_holder=True)
+    assert (
+        not near_start.counterexample
+        and not around_holder.counterexample
+        and around_holder.states_with_holder > 100
+    )
+    assert near_start.state_count > 700 and around_holder.state_count > 500
 
 
 def test_simulations_with_drifting_clocks_have_one_holder_at_a_time():
     handover_count = 0
     for seed in range(60):
-        world = World(drawn(seed, (3, 5)[seed % 2], disk=seed % 3 == 0))
-        assert world.run() == [], drawn(seed, (3, 5)[seed % 2], disk=seed % 3 == 0)
+        world = World(draw_scenario(seed, (3, 5)[seed % 2], disk=seed % 3 == 0))
+        assert world.run() == [], draw_scenario(seed, (3, 5)[seed % 2], disk=seed % 3 == 0)
         handover_count += len(world.handovers)
     assert handover_count > 100
 
@@ -415,29 +425,29 @@
 @pytest.mark.parametrize("off", ["silence", "drift", "check", "fence", "busy"])
 def test_simulation_detects_each_disabled_safeguard(off):
     for seed in range(400):
-        day = drawn(
+        day = draw_scenario(
             seed,
             3,
-            off=(off,),
+            disabled=(off,),
             drift=0.1 if off == "drift" else 0.01,
-            sorts=FAULT_KINDS.get(off, FAULTS),
-            many=8,
+            kinds=FAULT_KINDS.get(off, ALL_FAULT_KINDS),
+            fault_count=8,
         )
         if World(day).run():
-            minimized_day = shortest(day)
+            minimized_day = minimize_scenario(day)
             assert World(minimized_day).run() and len(minimized_day.faults) <= len(day.faults)
             return
     raise AssertionError(f"nothing was found without {off}")
 
 
 def test_simulation_is_deterministic():
-    first, second = World(drawn(7, 5)), World(drawn(7, 5))
-    assert (first.run(), first.handovers, first.acts) == (
+    first, second = World(draw_scenario(7, 5)), World(draw_scenario(7, 5))
+    assert (first.run(), first.handovers, first.action_count) == (
         second.run(),
         second.handovers,
-        second.acts,
+        second.action_count,
     )
-    assert first.day.length == 12 * LEASE
+    assert first.scenario.duration_ticks == 12 * LEASE_TICKS
 
 
 class RecordingProcess:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -24,7 +24,7 @@
 from corkgauge.maintenance.plan_records import NEXT_STATES, UnitState
 from corkgauge.maintenance.plan_replica import PlanReplica
 from corkgauge.maintenance.schedule import select_grants
-from corkgauge.model.plan_consensus import PlanWorld, plan_day
+from corkgauge.model.plan_consensus import PlanWorld, draw_plan_scenario
 
 REQUEST_CHANGE = ["ask", ["a", "engine", ["e1"], "ada", "", 9, 5, 1, "", 0]]
 UNIT_CHANGE = ["unit", "e1", "a", "engine", ["e1"]]
@@ -310,16 +310,18 @@
 
 def test_simulated_days_keep_one_history_and_detect_each_disabled_safeguard():
     for seed in range(60):
-        world = PlanWorld(plan_day(seed))
+        world = PlanWorld(draw_plan_scenario(seed))
         assert world.run() == [], seed
     # Seed 1368 found a proposer that accepted a late chunk: it had requested the chunk when it led
     # before, and the plan had been changed since.
-    assert PlanWorld(plan_day(1368, ("busy",))).run() == []
-    assert any(PlanWorld(plan_day(seed, ("agreement",))).run() for seed in range(20))
+    assert PlanWorld(draw_plan_scenario(1368, ("busy",))).run() == []
+    assert any(PlanWorld(draw_plan_scenario(seed, ("agreement",))).run() for seed in range(20))
     # With broken leases, fencing alone keeps one history, provided that votes are stored on disk.
-    days = [replace(plan_day(seed, ("busy",)), disk=True) for seed in (*range(6), 37, 53, 54)]
+    days = [
+        replace(draw_plan_scenario(seed, ("busy",)), disk=True) for seed in (*range(6), 37, 53, 54)
+    ]
     assert not any(PlanWorld(day).run() for day in days)
-    assert any(PlanWorld(replace(day, off=("busy", "orders"))).run() for day in days)
+    assert any(PlanWorld(replace(day, disabled=("busy", "orders"))).run() for day in days)
 
 
 # Limits and schedule.
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -280,7 +280,7 @@
 
 
 def test_gossip_reaches_all_and_none_hears_what_no_datagram_brought():
-    assert 0 < dissemination.spread(60, 400, 2, 0.3, 1)[0] < 20
+    assert 0 < dissemination.measure_dissemination(60, 400, 2, 0.3, 1)[0] < 20
     lost = dissemination.Dissemination(60, 400, 2, loss=1.0)
     assert lost.run(3 * SECOND) == -1 and sum(member.is_complete for member in lost.members) == 1
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -476,7 +476,7 @@
     for n in range(30):
         for rank_function, engine in (
             (subsetting.subset_rank, b"s-%d" % n),
-            (subsets.rank, subsets.mixed(n, 1)),
+            (subsets.engine_rank, subsets.mix_hash(n, 1)),
         ):
             for first in range(0, 256, block):
                 assert (
--- a/tests/test_subset_options.py
+++ b/tests/test_subset_options.py
@@ -14,17 +14,17 @@
 
 from corkgauge.model import subsets
 from corkgauge.model.subsets import (
-    BASE,
-    FEW,
-    LEAST,
+    BASE_ENGINE_COUNT,
+    EXPECTED_ENGINES_PER_CLASS,
+    MIN_ENGINES_PER_CLASS,
     OPTIONS,
-    bars,
-    mixed,
-    ours,
-    rank,
-    rounds,
-    tournament,
-    wanted,
+    engine_rank,
+    mix_hash,
+    rank_limits,
+    round_subset,
+    select_subset,
+    target_subset_size,
+    tournament_subset,
 )
 
 MAX_UNEVENNESS = 1.25  # subsets per engine, worst over mean
@@ -39,7 +39,7 @@
 
 
 def make_engines(count, seed=1):
-    return [mixed(seed, n, 9) for n in range(count)]
+    return [mix_hash(seed, n, 9) for n in range(count)]
 
 
 def subsets_of(option, gateways, engines, size):
@@ -54,14 +54,15 @@
     """Subsets per engine, worst over mean; by default for the subset size of the rule."""
     engines = make_engines(count)
     holder_counts = count_holders(
-        subsets_of(option, gateways, engines, int(size or wanted(gateways, count))), engines
+        subsets_of(option, gateways, engines, int(size or target_subset_size(gateways, count))),
+        engines,
     )
     return max(holder_counts) * count / sum(holder_counts)
 
 
 @pytest.mark.parametrize("gateways, engines", FLEET_SIZES)
 def test_tournament_puts_each_engine_into_nearly_the_same_number_of_subsets(gateways, engines):
-    assert measure_unevenness(tournament, gateways, engines) <= MAX_UNEVENNESS
+    assert measure_unevenness(tournament_subset, gateways, engines) <= MAX_UNEVENNESS
 
 
 @pytest.mark.parametrize("gateways, engines", FLEET_SIZES)
@@ -75,7 +76,10 @@
 def test_engine_is_held_by_its_fraction_of_any_number_of_gateways(gateways, part, seed):
     for engine in make_engines(20, seed):
         assert (
-            abs(sum(rank(gateway, engine) <= part for gateway in range(gateways)) - gateways * part)
+            abs(
+                sum(engine_rank(gateway, engine) <= part for gateway in range(gateways))
+                - gateways * part
+            )
             <= MAX_HOLDER_DEVIATION
         )
 
@@ -83,11 +87,11 @@
 @pytest.mark.parametrize("variant", ["no spread over blocks", "hash alone"])
 def test_rank_without_tournament_or_spread_exceeds_the_holder_deviation(monkeypatch, variant):
     if variant == "no spread over blocks":
-        monkeypatch.setattr(subsets, "GOLDEN", 0.0)
+        monkeypatch.setattr(subsets, "GOLDEN_RATIO", 0.0)
     rank_function = (
-        rank
+        engine_rank
         if variant == "no spread over blocks"
-        else lambda gateway, engine: mixed(gateway, engine) / 2**64
+        else lambda gateway, engine: mix_hash(gateway, engine) / 2**64
     )
     worst = max(
         abs(sum(rank_function(gateway, engine) <= 0.2 for gateway in range(200)) - 40)
@@ -101,14 +105,17 @@
     for engine in make_engines(50):
         for first in range(0, 256, block):
             assert (
-                sum(rank(gateway, engine) < 1 / block for gateway in range(first, first + block))
+                sum(
+                    engine_rank(gateway, engine) < 1 / block
+                    for gateway in range(first, first + block)
+                )
                 == 1
             )
 
 
 def max_overlap(engines):
     """Most engines shared by two of 64 gateways, for subsets of an eighth of the engines."""
-    sets = subsets_of(tournament, 64, engines, len(engines) // 8)
+    sets = subsets_of(tournament_subset, 64, engines, len(engines) // 8)
     return max(len(sets[one] & sets[other]) for one in range(64) for other in range(one))
 
 
@@ -117,7 +124,7 @@
     assert max_overlap(engines) <= 16
     # With a hash that is linear over GF(2), the winners of one block are the winners of another
     # block, or the losers, for all engines alike.
-    monkeypatch.setattr(subsets, "mixed", lambda a, b, c=0: crc32(pack("<QQQ", a, b, c)) << 32)
+    monkeypatch.setattr(subsets, "mix_hash", lambda a, b, c=0: crc32(pack("<QQQ", a, b, c)) << 32)
     assert max_overlap(engines) > 16
 
 
@@ -132,11 +139,11 @@
     gateway, count, sizes, seed
 ):
     engines, (small, large) = make_engines(count, seed), sorted(sizes)
-    subset = set(tournament(gateway, 870, engines, small))
-    assert subset <= set(tournament(gateway, 870, engines, large))
+    subset = set(tournament_subset(gateway, 870, engines, small))
+    assert subset <= set(tournament_subset(gateway, 870, engines, large))
     gone = set(engines[::7])
     assert subset - gone <= set(
-        tournament(gateway, 870, [e for e in engines if e not in gone], small)
+        tournament_subset(gateway, 870, [e for e in engines if e not in gone], small)
     )
 
 
@@ -144,9 +151,11 @@
 def test_options_by_position_lose_remaining_engines_when_the_list_gets_shorter(option):
     engines, lost = make_engines(300), 0
     for gateway in range(20):
-        subset = set(OPTIONS[option](gateway, 870, engines, BASE))
+        subset = set(OPTIONS[option](gateway, 870, engines, BASE_ENGINE_COUNT))
         lost += len(
-            subset - set(engines[:3]) - set(OPTIONS[option](gateway, 870, engines[3:], BASE))
+            subset
+            - set(engines[:3])
+            - set(OPTIONS[option](gateway, 870, engines[3:], BASE_ENGINE_COUNT))
         )
     assert lost > 20
 
@@ -154,33 +163,36 @@
 def count_joined_pairs(option, before, after, gateways=100, then=100):
     """Number of (gateway, engine) pairs added at the gateways that existed before."""
     return sum(
-        len(set(option(gateway, then, after, BASE)) - set(option(gateway, gateways, before, BASE)))
+        len(
+            set(option(gateway, then, after, BASE_ENGINE_COUNT))
+            - set(option(gateway, gateways, before, BASE_ENGINE_COUNT))
+        )
         for gateway in range(gateways)
     )
 
 
 def test_adding_or_removing_one_engine_moves_few_pairs():
     engines = make_engines(400)
-    part = 100 * BASE / 400
-    assert count_joined_pairs(tournament, engines[1:], engines) <= 1.5 * part
-    assert count_joined_pairs(tournament, engines, engines[1:]) <= 1.5 * part + 4
-    assert count_joined_pairs(rounds, engines, engines[1:]) > 10 * part
+    part = 100 * BASE_ENGINE_COUNT / 400
+    assert count_joined_pairs(tournament_subset, engines[1:], engines) <= 1.5 * part
+    assert count_joined_pairs(tournament_subset, engines, engines[1:]) <= 1.5 * part + 4
+    assert count_joined_pairs(round_subset, engines, engines[1:]) > 10 * part
     assert count_joined_pairs(OPTIONS["chance"], engines, engines[1:]) > 10 * part
 
 
 def test_additional_gateway_changes_no_other_subset():
     engines = make_engines(400)
-    assert count_joined_pairs(tournament, engines, engines, 100, 101) == 0
+    assert count_joined_pairs(tournament_subset, engines, engines, 100, 101) == 0
     assert count_joined_pairs(OPTIONS["aperture"], engines, engines, 100, 101) > 100
 
 
 def test_rolling_release_of_all_engines_restores_all_subsets():
     engines = make_engines(200)
-    before, order = subsets_of(tournament, 50, engines, BASE), make_engines(200)
+    before, order = subsets_of(tournament_subset, 50, engines, BASE_ENGINE_COUNT), make_engines(200)
     for _ in range(0, 200, 20):  # a tenth of the engines leaves and returns at the end of the list
         order = order[20:] + order[:20]
-        assert subsets_of(tournament, 50, order[:-20], BASE) != before
-    assert subsets_of(tournament, 50, order, BASE) == before
+        assert subsets_of(tournament_subset, 50, order[:-20], BASE_ENGINE_COUNT) != before
+    assert subsets_of(tournament_subset, 50, order, BASE_ENGINE_COUNT) == before
 
 
 def engines_by_zone_and_kind(counts):
@@ -193,14 +205,16 @@
 def test_class_limited_to_one_zone_and_kind_has_engines_at_every_gateway(smallest_count):
     places = engines_by_zone_and_kind([300, 120, 180, smallest_count])
     classes = [[*places], [(1, 1)]]
-    limits, usable_engines = bars(870, places, classes), set(places[1, 1])
+    limits, usable_engines = rank_limits(870, places, classes), set(places[1, 1])
     assert limits[0, 0] < limits[1, 1] <= 1
     assert min(
-        len(usable_engines & set(ours(gateway, places, limits, classes))) for gateway in range(100)
-    ) >= min(FEW, smallest_count)
+        len(usable_engines & set(select_subset(gateway, places, limits, classes)))
+        for gateway in range(100)
+    ) >= min(MIN_ENGINES_PER_CLASS, smallest_count)
     assert sum(
-        len(usable_engines & set(ours(gateway, places, limits, classes))) for gateway in range(100)
-    ) >= 90 * min(LEAST, smallest_count)
+        len(usable_engines & set(select_subset(gateway, places, limits, classes)))
+        for gateway in range(100)
+    ) >= 90 * min(EXPECTED_ENGINES_PER_CLASS, smallest_count)
 
 
 @pytest.mark.parametrize("smallest_count", [1, 2, 5, 12])
@@ -208,7 +222,8 @@
     places = engines_by_zone_and_kind([300, 120, 180, smallest_count])
     engines, usable_engines = sum(places.values(), []), set(places[1, 1])
     assert not all(
-        usable_engines & set(tournament(gateway, 870, engines, BASE)) for gateway in range(100)
+        usable_engines & set(tournament_subset(gateway, 870, engines, BASE_ENGINE_COUNT))
+        for gateway in range(100)
     )
 
 
@@ -224,19 +239,19 @@
 def test_whole_list_is_the_subset_for_current_fleet_sizes(gateways, counts, is_whole):
     places = engines_by_zone_and_kind(counts)
     classes = [[*places]]
-    limits, listed = bars(gateways, places, classes), sorted(sum(places.values(), []))
+    limits, listed = rank_limits(gateways, places, classes), sorted(sum(places.values(), []))
     assert all(
-        (ours(gateway, places, limits, classes) == listed) == is_whole
+        (select_subset(gateway, places, limits, classes) == listed) == is_whole
         for gateway in range(min(gateways, 20))
     )
 
 
 def test_gateway_with_more_traffic_has_a_larger_subset_containing_the_usual_one():
     places = engines_by_zone_and_kind([300, 120, 180, 40])
-    limits = bars(870, places, [[*places]])
+    limits = rank_limits(870, places, [[*places]])
     for gateway in range(20):
         usual, wide = (
-            set(ours(gateway, places, limits, [[*places]], wider)) for wider in (1.0, 3.0)
+            set(select_subset(gateway, places, limits, [[*places]], wider)) for wider in (1.0, 3.0)
         )
         assert usual < wide and len(wide) > 1.5 * len(usual)
 
