--- a/corkgauge/model/__init__.py
+++ b/corkgauge/model/__init__.py
@@ -1,1 +1,4 @@
-"""Where designs are tried at sizes, and in orders of events, that sockets do not reach; never served from."""
+"""Simulations and model checking of gateway protocols; never imported by a serving gateway.
+
+They cover fleet sizes and orders of events that tests with real sockets cannot reach.
+"""
--- a/corkgauge/model/dissemination.py
+++ b/corkgauge/model/dissemination.py
@@ -1,13 +1,15 @@
-"""Simulates how a change of configuration reaches all members by gossip, at sizes beyond sockets.
+"""Simulates the dissemination of a configuration change by gossip in fleets too large for sockets.
 
-Owns simulated members that hold a version of a configuration, and the network between them. Never
-imported by a program that serves; no member knows what no datagram brought it.
+Owns simulated members, each with one version of a configuration, and the network between them. A
+serving gateway must never import this module, and a member must know only what it received in
+datagrams.
 
 Push with fan-out, then comparison (Demers and others, "Epidemic algorithms for replicated database
-maintenance", 1987): who has a new version sends it to `fanout` others, drawn by chance, in each of
-its next rounds; all compare versions with one other every `compare_rounds` rounds, which reaches
-those that chance left out. A change comes as chunks, a datagram each; who has heard of a version
-but lacks chunks requests them of the one that sent it, again in its next round.
+maintenance", 1987): a member with a new version sends it to `fanout` random members in each of its
+next rounds. Every `compare_rounds` rounds, each member compares versions with one random member,
+which reaches the members that no push reached. A change is sent as chunks, one per datagram. A
+member that lacks chunks of a new version requests them from the member that announced the version
+or sent the last chunk, and repeats the request in each round.
 
 Times are ticks of a tenth of a millisecond.
 """
@@ -17,31 +19,31 @@
 from corkgauge.eventloop.loop import SECOND
 from corkgauge.testkit.seeded_random import SeededRandom
 
-ROUND_TICKS = SECOND // 5  # between two rounds of a member
-STEP_TICKS = 10  # of the simulated clock
-LATENCY_TICKS = (20, 300)  # of a datagram: within a region, from one region to the other
-HEADER_BYTES = 28 + 60  # of IP and UDP, and of a datagram's own header with its seal
-CHUNK_BYTES = 1_300  # of a configuration in one datagram
+ROUND_TICKS = SECOND // 5  # mean interval between two rounds of a member
+STEP_TICKS = 10  # step of the simulated clock
+LATENCY_TICKS = (20, 300)  # of a datagram: within a region, between the regions
+HEADER_BYTES = 28 + 60  # IP and UDP headers, and the gossip header with its seal
+CHUNK_BYTES = 1_300  # of a configuration, per datagram
 CONTROL_BYTES = 16  # of a message without a chunk
-PUSH_ROUNDS = 4  # in which a member pushes what is new to it, at a fan-out of one
+PUSH_ROUNDS = 4  # rounds in which a member pushes a new version, at a fan-out of one
 MIN_PUSH_ROUNDS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """One chunk of the change."""
+    """A chunk of the configuration change."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """A request for the chunks that the sender lacks."""
+    """A request for all chunks that the sender of the request lacks."""
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """The version that the sender has, for comparison."""
+    """The version of the sender, for comparison with that of the receiver."""
 
     is_new: bool
 
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A message on its way; members are numbers."""
+    """A message in transit; `sender` and `receiver` are indexes of members."""
 
     sender: int
     receiver: int
@@ -60,28 +62,29 @@
 
 @dataclass(slots=True)
 class Member:
-    """What one member holds, and what it sent by second."""
+    """State and sent traffic of one member."""
 
     region: int
     next_round_at: int
     chunks: set[int] = field(default_factory=set)
-    completed_at: int = -1  # when it had all chunks; -1: not yet
-    pushes_left: int = 0  # rounds in which it still pushes
+    completed_at: int = -1  # time of receipt of the last missing chunk; -1: not complete
+    pushes_left: int = 0  # remaining rounds with a push
     rounds: int = 0
-    source: int = -1  # the member that sent of what this one lacks
+    source: int = -1  # the member to request missing chunks from; -1: none
     sent_bytes: dict[int, int] = field(default_factory=dict)  # by second
 
     @property
     def is_complete(self) -> bool:
-        """Whether it has the whole change."""
+        """Whether the member has all chunks of the change."""
         return self.completed_at >= 0
 
 
 class Dissemination:
-    """One run: a change of `change_bytes` is at the first of `member_count` members at time 0.
+    """Simulates one dissemination of a change of `change_bytes` to `member_count` members.
 
-    Half of the members are in each of two regions; the share `loss` of all datagrams is lost. Each
-    member's rounds begin at a moment of its own, and each is up to a tenth longer or shorter.
+    At time 0, only the first member has the change. Half of the members are in each of two regions;
+    the fraction `loss` of all datagrams is lost. The first round of each member starts at a random
+    time, and each interval between rounds is up to a tenth longer or shorter.
     """
 
     def __init__(
@@ -117,7 +120,7 @@
         self.incomplete_count = member_count - 1
 
     def run(self, until: int) -> int:
-        """Run until all have the change, or `until`; return the time then, or -1."""
+        """Simulate up to tick `until`; return the tick at which all had the change, or -1."""
         while self.incomplete_count and self.now < until:
             for datagram in self.in_transit.pop(self.now, ()):
                 self._receive(datagram)
@@ -131,13 +134,13 @@
         return max(member.completed_at for member in self.members)
 
     def peak_bytes(self) -> int:
-        """Return what the busiest member sent in its busiest second."""
+        """Return the most bytes that any member sent in any second."""
         return max(
             (most for member in self.members for most in member.sent_bytes.values()), default=0
         )
 
     def total_bytes(self) -> int:
-        """Return what all members sent."""
+        """Return the bytes that all members sent."""
         return sum(sum(member.sent_bytes.values()) for member in self.members)
 
     def _run_round(self, number: int, member: Member) -> None:
@@ -186,7 +189,7 @@
                 if not member.is_complete:
                     member.source = datagram.sender
                     self._send(datagram.receiver, datagram.sender, ChunkRequest())
-            case _:  # a request, or the version of one that turns out to be behind
+            case _:  # a request for chunks, or the old version of an outdated member
                 if member.is_complete:
                     self._send_missing_chunks(datagram.receiver, datagram.sender)
 
@@ -201,7 +204,7 @@
             self.incomplete_count -= 1
 
     def _send_missing_chunks(self, sender: int, receiver: int) -> None:
-        """Send what the receiver lacks, as its request would list it."""
+        """Send all chunks that the receiver lacks, as a real request would list them."""
         for index in sorted(set(range(self.chunk_count)) - self.members[receiver].chunks):
             self._send(sender, receiver, Chunk(index))
 
@@ -214,10 +217,11 @@
     seed: int,
     until: int = 60 * SECOND,
 ) -> tuple[float, int, float]:
-    """Run once, and return what it took.
+    """Simulate one dissemination; return its duration and traffic.
 
-    Seconds until all have the change (-1: not in `until`), octets that the busiest member sent in
-    its busiest second, and octets that a member sent in all until then, on average.
+    Returns:
+        The seconds until all members have the change (-1: later than tick `until`), the most octets
+        that any member sent in any second, and the mean number of octets that a member sent.
 
     >>> taken, peak, mean = measure_dissemination(30, 400, 3, 0.0, 1)
     >>> 0 < taken < 3 and peak >= mean > 0
--- a/corkgauge/model/gossip.py
+++ b/corkgauge/model/gossip.py
@@ -1,7 +1,8 @@
-"""Simulates how peer health reports spread, at sizes beyond sockets: real reports, simulated clock.
+"""Simulates the spread of peer health reports in fleets too large for sockets.
 
-Owns the simulated members' experience of engines, and the network between them. No member knows
-what it has neither met nor been told.
+The reports are those of the program; the clock is simulated. Owns the simulated outcomes of
+attempts, and the network between the members. A member must know only what its own attempts showed
+and what it received in reports.
 """
 
 import time
@@ -19,23 +20,23 @@
 from corkgauge.testkit.seeded_random import SeededRandom
 
 PERIOD_TICKS = SECOND // 4  # a tick is a tenth of a millisecond
-BYTES_PER_SECOND = 8_000  # that a member may spend on reports
-ROW_BYTES = 70  # of a report on its way, on the high side
-DATAGRAM_BYTES = 60  # of a datagram beside its rows
-REPAIR_BYTES = 300  # of a comparison beside its rows
+BYTES_PER_SECOND = 8_000  # limit of the traffic that a member sends as reports
+ROW_BYTES = 70  # an upper estimate of an encoded report
+DATAGRAM_BYTES = 60  # of a datagram, without its reports
+RECONCILIATION_BYTES = 300  # of a reconciliation, without its reports
 LATENCY_TICKS = 20
 ZONES = 4
-FAILURES_TO_FIND = 3  # attempts lost at a silent engine before a member finds that by itself
-SMALL_FLEET = 500  # members below which a run takes longer
+FAILURES_TO_DETECT = 3  # failed attempts after which a member reports a silent engine
+SMALL_FLEET_MEMBER_COUNT = 500  # smaller fleets run for SMALL_FLEET_SECONDS
 SMALL_FLEET_SECONDS = 12
 LARGE_FLEET_SECONDS = 6
 
 
 class Spread:
-    """Members in four zones, and engines of which some fall silent at once.
+    """Simulates a fleet in four zones, in which `silent_count` engines become silent at time 0.
 
-    Each member sends `rate` attempts a second, to engines by chance. The share `loss` of all
-    datagrams is lost; without `sharing` nobody reports to anybody.
+    Each member sends `rate` attempts per second, to random engines. The fraction `loss` of all
+    datagrams is lost. If `sharing` is false, members send no reports.
     """
 
     def __init__(
@@ -54,57 +55,61 @@
         self.loss = loss
         self.sharing = sharing
         self.now = 0  # ticks
-        self.periods = 0
+        self.period_count = 0
         self.zones = {f"n{number}": f"hall-{number % ZONES}" for number in range(member_count)}
         self.names = [*self.zones]
         self.reports = {name: HealthReports(name, 1) for name in self.names}
         self.failures = {name: [0] * silent_count for name in self.names}
-        self.known_since: dict[tuple[str, int], int] = {}  # by member and silent engine
-        self.lost_attempts = 0
+        self.known_since: dict[tuple[str, int], int] = {}  # tick, by member and silent engine
+        self.lost_attempt_count = 0
         self.sent_bytes = 0
-        self.sent_datagrams = 0
+        self.sent_datagram_count = 0
 
     def run(self, seconds: float) -> None:
-        """Let the clock go on, period by period."""
+        """Simulate this many seconds, period by period."""
         for _ in range(int(seconds * SECOND / PERIOD_TICKS)):
             self.now += PERIOD_TICKS
-            self.periods += 1
+            self.period_count += 1
             for name in self.names:
-                self._serve(name)
+                self._send_attempts(name)
             if self.sharing:
                 for name in self.names:
-                    self._push(name)
-                    self._repair(name)
+                    self._push_reports(name)
+                    self._reconcile(name)
             for name in self.names:
-                self._judge(name)
+                self._evaluate_reports(name)
 
-    def known_by(self, part: float) -> float:
-        """Return the seconds until this part of all pairs of member and silent engine is known.
+    def seconds_until_known(self, fraction: float) -> float:
+        """Return the seconds until this fraction of all (member, silent engine) pairs was detected.
 
-        -1: not yet.
+        -1: not reached yet.
         """
-        moments = sorted(self.known_since.values())
-        wanted = int(part * len(self.reports) * self.silent_count)
-        return moments[wanted - 1] / SECOND if len(moments) >= wanted > 0 else -1.0
-
-    def _serve(self, name: str) -> None:
+        known_ticks = sorted(self.known_since.values())
+        required_count = int(fraction * len(self.reports) * self.silent_count)
+        return (
+            known_ticks[required_count - 1] / SECOND
+            if len(known_ticks) >= required_count > 0
+            else -1.0
+        )
+
+    def _send_attempts(self, name: str) -> None:
         attempts = int(self.rate * PERIOD_TICKS / SECOND + self.random.part())
         for _ in range(attempts):
             engine = self.random.below(self.engine_count)
             if engine < self.silent_count and (name, engine) not in self.known_since:
-                self._lose_attempt(name, engine)
+                self._fail_attempt(name, engine)
 
-    def _lose_attempt(self, name: str, engine: int) -> None:
-        self.lost_attempts += 1
+    def _fail_attempt(self, name: str, engine: int) -> None:
+        self.lost_attempt_count += 1
         self.failures[name][engine] += 1
-        if self.failures[name][engine] >= FAILURES_TO_FIND:
+        if self.failures[name][engine] >= FAILURES_TO_DETECT:
             self.known_since[name, engine] = self.now
             self.reports[name].record_own(self.now, f"e{engine}", 1, Fault.SILENT, 0, 0)
 
-    def _push(self, name: str) -> None:
+    def _push_reports(self, name: str) -> None:
         room_bytes = BYTES_PER_SECOND * PERIOD_TICKS // SECOND
         for _ in range(GOSSIP_FANOUT):
-            receiver = self._draw_name()
+            receiver = self._draw_member()
             if receiver == name:
                 continue
             rows = self.reports[name].next_gossip(
@@ -115,24 +120,26 @@
             size_bytes = DATAGRAM_BYTES + ROW_BYTES * len(rows)
             room_bytes -= size_bytes
             self.sent_bytes += size_bytes
-            self.sent_datagrams += 1
+            self.sent_datagram_count += 1
             if not self.random.within(self.loss):
                 self.reports[receiver].merge(self.now + LATENCY_TICKS, rows)
 
-    def _repair(self, name: str) -> None:
-        """Compare with one other, which sends what this member lacks."""
-        if self.periods % RECONCILIATION_PERIODS:
+    def _reconcile(self, name: str) -> None:
+        """Reconcile with one random member, which sends the reports that this member lacks."""
+        if self.period_count % RECONCILIATION_PERIODS:
             return
         reports = self.reports[name]
-        other = self.reports[self._draw_name()]
+        other = self.reports[self._draw_member()]
         if len(reports) or len(other):
-            digest = reports.digest(DATAGRAM_ROOM_BYTES, self.periods)
-            rows = other.missing_rows(self.now, digest, DATAGRAM_ROOM_BYTES, True, self.periods)
-            self.sent_bytes += REPAIR_BYTES + ROW_BYTES * len(rows)
+            digest = reports.digest(DATAGRAM_ROOM_BYTES, self.period_count)
+            rows = other.missing_rows(
+                self.now, digest, DATAGRAM_ROOM_BYTES, True, self.period_count
+            )
+            self.sent_bytes += RECONCILIATION_BYTES + ROW_BYTES * len(rows)
             reports.merge(self.now + LATENCY_TICKS, rows)
 
-    def _judge(self, name: str) -> None:
-        """Take an engine for silent by the reports of others."""
+    def _evaluate_reports(self, name: str) -> None:
+        """Record the silent engines that the reports of other members reveal."""
         for engine in range(self.silent_count):
             if (name, engine) in self.known_since:
                 continue
@@ -140,7 +147,7 @@
             if assess(reports, self.now, 1, name, self.zones, -1).is_suspected:
                 self.known_since[name, engine] = self.now
 
-    def _draw_name(self) -> str:
+    def _draw_member(self) -> str:
         return self.names[self.random.below(len(self.names))]
 
 
@@ -151,13 +158,15 @@
     loss: float = 0.0,
     sharing: bool = True,
 ) -> dict[str, Any]:
-    """Run once, and return the time until nine in ten know, attempts lost, octets a second.
+    """Simulate one fleet; return detection times, lost attempts and octets per second and member.
 
-    Octets are those of one member. Seconds are simulated, but for `took_s`.
+    All times are simulated, except `took_s`, the real duration of the simulation.
     """
     started_at = time.time()
     spread = Spread(member_count, engine_count, silent_count, loss=loss, sharing=sharing)
-    spread.run(SMALL_FLEET_SECONDS if member_count < SMALL_FLEET else LARGE_FLEET_SECONDS)
+    spread.run(
+        SMALL_FLEET_SECONDS if member_count < SMALL_FLEET_MEMBER_COUNT else LARGE_FLEET_SECONDS
+    )
     simulated_seconds = spread.now / SECOND
     return {
         "gateways": member_count,
@@ -165,9 +174,9 @@
         "bad": silent_count,
         "loss": loss,
         "sharing": sharing,
-        "half_know_s": spread.known_by(0.5),
-        "nine_in_ten_know_s": spread.known_by(0.9),
-        "lost_hand_offs": spread.lost_attempts,
+        "half_know_s": spread.seconds_until_known(0.5),
+        "nine_in_ten_know_s": spread.seconds_until_known(0.9),
+        "lost_hand_offs": spread.lost_attempt_count,
         "octets_a_second": round(spread.sent_bytes / member_count / simulated_seconds),
         "took_s": round(time.time() - started_at, 1),
     }
--- a/corkgauge/model/lease_signature.py
+++ b/corkgauge/model/lease_signature.py
@@ -1,4 +1,4 @@
-"""What tells one state of the model checker's world from another."""
+"""Signatures of the states of the lease model checker, to recognize equivalent states."""
 
 from typing import Any
 
@@ -6,14 +6,14 @@
 from corkgauge.leases.voter import Voter
 from corkgauge.model.lease_world import HAS_PROMISES, World
 
-NO_VALUE = -1  # the machine knows nothing of it
+NO_VALUE = -1  # the candidate has no such value of the voter
 
 
 def signature_of(world: World) -> tuple[Any, ...]:
-    """Return all that a machine could notice.
+    """Return a signature that is equal for states which no voter or candidate can distinguish.
 
-    Serials count from a candidate's present one, times from now; voters are alike, so their
-    order does not count: what concerns one stands together, and these are sorted.
+    Serials are relative to the current serial of the candidate, and times relative to the current
+    time. Voters are interchangeable: the signature groups all values by voter and sorts the groups.
     """
     candidates = tuple(
         _candidate_signature(world, name, candidate)
@@ -50,8 +50,8 @@
 
 
 def _datagram_signatures(world: World) -> dict[str, list[tuple[Any, ...]]]:
-    """By voter: the datagrams to it and from it."""
-    found: dict[str, list[tuple[Any, ...]]] = {name: [] for name in world.voters}
+    """Return the datagrams to and from each voter, by the name of the voter."""
+    by_voter: dict[str, list[tuple[Any, ...]]] = {name: [] for name in world.voters}
     for datagram in world.datagrams:
         is_from_voter = datagram.sender in world.voters
         voter, candidate = datagram.recipient, datagram.sender
@@ -59,7 +59,7 @@
             voter, candidate = datagram.sender, datagram.recipient
         body = datagram.body
         serial = body[4] - world.candidates[candidate].serial
-        found[voter].append(
+        by_voter[voter].append(
             (
                 candidate,
                 is_from_voter,
@@ -70,7 +70,7 @@
                 datagram.recipient_incarnation,
             )
         )
-    return found
+    return by_voter
 
 
 def _voter_signature(
@@ -85,21 +85,21 @@
         )
         for vote in voter.votes.values()
     )
-    answers = tuple(
-        _answer_signature(world, name, candidate)
+    replies = tuple(
+        _reply_signature(world, name, candidate)
         for _, candidate in sorted(world.candidates.items())
     )
     return (
         max(voter.silent_until - world.now, 0),
         world.incarnations[name],
         votes,
-        answers,
+        replies,
         tuple(sorted(datagrams)),
     )
 
 
-def _answer_signature(world: World, voter: str, candidate: LeaseCandidate) -> tuple[int, int, int]:
-    """Return what a candidate knows of a voter."""
+def _reply_signature(world: World, voter: str, candidate: LeaseCandidate) -> tuple[int, int, int]:
+    """Return what a candidate learned from the replies of one voter."""
     granted_for = NO_VALUE
     if voter in candidate.grants.granted_at:
         granted_for = world.now - candidate.grants.granted_at[voter]
--- a/corkgauge/model/lease_world.py
+++ b/corkgauge/model/lease_world.py
@@ -1,10 +1,11 @@
-"""The small world of the model checker: three voters, two candidates, and what is on its way.
+"""State space of the lease model checker: three voters, two candidates and datagrams in transit.
 
-Owns one state of it, and which steps lead on. The machines are the real ones; their clock,
-datagrams and timers are the world's.
+Owns one state, and the possible steps from it to other states. The voters and candidates are those
+of the program; the world simulates their clock, datagrams and timers.
 
-Steps of a state: any datagram arrives, or is lost; a voter starts anew; time goes on to the next
-moment at which a timer is due or a grant ends, with every datagram still on its way.
+Possible steps of a state: a datagram arrives; a voter restarts; or the time advances to the next
+tick at which a timer is due or a grant ends, while all datagrams stay in transit. A lost datagram
+is one that stays in transit.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,11 +17,11 @@
 from corkgauge.leases.voter import Vote, Voter
 from corkgauge.leases.voter_configuration import LeaseTiming, VoterConfiguration
 
-LEASE_TICKS = 800  # tenths of a millisecond
-VOTERS = 3
-CANDIDATES = 2
+LEASE_TICKS = 800
+VOTER_COUNT = 3
+CANDIDATE_COUNT = 2
 LEASE_NAME = "d"
-CONFIGURATION = VoterConfiguration(1, [f"v{n}" for n in range(VOTERS)], LEASE_TICKS)
+CONFIGURATION = VoterConfiguration(1, [f"v{n}" for n in range(VOTER_COUNT)], LEASE_TICKS)
 EXPECTED_REPLIES = {
     CandidateState.PROBING: MessageKind.PROBE_REPLY,
     CandidateState.PREPARING: MessageKind.PREPARE_REPLY,
@@ -29,7 +30,7 @@
 
 
 class Datagram(NamedTuple):
-    """One that is on its way, between two incarnations; candidates have incarnation 0."""
+    """A datagram in transit between two incarnations; candidates have incarnation 0."""
 
     sender: str
     recipient: str
@@ -39,7 +40,7 @@
 
 
 class Timer(NamedTuple):
-    """The one timer of a candidate that counts."""
+    """The current timer of a candidate; earlier ones are replaced."""
 
     due_at: int
     number: int
@@ -47,7 +48,7 @@
 
 
 class Host:
-    """What a machine asks of the world that it is in at the moment."""
+    """Host of a voter or candidate, connected to the world that is being evaluated."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -55,17 +56,17 @@
 
     @property
     def now(self) -> int:
-        """Tenths of a millisecond."""
+        """The simulated time in ticks."""
         return self.world.now
 
     @property
     def date(self) -> int:
-        """Milliseconds."""
+        """The simulated date in milliseconds."""
         return 1 + self.world.now // 10
 
     def send(self, name: str, body: list[Any]) -> None:
-        """Put a datagram on its way."""
-        if body[0] != MessageKind.RELEASE:  # nobody gives a lease up here
+        """Add a datagram in transit."""
+        if body[0] != MessageKind.RELEASE:  # the model contains no voluntary release
             incarnations = self.world.incarnations
             self.world.datagrams.append(
                 Datagram(
@@ -78,55 +79,56 @@
             )
 
     def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
-        """Set the candidate's one timer."""
+        """Replace the timer of the candidate."""
         number, wake = arguments
         self.world.timers[self.name] = Timer(self.world.now + delay, number, wake)
 
     def random_below(self, limit: int) -> int:
-        """Return 0: nothing is drawn by chance."""
+        """Return 0: the model is deterministic."""
         return 0
 
     def rank_of(self, lease: str) -> int:
-        """Return the candidate's number."""
+        """Return the number of the candidate."""
         return int(self.name[1:])
 
     def persist(self, record: Any, then: Callable[..., None], *arguments: Any) -> None:
-        """Call back at once: a restart forgets all."""
+        """Call back at once: voters have no disk, and a restart loses their votes."""
         then(*arguments)
 
     def on_lease_gained(self, candidate: LeaseCandidate) -> None:
-        """Note its fencing token."""
+        """Record the fencing token."""
         self.world.fencing_tokens.append(candidate.fencing_token)
 
     def on_lease_lost(self, candidate: LeaseCandidate, reason: str) -> None:
-        """Nothing acts under the lease here."""
+        """Do nothing: no process acts under the lease in this model."""
 
     def on_lease_released(self, candidate: LeaseCandidate) -> None:
-        """Nobody gives a lease up here."""
+        """Do nothing: the model contains no voluntary release."""
 
     def log(self, line: str) -> None:
-        """Lines are not kept."""
+        """Discard the log line."""
 
 
 class World:
-    """One state.
+    """One state of the model.
 
-    `disabled` names a safeguard that is left out: silence, busy (a voter's refusal while a grant to
-    another runs), before (a holder that counts from the reply in place of the request).
+    `disabled` names a safeguard that is disabled: silence (no replies after a restart, while
+    earlier grants may be valid), busy (a voter rejects requests while its grant to another candidate is
+    valid), before (a holder counts its lease from the request; if disabled, from the reply).
     """
 
     def __init__(self, restarts: int = 1, disabled: str = "") -> None:
         self.now = 0
-        self.restarts = restarts  # of voters, that are left
+        self.restarts = restarts  # remaining restarts of voters
         self.disabled = disabled
         self.datagrams: list[Datagram] = []
         self.timers: dict[str, Timer] = {}
         self.fencing_tokens: list[int] = []
-        self.incarnations = {f"v{n}": 1 for n in range(VOTERS)}
+        self.incarnations = {f"v{n}": 1 for n in range(VOTER_COUNT)}
         timing = LeaseTiming(LEASE_TICKS, 0.0, 0)
         if disabled == "silence":
             timing.silence_ticks = 0
-        candidate_names = [f"c{n}" for n in range(CANDIDATES)]
+        candidate_names = [f"c{n}" for n in range(CANDIDATE_COUNT)]
         self.hosts = {name: Host(name) for name in (*self.incarnations, *candidate_names)}
         self.enter()
         self.voters = {
@@ -139,12 +141,12 @@
         }
 
     def enter(self) -> None:
-        """Let the machines act in this world: worlds share their hosts."""
+        """Connect the hosts, which all worlds share, to this world."""
         for host in self.hosts.values():
             host.world = self
 
     def copy(self) -> "World":
-        """Return another world in the same state."""
+        """Return a copy that can take a step without a change of this world."""
         new = World.__new__(World)
         new.__dict__.update(self.__dict__)
         new.datagrams = [*self.datagrams]
@@ -158,10 +160,10 @@
         return new
 
     def drop_irrelevant_datagrams(self) -> None:
-        """Forget datagrams that can no more change anything.
+        """Drop the datagrams that can no longer change any state.
 
-        These are replies to a round that is over, and questions that change nothing whose replies
-        would be.
+        These are replies to a round that has ended, datagrams of earlier incarnations, and probes
+        of a round that has ended: a probe changes no voter, and its reply would be dropped.
         """
         self.datagrams = [each for each in self.datagrams if self._is_relevant(each)]
 
@@ -187,10 +189,10 @@
     def _is_recipient_known(self, datagram: Datagram) -> bool:
         return datagram.recipient_incarnation == self.incarnations[datagram.recipient]
 
-    # What may happen.
+    # Steps.
 
     def steps(self) -> Iterator[tuple[str, "World"]]:
-        """Yield what may happen next; datagrams that are alike are one."""
+        """Yield the description and the state of each possible step; equal datagrams count once."""
         seen = set()
         for index, datagram in enumerate(self.datagrams):
             if datagram not in seen:
@@ -206,8 +208,8 @@
         del new.datagrams[index]
         new.enter()
         new._deliver(datagram)
-        way = f"{datagram.sender}>{datagram.recipient}"
-        return f"{way} {datagram.body[0]} {datagram.body[4:]} arrives", new
+        route = f"{datagram.sender}>{datagram.recipient}"
+        return f"{route} {datagram.body[0]} {datagram.body[4:]} arrives", new
 
     def _restart_step(self, name: str) -> tuple[str, "World"]:
         new = self.copy()
@@ -216,23 +218,23 @@
         new.enter()
         timing = new.voters[name].timing
         new.voters[name] = Voter(new.hosts[name], name, CONFIGURATION, timing, None)
-        return f"{name} starts anew", new
+        return f"{name} restarts", new
 
     def time_step(self) -> tuple[str, "World"]:
-        """Go on to the next moment at which something may be different."""
-        moments = [timer.due_at for timer in self.timers.values()]
+        """Advance the time to the next tick at which a timer is due or a grant or silence ends."""
+        deadlines = [timer.due_at for timer in self.timers.values()]
         for voter in self.voters.values():
-            moments.append(voter.silent_until)
-            moments += [vote.granted_until for vote in voter.votes.values()]
-        moments += [candidate.held_until for candidate in self.candidates.values()]
+            deadlines.append(voter.silent_until)
+            deadlines += [vote.granted_until for vote in voter.votes.values()]
+        deadlines += [candidate.held_until for candidate in self.candidates.values()]
         new = self.copy()
-        new.now = min(moment for moment in moments if moment > self.now)
+        new.now = min(deadline for deadline in deadlines if deadline > self.now)
         new.enter()
         for name, timer in sorted(new.timers.items()):
             if timer.due_at <= new.now:
                 candidate = new.candidates[name]
                 candidate.on_timer(timer.number, getattr(candidate, timer.method.__name__))
-        return f"time goes on to {new.now}", new
+        return f"time advances to {new.now}", new
 
     def _deliver(self, datagram: Datagram) -> None:
         if datagram.recipient in self.voters:
@@ -250,13 +252,13 @@
             candidate.on_datagram(datagram.sender, [*datagram.body])
 
     def find_violation(self) -> str:
-        """Return what must never be, in one line; empty where all is well."""
+        """Return a one-line description of a violated invariant; empty if there is none."""
         self.enter()
-        able = [name for name, candidate in self.candidates.items() if candidate.may_act()]
-        if len(able) > 1:
-            return f"{' and '.join(able)} hold at once"
+        holders = [name for name, candidate in self.candidates.items() if candidate.may_act()]
+        if len(holders) > 1:
+            return f"{' and '.join(holders)} hold the lease at the same time"
         if self.fencing_tokens != sorted({*self.fencing_tokens}):
-            return f"fences do not grow: {self.fencing_tokens}"
+            return f"fencing tokens do not increase: {self.fencing_tokens}"
         return ""
 
 
--- a/corkgauge/model/leases.py
+++ b/corkgauge/model/leases.py
@@ -1,10 +1,11 @@
-"""Leases between simulated processes, judged in true time.
+"""Simulates leases between processes with faults, and checks them against the true time.
 
-The real voters and candidates; clocks that drift, datagrams that are lost, late and out of order,
-processes that stop, restart and are cut off. Times are tenths of a millisecond.
+The voters and candidates are those of the program. Clocks drift; datagrams are lost, delayed,
+duplicated and reordered; processes stop, restart and are cut off from the network. Times are ticks
+of a tenth of a millisecond.
 
-Owns the simulated world. Must never look into a machine to decide what happens; the judge alone
-asks `may_act`, as the act that follows would.
+Owns the simulated world. The simulation must never read the state of a voter or candidate to decide
+what happens. Only the check of the invariant calls `may_act`, as a process does before an act.
 """
 
 from dataclasses import dataclass, replace
@@ -19,19 +20,20 @@
 from corkgauge.testkit.seeded_random import SeededRandom
 
 LEASE_TICKS = 10_000
-MAX_DRIFT_FRACTION = 0.01  # of clocks, at most
+MAX_DRIFT_FRACTION = 0.01  # largest deviation of a clock rate
 MARGIN_TICKS = 300
 ACTION_PERIOD_TICKS = LEASE_TICKS // 20
 DUPLICATE_FRACTION = 0.02  # of datagrams
-LONG_DELAY_FRACTION = 0.1  # of datagrams: ten times as late
-STOP_DURING_ACTION_FRACTION = 0.05  # of acts: a stop between the look at the clock and the act
+LONG_DELAY_FRACTION = 0.1  # of datagrams, which are delayed ten times as long
+# Fraction of acts for which the process stops between the check of the lease and the act.
+STOP_DURING_ACTION_FRACTION = 0.05
 LEASE_NAME = "books"
 ALL_FAULT_KINDS = "stop", "restart", "cut", "deaf", "mute", "yield", "all", "wild"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What befalls whom, from when, how long: a script is a list of these."""
+    """A fault of one node, for a limited time."""
 
     starts_at: int
     kind: str
@@ -41,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One simulated run; the same figures give the same run.
+    """Parameters of a simulation; equal parameters give the same simulation.
 
-    `off` names safeguards that are left out: silence, drift, check, fence, busy.
+    `disabled` names the disabled safeguards: silence, drift, check, fence, busy.
     """
 
     seed: int
@@ -51,8 +53,8 @@
     voter_count: int = 3
     duration_ticks: int = 30 * LEASE_TICKS
     loss: float = 0.1
-    delay: int = 300  # of a datagram, at most; a tenth of them take ten times that
-    drift: float = MAX_DRIFT_FRACTION  # of clocks, at most
+    delay: int = 300  # of a datagram, at most, in ticks; a tenth of them take ten times as long
+    drift: float = MAX_DRIFT_FRACTION  # largest deviation of a clock rate
     faults: tuple[Fault, ...] = ()
     disabled: tuple[str, ...] = ()
     disk: bool = False
@@ -67,7 +69,7 @@
     drift: float = MAX_DRIFT_FRACTION,
     kinds: tuple[str, ...] = ALL_FAULT_KINDS,
 ) -> Scenario:
-    """Return a day with faults by chance, of these sorts."""
+    """Return a scenario with random faults of these kinds."""
     random = SeededRandom(seed)
     duration_ticks = 12 * LEASE_TICKS
     faults = [
@@ -95,35 +97,35 @@
 
 
 class Node:
-    """A process: one voter, one candidate, one clock."""
+    """A simulated process with one voter, one candidate and one clock."""
 
     def __init__(self, world: "World", number: int) -> None:
         self.world = world
         self.number = number
         self.name = f"n{number}"
         random = world.random
-        # Boot clocks differ by hours, and run fast or slow by as much as is assumed.
+        # Boot clocks differ by up to 1,000 s, and their rates by the drift that leases allow for.
         self.clock_rate = 1 + world.scenario.drift * (random.below(2001) - 1000) / 1000
         self.clock_offset = random.below(10**7)
-        self.date_offset_ms = random.below(10**7)  # of its date, in ms
-        self.incarnation = 1  # its incarnation
+        self.date_offset_ms = random.below(10**7)
+        self.incarnation = 1
         self.stopped_until = 0
-        self.stored_record: Any = None  # votes on its disk
-        self.cut_until = {"in": 0, "out": 0}  # cut off until then
+        self.stored_record: Any = None  # votes on the disk
+        self.cut_until = {"in": 0, "out": 0}  # tick at which each direction works again
         self.start_process()
 
     @property
     def now(self) -> int:
-        """Tenths of a millisecond on its own clock."""
+        """Ticks on the clock of this node."""
         return self.clock_offset + int(self.world.time * self.clock_rate)
 
     @property
     def date(self) -> int:
-        """Milliseconds, as it believes."""
+        """The date of this node in milliseconds."""
         return self.date_offset_ms + self.world.time // 10
 
     def start_process(self) -> None:
-        """Start: nothing is known but what a disk kept."""
+        """Start the process without any state except the votes on its disk."""
         world = self.world
         disabled = world.scenario.disabled
         drift = world.scenario.drift
@@ -137,7 +139,7 @@
         stored_record = self.stored_record if world.scenario.disk else None
         self.voter = Voter(self, self.name, world.voter_configuration, timing, stored_record)
         if world.time == 0 and not world.scenario.disk:
-            self.voter.silent_until = 0  # the fleet's first start ever: there is nothing to forget
+            self.voter.silent_until = 0  # at the first start of the fleet there are no lost votes
         if "busy" in disabled:
             self.voter._blocked_ticks = lambda vote, candidate: 0  # type: ignore[method-assign]
         self.candidate = LeaseCandidate(
@@ -147,35 +149,35 @@
             holder = self.candidate
             holder.may_act = lambda: holder.state is CandidateState.HOLDING  # type: ignore[method-assign]
 
-    # The machines' host.
+    # Host of the voter and the candidate.
 
     def send(self, name: str, body: list[Any]) -> None:
-        """Send a datagram to a process."""
+        """Send a datagram to a node."""
         self.world.send_datagram(self, self.world.nodes[int(name[1:])], body)
 
-    def call_later(self, delay: int, method: Any, *what: Any) -> None:
-        """Set a timer on its own clock."""
+    def call_later(self, delay: int, method: Any, *arguments: Any) -> None:
+        """Set a timer on the clock of this node."""
         self.world.call_later(
-            int(delay / self.clock_rate) + 1, self.run_timer, self.incarnation, method, what
+            int(delay / self.clock_rate) + 1, self.run_timer, self.incarnation, method, arguments
         )
 
-    def run_timer(self, incarnation: int, method: Any, what: tuple[Any, ...]) -> None:
-        """Call what a timer was set for, unless it has restarted since."""
+    def run_timer(self, incarnation: int, method: Any, arguments: tuple[Any, ...]) -> None:
+        """Run a timer that is due, unless the process has restarted since it was set."""
         if incarnation == self.incarnation:
-            method(*what)
+            method(*arguments)
 
-    def random_below(self, below: int) -> int:
-        """Return a number from 0 to `below` - 1."""
-        return self.world.random.below(below)
+    def random_below(self, limit: int) -> int:
+        """Return a number from 0 to `limit` - 1."""
+        return self.world.random.below(limit)
 
     def rank_of(self, lease: str) -> int:
-        """Return its number."""
+        """Return the number of this node."""
         return self.number
 
-    def persist(self, record: dict[str, Any], then: Any, *what: Any) -> None:
-        """Call `then` once the record is on its disk, if it has one."""
+    def persist(self, record: dict[str, Any], then: Any, *arguments: Any) -> None:
+        """Store a record on the disk, if there is one, and call `then` afterwards."""
         if not self.world.scenario.disk:
-            then(*what)
+            then(*arguments)
             return
         self.world.call_later(
             20 + self.world.random.below(200),
@@ -183,48 +185,48 @@
             self.incarnation,
             record,
             then,
-            what,
+            arguments,
         )
 
     def on_record_stored(
-        self, incarnation: int, record: dict[str, Any], then: Any, what: tuple[Any, ...]
+        self, incarnation: int, record: dict[str, Any], then: Any, arguments: tuple[Any, ...]
     ) -> None:
-        """Note that a record is on the disk."""
+        """Complete the write of a record, unless the process has restarted."""
         if incarnation == self.incarnation:
             self.stored_record = record
-            then(*what)
+            then(*arguments)
 
     def on_lease_gained(self, holder: LeaseCandidate) -> None:
-        """Notify the world."""
+        """Record the handover."""
         self.world.on_holder_changed(self)
 
     def on_lease_lost(self, holder: LeaseCandidate, why: str) -> None:
-        """Nothing to do: each act looks at the lease."""
+        """Do nothing: the lease is checked before each act."""
 
     def on_lease_released(self, holder: LeaseCandidate) -> None:
-        """Notify all others that the lease is vacant."""
+        """Notify all other nodes that the lease is vacant."""
         for node in self.world.nodes:
             if node is not self:
                 self.send(node.name, LeaseVacant(LEASE_NAME, 1, 0).encode())
 
     def log(self, line: str) -> None:
-        """Lines are not kept."""
+        """Discard the log line."""
 
-    # What comes to it.
+    # Datagrams and acts.
 
     def handle_datagram(
         self, sender: "Node", incarnation: int, recipient_incarnation: int, body: list[Any]
     ) -> None:
-        """Take a datagram, unless it was written to an earlier incarnation."""
+        """Handle a datagram, unless it was sent to an earlier incarnation of this node."""
         if recipient_incarnation != self.incarnation:
-            return  # the membership's own rule
+            return  # membership drops such datagrams too
         if decode_routing(body).is_for_candidate:
             self.candidate.on_datagram(sender.name, body)
         else:
             self.voter.on_datagram(sender.name, incarnation, body)
 
     def act(self) -> None:
-        """Do something under the lease, now and then."""
+        """Perform an act under the lease, if this node may act, and schedule the next one."""
         world = self.world
         world.call_later(ACTION_PERIOD_TICKS, self.act)
         if self.candidate.may_act():
@@ -232,20 +234,20 @@
 
 
 class World:
-    """One simulated day: `run` returns what the judge found; nothing where all was well."""
+    """A simulation of one scenario; `run` returns the violations."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.random = SeededRandom(scenario.seed)
-        self.time = 0  # the true one
-        self.event_serial = 0  # of events, so that those of one moment keep their order
+        self.time = 0  # true time, in ticks
+        self.event_serial = 0  # keeps the order of events that are due at the same time
         self.events: list[tuple[Any, ...]] = []
         self.violations: list[str] = []
-        self.handovers: list[tuple[int, int]] = []  # when, after how long without a holder
+        self.handovers: list[tuple[int, int]] = []  # time, number of the new holder
         self.fencing_guard = FencingGuard()
         self.action_count = 0
         self.refused_count = 0
-        self.last_token = 0  # the highest fencing token of an act that was taken
+        self.last_token = 0  # highest fencing token of an accepted act
         self.voter_configuration = VoterConfiguration(
             1, [f"n{n}" for n in range(scenario.voter_count)], LEASE_TICKS
         )
@@ -258,66 +260,70 @@
             self.call_later(max(fault.starts_at, 1), self.apply_fault, fault)
 
     def create_node(self, number: int) -> Node:
-        """Return a process; other models have their own."""
+        """Return a new node; subclasses return nodes of their own class."""
         return Node(self, number)
 
-    def call_later(self, delay: int, method: Any, *what: Any) -> None:
-        """Call a method in true time; one of a process that stands still waits."""
+    def call_later(self, delay: int, method: Any, *arguments: Any) -> None:
+        """Call a method after a delay in true time; methods of a stopped node wait."""
         self.event_serial += 1
         owner = getattr(method, "__self__", None)
-        heappush(self.events, (self.time + max(delay, 1), self.event_serial, owner, method, what))
+        heappush(
+            self.events, (self.time + max(delay, 1), self.event_serial, owner, method, arguments)
+        )
 
     def run(self) -> list[str]:
-        """Play the day; return what the judge found."""
+        """Simulate until the end of the scenario or the first violation; return the violations."""
         while self.events and not self.violations:
-            self.time, _, owner, method, what = heappop(self.events)
+            self.time, _, owner, method, arguments = heappop(self.events)
             if self.time > self.scenario.duration_ticks:
                 break
             if isinstance(owner, Node) and owner.stopped_until > self.time:
-                # It stands still: what was due comes when it goes on.
+                # The process is stopped: events that are due run when it continues.
                 self.event_serial += 1
-                heappush(self.events, (owner.stopped_until, self.event_serial, owner, method, what))
+                heappush(
+                    self.events, (owner.stopped_until, self.event_serial, owner, method, arguments)
+                )
                 continue
-            method(*what)
-            self._judge()
+            method(*arguments)
+            self._check_single_holder()
         return self.violations
 
-    def _judge(self) -> None:
-        """Look whether two hold the lease at once, in true time."""
+    def _check_single_holder(self) -> None:
+        """Check that at most one node holds the lease at the current true time."""
         active_nodes = [node for node in self.nodes if node.candidate.may_act()]
         if len(active_nodes) > 1:
             self.violations.append(
-                f"{self.time}: {' and '.join(node.name for node in active_nodes)} hold at once"
+                f"{self.time}: {' and '.join(node.name for node in active_nodes)} hold the lease"
             )
 
     def on_action(self, node: Node, fencing_token: int) -> None:
-        """Let an act arrive, at once or after a stop that came within it."""
+        """Deliver an act, immediately or after a stop of the process during the act."""
         self.action_count += 1
-        if self.random.within(STOP_DURING_ACTION_FRACTION):  # stopped between the look and the act
+        if self.random.within(STOP_DURING_ACTION_FRACTION):
             node.stopped_until = self.time + self.random.below(3 * LEASE_TICKS)
             self.call_later(node.stopped_until - self.time + 1, self.check_action, fencing_token)
         else:
             self.check_action(fencing_token)
 
     def check_action(self, fencing_token: int) -> None:
-        """Judge an act as it arrives."""
+        """Check the fencing token of an act on its arrival."""
         is_guarded = "fence" not in self.scenario.disabled
         admitted = not is_guarded or self.fencing_guard.admits(LEASE_NAME, fencing_token)
         if not admitted:
             self.refused_count += 1
         elif fencing_token < self.last_token:
             self.violations.append(
-                f"{self.time}: an act under fence {fencing_token} after one under {self.last_token}"
+                f"{self.time}: accepted an act with token {fencing_token} after {self.last_token}"
             )
         if admitted:
             self.last_token = max(self.last_token, fencing_token)
 
     def on_holder_changed(self, node: Node) -> None:
-        """Note a change of holder."""
+        """Record a handover."""
         self.handovers.append((self.time, node.number))
 
     def send_datagram(self, sender: Node, recipient: Node, body: list[Any]) -> None:
-        """Put a datagram on its way, or lose it."""
+        """Send a datagram, which may be lost, duplicated or delayed."""
         if sender is not recipient and (
             self.random.within(self.scenario.loss) or sender.cut_until["out"] > self.time
         ):
@@ -353,7 +359,7 @@
         recipient_incarnation: int,
         body: list[Any],
     ) -> None:
-        """Hand a datagram over, unless its recipient is cut off."""
+        """Deliver a datagram, unless its recipient is cut off."""
         if sender is recipient or recipient.cut_until["in"] <= self.time:
             self.call_later(
                 1, recipient.handle_datagram, sender, incarnation, recipient_incarnation, body
@@ -362,7 +368,7 @@
     # Faults.
 
     def apply_fault(self, fault: Fault) -> None:
-        """Let a fault begin."""
+        """Start a fault."""
         node = self.nodes[fault.node_number % len(self.nodes)]
         until = self.time + fault.duration_ticks
         if fault.kind == "stop":
@@ -370,8 +376,8 @@
         elif fault.kind == "restart":
             self.restart_node(node)
         elif fault.kind == "all":
-            for each in self.nodes:
-                self.restart_node(each)
+            for other in self.nodes:
+                self.restart_node(other)
         elif fault.kind in ("cut", "deaf"):
             node.cut_until["in"] = until
         elif fault.kind == "wild":
@@ -382,21 +388,21 @@
             node.candidate.release("told")
 
     def restart_node(self, node: Node) -> None:
-        """Let a process start anew, at once."""
+        """Restart a process immediately."""
         node.incarnation += 1
         node.stopped_until = 0
         node.start_process()
 
 
 def minimize_scenario(scenario: Scenario) -> Scenario:
-    """Return the day with the fewest faults that still show what it shows."""
+    """Return the scenario without the faults that its violation does not depend on."""
     faults = [*scenario.faults]
     for fault in scenario.faults:
-        fewer = [each for each in faults if each is not fault]
-        if World(_with(scenario, fewer)).run():
-            faults = fewer
-    return _with(scenario, faults)
+        remaining_faults = [other for other in faults if other is not fault]
+        if World(_replace_faults(scenario, remaining_faults)).run():
+            faults = remaining_faults
+    return _replace_faults(scenario, faults)
 
 
-def _with(scenario: Scenario, faults: list[Fault]) -> Scenario:
+def _replace_faults(scenario: Scenario, faults: list[Fault]) -> Scenario:
     return replace(scenario, faults=tuple(faults))
--- a/corkgauge/model/membership.py
+++ b/corkgauge/model/membership.py
@@ -1,6 +1,7 @@
-"""Simulates membership at sizes beyond sockets: the real member lists on one simulated clock.
+"""Simulates membership in fleets too large for sockets.
 
-Owns the simulated network between them; never looks into a member list to decide what happens.
+The member lists are those of the program; the clock and the network are simulated. The simulation
+must never read a member list to decide what happens.
 """
 
 import gc
@@ -21,13 +22,13 @@
 ZONES = 4
 MIN_LATENCY_TICKS = 5
 LATENCY_SPREAD_TICKS = 20
-JOIN_LIMIT_SECONDS = 600  # until all are to have a common view
-FAILURE_LIMIT_SECONDS = 300  # until all are to know of a failure
-STEADY_SECONDS = 20  # over which the traffic at rest is counted
+JOIN_LIMIT_SECONDS = 600  # longest wait for a common view
+FAILURE_LIMIT_SECONDS = 300  # longest wait until all members know of a failure
+STEADY_SECONDS = 20  # period of the measurement of the traffic without changes
 
 
 class Event(NamedTuple):
-    """A call that is due; the serial keeps the order of those due at once."""
+    """A scheduled call; the serial keeps the order of calls that are due at the same time."""
 
     due: int
     serial: int
@@ -58,33 +59,33 @@
         """Send over the simulated network."""
         self.sent_datagrams += 1
         self.sent_bytes += len(data)
-        self.network.carry(name, data)
+        self.network.send_datagram(name, data)
 
-    def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        """Call the method after so many ticks, if this node still runs."""
-        self.network.call_later(delay, self, method, *what)
+    def call_later(self, delay: int, method: Callable[..., None], *arguments: Any) -> None:
+        """Call the method after `delay` ticks, if this node is running then."""
+        self.network.call_later(delay, self, method, *arguments)
 
-    def random_below(self, below: int) -> int:
-        """Draw a number from 0 to below it."""
-        return self.network.random.below(below)
+    def random_below(self, limit: int) -> int:
+        """Return a random number from 0 to `limit` - 1."""
+        return self.network.random.below(limit)
 
     def log(self, line: str) -> None:
-        """Drop a line of log."""
+        """Discard the log line."""
 
     def on_member_changed(self, member: Member, before: MemberState) -> None:
-        """Count a running member that is held gone."""
+        """Count a running member that is considered gone."""
         is_wrong = member.state == GONE and self.network.nodes[member.name].is_running
-        self.network.wrongly_gone += is_wrong
+        self.network.wrongly_gone_count += is_wrong
 
 
 class Network:
-    """`node_count` nodes on one clock; the share `loss` of all datagrams is lost."""
+    """Simulates `node_count` nodes; the fraction `loss` of all datagrams is lost."""
 
     def __init__(self, node_count: int, loss: float = 0.0) -> None:
         self.now = 0
         self.loss = loss
         self.random = SeededRandom(node_count)
-        self.wrongly_gone = 0  # running members that were held gone
+        self.wrongly_gone_count = 0  # running members that were considered gone
         self.names_and_zones = [
             (f"n{number}", f"hall-{number % ZONES}") for number in range(node_count)
         ]
@@ -94,8 +95,8 @@
         for name, _ in self.names_and_zones:
             self.nodes[name] = Node(self, name)
 
-    def carry(self, receiver: str, data: bytes) -> None:
-        """Bring a datagram to its receiver, some time later, or lose it."""
+    def send_datagram(self, receiver: str, data: bytes) -> None:
+        """Deliver a datagram after the latency of the network, or lose it."""
         node = self.nodes.get(receiver)
         if node is not None and not self.random.within(self.loss):
             latency = MIN_LATENCY_TICKS + self.random.below(LATENCY_SPREAD_TICKS)
@@ -104,13 +105,13 @@
     def call_later(
         self, delay: int, node: Node, method: Callable[..., None], *arguments: Any
     ) -> None:
-        """Call the method after so many ticks, if the node still runs."""
+        """Call the method after `delay` ticks, if the node is running then."""
         self._serial += 1
         due = self.now + max(int(delay), 1)
         heappush(self._events, Event(due, self._serial, node, method, arguments))
 
     def run(self, seconds: float) -> None:
-        """Let the clock go on."""
+        """Simulate this many seconds."""
         until = self.now + int(seconds * SECOND)
         while self._events and self._events[0].due <= until:
             event = heappop(self._events)
@@ -120,7 +121,7 @@
         self.now = until
 
     def count_holding_alive(self, name: str) -> int:
-        """Return how many of the running nodes hold a member alive."""
+        """Return the number of running nodes that consider the member alive."""
         return sum(
             node.member_list.state_of(name) == ALIVE
             for node in self.nodes.values()
@@ -128,11 +129,11 @@
         )
 
     def has_common_view(self) -> bool:
-        """Return whether no member is unknown to any other."""
+        """Return whether all nodes know all members."""
         return not any(node.member_list.table.unknown_count for node in self.nodes.values())
 
     def traffic(self) -> "Traffic":
-        """Return what all nodes have sent until now."""
+        """Return the traffic of all nodes up to the current time."""
         return Traffic(
             self.now,
             sum(node.sent_datagrams for node in self.nodes.values()),
@@ -142,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What all nodes had sent at a time."""
+    """Datagrams and octets that all nodes had sent at a time."""
 
     at: int
     datagrams: int
@@ -150,10 +151,11 @@
 
 
 def measure_membership(node_count: int) -> dict[str, Any]:
-    """Run all from their start until one that failed is known to have; return what was seen.
+    """Simulate a fleet from its start until a failure of one member is known; return the figures.
 
-    Time to a common view after all start at once, and after one fails; datagrams and octets a
-    second and node; memory of one node. Seconds are simulated, but for `took_s`.
+    The figures are the time to a common view after a simultaneous start, the time until all know
+    of the failure, datagrams and octets per second and node, and the memory per node. All times are
+    simulated, except `took_s`, the real duration of the simulation.
     """
     started_at = time.time()
     gc.collect()
@@ -171,7 +173,7 @@
         "letters_a_second": round((after.datagrams - before.datagrams) / node_seconds, 2),
         "octets_a_second": round((after.octets - before.octets) / node_seconds),
         "all_know_of_a_death_s": failure_seconds,
-        "living_held_gone": network.wrongly_gone,
+        "living_held_gone": network.wrongly_gone_count,
         "memory_kb_each": round((_peak_memory_kb() - memory_before) / node_count, 1),
         "took_s": round(time.time() - started_at, 1),
     }
--- a/corkgauge/model/model_checker.py
+++ b/corkgauge/model/model_checker.py
@@ -1,7 +1,8 @@
-"""Every order of events of the leases, to a depth: what must never be is looked for in each state.
+"""Model checker of the leases: explores all orders of events up to a depth.
 
-Must reach each state that differs in anything that a machine could notice, and no state twice:
-times are compared as seen from now. Breadth first, so what is found is shortest.
+Checks the invariants in every state. Must visit every state that a voter or candidate can
+distinguish from the others, and none twice, for which signatures hold times relative to the current
+time. The search is breadth first, so that a counterexample is as short as possible.
 """
 
 from collections import deque
@@ -13,23 +14,26 @@
 
 
 class Path(NamedTuple):
-    """The steps to a state, the last one first."""
+    """The steps that lead to a state, as a linked list from the last step to the first."""
 
-    before: "Path | None"
+    previous: "Path | None"
     step: str
 
 
 class Exploration:
-    """What an exploration came to: states by depth, and the shortest way to what must never be."""
+    """Results of an exploration: the number of states by depth, and the shortest counterexample.
+
+    `counterexample` lists the steps that lead to a violation, and the violation as its last line.
+    """
 
     def __init__(self) -> None:
         self.by_depth: list[int] = []
-        self.states_with_holder = 0  # states in which somebody holds the lease
+        self.states_with_holder = 0  # explored states in which a candidate holds the lease
         self.counterexample: list[str] = []
 
     @property
     def state_count(self) -> int:
-        """How many were reached."""
+        """The number of states that were reached."""
         return sum(self.by_depth)
 
 
@@ -40,20 +44,20 @@
     start_with_holder: bool = False,
     max_states: int = 10**9,
 ) -> Exploration:
-    """Breadth first; stops at what must never be, or past so many states.
+    """Explore all states up to a depth, and stop at a violation or above `max_states` states.
 
-    `held`: from the state in which the first candidate has come to hold the lease, all its
-    datagrams arrived. Nothing is drawn by chance.
+    With `start_with_holder`, the first state is one in which the first candidate holds the lease
+    and all its datagrams have arrived. The exploration is deterministic.
     """
     exploration = Exploration()
     first = World(restarts, disabled)
     if start_with_holder:
         first = _first_holder(first)
     seen = {hash(signature_of(first))}
-    edge: list[tuple[World, Path | None]] = [(first, None)]
+    frontier: list[tuple[World, Path | None]] = [(first, None)]
     for _ in range(depth + 1):
-        exploration.by_depth.append(len(edge))
-        edge = _explore_edge(exploration, deque(edge), seen, max_states)
+        exploration.by_depth.append(len(frontier))
+        frontier = _explore_frontier(exploration, deque(frontier), seen, max_states)
         if exploration.counterexample or len(seen) > max_states:
             break
     return exploration
@@ -66,16 +70,16 @@
     return world
 
 
-def _explore_edge(
+def _explore_frontier(
     exploration: Exploration,
-    edge: deque[tuple[World, Path | None]],
+    frontier: deque[tuple[World, Path | None]],
     seen: set[int],
     max_states: int,
 ) -> list[tuple[World, Path | None]]:
-    """Take one step from each state of the edge: the states reached first."""
+    """Return the new states that are one step away from the states of the frontier."""
     reached: list[tuple[World, Path | None]] = []
-    while edge:
-        world, path = edge.popleft()  # a world that is done with is let go: they are large
+    while frontier:
+        world, path = frontier.popleft()  # explored worlds are large and must not stay in memory
         world.enter()
         exploration.states_with_holder += any(
             candidate.state is CandidateState.HOLDING for candidate in world.candidates.values()
@@ -88,7 +92,7 @@
             seen.add(signature)
             violation = new.find_violation()
             if violation:
-                exploration.counterexample = [*_steps_of(path), step, violation]
+                exploration.counterexample = [*_list_steps(path), step, violation]
                 return reached
             reached.append((new, Path(path, step)))
             if len(seen) > max_states:
@@ -96,9 +100,9 @@
     return reached
 
 
-def _steps_of(path: Path | None) -> list[str]:
+def _list_steps(path: Path | None) -> list[str]:
     steps = []
     while path is not None:
         steps.append(path.step)
-        path = path.before
+        path = path.previous
     return steps[::-1]
--- a/corkgauge/model/plan_consensus.py
+++ b/corkgauge/model/plan_consensus.py
@@ -185,10 +185,10 @@
     def create_node(self, number: int) -> Node:
         return PlanNode(self, number)
 
-    def _judge(self) -> None:
+    def _check_single_holder(self) -> None:
         """Where leases are spoilt on purpose, two hold at once: it is the plan that is looked at."""
         if "busy" not in self.scenario.disabled:
-            super()._judge()
+            super()._check_single_holder()
 
     def on_changes_agreed_by(self, node: PlanNode) -> None:
         proposer = node.proposer
