--- a/benchmarks/scale_subset.py
+++ b/benchmarks/scale_subset.py
@@ -117,8 +117,8 @@
                 found[g, [self.column[name] for name in chosen]] = [*chosen.values()]
         return found
 
-    def by_place(self, listed: Any) -> dict[subsets.Place, list[int]]:
-        found: dict[subsets.Place, list[int]] = {}
+    def by_place(self, listed: Any) -> dict[subsets.ZoneAndKind, list[int]]:
+        found: dict[subsets.ZoneAndKind, list[int]] = {}
         for n in listed:
             found.setdefault(self.place[n], []).append(self.names[n])
         return found
--- a/corkgauge/model/subsets.py
+++ b/corkgauge/model/subsets.py
@@ -30,7 +30,7 @@
     1.4,
 )  # parts of capacity where a set begins to grow; times in all; least change
 
-Place = tuple[int, int]  # zone, kind
+ZoneAndKind = tuple[int, int]  # zone, kind
 
 
 def mix_hash(first: int, second: int, third: int = 0) -> int:
@@ -169,10 +169,10 @@
 
 def rank_limits(
     gateways: int,
-    places: Mapping[Place, Sequence[int]],
-    classes: Iterable[Iterable[Place]],
+    places: Mapping[ZoneAndKind, Sequence[int]],
+    classes: Iterable[Iterable[ZoneAndKind]],
     base: float = BASE_ENGINE_COUNT,
-) -> dict[Place, float]:
+) -> dict[ZoneAndKind, float]:
     """The threshold of each place (zone, kind), above 0, at most 1: alike everywhere, raised where a class may use so
     few engines only that fewer than LEAST of them would be expected.
     """
@@ -194,9 +194,9 @@
 
 def select_subset(
     gateway: int,
-    places: Mapping[Place, Sequence[int]],
-    found: Mapping[Place, float],
-    classes: Iterable[Iterable[Place]],
+    places: Mapping[ZoneAndKind, Sequence[int]],
+    found: Mapping[ZoneAndKind, float],
+    classes: Iterable[Iterable[ZoneAndKind]],
     wider: float = 1.0,
 ) -> list[int]:
     """Ours, whole: in each place the engines of rank up to its bar (`rank_limits`) times `wider` (from this gateway's own
