--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -29,7 +29,7 @@
 )
 from corkgauge.maintenance.schedule import select_grants
 from corkgauge.model.plan_consensus import PlanWorld, draw_plan_scenario
-from corkgauge.model.rolling_maintenance import POLICIES, Night
+from corkgauge.model.rolling_maintenance import POLICIES, MaintenanceRun
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.maintenance_day import AIMS, MaintenanceDay, aimed
 from corkgauge.testkit.fleet.processes import Fault, Fleet
@@ -211,7 +211,7 @@
 
 def simulated(job):
     engines, policy, seed = job
-    return engines, seed, Night(seed, engines, policy).run()
+    return engines, seed, MaintenanceRun(seed, engines, policy).run()
 
 
 def sizes(said):
--- a/corkgauge/model/lease_world.py
+++ b/corkgauge/model/lease_world.py
@@ -113,8 +113,8 @@
     """One state of the model.
 
     `disabled` names a safeguard that is disabled: silence (no replies after a restart, while
-    earlier grants may be valid), busy (a voter rejects requests while its grant to another candidate is
-    valid), before (a holder counts its lease from the request; if disabled, from the reply).
+    earlier grants may be valid), busy (a voter rejects requests while its grant to another
+    candidate is valid), before (a holder counts its lease from the request, not from the reply).
     """
 
     def __init__(self, restarts: int = 1, disabled: str = "") -> None:
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -1,9 +1,9 @@
-"""A fleet taken through work, simulated at sizes that sockets do not reach: the real order within limits, against what
-operators do without it.
+"""Simulates the maintenance of a whole fleet, in fleets too large for sockets.
 
-Owns a fluid day: demand that goes up and down, engines that are away, cold or fail by chance, and
-what is not carried. Must never decide what goes out where the order does. Its figures say how
-orders compare, not what a fleet earns.
+Compares the scheduling of the program with what operators do without it. Owns a fluid model of
+varying demand, of engines that are in maintenance, warm up or fail at random, and of the demand
+that is not served. With the policy of the program, this module must never decide which engines go
+into maintenance. The figures compare policies; they do not predict the earnings of a fleet.
 """
 
 from dataclasses import dataclass
@@ -20,161 +20,192 @@
 from corkgauge.maintenance.schedule import select_grants
 from corkgauge.testkit.seeded_random import SeededRandom
 
-STEP_SECONDS = 10  # seconds
-LASTING_SECONDS, WARM_UP_SECONDS = (
+STEP_SECONDS = 10
+MAINTENANCE_SECONDS, WARM_UP_SECONDS = (
     600,
     20,
-)  # of one engine's work; cold, it gives WARM_UP_SHARE of its cores
-WARM_UP_SHARE = 0.33
-FAILURES_PER_SECOND = 3e-6  # a second, of each engine by itself; back after REPAIR_SECONDS seconds
+)  # of one engine; an engine that warms up has WARM_UP_CORE_FRACTION of its cores
+WARM_UP_CORE_FRACTION = 0.33
+FAILURES_PER_SECOND = 3e-6  # of each engine, independently
 REPAIR_SECONDS = 1_200
 POLICIES = "works", "alone", "fixed", "counted"
-# Request classes: priority weight a core-second, part of all demand, kinds that may serve it.
+# Name, value per core-second, fraction of the demand, engine kinds that may serve it (empty: all).
 REQUEST_CLASSES = ("lookup", 3.0, 0.45, ()), ("report", 2.0, 0.3, ("c12",)), ("load", 1.0, 0.25, ())
 
 
 @dataclass(slots=True)
-class Machine:
-    """One engine: away, failed or cold until then, in seconds."""
+class SimulatedEngine:
+    """An engine, with the times in seconds at which it returns, is repaired and is warm."""
 
     tag: str
     zone: str
     kind: str
     cores: float
-    away_until: int = -1
+    maintenance_until: int = -1
     failed_until: int = -1
     warm_at: int = 0
-    done: bool = False
+    is_done: bool = False
 
     def condition(self, now: int) -> EngineCondition:
+        """Return the condition of the engine at a time."""
         if now < self.failed_until:
             return EngineCondition.DEAD
         return EngineCondition.IMPAIRED if now < self.warm_at else EngineCondition.HEALTHY
 
     def usable_cores(self, now: int) -> float:
-        if now < max(self.away_until, self.failed_until):
+        """Return the number of cores that serve requests at a time."""
+        if now < max(self.maintenance_until, self.failed_until):
             return 0.0
-        return self.cores * (WARM_UP_SHARE if now < self.warm_at else 1.0)
+        return self.cores * (WARM_UP_CORE_FRACTION if now < self.warm_at else 1.0)
 
 
-class Night:
-    """`policy` is one of POLICIES: the order with its limits; as many operators as zones, each by himself, an engine
-    after the other; a fixed number in a fixed order, whatever the load; all that the limits by
-    count allow. `peak` is the largest demand, as a part of all cores.
+class MaintenanceRun:
+    """Simulates the maintenance of each engine of a fleet once.
+
+    `policy` is one of POLICIES: "works" is the schedule of the program with all its limits; with
+    "alone", one operator per zone works on one engine after another; "fixed" takes a fixed number
+    of engines in a fixed order, whatever the load; "counted" takes as many as the limit by count
+    allows.
+    `peak` and `low` are the largest and the smallest demand, as a fraction of all cores.
     """
 
     def __init__(
         self, seed: int, engines: int, policy: str, peak: float = 0.97, low: float = 0.55
     ) -> None:
-        self.chance, self.policy, self.now = SeededRandom(seed), policy, 0
-        self.machines = [
-            Machine(f"e{n}", f"hall-{n % 4}", ("c8", "c12")[n // 4 % 2], (8.0, 12.0)[n // 4 % 2])
-            for n in range(engines)
+        self.random, self.policy, self.now = SeededRandom(seed), policy, 0
+        self.engines = [
+            SimulatedEngine(
+                f"e{index}",
+                f"hall-{index % 4}",
+                ("c8", "c12")[index // 4 % 2],
+                (8.0, 12.0)[index // 4 % 2],
+            )
+            for index in range(engines)
         ]
-        self.cores = sum(each.cores for each in self.machines)
+        self.cores = sum(engine.cores for engine in self.engines)
         self.peak, self.low = peak, low
         self.limits = DisruptionLimits(max(engines // 8, 2), 0.25, 0.5, 0.5, 0.9)
-        self.earned = self.possible = self.worst = 0.0
-        self.worst_by: dict[str, float] = {}
-        self.jitter = 1.0
-        self.phase = self.chance.below(21_600)  # when it begins
-
-    def run(self, most: int = 40 * 3600) -> dict[str, Any]:
-        while any(not each.done for each in self.machines) and self.now < most:
-            self._one()
+        self.served_value = self.total_value = self.worst_loss = 0.0
+        self.worst_loss_by_class: dict[str, float] = {}
+        self.burst_factor = 1.0
+        self.phase = self.random.below(21_600)  # start within the demand cycle, in seconds
+
+    def run(self, max_seconds: int = 40 * 3600) -> dict[str, Any]:
+        """Simulate until all engines are done, or for `max_seconds`; return the figures."""
+        while any(not engine.is_done for engine in self.engines) and self.now < max_seconds:
+            self._run_step()
             self.now += STEP_SECONDS
-        over = self.now
+        finished_at = self.now
         return {
             "policy": self.policy,
-            "hours": round(over / 3600, 2),
-            "lost": 1 - self.earned / self.possible,
-            "worst": self.worst,
-            "worst_by": self.worst_by,
+            "hours": round(finished_at / 3600, 2),
+            "lost": 1 - self.served_value / self.total_value,
+            "worst": self.worst_loss,
+            "worst_by": self.worst_loss_by_class,
         }
 
     def demand(self) -> list[float]:
-        """Cores by request class now: half a day up and down, bursts by chance."""
-        part = (self.now + self.phase) % 21_600 / 21_600
-        level = self.low + (self.peak - self.low) * (1 - abs(2 * part - 1))
-        if self.chance.within(0.002):
-            self.jitter = 1.25  # a burst, which fades
-        self.jitter = 1 + (self.jitter - 1) * 0.97
-        return [share * level * self.jitter * self.cores for _, _, share, _ in REQUEST_CLASSES]
-
-    def _one(self) -> None:
+        """Return the cores that each request class needs now: a 6 h cycle with random bursts."""
+        cycle_fraction = (self.now + self.phase) % 21_600 / 21_600
+        level = self.low + (self.peak - self.low) * (1 - abs(2 * cycle_fraction - 1))
+        if self.random.within(0.002):
+            self.burst_factor = 1.25  # a burst, which decays
+        self.burst_factor = 1 + (self.burst_factor - 1) * 0.97
+        return [
+            demand_fraction * level * self.burst_factor * self.cores
+            for _, _, demand_fraction, _ in REQUEST_CLASSES
+        ]
+
+    def _run_step(self) -> None:
         now = self.now
-        for each in self.machines:
-            if self.chance.within(FAILURES_PER_SECOND * STEP_SECONDS) and now >= each.away_until:
-                each.failed_until, each.warm_at = (
+        for engine in self.engines:
+            if (
+                self.random.within(FAILURES_PER_SECOND * STEP_SECONDS)
+                and now >= engine.maintenance_until
+            ):
+                engine.failed_until, engine.warm_at = (
                     now + REPAIR_SECONDS,
                     now + REPAIR_SECONDS + WARM_UP_SECONDS,
                 )
-            if 0 <= each.away_until <= now and not each.done:
-                each.done, each.warm_at = True, now + WARM_UP_SECONDS
+            if 0 <= engine.maintenance_until <= now and not engine.is_done:
+                engine.is_done, engine.warm_at = True, now + WARM_UP_SECONDS
         demand = self.demand()
-        for each in self._chosen(demand):
-            each.away_until = now + int(LASTING_SECONDS * (0.7 + 0.6 * self.chance.part()))
+        for engine in self._select_engines(demand):
+            engine.maintenance_until = now + int(
+                MAINTENANCE_SECONDS * (0.7 + 0.6 * self.random.part())
+            )
         self._account(demand)
 
-    def _chosen(self, demand: list[float]) -> list[Machine]:
+    def _select_engines(self, demand: list[float]) -> list[SimulatedEngine]:
         now = self.now
-        waiting = [each for each in self.machines if not each.done and each.away_until < 0]
-        away = [each for each in self.machines if each.away_until > now]
+        waiting = [
+            engine for engine in self.engines if not engine.is_done and engine.maintenance_until < 0
+        ]
+        in_maintenance = [engine for engine in self.engines if engine.maintenance_until > now]
         if self.policy == "alone":
-            busy = {each.zone for each in away}
+            busy = {engine.zone for engine in in_maintenance}
             return [
-                *{each.zone: each for each in reversed(waiting) if each.zone not in busy}.values()
+                *{
+                    engine.zone: engine for engine in reversed(waiting) if engine.zone not in busy
+                }.values()
             ]
         if self.policy in ("fixed", "counted"):
-            room = max(
-                (len(self.machines) // 16 if self.policy == "fixed" else self.limits.max_engines)
-                - len(away),
+            free_slots = max(
+                (len(self.engines) // 16 if self.policy == "fixed" else self.limits.max_engines)
+                - len(in_maintenance),
                 0,
             )
-            return waiting[:room]
+            return waiting[:free_slots]
         engines = {
-            each.tag: EngineFact(
-                each.tag, each.zone, each.kind, None, each.cores, each.condition(now)
+            engine.tag: EngineFact(
+                engine.tag, engine.zone, engine.kind, None, engine.cores, engine.condition(now)
             )
-            for each in self.machines
+            for engine in self.engines
         }
         request_classes = [
             RequestClassDemand(name, frozenset(), frozenset(kinds), cores)
             for (name, _, _, kinds), cores in zip(REQUEST_CLASSES, demand)
         ]
         snapshot = CapacitySnapshot(
-            self.limits, engines, request_classes, {each.tag for each in away}
+            self.limits, engines, request_classes, {engine.tag for engine in in_maintenance}
         )
         if snapshot.find_overload(snapshot.unavailable_engines()):
             return []
         waiting_units = [
-            WaitingUnit(each.tag, (each.tag,), LASTING_SECONDS, queue_position=n)
-            for n, each in enumerate(waiting)
+            WaitingUnit(engine.tag, (engine.tag,), MAINTENANCE_SECONDS, queue_position=index)
+            for index, engine in enumerate(waiting)
         ]
         granted = {*select_grants(snapshot, waiting_units).granted}
-        return [each for each in waiting if each.tag in granted]
+        return [engine for engine in waiting if engine.tag in granted]
 
     def _account(self, demand: list[float]) -> None:
-        """What can be carried now: the request classes that few engines may serve first, among those the dearest."""
-        left: dict[str, float] = {}
-        for each in self.machines:
-            left[each.kind] = left.get(each.kind, 0.0) + each.usable_cores(self.now)
-        carried, possible, lost = 0.0, 0.0, 0.0
+        """Account for the served demand of this step.
+
+        Request classes that only some kinds may serve have precedence, then those of higher value.
+        """
+        free_cores: dict[str, float] = {}
+        for engine in self.engines:
+            free_cores[engine.kind] = free_cores.get(engine.kind, 0.0) + engine.usable_cores(
+                self.now
+            )
+        served, total, lost = 0.0, 0.0, 0.0
         order = sorted(
             range(len(REQUEST_CLASSES)),
-            key=lambda n: (not REQUEST_CLASSES[n][3], -REQUEST_CLASSES[n][1]),
+            key=lambda index: (not REQUEST_CLASSES[index][3], -REQUEST_CLASSES[index][1]),
         )
-        for n in order:
-            name, weight, _, kinds = REQUEST_CLASSES[n]
-            wanted, rest = demand[n], demand[n]
-            for kind in kinds or left:
-                takes = min(rest, left[kind])
-                left[kind] -= takes
-                rest -= takes
-            carried += weight * (wanted - rest)
-            possible += weight * wanted
-            self.worst_by[name] = max(self.worst_by.get(name, 0.0), rest / wanted)
-            lost += weight * rest
-        self.earned += carried * STEP_SECONDS
-        self.possible += possible * STEP_SECONDS
-        self.worst = max(self.worst, lost / possible)
+        for index in order:
+            name, weight, _, kinds = REQUEST_CLASSES[index]
+            required, unserved = demand[index], demand[index]
+            for kind in kinds or free_cores:
+                taken = min(unserved, free_cores[kind])
+                free_cores[kind] -= taken
+                unserved -= taken
+            served += weight * (required - unserved)
+            total += weight * required
+            self.worst_loss_by_class[name] = max(
+                self.worst_loss_by_class.get(name, 0.0), unserved / required
+            )
+            lost += weight * unserved
+        self.served_value += served * STEP_SECONDS
+        self.total_value += total * STEP_SECONDS
+        self.worst_loss = max(self.worst_loss, lost / total)
--- a/corkgauge/model/subsets.py
+++ b/corkgauge/model/subsets.py
@@ -1,10 +1,11 @@
-"""Working sets of engines (subsetting): the options weighed in docs/subsetting.md, each a pure function.
-
-Owns how each option picks, for one gateway, its engines out of a list. Must never do I/O, keep
-state between calls, or be imported by a program that serves: `tournament_subset` is written from the note,
-not from the module, so that a test can hold one against the other. Engines are named by integers
-below 2^64, gateways are numbered from 0. A list may hold any names in any order; the options that
-go by position sort it first, as all gateways have to agree on it.
+"""Subsetting algorithms that docs/subsetting.md compares, as pure functions.
+
+Each algorithm selects the engines of one gateway from a list. This module must never do I/O, keep
+state between calls, or be imported by a serving gateway. `tournament_subset` was written from the
+document and not from corkgauge/policy/subsetting.py, so that a test can compare the two. Engines
+are identified by integers below 2^64, and gateways are numbered from 0. A list may have any
+identifiers in any order; algorithms that depend on positions sort it first, since all gateways must
+use the same order.
 """
 
 import random
@@ -12,32 +13,33 @@
 from heapq import nsmallest
 
 GOLDEN_RATIO = (
-    0.6180339887498949  # its multiples fill the circle evenly (three-distance theorem, Sós 1958)
+    0.6180339887498949  # multiples modulo 1 are evenly spread (three-distance theorem, Sós 1958)
 )
 WORD_MASK = (1 << 64) - 1
 BASE_ENGINE_COUNT, MAX_WHOLE_LIST_ENGINE_COUNT, SUBSETS_PER_ENGINE = (
     48,
     128,
     16,
-)  # engines in a set; the list that is a set as a whole; gateways for each engine
+)  # engines of a subset; longest list that is used whole; least mean number of subsets per engine
 EXPECTED_ENGINES_PER_CLASS, MIN_ENGINES_PER_CLASS = (
     8,
     3,
-)  # of the engines that a class may use: expected in a set; topped up to
+)  # engines of a subset that a request class may use: expected number, least number
 LOAD_THRESHOLD_FACTOR, MAX_LOAD_GROWTH_FACTOR, MIN_CHANGE_FACTOR = (
     1.5,
     4.0,
     1.4,
-)  # parts of capacity where a set begins to grow; times in all; least change
+)  # load above which a subset grows, over the equal part; largest growth; least change
 
-ZoneAndKind = tuple[int, int]  # zone, kind
+ZoneAndKind = tuple[int, int]  # zone and engine kind
 
 
 def mix_hash(first: int, second: int, third: int = 0) -> int:
-    """64 bits from three numbers: multiply, shift, xor, as in splitmix64 (Steele, Lea, Flood 2014).
+    """Hash three numbers to 64 bits, as in splitmix64 (Steele, Lea, Flood 2014).
 
-    Danger: a hash that is linear over GF(2), as any CRC of joined fields, gives the same pattern of
-    winners to all engines up to a shift: sets fall into shards. The products here are not linear.
+    The products make the hash nonlinear over GF(2). With a linear hash, such as a CRC of the joined
+    fields, the pattern of winners would be the same for all engines up to a shift, and the subsets
+    would form disjoint shards.
 
     >>> len({mix_hash(a, b, c) & 0xffffffff for a in range(9) for b in range(9) for c in range(9)})
     729
@@ -51,41 +53,45 @@
 
 
 def all_engines(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
-    """The whole list: what the gateway did before."""
+    """Return the whole list, as gateways without subsetting use it."""
     return sorted(engines)
 
 
 def random_subset(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
-    """`size` engines drawn without return, seeded by the gateway and nothing else; of the sorted list."""
+    """Draw `size` engines of the sorted list without replacement, with the gateway as the seed."""
     return sorted(random.Random(gateway).sample(sorted(engines), min(size, len(engines))))
 
 
 def rendezvous_subset(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
-    """The `size` engines of least hash of (gateway, engine): Thaler and Ravishankar 1998."""
+    """Return the `size` engines of least hash of (gateway, engine): Thaler and Ravishankar 1998."""
     return sorted(nsmallest(size, engines, key=lambda engine: mix_hash(gateway, engine)))
 
 
 def round_subset(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
-    """Deterministic subsetting by rounds: Site Reliability Engineering (Beyer, Jones, Petoff, Murphy 2016), chapter 20.
-    Each round of gateways shuffles the list by the round's seed and deals it out in parts of
-    `size`; what is left over of a round's list goes to nobody in that round.
+    """Select by deterministic subsetting in rounds.
+
+    The algorithm is that of Site Reliability Engineering (Beyer, Jones, Petoff, Murphy 2016),
+    chapter 20. Each round of gateways shuffles the list with the number of the round as the seed,
+    and divides it into parts of `size` engines. The remaining engines of a round are not used.
     """
-    turn, part = divmod(gateway, max(len(engines) // size, 1))
-    return sorted(shuffle_for_round(turn, engines)[part * size : (part + 1) * size])
+    round_number, part = divmod(gateway, max(len(engines) // size, 1))
+    return sorted(shuffle_for_round(round_number, engines)[part * size : (part + 1) * size])
 
 
-def shuffle_for_round(turn: int, engines: Sequence[int]) -> list[int]:
-    """The list as it lies in one round of `round_subset`."""
-    listed = sorted(engines)
-    random.Random(turn).shuffle(listed)
-    return listed
+def shuffle_for_round(round_number: int, engines: Sequence[int]) -> list[int]:
+    """Return the shuffled list of one round of `round_subset`."""
+    sorted_engines = sorted(engines)
+    random.Random(round_number).shuffle(sorted_engines)
+    return sorted_engines
 
 
 def aperture_subset(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
-    """Deterministic aperture: gateways and engines evenly on one ring by position (Finagle; Oanta and Anderson 2019).
-    A gateway owns the arc from its own place, as wide as the least whole number of gateway arcs
-    that holds `size` engines; an engine that an arc covers in part belongs to the set too (the
-    published weights by overlap are in `aperture_overlap`).
+    """Select by deterministic aperture (Finagle; Oanta and Anderson 2019).
+
+    Gateways and engines are evenly spaced on one ring, by position. A gateway has the arc that
+    starts at its position, as wide as the least whole number of gateway arcs that contain `size`
+    engines. Engines that the arc covers in part belong to the subset too; `aperture_overlap`
+    returns the published weights by overlap.
     """
     return sorted(aperture_overlap(gateway, gateways, engines, size))
 
@@ -93,60 +99,81 @@
 def aperture_overlap(
     gateway: int, gateways: int, engines: Sequence[int], size: int
 ) -> dict[int, float]:
-    """Of `aperture_subset`: how much of each engine's arc the gateway's arc covers, 0 to 1: the weight it is sent to with."""
-    listed, many = sorted(engines), len(engines)
-    arcs = -(-size * gateways // many)  # gateway arcs that hold `size` engines
-    if arcs >= gateways:
-        return dict.fromkeys(listed, 1.0)
-    begin, end = gateway * many / gateways, (gateway + arcs) * many / gateways
-    found = {}
-    for place in range(int(begin), int(end) + 1):
-        part = min(end, place + 1) - max(begin, place)
-        if part > 1e-9:
-            found[listed[place % many]] = part
-    return found
+    """Return the engines of `aperture_subset` with their weights.
+
+    The weight is the fraction of the arc of the engine that the arc of the gateway covers.
+    """
+    sorted_engines, engine_count = sorted(engines), len(engines)
+    arc_count = -(-size * gateways // engine_count)  # gateway arcs that contain `size` engines
+    if arc_count >= gateways:
+        return dict.fromkeys(sorted_engines, 1.0)
+    first_position, end_position = (
+        gateway * engine_count / gateways,
+        (gateway + arc_count) * engine_count / gateways,
+    )
+    weights = {}
+    for position in range(int(first_position), int(end_position) + 1):
+        covered_fraction = min(end_position, position + 1) - max(first_position, position)
+        if covered_fraction > 1e-9:
+            weights[sorted_engines[position % engine_count]] = covered_fraction
+    return weights
 
 
 def count_consecutive_wins(gateway: int, engine: int) -> int:
-    """How many blocks in a row, of 2, 4, 8 ... gateways by number, this gateway wins for this engine. The winner of a
-    block is, by a hash of engine, level and block, the winner of its left half or of its right; so
-    it is enough to ask in each block whether the gateway's own half wins. 64 at most.
+    """Return how many successive blocks of 2, 4, 8 ... gateways the gateway wins for the engine.
 
-    >>> [sum(count_consecutive_wins(gateway, 5) >= least for gateway in range(64)) for least in (0, 1, 2, 3, 6)]
+    A hash of engine, level and block determines whether the winner of the left or of the right half
+    wins the block. So it suffices to check for each block whether the half of the gateway wins. The
+    result is at most 64.
+
+    >>> [
+    ...     sum(count_consecutive_wins(gateway, 5) >= least for gateway in range(64))
+    ...     for least in (0, 1, 2, 3, 6)
+    ... ]
     [64, 32, 16, 8, 1]
     """
-    for won in range(64):
-        if mix_hash(engine, won + 1, gateway >> won + 1) >> 32 & 1 != gateway >> won & 1:
-            return won
+    for wins in range(64):
+        if mix_hash(engine, wins + 1, gateway >> wins + 1) >> 32 & 1 != gateway >> wins & 1:
+            return wins
     return 64
 
 
 def engine_rank(gateway: int, engine: int) -> float:
-    """Of this engine for this gateway, above 0 and below 1, alike whoever works it out; asks neither for the number of
-    gateways nor for the list. A threshold p between 2^-(m+1) and 2^-m takes the one winner of each
-    block of 2^(m+1) gateways, and of those who lose just there an even part, by multiples of the
-    golden section over blocks.
+    """Return the rank of the engine for the gateway, above 0 and below 1.
+
+    The rank depends neither on the number of gateways nor on the list, and every gateway computes
+    the same one. A threshold p between 2^-(m+1) and 2^-m selects the winner of each block of
+    2^(m+1) gateways. Of the gateways that lose exactly at that level it selects a part, spread
+    evenly over the blocks by multiples of the golden ratio.
 
-    >>> [sum(engine_rank(gateway, 7) < 0.125 for gateway in range(first, first + 64)) for first in (0, 64, 640)]
+    >>> [
+    ...     sum(engine_rank(gateway, 7) < 0.125 for gateway in range(first, first + 64))
+    ...     for first in (0, 64, 640)
+    ... ]
     [8, 8, 8]
     """
-    won = count_consecutive_wins(gateway, engine)
-    return (1 + ((gateway >> won + 1) * GOLDEN_RATIO + mix_hash(engine, 0) / 2**64) % 1) / 2 ** (
-        won + 1
+    wins = count_consecutive_wins(gateway, engine)
+    return (1 + ((gateway >> wins + 1) * GOLDEN_RATIO + mix_hash(engine, 0) / 2**64) % 1) / 2 ** (
+        wins + 1
     )
 
 
 def tournament_subset(gateway: int, gateways: int, engines: Sequence[int], size: int) -> list[int]:
-    """Ours, bare: the engines of rank up to size / number of engines. So many are expected; chance gives more or fewer
-    to one gateway, but not to one engine.
+    """Return the engines of rank up to size / number of engines: our algorithm, without growth.
+
+    The expected number of engines is `size`. The number varies between gateways, but the number of
+    gateways per engine does not.
     """
-    bar = size / max(len(engines), 1)
-    return sorted(engine for engine in engines if engine_rank(gateway, engine) <= bar)
+    rank_limit = size / max(len(engines), 1)
+    return sorted(engine for engine in engines if engine_rank(gateway, engine) <= rank_limit)
 
 
 def target_subset_size(gateways: int, engines: int, base: float = BASE_ENGINE_COUNT) -> float:
-    """Engines that a set should hold: `base`; the whole list up to WHOLE engines, and less than in proportion from
-    there; COVER gateways for each engine at least.
+    """Return the number of engines that a subset should have.
+
+    It is at least `base`, and large enough for SUBSETS_PER_ENGINE subsets per engine. A list of up
+    to MAX_WHOLE_LIST_ENGINE_COUNT engines is used whole; above that, the number decreases in
+    inverse proportion to the length of the list.
     """
     return max(
         base,
@@ -155,68 +182,102 @@
     )
 
 
-def load_growth_factor(asked: float, was: float = 1.0) -> float:
-    """How many times as large a gateway's set is for its own traffic: `asked` is its work over its equal part of the
-    capacity. Danger: a set that follows each swing of traffic is never warm; so it moves by large
-    steps only.
+def load_growth_factor(load: float, previous_factor: float = 1.0) -> float:
+    """Return the factor by which the traffic of a gateway enlarges its subset.
 
-    >>> [load_growth_factor(asked) for asked in (0.5, 1.5, 2.0, 3.0, 9.0)], load_growth_factor(2.4, 2.0)
+    `load` is the work of the gateway over its equal part of the capacity, and `previous_factor` the
+    factor before. The factor changes only in large steps, because a subset that followed each swing
+    of the traffic would never be warm.
+
+    >>> (
+    ...     [load_growth_factor(load) for load in (0.5, 1.5, 2.0, 3.0, 9.0)],
+    ...     load_growth_factor(2.4, 2.0),
+    ... )
     ([1.0, 1.0, 1.0, 2.0, 4.0], 2.0)
     """
-    found = min(max(asked / LOAD_THRESHOLD_FACTOR, 1.0), MAX_LOAD_GROWTH_FACTOR)
-    return was if 1 / MIN_CHANGE_FACTOR < found / was < MIN_CHANGE_FACTOR else found
+    factor = min(max(load / LOAD_THRESHOLD_FACTOR, 1.0), MAX_LOAD_GROWTH_FACTOR)
+    return (
+        previous_factor
+        if 1 / MIN_CHANGE_FACTOR < factor / previous_factor < MIN_CHANGE_FACTOR
+        else factor
+    )
 
 
 def rank_limits(
     gateways: int,
-    places: Mapping[ZoneAndKind, Sequence[int]],
+    engines_by_zone_and_kind: Mapping[ZoneAndKind, Sequence[int]],
     classes: Iterable[Iterable[ZoneAndKind]],
     base: float = BASE_ENGINE_COUNT,
 ) -> dict[ZoneAndKind, float]:
-    """The threshold of each place (zone, kind), above 0, at most 1: alike everywhere, raised where a class may use so
-    few engines only that fewer than LEAST of them would be expected.
+    """Return the highest rank of selected engines by zone and kind, above 0 and at most 1.
+
+    The limit is the same everywhere, except where a request class may use so few engines that fewer
+    than EXPECTED_ENGINES_PER_CLASS of them would be expected in a subset: there it is higher.
     """
-    many = sum(map(len, places.values()))
-    found = dict.fromkeys(places, min(1.0, target_subset_size(gateways, many, base) / max(many, 1)))
-    for reach in classes:
-        reach = [place for place in reach if place in places]
-        expected, most = (
-            sum(found[place] * len(places[place]) for place in reach),
-            sum(len(places[place]) for place in reach),
+    engine_count = sum(map(len, engines_by_zone_and_kind.values()))
+    limits = dict.fromkeys(
+        engines_by_zone_and_kind,
+        min(1.0, target_subset_size(gateways, engine_count, base) / max(engine_count, 1)),
+    )
+    for usable_zones_and_kinds in classes:
+        usable_zones_and_kinds = [
+            zone_and_kind
+            for zone_and_kind in usable_zones_and_kinds
+            if zone_and_kind in engines_by_zone_and_kind
+        ]
+        expected, usable_count = (
+            sum(
+                limits[zone_and_kind] * len(engines_by_zone_and_kind[zone_and_kind])
+                for zone_and_kind in usable_zones_and_kinds
+            ),
+            sum(
+                len(engines_by_zone_and_kind[zone_and_kind])
+                for zone_and_kind in usable_zones_and_kinds
+            ),
         )
         if expected < EXPECTED_ENGINES_PER_CLASS:
-            for place in reach:
-                found[place] = max(
-                    found[place], min(1.0, EXPECTED_ENGINES_PER_CLASS / max(most, 1))
+            for zone_and_kind in usable_zones_and_kinds:
+                limits[zone_and_kind] = max(
+                    limits[zone_and_kind],
+                    min(1.0, EXPECTED_ENGINES_PER_CLASS / max(usable_count, 1)),
                 )
-    return found
+    return limits
 
 
 def select_subset(
     gateway: int,
-    places: Mapping[ZoneAndKind, Sequence[int]],
-    found: Mapping[ZoneAndKind, float],
+    engines_by_zone_and_kind: Mapping[ZoneAndKind, Sequence[int]],
+    limits: Mapping[ZoneAndKind, float],
     classes: Iterable[Iterable[ZoneAndKind]],
-    wider: float = 1.0,
+    growth_factor: float = 1.0,
 ) -> list[int]:
-    """Ours, whole: in each place the engines of rank up to its bar (`rank_limits`) times `wider` (from this gateway's own
-    demand); then, for each class that has fewer than FEW of what it may use, the next by rank.
+    """Select the engines of a gateway by our algorithm, with growth and with the request classes.
+
+    Selects the engines of rank up to the limit of their zone and kind (`rank_limits`) times
+    `growth_factor`, which follows the traffic of the gateway. Then adds, for each request class
+    with fewer than MIN_ENGINES_PER_CLASS usable engines, the next ones by rank.
     """
-    held = {
+    selected = {
         engine
-        for place, engines in places.items()
+        for zone_and_kind, engines in engines_by_zone_and_kind.items()
         for engine in engines
-        if engine_rank(gateway, engine) <= found[place] * wider
+        if engine_rank(gateway, engine) <= limits[zone_and_kind] * growth_factor
     }
-    for reach in classes:
-        able = [engine for place in reach for engine in places.get(place, ())]
-        if len(held.intersection(able)) < MIN_ENGINES_PER_CLASS:
-            held.update(
+    for usable_zones_and_kinds in classes:
+        usable_engines = [
+            engine
+            for zone_and_kind in usable_zones_and_kinds
+            for engine in engines_by_zone_and_kind.get(zone_and_kind, ())
+        ]
+        if len(selected.intersection(usable_engines)) < MIN_ENGINES_PER_CLASS:
+            selected.update(
                 nsmallest(
-                    MIN_ENGINES_PER_CLASS, able, key=lambda engine: engine_rank(gateway, engine)
+                    MIN_ENGINES_PER_CLASS,
+                    usable_engines,
+                    key=lambda engine: engine_rank(gateway, engine),
                 )
             )
-    return sorted(held)
+    return sorted(selected)
 
 
 OPTIONS = {
