--- a/benchmarks/decision_trace.py
+++ b/benchmarks/decision_trace.py
@@ -1,14 +1,16 @@
-"""Decision trace: hashes of all gateway decisions in seeded scenarios; proves refactorings equal.
+"""Hashes all gateway decisions in seeded scenarios, to show that a refactoring changes none.
 
     python benchmarks/decision_trace.py                                         print the hashes
-    python benchmarks/decision_trace.py --expect benchmarks/decision_trace.json exit 1 if unlike
-    python benchmarks/decision_trace.py --record benchmarks/decision_trace.json record them anew
-
-A small simulated world calls the gateway through the host protocol: requests, answers, changes of
-the engine list, failures. Each call that the gateway makes is hashed free of names, as time, code
-of the call and figures; so is the state in public records. Equal hashes mean equal decisions, to
-the last bit of each float. Times are ticks of a tenth of a millisecond. Hashes hold for one way of
-adding floats: `sum` compensates from Python 3.12 on, so the record says which it was made with.
+    python benchmarks/decision_trace.py --expect benchmarks/decision_trace.json exit 1 if different
+    python benchmarks/decision_trace.py --record benchmarks/decision_trace.json record the hashes
+
+A small simulation drives the gateway through the host protocol with requests, answers, changes of
+the engine list and failures. Each call of the gateway is hashed as time, code of the call and
+numbers, and so is the state in public records. No names are hashed. Equal hashes mean equal
+decisions, to the last bit of each float. Times are ticks of a tenth of a millisecond.
+
+Hashes are comparable only between Python versions that add floats alike: `sum` compensates rounding
+errors from Python 3.12 on. The record contains the result of such a sum.
 """
 
 import argparse
@@ -36,90 +38,90 @@
 )
 from corkgauge.policy.options import GatewayOptions
 
-# The program's names: all of them, so that a renaming is followed in this section alone.
+# This section has all uses of names of the program, so that a rename changes no other section.
 
 IDEMPOTENT, KEYED, NON_IDEMPOTENT = interface.Repeatability
 GONE, READY, DRAINING = interface.EngineState
 ERROR, SUCCEEDED, FULL, TIMED_OUT, UNREACHED, RESET, CANCELLED, ABANDONED = interface.AttemptOutcome
 PROGRESS = interface.NoteKind.PROGRESS
-# In a fixed order, as the world draws from it by index.
+# The order must not change, because the simulation draws from it by index.
 OUTCOMES = (ERROR, SUCCEEDED, FULL, TIMED_OUT, UNREACHED, RESET, CANCELLED, ABANDONED)
-# A module and the name of one tuned constant in it: the test changes it and expects other hashes.
+# A module and the name of a constant in it. The test changes it and expects different hashes.
 TUNED_SAMPLE = (admission, "MAX_QUEUE_WAIT_FRACTION")
 
 
 class HostAdapter:
-    """The host as the gateway knows it; passes each call on to the simulated world."""
+    """Host of the gateway; forwards each call to the simulation."""
 
-    def __init__(self, world: "World", now: int) -> None:
-        self.world, self.now, self.lag = world, now, 0
+    def __init__(self, simulation: "Simulation", now: int) -> None:
+        self.simulation, self.now, self.lag = simulation, now, 0
 
     def send_attempt(self, attempt: Any, allow: int) -> None:
         facts = AttemptFacts(
             attempt.number, attempt.sent_at, attempt.expected_duration, attempt.typical_duration
         )
-        self.world.on_send(
+        self.simulation.on_send(
             attempt, attempt.request.host_reference, attempt.engine.host_reference, allow, facts
         )
 
     def set_resources(self, request: Any, memory: float, priority: int) -> None:
-        self.world.trace.add(self.now, 1, request.host_reference, memory, priority)
+        self.simulation.trace.add(self.now, 1, request.host_reference, memory, priority)
 
     def reject(self, request: Any, retry_after: int) -> None:
-        self.world.trace.add(self.now, 2, request.host_reference, retry_after)
+        self.simulation.trace.add(self.now, 2, request.host_reference, retry_after)
 
     def fail(self, request: Any) -> None:
-        self.world.trace.add(self.now, 3, request.host_reference)
+        self.simulation.trace.add(self.now, 3, request.host_reference)
 
     def cancel_attempt(self, attempt: Any) -> None:
-        self.world.on_cancel(attempt)
+        self.simulation.on_cancel(attempt)
 
     def call_later(self, delay: int, method: Callable[..., None], *what: Any) -> None:
-        self.world.trace.add(self.now, 5, delay, len(what))
-        self.world.schedule(delay, method, *what)
+        self.simulation.trace.add(self.now, 5, delay, len(what))
+        self.simulation.schedule(delay, method, *what)
 
     def log(self, line: str) -> None:
-        self.world.trace.add(self.now, 6)
+        self.simulation.trace.add(self.now, 6)
 
 
 def build_gateway(host: HostAdapter, scenario: "Scenario", classes: list[Any], seed: int) -> Any:
-    """A gateway with what the scenario states."""
-    floor, share, span = scenario.retry_budget
+    """Return a gateway with the options of the scenario."""
+    floor, share, duration = scenario.retry_budget
     options = GatewayOptions(
         seed=seed,
         gateway_number=scenario.number,
-        gateway_count=scenario.gateways,
+        gateway_count=scenario.gateway_count,
         host_period_ticks=10,
-        can_cancel=scenario.cancels,
-        can_hedge=scenario.hedges,
-        max_attempts=scenario.most_attempts,
+        can_cancel=scenario.can_cancel,
+        can_hedge=scenario.can_hedge,
+        max_attempts=scenario.max_attempts,
         retry_after_ticks=scenario.retry_after,
         slow_start_speed=0.33,
-        slow_start_ticks=scenario.warm_up,
-        overload_factor=scenario.cold_multiple,
+        slow_start_ticks=scenario.slow_start_ticks,
+        overload_factor=scenario.overload_factor,
         overload_window_ticks=SECOND,
         retry_floor=floor,
         retry_share=share,
-        retry_window_ticks=span,
-        settle_ticks=scenario.settle,
+        retry_window_ticks=duration,
+        settle_ticks=scenario.settle_ticks,
     )
     return Gateway(host, options, classes)
 
 
-def build_class(spec: "ClassSpec") -> Any:
+def build_class(class_spec: "ClassSpec") -> Any:
     return interface.RequestClass(
-        spec.name,
-        spec.objective,
-        spec.stretch,
-        spec.deadline,
-        spec.weight,
-        spec.repeat,
-        spec.group,
-        spec.remembered,
-        spec.ordered,
-        spec.zones,
-        spec.kinds,
-        spec.threads,
+        class_spec.name,
+        class_spec.objective,
+        class_spec.stretch,
+        class_spec.deadline,
+        class_spec.weight,
+        class_spec.repeatability,
+        class_spec.group,
+        class_spec.remembered,
+        class_spec.ordered,
+        class_spec.zones,
+        class_spec.kinds,
+        class_spec.threads,
     )
 
 
@@ -135,7 +137,7 @@
         draw.tenant,
         draw.tables,
         now,
-        draw.life,
+        draw.lifetime,
         draw.estimate,
         draw.memory,
         draw.key,
@@ -148,7 +150,7 @@
 
 
 class GatewayCalls:
-    """What can happen, told to a gateway."""
+    """The calls from the host to the gateway."""
 
     def __init__(self, gateway: Any) -> None:
         self.gateway = gateway
@@ -161,13 +163,13 @@
         self.client_left = gateway.on_client_left
         self.answer = (
             gateway.on_attempt_finished
-        )  # attempt, outcome, took, finished, work, need, inflight
-        self.progress = gateway.on_attempt_progress  # attempt, sort, value
+        )  # attempt, outcome, duration, finished, work, memory, inflight
+        self.progress = gateway.on_attempt_progress  # attempt, kind, value
         self.may_begin = gateway.can_start_attempt
-        self.key_in_doubt = gateway.hold_order_key  # key, until
+        self.hold_order_key = gateway.hold_order_key  # key, until
 
-    def throttle_retries(self, part: float) -> None:
-        self.gateway.retry_budget.throttle = part
+    def throttle_retries(self, fraction: float) -> None:
+        self.gateway.retry_budget.throttle = fraction
 
     def recover(self, learned: "Learned") -> None:
         self.gateway.restore_learned_state(
@@ -226,31 +228,31 @@
     )
 
 
-# From here on no name of the program.
+# The remaining sections use no names of the program.
 
 SECOND = 10_000
 START = 100 * SECOND
-MISTRUSTED = ["error", "error"]  # the recent faults of an engine, as recovery hands them over
+RECENT_FAULTS = ["error", "error"]  # recent faults of an engine, as recovery restores them
 
 
 class AttemptFacts(NamedTuple):
     number: int
     sent: int
-    due: float
-    usual: float
+    expected_duration: float
+    typical_duration: float
 
 
 class RequestDraw(NamedTuple):
     tenant: int
     tables: float
-    life: int
+    lifetime: int
     estimate: int
     memory: float
     key: int
 
 
 class Learned(NamedTuple):
-    """What recovery hands to a new gateway."""
+    """The learned state that recovery restores in a new gateway."""
 
     price: float
     best: float
@@ -263,14 +265,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """A class of requests, and the work that its requests are drawn around."""
+    """A request class, and the typical work of its requests."""
 
     name: str
     objective: int
     stretch: float
     deadline: int
     weight: float
-    repeat: int
+    repeatability: int
     work: int
     group: str = "all"
     remembered: int = 0
@@ -295,33 +297,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One gateway's setting, and the world that it meets; spans and gaps in ticks."""
+    """The options of the gateway and the behaviour of its environment; times are in ticks."""
 
     name: str
     engines: int
-    gateways: int
+    gateway_count: int
     seconds: int
-    gap: int  # between requests, in the mean
-    trouble: int  # between things that go wrong or change, in the mean
+    request_interval: int  # mean interval between requests
+    change_interval: int  # mean interval between failures and other changes
     cores: float = 8.0
     number: int = 0
-    cancels: bool = False
-    hedges: bool = False
+    can_cancel: bool = False
+    can_hedge: bool = False
     retry_budget: tuple[float, float, int] = (0.0, 0.0, 0)
-    most_attempts: int = 4
+    max_attempts: int = 4
     retry_after: int = 0
-    warm_up: int = 0
-    cold_multiple: float = 2.0
-    settle: int = 0
+    slow_start_ticks: int = 0
+    overload_factor: float = 2.0
+    settle_ticks: int = 0
     zones: int = 4
-    recovered: bool = False
-    outages: bool = True  # of whole zones
+    has_learned_state: bool = False
+    has_outages: bool = True  # failures of whole zones
 
 
 SCENARIOS = (
-    Scenario("three-engines", 3, 1, 30, 130, 5_000, cores=4.0, cancels=True, settle=1_500),
+    Scenario("three-engines", 3, 1, 30, 130, 5_000, cores=4.0, can_cancel=True, settle_ticks=1_500),
     Scenario(
-        "three-engines-overload", 3, 1, 24, 60, 9_000, cores=4.0, hedges=True, retry_after=700
+        "three-engines-overload", 3, 1, 24, 60, 9_000, cores=4.0, can_hedge=True, retry_after=700
     ),
     Scenario(
         "three-engines-of-200-gateways",
@@ -332,9 +334,9 @@
         8_000,
         cores=16.0,
         number=17,
-        cancels=True,
+        can_cancel=True,
         retry_budget=(3.0, 0.1, 2 * SECOND),
-        warm_up=12 * SECOND,
+        slow_start_ticks=12 * SECOND,
     ),
     Scenario(
         "forty-engines",
@@ -344,9 +346,9 @@
         90,
         1_500,
         cores=2.0,
-        hedges=True,
-        warm_up=10 * SECOND,
-        recovered=True,
+        can_hedge=True,
+        slow_start_ticks=10 * SECOND,
+        has_learned_state=True,
     ),
     Scenario(
         "forty-engines-stated-budget",
@@ -356,12 +358,12 @@
         90,
         1_000,
         cores=4.0,
-        cancels=True,
-        hedges=True,
+        can_cancel=True,
+        can_hedge=True,
         retry_budget=(4.0, 0.2, 3 * SECOND),
-        settle=3_000,
-        most_attempts=3,
-        warm_up=8 * SECOND,
+        settle_ticks=3_000,
+        max_attempts=3,
+        slow_start_ticks=8 * SECOND,
     ),
     Scenario(
         "forty-engines-of-200-gateways",
@@ -371,13 +373,13 @@
         130,
         1_500,
         number=93,
-        hedges=True,
-        warm_up=10 * SECOND,
-        outages=False,
+        can_hedge=True,
+        slow_start_ticks=10 * SECOND,
+        has_outages=False,
     ),
-    Scenario("calm", 12, 1, 24, 100, 10_000, cores=4.0, hedges=True, outages=False),
+    Scenario("calm", 12, 1, 24, 100, 10_000, cores=4.0, can_hedge=True, has_outages=False),
     Scenario(
-        "subset-by-square", 250, 200, 20, 150, 2_000, cores=2.0, number=5, hedges=True, zones=6
+        "subset-by-square", 250, 200, 20, 150, 2_000, cores=2.0, number=5, can_hedge=True, zones=6
     ),
     Scenario(
         "subset-by-cover",
@@ -387,8 +389,8 @@
         250,
         400,
         number=131,
-        cancels=True,
-        warm_up=9 * SECOND,
+        can_cancel=True,
+        slow_start_ticks=9 * SECOND,
         zones=6,
     ),
     Scenario(
@@ -399,14 +401,14 @@
         250,
         400,
         number=700,
-        hedges=True,
-        cold_multiple=3.0,
-        warm_up=9 * SECOND,
-        recovered=True,
+        can_hedge=True,
+        overload_factor=3.0,
+        slow_start_ticks=9 * SECOND,
+        has_learned_state=True,
         zones=6,
     ),
-    Scenario("subset-busy", 250, 200, 24, 45, 5_000, cores=1.0, number=9, cancels=True, zones=6),
-    Scenario("subset-busiest", 500, 870, 24, 50, 9_000, cores=1.0, hedges=True, zones=6),
+    Scenario("subset-busy", 250, 200, 24, 45, 5_000, cores=1.0, number=9, can_cancel=True, zones=6),
+    Scenario("subset-busiest", 500, 870, 24, 50, 9_000, cores=1.0, can_hedge=True, zones=6),
     Scenario(
         "retry-storm",
         12,
@@ -414,11 +416,11 @@
         24,
         100,
         350,
-        cancels=True,
-        hedges=True,
+        can_cancel=True,
+        can_hedge=True,
         retry_budget=(4.0, 0.1, 2 * SECOND),
     ),
-    Scenario("all-of-1800", 1_800, 1, 3, 600, 4_000, cancels=True, hedges=True, zones=6),
+    Scenario("all-of-1800", 1_800, 1, 3, 600, 4_000, can_cancel=True, can_hedge=True, zones=6),
 )
 SHORT_SCENARIOS = (
     "three-engines",
@@ -429,7 +431,7 @@
 
 
 class Trace:
-    """The hash of a scenario; each line holds integers and the exact form of floats."""
+    """The hash over all trace lines of a scenario, with integers and exact floats."""
 
     def __init__(self) -> None:
         self._hash = sha256()
@@ -446,7 +448,7 @@
 
 @dataclass(eq=False, slots=True)
 class SimulatedEngine:
-    """An engine as it is, whatever the gateway believes."""
+    """The true state of an engine, which the gateway may not know."""
 
     record: Any
     cores: float
@@ -458,8 +460,8 @@
 
 
 @dataclass(eq=False, slots=True)
-class InFlight:
-    """An attempt between its sending and its outcome."""
+class SimulatedAttempt:
+    """An attempt that has been sent, and its state."""
 
     serial: int
     attempt: Any
@@ -473,40 +475,40 @@
 
 @dataclass(slots=True)
 class RequestTruth:
-    """A request with what only its engine knows of it."""
+    """A request with its true work, which only the engine knows."""
 
     record: Any
-    spec: ClassSpec
+    class_spec: ClassSpec
     work: int
 
 
 @dataclass(slots=True)
 class Population:
-    """All that was ever built, by number."""
+    """All objects of a simulation, by number."""
 
     engines: list[SimulatedEngine] = field(default_factory=list)
     requests: list[RequestTruth] = field(default_factory=list)
-    attempts: list[InFlight] = field(default_factory=list)
-    by_attempt: dict[Any, InFlight] = field(default_factory=dict)
+    attempts: list[SimulatedAttempt] = field(default_factory=list)
+    by_attempt: dict[Any, SimulatedAttempt] = field(default_factory=dict)
     queues: list[Any] = field(default_factory=list)
 
 
-class World:
-    """Clients, engines and peers around one gateway, drawn from one seeded generator."""
+class Simulation:
+    """Simulates clients, engines and peers of one gateway, with one seeded generator."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
         self.random = random.Random(f"{scenario.name}:{seed}")
         self.trace = Trace()
-        self.all = Population()
+        self.population = Population()
         self.timers: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.timer_serial = 0
-        self.gap = scenario.gap
+        self.request_interval = scenario.request_interval
         self.host = HostAdapter(self, START)
-        self.classes = [build_class(spec) for spec in CLASSES]
+        self.classes = [build_class(class_spec) for class_spec in CLASSES]
         self.gateway = GatewayCalls(build_gateway(self.host, scenario, self.classes, seed))
         self._start_engines()
-        if scenario.recovered:
+        if scenario.has_learned_state:
             self._recover()
 
     # The clock.
@@ -518,8 +520,8 @@
 
     def run(self) -> Trace:
         self.schedule(1, self._client_request)
-        self.schedule(self.scenario.trouble, self._something_happens)
-        self.schedule(SECOND, self._hash_state_often)
+        self.schedule(self.scenario.change_interval, self._change_environment)
+        self.schedule(SECOND, self._hash_state_periodically)
         until = START + self.scenario.seconds * SECOND
         while self.timers and self.timers[0][0] <= until:
             self.host.now, _, action, arguments = heapq.heappop(self.timers)
@@ -535,14 +537,14 @@
             kind = 2 if number % 23 == 2 else number // zones % 2
             cores = self.scenario.cores * (1 + number % 2)
             engine = build_engine(number, number % zones, kind, number // 5, cores)
-            self.all.engines.append(SimulatedEngine(engine, cores))
+            self.population.engines.append(SimulatedEngine(engine, cores))
             self.gateway.engine_update(engine, READY, 0)
         self.gateway.list_complete()
 
     def _recover(self) -> None:
         engines = []
-        for number, engine in enumerate(self.all.engines):
-            faults = MISTRUSTED if number % 10 < 7 else []
+        for number, engine in enumerate(self.population.engines):
+            faults = RECENT_FAULTS if number % 10 < 7 else []
             until = START + SECOND if number % 10 == 3 else 0
             engines.append((engine.record, [1.5, 2.0, 1.0 + number % 4], 1.3, until, faults))
         samples = [(1.1, 0.8, 500), (0.9, 1.2, 700), (1.3, 1.0, 650)]
@@ -556,120 +558,136 @@
             queues=[(0, self.classes[0], 0.6), (1, self.classes[1], 0.4)],
         )
         self.gateway.recover(learned)
-        self.gateway.key_in_doubt(1, START + 4_000)
+        self.gateway.hold_order_key(1, START + 4_000)
 
     # Clients.
 
     def _client_request(self) -> None:
         draw = self.random
-        self.schedule(draw.randrange(1, 2 * self.gap), self._client_request)
+        self.schedule(draw.randrange(1, 2 * self.request_interval), self._client_request)
         index = draw.choice((0, 0, 0, 0, 0, *range(len(CLASSES))))
-        spec = CLASSES[index]
-        part = draw.random()
-        work = int(spec.work * (0.2 + 3.2 * part * part * part)) + 1
+        class_spec = CLASSES[index]
+        fraction = draw.random()
+        work = int(class_spec.work * (0.2 + 3.2 * fraction * fraction * fraction)) + 1
         fields = RequestDraw(
             tenant=draw.randrange(3),
             tables=float(draw.choice((1, 1, 1, 2, 3, 4, 5, 6))),
-            life=draw.randrange(spec.deadline // 2, spec.deadline) if draw.random() < 0.98 else 20,
+            lifetime=draw.randrange(class_spec.deadline // 2, class_spec.deadline)
+            if draw.random() < 0.98
+            else 20,
             estimate=0 if draw.random() < 0.15 else int(work * (0.5 + draw.random())) + 1,
             memory=0.0 if draw.random() < 0.3 else 50.0 + 400.0 * draw.random(),
-            key=draw.randrange(5) if spec.ordered else 0,
+            key=draw.randrange(5) if class_spec.ordered else 0,
+        )
+        request = build_request(
+            len(self.population.requests), self.classes[index], fields, self.host.now
         )
-        request = build_request(len(self.all.requests), self.classes[index], fields, self.host.now)
-        self.all.requests.append(RequestTruth(request, spec, work))
-        if spec.repeat != NON_IDEMPOTENT and draw.random() < 0.08:
-            engine = draw.choice(self.all.engines).record
+        self.population.requests.append(RequestTruth(request, class_spec, work))
+        if class_spec.repeatability != NON_IDEMPOTENT and draw.random() < 0.08:
+            engine = draw.choice(self.population.engines).record
             sent = self.host.now - draw.randrange(3 * SECOND)
             add_earlier_attempt(request, engine, sent, draw.choice(OUTCOMES))
         if draw.random() < 0.03:
             self.schedule(draw.randrange(1, 5_000), self.gateway.client_left, request)
         self.gateway.request(request)
-        if queue_of(request) not in self.all.queues:
-            self.all.queues.append(queue_of(request))
+        if queue_of(request) not in self.population.queues:
+            self.population.queues.append(queue_of(request))
 
-    # What the gateway calls.
+    # Calls from the gateway.
 
     def on_send(
         self, attempt: Any, request: int, engine: int, allow: int, facts: AttemptFacts
     ) -> None:
-        serial, now = len(self.all.attempts), self.host.now
+        serial, now = len(self.population.attempts), self.host.now
         self.trace.add(now, 0, request, engine, serial, allow, *facts)
-        flight = InFlight(serial, attempt, request, self.all.engines[engine], now, allow)
-        self.all.attempts.append(flight)
-        self.all.by_attempt[attempt] = flight
+        attempt_state = SimulatedAttempt(
+            serial, attempt, request, self.population.engines[engine], now, allow
+        )
+        self.population.attempts.append(attempt_state)
+        self.population.by_attempt[attempt] = attempt_state
         wait = self.random.choice((0, 0, 0, 3, 20, 400, 1_200))
-        self.schedule(min(wait, allow), self._first_byte, flight)
+        self.schedule(min(wait, allow), self._first_byte, attempt_state)
 
     def on_cancel(self, attempt: Any) -> None:
-        flight = self.all.by_attempt[attempt]
-        self.trace.add(self.host.now, 4, flight.serial)
+        attempt_state = self.population.by_attempt[attempt]
+        self.trace.add(self.host.now, 4, attempt_state.serial)
         if self.random.random() < 0.9:
-            outcome = CANCELLED if flight.begun else ABANDONED
-            self.schedule(self.random.randrange(2, 60), self._answer, flight, outcome)
+            outcome = CANCELLED if attempt_state.begun else ABANDONED
+            self.schedule(self.random.randrange(2, 60), self._answer, attempt_state, outcome)
 
     # Engines.
 
-    def _first_byte(self, flight: InFlight) -> None:
-        if flight.finished:
+    def _first_byte(self, attempt_state: SimulatedAttempt) -> None:
+        if attempt_state.finished:
             return
-        allowed = self.gateway.may_begin(flight.attempt)
-        self.trace.add(self.host.now, 7, flight.serial, allowed)
+        allowed = self.gateway.may_begin(attempt_state.attempt)
+        self.trace.add(self.host.now, 7, attempt_state.serial, allowed)
         if not allowed:
-            self._answer(flight, ABANDONED)
+            self._answer(attempt_state, ABANDONED)
             return
-        flight.begun = True
-        engine, truth = flight.engine, self.all.requests[flight.request]
-        engine.threads += truth.spec.threads
-        self.schedule(max(flight.allow - 5, 1), self._answer, flight, TIMED_OUT)
-        crowd = max(1.0, engine.threads / engine.cores)
-        alone = truth.work / truth.spec.threads * engine.slowness * crowd
-        span = int(alone * (0.9 + 0.4 * self.random.random())) + 1
-        self._engine_acts(flight, span)
+        attempt_state.begun = True
+        engine, truth = attempt_state.engine, self.population.requests[attempt_state.request]
+        engine.threads += truth.class_spec.threads
+        self.schedule(max(attempt_state.allow - 5, 1), self._answer, attempt_state, TIMED_OUT)
+        overload = max(1.0, engine.threads / engine.cores)
+        duration_alone = truth.work / truth.class_spec.threads * engine.slowness * overload
+        duration = int(duration_alone * (0.9 + 0.4 * self.random.random())) + 1
+        self._schedule_outcome(attempt_state, duration)
         if self.random.random() < 0.2:
-            self.schedule(span // 2 + 1, self._progress_note, flight)
+            self.schedule(duration // 2 + 1, self._progress_note, attempt_state)
 
-    def _engine_acts(self, flight: InFlight, span: int) -> None:
-        """Schedule the outcome that the engine's behaviour brings."""
-        behaviour, draw = flight.engine.behaviour, self.random.random()
+    def _schedule_outcome(self, attempt_state: SimulatedAttempt, duration: int) -> None:
+        """Schedule the outcome that results from the behaviour of the engine."""
+        behaviour, draw = attempt_state.engine.behaviour, self.random.random()
         if behaviour == "silent" or draw < 0.01:
-            return  # the time-out will be its outcome
+            return  # the attempt will time out
         if behaviour == "unreachable":
-            self.schedule(self.random.choice((2, 2_000)), self._answer, flight, UNREACHED)
+            self.schedule(self.random.choice((2, 2_000)), self._answer, attempt_state, UNREACHED)
         elif behaviour == "resetting" or draw < 0.015:
-            self.schedule(span // 3 + 1, self._answer, flight, RESET)
+            self.schedule(duration // 3 + 1, self._answer, attempt_state, RESET)
         elif behaviour == "erring" or draw < 0.025:
-            self.schedule(span // 4 + 1, self._answer, flight, ERROR)
-        elif behaviour == "refusing" or flight.engine.threads > 5 * flight.engine.cores:
-            self.schedule(4, self._answer, flight, FULL)
+            self.schedule(duration // 4 + 1, self._answer, attempt_state, ERROR)
+        elif (
+            behaviour == "refusing" or attempt_state.engine.threads > 5 * attempt_state.engine.cores
+        ):
+            self.schedule(4, self._answer, attempt_state, FULL)
         else:
-            self.schedule(span, self._answer, flight, SUCCEEDED)
+            self.schedule(duration, self._answer, attempt_state, SUCCEEDED)
 
-    def _answer(self, flight: InFlight, outcome: int) -> None:
-        if flight.finished:
+    def _answer(self, attempt_state: SimulatedAttempt, outcome: int) -> None:
+        if attempt_state.finished:
             return
-        flight.finished = True
-        draw, engine, truth = self.random, flight.engine, self.all.requests[flight.request]
+        attempt_state.finished = True
+        draw, engine, truth = (
+            self.random,
+            attempt_state.engine,
+            self.population.requests[attempt_state.request],
+        )
         inflight = float(engine.threads) if draw.random() < 0.5 else -1.0
-        if flight.begun:
-            engine.threads -= truth.spec.threads
+        if attempt_state.begun:
+            engine.threads -= truth.class_spec.threads
         succeeded = outcome == SUCCEEDED
         finished = succeeded or (outcome == ERROR and draw.random() < 0.2)
         work = truth.work if succeeded and draw.random() < 0.8 else 0
-        need = 40.0 + 300.0 * draw.random() if succeeded and draw.random() < 0.7 else 0.0
-        took = self.host.now - flight.sent
-        self.gateway.answer(flight.attempt, outcome, took, finished, work, need, inflight)
+        memory = 40.0 + 300.0 * draw.random() if succeeded and draw.random() < 0.7 else 0.0
+        duration = self.host.now - attempt_state.sent
+        self.gateway.answer(
+            attempt_state.attempt, outcome, duration, finished, work, memory, inflight
+        )
 
-    def _progress_note(self, flight: InFlight) -> None:
-        if not flight.finished:
-            sort = PROGRESS if self.random.random() < 0.8 else PROGRESS + 1
+    def _progress_note(self, attempt_state: SimulatedAttempt) -> None:
+        if not attempt_state.finished:
+            kind = PROGRESS if self.random.random() < 0.8 else PROGRESS + 1
             value = self.random.choice((0.0, 0.02, 0.1, 0.5, 0.9))
-            self.gateway.progress(flight.attempt, sort, value)
+            self.gateway.progress(attempt_state.attempt, kind, value)
 
-    # What changes.
+    # Failures and other changes.
 
-    def _something_happens(self) -> None:
-        self.schedule(self.random.randrange(1, 2 * self.scenario.trouble), self._something_happens)
-        happenings = [
+    def _change_environment(self) -> None:
+        self.schedule(
+            self.random.randrange(1, 2 * self.scenario.change_interval), self._change_environment
+        )
+        changes = [
             self._engine_fails,
             self._engine_fails,
             self._engine_fails,
@@ -680,29 +698,29 @@
             self._cordon_changes,
             self._peers_report,
             self._permit_moves,
-            self._pace_changes,
+            self._change_request_rate,
             self._retry_throttle_changes,
-            self._processor_lags,
-            self._key_in_doubt,
+            self._slow_processor,
+            self._hold_order_key,
         ]
-        if self.scenario.outages:
-            happenings.append(self._zone_fails)
-        self.random.choice(happenings)()
+        if self.scenario.has_outages:
+            changes.append(self._zone_fails)
+        self.random.choice(changes)()
 
-    def _any_engine(self) -> SimulatedEngine:
-        """Mostly one that is at work, so that its trouble is met."""
-        if self.all.attempts and self.random.random() < 0.8:
-            return self.random.choice(self.all.attempts[-50:]).engine
-        return self.random.choice(self.all.engines)
+    def _draw_engine(self) -> SimulatedEngine:
+        """Return a random engine, mostly one with recent attempts, so that a failure matters."""
+        if self.population.attempts and self.random.random() < 0.8:
+            return self.random.choice(self.population.attempts[-50:]).engine
+        return self.random.choice(self.population.engines)
 
     def _engine_fails(self) -> None:
-        engine = self._any_engine()
+        engine = self._draw_engine()
         behaviours = ("silent", "unreachable", "resetting", "erring", "refusing")
         engine.behaviour = self.random.choice(behaviours)
         self.schedule(self.random.randrange(2_000, 6 * SECOND), self._engine_recovers, engine)
 
     def _engine_slows(self) -> None:
-        engine = self._any_engine()
+        engine = self._draw_engine()
         engine.slowness = self.random.choice((3.0, 6.0, 20.0))
         self.schedule(self.random.randrange(SECOND, 5 * SECOND), self._engine_recovers, engine)
 
@@ -714,25 +732,29 @@
             self.random.randrange(self.scenario.zones),
             self.random.choice(("unreachable", "silent", "resetting")),
         )
-        span = self.random.randrange(SECOND, 4 * SECOND)
-        for engine in self.all.engines[zone :: self.scenario.zones]:
+        duration = self.random.randrange(SECOND, 4 * SECOND)
+        for engine in self.population.engines[zone :: self.scenario.zones]:
             engine.behaviour = behaviour
-            self.schedule(span, self._engine_recovers, engine)
+            self.schedule(duration, self._engine_recovers, engine)
 
     def _engine_list_changes(self) -> None:
-        engine = self._any_engine()
+        engine = self._draw_engine()
         self._update(engine, self.random.choice((DRAINING, GONE)), engine.incarnation)
-        self.schedule(self.random.randrange(SECOND, 4 * SECOND), self._engine_returns, engine)
+        self.schedule(self.random.randrange(SECOND, 4 * SECOND), self._return_engine, engine)
 
-    def _engine_returns(self, engine: SimulatedEngine) -> None:
+    def _return_engine(self, engine: SimulatedEngine) -> None:
         self._update(engine, READY, engine.incarnation)
 
     def _engine_restarts(self) -> None:
-        """Its attempts break, mostly; the list tells of the new incarnation."""
-        engine = self._any_engine()
-        for flight in self.all.attempts[-200:]:
-            if flight.engine is engine and flight.begun and self.random.random() < 0.7:
-                self.schedule(self.random.randrange(1, 300), self._answer, flight, RESET)
+        """Restart an engine: most of its attempts fail, and the list has the new incarnation."""
+        engine = self._draw_engine()
+        for attempt_state in self.population.attempts[-200:]:
+            if (
+                attempt_state.engine is engine
+                and attempt_state.begun
+                and self.random.random() < 0.7
+            ):
+                self.schedule(self.random.randrange(1, 300), self._answer, attempt_state, RESET)
         self._engine_recovers(engine)
         self._update(engine, READY, self.host.now - self.random.randrange(2 * SECOND))
 
@@ -742,61 +764,63 @@
         self.gateway.list_complete()
 
     def _cordon_changes(self) -> None:
-        engine = self._any_engine().record
+        engine = self._draw_engine().record
         self.gateway.cordon(engine, self.random.choice((1, 2)))
         self.schedule(self.random.randrange(SECOND, 3 * SECOND), self.gateway.cordon, engine, 0)
 
     def _peers_report(self) -> None:
         slowness, suspicion = self.random.choice((0.0, 1.5, 8.0)), self.random.randrange(3)
-        self.gateway.peer_report(self._any_engine().record, slowness, suspicion)
+        self.gateway.peer_report(self._draw_engine().record, slowness, suspicion)
 
     def _permit_moves(self) -> None:
         work = self.random.choice((-3_000.0, -900.0, 500.0, 2_000.0))
-        self.gateway.permit_passed(self._any_engine().record, work, self.host.now)
+        self.gateway.permit_passed(self._draw_engine().record, work, self.host.now)
 
-    def _pace_changes(self) -> None:
-        self.gap = max(int(self.scenario.gap * self.random.choice((0.4, 0.7, 1.0, 1.0, 2.0))), 1)
+    def _change_request_rate(self) -> None:
+        self.request_interval = max(
+            int(self.scenario.request_interval * self.random.choice((0.4, 0.7, 1.0, 1.0, 2.0))), 1
+        )
 
     def _retry_throttle_changes(self) -> None:
         self.gateway.throttle_retries(self.random.choice((0.1, 0.5, 1.0, 1.0)))
 
-    def _processor_lags(self) -> None:
+    def _slow_processor(self) -> None:
         self.host.lag = self.random.choice((150, 450, 900))
-        self.schedule(self.random.randrange(100, 2_000), self._processor_keeps_up)
+        self.schedule(self.random.randrange(100, 2_000), self._restore_processor)
 
-    def _processor_keeps_up(self) -> None:
+    def _restore_processor(self) -> None:
         self.host.lag = 0
 
-    def _key_in_doubt(self) -> None:
+    def _hold_order_key(self) -> None:
         until = self.host.now + self.random.randrange(1, SECOND)
-        self.gateway.key_in_doubt(self.random.randrange(1, 5), until)
+        self.gateway.hold_order_key(self.random.randrange(1, 5), until)
 
     # State.
 
-    def _hash_state_often(self) -> None:
+    def _hash_state_periodically(self) -> None:
         self._hash_state()
-        self.schedule(23_457, self._hash_state_often)
+        self.schedule(23_457, self._hash_state_periodically)
 
     def _hash_state(self) -> None:
         now, add = self.host.now, self.trace.add
         add(now, 8, self.gateway.price())
-        for number, queue in enumerate(self.all.queues):
+        for number, queue in enumerate(self.population.queues):
             add(now, 9, number, *queue_figures(queue))
         for number, request_class in enumerate(self.classes):
             add(now, 10, number, *class_figures(request_class))
-        for number, engine in enumerate(self.all.engines):
+        for number, engine in enumerate(self.population.engines):
             add(now, 11, number, *engine_figures(engine.record))
-        for number, truth in enumerate(self.all.requests[-200:]):
+        for number, truth in enumerate(self.population.requests[-200:]):
             add(now, 12, number, *request_figures(truth.record))
 
 
 def scenario_hash(scenario: Scenario, seed: int) -> str:
-    """Run one scenario; its sha256 in hexadecimal."""
-    return World(scenario, seed).run().digest()
+    """Run a scenario; return its SHA-256 hash in hexadecimal."""
+    return Simulation(scenario, seed).run().digest()
 
 
 def trace_hashes(seed: int, names: tuple[str, ...] = ()) -> dict[str, str]:
-    """The hash of each scenario named; of all when none is."""
+    """Return the hashes of the named scenarios, or of all if no name is given."""
     chosen = [each for each in SCENARIOS if not names or each.name in names]
     return {scenario.name: scenario_hash(scenario, seed) for scenario in chosen}
 
@@ -806,12 +830,12 @@
 
 
 def float_sum() -> str:
-    """How this Python adds floats; hashes compare only where it is alike."""
+    """Return a sum that depends on how this Python version adds floats."""
     return repr(sum([0.1] * 10))
 
 
 def trace_record(seed: int, names: tuple[str, ...] = ()) -> dict[str, Any]:
-    """What is recorded: seed, way of adding floats, hashes of the scenarios and of all."""
+    """Return the record: seed, sum of floats, hash of each scenario and overall hash."""
     hashes = trace_hashes(seed, names)
     return {
         "seed": seed,
@@ -821,45 +845,47 @@
     }
 
 
-def differences(got: dict[str, Any], expected: dict[str, Any]) -> list[str]:
-    """One line for each thing unlike; empty when the decisions are equal."""
+def differences(actual: dict[str, Any], expected: dict[str, Any]) -> list[str]:
+    """Return one line per difference between two records."""
     lines = [
-        f"{key}: {got[key]}, recorded {expected[key]}"
+        f"{key}: {actual[key]}, recorded {expected[key]}"
         for key in ("seed", "float_sum", "overall")
-        if got[key] != expected[key]
+        if actual[key] != expected[key]
     ]
     names = [
         *expected["scenarios"],
-        *(n for n in got["scenarios"] if n not in expected["scenarios"]),
+        *(n for n in actual["scenarios"] if n not in expected["scenarios"]),
     ]
     for name in names:
-        one, other = got["scenarios"].get(name), expected["scenarios"].get(name)
-        if one != other:
-            lines.append(f"{name}: {one or 'not run'}, recorded {other or 'nothing'}")
+        own_hash, other = actual["scenarios"].get(name), expected["scenarios"].get(name)
+        if own_hash != other:
+            lines.append(f"{name}: {own_hash or 'not run'}, recorded {other or 'nothing'}")
     return lines
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument(
-        "--seed", type=int, help="of the world (default: the expected file's, or 1)"
+        "--seed", type=int, help="seed of the simulation (default: that of the expected file, or 1)"
+    )
+    parser.add_argument(
+        "--expect", type=Path, metavar="FILE", help="exit 1 if the hashes differ from this record"
     )
-    parser.add_argument("--expect", type=Path, metavar="FILE", help="exit 1 if unlike this record")
-    parser.add_argument("--record", type=Path, metavar="FILE", help="write the hashes there")
+    parser.add_argument("--record", type=Path, metavar="FILE", help="write the hashes to this file")
     options = parser.parse_args()
     expected = json.loads(options.expect.read_text()) if options.expect else None
     seed = options.seed
     if seed is None:
         seed = expected["seed"] if expected else 1
-    got = trace_record(seed)
-    shown = json.dumps(got, indent=2)
+    actual = trace_record(seed)
+    shown = json.dumps(actual, indent=2)
     print(shown)
     if options.record:
         options.record.write_text(shown + "\n")
-    unlike = differences(got, expected) if expected else []
-    for line in unlike:
+    difference_lines = differences(actual, expected) if expected else []
+    for line in difference_lines:
         print(line, file=sys.stderr)
-    return 1 if unlike else 0
+    return 1 if difference_lines else 0
 
 
 if __name__ == "__main__":
--- a/fuzz/decoder.py
+++ b/fuzz/decoder.py
@@ -1,8 +1,10 @@
-"""Feeds the decoder of flow records with changed seeds: nothing but `Malformed`, and nothing that grows.
+"""Fuzzes the decoder of flow records with mutated seeds.
 
-    python fuzz/decoder.py --seconds 60         by hand; a message that breaks it is kept among the seeds
+    python fuzz/decoder.py --seconds 60
 
-Owns the seeds beside it. The seeds themselves are read by every run of the tests.
+The decoder must raise no exception but MalformedMessageError, and its state must stay bounded. A
+message that raises another exception is stored among the seeds. Owns the folder of seeds beside
+this file, which the tests decode in each run.
 """
 
 import argparse
@@ -20,40 +22,43 @@
     MessageStream,
 )
 
-EDGES = 0, 1, 2, 3, 4, 9, 10, 16, 127, 128, 255
+BOUNDARY_OCTETS = 0, 1, 2, 3, 4, 9, 10, 16, 127, 128, 255
 
 
 def load_seeds() -> list[bytes]:
     return [path.read_bytes() for path in sorted(SEEDS.glob("*.bin"))]
 
 
-def mutate(data: bytes, others: list[bytes], chance: Random) -> bytes:
-    """Octets set, pieces cut, doubled or taken from another, often with lengths put right."""
-    bad = bytearray(data)
-    for _ in range(chance.randint(1, 6)):
-        at, what = chance.randrange(len(bad) + 1), chance.randrange(6)
-        if what == 0 and at < len(bad):
-            bad[at] = chance.choice(EDGES)
-        elif what == 1 and at < len(bad):
-            bad[at] = chance.randrange(256)
-        elif what == 2:
-            del bad[at : at + chance.randint(1, 12)]
-        elif what == 3:
-            bad[at:at] = bad[at : at + chance.randint(1, 40)]
-        elif what == 4:
-            other = chance.choice(others)
-            begin = chance.randrange(len(other))
-            bad[at:at] = other[begin : begin + chance.randint(1, 60)]
-        elif len(bad) > 20:
-            at = chance.randrange(16, len(bad) - 2)
-            bad[at : at + 2] = chance.randrange(65_536).to_bytes(2, "big")
-    if len(bad) >= 4 and chance.random() < 0.8:
-        bad[2:4] = (len(bad) % 65_536).to_bytes(2, "big")
-    return bytes(bad)
+def mutate(data: bytes, others: list[bytes], random: Random) -> bytes:
+    """Return a copy with random octets changed, and parts removed, repeated or inserted.
+
+    Mostly, the length in the header is corrected afterwards, so that the decoder reads further.
+    """
+    mutated = bytearray(data)
+    for _ in range(random.randint(1, 6)):
+        position, mutation = random.randrange(len(mutated) + 1), random.randrange(6)
+        if mutation == 0 and position < len(mutated):
+            mutated[position] = random.choice(BOUNDARY_OCTETS)
+        elif mutation == 1 and position < len(mutated):
+            mutated[position] = random.randrange(256)
+        elif mutation == 2:
+            del mutated[position : position + random.randint(1, 12)]
+        elif mutation == 3:
+            mutated[position:position] = mutated[position : position + random.randint(1, 40)]
+        elif mutation == 4:
+            other = random.choice(others)
+            start = random.randrange(len(other))
+            mutated[position:position] = other[start : start + random.randint(1, 60)]
+        elif len(mutated) > 20:
+            position = random.randrange(16, len(mutated) - 2)
+            mutated[position : position + 2] = random.randrange(65_536).to_bytes(2, "big")
+    if len(mutated) >= 4 and random.random() < 0.8:
+        mutated[2:4] = (len(mutated) % 65_536).to_bytes(2, "big")
+    return bytes(mutated)
 
 
 def is_decodable(decoder: Decoder, data: bytes) -> bool:
-    """Was it read? Anything but `Malformed` comes out."""
+    """Whether a message decodes; exceptions other than MalformedMessageError propagate."""
     try:
         decoder.decode(data)
         return True
@@ -62,37 +67,37 @@
 
 
 def main() -> int:
-    said = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    said.add_argument("--seconds", type=float, default=10.0)
-    said.add_argument("--seed", type=int, default=1)
-    asked = said.parse_args()
-    chance, known, decoder = Random(asked.seed), load_seeds(), Decoder()
-    count = read = 0
-    until = time.monotonic() + asked.seconds
-    while time.monotonic() < until:
+    parser.add_argument("--seconds", type=float, default=10.0)
+    parser.add_argument("--seed", type=int, default=1)
+    options = parser.parse_args()
+    random, known_seeds, decoder = Random(options.seed), load_seeds(), Decoder()
+    message_count = decoded = 0
+    deadline = time.monotonic() + options.seconds
+    while time.monotonic() < deadline:
         for _ in range(500):
-            data = mutate(chance.choice(known), known, chance)
+            data = mutate(random.choice(known_seeds), known_seeds, random)
             try:
-                read += is_decodable(decoder, data)
+                decoded += is_decodable(decoder, data)
                 MessageStream().feed(data)
             except MalformedMessageError:
                 pass
             except Exception:
-                path = SEEDS / f"found-{count}.bin"
+                path = SEEDS / f"found-{message_count}.bin"
                 path.write_bytes(data)
-                print(f"kept {path}")
+                print(f"unexpected exception; message stored in {path}")
                 raise
-            count += 1
+            message_count += 1
         if (
             len(decoder.templates) > 1000
             or len(decoder.elements) > 1100
             or len(decoder.expected_sequence) > 1001
         ):
-            print("it grows")
+            print("decoder state exceeds its bound: templates, elements or sequence numbers")
             return 1
-    print(f"{count} messages, {read} of them read, {len(decoder.templates)} templates held")
+    print(f"{message_count} messages, {decoded} decoded, {len(decoder.templates)} templates")
     return 0
 
 
