--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -1,14 +1,22 @@
-"""Machines taken out for work, under faults: on real processes, and simulated with the same objects.
-
-python benchmarks/maintenance.py drills [--faults 1000]   3, 5 and 9 processes, 12 to 24 engines; each
-defence left out python benchmarks/maintenance.py night [--plot FILE]      a whole fleet taken through
-work, on sockets, paired by seed python benchmarks/maintenance.py sizes [--plot FILE]      the same,
-simulated at 24, 80, 200 and 1,000 engines python benchmarks/maintenance.py alone
-serving with every fellow lost, and without works, paired python benchmarks/maintenance.py times
-from ask to out and to back, and after the planner's death python benchmarks/maintenance.py cold
-work sent to four engines that return at once, summed python benchmarks/maintenance.py days [--runs 20000]
-simulated days of the agreement python benchmarks/maintenance.py order                    against the best
-of all orders, on small fleets
+"""Measures maintenance under faults, with gateway processes and in simulations.
+
+Usage:
+
+    python benchmarks/maintenance.py faults [--faults 1000]    random faults at 3, 5 and 9 processes, 12
+                                                               to 24 engines; then without safeguards
+    python benchmarks/maintenance.py fleet [--plot FILE]       maintenance of a whole fleet by policy, on
+                                                               sockets, paired by seed
+    python benchmarks/maintenance.py simulate [--plot FILE]    the same, simulated at 24, 80, 200 and
+                                                               1,000 engines
+    python benchmarks/maintenance.py overhead                  serving with maintenance, with all members
+                                                               lost, and without maintenance, paired
+    python benchmarks/maintenance.py latency                   from request to out and to back, and after
+                                                               the death of the planner
+    python benchmarks/maintenance.py cold                      work sent to four engines that return at
+                                                               once, summed over all gateways
+    python benchmarks/maintenance.py consensus [--runs 20000]  simulations of the consensus on the plan
+    python benchmarks/maintenance.py schedule                  the order of grants against the best of
+                                                               all orders, on small fleets
 """
 
 import argparse
@@ -35,22 +43,25 @@
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 from corkgauge.testkit.seeded_random import SeededRandom
 
-WORTH = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
+VALUE_BY_CLASS = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
 
 
-def quantile(values, part):
+def quantile(values, fraction):
     values = sorted(values)
-    return values[min(int(part * len(values)), len(values) - 1)] if values else float("nan")
+    return values[min(int(fraction * len(values)), len(values) - 1)] if values else float("nan")
 
 
-def day(job):
+def run_scenario(job):
     gateways, engines, seconds, seed = job
     return MaintenanceDay(seed, gateways, engines, seconds, gap=0.4, each=1.0).run()
 
 
-def drills(said):
-    """At least so many faults; the sizes side by side, as their processes mostly wait."""
-    seconds = said.faults / 6 * 0.4 + 5
+def run_faults(options):
+    """Run random faults, at least the requested number, and each safeguard disabled in turn.
+
+    The fleets run in parallel, since their processes are mostly idle.
+    """
+    seconds = options.faults / 6 * 0.4 + 5
     jobs = [
         (3, 12, seconds, 201),
         (3, 18, seconds, 202),
@@ -60,28 +71,28 @@
         (9, 12, seconds, 206),
     ]
     with ProcessPoolExecutor(len(jobs)) as pool:
-        found = [*pool.map(day, jobs)]
+        found = [*pool.map(run_scenario, jobs)]
     for job, result in zip(jobs, found):
         print(f"{job[0]} processes, {job[1]} engines: {result}", flush=True)
     print(
-        f"faults in all {sum(result['faults'] for result in found)}, works {sum(r['works'] for r in found)}, "
-        f"objections {sum(len(r['wrong']) + len(r['rules']) + len(r['duties']) for r in found)}",
+        f"{sum(result['faults'] for result in found)} faults, {sum(r['works'] for r in found)} completed maintenances, "
+        f"violations {sum(len(r['wrong']) + len(r['rules']) + len(r['duties']) for r in found)}",
         flush=True,
     )
     with ProcessPoolExecutor(6) as pool:
-        jobs = [(at, off) for at in AIMS for off in (False, True)]
-        for (at, off), wrong in zip(jobs, pool.map(_aimed, jobs)):
+        jobs = [(safeguard, is_disabled) for safeguard in AIMS for is_disabled in (False, True)]
+        for (safeguard, is_disabled), wrong in zip(jobs, pool.map(_run_aimed, jobs)):
             print(
-                f"{'without' if off else 'with'} {at}: {len(wrong)} objections{': ' + wrong[0] if wrong else ''}"
+                f"{'without' if is_disabled else 'with'} {safeguard}: {len(wrong)} violations{': ' + wrong[0] if wrong else ''}"
             )
 
 
-def _aimed(job):
+def _run_aimed(job):
     return aimed(*job, 5, 3)
 
 
-class Hard(MaintenanceCrew):
-    """Its machines are down while it works; by itself it asks nobody."""
+class UnreachableEnginesCrew(MaintenanceCrew):
+    """A crew whose engines refuse connections during maintenance."""
 
     def work(self, work):
         for tag in work.members:
@@ -96,20 +107,24 @@
         super().end(work)
 
 
-def a_night(job):
-    """24 engines and 5 gateways under load, every engine worked on once: earnings, time, worst second by offering."""
+def maintain_fleet(job):
+    """Maintain each of 24 engines once, with 5 gateways under load.
+
+    Returns:
+        The lost part of the value, the time, and the worst second of each request class.
+    """
     seed, policy = job
     works = {"each": 0.2, "grant": 1.0, "patience": 0.5, "most": 6, "share": 0.3, "room": 0.6}
     fleet = Fleet(
         seed, 5, engines=24, lease=1.0, cold=1.0, clients=15, rate=900.0, disk=False, works=works
     )
-    crew = Hard(fleet, lasting=1.5, seed=seed)
+    crew = UnreachableEnginesCrew(fleet, lasting=1.5, seed=seed)
     names = [*fleet.engines]
     try:
         fleet.start()
         crew.wish({"do": "known", "out": []})
         fleet.until(6)
-        begun = fleet.event_loop.now
+        started_at = fleet.event_loop.now
         if policy == "works":
             for zone in "hall-a", "hall-b":
                 crew.ask("hall", zone)
@@ -136,35 +151,37 @@
             fleet.until(90, lambda: len([each for each in crew.book if each.ended >= 0]) < 24)
         else:
             fleet.until(20)
-        over = fleet.event_loop.now
+        finished_at = fleet.event_loop.now
         fleet.until(1.5)
         crew.stopped = True
         fleet.settle()
-        earned = possible = 0.0
+        served_value = total_value = 0.0
         seconds: dict[tuple[str, int], list[int]] = {}
         for client in fleet.clients:
             for ask in client.book:
-                if begun <= ask.sent < over:
-                    worth, good = (
-                        WORTH[ask.want.request_class],
+                if started_at <= ask.sent < finished_at:
+                    value, succeeded = (
+                        VALUE_BY_CLASS[ask.want.request_class],
                         bool(ask.answers) and ask.answers[0][1] == 1,
                     )
-                    possible += worth
-                    earned += worth * good
+                    total_value += value
+                    served_value += value * succeeded
                     row = seconds.setdefault(
-                        (ask.want.request_class, (ask.sent - begun) // SECOND), [0, 0]
+                        (ask.want.request_class, (ask.sent - started_at) // SECOND), [0, 0]
                     )
                     row[0] += 1
-                    row[1] += good
+                    row[1] += succeeded
         worst = {}
-        for (request_class, _), (many, good) in seconds.items():
-            if many >= 5:
-                worst[request_class] = max(worst.get(request_class, 0.0), 1 - good / many)
+        for (request_class, _), (request_count, succeeded) in seconds.items():
+            if request_count >= 5:
+                worst[request_class] = max(
+                    worst.get(request_class, 0.0), 1 - succeeded / request_count
+                )
         return {
             "policy": policy,
             "seed": seed,
-            "lost": 1 - earned / possible,
-            "seconds": (over - begun) / SECOND,
+            "lost": 1 - served_value / total_value,
+            "seconds": (finished_at - started_at) / SECOND,
             "worst": worst,
             "rules": fleet.broken(2_500)[:3],
             "works": len(crew.book),
@@ -173,11 +190,11 @@
         fleet.close()
 
 
-def night(said):
+def compare_policies(options):
     policies, rows = ("works", "alone", "fixed", "at once"), []
-    jobs = [(seed, policy) for seed in range(said.times) for policy in policies]
+    jobs = [(seed, policy) for seed in range(options.times) for policy in policies]
     with ProcessPoolExecutor(2) as pool:
-        for row in pool.map(a_night, jobs):
+        for row in pool.map(maintain_fleet, jobs):
             rows.append(row)
             print(
                 {
@@ -187,57 +204,59 @@
                 flush=True,
             )
     for policy in policies:
-        mine = [row for row in rows if row["policy"] == policy]
+        policy_rows = [row for row in rows if row["policy"] == policy]
         worst = {
-            name: round(quantile([row["worst"].get(name, 0.0) for row in mine], 0.5), 2)
-            for name in WORTH
+            name: round(quantile([row["worst"].get(name, 0.0) for row in policy_rows], 0.5), 2)
+            for name in VALUE_BY_CLASS
         }
         print(
-            f"{policy}: earnings lost {quantile([row['lost'] for row in mine], 0.5):.4f} "
-            f"({min(row['lost'] for row in mine):.4f} to {max(row['lost'] for row in mine):.4f}), "
-            f"{quantile([row['seconds'] for row in mine], 0.5):.1f} s, worst second by offering {worst}"
+            f"{policy}: value lost {quantile([row['lost'] for row in policy_rows], 0.5):.4f} "
+            f"({min(row['lost'] for row in policy_rows):.4f} to {max(row['lost'] for row in policy_rows):.4f}), "
+            f"{quantile([row['seconds'] for row in policy_rows], 0.5):.1f} s, worst second by request class {worst}"
         )
-    if said.plot:
+    if options.plot:
         plot(
             {
                 policy: [(row["seconds"], row["lost"]) for row in rows if row["policy"] == policy]
                 for policy in policies
             },
-            said.plot,
+            options.plot,
             "seconds for the whole fleet",
             "on sockets, 24 engines, 5 gateways",
         )
 
 
-def simulated(job):
+def run_simulation(job):
     engines, policy, seed = job
     return engines, seed, MaintenanceRun(seed, engines, policy).run()
 
 
-def sizes(said):
+def simulate_policies(options):
     rows = []
     jobs = [
         (engines, policy, seed)
         for engines in (24, 80, 200, 1000)
         for policy in POLICIES
-        for seed in range(said.times if engines < 1000 else 2)
+        for seed in range(options.times if engines < 1000 else 2)
     ]
-    with ProcessPoolExecutor(said.workers) as pool:
-        rows = [*pool.map(simulated, jobs)]
+    with ProcessPoolExecutor(options.workers) as pool:
+        rows = [*pool.map(run_simulation, jobs)]
     for engines in (24, 80, 200, 1000):
         for policy in POLICIES:
-            mine = [row for size, _, row in rows if size == engines and row["policy"] == policy]
+            policy_rows = [
+                row for size, _, row in rows if size == engines and row["policy"] == policy
+            ]
             worst = {
-                name: round(quantile([row["worst_by"][name] for row in mine], 0.5), 2)
-                for name in mine[0]["worst_by"]
+                name: round(quantile([row["worst_by"][name] for row in policy_rows], 0.5), 2)
+                for name in policy_rows[0]["worst_by"]
             }
             print(
-                f"{engines} engines, {policy}: lost {quantile([row['lost'] for row in mine], 0.5):.4f} "
-                f"(most {max(row['lost'] for row in mine):.4f}), {quantile([r['hours'] for r in mine], 0.5):.1f} h, "
-                f"worst moment {quantile([row['worst'] for row in mine], 0.5):.3f}, by offering {worst}",
+                f"{engines} engines, {policy}: lost {quantile([row['lost'] for row in policy_rows], 0.5):.4f} "
+                f"(most {max(row['lost'] for row in policy_rows):.4f}), {quantile([r['hours'] for r in policy_rows], 0.5):.1f} h, "
+                f"worst step {quantile([row['worst'] for row in policy_rows], 0.5):.3f}, by request class {worst}",
                 flush=True,
             )
-    if said.plot:
+    if options.plot:
         plot(
             {
                 policy: [
@@ -247,7 +266,7 @@
                 ]
                 for policy in POLICIES
             },
-            said.plot,
+            options.plot,
             "hours for the whole fleet",
             "simulated, 200 engines",
         )
@@ -269,7 +288,7 @@
             color=f"C{n}",
         )
     axis.set_xlabel(what)
-    axis.set_ylabel("earnings lost, in 100")
+    axis.set_ylabel("value lost, percent")
     axis.set_title(title)
     axis.grid(alpha=0.3)
     axis.legend()
@@ -277,8 +296,8 @@
     figure.savefig(path)
 
 
-def served_alone(job):
-    """Serving while every fellow is lost, with works on; and without works and fellows."""
+def measure_serving(job):
+    """Measure serving with maintenance enabled, with all members lost, or without both subsystems."""
     seed, kind, seconds = job
     works = {"each": 0.5, "grant": 2.0, "patience": 0.5}
     fleet = Fleet(seed, 3, engines=6, lease=1.0, clients=9, rate=300.0, works=works)
@@ -296,49 +315,49 @@
             fleet.befall(Fault(0, 3600 * SECOND, "cut", (*fleet.gateways,)))
             for way in fleet.to_judge.values():
                 way.cut_until = fleet.event_loop.now + 3600 * SECOND
-        begun, before = (
+        started_at, before = (
             fleet.event_loop.now,
             sum(each.program.processor_time() for each in fleet.gateways.values()),
         )
         fleet.until(seconds)
         used = sum(each.program.processor_time() for each in fleet.gateways.values()) - before
         fleet.settle()
-        took = [
+        latencies = [
             ask.answers[0][0] - ask.sent
             for client in fleet.clients
             for ask in client.book
-            if ask.answers and ask.sent >= begun
+            if ask.answers and ask.sent >= started_at
         ]
-        good = [
+        succeeded = [
             bool(ask.answers) and ask.answers[0][1] == 1
             for client in fleet.clients
             for ask in client.book
-            if ask.sent >= begun
+            if ask.sent >= started_at
         ]
         return (
             kind,
-            sum(good) / len(good),
-            quantile(took, 0.99) / 10,
-            used / len(good) * 1000,
+            sum(succeeded) / len(succeeded),
+            quantile(latencies, 0.99) / 10,
+            used / len(succeeded) * 1000,
             fleet.broken(2_500),
         )
     finally:
         fleet.close()
 
 
-def alone(said):
+def measure_overhead(options):
     rows = {}
-    for seed in range(said.times):
+    for seed in range(options.times):
         for kind in ("without", "lost", "with") if seed % 2 else ("with", "lost", "without"):
-            name, good, late, used, rules = served_alone((seed, kind, said.seconds))
-            rows.setdefault(name, []).append((good, late, used))
+            name, succeeded, latency, used, rules = measure_serving((seed, kind, options.seconds))
+            rows.setdefault(name, []).append((succeeded, latency, used))
             print(
-                f"{name}: honoured {good:.4f}, 99th percentile {late:.1f} ms, processor {used:.3f} ms each, "
-                f"rules {rules[:2]}",
+                f"{name}: succeeded {succeeded:.4f}, 99th percentile {latency:.1f} ms, processor {used:.3f} ms per request, "
+                f"rule violations {rules[:2]}",
                 flush=True,
             )
     for name in "lost", "with":
-        for n, what in enumerate(("honoured", "99th percentile", "processor")):
+        for n, what in enumerate(("succeeded", "99th percentile", "processor")):
             ratios = sorted(one[n] / other[n] for one, other in zip(rows[name], rows["without"]))
             print(
                 f"{what}, {name} over without: median {quantile(ratios, 0.5):.3f} "
@@ -346,9 +365,9 @@
             )
 
 
-def timed(job):
-    """From ask to out, from done to back; and from the planner's death to a planner that leads."""
-    seed, times = job
+def measure_times(job):
+    """Measure the times from request to out, from done to back, and until a new planner leads."""
+    seed, repetitions = job
     works = {"each": 0.5, "grant": 2.0, "patience": 0.5, "most": 2, "share": 0.5, "room": 0.9}
     fleet = Fleet(
         seed,
@@ -362,41 +381,41 @@
         works=works,
     )
     crew = MaintenanceCrew(fleet, lasting=0.1, seed=seed)
-    out, back, led = [], [], []
+    out, back, failovers = [], [], []
     try:
         fleet.start()
         crew.wish({"do": "known", "out": []})
         fleet.until(4)
-        for n in range(times):
-            many = len(crew.book)
-            id_ = crew.ask("engine", f"e{1 + n % 6}")
-            if not fleet.until(20, lambda: len(crew.book) == many):
+        for n in range(repetitions):
+            finished_count = len(crew.book)
+            request_id = crew.ask("engine", f"e{1 + n % 6}")
+            if not fleet.until(20, lambda: len(crew.book) == finished_count):
                 continue
-            out.append((crew.book[-1].begun - crew.asked[id_]) / SECOND)
+            out.append((crew.book[-1].begun - crew.asked[request_id]) / SECOND)
             fleet.until(20, lambda: crew.book[-1].ended < 0)
             fleet.until(20, lambda: bool(crew.seen.get("units", [1])))
             back.append((fleet.event_loop.now - crew.book[-1].ended) / SECOND)
             if n % 3 == 2:
-                planner, begun = crew.seen["holder"], fleet.event_loop.now
+                planner, started_at = crew.seen["holder"], fleet.event_loop.now
                 fleet.befall(Fault(0, 3 * SECOND, "kill", (planner,)))
                 crew.seen = {}
                 fleet.until(
                     15, lambda: crew.seen.get("state") != "leading" and not crew.seen.get("fresh")
                 )
-                led.append((fleet.event_loop.now - begun) / SECOND)
+                failovers.append((fleet.event_loop.now - started_at) / SECOND)
                 fleet.until(4)
-        return out, back, led
+        return out, back, failovers
     finally:
         fleet.close()
 
 
-def times(said):
+def measure_latency(options):
     with ProcessPoolExecutor(4) as pool:
-        found = [*pool.map(timed, [(seed, said.times) for seed in range(8)])]
+        found = [*pool.map(measure_times, [(seed, options.times) for seed in range(8)])]
     for name, n in (
-        ("ask to out", 0),
+        ("request to out", 0),
         ("done to back (cold 0.2 s)", 1),
-        ("planner's death to a plan told", 2),
+        ("death of the planner to a new leader", 2),
     ):
         values = [value for each in found for value in each[n]]
         print(
@@ -405,8 +424,12 @@
         )
 
 
-def returned(job):
-    """Work sent to four engines that return together, by all gateways, against what they can do cold, over time."""
+def measure_return(job):
+    """Measure the work that all gateways send to four engines that return together.
+
+    Returns:
+        The work in the worst interval, over the work that makes a cold engine fail.
+    """
     seed, together = job
     works = {
         "each": 0.2,
@@ -419,7 +442,7 @@
         "kind": 1.0,
     }
     fleet = Fleet(seed, 5, engines=12, lease=1.0, cold=8.0, clients=15, rate=700.0, works=works)
-    crew = Hard(fleet, lasting=1.0, seed=seed)
+    crew = UnreachableEnginesCrew(fleet, lasting=1.0, seed=seed)
     names = ["e1", "e2", "e3", "e4"]
     try:
         fleet.start()
@@ -435,7 +458,7 @@
             for name in names:
                 fleet.engines[name].end()
             fleet.renewed(names)
-        begun = fleet.event_loop.now
+        started_at = fleet.event_loop.now
         fleet.until(9)
         crew.stopped = True
         fleet.settle()
@@ -445,7 +468,7 @@
             sent = [
                 (run.came, run.work)
                 for run in fleet.engines[name].book
-                if begun <= run.came < begun + 8 * SECOND
+                if started_at <= run.came < started_at + 8 * SECOND
             ]
             for came, _ in sent:
                 work = sum(each for when, each in sent if came <= when < came + fall)
@@ -457,65 +480,69 @@
         fleet.close()
 
 
-def cold(said):
-    jobs = [(seed, kind) for seed in range(said.times) for kind in ("works", "each alone")]
+def measure_cold_returns(options):
+    jobs = [(seed, kind) for seed in range(options.times) for kind in ("works", "each alone")]
     with ProcessPoolExecutor(2) as pool:
-        for kind, worst, rules in pool.map(returned, jobs):
+        for kind, worst, rules in pool.map(measure_return, jobs):
             print(
-                f"{kind}: at most {worst:.3f} of what makes a cold engine fall; rules {rules[:2]}",
+                f"{kind}: at most {worst:.3f} of the work that makes a cold engine fail; rule violations {rules[:2]}",
                 flush=True,
             )
 
 
-def some_days(first, many):
-    bad, steps, over, late = [], 0, 0, 0
-    for seed in range(first, first + many):
+def run_simulations(first, count):
+    violations, steps, takeovers, late_notices = [], 0, 0, 0
+    for seed in range(first, first + count):
         world = PlanWorld(draw_plan_scenario(seed))
-        bad += [(seed, line) for line in world.run()]
-        steps, over, late = (
+        violations += [(seed, line) for line in world.run()]
+        steps, takeovers, late_notices = (
             steps + world.agreed_step_count,
-            over + world.takeover_count,
-            late + world.late_notice_count,
+            takeovers + world.takeover_count,
+            late_notices + world.late_notice_count,
         )
-    return bad, steps, over, late
+    return violations, steps, takeovers, late_notices
 
 
-def days(said):
-    begun, step = time.time(), 250
-    with ProcessPoolExecutor(said.workers) as pool:
-        found = [*pool.map(some_days, range(0, said.runs, step), [step] * (said.runs // step))]
+def simulate_consensus(options):
+    started_at, step = time.time(), 250
+    with ProcessPoolExecutor(options.workers) as pool:
+        found = [
+            *pool.map(
+                run_simulations, range(0, options.runs, step), [step] * (options.runs // step)
+            )
+        ]
     print(
-        f"{said.runs} simulated days, {time.time() - begun:.0f} s: {sum(each[1] for each in found)} steps agreed, "
-        f"plan taken over {sum(each[2] for each in found)} times, heard late by one replaced "
-        f"{sum(each[3] for each in found)}, objections {sum((each[0] for each in found), [])[:3] or 0}"
+        f"{options.runs} simulations, {time.time() - started_at:.0f} s: {sum(each[1] for each in found)} steps agreed, "
+        f"plan taken over {sum(each[2] for each in found)} times, late notices to replaced leaders "
+        f"{sum(each[3] for each in found)}, violations {sum((each[0] for each in found), [])[:3] or 0}"
     )
 
 
-def listed(order, ground_of, lasting):
-    """Units one after the other as they fit, in this order: lateness and core-seconds are compared by the caller."""
-    now, out, waiting, ends = 0, [], [*order], {}
+def schedule_in_order(order, capacity_without, durations):
+    """Start the units in this order, each as soon as it fits; return their end times."""
+    now, out, waiting, end_times = 0, [], [*order], {}
     while waiting or out:
         started = True
         while started:
             started = False
             for unit in waiting:
-                if not ground_of({tag for _, tags in out for tag in tags}).find_wait_reason(
+                if not capacity_without({tag for _, tags in out for tag in tags}).find_wait_reason(
                     unit, with_load=False
                 ):
-                    out.append((now + lasting[unit.name], unit.members))
-                    ends[unit.name] = now + lasting[unit.name]
+                    out.append((now + durations[unit.name], unit.members))
+                    end_times[unit.name] = now + durations[unit.name]
                     waiting.remove(unit)
                     started = True
                     break
         now = min(end for end, _ in out)
         out = [each for each in out if each[0] > now]
-    return ends
+    return end_times
 
 
-def order(said):
-    """Sum of lateness and time for all, against the best of all permutations."""
-    worse = []
-    for seed in range(said.times * 10):
+def compare_orders(options):
+    """Compare the order of grants with the best permutation, by lateness and total time."""
+    excesses = []
+    for seed in range(options.times * 10):
         chance = SeededRandom(seed)
         engines = {
             f"e{n}": EngineFact(f"e{n}", "ab"[n % 2], "c8", None, (8.0, 12.0)[chance.below(2)])
@@ -531,39 +558,47 @@
             )
             for n in range(6)
         ]
-        lasting = {unit.name: unit.duration_ticks for unit in units}
+        durations = {unit.name: unit.duration_ticks for unit in units}
 
-        def ground_of(away):
+        def capacity_without(away):
             return CapacitySnapshot(DisruptionLimits(2, 0.5, 1.0, 1.0), engines, (), away)
 
-        def cost(ends):
-            late = sum(
-                max(ends[unit.name] - unit.due_ticks, 0) for unit in units if unit.due_ticks < 2**62
+        def cost(end_times):
+            lateness = sum(
+                max(end_times[unit.name] - unit.due_ticks, 0)
+                for unit in units
+                if unit.due_ticks < 2**62
             )
             return (
-                late,
-                max(ends.values()),
-                sum(ends[unit.name] * engines[unit.name].cores for unit in units),
+                lateness,
+                max(end_times.values()),
+                sum(end_times[unit.name] * engines[unit.name].cores for unit in units),
             )
 
-        best = min(cost(listed(each, ground_of, lasting)) for each in permutations(units))
-        least = min(cost(listed(each, ground_of, lasting))[1] for each in permutations(units))
+        best = min(
+            cost(schedule_in_order(each, capacity_without, durations))
+            for each in permutations(units)
+        )
+        least = min(
+            cost(schedule_in_order(each, capacity_without, durations))[1]
+            for each in permutations(units)
+        )
         from corkgauge.maintenance.schedule import grant_order
 
-        mine = cost(
-            listed(
+        actual = cost(
+            schedule_in_order(
                 grant_order(units, {tag: each.cores for tag, each in engines.items()}),
-                ground_of,
-                lasting,
+                capacity_without,
+                durations,
             )
         )
-        assert select_grants(ground_of(set()), units).granted
-        worse.append((mine[0] - best[0], mine[1] / least))
-    late = [each for each, _ in worse]
+        assert select_grants(capacity_without(set()), units).granted
+        excesses.append((actual[0] - best[0], actual[1] / least))
+    lateness = [each for each, _ in excesses]
     print(
-        f"{len(worse)} fleets of 6: no later than the best order in {sum(not each for each in late)}, median excess "
-        f"lateness {quantile(late, 0.5)}, most {max(late)}; time for all over the shortest: median "
-        f"{quantile([each for _, each in worse], 0.5):.3f}, most {max(each for _, each in worse):.3f}"
+        f"{len(excesses)} fleets of 6: lateness equal to the best order in {sum(not each for each in lateness)}, median excess "
+        f"lateness {quantile(lateness, 0.5)}, most {max(lateness)}; total time over the shortest: median "
+        f"{quantile([each for _, each in excesses], 0.5):.3f}, most {max(each for _, each in excesses):.3f}"
     )
 
 
@@ -572,7 +607,17 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument(
-        "what", choices=["drills", "night", "sizes", "alone", "times", "cold", "days", "order"]
+        "what",
+        choices=[
+            "faults",
+            "fleet",
+            "simulate",
+            "overhead",
+            "latency",
+            "cold",
+            "consensus",
+            "schedule",
+        ],
     )
     parser.add_argument("--faults", type=int, default=1000)
     parser.add_argument("--times", type=int, default=5)
@@ -580,17 +625,17 @@
     parser.add_argument("--runs", type=int, default=20_000)
     parser.add_argument("--workers", type=int, default=os.cpu_count())
     parser.add_argument("--plot")
-    said = parser.parse_args()
+    options = parser.parse_args()
     {
-        "drills": drills,
-        "night": night,
-        "sizes": sizes,
-        "alone": alone,
-        "times": times,
-        "cold": cold,
-        "days": days,
-        "order": order,
-    }[said.what](said)
+        "faults": run_faults,
+        "fleet": compare_policies,
+        "simulate": simulate_policies,
+        "overhead": measure_overhead,
+        "latency": measure_latency,
+        "cold": measure_cold_returns,
+        "consensus": simulate_consensus,
+        "schedule": compare_orders,
+    }[options.what](options)
 
 
 if __name__ == "__main__":
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -1,12 +1,13 @@
-"""A fleet of two versions side by side: membership, lease hand-over and maintenance between them.
+"""Tests a fleet of two versions: membership, lease handover and maintenance between them.
 
     python benchmarks/mixed_fleet.py --tree ../landed      half of the gateways run from that checkout
 
-Real processes on this machine with relays between them. Half of the gateways run this version, half
-the one in the other checkout. The lease holder is cut off, gateways are killed, and two maintenance
-requests are worked off while the planner of each is cut off. The lease checker, the maintenance
-checker and the rule checker stand outside; what they object to, exceptions in logs and datagrams
-that could not be read are printed. Exit code 0 when there is nothing of it, 1 otherwise.
+Starts gateways as processes on this machine, with relays between them. Half of the gateways run
+this version, and half the version in the other checkout. The lease holder is cut off, gateways are
+killed, and two maintenance requests are completed while the planner of each is cut off. The lease
+checker, the maintenance checker and the rule checker run outside of the gateways. The violations
+that they find, exceptions in logs, and counts of unusable datagrams are printed. The exit code is 0
+if there are none, and 1 otherwise.
 """
 
 import argparse
@@ -21,28 +22,35 @@
 from corkgauge.testkit.fleet.maintenance_crew import MaintenanceCrew
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 
-LEASE = 1.0  # seconds
-LIMITS = {"each": 0.2, "grant": 1.0, "patience": 0.5, "most": 2, "share": 0.5, "room": 0.9}
-CUT = int(1.6 * LEASE * SECOND)  # ticks: longer than a lease
-RULE_SLACK = 2_500  # ticks that the rule checker allows for real processes
-# Counters of datagrams that are expected: opened, or meant for a process that was killed.
+LEASE_SECONDS = 1.0
+MAINTENANCE_LIMITS = {
+    "each": 0.2,
+    "grant": 1.0,
+    "patience": 0.5,
+    "most": 2,
+    "share": 0.5,
+    "room": 0.9,
+}
+CUT_TICKS = int(1.6 * LEASE_SECONDS * SECOND)  # longer than a lease
+RULE_TOLERANCE_TICKS = 2_500  # of the rule checker, for the delays of real processes
+# Counters of expected datagrams: decrypted ones, and those for an earlier incarnation.
 EXPECTED_COUNTERS = ("letters taken", "letters to an earlier start")
 
 
 class MixedFleet:
-    """Four gateways, two of them of another version, and a maintenance crew."""
+    """Four gateways, two of which run the other version, and a maintenance crew."""
 
     def __init__(self, tree: str) -> None:
         self.fleet = Fleet(
             seed=3,
             gateways=4,
             engines=6,
-            lease=LEASE,
+            lease=LEASE_SECONDS,
             cold=0.4,
             clients=4,
             rate=60.0,
             disk=True,
-            works=LIMITS,
+            works=MAINTENANCE_LIMITS,
         )
         self.other_version = [*self.fleet.gateways][1::2]
         for name in self.other_version:
@@ -51,38 +59,38 @@
         self.fleet.start()
 
     def declare_known(self) -> None:
-        """Tell the fleet that nothing is out, as an operator does after a first start."""
+        """Declare that no engine is out, as an operator does after the first start of a fleet."""
         command = self.crew.wish({"do": "known", "out": []}, "")
-        self._wait_for("the first answer", lambda: command in self.crew.answers)
+        self._wait_for("the answer to the declaration", lambda: command in self.crew.answers)
 
     def hand_over_lease(self) -> None:
-        """Cut the holder off until somebody else holds the lease, for a holder of each version."""
+        """Cut the lease holder off until another gateway holds the lease, four times."""
         for _ in range(4):
             before = self.fleet.holder()
             version = "other" if before in self.other_version else "this"
-            self.fleet.befall(Fault(0, CUT, "cut", (before,)))
+            self.fleet.befall(Fault(0, CUT_TICKS, "cut", (before,)))
             self._wait_for("another holder", lambda was=before: self.fleet.holder() != was)
             print(f"lease: from {before} ({version} version) to {self.fleet.holder()}")
-            self.fleet.until(3 * LEASE)
+            self.fleet.until(3 * LEASE_SECONDS)
 
-    def work_off(self, engine: str, number: int) -> None:
-        """One maintenance request, while its planner is cut off."""
+    def complete_maintenance(self, engine: str, number: int) -> None:
+        """Complete one maintenance request, while its planner is cut off."""
         self.crew.ask("engine", engine)
         self._wait_for("a planner", lambda: bool(self.crew.seen.get("holder")))
         planner = self.crew.seen["holder"]
-        self.fleet.befall(Fault(0, CUT, "cut", (planner,)))
-        self._wait_for("the work's end", lambda: bool(self.crew.over(number)), 60)
-        print(f"maintenance: {engine} worked off, its planner {planner} cut off meanwhile")
+        self.fleet.befall(Fault(0, CUT_TICKS, "cut", (planner,)))
+        self._wait_for("the end of the maintenance", lambda: bool(self.crew.over(number)), 60)
+        print(f"maintenance: {engine} completed while its planner {planner} was cut off")
 
     def kill_one_of_each(self) -> None:
-        """Kill a gateway of each version; the fleet's rig starts them again."""
+        """Kill one gateway of each version; the test fleet restarts them."""
         for name in (self.other_version[0], [*self.fleet.gateways][0]):
             self.fleet.befall(Fault(0, 0, "kill", (name,)))
-            self.fleet.until(3 * LEASE)
-            print(f"killed and started again: {name}")
+            self.fleet.until(3 * LEASE_SECONDS)
+            print(f"killed and restarted: {name}")
 
     def unusable_datagrams(self) -> list[str]:
-        """What gateways counted of datagrams that they could not use."""
+        """Return the counts of datagrams that gateways could not use."""
         return [
             f"{name}: {counter} {count}"
             for name in self.fleet.gateways
@@ -90,8 +98,8 @@
             if counter.startswith("letters ") and counter not in EXPECTED_COUNTERS
         ]
 
-    def objections(self) -> list[str]:
-        """What the checkers and the logs object to, once all is over."""
+    def find_violations(self) -> list[str]:
+        """Stop the fleet; return the violations that the checkers and the logs show."""
         self.crew.stopped = True
         self.fleet.settle()
         logs = self.fleet.logs()
@@ -105,37 +113,41 @@
             name: (each.zone, each.kind, float(each.cores))
             for name, each in self.fleet.engines.items()
         }
-        limits = Limits(LIMITS["most"], LIMITS["share"], 0.5, 0.5, {"c12": 1})
-        bad_lines = ("exceptions stopped", "Traceback", "unreadable", "not read")
+        limits = Limits(
+            MAINTENANCE_LIMITS["most"], MAINTENANCE_LIMITS["share"], 0.5, 0.5, {"c12": 1}
+        )
+        error_texts = ("exceptions stopped", "Traceback", "unreadable", "not read")
         return [
             *wrong(self.crew.book, runs, engines, limits, 1_000),
-            *self.fleet.broken(RULE_SLACK),
+            *self.fleet.broken(RULE_TOLERANCE_TICKS),
             *self.fleet.wrong(),
-            *[line for line in logs if any(bad in line for bad in bad_lines)],
+            *[line for line in logs if any(text in line for text in error_texts)],
         ]
 
-    def _wait_for(self, what: str, done: Any, seconds: float = 30) -> None:
-        if not self.fleet.until(seconds, lambda: not done()):
-            raise SystemExit(f"{what} did not come; last lines: {self.fleet.logs()[-10:]}")
+    def _wait_for(self, description: str, is_done: Any, seconds: float = 30) -> None:
+        if not self.fleet.until(seconds, lambda: not is_done()):
+            raise SystemExit(
+                f"timed out waiting for {description}; last log lines: {self.fleet.logs()[-10:]}"
+            )
 
 
 def main() -> int:
-    """Play the scene; the exit code."""
+    """Run the test; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--tree", required=True, help="a checkout of the other version")
     mixed = MixedFleet(os.path.abspath(parser.parse_args().tree))
     try:
         mixed.declare_known()
         mixed.hand_over_lease()
-        mixed.work_off("e2", 1)
+        mixed.complete_maintenance("e2", 1)
         mixed.kill_one_of_each()
-        mixed.work_off("e3", 2)
-        unusable = mixed.unusable_datagrams()
-        objections = [*unusable, *mixed.objections()]
+        mixed.complete_maintenance("e3", 2)
+        unusable_counts = mixed.unusable_datagrams()
+        violations = [*unusable_counts, *mixed.find_violations()]
     finally:
         mixed.fleet.close()
-    print("\n".join(objections) if objections else "no objections")
-    return 1 if objections else 0
+    print("\n".join(violations) if violations else "no violations")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_maintenance_fleet.py
+++ b/tests/test_maintenance_fleet.py
@@ -446,7 +446,7 @@
 
 
 # The checker always detects a disabled confirmation here. It detects the other two safeguards, if
-# disabled, only by chance: `benchmarks/maintenance.py drills` repeats scenarios until it does.
+# disabled, only by chance: `benchmarks/maintenance.py faults` repeats scenarios until it does.
 SCENARIOS |= {("confirmation", off): (aimed, "confirmation", off, 4, 2) for off in (True, False)}
 SCENARIOS["day"] = (day_of_random_faults,)
 
