--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,16 +1,19 @@
-"""What memory over a restart is worth and costs: by hand, on an idle machine.
-
-    python benchmarks/recovery.py kills --count 500     the real program killed so often mid-write, under load
-    python benchmarks/recovery.py labels                labelled ones sent outside their group after kills, with
-                                                      the log of open effects and without
-    python benchmarks/recovery.py gain --runs 10        a restart while one engine is ten times slow, one silent
-    python benchmarks/recovery.py wrong --runs 10       the same, where all that was remembered is wrong
-    python benchmarks/recovery.py cost --runs 4         serving without it, with it, and synced for power cuts
-    python benchmarks/recovery.py fleet --runs 10       one of three gateways restarts; all of a fleet whose engines were
-                                                      replaced under new ids: cold against recalled, paired by seed
-    python benchmarks/recovery.py start                 time of a start with 1,000 engines remembered
-
-Socket figures of this machine against its own stand-ins.
+"""Measures the benefit and the cost of recovery after a restart; run on an idle machine.
+
+Usage:
+
+    python benchmarks/recovery.py kills --count 500   kills of the gateway under load, while it writes files
+    python benchmarks/recovery.py keyed               keyed requests that were sent outside their table group
+                                                      after kills, with the attempt log and without
+    python benchmarks/recovery.py gain --runs 10      a restart while one engine is slow and one is silent
+    python benchmarks/recovery.py stale --runs 10     the same, with a snapshot that is wrong for all engines
+    python benchmarks/recovery.py overhead --runs 4   serving without recovery, with it, and with writes that
+                                                      survive a power failure
+    python benchmarks/recovery.py fleet --runs 10     a restart of one of three gateways, or of all with
+                                                      replaced engines: cold against recovered, paired by seed
+    python benchmarks/recovery.py start               duration of a start with a snapshot of 1,000 engines
+
+The results are measured on sockets, with emulated clients and engines on the same machine.
 """
 
 import argparse
@@ -30,30 +33,46 @@
 from corkgauge.testkit.fleet.day import Day  # noqa: E402
 from corkgauge.testkit.fleet.processes import Fault, Fleet  # noqa: E402
 
-NAMES = [f"e{n}" for n in range(1, 7)]
-FILE = '<operator version="1">{recall}</operator>'
-RECALL = '<recall folder="{folder}/recall" each="0.1" durability="%s"/>'
-LOADS = [
+ENGINE_NAMES = [f"e{n}" for n in range(1, 7)]
+OPERATOR_FILE = '<operator version="1">{recall}</operator>'
+RECOVERY_ELEMENT = '<recall folder="{folder}/recall" each="0.1" durability="%s"/>'
+REQUEST_TYPES = [
     Want("load", 0.7, 2_000, 15.0, labelled=True, ordered=True),
     Want("lookup", 0.3, 1_500, 8.0),
 ]
-EARNS = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
-AIMS = {"lookup": 200, "report": 500, "load": 400, "once": 300}
+VALUE_BY_CLASS = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
+OBJECTIVE_MS_BY_CLASS = {"lookup": 200, "report": 500, "load": 400, "once": 300}
 
 
-def operator(recall, durability="process"):
-    return FILE.replace("{recall}", RECALL % durability if recall else "")
+def operator_file(with_recovery, durability="process"):
+    return OPERATOR_FILE.replace("{recall}", RECOVERY_ELEMENT % durability if with_recovery else "")
 
 
-def kills_of(count, seed):
-    """One lane: killed each 0.5 s. Starts, those that recalled, and lines that should not be."""
+def run_kills(count, seed):
+    """Run one scenario that kills the gateway every 0.5 s.
+
+    Returns:
+        The number of kills, of starts, of starts with a valid snapshot and of starts with logged
+        attempts, the log lines that report unusable files, and the rule violations.
+    """
     script = "".join(f"at {1 + 0.5 * n:.2f}: program kill\n" for n in range(count))
-    play = Day(seed, read(script, NAMES), engines=6, rate=150, scrapes=0, operator=operator(True))
+    scenario = Day(
+        seed,
+        read(script, ENGINE_NAMES),
+        engines=6,
+        rate=150,
+        scrapes=0,
+        operator=operator_file(True),
+    )
     try:
-        play.run(1.5 + 0.5 * count, drain=1.0)
-        log, killed, broken = play.program.log(), len(play.program.kills), play.broken(2500)
+        scenario.run(1.5 + 0.5 * count, drain=1.0)
+        log, killed, broken = (
+            scenario.program.log(),
+            len(scenario.program.kills),
+            scenario.broken(2500),
+        )
     finally:
-        play.close()
+        scenario.close()
     return (
         killed,
         sum("serving as" in line for line in log),
@@ -64,118 +83,126 @@
     )
 
 
-def kills(count, lanes=4):
-    with ProcessPoolExecutor(lanes) as pool:
-        found = [*pool.map(kills_of, [count // lanes] * lanes, range(1, lanes + 1))]
+def measure_kills(count, process_count=4):
+    with ProcessPoolExecutor(process_count) as pool:
+        results = [
+            *pool.map(
+                run_kills, [count // process_count] * process_count, range(1, process_count + 1)
+            )
+        ]
     for n, name in enumerate(
-        ("kills", "starts", "starts with a valid snapshot", "starts with open effects")
+        ("kills", "starts", "starts with a valid snapshot", "starts with logged attempts")
     ):
-        print(f"{name:30} {sum(each[n] for each in found)}")
-    wrong, broken = ([line for each in found for line in each[n]] for n in (4, 5))
-    print(f"files that were no use         {len(wrong)}", *wrong[:5], sep="\n")
-    print(f"rules broken                   {len(broken)}", *broken[:5], sep="\n")
+        print(f"{name:30} {sum(each[n] for each in results)}")
+    unusable_lines, violations = ([line for each in results for line in each[n]] for n in (4, 5))
+    print(f"log lines on unusable files    {len(unusable_lines)}", *unusable_lines[:5], sep="\n")
+    print(f"rule violations                {len(violations)}", *violations[:5], sep="\n")
 
 
-def labels_of(recall, seed):
+def run_keyed_requests(with_recovery, seed):
     script = "at 0.1 for 20: all slow 12\n" + "".join(
         f"at {n}: program kill\n" for n in range(1, 11)
     )
-    play = Day(
+    scenario = Day(
         seed,
-        read(script, NAMES),
+        read(script, ENGINE_NAMES),
         engines=6,
         rate=200,
         scrapes=0,
-        operator=operator(recall),
+        operator=operator_file(with_recovery),
         group="zone",
         retries=True,
-        wants=LOADS,
+        wants=REQUEST_TYPES,
         clients=12,
     )
     try:
-        play.run(11, drain=3.0)
-        broken = play.broken(2500)
-        again = sum(len(labels) > 1 for labels in retried(play).values())
+        scenario.run(11, drain=3.0)
+        broken = scenario.broken(2500)
+        repeated_count = sum(len(requests) > 1 for requests in requests_by_key(scenario).values())
     finally:
-        play.close()
+        scenario.close()
     return (
-        again,
+        repeated_count,
         [line for line in broken if line.startswith("effect")],
         [line for line in broken if not line.startswith("effect")],
     )
 
 
-def retried(play):
-    found = {}
-    for client in play.clients:
+def requests_by_key(scenario):
+    by_key = {}
+    for client in scenario.clients:
         for ask in client.book:
             if ask.label:
-                found.setdefault(ask.label, []).append(ask)
-    return found
+                by_key.setdefault(ask.label, []).append(ask)
+    return by_key
 
 
-def labels(runs):
-    for recall in True, False:
+def measure_keyed_requests(runs):
+    for with_recovery in True, False:
         with ProcessPoolExecutor(4) as pool:
-            found = [*pool.map(labels_of, [recall] * runs, range(1, runs + 1))]
+            results = [*pool.map(run_keyed_requests, [with_recovery] * runs, range(1, runs + 1))]
         print(
-            f"log of effects {'on ' if recall else 'off'}: {sum(each[0] for each in found)} labels asked "
-            f"again after kills, {sum(len(each[1]) for each in found)} ran outside their group, "
-            f"{sum(len(each[2]) for each in found)} other rules broken"
+            f"attempt log {'on ' if with_recovery else 'off'}: {sum(each[0] for each in results)} keyed requests "
+            f"repeated after kills, {sum(len(each[1]) for each in results)} executed outside their table group, "
+            f"{sum(len(each[2]) for each in results)} other rule violations"
         )
 
 
-def gain_of(recall, seed, wrong, rate):
-    """Earnings lost in the 10 s after a restart, of what was asked for then."""
-    troubles = "at 0.1 for 30: e1 slow 10\nat 0.1 for 30: e4 silent\n"
-    if wrong:  # until the restart only: then all engines are others
-        troubles = "at 0.1 for 7.9: e1 slow 10\nat 0.1 for 7.9: e4 silent\n"
-    play = Day(
+def run_restart(with_recovery, seed, is_stale, rate):
+    """Return the lost part of the value of the requests in the 10 s after a restart."""
+    fault_script = "at 0.1 for 30: e1 slow 10\nat 0.1 for 30: e4 silent\n"
+    if is_stale:  # the faults end at the restart, so that the snapshot is wrong
+        fault_script = "at 0.1 for 7.9: e1 slow 10\nat 0.1 for 7.9: e4 silent\n"
+    scenario = Day(
         seed,
-        read(troubles + "at 8: program kill", NAMES),
+        read(fault_script + "at 8: program kill", ENGINE_NAMES),
         engines=6,
         rate=250,
         scrapes=0,
         hangs_up=0.0,
         gives_up=0.0,
-        operator=operator(recall),
+        operator=operator_file(with_recovery),
     )
-    begun = play.event_loop.now
+    started_at = scenario.event_loop.now
     try:
-        play.run(18.5, drain=2.0)
+        scenario.run(18.5, drain=2.0)
     finally:
-        play.close()
-    asked = earned = 0.0
-    for client in play.clients:
+        scenario.close()
+    total_value = served_value = 0.0
+    for client in scenario.clients:
         for ask in client.book:
-            if begun + 8.2 * SECOND <= ask.sent < begun + 18.2 * SECOND:
-                worth = EARNS[ask.want.request_class]
-                asked += worth
+            if started_at + 8.2 * SECOND <= ask.sent < started_at + 18.2 * SECOND:
+                value = VALUE_BY_CLASS[ask.want.request_class]
+                total_value += value
                 if ask.answers and ask.answers[0][1] == 1:
-                    aim = 10 * (AIMS[ask.want.request_class] + 2 * ask.want.work)
-                    earned += worth * (1.0 if ask.answers[0][0] - ask.sent <= aim else 0.3)
-    return 1 - earned / max(asked, 1e-9)
+                    objective_ticks = 10 * (
+                        OBJECTIVE_MS_BY_CLASS[ask.want.request_class] + 2 * ask.want.work
+                    )
+                    served_value += value * (
+                        1.0 if ask.answers[0][0] - ask.sent <= objective_ticks else 0.3
+                    )
+    return 1 - served_value / max(total_value, 1e-9)
 
 
-def gain(runs, rate, wrong=False):
+def measure_gain(runs, rate, is_stale=False):
     with ProcessPoolExecutor(4) as pool:
         seeds = range(1, runs + 1)
-        cold = [*pool.map(gain_of, [False] * runs, seeds, [wrong] * runs, [rate] * runs)]
-        warm = [*pool.map(gain_of, [True] * runs, seeds, [wrong] * runs, [rate] * runs)]
-    for name, found in ("cold", cold), ("recalled", warm):
+        cold = [*pool.map(run_restart, [False] * runs, seeds, [is_stale] * runs, [rate] * runs)]
+        recovered = [*pool.map(run_restart, [True] * runs, seeds, [is_stale] * runs, [rate] * runs)]
+    for name, results in ("cold", cold), ("recovered", recovered):
         print(
-            f"{name:9} lost in the 10 s after it: median {100 * statistics.median(found):.2f} in 100 "
-            f"({100 * min(found):.2f} to {100 * max(found):.2f})"
+            f"{name:9} lost in the 10 s after the restart: median {100 * statistics.median(results):.2f}% "
+            f"({100 * min(results):.2f} to {100 * max(results):.2f})"
         )
-    pairs = sorted(a - b for a, b in zip(cold, warm))
+    pairs = sorted(a - b for a, b in zip(cold, recovered))
     print(
-        f"cold less recalled, pair by pair: median {100 * statistics.median(pairs):+.2f} "
-        f"({100 * pairs[0]:+.2f} to {100 * pairs[-1]:+.2f}) in 100"
+        f"cold minus recovered, by pair: median {100 * statistics.median(pairs):+.2f} "
+        f"({100 * pairs[0]:+.2f} to {100 * pairs[-1]:+.2f}) percentage points"
     )
 
 
-def cost_of(sort):
-    play = Day(
+def run_load(durability):
+    scenario = Day(
         5,
         (),
         engines=6,
@@ -183,56 +210,59 @@
         scrapes=0,
         gives_up=0.0,
         hangs_up=0.0,
-        wants=LOADS,
+        wants=REQUEST_TYPES,
         clients=24,
-        operator=operator(sort != "off", sort),
+        operator=operator_file(durability != "off", durability),
     )
-    used = []
-    play.event_loop.call_later(
-        int(7.5 * SECOND), lambda: used.append(play.program.processor_time())
+    cpu_seconds = []
+    scenario.event_loop.call_later(
+        int(7.5 * SECOND), lambda: cpu_seconds.append(scenario.program.processor_time())
     )
     try:
-        play.run(8, drain=1.0)
-        log, tally = play.program.log()[-1], play.tally()
+        scenario.run(8, drain=1.0)
+        log, tally = scenario.program.log()[-1], scenario.tally()
     finally:
-        play.close()
-    spans = sorted(
+        scenario.close()
+    latencies = sorted(
         ask.answers[0][0] - ask.sent
-        for client in play.clients
+        for client in scenario.clients
         for ask in client.book
         if ask.answers
     )
     return (
         tally["served"] / 8,
-        used[0] / tally["served"] * 1e6,
-        spans[int(0.99 * len(spans))] / 10,
+        cpu_seconds[0] / tally["served"] * 1e6,
+        latencies[int(0.99 * len(latencies))] / 10,
         int(log.rpartition("worst_turn=")[2]) / 10,
     )
 
 
-def cost(runs):
-    found = {"off": [], "process": [], "machine": []}
+def measure_overhead(runs):
+    results = {"off": [], "process": [], "machine": []}
     for _ in range(runs):
-        for sort, several in found.items():
-            several.append(cost_of(sort))
-    print(f"{runs} runs of 8 s, in turn, seven in ten labelled; medians")
-    print("durability  served a second  us a submission  99th percentile ms  longest turn ms")
-    for sort, several in found.items():
-        columns = [statistics.median(each[n] for each in several) for n in range(4)]
+        for durability, measurements in results.items():
+            measurements.append(run_load(durability))
+    print(f"{runs} runs of 8 s, in turn, 70% keyed requests; medians")
+    print("durability  served per s      us per request   99th percentile ms  longest turn ms")
+    for durability, measurements in results.items():
+        columns = [statistics.median(each[n] for each in measurements) for n in range(4)]
         print(
-            f"{sort:10} {columns[0]:16.1f} {columns[1]:16.0f} {columns[2]:19.1f} {columns[3]:16.1f}"
+            f"{durability:10} {columns[0]:16.1f} {columns[1]:16.0f} {columns[2]:19.1f} {columns[3]:16.1f}"
         )
-    for sort in "process", "machine":
-        ratios = sorted(each[1] / was[1] for each, was in zip(found[sort], found["off"]))
+    for durability in "process", "machine":
+        ratios = sorted(each[1] / was[1] for each, was in zip(results[durability], results["off"]))
         print(
-            f"{sort}: processor time over off, pair by pair: {statistics.median(ratios):.3f} "
+            f"{durability}: processor time over off, by pair: {statistics.median(ratios):.3f} "
             f"({ratios[0]:.3f} to {ratios[-1]:.3f})"
         )
 
 
-def restarted(job):
-    """Earnings lost in the seconds after a restart, with one engine ten times slow and one silent."""
-    seed, which, recalled = job
+def run_fleet_restart(job):
+    """Return the lost part of the value in the seconds after a restart, with two faulty engines.
+
+    One engine is ten times slower, and one is silent.
+    """
+    seed, variant, is_recovered = job
     fleet = Fleet(
         seed,
         3,
@@ -240,7 +270,7 @@
         lease=2.0,
         clients=12,
         rate=420.0,
-        recall={"each": "0.2"} if recalled else None,
+        recall={"each": "0.2"} if is_recovered else None,
     )
     try:
         fleet.start()
@@ -248,58 +278,66 @@
         fleet.engines["e2"].begin("slow", 10.0)
         fleet.engines["e5"].begin("silent", 0.0)
         fleet.until(5)
-        whom = ("n1",) if which == "one of three" else ("n1", "n2", "n3")
-        if which == "replaced":
-            for name in ("e1", "e3", "e4", "e6"):  # the list names the same machines anew
+        targets = ("n1",) if variant == "one of three" else ("n1", "n2", "n3")
+        if variant == "replaced":
+            # The endpoint list gets new ids for the same engines.
+            for name in ("e1", "e3", "e4", "e6"):
                 for gateway, feed in fleet.feeds.items():
-                    other = fleet.reached(gateway, name)
-                    other.name = name + "b"
-                    feed.told([other])
+                    replacement = fleet.reached(gateway, name)
+                    replacement.name = name + "b"
+                    feed.told([replacement])
                     feed.told([fleet.reached(gateway, name)], "DELETED")
-        begun = fleet.event_loop.now
-        fleet.befall(Fault(0, 500, "kill", whom))
+        started_at = fleet.event_loop.now
+        fleet.befall(Fault(0, 500, "kill", targets))
         fleet.until(6)
-        over = fleet.event_loop.now
+        finished_at = fleet.event_loop.now
         fleet.settle()
-        good = possible = 0.0
+        served_value = total_value = 0.0
         for n, client in enumerate(fleet.clients):
-            if f"n{1 + n % 3}" in whom:
+            if f"n{1 + n % 3}" in targets:
                 for ask in client.book:
-                    if begun + 4_000 <= ask.sent < over:
-                        possible += EARNS[ask.want.request_class]
+                    if started_at + 4_000 <= ask.sent < finished_at:
+                        total_value += VALUE_BY_CLASS[ask.want.request_class]
                         served = bool(ask.answers) and ask.answers[0][1] == 1
-                        good += (
-                            EARNS[ask.want.request_class]
+                        served_value += (
+                            VALUE_BY_CLASS[ask.want.request_class]
                             * served
                             * (
-                                ask.answers[0][0] - ask.sent <= 10 * AIMS[ask.want.request_class]
+                                ask.answers[0][0] - ask.sent
+                                <= 10 * OBJECTIVE_MS_BY_CLASS[ask.want.request_class]
                                 if served
                                 else 0
                             )
                         )
-        return which, recalled, 1 - good / possible
+        return variant, is_recovered, 1 - served_value / total_value
     finally:
         fleet.close()
 
 
-def fleet_of(runs):
+def measure_fleet(runs):
     rows = {}
-    for which in "one of three", "replaced":
-        jobs = [(seed, which, recalled) for seed in range(runs) for recalled in (False, True)]
+    for variant in "one of three", "replaced":
+        jobs = [
+            (seed, variant, is_recovered) for seed in range(runs) for is_recovered in (False, True)
+        ]
         with ProcessPoolExecutor(3) as pool:
-            for _, recalled, lost in pool.map(restarted, jobs):
-                rows.setdefault((which, recalled), []).append(lost)
-        pairs = sorted(cold - warm for cold, warm in zip(rows[which, False], rows[which, True]))
-        cold, warm = (100 * statistics.median(rows[which, recalled]) for recalled in (False, True))
+            for _, is_recovered, lost in pool.map(run_fleet_restart, jobs):
+                rows.setdefault((variant, is_recovered), []).append(lost)
+        pairs = sorted(
+            cold - recovered for cold, recovered in zip(rows[variant, False], rows[variant, True])
+        )
+        cold, recovered = (
+            100 * statistics.median(rows[variant, is_recovered]) for is_recovered in (False, True)
+        )
         print(
-            f"{which}: not in time after the restart, cold {cold:.2f} in 100 of earnings, recalled {warm:.2f}; "
-            f"cold less recalled, pair by pair, median {100 * statistics.median(pairs):.2f} "
+            f"{variant}: value lost after the restart, cold {cold:.2f}%, recovered {recovered:.2f}%; "
+            f"cold minus recovered, by pair, median {100 * statistics.median(pairs):.2f} "
             f"({100 * pairs[0]:.2f} to {100 * pairs[-1]:.2f})",
             flush=True,
         )
 
 
-def start():
+def measure_start():
     from corkgauge.recovery import learned_state, snapshot
     from tests.harness import HostHarness, endpoint_list_event
 
@@ -308,50 +346,55 @@
     for engine in socket_host.gateway.engines:
         engine.stats.slowness_samples.extend([1.5] * 8)
         engine.stats.fault_history.extend([""] * 8)
-    begun = time.perf_counter()
-    copies = learned_state.copy_learned_state(socket_host.gateway)
-    copied = time.perf_counter()
-    named = learned_state.encode_learned_state(copies)
-    middle = time.perf_counter()
-    data = snapshot.encode({"gateway": "n", "mark": 1, "at": socket_host.now, **named})
-    made = time.perf_counter()
+    started_at = time.perf_counter()
+    copy = learned_state.copy_learned_state(socket_host.gateway)
+    copied_at = time.perf_counter()
+    encoded_records = learned_state.encode_learned_state(copy)
+    converted_at = time.perf_counter()
+    data = snapshot.encode({"gateway": "n", "mark": 1, "at": socket_host.now, **encoded_records})
+    encoded_at = time.perf_counter()
     with tempfile.NamedTemporaryFile() as file:
         file.write(data)
         file.flush()
-        again = HostHarness(events=[endpoint_list_event(1, *rows)]).socket_host
-        before = time.perf_counter()
+        restored_host = HostHarness(events=[endpoint_list_event(1, *rows)]).socket_host
+        restore_started_at = time.perf_counter()
         with open(file.name, "rb") as source:
-            said = snapshot.decode(source.read(), "n", 1)
-        counts = learned_state.restore_learned_state(
-            said, again.gateway, again.request_classes, again.now, 0
+            records = snapshot.decode(source.read(), "n", 1)
+        restored_counts = learned_state.restore_learned_state(
+            records, restored_host.gateway, restored_host.request_classes, restored_host.now, 0
         )
-        read_ = time.perf_counter()
+        restored_at = time.perf_counter()
     steps = ", ".join(
-        f"{1000 * span:.1f}" for span in (copied - begun, middle - copied, made - middle)
+        f"{1000 * duration:.1f}"
+        for duration in (
+            copied_at - started_at,
+            converted_at - copied_at,
+            encoded_at - converted_at,
+        )
     )
     print(
-        f"{len(data)} octets; copied, named and packed in {steps} ms, a turn each; read, aged, given to "
-        f"the module in {1000 * (read_ - before):.1f} ms: {counts}"
+        f"{len(data)} octets; copied, converted and encoded in {steps} ms, one turn each; "
+        f"decoded and restored in {1000 * (restored_at - restore_started_at):.1f} ms: {restored_counts}"
     )
 
 
 if __name__ == "__main__":
-    said = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    said.add_argument(
-        "what", choices=["kills", "labels", "gain", "wrong", "cost", "fleet", "start"]
+    parser.add_argument(
+        "what", choices=["kills", "keyed", "gain", "stale", "overhead", "fleet", "start"]
     )
-    said.add_argument("--count", type=int, default=500)
-    said.add_argument("--runs", type=int, default=10)
-    said.add_argument("--rate", type=float, default=250.0)
-    asked = said.parse_args()
+    parser.add_argument("--count", type=int, default=500)
+    parser.add_argument("--runs", type=int, default=10)
+    parser.add_argument("--rate", type=float, default=250.0)
+    options = parser.parse_args()
     {
-        "kills": lambda: kills(asked.count),
-        "labels": lambda: labels(asked.runs),
-        "gain": lambda: gain(asked.runs, asked.rate),
-        "fleet": lambda: fleet_of(asked.runs),
-        "wrong": lambda: gain(asked.runs, asked.rate, True),
-        "cost": lambda: cost(asked.runs),
-        "start": start,
-    }[asked.what]()
+        "kills": lambda: measure_kills(options.count),
+        "keyed": lambda: measure_keyed_requests(options.runs),
+        "gain": lambda: measure_gain(options.runs, options.rate),
+        "fleet": lambda: measure_fleet(options.runs),
+        "stale": lambda: measure_gain(options.runs, options.rate, True),
+        "overhead": lambda: measure_overhead(options.runs),
+        "start": measure_start,
+    }[options.what]()
