--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,13 +1,19 @@
-"""Duties under faults: two at once never, hand-overs, false ones, cost; on real processes, and simulated.
-
-python benchmarks/leases.py drills [--faults 1000]      3, 5 and 9 processes; then each defence left
-out python benchmarks/leases.py handover [--plot FILE]      time without a holder after a kill,
-stop, cut, planned end python benchmarks/leases.py false                       hand-overs that
-nothing caused, at 0, 10, 30 in 100 lost python benchmarks/leases.py cost
-processor and 99th percentile with and without, paired python benchmarks/leases.py days [--runs
-100000]        simulated days with drifting clocks python benchmarks/leases.py explore [--depth 14]
-every order of events, to a depth python benchmarks/leases.py scale                       fellows:
-simulated, the same objects python benchmarks/leases.py sockets                     thirty processes
+"""Measures leases under faults, with gateway processes and in simulations.
+
+Usage:
+
+    python benchmarks/leases.py faults [--faults 1000]    random faults at 3, 5 and 9 processes; then each
+                                                          safeguard disabled
+    python benchmarks/leases.py handover [--plot FILE]    time without a holder after a kill, a stop, a cut
+                                                          and a planned end
+    python benchmarks/leases.py spurious                  handovers without a fault, at 0, 10 and 30% of
+                                                          datagrams lost
+    python benchmarks/leases.py overhead                  processor time and 99th percentile with leases and
+                                                          without, paired
+    python benchmarks/leases.py simulate [--runs 100000]  simulations with drifting clocks
+    python benchmarks/leases.py explore [--depth 14]      model checking of all orders of events, to a depth
+    python benchmarks/leases.py membership                simulations of membership by fleet size
+    python benchmarks/leases.py fleet                     membership of thirty processes, on sockets
 """
 
 import argparse
@@ -25,7 +31,7 @@
 from corkgauge.model.model_checker import explore
 from corkgauge.testkit.fleet.processes import Fault, Fleet
 
-DEFENCES = {
+ARGUMENTS_BY_SAFEGUARD = {
     "check": [],
     "silence": [],
     "margin": ["--rates", "1.1,0.9,1.1", "--drift", "0.2"],
@@ -34,13 +40,13 @@
 }
 
 
-def quantile(values, part):
+def quantile(values, fraction):
     values = sorted(values)
-    return values[min(int(part * len(values)), len(values) - 1)] if values else float("nan")
+    return values[min(int(fraction * len(values)), len(values) - 1)] if values else float("nan")
 
 
-def drill(gateways, seconds, seed, *more):
-    out = subprocess.run(
+def run_chaos(gateways, seconds, seed, *arguments):
+    process = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -58,76 +64,87 @@
             "--seed",
             str(seed),
             "--json",
-            *more,
+            *arguments,
         ],
         capture_output=True,
         text=True,
     )
-    return json.loads(out.stdout) if out.stdout else {"failed": out.stderr[-500:]}
+    return json.loads(process.stdout) if process.stdout else {"failed": process.stderr[-500:]}
 
 
-def drills(said):
-    """At least so many faults; sizes side by side, as each is mostly idle."""
-    each = said.faults / 3 * 0.4 + 5
+def run_faults(options):
+    """Run random faults, at least the requested number, and each safeguard disabled in turn.
+
+    The fleets run in parallel, since their processes are mostly idle.
+    """
+    seconds = options.faults / 3 * 0.4 + 5
     with ProcessPoolExecutor(3) as pool:
-        found = [*pool.map(drill, (3, 5, 9), (each,) * 3, (101, 102, 103))]
+        found = [*pool.map(run_chaos, (3, 5, 9), (seconds,) * 3, (101, 102, 103))]
     for gateways, result in zip((3, 5, 9), found):
         print(f"{gateways} processes: {result}")
     print(
-        f"faults in all {sum(result['faults'] for result in found)}, "
-        f"objections {sum(len(result['wrong']) for result in found)}"
+        f"{sum(result['faults'] for result in found)} faults, "
+        f"violations {sum(len(result['wrong']) for result in found)}"
     )
-    for off, more in DEFENCES.items():
+    for safeguard, arguments in ARGUMENTS_BY_SAFEGUARD.items():
         for seed in range(1, 13):
-            result = drill(3, 30, seed, "--without", off, *more)
+            result = run_chaos(3, 30, seed, "--without", safeguard, *arguments)
             if result.get("wrong"):
                 break
         print(
-            f"without {off}: {len(result['wrong'])} objections, seed {seed}: {(result['wrong'] or ['none'])[0]}"
+            f"without {safeguard}: {len(result['wrong'])} violations, seed {seed}: {(result['wrong'] or ['none'])[0]}"
         )
 
 
-def handed(job):
-    """Times without an act after one sort of fault, at one lease and loss; an act comes each 50 ms."""
-    lease, loss, sort, times = job
-    spans = []
+def run_handovers(job):
+    """Measure the times without an act after one kind of fault, for one lease duration and loss.
+
+    The holder performs an act every 50 ms.
+    """
+    lease, loss, kind, repetitions = job
+    durations = []
     fleet = Fleet(7, 3, lease=lease, each=0.05, period=0.3)
     try:
         fleet.start()
         fleet.held(10)
         fleet.weather("lose", loss)
-        for _ in range(times):
+        for _ in range(repetitions):
             fleet.until(2.2 * lease + 0.5)
             if not fleet.held(10):
                 break
             before, changes = fleet.holder(), len(fleet.changes())
-            fleet.befall(Fault(0, int(2.5 * lease * SECOND), sort, (before,)))
+            fleet.befall(Fault(0, int(2.5 * lease * SECOND), kind, (before,)))
             if fleet.until(8 * lease + 3, lambda: fleet.holder() == before):
-                spans.append(fleet.changes()[changes][1] / SECOND)
+                durations.append(fleet.changes()[changes][1] / SECOND)
             fleet.until(2.5 * lease)
-        return spans, fleet.wrong()
+        return durations, fleet.wrong()
     finally:
         fleet.close()
 
 
-def handover(said):
-    """Over lease lengths and loss. Fleets of mostly idle processes run side by side."""
+def measure_handovers(options):
+    """Measure handovers for several lease durations and losses.
+
+    The fleets run in parallel, since their processes are mostly idle.
+    """
     rows = {}
     jobs = [
-        (lease, loss, sort, said.times)
+        (lease, loss, kind, options.times)
         for lease, loss in ((0.5, 0.0), (1.0, 0.0), (2.0, 0.0), (1.0, 0.1), (1.0, 0.3))
-        for sort in ("kill", "stop", "cut", "end")
+        for kind in ("kill", "stop", "cut", "end")
     ]
     with ProcessPoolExecutor(10) as pool:
-        for (lease, loss, sort, _), (spans, objections) in zip(jobs, pool.map(handed, jobs)):
-            rows[lease, loss, sort] = spans
+        for (lease, loss, kind, _), (durations, violations_found) in zip(
+            jobs, pool.map(run_handovers, jobs)
+        ):
+            rows[lease, loss, kind] = durations
             print(
-                f"lease {lease} s, loss {loss:3}: {sort:5} n={len(spans):3} median {quantile(spans, 0.5):.3f} "
-                f"longest {max(spans, default=0):.3f} s without a holder; objections {len(objections)}",
+                f"lease {lease} s, loss {loss:3}: {kind:5} n={len(durations):3} median {quantile(durations, 0.5):.3f} "
+                f"longest {max(durations, default=0):.3f} s without a holder; violations {len(violations_found)}",
                 flush=True,
             )
-    if said.plot:
-        plot(rows, said.plot)
+    if options.plot:
+        plot(rows, options.plot)
 
 
 def plot(rows, path):
@@ -141,15 +158,15 @@
         (axes[0], [key for key in rows if key[1] == 0.0], "lease {0} s"),
         (axes[1], [key for key in rows if key[0] == 1.0], "loss {1}"),
     ):
-        for sort, mark in zip(("kill", "stop", "cut", "end"), "os^x"):
-            for n, key in enumerate(key for key in chosen if key[2] == sort):
+        for kind, mark in zip(("kill", "stop", "cut", "end"), "os^x"):
+            for n, key in enumerate(key for key in chosen if key[2] == kind):
                 axis.scatter(
-                    [n + 0.12 * ["kill", "stop", "cut", "end"].index(sort)] * len(rows[key]),
+                    [n + 0.12 * ["kill", "stop", "cut", "end"].index(kind)] * len(rows[key]),
                     rows[key],
                     marker=mark,
                     s=12,
-                    color=f"C{['kill', 'stop', 'cut', 'end'].index(sort)}",
-                    label=sort if not n else None,
+                    color=f"C{['kill', 'stop', 'cut', 'end'].index(kind)}",
+                    label=kind if not n else None,
                 )
         names = [label.format(*key) for key in chosen if key[2] == "kill"]
         axis.set_xticks(range(len(names)), names)
@@ -160,36 +177,38 @@
     figure.savefig(path)
 
 
-def undisturbed(job):
+def run_undisturbed(job):
     loss, seconds = job
     fleet = Fleet(9, 5, lease=1.0, each=0.05)
     try:
         fleet.start()
         fleet.held(10)
         fleet.weather("lose", loss)
-        before, begun = len(fleet.changes()), fleet.event_loop.now
+        before, started_at = len(fleet.changes()), fleet.event_loop.now
         fleet.until(seconds)
-        hours = (fleet.event_loop.now - begun) / SECOND / 3600
-        many = len(fleet.changes()) - before
+        hours = (fleet.event_loop.now - started_at) / SECOND / 3600
+        count = len(fleet.changes()) - before
         gone = sum(" gone, was" in line for line in fleet.logs())
         return (
-            f"loss {loss}: {many} hand-overs in {hours * 3600:.0f} s, {many / hours:.0f} an hour at a lease of "
-            f"1 s; fellows held gone {gone}; objections {len(fleet.wrong())}"
+            f"loss {loss}: {count} handovers in {hours * 3600:.0f} s, {count / hours:.0f} per hour with leases of "
+            f"1 s; members considered gone {gone}; violations {len(fleet.wrong())}"
         )
     finally:
         fleet.close()
 
 
-def false(said):
+def count_spurious_handovers(options):
     with ProcessPoolExecutor(3) as pool:
-        for line in pool.map(undisturbed, [(loss, said.seconds) for loss in (0.0, 0.1, 0.3)]):
+        for line in pool.map(
+            run_undisturbed, [(loss, options.seconds) for loss in (0.0, 0.1, 0.3)]
+        ):
             print(line, flush=True)
 
 
-def cost(said):
-    """Three gateways under load, with fellows and duties and without, in turn."""
+def measure_overhead(options):
+    """Compare three gateways under load, with membership and leases and without, in turn."""
     pairs = []
-    for pair in range(said.times):
+    for pair in range(options.times):
         row = {}
         for name in ("without", "with") if pair % 2 else ("with", "without"):
             fleet = Fleet(pair, 3, lease=5.0, each=5.0, period=0.5, clients=9, rate=300.0)
@@ -200,8 +219,8 @@
                     with open(path, "w") as file:
                         file.write(text[: text.index("<fellows")] + "</operator>\n")
             try:
-                fleet.run(said.seconds)
-                took = sorted(
+                fleet.run(options.seconds)
+                latencies = sorted(
                     ask.answers[0][0] - ask.sent
                     for client in fleet.clients
                     for ask in client.book
@@ -209,8 +228,8 @@
                 )
                 row[name] = (
                     sum(each.program.processor_time() for each in fleet.gateways.values()),
-                    quantile(took, 0.99) / 10,
-                    len(took),
+                    quantile(latencies, 0.99) / 10,
+                    len(latencies),
                 )
             finally:
                 fleet.close()
@@ -219,76 +238,88 @@
             {name: tuple(round(value, 3) for value in values) for name, values in row.items()},
             flush=True,
         )
-    for n, what in enumerate(("processor", "99th percentile")):
+    for n, figure in enumerate(("processor", "99th percentile")):
         ratios = sorted(row["with"][n] / row["without"][n] for row in pairs)
         print(
-            f"{what}: with over without, median {quantile(ratios, 0.5):.3f} ({ratios[0]:.3f} to {ratios[-1]:.3f})"
+            f"{figure}: with over without, median {quantile(ratios, 0.5):.3f} ({ratios[0]:.3f} to {ratios[-1]:.3f})"
         )
 
 
-def some_days(first, many):
-    wrong, held, acts, refused = [], 0, 0, 0
-    for seed in range(first, first + many):
-        day = draw_scenario(
+def run_simulations(first, count):
+    violations, handover_count, action_count, refused_count = [], 0, 0, 0
+    for seed in range(first, first + count):
+        scenario = draw_scenario(
             seed, (3, 5)[seed % 2], disk=seed % 3 == 0, drift=(0.01, 0.05)[seed % 5 == 0]
         )
-        world = World(day)
-        wrong += [(seed, line) for line in world.run()]
-        held, acts, refused = (
-            held + len(world.handovers),
-            acts + world.action_count,
-            refused + world.refused_count,
+        world = World(scenario)
+        violations += [(seed, line) for line in world.run()]
+        handover_count, action_count, refused_count = (
+            handover_count + len(world.handovers),
+            action_count + world.action_count,
+            refused_count + world.refused_count,
         )
-    return wrong, held, acts, refused
+    return violations, handover_count, action_count, refused_count
 
 
-def days(said):
-    begun, step = time.time(), 500
-    with ProcessPoolExecutor(said.workers) as pool:
-        found = [*pool.map(some_days, range(0, said.runs, step), [step] * (said.runs // step))]
+def simulate_leases(options):
+    started_at, step = time.time(), 500
+    with ProcessPoolExecutor(options.workers) as pool:
+        found = [
+            *pool.map(
+                run_simulations, range(0, options.runs, step), [step] * (options.runs // step)
+            )
+        ]
     print(
-        f"{said.runs} simulated days, {time.time() - begun:.0f} s: {sum(each[1] for each in found)} times in office, "
-        f"{sum(each[2] for each in found)} acts, {sum(each[3] for each in found)} refused by their fence, "
-        f"objections {sum((each[0] for each in found), [])[:3] or 0}"
+        f"{options.runs} simulations, {time.time() - started_at:.0f} s: {sum(each[1] for each in found)} handovers, "
+        f"{sum(each[2] for each in found)} acts, {sum(each[3] for each in found)} rejected by fencing, "
+        f"violations {sum((each[0] for each in found), [])[:3] or 0}"
     )
 
 
-def explored(job):
-    depth, held, off, most = job
-    begun = time.time()
-    return explore(depth, 1, off, held, most), time.time() - begun
+def run_exploration(job):
+    depth, start_with_holder, safeguard, max_states = job
+    started_at = time.time()
+    return explore(depth, 1, safeguard, start_with_holder, max_states), time.time() - started_at
 
 
-def explored_all(said):
-    jobs = [(said.depth + 2, False, "", said.most), (said.depth - 4, True, "", said.most)]
-    jobs += [(said.depth - 2, True, off, said.most) for off in ("silence", "busy", "before")]
-    with ProcessPoolExecutor(said.workers) as pool:
-        for (depth, held, off, _), (one, took) in zip(jobs, pool.map(explored, jobs)):
+def explore_all(options):
+    jobs = [
+        (options.depth + 2, False, "", options.max_states),
+        (options.depth - 4, True, "", options.max_states),
+    ]
+    jobs += [
+        (options.depth - 2, True, safeguard, options.max_states)
+        for safeguard in ("silence", "busy", "before")
+    ]
+    with ProcessPoolExecutor(options.workers) as pool:
+        for (depth, start_with_holder, safeguard, _), (exploration, seconds) in zip(
+            jobs, pool.map(run_exploration, jobs)
+        ):
             print(
-                f"from {'a holder' if held else 'the start'}{', without ' + off if off else ''}: depth "
-                f"{len(one.by_depth) - 1}, {one.state_count} states ({one.states_with_holder} with a holder), {took:.0f} s: "
-                f"{'; '.join(one.counterexample) or 'nothing found'}",
+                f"from {'a holder' if start_with_holder else 'the start'}{', without ' + safeguard if safeguard else ''}: depth "
+                f"{len(exploration.by_depth) - 1}, {exploration.state_count} states ({exploration.states_with_holder} with a holder), {seconds:.0f} s: "
+                f"{'; '.join(exploration.counterexample) or 'no violation'}",
                 flush=True,
             )
 
 
-def scale(said):
+def simulate_membership(options):
     from corkgauge.model.membership import measure_membership
 
-    for many in (3, 30, 200, 1000):
-        print(measure_membership(many), flush=True)
+    for count in (3, 30, 200, 1000):
+        print(measure_membership(count), flush=True)
 
 
-def sockets(said):
-    """Thirty processes: time to a common view from the first start, letters a second, and after one is killed."""
+def measure_fleet(options):
+    """Measure the membership of thirty processes: time to a common view, traffic, and a failure."""
     import resource
 
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 8192), hard))
     fleet = Fleet(3, 30, lease=2.0, engines=1, period=0.5)
-    names, dead = [*fleet.gateways], "n30"
+    names, killed = [*fleet.gateways], "n30"
 
-    def seen(name, state):
+    def count_members(name, state):
         return sum(
             each["state"] == state for each in fleet.asked(name, "/fellows")["fellows"].values()
         )
@@ -296,30 +327,31 @@
     try:
         fleet.start()
         fleet.until(2)
-        while any(seen(name, "alive") < 30 for name in (names[0], names[14], names[29])):
+        while any(count_members(name, "alive") < 30 for name in (names[0], names[14], names[29])):
             fleet.until(0.5)
         print(
-            f"30 processes: all see 30 others (the judge among them) {(fleet.event_loop.now - fleet.begun) / SECOND:.1f} s "
+            f"30 processes: all see 30 others (including the checker) {(fleet.event_loop.now - fleet.begun) / SECOND:.1f} s "
             "after the first start"
         )
         before = [fleet.asked(name, "/fellows")["counters"]["sent"] for name in names[:5]]
-        begun = fleet.event_loop.now
+        started_at = fleet.event_loop.now
         fleet.until(10)
         after = [fleet.asked(name, "/fellows")["counters"]["sent"] for name in names[:5]]
         print(
-            f"letters of fellows and duties a second and gateway, five of them: "
-            f"{[round((b - a) / ((fleet.event_loop.now - begun) / SECOND), 1) for a, b in zip(before, after)]}"
+            f"membership and lease datagrams per second and gateway, for five gateways: "
+            f"{[round((b - a) / ((fleet.event_loop.now - started_at) / SECOND), 1) for a, b in zip(before, after)]}"
         )
-        fleet.befall(Fault(0, 60 * SECOND, "kill", (dead,)))
-        begun = fleet.event_loop.now
+        fleet.befall(Fault(0, 60 * SECOND, "kill", (killed,)))
+        started_at = fleet.event_loop.now
         while any(
-            fleet.asked(name, "/fellows")["fellows"][dead]["state"] != "gone" for name in names[:3]
+            fleet.asked(name, "/fellows")["fellows"][killed]["state"] != "gone"
+            for name in names[:3]
         ):
             fleet.until(0.2)
         print(
-            f"three that were asked all hold a killed one gone {(fleet.event_loop.now - begun) / SECOND:.1f} s after"
+            f"three queried gateways consider a killed one gone after {(fleet.event_loop.now - started_at) / SECOND:.1f} s"
         )
-        print(f"objections {len(fleet.wrong())}, holder {fleet.holder()}")
+        print(f"violations {len(fleet.wrong())}, holder {fleet.holder()}")
     finally:
         fleet.close()
 
@@ -330,27 +362,36 @@
     )
     parser.add_argument(
         "what",
-        choices=["drills", "handover", "false", "cost", "days", "explore", "scale", "sockets"],
+        choices=[
+            "faults",
+            "handover",
+            "spurious",
+            "overhead",
+            "simulate",
+            "explore",
+            "membership",
+            "fleet",
+        ],
     )
     parser.add_argument("--faults", type=int, default=1000)
     parser.add_argument("--times", type=int, default=10)
     parser.add_argument("--seconds", type=float, default=60)
     parser.add_argument("--runs", type=int, default=100_000)
     parser.add_argument("--depth", type=int, default=12)
-    parser.add_argument("--most", type=int, default=400_000)
+    parser.add_argument("--max-states", type=int, default=400_000)
     parser.add_argument("--workers", type=int, default=os.cpu_count())
     parser.add_argument("--plot")
-    said = parser.parse_args()
+    options = parser.parse_args()
     {
-        "drills": drills,
-        "handover": handover,
-        "false": false,
-        "cost": cost,
-        "days": days,
-        "explore": explored_all,
-        "scale": scale,
-        "sockets": sockets,
-    }[said.what](said)
+        "faults": run_faults,
+        "handover": measure_handovers,
+        "spurious": count_spurious_handovers,
+        "overhead": measure_overhead,
+        "simulate": simulate_leases,
+        "explore": explore_all,
+        "membership": simulate_membership,
+        "fleet": measure_fleet,
+    }[options.what](options)
 
 
 if __name__ == "__main__":
