--- a/benchmarks/flow_export.py
+++ b/benchmarks/flow_export.py
@@ -1,12 +1,19 @@
-"""What flow export costs: by hand, on an idle machine.
+"""Measures the cost of flow export; run on an idle machine.
 
-    python benchmarks/flow_export.py encode     records a second and octets a record, beside a struct loop by field
-    python benchmarks/flow_export.py wheel      the timing wheel beside a heap, at 10,000 and 100,000 flows
-    python benchmarks/flow_export.py held       a collector down while 10,000 connections end in one second
-    python benchmarks/flow_export.py load       the real program: no export; a live, a dead, a deaf collector
-    python benchmarks/flow_export.py hall FILE  rows of a day on which one hall's engines slow down
+Usage:
 
-The figures of `load` are socket figures of this machine against its own stand-ins.
+    python benchmarks/flow_export.py encode      records per second and octets per record, against
+    packing
+                                                 field by field
+    python benchmarks/flow_export.py timers      the timer wheel against a heap, at 10,000 and
+    100,000 flows python benchmarks/flow_export.py buffer      pending records when 10,000
+    connections end without a collector python benchmarks/flow_export.py load        serving without
+    export, and with a collector that is reachable,
+                                                 unreachable or does not read
+    python benchmarks/flow_export.py zone FILE   report rows while the engines of one zone are slow
+
+The results of `load` are measured on sockets, with emulated clients and engines on the same
+machine.
 """
 
 import argparse
@@ -33,7 +40,7 @@
 from corkgauge.flow_export.timer_wheel import TimerWheel  # noqa: E402
 
 
-def deltas(count):
+def make_deltas(count):
     return [
         Delta(
             n,
@@ -55,10 +62,10 @@
     ]
 
 
-def plain(delta, gateway):
-    """One record as a loop by field makes it, for comparison."""
+def encode_field_by_field(delta, gateway):
+    """Encode one record field by field, for comparison."""
     data = b""
-    for form, value in (
+    for field_format, value in (
         ("4s", delta.source),
         ("4s", delta.destination),
         ("H", delta.source_port),
@@ -71,189 +78,199 @@
         ("I", delta.forward_octets),
         ("I", delta.reverse_octets),
     ):
-        data += struct.pack("!" + form, value)
+        data += struct.pack("!" + field_format, value)
     for text in gateway, delta.engine, delta.zone:
         data += bytes([len(text)]) + text.encode()
     return data
 
 
-def encode():
+def measure_encoding():
     count = 50_000
     for kind in codec.LayoutKind:
-        session, queue, size = Session(codec.Layout(kind, "n1"), 7, 1400, 0), deltas(count)[::-1], 0
+        session, queue, size = (
+            Session(codec.Layout(kind, "n1"), 7, 1400, 0),
+            make_deltas(count)[::-1],
+            0,
+        )
         session.make_template_messages(0, Counter())
-        begun, longest = time.perf_counter(), 0.0
+        started_at, longest = time.perf_counter(), 0.0
         while queue:
             last = time.perf_counter()
-            data, _, left = session.make_data_message(0, lambda: queue.pop() if queue else None)
-            if left:
-                queue.append(left)
+            data, _, remaining = session.make_data_message(
+                0, lambda: queue.pop() if queue else None
+            )
+            if remaining:
+                queue.append(remaining)
             longest = max(longest, time.perf_counter() - last)
             size += len(data)
-        took = time.perf_counter() - begun
+        elapsed = time.perf_counter() - started_at
         print(
-            f"{kind:10} {count / took:9.0f} connections a second, {size / count:.1f} octets each, "
-            f"the longest message {longest * 1000:.2f} ms"
+            f"{kind:10} {count / elapsed:9.0f} connections per second, {size / count:.1f} octets each, "
+            f"longest message {longest * 1000:.2f} ms"
         )
-    some = deltas(count)
-    begun = time.perf_counter()
-    size = sum(len(plain(each, "n1")) for each in some)
-    took = time.perf_counter() - begun
+    items = make_deltas(count)
+    started_at = time.perf_counter()
+    size = sum(len(encode_field_by_field(item, "n1")) for item in items)
+    elapsed = time.perf_counter() - started_at
     print(
-        f"struct by field, records alone: {count / took:.0f} a second, {size / count:.1f} octets each"
+        f"field by field, records only: {count / elapsed:.0f} per second, {size / count:.1f} octets each"
     )
 
 
-class Entry:
-    __slots__ = ("due", "gone")
+class TimerEntry:
+    __slots__ = ("due", "is_removed")
 
     def __init__(self):
-        self.due, self.gone = 0, False
+        self.due, self.is_removed = 0, False
 
 
-def wheel():
-    print("flows    what   put us  take us  put again us  longest advance ms")
+def compare_timers():
+    print("flows    type   add us  remove us   re-add us  longest advance ms")
     for count in 10_000, 100_000:
         for name in "wheel", "heap":
-            draw, entries = Random(1), [Entry() for _ in range(count)]
-            kept = TimerWheel(SLOT_COUNT, SLOT_TICKS) if name == "wheel" else []
-            begun = time.perf_counter()
-            for n, each in enumerate(entries):
-                due = draw.randrange(60 * SECOND)
+            random, entries = Random(1), [TimerEntry() for _ in range(count)]
+            timers = TimerWheel(SLOT_COUNT, SLOT_TICKS) if name == "wheel" else []
+            started_at = time.perf_counter()
+            for n, item in enumerate(entries):
+                due = random.randrange(60 * SECOND)
                 if name == "wheel":
-                    kept.put(each, due)
+                    timers.put(item, due)
                 else:
-                    heapq.heappush(kept, (due, n, each))
-            put = time.perf_counter() - begun
-            begun = time.perf_counter()
-            for each in entries[: count // 2]:
+                    heapq.heappush(timers, (due, n, item))
+            add_seconds = time.perf_counter() - started_at
+            started_at = time.perf_counter()
+            for item in entries[: count // 2]:
                 if name == "wheel":
-                    kept.remove(each)
+                    timers.remove(item)
                 else:
-                    each.gone = True  # a heap keeps what is gone until it is due
-            take = time.perf_counter() - begun
-            longest, again, moved, serial = 0.0, 0.0, 0, count
+                    item.is_removed = True  # a heap keeps removed entries until they are due
+            remove_seconds = time.perf_counter() - started_at
+            longest, re_add_seconds, re_added_count, serial = 0.0, 0.0, 0, count
             for now in range(0, 61 * SECOND, 500):
-                begun = time.perf_counter()
+                started_at = time.perf_counter()
                 due = []
                 if name == "wheel":
-                    due = [*kept.advance(now)]
+                    due = [*timers.advance(now)]
                 else:
-                    while kept and kept[0][0] <= now:
-                        _, _, each = heapq.heappop(kept)
-                        if not each.gone:
-                            due.append(each)
-                middle = time.perf_counter()
-                for each in due:
+                    while timers and timers[0][0] <= now:
+                        _, _, item = heapq.heappop(timers)
+                        if not item.is_removed:
+                            due.append(item)
+                advanced_at = time.perf_counter()
+                for item in due:
                     if name == "wheel":
-                        kept.put(each, now + 60 * SECOND)
+                        timers.put(item, now + 60 * SECOND)
                     else:
                         serial += 1
-                        heapq.heappush(kept, (now + 60 * SECOND, serial, each))
-                again += time.perf_counter() - middle
-                moved += len(due)
-                longest = max(longest, middle - begun)
+                        heapq.heappush(timers, (now + 60 * SECOND, serial, item))
+                re_add_seconds += time.perf_counter() - advanced_at
+                re_added_count += len(due)
+                longest = max(longest, advanced_at - started_at)
             print(
-                f"{count:7} {name:6} {put / count * 1e6:6.2f} {take / (count // 2) * 1e6:8.2f} "
-                f"{again / max(moved, 1) * 1e6:12.2f} {longest * 1000:14.2f}"
+                f"{count:7} {name:6} {add_seconds / count * 1e6:6.2f} {remove_seconds / (count // 2) * 1e6:8.2f} "
+                f"{re_add_seconds / max(re_added_count, 1) * 1e6:12.2f} {longest * 1000:14.2f}"
             )
 
 
-def held():
-    for memory in 65_536, 1_048_576, 8_388_608:
-        some = deltas(10_000)
-        for each in some:
-            each.end_reason = 3
+def measure_buffer():
+    for limit_bytes in 65_536, 1_048_576, 8_388_608:
+        items = make_deltas(10_000)
+        for item in items:
+            item.end_reason = 3
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
-        keeps, begun = PendingRecords(memory), time.perf_counter()
-        for each in some:
-            keeps.add(each)
-        took = (time.perf_counter() - begun) / len(some) * 1e6
-        table = tracemalloc.get_traced_memory()[0] - before
+        pending, started_at = PendingRecords(limit_bytes), time.perf_counter()
+        for item in items:
+            pending.add(item)
+        elapsed = (time.perf_counter() - started_at) / len(items) * 1e6
+        used_octets = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
         print(
-            f"bound {memory:8}: {len(keeps)} records for 10,000 connections, {keeps.merged_flows} merged, "
-            f"{keeps.dropped_octets} octets dropped, {took:.1f} us each (traced), {table} octets of tables"
+            f"limit {limit_bytes:8}: {len(pending)} records for 10,000 connections, {pending.merged_flows} merged, "
+            f"{pending.dropped_octets} octets dropped, {elapsed:.1f} us each (traced), {used_octets} octets of memory"
         )
 
 
-def one_load(sort, seconds, rate):
+def run_load(variant, seconds, rate):
     from corkgauge.testkit.emulators.collector import EmulatedCollector
     from corkgauge.testkit.fleet.day import Day
 
-    play = Day(5, (), rate=rate, scrapes=0, gives_up=0.0, hangs_up=0.01, operator="")
-    heard = []
-    if sort != "none":
-        transport = "tcp" if sort == "deaf" else "udp"
+    scenario = Day(5, (), rate=rate, scrapes=0, gives_up=0.0, hangs_up=0.01, operator="")
+    messages = []
+    if variant != "none":
+        transport = "tcp" if variant == "deaf" else "udp"
         collector = EmulatedCollector(
-            play.event_loop, transport, lambda message, data: heard.append(message)
+            scenario.event_loop, transport, lambda message, data: messages.append(message)
         )
-        collector.deaf = sort == "deaf"
-        path = os.path.join(play.folder, "operator.xml")
+        collector.deaf = variant == "deaf"
+        path = os.path.join(scenario.folder, "operator.xml")
         with open(path, "w", encoding="utf-8") as file:
             file.write(
                 '<operator version="1"><flows active="0.25" idle="0.25" memory="262144"><collector '
                 f'address="127.0.0.1:{collector.address[1]}" transport="{transport}"/></flows>'
                 "</operator>"
             )
-        play.program.arguments += ["--operator", path]
-        if sort == "dead":
+        scenario.program.arguments += ["--operator", path]
+        if variant == "dead":
             collector.close()
-    used = []
+    figures = []
 
-    def look():
-        used.extend((play.program.processor_time(), play.program.memory() / 2**20))
+    def record_usage():
+        figures.extend((scenario.program.processor_time(), scenario.program.memory() / 2**20))
 
-    play.event_loop.call_later(int((seconds - 0.5) * SECOND), look)
+    scenario.event_loop.call_later(int((seconds - 0.5) * SECOND), record_usage)
     try:
-        play.run(seconds, drain=1.0)
-        log = play.program.log()[-1]
-        tally = play.tally()
+        scenario.run(seconds, drain=1.0)
+        log = scenario.program.log()[-1]
+        tally = scenario.tally()
     finally:
-        play.close()
-    spans = sorted(
+        scenario.close()
+    latencies = sorted(
         (ask.answers[0][0] - ask.sent) / 10
-        for client in play.clients
+        for client in scenario.clients
         for ask in client.book
         if ask.answers
     )
     return (
-        used[0] / max(tally["served"], 1) * 1e6,
-        spans[int(0.99 * len(spans))],
+        figures[0] / max(tally["served"], 1) * 1e6,
+        latencies[int(0.99 * len(latencies))],
         int(log.rpartition("worst_turn=")[2]) / 10,
         tally["served"] / max(tally["asked"] - tally["excused"], 1),
-        used[1],
-        sum(len(message.records) for message in heard),
+        figures[1],
+        sum(len(message.records) for message in messages),
     )
 
 
-def load(runs, seconds, rate):
-    sorts = {"none": [], "live": [], "dead": [], "deaf": []}
+def compare_load(runs, seconds, rate):
+    results = {"none": [], "live": [], "dead": [], "deaf": []}
     for _ in range(runs):
-        for sort, found in sorts.items():
-            found.append(one_load(sort, seconds, rate))
-    print(f"{runs} runs of {seconds} s at {rate} a second, in turn; a record each 0.25 s; medians")
+        for variant, measurements in results.items():
+            measurements.append(run_load(variant, seconds, rate))
     print(
-        "collector  us a submission  99th percentile ms  longest turn ms  served  memory MB  records"
+        f"{runs} runs of {seconds} s at {rate} requests per second, in turn; a record every 0.25 s; medians"
     )
-    for sort, found in sorts.items():
-        columns = [statistics.median(each[n] for each in found) for n in range(6)]
+    print(
+        "collector   us per request  99th percentile ms  longest turn ms  served  memory MB  records"
+    )
+    for variant, measurements in results.items():
+        columns = [statistics.median(item[n] for item in measurements) for n in range(6)]
         print(
-            f"{sort:10} {columns[0]:15.0f} {columns[1]:19.1f} {columns[2]:16.1f} {columns[3]:7.4f} "
+            f"{variant:10} {columns[0]:15.0f} {columns[1]:19.1f} {columns[2]:16.1f} {columns[3]:7.4f} "
             f"{columns[4]:10.1f} {columns[5]:8.0f}"
         )
-    for sort in [*sorts][1:]:
+    for variant in [*results][1:]:
         for n, name in (0, "processor time"), (1, "99th percentile"):
-            ratios = sorted(each[n] / was[n] for each, was in zip(sorts[sort], sorts["none"]))
+            ratios = sorted(
+                item[n] / baseline[n] for item, baseline in zip(results[variant], results["none"])
+            )
             print(
-                f"{sort}: {name} over none, pair by pair: {statistics.median(ratios):.3f} "
+                f"{variant}: {name} over none, by pair: {statistics.median(ratios):.3f} "
                 f"({ratios[0]:.3f} to {ratios[-1]:.3f})"
             )
 
 
-def zone(path):
-    """Engines of one hall eight times as slow from the 10th second to the 20th, of 30."""
+def write_zone_rows(path):
+    """Write report rows of 30 s in which the engines of one zone are slow from 10 s to 20 s."""
     import json
 
     from corkgauge.flow_export.report_rows import rows_from_message
@@ -261,7 +278,7 @@
     from corkgauge.testkit.faults.script import read
     from corkgauge.testkit.fleet.day import Day
 
-    play = Day(
+    scenario = Day(
         5,
         read("at 10 for 10: e1 slow 30\nat 10 for 10: e2 slow 30", ["e1", "e2", "e3", "e4"]),
         rate=250,
@@ -270,19 +287,19 @@
     )
     rows = []
     collector = EmulatedCollector(
-        play.event_loop, "udp", lambda message, data: rows.extend(rows_from_message(message))
+        scenario.event_loop, "udp", lambda message, data: rows.extend(rows_from_message(message))
     )
-    said = os.path.join(play.folder, "operator.xml")
-    with open(said, "w", encoding="utf-8") as file:
+    operator_path = os.path.join(scenario.folder, "operator.xml")
+    with open(operator_path, "w", encoding="utf-8") as file:
         file.write(
             '<operator version="1"><flows active="1" idle="1"><collector transport="udp" '
             f'address="127.0.0.1:{collector.address[1]}"/></flows></operator>'
         )
-    play.program.arguments += ["--operator", said]
+    scenario.program.arguments += ["--operator", operator_path]
     try:
-        play.run(30)
+        scenario.run(30)
     finally:
-        play.close()
+        scenario.close()
     with open(path, "w", encoding="utf-8") as file:
         for row in rows:
             print(json.dumps(row), file=file)
@@ -290,19 +307,19 @@
 
 
 if __name__ == "__main__":
-    said = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    said.add_argument("what", choices=["encode", "wheel", "held", "load", "hall"])
-    said.add_argument("file", nargs="?", default="rows.json")
-    said.add_argument("--runs", type=int, default=5)
-    said.add_argument("--seconds", type=float, default=8.0)
-    said.add_argument("--rate", type=float, default=300.0)
-    asked = said.parse_args()
+    parser.add_argument("what", choices=["encode", "timers", "buffer", "load", "zone"])
+    parser.add_argument("file", nargs="?", default="rows.json")
+    parser.add_argument("--runs", type=int, default=5)
+    parser.add_argument("--seconds", type=float, default=8.0)
+    parser.add_argument("--rate", type=float, default=300.0)
+    options = parser.parse_args()
     {
-        "encode": encode,
-        "wheel": wheel,
-        "held": held,
-        "hall": lambda: zone(asked.file),
-        "load": lambda: load(asked.runs, asked.seconds, asked.rate),
-    }[asked.what]()
+        "encode": measure_encoding,
+        "timers": compare_timers,
+        "buffer": measure_buffer,
+        "zone": lambda: write_zone_rows(options.file),
+        "load": lambda: compare_load(options.runs, options.seconds, options.rate),
+    }[options.what]()
--- a/benchmarks/peer_health.py
+++ b/benchmarks/peer_health.py
@@ -1,11 +1,20 @@
-"""Findings shared among gateways: what they earn, how fast they spread, what they cost.
-
-python benchmarks/peer_health.py fail [--times 3]    engines fail, on sockets, paired by seed: shared,
-not, known at once python benchmarks/peer_health.py spread              simulated with the same objects:
-3 to 200 gateways python benchmarks/peer_health.py lies                liars, and cuts, on sockets,
-against nothing shared python benchmarks/peer_health.py merge               a thousand findings merged,
-against a plain list python benchmarks/peer_health.py sums [--faults 200] work sent to cold engines over
-faults, against the rule
+"""Measures peer health reports: their benefit, how fast they spread and their cost.
+
+Usage:
+
+    python benchmarks/peer_health.py failures [--times 3]        engine failures on sockets, paired
+    by seed:
+                                                                 with reports, without, and
+                                                                 announced
+    python benchmarks/peer_health.py spread                      simulations of 3 to 200 gateways
+    python benchmarks/peer_health.py false-reports               gateways that send false reports,
+    and network
+                                                                 partitions, on sockets, against no
+                                                                 reports
+    python benchmarks/peer_health.py merge                       a merge of 1,000 reports, against a
+    plain list python benchmarks/peer_health.py slow-start [--faults 200]   work sent to cold
+    engines under faults,
+                                                                 against the rule
 """
 
 import argparse
@@ -22,30 +31,34 @@
 from corkgauge.testkit.fleet.processes import Fault, Fleet, drawn
 from corkgauge.testkit.seeded_random import SeededRandom
 
-WORTH = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
-SHARED = {"each": 0.2, "octets": 8000}
-TROUBLES = {"silent": 0.0, "slow": 8.0, "error": 1.0}
+VALUE_BY_CLASS = {"lookup": 1.0, "report": 8.0, "load": 2.0, "once": 2.0}
+REPORT_SETTINGS = {"each": 0.2, "octets": 8000}
+FAULT_AMOUNTS = {"silent": 0.0, "slow": 8.0, "error": 1.0}
 
 
-def quantile(values, part):
+def quantile(values, fraction):
     values = sorted(values)
-    return values[min(int(part * len(values)), len(values) - 1)] if values else float("nan")
+    return values[min(int(fraction * len(values)), len(values) - 1)] if values else float("nan")
 
 
-def earned(fleet, since, until):
-    good = possible = 0.0
+def served_fraction(fleet, from_time, to_time):
+    served_value = total_value = 0.0
     for client in fleet.clients:
         for ask in client.book:
-            if since <= ask.sent < until:
-                worth = WORTH[ask.want.request_class]
-                possible += worth
-                good += worth * (bool(ask.answers) and ask.answers[0][1] == 1)
-    return good / possible
+            if from_time <= ask.sent < to_time:
+                value = VALUE_BY_CLASS[ask.want.request_class]
+                total_value += value
+                served_value += value * (bool(ask.answers) and ask.answers[0][1] == 1)
+    return served_value / total_value
 
 
-def failing(job):
-    """Earnings lost while so many engines fail, with findings shared, without, or known to all at once by the list."""
-    seed, how, trouble, many = job
+def run_failures(job):
+    """Return the lost part of the value while engines fail.
+
+    `variant` is "shared" (with reports), "apart" (without reports) or "known" (the endpoint list
+    announces the failures to all gateways).
+    """
+    seed, variant, fault_kind, failing_count = job
     fleet = Fleet(
         seed,
         5,
@@ -53,86 +66,95 @@
         lease=2.0,
         clients=15,
         rate=150.0,
-        shared=SHARED if how == "shared" else None,
+        shared=REPORT_SETTINGS if variant == "shared" else None,
     )
-    bad = [f"e{1 + (5 * n + seed) % 12}" for n in range(many)]
+    failing_engines = [f"e{1 + (5 * n + seed) % 12}" for n in range(failing_count)]
     try:
         fleet.start()
         fleet.until(6)
-        begun = fleet.event_loop.now
-        for name in bad:
-            fleet.engines[name].begin(trouble, TROUBLES[trouble])
-        if how == "known":
-            fleet.listed(bad, "DELETED")
+        started_at = fleet.event_loop.now
+        for name in failing_engines:
+            fleet.engines[name].begin(fault_kind, FAULT_AMOUNTS[fault_kind])
+        if variant == "known":
+            fleet.listed(failing_engines, "DELETED")
         fleet.until(8)
-        for name in bad:
+        for name in failing_engines:
             fleet.engines[name].end()
-        if how == "known":
-            fleet.listed(bad)
+        if variant == "known":
+            fleet.listed(failing_engines)
         fleet.until(4)
-        over = fleet.event_loop.now
+        finished_at = fleet.event_loop.now
         fleet.settle()
-        tried = sum(
-            begun < run.came < begun + 8 * SECOND
-            for name in bad
+        attempt_count = sum(
+            started_at < run.came < started_at + 8 * SECOND
+            for name in failing_engines
             for run in fleet.engines[name].book
         )
-        return how, trouble, many, 1 - earned(fleet, begun, over), tried, fleet.broken(2_500)[:2]
+        return (
+            variant,
+            fault_kind,
+            failing_count,
+            1 - served_fraction(fleet, started_at, finished_at),
+            attempt_count,
+            fleet.broken(2_500)[:2],
+        )
     finally:
         fleet.close()
 
 
-def fail(said):
+def measure_failures(options):
     rows = {}
     jobs = [
-        (seed, how, trouble, many)
-        for trouble in TROUBLES
-        for many in (1, 3, 6)
-        for seed in range(said.times)
-        for how in ("shared", "apart", "known")
+        (seed, variant, fault_kind, failing_count)
+        for fault_kind in FAULT_AMOUNTS
+        for failing_count in (1, 3, 6)
+        for seed in range(options.times)
+        for variant in ("shared", "apart", "known")
     ]
-    with ProcessPoolExecutor(said.workers) as pool:
-        for how, trouble, many, lost, tried, rules in pool.map(failing, jobs):
-            rows.setdefault((trouble, many, how), []).append((lost, tried))
+    with ProcessPoolExecutor(options.workers) as pool:
+        for variant, fault_kind, failing_count, lost, attempt_count, rules in pool.map(
+            run_failures, jobs
+        ):
+            rows.setdefault((fault_kind, failing_count, variant), []).append((lost, attempt_count))
             if rules:
-                print(trouble, many, how, rules)
-    for trouble in TROUBLES:
-        for many in (1, 3, 6):
+                print(fault_kind, failing_count, variant, rules)
+    for fault_kind in FAULT_AMOUNTS:
+        for failing_count in (1, 3, 6):
             print(
-                f"{trouble}, {many} of 12: "
+                f"{fault_kind}, {failing_count} of 12: "
                 + "; ".join(
-                    f"{how} lost {100 * quantile([lost for lost, _ in rows[trouble, many, how]], 0.5):.2f} in 100, "
-                    f"{quantile([tried for _, tried in rows[trouble, many, how]], 0.5)} hand-offs there"
-                    for how in ("apart", "shared", "known")
+                    f"{variant} lost {100 * quantile([lost for lost, _ in rows[fault_kind, failing_count, variant]], 0.5):.2f}%, "
+                    f"{quantile([attempt_count for _, attempt_count in rows[fault_kind, failing_count, variant]], 0.5)} attempts at failed engines"
+                    for variant in ("apart", "shared", "known")
                 ),
                 flush=True,
             )
 
 
-def spread(said):
+def measure_spread(options):
     jobs = [
-        (many, engines, bad, loss, sharing)
-        for many, engines in ((3, 24), (30, 80), (80, 80), (200, 80))
-        for bad in (1, engines // 2)
+        (gateway_count, engine_count, silent_count, loss, sharing)
+        for gateway_count, engine_count in ((3, 24), (30, 80), (80, 80), (200, 80))
+        for silent_count in (1, engine_count // 2)
         for loss in (0.0, 0.3)
         for sharing in (True, False)
         if sharing or not loss
     ]
     jobs.append((200, 1000, 50, 0.0, True))
-    with ProcessPoolExecutor(said.workers) as pool:
-        for row in pool.map(_measured, jobs):
+    with ProcessPoolExecutor(options.workers) as pool:
+        for row in pool.map(_measure_spread, jobs):
             print(row, flush=True)
 
 
-def _measured(job):
+def _measure_spread(job):
     return measure_report_spread(*job)
 
 
-def lying(job):
-    seed, how = job
-    shared = None if how == "apart" else SHARED
-    fleet = Fleet(seed, 5, engines=12, lease=2.0, clients=15, rate=150.0, shared=shared)
-    if how == "liars":
+def run_false_reports(job):
+    seed, variant = job
+    report_settings = None if variant == "apart" else REPORT_SETTINGS
+    fleet = Fleet(seed, 5, engines=12, lease=2.0, clients=15, rate=150.0, shared=report_settings)
+    if variant == "liars":
         for name in "n1", "n3":
             fleet.gateways[name].program.start_with = (
                 "-m",
@@ -143,71 +165,77 @@
     try:
         fleet.start()
         fleet.until(5)
-        begun = fleet.event_loop.now
-        if how == "cut":
+        started_at = fleet.event_loop.now
+        if variant == "cut":
             fleet.befall(Fault(0, 6 * SECOND, "part", ("n1", "n2")))
         fleet.until(12)
-        over = fleet.event_loop.now
+        finished_at = fleet.event_loop.now
         fleet.settle()
-        return how, 1 - earned(fleet, begun, over), fleet.broken(2_500)[:2]
+        return variant, 1 - served_fraction(fleet, started_at, finished_at), fleet.broken(2_500)[:2]
     finally:
         fleet.close()
 
 
-def lies(said):
+def measure_false_reports(options):
     rows = {}
     jobs = [
-        (seed, how) for seed in range(said.times) for how in ("apart", "shared", "liars", "cut")
+        (seed, variant)
+        for seed in range(options.times)
+        for variant in ("apart", "shared", "liars", "cut")
     ]
-    with ProcessPoolExecutor(said.workers) as pool:
-        for how, lost, rules in pool.map(lying, jobs):
-            rows.setdefault(how, []).append(lost)
+    with ProcessPoolExecutor(options.workers) as pool:
+        for variant, lost, rules in pool.map(run_false_reports, jobs):
+            rows.setdefault(variant, []).append(lost)
             if rules:
-                print(how, rules)
-    for how, lost in rows.items():
+                print(variant, rules)
+    for variant, lost in rows.items():
         print(
-            f"{how}: lost {100 * quantile(lost, 0.5):.2f} in 100 ({100 * min(lost):.2f} to {100 * max(lost):.2f})"
+            f"{variant}: lost {100 * quantile(lost, 0.5):.2f}% ({100 * min(lost):.2f} to {100 * max(lost):.2f})"
         )
 
 
-def merge(said):
-    """A thousand findings of 200 witnesses on 1,000 engines, merged and looked up, against a list that is searched."""
-    chance = SeededRandom(3)
+def measure_merge(options):
+    """Merge 1,000 reports of 200 gateways on 1,000 engines and look them up; compare with a plain list."""
+    random = SeededRandom(3)
     rows = [
-        [f"n{chance.below(200)}", 1, n + 1, 0, f"e{chance.below(1000)}", 1, 4, 0, 0]
+        [f"n{random.below(200)}", 1, n + 1, 0, f"e{random.below(1000)}", 1, 4, 0, 0]
         for n in range(1000)
     ]
 
-    def ours():
-        findings = HealthReports("me", 1)
-        findings.merge(0, rows)
-        return sum(len([*findings.reports_on(f"e{n}")]) for n in range(1000))
+    def merge_indexed():
+        reports = HealthReports("me", 1)
+        reports.merge(0, rows)
+        return sum(len([*reports.reports_on(f"e{n}")]) for n in range(1000))
 
-    def plain():
-        held = []
+    def merge_in_list():
+        merged = []
         for row in rows:
-            at = next(
-                (n for n, each in enumerate(held) if (each[0], each[4]) == (row[0], row[4])), -1
+            position = next(
+                (n for n, each in enumerate(merged) if (each[0], each[4]) == (row[0], row[4])), -1
             )
-            if at < 0:
-                held.append(row)
-            elif held[at][1:3] < row[1:3]:
-                held[at] = row
-        return sum(len([each for each in held if each[4] == f"e{n}"]) for n in range(1000))
-
-    assert ours() == plain()
-    for name, method in (("indexed", ours), ("plain list", plain)):
+            if position < 0:
+                merged.append(row)
+            elif merged[position][1:3] < row[1:3]:
+                merged[position] = row
+        return sum(len([each for each in merged if each[4] == f"e{n}"]) for n in range(1000))
+
+    assert merge_indexed() == merge_in_list()
+    for name, method in (("indexed", merge_indexed), ("plain list", merge_in_list)):
         times = []
         for _ in range(5):
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             method()
-            times.append(time.perf_counter() - begun)
-        print(f"{name}: {1000 * min(times):.2f} ms for 1,000 merged and 1,000 engines looked up")
+            times.append(time.perf_counter() - started_at)
+        print(f"{name}: {1000 * min(times):.2f} ms for 1,000 merged reports and 1,000 lookups")
 
 
-def summed(job):
-    """Engines return cold again and again under faults; what all gateways send there, over what makes one fall."""
-    seed, off, seconds = job
+def run_slow_start(job):
+    """Measure the work that all gateways send to engines that restart under faults.
+
+    Returns:
+        The work in the worst interval, over the work that makes a cold engine fail.
+    """
+    seed, leases_ignored, seconds = job
     names = [f"n{n}" for n in range(1, 6)]
     fleet = Fleet(
         seed,
@@ -217,58 +245,63 @@
         cold=4.0,
         clients=6,
         rate=250.0,
-        shared=SHARED,
+        shared=REPORT_SETTINGS,
         faults=drawn(seed, names, seconds, 0.4, 2.0),
-        off="leases" if off else "none",
+        off="leases" if leases_ignored else "none",
     )
-    chance, worst = SeededRandom(seed), 0.0
-    renewals = []
+    random, worst_ratio = SeededRandom(seed), 0.0
+    restarts = []
 
-    def renew():
-        some = [f"e{1 + chance.below(12)}" for _ in range(4)]
-        some = [*dict.fromkeys(some)]
-        fleet.renewed(some)
-        renewals.append((fleet.event_loop.now, some))
-        fleet.event_loop.call_later(5 * SECOND, renew)
+    def restart_engines():
+        restarted = [f"e{1 + random.below(12)}" for _ in range(4)]
+        restarted = [*dict.fromkeys(restarted)]
+        fleet.renewed(restarted)
+        restarts.append((fleet.event_loop.now, restarted))
+        fleet.event_loop.call_later(5 * SECOND, restart_engines)
 
     try:
         fleet.start()
-        fleet.event_loop.call_later(4 * SECOND, renew)
+        fleet.event_loop.call_later(4 * SECOND, restart_engines)
         fleet.until(seconds)
-        share, span, multiple, fall = fleet.stakes.cold
-        for begun, some in renewals:
-            for name in some:
+        share, window_ticks, multiple, failure_ticks = fleet.stakes.cold
+        for started_at, restarted in restarts:
+            for name in restarted:
                 sent = [
                     (run.came, run.work)
                     for run in fleet.engines[name].book
-                    if begun <= run.came < begun + span
+                    if started_at <= run.came < started_at + window_ticks
                 ]
                 for came, _ in sent:
-                    work = sum(each for when, each in sent if came <= when < came + fall)
-                    worst = max(
-                        worst, work / (multiple * share * fleet.engines[name].cores * fall / 10)
+                    work = sum(each for when, each in sent if came <= when < came + failure_ticks)
+                    worst_ratio = max(
+                        worst_ratio,
+                        work / (multiple * share * fleet.engines[name].cores * failure_ticks / 10),
                     )
-        passed = 0
+        passed_permit_count = 0
         for name in names:
             try:
-                passed += fleet.asked(name, "/shared")["counters"].get("turns passed on", 0)
+                passed_permit_count += fleet.asked(name, "/shared")["counters"].get(
+                    "turns passed on", 0
+                )
             except OSError:
                 pass
-        return off, fleet.befallen, worst, passed
+        return leases_ignored, fleet.befallen, worst_ratio, passed_permit_count
     finally:
         fleet.close()
 
 
-def sums(said):
-    seconds = said.faults / 4 * 0.4 + 5
+def measure_slow_start(options):
+    seconds = options.faults / 4 * 0.4 + 5
     jobs = [(seed, False, seconds) for seed in (1, 2, 3, 4)] + [
         (seed, True, min(seconds, 40)) for seed in (1, 2)
     ]
     with ProcessPoolExecutor(len(jobs)) as pool:
-        for off, faults, worst, passed in pool.map(summed, jobs):
+        for leases_ignored, faults, worst_ratio, passed_permit_count in pool.map(
+            run_slow_start, jobs
+        ):
             print(
-                f"{'leases ignored' if off else 'as it is'}: {faults} faults, turns passed on {passed}, at most "
-                f"{worst:.2f} of what makes a cold engine fall: {'OBJECTION' if worst > 1 else 'kept'}",
+                f"{'leases ignored' if leases_ignored else 'with leases'}: {faults} faults, {passed_permit_count} permits passed on, at most "
+                f"{worst_ratio:.2f} of the work that makes a cold engine fail: {'VIOLATION' if worst_ratio > 1 else 'ok'}",
                 flush=True,
             )
 
@@ -277,12 +310,20 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("what", choices=["fail", "spread", "lies", "merge", "sums"])
+    parser.add_argument(
+        "what", choices=["failures", "spread", "false-reports", "merge", "slow-start"]
+    )
     parser.add_argument("--times", type=int, default=3)
     parser.add_argument("--faults", type=int, default=1000)
     parser.add_argument("--workers", type=int, default=4)
-    said = parser.parse_args()
-    {"fail": fail, "spread": spread, "lies": lies, "merge": merge, "sums": sums}[said.what](said)
+    options = parser.parse_args()
+    {
+        "failures": measure_failures,
+        "spread": measure_spread,
+        "false-reports": measure_false_reports,
+        "merge": measure_merge,
+        "slow-start": measure_slow_start,
+    }[options.what](options)
 
 
 if __name__ == "__main__":
