--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -2,11 +2,16 @@
 
 Usage:
 
-    python benchmarks/accounting.py audit               an audit pass over up to 20,000 open records, by step
-    python benchmarks/accounting.py scrape              a scrape of 1,000 engines, by chunk
-    python benchmarks/accounting.py sketches            memory and time per entry of quantile sketches
-    python benchmarks/accounting.py load --base REV     serving with this version and an earlier one, in turn
-    python benchmarks/accounting.py memory --base REV   memory after the start, in both versions
+    python benchmarks/accounting.py audit
+        an audit pass over up to 20,000 open records, by step
+    python benchmarks/accounting.py scrape
+        a scrape of 1,000 engines, by chunk
+    python benchmarks/accounting.py sketches
+        memory and time per entry of quantile sketches
+    python benchmarks/accounting.py load --base REV
+        serving with this version and an earlier one, in turn
+    python benchmarks/accounting.py memory --base REV
+        memory after the start, in both versions
 
 The results of `load` and `memory` are measured on sockets, with emulated clients and engines on the
 same machine.
@@ -74,7 +79,8 @@
             single_turn_ms.append((time.perf_counter() - started_at) * 1000)
         assert not ledger_harness.discrepancies.by_kind_and_row
         print(
-            f"{record_count:6} {engine_count:7} {len(steps):6} {statistics.median(longest_ms):12.2f} "
+            f"{record_count:6} {engine_count:7} {len(steps):6} "
+            f"{statistics.median(longest_ms):12.2f} "
             f"{statistics.median(pass_ms):12.2f} {statistics.median(single_turn_ms):12.2f}"
         )
     ledger_harness, count = make_ledger(0, 6), 100_000
@@ -171,7 +177,8 @@
             else (sketch.get_value_at_percentile(99))
         )
         print(
-            f"{name:24} {microseconds:.2f} us per entry, {memory_bytes} bytes, relative error of the 99th percentile "
+            f"{name:24} {microseconds:.2f} us per entry, {memory_bytes} bytes, relative error of "
+            f"the 99th percentile "
             f"{estimate / true_value - 1:+.3f}"
         )
 
@@ -232,7 +239,8 @@
         finally:
             subprocess.run(["git", "-C", ROOT, "worktree", "remove", "--force", before], check=True)
     print(
-        f"{runs} runs of {seconds} s at {rate} requests per second, in turn; medians (minimum to maximum)"
+        f"{runs} runs of {seconds} s at {rate} requests per second, in turn; medians (minimum to "
+        f"maximum)"
     )
     for name, measurements in results.items():
         columns = []
@@ -241,7 +249,8 @@
         ):
             values = sorted(measurement[n] for measurement in measurements)
             columns.append(
-                f"{template.format(statistics.median(values))} ({values[0]:.3g} to {values[-1]:.3g})"
+                f"{template.format(statistics.median(values))} ({values[0]:.3g} to "
+                f"{values[-1]:.3g})"
             )
         print(f"{name:26} {'; '.join(columns)}")
     for name in [*results][1:]:
--- a/benchmarks/flow_export.py
+++ b/benchmarks/flow_export.py
@@ -2,15 +2,16 @@
 
 Usage:
 
-    python benchmarks/flow_export.py encode      records per second and octets per record, against
-    packing
-                                                 field by field
-    python benchmarks/flow_export.py timers      the timer wheel against a heap, at 10,000 and
-    100,000 flows python benchmarks/flow_export.py buffer      pending records when 10,000
-    connections end without a collector python benchmarks/flow_export.py load        serving without
-    export, and with a collector that is reachable,
-                                                 unreachable or does not read
-    python benchmarks/flow_export.py zone FILE   report rows while the engines of one zone are slow
+    python benchmarks/flow_export.py encode
+        records per second and octets per record, against packing field by field
+    python benchmarks/flow_export.py timers
+        the timer wheel against a heap, at 10,000 and 100,000 flows
+    python benchmarks/flow_export.py buffer
+        pending records when 10,000 connections end within one second without a collector
+    python benchmarks/flow_export.py load
+        serving without export, and with a collector that is reachable, unreachable or does not read
+    python benchmarks/flow_export.py zone FILE
+        report rows of a scenario in which the engines of one zone are slow
 
 The results of `load` are measured on sockets, with emulated clients and engines on the same
 machine.
@@ -105,7 +106,8 @@
             size += len(data)
         elapsed = time.perf_counter() - started_at
         print(
-            f"{kind:10} {count / elapsed:9.0f} connections per second, {size / count:.1f} octets each, "
+            f"{kind:10} {count / elapsed:9.0f} connections per second, {size / count:.1f} octets "
+            f"each, "
             f"longest message {longest * 1000:.2f} ms"
         )
     items = make_deltas(count)
@@ -113,7 +115,8 @@
     size = sum(len(encode_field_by_field(item, "n1")) for item in items)
     elapsed = time.perf_counter() - started_at
     print(
-        f"field by field, records only: {count / elapsed:.0f} per second, {size / count:.1f} octets each"
+        f"field by field, records only: {count / elapsed:.0f} per second, {size / count:.1f} "
+        f"octets each"
     )
 
 
@@ -167,7 +170,8 @@
                 re_added_count += len(due)
                 longest = max(longest, advanced_at - started_at)
             print(
-                f"{count:7} {name:6} {add_seconds / count * 1e6:6.2f} {remove_seconds / (count // 2) * 1e6:8.2f} "
+                f"{count:7} {name:6} {add_seconds / count * 1e6:6.2f} "
+                f"{remove_seconds / (count // 2) * 1e6:8.2f} "
                 f"{re_add_seconds / max(re_added_count, 1) * 1e6:12.2f} {longest * 1000:14.2f}"
             )
 
@@ -186,8 +190,10 @@
         used_octets = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
         print(
-            f"limit {limit_bytes:8}: {len(pending)} records for 10,000 connections, {pending.merged_flows} merged, "
-            f"{pending.dropped_octets} octets dropped, {elapsed:.1f} us each (traced), {used_octets} octets of memory"
+            f"limit {limit_bytes:8}: {len(pending)} records for 10,000 connections, "
+            f"{pending.merged_flows} merged, "
+            f"{pending.dropped_octets} octets dropped, {elapsed:.1f} us each (traced), "
+            f"{used_octets} octets of memory"
         )
 
 
@@ -247,15 +253,18 @@
         for variant, measurements in results.items():
             measurements.append(run_load(variant, seconds, rate))
     print(
-        f"{runs} runs of {seconds} s at {rate} requests per second, in turn; a record every 0.25 s; medians"
+        f"{runs} runs of {seconds} s at {rate} requests per second, in turn; a record every 0.25 "
+        f"s; medians"
     )
     print(
-        "collector   us per request  99th percentile ms  longest turn ms  served  memory MB  records"
+        "collector   us per request  99th percentile ms  longest turn ms  served  memory MB  "
+        "records"
     )
     for variant, measurements in results.items():
         columns = [statistics.median(item[n] for item in measurements) for n in range(6)]
         print(
-            f"{variant:10} {columns[0]:15.0f} {columns[1]:19.1f} {columns[2]:16.1f} {columns[3]:7.4f} "
+            f"{variant:10} {columns[0]:15.0f} {columns[1]:19.1f} {columns[2]:16.1f} "
+            f"{columns[3]:7.4f} "
             f"{columns[4]:10.1f} {columns[5]:8.0f}"
         )
     for variant in [*results][1:]:
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -2,18 +2,22 @@
 
 Usage:
 
-    python benchmarks/leases.py faults [--faults 1000]    random faults at 3, 5 and 9 processes; then each
-                                                          safeguard disabled
-    python benchmarks/leases.py handover [--plot FILE]    time without a holder after a kill, a stop, a cut
-                                                          and a planned end
-    python benchmarks/leases.py spurious                  handovers without a fault, at 0, 10 and 30% of
-                                                          datagrams lost
-    python benchmarks/leases.py overhead                  processor time and 99th percentile with leases and
-                                                          without, paired
-    python benchmarks/leases.py simulate [--runs 100000]  simulations with drifting clocks
-    python benchmarks/leases.py explore [--depth 14]      model checking of all orders of events, to a depth
-    python benchmarks/leases.py membership                simulations of membership by fleet size
-    python benchmarks/leases.py fleet                     membership of thirty processes, on sockets
+    python benchmarks/leases.py faults [--faults 1000]
+        random faults at 3, 5 and 9 processes; then each safeguard disabled
+    python benchmarks/leases.py handover [--plot FILE]
+        time without a holder after a kill, a stop, a cut and a planned end
+    python benchmarks/leases.py spurious
+        handovers without a fault, at 0, 10 and 30% of datagrams lost
+    python benchmarks/leases.py overhead
+        processor time and 99th percentile with leases and without, paired
+    python benchmarks/leases.py simulate [--runs 100000]
+        simulations with drifting clocks
+    python benchmarks/leases.py explore [--depth 14]
+        model checking of all orders of events, to a depth
+    python benchmarks/leases.py membership
+        simulations of membership by fleet size, with the member lists of the program
+    python benchmarks/leases.py fleet
+        membership and lease traffic of thirty processes, on sockets
 """
 
 import argparse
@@ -92,7 +96,8 @@
             if result.get("wrong"):
                 break
         print(
-            f"without {safeguard}: {len(result['wrong'])} violations, seed {seed}: {(result['wrong'] or ['none'])[0]}"
+            f"without {safeguard}: {len(result['wrong'])} violations, seed {seed}: "
+            f"{(result['wrong'] or ['none'])[0]}"
         )
 
 
@@ -139,8 +144,10 @@
         ):
             rows[lease, loss, kind] = durations
             print(
-                f"lease {lease} s, loss {loss:3}: {kind:5} n={len(durations):3} median {quantile(durations, 0.5):.3f} "
-                f"longest {max(durations, default=0):.3f} s without a holder; violations {len(violations_found)}",
+                f"lease {lease} s, loss {loss:3}: {kind:5} n={len(durations):3} median "
+                f"{quantile(durations, 0.5):.3f} "
+                f"longest {max(durations, default=0):.3f} s without a holder; violations "
+                f"{len(violations_found)}",
                 flush=True,
             )
     if options.plot:
@@ -190,7 +197,8 @@
         count = len(fleet.changes()) - before
         gone = sum(" gone, was" in line for line in fleet.logs())
         return (
-            f"loss {loss}: {count} handovers in {hours * 3600:.0f} s, {count / hours:.0f} per hour with leases of "
+            f"loss {loss}: {count} handovers in {hours * 3600:.0f} s, {count / hours:.0f} per "
+            f"hour with leases of "
             f"1 s; members considered gone {gone}; violations {len(fleet.wrong())}"
         )
     finally:
@@ -241,7 +249,8 @@
     for n, figure in enumerate(("processor", "99th percentile")):
         ratios = sorted(row["with"][n] / row["without"][n] for row in pairs)
         print(
-            f"{figure}: with over without, median {quantile(ratios, 0.5):.3f} ({ratios[0]:.3f} to {ratios[-1]:.3f})"
+            f"{figure}: with over without, median {quantile(ratios, 0.5):.3f} ({ratios[0]:.3f} "
+            f"to {ratios[-1]:.3f})"
         )
 
 
@@ -270,8 +279,10 @@
             )
         ]
     print(
-        f"{options.runs} simulations, {time.time() - started_at:.0f} s: {sum(each[1] for each in found)} handovers, "
-        f"{sum(each[2] for each in found)} acts, {sum(each[3] for each in found)} rejected by fencing, "
+        f"{options.runs} simulations, {time.time() - started_at:.0f} s: "
+        f"{sum(each[1] for each in found)} handovers, "
+        f"{sum(each[2] for each in found)} acts, {sum(each[3] for each in found)} rejected by "
+        f"fencing, "
         f"violations {sum((each[0] for each in found), [])[:3] or 0}"
     )
 
@@ -296,8 +307,11 @@
             jobs, pool.map(run_exploration, jobs)
         ):
             print(
-                f"from {'a holder' if start_with_holder else 'the start'}{', without ' + safeguard if safeguard else ''}: depth "
-                f"{len(exploration.by_depth) - 1}, {exploration.state_count} states ({exploration.states_with_holder} with a holder), {seconds:.0f} s: "
+                f"from "
+                f"{'a holder' if start_with_holder else 'the start'}"
+                f"{', without ' + safeguard if safeguard else ''}: depth "
+                f"{len(exploration.by_depth) - 1}, {exploration.state_count} states "
+                f"({exploration.states_with_holder} with a holder), {seconds:.0f} s: "
                 f"{'; '.join(exploration.counterexample) or 'no violation'}",
                 flush=True,
             )
@@ -330,7 +344,8 @@
         while any(count_members(name, "alive") < 30 for name in (names[0], names[14], names[29])):
             fleet.until(0.5)
         print(
-            f"30 processes: all see 30 others (including the checker) {(fleet.event_loop.now - fleet.begun) / SECOND:.1f} s "
+            f"30 processes: all see 30 others (including the checker) "
+            f"{(fleet.event_loop.now - fleet.begun) / SECOND:.1f} s "
             "after the first start"
         )
         before = [fleet.asked(name, "/fellows")["counters"]["sent"] for name in names[:5]]
@@ -349,7 +364,8 @@
         ):
             fleet.until(0.2)
         print(
-            f"three queried gateways consider a killed one gone after {(fleet.event_loop.now - started_at) / SECOND:.1f} s"
+            f"three queried gateways consider a killed one gone after "
+            f"{(fleet.event_loop.now - started_at) / SECOND:.1f} s"
         )
         print(f"violations {len(fleet.wrong())}, holder {fleet.holder()}")
     finally:
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -2,21 +2,22 @@
 
 Usage:
 
-    python benchmarks/maintenance.py faults [--faults 1000]    random faults at 3, 5 and 9 processes, 12
-                                                               to 24 engines; then without safeguards
-    python benchmarks/maintenance.py fleet [--plot FILE]       maintenance of a whole fleet by policy, on
-                                                               sockets, paired by seed
-    python benchmarks/maintenance.py simulate [--plot FILE]    the same, simulated at 24, 80, 200 and
-                                                               1,000 engines
-    python benchmarks/maintenance.py overhead                  serving with maintenance, with all members
-                                                               lost, and without maintenance, paired
-    python benchmarks/maintenance.py latency                   from request to out and to back, and after
-                                                               the death of the planner
-    python benchmarks/maintenance.py cold                      work sent to four engines that return at
-                                                               once, summed over all gateways
-    python benchmarks/maintenance.py consensus [--runs 20000]  simulations of the consensus on the plan
-    python benchmarks/maintenance.py schedule                  the order of grants against the best of
-                                                               all orders, on small fleets
+    python benchmarks/maintenance.py faults [--faults 1000]
+        random faults at 3, 5 and 9 processes, 12 to 24 engines; then without safeguards
+    python benchmarks/maintenance.py fleet [--plot FILE]
+        maintenance of a whole fleet by policy, on sockets, paired by seed
+    python benchmarks/maintenance.py simulate [--plot FILE]
+        the same, simulated at 24, 80, 200 and 1,000 engines
+    python benchmarks/maintenance.py overhead
+        serving with maintenance, with all members lost, and without maintenance, paired
+    python benchmarks/maintenance.py latency
+        from request to out and to back, and after the death of the planner
+    python benchmarks/maintenance.py cold
+        work sent to four engines that return at once, summed over all gateways
+    python benchmarks/maintenance.py consensus [--runs 20000]
+        simulations of the consensus on the plan
+    python benchmarks/maintenance.py schedule
+        the order of grants against the best of all orders, on small fleets
 """
 
 import argparse
@@ -75,7 +76,8 @@
     for job, result in zip(jobs, found):
         print(f"{job[0]} processes, {job[1]} engines: {result}", flush=True)
     print(
-        f"{sum(result['faults'] for result in found)} faults, {sum(r['works'] for r in found)} completed maintenances, "
+        f"{sum(result['faults'] for result in found)} faults, {sum(r['works'] for r in found)} "
+        f"completed maintenances, "
         f"violations {sum(len(r['wrong']) + len(r['rules']) + len(r['duties']) for r in found)}",
         flush=True,
     )
@@ -83,7 +85,8 @@
         jobs = [(safeguard, is_disabled) for safeguard in AIMS for is_disabled in (False, True)]
         for (safeguard, is_disabled), wrong in zip(jobs, pool.map(_run_aimed, jobs)):
             print(
-                f"{'without' if is_disabled else 'with'} {safeguard}: {len(wrong)} violations{': ' + wrong[0] if wrong else ''}"
+                f"{'without' if is_disabled else 'with'} {safeguard}: {len(wrong)} "
+                f"violations{': ' + wrong[0] if wrong else ''}"
             )
 
 
@@ -211,8 +214,10 @@
         }
         print(
             f"{policy}: value lost {quantile([row['lost'] for row in policy_rows], 0.5):.4f} "
-            f"({min(row['lost'] for row in policy_rows):.4f} to {max(row['lost'] for row in policy_rows):.4f}), "
-            f"{quantile([row['seconds'] for row in policy_rows], 0.5):.1f} s, worst second by request class {worst}"
+            f"({min(row['lost'] for row in policy_rows):.4f} to "
+            f"{max(row['lost'] for row in policy_rows):.4f}), "
+            f"{quantile([row['seconds'] for row in policy_rows], 0.5):.1f} s, worst second by "
+            f"request class {worst}"
         )
     if options.plot:
         plot(
@@ -251,9 +256,12 @@
                 for name in policy_rows[0]["worst_by"]
             }
             print(
-                f"{engines} engines, {policy}: lost {quantile([row['lost'] for row in policy_rows], 0.5):.4f} "
-                f"(most {max(row['lost'] for row in policy_rows):.4f}), {quantile([r['hours'] for r in policy_rows], 0.5):.1f} h, "
-                f"worst step {quantile([row['worst'] for row in policy_rows], 0.5):.3f}, by request class {worst}",
+                f"{engines} engines, {policy}: lost "
+                f"{quantile([row['lost'] for row in policy_rows], 0.5):.4f} "
+                f"(most {max(row['lost'] for row in policy_rows):.4f}), "
+                f"{quantile([r['hours'] for r in policy_rows], 0.5):.1f} h, "
+                f"worst step {quantile([row['worst'] for row in policy_rows], 0.5):.3f}, by "
+                f"request class {worst}",
                 flush=True,
             )
     if options.plot:
@@ -297,7 +305,7 @@
 
 
 def measure_serving(job):
-    """Measure serving with maintenance enabled, with all members lost, or without both subsystems."""
+    """Measure serving with maintenance, with all members lost, or without both subsystems."""
     seed, kind, seconds = job
     works = {"each": 0.5, "grant": 2.0, "patience": 0.5}
     fleet = Fleet(seed, 3, engines=6, lease=1.0, clients=9, rate=300.0, works=works)
@@ -352,7 +360,8 @@
             name, succeeded, latency, used, rules = measure_serving((seed, kind, options.seconds))
             rows.setdefault(name, []).append((succeeded, latency, used))
             print(
-                f"{name}: succeeded {succeeded:.4f}, 99th percentile {latency:.1f} ms, processor {used:.3f} ms per request, "
+                f"{name}: succeeded {succeeded:.4f}, 99th percentile {latency:.1f} ms, processor "
+                f"{used:.3f} ms per request, "
                 f"rule violations {rules[:2]}",
                 flush=True,
             )
@@ -485,7 +494,8 @@
     with ProcessPoolExecutor(2) as pool:
         for kind, worst, rules in pool.map(measure_return, jobs):
             print(
-                f"{kind}: at most {worst:.3f} of the work that makes a cold engine fail; rule violations {rules[:2]}",
+                f"{kind}: at most {worst:.3f} of the work that makes a cold engine fail; rule "
+                f"violations {rules[:2]}",
                 flush=True,
             )
 
@@ -512,9 +522,11 @@
             )
         ]
     print(
-        f"{options.runs} simulations, {time.time() - started_at:.0f} s: {sum(each[1] for each in found)} steps agreed, "
+        f"{options.runs} simulations, {time.time() - started_at:.0f} s: "
+        f"{sum(each[1] for each in found)} steps agreed, "
         f"plan taken over {sum(each[2] for each in found)} times, late notices to replaced leaders "
-        f"{sum(each[3] for each in found)}, violations {sum((each[0] for each in found), [])[:3] or 0}"
+        f"{sum(each[3] for each in found)}, violations "
+        f"{sum((each[0] for each in found), [])[:3] or 0}"
     )
 
 
@@ -596,9 +608,12 @@
         excesses.append((actual[0] - best[0], actual[1] / least))
     lateness = [each for each, _ in excesses]
     print(
-        f"{len(excesses)} fleets of 6: lateness equal to the best order in {sum(not each for each in lateness)}, median excess "
-        f"lateness {quantile(lateness, 0.5)}, most {max(lateness)}; total time over the shortest: median "
-        f"{quantile([each for _, each in excesses], 0.5):.3f}, most {max(each for _, each in excesses):.3f}"
+        f"{len(excesses)} fleets of 6: lateness equal to the best order in "
+        f"{sum(not each for each in lateness)}, median excess "
+        f"lateness {quantile(lateness, 0.5)}, most {max(lateness)}; total time over the "
+        f"shortest: median "
+        f"{quantile([each for _, each in excesses], 0.5):.3f}, most "
+        f"{max(each for _, each in excesses):.3f}"
     )
 
 
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -1,6 +1,7 @@
 """Tests a fleet of two versions: membership, lease handover and maintenance between them.
 
-    python benchmarks/mixed_fleet.py --tree ../landed      half of the gateways run from that checkout
+    python benchmarks/mixed_fleet.py --tree ../landed
+        half of the gateways run from that checkout
 
 Starts gateways as processes on this machine, with relays between them. Half of the gateways run
 this version, and half the version in the other checkout. The lease holder is cut off, gateways are
--- a/benchmarks/peer_health.py
+++ b/benchmarks/peer_health.py
@@ -2,19 +2,17 @@
 
 Usage:
 
-    python benchmarks/peer_health.py failures [--times 3]        engine failures on sockets, paired
-    by seed:
-                                                                 with reports, without, and
-                                                                 announced
-    python benchmarks/peer_health.py spread                      simulations of 3 to 200 gateways
-    python benchmarks/peer_health.py false-reports               gateways that send false reports,
-    and network
-                                                                 partitions, on sockets, against no
-                                                                 reports
-    python benchmarks/peer_health.py merge                       a merge of 1,000 reports, against a
-    plain list python benchmarks/peer_health.py slow-start [--faults 200]   work sent to cold
-    engines under faults,
-                                                                 against the rule
+    python benchmarks/peer_health.py failures [--times 3]
+        engine failures on sockets, paired by seed: with reports, without reports, and announced to
+        all gateways at once
+    python benchmarks/peer_health.py spread
+        simulations of 3 to 200 gateways with the reports of the program
+    python benchmarks/peer_health.py false-reports
+        gateways that send false reports, and network partitions, on sockets, against no reports
+    python benchmarks/peer_health.py merge
+        a merge of 1,000 reports, against a plain list
+    python benchmarks/peer_health.py slow-start [--faults 200]
+        work sent to cold engines under faults, against the slow start rule
 """
 
 import argparse
@@ -123,7 +121,8 @@
             print(
                 f"{fault_kind}, {failing_count} of 12: "
                 + "; ".join(
-                    f"{variant} lost {100 * quantile([lost for lost, _ in rows[fault_kind, failing_count, variant]], 0.5):.2f}%, "
+                    f"{variant} lost "
+                    f"{100 * quantile([lost for lost, _ in rows[fault_kind, failing_count, variant]], 0.5):.2f}%, "
                     f"{quantile([attempt_count for _, attempt_count in rows[fault_kind, failing_count, variant]], 0.5)} attempts at failed engines"
                     for variant in ("apart", "shared", "known")
                 ),
@@ -190,12 +189,13 @@
                 print(variant, rules)
     for variant, lost in rows.items():
         print(
-            f"{variant}: lost {100 * quantile(lost, 0.5):.2f}% ({100 * min(lost):.2f} to {100 * max(lost):.2f})"
+            f"{variant}: lost {100 * quantile(lost, 0.5):.2f}% ({100 * min(lost):.2f} to "
+            f"{100 * max(lost):.2f})"
         )
 
 
 def measure_merge(options):
-    """Merge 1,000 reports of 200 gateways on 1,000 engines and look them up; compare with a plain list."""
+    """Merge and look up 1,000 reports of 200 gateways on 1,000 engines; compare with a list."""
     random = SeededRandom(3)
     rows = [
         [f"n{random.below(200)}", 1, n + 1, 0, f"e{random.below(1000)}", 1, 4, 0, 0]
@@ -300,8 +300,10 @@
             run_slow_start, jobs
         ):
             print(
-                f"{'leases ignored' if leases_ignored else 'with leases'}: {faults} faults, {passed_permit_count} permits passed on, at most "
-                f"{worst_ratio:.2f} of the work that makes a cold engine fail: {'VIOLATION' if worst_ratio > 1 else 'ok'}",
+                f"{'leases ignored' if leases_ignored else 'with leases'}: {faults} faults, "
+                f"{passed_permit_count} permits passed on, at most "
+                f"{worst_ratio:.2f} of the work that makes a cold engine fail: "
+                f"{'VIOLATION' if worst_ratio > 1 else 'ok'}",
                 flush=True,
             )
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -2,16 +2,22 @@
 
 Usage:
 
-    python benchmarks/recovery.py kills --count 500   kills of the gateway under load, while it writes files
-    python benchmarks/recovery.py keyed               keyed requests that were sent outside their table group
-                                                      after kills, with the attempt log and without
-    python benchmarks/recovery.py gain --runs 10      a restart while one engine is slow and one is silent
-    python benchmarks/recovery.py stale --runs 10     the same, with a snapshot that is wrong for all engines
-    python benchmarks/recovery.py overhead --runs 4   serving without recovery, with it, and with writes that
-                                                      survive a power failure
-    python benchmarks/recovery.py fleet --runs 10     a restart of one of three gateways, or of all with
-                                                      replaced engines: cold against recovered, paired by seed
-    python benchmarks/recovery.py start               duration of a start with a snapshot of 1,000 engines
+    python benchmarks/recovery.py kills --count 500
+        kills of the gateway under load, while it writes files
+    python benchmarks/recovery.py keyed
+        keyed requests that were sent outside their table group after kills, with the attempt log
+        and without
+    python benchmarks/recovery.py gain --runs 10
+        a restart while one engine is ten times slower and one is silent
+    python benchmarks/recovery.py stale --runs 10
+        the same, with a snapshot that is wrong for all engines
+    python benchmarks/recovery.py overhead --runs 4
+        serving without recovery, with it, and with writes that survive a power failure
+    python benchmarks/recovery.py fleet --runs 10
+        a restart of one of three gateways, or of all with replaced engines: cold against recovered,
+        paired by seed
+    python benchmarks/recovery.py start
+        duration of a start with a snapshot of 1,000 engines
 
 The results are measured on sockets, with emulated clients and engines on the same machine.
 """
@@ -142,8 +148,10 @@
         with ProcessPoolExecutor(4) as pool:
             results = [*pool.map(run_keyed_requests, [with_recovery] * runs, range(1, runs + 1))]
         print(
-            f"attempt log {'on ' if with_recovery else 'off'}: {sum(each[0] for each in results)} keyed requests "
-            f"repeated after kills, {sum(len(each[1]) for each in results)} executed outside their table group, "
+            f"attempt log {'on ' if with_recovery else 'off'}: "
+            f"{sum(each[0] for each in results)} keyed requests "
+            f"repeated after kills, {sum(len(each[1]) for each in results)} executed outside "
+            f"their table group, "
             f"{sum(len(each[2]) for each in results)} other rule violations"
         )
 
@@ -191,7 +199,8 @@
         recovered = [*pool.map(run_restart, [True] * runs, seeds, [is_stale] * runs, [rate] * runs)]
     for name, results in ("cold", cold), ("recovered", recovered):
         print(
-            f"{name:9} lost in the 10 s after the restart: median {100 * statistics.median(results):.2f}% "
+            f"{name:9} lost in the 10 s after the restart: median "
+            f"{100 * statistics.median(results):.2f}% "
             f"({100 * min(results):.2f} to {100 * max(results):.2f})"
         )
     pairs = sorted(a - b for a, b in zip(cold, recovered))
@@ -247,7 +256,8 @@
     for durability, measurements in results.items():
         columns = [statistics.median(each[n] for each in measurements) for n in range(4)]
         print(
-            f"{durability:10} {columns[0]:16.1f} {columns[1]:16.0f} {columns[2]:19.1f} {columns[3]:16.1f}"
+            f"{durability:10} {columns[0]:16.1f} {columns[1]:16.0f} {columns[2]:19.1f} "
+            f"{columns[3]:16.1f}"
         )
     for durability in "process", "machine":
         ratios = sorted(each[1] / was[1] for each, was in zip(results[durability], results["off"]))
@@ -330,7 +340,8 @@
             100 * statistics.median(rows[variant, is_recovered]) for is_recovered in (False, True)
         )
         print(
-            f"{variant}: value lost after the restart, cold {cold:.2f}%, recovered {recovered:.2f}%; "
+            f"{variant}: value lost after the restart, cold {cold:.2f}%, recovered "
+            f"{recovered:.2f}%; "
             f"cold minus recovered, by pair, median {100 * statistics.median(pairs):.2f} "
             f"({100 * pairs[0]:.2f} to {100 * pairs[-1]:.2f})",
             flush=True,
@@ -374,7 +385,8 @@
     )
     print(
         f"{len(data)} octets; copied, converted and encoded in {steps} ms, one turn each; "
-        f"decoded and restored in {1000 * (restored_at - restore_started_at):.1f} ms: {restored_counts}"
+        f"decoded and restored in {1000 * (restored_at - restore_started_at):.1f} ms: "
+        f"{restored_counts}"
     )
 
 
