--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -128,7 +128,7 @@
         crew.wish({"do": "known", "out": []})
         fleet.until(6)
         started_at = fleet.event_loop.now
-        if policy == "works":
+        if policy == "scheduled":
             for zone in "hall-a", "hall-b":
                 crew.ask("hall", zone)
             fleet.until(90, lambda: not crew.over(24))
@@ -194,7 +194,7 @@
 
 
 def compare_policies(options):
-    policies, rows = ("works", "alone", "fixed", "at once"), []
+    policies, rows = ("scheduled", "alone", "fixed", "at once"), []
     jobs = [(seed, policy) for seed in range(options.times) for policy in policies]
     with ProcessPoolExecutor(2) as pool:
         for row in pool.map(maintain_fleet, jobs):
@@ -457,7 +457,7 @@
         fleet.start()
         crew.wish({"do": "known", "out": []})
         fleet.until(5)
-        if together == "works":
+        if together == "scheduled":
             crew.ask("engine", *names)
             fleet.until(20, lambda: len([work for work in crew.book if work.ended >= 0]) < 4)
         else:
@@ -490,7 +490,7 @@
 
 
 def measure_cold_returns(options):
-    jobs = [(seed, kind) for seed in range(options.times) for kind in ("works", "each alone")]
+    jobs = [(seed, kind) for seed in range(options.times) for kind in ("scheduled", "each alone")]
     with ProcessPoolExecutor(2) as pool:
         for kind, worst, rules in pool.map(measure_return, jobs):
             print(
--- a/benchmarks/mixed_fleet.py
+++ b/benchmarks/mixed_fleet.py
@@ -34,7 +34,7 @@
 }
 CUT_TICKS = int(1.6 * LEASE_SECONDS * SECOND)  # longer than a lease
 RULE_TOLERANCE_TICKS = 2_500  # of the rule checker, for the delays of real processes
-# Counters of expected datagrams: decrypted ones, and those for an earlier incarnation.
+# Counters of expected datagrams: decrypted ones, and those to a gateway before it was killed.
 EXPECTED_COUNTERS = ("letters taken", "letters to an earlier start")
 
 
--- a/corkgauge/model/rolling_maintenance.py
+++ b/corkgauge/model/rolling_maintenance.py
@@ -3,7 +3,7 @@
 Compares the scheduling of the program with what operators do without it. Owns a fluid model of
 varying demand, of engines that are in maintenance, warm up or fail at random, and of the demand
 that is not served. With the policy of the program, this module must never decide which engines go
-into maintenance. The figures compare policies; they do not predict the earnings of a fleet.
+into maintenance. The figures compare policies; they do not predict the losses of a real fleet.
 """
 
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 WARM_UP_CORE_FRACTION = 0.33
 FAILURES_PER_SECOND = 3e-6  # of each engine, independently
 REPAIR_SECONDS = 1_200
-POLICIES = "works", "alone", "fixed", "counted"
+POLICIES = "scheduled", "alone", "fixed", "counted"
 # Name, value per core-second, fraction of the demand, engine kinds that may serve it (empty: all).
 REQUEST_CLASSES = ("lookup", 3.0, 0.45, ()), ("report", 2.0, 0.3, ("c12",)), ("load", 1.0, 0.25, ())
 
@@ -62,11 +62,11 @@
 class MaintenanceRun:
     """Simulates the maintenance of each engine of a fleet once.
 
-    `policy` is one of POLICIES: "works" is the schedule of the program with all its limits; with
-    "alone", one operator per zone works on one engine after another; "fixed" takes a fixed number
-    of engines in a fixed order, whatever the load; "counted" takes as many as the limit by count
-    allows.
-    `peak` and `low` are the largest and the smallest demand, as a fraction of all cores.
+    `policy` is one of POLICIES: "scheduled" is the schedule of the program with all its limits;
+    with "alone", one operator per zone works on one engine after another; "fixed" takes a fixed
+    number of engines in a fixed order, whatever the load; "counted" takes as many as the limit by
+    count allows. `peak` and `low` are the largest and the smallest demand, as a fraction of all
+    cores.
     """
 
     def __init__(
