--- a/benchmarks/scale_settings.py
+++ b/benchmarks/scale_settings.py
@@ -22,7 +22,7 @@
 from benchmarks.scaling import build_single_size_row, check_trial_size, measure_slope, save_rows
 from corkgauge.config.platform import PlatformConfig
 from corkgauge.eventloop.ring_buffer import MemoryBudget
-from corkgauge.model.dissemination import spread
+from corkgauge.model.dissemination import measure_dissemination
 from corkgauge.net.discovery_protocol import DiscoveryProtocol
 from corkgauge.net.host import UnstartedHost, build_settings
 from corkgauge.testkit.fleet.day import ENGINE_KINDS, settings
@@ -438,7 +438,9 @@
 
                 def simulate(members: int) -> float:
                     seeds = found.setdefault(members, [])
-                    seeds.append(spread(members, size, fanout, loss / 100, len(seeds) + 1))
+                    seeds.append(
+                        measure_dissemination(members, size, fanout, loss / 100, len(seeds) + 1)
+                    )
                     if seeds[-1][0] < 0:
                         raise RuntimeError(
                             f"{payload}, fan-out {fanout}, {loss}% lost: the change did not reach "
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -295,7 +295,7 @@
 
 
 def test_gossip_reaches_all_members_and_none_if_all_datagrams_are_lost():
-    assert 0 < dissemination.spread(60, 400, 2, 0.3, 1)[0] < 20
+    assert 0 < dissemination.measure_dissemination(60, 400, 2, 0.3, 1)[0] < 20
     dissemination_without_datagrams = dissemination.Dissemination(60, 400, 2, loss=1.0)
     assert (
         dissemination_without_datagrams.run(3 * SECOND) == -1
