--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -383,7 +383,7 @@
     assert len(counted_octets) == 2 and last["dropped"] == 0
     assert abs(exported_octets - sum(counted_octets)) <= 0.01 * sum(counted_octets)
     first_messages = [
-        message for message, _ in received if message.sequence == 0 and message.templates
+        message for message, _ in received if message.sequence == 0 and message.template_count
     ]
     # Sessions begin at both starts and after the outage of the collector.
     assert len(first_messages) >= 3 and len({message.domain for message, _ in received}) == 1
